--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -66,6 +66,7 @@
 
 def quiet_calls(terms: Terms) -> Measure:
     """Ends of watches a second, over 200 s without news."""
+
     def measure(count: int, seed: int) -> float:
         ends = 0
         for pacing in pacings(count, seed, terms):
--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -20,6 +20,7 @@
 PLAN = api.Plan("standard", rate=4.0, burst=12.0)
 READ = api.RequestClass("read", 400.0, 1.0, api.Repeat.SAFE)
 
+
 def settings(counter: bool = False, plan: api.Plan = PLAN) -> api.Settings:
     return api.Settings("z0", GATEWAYS, (READ,), (plan, api.Plan("free")), api.Safety(), counter=counter)
 
@@ -70,6 +71,7 @@
 
 def quiet(all_used: bool = False) -> Measure:
     """Percent of a core: four ticks and four looks a second, without requests."""
+
     def measure(listed: int, seed: int) -> float:
         gateway = module(listed, seed, all_used)
         at = iter(range(1, 10**6))
@@ -80,6 +82,7 @@
 
 def unreachable(all_used: bool = False) -> Measure:
     """Microseconds of an ending without a connection, beyond its choice."""
+
     def measure(listed: int, seed: int) -> float:
         made, gateway = settings(), module(listed, seed, all_used)
         inner: Any = gateway.module if isinstance(gateway, Aperture) else gateway
@@ -148,6 +151,7 @@
 
 def customers_kib(count: int, seed: int) -> float:
     """Customers that the module has seen within a minute."""
+
     def keep() -> Gateway:
         gateway = Gateway(settings(True), seed)
         gateway.handle(0.0, api.ServerList(api.ListKind.FULL, entries(4)))
@@ -202,6 +206,7 @@
                 carry_out(now + 2.0, gateway.handle(now + 2.0, ended))
 
     names = rng.choices(range(tenants), cum_weights=shares, k=round(rate * seconds))
+
     def run() -> None:
         tick = 250.0
         for number, tenant in enumerate(names):
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -206,6 +206,7 @@
 
 def replica_kib(rows: int, seed: int) -> float:
     """What so many rows of use take."""
+
     def keep() -> Replica:
         replica, rng = Replica(), random.Random(seed)
         for n in range(rows):
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -60,8 +60,7 @@
         return blake2b(f"{number}|{server}".encode(), digest_size=8).digest()
 
     return [
-        set(sorted(servers, key=lambda server: score(number, server))[:used])
-        for number in range(gateways)
+        set(sorted(servers, key=lambda server: score(number, server))[:used]) for number in range(gateways)
     ]
 
 
--- a/glenchute/backends/lines.py
+++ b/glenchute/backends/lines.py
@@ -611,4 +611,3 @@
                     if not conn.up:
                         conn.no_connection()
         super().close()
-
--- a/glenchute/capture/refusals.py
+++ b/glenchute/capture/refusals.py
@@ -91,6 +91,5 @@
         """The causes, the most frequent first."""
         self.settle()
         return [
-            Row(cause, n, self.units[cause], self.left[cause] / n)
-            for cause, n in self.counts.most_common()
+            Row(cause, n, self.units[cause], self.left[cause] / n) for cause, n in self.counts.most_common()
         ]
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -424,17 +424,13 @@
         return
 
 
-async def serve(
-    config: Config, environ: dict[str, str], operator: Operator | None, early: list[int]
-) -> None:
+async def serve(config: Config, environ: dict[str, str], operator: Operator | None, early: list[int]) -> None:
     """Runs the program in the loop that is running."""
     loop = asyncio.get_running_loop()
     await Program(config, loop, environ=environ, operator=operator).run(early)
 
 
-def checked(
-    path: str, config: Config, rest: Callable[[], None] | None = None
-) -> tuple[Operator, list[str]]:
+def checked(path: str, config: Config, rest: Callable[[], None] | None = None) -> tuple[Operator, list[str]]:
     """The operator's file and its warnings; with all that is wrong in a ConfigError. `rest` is called between
     parts of the reading. Imported only where one is named."""
     from glenchute.config.operator import read
@@ -494,4 +490,3 @@
         print(f"glenchute: can't start: {error}", file=sys.stderr)
         return 1
     return 0
-
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -354,9 +354,7 @@
     return f"{cover.commands[at]} of class {cover.classes[at]}, plan {cover.plans[plan]}"
 
 
-def resolved(
-    cover: Cover, base: Route | None, facts: Facts, faults: Faults
-) -> dict[tuple[str, str], Route]:
+def resolved(cover: Cover, base: Route | None, facts: Facts, faults: Faults) -> dict[tuple[str, str], Route]:
     """Which route binds each class and plan; tells of routes that bind nothing, and of what each breaks."""
     table: dict[tuple[str, str], Route] = {}
     used: dict[int, set[str]] = {}
--- a/glenchute/config/schema.py
+++ b/glenchute/config/schema.py
@@ -104,9 +104,7 @@
     """One string or an array of them, none twice; from `options` where these are given. `alone`: a single
     word may stand without brackets."""
 
-    def __init__(
-        self, options: tuple[str, ...] = (), alone: bool = True, code: str = "unknown-word"
-    ) -> None:
+    def __init__(self, options: tuple[str, ...] = (), alone: bool = True, code: str = "unknown-word") -> None:
         self.options, self.alone, self.code = options, alone, code
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
--- a/glenchute/deciders/fleet/leases.py
+++ b/glenchute/deciders/fleet/leases.py
@@ -43,7 +43,6 @@
         it is the token: of two seekers with one number the second would hold with the first one's token."""
         return self == promised or self.number > promised.number
 
-
     def ends(self, held: Ballot) -> bool:
         """Whether giving this one back gives that one back, too: it is of the same process, and no later."""
         return (self.seeker, self.boot) == (held.seeker, held.boot) and self.number >= held.number
--- a/glenchute/deciders/pipeline.py
+++ b/glenchute/deciders/pipeline.py
@@ -282,9 +282,7 @@
             self.watch(now, post)
         return found
 
-    def choose(
-        self, now: float, node: Node, job: Job, room: Callable[[], bool], waited: bool
-    ) -> Placement:
+    def choose(self, now: float, node: Node, job: Job, room: Callable[[], bool], waited: bool) -> Placement:
         """The best place. An idle connection holds nothing back and costs nothing: nothing is weighed
         then."""
         rules = self.rules
--- a/glenchute/deciders/services.py
+++ b/glenchute/deciders/services.py
@@ -155,8 +155,5 @@
     """Requests that come without host and path and reach no service: each is a class that clients of RESP2
     would be refused."""
     return [
-        way
-        for front in fronts
-        for name in classes
-        if router.service(way := Way(name, front=front)) is None
+        way for front in fronts for name in classes if router.service(way := Way(name, front=front)) is None
     ]
--- a/glenchute/fronts/extproc/messages.py
+++ b/glenchute/fronts/extproc/messages.py
@@ -21,8 +21,7 @@
 LB_KEY = "x-gateway-destination-endpoint"  # Gateway API inference extension, endpoint picker protocol
 OTHERS = ("response_body", "request_trailers", "response_trailers")
 CONTINUES = {
-    kind: pb.ProcessingResponse()
-    for kind in (*OTHERS, "request_headers", "request_body", "response_headers")
+    kind: pb.ProcessingResponse() for kind in (*OTHERS, "request_headers", "request_body", "response_headers")
 }
 for _kind, _made in CONTINUES.items():
     getattr(_made, _kind).SetInParent()
--- a/glenchute/peers/fleet/node.py
+++ b/glenchute/peers/fleet/node.py
@@ -46,7 +46,6 @@
 RETRY_S = 0.1
 
 
-
 class Fleet(asyncio.DatagramProtocol):
     """This process among the members."""
 
--- a/glenchute/peers/fleet/tasks.py
+++ b/glenchute/peers/fleet/tasks.py
@@ -28,7 +28,6 @@
 MOST_ANSWER = 1024
 
 
-
 def clock() -> float:
     """Seconds of a clock that nobody sets and that runs on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/glenchute/peers/fleet/wire.py
+++ b/glenchute/peers/fleet/wire.py
@@ -45,9 +45,7 @@
     """A datagram that is not taken; the text names why, for a counter."""
 
 
-LEASE = msgspec.msgpack.Decoder(
-    tuple[int, str, tuple[int, str, int], tuple[int, str, int], float, bool]
-)
+LEASE = msgspec.msgpack.Decoder(tuple[int, str, tuple[int, str, int], tuple[int, str, int], float, bool])
 LIST_FORMS: dict[type, int] = {coldstart.Told: 5, coldstart.Part: 6, coldstart.Ask: 7}
 ENCODER = msgspec.msgpack.Encoder()
 PACKET = msgspec.msgpack.Decoder(Packet)
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -206,9 +206,7 @@
             lie = not lie
             writer.write(http(json.dumps(await self.answer(since, query, lie)).encode()))
 
-    async def answer(
-        self, since: int | None, query: dict[str, list[str]], lie: bool
-    ) -> dict[str, Any]:
+    async def answer(self, since: int | None, query: dict[str, list[str]], lie: bool) -> dict[str, Any]:
         """What the list has to say, true or not."""
         rows = list(self.rows.values())
         if self.mode == "empty":
--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -135,9 +135,7 @@
 class Cold(World):
     """One day of a case. Servers that pass their budget are booked, and go on."""
 
-    def __init__(
-        self, seed: int, case: Case, make: Callable[[api.Settings, int], Any] = Gateway
-    ) -> None:
+    def __init__(self, seed: int, case: Case, make: Callable[[api.Settings, int], Any] = Gateway) -> None:
         self.case = case
         self.came: dict[tuple[str, float], list[Arrival]] = {}  # by server and start
         self.told_at: dict[tuple[int, int, str, float], float] = {}  # gateway, its life, server, its start
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -450,9 +450,7 @@
         if asked.number not in self.stopped and self.asked.pop(asked.ref, None) is not None:
             self.feed(asked.number, asked.incarnation, api.RequestGone(asked.ref))
 
-    def load(
-        self, ms: float, rate: float, plans: tuple[str, ...] = ("small", "small", "open")
-    ) -> None:
+    def load(self, ms: float, rate: float, plans: tuple[str, ...] = ("small", "small", "open")) -> None:
         """A mixed load of ordinary customers."""
         at = 0.0
         while (at := at + self.rng.expovariate(rate / 1000.0)) < ms:
--- a/lab/site.py
+++ b/lab/site.py
@@ -105,9 +105,7 @@
             while True:
                 assert self.process is not None
                 if self.process.poll() is not None:
-                    raise RuntimeError(
-                        f"the gateway ended: {self.log.read_text()}"
-                    )
+                    raise RuntimeError(f"the gateway ended: {self.log.read_text()}")
                 with contextlib.suppress(ConnectionError):
                     client = await Client.connect(self.port)
                     try:
--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -49,4 +49,3 @@
 
 if __name__ == "__main__":
     main()
-
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -173,5 +173,3 @@
         peers: list[Peer] = [*servers, counts, discovery]
         for each in peers:
             await each.stop()
-
-
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -225,9 +225,7 @@
         self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
         self.asked: dict[bytes, Asker] = {}
 
-    def ask(
-        self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
-    ) -> Asker:
+    def ask(self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None) -> Asker:
         """A client's request; its number is the next one, unless another proxy counts too."""
         request = b"%d" % (len(self.asked) + 1 if number is None else number)
         order = Order(request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.repeats[class_name])
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -108,6 +108,7 @@
 
     async def scenario() -> None:
         async with FleetSite(tmp_path, 3, settings=settings, more=MORE, tail=tail) as site:
+
             async def total(what: str) -> int:
                 rows = [await site.asked(number, "state") for number in range(3)]
                 return sum(row[0][what] for row in rows if row)
--- a/tests/test_lease_processes.py
+++ b/tests/test_lease_processes.py
@@ -99,6 +99,7 @@
         service = EffectService()
         service.poison = "bad"
         async with Acting(tmp_path, 4, service, "bad", "good") as one:
+
             async def parked() -> bool:
                 rows = [await one.site.asked(n, "tasks") for n in EVERY]
                 return all(row and row[0]["parked"] for row in rows)
--- a/tests/test_lines_loopback.py
+++ b/tests/test_lines_loopback.py
@@ -493,5 +493,3 @@
             assert {b"x"} in by_line and {b"y"} in by_line
 
     play(scenario())
-
-
--- a/tests/test_operator_files.py
+++ b/tests/test_operator_files.py
@@ -191,7 +191,10 @@
 
 def test_there_are_at_least_sixty_wrong_files_and_each_rule_has_one() -> None:
     assert len(BAD) >= 60
-    source = "".join((ROOT / "glenchute" / "config" / f"{m}.py").read_text() for m in ("rules", "operator", "schema", "fleet"))
+    source = "".join(
+        (ROOT / "glenchute" / "config" / f"{m}.py").read_text()
+        for m in ("rules", "operator", "schema", "fleet")
+    )
     codes = {code for case in BAD for code, _ in case.found}
     for code in codes:
         stem = code.removesuffix("-class").removesuffix("-plan")
@@ -237,7 +240,9 @@
     assert route.attempts == 3 and route.causes is not None and Ending.TIMEOUT in route.causes
 
 
-@pytest.mark.parametrize(("timeout", "loads"), [(1200, True), (2237, True), (2241, True), (2242, False), (2245, False)])
+@pytest.mark.parametrize(
+    ("timeout", "loads"), [(1200, True), (2237, True), (2241, True), (2242, False), (2245, False)]
+)
 def test_the_border_of_the_memory_span(timeout: int, loads: bool) -> None:
     """2,500 ms, less 5 that the module keeps, 250 to connect and 4 for the clock's coarseness: 2,241."""
     reading = parse(ORDERS + f"attempts = 2\nattempt_timeout_ms = {timeout}\n", FACTS)
@@ -246,7 +251,10 @@
 
 @pytest.mark.parametrize(("jitter", "loads"), [(0.0, True), (0.2, True), (0.22, False), (1.0, False)])
 def test_jitter_counts_at_its_most(jitter: float, loads: bool) -> None:
-    text = ORDERS + f"attempts = 2\nattempt_timeout_ms = 1041\nbackoff = {{ first_ms = 1000, jitter = {jitter} }}\n"
+    text = (
+        ORDERS
+        + f"attempts = 2\nattempt_timeout_ms = 1041\nbackoff = {{ first_ms = 1000, jitter = {jitter} }}\n"
+    )
     assert (parse(text, FACTS).operator is not None) is loads
 
 
@@ -347,7 +355,9 @@
 
 def test_check_tells_all_findings_and_exits_2(tmp_path: Path, platform: str) -> None:
     file = tmp_path / "operator.toml"
-    file.write_text("[[route]]\nname = 'a'\nmatch = { class = 'charge' }\nretry_on = ['error']\nattempts = -1\n")
+    file.write_text(
+        "[[route]]\nname = 'a'\nmatch = { class = 'charge' }\nretry_on = ['error']\nattempts = -1\n"
+    )
     done = run("check", "--operator", str(file), "--platform", platform)
     assert done.returncode == 2
     assert [line.split(": ")[1] for line in done.stdout.splitlines()] == [
@@ -375,7 +385,9 @@
     done = run("check", "--operator", str(file), "--platform", platform)
     assert "never-matches" in done.stdout  # one plan only: `all-reads` is shadowed
     file.write_text(file.read_text().split("[[route]]\nname = 'dear'")[0] + "attempts = 2\n")
-    done = run("explain", "--operator", str(file), "--platform", platform, "--class", "read", "--plan", "basic")
+    done = run(
+        "explain", "--operator", str(file), "--platform", platform, "--class", "read", "--plan", "basic"
+    )
     assert done.returncode == 0 and "route all-reads names 1" in done.stdout and "attempt 2" in done.stdout
     for wrong in (["--class", "nope", "--plan", "basic"], ["--class", "read", "--plan", "nope"],
                   ["--class", "read", "--plan", "basic", "--command", "POST"]):  # fmt: skip
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -835,6 +835,7 @@
         server = RespPeer(always(SERVED))
         await server.start()
         rows = [row("s0", server.port)]
+
         async def two(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n2\r\n"
 
--- a/tests/test_pipeline.py
+++ b/tests/test_pipeline.py
@@ -94,9 +94,7 @@
     @rule(name=st.sampled_from(["read", "read", "order", "charge"]), node=st.sampled_from("nm"),
           timeout=st.integers(60, 900), left=st.integers(60, 3000), again=st.booleans(), room=st.booleans(),
           count=st.integers(1, 6))  # fmt: skip
-    def ask(
-        self, name: str, node: str, timeout: int, left: int, again: bool, room: bool, count: int
-    ) -> None:
+    def ask(self, name: str, node: str, timeout: int, left: int, again: bool, room: bool, count: int) -> None:
         for _ in range(count):
             self.serial += 1
             wanted = job(self.now, name, float(timeout), float(left), again)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -117,12 +117,14 @@
             assert any("error attempts-over-cap: route[0].attempts" in line for line in lines)
             assert "error not-toml" in await refused("[[route]\n")
             with monkeypatch.context() as patch:
+
                 def broken(*_: object) -> Reading:
                     raise MemoryError("no more")
 
                 patch.setattr(operators, "read", broken)
                 assert "no more" in await refused(reads("second"))
             with monkeypatch.context() as patch:
+
                 def none(*_: object, **__: object) -> None:
                     raise RuntimeError("can't start new thread")
 
@@ -222,9 +224,7 @@
 """
 
 
-def test_a_stop_in_the_middle_of_a_reading_ends_well(
-    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
-) -> None:
+def test_a_stop_in_the_middle_of_a_reading_ends_well(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     (tmp_path / "sitecustomize.py").write_text(HOLD)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
     quiet = [Node("n0", Trade({"report-read": 1.0}), Script([Fault(Kind.VANISH, 0.0, 1e9)]))]
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -545,9 +545,7 @@
         parts.append(_Behind(Gateway(made, given), made, Terms(520, len(parts))))
         return parts[-1]
 
-    def large(
-        seed: int, gateways: int, nodes: int, make: Any, watch: Any = None
-    ) -> World:
+    def large(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
         return World(seed, gateways, WHOLE + 44, make, watch)
 
     for seed in range(6):
