--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -27,13 +27,12 @@
 
 import uvloop
 
+from benchmarks.choosing import GATEWAYS, RATE, READS, SERVERS, Lists, rows, waited_s
+from benchmarks.machine import cpu_s, machine
 from lab.load import Account, Load, percentile
 from lab.nodes import Node, Trade
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
-from .choosing import GATEWAYS, RATE, READS, SERVERS, Lists, rows, waited_s
-from .machine import cpu_s, machine
-
 SECONDS = 20.0
 PARTS = (
     ("client late to send", "asked", "sent"), ("to the gateway, read", "sent", "taken"),
@@ -46,8 +45,8 @@
 
 def probe() -> None:
     """In the gateway's process, before it starts: notes moments, written out at its end."""
-    from glenchute.backends.resp2 import Attempt, Connection
     from glenchute.core.gateway import Gateway
+    from glenchute.upstreams.connection_pool import Attempt, Connection
 
     moments: Moments = {}
     take, write, answered, answer = Gateway.take, Attempt.write, Connection.answered, Gateway.answer
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,16 +24,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from glenchute.cli.fleet import table as text_table
-from glenchute.config.facts import ClassFacts, Facts
-from glenchute.config.operator import MOST_ROUTES, Operator, Reading, parse
-from glenchute.deciders.fleet.members import Members, Rules
-from glenchute.deciders.pacing import Pacing, Terms
-from glenchute.deciders.routes import Routes
-from glenchute.peers.fleet.node import Fleet as Node
-from heathglade import interface as api
-
-from .capacity_gateway import (
+from benchmarks.capacity_gateway import (
     GATEWAYS,
     PLAN,
     RATE,
@@ -48,10 +39,18 @@
     quiet,
     unreachable,
     whole_list,
-)  # fmt: skip
-from .capacity_members import lease_messages, members_kib, replica_kib, talk, telling
-from .machine import machine
-from .slopes import Measure, Probe, cpu_ms, kib, table
+)
+from benchmarks.capacity_members import lease_messages, members_kib, replica_kib, talk, telling
+from benchmarks.machine import machine
+from benchmarks.slopes import Measure, Probe, cpu_ms, kib, table
+from glenchute.cli.fleet import table as text_table
+from glenchute.clients.membership.node import Fleet as Node
+from glenchute.config.facts import ClassFacts, Facts
+from glenchute.config.operator import MOST_ROUTES, Operator, Reading, parse
+from glenchute.policy import interface as api
+from glenchute.policy.endpoints.polling import Pacing, Terms
+from glenchute.policy.membership.members import Members, Rules
+from glenchute.policy.retries.route_limits import Routes
 
 SERVERS, ROUTES = 5_700, 2_700
 NAMES_KEPT_S = 60.0  # a customer unseen for this long is forgotten, here and at the counter
--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -8,13 +8,12 @@
 import time
 from typing import Any, NamedTuple
 
-from glenchute.deciders.subset import Aperture, Terms
-from glenchute.peers.discovery import Held, read_in_parts, read_list
-from glenchute.wire import resp
-from heathglade import interface as api
-from heathglade.policy import Gateway
-
-from .slopes import REFERENCE_MS, Measure, cpu_ms, kib, reference_ms
+from benchmarks.slopes import REFERENCE_MS, Measure, cpu_ms, kib, reference_ms
+from glenchute.clients.discovery import Held, read_in_parts, read_list
+from glenchute.policy import interface as api
+from glenchute.policy.balancing.subset import Aperture, Terms
+from glenchute.policy.engine import Gateway
+from glenchute.protocol import resp2 as resp
 
 GATEWAYS, TENANTS, RATE = 520, 41_000, 163.0
 PLAN = api.Plan("standard", rate=4.0, burst=12.0)
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -8,19 +8,18 @@
 from collections import Counter as Tally
 from typing import NamedTuple
 
-from glenchute.deciders.fleet.directmail import Post, Ring, numbers_of
-from glenchute.deciders.fleet.members import Members, Out, Rules, State
-from glenchute.deciders.fleet.replica import Kind, Replica, Row
-from glenchute.deciders.fleet.use import Use
-from glenchute.peers.fleet.wire import decode, encode
-from heathglade.interface import Plan
-from heathglade.windows import window_start
+from benchmarks.capacity_gateway import GATEWAYS
+from benchmarks.slopes import cpu_ms, kib
+from glenchute.policy.admission.windows import window_start
+from glenchute.policy.interface import Plan
+from glenchute.policy.membership.direct_messages import Post, Ring, numbers_of
+from glenchute.policy.membership.members import Members, Out, Rules, State
+from glenchute.policy.membership.replica import Kind, Replica, Row
+from glenchute.policy.membership.usage import Use
+from glenchute.protocol.member_datagrams import decode, encode
 from lab.fleet.holders import Swarm
 from lab.fleet.simulated import Net
 
-from .capacity_gateway import GATEWAYS
-from .slopes import cpu_ms, kib
-
 
 class Watched(Net):
     """A network that books what each member sends, in bytes as they are on the wire."""
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -27,14 +27,13 @@
 
 import uvloop
 
+from benchmarks.machine import cpu_s, machine
 from lab.load import Account, Kind, Load, percentile
 from lab.nodes import Node, Trade
 from lab.peers import row
 from lab.services import DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
-from .machine import cpu_s, machine
-
 READS = (Kind("report-read", 1.0, 2000),)
 SERVERS, GATEWAYS, RATE, SECONDS = 20, 520, 163.0, 10.0
 QUIET_S = 10.0
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -17,13 +17,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from glenchute.deciders.pacing import Terms, calls_bound
+from benchmarks.machine import machine
+from glenchute.policy.endpoints.polling import Terms, calls_bound
 from lab.coldstart import Call, Crowd, Herd, busiest, outage, release, starts, turned_away
 from lab.peers import row
 from lab.site import free_port
 
-from .machine import machine
-
 RATE, LINE, AGE = 20.0, 30, 30.0
 STATED = f"[discovery]\ncalls_per_s = {RATE:.0f}\nlist_age_s = {AGE:.0f}\n"
 
--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -19,8 +19,8 @@
 import uvloop
 
 from benchmarks.machine import machine
-from glenchute.backends.resp2 import Limits
-from heathglade.simhost import settings as read
+from glenchute.simulator import settings as read
+from glenchute.upstreams.connection_pool import Limits
 from lab.peers import Client, numbered
 from tests.loopback import CUSTOMER, SERVED, SETTINGS, site
 
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -14,9 +14,9 @@
 from typing import NamedTuple
 
 from benchmarks.machine import machine
-from glenchute.deciders.quotabound import bound, ceiling_overshoot
+from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
 from tests.fleet import PLANS, Fleet
-from tests.test_counter_loss import FAULTS, played
+from tests.policy.admission.test_counter_loss import FAULTS, played
 
 PLOT = Path(__file__).resolve().parent.parent / "docs" / "design" / "counter-loss.svg"
 SIZES = (3, 3, 4, 6, 10, 4, 3, 12)
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from benchmarks.machine import cpu_s, machine
-from glenchute.wire import resp
+from glenchute.protocol import resp2 as resp
 from lab.load import Load, percentile
 from lab.nodes import Node, Trade
 from lab.peers import Client
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -20,13 +20,12 @@
 
 import uvloop
 
+from benchmarks.machine import cpu_s, machine
 from lab.fleet.acting import MORE, drawn, tasks
 from lab.fleet.effects import EffectService
 from lab.fleet.holders import Swarm, longest_gap, overlaps, troubled
 from lab.fleet.processes import FleetSite
 
-from .machine import cpu_s, machine
-
 
 def takeovers(kind: str, longest: float) -> list[float]:
     """Seconds from a trouble of the holder to the first act of another."""
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -17,18 +17,17 @@
 from collections.abc import Generator
 from typing import Any
 
-from glenchute.backends.resp2 import Limits, Servers
+from benchmarks.machine import machine
+from glenchute.clients.discovery import Held, read_in_parts, read_list
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import News
-from glenchute.deciders.sizing import WHOLE
-from glenchute.deciders.subset import Aperture, Terms
-from glenchute.peers.discovery import Held, read_in_parts, read_list
-from heathglade import Gateway as Policy
-from heathglade.interface import Safety, Settings
+from glenchute.policy.balancing.subset import Aperture, Terms
+from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.engine import Gateway as Policy
+from glenchute.policy.interface import Safety, Settings
+from glenchute.upstreams.connection_pool import Limits, Servers
 from lab.peers import row
 
-from .machine import machine
-
 GATEWAYS, PLAYS = 520, 9
 
 
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -21,6 +21,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CAPTURES = ROOT / "tests" / "captures"
+MUTATED = ("engine.py", "admission/epoch_markers.py")
 SWAPS: dict[type[ast.AST], type[ast.AST]] = {
     ast.Lt: ast.LtE, ast.LtE: ast.Gt, ast.Gt: ast.GtE, ast.GtE: ast.Lt, ast.Eq: ast.NotEq, ast.NotEq: ast.Eq,
     ast.Is: ast.IsNot, ast.IsNot: ast.Is, ast.Add: ast.Sub, ast.Sub: ast.Add, ast.Mult: ast.Div,
@@ -52,10 +53,13 @@
 
 
 def mutants(count: int) -> list[Mutant]:
-    """Seeded changes of `policy.py` and `marks.py`."""
+    """Seeded changes of the engine and the epoch markers."""
     rng = random.Random(1)
     made = []
-    sources = {name: (ROOT / "heathglade" / name).read_text() for name in ("policy.py", "marks.py")}
+    sources = {
+        name: (ROOT / "glenchute" / "policy" / name).read_text()
+        for name in ("engine.py", "admission/epoch_markers.py")
+    }
     every = [(name, at) for name, text in sources.items() for at, _ in enumerate(places(ast.parse(text)))]
     for name, at in rng.sample(every, min(count, len(every))):
         tree = ast.parse(sources[name])
@@ -74,8 +78,8 @@
 def caught(mutant: Mutant) -> bool:
     """Whether any capture tells it from the module."""
     with tempfile.TemporaryDirectory() as folder:
-        copy = Path(folder) / "heathglade"
-        shutil.copytree(ROOT / "heathglade", copy, ignore=shutil.ignore_patterns("__pycache__"))
+        copy = Path(folder) / "policy"
+        shutil.copytree(ROOT / "glenchute" / "policy", copy, ignore=shutil.ignore_patterns("__pycache__"))
         (copy / mutant.file).write_text(mutant.text)
         try:
             make = other_module(copy)
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -17,14 +17,13 @@
 
 import uvloop
 
+from benchmarks.machine import machine
 from lab.faults import Fault, Kind, Script
 from lab.load import Account, Load
 from lab.load import Kind as Asked
 from lab.nodes import Node, Trade
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
-from .machine import machine
-
 READS = (Asked("report-read", 1.0, 2000),)
 AFTER_S = 10.0
 RATE = 20.0
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -17,8 +17,9 @@
 
 import uvloop
 
-from glenchute.deciders.fleet.members import State
-from glenchute.deciders.fleet.replica import Kind, Replica, Row
+from benchmarks.machine import cpu_s, machine
+from glenchute.policy.membership.members import State
+from glenchute.policy.membership.replica import Kind, Replica, Row
 from lab.fleet import checks
 from lab.fleet.crowd import Others
 from lab.fleet.processes import FleetSite
@@ -27,8 +28,6 @@
 from lab.sim.members import gone_run
 from lab.site import free_port
 
-from .machine import cpu_s, machine
-
 ONE = Account(b"%016x" % 77, "standard", 1.0, ",spread=5,first=0")
 RATE, BURST, SECONDS = 4.0, 12.0, 8.0
 LOADS = {"even": (2.0, 2.0, 2.0, 2.0, 2.0), "skewed": (6.0, 1.0, 0.5, 0.5, 0.0)}
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,11 +14,10 @@
 from dataclasses import fields, replace
 from pathlib import Path
 
+from benchmarks.machine import machine
 from lab.scale.run import Figures, Scale
 from lab.scale.site import Site, Trouble
 
-from .machine import machine
-
 COMPARED = (
     "list calls/min",
     "list bytes/call",
--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -43,8 +43,7 @@
 async def main(rounds: int) -> None:
     """Prints the medians of pairs."""
     os.environ.pop("PYTHONDONTWRITEBYTECODE", None)
-    for package in ("glenchute", "heathglade"):
-        compileall.compile_dir(package, quiet=2)  # as the platform's build does
+    compileall.compile_dir("glenchute", quiet=2)  # as the platform's build does
     text = OPERATOR.read_text()
     bare: list[tuple[float, float]] = []
     filed: list[tuple[float, float]] = []
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -16,14 +16,13 @@
 from itertools import islice
 from pathlib import Path
 
-from glenchute.deciders.rings import spot
-from glenchute.deciders.subset import DRIFT_MS, Subset, Terms, walk
-from heathglade.interface import Safety, ServerEntry, ServerState
+from benchmarks.machine import machine
+from glenchute.policy.balancing.hash_ring import spot
+from glenchute.policy.balancing.subset import DRIFT_MS, Subset, Terms, walk
+from glenchute.policy.interface import Safety, ServerEntry, ServerState
 from lab.coldstart import Herd
 from lab.load import Account, Kind, Load
 
-from .machine import machine
-
 Chosen = list[set[str]]
 # gateways, servers, places, the choice before a change of the list (None: none): what each gateway uses
 Scheme = Callable[[int, list[str], int, Chosen | None], Chosen]
--- a/glenchute/capture/codec.py
+++ b/glenchute/capture/codec.py
@@ -25,8 +25,8 @@
 
 import msgspec
 
-import heathglade
-from heathglade import interface as api
+from glenchute import policy
+from glenchute.policy import interface as api
 
 FORMAT = 1
 MAGIC = "glenchute-capture"
@@ -227,7 +227,7 @@
         """A class by name, if it may be had."""
         if (module, name) == ("builtins", "getattr"):
             return member  # this is how Python 3.11 pickles a member of an Enum
-        if module.partition(".")[0] == "heathglade" or (module, name) in self.PLAIN:
+        if module.startswith("glenchute.policy.") or (module, name) in self.PLAIN:
             return super().find_class(module, name)
         raise CaptureError(f"a snapshot that asks for {module}.{name}")
 
@@ -256,8 +256,8 @@
 
 def module_digest(folder: Path | None = None) -> str:
     """The version of the module: a digest of its sources."""
-    folder = folder or Path(str(heathglade.__file__)).parent
+    folder = folder or Path(str(policy.__file__)).parent
     digest = hashlib.blake2b(digest_size=8)
-    for name in ("interface.py", "marks.py", "policy.py"):
+    for name in ("interface.py", "admission/epoch_markers.py", "engine.py"):
         digest.update((folder / name).read_bytes())
     return digest.hexdigest()
--- a/glenchute/capture/recorder.py
+++ b/glenchute/capture/recorder.py
@@ -21,7 +21,7 @@
 from typing import Any, NamedTuple
 
 from glenchute.core.types import Decisions
-from heathglade import interface as api
+from glenchute.policy import interface as api
 
 from .codec import Head, batch, module_digest, note, snapshot
 
--- a/glenchute/capture/refusals.py
+++ b/glenchute/capture/refusals.py
@@ -9,7 +9,7 @@
 from collections import Counter, defaultdict
 from typing import Any, NamedTuple
 
-from heathglade import interface as api
+from glenchute.policy import interface as api
 
 from .codec import ACTIONS, EVENTS, CaptureError, Record
 
--- a/glenchute/capture/replay.py
+++ b/glenchute/capture/replay.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import importlib
 import importlib.util
 import itertools
 import sys
@@ -13,10 +14,21 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from heathglade import Gateway
-from heathglade import interface as api
-
-from .codec import ACTIONS, CaptureError, Cut, Head, Record, event_of, head_of, payloads, revive, told
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
+
+from .codec import (
+    ACTIONS,
+    CaptureError,
+    Cut,
+    Head,
+    Record,
+    event_of,
+    head_of,
+    payloads,
+    revive,
+    told,
+)
 
 OTHERS = itertools.count()
 Make = Callable[[api.Settings, int], Any]
@@ -146,19 +158,19 @@
 
 
 def other_module(folder: Path) -> Make:
-    """The module of another tree: a folder that holds `policy.py`, `marks.py` and the like."""
-    name = f"other_heathglade_{next(OTHERS)}"  # never one that was loaded before from the same place
+    """The module of another tree: a folder like `glenchute/policy`."""
+    name = f"other_policy_{next(OTHERS)}"  # never one that was loaded before from the same place
     spec = importlib.util.spec_from_file_location(
         name, folder / "__init__.py", submodule_search_locations=[str(folder)]
     )
-    if spec is None or spec.loader is None or not (folder / "policy.py").is_file():
+    if spec is None or spec.loader is None or not (folder / "engine.py").is_file():
         raise CaptureError(f"no decision module in {folder}")
     package = importlib.util.module_from_spec(spec)
     sys.modules[name] = package
     # The other version must know this program's events: they are what it is told.
     sys.modules[f"{name}.interface"] = api
     spec.loader.exec_module(package)
-    made: Make = package.Gateway
+    made: Make = importlib.import_module(f"{name}.engine").Gateway
     return made
 
 
--- a/glenchute/cli/aside.py
+++ b/glenchute/cli/aside.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING, Any, Generic, NamedTuple, TypeVar
 
 if TYPE_CHECKING:
-    from glenchute.deciders.routes import Routes
+    from glenchute.policy.retries.route_limits import Routes
 
 SWITCH_S = 0.0001
 SLICE_S, REST_S = 0.0004, 0.001  # of work in parts: on so long, off so long
--- a/glenchute/cli/explain.py
+++ b/glenchute/cli/explain.py
@@ -10,8 +10,8 @@
 from glenchute.config.operator import Operator
 from glenchute.config.platform import ConfigError
 from glenchute.config.rules import attempts_of, latest_write, pauses
-from glenchute.deciders.routes import Route
-from heathglade.interface import Repeat
+from glenchute.policy.interface import Repeat
+from glenchute.policy.retries.route_limits import Route
 
 from .files import operator_file, platform, sound_operator
 
--- a/glenchute/cli/lines.py
+++ b/glenchute/cli/lines.py
@@ -7,11 +7,11 @@
 from collections.abc import Mapping
 from typing import Any
 
-from glenchute.backends.lines import Gather, Lines
 from glenchute.config.pipeline import rules_of
 from glenchute.config.platform import Config
-from glenchute.deciders.pipeline import Rules
-from glenchute.deciders.sharing import Sharing
+from glenchute.policy.connections.class_compatibility import Sharing
+from glenchute.policy.connections.pipelining import Rules
+from glenchute.upstreams.pipelined import Gather, Lines
 
 
 def rules(raw: Mapping[str, Any], config: Config) -> Rules:
--- a/glenchute/cli/pipeline.py
+++ b/glenchute/cli/pipeline.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 from glenchute.config.platform import Config, ConfigError
-from glenchute.deciders.sharing import WHY
+from glenchute.policy.connections.class_compatibility import WHY
 
 from .files import operator_file, platform, sound_operator
 from .lines import rules, sharing
--- a/glenchute/cli/quota.py
+++ b/glenchute/cli/quota.py
@@ -6,7 +6,7 @@
 import sys
 
 from glenchute.config.platform import ConfigError
-from glenchute.deciders.quotabound import bound, bounds, members_bound, start_bound
+from glenchute.policy.admission.quota_bounds import bound, bounds, members_bound, start_bound
 
 from .files import platform
 
--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -12,8 +12,8 @@
 from glenchute.capture.codec import CaptureError, Record, event_of, module_digest, readable
 from glenchute.capture.refusals import CAUSES, Refusals
 from glenchute.capture.replay import Difference, Report, kinds, other_module, read, replay, runs
-from heathglade import Gateway
-from heathglade import interface as api
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
 
 MOST_SHOWN = 20
 MOST_COMPARED = 1_000_000
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -14,29 +14,29 @@
 
 import uvloop
 
-from glenchute.backends.resp2 import Servers
+from glenchute.clients.counter import Counter
+from glenchute.clients.discovery import Discovery
 from glenchute.config.platform import OPERATOR, Config, ConfigError, load, passed_socket
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import Decisions, News
-from glenchute.deciders.lifecycle import ACCEPT_S
-from glenchute.deciders.pacing import Doubt, Terms
-from glenchute.deciders.sizing import WHOLE
-from glenchute.fronts.resp2.clients import Listener
-from glenchute.fronts.resp2.commands import Catalogue
-from glenchute.peers.counter import Counter
-from glenchute.peers.discovery import Discovery
-from heathglade import Gateway as Policy
+from glenchute.listeners.resp2.clients import Listener
+from glenchute.listeners.resp2.commands import Catalogue
+from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.endpoints.polling import Doubt, Terms
+from glenchute.policy.engine import Gateway as Policy
+from glenchute.policy.lifecycle.draining import ACCEPT_S
+from glenchute.upstreams.connection_pool import Servers
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from glenchute.capture.recorder import Recorder
+    from glenchute.clients.membership.node import Fleet
     from glenchute.config.operator import Operator
     from glenchute.control.server import ControlServer
-    from glenchute.fronts.extproc.server import Server as ExtProc
-    from glenchute.fronts.operations import OperationsServer
-    from glenchute.peers.fleet.node import Fleet
-    from heathglade.interface import ServerEntry
+    from glenchute.listeners.extproc.server import Server as ExtProc
+    from glenchute.listeners.operations import OperationsServer
+    from glenchute.policy.interface import ServerEntry
 
     from .aside import Aside, Reread
     from .succession import Succession
@@ -156,7 +156,7 @@
         """The module that is told of some of the servers only; imported only where the operator's file says
         so, or a list is that long. A gateway that does not know its number takes one by its seed: balanced by
         chance alone."""
-        from glenchute.deciders.subset import Aperture, Terms
+        from glenchute.policy.balancing.subset import Aperture, Terms
 
         made, number = self.config.settings, self.config.place
         number = number if number is not None else self.config.seed
@@ -193,7 +193,7 @@
     def processing(self, raw: dict[str, Any]) -> ExtProc:
         """The front for proxies; imported, with its libraries, only where the operator's file names it."""
         try:
-            from glenchute.fronts.extproc.start import front
+            from glenchute.listeners.extproc.start import front
         except ImportError as error:
             raise ConfigError(f"fronts.extproc needs glenchute[extproc]: {error}") from None
         return front(raw, self.config, self.loop, self.gateway)
@@ -203,7 +203,7 @@
         from glenchute.control.server import ControlServer
 
         try:
-            from glenchute.peers.fleet.node import Fleet
+            from glenchute.clients.membership.node import Fleet
         except ImportError as error:
             raise ConfigError(f"fleet needs glenchute[fleet]: {error}") from None
         config = self.config
@@ -221,7 +221,7 @@
 
     def operating(self) -> OperationsServer:
         """The second address; imported only where the platform names one."""
-        from glenchute.fronts.operations import OperationsServer
+        from glenchute.listeners.operations import OperationsServer
 
         listener = self.listener
 
@@ -254,7 +254,7 @@
 
     def bind(self, operator: Operator) -> None:
         """The operator's routes hold for requests from the start on."""
-        from glenchute.deciders.routes import Routes
+        from glenchute.policy.retries.route_limits import Routes
 
         self.gateway.routes = Routes(operator.table, self.config.seed)
 
@@ -445,7 +445,7 @@
 def read_again(path: str, config: Config) -> Reread:
     """What a sound operator's file brings to a gateway that serves; ConfigError for a wrong one. Touches
     nothing else, so that it may run beside the loop."""
-    from glenchute.deciders.routes import Routes
+    from glenchute.policy.retries.route_limits import Routes
 
     from .aside import Pace, Reread
 
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -6,13 +6,13 @@
 import logging
 from pathlib import Path
 
-from glenchute.backends.resp2 import Servers
+from glenchute.clients.handover import Door, Predecessor, ask, path_in
 from glenchute.config.platform import Config
 from glenchute.core.gateway import Gateway
-from glenchute.deciders.succession import keeps, message
-from glenchute.fronts.resp2.clients import Listener
-from glenchute.peers.succession import Door, Predecessor, ask, path_in
-from heathglade import interface as api
+from glenchute.listeners.resp2.clients import Listener
+from glenchute.policy import interface as api
+from glenchute.policy.lifecycle.handover import keeps, message
+from glenchute.upstreams.connection_pool import Servers
 
 log = logging.getLogger("glenchute")
 
--- a/glenchute/peers/counter.py
+++ b/glenchute/clients/counter.py
@@ -11,9 +11,9 @@
 from collections import deque
 from collections.abc import Callable
 
-from glenchute.deciders.places import MOST_LINKS
-from glenchute.wire import resp
-from heathglade.interface import Ending
+from glenchute.policy.connections.client_slots import MOST_LINKS
+from glenchute.policy.interface import Ending
+from glenchute.protocol import resp2 as resp
 
 TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
 MOST_TOTAL = 1e12
--- a/glenchute/peers/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -18,13 +18,13 @@
 from typing import TYPE_CHECKING, Any
 
 from glenchute.core.types import Address, News
-from glenchute.deciders.pacing import Doubt, Pacing, Terms
-from glenchute.deciders.sizing import WHOLE
-from glenchute.deciders.watch import Action, Ask, Close, Open, Watch
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
+from glenchute.policy.endpoints.watch import Action, Ask, Close, Open, Watch
+from glenchute.policy.interface import ListKind, ServerEntry, ServerList, ServerState
 
 if TYPE_CHECKING:  # most processes never meet a list so long
-    from glenchute.deciders.rings import Placed, Placing
+    from glenchute.policy.balancing.hash_ring import Placed, Placing
 
 log = logging.getLogger("glenchute")
 
@@ -181,7 +181,7 @@
     would hold up all requests. The rows are taken out of the text one by one; what is left is read whole.
     What follows from a whole list is worked out on the way (`Placing`). A row whose text the list before had
     as well is not read again: a text that was one whole object is one wherever it stands."""
-    from glenchute.deciders.rings import Placing
+    from glenchute.policy.balancing.hash_ring import Placing
 
     text = body.decode(json.detect_encoding(body), "surrogatepass")
     head = HEAD.match(text)
@@ -341,7 +341,7 @@
 
 class Discovery:
     """Fetches the list, then watches it for as long as the process runs. Which calls are out, and when the
-    next one goes, is decided in `deciders/watch.py`."""
+    next one goes, is decided in `policy/endpoints/watch.py`."""
 
     def __init__(
         self,
--- a/glenchute/peers/succession.py
+++ b/glenchute/clients/handover.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from glenchute.deciders.succession import MOST_BYTES, SuccessionError, Told, parse
+from glenchute.policy.lifecycle.handover import MOST_BYTES, SuccessionError, Told, parse
 
 log = logging.getLogger("glenchute")
 
--- a/glenchute/peers/fleet/tasks.py
+++ b/glenchute/clients/membership/lease_tasks.py
@@ -16,12 +16,12 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any, NamedTuple
 
-from glenchute.deciders.fleet.leases import Kind as Said
-from glenchute.deciders.fleet.leases import Lease, Out, Seeker, Terms, Voter
-from glenchute.deciders.fleet.replica import Kind, Row
-from glenchute.deciders.fleet.tasks import Keeper, Record
+from glenchute.policy.membership.leases import Kind as Said
+from glenchute.policy.membership.leases import Lease, Out, Seeker, Terms, Voter
+from glenchute.policy.membership.replica import Kind, Row
+from glenchute.policy.membership.task_candidates import Keeper, Record
 
-from .events import tell
+from .log_events import tell
 
 SETTLE_S = 0.3  # for the mark of a first step to reach others before it runs
 TO_VOTERS = (Said.PREPARE, Said.PROPOSE, Said.RELEASE, Said.RECALL, Said.RECALLED)
--- a/glenchute/peers/fleet/node.py
+++ b/glenchute/clients/membership/node.py
@@ -1,6 +1,6 @@
 """A member's socket and clock, and the way between the fleet's state and the core.
 
-`Fleet` owns the socket, the deciders of `deciders/fleet` and their timer. `Telling` stands before the
+`Fleet` owns the socket, the deciders of `policy/membership` and their timer. `Telling` stands before the
 decision module: it sees which requests go on, writes them down for the others, and tells the module before
 each request what the others let in. Nothing here holds up a request: all of it is memory, and datagrams
 that the kernel does not take are lost, as any may be.
@@ -19,27 +19,27 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from glenchute.core.types import Address, Counting, Decisions, News
-from glenchute.deciders.fleet import coldstart
-from glenchute.deciders.fleet import members as membership
-from glenchute.deciders.fleet.audit import Audit, Look
-from glenchute.deciders.fleet.coldstart import ASKER_WAIT_S, ListShare
-from glenchute.deciders.fleet.directmail import Asked, Mail, Post, Ring, numbers_of
-from glenchute.deciders.fleet.gossip import Gossip, Pace, Rows, Taken
-from glenchute.deciders.fleet.health import Health
-from glenchute.deciders.fleet.leases import Lease, Terms
-from glenchute.deciders.fleet.members import Members, Rules, State
-from glenchute.deciders.fleet.replica import Kind, Replica, Row
-from glenchute.deciders.fleet.restraint import Restraint
-from glenchute.deciders.fleet.use import TOLD_SHARE, Use, allowance, trusted_share
-from heathglade import interface as api
-
-from .events import tell
-from .tasks import SETTLE_S, Guard, LeaseLost, Runner, Task, call
-from .telling import Telling
-from .wire import Bad, decode, encode
+from glenchute.policy import interface as api
+from glenchute.policy.membership import endpoint_sharing as coldstart
+from glenchute.policy.membership import members as membership
+from glenchute.policy.membership.direct_messages import Asked, Mail, Post, Ring, numbers_of
+from glenchute.policy.membership.endpoint_health import Health
+from glenchute.policy.membership.endpoint_sharing import ASKER_WAIT_S, ListShare
+from glenchute.policy.membership.gossip import Gossip, Pace, Rows, Taken
+from glenchute.policy.membership.gossiped_drains import Restraint
+from glenchute.policy.membership.leases import Lease, Terms
+from glenchute.policy.membership.members import Members, Rules, State
+from glenchute.policy.membership.replica import Kind, Replica, Row
+from glenchute.policy.membership.usage import TOLD_SHARE, Use, allowance, trusted_share
+from glenchute.policy.membership.usage_audit import Audit, Look
+from glenchute.protocol.member_datagrams import Bad, decode, encode
+
+from .lease_tasks import SETTLE_S, Guard, LeaseLost, Runner, Task, call
+from .log_events import tell
+from .usage_reports import Telling
 
 if TYPE_CHECKING:
-    from glenchute.peers.discovery import Discovery
+    from glenchute.clients.discovery import Discovery
 
 AUDIT_S = 10.0  # copies that differ for so long are told of
 TICK_S = 0.025
--- a/glenchute/peers/fleet/telling.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from glenchute.core.types import Decisions
-from glenchute.deciders.fleet.gossip import Taken
-from glenchute.deciders.fleet.health import Health
-from glenchute.deciders.fleet.replica import Kind, Row
-from glenchute.deciders.fleet.use import Use
-from heathglade import interface as api
-from heathglade.windows import window_start
+from glenchute.policy import interface as api
+from glenchute.policy.admission.windows import window_start
+from glenchute.policy.membership.endpoint_health import Health
+from glenchute.policy.membership.gossip import Taken
+from glenchute.policy.membership.replica import Kind, Row
+from glenchute.policy.membership.usage import Use
 
 MOST_OPEN = 20_000
 
--- a/glenchute/config/extproc.py
+++ b/glenchute/config/extproc.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from glenchute.deciders.mapping import SOURCE, Operation, Rules, Template
-from heathglade.interface import Repeat
+from glenchute.policy.interface import Repeat
+from glenchute.policy.services.request_mapping import SOURCE, Operation, Rules, Template
 
 from .facts import Facts
 from .schema import MISSING, Path, Report
--- a/glenchute/config/facts.py
+++ b/glenchute/config/facts.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Mapping
 
-from heathglade.interface import Repeat
-from heathglade.record import record
+from glenchute.policy.interface import Repeat
+from glenchute.policy.record import record
 
 
 @record(frozen=True, slots=True)
--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -113,7 +113,7 @@
 
 def of_leases(raw: dict[str, Any], names: set[str], faults: Faults) -> None:
     """What `[fleet.leases]` must be to the members and to itself."""
-    from glenchute.deciders.fleet.leases import Terms, sound_voters  # only for a file that has it
+    from glenchute.policy.membership.leases import Terms, sound_voters  # only for a file that has it
 
     leases = raw["leases"]
     at = (*PLACE, "leases")
--- a/glenchute/config/matching.py
+++ b/glenchute/config/matching.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from glenchute.deciders.routes import Route
+from glenchute.policy.retries.route_limits import Route
 
 from .facts import Facts
 
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -13,8 +13,8 @@
 from itertools import pairwise
 from typing import Any, NamedTuple
 
-from glenchute.deciders.routes import Backoff, BudgetRule, Route
-from heathglade.interface import Ending
+from glenchute.policy.interface import Ending
+from glenchute.policy.retries.route_limits import Backoff, BudgetRule, Route
 
 from . import fleet, pipeline
 from .facts import Facts
--- a/glenchute/config/pipeline.py
+++ b/glenchute/config/pipeline.py
@@ -8,13 +8,13 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from heathglade.interface import Repeat
+from glenchute.policy.interface import Repeat
 
 from .facts import Facts
 from .schema import MISSING, Number, Path, Report, Switch, Table, Words
 
 if TYPE_CHECKING:
-    from glenchute.deciders.pipeline import Rules
+    from glenchute.policy.connections.pipelining import Rules
 
 HERE: Path = ("pipeline",)
 MOST_DEPTH = 1000
@@ -43,7 +43,7 @@
 def rules_of(raw: Mapping[str, Any]) -> Rules:
     """The decider's rules as the table has them; what it leaves out is the decider's own default. What the
     platform's file says of them is not in it."""
-    from glenchute.deciders.pipeline import Rules  # only for a file that has the table
+    from glenchute.policy.connections.pipelining import Rules  # only for a file that has the table
 
     return Rules(**{name: raw[name] for name in Rules._fields if name in raw})
 
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -6,14 +6,14 @@
 import socket
 from typing import Any
 
-from glenchute.backends.resp2 import Limits
+from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import News
-from glenchute.deciders.places import Budget, budget
-from glenchute.fronts.resp2.commands import Bounds, bounds
-from glenchute.peers.discovery import ListError, address, read_list
-from heathglade.interface import Settings
-from heathglade.record import record
-from heathglade.simhost import SCOPES, num, settings
+from glenchute.listeners.resp2.commands import Bounds, bounds
+from glenchute.policy.connections.client_slots import Budget, budget
+from glenchute.policy.interface import Settings
+from glenchute.policy.record import record
+from glenchute.simulator import SCOPES, num, settings
+from glenchute.upstreams.connection_pool import Limits
 
 from .facts import ClassFacts, Facts
 
--- a/glenchute/config/rules.py
+++ b/glenchute/config/rules.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from glenchute.deciders.routes import Route
-from heathglade.interface import Ending, Repeat
+from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.retries.route_limits import Route
 
 from .facts import ClassFacts, Facts
 
--- a/glenchute/core/gateway.py
+++ b/glenchute/core/gateway.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Collection
 from typing import TYPE_CHECKING
 
-from heathglade import interface as api
+from glenchute.policy import interface as api
 
 from .types import (
     About,
@@ -33,11 +33,11 @@
     Served,
     Source,
     Streamed,
-)  # fmt: skip
+)
 
 if TYPE_CHECKING:  # only an operator's file brings routes in
-    from glenchute.deciders.rings import Placed
-    from glenchute.deciders.routes import Course, Routes
+    from glenchute.policy.balancing.hash_ring import Placed
+    from glenchute.policy.retries.route_limits import Course, Routes
 
 log = logging.getLogger("glenchute")
 
--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -6,8 +6,8 @@
 from dataclasses import field
 from typing import NamedTuple, Protocol
 
-from heathglade.interface import Action, Ending, Event, ServerList
-from heathglade.record import record
+from glenchute.policy.interface import Action, Ending, Event, ServerList
+from glenchute.policy.record import record
 
 Address = tuple[str, int]
 
--- a/glenchute/fronts/extproc/calls.py
+++ b/glenchute/listeners/extproc/calls.py
@@ -16,10 +16,10 @@
 
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import About, Address, Answer, Call, Carrier, Refused, Result, Served, Source
-from glenchute.deciders.exchange import Asking, Gate, Show, ending, gate, may_follow, show
-from glenchute.deciders.mapping import Fields, MappingError, NeedsBody, Rules, View
-from heathglade.interface import Ending, Repeat
-from heathglade.record import record
+from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.record import record
+from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
+from glenchute.policy.services.request_mapping import Fields, MappingError, NeedsBody, Rules, View
 
 from . import events as ev
 from .token import Signer, Token
--- a/glenchute/fronts/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -14,8 +14,8 @@
 
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import About, Answer, Call, Carrier, Refused, Result, Source
-from glenchute.deciders.mapping import MappingError, Rules, View
-from heathglade.interface import Ending
+from glenchute.policy.interface import Ending
+from glenchute.policy.services.request_mapping import MappingError, Rules, View
 
 RateLimitRequest = rls_pb2.RateLimitRequest
 RateLimitResponse = rls_pb2.RateLimitResponse
--- a/glenchute/fronts/operations/server.py
+++ b/glenchute/listeners/operations/server.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from glenchute.deciders.callers import Callers
+from glenchute.policy.connections.operator_slots import Callers
 
 log = logging.getLogger("glenchute")
 
--- a/glenchute/fronts/resp2/clients.py
+++ b/glenchute/listeners/resp2/clients.py
@@ -2,7 +2,7 @@
 
 What a client may make the gateway hold is bounded: the bytes of a message, the commands of a connection, the
 replies it does not read, the work of one turn of the loop. How many connections there are and how long each
-may wait is decided in `deciders/places.py`.
+may wait is decided in `policy/connections/client_slots.py`.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import Answer, Refused, Served, Source, Streamed
-from glenchute.deciders.lifecycle import Lifecycle
-from glenchute.deciders.places import Budget, Close, Places, Reason, State
-from glenchute.wire import resp
+from glenchute.policy.connections.client_slots import Budget, Close, Places, Reason, State
+from glenchute.policy.lifecycle.draining import Lifecycle
+from glenchute.protocol import resp2 as resp
 
 from .commands import Catalogue, CommandError
 
@@ -581,7 +581,7 @@
 
     def unblock(self, client: Client) -> None:
         """Gives up what keeps finished replies past their time, if the decider says so."""
-        from glenchute.deciders.release import Waiting, verdict  # only where the operator's file asks for it
+        from glenchute.policy.connections.response_order import Waiting, verdict  # where asked for
 
         look = self.looks.pop(client, None)
         if look is not None:
--- a/glenchute/fronts/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from glenchute.core.types import Call
-from glenchute.wire import resp
-from heathglade.interface import Repeat, Settings
-from heathglade.record import record
-from heathglade.simhost import num
+from glenchute.policy.interface import Repeat, Settings
+from glenchute.policy.record import record
+from glenchute.protocol import resp2 as resp
+from glenchute.simulator import num
 
 MOST_FIELDS = 512  # bytes of the list of names and values
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
--- a/heathglade/marks.py
+++ b/glenchute/policy/admission/epoch_markers.py
@@ -23,7 +23,7 @@
 import math
 from enum import Enum
 
-from .record import record
+from ..record import record
 
 ROOM = 8.0  # a mark is worth so many times what a window can hold, so that units never pass for marks
 BLUR = 0.02  # share of a mark that units may fall without telling of a loss
--- a/glenchute/deciders/quotabound.py
+++ b/glenchute/policy/admission/quota_bounds.py
@@ -23,9 +23,9 @@
 
 from typing import NamedTuple
 
-from heathglade.interface import Plan, Settings
-from heathglade.policy import COUNTED, LEAST_PART, MUTE_AFTER
-from heathglade.windows import span_of
+from ..engine import COUNTED, LEAST_PART, MUTE_AFTER
+from ..interface import Plan, Settings
+from .windows import span_of
 
 
 class Bound(NamedTuple):
--- a/heathglade/windows.py
+++ b/glenchute/policy/admission/windows.py
@@ -5,7 +5,7 @@
 import functools
 import hashlib
 
-from .interface import Plan
+from ..interface import Plan
 
 WINDOW_S = 1.0  # the fill's window: what a store holds is offered to the demand of this long
 IDLE_MS = 60_000.0  # a customer unseen for this long is forgotten, by the counter too
--- /dev/null
+++ b/glenchute/policy/balancing/__init__.py
@@ -0,0 +1,1 @@
+"""The server pool, endpoint choice, slow start, and subsets."""
--- a/glenchute/deciders/rings.py
+++ b/glenchute/policy/balancing/hash_ring.py
@@ -13,9 +13,8 @@
 from collections.abc import Iterator, Mapping
 from hashlib import blake2b
 
-from heathglade.interface import ServerEntry, ServerState
-
-from .sizing import WHOLE
+from ..interface import ServerEntry, ServerState
+from .subset_size import WHOLE
 
 SORTED = 512  # rows of rings put in order in one step
 
--- a/glenchute/deciders/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -26,11 +26,10 @@
 from dataclasses import replace
 from typing import NamedTuple, Protocol
 
-from heathglade import interface as api
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
-
-from .rings import Placed, Spot, spot
-from .sizing import AGAIN, WHOLE, size
+from .. import interface as api
+from ..interface import ListKind, ServerEntry, ServerList, ServerState
+from .hash_ring import Placed, Spot, spot
+from .subset_size import AGAIN, WHOLE, size
 
 FAINT = 0.2  # what a server counts at least, however cold or lost: so far the ring is walked, and no farther
 GOLDEN = 0.618034
--- /dev/null
+++ b/glenchute/policy/connections/__init__.py
@@ -0,0 +1,1 @@
+"""Client and server connections: limits, eviction, pipelining, and response order."""
--- a/glenchute/deciders/sharing.py
+++ b/glenchute/policy/connections/class_compatibility.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from heathglade.interface import Repeat, RequestClass
+from ..interface import Repeat, RequestClass
 
 
 class Behind(Enum):
--- a/glenchute/deciders/places.py
+++ b/glenchute/policy/connections/client_slots.py
@@ -25,7 +25,7 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from heathglade.record import record
+from ..record import record
 
 IDLE_S = 5.0  # what a connection between requests is allowed with every place free
 ONCE_POWER = 3  # one that never came back loses its allowance by this power of the free share, others by 1
--- a/glenchute/deciders/line.py
+++ b/glenchute/policy/connections/pipelined_connection.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import Generic, NamedTuple, TypeVar
 
-from heathglade.interface import Ending
+from ..interface import Ending
 
 T = TypeVar("T")
 CROSSING_MS = 5.0  # a command handed over so shortly before a reply may not have been at the node by then
--- a/glenchute/deciders/pipeline.py
+++ b/glenchute/policy/connections/pipelining.py
@@ -24,11 +24,10 @@
 from enum import Enum
 from typing import NamedTuple
 
-from heathglade.interface import Repeat, RequestClass
-
-from .depth import Depth
-from .servicetimes import ServiceTimes
-from .sharing import Behind, Sharing
+from ..interface import Repeat, RequestClass
+from .class_compatibility import Behind, Sharing
+from .depth_limit import Depth
+from .service_times import ServiceTimes
 
 GRID = 8  # points at which a chance is taken for an expectation
 LATE_WEIGHS = 4.0  # a millisecond past the aim, against one before it
--- /dev/null
+++ b/glenchute/policy/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint list: notification deadlines, watches, and polling."""
--- a/glenchute/deciders/pacing.py
+++ b/glenchute/policy/endpoints/polling.py
@@ -28,9 +28,8 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
-
-from . import told
+from ..interface import ListKind, ServerEntry, ServerList, ServerState
+from . import notification as told
 
 # A watch waits so long for news; what it waits for counts as told 2 s after that. Each end of a wait costs
 # the service a call, so the wait grows with the fleet, in these bounds: all together end so many a second.
--- a/glenchute/deciders/watch.py
+++ b/glenchute/policy/endpoints/watch.py
@@ -37,8 +37,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from . import told
-from .pacing import Pacing
+from . import notification as told
+from .polling import Pacing
 
 TRIES_PUSHED = 3  # calls beside a silent one, within the budget
 TRIES_ASKED = 1
--- a/heathglade/policy.py
+++ b/glenchute/policy/engine.py
@@ -1,4 +1,4 @@
-"""The decisions of heathglade. The types it takes and returns are in `heathglade/interface.py`.
+"""The decision engine. The types it takes and returns are in `glenchute/policy/interface.py`.
 
 A gateway serves many customers, whose quotas hold over all gateways together. `Quota` decides how much of a
 customer's demand goes on, `Fleet` which server gets it, and `Gateway` follows each request to its one final
@@ -13,13 +13,42 @@
 from dataclasses import replace
 
 from .interface import (
-    Action, Alone, AnswerBegan, AttemptEnded, AttemptHeld, Avoid, Beside, Cancel, Count, CountReply, Ending,
-    Event, Fail, HandOver, ListKind, Log, Refuse, Repeat, Request, RequestClass, RequestGone, Scope, Send,
-    ServerList, ServerState, SetTimer, Settings, Stock, Subscribe, TakeOver, TimerFired, Used,
-)  # fmt: skip
-from .marks import Health, Name, Watch, mark_of
-from .records import Attempt, Customer, Open, Server
-from .windows import IDLE_MS, WINDOW_S, span_of, stable, window_start
+    Action,
+    Alone,
+    AnswerBegan,
+    AttemptEnded,
+    AttemptHeld,
+    Avoid,
+    Beside,
+    Cancel,
+    Count,
+    CountReply,
+    Ending,
+    Event,
+    Fail,
+    HandOver,
+    ListKind,
+    Log,
+    Refuse,
+    Repeat,
+    Request,
+    RequestClass,
+    RequestGone,
+    Scope,
+    Send,
+    ServerList,
+    ServerState,
+    SetTimer,
+    Settings,
+    Stock,
+    Subscribe,
+    TakeOver,
+    TimerFired,
+    Used,
+)
+from .admission.epoch_markers import Health, Name, Watch, mark_of
+from .state import Attempt, Customer, Open, Server
+from .admission.windows import IDLE_MS, WINDOW_S, span_of, stable, window_start
 
 SPEND_S = 0.4
 CALL_GAP_MS = 100.0  # least time between two calls for one customer
--- a/heathglade/interface.py
+++ b/glenchute/policy/interface.py
@@ -1,6 +1,6 @@
-"""The interface of heathglade: what a gateway tells the decision module, and what it is told to do.
+"""The interface of the decision engine: what a gateway tells the decision module, and what it is told to do.
 
-An embedding gateway makes one ``heathglade.policy.Gateway(settings, seed)`` at start and calls
+An embedding gateway makes one ``glenchute.policy.engine.Gateway(settings, seed)`` at start and calls
 ``handle(now_ms, event)`` for each event below, in the order in which they happened, from one thread.
 The call returns a list of actions, which the gateway carries out in that order.
 
--- /dev/null
+++ b/glenchute/policy/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""Draining, graceful shutdown, and handover between processes."""
--- a/glenchute/deciders/succession.py
+++ b/glenchute/policy/lifecycle/handover.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from heathglade.interface import Stock
+from ..interface import Stock
 
 FORMAT = 1
 MOST_STOCKS = 10_000  # customers that are handed over, those seen last first
--- a/glenchute/deciders/fleet/directmail.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -27,7 +27,7 @@
 from typing import NamedTuple
 
 from .replica import Kind, Replica, Row
-from .use import Use
+from .usage import Use
 
 PUSH_S = 0.1  # a member is sent news at once, and then no sooner than this
 GAP_S = 0.02  # ... and an account again after this for each gateway of its set
--- a/glenchute/deciders/fleet/health.py
+++ b/glenchute/policy/membership/endpoint_health.py
@@ -21,8 +21,7 @@
 import random
 from typing import NamedTuple
 
-from heathglade.interface import Avoid, Ending
-
+from ..interface import Avoid, Ending
 from .replica import Kind, Row
 
 FIRST_S, MOST_S = 1.0, 2.0  # pauses that are told, doubled at each look that fails
--- a/glenchute/deciders/fleet/coldstart.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -5,7 +5,7 @@
 `ASK_S` what version it holds and how long ago discovery confirmed that; the answer's age counts from the
 question, so that neither a slow way nor a stop of this process makes a list younger than it is. A member
 whose list was confirmed `FRESH_S` ago at most does not call discovery. One that hears nothing falls back to
-calls of its own, in turns as without members (`deciders/pacing.py`).
+calls of its own, in turns as without members (`policy/endpoints/polling.py`).
 
 What holds, whatever is lost, late, repeated or untrue:
 
@@ -26,10 +26,9 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from glenchute.deciders import told
-from heathglade.interface import ServerState
-
-from .tasks import CANDIDATES, rank
+from ..endpoints import notification as told
+from ..interface import ServerState
+from .task_candidates import CANDIDATES, rank
 
 ASKERS = CANDIDATES  # the same members, whether they ask by rank or by lease
 TASK = "ask"  # the lease by which one of the askers asks, where there are leases
--- a/glenchute/deciders/fleet/restraint.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from heathglade.interface import ServerEntry, ServerState
+from ..interface import ServerEntry, ServerState
 
 SETTLE_S = 6.0  # a change counts as told to everybody after this
 DISTRUST_S = 60.0
--- a/glenchute/deciders/fleet/use.py
+++ b/glenchute/policy/membership/usage.py
@@ -14,9 +14,8 @@
 
 from dataclasses import dataclass
 
-from heathglade.interface import Plan
-from heathglade.windows import span_of
-
+from ..admission.windows import span_of
+from ..interface import Plan
 from .replica import Kind, Row
 
 MOST_WINDOWS = 10_000
--- a/glenchute/deciders/fleet/audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -16,10 +16,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from heathglade.interface import Plan
-from heathglade.marks import mark_of
-from heathglade.windows import span_of, stable, window_start
-
+from ..admission.epoch_markers import mark_of
+from ..admission.windows import span_of, stable, window_start
+from ..interface import Plan
 from .replica import Kind, Row
 
 SETTLED_S = 3.0  # after a window's end all words of it have come, to the counter too
--- a/glenchute/deciders/exchange.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -10,8 +10,8 @@
 import re
 from enum import Enum
 
-from heathglade.interface import Ending, Repeat
-from heathglade.record import record
+from ..interface import Ending, Repeat
+from ..record import record
 
 # Response code details of a proxy's own replies, as Envoy's page "Response code details" lists them. Only
 # these prove that no byte reached a node; every other one, and any of tomorrow's, counts as "may have run".
--- a/glenchute/deciders/routes.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from heathglade.interface import Ending
+from ..interface import Ending
 
 CREDIT_S = 10.0  # what requests put into a retry budget fades with this time constant
 LEAST_STORE_S = 1.0  # the steady part of a budget holds what comes in this long, one attempt at least
--- /dev/null
+++ b/glenchute/policy/services/__init__.py
@@ -0,0 +1,1 @@
+"""Service routing, bulkheads, and fair queueing."""
--- a/heathglade/records.py
+++ b/glenchute/policy/state.py
@@ -8,8 +8,8 @@
 import math
 from dataclasses import field
 
+from .admission.epoch_markers import Name
 from .interface import Plan, Request, RequestClass, ServerEntry
-from .marks import Name
 from .record import record
 
 
--- a/glenchute/peers/fleet/wire.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -10,10 +10,20 @@
 
 import msgspec
 
-from glenchute.deciders.fleet import coldstart, directmail, gossip, leases, members
-from glenchute.deciders.fleet.gossip import Body
-from glenchute.deciders.fleet.replica import BUCKETS, Kind, Row
-from glenchute.peers.discovery import address
+from glenchute.clients.discovery import address
+from glenchute.policy.membership import (
+    direct_messages as directmail,
+)
+from glenchute.policy.membership import (
+    endpoint_sharing as coldstart,
+)
+from glenchute.policy.membership import (
+    gossip,
+    leases,
+    members,
+)
+from glenchute.policy.membership.gossip import Body
+from glenchute.policy.membership.replica import BUCKETS, Kind, Row
 
 VERSION = 2
 MOST_BYTES = 4096  # of a datagram; a longer one is not read
--- a/glenchute/wire/long.py
+++ b/glenchute/protocol/streamed_reply.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-from . import resp
+from . import resp2 as resp
 
 MAX_LONG = 4 * 1024 * 1024  # the longest value that is passed on
 HEAD = re.compile(rb"\*3\r\n\$([1-9][0-9]{0,8})\r\n")
--- a/heathglade/simhost.py
+++ b/glenchute/simulator.py
@@ -1,6 +1,6 @@
 """The wire adapter: hosts gateways for the simulator, translating JSON lines. It decides nothing.
 
-Run as ``python -m heathglade.simhost``. Words of the wire are turned into those of the interface here.
+Run as ``python -m glenchute.simulator``. Words of the wire are turned into those of the interface here.
 """
 
 from __future__ import annotations
@@ -11,8 +11,9 @@
 from enum import Enum
 from typing import Any, TextIO, TypeVar
 
-from . import interface as api
-from .policy import Gateway
+from glenchute.policy.engine import Gateway
+
+from .policy import interface as api
 
 ENDINGS = {
     "pass": api.Ending.OK,
@@ -274,7 +275,7 @@
         try:
             reply = host.batch(line)
         except WireError as error:
-            print(f"heathglade.simhost: {error}", file=sys.stderr)
+            print(f"glenchute.simulator: {error}", file=sys.stderr)
             return 1
         out.write(reply + "\n")
         out.flush()
--- a/glenchute/backends/resp2.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -13,15 +13,15 @@
 from typing import TYPE_CHECKING, Any
 
 from glenchute.core.types import About, Address, Result, Source
-from glenchute.deciders.connecting import Budget, Usual
-from glenchute.deciders.turns import Turns
-from glenchute.wire import resp
-from glenchute.wire.long import LongReply
-from heathglade.interface import Ending
-from heathglade.record import record
+from glenchute.policy.connections.hedged_connects import Budget, Usual
+from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.policy.interface import Ending
+from glenchute.policy.record import record
+from glenchute.protocol import resp2 as resp
+from glenchute.protocol.streamed_reply import LongReply
 
 if TYPE_CHECKING:
-    from .long import LongAnswer
+    from .streamed_value import LongAnswer
 
 GRACE_MARGIN_S = 0.05  # a write this close to a drain's end might leave the machine after it
 IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server would do so
@@ -122,7 +122,7 @@
         if found is None or attempt.began is None:
             self.spoilt()
             return
-        from .long import LongAnswer  # most processes never meet one
+        from .streamed_value import LongAnswer  # most processes never meet one
 
         try:
             self.long = LongAnswer(self, attempt, found[0])
--- a/glenchute/backends/lines.py
+++ b/glenchute/upstreams/pipelined.py
@@ -1,9 +1,10 @@
 """Connections to the servers on which several attempts may stand, answered in order.
 
 Which attempt joins which connection, and when a connection is given up for the sake of those that wait on it,
-is decided in `deciders/pipeline.py`; which bytes belong to which attempt, and how each ends when the
-connection does, in `deciders/line.py`. Here are the sockets, the timers, and the gathering of commands into
-one write: what is placed in one turn of the loop leaves together at its end, so that no timer holds anything.
+is decided in `policy/connections/pipelining.py`; which bytes belong to which attempt, and how each ends when
+the connection does, in `policy/connections/pipelined_connection.py`. Here are the sockets, the timers, and
+the gathering of commands into one write: what is placed in one turn of the loop leaves together at its end,
+so that no timer holds anything.
 
 Bytes are handed to the transport only while it holds none, so that at a break only one batch is in doubt. A
 break told by the machine leaves no count of what had left: all that was handed over may have. Where the
@@ -20,13 +21,23 @@
 from typing import NamedTuple
 
 from glenchute.core.types import About, Address, Result
-from glenchute.deciders.line import CROSSING_MS, Entry, Line
-from glenchute.deciders.pipeline import Condemn, Copy, Cut, How, Job, Pipeline, Placement, Rules, job_of
-from glenchute.deciders.sharing import Sharing
-from glenchute.wire import resp
-from heathglade.interface import Ending, RequestClass
-
-from .resp2 import STALL_S, Connection, Limits, Pool, Servers, Underway, classify
+from glenchute.policy.connections.class_compatibility import Sharing
+from glenchute.policy.connections.pipelined_connection import CROSSING_MS, Entry, Line
+from glenchute.policy.connections.pipelining import (
+    Condemn,
+    Copy,
+    Cut,
+    How,
+    Job,
+    Pipeline,
+    Placement,
+    Rules,
+    job_of,
+)
+from glenchute.policy.interface import Ending, RequestClass
+from glenchute.protocol import resp2 as resp
+
+from .connection_pool import STALL_S, Connection, Limits, Pool, Servers, Underway, classify
 
 log = logging.getLogger("glenchute")
 
--- a/glenchute/backends/long.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -16,14 +16,14 @@
 from typing import TYPE_CHECKING
 
 from glenchute.core.types import Sink
-from glenchute.deciders.turns import Turns
-from glenchute.wire.long import LongReply
-from heathglade.interface import Ending
+from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.policy.interface import Ending
+from glenchute.protocol.streamed_reply import LongReply
 
-from .resp2 import STALL_S, classify
+from .connection_pool import STALL_S, classify
 
 if TYPE_CHECKING:
-    from .resp2 import Attempt, Connection
+    from .connection_pool import Attempt, Connection
 
 FIRST = 1024  # bytes of a value that show that it goes on
 SILENT_S = 10.0  # a server that is read from gives nothing for so long: it has stopped
--- a/lab/bursts.py
+++ b/lab/bursts.py
@@ -14,8 +14,8 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 
-from .load import read
-from .peers import Client
+from lab.load import read
+from lab.peers import Client
 
 
 @dataclass
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -19,12 +19,11 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from glenchute.deciders.pacing import Pacing, Terms
-
-from .nodes import Node, Trade
-from .peers import http
-from .services import CounterService, DiscoveryService
-from .site import SETTINGS, GatewayProcess, LabSite
+from glenchute.policy.endpoints.polling import Pacing, Terms
+from lab.nodes import Node, Trade
+from lab.peers import http
+from lab.services import CounterService, DiscoveryService
+from lab.site import SETTINGS, GatewayProcess, LabSite
 
 
 class Call(NamedTuple):
--- a/lab/counter.py
+++ b/lab/counter.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from .peers import Peer, commands
+from lab.peers import Peer, commands
 
 MOST_LIFE_MS = 60_000.0
 MOST_NAMES = 10_000  # past this, those whose time is up are thrown out
--- a/lab/fleet/acting.py
+++ b/lab/fleet/acting.py
@@ -8,10 +8,10 @@
 import signal
 from pathlib import Path
 
-from ..site import free_port
-from .effects import EffectService
-from .holders import longest_gap, overlaps
-from .processes import FleetSite
+from lab.fleet.effects import EffectService
+from lab.fleet.holders import longest_gap, overlaps
+from lab.fleet.processes import FleetSite
+from lab.site import free_port
 
 LONGEST = 1.0
 VOTERS = 5
--- a/lab/fleet/checks.py
+++ b/lab/fleet/checks.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from ..load import Outcome
-from ..nodes import Node
+from lab.load import Outcome
+from lab.nodes import Node
 
 
 def lost(outcomes: Sequence[Outcome]) -> int:
--- a/lab/fleet/crowd.py
+++ b/lab/fleet/crowd.py
@@ -13,14 +13,13 @@
 import random
 from typing import Any, cast
 
-from glenchute.deciders.fleet.directmail import Asked, Mail, Word
-from glenchute.deciders.fleet.gossip import Digest, Done
-from glenchute.deciders.fleet.members import Kind as Said
-from glenchute.deciders.fleet.members import Message, State, Update
-from glenchute.deciders.fleet.replica import BUCKETS
-from glenchute.peers.fleet.wire import Bad, decode, encode
-
-from ..site import free_port
+from glenchute.policy.membership.direct_messages import Asked, Mail, Word
+from glenchute.policy.membership.gossip import Digest, Done
+from glenchute.policy.membership.members import Kind as Said
+from glenchute.policy.membership.members import Message, State, Update
+from glenchute.policy.membership.replica import BUCKETS
+from glenchute.protocol.member_datagrams import Bad, decode, encode
+from lab.site import free_port
 
 
 class Other(asyncio.DatagramProtocol):
--- a/lab/fleet/effects.py
+++ b/lab/fleet/effects.py
@@ -7,8 +7,8 @@
 import json
 from collections.abc import Callable
 
-from ..peers import Peer
-from .holders import Act
+from lab.fleet.holders import Act
+from lab.peers import Peer
 
 
 class EffectService(Peer):
--- a/lab/fleet/holders.py
+++ b/lab/fleet/holders.py
@@ -12,10 +12,9 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from glenchute.deciders.fleet.leases import Lease, Out, Seeker, Terms, Voter
-from glenchute.deciders.fleet.tasks import Keeper
-
-from .simulated import apart
+from glenchute.policy.membership.leases import Lease, Out, Seeker, Terms, Voter
+from glenchute.policy.membership.task_candidates import Keeper
+from lab.fleet.simulated import apart
 
 TICK_S = 0.05
 ACT_S = 0.2  # the longest an effect takes, by its own word
--- a/lab/fleet/leasing.py
+++ b/lab/fleet/leasing.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from glenchute.deciders.fleet import leases
-from glenchute.deciders.fleet.leases import Lease, Out, Seeker, Terms, Voter
+from glenchute.policy.membership import leases
+from glenchute.policy.membership.leases import Lease, Out, Seeker, Terms, Voter
 
 LONGEST, DRIFT = 10.0, 0.1
 STEP = LONGEST  # voters' clocks are past a lease's end then, and a holder's without its margin is not
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from glenchute.deciders.fleet.directmail import Asked, Letter, Mail, Post, Ring, numbers_of
-from glenchute.deciders.fleet.replica import Replica
-from glenchute.deciders.fleet.use import Use
-from heathglade.interface import Plan
+from glenchute.policy.interface import Plan
+from glenchute.policy.membership.direct_messages import Asked, Letter, Mail, Post, Ring, numbers_of
+from glenchute.policy.membership.replica import Replica
+from glenchute.policy.membership.usage import Use
 
 TICK = 0.025
 
--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -15,13 +15,12 @@
 from typing import Any
 
 from glenchute.control.client import ControlError, ask
-
-from ..coldstart import ListService
-from ..counter import PartedCounter, Parts
-from ..links import DatagramLink, StreamLink
-from ..load import Account, Kind, Load, Outcome
-from ..nodes import Node, Trade
-from ..site import SETTINGS, GatewayProcess, LabSite, free_port
+from lab.coldstart import ListService
+from lab.counter import PartedCounter, Parts
+from lab.links import DatagramLink, StreamLink
+from lab.load import Account, Kind, Load, Outcome
+from lab.nodes import Node, Trade
+from lab.site import SETTINGS, GatewayProcess, LabSite, free_port
 
 READS = (Kind("report-read", 1.0, 2000),)
 
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -10,9 +10,9 @@
 import random
 from collections.abc import Callable, Container
 
-from glenchute.deciders.fleet.gossip import Body, Gossip, Pace, Sent
-from glenchute.deciders.fleet.members import Members, Message, Out, Rules, State
-from glenchute.deciders.fleet.replica import Kind, Replica, Row
+from glenchute.policy.membership.gossip import Body, Gossip, Pace, Sent
+from glenchute.policy.membership.members import Members, Message, Out, Rules, State
+from glenchute.policy.membership.replica import Kind, Replica, Row
 
 TICK = 0.05
 
--- a/lab/http_nodes.py
+++ b/lab/http_nodes.py
@@ -11,9 +11,9 @@
 
 import h11
 
-from .faults import Kind, Script
-from .nodes import Run, Trade
-from .peers import Peer
+from lab.faults import Kind, Script
+from lab.nodes import Run, Trade
+from lab.peers import Peer
 
 REASONS = {200: b"OK", 429: b"Too Many Requests", 500: b"Internal Server Error"}
 MOST_BODY = 1024 * 1024
--- a/lab/links.py
+++ b/lab/links.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from .peers import Peer
+from lab.peers import Peer
 
 PIECE = 4096
 
--- a/lab/load.py
+++ b/lab/load.py
@@ -15,7 +15,7 @@
 
 import hiredis
 
-from .peers import Client
+from lab.peers import Client
 
 
 @dataclass(frozen=True, slots=True)
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -15,8 +15,8 @@
 
 import hiredis
 
-from .faults import Kind, Script
-from .peers import Peer
+from lab.faults import Kind, Script
+from lab.peers import Peer
 
 FIELDS = re.compile(rb"[a-z]+=[^,=]+(,[a-z]+=[^,=]+)*")
 MOST_KEYS = 10_000
--- a/lab/peers.py
+++ b/lab/peers.py
@@ -13,7 +13,7 @@
 import hiredis
 import uvloop
 
-from .ports import free_port
+from lab.ports import free_port
 
 
 def play(scenario: Coroutine[Any, Any, None]) -> None:
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -31,8 +31,8 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
-from .http_nodes import whole
-from .peers import Peer
+from lab.http_nodes import whole
+from lab.peers import Peer
 
 METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 TRY_TIMEOUT = "x-envoy-upstream-rq-per-try-timeout-ms"
--- a/lab/scale/__main__.py
+++ b/lab/scale/__main__.py
@@ -22,8 +22,8 @@
 
 import uvloop
 
-from .site import Site
-from .stand_ins import Lists, Rack, Timeline, Totals
+from lab.scale.site import Site
+from lab.scale.stand_ins import Lists, Rack, Timeline, Totals
 
 LONGEST_S = 3.2  # over the longest deadline
 
@@ -151,8 +151,7 @@
 
     async def start(self) -> dict[str, Any]:
         from glenchute.config.platform import build
-
-        from .hollow import Crowd
+        from lab.scale.hollow import Crowd
 
         logging.disable(logging.CRITICAL)
         raw = json.loads(Path(self.told["platform"]).read_text())
@@ -190,7 +189,7 @@
     """The clients of the real gateways."""
 
     async def start(self) -> dict[str, Any]:
-        from .clients import Clients
+        from lab.scale.clients import Clients
 
         self.clients = Clients(self.site, {int(n): port for n, port in self.told["ports"].items()})
         return {}
--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -6,11 +6,10 @@
 from typing import Any
 
 from lab.load import Load, Outcome
+from lab.scale.site import Draw, Site, arrivals
+from lab.scale.stand_ins import Timeline
 from lab.site import KINDS
 
-from .site import Draw, Site, arrivals
-from .stand_ins import Timeline
-
 
 class Traffic(Load):
     """The load on one real gateway. `run` of `Load` draws an account by a walk over all of them."""
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -12,7 +12,6 @@
 from dataclasses import replace
 from typing import Any
 
-from glenchute.backends.resp2 import Servers
 from glenchute.cli.run import LIST_WAIT_S, Program, read_operator
 from glenchute.config.platform import Config
 from glenchute.core.types import (
@@ -27,13 +26,13 @@
     Result,
     Source,
 )
-from heathglade import Gateway as Policy
-from heathglade import interface as api
-from heathglade.interface import Ending, ListKind, ServerList
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway as Policy
+from glenchute.policy.interface import Ending, ListKind, ServerList
+from glenchute.upstreams.connection_pool import Servers
 from lab.load import Account, Kind
-
-from .site import Arrival, Draw, Site, arrivals, sets
-from .stand_ins import Timeline
+from lab.scale.site import Arrival, Draw, Site, arrivals, sets
+from lab.scale.stand_ins import Timeline
 
 LATE_S = 1.0  # requests that this process is behind with by more are left out, and told
 
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -15,10 +15,9 @@
 
 from lab.coldstart import Call, busiest
 from lab.load import percentile
+from lab.scale.site import Site
 from lab.site import GatewayProcess, free_port
 
-from .site import Site
-
 WARM_S = 4.0  # before measuring begins
 PATIENCE_S = 240.0  # for an answer of a part: hundreds of hollow gateways start before one
 MOST_HOLLOW = 90  # gateways of one process, unless that makes more than MOST_WORKERS
--- a/lab/scale/stand_ins.py
+++ b/lab/scale/stand_ins.py
@@ -19,10 +19,9 @@
 import hiredis
 
 from lab.nodes import Node, Trade
+from lab.scale.site import Site, Trouble
 from lab.site import KINDS
 
-from .site import Site, Trouble
-
 SINCE = re.compile(rb"[?&]since=(\d+)")
 TIMEOUT = re.compile(rb"[?&]timeout_ms=(\d+)")
 KEPT = 20_000  # changes of the list that are known one by one
--- a/lab/services.py
+++ b/lab/services.py
@@ -9,9 +9,9 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from .counter import Memory
-from .faults import Kind, Script
-from .peers import Peer, commands, http
+from lab.counter import Memory
+from lab.faults import Kind, Script
+from lab.peers import Peer, commands, http
 
 AMOUNT = re.compile(rb"-?[0-9]{1,10}(\.[0-9]+)?")
 
--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -13,11 +13,9 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 
-from heathglade import Gateway
-from heathglade import interface as api
-from heathglade.policy import Fleet
-
-from .world import SERVICE_MS, SETTINGS, Asked, Node, World
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Fleet, Gateway
+from lab.sim.world import SERVICE_MS, SETTINGS, Asked, Node, World
 
 TOLD_MS = 6000.0  # a change counts as told by then
 TOLD_SHARE = 2.0 / 3.0  # a fall breaks the rule if more of the work came from gateways that knew
@@ -45,7 +43,7 @@
     restarts: float = 0.3  # of the gateways
 
 
-# The figures that sites name (heathglade's defaults last), and the sizes that the fleet is measured at.
+# The figures that sites name (the engine's defaults last), and the sizes that the fleet is measured at.
 SITES = {
     "zagreb, depot": api.Safety(0.27, 18_000.0, 2.0, 3000.0),
     "harbour": api.Safety(0.27, 18_000.0, 3.0, 3000.0),
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -9,19 +9,18 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from glenchute.deciders.fleet.directmail import Asked, Mail, Post, Ring, numbers_of
-from glenchute.deciders.fleet.gossip import Gossip, Pace, Rows
-from glenchute.deciders.fleet.health import Health
-from glenchute.deciders.fleet.members import Members, Message, Rules, State
-from glenchute.deciders.fleet.replica import Kind, Replica
-from glenchute.deciders.fleet.use import Use, trusted_share
-from glenchute.peers.fleet.telling import Telling
-from heathglade import Gateway
-from heathglade import interface as api
-
-from ..fleet import checks
-from .swarm import KINDS
-from .world import Node, World
+from glenchute.clients.membership.usage_reports import Telling
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
+from glenchute.policy.membership.direct_messages import Asked, Mail, Post, Ring, numbers_of
+from glenchute.policy.membership.endpoint_health import Health
+from glenchute.policy.membership.gossip import Gossip, Pace, Rows
+from glenchute.policy.membership.members import Members, Message, Rules, State
+from glenchute.policy.membership.replica import Kind, Replica
+from glenchute.policy.membership.usage import Use, trusted_share
+from lab.fleet import checks
+from lab.sim.swarm import KINDS
+from lab.sim.world import Node, World
 
 TICK_MS = 50.0
 SPLITS = ("fleet split", "one way", "links lose", "stopped", "counter gone")
--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -11,13 +11,12 @@
 from collections import deque
 from typing import Any
 
-from glenchute.deciders.line import CROSSING_MS, Entry, Line
-from glenchute.deciders.pipeline import Cut, How, Pipeline, Rules, job_of
-from glenchute.deciders.sharing import Sharing
-from heathglade import interface as api
-
-from .swarm import KINDS
-from .world import MARGIN_MS, NET_MS, BrokenRule, Node, World
+from glenchute.policy import interface as api
+from glenchute.policy.connections.class_compatibility import Sharing
+from glenchute.policy.connections.pipelined_connection import CROSSING_MS, Entry, Line
+from glenchute.policy.connections.pipelining import Cut, How, Pipeline, Rules, job_of
+from lab.sim.swarm import KINDS
+from lab.sim.world import MARGIN_MS, NET_MS, BrokenRule, Node, World
 
 PIPED_KINDS = (*KINDS, "stuck lines", "extra replies", "volley")
 MOST_CONNECTIONS = 5  # of a gateway: few, so that lines are shared
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -21,14 +21,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from heathglade import Gateway, policy, windows
-from heathglade import interface as api
-from heathglade.marks import Name
-from heathglade.policy import Quota
-from heathglade.records import Customer
-from heathglade.windows import phase, window_start
-
-from .world import NET_MS, Asked, World
+from glenchute.policy import engine as policy
+from glenchute.policy import interface as api
+from glenchute.policy.admission import windows
+from glenchute.policy.admission.epoch_markers import Name
+from glenchute.policy.admission.windows import phase, window_start
+from glenchute.policy.engine import Gateway, Quota
+from glenchute.policy.state import Customer
+from lab.sim.world import NET_MS, Asked, World
 
 COUNTER_MS = 2.0  # a call's time at the counter
 WARM_MS = 6000.0  # of a day that is not counted: gateways have just started
--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -20,12 +20,12 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
-from heathglade import Gateway
-from heathglade import interface as api
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
+from lab.sim.swarm import Failure, Fault, Script
+from lab.sim.world import SERVICE_MS, Asked, BrokenRule, Node, World
 
 from . import swarm
-from .swarm import Failure, Fault, Script
-from .world import SERVICE_MS, Asked, BrokenRule, Node, World
 
 SHARE = 0.95
 SETTLE_MS = 5_000.0
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -14,10 +14,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from heathglade import Gateway
-from heathglade import interface as api
-
-from .world import BrokenRule, Node, World
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
+from lab.sim.world import BrokenRule, Node, World
 
 LENGTH_MS = 9000.0
 KINDS = (
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -15,10 +15,9 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from heathglade import Gateway
-from heathglade import interface as api
-
-from ..counter import Parts
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
+from lab.counter import Parts
 
 MAY_HAVE_RUN = (api.Ending.OK, api.Ending.ERROR, api.Ending.RESET, api.Ending.TIMEOUT, api.Ending.CANCELLED)
 GRACE_MS = 250.0
--- a/lab/site.py
+++ b/lab/site.py
@@ -14,11 +14,11 @@
 from pathlib import Path
 from typing import Any
 
-from .load import Account, Kind
-from .nodes import Node
-from .peers import Client, row
-from .ports import free_port as free_port  # for those that know it from here
-from .services import CounterService, DiscoveryService
+from lab.load import Account, Kind
+from lab.nodes import Node
+from lab.peers import Client, row
+from lab.ports import free_port as free_port  # for those that know it from here
+from lab.services import CounterService, DiscoveryService
 
 KINDS = (
     Kind("report-read", 0.6, 2000),
--- a/tests/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -37,17 +37,16 @@
 from glenchute.capture.refusals import CAUSES, Refusals
 from glenchute.capture.replay import other_module, read, replay, runs
 from glenchute.cli.main import main
-from heathglade import Gateway
-from heathglade import interface as api
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
 from lab.load import Account, Load
 from lab.nodes import Node, Trade
 from lab.peers import play, until
 from lab.site import KINDS, GatewayProcess, LabSite
+from tests.fleet import Fleet
+from tests.fleet import settings as fleet_settings
 
-from .fleet import Fleet
-from .fleet import settings as fleet_settings
-
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def recorded(folder: Path, seed: int = 1, **rule: Any) -> Recorder:
@@ -274,8 +273,8 @@
 def changed(tmp_path: Path, old: str, new: str) -> Path:
     """The module with one line changed."""
     folder = tmp_path / "other"
-    shutil.copytree(ROOT / "heathglade", folder, ignore=shutil.ignore_patterns("__pycache__"))
-    policy = folder / "policy.py"
+    shutil.copytree(ROOT / "glenchute" / "policy", folder, ignore=shutil.ignore_patterns("__pycache__"))
+    policy = folder / "engine.py"
     text = policy.read_text()
     assert text.count(old) == 1
     policy.write_text(text.replace(old, new))
--- a/tests/test_captures.py
+++ b/tests/capture/test_captures.py
@@ -7,10 +7,9 @@
 import pytest
 
 from glenchute.capture.replay import replay, runs
+from tests.captures.scenarios import SCENARIOS
 
-from .captures.scenarios import SCENARIOS
-
-HERE = Path(__file__).resolve().parent / "captures"
+HERE = Path(__file__).resolve().parents[1] / "captures"
 
 
 @pytest.mark.parametrize("name", [play.__name__ for play in SCENARIOS])
--- a/tests/test_record.py
+++ b/tests/capture/test_record.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from heathglade.record import record
+from glenchute.policy.record import record
 
 
 @record(frozen=True, slots=True)
--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -10,10 +10,9 @@
 from pathlib import Path
 
 from glenchute.capture.codec import Head, batch, module_digest, note
-from heathglade import Gateway
-from heathglade import interface as api
-
-from .scenarios import EVENING_SETTINGS, SCENARIOS, START
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Gateway
+from tests.captures.scenarios import EVENING_SETTINGS, SCENARIOS, START
 
 HERE = Path(__file__).resolve().parent
 
--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -8,9 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from heathglade import interface as api
-
-from ..rig import SETTINGS
+from glenchute.policy import interface as api
+from tests.rig import SETTINGS
 
 Tell = Callable[[float, api.Event], list[api.Action]]
 START = 1_700_000_000_000.0
--- a/tests/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -23,10 +23,9 @@
 from lab.faults import Fault, Kind, Script
 from lab.nodes import Node, Trade
 from lab.site import GatewayProcess, LabSite
+from tests.loopback import CUSTOMER, GET, SERVED, Site, always, play, site, until
 
-from .loopback import CUSTOMER, GET, SERVED, Site, always, play, site, until
-
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 STAYS = "the operator's file in force stays"
 AGAIN = "the operator's file was read again"
 
--- a/tests/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -18,12 +18,12 @@
 import pytest
 
 from glenchute.cli import fleet as cli
-from glenchute.deciders.fleet.directmail import Mail, Word
-from glenchute.deciders.fleet.gossip import Rows
-from glenchute.deciders.fleet.replica import Kind as RowKind
-from glenchute.deciders.fleet.replica import Row
-from glenchute.peers.fleet import events
-from glenchute.peers.fleet.wire import encode
+from glenchute.clients.membership import log_events as events
+from glenchute.policy.membership.direct_messages import Mail, Word
+from glenchute.policy.membership.gossip import Rows
+from glenchute.policy.membership.replica import Kind as RowKind
+from glenchute.policy.membership.replica import Row
+from glenchute.protocol.member_datagrams import encode
 from lab.fleet import checks
 from lab.fleet.processes import FleetSite
 from lab.load import Account, Kind
@@ -198,8 +198,8 @@
         "import sys, tempfile\nfrom glenchute.cli import run\n"
         "from glenchute.config import operator\n"
         f"found = operator.parse({FLEET!r}, None)\nassert not found.findings, found.findings\n"
-        + ("import glenchute.peers.fleet.node\n" if on else "")
-        + "ours = ('glenchute.peers.fleet', 'glenchute.control', 'glenchute.deciders.fleet')\n"
+        + ("import glenchute.clients.membership.node\n" if on else "")
+        + "ours = ('glenchute.clients.membership', 'glenchute.control', 'glenchute.policy.membership')\n"
         + "ours += ('msgspec', 'structlog', 'rich')\n"
         + "print(sum(name.startswith(ours) for name in sys.modules))\n"
     )
@@ -368,7 +368,7 @@
 def test_what_is_logged_is_in_the_catalogue_and_on_the_operators_page(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    page = (Path(__file__).parent.parent / "docs/operators/fleet-state.md").read_text()
+    page = (Path(__file__).parents[3] / "docs/operators/fleet-state.md").read_text()
     code = "".join(path.read_text() for path in Path(events.__file__).parent.glob("*.py"))
     for name, event in events.CATALOGUE.items():
         assert f"| `{name}` {', '.join(event.fields)} | {logging.getLevelName(event.level).lower()} |" in page
--- a/tests/test_hundreds.py
+++ b/tests/clients/membership/test_hundreds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from heathglade.interface import (
+from glenchute.policy.interface import (
     Count,
     CountReply,
     Ending,
@@ -16,8 +16,7 @@
     ServerEntry,
     ServerList,
 )
-
-from .rig import SETTINGS, Rig, entries, finals, only, with_
+from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
 MANY = with_(SETTINGS, gateways=300)
 
--- a/tests/test_server_words.py
+++ b/tests/clients/membership/test_server_words.py
@@ -12,14 +12,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from glenchute.deciders.fleet import health as looks
-from glenchute.deciders.fleet import restraint as trials
-from glenchute.deciders.fleet.gossip import Rows
-from glenchute.deciders.fleet.health import Health
-from glenchute.deciders.fleet.replica import Kind, Row
-from glenchute.deciders.fleet.restraint import SETTLE_S, Restraint
-from glenchute.peers.fleet.wire import encode
-from heathglade.interface import Ending, ServerEntry, ServerState
+from glenchute.policy.interface import Ending, ServerEntry, ServerState
+from glenchute.policy.membership import endpoint_health as looks
+from glenchute.policy.membership import gossiped_drains as trials
+from glenchute.policy.membership.endpoint_health import Health
+from glenchute.policy.membership.gossip import Rows
+from glenchute.policy.membership.gossiped_drains import SETTLE_S, Restraint
+from glenchute.policy.membership.replica import Kind, Row
+from glenchute.protocol.member_datagrams import encode
 from lab.fleet import checks
 from lab.fleet.processes import FleetSite
 from lab.load import Account
--- a/tests/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from glenchute.deciders.quotabound import bound, ceiling_overshoot
-from heathglade.simhost import settings
+from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
+from glenchute.simulator import settings
 from lab.counter import PartedCounter, Parts
 from lab.load import Account, Kind, Load
 from lab.nodes import Node, Trade
--- a/tests/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -15,16 +15,15 @@
 from hypothesis import strategies as st
 
 from benchmarks.list_turns import LISTS, Chain, zoned
-from glenchute.backends.resp2 import GRACE_MARGIN_S, Pool
+from glenchute.clients import discovery as discoveries
+from glenchute.clients.discovery import PART_ROWS, Held, read_in_parts, read_list
 from glenchute.core import gateway as gateways
 from glenchute.core.types import News
-from glenchute.deciders.sizing import WHOLE
-from glenchute.peers import discovery as discoveries
-from glenchute.peers.discovery import PART_ROWS, Held, read_in_parts, read_list
-from heathglade.interface import ListKind, ServerList
+from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.interface import ListKind, ServerList
+from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
-
-from .loopback import Script, Site, site
+from tests.loopback import Script, Site, site
 
 MANY = [row(f"n{n}", 9) for n in range(1_000)]  # some 100 KB
 
--- a/tests/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -14,20 +14,19 @@
 
 import pytest
 
-from glenchute.backends import resp2 as servers_module
-from glenchute.deciders import pacing
-from glenchute.deciders import places as places_module
-from glenchute.deciders.places import FIRST_COMMAND_S
-from glenchute.fronts.resp2 import clients as clients_module
-from glenchute.fronts.resp2.clients import MOST_PENDING
-from glenchute.peers import counter as counter_module
-from glenchute.peers.counter import Counter
-from glenchute.peers.discovery import ListError, read_list
-from heathglade import interface as api
-from heathglade.interface import Ending
+from glenchute.clients import counter as counter_module
+from glenchute.clients.counter import Counter
+from glenchute.clients.discovery import ListError, read_list
+from glenchute.listeners.resp2 import clients as clients_module
+from glenchute.listeners.resp2.clients import MOST_PENDING
+from glenchute.policy import interface as api
+from glenchute.policy.connections import client_slots as places_module
+from glenchute.policy.connections.client_slots import FIRST_COMMAND_S
+from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.interface import Ending
+from glenchute.upstreams import connection_pool as servers_module
 from lab.ports import outgoing_ports
-
-from .loopback import (
+from tests.loopback import (
     CHARGE,
     CUSTOMER,
     GET,
@@ -48,7 +47,7 @@
     until,
 )
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 # --- clients ---------------------------------------------------------------------------------------------
--- a/tests/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -18,12 +18,11 @@
 from glenchute.config.locate import line_of, positions
 from glenchute.config.operator import MOST_BYTES, MOST_ROUTES, Reading, parse, read
 from glenchute.config.schema import Path as Place
-from heathglade.interface import Ending
+from glenchute.policy.interface import Ending
+from tests.loopback import raw_config
+from tests.sites import FACTS, NO_SCOPE, OVERLAP
 
-from .loopback import raw_config
-from .sites import FACTS, NO_SCOPE, OVERLAP
-
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 READS = """\
 [[route]]
@@ -406,7 +405,7 @@
 def test_a_file_without_fronts_imports_none_of_them() -> None:
     code = (
         "import sys; from glenchute.config.operator import parse; parse('[defaults]\\nattempts = 2', None); "
-        "print([m for m in ('glenchute.config.extproc', 'glenchute.deciders.mapping', 'grpc') "
+        "print([m for m in ('glenchute.config.extproc', 'glenchute.policy.services.request_mapping', 'grpc') "
         "if m in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], env={**os.environ, "PYTHONPATH": str(ROOT)},
@@ -417,8 +416,8 @@
 def test_without_the_file_nothing_of_it_is_imported() -> None:
     code = (
         "import sys; import glenchute.cli.run; import glenchute.cli.main; "
-        "print([m for m in ('tomllib', 'argparse', 'glenchute.deciders.routes', 'glenchute.config.operator', "
-        "'glenchute.fronts.extproc', 'glenchute.deciders.mapping', 'grpc', 'google.protobuf', 'envoy') "
+        "print([m for m in ('tomllib', 'argparse', 'glenchute.policy.retries.route_limits', 'glenchute.config.operator', "
+        "'glenchute.listeners.extproc', 'glenchute.policy.services.request_mapping', 'grpc', 'google.protobuf', 'envoy') "
         "if m in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], env={**os.environ, "PYTHONPATH": str(ROOT)},
--- a/tests/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -22,10 +22,9 @@
 from glenchute.config.operator import Faults, Reading, in_parts, parse
 from glenchute.config.rules import violations
 from glenchute.config.schema import Words
-from glenchute.deciders.routes import Route
-from heathglade.interface import Repeat
-
-from .sites import FACTS
+from glenchute.policy.interface import Repeat
+from glenchute.policy.retries.route_limits import Route
+from tests.sites import FACTS
 
 TWO_READS = replace(FACTS, classes={"a-read": ClassFacts(Repeat.SAFE, 2000.0), **FACTS.classes})
 READS = {"report-read": ClassFacts(Repeat.SAFE, 3000.0)}
--- a/tests/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -17,15 +17,14 @@
 from glenchute.capture.replay import replay, runs
 from glenchute.config.facts import Facts
 from glenchute.config.operator import parse
-from glenchute.deciders.routes import Budget, BudgetRule, Course, Route
-from heathglade import interface as api
-from heathglade.interface import Ending
-
-from .loopback import always, play, raw_config, site
-from .sites import FACTS, NO_SCOPE
-from .test_lines_loopback import Book, burst, reads, sharing
-
-ROOT = Path(__file__).resolve().parent.parent
+from glenchute.policy import interface as api
+from glenchute.policy.interface import Ending
+from glenchute.policy.retries.route_limits import Budget, BudgetRule, Course, Route
+from tests.loopback import always, play, raw_config, site
+from tests.sites import FACTS, NO_SCOPE
+from tests.upstreams.test_lines_loopback import Book, burst, reads, sharing
+
+ROOT = Path(__file__).resolve().parents[2]
 HERE = replace(FACTS, streams=32)
 READS = '[pipeline]\nclasses = "report-read"\n'
 ROUTE = '[[route]]\nname = "r"\nmatch = { class = "report-read" }\n'
--- a/tests/test_gateway.py
+++ b/tests/core/test_gateway.py
@@ -8,10 +8,9 @@
 import pytest
 
 from glenchute.core.gateway import Clock, report
-from heathglade import interface as api
-from heathglade.interface import Ending
-
-from .loopback import (
+from glenchute.policy import interface as api
+from glenchute.policy.interface import Ending
+from tests.loopback import (
     CHARGE,
     CUSTOMER,
     GET,
--- a/tests/test_routes_loopback.py
+++ b/tests/core/test_routes_loopback.py
@@ -16,10 +16,9 @@
 from lab.nodes import Node, Trade
 from lab.peers import Client, play, until
 from lab.site import SETTINGS, GatewayProcess, LabSite, patient
+from tests.loopback import CHARGE, CUSTOMER, GET, ORDER, SERVED, always, site
 
-from .loopback import CHARGE, CUSTOMER, GET, ORDER, SERVED, always, site
-
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 TWO = """\
 [[route]]
 name = "reads"
--- a/tests/test_capacity_page.py
+++ b/tests/docs/test_capacity_page.py
@@ -15,9 +15,9 @@
 from glenchute.cli.main import COMMANDS, FLEET
 from glenchute.config.operator import json_schema
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PAGE = (ROOT / "docs" / "CAPACITY.md").read_text()
-SOURCES = [path.read_text() for folder in ("glenchute", "heathglade", "lab", "benchmarks")
+SOURCES = [path.read_text() for folder in ("glenchute", "lab", "benchmarks")
            for path in sorted((ROOT / folder).rglob("*.py"))]  # fmt: skip
 
 
--- a/tests/test_journal.py
+++ b/tests/docs/test_journal.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SCORE = re.compile(r"(?<![\d.])[01]\.\d{3}(?!\d)")
 RECORD = re.compile(r"`([0-9a-f]{8})`")
 ROUNDING = 0.000501  # a half may have been rounded either way
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from heathglade import Gateway
-from heathglade.interface import (
+from glenchute.policy.engine import Gateway
+from glenchute.policy.interface import (
     Action,
     AttemptEnded,
     Count,
--- a/tests/test_quota_errors.py
+++ b/tests/lab/test_quota_errors.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from heathglade import Gateway, policy, windows
-from heathglade import interface as api
+from glenchute.policy import engine as policy
+from glenchute.policy import interface as api
+from glenchute.policy.admission import windows
+from glenchute.policy.engine import Gateway
 from lab.sim import quotas
 from lab.sim.quotas import BLUR, EXACT, SITES, TURKU, Account, Books, Day, Model, Scheme, Store, Try
 
--- a/tests/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -21,7 +21,7 @@
 from lab.scale.run import Scale
 from lab.scale.site import SET_SHARE, Draw, Site, Trouble, arrivals, sets
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SMALL = Site(gateways=4, real=2, servers=20, tenants=1000, rate=60.0, seed=7)
 
 
@@ -111,7 +111,7 @@
         return b""
 
 
-@pytest.mark.parametrize("package", ["glenchute", "heathglade"])
+@pytest.mark.parametrize("package", ["glenchute", "glenchute/policy"])
 def test_the_program_does_not_import_it(package: str) -> None:
     files = sorted((ROOT / package).rglob("*.py")) + sorted((ROOT / "lab").glob("*.py"))
     assert len(files) > 20
--- a/tests/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -9,11 +9,11 @@
 import pytest
 
 from glenchute.capture.replay import replay, runs
-from heathglade import interface as api
-from heathglade.interface import Repeat
-from heathglade.marks import Name
-from heathglade.policy import Fleet, Gateway, Quota
-from heathglade.records import Open, Server
+from glenchute.policy import interface as api
+from glenchute.policy.admission.epoch_markers import Name
+from glenchute.policy.engine import Fleet, Gateway, Quota
+from glenchute.policy.interface import Repeat
+from glenchute.policy.state import Open, Server
 from lab.sim.swarm import Fault, Script, captured, drawn, play, search, tried
 
 SEEDS = range(24)
--- a/tests/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from glenchute.deciders.fleet.gossip import Gossip
-from glenchute.deciders.fleet.use import Use
-from glenchute.deciders.quotabound import members_bound
+from glenchute.policy.admission.quota_bounds import members_bound
+from glenchute.policy.membership.gossip import Gossip
+from glenchute.policy.membership.usage import Use
 from lab.sim.members import OF_MEMBERS, MembersWorld, mute_run
 from lab.sim.swarm import drawn, tried
 
--- a/tests/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from glenchute.deciders import pipeline as pipes
-from glenchute.deciders.line import Ended, Line
-from glenchute.deciders.pipeline import Pipeline
-from glenchute.deciders.sharing import Behind, Sharing
-from heathglade.interface import Ending
+from glenchute.policy.connections import pipelining as pipes
+from glenchute.policy.connections.class_compatibility import Behind, Sharing
+from glenchute.policy.connections.pipelined_connection import Ended, Line
+from glenchute.policy.connections.pipelining import Pipeline
+from glenchute.policy.interface import Ending
 from lab.sim import piped
 from lab.sim.piped import PIPED_KINDS, PipedWorld
 from lab.sim.swarm import Fault, Script, drawn, play, search, tried
--- a/tests/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -25,8 +25,8 @@
 from glenchute.cli.run import Program
 from glenchute.config.operator import parse
 from glenchute.config.platform import build
-from glenchute.fronts.extproc import server as server_module
-from glenchute.fronts.extproc.server import Server
+from glenchute.listeners.extproc import server as server_module
+from glenchute.listeners.extproc.server import Server
 from lab.faults import Fault, Kind, Script
 from lab.http_nodes import HttpNode, charged_twice, whole
 from lab.nodes import Trade
@@ -220,7 +220,7 @@
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "lab.proxy", "--processor", f"127.0.0.1:{one.port}",
         "--die", f"{point}:3", stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        cwd=Path(__file__).resolve().parent.parent,
+        cwd=Path(__file__).resolve().parents[3],
     )  # fmt: skip
 
 
--- a/tests/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -17,13 +17,12 @@
 from hypothesis import strategies as st
 
 from glenchute.core.types import Answer, Failed, Refused, Served, Streamed
-from glenchute.fronts.extproc import events as ev
-from glenchute.fronts.extproc.calls import AFTERMATH_S, MOST_BODY, SWEEP_S, Calls, Downstream, Upstream
-from glenchute.fronts.extproc.token import Signer
-from heathglade.interface import Ending, ListKind, ServerEntry, ServerList, ServerState
-
-from .proxied import ACCOUNT, Asker, Proxy, drawn, headers, responded, ways
-from .simulated import Fate, Site
+from glenchute.listeners.extproc import events as ev
+from glenchute.listeners.extproc.calls import AFTERMATH_S, MOST_BODY, SWEEP_S, Calls, Downstream, Upstream
+from glenchute.listeners.extproc.token import Signer
+from glenchute.policy.interface import Ending, ListKind, ServerEntry, ServerList, ServerState
+from tests.proxied import ACCOUNT, Asker, Proxy, drawn, headers, responded, ways
+from tests.simulated import Fate, Site
 
 SERVED = Fate(0.0, 0.02, Ending.OK)
 NEVER = Fate(0.0, 1e9, Ending.OK)
--- a/tests/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -19,11 +19,10 @@
 from google.protobuf import json_format
 
 from glenchute.config.operator import parse
-from glenchute.fronts.extproc import calls, messages, server
+from glenchute.listeners.extproc import calls, messages, server
+from tests.sites import FACTS
 
-from .sites import FACTS
-
-PAGE = (Path(__file__).resolve().parent.parent / "docs" / "operators" / "extproc.md").read_text()
+PAGE = (Path(__file__).resolve().parents[3] / "docs" / "operators" / "extproc.md").read_text()
 # Imported so that their messages are known where the configuration holds them as Any.
 KNOWN = (
     ext_proc_pb2, router_pb2, upstream_codec_pb2, http_connection_manager_pb2, header_mutation_pb2,
--- a/tests/test_extproc_rules.py
+++ b/tests/listeners/extproc/test_extproc_rules.py
@@ -10,11 +10,10 @@
 from hypothesis import strategies as st
 
 from glenchute.config.operator import parse
-from glenchute.deciders.exchange import Asking, Gate, Show, ending, gate, may_follow, show
-from glenchute.deciders.mapping import Fields, MappingError, Operation, Rules, Template, View
-from heathglade.interface import Ending, Repeat
-
-from .sites import FACTS
+from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
+from glenchute.policy.services.request_mapping import Fields, MappingError, Operation, Rules, Template, View
+from tests.sites import FACTS
 
 ACCOUNT = "00000000b4d65521"
 RULES = Rules(
--- a/tests/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -12,11 +12,10 @@
 
 from glenchute.cli.run import Program
 from glenchute.config.platform import ConfigError, build, load
-from glenchute.fronts.operations import server as operations_server
+from glenchute.listeners.operations import server as operations_server
 from lab.nodes import Node, Trade
 from lab.site import GatewayProcess, LabSite, free_port
-
-from .loopback import (
+from tests.loopback import (
     CUSTOMER,
     GET,
     SERVED,
--- a/tests/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -8,13 +8,12 @@
 
 import pytest
 
-from glenchute.deciders import places as places_module
-from glenchute.deciders.places import IDLE_S, Reason
-from glenchute.fronts.resp2 import clients
-from glenchute.wire import resp
-from heathglade import interface as api
-
-from .loopback import (
+from glenchute.listeners.resp2 import clients
+from glenchute.policy import interface as api
+from glenchute.policy.connections import client_slots as places_module
+from glenchute.policy.connections.client_slots import IDLE_S, Reason
+from glenchute.protocol import resp2 as resp
+from tests.loopback import (
     CUSTOMER,
     GET,
     SERVED,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 from glenchute.config.operator import parse
 from glenchute.config.platform import Config, build
 from glenchute.core.types import Decisions
-from heathglade import interface as api
+from glenchute.policy import interface as api
 from lab.peers import (
     Client,
     DiscoveryPeer,
--- a/tests/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -14,17 +14,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders.quotabound import bound, ceiling_overshoot
-from heathglade import marks as marks_module
-from heathglade.interface import Count
-from heathglade.marks import Health, Name, Watch, mark_of
-from heathglade.policy import Quota
-from heathglade.records import Customer
-
-from .fleet import PLANS, Fleet
+from glenchute.policy.admission import epoch_markers as marks_module
+from glenchute.policy.admission.epoch_markers import Health, Name, Watch, mark_of
+from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
+from glenchute.policy.engine import Quota
+from glenchute.policy.interface import Count
+from glenchute.policy.state import Customer
+from tests.fleet import PLANS, Fleet
 
 SOFT, HARD, BARE = PLANS
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[3]
 Fault = Callable[[Fleet, random.Random], None]
 
 
@@ -379,8 +378,7 @@
     import json
 
     from lab.site import SETTINGS
-
-    from .loopback import raw_config
+    from tests.loopback import raw_config
 
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**raw_config(1, 1, []), "settings": {**SETTINGS, "balancers": 3}}))
--- a/tests/test_late_answers.py
+++ b/tests/policy/admission/test_late_answers.py
@@ -9,12 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.peers.counter import Counter
-from heathglade import interface as api
-from heathglade.interface import Count, CountReply, Ending, ListKind, Send, ServerList
-
-from .loopback import RespPeer, Script, always, play, site, until
-from .rig import Rig, entries, only
+from glenchute.clients.counter import Counter
+from glenchute.policy import interface as api
+from glenchute.policy.interface import Count, CountReply, Ending, ListKind, Send, ServerList
+from tests.loopback import RespPeer, Script, always, play, site, until
+from tests.rig import Rig, entries, only
 
 Told = tuple[str, float, Ending]
 
--- a/tests/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from heathglade import interface as api
-from heathglade.policy import Fleet
+from glenchute.policy import interface as api
+from glenchute.policy.engine import Fleet
 from lab.sim.swarm import gone
 from lab.sim.world import SERVICE_MS, SETTINGS, World
 
--- a/tests/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -19,22 +19,29 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from benchmarks.subsets import SCHEMES, balance, churn
-from glenchute.backends.resp2 import Connection, Limits, Pool, Servers
-from glenchute.deciders import subset as subsets
-from glenchute.deciders.sizing import AGAIN, LEAST, WHOLE, size
-from glenchute.deciders.subset import FAINT, LOST_MS, STEP_MS, Aperture, Subset, Terms, position
-from heathglade import interface as api
-from heathglade.interface import AttemptEnded, Ending, ListKind, Request, ServerEntry, ServerList, ServerState
-from heathglade.policy import Fleet, Gateway
+from glenchute.policy import interface as api
+from glenchute.policy.balancing import subset as subsets
+from glenchute.policy.balancing.subset import FAINT, LOST_MS, STEP_MS, Aperture, Subset, Terms, position
+from glenchute.policy.balancing.subset_size import AGAIN, LEAST, WHOLE, size
+from glenchute.policy.engine import Fleet, Gateway
+from glenchute.policy.interface import (
+    AttemptEnded,
+    Ending,
+    ListKind,
+    Request,
+    ServerEntry,
+    ServerList,
+    ServerState,
+)
+from glenchute.upstreams.connection_pool import Connection, Limits, Pool, Servers
 from lab.coldstart import Herd
 from lab.load import Account, Kind, Load, Outcome
 from lab.peers import DiscoveryPeer, listing, play, row, until
 from lab.sim.swarm import drawn, tried
 from lab.sim.world import World
 from lab.site import patient
-
-from .loopback import Script, site
-from .rig import SETTINGS
+from tests.loopback import Script, site
+from tests.rig import SETTINGS
 
 
 def listed(
@@ -625,7 +632,7 @@
 
 
 def test_a_start_does_not_read_the_subset() -> None:
-    code = "import sys, glenchute.cli.run; sys.exit('glenchute.deciders.subset' in sys.modules)"
+    code = "import sys, glenchute.cli.run; sys.exit('glenchute.policy.balancing.subset' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
--- a/tests/test_connecting.py
+++ b/tests/policy/connections/test_connecting.py
@@ -14,13 +14,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenchute.backends.resp2 import Connection, Limits, Pool, Servers
 from glenchute.core.types import Result
-from glenchute.deciders.connecting import LATE_TIMES, MOST_KEPT, SHARE, SHORTEST_S, Budget, Usual
-from heathglade.interface import Ending
+from glenchute.policy.connections.hedged_connects import (
+    LATE_TIMES,
+    MOST_KEPT,
+    SHARE,
+    SHORTEST_S,
+    Budget,
+    Usual,
+)
+from glenchute.policy.interface import Ending
+from glenchute.upstreams.connection_pool import Connection, Limits, Pool, Servers
 from lab.peers import RespPeer, always, play, until
 from tests.loopback import CUSTOMER, GET, SERVED, Script, send_to, site
-from tests.test_crossings import packed
+from tests.system.test_crossings import packed
 
 COMMAND = b"*1\r\n$8\r\nCALL.GET\r\n"
 CONNECT_S = 0.4
--- a/tests/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -11,17 +11,16 @@
 
 import pytest
 
-from glenchute.backends import resp2
+from glenchute.clients import counter
 from glenchute.config.platform import build
 from glenchute.core.types import Result
-from glenchute.deciders import pacing
-from glenchute.deciders.places import OPERATED, OWN, Budget, budget
-from glenchute.peers import counter
-from heathglade.interface import Ending
+from glenchute.policy.connections.client_slots import OPERATED, OWN, Budget, budget
+from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.interface import Ending
+from glenchute.upstreams import connection_pool as resp2
 from lab.services import CounterService
 from lab.site import GatewayProcess, free_port
-
-from .loopback import (
+from tests.loopback import (
     CUSTOMER,
     GET,
     SERVED,
--- a/tests/test_lines.py
+++ b/tests/policy/connections/test_lines.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders.line import Line
-from heathglade.interface import Ending
+from glenchute.policy.connections.pipelined_connection import Line
+from glenchute.policy.interface import Ending
 
 SIZES = (7, 1, 40, 13, 5)
 
--- a/tests/test_pipeline.py
+++ b/tests/policy/connections/test_pipeline.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from glenchute.deciders.depth import SAMPLES, Depth
-from glenchute.deciders.pipeline import Condemn, Copy, Cut, How, Job, Pipeline, Rules, job_of
-from glenchute.deciders.servicetimes import EDGES, ServiceTimes, Times
-from glenchute.deciders.sharing import Behind, Sharing
-from heathglade.interface import Repeat, RequestClass, Scope
+from glenchute.policy.connections.class_compatibility import Behind, Sharing
+from glenchute.policy.connections.depth_limit import SAMPLES, Depth
+from glenchute.policy.connections.pipelining import Condemn, Copy, Cut, How, Job, Pipeline, Rules, job_of
+from glenchute.policy.connections.service_times import EDGES, ServiceTimes, Times
+from glenchute.policy.interface import Repeat, RequestClass, Scope
 
 READ = RequestClass("read", 1000.0, 1.0, Repeat.SAFE)
 ORDER = RequestClass("order", 1500.0, 2.0, Repeat.KEYED, Scope.ALL, 800.0)
--- a/tests/test_places.py
+++ b/tests/policy/connections/test_places.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from glenchute.deciders.places import (
+from glenchute.policy.connections.client_slots import (
     CHECK_S,
     FIRST_COMMAND_S,
     IDLE_S,
--- a/tests/test_release.py
+++ b/tests/policy/connections/test_release.py
@@ -9,11 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders.release import Verdict, Waiting, verdict
-from glenchute.fronts.resp2 import clients
-
-from .loopback import CHARGE, CUSTOMER, Script, play, send_to, until
-from .test_lines_loopback import Book, burst, sharing, value
+from glenchute.listeners.resp2 import clients
+from glenchute.policy.connections.response_order import Verdict, Waiting, verdict
+from tests.loopback import CHARGE, CUSTOMER, Script, play, send_to, until
+from tests.upstreams.test_lines_loopback import Book, burst, sharing, value
 
 MARGIN = 0.02
 AHEAD_S = 0.2  # from the last answer to the moment at which what keeps it is given up
--- a/tests/test_doubt.py
+++ b/tests/policy/endpoints/test_doubt.py
@@ -15,13 +15,14 @@
 
 from glenchute.cli.run import Program
 from glenchute.core.types import News
-from glenchute.deciders import pacing, told
-from glenchute.deciders.pacing import Doubt, Pacing, Terms
-from glenchute.deciders.watch import Ask, Close, Open, Watch
-from heathglade import interface as api
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy import interface as api
+from glenchute.policy.endpoints import notification as told
+from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
+from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
+from glenchute.policy.interface import ListKind, ServerEntry, ServerList, ServerState
 from tests.loopback import Script, always, config, http, play, row, site, until
-from tests.test_watch import Held, states
+from tests.policy.endpoints.test_watch import Held, states
 
 TEN = [f"s{n}" for n in range(10)]
 READY, DRAINING, GONE = ServerState.ACTIVE, ServerState.DRAINING, ServerState.GONE
--- a/tests/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -17,14 +17,16 @@
 from hypothesis import strategies as st
 
 from glenchute.cli.run import LIST_WAIT_S
-from glenchute.deciders import pacing, told, watch
-from glenchute.deciders.fleet import coldstart
-from glenchute.deciders.fleet.coldstart import ListShare
-from glenchute.deciders.pacing import Pacing, Terms
-from glenchute.deciders.watch import Ask, Close, Open, Watch
-from glenchute.peers.discovery import PART_BODY, Discovery, ListError, read_list
-from glenchute.peers.discovery import Held as HeldList
-from heathglade import interface as api
+from glenchute.clients.discovery import PART_BODY, Discovery, ListError, read_list
+from glenchute.clients.discovery import Held as HeldList
+from glenchute.policy import interface as api
+from glenchute.policy.endpoints import notification as told
+from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.endpoints import watch
+from glenchute.policy.endpoints.polling import Pacing, Terms
+from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
+from glenchute.policy.membership import endpoint_sharing as coldstart
+from glenchute.policy.membership.endpoint_sharing import ListShare
 from lab.peers import Peer, always, http, listing, play, row, until
 from tests.loopback import Script, config, site
 
--- a/tests/test_lifecycle.py
+++ b/tests/policy/lifecycle/test_lifecycle.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from glenchute.deciders import lifecycle
-from glenchute.deciders.callers import Callers
-from glenchute.deciders.lifecycle import Lifecycle, Phase
+from glenchute.policy.connections.operator_slots import Callers
+from glenchute.policy.lifecycle import draining as lifecycle
+from glenchute.policy.lifecycle.draining import Lifecycle, Phase
 
 
 class Phases(RuleBasedStateMachine):
--- a/tests/test_succession.py
+++ b/tests/policy/lifecycle/test_succession.py
@@ -18,18 +18,9 @@
 from glenchute.capture.recorder import Recorder, Rule
 from glenchute.capture.replay import replay as replayed
 from glenchute.capture.replay import runs
-from glenchute.deciders.succession import (
-    FIELDS,
-    LEAST_SHARE,
-    MOST_STOCKS,
-    SuccessionError,
-    Told,
-    keeps,
-    message,
-    parse,
-)
-from glenchute.peers import succession as way
-from heathglade.interface import (
+from glenchute.clients import handover as way
+from glenchute.policy.engine import Gateway
+from glenchute.policy.interface import (
     Alone,
     Beside,
     Count,
@@ -42,10 +33,18 @@
     Stock,
     TakeOver,
 )
-from heathglade.policy import Gateway
-
-from .loopback import always, play, site, until
-from .rig import SETTINGS, Rig, only
+from glenchute.policy.lifecycle.handover import (
+    FIELDS,
+    LEAST_SHARE,
+    MOST_STOCKS,
+    SuccessionError,
+    Told,
+    keeps,
+    message,
+    parse,
+)
+from tests.loopback import always, play, site, until
+from tests.rig import SETTINGS, Rig, only
 
 STOCK = Stock("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
 figures = st.floats(-1e12, 1e12)
@@ -146,9 +145,8 @@
 
 
 def next_list() -> Any:
-    from heathglade.interface import ListKind, ServerList
-
-    from .rig import entries
+    from glenchute.policy.interface import ListKind, ServerList
+    from tests.rig import entries
 
     return ServerList(ListKind.SAVED, entries(3))
 
--- a/tests/test_audit.py
+++ b/tests/policy/membership/test_audit.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from glenchute.deciders.fleet import audit as audits
-from glenchute.deciders.fleet.audit import LOOKS, Audit
-from glenchute.deciders.fleet.replica import Kind, Row
-from heathglade.interface import Plan
-from heathglade.windows import span_of, stable, window_start
+from glenchute.policy.admission.windows import span_of, stable, window_start
+from glenchute.policy.interface import Plan
+from glenchute.policy.membership import usage_audit as audits
+from glenchute.policy.membership.replica import Kind, Row
+from glenchute.policy.membership.usage_audit import LOOKS, Audit
 from lab.fleet.acting import MORE
 from lab.fleet.processes import FleetSite
 from lab.load import Account
--- a/tests/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -16,11 +16,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders import pacing, told
-from glenchute.deciders.fleet.coldstart import ListShare, Part, Sent, Server
-from glenchute.deciders.pacing import Doubt, Pacing, Terms, calls_bound
-from glenchute.deciders.quotabound import bound, start_bound
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.admission.quota_bounds import bound, start_bound
+from glenchute.policy.endpoints import notification as told
+from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms, calls_bound
+from glenchute.policy.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.membership.endpoint_sharing import ListShare, Part, Sent, Server
 from lab.coldstart import Crowd, Herd, busiest, outage, release, starts, turned_away
 from lab.fleet.processes import FleetSite
 from lab.load import Account, Kind, Load
--- a/tests/test_directmail.py
+++ b/tests/policy/membership/test_directmail.py
@@ -8,20 +8,28 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from glenchute.clients.membership.node import TICK_S, Fleet
 from glenchute.config.operator import parse
-from glenchute.deciders.fleet import directmail
-from glenchute.deciders.fleet.directmail import ASKS_PER_S, MOST_WORDS, Mail, Post, Ring, Word, numbers_of
-from glenchute.deciders.fleet.gossip import Gossip, Pace, Rows
-from glenchute.deciders.fleet.members import Kind as Probes
-from glenchute.deciders.fleet.members import Members, Message, State, Update
-from glenchute.deciders.fleet.replica import RULES, Kind, Replica, Row
-from glenchute.deciders.fleet.use import MOST_WINDOWS, MOST_WRITERS, TOLD_SHARE, Use, allowance
-from glenchute.peers.fleet.node import TICK_S, Fleet
-from glenchute.peers.fleet.wire import encode
-from heathglade import Gateway
-from heathglade import interface as api
-from heathglade.interface import Plan
-from heathglade.windows import span_of
+from glenchute.policy import interface as api
+from glenchute.policy.admission.windows import span_of
+from glenchute.policy.engine import Gateway
+from glenchute.policy.interface import Plan
+from glenchute.policy.membership import direct_messages as directmail
+from glenchute.policy.membership.direct_messages import (
+    ASKS_PER_S,
+    MOST_WORDS,
+    Mail,
+    Post,
+    Ring,
+    Word,
+    numbers_of,
+)
+from glenchute.policy.membership.gossip import Gossip, Pace, Rows
+from glenchute.policy.membership.members import Kind as Probes
+from glenchute.policy.membership.members import Members, Message, State, Update
+from glenchute.policy.membership.replica import RULES, Kind, Replica, Row
+from glenchute.policy.membership.usage import MOST_WINDOWS, MOST_WRITERS, TOLD_SHARE, Use, allowance
+from glenchute.protocol.member_datagrams import encode
 from lab.fleet.posted import Posts
 
 PLAN = Plan("p", rate=4.0, burst=12.0)
--- a/tests/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -7,7 +7,7 @@
 import pytest
 
 from glenchute.config import operator
-from glenchute.deciders.fleet.leases import (
+from glenchute.policy.membership.leases import (
     NOTHING,
     Ballot,
     Kind,
@@ -18,7 +18,7 @@
     Voter,
     sound_voters,
 )
-from glenchute.deciders.fleet.tasks import CANDIDATES, Keeper, Record
+from glenchute.policy.membership.task_candidates import CANDIDATES, Keeper, Record
 from lab.explore import Explored, Explorer
 from lab.fleet.holders import ACT_S, Swarm, changed, longest_gap, overlaps, troubled
 from lab.fleet.leasing import LONGEST, TERMS, System, check, events, fresh, held, late, racing, tied
--- a/tests/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from glenchute.deciders.fleet import members as membership
-from glenchute.deciders.fleet.members import PIGGYBACK, Kind, Members, Message, Rules, State, Update
+from glenchute.policy.membership import members as membership
+from glenchute.policy.membership.members import PIGGYBACK, Kind, Members, Message, Rules, State, Update
 from lab.fleet.simulated import TICK, Net, apart
 
 
--- a/tests/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders.fleet.coldstart import MOST_ROWS, Ask, Part, Server, Told
-from glenchute.deciders.fleet.directmail import MOST_WORDS, Asked, Mail, Word
-from glenchute.deciders.fleet.gossip import FEW, Digest, Done, Marks, Rows, Want
-from glenchute.deciders.fleet.leases import Ballot, Lease
-from glenchute.deciders.fleet.leases import Kind as Asks
-from glenchute.deciders.fleet.members import Kind as Probes
-from glenchute.deciders.fleet.members import Message, State, Update
-from glenchute.deciders.fleet.replica import OF_PROCESS, RULES, Kind, KindRules, Replica, Row
-from glenchute.deciders.fleet.use import Use, trusted_share
-from glenchute.peers.fleet.wire import MOST_BYTES, VERSION, Bad, Packet, Said, decode, encode
+from glenchute.policy.membership.direct_messages import MOST_WORDS, Asked, Mail, Word
+from glenchute.policy.membership.endpoint_sharing import MOST_ROWS, Ask, Part, Server, Told
+from glenchute.policy.membership.gossip import FEW, Digest, Done, Marks, Rows, Want
+from glenchute.policy.membership.leases import Ballot, Lease
+from glenchute.policy.membership.leases import Kind as Asks
+from glenchute.policy.membership.members import Kind as Probes
+from glenchute.policy.membership.members import Message, State, Update
+from glenchute.policy.membership.replica import OF_PROCESS, RULES, Kind, KindRules, Replica, Row
+from glenchute.policy.membership.usage import Use, trusted_share
+from glenchute.protocol.member_datagrams import MOST_BYTES, VERSION, Bad, Packet, Said, decode, encode
 from lab.fleet.simulated import Mesh, apart, rows_of
 
 ROWS = st.builds(
--- a/tests/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -13,7 +13,8 @@
 
 from glenchute.config.operator import parse
 from glenchute.core.types import Failed, Refused, Served
-from glenchute.deciders.routes import (
+from glenchute.policy.interface import Ending
+from glenchute.policy.retries.route_limits import (
     CREDIT_S,
     LEAST_STORE_S,
     NEVER,
@@ -24,10 +25,8 @@
     Route,
     Routes,
 )
-from heathglade.interface import Ending
-
-from .simulated import Fate, Site
-from .sites import FACTS, OVERLAP
+from tests.simulated import Fate, Site
+from tests.sites import FACTS, OVERLAP
 
 CLASSES = tuple(FACTS.classes)
 ENDINGS = (Ending.OK, Ending.ERROR, Ending.FULL, Ending.RESET)
--- a/tests/test_bulkheads.py
+++ b/tests/policy/services/test_bulkheads.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from glenchute.deciders.bulkheads import Claim, Delay, Ledger, Rounds, Taken
+from glenchute.policy.services.bulkheads import Claim, Delay, Ledger, Rounds, Taken
 
 NAMES = ("a", "b", "c")
 RECALL_MS = 100.0
--- a/tests/test_fairlanes.py
+++ b/tests/policy/services/test_fairlanes.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders.fairlanes import Lanes
+from glenchute.policy.services.fair_queue import Lanes
 
 SEED = b"a seed of the test"
 
--- a/tests/test_isolation.py
+++ b/tests/policy/services/test_isolation.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from glenchute.deciders.bulkheads import Claim, Delay, Ledger, Rounds, Taken
+from glenchute.policy.services.bulkheads import Claim, Delay, Ledger, Rounds, Taken
 
 TURN_MS = (0.1, 0.4)  # one request's work
 REFUSAL_MS = 0.03
--- a/tests/test_services.py
+++ b/tests/policy/services/test_services.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.deciders.services import Overlap, Router, Rule, Way, gaps, host_of, overlaps, segments
+from glenchute.policy.services.routing import Overlap, Router, Rule, Way, gaps, host_of, overlaps, segments
 
 RULES = [
     Rule("reports", host="reports.jadran.example.org"),
--- a/tests/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from heathglade.interface import (
+from glenchute.policy.interface import (
     AttemptEnded,
     Count,
     Ending,
@@ -19,10 +19,9 @@
     ServerEntry,
     ServerList,
 )
+from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
-from .rig import SETTINGS, Rig, entries, finals, only, with_
-
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def sends(rig: Rig, count: int, gap_ms: float, plan: str = "rate", units: float = 1.0) -> int:
@@ -333,7 +332,7 @@
 
 SCRIPT = """
 from tests.rig import Rig, entries
-from heathglade.interface import Ending
+from glenchute.policy.interface import Ending
 rig = Rig(entries(7, "abc"), seed=5)
 rig.warm_up(2.0)
 for i in range(200):
@@ -359,7 +358,7 @@
 
 
 def test_policy_keeps_its_limits() -> None:
-    lines = (ROOT / "heathglade" / "policy.py").read_text().splitlines()
+    lines = (ROOT / "glenchute" / "policy" / "engine.py").read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 1200
     assert max(len(line) for line in lines) <= 110
 
--- a/tests/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -9,21 +9,12 @@
 import pytest
 
 from benchmarks.recovery import measure
-from heathglade.interface import (
-    AttemptEnded,
-    Ending,
-    ListKind,
-    Repeat,
-    RequestClass,
-    Send,
-    ServerList,
-)
-from heathglade.policy import LEAST_SHARE, Pressure
+from glenchute.policy.engine import LEAST_SHARE, Pressure
+from glenchute.policy.interface import AttemptEnded, Ending, ListKind, Repeat, RequestClass, Send, ServerList
 from lab.peers import play
 from lab.sim.recovery import drawn, shape_of, tried
 from lab.sim.swarm import Fault, Script
-
-from .rig import Rig, entries, only
+from tests.rig import Rig, entries, only
 
 FOUND = {  # scripts by which service did not come back; each tells the part of the module that mends it
     "few requests out in a silence": Script(18, (Fault(6536, "slow in the quiet", 0.09, 953),)),
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from heathglade.interface import (
+from glenchute.policy.interface import (
     AnswerBegan,
     AttemptEnded,
     Count,
@@ -26,8 +26,7 @@
     ServerState,
     TimerFired,
 )
-
-from .rig import SETTINGS, Rig, entries, finals, only, with_
+from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
 NOT_RUN = (Ending.FULL, Ending.UNREACHABLE)
 MAY_HAVE_RUN = (Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED)
--- a/tests/test_trust.py
+++ b/tests/policy/test_trust.py
@@ -4,9 +4,8 @@
 
 import pytest
 
-from heathglade.interface import Count, CountReply, Ending
-
-from .rig import SETTINGS, Rig, entries, with_
+from glenchute.policy.interface import Count, CountReply, Ending
+from tests.rig import SETTINGS, Rig, entries, with_
 
 
 @pytest.mark.parametrize(("spread", "free"), [(2, True), (100, False)])
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -12,14 +12,13 @@
 from typing import Any, cast
 
 from glenchute.core.types import Answer, Failed, Refused, Served
-from glenchute.deciders.mapping import Rules
-from glenchute.fronts.extproc import events as ev
-from glenchute.fronts.extproc.calls import Calls, Downstream, Upstream, Ways
-from glenchute.fronts.extproc.token import Signer
-from heathglade.interface import Ending, Repeat
-
-from .simulated import Fate, Order, Record, Site
-from .sites import FACTS
+from glenchute.listeners.extproc import events as ev
+from glenchute.listeners.extproc.calls import Calls, Downstream, Upstream, Ways
+from glenchute.listeners.extproc.token import Signer
+from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.services.request_mapping import Rules
+from tests.simulated import Fate, Order, Record, Site
+from tests.sites import FACTS
 
 SOURCES = {
     "class": "header:x-class", "account": "header:x-account", "plan": "header:x-plan",
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -6,7 +6,8 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from heathglade.interface import (
+from glenchute.policy.engine import Gateway
+from glenchute.policy.interface import (
     Action,
     AttemptEnded,
     Count,
@@ -29,7 +30,6 @@
     Settings,
     TimerFired,
 )
-from heathglade.policy import Gateway
 
 A = TypeVar("A")
 
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -14,9 +14,8 @@
 
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import About, Address, Answer, Call, Failed, Refused, Result, Served, Source
-from glenchute.deciders.routes import Routes
-from heathglade import Gateway as Module
-from heathglade.interface import (  # fmt: skip
+from glenchute.policy.engine import Gateway as Module
+from glenchute.policy.interface import (
     Ending,
     ListKind,
     Plan,
@@ -28,6 +27,7 @@
     ServerList,
     Settings,
 )
+from glenchute.policy.retries.route_limits import Routes
 
 MAY_HAVE_RUN = (Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.CANCELLED)
 ZONES = "aab"
--- a/tests/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from heathglade import interface as api
-from heathglade.simhost import Host, WireError, encode, serve, settings
+from glenchute.policy import interface as api
+from glenchute.simulator import Host, WireError, encode, serve, settings
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PARAMS: dict[str, Any] = {
     "my_zone": "a",
     "balancers": 2,
@@ -134,7 +134,7 @@
 def test_malformed_line_is_said_and_ends(text: str, capsys: pytest.CaptureFixture[str]) -> None:
     out = io.StringIO()
     assert serve([text], out) == 1
-    assert out.getvalue() == "" and "heathglade.simhost: " in capsys.readouterr().err
+    assert out.getvalue() == "" and "glenchute.simulator: " in capsys.readouterr().err
     with pytest.raises(WireError):
         Host().batch(text)
 
@@ -159,7 +159,7 @@
 
 def test_deploy_file_starts_the_adapter() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert deploy["policy"] == ["heathglade/policy.py", "heathglade/marks.py"]
+    assert deploy["policy"] == ["glenchute/policy/engine.py", "glenchute/policy/admission/epoch_markers.py"]
     command = deploy["sim"].replace(".venv/bin/python", shlex.quote(sys.executable))
     session = [
         line(0.0),
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from glenchute.config.facts import ClassFacts, Facts
-from heathglade.interface import Repeat
+from glenchute.policy.interface import Repeat
 
 FACTS = Facts(
     classes={
--- a/tests/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -17,12 +17,8 @@
 import hiredis
 import pytest
 
-from glenchute.backends.resp2 import SETTLE_S
-from glenchute.deciders import lifecycle, places
-from glenchute.deciders.lifecycle import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
-from glenchute.deciders.places import Reason
-from glenchute.fronts.resp2 import clients
-from glenchute.fronts.resp2.clients import (
+from glenchute.listeners.resp2 import clients
+from glenchute.listeners.resp2.clients import (
     BUFFERED,
     GONE_S,
     HEAPED,
@@ -31,14 +27,20 @@
     TURN,
     TURN_BYTES,
 )
-from glenchute.fronts.resp2.clients import Client as Connection
-from glenchute.wire import resp
-from heathglade import Gateway as Policy
-from heathglade import interface as api
-from heathglade.interface import Ending
-from heathglade.simhost import settings
+from glenchute.listeners.resp2.clients import Client as Connection
+from glenchute.policy import interface as api
+from glenchute.policy.connections import client_slots as places
+from glenchute.policy.connections.client_slots import Reason
+from glenchute.policy.engine import Gateway as Policy
+from glenchute.policy.interface import Ending
+from glenchute.policy.lifecycle import draining as lifecycle
+from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
+from glenchute.protocol import resp2 as resp
+from glenchute.simulator import settings
+from glenchute.upstreams.connection_pool import SETTLE_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
+from tests.clients.test_peers import patient, start
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -52,8 +54,7 @@
     send_to,
     site,
 )
-from tests.test_peers import patient, start
-from tests.test_watch import Held
+from tests.policy.endpoints.test_watch import Held
 
 READ = (b"CALL.GET", CUSTOMER)
 
@@ -442,7 +443,7 @@
 def test_replies_in_our_buffer_are_not_cut_off_by_the_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
     """A slow reader asks for its connection's end behind replies that wait in our buffer: the time in which a
     client has to close runs for those that have got all."""
-    monkeypatch.setattr("glenchute.deciders.places.LINGER_S", 0.05)
+    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_S", 0.05)
 
     async def scenario() -> None:
         value = b"v" * 60000
@@ -918,7 +919,7 @@
     """The transport waits for its buffer to empty, and the peer never reads: the place is given up all the
     same, and the descriptor with it."""
     for name in ("IDLE_S", "STUCK_S"):
-        monkeypatch.setattr(f"glenchute.deciders.places.{name}", 0.2)
+        monkeypatch.setattr(f"glenchute.policy.connections.client_slots.{name}", 0.2)
 
     async def scenario() -> None:
         big = b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n*-1\r\n*-1\r\n"
--- a/tests/test_readiness.py
+++ b/tests/system/test_readiness.py
@@ -12,8 +12,7 @@
 import pytest
 
 from lab.site import GatewayProcess, free_port
-
-from .loopback import (
+from tests.loopback import (
     CUSTOMER,
     GET,
     SERVED,
--- a/tests/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -16,8 +16,7 @@
 from glenchute.config.platform import ConfigError, build, passed_socket
 from lab.nodes import Node, Trade
 from lab.site import GatewayProcess, LabSite, free_port
-
-from .loopback import CUSTOMER, Client, config, numbered, play, raw_config
+from tests.loopback import CUSTOMER, Client, config, numbered, play, raw_config
 
 FIELDS = b"c=report-read,t=korporativni,d=2000"
 
--- a/tests/test_lines_loopback.py
+++ b/tests/upstreams/test_lines_loopback.py
@@ -12,11 +12,10 @@
 import hiredis
 import pytest
 
-from glenchute.backends.lines import LinePool, Lines
 from glenchute.core.types import Decisions
-from heathglade import interface as api
-
-from .loopback import (
+from glenchute.policy import interface as api
+from glenchute.upstreams.pipelined import LinePool, Lines
+from tests.loopback import (
     CHARGE,
     CUSTOMER,
     GET,
@@ -30,7 +29,7 @@
     send_to,
     site,
     until,
-)  # fmt: skip
+)
 
 SHARED = '[pipeline]\nclasses = ["read", "order"]\ndepth = 8\nat_risk = 16\nsettle_ms = 0\n'
 Wire = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/test_long_values.py
+++ b/tests/upstreams/test_long_values.py
@@ -16,13 +16,25 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from glenchute.backends import long as long_module
-from glenchute.deciders.turns import Turns
-from glenchute.wire import resp
-from glenchute.wire.long import MAX_LONG, LongReply
-from heathglade import interface as api
-
-from .loopback import CUSTOMER, GET, ORDER, SERVED, Client, Script, Site, numbered, play, send_to, site, until
+from glenchute.policy import interface as api
+from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.protocol import resp2 as resp
+from glenchute.protocol.streamed_reply import MAX_LONG, LongReply
+from glenchute.upstreams import streamed_value as long_module
+from tests.loopback import (
+    CUSTOMER,
+    GET,
+    ORDER,
+    SERVED,
+    Client,
+    Script,
+    Site,
+    numbered,
+    play,
+    send_to,
+    site,
+    until,
+)
 
 TAIL = b"\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 
