--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -47,10 +47,10 @@
 from glenchute.clients.membership.node import Fleet as Node
 from glenchute.config.facts import ClassFacts, Facts
 from glenchute.config.operator import MOST_ROUTES, Operator, Reading, parse
-from glenchute.policy import interface as api
 from glenchute.policy.endpoints.polling import Pacing, Terms
 from glenchute.policy.membership.members import Members, Rules
 from glenchute.policy.retries.route_limits import Routes
+from glenchute.policy.settings import Idempotency
 
 SERVERS, ROUTES = 5_700, 2_700
 NAMES_KEPT_S = 60.0  # a customer unseen for this long is forgotten, here and at the counter
@@ -98,7 +98,7 @@
 
 
 def facts(plans: int) -> Facts:
-    return Facts({f"class-{n}": ClassFacts(api.Repeat.SAFE, 4e3) for n in range(10)},
+    return Facts({f"class-{n}": ClassFacts(Idempotency.IDEMPOTENT, 4e3) for n in range(10)},
                  tuple(f"plan-{n}" for n in range(plans)), 5, False, 250.0)  # fmt: skip
 
 
@@ -254,7 +254,7 @@
 def drawn() -> None:
     """What follows from the Zipf law alone: tenants that a gateway knows, names that the counter holds."""
     shares = [1.0 / rank for rank in range(1, TENANTS + 1)]
-    total, span = sum(shares), PLAN.burst / PLAN.rate
+    total, span = sum(shares), PLAN.burst_units / PLAN.rate_per_s
     known = sum(1.0 - math.exp(-RATE * NAMES_KEPT_S * share / total) for share in shares)
     fresh = sum(1.0 - math.exp(-RATE * GATEWAYS * span * share / total) for share in shares)
     names = fresh * NAMES_KEPT_S / span
--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -10,18 +10,30 @@
 
 from benchmarks.slopes import REFERENCE_MS, Measure, cpu_ms, kib, reference_ms
 from glenchute.clients.discovery import Held, read_in_parts, read_list
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, IncrementCounter, StartAttempt
 from glenchute.policy.balancing.subset import Aperture, Terms
-from glenchute.policy.engine import Gateway
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    AttemptEnded,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Outcome,
+    Request,
+    TimerFired,
+)
+from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
 from glenchute.protocol import resp2 as resp
 
 GATEWAYS, TENANTS, RATE = 520, 41_000, 163.0
-PLAN = api.Plan("standard", rate=4.0, burst=12.0)
-READ = api.RequestClass("read", 400.0, 1.0, api.Repeat.SAFE)
+PLAN = Plan("standard", rate_per_s=4.0, burst_units=12.0)
+READ = RequestClass("read", 400.0, 1.0, Idempotency.IDEMPOTENT)
 
 
-def settings(counter: bool = False, plan: api.Plan = PLAN) -> api.Settings:
-    return api.Settings("z0", GATEWAYS, (READ,), (plan, api.Plan("free")), api.Safety(), counter=counter)
+def settings(counter: bool = False, plan: Plan = PLAN) -> Settings:
+    return Settings("z0", GATEWAYS, (READ,), (plan, Plan("free")), SlowStart(), has_counter=counter)
 
 
 def rows_of(count: int) -> list[dict[str, Any]]:
@@ -35,27 +47,27 @@
     return json.dumps({"version": 1, "full": full, "servers": rows_of(count)})
 
 
-def entries(count: int) -> tuple[api.ServerEntry, ...]:
-    return read_list(json.loads(list_text(count))).event.entries
+def entries(count: int) -> tuple[Endpoint, ...]:
+    return read_list(json.loads(list_text(count))).event.endpoints
 
 
-def module(listed: int, seed: int, all_used: bool = False) -> Gateway | Aperture:
+def module(listed: int, seed: int, all_used: bool = False) -> DecisionEngine | Aperture:
     """A module that has heard the list, as plain `run` has it; or one that is told of all servers."""
     made = settings()
-    gateway: Gateway | Aperture = Gateway(made, seed)
+    gateway: DecisionEngine | Aperture = DecisionEngine(made, seed)
     if not all_used:
         gateway = Aperture(gateway, made, Terms(GATEWAYS, seed * 37 % GATEWAYS))
-    gateway.handle(0.0, api.ServerList(api.ListKind.FULL, entries(listed)))
+    gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(listed)))
     return gateway
 
 
-def served(gateway: Gateway | Aperture, count: int, first: int = 0) -> None:
+def served(gateway: DecisionEngine | Aperture, count: int, first: int = 0) -> None:
     """So many requests at one gateway's share of the peak, each answered before the next comes."""
     for number in range(first, first + count):
         now, name = 1000.0 + number * 1000.0 / RATE, str(number)
-        for action in gateway.handle(now, api.Request(name, "read", "free", "c", 4000.0)):
-            if isinstance(action, api.Send):
-                ended = api.AttemptEnded(name, 0, action.server, api.Ending.OK, 4.0, True, 0.0, 1.0)
+        for action in gateway.handle(now, Request(name, "read", "free", "c", 4000.0)):
+            if isinstance(action, StartAttempt):
+                ended = AttemptEnded(name, 0, action.address, Outcome.OK, 4.0, True, 0.0, 1.0)
                 gateway.handle(now + 4.0, ended)
 
 
@@ -74,7 +86,7 @@
     def measure(listed: int, seed: int) -> float:
         gateway = module(listed, seed, all_used)
         at = iter(range(1, 10**6))
-        return cpu_ms(lambda: gateway.handle(250.0 * next(at), api.TimerFired(0)), 40) * 4.0 / 10.0
+        return cpu_ms(lambda: gateway.handle(250.0 * next(at), TimerFired(0)), 40) * 4.0 / 10.0
 
     return measure
 
@@ -86,7 +98,7 @@
         made, gateway = settings(), module(listed, seed, all_used)
         inner: Any = gateway.module if isinstance(gateway, Aperture) else gateway
         server = next(iter(inner.fleet.servers))
-        event = api.AttemptEnded("1", 0, server, api.Ending.UNREACHABLE, 1.0, False)
+        event = AttemptEnded("1", 0, server, Outcome.UNREACHABLE, 1.0, False)
         return 1e3 * cpu_ms(lambda: inner.fleet.ended(1.0, event, made.classes[0], 1.0), 400)
 
     return measure
@@ -98,10 +110,10 @@
 
     def change() -> None:
         number = next(at)
-        state = api.ServerState.DRAINING if number % 2 else api.ServerState.ACTIVE
+        state = EndpointState.DRAINING if number % 2 else EndpointState.ACTIVE
         one = rows[number // 2 % listed]
-        row = api.ServerEntry(one.server, one.zone, state=state)
-        gateway.handle(0.01 * number, api.ServerList(api.ListKind.CHANGES, (row,)))
+        row = Endpoint(one.address, one.zone, state=state)
+        gateway.handle(0.01 * number, EndpointList(EndpointListKind.CHANGES, (row,)))
 
     return cpu_ms(change, 40)
 
@@ -140,7 +152,7 @@
     text = list_text(count)
 
     def keep() -> object:
-        news, held, gateway = read_list(json.loads(text)), Held(), Gateway(settings(), seed)
+        news, held, gateway = read_list(json.loads(text)), Held(), DecisionEngine(settings(), seed)
         held.follow(news)
         gateway.handle(0.0, news.event)
         return news.addresses, held, gateway
@@ -151,11 +163,11 @@
 def customers_kib(count: int, seed: int) -> float:
     """Customers that the module has seen within a minute."""
 
-    def keep() -> Gateway:
-        gateway = Gateway(settings(True), seed)
-        gateway.handle(0.0, api.ServerList(api.ListKind.FULL, entries(4)))
+    def keep() -> DecisionEngine:
+        gateway = DecisionEngine(settings(True), seed)
+        gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(4)))
         for n in range(count):
-            request = api.Request(str(n), "read", "standard", f"{n:016x}", 4e3, spread=GATEWAYS)
+            request = Request(str(n), "read", "standard", f"{n:016x}", 4e3, gateway_spread=GATEWAYS)
             gateway.quota.customer(1.0, request)
         return gateway
 
@@ -183,25 +195,25 @@
 @functools.cache
 def counted(tenants: int, rate: float, seed: int, seconds: float = 20.0) -> Counted:
     """One gateway of 520 alone at its counter, which answers a millisecond later."""
-    rng, gateway, shares = random.Random(seed), Gateway(settings(True), seed), zipf(tenants)
+    rng, gateway, shares = random.Random(seed), DecisionEngine(settings(True), seed), zipf(tenants)
     totals: dict[int, float] = {}
     calls = out = back = 0
-    gateway.handle(0.0, api.ServerList(api.ListKind.FULL, entries(20)))
+    gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(20)))
 
-    def carry_out(now: float, actions: list[api.Action]) -> None:
+    def carry_out(now: float, actions: list[Action]) -> None:
         nonlocal calls, out, back
         for action in actions:
-            if isinstance(action, api.Count):
-                total = totals[action.name] = totals.get(action.name, 0.0) + action.amount
+            if isinstance(action, IncrementCounter):
+                total = totals[action.key] = totals.get(action.key, 0.0) + action.amount
                 amount, ttl = b"%.3f" % action.amount, b"%d" % action.ttl_ms
                 calls += 1
-                out += len(resp.command(b"INCRTTL", b"%d" % action.name, amount, ttl))
+                out += len(resp.command(b"INCRTTL", b"%d" % action.key, amount, ttl))
                 text = b"%.3f" % total
                 back += len(b"$%d\r\n%s\r\n" % (len(text), text))
-                reply = api.CountReply(action.name, total, api.Ending.OK, 1.0)
+                reply = CounterReply(action.key, total, Outcome.OK, 1.0)
                 carry_out(now + 1.0, gateway.handle(now + 1.0, reply))
-            elif isinstance(action, api.Send):
-                ended = api.AttemptEnded(action.request_id, 0, action.server, api.Ending.OK, 2.0, True)
+            elif isinstance(action, StartAttempt):
+                ended = AttemptEnded(action.request_id, 0, action.address, Outcome.OK, 2.0, True)
                 carry_out(now + 2.0, gateway.handle(now + 2.0, ended))
 
     names = rng.choices(range(tenants), cum_weights=shares, k=round(rate * seconds))
@@ -211,9 +223,11 @@
         for number, tenant in enumerate(names):
             now = 1000.0 + number * 1000.0 / rate
             while tick < now - 5.0:
-                carry_out(tick, gateway.handle(tick, api.TimerFired(0)))
+                carry_out(tick, gateway.handle(tick, TimerFired(0)))
                 tick += 250.0
-            request = api.Request(str(number), "read", "standard", f"{tenant:016x}", 4000.0, spread=GATEWAYS)
+            request = Request(
+                str(number), "read", "standard", f"{tenant:016x}", 4000.0, gateway_spread=GATEWAYS
+            )
             carry_out(now, gateway.handle(now, request))
 
     spent = cpu_ms(run) / 10.0 / seconds
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -11,11 +11,11 @@
 from benchmarks.capacity_gateway import GATEWAYS
 from benchmarks.slopes import cpu_ms, kib
 from glenchute.policy.admission.windows import window_start
-from glenchute.policy.interface import Plan
 from glenchute.policy.membership.direct_messages import Post, Ring, numbers_of
 from glenchute.policy.membership.members import Members, Out, Rules, State
 from glenchute.policy.membership.replica import Kind, Replica, Row
 from glenchute.policy.membership.usage import Use
+from glenchute.policy.settings import Plan
 from glenchute.protocol.member_datagrams import decode, encode
 from lab.fleet.holders import Swarm
 from lab.fleet.simulated import Net
@@ -90,7 +90,13 @@
         if any((gateway - first) % GATEWAYS < spread for gateway in range(BLOCK)):
             plan = max(4.0, 1.25 * share * PEAK) if wide else 4.0
             found.append(
-                Tenant(f"{4096 + number:016x}", share, first, spread, Plan("p", rate=plan, burst=3.0 * plan))
+                Tenant(
+                    f"{4096 + number:016x}",
+                    share,
+                    first,
+                    spread,
+                    Plan("p", rate_per_s=plan, burst_units=3.0 * plan),
+                )
             )
     return found
 
@@ -125,7 +131,7 @@
     """Ten seconds after ten of getting there; an account's quota lets in what its store holds."""
     rng, known = random.Random(seed), tenants(seed, wide)
     posts = {number: post_of(number, seed) for number in range(BLOCK)}
-    stores = {tenant.name: (0.0, tenant.plan.burst) for tenant in known}
+    stores = {tenant.name: (0.0, tenant.plan.burst_units) for tenant in known}
     # By what each asks of the block: its share of the requests that come through gateways that are played.
     inside = [sum((g - t.first) % GATEWAYS < t.spread for g in range(BLOCK)) for t in known]
     weights = [t.share / t.spread * n for t, n in zip(known, inside, strict=True)]
@@ -137,9 +143,9 @@
         for tenant in rng.choices(known, weights, k=int(asked)):
             # The rest of its set asks for its part of the quota.
             number = sum((g - tenant.first) % GATEWAYS < tenant.spread for g in range(BLOCK))
-            fill = tenant.plan.rate * number / tenant.spread
+            fill = tenant.plan.rate_per_s * number / tenant.spread
             since, store = stores[tenant.name]
-            store = min(tenant.plan.burst, store + fill * (at - since))
+            store = min(tenant.plan.burst_units, store + fill * (at - since))
             stores[tenant.name] = at, store - (store >= 1.0)
             if store >= 1.0:
                 ours = [g for g in range(BLOCK) if (g - tenant.first) % GATEWAYS < tenant.spread]
--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -17,7 +17,7 @@
 from benchmarks.routes import RATE, ROUNDS, cost
 from glenchute.capture.codec import EVENTS
 from glenchute.capture.replay import read, replay, runs
-from glenchute.policy.interface import Request
+from glenchute.policy.events import Request
 
 
 def operator(mode: str, folder: str) -> str | None:
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -48,11 +48,11 @@
     soft, _, bare = PLANS
     found = bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
-        fleet.overshoot("bare", bare.ceiling_rate, bare.ceiling_burst),
+        fleet.overshoot("bare", bare.ceiling_rate_per_s, bare.ceiling_burst_units),
         ceiling_overshoot(found, fleet.restarts),
-        fleet.overshoot("soft", soft.rate, soft.burst),
-        (gateways - 1) * (soft.burst + SECONDS * soft.rate),
-        fleet.refused_with_room("soft", soft.rate, soft.burst),
+        fleet.overshoot("soft", soft.rate_per_s, soft.burst_units),
+        (gateways - 1) * (soft.burst_units + SECONDS * soft.rate_per_s),
+        fleet.refused_with_room("soft", soft.rate_per_s, soft.burst_units),
         fleet.counter.calls / fleet.asked,
     )
 
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -23,8 +23,8 @@
 from glenchute.core.types import News
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.balancing.subset_size import WHOLE
-from glenchute.policy.engine import Gateway as Policy
-from glenchute.policy.interface import Safety, Settings
+from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.settings import Settings, SlowStart
 from glenchute.upstreams.connection_pool import Limits, Servers
 from lab.peers import row
 
@@ -36,7 +36,7 @@
 
     def __init__(self, parted: bool = True) -> None:
         self.loop = asyncio.new_event_loop()
-        self.policy = Policy(Settings("a", GATEWAYS, (), (), Safety(), max_attempts=4), 1)
+        self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
         self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
         self.gateway = Gateway(self.loop, self.policy, self.servers, None)
         self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -21,7 +21,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 CAPTURES = ROOT / "tests" / "captures"
-MUTATED = ("engine.py", "admission/epoch_markers.py")
+MUTATED = (
+    "engine.py",
+    "admission/capacity.py",
+    "admission/epoch_markers.py",
+    "admission/quota.py",
+    "balancing/pool.py",
+)
 SWAPS: dict[type[ast.AST], type[ast.AST]] = {
     ast.Lt: ast.LtE, ast.LtE: ast.Gt, ast.Gt: ast.GtE, ast.GtE: ast.Lt, ast.Eq: ast.NotEq, ast.NotEq: ast.Eq,
     ast.Is: ast.IsNot, ast.IsNot: ast.Is, ast.Add: ast.Sub, ast.Sub: ast.Add, ast.Mult: ast.Div,
--- a/benchmarks/quota_errors.py
+++ b/benchmarks/quota_errors.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable, Iterable
 
-from glenchute.policy.engine import COUNTED
+from glenchute.policy.admission.quota import COUNTED
 from lab.sim.quotas import EXACT, SITES, Books, Day, Model, Scheme, changed, demand, play
 
 SEEDS = (1, 2)
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -19,7 +19,8 @@
 from benchmarks.machine import machine
 from glenchute.policy.balancing.hash_ring import spot
 from glenchute.policy.balancing.subset import DRIFT_MS, Subset, Terms, walk
-from glenchute.policy.interface import Safety, ServerEntry, ServerState
+from glenchute.policy.events import Endpoint, EndpointState
+from glenchute.policy.settings import SlowStart
 from lab.coldstart import Herd
 from lab.load import Account, Kind, Load
 
@@ -31,8 +32,8 @@
 def kept(gateways: int, servers: list[str], used: int, before: Chosen | None) -> Chosen:
     chosen = []
     for number in range(gateways):
-        subset = Subset(Terms(gateways, number, used), Safety())
-        subset.whole([ServerEntry(server, "a") for server in servers])
+        subset = Subset(Terms(gateways, number, used), SlowStart())
+        subset.whole([Endpoint(server, "a") for server in servers])
         subset.held = dict.fromkeys(sorted(before[number]) if before is not None else ())
         subset.settle(0.0)
         chosen.append(set(subset.held))
@@ -107,14 +108,14 @@
     now = row[:servers]
     subsets = []
     for number in range(gateways):
-        subset = Subset(Terms(gateways, number, used), Safety())
-        subset.whole([ServerEntry(server, "a") for server in now])
+        subset = Subset(Terms(gateways, number, used), SlowStart())
+        subset.whole([Endpoint(server, "a") for server in now])
         subset.settle(0.0)
         subsets.append(subset)
     for at in range(servers * 6 // 10):
         gone, new = row[at], row[servers + at]
         for subset in subsets:
-            subset.change((ServerEntry(gone, "a", state=ServerState.GONE), ServerEntry(new, "a")))
+            subset.change((Endpoint(gone, "a", state=EndpointState.REMOVED), Endpoint(new, "a")))
             subset.settle(0.0)
     found = []
     for hour in (0, 1):
--- a/glenchute/capture/codec.py
+++ b/glenchute/capture/codec.py
@@ -12,13 +12,10 @@
 from __future__ import annotations
 
 import hashlib
-import io
-import pickle
 import struct
 import zlib
 from collections.abc import Iterator, Sequence
 from dataclasses import fields as fields_of
-from enum import Enum
 from operator import attrgetter
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -26,51 +23,85 @@
 import msgspec
 
 from glenchute import policy
-from glenchute.policy import interface as api
+from glenchute.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendState,
+    SetTimer,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from glenchute.policy.events import (
+    AttemptAssigned,
+    AttemptEnded,
+    AttemptStalled,
+    AvoidEndpoint,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    OtherProcessEnded,
+    Outcome,
+    QuotaSnapshot,
+    Request,
+    ResponseStarted,
+    StateReceived,
+    SuccessorStarted,
+    TimerFired,
+    UsageUpdate,
+)
+from glenchute.policy.settings import Settings
+
+from . import format_1
+from .errors import CaptureError
 
-FORMAT = 1
+FORMAT = 2
 MAGIC = "glenchute-capture"
+ENGINE_SOURCES = ("*.py", "admission/*.py", "balancing/*.py", "retries/*.py")  # below `glenchute/policy`
 FRAME = struct.Struct("<II")
 MOST_FRAME = 64 * 1024 * 1024  # a longer one is damage
 
 EVENTS: tuple[type[Any], ...] = (
-    api.ServerList,
-    api.Request,
-    api.AnswerBegan,
-    api.AttemptEnded,
-    api.RequestGone,
-    api.TimerFired,
-    api.CountReply,
-    api.AttemptHeld,
-    api.AttemptPlaced,
-    api.Beside,
-    api.TakeOver,
-    api.Alone,
-    api.Used,
-    api.Avoid,
+    EndpointList,
+    Request,
+    ResponseStarted,
+    AttemptEnded,
+    ClientDisconnected,
+    TimerFired,
+    CounterReply,
+    AttemptStalled,
+    AttemptAssigned,
+    SuccessorStarted,
+    StateReceived,
+    OtherProcessEnded,
+    UsageUpdate,
+    AvoidEndpoint,
 )
 ACTIONS: tuple[type[Any], ...] = (
-    api.Send,
-    api.Cancel,
-    api.Refuse,
-    api.Fail,
-    api.SetTimer,
-    api.Count,
-    api.Subscribe,
-    api.Log,
-    api.HandOver,
+    StartAttempt,
+    CancelAttempt,
+    Reject,
+    Fail,
+    SetTimer,
+    IncrementCounter,
+    SubscribeToEndpoints,
+    LogMessage,
+    SendState,
 )
-HAND_OVER = ACTIONS.index(api.HandOver)
+HAND_OVER = ACTIONS.index(SendState)
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder()
 
 Record = list[Any]
 
 
-class CaptureError(Exception):
-    """A capture that can't be read or replayed."""
-
-
 def getter(kind: type[Any]) -> Any:
     """Takes all fields of an object at once, always as a tuple."""
     names = [field.name for field in fields_of(kind)]
@@ -84,18 +115,17 @@
 
 EVENT_OF = {kind: (number, getter(kind)) for number, kind in enumerate(EVENTS)}
 ENDING_AT = {
-    kind: [field.name for field in fields_of(kind)].index("ending")
-    for kind in (api.AttemptEnded, api.CountReply)
+    kind: [field.name for field in fields_of(kind)].index("outcome") for kind in (AttemptEnded, CounterReply)
 }
 ACTION_OF = {kind: (number, getter(kind)) for number, kind in enumerate(ACTIONS)}
 
 
-def taken_apart(actions: Sequence[api.Action]) -> list[tuple[int, Any]]:
+def taken_apart(actions: Sequence[Action]) -> list[tuple[int, Any]]:
     """The number of each action's kind, and its fields."""
     return [(number, take(action)) for action in actions for number, take in (ACTION_OF[type(action)],)]
 
 
-def note(now_ms: float, event: api.Event, actions: Sequence[api.Action] | None) -> tuple[Any, ...]:
+def note(now_ms: float, event: Event, actions: Sequence[Action] | None) -> tuple[Any, ...]:
     """A record, not encoded yet; cheap, as it is made for every event."""
     number, take = EVENT_OF[type(event)]
     told = None
@@ -104,25 +134,25 @@
     return now_ms, number, take(event), told
 
 
-def event_of(record: Record) -> api.Event:
+def event_of(record: Record) -> Event:
     """The event of a record that was read."""
     kind, values = EVENTS[record[1]], record[2]
-    if kind is api.Used:
-        return api.Used(api.Request(**values[0]), *values[1:])
-    if kind is api.ServerList:
-        rows = [{**row, "state": api.ServerState(row["state"])} for row in values[1]]
-        entries = tuple(api.ServerEntry(**row) for row in rows)
-        return api.ServerList(api.ListKind(values[0]), entries, *values[2:])
-    if kind is api.TakeOver:
-        return api.TakeOver(tuple(api.Stock(**row) for row in values[0]))
+    if kind is UsageUpdate:
+        return UsageUpdate(Request(**values[0]), *values[1:])
+    if kind is EndpointList:
+        rows = [{**row, "state": EndpointState(row["state"])} for row in values[1]]
+        entries = tuple(Endpoint(**row) for row in rows)
+        return EndpointList(EndpointListKind(values[0]), entries, *values[2:])
+    if kind is StateReceived:
+        return StateReceived(tuple(QuotaSnapshot(**row) for row in values[0]))
     at = ENDING_AT.get(kind)
     if at is not None:
-        values = [*values[:at], api.Ending(values[at]), *values[at + 1 :]]
-    event: api.Event = kind(*values)
+        values = [*values[:at], Outcome(values[at]), *values[at + 1 :]]
+    event: Event = kind(*values)
     return event
 
 
-def told(actions: Sequence[api.Action]) -> list[Any]:
+def told(actions: Sequence[Action]) -> list[Any]:
     """Actions in the form of a record that was read, to be compared with one."""
     apart = [[number, list(values)] for number, values in taken_apart(actions)]
     for row in apart:
@@ -157,13 +187,14 @@
     at: int
     began_ms: float
     module: str
-    settings: api.Settings
+    settings: Settings
     seed: int
     snapshot: bytes | None
+    format: int = FORMAT
 
     def encode(self) -> bytes:
         """The head's frame."""
-        about = {"magic": MAGIC, "format": FORMAT, "settings": self.settings}
+        about = {"magic": MAGIC, "settings": self.settings}
         return frame(ENCODER.encode({**self._asdict(), **about}))
 
 
@@ -171,13 +202,15 @@
     """A head that was read."""
     if not isinstance(raw, dict) or raw.get("magic") != MAGIC:
         raise CaptureError("not a capture")
-    if raw.get("format") != FORMAT:
-        raise CaptureError(f"format {raw.get('format')!r}; this program reads {FORMAT}")
+    if raw.get("format") not in (FORMAT, format_1.FORMAT):
+        raise CaptureError(f"format {raw.get('format')!r}; this program reads {format_1.FORMAT} and {FORMAT}")
     try:
-        made = msgspec.convert(raw["settings"], api.Settings)
+        settings = raw["settings"]
+        if raw["format"] == format_1.FORMAT:
+            settings = format_1.settings(settings)
         given = {name: raw[name] for name in Head._fields if name != "settings"}
-        return Head(settings=made, **given)
-    except (KeyError, TypeError, msgspec.ValidationError) as error:
+        return Head(settings=msgspec.convert(settings, Settings), **given)
+    except (AttributeError, KeyError, TypeError, msgspec.ValidationError) as error:
         raise CaptureError(f"a head that can't be read ({error})") from None
 
 
@@ -215,49 +248,11 @@
         at += FRAME.size + length
 
 
-# --- the module's state -----------------------------------------------------------------------------------
-
-
-class Careful(pickle.Unpickler):
-    """Reads a snapshot: the module's own classes and a few plain ones, nothing that could do anything."""
-
-    PLAIN = (("collections", "deque"), ("random", "Random"), ("builtins", "set"), ("builtins", "frozenset"))
-
-    def find_class(self, module: str, name: str) -> Any:
-        """A class by name, if it may be had."""
-        if (module, name) == ("builtins", "getattr"):
-            return member  # this is how Python 3.11 pickles a member of an Enum
-        if module.startswith("glenchute.policy.") or (module, name) in self.PLAIN:
-            return super().find_class(module, name)
-        raise CaptureError(f"a snapshot that asks for {module}.{name}")
-
-
-def member(kind: Any, name: str) -> Any:
-    """A member of an Enum, and no other attribute of anything."""
-    if not (isinstance(kind, type) and issubclass(kind, Enum)):
-        raise CaptureError(f"a snapshot that asks for {name} of {kind!r}")
-    return kind[name]
-
-
-def snapshot(module: Any) -> bytes:
-    """The module's whole state."""
-    return pickle.dumps(module, protocol=5)
-
-
-def revive(state: bytes) -> Any:
-    """A module in that state."""
-    try:
-        return Careful(io.BytesIO(state)).load()
-    except CaptureError:
-        raise
-    except Exception as error:  # a state of other classes, or damage: whatever it is, there is no module
-        raise CaptureError(f"a snapshot that can't be read ({error!r})") from None
-
-
 def module_digest(folder: Path | None = None) -> str:
     """The version of the module: a digest of its sources."""
     folder = folder or Path(str(policy.__file__)).parent
     digest = hashlib.blake2b(digest_size=8)
-    for name in ("interface.py", "admission/epoch_markers.py", "engine.py"):
-        digest.update((folder / name).read_bytes())
+    for pattern in ENGINE_SOURCES:
+        for path in sorted(folder.glob(pattern)):
+            digest.update(path.read_bytes())
     return digest.hexdigest()
--- /dev/null
+++ b/glenchute/capture/format_1.py
@@ -0,0 +1,293 @@
+"""Captures of format 1, which hold the names of programs before the present layout: read, never written.
+
+Field names of settings, events and actions are mapped when a segment is read, class and attribute names of a
+snapshot when it is loaded. A snapshot is unpickled into inert `OldState` objects first, so that nothing of it
+runs, and then converted to the classes of today, shared references kept.
+"""
+
+from __future__ import annotations
+
+import io
+import pickle
+import random
+from collections import deque
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+from typing import Any
+
+from glenchute.policy.actions import (
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendState,
+    SetTimer,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from glenchute.policy.admission.capacity import CapacityEstimate
+from glenchute.policy.admission.epoch_markers import CounterHealth, CounterMonitor, WindowCounter
+from glenchute.policy.admission.quota import QuotaAccounting
+from glenchute.policy.admission.tenant import Tenant
+from glenchute.policy.balancing.pool import ServerPool
+from glenchute.policy.balancing.server import Server
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    Outcome,
+    QuotaSnapshot,
+    Request,
+)
+from glenchute.policy.requests import Attempt, PendingRequest
+from glenchute.policy.settings import (
+    Idempotency,
+    IdempotencyScope,
+    Plan,
+    RequestClass,
+    Settings,
+    SlowStart,
+)
+
+from .errors import SnapshotError
+
+FORMAT = 1
+
+SETTINGS = {
+    "gateways": "gateway_count",
+    "safety": "slow_start",
+    "counter": "has_counter",
+    "subscribe": "must_subscribe",
+    "sizes_known": "weights_known",
+    "overlap": "allows_hedging",
+}
+REQUEST_CLASS = {
+    "aim_ms": "latency_objective_ms",
+    "worth": "priority_weight",
+    "repeat": "idempotency",
+    "scope": "idempotency_scope",
+    "memory_ms": "idempotency_window_ms",
+    "late_worth": "late_weight_fraction",
+}
+PLAN = {
+    "rate": "rate_per_s",
+    "burst": "burst_units",
+    "max_open": "max_concurrent",
+    "ceiling_rate": "ceiling_rate_per_s",
+    "ceiling_burst": "ceiling_burst_units",
+    "ceiling_slack": "ceiling_slack_units",
+    "beyond_worth": "over_quota_weight_fraction",
+    "beyond_cost": "over_quota_cost_fraction",
+}
+SLOW_START = {
+    "cold_share": "initial_fraction",
+    "warm_ms": "warm_up_ms",
+    "overload_ms": "overload_window_ms",
+}
+ENDPOINT = {"server": "address", "size": "weight"}
+REQUEST = {"customer": "tenant", "spread": "gateway_spread", "copy_after_ms": "hedge_after_ms"}
+QUOTA_SNAPSHOT = {
+    "customer": "tenant",
+    "spread": "gateway_spread",
+    "store": "bucket_units",
+    "guard": "ceiling_guard_units",
+    "own": "own_demand_per_s",
+    "others": "others_demand_per_s",
+    "told_own": "reported_own_units",
+    "told_all": "reported_units",
+    "window_ms": "window_start_ms",
+    "total": "window_total_units",
+}
+
+# By the number of a kind in `codec.EVENTS` and `codec.ACTIONS`: where rows of fields by name stand.
+ENDPOINT_LIST_EVENT = 0
+STATE_RECEIVED_EVENT = 10
+USAGE_UPDATE_EVENT = 12
+SEND_STATE_ACTION = 8
+
+State = dict[str, Any]
+
+
+def renamed(row: Mapping[str, Any], names: Mapping[str, str]) -> State:
+    """The row under the names of today."""
+    return {names.get(name, name): value for name, value in row.items()}
+
+
+def settings(raw: Mapping[str, Any]) -> State:
+    """A head's settings under the names of today."""
+    made = renamed(raw, SETTINGS)
+    made["classes"] = [renamed(row, REQUEST_CLASS) for row in made["classes"]]
+    made["plans"] = [renamed(row, PLAN) for row in made["plans"]]
+    made["slow_start"] = renamed(made["slow_start"], SLOW_START)
+    return made
+
+
+def record(raw: list[Any]) -> list[Any]:
+    """A record ``[now_ms, kind, fields, actions]`` under the names of today."""
+    now_ms, kind, values, actions = raw
+    if kind == ENDPOINT_LIST_EVENT:
+        values = [values[0], [renamed(row, ENDPOINT) for row in values[1]], *values[2:]]
+    elif kind == STATE_RECEIVED_EVENT:
+        values = [[renamed(row, QUOTA_SNAPSHOT) for row in values[0]]]
+    elif kind == USAGE_UPDATE_EVENT:
+        values = [renamed(values[0], REQUEST), *values[1:]]
+    if actions is not None:
+        actions = [action(number, fields) for number, fields in actions]
+    return [now_ms, kind, values, actions]
+
+
+def action(number: int, values: list[Any]) -> list[Any]:
+    """One action of a record under the names of today."""
+    if number == SEND_STATE_ACTION:
+        values = [[renamed(row, QUOTA_SNAPSHOT) for row in values[0]]]
+    return [number, values]
+
+
+# --- snapshots ---------------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True)
+class Conversion:
+    """How the state of one old class becomes an object of today: new names, and an optional last step."""
+
+    target: type[Any]
+    names: Mapping[str, str] = field(default_factory=dict)
+    finish: Callable[[State], State] | None = None
+
+
+ENUMS: dict[tuple[str, str], tuple[type[Enum], Mapping[str, str]]] = {
+    ("heathglade.interface", "Repeat"): (
+        Idempotency,
+        {"SAFE": "IDEMPOTENT", "KEYED": "WITH_KEY", "UNSAFE": "NON_IDEMPOTENT"},
+    ),
+    ("heathglade.interface", "Scope"): (IdempotencyScope, {}),
+    ("heathglade.interface", "Ending"): (Outcome, {"FULL": "REJECTED", "UNSENT": "NOT_SENT"}),
+    ("heathglade.interface", "ServerState"): (EndpointState, {"GONE": "REMOVED"}),
+    ("heathglade.interface", "ListKind"): (EndpointListKind, {"SAVED": "CACHED"}),
+    ("heathglade.marks", "Health"): (CounterHealth, {}),
+}
+CLASSES: dict[tuple[str, str], Conversion] = {
+    ("heathglade.interface", "Settings"): Conversion(Settings, SETTINGS),
+    ("heathglade.interface", "RequestClass"): Conversion(RequestClass, REQUEST_CLASS),
+    ("heathglade.interface", "Plan"): Conversion(Plan, PLAN),
+    ("heathglade.interface", "Safety"): Conversion(SlowStart, SLOW_START),
+    ("heathglade.interface", "ServerEntry"): Conversion(Endpoint, ENDPOINT),
+    ("heathglade.interface", "Request"): Conversion(Request, REQUEST),
+    ("heathglade.interface", "Stock"): Conversion(QuotaSnapshot, QUOTA_SNAPSHOT),
+    ("heathglade.interface", "Send"): Conversion(StartAttempt, {"server": "address"}),
+    ("heathglade.interface", "Cancel"): Conversion(CancelAttempt),
+    ("heathglade.interface", "Refuse"): Conversion(Reject),
+    ("heathglade.interface", "Fail"): Conversion(Fail),
+    ("heathglade.interface", "SetTimer"): Conversion(SetTimer),
+    ("heathglade.interface", "Count"): Conversion(IncrementCounter, {"name": "key"}),
+    ("heathglade.interface", "Subscribe"): Conversion(SubscribeToEndpoints),
+    ("heathglade.interface", "Log"): Conversion(LogMessage),
+    ("heathglade.interface", "HandOver"): Conversion(SendState, {"stocks": "quotas"}),
+    ("heathglade.marks", "Name"): Conversion(WindowCounter),
+    ("heathglade.marks", "Watch"): Conversion(CounterMonitor),
+    ("heathglade.records", "Customer"): Conversion(Tenant),
+    ("heathglade.records", "Server"): Conversion(Server),
+    ("heathglade.records", "Open"): Conversion(PendingRequest),
+    ("heathglade.records", "Attempt"): Conversion(Attempt),
+    ("heathglade.policy", "Quota"): Conversion(QuotaAccounting),
+    ("heathglade.policy", "Fleet"): Conversion(ServerPool),
+    ("heathglade.policy", "Pressure"): Conversion(CapacityEstimate),
+    ("heathglade.policy", "Gateway"): Conversion(DecisionEngine),
+}
+PLAIN = (("collections", "deque"), ("builtins", "set"), ("builtins", "frozenset"))
+
+
+class OldState:
+    """An object of an old class: its name and attributes, no behaviour."""
+
+    conversion: Conversion
+    attributes: State
+
+    def __setstate__(self, state: Any) -> None:
+        plain, slots = state if isinstance(state, tuple) else (state, None)
+        self.attributes = {**(plain or {}), **(slots or {})}
+
+
+@dataclass(frozen=True)
+class OldEnum:
+    """An old enumeration: only its members can be asked for."""
+
+    target: type[Enum]
+    members: Mapping[str, str]
+
+
+def member(enumeration: Any, name: str) -> Enum:
+    """The member of today; this is how Python 3.11 pickles a member of an Enum."""
+    if not isinstance(enumeration, OldEnum):
+        raise SnapshotError(f"{name} of {enumeration!r}")
+    return enumeration.target[enumeration.members.get(name, name)]
+
+
+class OldUnpickler(pickle.Unpickler):
+    """Loads the classes of format 1 as `OldState`, a few plain ones as they are, and nothing else."""
+
+    def find_class(self, module: str, name: str) -> Any:
+        """What stands for a class in the pickle; `SnapshotError` for any other."""
+        if (module, name) == ("builtins", "getattr"):
+            return member
+        if (module, name) == ("random", "Random"):
+            return random.Random
+        if (module, name) in PLAIN:
+            return super().find_class(module, name)
+        if (module, name) in ENUMS:
+            return OldEnum(*ENUMS[module, name])
+        if (module, name) in CLASSES:
+            return type(name, (OldState,), {"conversion": CLASSES[module, name]})
+        raise SnapshotError(f"{module}.{name}")
+
+
+class Converter:
+    """Old objects to those of today. An object that is referred to twice stays one object."""
+
+    def __init__(self) -> None:
+        self.made: dict[int, Any] = {}
+        self.seen: list[Any] = []  # keeps what `made` names by id alive
+
+    def convert(self, value: Any) -> Any:
+        """The value, with every old object in it replaced."""
+        if id(value) in self.made:
+            return self.made[id(value)]
+        if isinstance(value, OldState):
+            return self.convert_object(value)
+        if isinstance(value, list | deque):
+            kept = self.remember(value, type(value)())
+            kept.extend(self.convert(item) for item in value)
+            return kept
+        if isinstance(value, dict):
+            table = self.remember(value, {})
+            table.update((self.convert(key), self.convert(item)) for key, item in value.items())
+            return table
+        if isinstance(value, tuple):
+            return tuple(self.convert(item) for item in value)
+        return value
+
+    def remember(self, old: Any, new: Any) -> Any:
+        """Notes what an old object has become, before its parts are converted."""
+        self.seen.append(old)
+        self.made[id(old)] = new
+        return new
+
+    def convert_object(self, old: OldState) -> Any:
+        """An object of today's class with the old one's state."""
+        conversion = old.conversion
+        new = self.remember(old, object.__new__(conversion.target))
+        state = {name: self.convert(value) for name, value in old.attributes.items()}
+        state = renamed(state, conversion.names)
+        if conversion.finish is not None:
+            state = conversion.finish(state)
+        for name, value in state.items():
+            object.__setattr__(new, name, value)
+        return new
+
+
+def load_snapshot(state: bytes) -> Any:
+    """The engine of a snapshot. `SnapshotError` or an unpickling error where there is none."""
+    return Converter().convert(OldUnpickler(io.BytesIO(state)).load())
--- a/glenchute/capture/recorder.py
+++ b/glenchute/capture/recorder.py
@@ -21,9 +21,12 @@
 from typing import Any, NamedTuple
 
 from glenchute.core.types import Decisions
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, Reject
+from glenchute.policy.events import Event, Request
+from glenchute.policy.settings import Settings
 
-from .codec import Head, batch, module_digest, note, snapshot
+from . import snapshot
+from .codec import Head, batch, module_digest, note
 
 log = logging.getLogger("glenchute")
 
@@ -100,7 +103,7 @@
     """The module, seen from the core; each call is recorded. `clock` tells the loop's seconds."""
 
     def __init__(
-        self, module: Decisions, settings: api.Settings, seed: int, rule: Rule, clock: Callable[[], float]
+        self, module: Decisions, settings: Settings, seed: int, rule: Rule, clock: Callable[[], float]
     ) -> None:
         self.module, self.settings, self.seed = module, settings, seed
         self.rule, self.clock = rule, clock
@@ -120,11 +123,11 @@
         self.triggered: dict[str, float] = {}
         self.judged = [0.0, 0.0, 0.0]  # since, requests, refusals
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """One event of the core's. The snapshot of a new segment is of the state before it."""
         rule = self.rule
-        if rule.account_key is not None and type(event) is api.Request:
-            event = replace(event, customer=hashed(event.customer, rule.account_key))
+        if rule.account_key is not None and type(event) is Request:
+            event = replace(event, tenant=hashed(event.tenant, rule.account_key))
         full = self.size > rule.segment_bytes or self.clock() - self.opened_at > rule.segment_s
         if full or not self.name:
             self.open(now_ms)
@@ -169,7 +172,7 @@
     def open(self, now_ms: float) -> None:
         """A new segment."""
         self.flush()
-        state = None if self.cold else snapshot(self.module)
+        state = None if self.cold else snapshot.dump(self.module)
         self.cold = False
         head = Head(self.run, self.number, self.at, now_ms, self.version, self.settings, self.seed, state)
         self.name = f"{self.run}-{self.number:06d}.glcap"
@@ -198,11 +201,11 @@
         if self.rule.ring:
             self.name = ""  # the next event opens a new segment
 
-    def judge(self, event: api.Event, actions: list[api.Action]) -> None:
+    def judge(self, event: Event, actions: list[Action]) -> None:
         """Counts refusals; a share over the rule's is a trigger."""
         now, judged = self.clock(), self.judged
-        judged[1] += isinstance(event, api.Request)
-        judged[2] += sum(1 for action in actions if isinstance(action, api.Refuse))
+        judged[1] += isinstance(event, Request)
+        judged[2] += sum(1 for action in actions if isinstance(action, Reject))
         if now - judged[0] >= JUDGED_S:
             since, requests, refusals = judged
             self.judged = [now, 0.0, 0.0]
--- a/glenchute/capture/refusals.py
+++ b/glenchute/capture/refusals.py
@@ -9,12 +9,14 @@
 from collections import Counter, defaultdict
 from typing import Any, NamedTuple
 
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Reject
+from glenchute.policy.events import Request
 
-from .codec import ACTIONS, EVENTS, CaptureError, Record
+from .codec import ACTIONS, EVENTS, Record
+from .errors import CaptureError
 
-REQUEST = EVENTS.index(api.Request)
-REFUSE = ACTIONS.index(api.Refuse)
+REQUEST = EVENTS.index(Request)
+REFUSE = ACTIONS.index(Reject)
 REFUSED = "refused: "  # before a limit, in what the module counts
 CAUSES = {
     "ceiling": "the ceiling's own store is short, and the count does not vouch for it",
--- a/glenchute/capture/replay.py
+++ b/glenchute/capture/replay.py
@@ -14,24 +14,19 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
-
-from .codec import (
-    ACTIONS,
-    CaptureError,
-    Cut,
-    Head,
-    Record,
-    event_of,
-    head_of,
-    payloads,
-    revive,
-    told,
-)
+from glenchute.policy import actions, events
+from glenchute.policy import settings as policy_settings
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import Event
+from glenchute.policy.settings import Settings
 
+from . import format_1, snapshot
+from .codec import ACTIONS, Cut, Head, Record, event_of, head_of, payloads, told
+from .errors import CaptureError
+
+FINAL_KINDS = {actions.StartAttempt: "send", actions.Reject: "refuse", actions.Fail: "fail"}
 OTHERS = itertools.count()
-Make = Callable[[api.Settings, int], Any]
+Make = Callable[[Settings, int], Any]
 
 
 class Segment(NamedTuple):
@@ -48,7 +43,7 @@
 
     at: int  # records of the run before it
     now_ms: float
-    event: api.Event
+    event: Event
     captured: list[Any]
     replayed: list[Any]
 
@@ -74,6 +69,8 @@
     for payload in found:
         if isinstance(payload, Cut):
             cut = payload
+        elif head.format == format_1.FORMAT:
+            records += [format_1.record(row) for row in payload]
         else:
             records += payload
     return Segment(file, head, records, cut)
@@ -109,7 +106,7 @@
 
 def replay(
     files: Sequence[Path],
-    make: Make = Gateway,
+    make: Make = DecisionEngine,
     since_ms: float = 0.0,
     until_ms: float = float("inf"),
     most: int = 1,
@@ -129,7 +126,7 @@
         if head.snapshot is None:
             module = make(head.settings, head.seed)
         elif revived and (module is None or expected != head.at or faults):
-            module = revive(head.snapshot)
+            module = snapshot.load(head.snapshot, head.format)
         elif module is None or expected != head.at:
             notes.append(f"{segment.file.name} begins mid-life and can't be replayed by another version")
             return Report(fed, differences, faults, notes)
@@ -168,13 +165,14 @@
     package = importlib.util.module_from_spec(spec)
     sys.modules[name] = package
     # The other version must know this program's events: they are what it is told.
-    sys.modules[f"{name}.interface"] = api
+    for shared in (actions, events, policy_settings):
+        sys.modules[f"{name}.{shared.__name__.rpartition('.')[2]}"] = shared
     spec.loader.exec_module(package)
-    made: Make = importlib.import_module(f"{name}.engine").Gateway
+    made: Make = importlib.import_module(f"{name}.engine").DecisionEngine
     return made
 
 
 def kinds(actions: Sequence[list[Any]]) -> str:
     """What actions decide, in a word: `send`, `refuse`, `fail`, or what else."""
-    words = [ACTIONS[number].__name__.lower() for number, _ in actions]
-    return next((word for word in ("send", "refuse", "fail") if word in words), "nothing final")
+    found = {ACTIONS[number] for number, _ in actions}
+    return next((word for kind, word in FINAL_KINDS.items() if kind in found), "nothing final")
--- a/glenchute/cli/explain.py
+++ b/glenchute/cli/explain.py
@@ -10,8 +10,8 @@
 from glenchute.config.operator import Operator
 from glenchute.config.platform import ConfigError
 from glenchute.config.rules import attempts_of, latest_write, pauses
-from glenchute.policy.interface import Repeat
 from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.settings import Idempotency
 
 from .files import operator_file, platform, sound_operator
 
@@ -81,9 +81,9 @@
         rule = route.budget
         yield f"  budget of further attempts: {rule.share:g} a request, and {rule.least_per_s:g} a second"
     yield f"  the client waits {cls.deadline_ms:g} ms at most"
-    if cls.repeat is Repeat.KEYED:
+    if cls.repeat is Idempotency.WITH_KEY:
         latest = latest_write(route, facts)
         last = f"the last byte of a try leaves by {latest:g} ms" if latest else "the module keeps to that"
         yield f"  repeats are dropped for {cls.memory_ms:g} ms; {last}"
-    elif cls.repeat is Repeat.UNSAFE:
+    elif cls.repeat is Idempotency.NON_IDEMPOTENT:
         yield "  once it may have run there is no further attempt, whatever the route says"
--- a/glenchute/cli/lines.py
+++ b/glenchute/cli/lines.py
@@ -16,7 +16,9 @@
 
 def rules(raw: Mapping[str, Any], config: Config) -> Rules:
     """The rules that the table makes on this platform."""
-    return rules_of(raw)._replace(idle_ms=1000.0 * config.limits.idle_s, copies=config.settings.overlap)
+    return rules_of(raw)._replace(
+        idle_ms=1000.0 * config.limits.idle_s, copies=config.settings.allows_hedging
+    )
 
 
 def sharing(raw: Mapping[str, Any], config: Config) -> Sharing:
--- a/glenchute/cli/quota.py
+++ b/glenchute/cli/quota.py
@@ -23,7 +23,7 @@
     """0 with the table; 2 where the platform's file can't be used."""
     try:
         config = platform(args.platform)
-        most = config.settings.gateways
+        most = config.settings.gateway_count
         spread = args.spread or most
         if not 1 <= spread <= most or not 0.0 <= args.clocks_ms <= 60_000.0:
             raise ConfigError(f"a spread from 1 to {most} and clocks from 0 to 60000 ms, please")
@@ -40,7 +40,7 @@
     print(LEGEND)
     if args.asked > 0.0:
         timeout_s = config.settings.counter_timeout_ms / 1000.0
-        for plan in (plan for plan in config.settings.plans if plan.rate):
+        for plan in (plan for plan in config.settings.plans if plan.rate_per_s):
             found = bound(plan, spread, args.clocks_ms, largest)
             most_units = start_bound(plan, found, args.asked, spread, timeout_s)
             print(f"{plan.name}: all started at once, asked {args.asked:g} units a second: {most_units:.1f}")
--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -9,11 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-from glenchute.capture.codec import CaptureError, Record, event_of, module_digest, readable
+from glenchute.capture.codec import Record, event_of, module_digest, readable
+from glenchute.capture.errors import CaptureError
 from glenchute.capture.refusals import CAUSES, Refusals
 from glenchute.capture.replay import Difference, Report, kinds, other_module, read, replay, runs
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import AttemptAssigned, Request
 
 MOST_SHOWN = 20
 MOST_COMPARED = 1_000_000
@@ -23,7 +24,7 @@
     """0 where every decision is equal, 1 where one is not, 2 where the capture can't be used."""
     try:
         found = runs(Path(args.path))
-        make = other_module(Path(args.against)) if args.against else Gateway
+        make = other_module(Path(args.against)) if args.against else DecisionEngine
         equal = True
         for run, files in found.items():
             causes = Refusals() if args.refusals else None
@@ -86,7 +87,7 @@
     for difference in differences:
         pair = kinds(difference.captured), kinds(difference.replayed)
         changed[pair] += 1
-        if isinstance(difference.event, api.Request):
+        if isinstance(difference.event, Request):
             units[pair] += round(difference.event.units)
     for (was, now), count in changed.most_common():
         yield f"  {was:14} -> {now:14} {count:7} times, {units[was, now]} units of new requests"
@@ -106,12 +107,12 @@
         actions = [action for action in record[3] or () if action[1] and action[1][0] == self.request]
         if not mine and not actions:
             return
-        if isinstance(event, api.AttemptPlaced):  # decides nothing: the state is the one told just before
+        if isinstance(event, AttemptAssigned):  # decides nothing: the state is the one told just before
             self.lines.append(f"{record[0]:.3f}  attempt {event.attempt} to {event.reason}")
             return
         self.lines.append(f"{record[0]:.3f}  {event}")
-        if isinstance(event, api.Request):
-            self.customer = event.customer
+        if isinstance(event, Request):
+            self.customer = event.tenant
         self.lines += [f"    {line}" for line in state(module, self.customer)]
         shown = record[3] if mine else actions
         self.lines += [f"  => {readable(action)}" for action in shown or ()]
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -23,7 +23,7 @@
 from glenchute.listeners.resp2.commands import Catalogue
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.polling import Doubt, Terms
-from glenchute.policy.engine import Gateway as Policy
+from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import ACCEPT_S
 from glenchute.upstreams.connection_pool import Servers
 
@@ -36,7 +36,7 @@
     from glenchute.control.server import ControlServer
     from glenchute.listeners.extproc.server import Server as ExtProc
     from glenchute.listeners.operations import OperationsServer
-    from glenchute.policy.interface import ServerEntry
+    from glenchute.policy.events import Endpoint
 
     from .aside import Aside, Reread
     from .succession import Succession
@@ -101,7 +101,7 @@
         if operator is not None and operator.fleet is not None:
             decisions = self.among_members(decisions, operator.fleet)
         self.gateway = Gateway(loop, decisions, self.servers, self.counter)
-        self.gateway.overlap = made.overlap
+        self.gateway.overlap = made.allows_hedging
         if raw is None:
             self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
         if operator is not None:
@@ -133,8 +133,8 @@
     def terms(self, asked: dict[str, Any]) -> Terms:
         """Who shares discovery, and what it bears."""
         # Who tells what the service bears, or has gateways ask for each other, has a shared one.
-        pushed = not self.config.settings.subscribe and not asked and self.fleet is None
-        terms = Terms(self.config.settings.gateways, self.config.number, pushed=pushed)
+        pushed = not self.config.settings.must_subscribe and not asked and self.fleet is None
+        terms = Terms(self.config.settings.gateway_count, self.config.number, pushed=pushed)
         return terms._replace(rate=asked.get("calls_per_s", terms.rate), list_age_s=asked.get("list_age_s"))
 
     def serving(self) -> bool:
@@ -151,7 +151,7 @@
         return backend(shared, self.config, self.loop)
 
     def narrowed(
-        self, decisions: Decisions, raw: dict[str, Any], listed: Iterable[ServerEntry] = ()
+        self, decisions: Decisions, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
     ) -> Decisions:
         """The module that is told of some of the servers only; imported only where the operator's file says
         so, or a list is that long. A gateway that does not know its number takes one by its seed: balanced by
@@ -160,7 +160,7 @@
 
         made, number = self.config.settings, self.config.place
         number = number if number is not None else self.config.seed
-        return Aperture(decisions, made, Terms(gateways=made.gateways, number=number, **raw), listed)
+        return Aperture(decisions, made, Terms(gateways=made.gateway_count, number=number, **raw), listed)
 
     def narrow(self) -> None:
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -10,7 +10,7 @@
 from glenchute.config.platform import Config
 from glenchute.core.gateway import Gateway
 from glenchute.listeners.resp2.clients import Listener
-from glenchute.policy import interface as api
+from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import keeps, message
 from glenchute.upstreams.connection_pool import Servers
 
@@ -28,7 +28,7 @@
         self.gateway, self.listener, self.servers = gateway, listener, servers
         self.before: Predecessor | None = None
         self.door = Door(loop, self.tell, self.alone)
-        self.stocks: tuple[api.Stock, ...] = ()
+        self.stocks: tuple[QuotaSnapshot, ...] = ()
         self.closed = False
         gateway.handing = self.handing
 
@@ -52,7 +52,7 @@
         told = self.before.told
         log.info("takes over beside the process before: %d customers", len(told.stocks))
         self.shares(told.share)
-        self.gateway.post(api.TakeOver(told.stocks))
+        self.gateway.post(StateReceived(told.stocks))
         if self.before.transport is None:
             self.alone()  # it ended meanwhile
 
@@ -66,11 +66,11 @@
         share = keeps(2 * max(len(self.listener.clients), self.servers.count()), whole)
         self.shares(share)
         self.stocks = ()
-        self.gateway.post(api.Beside())
+        self.gateway.post(SuccessorStarted())
         log.info("the next process is up beside this one: %d customers handed over", len(self.stocks))
         return message(self.config.name, 1.0 - share, self.stocks)
 
-    def handing(self, stocks: tuple[api.Stock, ...]) -> None:
+    def handing(self, stocks: tuple[QuotaSnapshot, ...]) -> None:
         """The module's part of the message."""
         self.stocks = stocks
 
@@ -81,7 +81,7 @@
         if self.door.next is None and (self.before is None or self.before.transport is None):
             log.info("the other process has gone")
             self.shares(1.0)
-            self.gateway.post(api.Alone())
+            self.gateway.post(OtherProcessEnded())
 
     def shares(self, share: float) -> None:
         """This process keeps to so much of the gateway's limits."""
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from glenchute.policy.connections.client_slots import MOST_LINKS
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2 as resp
 
 TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
@@ -25,7 +25,7 @@
 CONNECT_S = 0.5
 BACKOFF_S = (0.05, 1.0)
 
-Done = Callable[[float, Ending, float], None]
+Done = Callable[[float, Outcome, float], None]
 
 
 class Call:
@@ -43,7 +43,7 @@
         self.name = name
         self.timer: asyncio.TimerHandle | None = None
 
-    def end(self, now: float, ending: Ending, total: float = 0.0) -> None:
+    def end(self, now: float, ending: Outcome, total: float = 0.0) -> None:
         """Tells the ending, if it has not been told."""
         done, self.done = self.done, None
         if done is None:
@@ -126,14 +126,14 @@
     def answered(self, reply: object) -> None:
         """The reply to the oldest call. Only the protocol's own forms say what became of it; after any other
         the amount counts as added and the connection as of no use."""
-        ending, total = Ending.TIMEOUT, 0.0
+        ending, total = Outcome.TIMEOUT, 0.0
         if self.calls[0].name is None:
             if reply != "PONG":
                 raise resp.ProtocolError("no answer to a ping")
         elif isinstance(reply, bytes) and TOTAL.fullmatch(reply) and abs(float(reply)) <= MOST_TOTAL:
-            ending, total = Ending.OK, float(reply)
+            ending, total = Outcome.OK, float(reply)
         elif isinstance(reply, resp.ReplyError) and (str(reply) == "BUSY" or str(reply)[:4] == "ERR "):
-            ending = Ending.FULL
+            ending = Outcome.REJECTED
         else:
             raise resp.ProtocolError("no total")
         self.proven, self.backoff = True, BACKOFF_S[0]
@@ -147,8 +147,8 @@
         else:
             self.heart.cancel()
         for call in calls:
-            call.end(self.loop.time(), Ending.TIMEOUT)  # it may have been added ...
-            call.end(self.loop.time(), Ending.TIMEOUT)  # ... and nobody will know
+            call.end(self.loop.time(), Outcome.TIMEOUT)  # it may have been added ...
+            call.end(self.loop.time(), Outcome.TIMEOUT)  # ... and nobody will know
 
     def beat(self) -> None:
         """Keeps the connection from standing idle, and gives up one that has gone silent."""
@@ -173,8 +173,8 @@
         """A call for this name goes out elsewhere: the answers for one name must keep their order."""
         for call in self.calls:
             if call.name == name:
-                call.end(self.loop.time(), Ending.TIMEOUT)
-                call.end(self.loop.time(), Ending.TIMEOUT)  # what it still tells would come out of turn
+                call.end(self.loop.time(), Outcome.TIMEOUT)
+                call.end(self.loop.time(), Outcome.TIMEOUT)  # what it still tells would come out of turn
 
     def close(self) -> None:
         """The end of the connection, for good."""
@@ -220,7 +220,7 @@
         call = Call(done, now, name, late)
         if not link.ready():
             call.late = None
-            call.end(now, Ending.UNREACHABLE)  # nothing was written, so nothing was added
+            call.end(now, Outcome.UNREACHABLE)  # nothing was written, so nothing was added
             return
         call.timer = self.loop.call_later(self.timeout_s, self.expire, call, link)
         link.last_used = now
@@ -231,7 +231,7 @@
     def expire(self, call: Call, link: Link) -> None:
         """No answer in time. The call keeps its place in the line: its reply will still come, unless one that
         has no end stands before it."""
-        call.end(self.loop.time(), Ending.TIMEOUT)
+        call.end(self.loop.time(), Outcome.TIMEOUT)
         if link.parser.rest() and link.transport is not None:
             link.transport.abort()
 
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -21,7 +21,7 @@
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
 from glenchute.policy.endpoints.watch import Action, Ask, Close, Open, Watch
-from glenchute.policy.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
 if TYPE_CHECKING:  # most processes never meet a list so long
     from glenchute.policy.balancing.hash_ring import Placed, Placing
@@ -38,9 +38,9 @@
 HEAD = re.compile(r'\s*\{[^][{}]*"servers"\s*:\s*\[')  # not nested, as nothing has been opened before it
 
 STATES = {
-    "Ready": ServerState.ACTIVE,
-    "Terminating": ServerState.DRAINING,
-    "Gone": ServerState.GONE,
+    "Ready": EndpointState.ACTIVE,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.REMOVED,
 }
 
 
@@ -56,15 +56,15 @@
     return host, int(port)
 
 
-def entry(row: dict[str, Any]) -> ServerEntry:
+def entry(row: dict[str, Any]) -> Endpoint:
     """One server. A state that is not known is read as draining: nothing new goes there."""
-    return ServerEntry(
-        server=str(row["id"]),
+    return Endpoint(
+        address=str(row["id"]),
         zone=str(row.get("zone", "")),
         cell=int(row.get("cell") or 0),
-        size=float(row.get("weight") or 1.0),
+        weight=float(row.get("weight") or 1.0),
         started_ms=float(row.get("started_ms") or 0.0),
-        state=STATES.get(str(row.get("state")), ServerState.DRAINING),
+        state=STATES.get(str(row.get("state")), EndpointState.DRAINING),
     )
 
 
@@ -72,31 +72,31 @@
     """The list in force, for rows of the next that can't be read: their servers stay as they are."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, tuple[ServerEntry, Address | None]] = {}
+        self.rows: dict[str, tuple[Endpoint, Address | None]] = {}
         # What was made of each row's text of the last long list that was read whole, and each server's place
         # on its ring, for the next one. That does not hang on the list: it counts whether or not that list
         # came into force.
-        self.texts: dict[str, tuple[ServerEntry, Address | None]] = {}
+        self.texts: dict[str, tuple[Endpoint, Address | None]] = {}
         self.spots: dict[str, tuple[bytes, str]] = {}
 
     def follow(self, news: News) -> None:
         """This is in force now."""
-        placed: Placed | None = getattr(news.event.entries, "placed", None)
-        if placed is not None and news.event.kind is not ListKind.CHANGES:
+        placed: Placed | None = getattr(news.event.endpoints, "placed", None)
+        if placed is not None and news.event.kind is not EndpointListKind.CHANGES:
             self.rows = placed.pairs  # made while the list was read
             return
         if placed is not None and len(placed.pairs) == len(placed):
             self.rows.update(placed.pairs)
             return
-        if news.event.kind is not ListKind.CHANGES:
+        if news.event.kind is not EndpointListKind.CHANGES:
             self.rows = {}
-        for one in news.event.entries:
-            if one.state is ServerState.GONE:
-                self.rows.pop(one.server, None)
+        for one in news.event.endpoints:
+            if one.state is EndpointState.REMOVED:
+                self.rows.pop(one.address, None)
             else:
-                self.rows[one.server] = one, news.addresses.get(one.server)
+                self.rows[one.address] = one, news.addresses.get(one.address)
 
-    def instead(self, named: set[str], unreadable: list[Any]) -> list[tuple[ServerEntry, Address | None]]:
+    def instead(self, named: set[str], unreadable: list[Any]) -> list[tuple[Endpoint, Address | None]]:
         """What stands for rows that can't be read: their servers' old rows; where one does not even tell its
         server, those of all servers that are not `named` by a row that can."""
         names = [row.get("id") if isinstance(row, dict) else None for row in unreadable]
@@ -105,12 +105,12 @@
         return [self.rows[name] for name in names if name in self.rows and name not in named]
 
 
-def read_row(row: Any) -> tuple[ServerEntry, Address | None]:
+def read_row(row: Any) -> tuple[Endpoint, Address | None]:
     """One server and where it listens."""
     made = entry(row)
     where = address(row["addr"]) if row.get("addr") else None
-    if made.state is ServerState.ACTIVE and where is None:
-        raise ListError(f"no address for {made.server}")
+    if made.state is EndpointState.ACTIVE and where is None:
+        raise ListError(f"no address for {made.address}")
     return made, where
 
 
@@ -121,11 +121,11 @@
     def __init__(self, held: Held | None, placing: Placing | None = None) -> None:
         """With `placing`, what follows from a whole list is worked out row by row."""
         self.held, self.placing = held, placing
-        self.read: list[tuple[ServerEntry, Address | None]] = []
+        self.read: list[tuple[Endpoint, Address | None]] = []
         self.addresses: dict[str, Address] = {}
         self.unreadable: list[Any] = []
 
-    def take(self, row: Any) -> tuple[ServerEntry, Address | None] | None:
+    def take(self, row: Any) -> tuple[Endpoint, Address | None] | None:
         """One more; what it says, if it can be read."""
         try:
             pair = read_row(row)
@@ -137,29 +137,35 @@
         self.add(pair)
         return pair
 
-    def add(self, pair: tuple[ServerEntry, Address | None]) -> None:
+    def add(self, pair: tuple[Endpoint, Address | None]) -> None:
         """One more that has been read."""
         self.read.append(pair)
         if pair[1] is not None:
-            self.addresses[pair[0].server] = pair[1]
+            self.addresses[pair[0].address] = pair[1]
         if self.placing is not None:
             self.placing.take(pair)
 
     def news(self, raw: Any, saved: bool = False) -> News:
         """The list that they make, with what else its text says."""
-        kind = ListKind.SAVED if saved else ListKind.FULL if raw["full"] else ListKind.CHANGES
+        kind = (
+            EndpointListKind.CACHED
+            if saved
+            else EndpointListKind.FULL
+            if raw["full"]
+            else EndpointListKind.CHANGES
+        )
         version, read, unreadable = int(raw["version"]), self.read, self.unreadable
         if unreadable and self.held is not None:
             if not read:
                 raise ListError(f"none of {len(unreadable)} rows can be read")
             log.warning("%d of %d rows of the list can't be read: their servers stay as they were",
                         len(unreadable), len(unreadable) + len(read))  # fmt: skip
-            if kind is ListKind.FULL:
-                for pair in self.held.instead({one.server for one, _ in read}, unreadable):
+            if kind is EndpointListKind.FULL:
+                for pair in self.held.instead({one.address for one, _ in read}, unreadable):
                     self.add(pair)
         placing = self.placing if len(read) > WHOLE else None
         entries = placing.done() if placing is not None else tuple(one for one, _ in read)
-        return News(version, ServerList(kind, entries), self.addresses)
+        return News(version, EndpointList(kind, entries), self.addresses)
 
 
 def read_list(raw: Any, saved: bool = False, held: Held | None = None) -> News:
@@ -191,7 +197,7 @@
     rows, at = Rows(held, placing), skipped(text, head.end())
     more = not text.startswith("]", at)
     before = held.texts if held is not None else {}
-    texts: dict[str, tuple[ServerEntry, Address | None]] = {}
+    texts: dict[str, tuple[Endpoint, Address | None]] = {}
     try:
         while more:
             one = text[at : text.find("}", at) + 1] if before and text.startswith("{", at) else ""
@@ -511,15 +517,19 @@
             if status != 200:
                 raise ListError(f"status {status}")
             news = read()
-            if self.since is None and news.event.kind is not ListKind.FULL:
+            if self.since is None and news.event.kind is not EndpointListKind.FULL:
                 raise ListError("changes to no list")
-            if self.since is not None and news.version < self.since and news.event.kind is not ListKind.FULL:
+            if (
+                self.since is not None
+                and news.version < self.since
+                and news.event.kind is not EndpointListKind.FULL
+            ):
                 self.since = None  # versions began anew: what lies between is not known
                 raise ListError("an older version")
             if self.doubt is not None and not self.doubt.takes(news.version, news.event, self.serving()):
                 self.since, failed = None, self.watch.doubted  # a whole list again, for a second word
                 self.forbid(self.doubt, news.event)
-                count = len(news.event.entries)
+                count = len(news.event.endpoints)
                 raise ListError(f"a list of version {news.version} with {count} servers, not believed yet")
         except (ListError, ValueError, RecursionError) as error:
             self.failing(str(error))
@@ -533,24 +543,24 @@
         if self.failed:
             log.info("discovery answers again, after %d tries", self.failed)
             self.failed = 0
-        if self.since is None or news.event.entries or news.event.kind is ListKind.FULL:
+        if self.since is None or news.event.endpoints or news.event.kind is EndpointListKind.FULL:
             self.held.follow(news)
             self.tell(news)
         self.confirmed(news.version)
-        at_once = not news.event.entries and now - self.asked < IDLE_GAP_S
+        at_once = not news.event.endpoints and now - self.asked < IDLE_GAP_S
         self.since = news.version
         self.turns.answered()
         self.first.set()
         # News end all gateways' watches in the same moment.
-        pause = self.turns.in_step() if news.event.entries else 0.0
+        pause = self.turns.in_step() if news.event.endpoints else 0.0
         self.carry_out(self.watch.answered(now, line, IDLE_GAP_S if at_once else pause))
         self.book()
 
-    def forbid(self, doubt: Doubt, event: ServerList) -> None:
+    def forbid(self, doubt: Doubt, event: EndpointList) -> None:
         """What a list that is not believed yet forbids is in force at once."""
         stopped = doubt.forbids(event)
         if stopped:
-            news = News(doubt.version, ServerList(ListKind.CHANGES, stopped), {})
+            news = News(doubt.version, EndpointList(EndpointListKind.CHANGES, stopped), {})
             self.held.follow(news)
             self.restrain(news)
 
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from glenchute.core.types import Address, Counting, Decisions, News
-from glenchute.policy import interface as api
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import members as membership
 from glenchute.policy.membership.direct_messages import Asked, Mail, Post, Ring, numbers_of
@@ -32,6 +32,7 @@
 from glenchute.policy.membership.replica import Kind, Replica, Row
 from glenchute.policy.membership.usage import TOLD_SHARE, Use, allowance, trusted_share
 from glenchute.policy.membership.usage_audit import Audit, Look
+from glenchute.policy.settings import Settings
 from glenchute.protocol.member_datagrams import Bad, decode, encode
 
 from .lease_tasks import SETTLE_S, Guard, LeaseLost, Runner, Task, call
@@ -50,13 +51,13 @@
     """This process among the members."""
 
     def __init__(
-        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: Decisions, made: api.Settings,
+        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: Decisions, made: Settings,
         seed: int, number: int | None = None,
     ) -> None:  # fmt: skip
         """`number`: this gateway's, where the platform tells it: members' numbers count only if its own is
         the same there, as others would else be told than those that share its accounts."""
         rng = random.Random(seed)
-        self.loop, self.fleet, self.name, self.gateways = loop, raw["fleet"], raw["name"], made.gateways
+        self.loop, self.fleet, self.name, self.gateways = loop, raw["fleet"], raw["name"], made.gateway_count
         # Not of the seed: a platform that starts a process again with an old file gives it the old seed, and
         # then two processes would be taken for one.
         self.boot = int.from_bytes(os.urandom(8), "big") >> 2
@@ -77,7 +78,7 @@
         if numbers is not None and number is not None and numbers[self.name] != number:
             tell("numbers.foreign", member=self.name, platform=number, here=numbers[self.name])
             numbers = None
-        ring = Ring(self.name, list(self.addresses), numbers, made.gateways)
+        ring = Ring(self.name, list(self.addresses), numbers, made.gateway_count)
         self.post = Post(
             self.use, self.replica, ring, self.takes_part, rng, now, raw.get("use_kib_s", 6.0) * 1024.0
         )
@@ -146,9 +147,9 @@
         assert self.counter is not None
         told: asyncio.Future[float | None] = self.loop.create_future()
 
-        def done(total: float, ending: api.Ending, took_ms: float) -> None:
+        def done(total: float, ending: Outcome, took_ms: float) -> None:
             if not told.done():
-                told.set_result(total if ending is api.Ending.OK else None)
+                told.set_result(total if ending is Outcome.OK else None)
 
         self.counter.call(look.name, 0.0, 1000.0, done, lambda *late: None)
         return await told
@@ -270,30 +271,30 @@
             return
         states = {number: state for state, number in coldstart.STATES.items()}
         entries = tuple(
-            api.ServerEntry(r.server, r.zone, r.cell, r.size, r.started_ms, states[r.state]) for r in rows
+            Endpoint(r.server, r.zone, r.cell, r.size, r.started_ms, states[r.state]) for r in rows
         )
         addresses = {row.server: address_of(row.address) for row in rows if row.address and row.state == 0}
         self.discovery.since = self.lists.version
         self.restraint.listed(self.lists.version, False, entries)
         self.places |= addresses
-        self.follow(News(self.lists.version, api.ServerList(api.ListKind.CHANGES, entries), addresses))
+        self.follow(News(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
 
     def news(self, news: News) -> None:
         """Discovery's word, before the core has it: restraint that it asks for is told on."""
         self.learn(news)
         if self.lists is not None:
-            full = news.event.kind is api.ListKind.FULL
+            full = news.event.kind is EndpointListKind.FULL
             rows = servers_of(news)
             self.shared(self.lists.discovery(self.loop.time(), news.version, full, rows, self.there()), [])
-        for entry in news.event.entries:
-            if entry.state is not api.ServerState.ACTIVE and news.event.kind is api.ListKind.CHANGES:
+        for entry in news.event.endpoints:
+            if entry.state is not EndpointState.ACTIVE and news.event.kind is EndpointListKind.CHANGES:
                 rank = float(coldstart.STATES[entry.state])
-                self.told(Row(Kind.SERVER, entry.server, "", news.version, rank))
+                self.told(Row(Kind.SERVER, entry.address, "", news.version, rank))
 
     def learn(self, news: News) -> None:
         """What discovery has told here."""
-        full = news.event.kind is not api.ListKind.CHANGES
-        self.restraint.listed(news.version, full, news.event.entries)
+        full = news.event.kind is not EndpointListKind.CHANGES
+        self.restraint.listed(news.version, full, news.event.endpoints)
         self.places = news.addresses if full else self.places | news.addresses
 
     def heed(self, rows: list[Taken]) -> None:
@@ -305,7 +306,7 @@
                 self.telling.heard(taken)
             elif self.restraint.heard(now, row.key, row.version, row.value, taken.age_s, taken.sender):
                 state = self.restraint.words[row.key].state
-                entries.append(api.ServerEntry(row.key, "", state=state))
+                entries.append(Endpoint(row.key, "", state=state))
         self.change(entries)
 
     def settle(self, version: int) -> None:
@@ -314,12 +315,12 @@
         for server, word in denied:
             tell("word.denied", server=server, state=word.state.value, version=word.version,
                  sender=word.sender)  # fmt: skip
-        self.change([entry for entry in back if entry.server in self.places])
+        self.change([entry for entry in back if entry.address in self.places])
 
-    def change(self, entries: list[api.ServerEntry]) -> None:
+    def change(self, entries: list[Endpoint]) -> None:
         """Changes of the list that are not discovery's news."""
         if entries and self.follow is not None:
-            news = api.ServerList(api.ListKind.CHANGES, tuple(entries))
+            news = EndpointList(EndpointListKind.CHANGES, tuple(entries))
             self.follow(News(self.restraint.version, news, self.places))
 
     # --- socket and clock --------------------------------------------------------------------------------
@@ -480,12 +481,20 @@
 def servers_of(news: News) -> list[coldstart.Server]:
     """An answer of discovery, as members tell of it."""
     rows = []
-    for entry in news.event.entries:
-        host, port = news.addresses.get(entry.server, ("", 0))
-        rows.append(coldstart.Server(
-            news.version, entry.server, f"{host}:{port}" if host else "", entry.zone, entry.cell, entry.size,
-            entry.started_ms, coldstart.STATES[entry.state],
-        ))  # fmt: skip
+    for entry in news.event.endpoints:
+        host, port = news.addresses.get(entry.address, ("", 0))
+        rows.append(
+            coldstart.Server(
+                news.version,
+                entry.address,
+                f"{host}:{port}" if host else "",
+                entry.zone,
+                entry.cell,
+                entry.weight,
+                entry.started_ms,
+                coldstart.STATES[entry.state],
+            )
+        )
     return rows
 
 
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -6,12 +6,23 @@
 from collections.abc import Callable
 
 from glenchute.core.types import Decisions
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, Fail, Reject, StartAttempt
 from glenchute.policy.admission.windows import window_start
+from glenchute.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Request,
+    UsageUpdate,
+)
 from glenchute.policy.membership.endpoint_health import Health
 from glenchute.policy.membership.gossip import Taken
 from glenchute.policy.membership.replica import Kind, Row
 from glenchute.policy.membership.usage import Use
+from glenchute.policy.settings import Plan, Settings
 
 MOST_OPEN = 20_000
 
@@ -20,59 +31,59 @@
     """The decision module, with the fleet's ears before it."""
 
     def __init__(
-        self, module: Decisions, made: api.Settings, use: Use, health: Health, tell: Callable[[Row], None],
+        self, module: Decisions, made: Settings, use: Use, health: Health, tell: Callable[[Row], None],
         share: Callable[[int], float], clock: Callable[[], float],
     ) -> None:  # fmt: skip
         """`share`: of a set of so many gateways, the part whose use is known here. `clock`: seconds, as the
         rows' ages are counted."""
-        self.seen: Callable[[str, api.Plan], None] = lambda customer, plan: None  # for the audit of use
+        self.seen: Callable[[str, Plan], None] = lambda customer, plan: None  # for the audit of use
         self.now_ms = 0.0  # of the windows' clock, at the last event
         self.module, self.use, self.health, self.clock = module, use, health, clock
         self.tell, self.share = tell, share
         self.servers: set[str] = set()  # on the list
         self.plans = {plan.name: plan for plan in made.plans}
-        self.open: dict[str, api.Request] = {}  # requests that have not gone on
+        self.open: dict[str, Request] = {}  # requests that have not gone on
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """One event for the module."""
         self.now_ms = now_ms
-        if isinstance(event, api.Request):
+        if isinstance(event, Request):
             for avoid in self.health.taken(self.clock(), len(self.servers)):
                 self.module.handle(now_ms, avoid)
             plan = self.plans.get(event.plan)
-            if plan is not None and plan.rate and len(self.open) < MOST_OPEN:
-                self.seen(event.customer, plan)
-                window, share = window_start(now_ms, event.customer, plan), self.share(event.spread)
-                units = self.use.by_others(event.customer, window)
-                last = window_start(window - 1.0, event.customer, plan)
-                before = self.use.by_others(event.customer, last)
-                self.module.handle(now_ms, api.Used(event, window, units, before, share))
+            if plan is not None and plan.rate_per_s and len(self.open) < MOST_OPEN:
+                self.seen(event.tenant, plan)
+                window, share = window_start(now_ms, event.tenant, plan), self.share(event.gateway_spread)
+                units = self.use.by_others(event.tenant, window)
+                last = window_start(window - 1.0, event.tenant, plan)
+                before = self.use.by_others(event.tenant, last)
+                self.module.handle(now_ms, UsageUpdate(event, window, units, before, share))
                 self.open[event.request_id] = event
-        elif isinstance(event, api.RequestGone):
+        elif isinstance(event, ClientDisconnected):
             self.open.pop(event.request_id, None)
-        elif isinstance(event, api.AttemptEnded):
-            row = self.health.ended(self.clock(), event.server, event.ending)
+        elif isinstance(event, AttemptEnded):
+            row = self.health.ended(self.clock(), event.address, event.outcome)
             if row is not None:
                 self.tell(row)
-        elif isinstance(event, api.ServerList):
+        elif isinstance(event, EndpointList):
             self.listed(event)
         actions = self.module.handle(now_ms, event)
         for action in actions:
-            if isinstance(action, api.Send | api.Refuse | api.Fail):
+            if isinstance(action, StartAttempt | Reject | Fail):
                 found = self.open.pop(action.request_id, None)
-                if found is not None and isinstance(action, api.Send):
+                if found is not None and isinstance(action, StartAttempt):
                     plan = self.plans[found.plan]
-                    window = window_start(now_ms, found.customer, plan)
-                    self.tell(self.use.let_in(found.customer, window, found.units, found.spread, plan))
+                    window = window_start(now_ms, found.tenant, plan)
+                    self.tell(self.use.let_in(found.tenant, window, found.units, found.gateway_spread, plan))
         return actions
 
-    def listed(self, event: api.ServerList) -> None:
+    def listed(self, event: EndpointList) -> None:
         """Which servers there are."""
-        if event.kind in (api.ListKind.FULL, api.ListKind.SAVED):
+        if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             self.servers.clear()
-        for entry in event.entries:
-            active = entry.state is api.ServerState.ACTIVE
-            (self.servers.add if active else self.servers.discard)(entry.server)
+        for entry in event.endpoints:
+            active = entry.state is EndpointState.ACTIVE
+            (self.servers.add if active else self.servers.discard)(entry.address)
 
     def heard(self, taken: Taken) -> None:
         """A row of another process that the module is to know of."""
--- a/glenchute/config/extproc.py
+++ b/glenchute/config/extproc.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from glenchute.policy.interface import Repeat
 from glenchute.policy.services.request_mapping import SOURCE, Operation, Rules, Template
+from glenchute.policy.settings import Idempotency
 
 from .facts import Facts
 from .schema import MISSING, Path, Report
@@ -28,7 +28,7 @@
             report("no-class", (*HERE, "ratelimit", "map"), "has no class; add one, as value:NAME")
     if facts is None:
         return
-    keyed = [name for name, cls in facts.classes.items() if cls.repeat is Repeat.KEYED]
+    keyed = [name for name, cls in facts.classes.items() if cls.repeat is Idempotency.WITH_KEY]
     reached = {row["class"] for row in raw.get("operation", []) if row is not MISSING and "class" in row}
     if "key" not in mapped and any(name in reached or "class" in mapped for name in keyed):
         report("no-key", (*HERE, "map"), f"has no key, which {', '.join(keyed)} needs; add it")
@@ -36,7 +36,7 @@
         if name not in facts.classes:
             names = ", ".join(facts.classes)
             report("unknown-class", (*HERE, "restart_open"), f"{name[:40]!r} is none of {names}; write one")
-        elif facts.classes[name].repeat is Repeat.UNSAFE:
+        elif facts.classes[name].repeat is Idempotency.NON_IDEMPOTENT:
             report("unsafe-open", (*HERE, "restart_open"),
                    f"{name!r} must never run twice, and a fresh process can't know; take it out")  # fmt: skip
 
@@ -61,7 +61,7 @@
         if facts is not None and name not in facts.classes:
             names = ", ".join(facts.classes)
             report("unknown-class", (*path, "class"), f"{name[:40]!r} is none of {names}; write one")
-        elif facts is not None and facts.classes[name].repeat is not Repeat.SAFE:
+        elif facts is not None and facts.classes[name].repeat is not Idempotency.IDEMPOTENT:
             if method in SAFE_METHODS:
                 report("unsafe-by-safe-method", (*path, "method"),
                        f"{method} is repeated by whoever likes (RFC 9110, 9.2.1), and {name} must not be; "
@@ -92,7 +92,7 @@
 
 def rules(raw: dict[str, Any], facts: Facts, gateways: int, most_units: float) -> tuple[Rules, Rules | None]:
     """The rules of a checked table: for requests, and for rate limit calls where these are on."""
-    classes = {name: cls.repeat is Repeat.KEYED for name, cls in facts.classes.items()}
+    classes = {name: cls.repeat is Idempotency.WITH_KEY for name, cls in facts.classes.items()}
     operations = tuple(
         Operation(row["class"], row.get("method", ""), Template.parse(row["path"]))
         for row in raw.get("operation", [])
--- a/glenchute/config/facts.py
+++ b/glenchute/config/facts.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Mapping
 
-from glenchute.policy.interface import Repeat
 from glenchute.policy.record import record
+from glenchute.policy.settings import Idempotency
 
 
 @record(frozen=True, slots=True)
 class ClassFacts:
     """One class of the platform's file."""
 
-    repeat: Repeat
+    repeat: Idempotency
     deadline_ms: float
     memory_ms: float = 0.0
     scope_known: bool = True
@@ -20,7 +20,7 @@
     @property
     def command(self) -> str:
         """The command that it comes by."""
-        return "GET" if self.repeat is Repeat.SAFE else "POST"
+        return "GET" if self.repeat is Idempotency.IDEMPOTENT else "POST"
 
 
 @record(frozen=True, slots=True)
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -13,7 +13,7 @@
 from itertools import pairwise
 from typing import Any, NamedTuple
 
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.policy.retries.route_limits import Backoff, BudgetRule, Route
 
 from . import fleet, pipeline
@@ -29,7 +29,9 @@
 MOST_BYTES = 1024 * 1024
 MOST_ROUTES = 5_000
 LONGEST_MS = 600_000.0
-CAUSES = {e.value: e for e in (Ending.FULL, Ending.UNREACHABLE, Ending.ERROR, Ending.RESET, Ending.TIMEOUT)}
+CAUSES = {
+    e.value: e for e in (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT)
+}
 COMMANDS = ("GET", "POST")
 HEAD = r"^\[\[route\]\]"
 
--- a/glenchute/config/pipeline.py
+++ b/glenchute/config/pipeline.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from glenchute.policy.interface import Repeat
+from glenchute.policy.settings import Idempotency
 
 from .facts import Facts
 from .schema import MISSING, Number, Path, Report, Switch, Table, Words
@@ -75,13 +75,13 @@
         if cls is None:
             known = ", ".join(facts.classes)
             report("unknown-class", path, f"{name[:40]!r} is no class of the platform; write one of {known}")
-        elif cls.repeat is Repeat.UNSAFE:
+        elif cls.repeat is Idempotency.NON_IDEMPOTENT:
             report("unsafe-shares", path, f"{name} must never run twice, and a line that is cut would leave "
                    "it unknown; take it out")  # fmt: skip
-        elif cls.repeat is Repeat.KEYED and not cls.scope_known:
+        elif cls.repeat is Idempotency.WITH_KEY and not cls.scope_known:
             report("keyed-scope", path, "the platform's file does not say which servers drop repeats of "
                    f"{name}; take it out")  # fmt: skip
-        elif cls.repeat is Repeat.KEYED and cls.memory_ms <= rules.least_stall_ms:
+        elif cls.repeat is Idempotency.WITH_KEY and cls.memory_ms <= rules.least_stall_ms:
             report("keyed-beyond-memory", path, f"repeats of {name} are dropped for {cls.memory_ms:g} ms, in "
                    "which no stall is found; take it out, or lower least_stall_ms")  # fmt: skip
     check_routes(raw, rules.wait_ms, rows, defaults, facts, report)
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -10,8 +10,8 @@
 from glenchute.core.types import News
 from glenchute.listeners.resp2.commands import Bounds, bounds
 from glenchute.policy.connections.client_slots import Budget, budget
-from glenchute.policy.interface import Settings
 from glenchute.policy.record import record
+from glenchute.policy.settings import Settings
 from glenchute.simulator import SCOPES, num, settings
 from glenchute.upstreams.connection_pool import Limits
 
@@ -92,14 +92,14 @@
         listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
         operations=address(operations) if operations else None,
         discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and made.counter else None,
+        counter=address(raw["counter"]) if raw.get("counter") and made.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
         sockets=sockets,
         budget=parts,
         known=read_list(raw["known"], saved=True) if raw.get("known") else None,
         passed=descriptor(environ.get("EDGE_PASSED_SOCKET")),
         settings=made,
-        number=own_number(raw["settings"].get("me"), made.gateways),
+        number=own_number(raw["settings"].get("me"), made.gateway_count),
         place=own_number(raw["settings"].get("me"), MOST_GATEWAYS),
         limits=Limits(
             connect_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
@@ -158,9 +158,9 @@
     rows = {str(row.get("name")): row for row in raw["profiles"] if isinstance(row, dict)}
     classes = {
         cls.name: ClassFacts(
-            repeat=cls.repeat,
+            repeat=cls.idempotency,
             deadline_ms=num(rows[cls.name].get("hard_limit_ms")) or 60_000.0,
-            memory_ms=cls.memory_ms,
+            memory_ms=cls.idempotency_window_ms,
             scope_known=str(rows[cls.name].get("group")) in SCOPES,
         )
         for cls in made.classes
@@ -169,7 +169,7 @@
         classes=classes,
         plans=tuple(plan.name for plan in made.plans),
         attempts_cap=made.max_attempts,
-        overlap=made.overlap,
+        overlap=made.allows_hedging,
         connect_ms=num(part(raw, "limits").get("connect_timeout_ms"), 250.0),
         streams=int(num(part(raw, "limits").get("max_streams"))),
         idle_ms=num(part(raw, "limits").get("conn_idle_ms"), 15_000.0),
--- a/glenchute/config/rules.py
+++ b/glenchute/config/rules.py
@@ -6,15 +6,16 @@
 
 from __future__ import annotations
 
-from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.events import Outcome
 from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.settings import Idempotency
 
 from .facts import ClassFacts, Facts
 
 # Of every wait: timers are a millisecond coarse and end up to one late, twice (the pause and the time-out).
 CLOCK_MS = 4.0
 MEMORY_MARGIN_MS = 5.0  # the module sends nothing in the last 5 ms of a memory span
-MAY_HAVE_RUN = (Ending.ERROR, Ending.RESET, Ending.TIMEOUT)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT)
 
 
 def pauses(route: Route, attempts: int, longest: bool) -> list[float]:
@@ -53,11 +54,11 @@
     risky = sorted(cause.value for cause in causes if cause in MAY_HAVE_RUN)
     attempts = attempts_of(route, facts)
     timeout, copy = route.attempt_timeout_ms, route.copy_after_ms
-    if copy and cls.repeat is Repeat.UNSAFE:
+    if copy and cls.repeat is Idempotency.NON_IDEMPOTENT:
         add("copy-unsafe", "second_copy_after_ms", f"{name} must never run twice; leave the second copy out")
     elif copy and not facts.overlap:
         add("copy-no-overlap", "second_copy_after_ms", "the platform allows one attempt at a time; drop it")
-    elif copy and cls.repeat is Repeat.KEYED and copy + facts.connect_ms + CLOCK_MS > memory(cls):
+    elif copy and cls.repeat is Idempotency.WITH_KEY and copy + facts.connect_ms + CLOCK_MS > memory(cls):
         add("copy-beyond-memory", "second_copy_after_ms",
             f"a copy of {name} could leave {copy + facts.connect_ms + CLOCK_MS:g} ms after the first, and "
             f"repeats are dropped for {cls.memory_ms:g} ms; shorten it")  # fmt: skip
@@ -66,11 +67,11 @@
     if copy and timeout and copy >= timeout:
         add("copy-after-timeout", "second_copy_after_ms",
             f"the first attempt ends after {timeout:g} ms already; put the copy before that")  # fmt: skip
-    if risky and cls.repeat is Repeat.UNSAFE:
+    if risky and cls.repeat is Idempotency.NON_IDEMPOTENT:
         add("cause-may-have-run", "retry_on",
             f"after {', '.join(risky)} {name} may have run and must not run again; "
             'write ["full", "unreachable"]')  # fmt: skip
-    if cls.repeat is Repeat.KEYED and attempts > 1 and (risky or route.causes is None):
+    if cls.repeat is Idempotency.WITH_KEY and attempts > 1 and (risky or route.causes is None):
         if not cls.scope_known:
             add("keyed-scope", "retry_on",
                 f"the platform's file does not say which servers drop repeats of {name}; "
--- a/glenchute/core/gateway.py
+++ b/glenchute/core/gateway.py
@@ -16,7 +16,33 @@
 from collections.abc import Callable, Collection
 from typing import TYPE_CHECKING
 
-from glenchute.policy import interface as api
+from glenchute.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendState,
+    SetTimer,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from glenchute.policy.events import (
+    AttemptAssigned,
+    AttemptEnded,
+    AttemptStalled,
+    ClientDisconnected,
+    CounterReply,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Outcome,
+    QuotaSnapshot,
+    Request,
+    ResponseStarted,
+    TimerFired,
+)
 
 from .types import (
     About,
@@ -42,7 +68,7 @@
 log = logging.getLogger("glenchute")
 
 ANSWER_MARGIN_S = 0.01  # attempts end this long before the client's time does, so that the answer is in time
-DID_NOT_RUN = (api.Ending.FULL, api.Ending.UNREACHABLE, api.Ending.UNSENT)
+DID_NOT_RUN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 QUEUE_WORDS = (b"queue", b"waiting")
 ACTIVE_WORDS = (b"inflight", b"active")
 FIGURE = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -123,7 +149,9 @@
         self.started_ms: dict[str, float] = {}
         self.serial = 0
         self.routes: Routes | None = None
-        self.handing: Callable[[tuple[api.Stock, ...]], None] | None = None  # to the gateway's next process
+        self.handing: Callable[[tuple[QuotaSnapshot, ...]], None] | None = (
+            None  # to the gateway's next process
+        )
         self.served_at = loop.time()  # when a server last answered, or this process began
         self.failed_at = -math.inf  # when an attempt last failed
         self.overlap = False  # a second copy may be out beside the first
@@ -132,12 +160,12 @@
         self.most_listed: float = math.inf
         self.narrow: Callable[[], None] = lambda: None
         self.tells_places = False  # the module is recorded, and is told where attempts went
-        self.events: deque[api.Event] = deque()
+        self.events: deque[Event] = deque()
         self.draining = False
 
     # --- events in ---------------------------------------------------------------------------------------
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Queues an event; hands it over unless one is being handled."""
         self.events.append(event)
         if self.draining:
@@ -149,15 +177,15 @@
         finally:
             self.draining = False
 
-    def hand_over(self, event: api.Event) -> None:
+    def hand_over(self, event: Event) -> None:
         """One event and its actions. A fault in either is logged and must not cost anybody the answer."""
         try:
             actions = self.decisions.handle(self.clock.now(), event)
         except Exception:
             log.exception("the decisions failed on %s", type(event).__name__)
-            if isinstance(event, api.Request | api.AttemptEnded):
+            if isinstance(event, Request | AttemptEnded):
                 self.close_request(event.request_id)
-            elif isinstance(event, api.TimerFired):
+            elif isinstance(event, TimerFired):
                 self.set_timer(event.token, self.clock.now() + 250.0)  # or the module would never tick again
             return
         for action in actions:
@@ -165,7 +193,7 @@
                 self.perform(action)
             except Exception:
                 log.exception("carrying out %s failed", type(action).__name__)
-                if isinstance(action, api.Send | api.Refuse | api.Fail):
+                if isinstance(action, StartAttempt | Reject | Fail):
                     self.close_request(action.request_id)
 
     def take(
@@ -186,7 +214,7 @@
                 route = live.course.route
                 timeout_ms, copy_after_ms = route.attempt_timeout_ms, route.copy_after_ms
         self.post(
-            api.Request(
+            Request(
                 ref, call.class_name, call.plan, call.customer, call.time_left_ms, call.units, call.spread,
                 timeout_ms, copy_after_ms,
             )
@@ -196,10 +224,10 @@
     def client_left(self, live: Live) -> None:
         """Nobody waits for the answer any more: what has not been sent is not sent on."""
         if self.forget(live):
-            self.post(api.RequestGone(live.ref))
+            self.post(ClientDisconnected(live.ref))
             if live.call.carrier is None:
                 for attempt in [one for one in live.out if not one.written]:
-                    attempt.stop(api.Ending.UNSENT)
+                    attempt.stop(Outcome.NOT_SENT)
 
     def wanted(self, live: Live) -> bool:
         """Whether the client is there yet. Where it has gone, and its end is yet to be read, what has not
@@ -216,22 +244,22 @@
     def news(self, news: News) -> None:
         """The list changed: the pools first, so that nothing is written where nothing may go."""
         event = news.event
-        many = len(event.entries) > MANY_ROWS
-        many |= event.kind is not api.ListKind.CHANGES and len(self.started_ms) > MANY_ROWS
+        many = len(event.endpoints) > MANY_ROWS
+        many |= event.kind is not EndpointListKind.CHANGES and len(self.started_ms) > MANY_ROWS
         if many and self.long_news(news):
             return
-        for entry in event.entries:
-            if entry.state is api.ServerState.ACTIVE:
-                anew = self.started_ms.get(entry.server, entry.started_ms) != entry.started_ms
-                self.started_ms[entry.server] = entry.started_ms
-                self.servers.listed(entry.server, news.addresses[entry.server], anew)
-            elif entry.state is api.ServerState.DRAINING:
-                self.servers.stopped(entry.server)
+        for entry in event.endpoints:
+            if entry.state is EndpointState.ACTIVE:
+                anew = self.started_ms.get(entry.address, entry.started_ms) != entry.started_ms
+                self.started_ms[entry.address] = entry.started_ms
+                self.servers.listed(entry.address, news.addresses[entry.address], anew)
+            elif entry.state is EndpointState.DRAINING:
+                self.servers.stopped(entry.address)
             else:
-                self.servers.gone(entry.server)
-                self.started_ms.pop(entry.server, None)  # its id never comes again
-        if event.kind in (api.ListKind.FULL, api.ListKind.SAVED):
-            listed = {entry.server for entry in event.entries}
+                self.servers.gone(entry.address)
+                self.started_ms.pop(entry.address, None)  # its id never comes again
+        if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
+            listed = {entry.address for entry in event.endpoints}
             for server in [name for name in self.servers.known() if name not in listed]:
                 self.servers.gone(server)
             self.started_ms = {k: v for k, v in self.started_ms.items() if k in listed}
@@ -244,24 +272,24 @@
         """The list changed in many rows. What drains or is gone first; the rest costs by the pools that there
         are, and by what of it was not worked out on its way here. Not taken where a server has several."""
         event, before, addresses = news.event, self.started_ms, news.addresses
-        placed: Placed | None = getattr(event.entries, "placed", None)
-        entries, active, drains = event.entries, api.ServerState.ACTIVE, api.ServerState.DRAINING
+        placed: Placed | None = getattr(event.endpoints, "placed", None)
+        entries, active, drains = event.endpoints, EndpointState.ACTIVE, EndpointState.DRAINING
         if placed is not None:
             rows: Collection[str] = placed.pairs
             started = placed.started
         else:
-            rows = {entry.server for entry in entries}
+            rows = {entry.address for entry in entries}
             if len(rows) < len(entries):
                 return False
-            started = {entry.server: entry.started_ms for entry in entries if entry.state is active}
+            started = {entry.address: entry.started_ms for entry in entries if entry.state is active}
         for entry in entries if len(started) < len(entries) else ():
             if entry.state is drains:
-                self.servers.stopped(entry.server)
+                self.servers.stopped(entry.address)
             elif entry.state is not active:
-                self.servers.gone(entry.server)
-                before.pop(entry.server, None)
+                self.servers.gone(entry.address)
+                before.pop(entry.address, None)
         stay = None
-        if event.kind is api.ListKind.CHANGES:
+        if event.kind is EndpointListKind.CHANGES:
             self.started_ms = before | started
         else:
             stay = rows
@@ -278,53 +306,53 @@
 
     # --- actions out -------------------------------------------------------------------------------------
 
-    def perform(self, action: api.Action) -> None:
+    def perform(self, action: Action) -> None:
         """Carries out one action."""
         match action:
-            case api.Send():
+            case StartAttempt():
                 self.send(action)
-            case api.Refuse(request_id, retry_after_ms):
+            case Reject(request_id, retry_after_ms):
                 self.refuse(request_id, retry_after_ms)
-            case api.Fail(request_id):
+            case Fail(request_id):
                 self.answer(request_id, Failed())
-            case api.Cancel(request_id, number):
+            case CancelAttempt(request_id, number):
                 attempt = self.out.get((request_id, number))
                 if attempt is not None:
-                    attempt.stop(api.Ending.CANCELLED)
-            case api.SetTimer(token, at_ms):
+                    attempt.stop(Outcome.CANCELLED)
+            case SetTimer(token, at_ms):
                 self.set_timer(token, at_ms)
-            case api.Count(name, amount, ttl_ms):
+            case IncrementCounter(name, amount, ttl_ms):
                 self.count(name, amount, ttl_ms)
-            case api.Subscribe():
+            case SubscribeToEndpoints():
                 pass  # the watch runs from the start
-            case api.Log(message):
+            case LogMessage(message):
                 log.info("%s", message)
-            case api.HandOver(stocks):
+            case SendState(stocks):
                 if self.handing is not None:
                     self.handing(stocks)
 
     def set_timer(self, token: int, at_ms: float) -> None:
         """Fires at the time or after; the loop's clock is coarse, and a timer must not come early."""
         delay = max(0.0, at_ms - self.clock.now()) / 1000.0
-        self.loop.call_later(delay + 0.001, self.post, api.TimerFired(token))
+        self.loop.call_later(delay + 0.001, self.post, TimerFired(token))
 
     def count(self, name: int, amount: float, ttl_ms: float) -> None:
         """Calls the counter."""
 
-        def done(total: float, ending: api.Ending, took_ms: float) -> None:
-            self.post(api.CountReply(name, total, ending, took_ms))
+        def done(total: float, ending: Outcome, took_ms: float) -> None:
+            self.post(CounterReply(name, total, ending, took_ms))
 
-        def late(total: float, ending: api.Ending, took_ms: float) -> None:
-            self.post(api.CountReply(name, total, ending, took_ms, True))
+        def late(total: float, ending: Outcome, took_ms: float) -> None:
+            self.post(CounterReply(name, total, ending, took_ms, True))
 
         if self.counter is None:
-            done(0.0, api.Ending.UNREACHABLE, 0.0)
+            done(0.0, Outcome.UNREACHABLE, 0.0)
         else:
             self.counter.call(name, amount, ttl_ms, done, late)
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: StartAttempt) -> None:
         """Starts an attempt, or ends it unsent where it must not go."""
-        ref, server = action.request_id, action.server
+        ref, server = action.request_id, action.address
         live = self.live.get(ref)
         number = live.attempts if live is not None else 0
         if live is not None:
@@ -333,7 +361,7 @@
                 live = None
         if live is None or not self.may_start(live):
             # Over, or another attempt is still out where that is not allowed, or its route allows no more.
-            self.post(api.AttemptEnded(ref, number, server, api.Ending.UNSENT, 0.0, live is None))
+            self.post(AttemptEnded(ref, number, server, Outcome.NOT_SENT, 0.0, live is None))
             return
         left = live.deadline - ANSWER_MARGIN_S - self.loop.time()
         wait = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0 else left
@@ -354,9 +382,9 @@
                 carrier = carrier or self.servers
                 attempt = carrier.attempt(server, live.call.encode, wait, done, write_by)
         if attempt is None:
-            ending = api.Ending.UNREACHABLE if wait > 0 else api.Ending.UNSENT
+            ending = Outcome.UNREACHABLE if wait > 0 else Outcome.NOT_SENT
             again = self.next_after(live, ending)
-            self.post(api.AttemptEnded(ref, number, server, ending, 0.0, False, next_after_ms=again))
+            self.post(AttemptEnded(ref, number, server, ending, 0.0, False, retry_delay_ms=again))
             return
         self.out[ref, number] = attempt
         live.out.append(attempt)
@@ -368,13 +396,13 @@
     def about(self, live: Live, number: int) -> About:
         """What the backend needs to know to place this attempt on a connection that others use too."""
         call, course = live.call, live.course
-        again = live.attempts < self.most_attempts and (course is None or course.again(api.Ending.RESET))
+        again = live.attempts < self.most_attempts and (course is None or course.again(Outcome.RESET))
 
         def held() -> None:
-            self.post(api.AttemptHeld(live.ref, number))
+            self.post(AttemptStalled(live.ref, number))
 
         def placed(reason: str) -> None:
-            self.post(api.AttemptPlaced(live.ref, number, reason))
+            self.post(AttemptAssigned(live.ref, number, reason))
 
         deadline = live.deadline - ANSWER_MARGIN_S
         came = live.deadline - call.time_left_ms / 1000.0
@@ -388,7 +416,7 @@
             return False
         return live.course is None or live.course.begin(self.clock.now(), bool(live.out))
 
-    def next_after(self, live: Live, ending: api.Ending) -> float:
+    def next_after(self, live: Live, ending: Outcome) -> float:
         """How long the route has a further attempt wait after this ending; inf: there is to be none."""
         if live.course is None or live.out:
             return 0.0
@@ -404,8 +432,8 @@
         live.began_ms = 1000.0 * (self.loop.time() - attempt.started)
         self.answer(live.ref, Streamed(source))
         for other in [one for one in live.out if one is not attempt]:
-            other.stop(api.Ending.CANCELLED)
-        self.post(api.AnswerBegan(live.ref, number))
+            other.stop(Outcome.CANCELLED)
+        self.post(ResponseStarted(live.ref, number))
 
     def ended(self, live: Live, number: int, server: str, result: Result) -> None:
         """An attempt's one ending. A value goes to the client before the module hears of it."""
@@ -416,7 +444,7 @@
         took_ms = live.began_ms  # how long the rest took is the peers' pace, not the server's load
         if took_ms is None:
             took_ms = 1000.0 * (self.loop.time() - attempt.started)
-        if result.ending is api.Ending.OK and result.value is not None:
+        if result.ending is Outcome.OK and result.value is not None:
             self.served_at = self.loop.time()
             self.answer(live.ref, Served(result.value))
         else:
@@ -424,9 +452,7 @@
         queue, active = report(result.report)
         final = live.ref not in self.live
         again = math.inf if result.last else 0.0 if final else self.next_after(live, result.ending)
-        self.post(
-            api.AttemptEnded(live.ref, number, server, result.ending, took_ms, final, queue, active, again)
-        )
+        self.post(AttemptEnded(live.ref, number, server, result.ending, took_ms, final, queue, active, again))
 
     # --- final answers -----------------------------------------------------------------------------------
 
@@ -452,8 +478,8 @@
         if live is not None:
             self.refuse(ref, 0.0)
             for attempt in list(live.out):
-                attempt.stop(api.Ending.CANCELLED)
-            self.post(api.RequestGone(ref))
+                attempt.stop(Outcome.CANCELLED)
+            self.post(ClientDisconnected(ref))
 
     def forget(self, live: Live) -> bool:
         """Takes a request off the books; False if it was off before."""
--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -6,7 +6,8 @@
 from dataclasses import field
 from typing import NamedTuple, Protocol
 
-from glenchute.policy.interface import Action, Ending, Event, ServerList
+from glenchute.policy.actions import Action
+from glenchute.policy.events import EndpointList, Event, Outcome
 from glenchute.policy.record import record
 
 Address = tuple[str, int]
@@ -101,7 +102,7 @@
     """How an attempt ended; `sound` where the connection can be used again, `last` where whoever carries the
     attempts makes no further one."""
 
-    ending: Ending
+    ending: Outcome
     value: bytes | None = None
     report: bytes | None = None
     sound: bool = False
@@ -113,7 +114,7 @@
     """A list or changes to it, with the addresses, which only the transport needs."""
 
     version: int
-    event: ServerList
+    event: EndpointList
     addresses: dict[str, Address] = field(default_factory=dict)
 
 
@@ -134,7 +135,7 @@
     def start(self) -> None:
         """Sends it, or begins to."""
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: Outcome) -> None:
         """Ends it early. `done` is called once the connection is closed."""
 
 
@@ -200,8 +201,8 @@
         name: int,
         amount: float,
         ttl_ms: float,
-        done: Callable[[float, Ending, float], None],
-        late: Callable[[float, Ending, float], None],
+        done: Callable[[float, Outcome, float], None],
+        late: Callable[[float, Outcome, float], None],
     ) -> None:
         """Adds an amount; `done` gets total, ending and milliseconds, once, within the time-out. After a
         time-out `late` gets what became of the call, once, within a bounded time; a time-out again where
--- a/glenchute/listeners/extproc/calls.py
+++ b/glenchute/listeners/extproc/calls.py
@@ -16,10 +16,11 @@
 
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import About, Address, Answer, Call, Carrier, Refused, Result, Served, Source
-from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.events import Outcome
 from glenchute.policy.record import record
 from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
 from glenchute.policy.services.request_mapping import Fields, MappingError, NeedsBody, Rules, View
+from glenchute.policy.settings import Idempotency
 
 from . import events as ev
 from .token import Signer, Token
@@ -47,7 +48,9 @@
     """The operator's settings of the front; times in seconds."""
 
     rules: Rules
-    repeats: Mapping[str, tuple[Repeat, float, float]]  # class: repeat, memory (ms), longest deadline (ms)
+    repeats: Mapping[
+        str, tuple[Idempotency, float, float]
+    ]  # class: repeat, memory (ms), longest deadline (ms)
     most_calls: int = 10_000
     reopen_s: float = 0.25
     attempt_streams: bool = True  # a filter at the node's side asks for each attempt
@@ -113,16 +116,16 @@
 
     def start(self) -> None:
         """Tells the proxy, or has it wait to be asked."""
-        self.timer = self.entry.calls.loop.call_at(self.until, self.stop, Ending.TIMEOUT)
+        self.timer = self.entry.calls.loop.call_at(self.until, self.stop, Outcome.TIMEOUT)
         self.entry.offered(self)
 
-    def stop(self, why: Ending) -> None:
+    def stop(self, why: Outcome) -> None:
         """A time-out or a cancel. What was not let through will not be; what was is cut off, as far as a
         processor can, and no other attempt passes before its stream has ended."""
         if self.over:
             return
         stream = self.stream
-        self.end(Result(why if self.written else Ending.UNSENT))
+        self.end(Result(why if self.written else Outcome.NOT_SENT))
         if stream is not None and stream.abort is not None:
             stream.abort()
 
@@ -260,7 +263,9 @@
         if verdict is Gate.HOLD:
             return
         if verdict is Gate.LATE and attempt is not None:
-            attempt.end(Result(Ending.UNREACHABLE))  # the module's next word comes by `offered` or `answered`
+            attempt.end(
+                Result(Outcome.UNREACHABLE)
+            )  # the module's next word comes by `offered` or `answered`
             return
         self.asking = None
         if verdict is Gate.PASS and attempt is not None:
@@ -275,7 +280,7 @@
             again = {RETRY: "1", self.calls.ways.endpoint_header: attempt.address}
             if self.strays >= STRAYS:
                 again = {}
-                attempt.end(Result(Ending.UNSENT))
+                attempt.end(Result(Outcome.NOT_SENT))
             answer(ev.Reply(503, {REASON: "other-node", **again}, "", "glenchute_other_node"))
         else:
             answer(self.last_word() if self.final is not None else failure("over"))
@@ -290,7 +295,7 @@
             return
         how = ending(status, details, self.calls.ways.full_status)
         self.held = answer
-        attempt.end(Result(how, b"" if how is Ending.OK else None, load.encode() or None))
+        attempt.end(Result(how, b"" if how is Outcome.OK else None, load.encode() or None))
 
     def attempt_closed(self, stream: Upstream) -> None:
         """A stream of the node's side has ended, or broke."""
@@ -300,10 +305,10 @@
         attempt = stream.attempt
         if attempt is not None and not attempt.over:
             if self.stream is None and not self.detached:
-                how = Ending.CANCELLED  # its proxy is gone: no fault of the node's
+                how = Outcome.CANCELLED  # its proxy is gone: no fault of the node's
             else:
                 timed_out = self.calls.loop.time() >= attempt.until - TIMEOUT_SLACK_S
-                how = Ending.TIMEOUT if timed_out else Ending.RESET
+                how = Outcome.TIMEOUT if timed_out else Outcome.RESET
             attempt.end(Result(how))
         elif attempt is not None and self.held is not None and attempt is self.tries[-1]:
             self.held = None  # nobody hears what follows from its response; the next attempt asks
@@ -320,8 +325,8 @@
             if attempt.written:
                 how = ending(status, details, self.calls.ways.full_status)
             else:
-                how = Ending.UNREACHABLE  # it never asked, and will not be let through
-            attempt.end(Result(how, b"" if how is Ending.OK else None, load.encode() or None, last=True))
+                how = Outcome.UNREACHABLE  # it never asked, and will not be let through
+            attempt.end(Result(how, b"" if how is Outcome.OK else None, load.encode() or None, last=True))
         if not self.settled:  # the module waits for something that the proxy won't do
             self.give_up()
         self.reveal()
@@ -360,7 +365,7 @@
             self.calls.counts["abandoned"] += 1
             self.give_up()
             for attempt in self.tries:
-                attempt.stop(Ending.CANCELLED)
+                attempt.stop(Outcome.CANCELLED)
         self.leave()
 
     def give_up(self) -> None:
@@ -376,7 +381,7 @@
             self.calls.counts["expired"] += 1
             self.give_up()
         for attempt in self.tries:
-            attempt.stop(Ending.CANCELLED)
+            attempt.stop(Outcome.CANCELLED)
         for waiting in (self.ask, self.held, self.shown[1] if self.shown else None):
             if waiting is not None:
                 waiting(failure("expired"))
@@ -622,7 +627,7 @@
 
     def may_follow(self, token: Token) -> bool:
         """Whether a request with such a token may be sent, which no entry here speaks for."""
-        repeat, memory_ms, _ = self.ways.repeats.get(token.class_name, (Repeat.UNSAFE, 0.0, 0.0))
+        repeat, memory_ms, _ = self.ways.repeats.get(token.class_name, (Idempotency.NON_IDEMPOTENT, 0.0, 0.0))
         age_ms = self.wall() * 1000.0 - token.first_ms
         return may_follow(repeat, token.class_name in self.ways.open_classes, age_ms, memory_ms)
 
@@ -641,7 +646,7 @@
             headers[TOKEN] = token
             headers["x-envoy-max-retries"] = str(2 * (self.ways.max_attempts - 1) + STRAYS)
             again = "retriable-headers,connect-failure"
-            headers["x-envoy-retry-on"] = again if repeat is Repeat.UNSAFE else again + ",reset"
+            headers["x-envoy-retry-on"] = again if repeat is Idempotency.NON_IDEMPOTENT else again + ",reset"
             headers["x-envoy-retriable-header-names"] = RETRY
         return ev.Go("request_headers", headers, (), attempt.address, True)
 
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -14,7 +14,7 @@
 
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import About, Answer, Call, Carrier, Refused, Result, Source
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import MappingError, Rules, View
 
 RateLimitRequest = rls_pb2.RateLimitRequest
@@ -74,13 +74,13 @@
         gateway, live = self.question.gateway, self.question.live
         if gateway is not None and live is not None:
             gateway.client_left(live)
-        self.stop(Ending.CANCELLED)
+        self.stop(Outcome.CANCELLED)
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: Outcome) -> None:
         """Ends it."""
         if not self.over:
             self.over = True
-            self.done(Result(Ending.CANCELLED))
+            self.done(Result(Outcome.CANCELLED))
 
 
 class Limiter:
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -34,7 +34,7 @@
 def ways(raw: dict[str, Any], config: Config) -> tuple[Ways, Any]:
     """The settings of the front, and the rules for rate limit calls."""
     facts, made = config.facts, config.settings
-    requests, limits = rules(raw, facts, made.gateways, config.bounds.units)
+    requests, limits = rules(raw, facts, made.gateway_count, config.bounds.units)
     repeats = {
         name: (cls.repeat, cls.memory_ms, min(cls.deadline_ms, config.bounds.wait_ms))
         for name, cls in facts.classes.items()
--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from glenchute.core.types import Call
-from glenchute.policy.interface import Repeat, Settings
 from glenchute.policy.record import record
+from glenchute.policy.settings import Idempotency, Settings
 from glenchute.protocol import resp2 as resp
 from glenchute.simulator import num
 
@@ -58,11 +58,11 @@
     """What a command may name, from the settings."""
 
     def __init__(self, settings: Settings, most: Bounds) -> None:
-        self.gateways = settings.gateways
+        self.gateways = settings.gateway_count
         self.bounds = most
         self.plans = {plan.name.encode(): plan.name for plan in settings.plans}
-        self.classes = {cls.name.encode(): (cls.name, cls.repeat) for cls in settings.classes}
-        self.safe = {cls.name for cls in settings.classes if cls.repeat is Repeat.SAFE}
+        self.classes = {cls.name.encode(): (cls.name, cls.idempotency) for cls in settings.classes}
+        self.safe = {cls.name for cls in settings.classes if cls.idempotency is Idempotency.IDEMPOTENT}
 
     def call(self, words: list[bytes]) -> Command:
         """Checks a command and takes it apart, once."""
@@ -78,9 +78,11 @@
             raise CommandError("bad fields")
         fields, gap = split_fields(text)
         name, repeat = self.known(self.classes, fields, b"c", "class")
-        if (repeat is Repeat.SAFE) != (verb == b"CALL.GET"):
+        if (repeat is Idempotency.IDEMPOTENT) != (verb == b"CALL.GET"):
             raise CommandError("this class goes by the other command")
-        if (b"k" in fields or repeat is Repeat.KEYED) and WORD.fullmatch(fields.get(b"k", b"")) is None:
+        if (b"k" in fields or repeat is Idempotency.WITH_KEY) and WORD.fullmatch(
+            fields.get(b"k", b"")
+        ) is None:
             raise CommandError("no idempotency key")
         spread = whole(fields, b"spread", 1, self.gateways, 1)
         whole(fields, b"first", 0, self.gateways - 1, 0)
--- a/glenchute/policy/admission/epoch_markers.py
+++ b/glenchute/policy/admission/epoch_markers.py
@@ -30,13 +30,13 @@
 DIGITS = 1e-6  # of a total, seven digits are exact
 
 
-def mark_of(burst: float, rate: float, span_s: float, most: float) -> float:
+def marker_value(burst: float, rate: float, span_s: float, most: float) -> float:
     """The mark for a plan's windows: a power of ten, the same at every gateway."""
     return float(10.0 ** math.ceil(math.log10(ROOM * max(1.0, burst + rate * span_s, most))))
 
 
 @record(slots=True)
-class Name:
+class WindowCounter:
     """What this gateway knows of one window's name."""
 
     mark: float
@@ -85,7 +85,7 @@
         return min(1.0, self.marks / spread)
 
 
-class Health(Enum):
+class CounterHealth(Enum):
     """What a counter is thought to be."""
 
     SOUND = "sound"
@@ -97,7 +97,7 @@
 
 
 @record(slots=True)
-class Watch:
+class CounterMonitor:
     """The state of the counter as a whole, for the operators. Driven by replies and time only."""
 
     recover_ms: float  # the longest window: after it no name of before the trouble is in use
@@ -127,14 +127,14 @@
         self.crew += (1.0 if first else 0.01) * (heard - self.crew)
         self.fresh += (1.0 if first else 0.1) * (heard - self.fresh)
 
-    def state(self, now: float) -> Health:
+    def state(self, now: float) -> CounterHealth:
         """The one that matters most."""
         if self.missed >= self.mute_after:
-            return Health.MUTE
+            return CounterHealth.MUTE
         if now - self.lost_at < self.recover_ms:
-            return Health.REPLACED
+            return CounterHealth.REPLACED
         if self.crew > 0.5 and self.fresh < 0.75 * self.crew:
-            return Health.SPLIT
+            return CounterHealth.SPLIT
         if now - self.mute_at < self.recover_ms:
-            return Health.RECOVERING
-        return Health.SLOW if self.share < 0.5 else Health.SOUND
+            return CounterHealth.RECOVERING
+        return CounterHealth.SLOW if self.share < 0.5 else CounterHealth.SOUND
--- a/glenchute/policy/admission/quota_bounds.py
+++ b/glenchute/policy/admission/quota_bounds.py
@@ -23,8 +23,8 @@
 
 from typing import NamedTuple
 
-from ..engine import COUNTED, LEAST_PART, MUTE_AFTER
-from ..interface import Plan, Settings
+from ..admission.quota import COUNTED, LEAST_PART, MUTE_AFTER
+from ..settings import Plan, Settings
 from .windows import span_of
 
 
@@ -56,25 +56,29 @@
     """The promises for an account of this plan that comes through `spread` gateways, whose clocks differ by
     `clocks_ms` at most, with requests of `largest` units at most."""
     span = window_s(plan)
-    least = min(plan.ceiling_burst, plan.ceiling_rate * span)
-    fresh = max(0.0, plan.ceiling_burst - plan.burst) / 2.0 + plan.ceiling_slack if plan.ceiling_rate else 0.0
-    parts = max(plan.burst, LEAST_PART * largest * spread)
+    least = min(plan.ceiling_burst_units, plan.ceiling_rate_per_s * span)
+    fresh = (
+        max(0.0, plan.ceiling_burst_units - plan.burst_units) / 2.0 + plan.ceiling_slack_units
+        if plan.ceiling_rate_per_s
+        else 0.0
+    )
+    parts = max(plan.burst_units, LEAST_PART * largest * spread)
     return Bound(
         plan=plan.name,
         window_s=span,
-        ceiling_clocks=COUNTED / 2.0 * plan.ceiling_rate * clocks_ms / 1000.0,
-        ceiling_restart=min(fresh, plan.ceiling_burst * (1.0 - COUNTED)) / spread,
+        ceiling_clocks=COUNTED / 2.0 * plan.ceiling_rate_per_s * clocks_ms / 1000.0,
+        ceiling_restart=min(fresh, plan.ceiling_burst_units * (1.0 - COUNTED)) / spread,
         ceiling_restore=2.0 * COUNTED / 2.0 * least,
-        slack=plan.ceiling_slack,
-        quota_silent=parts - plan.burst,
-        quota_replaced=(spread - 1) * plan.burst,
-        quota_split_rate=plan.rate,
+        slack=plan.ceiling_slack_units,
+        quota_silent=parts - plan.burst_units,
+        quota_replaced=(spread - 1) * plan.burst_units,
+        quota_split_rate=plan.rate_per_s,
     )
 
 
 def bounds(settings: Settings, spread: int, clocks_ms: float, largest: float) -> list[Bound]:
     """For each plan that has a quota."""
-    return [bound(plan, spread, clocks_ms, largest) for plan in settings.plans if plan.rate]
+    return [bound(plan, spread, clocks_ms, largest) for plan in settings.plans if plan.rate_per_s]
 
 
 START_S = 0.1  # beside the calls' time-outs: requests on their way, and calls that wait for a gap
@@ -86,7 +90,7 @@
     of the counter, and with `asked` units a second over all gateways no more can be spent in that time; then
     each keeps to its part."""
     blind_s = MUTE_AFTER * timeout_s + START_S
-    return found.quota_silent + min((gateways - 1) * plan.burst, asked * blind_s)
+    return found.quota_silent + min((gateways - 1) * plan.burst_units, asked * blind_s)
 
 
 HEARD_S = 0.4  # a member's word reaches all within this, or the links lose more than the rumours bear
--- a/glenchute/policy/admission/windows.py
+++ b/glenchute/policy/admission/windows.py
@@ -5,7 +5,7 @@
 import functools
 import hashlib
 
-from ..interface import Plan
+from ..settings import Plan
 
 WINDOW_S = 1.0  # the fill's window: what a store holds is offered to the demand of this long
 IDLE_MS = 60_000.0  # a customer unseen for this long is forgotten, by the counter too
@@ -24,7 +24,9 @@
 
 def span_of(plan: Plan) -> float:
     """How long a window of this plan lasts, in milliseconds."""
-    return min(IDLE_MS, 1000.0 * max(WINDOW_S, plan.burst / plan.rate if plan.rate else 0.0))
+    return min(
+        IDLE_MS, 1000.0 * max(WINDOW_S, plan.burst_units / plan.rate_per_s if plan.rate_per_s else 0.0)
+    )
 
 
 def window_start(now: float, customer: str, plan: Plan) -> float:
--- a/glenchute/policy/balancing/hash_ring.py
+++ b/glenchute/policy/balancing/hash_ring.py
@@ -13,13 +13,13 @@
 from collections.abc import Iterator, Mapping
 from hashlib import blake2b
 
-from ..interface import ServerEntry, ServerState
+from ..events import Endpoint, EndpointState
 from .subset_size import WHOLE
 
 SORTED = 512  # rows of rings put in order in one step
 
 Spot = tuple[bytes, str]  # a server's place on its ring
-Pair = tuple[ServerEntry, tuple[str, int] | None]  # a server and where it listens
+Pair = tuple[Endpoint, tuple[str, int] | None]  # a server and where it listens
 
 
 def spot(server: str) -> Spot:
@@ -27,11 +27,11 @@
     return blake2b(server.encode(errors="surrogatepass"), digest_size=8).digest(), server
 
 
-class Placed(tuple[ServerEntry, ...]):
+class Placed(tuple[Endpoint, ...]):
     """The entries of a list or of changes, each server once; to whoever does not know it, a tuple of them.
     Whoever takes one of the tables of a whole list owns it from then on."""
 
-    listed: dict[str, ServerEntry]  # those in service
+    listed: dict[str, Endpoint]  # those in service
     rings: dict[str, list[Spot]]  # of these, by zone, in order
     started: dict[str, float]  # and when, Unix ms
     pairs: dict[str, Pair]  # all that are not gone
@@ -49,8 +49,8 @@
         """`before`: servers' places that are known."""
         self.before = before
         self.spots: dict[str, Spot] = {}  # of those in service
-        self.entries: list[ServerEntry] = []
-        self.listed: dict[str, ServerEntry] = {}
+        self.entries: list[Endpoint] = []
+        self.listed: dict[str, Endpoint] = {}
         self.rings: dict[str, list[Spot]] = {}
         self.started: dict[str, float] = {}
         self.pairs: dict[str, Pair] = {}
@@ -58,10 +58,10 @@
     def take(self, pair: Pair) -> None:
         """One more row."""
         entry = pair[0]
-        server = entry.server
+        server = entry.address
         self.entries.append(entry)
         self.pairs[server] = pair
-        if entry.state is ServerState.ACTIVE:
+        if entry.state is EndpointState.ACTIVE:
             at = self.spots[server] = self.before.get(server) or spot(server)
             self.listed[server] = entry
             self.started[server] = entry.started_ms
@@ -78,7 +78,7 @@
                 yield
                 rows = 0
 
-    def done(self) -> tuple[ServerEntry, ...]:
+    def done(self) -> tuple[Endpoint, ...]:
         """The list; as plain entries where a server is in it more than once, of which the last counts, and
         where few are in service, so that who is told of all is told of a tuple."""
         if len(self.pairs) < len(self.entries) or len(self.listed) <= WHOLE:
@@ -89,6 +89,6 @@
         made.listed, made.rings, made.started, made.pairs = self.listed, self.rings, self.started, self.pairs
         if len(self.listed) < len(self.entries):
             for entry in self.entries:
-                if entry.state is ServerState.GONE:
-                    del self.pairs[entry.server]
+                if entry.state is EndpointState.REMOVED:
+                    del self.pairs[entry.address]
         return made
--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -26,8 +26,9 @@
 from dataclasses import replace
 from typing import NamedTuple, Protocol
 
-from .. import interface as api
-from ..interface import ListKind, ServerEntry, ServerList, ServerState
+from ..actions import Action, StartAttempt
+from ..events import AttemptEnded, Endpoint, EndpointList, EndpointListKind, EndpointState, Event, Outcome
+from ..settings import Settings, SlowStart
 from .hash_ring import Placed, Spot, spot
 from .subset_size import AGAIN, WHOLE, size
 
@@ -46,7 +47,7 @@
 class Module(Protocol):
     """The decision module."""
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
+    def handle(self, now_ms: float, event: Event) -> list[Action]: ...
 
 
 class Terms(NamedTuple):
@@ -79,9 +80,9 @@
 class Subset:
     """What one gateway has in use."""
 
-    def __init__(self, terms: Terms, safety: api.Safety) -> None:
+    def __init__(self, terms: Terms, safety: SlowStart) -> None:
         self.terms, self.safety = terms, safety
-        self.listed: dict[str, ServerEntry] = {}
+        self.listed: dict[str, Endpoint] = {}
         self.rings: dict[str, list[Spot]] = {}  # by zone, in order
         self.held: dict[str, None] = {}  # in the order in which they came in
         self.lost: dict[str, float] = {}  # could not be reached, until then
@@ -97,50 +98,50 @@
 
     # --- the list ----------------------------------------------------------------------------------------
 
-    def whole(self, entries: Iterable[ServerEntry]) -> None:
+    def whole(self, entries: Iterable[Endpoint]) -> None:
         """These are all there are. Those that stand where they stood are not placed anew."""
         if isinstance(entries, Placed):
             self.listed, self.rings, self.stale = entries.listed, entries.rings, True
             return
-        before, self.listed = self.listed, {entry.server: entry for entry in entries}
-        gone = [one for one in before.values() if one.server not in self.listed]
+        before, self.listed = self.listed, {entry.address: entry for entry in entries}
+        gone = [one for one in before.values() if one.address not in self.listed]
         if len(gone) > len(self.listed):
             self.rings = {}
             self.place(self.listed.values(), ())
             return
         came = []
         for entry in self.listed.values():
-            old = before.get(entry.server)
+            old = before.get(entry.address)
             if old is not entry and (old is None or old.zone != entry.zone):
                 came.append(entry)
                 if old is not None:
                     gone.append(old)
         self.place(came, gone)
 
-    def change(self, entries: Iterable[ServerEntry]) -> None:
+    def change(self, entries: Iterable[Endpoint]) -> None:
         """These have changed."""
-        came: dict[str, ServerEntry] = {}
-        gone: dict[str, ServerEntry] = {}
+        came: dict[str, Endpoint] = {}
+        gone: dict[str, Endpoint] = {}
         for entry in entries:
-            old = self.listed.pop(entry.server, None)
-            active = entry.state is ServerState.ACTIVE
+            old = self.listed.pop(entry.address, None)
+            active = entry.state is EndpointState.ACTIVE
             if active:
-                self.listed[entry.server] = entry
+                self.listed[entry.address] = entry
             if old is not None and active and old.zone == entry.zone:
                 continue
-            if came.pop(entry.server, None) is None and old is not None:
-                gone[entry.server] = old
+            if came.pop(entry.address, None) is None and old is not None:
+                gone[entry.address] = old
             if active:
-                came[entry.server] = entry
+                came[entry.address] = entry
         self.place(came.values(), gone.values())
 
-    def place(self, came: Iterable[ServerEntry], gone: Iterable[ServerEntry]) -> None:
+    def place(self, came: Iterable[Endpoint], gone: Iterable[Endpoint]) -> None:
         """Brings the rings up to date, each by one sort where much has changed. Names are hashed for those
         that come, and where few go."""
         zones: dict[str, tuple[list[str], list[str]]] = {}
         for at, entries in enumerate((came, gone)):
             for entry in entries:
-                zones.setdefault(entry.zone, ([], []))[at].append(entry.server)
+                zones.setdefault(entry.zone, ([], []))[at].append(entry.address)
         for zone, (new, old) in zones.items():
             row = self.rings.setdefault(zone, [])
             if len(new) + len(old) > FEW_ROWS:
@@ -168,8 +169,8 @@
         started = self.listed[server].started_ms
         if started <= 0:
             return 1.0
-        share = self.safety.cold_share
-        warmth = share + (1.0 - share) * max(0.0, now - started) / max(1.0, self.safety.warm_ms)
+        share = self.safety.initial_fraction
+        warmth = share + (1.0 - share) * max(0.0, now - started) / max(1.0, self.safety.warm_up_ms)
         return min(1.0, max(FAINT, warmth))
 
     def ideal(self, now: float) -> dict[str, float]:
@@ -270,31 +271,29 @@
     """The decision module before which a subset stands; itself taken for a module. `listed`: the servers of
     which the module knows already."""
 
-    def __init__(
-        self, module: Module, made: api.Settings, terms: Terms, listed: Iterable[ServerEntry] = ()
-    ) -> None:
-        self.module, self.subset = module, Subset(terms, made.safety)
+    def __init__(self, module: Module, made: Settings, terms: Terms, listed: Iterable[Endpoint] = ()) -> None:
+        self.module, self.subset = module, Subset(terms, made.slow_start)
         self.narrow = terms.servers > 0  # whether some are in use only, else all that are listed
-        self.subset.listed = {entry.server: entry for entry in listed}
+        self.subset.listed = {entry.address: entry for entry in listed}
         self.out: dict[str, int] = {}  # attempts out, by server
         self.looked_at = -1e12
         self.of = 0  # servers that the module was told there are; 0: it was never told of some only
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """One event for the module."""
-        if isinstance(event, ServerList):
+        if isinstance(event, EndpointList):
             return self.listed(now_ms, event)
         if not self.narrow:
             return self.module.handle(now_ms, event)
         subset = self.subset
-        if isinstance(event, api.AttemptEnded):
-            left = self.out.get(event.server, 0) - 1
+        if isinstance(event, AttemptEnded):
+            left = self.out.get(event.address, 0) - 1
             if left > 0:
-                self.out[event.server] = left
+                self.out[event.address] = left
             else:
-                self.out.pop(event.server, None)
-            if event.ending is api.Ending.UNREACHABLE and len(subset.lost) < MOST_LOST:
-                subset.lost[event.server] = now_ms + LOST_MS
+                self.out.pop(event.address, None)
+            if event.outcome is Outcome.UNREACHABLE and len(subset.lost) < MOST_LOST:
+                subset.lost[event.address] = now_ms + LOST_MS
                 subset.stale = True
         actions = self.pass_on(now_ms, event)
         if now_ms - self.looked_at >= STEP_MS:
@@ -302,15 +301,15 @@
             actions += self.look(now_ms)
         return actions
 
-    def pass_on(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def pass_on(self, now_ms: float, event: Event) -> list[Action]:
         """To the module; what it sends is counted."""
-        actions: list[api.Action] = list(self.module.handle(now_ms, event))
+        actions: list[Action] = list(self.module.handle(now_ms, event))
         for action in actions:
-            if isinstance(action, api.Send):
-                self.out[action.server] = self.out.get(action.server, 0) + 1
+            if isinstance(action, StartAttempt):
+                self.out[action.address] = self.out.get(action.address, 0) + 1
         return actions
 
-    def look(self, now: float) -> list[api.Action]:
+    def look(self, now: float) -> list[Action]:
         """What load and time change."""
         subset = self.subset
         subset.lost = {server: until for server, until in subset.lost.items() if until > now}
@@ -322,64 +321,64 @@
 
     # --- the list ----------------------------------------------------------------------------------------
 
-    def listed(self, now: float, event: ServerList) -> list[api.Action]:
+    def listed(self, now: float, event: EndpointList) -> list[Action]:
         """News of the list."""
-        if event.kind is ListKind.FAILED:
+        if event.kind is EndpointListKind.FAILED:
             return self.pass_on(now, event)
         subset, was = self.subset, self.narrow
-        whole = event.kind is not ListKind.CHANGES
+        whole = event.kind is not EndpointListKind.CHANGES
         known: Iterable[str] = ()  # to the module, and what may be
-        if not was and not whole and len(subset.listed) + len(event.entries) > WHOLE:
-            known = {*subset.listed, *(entry.server for entry in event.entries)}
+        if not was and not whole and len(subset.listed) + len(event.endpoints) > WHOLE:
+            known = {*subset.listed, *(entry.address for entry in event.endpoints)}
         self.follow(event, whole)
         length = len(subset.listed)
         self.narrow = subset.terms.servers > 0 or length > (AGAIN if was else WHOLE)
         if not self.narrow:
             return self.told_whole(now, event, whole or not was)
-        if not was and not (whole and isinstance(event.entries, Placed)):
+        if not was and not (whole and isinstance(event.endpoints, Placed)):
             subset.rings = {}
             subset.place(subset.listed.values(), ())
         if whole:
             subset.settle(now)
             self.of = length
             entries = tuple(subset.listed[server] for server in subset.held)
-            return self.pass_on(now, ServerList(event.kind, entries, length))
+            return self.pass_on(now, EndpointList(event.kind, entries, length))
         if not was:
             subset.settle(now)
             gone = [server for server in known if server not in subset.held and server in subset.listed]
-            told = [entry for entry in event.entries if entry.state is not ServerState.ACTIVE]
+            told = [entry for entry in event.endpoints if entry.state is not EndpointState.ACTIVE]
             return self.change(now, list(subset.held), gone, tuple(told))
-        told = [entry for entry in event.entries if entry.server in subset.held]
+        told = [entry for entry in event.endpoints if entry.address in subset.held]
         few = len(subset.held) < min(subset.servers, length)
-        if few or any(entry.state is not ServerState.ACTIVE for entry in told) or self.bare(event):
+        if few or any(entry.state is not EndpointState.ACTIVE for entry in told) or self.bare(event):
             came, gone = subset.settle(now)
         else:
             came, gone = [], []  # the next look has time for it
-        named = {entry.server for entry in told}
+        named = {entry.address for entry in told}
         return self.change(now, came, [server for server in gone if server not in named], tuple(told))
 
-    def follow(self, event: ServerList, whole: bool) -> None:
+    def follow(self, event: EndpointList, whole: bool) -> None:
         """The list as it is now; on rings only where some are in use."""
         subset = self.subset
         if whole:
-            active: Iterable[ServerEntry] = event.entries
+            active: Iterable[Endpoint] = event.endpoints
             if not isinstance(active, Placed):
-                active = [entry for entry in active if entry.state is ServerState.ACTIVE]
+                active = [entry for entry in active if entry.state is EndpointState.ACTIVE]
             if self.narrow or isinstance(active, Placed):
                 subset.whole(active)
             else:
-                subset.listed = {entry.server: entry for entry in active}
+                subset.listed = {entry.address: entry for entry in active}
         elif self.narrow:
-            subset.change(event.entries)
+            subset.change(event.endpoints)
         else:
-            for entry in event.entries:
-                subset.listed.pop(entry.server, None)
-                if entry.state is ServerState.ACTIVE:
-                    subset.listed[entry.server] = entry
+            for entry in event.endpoints:
+                subset.listed.pop(entry.address, None)
+                if entry.state is EndpointState.ACTIVE:
+                    subset.listed[entry.address] = entry
 
-    def bare(self, event: ServerList) -> bool:
+    def bare(self, event: EndpointList) -> bool:
         """Whether a zone that this names may be without a server in use."""
-        zones = {entry.zone for entry in event.entries}
+        zones = {entry.zone for entry in event.endpoints}
         for server in self.subset.held:
             entry = self.subset.listed.get(server)
             if entry is not None:
@@ -388,28 +387,28 @@
                     return False
         return True
 
-    def told_whole(self, now: float, event: ServerList, enough: bool) -> list[api.Action]:
+    def told_whole(self, now: float, event: EndpointList, enough: bool) -> list[Action]:
         """All are in use. `enough`: the event itself tells the module of all that it does not know."""
         subset, held = self.subset, self.subset.held
         if not enough:
-            named = {entry.server for entry in event.entries}
-            rest = [e for e in subset.listed.values() if e.server not in held and e.server not in named]
-            event = replace(event, entries=(*event.entries, *rest))
+            named = {entry.address for entry in event.endpoints}
+            rest = [e for e in subset.listed.values() if e.address not in held and e.address not in named]
+            event = replace(event, endpoints=(*event.endpoints, *rest))
         subset.held, subset.rings, subset.lost, subset.wider = {}, {}, {}, 0
         self.out.clear()
         if self.of:  # once told of more than it knows, the module has to be told of each length
             self.of = len(subset.listed)
-            event = replace(event, of=self.of)
+            event = replace(event, total_endpoints=self.of)
         return self.module.handle(now, event)
 
     def change(
-        self, now: float, came: list[str], gone: list[str], told: tuple[ServerEntry, ...]
-    ) -> list[api.Action]:
+        self, now: float, came: list[str], gone: list[str], told: tuple[Endpoint, ...]
+    ) -> list[Action]:
         """Tells the module which servers are in use."""
         entries = [*told, *(self.subset.listed[server] for server in came)]
-        entries += [ServerEntry(server, "", state=ServerState.GONE) for server in gone]
+        entries += [Endpoint(server, "", state=EndpointState.REMOVED) for server in gone]
         of = len(self.subset.listed)
         if not entries and of == self.of:
             return []
         self.of = of
-        return self.pass_on(now, ServerList(ListKind.CHANGES, tuple(entries), of))
+        return self.pass_on(now, EndpointList(EndpointListKind.CHANGES, tuple(entries), of))
--- a/glenchute/policy/connections/class_compatibility.py
+++ b/glenchute/policy/connections/class_compatibility.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ..interface import Repeat, RequestClass
+from ..settings import Idempotency, RequestClass
 
 
 class Behind(Enum):
@@ -55,9 +55,9 @@
 
     def verdict(self, ahead: RequestClass, behind: RequestClass) -> Behind:
         """One pair."""
-        if behind.repeat is Repeat.UNSAFE or behind.name not in self.shared:
+        if behind.idempotency is Idempotency.NON_IDEMPOTENT or behind.name not in self.shared:
             return Behind.NO
-        if ahead.repeat is Repeat.UNSAFE:
+        if ahead.idempotency is Idempotency.NON_IDEMPOTENT:
             return Behind.WHOLE if self.behind_unsafe else Behind.NO
         return Behind.STALL if ahead.name in self.shared else Behind.NO
 
@@ -68,7 +68,7 @@
     def cut_for_others(self, class_name: str) -> bool:
         """Whether one of this class at the head may be cut for the sake of those behind it."""
         cls = self.classes.get(class_name)
-        return cls is not None and cls.repeat is not Repeat.UNSAFE
+        return cls is not None and cls.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def rows(self) -> list[Row]:
         """The table, in the order of the settings."""
--- a/glenchute/policy/connections/pipelined_connection.py
+++ b/glenchute/policy/connections/pipelined_connection.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import Generic, NamedTuple, TypeVar
 
-from ..interface import Ending
+from ..events import Outcome
 
 T = TypeVar("T")
 CROSSING_MS = 5.0  # a command handed over so shortly before a reply may not have been at the node by then
@@ -22,7 +22,7 @@
     """One attempt's ending, when a line was cut."""
 
     item: T
-    ending: Ending
+    ending: Outcome
 
 
 class Entry(Generic[T]):
@@ -117,17 +117,17 @@
         self.waiting.remove(entry)
         return True
 
-    def cut(self, cause: Entry[T] | None = None, ending: Ending = Ending.RESET) -> list[Ended[T]]:
+    def cut(self, cause: Entry[T] | None = None, ending: Outcome = Outcome.RESET) -> list[Ended[T]]:
         """The connection ends: each command's ending, in order. `cause` is the one for whose sake it ends,
         with what became of it; the others were reset. `gone` has been told before."""
         ended: list[Ended[T]] = []
         for entry in (*self.out, *self.waiting):
             if not self.may_have_left(entry):
-                ended.append(Ended(entry.item, Ending.UNREACHABLE))
+                ended.append(Ended(entry.item, Outcome.UNREACHABLE))
             elif entry.called_off:
-                ended.append(Ended(entry.item, Ending.CANCELLED))
+                ended.append(Ended(entry.item, Outcome.CANCELLED))
             else:
-                ended.append(Ended(entry.item, ending if entry is cause else Ending.RESET))
+                ended.append(Ended(entry.item, ending if entry is cause else Outcome.RESET))
         self.out.clear()
         self.waiting.clear()
         return ended
--- a/glenchute/policy/connections/pipelining.py
+++ b/glenchute/policy/connections/pipelining.py
@@ -24,7 +24,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ..interface import Repeat, RequestClass
+from ..settings import Idempotency, RequestClass
 from .class_compatibility import Behind, Sharing
 from .depth_limit import Depth
 from .service_times import ServiceTimes
@@ -82,13 +82,13 @@
     attempt, as far as numbers and routes go; `write_by`: repeats are dropped until then (inf: not yet sent).
     A further attempt is of use as long as the decision module thinks so, which is `Gateway.may_repeat`'s
     reckoning."""
-    due = came + cls.aim_ms
-    useful = deadline if cls.late_worth > 0 else min(deadline, due)
+    due = came + cls.latency_objective_ms
+    useful = deadline if cls.late_weight_fraction > 0 else min(deadline, due)
     rescue_by = useful - max(COARSE_MS, mean_ms)
-    if cls.repeat is Repeat.KEYED:
+    if cls.idempotency is Idempotency.WITH_KEY:
         # What is cut may have run from its first byte on: the next one must leave while that is remembered.
-        rescue_by = min(rescue_by, write_by - COARSE_MS, began + cls.memory_ms - MEMORY_MARGIN_MS)
-    if cls.repeat is Repeat.UNSAFE or not again:
+        rescue_by = min(rescue_by, write_by - COARSE_MS, began + cls.idempotency_window_ms - MEMORY_MARGIN_MS)
+    if cls.idempotency is Idempotency.NON_IDEMPOTENT or not again:
         rescue_by = -math.inf
     return Job(cls.name, until, due, rescue_by, depth)
 
--- a/glenchute/policy/endpoints/polling.py
+++ b/glenchute/policy/endpoints/polling.py
@@ -28,7 +28,7 @@
 from dataclasses import replace
 from typing import NamedTuple
 
-from ..interface import ListKind, ServerEntry, ServerList, ServerState
+from ..events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from . import notification as told
 
 # A watch waits so long for news; what it waits for counts as told 2 s after that. Each end of a wait costs
@@ -195,14 +195,14 @@
 
     def __init__(self) -> None:
         self.version = -1  # of the list in force
-        self.servers: dict[str, ServerEntry] = {}  # ... and who is on it, as they may be used
+        self.servers: dict[str, Endpoint] = {}  # ... and who is on it, as they may be used
         self.working = 0  # of these, how many took work when it came into force
         self.seen: tuple[int, frozenset[str]] | None = None  # a list in doubt
 
-    def takes(self, version: int, news: ServerList, serving: bool) -> bool:
+    def takes(self, version: int, news: EndpointList, serving: bool) -> bool:
         """Whether this answer may come into force. `serving`: servers of the list held answer now."""
-        if news.kind is ListKind.FULL:
-            names = frozenset(entry.server for entry in news.entries)
+        if news.kind is EndpointListKind.FULL:
+            names = frozenset(entry.address for entry in news.endpoints)
             odd = version < self.version or self.lacking(names, frozenset(self.servers))
             if odd and not (self.said_again(version, names) and (names or not serving)):
                 self.seen = version, names
@@ -221,28 +221,28 @@
             return False
         return not self.lacking(names, self.seen[1]) and (bool(self.seen[1]) or not names)
 
-    def forbids(self, news: ServerList) -> tuple[ServerEntry, ...]:
+    def forbids(self, news: EndpointList) -> tuple[Endpoint, ...]:
         """Servers that a doubted list has draining or gone, and that were used until now: they get nothing
         new from now on, and the next list that is taken tells whether they come back. None, where fewer than
         half of those that took work would be left: a false list must not end service, and the second word is
         asked for at once."""
-        named = {entry.server for entry in news.entries if entry.state is not ServerState.ACTIVE}
-        working = [entry for entry in self.servers.values() if entry.state is ServerState.ACTIVE]
-        stopped = [entry for entry in working if entry.server in named]
+        named = {entry.address for entry in news.endpoints if entry.state is not EndpointState.ACTIVE}
+        working = [entry for entry in self.servers.values() if entry.state is EndpointState.ACTIVE]
+        stopped = [entry for entry in working if entry.address in named]
         if len(working) - len(stopped) < self.HALF * self.working:
             return ()
-        found = tuple(replace(entry, state=ServerState.DRAINING) for entry in stopped)
-        self.servers.update({entry.server: entry for entry in found})
+        found = tuple(replace(entry, state=EndpointState.DRAINING) for entry in stopped)
+        self.servers.update({entry.address: entry for entry in found})
         return found
 
-    def follow(self, version: int, news: ServerList) -> None:
+    def follow(self, version: int, news: EndpointList) -> None:
         """This is in force now."""
-        if news.kind is not ListKind.CHANGES:
+        if news.kind is not EndpointListKind.CHANGES:
             self.servers = {}
-        for entry in news.entries:
-            if entry.state is ServerState.GONE:
-                self.servers.pop(entry.server, None)
+        for entry in news.endpoints:
+            if entry.state is EndpointState.REMOVED:
+                self.servers.pop(entry.address, None)
             else:
-                self.servers[entry.server] = entry
-        self.working = sum(entry.state is ServerState.ACTIVE for entry in self.servers.values())
+                self.servers[entry.address] = entry
+        self.working = sum(entry.state is EndpointState.ACTIVE for entry in self.servers.values())
         self.version, self.seen = version, None
--- a/glenchute/policy/lifecycle/handover.py
+++ b/glenchute/policy/lifecycle/handover.py
@@ -14,14 +14,27 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from ..interface import Stock
+from ..events import QuotaSnapshot
 
 FORMAT = 1
 MOST_STOCKS = 10_000  # customers that are handed over, those seen last first
 MOST_BYTES = 4 * 1024 * 1024
 MOST_UNITS = 1e12
 LEAST_SHARE = 0.25  # of the gateway's descriptors, for either process
-FIELDS = Stock.__match_args__
+# The names of the columns between processes of any version, in the order of `QuotaSnapshot`'s fields.
+FIELDS = (
+    "customer",
+    "plan",
+    "spread",
+    "store",
+    "guard",
+    "own",
+    "others",
+    "told_own",
+    "told_all",
+    "window_ms",
+    "total",
+)
 
 
 class SuccessionError(ValueError):
@@ -32,7 +45,7 @@
     """What the process before told."""
 
     share: float  # of the gateway's descriptors that it leaves to the next one
-    stocks: tuple[Stock, ...]
+    stocks: tuple[QuotaSnapshot, ...]
 
 
 def keeps(held: int, whole: int) -> float:
@@ -41,9 +54,9 @@
     return min(1.0 - LEAST_SHARE, max(0.5, (held + whole / 8) / whole))
 
 
-def message(gateway: str, share: float, stocks: Sequence[Stock]) -> bytes:
+def message(gateway: str, share: float, stocks: Sequence[QuotaSnapshot]) -> bytes:
     """What a process tells the next one, of the gateway of this name."""
-    rows = [[getattr(stock, name) for name in FIELDS] for stock in stocks[:MOST_STOCKS]]
+    rows = [[getattr(stock, name) for name in QuotaSnapshot.__match_args__] for stock in stocks[:MOST_STOCKS]]
     for row in rows:
         row[:] = [None if value == math.inf else value for value in row]
     told = {"format": FORMAT, "gateway": gateway, "share": share, "fields": FIELDS, "stocks": rows}
@@ -71,7 +84,7 @@
     return Told(share, tuple([stock(row) for row in rows]))
 
 
-def stock(row: Any) -> Stock:
+def stock(row: Any) -> QuotaSnapshot:
     """One customer's."""
     if not isinstance(row, list) or len(row) != len(FIELDS):
         raise SuccessionError("a customer's row is not whole")
@@ -81,11 +94,19 @@
     if type(spread) is not int or not 1 <= spread <= 1_000_000:
         raise SuccessionError("a spread out of range")
     store, guard, own, others, told_own, told_all = [number(v, -MOST_UNITS, MOST_UNITS) for v in plain]
-    return Stock(
-        customer=customer, plan=plan, spread=spread, store=store, guard=guard, own=own, others=others,
-        told_own=told_own, told_all=told_all, window_ms=number(window, -1e15, 1e15),
-        total=math.inf if total is None else number(total, -MOST_UNITS, MOST_UNITS),
-    )  # fmt: skip
+    return QuotaSnapshot(
+        tenant=customer,
+        plan=plan,
+        gateway_spread=spread,
+        bucket_units=store,
+        ceiling_guard_units=guard,
+        own_demand_per_s=own,
+        others_demand_per_s=others,
+        reported_own_units=told_own,
+        reported_units=told_all,
+        window_start_ms=number(window, -1e15, 1e15),
+        window_total_units=math.inf if total is None else number(total, -MOST_UNITS, MOST_UNITS),
+    )
 
 
 def number(value: Any, least: float, most: float) -> float:
--- a/glenchute/policy/membership/endpoint_health.py
+++ b/glenchute/policy/membership/endpoint_health.py
@@ -21,7 +21,7 @@
 import random
 from typing import NamedTuple
 
-from ..interface import Avoid, Ending
+from ..events import AvoidEndpoint, Outcome
 from .replica import Kind, Row
 
 FIRST_S, MOST_S = 1.0, 2.0  # pauses that are told, doubled at each look that fails
@@ -61,9 +61,9 @@
 
     # --- this process' own tries -------------------------------------------------------------------------
 
-    def ended(self, now: float, server: str, ending: Ending) -> Row | None:
+    def ended(self, now: float, server: str, ending: Outcome) -> Row | None:
         """An attempt's ending here; the row to be told on, if it is news to the others."""
-        if ending is Ending.UNREACHABLE:
+        if ending is Outcome.UNREACHABLE:
             own = self.own.get(server)
             if own is not None and now < own.until:
                 return None  # of the same look
@@ -73,7 +73,7 @@
             self.own[server] = Own(pause, now + pause)
             self.answered.pop(server, None)
             return self.row(server, pause)
-        if ending in (Ending.TIMEOUT, Ending.UNSENT, Ending.CANCELLED):
+        if ending in (Outcome.TIMEOUT, Outcome.NOT_SENT, Outcome.CANCELLED):
             return None  # tells nothing of whether it can be reached
         self.answered.pop(server, None)
         self.answered[server] = now
@@ -152,9 +152,9 @@
             return 0.0
         return max(word.stays for word in words.values()) - now
 
-    def taken(self, now: float, servers: int) -> list[Avoid]:
+    def taken(self, now: float, servers: int) -> list[AvoidEndpoint]:
         """What the module is to be told since the last call."""
         if not self.due:
             return []  # as before nearly every request
         due, self.due = self.due, {}
-        return [Avoid(server, 1000.0 * self.pause(now, server, servers)) for server in due]
+        return [AvoidEndpoint(server, 1000.0 * self.pause(now, server, servers)) for server in due]
--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -27,7 +27,7 @@
 from typing import NamedTuple
 
 from ..endpoints import notification as told
-from ..interface import ServerState
+from ..events import EndpointState
 from .task_candidates import CANDIDATES, rank
 
 ASKERS = CANDIDATES  # the same members, whether they ask by rank or by lease
@@ -93,7 +93,7 @@
     body: Body
 
 
-STATES = {ServerState.ACTIVE: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
+STATES = {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 1, EndpointState.REMOVED: 2}
 
 
 class ListShare:
--- a/glenchute/policy/membership/gossiped_drains.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -21,20 +21,20 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from ..interface import ServerEntry, ServerState
+from ..events import Endpoint, EndpointState
 
 SETTLE_S = 6.0  # a change counts as told to everybody after this
 DISTRUST_S = 60.0
 MOST_SHARE = 0.5
 MOST_WORDS = 5_000
-STATES = (ServerState.DRAINING, ServerState.GONE)
+STATES = (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
 class Word(NamedTuple):
     """One server's word on trial: who passed it on here, and when it was made."""
 
     version: int
-    state: ServerState
+    state: EndpointState
     sender: str
     made: float
 
@@ -51,23 +51,23 @@
 
     def __init__(self) -> None:
         self.version = -1  # of discovery's last answer
-        self.entries: dict[str, ServerEntry] = {}  # servers that take work, by discovery
+        self.entries: dict[str, Endpoint] = {}  # servers that take work, by discovery
         self.words: dict[str, Word] = {}  # on trial, and in force
         self.distrusted: dict[str, float] = {}  # servers of which no member's word counts, until then
         self.denied = self.beyond = 0
 
-    def listed(self, version: int, full: bool, entries: Iterable[ServerEntry]) -> None:
+    def listed(self, version: int, full: bool, entries: Iterable[Endpoint]) -> None:
         """A list or changes of discovery, before they come into force; they settle what they tell of."""
         entries = tuple(entries)
         if full:
             self.entries.clear()
             self.words.clear()  # a whole list says of each server what is so
         for entry in entries:
-            self.words.pop(entry.server, None)
-            if entry.state is ServerState.ACTIVE:
-                self.entries[entry.server] = entry
+            self.words.pop(entry.address, None)
+            if entry.state is EndpointState.ACTIVE:
+                self.entries[entry.address] = entry
             else:
-                self.entries.pop(entry.server, None)
+                self.entries.pop(entry.address, None)
         self.version = version
 
     def heard(self, now: float, server: str, version: int, rank: float, age_s: float, sender: str) -> bool:
@@ -79,7 +79,7 @@
             return False
         state = STATES[rank >= 2.0]
         if known is not None:
-            stronger = state is ServerState.GONE and known.state is not ServerState.GONE
+            stronger = state is EndpointState.REMOVED and known.state is not EndpointState.REMOVED
             if not stronger:
                 return False
         elif len(self.words) >= min(MOST_WORDS, MOST_SHARE * len(self.entries)):
@@ -88,10 +88,10 @@
         self.words[server] = Word(version, state, sender, now - age_s)
         return True
 
-    def confirmed(self, now: float, version: int) -> tuple[list[ServerEntry], list[Denied]]:
+    def confirmed(self, now: float, version: int) -> tuple[list[Endpoint], list[Denied]]:
         """Discovery has just said that `version` is its newest. Servers that are given back, and why."""
         self.version = version
-        back: list[ServerEntry] = []
+        back: list[Endpoint] = []
         denied: list[Denied] = []
         for server, word in list(self.words.items()):
             # Where discovery is past it, it has told this process all changes on the way: had the word been
--- a/glenchute/policy/membership/usage.py
+++ b/glenchute/policy/membership/usage.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from ..admission.windows import span_of
-from ..interface import Plan
+from ..settings import Plan
 from .replica import Kind, Row
 
 MOST_WINDOWS = 10_000
@@ -30,7 +30,7 @@
 
 def allowance(plan: Plan) -> float:
     """Units of a window of which half can be let in, in any two windows in a row, out of any store."""
-    return min(plan.burst, plan.rate * span_of(plan) / 1000.0)
+    return min(plan.burst_units, plan.rate_per_s * span_of(plan) / 1000.0)
 
 
 @dataclass(slots=True)
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -16,9 +16,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from ..admission.epoch_markers import mark_of
+from ..admission.epoch_markers import marker_value
 from ..admission.windows import span_of, stable, window_start
-from ..interface import Plan
+from ..settings import Plan
 from .replica import Kind, Row
 
 SETTLED_S = 3.0  # after a window's end all words of it have come, to the counter too
@@ -65,7 +65,7 @@
 
     def seen(self, account: str, plan: Plan) -> None:
         """A request of this account; only of such is the plan known, and with it where windows end."""
-        if plan.rate and account not in self.plans:
+        if plan.rate_per_s and account not in self.plans:
             if len(self.plans) >= MOST_ACCOUNTS:
                 del self.plans[next(iter(self.plans))]
             self.plans[account] = plan
@@ -90,7 +90,9 @@
             if len(self.looked) > MOST_LOOKED:
                 del self.looked[next(iter(self.looked))]
             plan = self.plans[account]
-            mark = mark_of(plan.burst, plan.rate, span_of(plan) / 1000.0, plan.ceiling_burst)
+            mark = marker_value(
+                plan.burst_units, plan.rate_per_s, span_of(plan) / 1000.0, plan.ceiling_burst_units
+            )
             name = stable(f"{account}/{begins}")
             looks.append(Look(account, plan, begins, name, told[account, begins], mark))
         return looks
@@ -110,7 +112,7 @@
         self.compared += 1
         units = total - round(total / look.mark) * look.mark
         most = SLACK + SHARE * max(look.told, units)
-        less, more = units < look.told - most, units > look.told + most and not look.plan.ceiling_rate
+        less, more = units < look.told - most, units > look.told + most and not look.plan.ceiling_rate_per_s
         if not less and not more:
             self.runs.pop(look.account, None)
             self.apart.pop(look.account, None)
--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -10,8 +10,9 @@
 import re
 from enum import Enum
 
-from ..interface import Ending, Repeat
+from ..events import Outcome
 from ..record import record
+from ..settings import Idempotency
 
 # Response code details of a proxy's own replies, as Envoy's page "Response code details" lists them. Only
 # these prove that no byte reached a node; every other one, and any of tomorrow's, counts as "may have run".
@@ -24,37 +25,37 @@
 CALLED_OFF = re.compile(r"downstream_remote_disconnect|downstream_local_disconnect")
 
 
-def ending(status: int, details: str, full_status: int) -> Ending:
+def ending(status: int, details: str, full_status: int) -> Outcome:
     """An attempt's ending from what the proxy saw: the status of the response (0: none), and the response
     code details where the proxy sends that attribute. `full_status`: the status by which nodes turn a
     request away unseen, 0 if they have none."""
     if details.startswith("via_upstream") or not details:
         pass
     elif UNSENT_DETAILS.match(details):
-        return Ending.UNREACHABLE
+        return Outcome.UNREACHABLE
     elif TIMEOUT_DETAILS.match(details):
-        return Ending.TIMEOUT
+        return Outcome.TIMEOUT
     elif CALLED_OFF.match(details):
-        return Ending.CANCELLED
+        return Outcome.CANCELLED
     elif details.startswith("upstream_reset"):
-        return Ending.RESET
+        return Outcome.RESET
     if full_status and status == full_status:
-        return Ending.FULL
+        return Outcome.REJECTED
     if 200 <= status < 500:
-        return Ending.OK
+        return Outcome.OK
     if status == 504 and not details:
-        return Ending.TIMEOUT  # a proxy that says no more
-    return Ending.ERROR if status else Ending.RESET
+        return Outcome.TIMEOUT  # a proxy that says no more
+    return Outcome.ERROR if status else Outcome.RESET
 
 
-def may_follow(repeat: Repeat, open_after_restart: bool, age_ms: float, memory_ms: float) -> bool:
+def may_follow(repeat: Idempotency, open_after_restart: bool, age_ms: float, memory_ms: float) -> bool:
     """Whether a request that another process decided on `age_ms` ago may be sent, though nobody here knows
     whether it was sent before. An unsafe one never; a keyed one while the nodes drop repeats, by the age of
     its first decision, which is before its first sending; where the operator has the class closed, none. An
     age below zero is another clock's or a forgery, and proves nothing."""
-    if not open_after_restart or repeat is Repeat.UNSAFE or age_ms < 0.0:
+    if not open_after_restart or repeat is Idempotency.NON_IDEMPOTENT or age_ms < 0.0:
         return False
-    return repeat is Repeat.SAFE or age_ms < memory_ms - 5.0
+    return repeat is Idempotency.IDEMPOTENT or age_ms < memory_ms - 5.0
 
 
 class Gate(Enum):
--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ..interface import Ending
+from ..events import Outcome
 
 CREDIT_S = 10.0  # what requests put into a retry budget fades with this time constant
 LEAST_STORE_S = 1.0  # the steady part of a budget holds what comes in this long, one attempt at least
@@ -67,7 +67,7 @@
     attempt_timeout_ms: float = 0.0
     attempts: int = 0
     backoff: Backoff | None = None
-    causes: frozenset[Ending] | None = None
+    causes: frozenset[Outcome] | None = None
     copy_after_ms: float = 0.0
     budget: BudgetRule | None = None
     depth: int = 0  # attempts on one connection to a node, where connections are shared; 1: alone
@@ -132,7 +132,7 @@
         self.started = 0
         self.reserved = False
 
-    def after(self, now: float, ending: Ending) -> float:
+    def after(self, now: float, ending: Outcome) -> float:
         """Milliseconds to wait before a further attempt after this ending; `NEVER` for none. Each call
         replaces what the last one granted."""
         self.close()
@@ -146,7 +146,7 @@
         self.reserved = True
         return route.backoff.draw(max(1, self.started), self.rng) if route.backoff is not None else 0.0
 
-    def again(self, ending: Ending) -> bool:
+    def again(self, ending: Outcome) -> bool:
         """Whether the route's number and causes leave a further attempt after this ending. Its budget may
         still refuse that one: what it grants is for endings, not for prospects."""
         route = self.route
--- a/glenchute/protocol/member_datagrams.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -11,17 +11,9 @@
 import msgspec
 
 from glenchute.clients.discovery import address
-from glenchute.policy.membership import (
-    direct_messages as directmail,
-)
-from glenchute.policy.membership import (
-    endpoint_sharing as coldstart,
-)
-from glenchute.policy.membership import (
-    gossip,
-    leases,
-    members,
-)
+from glenchute.policy.membership import direct_messages as directmail
+from glenchute.policy.membership import endpoint_sharing as coldstart
+from glenchute.policy.membership import gossip, leases, members
 from glenchute.policy.membership.gossip import Body
 from glenchute.policy.membership.replica import BUCKETS, Kind, Row
 
--- a/glenchute/simulator.py
+++ b/glenchute/simulator.py
@@ -11,36 +11,61 @@
 from enum import Enum
 from typing import Any, TextIO, TypeVar
 
-from glenchute.policy.engine import Gateway
-
-from .policy import interface as api
+from glenchute.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendState,
+    SetTimer,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Outcome,
+    Request,
+    ResponseStarted,
+    TimerFired,
+)
+from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
 
 ENDINGS = {
-    "pass": api.Ending.OK,
-    "fault": api.Ending.ERROR,
-    "no_room": api.Ending.FULL,
-    "too_slow": api.Ending.TIMEOUT,
-    "no_route": api.Ending.UNREACHABLE,
-    "cut": api.Ending.RESET,
-    "undone": api.Ending.CANCELLED,
-    "stale_send": api.Ending.UNSENT,
+    "pass": Outcome.OK,
+    "fault": Outcome.ERROR,
+    "no_room": Outcome.REJECTED,
+    "too_slow": Outcome.TIMEOUT,
+    "no_route": Outcome.UNREACHABLE,
+    "cut": Outcome.RESET,
+    "undone": Outcome.CANCELLED,
+    "stale_send": Outcome.NOT_SENT,
 }
 REPEATS = {
-    "read_like": api.Repeat.SAFE,
-    "idempotency_key": api.Repeat.KEYED,
-    "non_idempotent": api.Repeat.UNSAFE,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.WITH_KEY,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
+SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
 STATES = {
-    "active": api.ServerState.ACTIVE,
-    "leaving": api.ServerState.DRAINING,
-    "left": api.ServerState.GONE,
+    "active": EndpointState.ACTIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
 }
 LISTS = {
-    "incr": api.ListKind.CHANGES,
-    "total": api.ListKind.FULL,
-    "warm_copy": api.ListKind.SAVED,
-    "lost": api.ListKind.FAILED,
+    "incr": EndpointListKind.CHANGES,
+    "total": EndpointListKind.FULL,
+    "warm_copy": EndpointListKind.CACHED,
+    "lost": EndpointListKind.FAILED,
 }
 WIDTHS = {
     "create": 3, "shutdown": 1, "directory": 2, "topology": 4, "accept": 11, "streaming": 4, "ended": 10,
@@ -66,7 +91,7 @@
         raise WireError(f"unknown {what} {value!r}") from None
 
 
-def settings(raw: dict[str, Any]) -> api.Settings:
+def settings(raw: dict[str, Any]) -> Settings:
     """The settings of one gateway; unknown keys are passed over, missing ones get the safest reading."""
 
     def part(key: str) -> dict[str, Any]:
@@ -79,53 +104,53 @@
 
     limits, safety, family, prices = part("limits"), part("safety"), part("domain"), part("prices")
     classes = tuple(
-        api.RequestClass(
+        RequestClass(
             name=str(row.get("name")),
-            aim_ms=num(row.get("aim_ms"), num(row.get("hard_limit_ms"), 1000.0)),
-            worth=num(row.get("importance"), 1.0),
-            repeat=REPEATS.get(str(row.get("repeat")), api.Repeat.UNSAFE),
-            scope=SCOPES.get(str(row.get("group")), api.Scope.CELL),
-            memory_ms=num(row.get("memory_span_ms")),
-            late_worth=num(row.get("late_worth")),
+            latency_objective_ms=num(row.get("aim_ms"), num(row.get("hard_limit_ms"), 1000.0)),
+            priority_weight=num(row.get("importance"), 1.0),
+            idempotency=REPEATS.get(str(row.get("repeat")), Idempotency.NON_IDEMPOTENT),
+            idempotency_scope=SCOPES.get(str(row.get("group")), IdempotencyScope.CELL),
+            idempotency_window_ms=num(row.get("memory_span_ms")),
+            late_weight_fraction=num(row.get("late_worth")),
         )
         for row in rows("profiles")
     )
     plans = tuple(
-        api.Plan(
+        Plan(
             name=str(row.get("name")),
             price=num(row.get("price"), 1.0),
-            rate=num(row.get("per_second")),
-            burst=num(row.get("most_at_once")),
-            max_open=int(num(row.get("max_out"))),
-            ceiling_rate=num(row.get("ceiling_rate")),
-            ceiling_burst=num(row.get("hard_burst")),
-            ceiling_slack=num(row.get("ceiling_slack")),
-            beyond_worth=num(row.get("excess_worth")),
-            beyond_cost=num(row.get("beyond_costs")),
+            rate_per_s=num(row.get("per_second")),
+            burst_units=num(row.get("most_at_once")),
+            max_concurrent=int(num(row.get("max_out"))),
+            ceiling_rate_per_s=num(row.get("ceiling_rate")),
+            ceiling_burst_units=num(row.get("hard_burst")),
+            ceiling_slack_units=num(row.get("ceiling_slack")),
+            over_quota_weight_fraction=num(row.get("excess_worth")),
+            over_quota_cost_fraction=num(row.get("beyond_costs")),
         )
         for row in rows("packages")
     )
-    rules = api.Safety()
-    return api.Settings(
+    rules = SlowStart()
+    return Settings(
         zone=str(raw.get("my_zone")),
-        gateways=max(1, int(num(raw.get("balancers"), 1))),
+        gateway_count=max(1, int(num(raw.get("balancers"), 1))),
         classes=classes,
         plans=plans,
-        safety=api.Safety(
-            cold_share=num(safety.get("cold_from"), rules.cold_share),
-            warm_ms=num(safety.get("warm_after_ms"), rules.warm_ms),
+        slow_start=SlowStart(
+            initial_fraction=num(safety.get("cold_from"), rules.initial_fraction),
+            warm_up_ms=num(safety.get("warm_after_ms"), rules.warm_up_ms),
             overload_factor=num(safety.get("overload_factor"), rules.overload_factor),
-            overload_ms=num(safety.get("fall_ms"), rules.overload_ms),
+            overload_window_ms=num(safety.get("fall_ms"), rules.overload_window_ms),
         ),
         max_attempts=int(num(limits.get("attempts_cap"), 1)),
         max_requests=int(num(limits.get("max_open"), 20000)),
         max_retry_after_ms=num(limits.get("max_retry_after_ms")) if limits.get("retry_after") else 0.0,
-        counter=bool(family.get("counter")),
+        has_counter=bool(family.get("counter")),
         counter_timeout_ms=num(family.get("counter_timeout_ms"), 50.0),
-        subscribe=raw.get("membership_mode") == "subscribe",
-        sizes_known=raw.get("weight_kind") in ("nominal", "rough"),
+        must_subscribe=raw.get("membership_mode") == "subscribe",
+        weights_known=raw.get("weight_kind") in ("nominal", "rough"),
         cross_zone_price=num(prices.get("cross_zone")),
-        overlap=limits.get("second_copies") is True,
+        allows_hedging=limits.get("second_copies") is True,
     )
 
 
@@ -133,9 +158,9 @@
     """All gateways of one process, by their ids. They share the numbered lists of the wire, nothing else."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
+        self.gateways: dict[int, DecisionEngine] = {}
         self.fields: dict[int, list[str]] = {}
-        self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self.lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def batch(self, text: str) -> str:
         """Answers one line of the wire."""
@@ -180,61 +205,61 @@
             raise WireError(f"can't read event ({error!r}): {json.dumps(raw)[:200]}") from error
         try:
             if kind == "create":
-                self.gateways[gid] = Gateway(made, seed)
+                self.gateways[gid] = DecisionEngine(made, seed)
                 return []
             actions = self.gateways[gid].handle(now, event) if event is not None else []
         except Exception as error:  # the wire wants the text of any failure of the decisions
             return [["die", gid, f"{type(error).__name__}: {error}"]]
         return [encode(gid, action) for action in actions]
 
-    def entry(self, row: list[Any]) -> api.ServerEntry:
+    def entry(self, row: list[Any]) -> Endpoint:
         """One server of a list."""
         hint, started, zone, cell, _kind, server, state = (list(row) + [None] * 7)[:7]
-        return api.ServerEntry(
-            server=str(server),
+        return Endpoint(
+            address=str(server),
             zone=str(zone),
             cell=int(num(cell)),
-            size=num(hint, 1.0),
+            weight=num(hint, 1.0),
             started_ms=num(started),
             state=word(STATES, state, "server state"),
         )
 
-    def decode(self, kind: str, gid: int, args: list[Any]) -> api.Event | None:
+    def decode(self, kind: str, gid: int, args: list[Any]) -> Event | None:
         """An event in the interface's terms; None for what no decision needs."""
         if kind == "accept":
-            return api.Request(
+            return Request(
                 request_id=str(args[1]),
                 class_name=str(args[2]),
                 plan=str(args[3]),
-                customer=str(args[4]),
+                tenant=str(args[4]),
                 time_left_ms=num(args[5]),
                 units=num(args[6], 1.0),
-                spread=max(1, int(num(args[7], 1))),
+                gateway_spread=max(1, int(num(args[7], 1))),
             )
         if kind == "ended":
             report = dict(zip(self.fields.get(gid, []), args[9] or [], strict=False))
-            return api.AttemptEnded(
+            return AttemptEnded(
                 request_id=str(args[1]),
                 attempt=int(num(args[2])),
-                server=str(args[3]),
-                ending=word(ENDINGS, args[4], "outcome"),
-                took_ms=num(args[5]),
-                final=bool(args[6]),
-                queue=optional(report.get("waiting")),
-                active=optional(report.get("active")),
+                address=str(args[3]),
+                outcome=word(ENDINGS, args[4], "outcome"),
+                duration_ms=num(args[5]),
+                is_final=bool(args[6]),
+                queued_requests=optional(report.get("waiting")),
+                active_requests=optional(report.get("active")),
             )
         if kind == "topology":
             how = word(LISTS, args[1], "list kind")
-            return api.ServerList(how, () if how is api.ListKind.FAILED else self.lists[int(args[3])])
+            return EndpointList(how, () if how is EndpointListKind.FAILED else self.lists[int(args[3])])
         if kind == "gone":
-            return api.RequestGone(str(args[1]))
+            return ClientDisconnected(str(args[1]))
         if kind == "alarm":
-            return api.TimerFired(int(args[1]))
+            return TimerFired(int(args[1]))
         if kind == "ledger_reply":
             ending = word(ENDINGS, args[4], "outcome")
-            return api.CountReply(int(args[2]), num(args[3]), ending, num(args[1]))
+            return CounterReply(int(args[2]), num(args[3]), ending, num(args[1]))
         if kind == "streaming":
-            return api.AnswerBegan(str(args[1]), int(num(args[2])))
+            return ResponseStarted(str(args[1]), int(num(args[2])))
         return None  # probes and messages to peers are never asked for
 
 
@@ -243,26 +268,26 @@
     return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
-def encode(gid: int, action: api.Action) -> list[Any]:
+def encode(gid: int, action: Action) -> list[Any]:
     """An action in the wire's form."""
     match action:
-        case api.Send(request_id, server, timeout_ms):
+        case StartAttempt(request_id, server, timeout_ms):
             return ["hand_off", gid, request_id, timeout_ms, server]
-        case api.Refuse(request_id, retry_after_ms):
+        case Reject(request_id, retry_after_ms):
             return ["bounce", gid, request_id, retry_after_ms]
-        case api.Fail(request_id):
+        case Fail(request_id):
             return ["give_up", gid, request_id]
-        case api.Cancel(request_id, attempt):
+        case CancelAttempt(request_id, attempt):
             return ["recall", gid, request_id, attempt]
-        case api.SetTimer(token, at_ms):
+        case SetTimer(token, at_ms):
             return ["remind", gid, token, at_ms]
-        case api.Count(name, amount, ttl_ms):
+        case IncrementCounter(name, amount, ttl_ms):
             return ["incr", gid, name, amount, ttl_ms]
-        case api.Subscribe():
+        case SubscribeToEndpoints():
             return ["tail", gid, True]
-        case api.Log(message):
+        case LogMessage(message):
             return ["say_log", gid, message]
-        case api.HandOver():
+        case SendState():
             raise WireError("the simulator's gateways have no second process")
 
 
--- a/glenchute/upstreams/connection_pool.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -15,7 +15,7 @@
 from glenchute.core.types import About, Address, Result, Source
 from glenchute.policy.connections.hedged_connects import Budget, Usual
 from glenchute.policy.connections.streaming_turns import Turns
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.policy.record import record
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.streamed_reply import LongReply
@@ -47,16 +47,16 @@
     """A server's reply as PROTOCOL's table reads it. Only the exact forms count: what was spoilt on its way
     has run, so it must neither be served nor pass for a request that never ran."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
-        return Result(Ending.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
+        return Result(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
     if isinstance(reply, resp.ReplyError):
         text, _, last = str(reply).rpartition(" ")
         report = last.encode() if LOAD.fullmatch(last) else None
         if report is None:
             text = str(reply)
         if text == "BUSY":
-            return Result(Ending.FULL, None, report, True)
-        return Result(Ending.ERROR, None, report, text == "ERR failed")
-    return Result(Ending.ERROR)
+            return Result(Outcome.REJECTED, None, report, True)
+        return Result(Outcome.ERROR, None, report, text == "ERR failed")
+    return Result(Outcome.ERROR)
 
 
 class Connection(asyncio.Protocol):
@@ -106,7 +106,7 @@
     def answered(self, attempt: Attempt, result: Result, more: bool) -> None:
         """The answer has come whole; `more`: with bytes behind it."""
         sound = result.sound and not more
-        if not sound and result.ending is not Ending.OK:
+        if not sound and result.ending is not Outcome.OK:
             self.spoilt()
             return
         self.attempt = None
@@ -133,7 +133,7 @@
     def spoilt(self) -> None:
         """What came is no answer, but the request may have run."""
         if self.attempt is not None and self.attempt.result is None:
-            self.attempt.result = Result(Ending.ERROR)
+            self.attempt.result = Result(Outcome.ERROR)
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -147,7 +147,7 @@
             # uvloop closes the socket only after this call. The ending may start another attempt, which must
             # not reach a server while this one is still out, so it is told in the loop's next round.
             # The request was handed to the kernel whole, or may have been: reset, never "did not run".
-            result = attempt.result or Result(Ending.RESET)
+            result = attempt.result or Result(Outcome.RESET)
             self.pool.servers.loop.call_soon(attempt.finish, result)
 
     def abort(self) -> None:
@@ -252,7 +252,7 @@
         """Sends it, or begins to."""
         raise NotImplementedError
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: Outcome) -> None:
         """A time-out or a cancel. The ending is told once the connection is closed."""
         raise NotImplementedError
 
@@ -295,12 +295,12 @@
     def start(self) -> None:
         """Writes at once on an idle connection, else opens one, and another beside it if that is late."""
         servers = self.pool.servers
-        self.timer = servers.loop.call_at(self.until, self.stop, Ending.TIMEOUT)
+        self.timer = servers.loop.call_at(self.until, self.stop, Outcome.TIMEOUT)
         conn = self.pool.take()
         if conn is not None:
             self.write(conn)
         elif not servers.make_room():
-            self.finish(Result(Ending.UNREACHABLE))
+            self.finish(Result(Outcome.UNREACHABLE))
         else:
             self.open()
             connect_s = servers.limits.connect_s
@@ -348,7 +348,7 @@
         pool.beside.came_up()
         if pool.stop_at is not None and servers.loop.time() > pool.stop_at:
             conn.abort()  # the drain's grace ended while this connection came up
-            self.finish(Result(Ending.UNREACHABLE))
+            self.finish(Result(Outcome.UNREACHABLE))
         else:
             self.write(conn)
 
@@ -362,7 +362,7 @@
         left = int(1000.0 * (self.until - now))
         if left < 1 or now > self.write_by or conn.transport is None or conn.transport.is_closing():
             conn.abort()
-            self.finish(Result(Ending.UNREACHABLE))
+            self.finish(Result(Outcome.UNREACHABLE))
             return
         self.conn, self.written = conn, True
         conn.attempt = self
@@ -370,7 +370,7 @@
 
     def no_connection(self) -> None:
         """The connection was refused or did not come up in time."""
-        self.finish(Result(Ending.UNREACHABLE))
+        self.finish(Result(Outcome.UNREACHABLE))
 
     def drop_connects(self) -> None:
         """Gives up what is coming up, but for the one that has just come."""
@@ -382,15 +382,15 @@
         for task in opening:
             task.cancel()
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: Outcome) -> None:
         """A time-out or a cancel. The ending is told once the connection is closed."""
         if self.ended or self.result is not None:
             return
         if self.conn is None:
             # Nothing was written: it can't have run. Called off, it says nothing of the server either.
-            self.finish(Result(Ending.UNREACHABLE if ending is Ending.TIMEOUT else Ending.UNSENT))
+            self.finish(Result(Outcome.UNREACHABLE if ending is Outcome.TIMEOUT else Outcome.NOT_SENT))
         else:
-            if ending is Ending.TIMEOUT:
+            if ending is Outcome.TIMEOUT:
                 # A machine that vanished says nothing, and resets what it finds open once it is back. Its
                 # other connections, unused for as long as this attempt, would then turn requests that never
                 # ran into resets, after which an unsafe one can't be tried again.
