--- a/glenchute/upstreams/pipelined.py
+++ b/glenchute/upstreams/pipelined.py
@@ -34,7 +34,8 @@
     Rules,
     job_of,
 )
-from glenchute.policy.interface import Ending, RequestClass
+from glenchute.policy.events import Outcome
+from glenchute.policy.settings import RequestClass
 from glenchute.protocol import resp2 as resp
 
 from .connection_pool import STALL_S, Connection, Limits, Pool, Servers, Underway, classify
@@ -73,7 +74,7 @@
 
     def start(self) -> None:
         """Finds its place."""
-        self.timer = self.pool.servers.loop.call_at(self.until, self.stop, Ending.TIMEOUT)
+        self.timer = self.pool.servers.loop.call_at(self.until, self.stop, Outcome.TIMEOUT)
         self.seek()
 
     def seek(self) -> None:
@@ -86,11 +87,11 @@
         while True:
             now = servers.loop.time()
             if now > self.write_by or (pool.stop_at is not None and now > pool.stop_at):
-                self.finish(Result(Ending.UNREACHABLE))
+                self.finish(Result(Outcome.UNREACHABLE))
                 return
             found = servers.place(self, now, now >= self.wait_until)
             if found.how is How.NONE or (found.how is How.WAIT and len(pool.waiting) >= MOST_WAITING):
-                self.finish(Result(Ending.UNREACHABLE))
+                self.finish(Result(Outcome.UNREACHABLE))
                 return
             if found.how is How.WAIT:
                 pool.waiting[self.ref] = self
@@ -103,7 +104,7 @@
                 self.conn = pool.opened(found.line)
                 if self.conn is None:
                     servers.pipeline.lost(1000.0 * now, found.line)
-                    self.finish(Result(Ending.UNREACHABLE))
+                    self.finish(Result(Outcome.UNREACHABLE))
                     return
                 break
             conn = pool.by_line.get(found.line)
@@ -118,9 +119,9 @@
     def unsend(self) -> None:
         """Its server drains: it ends, unless it was handed over meanwhile."""
         if not self.ended and not self.written:
-            self.stop(Ending.CANCELLED)
+            self.stop(Outcome.CANCELLED)
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: Outcome) -> None:
         """A time-out or a cancel. The ending is told once the connection is closed. An attempt that is called
         off while others stand on its connection only loses its reply: what it leaves behind is out until
         then, and no other attempt of its request goes."""
@@ -131,14 +132,14 @@
             if conn is not None:
                 conn.rest()
             # Nothing was handed over: it can't have run. Called off, it says nothing of the server either.
-            self.finish(Result(Ending.UNSENT if ending is Ending.UNSENT else Ending.UNREACHABLE))
-        elif ending is Ending.CANCELLED and len(conn.line) > 1:
+            self.finish(Result(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE))
+        elif ending is Outcome.CANCELLED and len(conn.line) > 1:
             entry.called_off = True
         else:
-            if ending is Ending.TIMEOUT:
+            if ending is Outcome.TIMEOUT:
                 # As in `resp2.Attempt.stop`: a machine that vanished resets what it finds open later.
                 self.pool.close_idle(self.started)
-            conn.cut(entry, ending, "its time is up" if ending is Ending.TIMEOUT else "called off")
+            conn.cut(entry, ending, "its time is up" if ending is Outcome.TIMEOUT else "called off")
 
     def let_go(self) -> None:
         super().let_go()
@@ -272,7 +273,7 @@
             if self.line.waiting:
                 self.book()
         for attempt in late:
-            attempt.finish(Result(Ending.UNREACHABLE))
+            attempt.finish(Result(Outcome.UNREACHABLE))
         if late:
             self.rest()
 
@@ -317,7 +318,7 @@
         """What was handed over has not left, and may not any more."""
         self.stuck = None
         if self.full and self.endings is None:
-            self.cut(None, Ending.RESET, "its bytes could no longer leave in time")
+            self.cut(None, Outcome.RESET, "its bytes could no longer leave in time")
 
     # --- reading -----------------------------------------------------------------------------------------
 
@@ -346,11 +347,11 @@
             else:
                 fault = "more than was asked for"
         if fault:
-            self.cut(None, Ending.RESET, fault)
+            self.cut(None, Outcome.RESET, fault)
             # What was spoilt may be tried again: that too must wait until the connection is closed.
             assert self.endings is not None
-            self.endings[:0] = [row for row in done if row[1].ending is not Ending.OK]
-            done = [row for row in done if row[1].ending is Ending.OK]
+            self.endings[:0] = [row for row in done if row[1].ending is not Outcome.OK]
+            done = [row for row in done if row[1].ending is Outcome.OK]
         elif done:
             self.rest()
         for attempt, result in done:
@@ -367,10 +368,10 @@
         entry, trusted = found
         result = classify(reply)
         if not trusted:
-            result = Result(Ending.ERROR)
-        self.lines.pipeline.answered(now, self.number, result.ending is Ending.OK)
+            result = Result(Outcome.ERROR)
+        self.lines.pipeline.answered(now, self.number, result.ending is Outcome.OK)
         if entry.called_off:
-            result = Result(Ending.CANCELLED, sound=result.sound)
+            result = Result(Outcome.CANCELLED, sound=result.sound)
         done.append((entry.item, result))
         if not trusted:
             return "a reply that may be another's"
@@ -382,7 +383,7 @@
         if self.line.may_have_left(entry):
             self.line.out.popleft()
             self.lines.pipeline.answered(now, self.number, False)
-            done.append((entry.item, Result(Ending.CANCELLED if entry.called_off else Ending.ERROR)))
+            done.append((entry.item, Result(Outcome.CANCELLED if entry.called_off else Outcome.ERROR)))
 
     def spoilt(self) -> None:
         """An answer that began does not go on."""
@@ -392,13 +393,13 @@
             self.sample()
             if self.line.out:
                 self.spoil_head(1000.0 * self.lines.loop.time(), done)
-            self.cut(None, Ending.RESET, "an answer that stopped midway")
+            self.cut(None, Outcome.RESET, "an answer that stopped midway")
             assert self.endings is not None
             self.endings[:0] = done
 
     # --- the end -----------------------------------------------------------------------------------------
 
-    def cut(self, cause: Entry[LineAttempt] | None, ending: Ending, why: str) -> None:
+    def cut(self, cause: Entry[LineAttempt] | None, ending: Outcome, why: str) -> None:
         """The gateway closes it. Each attempt's ending is fixed now and told when it is closed."""
         if self.endings is not None:
             return
@@ -599,7 +600,7 @@
         if attempt is None or attempt.conn is None or attempt.conn.number != line:
             return
         said = "its head is stalled" if why == "stall" else "those behind its head can't wait longer"
-        attempt.conn.cut(attempt.entry, Ending.RESET, said)
+        attempt.conn.cut(attempt.entry, Outcome.RESET, said)
 
     def sweep(self) -> None:
         """As before, with a line for the operators now and then."""
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -17,7 +17,7 @@
 
 from glenchute.core.types import Sink
 from glenchute.policy.connections.streaming_turns import Turns
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.protocol.streamed_reply import LongReply
 
 from .connection_pool import STALL_S, classify
@@ -157,7 +157,7 @@
         """Nobody wants it: the attempt ends with its connection."""
         self.dropped, self.sink, self.held = True, None, []
         if not self.over:
-            self.attempt.stop(Ending.CANCELLED)
+            self.attempt.stop(Outcome.CANCELLED)
 
     # --- whose turn it is --------------------------------------------------------------------------------
 
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from glenchute.policy.interface import Plan
 from glenchute.policy.membership.direct_messages import Asked, Letter, Mail, Post, Ring, numbers_of
 from glenchute.policy.membership.replica import Replica
 from glenchute.policy.membership.usage import Use
+from glenchute.policy.settings import Plan
 
 TICK = 0.025
 
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -26,9 +26,9 @@
     Result,
     Source,
 )
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway as Policy
-from glenchute.policy.interface import Ending, ListKind, ServerList
+from glenchute.policy.actions import Action
+from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.events import EndpointList, EndpointListKind, Event, Outcome
 from glenchute.upstreams.connection_pool import Servers
 from lab.load import Account, Kind
 from lab.scale.site import Arrival, Draw, Site, arrivals, sets
@@ -61,29 +61,29 @@
         """Sends nothing."""
         self.started = self.servers.loop.time()
         if self.servers.away(self.server):
-            self.timer = self.servers.loop.call_later(0.0005, self.end, Ending.UNREACHABLE)
+            self.timer = self.servers.loop.call_later(0.0005, self.end, Outcome.UNREACHABLE)
             return
         self.written = True
         self.servers.out += 1
         service = self.servers.service_s()
         late = service > self.timeout_s
         self.timer = self.servers.loop.call_later(
-            min(service, self.timeout_s), self.end, Ending.TIMEOUT if late else Ending.OK
+            min(service, self.timeout_s), self.end, Outcome.TIMEOUT if late else Outcome.OK
         )
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: Outcome) -> None:
         """Tells its one ending."""
         if self.timer is None:
             return
         self.timer = None
         if self.written:
             self.servers.out -= 1
-        if ending is Ending.OK:
+        if ending is Outcome.OK:
             self.done(Result(ending, b"$6\r\nhollow\r\n", b"inflight=1,queue=0", True))
         else:
             self.done(Result(ending))
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: Outcome) -> None:
         """Ended early."""
         if self.timer is not None:
             self.timer.cancel()
@@ -164,22 +164,22 @@
         self.module, self.number, self.most, self.step = module, number, most, 1
         self.ended = False
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """As the module, which is no more after `ended`."""
         if self.ended:
             return []
-        if isinstance(event, ServerList) and self.most and event.kind is not ListKind.FAILED:
-            if event.kind is not ListKind.CHANGES:
-                self.step = max(1, math.ceil(len(event.entries) / self.most))
+        if isinstance(event, EndpointList) and self.most and event.kind is not EndpointListKind.FAILED:
+            if event.kind is not EndpointListKind.CHANGES:
+                self.step = max(1, math.ceil(len(event.endpoints) / self.most))
             if self.step > 1:
                 kept = tuple(
                     e
-                    for e in event.entries
-                    if zlib.crc32(e.server.encode()) % self.step == self.number % self.step
+                    for e in event.endpoints
+                    if zlib.crc32(e.address.encode()) % self.step == self.number % self.step
                 )
-                if not kept and event.kind is ListKind.CHANGES:
+                if not kept and event.kind is EndpointListKind.CHANGES:
                     return []
-                event = ServerList(event.kind, kept, event.of)
+                event = EndpointList(event.kind, kept, event.total_endpoints)
         return self.module.handle(now_ms, event)
 
 
--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -13,15 +13,17 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Fleet, Gateway
+from glenchute.policy.balancing.pool import ServerPool
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind
+from glenchute.policy.settings import Plan, Settings, SlowStart
 from lab.sim.world import SERVICE_MS, SETTINGS, Asked, Node, World
 
 TOLD_MS = 6000.0  # a change counts as told by then
 TOLD_SHARE = 2.0 / 3.0  # a fall breaks the rule if more of the work came from gateways that knew
 LENGTH_MS = 26_000.0
 BURST_MS = (5000.0, 17_000.0)
-PLAN = api.Plan("wide")  # no quota: the servers alone bound what is sent
+PLAN = Plan("wide")  # no quota: the servers alone bound what is sent
 
 
 @dataclass(frozen=True)
@@ -32,7 +34,7 @@
 
     gateways: int
     nodes: int
-    safety: api.Safety
+    safety: SlowStart
     bears: float = 15.0
     spread: float = 0.15
     load: float = 0.55
@@ -45,15 +47,15 @@
 
 # The figures that sites name (the engine's defaults last), and the sizes that the fleet is measured at.
 SITES = {
-    "zagreb, depot": api.Safety(0.27, 18_000.0, 2.0, 3000.0),
-    "harbour": api.Safety(0.27, 18_000.0, 3.0, 3000.0),
-    "turku": api.Safety(0.22, 13_000.0, 3.0, 3000.0),
-    "defaults": api.Safety(),
+    "zagreb, depot": SlowStart(0.27, 18_000.0, 2.0, 3000.0),
+    "harbour": SlowStart(0.27, 18_000.0, 3.0, 3000.0),
+    "turku": SlowStart(0.22, 13_000.0, 3.0, 3000.0),
+    "defaults": SlowStart(),
 }
 SIZES = ((20, 11), (30, 11), (200, 60))  # gateways, servers
 
 
-def drawn(seed: int, gateways: int, nodes: int, safety: api.Safety) -> Case:
+def drawn(seed: int, gateways: int, nodes: int, safety: SlowStart) -> Case:
     """A seed's day, from an even and mild one to one that is neither."""
     rng = random.Random(seed)
     return Case(
@@ -77,22 +79,25 @@
 Arrival = tuple[float, float, bool]  # when, its work in those of a mean request, whether its gateway knew
 
 
-def windows(rows: list[Arrival], started: float, bears: float, safety: api.Safety) -> list[Most]:
+def windows(rows: list[Arrival], started: float, bears: float, safety: SlowStart) -> list[Most]:
     """The window that ends with each command that came to a server while it was cold. What the settings
     allow is taken as an even rise from `cold_share` to all in `warm_ms`, of what this server bears."""
     found, first = [], 0
     total = told = 0.0
     for last, (now, work, knew) in enumerate(rows):
         age = now - started
-        if age > safety.warm_ms:
+        if age > safety.warm_up_ms:
             break
         total, told = total + work, told + work * knew
-        while rows[first][0] <= now - safety.overload_ms:
+        while rows[first][0] <= now - safety.overload_window_ms:
             total, told = total - rows[first][1], told - rows[first][1] * rows[first][2]
             first += 1
-        since = max(0.0, age - safety.overload_ms)
-        share = safety.cold_share + (1.0 - safety.cold_share) * 0.5 * (since + age) / safety.warm_ms
-        n = safety.overload_factor * bears * share * safety.overload_ms / 1000.0
+        since = max(0.0, age - safety.overload_window_ms)
+        share = (
+            safety.initial_fraction
+            + (1.0 - safety.initial_fraction) * 0.5 * (since + age) / safety.warm_up_ms
+        )
+        n = safety.overload_factor * bears * share * safety.overload_window_ms / 1000.0
         allowed = n + 2.0 * math.sqrt(n) + 2.0
         share_told = told / max(total, 1e-9)
         found.append(Most(total / allowed, share_told, total, last - first + 1, allowed, age))
@@ -105,21 +110,24 @@
     what a warm server answers, one that is full."""
     rng, safety = random.Random(seed), case.safety
     shares = [case.uneven if rng.random() < 0.2 else 1.0 for _ in range(case.gateways)]
-    news = api.ServerList(api.ListKind.FULL, (api.ServerEntry("s", "a", started_ms=1.0),))
-    settings = replace(SETTINGS, gateways=case.gateways, safety=safety)
+    news = EndpointList(EndpointListKind.FULL, (Endpoint("s", "a", started_ms=1.0),))
+    settings = replace(SETTINGS, gateway_count=case.gateways, slow_start=safety)
     events = [(rng.uniform(0.0, TOLD_MS), number) for number in range(case.gateways)]
     again = rng.sample(range(case.gateways), round(case.restarts * case.gateways))
-    events += [(rng.uniform(TOLD_MS, safety.warm_ms), number) for number in again]
+    events += [(rng.uniform(TOLD_MS, safety.warm_up_ms), number) for number in again]
     events.sort(reverse=True)
-    fleets: dict[int, Fleet] = {}
+    fleets: dict[int, ServerPool] = {}
     rows: list[Arrival] = []
     busy, until = True, 0.0
-    for now in range(1, round(safety.warm_ms), 20):
+    for now in range(1, round(safety.warm_up_ms), 20):
         if now > until:
-            busy, until = not busy, now + rng.uniform(0.2, 1.5 if not busy else 4.0) * safety.overload_ms
+            busy, until = (
+                not busy,
+                now + rng.uniform(0.2, 1.5 if not busy else 4.0) * safety.overload_window_ms,
+            )
         while events and events[-1][0] <= now:
             number = events.pop()[1]
-            fleet = fleets[number] = Fleet(settings, random.Random(rng.random()))
+            fleet = fleets[number] = ServerPool(settings, random.Random(rng.random()))
             fleet.update(news, now)
             fleet.rate = case.bears * shares[number] / sum(shares)
         for fleet in fleets.values():
@@ -133,11 +141,11 @@
 class Cold(World):
     """One day of a case. Servers that pass their budget are booked, and go on."""
 
-    def __init__(self, seed: int, case: Case, make: Callable[[api.Settings, int], Any] = Gateway) -> None:
+    def __init__(self, seed: int, case: Case, make: Callable[[Settings, int], Any] = DecisionEngine) -> None:
         self.case = case
         self.came: dict[tuple[str, float], list[Arrival]] = {}  # by server and start
         self.told_at: dict[tuple[int, int, str, float], float] = {}  # gateway, its life, server, its start
-        settings = replace(SETTINGS, plans=(PLAN,), safety=case.safety, counter=False)
+        settings = replace(SETTINGS, plans=(PLAN,), slow_start=case.safety, has_counter=False)
         super().__init__(seed, case.gateways, case.nodes, make, settings=settings)
         self.means = {"read": 0.8, "order": 0.9, "charge": 1.5}  # of the requests asked for, 1
         for node in self.nodes.values():
@@ -188,9 +196,9 @@
         self.came[node.name, node.started_ms] = []
         for number in range(self.case.gateways):
             delay = self.rng.uniform(0.0, TOLD_MS)
-            self.at(delay, self.tell, number, self.incarnation[number], api.ListKind.CHANGES, [node])
+            self.at(delay, self.tell, number, self.incarnation[number], EndpointListKind.CHANGES, [node])
 
-    def tell(self, number: int, incarnation: int, kind: api.ListKind, nodes: list[Node]) -> None:
+    def tell(self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]) -> None:
         for node in nodes:
             self.told_at.setdefault((number, incarnation, node.name, node.started_ms), self.now)
         super().tell(number, incarnation, kind, nodes)
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -10,14 +10,16 @@
 from typing import Any, NamedTuple
 
 from glenchute.clients.membership.usage_reports import Telling
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.actions import Action
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import Event
 from glenchute.policy.membership.direct_messages import Asked, Mail, Post, Ring, numbers_of
 from glenchute.policy.membership.endpoint_health import Health
 from glenchute.policy.membership.gossip import Gossip, Pace, Rows
 from glenchute.policy.membership.members import Members, Message, Rules, State
 from glenchute.policy.membership.replica import Kind, Replica
 from glenchute.policy.membership.usage import Use, trusted_share
+from glenchute.policy.settings import Plan, Settings
 from lab.fleet import checks
 from lab.sim.swarm import KINDS
 from lab.sim.world import Node, World
@@ -33,7 +35,7 @@
     def __init__(self, world: MembersWorld, number: int, module: Any, seed: int) -> None:
         rng = random.Random(seed)
         self.world, self.number, self.life = world, number, world.incarnation[number]
-        names = [f"g{i}" for i in range(world.settings.gateways)]
+        names = [f"g{i}" for i in range(world.settings.gateway_count)]
         now = world.now / 1000.0
         self.members = Members(names[number], rng.getrandbits(60), names, Rules(), rng, now)
         self.gossip = Gossip(Replica(), Pace(), rng, now)
@@ -106,7 +108,7 @@
     def __init__(self, peer: Peer, inner: Any) -> None:
         self.peer, self.inner = peer, inner
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         return self.peer.telling.handle(now_ms, event)
 
     def __getattr__(self, name: str) -> Any:
@@ -118,8 +120,8 @@
 
     def __init__(
         self, seed: int, gateways: int = 3, nodes: int = 5,
-        make: Callable[[api.Settings, int], Any] = Gateway,
-        watch: Callable[[int, float, api.Event, list[api.Action]], None] | None = None,
+        make: Callable[[Settings, int], Any] = DecisionEngine,
+        watch: Callable[[int, float, Event, list[Action]], None] | None = None,
     ) -> None:  # fmt: skip
         self.peers: dict[int, Peer] = {}
         self.blocked: set[tuple[int, int]] = set()
@@ -136,10 +138,10 @@
         finally:
             self.make = sound
 
-    def made(self, number: int) -> Callable[[api.Settings, int], Any]:
+    def made(self, number: int) -> Callable[[Settings, int], Any]:
         """Makes a module behind its members' words."""
 
-        def make(settings: api.Settings, seed: int) -> Any:
+        def make(settings: Settings, seed: int) -> Any:
             inner = self.inner(settings, seed)
             self.peers[number] = peer = Peer(self, number, inner, seed ^ 0x5EED)
             self.at(self.net.uniform(0.0, TICK_MS), peer.tick)
@@ -186,10 +188,10 @@
         self.at(span_ms, self.blocked.difference_update, pairs)
 
 
-def overshoot(sent: list[tuple[float, str, str, float]], plan: api.Plan) -> float:
+def overshoot(sent: list[tuple[float, str, str, float]], plan: Plan) -> float:
     """Units by which the store of a plan's only account went below nothing, by what was sent on first."""
     taken = [(at / 1000.0, units) for at, _, name, units in sent if name == plan.name]
-    return checks.passed(taken, plan.rate, plan.burst)
+    return checks.passed(taken, plan.rate_per_s, plan.burst_units)
 
 
 def mute_run(seed: int, gateways: int, rate: float, split: bool, members: bool) -> tuple[float, float]:
@@ -205,7 +207,7 @@
     world.flood(12_000.0, rate, plan.name)
     world.run(16_000.0)
     served = sum(units for _, _, name, units in world.sent if name == plan.name)
-    return overshoot(world.sent, plan), served / (plan.burst + 12.0 * plan.rate)
+    return overshoot(world.sent, plan), served / (plan.burst_units + 12.0 * plan.rate_per_s)
 
 
 class Gone(NamedTuple):
--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -11,10 +11,12 @@
 from collections import deque
 from typing import Any
 
-from glenchute.policy import interface as api
+from glenchute.policy.actions import StartAttempt
 from glenchute.policy.connections.class_compatibility import Sharing
 from glenchute.policy.connections.pipelined_connection import CROSSING_MS, Entry, Line
 from glenchute.policy.connections.pipelining import Cut, How, Pipeline, Rules, job_of
+from glenchute.policy.events import EndpointListKind, EndpointState, Outcome
+from glenchute.policy.settings import Idempotency
 from lab.sim.swarm import KINDS
 from lab.sim.world import MARGIN_MS, NET_MS, BrokenRule, Node, World
 
@@ -53,7 +55,7 @@
         self.up = self.closed = self.stuck = self.booked = False
         self.buffered: list[Try] = []  # handed over, and not gone yet
         self.order: deque[Try] = deque()  # what has gone, not answered
-        self.replies: dict[int, api.Ending] = {}  # by attempt; in order only once all before are there
+        self.replies: dict[int, Outcome] = {}  # by attempt; in order only once all before are there
         self.started_ms = node.started_ms if node is not None else 0.0
 
 
@@ -107,18 +109,18 @@
             self.tries = {key: one for key, one in self.tries.items() if key[0] != number}
         super().die(number, back_ms)
 
-    def tell(self, number: int, incarnation: int, kind: api.ListKind, nodes: list[Node]) -> None:
+    def tell(self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]) -> None:
         if self.lives(number, incarnation):
             pipe = self.pipes[number]
             for node in nodes:
-                if node.state is api.ServerState.ACTIVE:
+                if node.state is EndpointState.ACTIVE:
                     pipe.node(node.name).stopped = False
                     if node.started_ms > 0:
                         pipe.renewed(node.name)
                     continue
                 pipe.stopped(node.name)
                 self.emptied(number, node.name)
-                if node.state is api.ServerState.GONE:
+                if node.state is EndpointState.REMOVED:
                     pipe.gone(node.name)
         super().tell(number, incarnation, kind, nodes)
 
@@ -137,15 +139,17 @@
             return
         if one.conn.line.withdraw(one.entry):
             self.pipes[one.conn.number].withdrawn(self.now, one.conn.serial, one.ref)
-            self.over(one, api.Ending.UNREACHABLE)
+            self.over(one, Outcome.UNREACHABLE)
 
     def still_stuck(self, conn: Conn) -> None:
         if conn.stuck and not conn.closed:
-            self.cut(conn, None, api.Ending.RESET)
+            self.cut(conn, None, Outcome.RESET)
 
     # --- attempts ----------------------------------------------------------------------------------------
 
-    def dispatch(self, node: Node | None, back: tuple[Any, ...], timeout: float, action: api.Send) -> None:
+    def dispatch(
+        self, node: Node | None, back: tuple[Any, ...], timeout: float, action: StartAttempt
+    ) -> None:
         """Instead of going out on a connection of its own, an attempt finds its place."""
         number = back[0]
         self.refs += 1
@@ -163,7 +167,7 @@
         pipe, cls = self.pipes[number], asked.cls
         stop = self.told[number].get(server, math.inf)
         if self.now > min(one.write_by, stop):
-            self.over(one, api.Ending.UNREACHABLE)
+            self.over(one, Outcome.UNREACHABLE)
             return
         again = attempt + 1 < self.settings.max_attempts
         job = job_of(cls, pipe.times.mean(cls.name, server), self.now, one.until, asked.came,
@@ -171,7 +175,7 @@
         mine = [conn for key, conn in self.conns.items() if key[0] == number]
         found = pipe.place(self.now, server, one.ref, job, lambda: len(mine) < MOST_CONNECTIONS, one.waited)
         if found.how is How.NONE:
-            self.over(one, api.Ending.UNREACHABLE)
+            self.over(one, Outcome.UNREACHABLE)
             return
         if found.how is How.WAIT:
             one.waited = True
@@ -199,7 +203,7 @@
         if conn.closed:
             return
         if conn.node is None or not conn.node.alive:
-            self.cut(conn, None, api.Ending.UNREACHABLE)
+            self.cut(conn, None, Outcome.UNREACHABLE)
             return
         conn.up, conn.started_ms = True, conn.node.started_ms
         self.pipes[conn.number].connected(self.now, conn.serial)
@@ -222,7 +226,7 @@
             if self.now > min(one.write_by, stop):
                 conn.line.withdraw(entry)
                 pipe.withdrawn(self.now, conn.serial, one.ref)
-                self.over(one, api.Ending.UNREACHABLE)
+                self.over(one, Outcome.UNREACHABLE)
         if conn.closed:
             return
         batch = [entry.item for entry in conn.line.batch(self.now, 16, 1000)[0]]
@@ -257,10 +261,10 @@
                 raise BrokenRule("drains", f"{asked.ref} left for {server} {self.now - stop:.0f} ms late")
             if attempt not in asked.out:
                 raise BrokenRule("one ending", f"attempt {attempt} of {asked.ref} left after its ending")
-            keyed = asked.cls.repeat is api.Repeat.KEYED and asked.first_left is not None
-            if keyed and asked.may_have_run and self.now - asked.first_left > asked.cls.memory_ms:
+            keyed = asked.cls.idempotency is Idempotency.WITH_KEY and asked.first_left is not None
+            if keyed and asked.may_have_run and self.now - asked.first_left > asked.cls.idempotency_window_ms:
                 raise BrokenRule("nothing twice", f"{asked.ref} left again when its key was forgotten")
-            if asked.cls.repeat is api.Repeat.UNSAFE and conn.order:
+            if asked.cls.idempotency is Idempotency.NON_IDEMPOTENT and conn.order:
                 raise BrokenRule("sharing", f"unsafe {asked.ref} went behind {conn.order[0].back[2].ref}")
             conn.order.append(one)
             one.left = True
@@ -280,14 +284,14 @@
 
     def ended(
         self, number: int, incarnation: int, asked: Any, attempt: int, server: str, began: float,
-        ending: api.Ending,
+        ending: Outcome,
     ) -> None:  # fmt: skip
         """A node's word on one command: it comes to the gateway once all before it on its connection have."""
         one = self.tries.get((number, incarnation, asked.ref, attempt))
         conn = one.conn if one is not None else None
         if one is None or one.over or conn is None or conn.closed:
             return
-        if ending in (api.Ending.RESET, api.Ending.UNREACHABLE):
+        if ending in (Outcome.RESET, Outcome.UNREACHABLE):
             self.broken(conn)
             return
         conn.replies[one.ref] = ending
@@ -300,7 +304,7 @@
         if not conn.closed and unseen and self.rng.random() < self.extra.get(name, 0.0):
             self.at(self.rng.uniform(0.0, NET_MS), self.surplus, conn)
 
-    def reply(self, conn: Conn, whose: Try, ending: api.Ending) -> None:
+    def reply(self, conn: Conn, whose: Try, ending: Outcome) -> None:
         """A reply, at the gateway."""
         found = conn.line.reply(self.now)
         if found is None:
@@ -308,10 +312,10 @@
         entry, trusted = found
         if entry.item is not whose:
             raise BrokenRule("pairing", f"{entry.item.back[2].ref} got the reply for {whose.back[2].ref}")
-        self.pipes[conn.number].answered(self.now, conn.serial, ending is api.Ending.OK)
+        self.pipes[conn.number].answered(self.now, conn.serial, ending is Outcome.OK)
         if not trusted:
-            self.cut(conn, None, api.Ending.RESET)
-            ending = api.Ending.ERROR
+            self.cut(conn, None, Outcome.RESET)
+            ending = Outcome.ERROR
         self.over(whose, ending)
         self.arm(conn.number)
 
@@ -324,9 +328,9 @@
             raise BrokenRule("one answer", f"{found[0].item.back[2].ref} was served with another's value")
         if found is not None:
             self.pipes[conn.number].answered(self.now, conn.serial, False)
-        self.cut(conn, None, api.Ending.RESET)
+        self.cut(conn, None, Outcome.RESET)
         if found is not None:
-            self.over(found[0].item, api.Ending.ERROR)
+            self.over(found[0].item, Outcome.ERROR)
 
     # --- endings -----------------------------------------------------------------------------------------
 
@@ -336,23 +340,23 @@
             return
         conn, entry = one.conn, one.entry
         if conn is None or entry is None:
-            self.over(one, api.Ending.UNREACHABLE)
+            self.over(one, Outcome.UNREACHABLE)
         elif conn.line.withdraw(entry):
             self.pipes[conn.number].withdrawn(self.now, conn.serial, one.ref)
-            self.over(one, api.Ending.UNREACHABLE)
+            self.over(one, Outcome.UNREACHABLE)
         else:
             if conn.line.out[0] is not entry:
                 raise BrokenRule("hold-back", f"{one.back[2].ref} was given up behind another")
-            self.cut(conn, entry, api.Ending.TIMEOUT)
+            self.cut(conn, entry, Outcome.TIMEOUT)
 
     def broken(self, conn: Conn) -> None:
         """The connection breaks; the machine does not say how much of it had left."""
         if not conn.closed and self.lives(conn.number, conn.incarnation):
             conn.line.gone(0)
             conn.buffered.clear()
-            self.cut(conn, None, api.Ending.RESET)
+            self.cut(conn, None, Outcome.RESET)
 
-    def cut(self, conn: Conn, cause: Entry[Try] | None, ending: api.Ending) -> None:
+    def cut(self, conn: Conn, cause: Entry[Try] | None, ending: Outcome) -> None:
         """The connection ends, and each attempt on it."""
         if conn.closed:
             return
@@ -362,14 +366,14 @@
         self.cut_lines += len(rows) > 1
         self.pipes[conn.number].lost(self.now, conn.serial, bool(rows))
         for one, how in rows:
-            one.never = how is api.Ending.UNREACHABLE
+            one.never = how is Outcome.UNREACHABLE
             self.over(one, how)
 
-    def over(self, one: Try, ending: api.Ending) -> None:
+    def over(self, one: Try, ending: Outcome) -> None:
         """An attempt's one ending."""
         if one.over:
             raise BrokenRule("one ending", f"{one.back[2].ref} has two, the second {ending}")
-        if one.left and ending is api.Ending.UNREACHABLE:
+        if one.left and ending is Outcome.UNREACHABLE:
             raise BrokenRule("nothing twice", f"{one.back[2].ref} was told as never sent, and had left")
         one.over = True
         number, incarnation, asked, attempt = one.back[:4]
@@ -391,7 +395,7 @@
         for action in self.pipes[number].check(self.now):
             conn = self.conns.get((number, action.line)) if isinstance(action, Cut) else None
             if conn is not None and conn.line.out:
-                self.cut(conn, conn.line.out[0], api.Ending.RESET)
+                self.cut(conn, conn.line.out[0], Outcome.RESET)
             elif conn is not None:
-                self.cut(conn, None, api.Ending.RESET)
+                self.cut(conn, None, Outcome.RESET)
         self.at(0.5, self.arm, number)
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -21,13 +21,16 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from glenchute.policy import engine as policy
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, IncrementCounter, Reject, StartAttempt
+from glenchute.policy.admission import quota as quota_rules
 from glenchute.policy.admission import windows
-from glenchute.policy.admission.epoch_markers import Name
+from glenchute.policy.admission.epoch_markers import WindowCounter
+from glenchute.policy.admission.quota import QuotaAccounting
+from glenchute.policy.admission.tenant import Tenant
 from glenchute.policy.admission.windows import phase, window_start
-from glenchute.policy.engine import Gateway, Quota
-from glenchute.policy.state import Customer
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import CounterReply, Outcome, Request
+from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
 from lab.sim.world import NET_MS, Asked, World
 
 COUNTER_MS = 2.0  # a call's time at the counter
@@ -87,7 +90,7 @@
     """A customer: its plan, the gateways that it comes through, and when it asks how much."""
 
     key: str
-    plan: api.Plan
+    plan: Plan
     gateways: tuple[int, ...]
 
 
@@ -108,24 +111,24 @@
 
     site: Site
     gateways: int
-    plans: tuple[api.Plan, ...]
+    plans: tuple[Plan, ...]
     accounts: list[Account]
     tries: list[Try]
 
 
-def plans_of(site: Site, rng: random.Random) -> tuple[api.Plan, ...]:
+def plans_of(site: Site, rng: random.Random) -> tuple[Plan, ...]:
     """The plans of a day. Ceilings leave a slack of a tenth of their burst."""
     plans = []
     for i, (rates, spans) in enumerate(zip(site.rates, site.bursts_s, strict=True)):
         rate = rng.uniform(*rates)
         burst = max(rate * rng.uniform(*spans), 2.0 * max(site.sizes))
-        plan = api.Plan(f"plan{i}", site.prices[i], rate, burst, site.opens[i])
+        plan = Plan(f"plan{i}", site.prices[i], rate, burst, site.opens[i])
         if (range_ := site.ceilings[i]) is not None:
             times = rng.uniform(*range_)
             burst = max(burst, 4.0 * max(site.sizes))
             plan = replace(
-                plan, burst=burst, ceiling_rate=times * rate, ceiling_burst=times * burst,
-                ceiling_slack=max(0.1 * times * burst, max(site.sizes)),
+                plan, burst_units=burst, ceiling_rate_per_s=times * rate, ceiling_burst_units=times * burst,
+                ceiling_slack_units=max(0.1 * times * burst, max(site.sizes)),
             )  # fmt: skip
         plans.append(plan)
     return tuple(plans)
@@ -144,10 +147,10 @@
     for plan, share in zip(plans, site.shares, strict=True):
         inside = share * tries_per_s * mean  # units a second asked within quotas
         usual = (1.0 - full - heavy - spiky) * calm + full * 0.9 + heavy + spiky * 0.6
-        count = max(2, round(inside / (plan.rate * usual)))
+        count = max(2, round(inside / (plan.rate_per_s * usual)))
         most = gateways
-        if plan.ceiling_burst:
-            most = max(2, min(gateways, int(plan.ceiling_burst / (2.0 * max(site.sizes)))))
+        if plan.ceiling_burst_units:
+            most = max(2, min(gateways, int(plan.ceiling_burst_units / (2.0 * max(site.sizes)))))
         weights = [1.0 / (rank + 1) ** 0.8 for rank in range(count)]
         scale = calm * count / sum(weights)
         for n in range(count):
@@ -181,7 +184,7 @@
     most = max(use, high if lasts else 0.0)
     at, moved, order, found = 0.0, -shift, list(account.gateways), []
     weights = [1.0 / (rank + 1) ** skew for rank in range(len(order))]
-    while (at := at + rng.expovariate(most * account.plan.rate / mean / 1000.0)) < ms:
+    while (at := at + rng.expovariate(most * account.plan.rate_per_s / mean / 1000.0)) < ms:
         now = high if lasts and (at - first) % every < lasts else use
         if rng.random() * most > now:
             continue
@@ -257,7 +260,7 @@
         """A customer's true store, full at the start."""
         if account.key not in self.stores:
             plan = account.plan
-            self.stores[account.key] = Store(plan.rate, plan.burst, self.began, plan.burst)
+            self.stores[account.key] = Store(plan.rate_per_s, plan.burst_units, self.began, plan.burst_units)
         return self.stores[account.key]
 
     def sent(self, now: float, account: Account, units: float) -> bool:
@@ -278,10 +281,10 @@
         """A refusal, and the cause that the gateway gives."""
         level = self.store(account).fill(now)
         plan = account.plan
-        open_room = not plan.max_open or self.out[account.key] <= ROOM * plan.max_open
+        open_room = not plan.max_concurrent or self.out[account.key] <= ROOM * plan.max_concurrent
         if open_room and level >= units + BLUR and now >= self.warm:
             self.wrong += 1
-            if level >= ROOM * plan.burst:
+            if level >= ROOM * plan.burst_units:
                 self.roomy += 1
                 self.causes[cause] += 1
                 self.by_plan[f"roomy {plan.name}"] += 1
@@ -309,23 +312,23 @@
 )  # fmt: skip
 
 
-class Informed(Quota):
+class Informed(QuotaAccounting):
     """The module's quota, told the exact truth of what `exact` names, and of nothing else."""
 
-    def __init__(self, settings: api.Settings, rng: random.Random, world: QuotaWorld, number: int) -> None:
+    def __init__(self, settings: Settings, rng: random.Random, world: QuotaWorld, number: int) -> None:
         super().__init__(settings, rng)
         self.world, self.number, self.exact = world, number, world.exact
         self.bases: dict[str, tuple[float, float, float]] = {}  # time, store, overflow; at the last word
         self.read = ""  # the customer for whom the last answer was only a read
         self.taken: defaultdict[str, float] = defaultdict(float)  # own units since
 
-    def base(self, c: Customer, now: float, store: float) -> None:
+    def base(self, c: Tenant, now: float, store: float) -> None:
         """From this state on, the next word is counted."""
         true = now - self.world.skew[self.number]
         self.bases[c.key] = true, store, self.world.told_store(c.key).was(true)[1]
         self.taken[c.key] = 0
 
-    def customer(self, now: float, request: api.Request) -> Customer | None:
+    def customer(self, now: float, request: Request) -> Tenant | None:
         c, self.read = super().customer(now, request), ""
         if c is not None:
             if "word" in self.exact and c.word is not None:
@@ -334,7 +337,7 @@
                 c.credit = 1e9
         return c
 
-    def refresh(self, now: float, c: Customer) -> None:
+    def refresh(self, now: float, c: Tenant) -> None:
         start = window_start(now, c.key, c.plan)
         if start <= c.window:
             super().refresh(now, c)
@@ -349,24 +352,31 @@
         super().refresh(now, c)
         self.base(c, start, store)
 
-    def take(self, c: Customer, units: float, counted: bool, asked: bool) -> None:
+    def take(self, c: Tenant, units: float, counted: bool, asked: bool) -> None:
         if counted and self.read == c.key:
             counted, self.read, c.called_at = False, "", -1e9
         super().take(c, units, counted, asked)
         self.taken[c.key] += units
 
-    def spent(self, now: float, c: Customer, rise: float) -> None:
+    def spent(self, now: float, c: Tenant, rise: float) -> None:
         super().spent(now, c, rise)
         if "overflow" in self.exact and c.key in self.bases:
             at, store, over = self.bases[c.key]
             true = now - self.world.skew[self.number]
-            filled = c.plan.rate * (true - at) / 1000.0
+            filled = c.plan.rate_per_s * (true - at) / 1000.0
             came = self.world.told_store(c.key).was(true)[1] - over
-            c.store = min(c.plan.burst, store + filled - self.taken[c.key] - rise - came)
+            c.store = min(c.plan.burst_units, store + filled - self.taken[c.key] - rise - came)
         self.base(c, now, c.store)
 
     def learn(
-        self, now: float, c: Customer, word: Name, total: float, amount: float, toll: float, after: float
+        self,
+        now: float,
+        c: Tenant,
+        word: WindowCounter,
+        total: float,
+        amount: float,
+        toll: float,
+        after: float,
     ) -> None:
         if "word" in self.exact and word is c.word:
             total = self.world.total(c.name) - self.world.arrived[self.number, c.name]
@@ -376,20 +386,20 @@
         if "refused" in self.exact and current and rise < -0.5 and word.lost == lost:
             self.spent(now, c, rise)
 
-    def ask(self, now: float, c: Customer, request: api.Request) -> api.Count | None:
+    def ask(self, now: float, c: Tenant, request: Request) -> IncrementCounter | None:
         """With "reads", a call that only reads where half of the store or less is left: what it lets in is
         told by a call of its own, and what it refuses leaves nothing on the count. Not under a ceiling, which
         grants only what the very call has added."""
-        if "reads" not in self.exact or c.plan.ceiling_rate or c.store > 0.5 * c.plan.burst:
+        if "reads" not in self.exact or c.plan.ceiling_rate_per_s or c.store > 0.5 * c.plan.burst_units:
             return super().ask(now, c, request)
         return None if self.rng.random() > self.share else self.call(now, c, 0.0, request.request_id)
 
-    def counted(self, now: float, reply: api.CountReply) -> str | None:
-        calls = () if reply.late else self.calls_out.get(reply.name, ())
+    def counted(self, now: float, reply: CounterReply) -> str | None:
+        calls = () if reply.is_late else self.calls_out.get(reply.key, ())
         self.read = calls[0][0].key if calls and calls[0][4] and not calls[0][6] else ""
         return super().counted(now, reply)
 
-    def give_back(self, c: Customer) -> None:
+    def give_back(self, c: Tenant) -> None:
         if "refused" not in self.exact or not self.ahead or c.word is None:
             super().give_back(c)
             return
@@ -398,7 +408,7 @@
         c.word.units -= self.ahead
         c.word.told -= self.ahead
 
-    def admit(self, now: float, c: Customer, units: float, asked: bool, blind: bool) -> float | None:
+    def admit(self, now: float, c: Tenant, units: float, asked: bool, blind: bool) -> float | None:
         if "lot" in self.exact:
             blind = False
         if "store" in self.exact:
@@ -436,11 +446,14 @@
         self.whose: dict[str, tuple[Account, float, int]] = {}  # by request: units, how often refused
         plans = day.plans
         if "ceiling" in exact:
-            plans = tuple(replace(p, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0) for p in plans)
-        classes = (api.RequestClass("read", 1500.0, 1.0, api.Repeat.SAFE),)
-        settings = api.Settings(
-            "a", day.gateways, classes, plans, api.Safety(), max_retry_after_ms=day.site.retry_after_ms,
-            counter=True, counter_timeout_ms=day.site.timeout_ms,
+            plans = tuple(
+                replace(p, ceiling_rate_per_s=0.0, ceiling_burst_units=0.0, ceiling_slack_units=0.0)
+                for p in plans
+            )
+        classes = (RequestClass("read", 1500.0, 1.0, Idempotency.IDEMPOTENT),)
+        settings = Settings(
+            "a", day.gateways, classes, plans, SlowStart(), max_retry_after_ms=day.site.retry_after_ms,
+            has_counter=True, counter_timeout_ms=day.site.timeout_ms,
         )  # fmt: skip
         super().__init__(seed, day.gateways, 40, self.module, settings=settings)
         self.parts.slow(COUNTER_MS)
@@ -451,9 +464,9 @@
         self.feeder = iter(day.tries)
         self.next()
 
-    def module(self, settings: api.Settings, seed: int) -> Gateway:
+    def module(self, settings: Settings, seed: int) -> DecisionEngine:
         """A gateway with the informed quota; without anything exact it is the module as it stands."""
-        gateway = Gateway(settings, seed)
+        gateway = DecisionEngine(settings, seed)
         gateway.quota = Informed(settings, gateway.rng, self, len([m for m in self.modules if m]))
         return gateway
 
@@ -466,7 +479,7 @@
         """The store by what has come to the counter, in any window."""
         if key not in self.told_stores:
             plan = self.accounts[key].plan
-            store = Store(plan.rate, plan.burst, self.began, plan.burst, born=self.began)
+            store = Store(plan.rate_per_s, plan.burst_units, self.began, plan.burst_units, born=self.began)
             self.told_stores[key] = store
         return self.told_stores[key]
 
@@ -521,10 +534,10 @@
         self.whose[ref] = account, luck, again
         self.books.tries += self.now >= self.books.warm
         spread = len(account.gateways)
-        event = api.Request(ref, "read", account.plan.name, account.key, 4000.0, units, spread)
+        event = Request(ref, "read", account.plan.name, account.key, 4000.0, units, spread)
         self.feed(gateway, life, event)
 
-    def send(self, number: int, incarnation: int, action: api.Send) -> None:
+    def send(self, number: int, incarnation: int, action: StartAttempt) -> None:
         asked = self.asked[action.request_id]
         account = self.whose[asked.ref][0]
         if asked.attempts == 0:
@@ -543,8 +556,8 @@
             self.books.out[self.whose[asked.ref][0].key] -= 1
         super().ended(*back)
 
-    def perform(self, number: int, incarnation: int, action: api.Action) -> None:
-        if isinstance(action, api.Refuse):
+    def perform(self, number: int, incarnation: int, action: Action) -> None:
+        if isinstance(action, Reject):
             asked = self.asked[action.request_id]
             account, luck, again = self.whose[asked.ref]
             cause = self.modules[number].quota.cause if not asked.attempts else "no attempt"
@@ -554,13 +567,13 @@
                 wait = action.retry_after_ms if honours else 0.2 * self.day.site.retry_after_ms
                 other = account.gateways[int(luck * 7919 + again) % len(account.gateways)]
                 self.at(wait + 1.0, self.request, account, asked.units, other, luck, again + 1)
-        elif isinstance(action, api.Count):
+        elif isinstance(action, IncrementCounter):
             self.books.calls += self.now >= self.books.warm
-            row = self.modules[number].quota.calls_out[action.name][-1]
+            row = self.modules[number].quota.calls_out[action.key][-1]
             self.flying[row[0].key, number] += row[2] - row[6]
         super().perform(number, incarnation, action)
 
-    def count(self, number: int, incarnation: int, call: api.Count, began: float) -> None:
+    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """A call reaches the counter, or is lost on the way there or back."""
         row = self.row(number, call, began)
         key, amount, extra = row
@@ -568,60 +581,65 @@
         timeout = self.day.site.timeout_ms
         luck = self.luck.random()
         if luck < self.lost:
-            reply = api.CountReply(call.name, 0.0, api.Ending.TIMEOUT, timeout)
+            reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, timeout)
             self.at(began + timeout - self.now, self.feed, number, incarnation, reply)
             if luck < (1.0 - GONE) * self.lost:
                 late = self.luck.uniform(0.0, LATE) * timeout
                 self.at(late, self.add_late, number, incarnation, call, began, row)
             elif luck < (1.0 - 0.5 * GONE) * self.lost:
-                self.parts.call(self.now, f"g{number}", str(call.name), call.amount, call.ttl_ms)
+                self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
                 self.add(key, amount)
             return
         self.add(key, amount)
-        self.arrived[number, call.name] += call.amount
+        self.arrived[number, call.key] += call.amount
         self.at(COUNTER_MS + NET_MS - 0.01, self.answered_call, number, call)
         super().count(number, incarnation, call, began)
 
     def add_late(
-        self, number: int, incarnation: int, call: api.Count, began: float, row: tuple[str, float, float]
+        self,
+        number: int,
+        incarnation: int,
+        call: IncrementCounter,
+        began: float,
+        row: tuple[str, float, float],
     ) -> None:
         """A call is added late, and answered after its time."""
-        told = self.parts.call(self.now, f"g{number}", str(call.name), call.amount, call.ttl_ms)
+        told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         self.add(row[0], row[1])
-        self.arrived[number, call.name] += call.amount
+        self.arrived[number, call.key] += call.amount
         left = max(NET_MS, began + self.day.site.timeout_ms + NET_MS - self.now)
         self.at(left - 0.01, self.answered_call, number, call)
         total = float(f"{told[0] if told else 0.0:.7g}")
-        reply = api.CountReply(call.name, total, api.Ending.OK, self.now + left - began, True)
+        reply = CounterReply(call.key, total, Outcome.OK, self.now + left - began, True)
         self.at(left, self.feed, number, incarnation, reply)
 
-    def answered_call(self, number: int, call: api.Count) -> None:
+    def answered_call(self, number: int, call: IncrementCounter) -> None:
         """The gateway knows of its own units from now on."""
-        self.arrived[number, call.name] -= call.amount
+        self.arrived[number, call.key] -= call.amount
 
-    def row(self, number: int, call: api.Count, began: float) -> tuple[str, float, float]:
+    def row(self, number: int, call: IncrementCounter, began: float) -> tuple[str, float, float]:
         """Customer, units and units ahead of a call that is on its way."""
-        for row in self.modules[number].quota.calls_out[call.name]:
+        for row in self.modules[number].quota.calls_out[call.key]:
             if round(row[2] + row[3], 3) == call.amount:
                 return row[0].key, row[2], row[6]
         raise LookupError(f"no call {call}")
 
 
 @contextmanager
-def changed(counted: float = policy.COUNTED, spans: float = 1.0) -> Iterator[None]:
+def changed(counted: float = quota_rules.COUNTED, spans: float = 1.0) -> Iterator[None]:
     """The module with another counted share of ceilings, or with windows so many times as long."""
-    share, span = policy.COUNTED, windows.span_of
+    share, span = quota_rules.COUNTED, windows.span_of
 
-    def longer(plan: api.Plan) -> float:
+    def longer(plan: Plan) -> float:
         return min(windows.IDLE_MS, span(plan) * spans)
 
     try:
-        policy.COUNTED = counted
-        policy.span_of = windows.span_of = longer  # type: ignore[attr-defined]
+        quota_rules.COUNTED = counted
+        quota_rules.span_of = windows.span_of = longer  # type: ignore[attr-defined]
         yield
     finally:
-        policy.COUNTED = share
-        policy.span_of = windows.span_of = span  # type: ignore[attr-defined]
+        quota_rules.COUNTED = share
+        quota_rules.span_of = windows.span_of = span  # type: ignore[attr-defined]
 
 
 def play(
@@ -711,7 +729,11 @@
     def level(self, gateway: int, account: Account, epoch: int, number: float) -> float:
         """What a number stands for by this gateway's clock; over the burst where it overflowed."""
         start = epoch * self.scheme.epoch_ms - phase(account.key) * self.scheme.epoch_ms
-        return account.plan.burst - number + account.plan.rate * (self.clock(gateway) - start) / 1000.0
+        return (
+            account.plan.burst_units
+            - number
+            + account.plan.rate_per_s * (self.clock(gateway) - start) / 1000.0
+        )
 
     def call(
         self, name: tuple[str, int], add: tuple[float, float, float], then: Callable[..., None], *args: Any
@@ -753,17 +775,19 @@
         word, plan = self.words.get((gateway, account.key)), account.plan
         asked = units
         if word is not None:
-            level = min(plan.burst, word.level + plan.rate * (self.clock(gateway) - word.at) / 1000.0)
+            level = min(
+                plan.burst_units, word.level + plan.rate_per_s * (self.clock(gateway) - word.at) / 1000.0
+            )
             if self.scheme.refuse and level < units - BLUR:
                 self.refuse(back, "empty")
                 return
-            if self.scheme.several > 1 and level > self.scheme.far * plan.burst + units:
+            if self.scheme.several > 1 and level > self.scheme.far * plan.burst_units + units:
                 if self.rng.random() * self.scheme.several > 1.0:
                     word.level, word.at = level - units, self.clock(gateway)
                     self.admit(back)
                     return
                 asked = units * self.scheme.several
-            if level < self.scheme.read_below * plan.burst:
+            if level < self.scheme.read_below * plan.burst_units:
                 asked = 0.0
         self.call((account.key, epoch), (asked, 0.0, 0.0), self.heard, epoch, asked, back)
 
@@ -772,7 +796,7 @@
         account, units, gateway, _, _ = back
         if held is None:  # by the last word, else by this gateway's part of a full store
             word = self.words.get((gateway, account.key))
-            room = word.level if word is not None else account.plan.burst / len(account.gateways)
+            room = word.level if word is not None else account.plan.burst_units / len(account.gateways)
             if room >= units or (word is None and self.rng.random() < room / units):
                 self.admit(back)
             else:
@@ -799,7 +823,7 @@
     ) -> None:
         """What the last epoch's name holds: the new one is given what is missing from a full store."""
         account, _, gateway, _, _ = back
-        level = account.plan.burst
+        level = account.plan.burst_units
         if old is not None and old[2] >= 1.0:
             level = min(level, self.level(gateway, account, epoch - 1, old[0]))
         missing = self.level(gateway, account, epoch, 0.0) - level
@@ -820,11 +844,11 @@
         account, units, gateway, _, _ = back
         plan, name = account.plan, (account.key, epoch)
         before = self.level(gateway, account, epoch, held[0] + missing) + asked
-        over = max(0.0, before - plan.burst)
-        left = min(before, plan.burst) - units
+        over = max(0.0, before - plan.burst_units)
+        left = min(before, plan.burst_units) - units
         known = left if left > -BLUR else left + units
         self.words[gateway, account.key] = Word(epoch, known, self.clock(gateway))
-        if over > self.scheme.hidden * plan.burst:
+        if over > self.scheme.hidden * plan.burst_units:
             self.corrections += 1
             self.call(name, (over, 1.0, 0.0), self.corrected, name, over, held[1])
         if left > -BLUR:
--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -20,8 +20,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import EndpointListKind, EndpointState
+from glenchute.policy.settings import Settings
 from lab.sim.swarm import Failure, Fault, Script
 from lab.sim.world import SERVICE_MS, Asked, BrokenRule, Node, World
 
@@ -54,7 +55,9 @@
 class Site(World):
     """The site with silences, a tail whose requests are drawn beforehand, and the book of their answers."""
 
-    def __init__(self, seed: int, shape: Shape, make: Callable[[api.Settings, int], Any] = Gateway) -> None:
+    def __init__(
+        self, seed: int, shape: Shape, make: Callable[[Settings, int], Any] = DecisionEngine
+    ) -> None:
         self.shape = shape
         self.counting = False  # the calm time has begun, and service should be back
         self.tail: dict[str, tuple[int, str, str]] = {}
@@ -99,13 +102,13 @@
             self.at(span_ms, self.parts.replace)
         elif kind == "list empty":
             for number in range(len(self.modules)):
-                back = (number, self.incarnation[number], api.ListKind.FULL)
+                back = (number, self.incarnation[number], EndpointListKind.FULL)
                 self.tell(*back, [])
                 self.at(span_ms, self.told_all, *back)
         else:
             super().strike(kind, node, size, span_ms)
 
-    def told_all(self, number: int, incarnation: int, kind: api.ListKind) -> None:
+    def told_all(self, number: int, incarnation: int, kind: EndpointListKind) -> None:
         """The whole list again."""
         self.tell(number, incarnation, kind, list(self.nodes.values()))
 
@@ -129,9 +132,9 @@
         self.parts.slow(0.0)
         for node in self.nodes.values():
             node.slow, node.hung, node.errors, node.resets, node.alive = 1.0, False, 0.0, 0.0, True
-            node.state, node.started_ms = api.ServerState.ACTIVE, 0.0
+            node.state, node.started_ms = EndpointState.ACTIVE, 0.0
         for number in range(len(self.modules)):
-            self.told_all(number, self.incarnation[number], api.ListKind.FULL)
+            self.told_all(number, self.incarnation[number], EndpointListKind.FULL)
 
 
 def shape_of(seed: int) -> Shape:
@@ -168,7 +171,7 @@
     site.run(end + 4000.0)
 
 
-def played(script: Script, make: Callable[[api.Settings, int], Any], faults: bool) -> Site:
+def played(script: Script, make: Callable[[Settings, int], Any], faults: bool) -> Site:
     """One site: with its faults, or the control, which only has the tail."""
     shape = shape_of(script.seed)
     site = Site(script.seed, shape, make)
@@ -189,7 +192,7 @@
     return site
 
 
-def tried(script: Script, make: Callable[[api.Settings, int], Any] = Gateway) -> Failure | None:
+def tried(script: Script, make: Callable[[Settings, int], Any] = DecisionEngine) -> Failure | None:
     """What broke, if anything: a rule, or the property for the worst gateway, class and plan."""
     try:
         after, control = played(script, make, True), played(script, make, False)
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -14,8 +14,10 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.actions import Action
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import EndpointList, EndpointListKind, EndpointState, Event
+from glenchute.policy.settings import Settings
 from lab.sim.world import BrokenRule, Node, World
 
 LENGTH_MS = 9000.0
@@ -66,7 +68,7 @@
     for number in range(len(world.modules)):
         delay = world.rng.uniform(0.0, rng_ms)
         copies = [Node(n.name, n.zone, n.started_ms, n.state) for n in changed]
-        world.at(delay, world.tell, number, world.incarnation[number], api.ListKind.CHANGES, copies)
+        world.at(delay, world.tell, number, world.incarnation[number], EndpointListKind.CHANGES, copies)
 
 
 def strike(world: World, fault: Fault) -> None:
@@ -100,7 +102,7 @@
                 each.slow = 1.0 + 8.0 * fault.size
                 world.at(span, setattr, each, "slow", 1.0)
         case "drain":
-            node.state = api.ServerState.DRAINING
+            node.state = EndpointState.DRAINING
             told(world, [node])
             world.at(span, back, world, node)
         case "gone":
@@ -145,8 +147,8 @@
 
 def back(world: World, node: Node) -> None:
     """A node that drained is there again, under a new start."""
-    if node.name in world.nodes and node.state is api.ServerState.DRAINING:
-        node.state, node.started_ms = api.ServerState.ACTIVE, world.now
+    if node.name in world.nodes and node.state is EndpointState.DRAINING:
+        node.state, node.started_ms = EndpointState.ACTIVE, world.now
         told(world, [node])
 
 
@@ -155,7 +157,7 @@
     if len(world.nodes) < 2 or node.name not in world.nodes:
         return
     del world.nodes[node.name]
-    node.state, node.alive = api.ServerState.GONE, False
+    node.state, node.alive = EndpointState.REMOVED, False
     node.queue.clear()
     fresh = Node(f"s{next(world.names)}", node.zone, world.now)
     world.nodes[fresh.name] = fresh
@@ -172,8 +174,8 @@
 
 def play(
     script: Script,
-    make: Callable[[api.Settings, int], Any] = Gateway,
-    watch: Callable[[int, float, api.Event, list[api.Action]], None] | None = None,
+    make: Callable[[Settings, int], Any] = DecisionEngine,
+    watch: Callable[[int, float, Event, list[Action]], None] | None = None,
     site: Callable[..., World] = World,
 ) -> World:
     """One run on a site of this kind; raises BrokenRule, or what a module raises."""
@@ -186,7 +188,7 @@
 
 
 def tried(
-    script: Script, make: Callable[[api.Settings, int], Any] = Gateway, site: Callable[..., World] = World
+    script: Script, make: Callable[[Settings, int], Any] = DecisionEngine, site: Callable[..., World] = World
 ) -> Failure | None:
     """What broke, if anything did."""
     try:
@@ -213,7 +215,7 @@
 
 
 def search(
-    seeds: Sequence[int], make: Callable[[api.Settings, int], Any] = Gateway,
+    seeds: Sequence[int], make: Callable[[Settings, int], Any] = DecisionEngine,
     site: Callable[..., World] = World, of: Sequence[str] = KINDS,
 ) -> Failure | None:  # fmt: skip
     """The first failure among the seeds, shrunk."""
@@ -228,17 +230,17 @@
     """A run as capture files, one for each life of a gateway, for ``glenchute replay``."""
     from glenchute.capture.codec import Head, batch, module_digest, note
 
-    lives: list[tuple[api.Settings, int, list[Any]]] = []
+    lives: list[tuple[Settings, int, list[Any]]] = []
     current: dict[int, int] = {}
     modules: list[Any] = []
 
-    def make(settings: api.Settings, seed: int) -> Any:
+    def make(settings: Settings, seed: int) -> Any:
         lives.append((settings, seed, []))
-        modules.append(Gateway(settings, seed))
+        modules.append(DecisionEngine(settings, seed))
         return modules[-1]
 
-    def watch(number: int, now: float, event: api.Event, actions: list[api.Action]) -> None:
-        if isinstance(event, api.ServerList) and event.kind is api.ListKind.SAVED:
+    def watch(number: int, now: float, event: Event, actions: list[Action]) -> None:
+        if isinstance(event, EndpointList) and event.kind is EndpointListKind.CACHED:
             current[number] = len(lives) - 1
         lives[current[number]][2].append(note(now, event, actions))
 
@@ -268,7 +270,7 @@
         try:
             world = play(script)
         except Exception:  # a rule that broke, or a module that raised: `tried` tells which
-            failure = tried(script, Gateway)
+            failure = tried(script, DecisionEngine)
             assert failure is not None, "a seed is a run: it must break again"
             failure = shrunk(failure, tried)
             print(f"seed {seed}: {failure.detail}")
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -15,36 +15,59 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.actions import Action, Fail, IncrementCounter, Reject, SetTimer, StartAttempt
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Outcome,
+    Request,
+    TimerFired,
+)
+from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
 from lab.counter import Parts
 
-MAY_HAVE_RUN = (api.Ending.OK, api.Ending.ERROR, api.Ending.RESET, api.Ending.TIMEOUT, api.Ending.CANCELLED)
+MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
 GRACE_MS = 250.0
 MARGIN_MS = 10.0  # attempts end this long before the client's time does
 NET_MS = 1.0
 SERVICE_MS = 25.0  # the mean, by a warm node
 COUNT_TIMEOUT_MS = 50.0
 
-SETTINGS = api.Settings(
+SETTINGS = Settings(
     zone="a",
-    gateways=3,
+    gateway_count=3,
     classes=(
-        api.RequestClass("read", 800.0, 1.0, api.Repeat.SAFE),
-        api.RequestClass("order", 1200.0, 2.0, api.Repeat.KEYED, api.Scope.ALL, 2500.0),
-        api.RequestClass("bid", 1200.0, 2.0, api.Repeat.KEYED, api.Scope.ZONE, 600.0),
-        api.RequestClass("charge", 1500.0, 2.0, api.Repeat.UNSAFE),
+        RequestClass("read", 800.0, 1.0, Idempotency.IDEMPOTENT),
+        RequestClass("order", 1200.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 2500.0),
+        RequestClass("bid", 1200.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ZONE, 600.0),
+        RequestClass("charge", 1500.0, 2.0, Idempotency.NON_IDEMPOTENT),
     ),
     plans=(
-        api.Plan("small", rate=4.0, burst=10.0),
-        api.Plan("hard", rate=15.0, burst=30.0, ceiling_rate=20.0, ceiling_burst=50.0, ceiling_slack=5.0),
-        api.Plan("open", max_open=4),
-        api.Plan("wide", rate=1e4, burst=1e4),
+        Plan("small", rate_per_s=4.0, burst_units=10.0),
+        Plan(
+            "hard",
+            rate_per_s=15.0,
+            burst_units=30.0,
+            ceiling_rate_per_s=20.0,
+            ceiling_burst_units=50.0,
+            ceiling_slack_units=5.0,
+        ),
+        Plan("open", max_concurrent=4),
+        Plan("wide", rate_per_s=1e4, burst_units=1e4),
+    ),
+    slow_start=SlowStart(
+        initial_fraction=0.25, warm_up_ms=8000.0, overload_factor=2.0, overload_window_ms=1500.0
     ),
-    safety=api.Safety(cold_share=0.25, warm_ms=8000.0, overload_factor=2.0, overload_ms=1500.0),
     max_attempts=4,
     max_retry_after_ms=1000.0,
-    counter=True,
+    has_counter=True,
     counter_timeout_ms=COUNT_TIMEOUT_MS,
 )
 DEADLINES = {"read": 2000.0, "order": 3000.0, "bid": 3000.0, "charge": 3000.0}
@@ -65,7 +88,7 @@
     name: str
     zone: str
     started_ms: float = 0.0
-    state: api.ServerState = api.ServerState.ACTIVE
+    state: EndpointState = EndpointState.ACTIVE
     alive: bool = True
     hung: bool = False
     errors: float = 0.0  # share of commands that fail after they ran
@@ -85,7 +108,7 @@
     ref: str
     number: int  # of the gateway
     incarnation: int
-    cls: api.RequestClass
+    cls: RequestClass
     plan: str
     deadline: float
     key: str
@@ -110,13 +133,13 @@
         seed: int,
         gateways: int = 3,
         nodes: int = 5,
-        make: Callable[[api.Settings, int], Any] = Gateway,
-        watch: Callable[[int, float, api.Event, list[api.Action]], None] | None = None,
-        settings: api.Settings = SETTINGS,
+        make: Callable[[Settings, int], Any] = DecisionEngine,
+        watch: Callable[[int, float, Event, list[Action]], None] | None = None,
+        settings: Settings = SETTINGS,
     ) -> None:
         self.rng = random.Random(seed)
         self.make, self.watch = make, watch
-        self.settings = replace(settings, gateways=gateways)
+        self.settings = replace(settings, gateway_count=gateways)
         self.now = 1_700_000_000_000.0
         self.began = self.now
         self.order = itertools.count()
@@ -169,7 +192,7 @@
         self.alive[number] = True
         self.told[number] = {}
         self.modules[number] = self.make(self.settings, self.rng.randrange(1 << 30))
-        self.tell(number, self.incarnation[number], api.ListKind.SAVED, list(self.nodes.values()))
+        self.tell(number, self.incarnation[number], EndpointListKind.CACHED, list(self.nodes.values()))
 
     def die(self, number: int, back_ms: float) -> None:
         """It dies with all that it held, and comes back."""
@@ -182,19 +205,19 @@
             del self.asked[ref]  # its clients try again by themselves
         self.at(back_ms, self.start, number)
 
-    def tell(self, number: int, incarnation: int, kind: api.ListKind, nodes: list[Node]) -> None:
+    def tell(self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]) -> None:
         """Discovery's word reaches a gateway."""
         if not self.lives(number, incarnation):
             return
         entries = []
         for node in nodes:
             self.zones[node.name] = node.zone
-            entries.append(api.ServerEntry(node.name, node.zone, 0, 1.0, node.started_ms, node.state))
-            if node.state is api.ServerState.ACTIVE:
+            entries.append(Endpoint(node.name, node.zone, 0, 1.0, node.started_ms, node.state))
+            if node.state is EndpointState.ACTIVE:
                 self.told[number].pop(node.name, None)
             else:
                 self.told[number].setdefault(node.name, self.now + GRACE_MS)
-        self.feed(number, incarnation, api.ServerList(kind, tuple(entries)))
+        self.feed(number, incarnation, EndpointList(kind, tuple(entries)))
 
     def stop(self, number: int, ms: float) -> None:
         """A gateway's process stands still. What comes for it waits; its own timers are first when it goes
@@ -223,9 +246,9 @@
         """Whether this life of the gateway goes on."""
         return self.alive[number] and incarnation == self.incarnation[number]
 
-    def feed(self, number: int, incarnation: int, event: api.Event) -> None:
+    def feed(self, number: int, incarnation: int, event: Event) -> None:
         """One event for a module, and its actions."""
-        own = isinstance(event, api.TimerFired)
+        own = isinstance(event, TimerFired)
         if not self.lives(number, incarnation):
             return
         if self.waits(number, own, self.feed, number, incarnation, event):
@@ -237,32 +260,32 @@
         for action in actions:
             self.perform(number, incarnation, action)
 
-    def perform(self, number: int, incarnation: int, action: api.Action) -> None:
+    def perform(self, number: int, incarnation: int, action: Action) -> None:
         """Carries out an action, as the core does."""
-        if isinstance(action, api.Send):
+        if isinstance(action, StartAttempt):
             self.send(number, incarnation, action)
-        elif isinstance(action, api.Refuse | api.Fail):
+        elif isinstance(action, Reject | Fail):
             asked = self.asked.get(action.request_id)
             if asked is None:
                 raise BrokenRule("one answer", f"{action} for a request that is over")
-            if isinstance(action, api.Refuse) and (asked.may_have_run or asked.out):
+            if isinstance(action, Reject) and (asked.may_have_run or asked.out):
                 raise BrokenRule("nothing twice", f"{action} after a try that may have run")
             self.answered(asked, type(action).__name__)
-        elif isinstance(action, api.SetTimer):
+        elif isinstance(action, SetTimer):
             delay = action.at_ms - self.skew[number] - self.now
-            self.at(delay, self.feed, number, incarnation, api.TimerFired(action.token))
-        elif isinstance(action, api.Count):
+            self.at(delay, self.feed, number, incarnation, TimerFired(action.token))
+        elif isinstance(action, IncrementCounter):
             self.at(NET_MS, self.count, number, incarnation, action, self.now)
 
-    def count(self, number: int, incarnation: int, call: api.Count, began: float) -> None:
+    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """A call reaches the counter."""
-        told = self.parts.call(self.now, f"g{number}", str(call.name), call.amount, call.ttl_ms)
+        told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         if told is None or told[1] + 2 * NET_MS > COUNT_TIMEOUT_MS:
-            reply = api.CountReply(call.name, 0.0, api.Ending.TIMEOUT, COUNT_TIMEOUT_MS)
+            reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNT_TIMEOUT_MS)
             self.at(began + COUNT_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
         else:
             took = told[1] + 2 * NET_MS
-            reply = api.CountReply(call.name, float(f"{told[0]:.7g}"), api.Ending.OK, took)
+            reply = CounterReply(call.key, float(f"{told[0]:.7g}"), Outcome.OK, took)
             self.at(told[1] + NET_MS, self.feed, number, incarnation, reply)
 
     def answered(self, asked: Asked, how: str) -> None:
@@ -276,7 +299,7 @@
 
     # --- attempts ----------------------------------------------------------------------------------------
 
-    def send(self, number: int, incarnation: int, action: api.Send) -> None:
+    def send(self, number: int, incarnation: int, action: StartAttempt) -> None:
         """An attempt starts, and the books say whether it may."""
         asked = self.asked.get(action.request_id)
         if asked is None:
@@ -287,16 +310,20 @@
             raise BrokenRule("no overlap", f"attempt {attempt} of {asked.ref} beside {sorted(asked.out)}")
         if attempt >= self.settings.max_attempts:
             raise BrokenRule("attempts", f"attempt {attempt} of {asked.ref}")
-        stop = self.told[number].get(action.server)
+        stop = self.told[number].get(action.address)
         if stop is not None and self.now > stop:
-            raise BrokenRule("drains", f"{asked.ref} to {action.server}, {self.now - stop:.0f} ms late")
-        if asked.may_have_run and asked.cls.repeat is api.Repeat.UNSAFE:
+            raise BrokenRule("drains", f"{asked.ref} to {action.address}, {self.now - stop:.0f} ms late")
+        if asked.may_have_run and asked.cls.idempotency is Idempotency.NON_IDEMPOTENT:
             raise BrokenRule("nothing twice", f"unsafe {asked.ref} went out again after it may have run")
-        node = self.nodes.get(action.server)
-        if asked.may_have_run and asked.cls.repeat is api.Repeat.KEYED:
-            if asked.first_left is not None and self.now - asked.first_left > asked.cls.memory_ms:
+        node = self.nodes.get(action.address)
+        if asked.may_have_run and asked.cls.idempotency is Idempotency.WITH_KEY:
+            if asked.first_left is not None and self.now - asked.first_left > asked.cls.idempotency_window_ms:
                 raise BrokenRule("nothing twice", f"{asked.ref} went out again when its key was forgotten")
-            if asked.cls.scope is api.Scope.ZONE and node is not None and node.zone != asked.sent_zone:
+            if (
+                asked.cls.idempotency_scope is IdempotencyScope.ZONE
+                and node is not None
+                and node.zone != asked.sent_zone
+            ):
                 raise BrokenRule("nothing twice", f"{asked.ref} went out again in another zone")
         if attempt == 0:
             self.sent.append((self.now, f"c-{asked.plan}", asked.plan, asked.units))
@@ -304,27 +331,29 @@
         left = asked.deadline - MARGIN_MS - self.now
         timeout = min(action.timeout_ms or left, left)
         asked.until[attempt] = self.now + max(0.0, timeout)
-        back = (number, incarnation, asked, attempt, action.server, self.now)
+        back = (number, incarnation, asked, attempt, action.address, self.now)
         self.dispatch(node, back, max(0.0, timeout), action)
 
-    def dispatch(self, node: Node | None, back: tuple[Any, ...], timeout: float, action: api.Send) -> None:
+    def dispatch(
+        self, node: Node | None, back: tuple[Any, ...], timeout: float, action: StartAttempt
+    ) -> None:
         """An attempt that may start goes out, on a connection of its own."""
         if node is None or not node.alive:
-            self.unreached.append((self.now, action.server))
-            self.at(NET_MS, self.ended, *back, api.Ending.UNREACHABLE)
+            self.unreached.append((self.now, action.address))
+            self.at(NET_MS, self.ended, *back, Outcome.UNREACHABLE)
             return
-        self.at(timeout, self.ended, *back, api.Ending.TIMEOUT)
+        self.at(timeout, self.ended, *back, Outcome.TIMEOUT)
         self.at(NET_MS, self.arrive, node, back)
 
     def arrive(self, node: Node, back: tuple[Any, ...]) -> None:
         """A command comes to a node."""
         asked, attempt = back[2], back[3]
         if not node.alive:
-            self.at(NET_MS, self.ended, *back, api.Ending.UNREACHABLE)
+            self.at(NET_MS, self.ended, *back, Outcome.UNREACHABLE)
             return
         self.check_cold(node)
         if node.busy + len(node.queue) >= node.limit:
-            self.at(NET_MS, self.ended, *back, api.Ending.FULL)  # did not run: its zone binds nothing
+            self.at(NET_MS, self.ended, *back, Outcome.REJECTED)  # did not run: its zone binds nothing
             return
         if attempt in asked.out and asked.first_left is None:
             asked.first_left, asked.sent_zone = back[5], node.zone
@@ -335,24 +364,24 @@
     def check_cold(self, node: Node) -> None:
         """A cold node that is sent more than `overload_factor` times what it can do for `overload_ms` falls
         over."""
-        safety = self.settings.safety
+        safety = self.settings.slow_start
         if node.started_ms <= 0 or self.warmth(node) >= 1.0:
             node.came.clear()
             return
         node.came.append(self.now)
-        while node.came[0] < self.now - safety.overload_ms:
+        while node.came[0] < self.now - safety.overload_window_ms:
             node.came.popleft()
         age = self.now - node.started_ms
-        mean = 0.5 * (self.warmth(node) + self.warmth(node, safety.overload_ms))
-        able = node.slots / SERVICE_MS * mean * safety.overload_ms
-        if age >= safety.overload_ms and len(node.came) > safety.overload_factor * able:
+        mean = 0.5 * (self.warmth(node) + self.warmth(node, safety.overload_window_ms))
+        able = node.slots / SERVICE_MS * mean * safety.overload_window_ms
+        if age >= safety.overload_window_ms and len(node.came) > safety.overload_factor * able:
             raise BrokenRule("cold servers", f"{len(node.came)} commands to {node.name}, {age:.0f} ms old")
 
     def warmth(self, node: Node, before_ms: float = 0.0) -> float:
         """The share of its capacity that a node has, or had a while before."""
-        safety = self.settings.safety
-        age = max(0.0, self.now - before_ms - node.started_ms) / safety.warm_ms
-        return min(1.0, safety.cold_share + (1.0 - safety.cold_share) * age)
+        safety = self.settings.slow_start
+        age = max(0.0, self.now - before_ms - node.started_ms) / safety.warm_up_ms
+        return min(1.0, safety.initial_fraction + (1.0 - safety.initial_fraction) * age)
 
     def turn(self, node: Node) -> None:
         """Free slots take what waits."""
@@ -366,15 +395,15 @@
         asked = back[2]
         if self.now > asked.until.get(back[3], asked.deadline):  # its `d` is over: nothing is begun then
             node.busy -= 1
-            self.at(NET_MS, self.ended, *back, api.Ending.FULL)
+            self.at(NET_MS, self.ended, *back, Outcome.REJECTED)
             return
-        group = "all" if asked.cls.scope is api.Scope.ALL else node.zone
-        if asked.cls.repeat is not api.Repeat.KEYED:
+        group = "all" if asked.cls.idempotency_scope is IdempotencyScope.ALL else node.zone
+        if asked.cls.idempotency is not Idempotency.WITH_KEY:
             asked.ran += 1
-        elif came - self.keys.get((group, asked.key), -1e12) > asked.cls.memory_ms:
+        elif came - self.keys.get((group, asked.key), -1e12) > asked.cls.idempotency_window_ms:
             self.keys[group, asked.key] = self.now
             asked.ran += 1
-        if asked.cls.repeat is not api.Repeat.SAFE and asked.ran > 1:
+        if asked.cls.idempotency is not Idempotency.IDEMPOTENT and asked.ran > 1:
             raise BrokenRule("nothing twice", f"{asked.ref} of class {asked.cls.name} ran {asked.ran} times")
         self.at(self.work(asked) * node.slow / self.warmth(node), self.served, node, back, self.rng.random())
 
@@ -386,20 +415,20 @@
         """It is done; what the gateway hears of it."""
         node.busy -= 1
         if node.alive and not node.hung:
-            ending = api.Ending.OK
+            ending = Outcome.OK
             if luck < node.errors:
-                ending = api.Ending.ERROR
+                ending = Outcome.ERROR
             elif luck < node.errors + node.resets:
-                ending = api.Ending.RESET
+                ending = Outcome.RESET
             self.at(NET_MS, self.ended, *back, ending)
         self.turn(node)
 
     def ended(
         self, number: int, incarnation: int, asked: Asked, attempt: int, server: str, began: float,
-        ending: api.Ending,
+        ending: Outcome,
     ) -> None:  # fmt: skip
         """An attempt's one ending, at the gateway."""
-        own = ending is api.Ending.TIMEOUT
+        own = ending is Outcome.TIMEOUT
         back = (number, incarnation, asked, attempt, server, began, ending)
         if self.waits(number, own, self.ended, *back):
             return
@@ -410,14 +439,14 @@
             asked.may_have_run = True
             if asked.first_left is None:
                 asked.first_left, asked.sent_zone = began, self.zones.get(server)
-        final = ending is api.Ending.OK and asked.ref in self.asked
+        final = ending is Outcome.OK and asked.ref in self.asked
         if final:
             self.answered(asked, "Served")
         done = asked.ref not in self.asked
         node = self.nodes.get(server)
-        told = node is not None and ending in (api.Ending.OK, api.Ending.ERROR, api.Ending.FULL)
+        told = node is not None and ending in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
         held = float(node.busy + len(node.queue)) if node is not None and told else None
-        event = api.AttemptEnded(asked.ref, attempt, server, ending, self.now - began, done, active=held)
+        event = AttemptEnded(asked.ref, attempt, server, ending, self.now - began, done, active_requests=held)
         self.feed(number, incarnation, event)
 
     # --- clients -----------------------------------------------------------------------------------------
@@ -436,7 +465,7 @@
         self.asked[ref] = asked
         self.booked(asked)
         left = deadline - self.now
-        event = api.Request(ref, cls, plan, customer, left, units, self.settings.gateways)
+        event = Request(ref, cls, plan, customer, left, units, self.settings.gateway_count)
         self.feed(number, self.incarnation[number], event)
         if ref in self.asked and self.rng.random() < 0.02:
             self.at(self.rng.uniform(1.0, 300.0), self.leave, asked)
@@ -447,7 +476,7 @@
     def leave(self, asked: Asked) -> None:
         """The client has gone; no answer is owed."""
         if asked.number not in self.stopped and self.asked.pop(asked.ref, None) is not None:
-            self.feed(asked.number, asked.incarnation, api.RequestGone(asked.ref))
+            self.feed(asked.number, asked.incarnation, ClientDisconnected(asked.ref))
 
     def load(self, ms: float, rate: float, plans: tuple[str, ...] = ("small", "small", "open")) -> None:
         """A mixed load of ordinary customers."""
@@ -488,20 +517,20 @@
             for key, customer in module.quota.customers.items():
                 if customer.open != out.get(key, 0):
                     raise BrokenRule("open counts", f"{key}: {customer.open} booked, {out.get(key, 0)} out")
-                if customer.store > customer.plan.burst + 1e-6 or customer.part < -1e-6:
+                if customer.store > customer.plan.burst_units + 1e-6 or customer.part < -1e-6:
                     raise BrokenRule("stores", f"{key}: store {customer.store}, part {customer.part}")
         self.check_ceiling()
 
     def check_ceiling(self) -> None:
         """The ceiling of the flooded account, by what was sent on first."""
         plan = self.settings.plans[1]
-        level, last = plan.ceiling_burst, None
-        most = plan.ceiling_slack + plan.ceiling_rate * 0.15
-        fresh = (plan.ceiling_burst - plan.burst) / 2.0 + plan.ceiling_slack
-        most += self.restarts * fresh / self.settings.gateways
+        level, last = plan.ceiling_burst_units, None
+        most = plan.ceiling_slack_units + plan.ceiling_rate_per_s * 0.15
+        fresh = (plan.ceiling_burst_units - plan.burst_units) / 2.0 + plan.ceiling_slack_units
+        most += self.restarts * fresh / self.settings.gateway_count
         for at, _, name, units in self.sent:
             if name == plan.name:
-                filled = 0.0 if last is None else plan.ceiling_rate * (at - last) / 1000.0
-                level, last = min(plan.ceiling_burst, level + filled) - units, at
+                filled = 0.0 if last is None else plan.ceiling_rate_per_s * (at - last) / 1000.0
+                level, last = min(plan.ceiling_burst_units, level + filled) - units, at
                 if level < -most:
                     raise BrokenRule("ceilings", f"{-level:.1f} units past, {most:.1f} allowed")
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -15,13 +15,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from glenchute.capture import format_1, snapshot
 from glenchute.capture import recorder as recorder_module
 from glenchute.capture.codec import (
     ACTIONS,
     FORMAT,
     FRAME,
     MAGIC,
-    CaptureError,
     Cut,
     batch,
     event_of,
@@ -30,15 +30,27 @@
     module_digest,
     note,
     payloads,
-    revive,
-    snapshot,
 )
+from glenchute.capture.errors import CaptureError
 from glenchute.capture.recorder import Recorder, Rule, hashed
 from glenchute.capture.refusals import CAUSES, Refusals
 from glenchute.capture.replay import other_module, read, replay, runs
 from glenchute.cli.main import main
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.actions import Reject
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Outcome,
+    Request,
+    TimerFired,
+)
+from glenchute.policy.settings import Settings
 from lab.load import Account, Load
 from lab.nodes import Node, Trade
 from lab.peers import play, until
@@ -54,13 +66,13 @@
     recorders: list[Recorder] = []
     fleets: list[Fleet] = []
 
-    def make(made: api.Settings, module_seed: int) -> Recorder:
+    def make(made: Settings, module_seed: int) -> Recorder:
         kept = Rule(str(folder), ring=False, segment_s=0.7, **rule)
 
         def clock() -> float:
             return fleets[0].now / 1000.0 if fleets else 0.0
 
-        recorders.append(Recorder(Gateway(made, module_seed), made, module_seed, kept, clock))
+        recorders.append(Recorder(DecisionEngine(made, module_seed), made, module_seed, kept, clock))
         return recorders[-1]
 
     fleet = Fleet(1, seed, make=make)
@@ -82,10 +94,10 @@
         folder.mkdir()
         recorded(folder, account_key=key)
     accounts = {
-        event.customer
+        event.tenant
         for file in only_run(plain)
         for event in map(event_of, read(file).records)
-        if isinstance(event, api.Request)
+        if isinstance(event, Request)
     }
     assert len(accounts) >= 2 and len(only_run(hidden)) > 2
     written = b"".join(file.read_bytes() for file in only_run(hidden))
@@ -123,38 +135,38 @@
 
 EVENTS = st.one_of(
     st.builds(
-        api.Request,
+        Request,
         request_id=st.sampled_from(["1", "2", "3", "4", "5"]),
         class_name=st.sampled_from(["read", "none"]),
         plan=st.sampled_from(["soft", "hard", "bare"]),
-        customer=st.sampled_from(["a", "b"]),
+        tenant=st.sampled_from(["a", "b"]),
         time_left_ms=st.floats(0.0, 5000.0),
         units=st.floats(0.1, 6.0),
-        spread=st.integers(1, 4),
+        gateway_spread=st.integers(1, 4),
     ),
     st.builds(
-        api.AttemptEnded,
+        AttemptEnded,
         request_id=st.sampled_from(["1", "2", "3", "4", "5"]),
         attempt=st.integers(0, 3),
-        server=st.sampled_from(["s0", "s1"]),
-        ending=st.sampled_from(list(api.Ending)),
-        took_ms=st.floats(0.0, 3000.0),
-        final=st.booleans(),
-        queue=st.none() | st.floats(0.0, 9.0),
-        next_after_ms=st.sampled_from([0.0, 30.0, float("inf")]),
+        address=st.sampled_from(["s0", "s1"]),
+        outcome=st.sampled_from(list(Outcome)),
+        duration_ms=st.floats(0.0, 3000.0),
+        is_final=st.booleans(),
+        queued_requests=st.none() | st.floats(0.0, 9.0),
+        retry_delay_ms=st.sampled_from([0.0, 30.0, float("inf")]),
     ),
-    st.builds(api.RequestGone, request_id=st.sampled_from(["1", "2"])),
-    st.builds(api.TimerFired, token=st.just(0)),
+    st.builds(ClientDisconnected, request_id=st.sampled_from(["1", "2"])),
+    st.builds(TimerFired, token=st.just(0)),
     st.builds(
-        api.ServerList,
-        kind=st.sampled_from([api.ListKind.FULL, api.ListKind.CHANGES]),
-        entries=st.lists(
+        EndpointList,
+        kind=st.sampled_from([EndpointListKind.FULL, EndpointListKind.CHANGES]),
+        endpoints=st.lists(
             st.builds(
-                api.ServerEntry,
-                server=st.sampled_from(["s0", "s1", "s2"]),
+                Endpoint,
+                address=st.sampled_from(["s0", "s1", "s2"]),
                 zone=st.sampled_from("ab"),
                 started_ms=st.sampled_from([0.0, 5.0]),
-                state=st.sampled_from(list(api.ServerState)),
+                state=st.sampled_from(list(EndpointState)),
             ),
             max_size=3,
         ).map(tuple),
@@ -165,19 +177,19 @@
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(events=st.lists(st.tuples(st.floats(0.0, 700.0), EVENTS), max_size=40), seed=st.integers(0, 9))
 def test_any_events_replay_equal_and_from_a_snapshot_at_any_place(
-    events: list[tuple[float, api.Event]], seed: int
+    events: list[tuple[float, Event]], seed: int
 ) -> None:
     """Through the bytes and back, and from a state that was pickled in the middle."""
     made = fleet_settings(3)
-    module, now = Gateway(made, seed), 1e9
+    module, now = DecisionEngine(made, seed), 1e9
     states, notes = [], []
     for wait, event in events:
         now += wait
-        states.append(snapshot(module))
+        states.append(snapshot.dump(module))
         notes.append(note(now, event, module.handle(now, event)))
     records: Any = next(payloads(batch(notes))) if notes else []
     for start in {0, len(records) // 2, max(0, len(records) - 1)}:
-        again: Any = revive(states[start]) if records else None
+        again: Any = snapshot.load(states[start], FORMAT) if records else None
         for record in records[start:]:
             event = event_of(record)
             (back,) = payloads(batch([note(record[0], event, again.handle(record[0], event))]))
@@ -243,41 +255,45 @@
         with pytest.raises(CaptureError, match=word):
             read(bad)
     with pytest.raises(CaptureError, match="format 99"):
-        head_of({"magic": MAGIC, "format": FORMAT + 98})
+        head_of({"magic": MAGIC, "format": FORMAT + 97})
     with pytest.raises(CaptureError, match="head"):
         head_of({"magic": MAGIC, "format": FORMAT})
     assert replay([bad]).notes and "glenchute" in capsys.readouterr().err
 
 
+@pytest.mark.parametrize("capture_format", [FORMAT, format_1.FORMAT])
 @pytest.mark.parametrize("evil", [print, eval, Path, asyncio.run])
-def test_a_snapshot_can_ask_for_nothing_but_the_modules_own(evil: Callable[..., Any]) -> None:
+def test_a_snapshot_can_ask_for_nothing_but_the_modules_own(
+    evil: Callable[..., Any], capture_format: int
+) -> None:
     with pytest.raises(CaptureError):
-        revive(pickle.dumps(evil))
+        snapshot.load(pickle.dumps(evil), capture_format)
     with pytest.raises(CaptureError):
-        revive(b"\x80\x05garbage")
+        snapshot.load(b"\x80\x05garbage", capture_format)
 
 
 class Reach:
     """Pickles as ``getattr(dict, "fromkeys")``."""
 
     def __reduce__(self) -> Any:
-        return getattr, (api.Settings, "__init__")
+        return getattr, (Settings, "__init__")
 
 
 def test_a_snapshot_can_reach_no_attribute_but_members_of_enums() -> None:
-    with pytest.raises(CaptureError):
-        revive(pickle.dumps(Reach()))
-    assert revive(pickle.dumps(api.Ending.RESET)) is api.Ending.RESET
+    for capture_format in (FORMAT, format_1.FORMAT):
+        with pytest.raises(CaptureError):
+            snapshot.load(pickle.dumps(Reach()), capture_format)
+    assert snapshot.load(pickle.dumps(Outcome.RESET), FORMAT) is Outcome.RESET
 
 
 def changed(tmp_path: Path, old: str, new: str) -> Path:
     """The module with one line changed."""
     folder = tmp_path / "other"
     shutil.copytree(ROOT / "glenchute" / "policy", folder, ignore=shutil.ignore_patterns("__pycache__"))
-    policy = folder / "engine.py"
-    text = policy.read_text()
+    source = folder / "admission" / "quota.py"
+    text = source.read_text()
     assert text.count(old) == 1
-    policy.write_text(text.replace(old, new))
+    source.write_text(text.replace(old, new))
     return folder
 
 
@@ -312,7 +328,7 @@
     causes: set[str] = set()
     for file in CORPUS:
         told = [action for record in read(file).records for action in record[3] or ()]
-        refused = sum(number == ACTIONS.index(api.Refuse) for number, _ in told)
+        refused = sum(number == ACTIONS.index(Reject) for number, _ in told)
         found = Refusals()
         assert not replay([file], seen=found).differences
         rows = found.rows()
@@ -339,12 +355,12 @@
 def test_a_fault_of_the_module_is_recorded_and_replayed(tmp_path: Path) -> None:
     made = fleet_settings(1)
     clock = [0.0]
-    keeper = Recorder(Gateway(made, 1), made, 1, Rule(str(tmp_path)), lambda: clock[0])
-    keeper.handle(1000.0, api.ServerList(api.ListKind.SAVED, (api.ServerEntry("s0", "a"),)))
-    keeper.handle(1001.0, api.TimerFired(0))
+    keeper = Recorder(DecisionEngine(made, 1), made, 1, Rule(str(tmp_path)), lambda: clock[0])
+    keeper.handle(1000.0, EndpointList(EndpointListKind.CACHED, (Endpoint("s0", "a"),)))
+    keeper.handle(1001.0, TimerFired(0))
     with pytest.raises(TypeError):  # a fault like any other: a time that is none
-        keeper.handle(1002.0, api.Request("1", "read", "soft", "c", None))  # type: ignore[arg-type]
-    keeper.handle(1003.0, api.TimerFired(0))
+        keeper.handle(1002.0, Request("1", "read", "soft", "c", None))  # type: ignore[arg-type]
+    keeper.handle(1003.0, TimerFired(0))
     keeper.trigger("asked for")
     keeper.writer.close(10.0)
     report = replay(only_run(tmp_path))
@@ -355,14 +371,14 @@
     made = fleet_settings(1)
     clock = [0.0]
     rule = Rule(str(tmp_path), segment_s=1.0, segments=3, refusal_share=0.5)
-    keeper = Recorder(Gateway(made, 1), made, 1, rule, lambda: clock[0])
+    keeper = Recorder(DecisionEngine(made, 1), made, 1, rule, lambda: clock[0])
     for step in range(100):
         clock[0] = step * 0.1
-        keeper.handle(1000.0 + step * 100.0, api.TimerFired(0))
+        keeper.handle(1000.0 + step * 100.0, TimerFired(0))
     assert len(keeper.ring) <= 3 and not list(tmp_path.iterdir())
     for step in range(200):  # no time left: all are refused
         clock[0] = 10.0 + step * 0.1
-        request = api.Request(str(step), "none", "none", "c", 0.0)
+        request = Request(str(step), "none", "none", "c", 0.0)
         keeper.handle(11_000.0 + step * 100.0, request)
     keeper.writer.close(10.0)
     files = only_run(tmp_path)
@@ -378,9 +394,9 @@
     monkeypatch.setattr(recorder_module.Writer, "run", lambda self: None)  # it never writes
     made = fleet_settings(1)
     clock = [0.0]
-    keeper = Recorder(Gateway(made, 1), made, 1, Rule(str(tmp_path), ring=False), lambda: clock[0])
+    keeper = Recorder(DecisionEngine(made, 1), made, 1, Rule(str(tmp_path), ring=False), lambda: clock[0])
     for step in range(100):
-        keeper.handle(1000.0 + step, api.TimerFired(0))
+        keeper.handle(1000.0 + step, TimerFired(0))
     assert keeper.dropping and keeper.dropped >= 90 and keeper.writer.queue.qsize() == 1
 
 
--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -10,8 +10,9 @@
 from pathlib import Path
 
 from glenchute.capture.codec import Head, batch, module_digest, note
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Gateway
+from glenchute.policy.actions import Action
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import Event
 from tests.captures.scenarios import EVENING_SETTINGS, SCENARIOS, START
 
 HERE = Path(__file__).resolve().parent
@@ -19,10 +20,10 @@
 
 def record(scenario: object, play: object, seed: int) -> bytes:
     """A scenario's capture."""
-    module = Gateway(EVENING_SETTINGS, seed)
+    module = DecisionEngine(EVENING_SETTINGS, seed)
     notes = []
 
-    def tell(now: float, event: api.Event) -> list[api.Action]:
+    def tell(now: float, event: Event) -> list[Action]:
         actions = module.handle(now, event)
         notes.append(note(now, event, actions))
         return actions
--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -8,12 +8,26 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, IncrementCounter, SetTimer, StartAttempt
+from glenchute.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Outcome,
+    Request,
+    ResponseStarted,
+    TimerFired,
+)
 from tests.rig import SETTINGS
 
-Tell = Callable[[float, api.Event], list[api.Action]]
+Tell = Callable[[float, Event], list[Action]]
 START = 1_700_000_000_000.0
-MANY = (api.Ending.OK,) * 12 + (api.Ending.ERROR, api.Ending.FULL, api.Ending.TIMEOUT, api.Ending.RESET)
+MANY = (Outcome.OK,) * 12 + (Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET)
 KINDS = (("read", "wide"), ("read", "rate"), ("order", "hard"), ("bid", "wide"), ("charge", "rate"),
          ("read", "open"), ("charge", "hard"))  # fmt: skip
 
@@ -24,13 +38,13 @@
 
     tell: Tell
     seed: int
-    counter: api.Ending = api.Ending.OK
-    endings: tuple[api.Ending, ...] = (api.Ending.OK,)
+    counter: Outcome = Outcome.OK
+    endings: tuple[Outcome, ...] = (Outcome.OK,)
     took_ms: float = 25.0
     others: float = 0.0  # units that other gateways add with each call
     now: float = START
     serial: int = 0
-    queue: list[tuple[float, int, api.Event]] = field(default_factory=list)
+    queue: list[tuple[float, int, Event]] = field(default_factory=list)
     totals: dict[int, float] = field(default_factory=dict)
     attempts: dict[str, int] = field(default_factory=dict)
 
@@ -38,37 +52,37 @@
         self.rng = random.Random(self.seed)
         self.order = itertools.count()
 
-    def at(self, when: float, event: api.Event) -> None:
+    def at(self, when: float, event: Event) -> None:
         heapq.heappush(self.queue, (when, next(self.order), event))
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: Event) -> None:
         """One event, and what its actions bring about later."""
         for action in self.tell(self.now, event):
-            if isinstance(action, api.SetTimer):
-                self.at(max(self.now, action.at_ms), api.TimerFired(action.token))
-            elif isinstance(action, api.Count):
+            if isinstance(action, SetTimer):
+                self.at(max(self.now, action.at_ms), TimerFired(action.token))
+            elif isinstance(action, IncrementCounter):
                 self.count(action)
-            elif isinstance(action, api.Send):
+            elif isinstance(action, StartAttempt):
                 self.send(action)
 
-    def count(self, call: api.Count) -> None:
-        if self.counter is api.Ending.OK:
-            self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount + self.others
-        total = self.totals.get(call.name, 0.0) if self.counter is api.Ending.OK else 0.0
-        took = 2.0 if self.counter is api.Ending.OK else 50.0
-        self.at(self.now + took, api.CountReply(call.name, total, self.counter, took))
+    def count(self, call: IncrementCounter) -> None:
+        if self.counter is Outcome.OK:
+            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others
+        total = self.totals.get(call.key, 0.0) if self.counter is Outcome.OK else 0.0
+        took = 2.0 if self.counter is Outcome.OK else 50.0
+        self.at(self.now + took, CounterReply(call.key, total, self.counter, took))
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: StartAttempt) -> None:
         number = self.attempts.get(action.request_id, -1) + 1
         self.attempts[action.request_id] = number
         ending = self.rng.choice(self.endings)
         took = self.took_ms * self.rng.uniform(0.5, 2.0)
-        if ending is api.Ending.TIMEOUT:
+        if ending is Outcome.TIMEOUT:
             took = action.timeout_ms or 1200.0
         queue = round(self.rng.uniform(0.0, 6.0), 2)
-        ok = ending is api.Ending.OK
-        self.at(self.now + took, api.AttemptEnded(
-            action.request_id, number, action.server, ending, took, ok, queue))  # fmt: skip
+        ok = ending is Outcome.OK
+        self.at(self.now + took, AttemptEnded(
+            action.request_id, number, action.address, ending, took, ok, queue))  # fmt: skip
 
     def run(self, ms: float) -> None:
         """Lets time pass."""
@@ -81,7 +95,7 @@
 
     def ask(self, cls: str, plan: str, customer: str, units: float = 1.0, left: float = 3000.0) -> None:
         self.serial += 1
-        self.feed(api.Request(f"r{self.serial}", cls, plan, customer, left, units, 2))
+        self.feed(Request(f"r{self.serial}", cls, plan, customer, left, units, 2))
 
     def load(self, ms: float, gap_ms: float, customers: int = 8) -> None:
         """A mixed load."""
@@ -98,13 +112,13 @@
             self.ask("read", plan, f"flood-{plan}")
             self.run(gap_ms)
 
-    def servers(self, kind: api.ListKind, *rows: tuple[str, str, float, api.ServerState]) -> None:
-        entries = tuple(api.ServerEntry(n, zone, i % 2, 1.0, t, s) for i, (n, zone, t, s) in enumerate(rows))
-        self.feed(api.ServerList(kind, entries))
+    def servers(self, kind: EndpointListKind, *rows: tuple[str, str, float, EndpointState]) -> None:
+        entries = tuple(Endpoint(n, zone, i % 2, 1.0, t, s) for i, (n, zone, t, s) in enumerate(rows))
+        self.feed(EndpointList(kind, entries))
 
     def fleet(self, count: int = 4) -> None:
-        active = api.ServerState.ACTIVE
-        self.servers(api.ListKind.SAVED, *[(f"s{i}", "ab"[i % 2], 0.0, active) for i in range(count)])
+        active = EndpointState.ACTIVE
+        self.servers(EndpointListKind.CACHED, *[(f"s{i}", "ab"[i % 2], 0.0, active) for i in range(count)])
 
 
 def half_of_the_gateways_die(tell: Tell) -> None:
@@ -121,10 +135,10 @@
     evening = Evening(tell, 2)
     evening.fleet()
     evening.load(2000.0, 30.0)
-    evening.counter = api.Ending.TIMEOUT
+    evening.counter = Outcome.TIMEOUT
     for plan in ("hard", "rate"):
         evening.flood(2000.0, 25.0, plan)
-    evening.counter = api.Ending.OK
+    evening.counter = Outcome.OK
     evening.flood(3000.0, 40.0, "hard")
 
 
@@ -147,7 +161,7 @@
 
 def keyed_retry_at_the_memorys_border(tell: Tell) -> None:
     """Attempts that end just before and just after servers forget a key."""
-    evening = Evening(tell, 5, endings=(api.Ending.ERROR,))
+    evening = Evening(tell, 5, endings=(Outcome.ERROR,))
     evening.fleet()
     for took in (950.0, 990.0, 1000.0, 1010.0, 1200.0):
         evening.took_ms = took
@@ -160,15 +174,15 @@
     """Servers drain, go and come while attempts are out to them."""
     evening = Evening(tell, 6, endings=MANY, took_ms=200.0)
     evening.fleet()
-    active, draining, gone = api.ServerState.ACTIVE, api.ServerState.DRAINING, api.ServerState.GONE
+    active, draining, gone = EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED
     for turn in range(6):
         evening.load(700.0, 20.0)
         name = f"s{turn % 4}"
         for state in (draining, gone):
-            evening.servers(api.ListKind.CHANGES, (name, "a", 0.0, state))
+            evening.servers(EndpointListKind.CHANGES, (name, "a", 0.0, state))
             evening.load(300.0, 20.0)
-        evening.servers(api.ListKind.CHANGES, (f"t{turn}", "b", evening.now, active))
-    evening.servers(api.ListKind.FULL)
+        evening.servers(EndpointListKind.CHANGES, (f"t{turn}", "b", evening.now, active))
+    evening.servers(EndpointListKind.FULL)
     evening.load(1500.0, 40.0)
     evening.fleet()
     evening.load(1000.0, 40.0)
@@ -177,10 +191,10 @@
 def a_cold_server(tell: Tell) -> None:
     """All servers start at once, and one again under load."""
     evening = Evening(tell, 7, took_ms=60.0)
-    active = api.ServerState.ACTIVE
-    evening.servers(api.ListKind.SAVED, *[(f"s{i}", "a", evening.now, active) for i in range(3)])
+    active = EndpointState.ACTIVE
+    evening.servers(EndpointListKind.CACHED, *[(f"s{i}", "a", evening.now, active) for i in range(3)])
     evening.load(5000.0, 20.0)
-    evening.servers(api.ListKind.CHANGES, ("s1", "a", evening.now, active))
+    evening.servers(EndpointListKind.CHANGES, ("s1", "a", evening.now, active))
     evening.load(4000.0, 12.0)
 
 
@@ -201,26 +215,26 @@
         cls, plan = evening.rng.choice(KINDS)
         evening.ask(cls, plan, "leaver", left=evening.rng.choice((0.0, 60.0, 400.0, 3000.0)))
         if turn % 3 == 0:
-            evening.feed(api.RequestGone(f"r{evening.serial}"))
+            evening.feed(ClientDisconnected(f"r{evening.serial}"))
         if turn % 7 == 0:
-            evening.feed(api.AnswerBegan(f"r{evening.serial}", 0))
+            evening.feed(ResponseStarted(f"r{evening.serial}", 0))
         evening.run(30.0)
 
 
 def operators_routes(tell: Tell) -> None:
     """Bounds on time-outs and pauses between attempts."""
-    evening = Evening(tell, 10, endings=(api.Ending.FULL,))
+    evening = Evening(tell, 10, endings=(Outcome.REJECTED,))
     evening.fleet()
     for bound in (0.0, 40.0, 300.0):
         for wait in (0.0, 30.0, 400.0, float("inf")):
             evening.serial += 1
             ref = f"r{evening.serial}"
-            evening.feed(api.Request(ref, "read", "wide", "routed", 2500.0, 1.0, 2, bound, 100.0))
+            evening.feed(Request(ref, "read", "wide", "routed", 2500.0, 1.0, 2, bound, 100.0))
             for number in range(3):
-                ended = api.AttemptEnded(ref, number, "s0", api.Ending.FULL, 5.0, False, next_after_ms=wait)
+                ended = AttemptEnded(ref, number, "s0", Outcome.REJECTED, 5.0, False, retry_delay_ms=wait)
                 evening.feed(ended)
                 evening.run(450.0)
-            evening.queue = [row for row in evening.queue if not isinstance(row[2], api.AttemptEnded)]
+            evening.queue = [row for row in evening.queue if not isinstance(row[2], AttemptEnded)]
             heapq.heapify(evening.queue)
 
 
@@ -228,13 +242,13 @@
     """Calls turned away, late, and answered in time again; then no word for long, on plans of all kinds."""
     evening = Evening(tell, 11, others=0.3)
     evening.fleet()
-    for ending in (api.Ending.OK, api.Ending.FULL, api.Ending.OK, api.Ending.TIMEOUT, api.Ending.UNREACHABLE):
+    for ending in (Outcome.OK, Outcome.REJECTED, Outcome.OK, Outcome.TIMEOUT, Outcome.UNREACHABLE):
         evening.counter = ending
         evening.load(1800.0, 18.0, 3)
         evening.flood(700.0, 35.0, "open")
         evening.flood(700.0, 35.0, "hard")
     for _ in range(24):  # some get through, so that it is not mute, but most customers' words grow old
-        for ending in (api.Ending.FULL, api.Ending.OK):
+        for ending in (Outcome.REJECTED, Outcome.OK):
             evening.counter = ending
             evening.load(180.0, 18.0, 9)
 
@@ -254,7 +268,7 @@
     evening.fleet()
     for cls in ("read", "order", "bid", "charge") * 4:
         evening.serial += 1
-        evening.feed(api.Request(f"r{evening.serial}", cls, "wide", "copied", 2500.0, 1.0, 2, 0.0, 60.0))
+        evening.feed(Request(f"r{evening.serial}", cls, "wide", "copied", 2500.0, 1.0, 2, 0.0, 60.0))
         evening.run(250.0)
 
 
@@ -264,9 +278,9 @@
     evening.fleet(5)
     send = evening.send
 
-    def by_server(action: api.Send) -> None:
-        bad = {"s1": api.Ending.ERROR, "s3": api.Ending.TIMEOUT}
-        evening.endings = (bad.get(action.server, api.Ending.OK) if evening.now < turn else api.Ending.OK,)
+    def by_server(action: StartAttempt) -> None:
+        bad = {"s1": Outcome.ERROR, "s3": Outcome.TIMEOUT}
+        evening.endings = (bad.get(action.address, Outcome.OK) if evening.now < turn else Outcome.OK,)
         send(action)
 
     evening.send = by_server  # type: ignore[method-assign]
@@ -290,4 +304,6 @@
     second_copies,
     one_server_fails,
 )
-EVENING_SETTINGS = replace(SETTINGS, cross_zone_price=0.02, overlap=True, subscribe=True, max_requests=60)
+EVENING_SETTINGS = replace(
+    SETTINGS, cross_zone_price=0.02, allows_hedging=True, must_subscribe=True, max_requests=60
+)
--- a/tests/clients/membership/test_hundreds.py
+++ b/tests/clients/membership/test_hundreds.py
@@ -6,19 +6,11 @@
 
 import pytest
 
-from glenchute.policy.interface import (
-    Count,
-    CountReply,
-    Ending,
-    ListKind,
-    Refuse,
-    Send,
-    ServerEntry,
-    ServerList,
-)
+from glenchute.policy.actions import IncrementCounter, Reject, StartAttempt
+from glenchute.policy.events import CounterReply, Endpoint, EndpointList, EndpointListKind, Outcome
 from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
-MANY = with_(SETTINGS, gateways=300)
+MANY = with_(SETTINGS, gateway_count=300)
 
 
 def test_one_of_hundreds_asks_and_lets_in_what_the_store_holds() -> None:
@@ -26,31 +18,31 @@
     rig = Rig(entries(4), MANY)
     for i in range(20):
         name, actions = rig.ask(plan="rate", customer=f"c{i}", spread=200)
-        assert only(actions, Count)
-        assert only(actions, Send)
-        rig.end(name, 0, Ending.OK)
+        assert only(actions, IncrementCounter)
+        assert only(actions, StartAttempt)
+        rig.end(name, 0, Outcome.OK)
 
 
 def test_a_word_of_the_moment_refuses_what_the_others_have_used() -> None:
     rig = Rig(entries(4), MANY)
     rig.others = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
-    assert only(actions, Refuse) and not only(actions, Send)
+    assert only(actions, Reject) and not only(actions, StartAttempt)
 
 
 def test_a_request_waits_for_its_own_word_and_is_answered_once() -> None:
     rig = Rig(entries(4), MANY)
-    rig.ending = Ending.TIMEOUT
+    rig.ending = Outcome.TIMEOUT
     name, actions = rig.ask(plan="rate", spread=200)
-    assert [a.request_id for a in only(actions, Send)] == [name]
-    call = only(actions, Count)[0]
-    assert not rig.feed(CountReply(call.name, 3.0, Ending.OK))
+    assert [a.request_id for a in only(actions, StartAttempt)] == [name]
+    call = only(actions, IncrementCounter)[0]
+    assert not rig.feed(CounterReply(call.key, 3.0, Outcome.OK))
 
 
 def test_no_word_is_waited_for_with_little_time_left() -> None:
     rig = Rig(entries(4), MANY)
     _, actions = rig.ask(plan="rate", spread=200, left=60.0)
-    assert only(actions, Send) or finals(actions)
+    assert only(actions, StartAttempt) or finals(actions)
 
 
 def test_a_name_holds_one_window() -> None:
@@ -58,7 +50,7 @@
     rig.ask(plan="rate", spread=200)
     rig.advance(10_000.0)
     rig.ask(plan="rate", spread=200)
-    names = [a.name for _, a in rig.log if isinstance(a, Count)]
+    names = [a.key for _, a in rig.log if isinstance(a, IncrementCounter)]
     assert len(names) == 2 and len(set(names)) == 2
 
 
@@ -66,11 +58,11 @@
     rig = Rig(entries(4), MANY)
     rig.others = 7.0
     _, actions = rig.ask(plan="hard", spread=200)
-    assert only(actions, Refuse)
+    assert only(actions, Reject)
     rig.others = 0.0
     rig.advance(1050.0)
     rig.ask(plan="hard", spread=200)
-    amounts = [a.amount for _, a in rig.log if isinstance(a, Count)]
+    amounts = [a.amount for _, a in rig.log if isinstance(a, IncrementCounter)]
     assert amounts in ([1.0, 0.0], [1.0, 1.0])  # the second where a new window began
 
 
@@ -78,14 +70,14 @@
     rig = Rig(entries(4), MANY)
 
     def asked(count: int, turned_away: bool = False) -> int:
-        before = sum(isinstance(a, Count) for _, a in rig.log)
+        before = sum(isinstance(a, IncrementCounter) for _, a in rig.log)
         for i in range(count):
-            rig.ending = Ending.FULL if turned_away and i % 2 else Ending.OK
+            rig.ending = Outcome.REJECTED if turned_away and i % 2 else Outcome.OK
             name, actions = rig.ask(plan="rate", customer=f"{rig.serial}", spread=200)
-            if only(actions, Send):
-                rig.end(name, 0, Ending.OK)
+            if only(actions, StartAttempt):
+                rig.end(name, 0, Outcome.OK)
             rig.advance(5.0)
-        return sum(isinstance(a, Count) for _, a in rig.log) - before
+        return sum(isinstance(a, IncrementCounter) for _, a in rig.log) - before
 
     most = asked(50)
     asked(40, turned_away=True)
@@ -96,16 +88,16 @@
 
 def test_a_mute_counter_lets_two_requests_in_then_the_part() -> None:
     rig = Rig(entries(4), MANY)
-    rig.ending = Ending.UNREACHABLE
+    rig.ending = Outcome.UNREACHABLE
     for i in range(6):
-        rig.end(rig.ask(plan="rate", customer=f"x{i}", spread=200)[0], 0, Ending.OK)
+        rig.end(rig.ask(plan="rate", customer=f"x{i}", spread=200)[0], 0, Outcome.OK)
     assert rig.gateway.quota.mute
     went = 0
     for _ in range(40):
         name, actions = rig.ask(plan="rate", spread=200)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             went += 1
-            rig.end(name, 0, Ending.OK, 1.0)
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.advance(500.0)
     assert went == 2  # 20 s of a two-hundredth of two a second make no third
 
@@ -115,16 +107,16 @@
     """Each gateway's first turn was free: as many requests as gateways in one moment."""
     gateways, total = 60, 0
     for seed in range(gateways):
-        settings = with_(SETTINGS, gateways=gateways)
-        cold = ServerEntry("cold", "a", started_ms=1000.0)
+        settings = with_(SETTINGS, gateway_count=gateways)
+        cold = Endpoint("cold", "a", started_ms=1000.0)
         rig = Rig([*entries(2), cold] if restarted else entries(2), settings, seed=seed)
         if not restarted:
-            rig.feed(ServerList(ListKind.CHANGES, (cold,)))
+            rig.feed(EndpointList(EndpointListKind.CHANGES, (cold,)))
         for _ in range(2):  # more than the two warm servers get at ease
             for server in rig.gateway.fleet.servers.values():
-                server.out += 0 if server.entry.server == "cold" else 8
+                server.out += 0 if server.entry.address == "cold" else 8
         _, actions = rig.ask()
-        total += sum(send.server == "cold" for send in only(actions, Send))
+        total += sum(send.address == "cold" for send in only(actions, StartAttempt))
     # Warm at ten a second, it starts at a quarter and falls at twice that, over a second.
     assert total <= 5
 
@@ -135,8 +127,8 @@
     for i in range(16):
         name, actions = rig.ask(customer=f"c{i}", left=4000.0)
         rig.advance(500.0)
-        if only(actions, Send):
-            rig.end(name, 0, Ending.OK, 1500.0)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.OK, 1500.0)
         rig.answer_calls()
     assert rig.gateway.pressure.capacity < math.inf
 
@@ -145,18 +137,18 @@
     # Two attempts a server over all gateways is less than one here; half of all was refused.
     rig = Rig(entries(60), MANY)
     rig.warm_up()
-    went = [bool(only(rig.ask(customer=f"c{i}")[1], Send)) for i in range(4)]
+    went = [bool(only(rig.ask(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
     assert all(went)
 
 
 def test_a_spread_beyond_the_gateways_is_read_as_all_of_them() -> None:
     rig = Rig(entries(4), SETTINGS)
     rig.ask(plan="rate", spread=5000)
-    assert rig.gateway.quota.customers["c"].spread == SETTINGS.gateways
+    assert rig.gateway.quota.customers["c"].spread == SETTINGS.gateway_count
 
 
-@pytest.mark.parametrize("counter", [Ending.OK, Ending.FULL, Ending.UNREACHABLE])
-def test_a_ceiling_holds_over_its_gateways_whatever_the_counter_does(counter: Ending) -> None:
+@pytest.mark.parametrize("counter", [Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE])
+def test_a_ceiling_holds_over_its_gateways_whatever_the_counter_does(counter: Outcome) -> None:
     """Half of it is held by the count, half by even parts; a flood comes through all gateways at once."""
     rigs = [Rig(entries(4), MANY, seed=i) for i in range(6)]
     shared: dict[int, float] = {}
@@ -168,9 +160,9 @@
     for _ in range(60):
         for rig in rigs:
             name, actions = rig.ask(plan="hard", spread=6)
-            if only(actions, Send):
+            if only(actions, StartAttempt):
                 sent += 1.0
-                rig.end(name, 0, Ending.OK, 1.0)
+                rig.end(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(50.0)
     assert 4.0 <= sent <= 12.0 + 4.0 * (rigs[0].now - start) / 1000.0 + 2.0
@@ -182,7 +174,7 @@
 ) -> None:
     """As far as the gateways of the customer's set are heard: of a counter that may have lost its memory, or
     holds a half of them, no more than that may be granted."""
-    rig = Rig(entries(4), with_(SETTINGS, gateways=40))
+    rig = Rig(entries(4), with_(SETTINGS, gateway_count=40))
     rig.advance(20_000.0)
     rig.ask(plan="hard", spread=12, units=0.001)
     customer = rig.gateway.quota.customers["c"]
@@ -193,9 +185,9 @@
     for _ in range(3):
         rig.advance(110.0)
         name, actions = rig.ask(plan="hard", spread=12)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             sent += 1
-            rig.end(name, 0, Ending.OK, 1.0)
+            rig.end(name, 0, Outcome.OK, 1.0)
     assert least <= sent <= most
 
 
@@ -204,10 +196,10 @@
     rig = Rig(entries(60), MANY)
     for i in range(12):
         name, actions = rig.ask(cls="order", customer=f"c{i}", left=4000.0)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             rig.advance(600.0)
-            rig.end(name, 0, Ending.OK, 600.0)
-    sends = only(rig.ask(cls="read", left=4000.0)[1], Send)
+            rig.end(name, 0, Outcome.OK, 600.0)
+    sends = only(rig.ask(cls="read", left=4000.0)[1], StartAttempt)
     assert sends and sends[0].timeout_ms == 0.0
 
 
@@ -218,9 +210,9 @@
     went = 0
     for _ in range(20):
         name, actions = rig.ask(plan="rate", spread=200)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             went += 1
-            rig.end(name, 0, Ending.OK, 1.0)
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.advance(50.0)
     assert went == 2
 
@@ -230,8 +222,8 @@
     rig = Rig(entries(4))
     for _ in range(60):
         name, actions = rig.ask(plan="rate")
-        if only(actions, Send):
-            rig.end(name, 0, Ending.OK, 1.0)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(250.0)
     assert rig.gateway.quota.customers["c"].part >= 0.0
@@ -242,8 +234,8 @@
     rig = Rig(entries(4), MANY)
     for i in range(40):
         name, actions = rig.ask(customer=f"c{i}")
-        if only(actions, Send):
-            rig.end(name, 0, Ending.FULL, 1.0)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.REJECTED, 1.0)
         rig.advance(10.0)
     assert rig.gateway.fleet.rate == 0.0
 
@@ -254,10 +246,10 @@
     rig = Rig(entries(4), MANY)
     rig.others = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
-    assert only(actions, Refuse)
+    assert only(actions, Reject)
     rig.others = 0.0
     rig.advance(500.0)
-    amounts = [a.amount for _, a in rig.log if isinstance(a, Count)]
+    amounts = [a.amount for _, a in rig.log if isinstance(a, IncrementCounter)]
     assert [round(amount) for amount in amounts[1:]] in ([-1], [])  # none where a new window began
     assert len(amounts) == 2
 
@@ -269,4 +261,4 @@
     rig.others = 7.0
     rig.ask(plan="rate", spread=200)
     rig.advance(500.0)
-    assert sum(isinstance(a, Count) for _, a in rig.log) == 1
+    assert sum(isinstance(a, IncrementCounter) for _, a in rig.log) == 1
--- a/tests/clients/membership/test_server_words.py
+++ b/tests/clients/membership/test_server_words.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from glenchute.policy.interface import Ending, ServerEntry, ServerState
+from glenchute.policy.events import Endpoint, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_health as looks
 from glenchute.policy.membership import gossiped_drains as trials
 from glenchute.policy.membership.endpoint_health import Health
@@ -30,8 +30,8 @@
 ASKS = [Account(b"%016x" % (700 + n), "korporativni", 1.0, ",spread=3,first=0") for n in range(30)]
 
 
-def entry(name: str, state: ServerState = ServerState.ACTIVE) -> ServerEntry:
-    return ServerEntry(name, "a", state=state)
+def entry(name: str, state: EndpointState = EndpointState.ACTIVE) -> Endpoint:
+    return Endpoint(name, "a", state=state)
 
 
 def listed() -> Restraint:
@@ -41,7 +41,7 @@
 
 
 Step = Callable[[Restraint], object]
-GONE = ServerState.GONE
+GONE = EndpointState.REMOVED
 
 
 def word(at: float, server: str, version: int = 11, rank: float = 2.0, age: float = 0.0) -> Step:
@@ -49,10 +49,10 @@
 
 
 def said(at: float, version: int) -> Step:
-    return lambda one: [row.server for row in one.confirmed(at, version)[0]]
+    return lambda one: [row.address for row in one.confirmed(at, version)[0]]
 
 
-def news(version: int, *entries: ServerEntry, full: bool = False) -> Step:
+def news(version: int, *entries: Endpoint, full: bool = False) -> Step:
     return lambda one: one.listed(version, full, entries)
 
 
@@ -102,7 +102,7 @@
         self.version += 1
         back = server not in self.serving
         (self.serving.add if back else self.serving.discard)(server)
-        state = ServerState.ACTIVE if back else GONE
+        state = EndpointState.ACTIVE if back else GONE
         self.one.listed(self.version, False, [entry(server, state)])
         self.one.confirmed(self.now, self.version)
 
@@ -128,7 +128,7 @@
 
 
 def down(one: Health, now: float, server: str = "s0") -> Row:
-    row = one.ended(now, server, Ending.UNREACHABLE)
+    row = one.ended(now, server, Outcome.UNREACHABLE)
     assert row is not None
     return row
 
@@ -136,36 +136,36 @@
 def test_one_look_serves_all_and_the_way_back_too() -> None:
     one, other = member(), member("g1#1")
     other.heard(0.0, down(one, 0.0), 0.0)
-    assert 1000.0 <= other.taken(0.0, 6)[0].for_ms <= 2000.0 and other.taken(0.0, 6) == []
-    assert one.ended(0.5, "s0", Ending.UNREACHABLE) is None  # the same look
+    assert 1000.0 <= other.taken(0.0, 6)[0].duration_ms <= 2000.0 and other.taken(0.0, 6) == []
+    assert one.ended(0.5, "s0", Outcome.UNREACHABLE) is None  # the same look
     other.heard(2.1, down(one, 2.1), 0.0)
-    assert 2000.0 <= other.taken(2.1, 6)[0].for_ms <= 4000.0  # twice as long, and no longer from then on
+    assert 2000.0 <= other.taken(2.1, 6)[0].duration_ms <= 4000.0  # twice as long, and no longer from then on
     other.heard(6.0, down(one, 6.0), 0.0)
-    assert other.taken(6.0, 6)[0].for_ms <= 4000.0
-    back = one.ended(7.0, "s0", Ending.OK)
+    assert other.taken(6.0, 6)[0].duration_ms <= 4000.0
+    back = one.ended(7.0, "s0", Outcome.OK)
     assert back is not None and back.value == 0.0
     other.heard(7.0, back, 0.0)
-    assert other.taken(7.0, 6)[0].for_ms == 0.0 and not other.words and not other.by
+    assert other.taken(7.0, 6)[0].duration_ms == 0.0 and not other.words and not other.by
 
 
 def test_own_evidence_goes_before_words() -> None:
     one, other = member(), member("g1#1")
-    other.ended(0.0, "s0", Ending.OK)
+    other.ended(0.0, "s0", Outcome.OK)
     other.heard(0.5, down(one, 0.5), 0.0)
-    assert other.taken(0.5, 6)[0].for_ms == 0.0 and other.ignored == 1
-    denial = other.ended(0.6, "s0", Ending.ERROR)  # an error is an answer: it can be reached
+    assert other.taken(0.5, 6)[0].duration_ms == 0.0 and other.ignored == 1
+    denial = other.ended(0.6, "s0", Outcome.ERROR)  # an error is an answer: it can be reached
     assert denial is not None and denial.value == 0.0
-    assert other.ended(0.7, "s0", Ending.TIMEOUT) is None
+    assert other.ended(0.7, "s0", Outcome.TIMEOUT) is None
 
 
 def test_one_writer_alone_empties_a_third_at_most_and_two_what_they_both_say() -> None:
     liar, honest, other = member("g8#1"), member("g9#1"), member()
     for name in NAMES:
         other.heard(0.0, down(liar, 0.0, name), 0.0)
-    assert [avoid.for_ms for avoid in other.taken(0.0, 6)] == [0.0] * 6
+    assert [avoid.duration_ms for avoid in other.taken(0.0, 6)] == [0.0] * 6
     for name in NAMES[:4]:
         other.heard(0.0, down(honest, 0.0, name), 0.0)
-    assert sum(avoid.for_ms > 0.0 for avoid in other.taken(0.0, 6)) == 4
+    assert sum(avoid.duration_ms > 0.0 for avoid in other.taken(0.0, 6)) == 4
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     one = member()
     one.heard(10.0, Row(Kind.HEALTH, "s0", "g1#1", 1, value), age)
     assert bool(one.words) is kept
-    assert all(avoid.for_ms <= 1000.0 * looks.MOST_S * looks.STRETCH for avoid in one.taken(10.0, 6))
+    assert all(avoid.duration_ms <= 1000.0 * looks.MOST_S * looks.STRETCH for avoid in one.taken(10.0, 6))
     one.expire(10.0 + looks.MOST_S * looks.STRETCH)
     assert not one.words and not one.by
 
@@ -186,8 +186,8 @@
     one = member()
     for number in range(20):
         one.heard(0.0, Row(Kind.HEALTH, f"x{number}", "g1#1", number + 1, 900.0), 0.0)
-        one.ended(0.0, f"y{number}", Ending.OK)
-        one.ended(0.0, f"z{number}", Ending.UNREACHABLE)
+        one.ended(0.0, f"y{number}", Outcome.OK)
+        one.ended(0.0, f"z{number}", Outcome.UNREACHABLE)
     assert len(one.words) == len(one.answered) == len(one.own) == 4 and one.by == {"g1#1": set(one.words)}
 
 
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -90,13 +90,13 @@
         moments = list(first.values())
         plan = settings(site_settings).plans[2]
         found = bound(plan, GATEWAYS, 0.0, 1.0)
-        over = overshoot(moments, plan.ceiling_rate, plan.ceiling_burst)
-        assert over <= ceiling_overshoot(found) + plan.ceiling_rate * LATE_S
-        over = overshoot(moments, plan.rate, plan.burst)
-        assert over <= (GATEWAYS - 1) * (plan.burst + plan.rate * SECONDS)
+        over = overshoot(moments, plan.ceiling_rate_per_s, plan.ceiling_burst_units)
+        assert over <= ceiling_overshoot(found) + plan.ceiling_rate_per_s * LATE_S
+        over = overshoot(moments, plan.rate_per_s, plan.burst_units)
+        assert over <= (GATEWAYS - 1) * (plan.burst_units + plan.rate_per_s * SECONDS)
         # It was a flood, and the gateways served what they could.
         answers = [outcome.answer for load in loads for outcome in load.outcomes]
         assert len(answers) > 0.8 * GATEWAYS * RATE * SECONDS and "lost" not in answers
-        assert len(moments) >= 0.5 * (plan.ceiling_burst + plan.ceiling_rate * SECONDS)
+        assert len(moments) >= 0.5 * (plan.ceiling_burst_units + plan.ceiling_rate_per_s * SECONDS)
 
     play(scenario())
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -20,7 +20,7 @@
 from glenchute.core import gateway as gateways
 from glenchute.core.types import News
 from glenchute.policy.balancing.subset_size import WHOLE
-from glenchute.policy.interface import ListKind, ServerList
+from glenchute.policy.events import EndpointList, EndpointListKind
 from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
 from tests.loopback import Script, Site, site
@@ -127,8 +127,8 @@
         for n in changed:
             rows[n] = {**rows[n], "weight": 1.5 + len(changed)}
         news = parted(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), held)
-        assert len(read) == expected and [entry.server for entry in news.event.entries][3] == "n3"
-        assert [entry.size for entry in news.event.entries] == [one.get("weight", 1.0) for one in rows]
+        assert len(read) == expected and [entry.address for entry in news.event.endpoints][3] == "n3"
+        assert [entry.weight for entry in news.event.endpoints] == [one.get("weight", 1.0) for one in rows]
         assert len(held.texts) == len(rows)
 
 
@@ -153,8 +153,8 @@
                 type(discovery).read_on(discovery, reading)
 
 
-def lists(module: Script) -> list[ServerList]:
-    return module.of(ServerList)
+def lists(module: Script) -> list[EndpointList]:
+    return module.of(EndpointList)
 
 
 @pytest.mark.parametrize("end", ["stays", "closes", "moves", "ends", "another"])
@@ -195,10 +195,10 @@
                 answers.answers.append(listing(4, [row("s0", 9, "Terminating")], full=False))
                 await until(lambda: discovery.since == 4)
             await parts.go_on(40)
-            told = [event for event in lists(module)[before:] if len(event.entries) > 100]
+            told = [event for event in lists(module)[before:] if len(event.endpoints) > 100]
             if end in ("stays", "closes"):
                 assert discovery.since == 3 and discovery.reading is None
-                assert [event.kind for event in told] == [ListKind.FULL]
+                assert [event.kind for event in told] == [EndpointListKind.FULL]
                 answers.answers.append(listing(5, [row("n0", 9, "Terminating")], full=False))
                 await until(lambda: discovery.since == 5)  # the watch goes on
             else:
@@ -324,7 +324,7 @@
         assert chain.state() == state
     chain.tell(zoned(100, 5_700, weight=2.0))
     assert set(chain.servers.known()) == {f"n{n}" for n in range(100, 5_800)}
-    assert all(entry.entry.size == 2.0 for entry in chain.policy.fleet.servers.values())
+    assert all(entry.entry.weight == 2.0 for entry in chain.policy.fleet.servers.values())
 
 
 def test_a_name_that_is_no_text_hides_nothing_of_a_long_list(chain: Chain) -> None:
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -19,11 +19,11 @@
 from glenchute.clients.discovery import ListError, read_list
 from glenchute.listeners.resp2 import clients as clients_module
 from glenchute.listeners.resp2.clients import MOST_PENDING
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action
 from glenchute.policy.connections import client_slots as places_module
 from glenchute.policy.connections.client_slots import FIRST_COMMAND_S
 from glenchute.policy.endpoints import polling as pacing
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Event, Outcome, Request
 from glenchute.upstreams import connection_pool as servers_module
 from lab.ports import outgoing_ports
 from tests.loopback import (
@@ -101,7 +101,7 @@
             client = await one.client()
             for words, text in BAD:
                 assert text in str(await client.ask(*words)), words
-            assert script.of(api.Request) == []
+            assert script.of(Request) == []
             assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
@@ -176,7 +176,7 @@
             client = await one.client()
             fields = b"c=read,t=basic,d=999999999"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
-            assert [event.time_left_ms for event in script.of(api.Request)] == [20_000.0]
+            assert [event.time_left_ms for event in script.of(Request)] == [20_000.0]
 
     play(scenario())
 
@@ -290,7 +290,7 @@
             client = await one.client()
             for number in range(3 * MOST_PENDING):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(api.Request)) >= MOST_PENDING)
+            await until(lambda: len(script.of(Request)) >= MOST_PENDING)
             assert len(one.program.gateway.live) == MOST_PENDING
             release.set()
             assert {await client.reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
@@ -432,8 +432,8 @@
             def grace_ends() -> None:
                 pool.stop_at = one.program.loop.time() - 1.0
 
-            def and_drain(event: api.Event) -> list[api.Action]:
-                if isinstance(event, api.Request):
+            def and_drain(event: Event) -> list[Action]:
+                if isinstance(event, Request):
                     pool.stop()  # within its grace as the attempt starts, past it when the connection is up
                     one.program.loop.call_soon(grace_ends)
                 return decide(event)
@@ -441,7 +441,7 @@
             script.decide = and_drain
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             assert str(await client.reply()) == "ERR failed"
-            assert [e.ending for e in script.of(api.AttemptEnded)] == [Ending.UNREACHABLE]
+            assert [e.outcome for e in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
             assert one.servers[0].calls() == []
 
     play(scenario())
@@ -459,7 +459,7 @@
             discovery.answers.append(listing(2, [row("s0", port, "Gone")], full=False))
             await until(lambda: ("closed", 1, []) in one.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
-            assert script.of(api.AttemptEnded)[-1].ending is Ending.UNREACHABLE
+            assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
             assert not one.program.gateway.started_ms and not one.program.servers.pools  # ids are ever new
 
     play(scenario())
@@ -472,8 +472,8 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             return None if words[2] == b"mute" else SERVED
 
-        def decide(event: api.Event) -> list[api.Action]:
-            quick = isinstance(event, api.Request) and len(script.of(api.Request)) == 3
+        def decide(event: Event) -> list[Action]:
+            quick = isinstance(event, Request) and len(script.of(Request)) == 3
             return send_to("s0", 300.0 if quick else 0.0)(event)
 
         script = Script(decide)
@@ -488,7 +488,7 @@
             assert len(pool.idle) == 2
             one.program.servers.sweeper.cancel()  # or the idle limit would close them too, later
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"mute", GET)) == "ERR failed"
-            assert script.of(api.AttemptEnded)[-1].ending is Ending.TIMEOUT
+            assert script.of(AttemptEnded)[-1].outcome is Outcome.TIMEOUT
             await until(lambda: not pool.open)
 
     play(scenario())
@@ -503,8 +503,8 @@
             client = await one.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(api.AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
-            assert {event.ending for event in script.of(api.AttemptEnded)} == {Ending.UNREACHABLE}
+            await until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
+            assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.UNREACHABLE}
             assert servers.count() == 5
 
     play(scenario())
@@ -528,13 +528,13 @@
         await peer.start()
         loop = asyncio.get_running_loop()
         made = Counter(loop, ("127.0.0.1", peer.port), 0.05)
-        ends: list[tuple[int, float, Ending]] = []
+        ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
             made.call(name, 1.5, 4000.0, lambda total, ending, took: ends.append((name, total, ending)))
 
         call(2)
-        assert ends == [(2, 0.0, Ending.UNREACHABLE)]  # not connected yet: nothing was added
+        assert ends == [(2, 0.0, Outcome.UNREACHABLE)]  # not connected yet: nothing was added
         await until(lambda: all(link.ready() for link in made.links))
         call(2)
         await until(lambda: len(ends) == 2)
@@ -543,7 +543,7 @@
         call(6)
         release.set()
         await until(lambda: len(ends) == 4)
-        assert ends[1:] == [(2, 0.0, Ending.TIMEOUT), (4, 4.0, Ending.OK), (6, 0.0, Ending.FULL)]
+        assert ends[1:] == [(2, 0.0, Outcome.TIMEOUT), (4, 4.0, Outcome.OK), (6, 0.0, Outcome.REJECTED)]
         assert peer.calls()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
         made.close()
         await peer.stop()
@@ -568,13 +568,13 @@
         peer = RespPeer(reply)
         await peer.start()
         made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        ends: list[tuple[float, Ending]] = []
+        ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
             await until(lambda: all(link.ready() for link in made.links))
             made.call(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
-        assert ends == [(0.0, Ending.TIMEOUT), (3.0, Ending.OK)]
+        assert ends == [(0.0, Outcome.TIMEOUT), (3.0, Outcome.OK)]
         assert len(peer.calls()) == 2  # the first was not repeated
         made.close()
         await peer.stop()
@@ -597,13 +597,13 @@
         peer = RespPeer(reply)
         await peer.start()
         made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        ends: list[tuple[float, Ending]] = []
+        ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
             await until(lambda: all(link.ready() for link in made.links))
             made.call(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
-        assert ends == [(0.0, Ending.TIMEOUT), (4.5, Ending.OK)]
+        assert ends == [(0.0, Outcome.TIMEOUT), (4.5, Outcome.OK)]
         assert len(peer.writers) == counter_module.LINKS + 1
         made.close()
         await peer.stop()
@@ -677,13 +677,13 @@
         script = Script(lambda event: [])
         async with site(decisions=script, discovery=discovery):
             await until(lambda: len(discovery.targets) == 11)
-            told = [(e.kind, [x.server for x in e.entries]) for e in script.of(api.ServerList)]
+            told = [(e.kind, [x.address for x in e.endpoints]) for e in script.of(EndpointList)]
             assert told == [
-                (api.ListKind.SAVED, []),
-                (api.ListKind.FULL, ["a", "b"]),
-                (api.ListKind.CHANGES, ["a"]),
-                (api.ListKind.FULL, ["a"]),
-                (api.ListKind.CHANGES, ["c"]),
+                (EndpointListKind.CACHED, []),
+                (EndpointListKind.FULL, ["a", "b"]),
+                (EndpointListKind.CHANGES, ["a"]),
+                (EndpointListKind.FULL, ["a"]),
+                (EndpointListKind.CHANGES, ["c"]),
             ]
             since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
             assert since == ["1", "1", "1", "1", "1", "5", "5", "9", "9", "3", "4"]
@@ -898,7 +898,7 @@
         await old.start()
         await new.start()
         made = Counter(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
-        ends: list[tuple[int, float, Ending]] = []
+        ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
             made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
@@ -911,11 +911,11 @@
         await until(lambda: all(link.ready() for link in made.links))
         call(4)  # its old call ends now: answers for one name keep their order
         await until(lambda: len(ends) == 2)
-        assert ends == [(4, 0.0, Ending.TIMEOUT), (4, 3.0, Ending.OK)]
+        assert ends == [(4, 0.0, Outcome.TIMEOUT), (4, 3.0, Outcome.OK)]
         release.set()
         await until(lambda: len(ends) == 3)
         await until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
-        assert ends[2] == (2, 7.0, Ending.OK) and len(new.calls()) == 1
+        assert ends[2] == (2, 7.0, Outcome.OK) and len(new.calls()) == 1
         made.close()
         await old.stop()
         await new.stop()
--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -18,7 +18,7 @@
 from glenchute.config.locate import line_of, positions
 from glenchute.config.operator import MOST_BYTES, MOST_ROUTES, Reading, parse, read
 from glenchute.config.schema import Path as Place
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from tests.loopback import raw_config
 from tests.sites import FACTS, NO_SCOPE, OVERLAP
 
@@ -236,7 +236,7 @@
     operator = parse(text, OVERLAP).operator
     assert operator is not None and list(operator.table) == [("report-read", "korporativni")]
     route = operator.table["report-read", "korporativni"]
-    assert route.attempts == 3 and route.causes is not None and Ending.TIMEOUT in route.causes
+    assert route.attempts == 3 and route.causes is not None and Outcome.TIMEOUT in route.causes
 
 
 @pytest.mark.parametrize(
--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -22,12 +22,12 @@
 from glenchute.config.operator import Faults, Reading, in_parts, parse
 from glenchute.config.rules import violations
 from glenchute.config.schema import Words
-from glenchute.policy.interface import Repeat
 from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.settings import Idempotency
 from tests.sites import FACTS
 
-TWO_READS = replace(FACTS, classes={"a-read": ClassFacts(Repeat.SAFE, 2000.0), **FACTS.classes})
-READS = {"report-read": ClassFacts(Repeat.SAFE, 3000.0)}
+TWO_READS = replace(FACTS, classes={"a-read": ClassFacts(Idempotency.IDEMPOTENT, 2000.0), **FACTS.classes})
+READS = {"report-read": ClassFacts(Idempotency.IDEMPOTENT, 3000.0)}
 NO_POST = replace(FACTS, classes=READS, plans=("standard", "osnovni"))
 
 
@@ -190,7 +190,7 @@
 
 def plans_of(count: int) -> Facts:
     """Ten classes, half of them safe, and so many plans."""
-    kinds = (Repeat.SAFE, Repeat.UNSAFE)
+    kinds = (Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT)
     classes = {f"class-{n}": ClassFacts(kinds[n % 2], 4e3) for n in range(10)}
     return Facts(classes, tuple(f"plan-{n:05}" for n in range(count)), 5, False, 250.0)
 
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -17,8 +17,7 @@
 from glenchute.capture.replay import replay, runs
 from glenchute.config.facts import Facts
 from glenchute.config.operator import parse
-from glenchute.policy import interface as api
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import AttemptAssigned, AttemptEnded, Event, Outcome
 from glenchute.policy.retries.route_limits import Budget, BudgetRule, Course, Route
 from tests.loopback import always, play, raw_config, site
 from tests.sites import FACTS, NO_SCOPE
@@ -79,18 +78,18 @@
     ("attempts", "causes", "started", "again"),
     [
         (0, None, 5, True), (3, None, 2, True), (3, None, 3, False),
-        (0, frozenset({Ending.FULL}), 1, False), (0, frozenset({Ending.RESET}), 1, True),
+        (0, frozenset({Outcome.REJECTED}), 1, False), (0, frozenset({Outcome.RESET}), 1, True),
     ],
 )  # fmt: skip
 def test_a_route_that_leaves_no_further_attempt_keeps_it_alone(
-    attempts: int, causes: frozenset[Ending] | None, started: int, again: bool
+    attempts: int, causes: frozenset[Outcome] | None, started: int, again: bool
 ) -> None:
     import random
 
     rule = BudgetRule(0.0)
     course = Course(Route("r", attempts=attempts, causes=causes), Budget(rule, 0.0), random.Random(1))
     course.started = started
-    assert course.again(Ending.RESET) is again
+    assert course.again(Outcome.RESET) is again
 
 
 @pytest.fixture(name="platform")
@@ -135,7 +134,7 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
 
-def captured(tmp_path: Path) -> list[api.Event]:
+def captured(tmp_path: Path) -> list[Event]:
     """What a gateway that shares connections told its module, after a replay found each decision equal."""
     files = [file for run in runs(tmp_path).values() for file in run]
     for run in runs(tmp_path).values():
@@ -163,10 +162,10 @@
 
     play(scenario())
     events = captured(tmp_path)
-    placed = [event for event in events if isinstance(event, api.AttemptPlaced)]
+    placed = [event for event in events if isinstance(event, AttemptAssigned)]
     assert len(placed) >= 6 and "joins line 1 behind 2" in placed[2].reason
-    resets = [event for event in events if isinstance(event, api.AttemptEnded)]
-    assert [event.ending for event in resets[:3]] == [Ending.RESET] * 3
+    resets = [event for event in events if isinstance(event, AttemptEnded)]
+    assert [event.outcome for event in resets[:3]] == [Outcome.RESET] * 3
     story = told("replay", str(tmp_path), "--explain", placed[2].request_id)
     assert story.returncode == 0 and "joins line 1 behind 2" in story.stdout
 
--- a/tests/core/test_gateway.py
+++ b/tests/core/test_gateway.py
@@ -8,8 +8,16 @@
 import pytest
 
 from glenchute.core.gateway import Clock, report
-from glenchute.policy import interface as api
-from glenchute.policy.interface import Ending
+from glenchute.policy.actions import Action, CancelAttempt, Fail, Reject, SetTimer, StartAttempt
+from glenchute.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointList,
+    Event,
+    Outcome,
+    Request,
+    TimerFired,
+)
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -47,46 +55,46 @@
     return None
 
 
-ENDINGS: list[tuple[Reply, Ending]] = [
-    (always(SERVED), Ending.OK),
-    (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), Ending.OK),
-    (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), Ending.OK),
-    (always(SERVED + b"noise"), Ending.OK),
-    (always(b"*1\r\n$0\r\n\r\n"), Ending.ERROR),
-    (always(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), Ending.ERROR),
-    (always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), Ending.ERROR),  # and nothing more comes
-    (always(b"*3\r\n*999999999\r\n"), Ending.ERROR),
-    (always(b"-BUSY or not\r\n"), Ending.ERROR),
-    (always(b"-BUSY\r\nnoise"), Ending.ERROR),
-    (always(b"-BUSY queue=3,inflight=9\r\n"), Ending.FULL),
-    (always(b"-ERR failed queue=3,inflight=9\r\n"), Ending.ERROR),
-    (always(b"-SYNTAX no\r\n"), Ending.ERROR),
-    (always(b"-BUSY\r\n"), Ending.FULL),
-    (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"$5\r\nvalue\r\n"), Ending.ERROR),
-    (always(b"what is this?\r\n"), Ending.ERROR),
-    (hang_up, Ending.RESET),
-    (always(None), Ending.TIMEOUT),
+ENDINGS: list[tuple[Reply, Outcome]] = [
+    (always(SERVED), Outcome.OK),
+    (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), Outcome.OK),
+    (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), Outcome.OK),
+    (always(SERVED + b"noise"), Outcome.OK),
+    (always(b"*1\r\n$0\r\n\r\n"), Outcome.ERROR),
+    (always(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (always(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), Outcome.ERROR),
+    (always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),  # and nothing more comes
+    (always(b"*3\r\n*999999999\r\n"), Outcome.ERROR),
+    (always(b"-BUSY or not\r\n"), Outcome.ERROR),
+    (always(b"-BUSY\r\nnoise"), Outcome.ERROR),
+    (always(b"-BUSY queue=3,inflight=9\r\n"), Outcome.REJECTED),
+    (always(b"-ERR failed queue=3,inflight=9\r\n"), Outcome.ERROR),
+    (always(b"-SYNTAX no\r\n"), Outcome.ERROR),
+    (always(b"-BUSY\r\n"), Outcome.REJECTED),
+    (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), Outcome.ERROR),
+    (always(b"$5\r\nvalue\r\n"), Outcome.ERROR),
+    (always(b"what is this?\r\n"), Outcome.ERROR),
+    (hang_up, Outcome.RESET),
+    (always(None), Outcome.TIMEOUT),
 ]
 
 
 @pytest.mark.parametrize(("reply", "ending"), ENDINGS)
-def test_each_ending_is_told_once_as_the_protocol_reads_it(reply: Reply, ending: Ending) -> None:
+def test_each_ending_is_told_once_as_the_protocol_reads_it(reply: Reply, ending: Outcome) -> None:
     async def scenario() -> None:
         # The time-out is long enough not to cut in where an answer comes, on any machine.
-        script = Script(send_to("s0", 200.0 if ending is Ending.TIMEOUT else 0.0))
+        script = Script(send_to("s0", 200.0 if ending is Outcome.TIMEOUT else 0.0))
         async with site(reply, decisions=script) as one:
             client = await one.client()
             answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
-            ended = script.of(api.AttemptEnded)
-            assert [event.ending for event in ended] == [ending]
-            assert ended[0].final is (ending is Ending.OK)
-            assert isinstance(answer, bytes) is (ending is Ending.OK)
-            assert ended[0].took_ms >= 0.0
+            ended = script.of(AttemptEnded)
+            assert [event.outcome for event in ended] == [ending]
+            assert ended[0].is_final is (ending is Outcome.OK)
+            assert isinstance(answer, bytes) is (ending is Outcome.OK)
+            assert ended[0].duration_ms >= 0.0
 
     play(scenario())
 
@@ -98,7 +106,7 @@
             await one.servers[0].stop()
             client = await one.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
-            assert [event.ending for event in script.of(api.AttemptEnded)] == [Ending.UNREACHABLE]
+            assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
 
     play(scenario())
 
@@ -109,13 +117,13 @@
     async def scenario() -> None:
         seen: list[str] = []
 
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0", 100.0)]
-            if isinstance(event, api.AttemptEnded) and not event.final:
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0", 100.0)]
+            if isinstance(event, AttemptEnded) and not event.is_final:
                 first = one.program.servers.pools["s0"].open
-                seen.append(f"{event.ending.value} with {len(first)} open")
-                return [api.Send(event.request_id, "s1", 0.0)]
+                seen.append(f"{event.outcome.value} with {len(first)} open")
+                return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
         async with site(always(None), always(SERVED), decisions=Script(decide)) as one:
@@ -129,18 +137,18 @@
 
 def test_a_cancel_closes_the_connection_and_is_told_once() -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0"), api.SetTimer(5, 0.0)]
-            if isinstance(event, api.TimerFired):
-                return [api.Cancel("1", 0)] if one.servers[0].calls() else [api.SetTimer(5, 0.0)]
-            return [api.Fail(event.request_id)] if isinstance(event, api.AttemptEnded) else []
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0"), SetTimer(5, 0.0)]
+            if isinstance(event, TimerFired):
+                return [CancelAttempt("1", 0)] if one.servers[0].calls() else [SetTimer(5, 0.0)]
+            return [Fail(event.request_id)] if isinstance(event, AttemptEnded) else []
 
         script = Script(decide)
         async with site(always(None), decisions=script) as one:
             client = await one.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
-            assert [event.ending for event in script.of(api.AttemptEnded)] == [Ending.CANCELLED]
+            assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.CANCELLED]
             await until(lambda: ("closed", 1, []) in one.servers[0].log)
 
     play(scenario())
@@ -148,17 +156,17 @@
 
 def test_two_attempts_at_once_are_not_made() -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0"), api.Send(event.request_id, "s1")]
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0"), StartAttempt(event.request_id, "s1")]
             return []
 
         script = Script(decide)
         async with site(always(None), always(SERVED), decisions=script) as one:
             client = await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: script.of(api.AttemptEnded))
-            assert [(e.attempt, e.ending) for e in script.of(api.AttemptEnded)] == [(1, Ending.UNSENT)]
+            await until(lambda: script.of(AttemptEnded))
+            assert [(e.attempt, e.outcome) for e in script.of(AttemptEnded)] == [(1, Outcome.NOT_SENT)]
             assert one.servers[1].calls() == []
 
     play(scenario())
@@ -168,10 +176,10 @@
     """-BUSY promises that no try ran, whatever the module says."""
 
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0")]
-            return [api.Refuse(event.request_id, 7.0)] if isinstance(event, api.AttemptEnded) else []
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0")]
+            return [Reject(event.request_id, 7.0)] if isinstance(event, AttemptEnded) else []
 
         for reply, answer in ((b"-ERR failed\r\n", "ERR failed"), (b"-BUSY\r\n", "BUSY 7")):
             async with site(always(reply), decisions=Script(decide)) as one:
@@ -184,30 +192,30 @@
 @pytest.mark.parametrize(("sent", "answer"), [(False, "BUSY"), (True, "ERR failed")])
 def test_a_request_that_the_module_forgets_is_answered_at_its_deadline(sent: bool, answer: str) -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            return [api.Send(event.request_id, "s0")] if sent and isinstance(event, api.Request) else []
+        def decide(event: Event) -> list[Action]:
+            return [StartAttempt(event.request_id, "s0")] if sent and isinstance(event, Request) else []
 
         script = Script(decide)
         async with site(always(None), decisions=script) as one:
             client = await one.client()
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
-            assert script.of(api.RequestGone) == [api.RequestGone("1")]
-            assert [e.ending for e in script.of(api.AttemptEnded)] == ([Ending.TIMEOUT] if sent else [])
+            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
+            assert [e.outcome for e in script.of(AttemptEnded)] == ([Outcome.TIMEOUT] if sent else [])
 
     play(scenario())
 
 
 def test_a_fault_in_the_decisions_costs_nobody_the_answer() -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request) and event.class_name == "read":
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request) and event.class_name == "read":
                 raise RuntimeError("a fault")
             return send_to("s0")(event)
 
         script = Script(decide)
 
-        def handle(now_ms: float, event: api.Event) -> list[api.Action]:
+        def handle(now_ms: float, event: Event) -> list[Action]:
             script.events.append(event)
             return decide(event)
 
@@ -235,7 +243,7 @@
             for name in (b"1", b"2", b"3"):
                 client.send(b"CALL.GET", CUSTOMER, name, GET)
             client.send(b"PING")
-            await until(lambda: len(script.of(api.AttemptEnded)) == 2)
+            await until(lambda: len(script.of(AttemptEnded)) == 2)
             release.set()
             assert [await client.reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
 
@@ -250,7 +258,7 @@
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             await until(lambda: one.servers[0].calls())
             client.writer.close()
-            await until(lambda: script.of(api.RequestGone))
+            await until(lambda: script.of(ClientDisconnected))
             assert one.program.gateway.live == {}
 
     play(scenario())
@@ -260,10 +268,10 @@
     async def scenario() -> None:
         fired: list[float] = []
 
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.ServerList) and not script.of(api.ServerList)[1:]:
-                return [api.SetTimer(3, one_clock.now() + 5.0)]
-            if isinstance(event, api.TimerFired):
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, EndpointList) and not script.of(EndpointList)[1:]:
+                return [SetTimer(3, one_clock.now() + 5.0)]
+            if isinstance(event, TimerFired):
                 fired.append(one_clock.now())
             return []
 
@@ -271,7 +279,7 @@
         start = one_clock.now()
         async with site(decisions=script):
             await until(lambda: fired)
-            assert fired[0] >= start + 5.0 and script.of(api.TimerFired) == [api.TimerFired(3)]
+            assert fired[0] >= start + 5.0 and script.of(TimerFired) == [TimerFired(3)]
 
     play(scenario())
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -13,37 +13,44 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from glenchute.policy.engine import Gateway
-from glenchute.policy.interface import (
-    Action,
+from glenchute.policy.actions import Action, IncrementCounter, SetTimer, StartAttempt
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
     AttemptEnded,
-    Count,
-    CountReply,
-    Ending,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
     Event,
-    ListKind,
-    Plan,
-    Repeat,
+    Outcome,
     Request,
-    RequestClass,
-    Safety,
-    Send,
-    ServerEntry,
-    ServerList,
-    SetTimer,
-    Settings,
     TimerFired,
 )
+from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
 from lab.counter import Parts
 
 TIMEOUT_MS = 50.0
 NET_MS = 1.0
-SERVERS = tuple(ServerEntry(f"s{i}", "a") for i in range(6))
+SERVERS = tuple(Endpoint(f"s{i}", "a") for i in range(6))
 PLANS = (
-    Plan("soft", rate=8.0, burst=20.0),
-    Plan("hard", rate=8.0, burst=20.0, ceiling_rate=20.0, ceiling_burst=50.0, ceiling_slack=5.0),
+    Plan("soft", rate_per_s=8.0, burst_units=20.0),
+    Plan(
+        "hard",
+        rate_per_s=8.0,
+        burst_units=20.0,
+        ceiling_rate_per_s=20.0,
+        ceiling_burst_units=50.0,
+        ceiling_slack_units=5.0,
+    ),
     # The quota is as wide as the ceiling, which thus has to hold by itself.
-    Plan("bare", rate=20.0, burst=30.0, ceiling_rate=20.0, ceiling_burst=50.0, ceiling_slack=5.0),
+    Plan(
+        "bare",
+        rate_per_s=20.0,
+        burst_units=30.0,
+        ceiling_rate_per_s=20.0,
+        ceiling_burst_units=50.0,
+        ceiling_slack_units=5.0,
+    ),
 )
 
 
@@ -51,12 +58,12 @@
     """One class, three plans."""
     return Settings(
         zone="a",
-        gateways=gateways,
-        classes=(RequestClass("read", 2000.0, 1.0, Repeat.SAFE),),
+        gateway_count=gateways,
+        classes=(RequestClass("read", 2000.0, 1.0, Idempotency.IDEMPOTENT),),
         plans=PLANS,
-        safety=Safety(),
+        slow_start=SlowStart(),
         max_retry_after_ms=1000.0,
-        counter=True,
+        has_counter=True,
         counter_timeout_ms=TIMEOUT_MS,
     )
 
@@ -69,7 +76,7 @@
     seed: int
     parts: int = 2
     skew_ms: float = 0.0
-    make: Callable[[Settings, int], Any] = Gateway
+    make: Callable[[Settings, int], Any] = DecisionEngine
     sent: list[tuple[float, str, float]] = field(default_factory=list)  # true time, plan, units
     refusals: list[tuple[float, str]] = field(default_factory=list)  # true time, plan
     asked: int = 0
@@ -102,7 +109,7 @@
         """A gateway starts, knowing nothing."""
         self.incarnation[number] += 1
         self.modules[number] = self.make(settings(self.gateways), self.rng.randrange(1 << 30))
-        self.feed(number, self.incarnation[number], ServerList(ListKind.SAVED, SERVERS))
+        self.feed(number, self.incarnation[number], EndpointList(EndpointListKind.CACHED, SERVERS))
 
     def restart(self, number: int) -> None:
         """It dies and starts again from nothing; what was out to it is gone."""
@@ -118,31 +125,31 @@
 
     def perform(self, number: int, incarnation: int, action: Action) -> None:
         back = (number, incarnation)
-        if isinstance(action, Send):
+        if isinstance(action, StartAttempt):
             request = self.first.pop((number, action.request_id), None)
             if request is not None:
                 self.sent.append((self.now, request.plan, request.units))
-            ended = AttemptEnded(action.request_id, 0, action.server, Ending.OK, 20.0, True)
+            ended = AttemptEnded(action.request_id, 0, action.address, Outcome.OK, 20.0, True)
             self.at(self.now + 20.0, self.feed, *back, ended)
         elif isinstance(action, SetTimer):
             self.at(action.at_ms - self.skews[number], self.feed, *back, TimerFired(action.token))
-        elif isinstance(action, Count):
+        elif isinstance(action, IncrementCounter):
             self.at(self.now + NET_MS, self.count, *back, action, self.now)
         else:
             request = self.first.pop((number, getattr(action, "request_id", "")), None)
             if request is not None:
                 self.refusals.append((self.now, request.plan))
 
-    def count(self, number: int, incarnation: int, call: Count, began: float) -> None:
+    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """A call reaches the counter, whatever has become of its gateway."""
-        told = self.counter.call(self.now, f"g{number}", str(call.name), call.amount, call.ttl_ms)
+        told = self.counter.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         late = told is None or told[1] + 2 * NET_MS > TIMEOUT_MS
         if told is None or late:
-            reply = CountReply(call.name, 0.0, Ending.TIMEOUT, TIMEOUT_MS)
+            reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, TIMEOUT_MS)
             self.at(began + TIMEOUT_MS, self.feed, number, incarnation, reply)
         else:
             total = float(f"{told[0]:.7g}")  # seven digits are exact
-            reply = CountReply(call.name, total, Ending.OK, told[1] + 2 * NET_MS)
+            reply = CounterReply(call.key, total, Outcome.OK, told[1] + 2 * NET_MS)
             self.at(self.now + told[1] + NET_MS, self.feed, number, incarnation, reply)
 
     def flood(
--- a/tests/lab/test_quota_errors.py
+++ b/tests/lab/test_quota_errors.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from glenchute.policy import engine as policy
-from glenchute.policy import interface as api
+from glenchute.policy.admission import quota as quota_rules
 from glenchute.policy.admission import windows
-from glenchute.policy.engine import Gateway
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.settings import Plan
 from lab.sim import quotas
 from lab.sim.quotas import BLUR, EXACT, SITES, TURKU, Account, Books, Day, Model, Scheme, Store, Try
 
-PLAN = api.Plan("plan", rate=2.0, burst=10.0)
+PLAN = Plan("plan", rate_per_s=2.0, burst_units=10.0)
 ACCOUNT = Account("c", PLAN, tuple(range(32)))
 
 
@@ -72,7 +72,7 @@
 
 
 def test_a_cap_on_open_attempts_takes_the_room_away() -> None:
-    account = Account("c", api.Plan("plan", rate=2.0, burst=10.0, max_open=4), (0, 1))
+    account = Account("c", Plan("plan", rate_per_s=2.0, burst_units=10.0, max_concurrent=4), (0, 1))
     books = Books(0.0)
     books.out["c"] = 3
     books.refused(0.0, account, 1.0, "open")
@@ -107,7 +107,9 @@
     day = small(site)
     informed = quotas.play(day, 5)
     assert quotas.play(day, 5) == informed  # a seed is a run
-    monkeypatch.setattr(quotas.QuotaWorld, "module", lambda self, settings, seed: Gateway(settings, seed))
+    monkeypatch.setattr(
+        quotas.QuotaWorld, "module", lambda self, settings, seed: DecisionEngine(settings, seed)
+    )
     assert quotas.play(day, 5) == informed
     assert informed.beyond > 0
     assert informed.roomy > 0
@@ -132,11 +134,11 @@
 
 
 def test_the_module_is_left_as_it_was() -> None:
-    before = policy.COUNTED, policy.span_of, windows.span_of  # type: ignore[attr-defined]
+    before = quota_rules.COUNTED, quota_rules.span_of, windows.span_of  # type: ignore[attr-defined]
     with pytest.raises(ZeroDivisionError), quotas.changed(counted=0.9, spans=0.5):
         assert windows.span_of(PLAN) == 2500.0
         _ = 1 / 0
-    assert before == (policy.COUNTED, policy.span_of, windows.span_of)  # type: ignore[attr-defined]
+    assert before == (quota_rules.COUNTED, quota_rules.span_of, windows.span_of)  # type: ignore[attr-defined]
 
 
 def model(tries: list[Try], scheme: Scheme, lost: float = 0.0) -> Model:
@@ -184,10 +186,10 @@
     """One after another, so that no two cross: what is hidden is all that can be passed by, and what a last
     request asks for beyond it, as the books count whole requests."""
     tries = [Try(0.0, ACCOUNT, 1.0, 0, 0.9)]
-    full = 1000.0 * (1.0 + 0.99 * hidden * PLAN.burst) / PLAN.rate  # just too little too much
+    full = 1000.0 * (1.0 + 0.99 * hidden * PLAN.burst_units) / PLAN.rate_per_s  # just too little too much
     tries += [Try(full + 10.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(32)]
     books = model(tries, Scheme(hidden, epoch_ms=ONE)).run()
-    assert books.beyond < hidden * PLAN.burst + 1.0
+    assert books.beyond < hidden * PLAN.burst_units + 1.0
     assert hidden == 0.0 or books.beyond > 0.0
 
 
@@ -196,7 +198,7 @@
     whole = model(tries, Scheme(0.0)).run()
     emptied = model(tries, Scheme(0.0, empty_at=15_250.0)).run()
     assert whole.beyond <= 1.0
-    assert 1.0 < emptied.beyond <= PLAN.burst + 1.0
+    assert 1.0 < emptied.beyond <= PLAN.burst_units + 1.0
 
 
 def test_reads_near_empty_leave_nothing_behind() -> None:
--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -9,11 +9,15 @@
 import pytest
 
 from glenchute.capture.replay import replay, runs
-from glenchute.policy import interface as api
-from glenchute.policy.admission.epoch_markers import Name
-from glenchute.policy.engine import Fleet, Gateway, Quota
-from glenchute.policy.interface import Repeat
-from glenchute.policy.state import Open, Server
+from glenchute.policy.actions import Fail
+from glenchute.policy.admission.epoch_markers import WindowCounter
+from glenchute.policy.admission.quota import QuotaAccounting
+from glenchute.policy.balancing.pool import ServerPool
+from glenchute.policy.balancing.server import Server
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import AttemptEnded, EndpointList, EndpointState, Outcome
+from glenchute.policy.requests import PendingRequest
+from glenchute.policy.settings import Idempotency
 from lab.sim.swarm import Fault, Script, captured, drawn, play, search, tried
 
 SEEDS = range(24)
@@ -28,150 +32,150 @@
 
 @bug
 def unsafe_requests_are_repeated(patch: pytest.MonkeyPatch) -> None:
-    sound = Gateway.may_repeat
+    sound = DecisionEngine.may_repeat
 
-    def repeat(self: Gateway, now: float, opened: Open, event: Any) -> bool:
+    def repeat(self: DecisionEngine, now: float, opened: PendingRequest, event: Any) -> bool:
         return sound(self, now, opened, event) or opened.attempts < 2
 
-    patch.setattr(Gateway, "may_repeat", repeat)
+    patch.setattr(DecisionEngine, "may_repeat", repeat)
 
 
 @bug
 def keys_are_never_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Gateway, "forgotten", lambda self, opened: 1e18)
+    patch.setattr(DecisionEngine, "forgotten", lambda self, opened: 1e18)
 
 
 @bug
 def any_zone_will_do(patch: pytest.MonkeyPatch) -> None:
-    sound = Fleet.pick
+    sound = ServerPool.pick
 
-    def pick(self: Fleet, now: float, opened: Open) -> Any:
+    def pick(self: ServerPool, now: float, opened: PendingRequest) -> Any:
         opened.home = None
         return sound(self, now, opened)
 
-    patch.setattr(Fleet, "pick", pick)
+    patch.setattr(ServerPool, "pick", pick)
 
 
 @bug
 def refusals_after_a_try(patch: pytest.MonkeyPatch) -> None:
-    sound = Gateway.finish
+    sound = DecisionEngine.finish
 
-    def finish(self: Gateway, opened: Open) -> None:
+    def finish(self: DecisionEngine, opened: PendingRequest) -> None:
         opened.may_run_at = None
         sound(self, opened)
 
-    patch.setattr(Gateway, "finish", finish)
+    patch.setattr(DecisionEngine, "finish", finish)
 
 
 @bug
 def draining_servers_are_kept(patch: pytest.MonkeyPatch) -> None:
-    sound = Fleet.update
+    sound = ServerPool.update
 
-    def update(self: Fleet, news: api.ServerList, now: float) -> None:
+    def update(self: ServerPool, news: EndpointList, now: float) -> None:
         before = dict(self.servers)
         sound(self, news, now)
-        for entry in news.entries:
-            if entry.state is not api.ServerState.ACTIVE and entry.server in before:
-                self.servers[entry.server] = before[entry.server]
+        for entry in news.endpoints:
+            if entry.state is not EndpointState.ACTIVE and entry.address in before:
+                self.servers[entry.address] = before[entry.address]
 
-    patch.setattr(Fleet, "update", update)
+    patch.setattr(ServerPool, "update", update)
 
 
 @bug
 def open_counts_leak(patch: pytest.MonkeyPatch) -> None:
-    sound = Gateway.ended
+    sound = DecisionEngine.ended
 
-    def ended(self: Gateway, now: float, event: api.AttemptEnded) -> None:
+    def ended(self: DecisionEngine, now: float, event: AttemptEnded) -> None:
         attempt = self.attempts.get((event.request_id, event.attempt))
         sound(self, now, event)
-        if attempt is not None and attempt.opened.customer and event.ending is api.Ending.RESET:
+        if attempt is not None and attempt.opened.customer and event.outcome is Outcome.RESET:
             attempt.opened.customer.open += 1
 
-    patch.setattr(Gateway, "ended", ended)
+    patch.setattr(DecisionEngine, "ended", ended)
 
 
 @bug
 def stores_overflow(patch: pytest.MonkeyPatch) -> None:
-    sound = Quota.take
+    sound = QuotaAccounting.take
 
-    def take(self: Quota, c: Any, units: float, counted: bool, asked: bool) -> None:
+    def take(self: QuotaAccounting, c: Any, units: float, counted: bool, asked: bool) -> None:
         sound(self, c, units, counted, asked)
         c.store += 3.0 * units
 
-    patch.setattr(Quota, "take", take)
+    patch.setattr(QuotaAccounting, "take", take)
 
 
 @bug
 def guards_are_not_kept(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Quota, "assured", lambda self, c, asked: True)
-    patch.setattr(Quota, "unsure", lambda self, now, c, units: False)
-    patch.setattr(Quota, "room", lambda self, c: 1e9)
-    sound = Quota.admit
+    patch.setattr(QuotaAccounting, "assured", lambda self, c, asked: True)
+    patch.setattr(QuotaAccounting, "unsure", lambda self, now, c, units: False)
+    patch.setattr(QuotaAccounting, "room", lambda self, c: 1e9)
+    sound = QuotaAccounting.admit
 
-    def admit(self: Quota, now: float, c: Any, units: float, asked: bool, blind: bool) -> Any:
+    def admit(self: QuotaAccounting, now: float, c: Any, units: float, asked: bool, blind: bool) -> Any:
         return None if c.plan.ceiling_rate else sound(self, now, c, units, asked, blind)
 
-    patch.setattr(Quota, "admit", admit)
+    patch.setattr(QuotaAccounting, "admit", admit)
 
 
 @bug
 def some_requests_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    sound = Gateway.ended
+    sound = DecisionEngine.ended
 
-    def ended(self: Gateway, now: float, event: api.AttemptEnded) -> None:
-        if event.ending is api.Ending.ERROR:
+    def ended(self: DecisionEngine, now: float, event: AttemptEnded) -> None:
+        if event.outcome is Outcome.ERROR:
             self.requests.pop(event.request_id, None)
         sound(self, now, event)
 
-    patch.setattr(Gateway, "ended", ended)
+    patch.setattr(DecisionEngine, "ended", ended)
 
 
 @bug
 def an_answer_is_given_twice(patch: pytest.MonkeyPatch) -> None:
-    sound = Gateway.finish
+    sound = DecisionEngine.finish
 
-    def finish(self: Gateway, opened: Open) -> None:
+    def finish(self: DecisionEngine, opened: PendingRequest) -> None:
         sound(self, opened)
-        self.actions.append(api.Fail(opened.request.request_id))
+        self.actions.append(Fail(opened.request.request_id))
 
-    patch.setattr(Gateway, "finish", finish)
+    patch.setattr(DecisionEngine, "finish", finish)
 
 
 @bug
 def newcomers_look_idle_and_get_it_all(patch: pytest.MonkeyPatch) -> None:
-    sound = Fleet.delay
+    sound = ServerPool.delay
 
-    def delay(self: Fleet, server: Server, now: float, mean: float, warmth: float) -> float:
+    def delay(self: ServerPool, server: Server, now: float, mean: float, warmth: float) -> float:
         return 0.0 if server.entry.started_ms > 0 else sound(self, server, now, mean, warmth)
 
-    patch.setattr(Fleet, "delay", delay)
-    patch.setattr(Fleet, "warmth", lambda self, server, now: 1.0)
+    patch.setattr(ServerPool, "delay", delay)
+    patch.setattr(ServerPool, "warmth", lambda self, server, now: 1.0)
 
 
 @bug
 def a_time_out_raises(patch: pytest.MonkeyPatch) -> None:
-    sound = Name.heard
+    sound = WindowCounter.heard
 
-    def heard(self: Name, total: float, units: float, toll: float) -> Any:
+    def heard(self: WindowCounter, total: float, units: float, toll: float) -> Any:
         found = sound(self, total, units, toll)
         if found is not None:
             raise ZeroDivisionError("lost")
         return found
 
-    patch.setattr(Name, "heard", heard)
+    patch.setattr(WindowCounter, "heard", heard)
 
 
 @bug
 def attempts_have_no_end(patch: pytest.MonkeyPatch) -> None:
-    def repeat(self: Gateway, now: float, opened: Open, event: Any) -> bool:
-        return opened.may_run_at is None or opened.cls.repeat is Repeat.SAFE
+    def repeat(self: DecisionEngine, now: float, opened: PendingRequest, event: Any) -> bool:
+        return opened.may_run_at is None or opened.cls.idempotency is Idempotency.IDEMPOTENT
 
-    patch.setattr(Gateway, "may_repeat", repeat)
+    patch.setattr(DecisionEngine, "may_repeat", repeat)
 
 
 def test_the_rules_hold_over_seeds() -> None:
     for seed in SEEDS:
-        failure = tried(drawn(seed), Gateway)
+        failure = tried(drawn(seed), DecisionEngine)
         assert failure is None, failure
 
 
@@ -186,7 +190,7 @@
     failure = search(range(40))
     assert failure is not None, f"{name} was not found"
     assert len(failure.script.faults) <= len(drawn(failure.script.seed).faults)
-    again = tried(failure.script, Gateway)
+    again = tried(failure.script, DecisionEngine)
     assert again is not None and again.rule == failure.rule  # the seed and its faults show it again
     print(f"{name}: seed {failure.script.seed}, {failure.rule}, {failure.script.faults}")
 
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -14,7 +14,7 @@
 from glenchute.policy.connections.class_compatibility import Behind, Sharing
 from glenchute.policy.connections.pipelined_connection import Ended, Line
 from glenchute.policy.connections.pipelining import Pipeline
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from lab.sim import piped
 from lab.sim.piped import PIPED_KINDS, PipedWorld
 from lab.sim.swarm import Fault, Script, drawn, play, search, tried
@@ -37,8 +37,8 @@
 def what_had_left_is_told_as_never_sent(patch: pytest.MonkeyPatch) -> None:
     sound = Line.cut
 
-    def cut(self: Line[Any], cause: Any = None, ending: Ending = Ending.RESET) -> list[Ended[Any]]:
-        never = {Ending.RESET: Ending.UNREACHABLE}
+    def cut(self: Line[Any], cause: Any = None, ending: Outcome = Outcome.RESET) -> list[Ended[Any]]:
+        never = {Outcome.RESET: Outcome.UNREACHABLE}
         return [Ended(item, never.get(how, how)) for item, how in sound(self, cause, ending)]
 
     patch.setattr(Line, "cut", cut)
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -20,18 +20,18 @@
 from glenchute.listeners.extproc import events as ev
 from glenchute.listeners.extproc.calls import AFTERMATH_S, MOST_BODY, SWEEP_S, Calls, Downstream, Upstream
 from glenchute.listeners.extproc.token import Signer
-from glenchute.policy.interface import Ending, ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from tests.proxied import ACCOUNT, Asker, Proxy, drawn, headers, responded, ways
 from tests.simulated import Fate, Site
 
-SERVED = Fate(0.0, 0.02, Ending.OK)
-NEVER = Fate(0.0, 1e9, Ending.OK)
+SERVED = Fate(0.0, 0.02, Outcome.OK)
+NEVER = Fate(0.0, 1e9, Outcome.OK)
 Draw = Callable[[random.Random], Fate]
 
 
 def faulty(rng: random.Random) -> Fate:
     """Everything that may go wrong with an attempt."""
-    ending = rng.choice([Ending.OK] * 5 + [Ending.ERROR, Ending.FULL, Ending.RESET])
+    ending = rng.choice([Outcome.OK] * 5 + [Outcome.ERROR, Outcome.REJECTED, Outcome.RESET])
     took_s = rng.choice([0.005, 0.02, 0.1, 0.3, 0.7, 1.2, 1e9]) * (0.5 + rng.random())
     return Fate(rng.choice([0.0, 0.0, 0.0, 0.001, 0.004, math.inf]), took_s, ending)
 
@@ -48,7 +48,7 @@
     return made
 
 
-Row = tuple[tuple[tuple[str, float, Ending | None], ...], str, float, int]
+Row = tuple[tuple[tuple[str, float, Outcome | None], ...], str, float, int]
 
 
 def played(seed: int, many: int, draw: Draw, proxied: bool, tells: bool = True) -> dict[bytes, Row]:
@@ -402,7 +402,9 @@
     down, told = opened(proxy, heads())
     gone = proxy.names[told[0].endpoint]
     site.servers.names.remove(gone)
-    site.gateway.post(ServerList(ListKind.CHANGES, (ServerEntry(gone, "a", state=ServerState.GONE),)))
+    site.gateway.post(
+        EndpointList(EndpointListKind.CHANGES, (Endpoint(gone, "a", state=EndpointState.REMOVED),))
+    )
     replies: list[Any] = []
     up = Upstream(proxy.calls)
     said = headers(x_glenchute_token=told[0].set_headers["x-glenchute-token"])
--- a/tests/listeners/extproc/test_extproc_rules.py
+++ b/tests/listeners/extproc/test_extproc_rules.py
@@ -10,9 +10,10 @@
 from hypothesis import strategies as st
 
 from glenchute.config.operator import parse
-from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.events import Outcome
 from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
 from glenchute.policy.services.request_mapping import Fields, MappingError, Operation, Rules, Template, View
+from glenchute.policy.settings import Idempotency
 from tests.sites import FACTS
 
 ACCOUNT = "00000000b4d65521"
@@ -187,43 +188,43 @@
 @pytest.mark.parametrize(
     "status, details, expected",
     [
-        (200, "via_upstream", Ending.OK),
-        (404, "via_upstream", Ending.OK),
-        (200, "", Ending.OK),
-        (429, "via_upstream", Ending.FULL),
-        (500, "via_upstream", Ending.ERROR),
-        (503, "via_upstream", Ending.ERROR),  # a node's own 503 proves nothing
-        (504, "via_upstream", Ending.ERROR),
-        (504, "", Ending.TIMEOUT),
-        (503, "no_healthy_upstream", Ending.UNREACHABLE),
-        (503, "upstream_reset_before_response_started{connection_timeout}", Ending.UNREACHABLE),
-        (503, "upstream_reset_before_response_started{remote_connection_failure|TLS}", Ending.UNREACHABLE),
-        (503, "upstream_reset_before_response_started{overflow}", Ending.UNREACHABLE),
-        (503, "upstream_reset_before_response_started{connection_termination}", Ending.RESET),
-        (503, "upstream_reset_before_response_started{remote_reset}", Ending.RESET),
-        (503, "upstream_reset_after_response_started{remote_reset}", Ending.RESET),
-        (504, "upstream_response_timeout", Ending.TIMEOUT),
-        (504, "upstream_per_try_timeout", Ending.TIMEOUT),
-        (0, "downstream_remote_disconnect", Ending.CANCELLED),
-        (503, "something_of_tomorrow", Ending.ERROR),
-        (0, "", Ending.RESET),
+        (200, "via_upstream", Outcome.OK),
+        (404, "via_upstream", Outcome.OK),
+        (200, "", Outcome.OK),
+        (429, "via_upstream", Outcome.REJECTED),
+        (500, "via_upstream", Outcome.ERROR),
+        (503, "via_upstream", Outcome.ERROR),  # a node's own 503 proves nothing
+        (504, "via_upstream", Outcome.ERROR),
+        (504, "", Outcome.TIMEOUT),
+        (503, "no_healthy_upstream", Outcome.UNREACHABLE),
+        (503, "upstream_reset_before_response_started{connection_timeout}", Outcome.UNREACHABLE),
+        (503, "upstream_reset_before_response_started{remote_connection_failure|TLS}", Outcome.UNREACHABLE),
+        (503, "upstream_reset_before_response_started{overflow}", Outcome.UNREACHABLE),
+        (503, "upstream_reset_before_response_started{connection_termination}", Outcome.RESET),
+        (503, "upstream_reset_before_response_started{remote_reset}", Outcome.RESET),
+        (503, "upstream_reset_after_response_started{remote_reset}", Outcome.RESET),
+        (504, "upstream_response_timeout", Outcome.TIMEOUT),
+        (504, "upstream_per_try_timeout", Outcome.TIMEOUT),
+        (0, "downstream_remote_disconnect", Outcome.CANCELLED),
+        (503, "something_of_tomorrow", Outcome.ERROR),
+        (0, "", Outcome.RESET),
     ],
 )
-def test_endings_are_read_from_what_a_proxy_saw(status: int, details: str, expected: Ending) -> None:
+def test_endings_are_read_from_what_a_proxy_saw(status: int, details: str, expected: Outcome) -> None:
     assert ending(status, details, 429) is expected
 
 
 @given(st.integers(0, 599), st.text(max_size=40))
 def test_only_listed_details_prove_that_nothing_ran(status: int, details: str) -> None:
     if not details.startswith(("no_", "cluster", "route", "maintenance", "upstream_reset")):
-        assert ending(status, details, 0) not in (Ending.UNREACHABLE, Ending.UNSENT, Ending.FULL)
+        assert ending(status, details, 0) not in (Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.REJECTED)
 
 
-@given(st.sampled_from(Repeat), st.booleans(), st.floats(-1e6, 1e9), st.floats(0, 1e6))
-def test_what_an_earlier_process_decided(repeat: Repeat, open_: bool, age: float, memory: float) -> None:
+@given(st.sampled_from(Idempotency), st.booleans(), st.floats(-1e6, 1e9), st.floats(0, 1e6))
+def test_what_an_earlier_process_decided(repeat: Idempotency, open_: bool, age: float, memory: float) -> None:
     if may_follow(repeat, open_, age, memory):
-        assert open_ and age >= 0 and repeat is not Repeat.UNSAFE
-        assert repeat is Repeat.SAFE or age < memory
+        assert open_ and age >= 0 and repeat is not Idempotency.NON_IDEMPOTENT
+        assert repeat is Idempotency.IDEMPOTENT or age < memory
 
 
 NODES = st.sampled_from(["", "a:1", "b:2"])
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -9,9 +9,9 @@
 import pytest
 
 from glenchute.listeners.resp2 import clients
-from glenchute.policy import interface as api
 from glenchute.policy.connections import client_slots as places_module
 from glenchute.policy.connections.client_slots import IDLE_S, Reason
+from glenchute.policy.events import Request
 from glenchute.protocol import resp2 as resp
 from tests.loopback import (
     CUSTOMER,
@@ -196,20 +196,20 @@
             client.sendall(first)
             loop = asyncio.get_running_loop()
             assert await loop.run_in_executor(None, client.recv, 100) in (b"+PONG\r\n", b"$5\r\nvalue\r\n")
-            taken = len(script.of(api.Request))
+            taken = len(script.of(Request))
             await asyncio.sleep(0.01)
             monkeypatch.setattr(places_module, "IDLE_S", 0.0)
             if sent_before:
                 client.sendall(ASK)
                 listener.sweep()
                 assert await loop.run_in_executor(None, client.recv, 100) == b"$5\r\nvalue\r\n"
-                assert len(script.of(api.Request)) == taken + 1
+                assert len(script.of(Request)) == taken + 1
             else:
                 listener.sweep()
                 client.sendall(ASK)
                 await asyncio.sleep(0.05)
                 assert await loop.run_in_executor(None, client.recv, 100) == b""
-                assert len(script.of(api.Request)) == taken
+                assert len(script.of(Request)) == taken
             client.close()
             await until(lambda: not listener.clients)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,8 @@
 from glenchute.config.operator import parse
 from glenchute.config.platform import Config, build
 from glenchute.core.types import Decisions
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, Fail, StartAttempt
+from glenchute.policy.events import AttemptEnded, Event, Request
 from lab.peers import (
     Client,
     DiscoveryPeer,
@@ -70,12 +71,12 @@
 class Script:
     """Decisions made by a test: `decide` turns each event into actions. All events are kept."""
 
-    def __init__(self, decide: Callable[[api.Event], list[api.Action]]) -> None:
+    def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
         self.inside = False
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         assert not self.inside, "the module was called from within a call"
         self.inside = True
         self.events.append(event)
@@ -87,14 +88,14 @@
         return [event for event in self.events if isinstance(event, kind)]
 
 
-def send_to(server: str, timeout_ms: float = 0.0) -> Callable[[api.Event], list[api.Action]]:
+def send_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
     """Sends each request once; what was not served fails."""
 
-    def decide(event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Request):
-            return [api.Send(event.request_id, server, timeout_ms)]
-        if isinstance(event, api.AttemptEnded) and not event.final:
-            return [api.Fail(event.request_id)]
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, Request):
+            return [StartAttempt(event.request_id, server, timeout_ms)]
+        if isinstance(event, AttemptEnded) and not event.is_final:
+            return [Fail(event.request_id)]
         return []
 
     return decide
