--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -14,12 +14,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from glenchute.policy.actions import IncrementCounter
 from glenchute.policy.admission import epoch_markers as marks_module
-from glenchute.policy.admission.epoch_markers import Health, Name, Watch, mark_of
+from glenchute.policy.admission.epoch_markers import (
+    CounterHealth,
+    CounterMonitor,
+    WindowCounter,
+    marker_value,
+)
+from glenchute.policy.admission.quota import QuotaAccounting
 from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
-from glenchute.policy.engine import Quota
-from glenchute.policy.interface import Count
-from glenchute.policy.state import Customer
+from glenchute.policy.admission.tenant import Tenant
 from tests.fleet import PLANS, Fleet
 
 SOFT, HARD, BARE = PLANS
@@ -106,11 +111,11 @@
 ) -> None:
     fleet = played(fault, seed, gateways, skew_ms)
     for number, plan in ((1, HARD), (2, BARE)):
-        over = fleet.overshoot(plan.name, plan.ceiling_rate, plan.ceiling_burst)
+        over = fleet.overshoot(plan.name, plan.ceiling_rate_per_s, plan.ceiling_burst_units)
         assert over <= promised(fleet, number), (plan.name, over)
-        assert promised(fleet, number) <= plan.ceiling_slack
-    soft = fleet.overshoot("soft", SOFT.rate, SOFT.burst)
-    assert soft <= (gateways - 1) * (SOFT.burst + 7.0 * SOFT.rate)
+        assert promised(fleet, number) <= plan.ceiling_slack_units
+    soft = fleet.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units)
+    assert soft <= (gateways - 1) * (SOFT.burst_units + 7.0 * SOFT.rate_per_s)
 
 
 def test_forty_gateways_under_a_split() -> None:
@@ -119,7 +124,7 @@
     fleet.at(fleet.now + 1000.0, fleet.counter.split, half(fleet), True)
     fleet.flood("bare", 300.0, 5.0, [1.0] * 40, 0.2)
     fleet.run(fleet.now + 6000.0)
-    over = fleet.overshoot("bare", BARE.ceiling_rate, BARE.ceiling_burst)
+    over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
     assert over <= promised(fleet, 2) and fleet.units("bare") > 50.0
 
 
@@ -133,7 +138,7 @@
             fleet.counter.kill()
         fleet.flood("bare", 90.0, 20.0, [1.0, 1.0, 1.0])
         fleet.run(fleet.now + 21_000.0)
-        allowed = BARE.ceiling_burst + 20.0 * BARE.ceiling_rate
+        allowed = BARE.ceiling_burst_units + 20.0 * BARE.ceiling_rate_per_s
         assert 0.7 * allowed <= fleet.units("bare") <= allowed
     worst = 0.0
     for seed in range(3):
@@ -142,7 +147,7 @@
         pair.counter.split(half(pair), True)
         pair.flood("soft", 80.0, 7.0, [1.0, 1.0])
         pair.run(pair.now + 8000.0)
-        worst = max(worst, pair.overshoot("soft", SOFT.rate, SOFT.burst))
+        worst = max(worst, pair.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units))
     found = bound(SOFT, 2, 0.0, 1.0)
     limit = found.quota_replaced + 7.0 * found.quota_split_rate
     assert 0.7 * limit <= worst <= limit
@@ -161,7 +166,7 @@
         fleet.at(fleet.now + 4500.0, fleet.restart, 2)
         fleet.flood("bare", 120.0, 7.0, [1.0, 1.0, 1.0, 1.0])
         fleet.run(fleet.now + 8000.0)
-        over = fleet.overshoot("bare", BARE.ceiling_rate, BARE.ceiling_burst)
+        over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
         assert over <= promised(fleet, 2)
 
 
@@ -172,7 +177,7 @@
         fleet.counter.replace()
         fleet.flood("bare", 120.0, 1.0, [1.0 if i == turn % 4 else 0.01 for i in range(4)])
         fleet.run(fleet.now + 1000.0)
-    assert fleet.overshoot("bare", BARE.ceiling_rate, BARE.ceiling_burst) <= promised(fleet, 2)
+    assert fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units) <= promised(fleet, 2)
 
 
 def test_a_state_that_goes_back_costs_what_is_stated_for_it() -> None:
@@ -182,14 +187,14 @@
     fleet.at(fleet.now + 1400.0, fleet.counter.restore)
     fleet.flood("bare", 120.0, 5.0, [1.0, 1.0, 1.0])
     fleet.run(fleet.now + 6000.0)
-    over = fleet.overshoot("bare", BARE.ceiling_rate, BARE.ceiling_burst)
+    over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
     assert over <= ceiling_overshoot(bound(BARE, 3, 0.0, 1.0), restores=1)
 
 
 def broken(monkeypatch: pytest.MonkeyPatch, **changes: object) -> float:
     """The worst overshoot of a build with something wrong in it, under replacements without end."""
     for name, value in changes.items():
-        monkeypatch.setattr(Name, name, value)
+        monkeypatch.setattr(WindowCounter, name, value)
     worst = 0.0
     for seed in range(4):
         fleet = Fleet(12, seed)
@@ -198,21 +203,23 @@
             fleet.at(fleet.now + 50.0 * step, fleet.counter.replace)
         fleet.flood("bare", 60.0, 6.0, [1.0] * 12, 2.0)
         fleet.run(fleet.now + 7000.0)
-        worst = max(worst, fleet.overshoot("bare", BARE.ceiling_rate, BARE.ceiling_burst))
+        worst = max(worst, fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units))
     return worst
 
 
 def test_a_build_without_the_marks_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     assert broken(monkeypatch) <= 1e-6
-    assert broken(monkeypatch, granted=lambda self, spread: 1.0) > BARE.ceiling_slack
+    assert broken(monkeypatch, granted=lambda self, spread: 1.0) > BARE.ceiling_slack_units
 
 
 def test_a_build_that_takes_units_off_a_total_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first form of this module: what was refused was taken off a memory that had never held it, and a
     fresh one granted that much more."""
-    taken_off = Quota.call
+    taken_off = QuotaAccounting.call
 
-    def call(self: Quota, now: float, c: Customer, extra: float = 0.0, waits: str | None = None) -> Count:
+    def call(
+        self: QuotaAccounting, now: float, c: Tenant, extra: float = 0.0, waits: str | None = None
+    ) -> IncrementCounter:
         due = round(c.fresh + extra, 3)
         made = taken_off(self, now, c, extra, waits)
         queue = self.calls_out[c.name]
@@ -220,15 +227,15 @@
         c.fresh = 0.0
         return replace(made, amount=round(due + queue[-1][3], 3))
 
-    monkeypatch.setattr(Quota, "call", call)
-    assert broken(monkeypatch) > BARE.ceiling_slack
+    monkeypatch.setattr(QuotaAccounting, "call", call)
+    assert broken(monkeypatch) > BARE.ceiling_slack_units
 
 
 def test_a_build_that_puts_its_words_in_twice_is_caught() -> None:
     """After a loss the memory holds what the gateways had confirmed, once."""
 
     def put_in(twice: bool) -> float:
-        name, memory, fresh = Name(1000.0, True), 0.0, 3.0
+        name, memory, fresh = WindowCounter(1000.0, True), 0.0, 3.0
         for step in range(6):
             if step == 2:
                 memory = 0.0
@@ -249,7 +256,7 @@
     """Both gateways in the first memory, one of them again in the second: more than one whole is granted."""
 
     def shares() -> float:
-        names, granted = [Name(1000.0, True), Name(1000.0, True)], 0.0
+        names, granted = [WindowCounter(1000.0, True), WindowCounter(1000.0, True)], 0.0
         for _ in range(2):
             memory = best = 0.0
             for name in (*names, *names):
@@ -261,16 +268,16 @@
         return granted
 
     assert shares() == 1.0
-    heard = Name.heard
+    heard = WindowCounter.heard
 
-    def again(self: Name, total: float, units: float, toll: float) -> float | None:
+    def again(self: WindowCounter, total: float, units: float, toll: float) -> float | None:
         lost = heard(self, total, units, toll)
         if lost is not None:
             self.lost = self.marked = self.confirmed = False
             self.marks = 0
         return lost
 
-    monkeypatch.setattr(Name, "heard", again)
+    monkeypatch.setattr(WindowCounter, "heard", again)
     assert shares() > 1.0
 
 
@@ -289,8 +296,8 @@
 )
 def test_shares_of_all_memories_sum_to_one_at_most(steps: list[tuple[int, str]]) -> None:
     """Six gateways, one name, any memory that they may reach: all memories together grant one whole."""
-    mark = mark_of(20.0, 8.0, 2.5, 50.0)
-    names = [Name(mark, True) for _ in range(6)]
+    mark = marker_value(20.0, 8.0, 2.5, 50.0)
+    names = [WindowCounter(mark, True) for _ in range(6)]
     memories = [0.0]
     reach = [0] * 6
     granting: dict[int, float] = {0: 0.0}
@@ -317,7 +324,7 @@
 
 
 def test_own_words_are_put_in_again_once_for_each_loss() -> None:
-    name = Name(1000.0, True)
+    name = WindowCounter(1000.0, True)
     assert name.toll() == 1000.0 and name.toll() == 0.0
     assert name.heard(1003.0, 3.0, 1000.0) is None and name.told == 3.0
     assert name.heard(1008.0, 2.0, 0.0) is None  # another's three units
@@ -327,7 +334,7 @@
 
 
 def test_a_window_of_before_the_start_is_not_marked_and_grants_nothing() -> None:
-    name = Name(1000.0, False)
+    name = WindowCounter(1000.0, False)
     assert name.toll() == 0.0
     name.heard(3002.0, 2.0, 0.0)
     assert name.granted(3) == 0.0
@@ -337,28 +344,28 @@
     ("burst", "rate", "span"), [(20.0, 8.0, 2.5), (4000.0, 1000.0, 4.0), (0.0, 0.0, 1.0)]
 )
 def test_a_mark_is_larger_than_what_a_window_holds(burst: float, rate: float, span: float) -> None:
-    mark = mark_of(burst, rate, span, 0.0)
+    mark = marker_value(burst, rate, span, 0.0)
     assert mark >= marks_module.ROOM * (burst + rate * span) and math.log10(mark) % 1.0 == 0.0
 
 
 def test_the_counters_state_follows_its_answers() -> None:
-    watch = Watch(2500.0)
-    assert watch.state(0.0) is Health.SOUND
+    watch = CounterMonitor(2500.0)
+    assert watch.state(0.0) is CounterHealth.SOUND
     watch.share = 0.3
-    assert watch.state(0.0) is Health.SLOW
+    assert watch.state(0.0) is CounterHealth.SLOW
     for _ in range(3):
         watch.missed_one(100.0)
-    assert watch.state(100.0) is Health.MUTE
+    assert watch.state(100.0) is CounterHealth.MUTE
     watch.share = 1.0
     watch.answered(200.0, False)
-    assert watch.state(200.0) is Health.RECOVERING and watch.state(2700.0) is Health.SOUND
+    assert watch.state(200.0) is CounterHealth.RECOVERING and watch.state(2700.0) is CounterHealth.SOUND
     watch.answered(3000.0, True)
-    assert watch.state(3100.0) is Health.REPLACED and watch.state(5600.0) is Health.SOUND
+    assert watch.state(3100.0) is CounterHealth.REPLACED and watch.state(5600.0) is CounterHealth.SOUND
     for _ in range(50):
         watch.window_ended(1.0)
     for _ in range(10):
         watch.window_ended(0.5)
-    assert watch.state(9000.0) is Health.SPLIT
+    assert watch.state(9000.0) is CounterHealth.SPLIT
 
 
 def test_the_module_tells_of_a_replaced_counter_and_gives_nothing_fresh() -> None:
@@ -370,7 +377,7 @@
     before = fleet.units("soft")
     fleet.counter.replace()
     fleet.run(fleet.now + 1000.0)
-    assert fleet.units("soft") - before <= 2.5 * SOFT.rate
+    assert fleet.units("soft") - before <= 2.5 * SOFT.rate_per_s
     assert any(module.quota.watch.lost_at > 0 for module in fleet.modules)
 
 
--- a/tests/policy/admission/test_late_answers.py
+++ b/tests/policy/admission/test_late_answers.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 
 from glenchute.clients.counter import Counter
-from glenchute.policy import interface as api
-from glenchute.policy.interface import Count, CountReply, Ending, ListKind, Send, ServerList
+from glenchute.policy.actions import IncrementCounter, StartAttempt
+from glenchute.policy.events import CounterReply, EndpointList, EndpointListKind, Outcome
 from tests.loopback import RespPeer, Script, always, play, site, until
 from tests.rig import Rig, entries, only
 
-Told = tuple[str, float, Ending]
+Told = tuple[str, float, Outcome]
 
 
 async def told_by(reply: Any, go: asyncio.Event, calls: int) -> list[Told]:
@@ -44,12 +44,12 @@
 @pytest.mark.parametrize(
     ("answer", "total", "ending"),
     [
-        (b"$1\r\n5\r\n", 5.0, Ending.OK),
-        (b"-BUSY\r\n", 0.0, Ending.FULL),
-        (b"+noise\r\n", 0.0, Ending.TIMEOUT),
+        (b"$1\r\n5\r\n", 5.0, Outcome.OK),
+        (b"-BUSY\r\n", 0.0, Outcome.REJECTED),
+        (b"+noise\r\n", 0.0, Outcome.TIMEOUT),
     ],
 )
-def test_after_a_time_out_the_truth_is_told_once(answer: bytes, total: float, ending: Ending) -> None:
+def test_after_a_time_out_the_truth_is_told_once(answer: bytes, total: float, ending: Outcome) -> None:
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -60,7 +60,7 @@
             return answer
 
         told = await told_by(reply, go, 3)
-        assert told[:3] == [("done", 0.0, Ending.TIMEOUT)] * 3
+        assert told[:3] == [("done", 0.0, Outcome.TIMEOUT)] * 3
         assert told[3:] == [("late", total, ending)] * 3
 
     play(scenario())
@@ -78,7 +78,7 @@
             return None
 
         told = await told_by(reply, go, 2)
-        assert told == [("done", 0.0, Ending.TIMEOUT)] * 2 + [("late", 0.0, Ending.TIMEOUT)] * 2
+        assert told == [("done", 0.0, Outcome.TIMEOUT)] * 2 + [("late", 0.0, Outcome.TIMEOUT)] * 2
 
     play(scenario())
 
@@ -97,13 +97,13 @@
             counter = one.program.counter
             assert counter is not None
             counter.timeout_s = 0.05
-            one.program.gateway.perform(Count(12, 1.0, 4000.0))
-            await until(lambda: script.of(api.CountReply))
+            one.program.gateway.perform(IncrementCounter(12, 1.0, 4000.0))
+            await until(lambda: script.of(CounterReply))
             go.set()
-            await until(lambda: len(script.of(api.CountReply)) == 2)
-            first, second = script.of(api.CountReply)
-            assert (first.ending, first.late) == (Ending.TIMEOUT, False)
-            assert (second.ending, second.total, second.late) == (Ending.OK, 4.0, True)
+            await until(lambda: len(script.of(CounterReply)) == 2)
+            first, second = script.of(CounterReply)
+            assert (first.outcome, first.is_late) == (Outcome.TIMEOUT, False)
+            assert (second.outcome, second.total, second.is_late) == (Outcome.OK, 4.0, True)
 
     play(scenario())
 
@@ -116,26 +116,26 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.feed(ServerList(ListKind.SAVED, entries(3)))
-        self.ending = Ending.TIMEOUT
+        self.feed(EndpointList(EndpointListKind.CACHED, entries(3)))
+        self.ending = Outcome.TIMEOUT
         self.totals: dict[int, float] = {}
         self.told = 0
 
-    def answer_late(self, ending: Ending = Ending.OK, others: float = 0.0) -> None:
+    def answer_late(self, ending: Outcome = Outcome.OK, others: float = 0.0) -> None:
         """All calls that have timed out are answered, in order."""
-        calls = [action for _, action in self.log if isinstance(action, Count)][self.told :]
+        calls = [action for _, action in self.log if isinstance(action, IncrementCounter)][self.told :]
         self.told += len(calls)
         for call in calls:
-            if ending is Ending.OK:
-                self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount + others
-            total = self.totals.get(call.name, 0.0)
-            self.feed(CountReply(call.name, total if ending is Ending.OK else 0.0, ending, 70.0, True))
+            if ending is Outcome.OK:
+                self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + others
+            total = self.totals.get(call.key, 0.0)
+            self.feed(CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True))
 
     def spend(self, requests: int, late: bool = True) -> int:
         """Requests of one customer, 100 ms apart; how many went on."""
         gone = 0
         for _ in range(requests):
-            gone += bool(only(self.ask("read", "rate", "c", spread=2)[1], Send))
+            gone += bool(only(self.ask("read", "rate", "c", spread=2)[1], StartAttempt))
             self.answer_calls()
             if late:
                 self.answer_late()
@@ -173,7 +173,7 @@
     rig.answer_calls()
     c = rig.gateway.quota.customers["c"]
     owed = c.fresh + c.mine
-    rig.answer_late(Ending.FULL)
+    rig.answer_late(Outcome.REJECTED)
     assert c.mine == 0.0 and c.fresh <= owed
     assert not rig.gateway.quota.timed_out
 
@@ -188,13 +188,13 @@
         elif step in ("wait", "long"):
             rig.advance(150.0 if step == "wait" else 9_000.0)
         else:
-            endings = {"late": Ending.OK, "full": Ending.FULL, "never": Ending.TIMEOUT}
+            endings = {"late": Outcome.OK, "full": Outcome.REJECTED, "never": Outcome.TIMEOUT}
             rig.answer_calls()
             rig.answer_late(endings[step])
         rig.answer_calls()
     quota = rig.gateway.quota
     for c in quota.customers.values():
-        assert 0.0 <= c.store <= c.plan.burst and c.own >= 0.0 and c.others >= 0.0
+        assert 0.0 <= c.store <= c.plan.burst_units and c.own >= 0.0 and c.others >= 0.0
         assert c.word is None or not c.word.marks or c.word.marks <= 2
     assert sum(map(len, quota.timed_out.values())) <= 60
     names = {c.name for c in quota.customers.values()}
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -8,8 +8,10 @@
 
 import pytest
 
-from glenchute.policy import interface as api
-from glenchute.policy.engine import Fleet
+from glenchute.policy.actions import Action, LogMessage, StartAttempt
+from glenchute.policy.balancing.pool import ServerPool
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Event
+from glenchute.policy.settings import SlowStart
 from lab.sim.swarm import gone
 from lab.sim.world import SERVICE_MS, SETTINGS, World
 
@@ -28,12 +30,12 @@
         for node in self.nodes.values():
             node.slots, node.slow = 2, SLOW
 
-    def seen(self, number: int, now: float, event: api.Event, actions: list[api.Action]) -> None:
+    def seen(self, number: int, now: float, event: Event, actions: list[Action]) -> None:
         """Books the actions."""
         for action in actions:
-            if isinstance(action, api.Send):
-                self.sends.append((self.now - self.began, action.server))
-            elif isinstance(action, api.Log):
+            if isinstance(action, StartAttempt):
+                self.sends.append((self.now - self.began, action.address))
+            elif isinstance(action, LogMessage):
                 self.lines.append(action.message)
             self.answers[type(action).__name__] += 1
 
@@ -54,17 +56,19 @@
 
 def most_of_cold(world: Large, new: set[str], born_ms: float) -> float:
     """The most that a new node was sent within the rule's time, against what it could do then."""
-    safety, worst = world.settings.safety, 0.0
+    safety, worst = world.settings.slow_start, 0.0
     lately: defaultdict[str, deque[float]] = defaultdict(deque)
     for at, name in world.sends:
         age = at - born_ms
-        if name not in new or age > safety.warm_ms:
+        if name not in new or age > safety.warm_up_ms:
             continue
         lately[name].append(at)
-        while lately[name][0] < at - safety.overload_ms:
+        while lately[name][0] < at - safety.overload_window_ms:
             lately[name].popleft()
-        warmth = min(1.0, safety.cold_share + (1.0 - safety.cold_share) * max(0.0, age) / safety.warm_ms)
-        able = 2 / (SERVICE_MS * SLOW) * warmth * safety.overload_ms
+        warmth = min(
+            1.0, safety.initial_fraction + (1.0 - safety.initial_fraction) * max(0.0, age) / safety.warm_up_ms
+        )
+        able = 2 / (SERVICE_MS * SLOW) * warmth * safety.overload_window_ms
         worst = max(worst, len(lately[name]) / able)
     return worst
 
@@ -81,7 +85,7 @@
     counts = world.load_by_node(5.0, 11.0)
     to_new = sum(counts[name] for name in new)
     assert to_new > 0.25 * counts.total(), (to_new, counts.total())
-    assert most_of_cold(world, new, born) < world.settings.safety.overload_factor
+    assert most_of_cold(world, new, born) < world.settings.slow_start.overload_factor
 
 
 def test_few_warm_servers_answer_for_the_rate_of_cold_ones() -> None:
@@ -119,12 +123,12 @@
 def test_turns_at_a_cold_server_are_not_saved_up(gateways: int, idle_s: int) -> None:
     """Nothing goes to the cold server for a while, so that its turn comes up at each gateway. Then all spend
     what turns they have: within the rule's time not more than it bears."""
-    safety, bears = api.Safety(0.27, 18_000.0, 2.0, 3000.0), 15.0  # requests a second, once warm
-    settings = replace(SETTINGS, gateways=gateways, safety=safety)
-    fleets = [Fleet(settings, random.Random(number)) for number in range(gateways)]
+    safety, bears = SlowStart(0.27, 18_000.0, 2.0, 3000.0), 15.0  # requests a second, once warm
+    settings = replace(SETTINGS, gateway_count=gateways, slow_start=safety)
+    fleets = [ServerPool(settings, random.Random(number)) for number in range(gateways)]
     sent: list[float] = []
     for fleet in fleets:
-        fleet.update(api.ServerList(api.ListKind.FULL, (api.ServerEntry("s", "a", started_ms=1.0),)), 1.0)
+        fleet.update(EndpointList(EndpointListKind.FULL, (Endpoint("s", "a", started_ms=1.0),)), 1.0)
         fleet.rate = 0.9 * bears / gateways
     for now in range(1, 1000 * idle_s + 6000, 20):
         for fleet in fleets:
@@ -133,9 +137,9 @@
                 fleet.sent(now, server)
                 sent.append(now)
     for at in sent:
-        within = sum(at - safety.overload_ms < each <= at for each in sent)
+        within = sum(at - safety.overload_window_ms < each <= at for each in sent)
         assert within <= safety.overload_factor * bears * 3.0 * fleets[0].warmth(server, at - 3000.0)
-    assert len(sent) > 0.4 * 6.0 * bears * safety.cold_share  # and its share is used
+    assert len(sent) > 0.4 * 6.0 * bears * safety.initial_fraction  # and its share is used
 
 
 def test_servers_that_are_gone_cost_few_attempts_under_an_old_list() -> None:
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -19,23 +19,30 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from benchmarks.subsets import SCHEMES, balance, churn
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.balancing import subset as subsets
+from glenchute.policy.balancing.pool import ServerPool
 from glenchute.policy.balancing.subset import FAINT, LOST_MS, STEP_MS, Aperture, Subset, Terms, position
 from glenchute.policy.balancing.subset_size import AGAIN, LEAST, WHOLE, size
-from glenchute.policy.engine import Fleet, Gateway
-from glenchute.policy.interface import (
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
     AttemptEnded,
-    Ending,
-    ListKind,
+    ClientDisconnected,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Event,
+    Outcome,
     Request,
-    ServerEntry,
-    ServerList,
-    ServerState,
+    SuccessorStarted,
+    TimerFired,
 )
+from glenchute.policy.settings import Settings, SlowStart
 from glenchute.upstreams.connection_pool import Connection, Limits, Pool, Servers
 from lab.coldstart import Herd
-from lab.load import Account, Kind, Load, Outcome
+from lab.load import Account, Kind, Load
+from lab.load import Outcome as LoadOutcome
 from lab.peers import DiscoveryPeer, listing, play, row, until
 from lab.sim.swarm import drawn, tried
 from lab.sim.world import World
@@ -45,31 +52,33 @@
 
 
 def listed(
-    names: list[str], kind: ListKind = ListKind.FULL, state: ServerState = ServerState.ACTIVE
-) -> ServerList:
-    return ServerList(kind, tuple(ServerEntry(name, "ab"[int(name[1:]) % 2], state=state) for name in names))
+    names: list[str],
+    kind: EndpointListKind = EndpointListKind.FULL,
+    state: EndpointState = EndpointState.ACTIVE,
+) -> EndpointList:
+    return EndpointList(kind, tuple(Endpoint(name, "ab"[int(name[1:]) % 2], state=state) for name in names))
 
 
 class Module:
     """Follows the list as the decision module does, and sends each request to all that it knows in turn."""
 
     def __init__(self) -> None:
-        self.known: dict[str, ServerEntry] = {}
+        self.known: dict[str, Endpoint] = {}
         self.of = self.turn = 0
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, ServerList):
-            self.of = event.of
-            if event.kind is ListKind.FULL:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        if isinstance(event, EndpointList):
+            self.of = event.total_endpoints
+            if event.kind is EndpointListKind.FULL:
                 self.known.clear()
-            for entry in event.entries:
-                if entry.state is ServerState.ACTIVE:
-                    self.known[entry.server] = entry
+            for entry in event.endpoints:
+                if entry.state is EndpointState.ACTIVE:
+                    self.known[entry.address] = entry
                 else:
-                    self.known.pop(entry.server, None)
+                    self.known.pop(entry.address, None)
         elif isinstance(event, Request) and self.known:
             self.turn += 1
-            return [api.Send(event.request_id, sorted(self.known)[self.turn % len(self.known)])]
+            return [StartAttempt(event.request_id, sorted(self.known)[self.turn % len(self.known)])]
         return []
 
 
@@ -88,17 +97,17 @@
         self.serving = {f"s{n}" for n in range(12)}
         self.told(listed(sorted(self.serving)))
 
-    def told(self, event: api.Event) -> None:
+    def told(self, event: Event) -> None:
         for action in self.aperture.handle(self.now, event):
-            if isinstance(action, api.Send):
-                assert action.server in self.serving
+            if isinstance(action, StartAttempt):
+                assert action.address in self.serving
                 self.out.append(action)
 
-    @rule(number=st.integers(0, 30), state=st.sampled_from(ServerState))
-    def changes(self, number: int, state: ServerState) -> None:
+    @rule(number=st.integers(0, 30), state=st.sampled_from(EndpointState))
+    def changes(self, number: int, state: EndpointState) -> None:
         name = f"s{number}"
-        (self.serving.add if state is ServerState.ACTIVE else self.serving.discard)(name)
-        self.told(listed([name], ListKind.CHANGES, state))
+        (self.serving.add if state is EndpointState.ACTIVE else self.serving.discard)(name)
+        self.told(listed([name], EndpointListKind.CHANGES, state))
 
     @rule(numbers=st.sets(st.integers(0, 30)))
     def whole(self, numbers: set[int]) -> None:
@@ -111,16 +120,16 @@
             self.serial += 1
             self.told(Request(f"r{self.serial}", "read", "wide", "c", 900.0))
 
-    @rule(ending=st.sampled_from((Ending.OK, Ending.UNREACHABLE)))
-    def ends(self, ending: Ending) -> None:
+    @rule(ending=st.sampled_from((Outcome.OK, Outcome.UNREACHABLE)))
+    def ends(self, ending: Outcome) -> None:
         out, self.out = self.out, []
         for one in out:
-            self.told(AttemptEnded(one.request_id, 0, one.server, ending, 5.0, ending is Ending.OK))
+            self.told(AttemptEnded(one.request_id, 0, one.address, ending, 5.0, ending is Outcome.OK))
 
     @rule(ms=st.floats(1.0, 20_000.0))
     def waits(self, ms: float) -> None:
         self.now += ms
-        self.told(api.TimerFired(0))
+        self.told(TimerFired(0))
 
     @invariant()
     def known_is_in_service_and_enough(self) -> None:
@@ -140,7 +149,7 @@
     """All were lost; of those listed next one was among them. It is one of three, and four may be used."""
     one = Lives()
     one.asks(40)
-    one.ends(Ending.UNREACHABLE)
+    one.ends(Outcome.UNREACHABLE)
     for numbers in (set(), {0, 1, 13}):
         one.whole(numbers)
         one.known_is_in_service_and_enough()
@@ -154,14 +163,14 @@
     for number in range(8 * first):
         aperture.handle(now, Request(f"r{number}", "read", "wide", "c", 900.0))
     for _ in range(12):
-        aperture.handle(now := now + STEP_MS, api.TimerFired(0))
+        aperture.handle(now := now + STEP_MS, TimerFired(0))
     wide = len(module.known)
     assert wide >= 2 * first
     for number in range(8 * first):
-        aperture.handle(now, AttemptEnded(f"r{number}", 0, "s0", Ending.OK, 5.0, True))
+        aperture.handle(now, AttemptEnded(f"r{number}", 0, "s0", Outcome.OK, 5.0, True))
     aperture.out.clear()
     for _ in range(200):
-        aperture.handle(now := now + 2_000.0, api.TimerFired(0))
+        aperture.handle(now := now + 2_000.0, TimerFired(0))
     assert len(module.known) <= first + 1
 
 
@@ -171,18 +180,18 @@
     aperture, module = narrow(servers=4)
     names = [f"s{n}" for n in range(20)]
     if trouble == "cold":
-        entries = tuple(ServerEntry(name, "a", started_ms=1e6) for name in names)
-        aperture.handle(1e6, ServerList(ListKind.FULL, entries))
+        entries = tuple(Endpoint(name, "a", started_ms=1e6) for name in names)
+        aperture.handle(1e6, EndpointList(EndpointListKind.FULL, entries))
         assert len(module.known) == 16  # at a quarter each
         return
     aperture.handle(1e6, listed(names))
     before = set(module.known)
     for number, server in enumerate(sorted(before)):
-        aperture.handle(1e6 + 10.0, AttemptEnded(f"r{number}", 0, server, Ending.UNREACHABLE, 1.0, False))
-    aperture.handle(1e6 + 10.0 + STEP_MS, api.TimerFired(0))
+        aperture.handle(1e6 + 10.0, AttemptEnded(f"r{number}", 0, server, Outcome.UNREACHABLE, 1.0, False))
+    aperture.handle(1e6 + 10.0 + STEP_MS, TimerFired(0))
     assert len(set(module.known) - before) >= 4
     for step in range(100):
-        aperture.handle(1e6 + LOST_MS + 2_000.0 * step, api.TimerFired(0))
+        aperture.handle(1e6 + LOST_MS + 2_000.0 * step, TimerFired(0))
     assert len(module.known) <= len(before) + 1
 
 
@@ -203,9 +212,9 @@
     for seed in range(3):
         numbers = iter(range(1000))
 
-        def make(made: api.Settings, given: int, numbers: object = numbers) -> object:
-            number = next(numbers) % made.gateways  # type: ignore[call-overload]
-            return _Behind(Gateway(made, given), made, Terms(made.gateways, number, 3))
+        def make(made: Settings, given: int, numbers: object = numbers) -> object:
+            number = next(numbers) % made.gateway_count  # type: ignore[call-overload]
+            return _Behind(DecisionEngine(made, given), made, Terms(made.gateway_count, number, 3))
 
         world = World(seed, 6, 9, make)
         world.load(20_000.0, 60.0)
@@ -224,10 +233,10 @@
 class _Behind:
     """An aperture with the module's own books in sight, as the site checks these."""
 
-    def __init__(self, inner: Gateway, made: api.Settings, terms: Terms) -> None:
+    def __init__(self, inner: DecisionEngine, made: Settings, terms: Terms) -> None:
         self.inner, self.aperture = inner, Aperture(inner, made, terms)
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         return self.aperture.handle(now_ms, event)
 
     def __getattr__(self, name: str) -> object:
@@ -256,7 +265,7 @@
                 for first in range(0, 80, 4):
                     names = [b"%04x%04x" % (number, at) for at in range(first, first + 4)]
                     asked = [
-                        Outcome(made.kinds[0], made.accounts[int(name[4:], 16) % 40], name, herd.now)
+                        LoadOutcome(made.kinds[0], made.accounts[int(name[4:], 16) % 40], name, herd.now)
                         for name in names
                     ]
                     await asyncio.gather(*map(made.ask, asked))
@@ -288,24 +297,24 @@
 # --- long lists, used in part by themselves ----------------------------------------------------------------
 
 
-def fleet_of(count: int, zones: int = 7, first: int = 0, **more: Any) -> list[ServerEntry]:
+def fleet_of(count: int, zones: int = 7, first: int = 0, **more: Any) -> list[Endpoint]:
     """So many servers, spread over the zones unevenly."""
     return [
-        ServerEntry(f"n{n}", "abcdefg"[min(zones - 1, n % (zones + 3))], **more)
+        Endpoint(f"n{n}", "abcdefg"[min(zones - 1, n % (zones + 3))], **more)
         for n in range(first, first + count)
     ]
 
 
 def by_itself(gateways: int = 520, number: int = 7) -> tuple[Aperture, Module]:
     module = Module()
-    return Aperture(module, replace(SETTINGS, gateways=gateways), Terms(gateways, number)), module
+    return Aperture(module, replace(SETTINGS, gateway_count=gateways), Terms(gateways, number)), module
 
 
-def news(entries: Sequence[ServerEntry], kind: ListKind = ListKind.CHANGES) -> ServerList:
-    return ServerList(kind, tuple(entries))
+def news(entries: Sequence[Endpoint], kind: EndpointListKind = EndpointListKind.CHANGES) -> EndpointList:
+    return EndpointList(kind, tuple(entries))
 
 
-def out_of(entries: Iterable[ServerEntry], state: ServerState = ServerState.GONE) -> list[ServerEntry]:
+def out_of(entries: Iterable[Endpoint], state: EndpointState = EndpointState.REMOVED) -> list[Endpoint]:
     return [replace(entry, state=state) for entry in entries]
 
 
@@ -328,21 +337,21 @@
 
 @pytest.mark.parametrize("count", [0, 1, 20, 200, WHOLE])
 def test_a_list_that_a_gateway_can_use_whole_is_passed_on_event_by_event(count: int) -> None:
-    told: list[api.Event] = []
+    told: list[Event] = []
 
     class Told(Module):
-        def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        def handle(self, now_ms: float, event: Event) -> list[Action]:
             told.append(event)
             return super().handle(now_ms, event)
 
     aperture = Aperture(Told(), SETTINGS, Terms(2, 1))
     fleet = fleet_of(count)
-    events: list[api.Event] = [news(fleet, ListKind.SAVED), news(fleet, ListKind.FULL)]
+    events: list[Event] = [news(fleet, EndpointListKind.CACHED), news(fleet, EndpointListKind.FULL)]
     events += [Request(f"r{n}", "read", "wide", "c", 900.0) for n in range(20)]
-    events += [news(out_of(fleet[:3], ServerState.DRAINING)), news(out_of(fleet[:3]))]
-    events += [ServerList(ListKind.FAILED)]
-    events += [AttemptEnded(f"r{n}", 0, "n5", Ending.UNREACHABLE, 5.0, False) for n in range(20)]
-    events += [news(fleet[:2]), api.TimerFired(0), api.Beside(), api.RequestGone("r1")]
+    events += [news(out_of(fleet[:3], EndpointState.DRAINING)), news(out_of(fleet[:3]))]
+    events += [EndpointList(EndpointListKind.FAILED)]
+    events += [AttemptEnded(f"r{n}", 0, "n5", Outcome.UNREACHABLE, 5.0, False) for n in range(20)]
+    events += [news(fleet[:2]), TimerFired(0), SuccessorStarted(), ClientDisconnected("r1")]
     for at, event in enumerate(events):
         aperture.handle(1e6 + 300.0 * at, event)
     assert len(told) == len(events) and all(one is other for one, other in zip(told, events, strict=True))
@@ -368,16 +377,16 @@
 ) -> None:
     """And that all are met alike: over all zones, whatever the number of gateways."""
     assert size(listed, gateways) == used
-    first = Subset(Terms(gateways, 0), api.Safety())
+    first = Subset(Terms(gateways, 0), SlowStart())
     first.whole(fleet := fleet_of(listed))
     met: Counter[str] = Counter()
     for number in range(gateways if most else 0):
-        one = Subset(Terms(gateways, number), api.Safety())
+        one = Subset(Terms(gateways, number), SlowStart())
         one.listed, one.rings = first.listed, first.rings
         one.settle(0.0)
         assert len(one.held) == used
         met.update(one.held.keys())
-    assert {met[entry.server] for entry in fleet} <= set(range(least, most + 1))
+    assert {met[entry.address] for entry in fleet} <= set(range(least, most + 1))
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 384, 520, 999])
@@ -396,25 +405,25 @@
     number: int, gateways: int
 ) -> None:
     aperture, module = by_itself(gateways, number)
-    aperture.handle(1e6, news(fleet_of(5_700), ListKind.FULL))
+    aperture.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
     assert LEAST <= len(module.known) <= WHOLE
     assert {entry.zone for entry in module.known.values()} == set("abcdefg")
 
 
-@pytest.mark.parametrize("kind", [ListKind.FULL, ListKind.CHANGES])
-def test_a_list_that_grows_and_shrinks_in_one_answer(kind: ListKind) -> None:
+@pytest.mark.parametrize("kind", [EndpointListKind.FULL, EndpointListKind.CHANGES])
+def test_a_list_that_grows_and_shrinks_in_one_answer(kind: EndpointListKind) -> None:
     """20, 5,700, 20 and 5,700 others: the module knows each time what it may use, in one event, and how many
     there are."""
     aperture, module = by_itself()
     few, many, others = fleet_of(20), fleet_of(5_700), fleet_of(5_700, first=10_000)
-    aperture.handle(1e6, news(few, ListKind.FULL))
-    assert module.known == {entry.server: entry for entry in few} and module.of == 0
+    aperture.handle(1e6, news(few, EndpointListKind.FULL))
+    assert module.known == {entry.address: entry for entry in few} and module.of == 0
     now = 1e6
     turns = ((few, many, LEAST), (many, few, 20), (few, others, LEAST), (others, few, 20))
     for before, after, count in turns:
-        names = {entry.server for entry in after}
-        change = [*(entry for entry in out_of(before) if entry.server not in names), *after]
-        aperture.handle(now := now + 10.0, news(after if kind is ListKind.FULL else change, kind))
+        names = {entry.address for entry in after}
+        change = [*(entry for entry in out_of(before) if entry.address not in names), *after]
+        aperture.handle(now := now + 10.0, news(after if kind is EndpointListKind.FULL else change, kind))
         assert len(module.known) == count and module.known.keys() <= names
         assert module.of == len(after)
     aperture.handle(now + 10.0, news(out_of(few[:1])))
@@ -424,7 +433,7 @@
 def test_a_list_round_the_limit_changes_sides_once() -> None:
     aperture, module = by_itself()
     fleet = fleet_of(WHOLE + 10)
-    aperture.handle(1e6, news(fleet[:WHOLE], ListKind.FULL))
+    aperture.handle(1e6, news(fleet[:WHOLE], EndpointListKind.FULL))
     sides = []
     for step in range(20):
         change = fleet[WHOLE:] if step % 2 == 0 else out_of(fleet[AGAIN + 4 :])
@@ -438,26 +447,26 @@
 def test_all_names_new() -> None:
     """As after a restart of the list service: none of the old is known from this event on."""
     aperture, module = by_itself()
-    aperture.handle(1e6, news(fleet_of(5_700), ListKind.FULL))
-    aperture.handle(2e6, news(fresh := fleet_of(5_700, first=6_000), ListKind.FULL))
-    assert len(module.known) == LEAST and module.known.keys() <= {entry.server for entry in fresh}
+    aperture.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
+    aperture.handle(2e6, news(fresh := fleet_of(5_700, first=6_000), EndpointListKind.FULL))
+    assert len(module.known) == LEAST and module.known.keys() <= {entry.address for entry in fresh}
 
 
 def test_most_of_the_subset_drains_together() -> None:
     """One answer takes all but one of those in use: as many others are in use with the same event."""
     aperture, module = by_itself()
-    aperture.handle(1e6, news(fleet_of(5_700), ListKind.FULL))
+    aperture.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
     used = list(module.known.values())
-    aperture.handle(2e6, news(out_of(used[1:], ServerState.DRAINING)))
-    assert len(module.known) == LEAST and module.known.keys().isdisjoint(entry.server for entry in used[1:])
+    aperture.handle(2e6, news(out_of(used[1:], EndpointState.DRAINING)))
+    assert len(module.known) == LEAST and module.known.keys().isdisjoint(entry.address for entry in used[1:])
 
 
 def test_a_zone_goes_at_once_and_comes_back_cold() -> None:
     """With some of its servers listed the zone is never without one in use, and its cold ones are as many as
     their warmth asks for, with a bound; warm again, they are no more than before."""
     aperture, module = by_itself()
-    rest, zone = fleet_of(4_900, 6), [ServerEntry(f"z{n}", "z") for n in range(800)]
-    aperture.handle(1e6, news([*rest, *zone], ListKind.FULL))
+    rest, zone = fleet_of(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
+    aperture.handle(1e6, news([*rest, *zone], EndpointListKind.FULL))
 
     def used() -> int:
         return sum(entry.zone == "z" for entry in module.known.values())
@@ -466,17 +475,17 @@
     assert before in (6, 7)
     aperture.handle(2e6, news(out_of(zone)))
     assert used() == 0 and len(module.known) >= LEAST - before
-    aperture.handle(2e6 + STEP_MS, api.TimerFired(0))
+    aperture.handle(2e6 + STEP_MS, TimerFired(0))
     assert len(module.known) >= LEAST
     cold = [replace(entry, started_ms=3e6) for entry in zone]
     for entry in cold[:5]:
         aperture.handle(3e6, news([entry]))
         assert used() >= 1
     aperture.handle(3e6, news(cold[5:]))
-    aperture.handle(3e6 + STEP_MS, api.TimerFired(0))
-    assert before < used() <= (before + 1) / SETTINGS.safety.cold_share
+    aperture.handle(3e6 + STEP_MS, TimerFired(0))
+    assert before < used() <= (before + 1) / SETTINGS.slow_start.initial_fraction
     for step in range(200):
-        aperture.handle(3e6 + 20_000.0 * step, api.TimerFired(0))
+        aperture.handle(3e6 + 20_000.0 * step, TimerFired(0))
     assert used() <= before + 1 and len(module.known) <= LEAST + 1
 
 
@@ -485,12 +494,12 @@
     that second among them. All rows in one answer cost a few steps each."""
     aperture, module = by_itself()
     fleet = fleet_of(5_700)
-    aperture.handle(1e6, news(fleet, ListKind.FULL))
+    aperture.handle(1e6, news(fleet, EndpointListKind.FULL))
     rng, steps = random.Random(1), Steps(monkeypatch)
-    rows = [replace(one, size=2.0, started_ms=rng.choice((0.0, 9e5))) for one in rng.sample(fleet, 2_000)]
+    rows = [replace(one, weight=2.0, started_ms=rng.choice((0.0, 9e5))) for one in rng.sample(fleet, 2_000)]
     for at, entry in enumerate(rows):
         aperture.handle(1e6 + 0.5 * at, news([replace(entry, zone=rng.choice("abcdefg"))]))
-        aperture.handle(1e6 + 0.5 * at, api.TimerFired(0))
+        aperture.handle(1e6 + 0.5 * at, TimerFired(0))
     assert steps.count <= 12 * len(rows)
     assert module.known.keys() == aperture.subset.held.keys()
     steps.count = 0
@@ -504,13 +513,13 @@
     for listed in (2_000, 5_700):
         with monkeypatch.context() as patch:
             aperture, module = by_itself()
-            aperture.handle(1e6, news(fleet_of(listed), ListKind.FULL))
+            aperture.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
             steps = Steps(patch)
             for at in range(400):
                 now = 1e6 + at * STEP_MS
                 for server in list(module.known) if at > 200 else ():
-                    aperture.handle(now, AttemptEnded("r", 0, server, Ending.UNREACHABLE, 1.0, False))
-                aperture.handle(now, api.TimerFired(0))
+                    aperture.handle(now, AttemptEnded("r", 0, server, Outcome.UNREACHABLE, 1.0, False))
+                aperture.handle(now, TimerFired(0))
             counts.append(steps.count)
             assert len(module.known) <= 2 * LEAST / FAINT + 7  # one more a zone, as weights add up
     assert counts[1] <= 1.1 * counts[0]
@@ -519,25 +528,27 @@
 def test_a_pick_looks_at_as_many_servers_at_5700_as_at_100(monkeypatch: pytest.MonkeyPatch) -> None:
     """The decision module itself behind the subset, counted by its looks at a server."""
     looks = 0
-    sound = Fleet.delay
+    sound = ServerPool.delay
 
     def delay(*args: Any) -> float:
         nonlocal looks
         looks += 1
         return sound(*args)
 
-    monkeypatch.setattr(Fleet, "delay", delay)
+    monkeypatch.setattr(ServerPool, "delay", delay)
     found = {}
     for listed in (20, 5_700):
-        made = replace(SETTINGS, gateways=520)
-        aperture = Aperture(Gateway(made, 1), made, Terms(520, 7))
-        aperture.handle(1e6, news(fleet_of(listed), ListKind.FULL))
+        made = replace(SETTINGS, gateway_count=520)
+        aperture = Aperture(DecisionEngine(made, 1), made, Terms(520, 7))
+        aperture.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
         looks = sent = 0
         for n in range(500):
             for action in aperture.handle(1e6 + 6.0 * n, Request(f"r{n}", "read", "wide", "c", 900.0)):
-                if isinstance(action, api.Send):
+                if isinstance(action, StartAttempt):
                     sent += 1
-                    ended = AttemptEnded(f"r{n}", 0, action.server, Ending.OK, 5.0, True, active=1.0)
+                    ended = AttemptEnded(
+                        f"r{n}", 0, action.address, Outcome.OK, 5.0, True, active_requests=1.0
+                    )
                     aperture.handle(1e6 + 6.0 * n + 5.0, ended)
         found[listed] = looks / sent
     assert found[20] == 20 and found[5_700] <= LEAST
@@ -548,8 +559,8 @@
     without its cold turns or its drains this is found."""
     parts: list[_Behind] = []
 
-    def make(made: api.Settings, given: int) -> _Behind:
-        parts.append(_Behind(Gateway(made, given), made, Terms(520, len(parts))))
+    def make(made: Settings, given: int) -> _Behind:
+        parts.append(_Behind(DecisionEngine(made, given), made, Terms(520, len(parts))))
         return parts[-1]
 
     def large(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
@@ -572,17 +583,17 @@
         answers = DiscoveryPeer(listing(2, rows[:20]), listing(3, rows[20:], full=False))
         async with site(decisions=module, discovery=answers) as one:
             await until(lambda: one.program.discovery.since == 3)
-            lists = module.of(ServerList)
-            assert [event.of for event in lists] == [0, 0, WHOLE + 40]
-            assert len(lists[1].entries) == 20
+            lists = module.of(EndpointList)
+            assert [event.total_endpoints for event in lists] == [0, 0, WHOLE + 40]
+            assert len(lists[1].endpoints) == 20
             aperture: Any = one.program.gateway.decisions
             used = aperture.subset.held
-            assert len(used) == size(WHOLE + 40, SETTINGS.gateways)
+            assert len(used) == size(WHOLE + 40, SETTINGS.gateway_count)
             gone = next(iter(used))
             answers.answers.append(listing(4, [row(gone, 9, "Terminating")], full=False))
             await until(lambda: one.program.discovery.since == 4)
             assert gone not in used and len(used) == WHOLE
-            assert gone in {entry.server for entry in module.of(ServerList)[-1].entries}
+            assert gone in {entry.address for entry in module.of(EndpointList)[-1].endpoints}
 
     play(scenario())
 
--- a/tests/policy/connections/test_connecting.py
+++ b/tests/policy/connections/test_connecting.py
@@ -23,7 +23,7 @@
     Budget,
     Usual,
 )
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.upstreams.connection_pool import Connection, Limits, Pool, Servers
 from lab.peers import RespPeer, always, play, until
 from tests.loopback import CUSTOMER, GET, SERVED, Script, send_to, site
@@ -136,7 +136,7 @@
     async def second(self) -> None:
         await until(lambda: len(self.loop.gates) == 2)
 
-    async def ended(self, ending: Ending, calls: int) -> None:
+    async def ended(self, ending: Outcome, calls: int) -> None:
         """One ending, so many commands at the server, nothing left behind."""
         await until(lambda: self.results)
         await until(lambda: not self.servers.coming)
@@ -152,21 +152,21 @@
     """Both come up in one moment: one carries the request, the other is closed unwritten."""
     scene.go_on(0)
     scene.go_on(1)
-    await scene.ended(Ending.OK, 1)
+    await scene.ended(Outcome.OK, 1)
     assert len({number for what, number, _ in scene.server.log if what == "command"}) == 1
 
 
 async def second_first(scene: Scene) -> None:
     """The second comes up: the first is given up, its wait is over, and nothing goes out on it later."""
     scene.go_on(1)
-    await scene.ended(Ending.OK, 1)
+    await scene.ended(Outcome.OK, 1)
     assert scene.loop.gates[0].cancelled()
 
 
 async def first_after_all(scene: Scene) -> None:
     """The first comes up while the second does: the second is given up."""
     scene.go_on(0)
-    await scene.ended(Ending.OK, 1)
+    await scene.ended(Outcome.OK, 1)
     assert scene.loop.gates[1].cancelled()
 
 
@@ -176,7 +176,7 @@
     await until(lambda: len(scene.servers.coming) == 1)
     assert not scene.results
     scene.go_on(1)
-    await scene.ended(Ending.OK, 1)
+    await scene.ended(Outcome.OK, 1)
 
 
 async def second_fails(scene: Scene) -> None:
@@ -185,7 +185,7 @@
     await until(lambda: len(scene.servers.coming) == 1)
     assert not scene.results
     scene.go_on(0)
-    await scene.ended(Ending.OK, 1)
+    await scene.ended(Outcome.OK, 1)
 
 
 async def both_fail(scene: Scene) -> None:
@@ -193,20 +193,20 @@
     scene.attempt.connect_timer.cancel()
     scene.fail(0)
     scene.fail(1)
-    await scene.ended(Ending.UNREACHABLE, 0)
+    await scene.ended(Outcome.UNREACHABLE, 0)
 
 
 async def neither_in_time(scene: Scene) -> None:
     """The time-out counts from the first: a second does not make it longer."""
     assert scene.attempt.connect_timer.when() == pytest.approx(scene.attempt.started + CONNECT_S, abs=0.005)
-    await scene.ended(Ending.UNREACHABLE, 0)
+    await scene.ended(Outcome.UNREACHABLE, 0)
     assert all(gate.cancelled() for gate in scene.loop.gates)
 
 
 async def client_leaves(scene: Scene) -> None:
     """Both are given up."""
-    scene.attempt.stop(Ending.UNSENT)
-    await scene.ended(Ending.UNSENT, 0)
+    scene.attempt.stop(Outcome.NOT_SENT)
+    await scene.ended(Outcome.NOT_SENT, 0)
     assert all(gate.cancelled() for gate in scene.loop.gates)
 
 
@@ -216,11 +216,11 @@
     class Trip(set[Connection]):
         def add(self, conn: Connection) -> None:
             super().add(conn)
-            scene.attempt.stop(Ending.UNSENT)
+            scene.attempt.stop(Outcome.NOT_SENT)
 
     scene.pool.open = Trip()
     scene.go_on(0)
-    await scene.ended(Ending.UNSENT, 0)
+    await scene.ended(Outcome.NOT_SENT, 0)
 
 
 async def grace_over(scene: Scene) -> None:
@@ -229,7 +229,7 @@
     scene.pool.stop_at = scene.loop.time() - 0.001
     scene.go_on(0)
     scene.go_on(1)
-    await scene.ended(Ending.UNREACHABLE, 0)
+    await scene.ended(Outcome.UNREACHABLE, 0)
 
 
 CROSSINGS: tuple[Act, ...] = (
@@ -280,7 +280,7 @@
         await until(lambda: made.attempt.late_timer is None)
         assert len(made.loop.gates) == 1 and made.servers.count() == 1
         made.go_on(0)
-        await made.ended(Ending.OK, 1)
+        await made.ended(Outcome.OK, 1)
 
     played(act, connections=1)
 
@@ -311,7 +311,7 @@
         await until(lambda: made.attempt.late_timer is None)
         assert len(made.loop.gates) == 1
         made.go_on(0)
-        await made.ended(Ending.OK, 1)
+        await made.ended(Outcome.OK, 1)
 
     played(act)
 
@@ -323,7 +323,7 @@
         conn = Connection(made.pool)
         await uvloop.Loop.create_connection(made.loop, lambda: conn, *made.pool.address)
         made.pool.give_back(conn)
-        await made.ended(Ending.OK, 1)
+        await made.ended(Outcome.OK, 1)
         assert len(made.loop.gates) == 1 and made.servers.beside == 0
 
     played(act)
@@ -333,7 +333,7 @@
     """The client leaves in the turn in which its request came: the task never runs any of its code."""
 
     async def act(made: Scene) -> None:
-        made.begin().stop(Ending.UNSENT)
+        made.begin().stop(Outcome.NOT_SENT)
         await until(lambda: made.loop.gates)
         made.go_on(0)
         await until(lambda: len(made.results) == 2)
--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -16,7 +16,7 @@
 from glenchute.core.types import Result
 from glenchute.policy.connections.client_slots import OPERATED, OWN, Budget, budget
 from glenchute.policy.endpoints import polling as pacing
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.upstreams import connection_pool as resp2
 from lab.services import CounterService
 from lab.site import GatewayProcess, free_port
@@ -109,8 +109,8 @@
             attempt = servers.attempt("s0", lambda left: b"", 1.0, ends.append)
             assert attempt is not None
             attempt.start()
-            attempt.stop(Ending.UNSENT)
-            assert [result.ending for result in ends] == [Ending.UNSENT]
+            attempt.stop(Outcome.NOT_SENT)
+            assert [result.ending for result in ends] == [Outcome.NOT_SENT]
             await until(lambda: servers.count() == 0)
 
     play(scenario())
--- a/tests/policy/connections/test_lines.py
+++ b/tests/policy/connections/test_lines.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from glenchute.policy.connections.pipelined_connection import Line
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 
 SIZES = (7, 1, 40, 13, 5)
 
@@ -27,11 +27,11 @@
     line = handed()
     line.gone(sum(SIZES) - left)
     begins = [sum(SIZES[:n]) for n in range(len(SIZES))]
-    ended = line.cut(line.out[0], Ending.TIMEOUT)
+    ended = line.cut(line.out[0], Outcome.TIMEOUT)
     assert [row.item for row in ended] == list(range(len(SIZES)))
     for row, begin in zip(ended, begins, strict=True):
-        expected = Ending.TIMEOUT if row.item == 0 else Ending.RESET
-        assert row.ending is (expected if begin < left else Ending.UNREACHABLE)
+        expected = Outcome.TIMEOUT if row.item == 0 else Outcome.RESET
+        assert row.ending is (expected if begin < left else Outcome.UNREACHABLE)
     assert not len(line)
 
 
@@ -58,7 +58,7 @@
     line.gone(2)  # the second is half gone
     assert line.reply(1.0) is not None
     assert line.reply(1.0) is None
-    assert [row.ending for row in line.cut()] == [Ending.RESET]
+    assert [row.ending for row in line.cut()] == [Outcome.RESET]
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
     line.out[1].called_off = True
     first = line.reply(1.0)
     assert first is not None and first[0].item == 0
-    assert [(row.item, row.ending) for row in line.cut()] == [(1, Ending.CANCELLED), (2, Ending.RESET)]
+    assert [(row.item, row.ending) for row in line.cut()] == [(1, Outcome.CANCELLED), (2, Outcome.RESET)]
 
 
 def test_what_was_handed_over_can_not_be_withdrawn() -> None:
@@ -135,6 +135,6 @@
             ended.append(entry.item)
     for row in line.cut():
         at = begin.get(row.item, (1 << 60, 1 << 60))[0]
-        assert (row.ending is Ending.UNREACHABLE) == (at >= line.left)
+        assert (row.ending is Outcome.UNREACHABLE) == (at >= line.left)
         ended.append(row.item)
     assert sorted(ended) == list(range(put))
--- a/tests/policy/connections/test_pipeline.py
+++ b/tests/policy/connections/test_pipeline.py
@@ -15,11 +15,11 @@
 from glenchute.policy.connections.depth_limit import SAMPLES, Depth
 from glenchute.policy.connections.pipelining import Condemn, Copy, Cut, How, Job, Pipeline, Rules, job_of
 from glenchute.policy.connections.service_times import EDGES, ServiceTimes, Times
-from glenchute.policy.interface import Repeat, RequestClass, Scope
+from glenchute.policy.settings import Idempotency, IdempotencyScope, RequestClass
 
-READ = RequestClass("read", 1000.0, 1.0, Repeat.SAFE)
-ORDER = RequestClass("order", 1500.0, 2.0, Repeat.KEYED, Scope.ALL, 800.0)
-CHARGE = RequestClass("charge", 2500.0, 2.0, Repeat.UNSAFE)
+READ = RequestClass("read", 1000.0, 1.0, Idempotency.IDEMPOTENT)
+ORDER = RequestClass("order", 1500.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 800.0)
+CHARGE = RequestClass("charge", 2500.0, 2.0, Idempotency.NON_IDEMPOTENT)
 CLASSES = {cls.name: cls for cls in (READ, ORDER, CHARGE)}
 RULES = Rules(depth=4, at_risk=6, settle_ms=0.0)
 
--- a/tests/policy/endpoints/test_doubt.py
+++ b/tests/policy/endpoints/test_doubt.py
@@ -15,30 +15,31 @@
 
 from glenchute.cli.run import Program
 from glenchute.core.types import News
-from glenchute.policy import interface as api
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
 from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
-from glenchute.policy.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from tests.loopback import Script, always, config, http, play, row, site, until
 from tests.policy.endpoints.test_watch import Held, states
 
 TEN = [f"s{n}" for n in range(10)]
-READY, DRAINING, GONE = ServerState.ACTIVE, ServerState.DRAINING, ServerState.GONE
+READY, DRAINING, GONE = EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED
 
 
-def servers(*names: str, **others: ServerState) -> ServerList:
+def servers(*names: str, **others: EndpointState) -> EndpointList:
     """A whole list: these take work, the others are as told."""
-    rows = [ServerEntry(name, "a") for name in names]
-    return ServerList(ListKind.FULL, (*rows, *(ServerEntry(n, "b", state=s) for n, s in others.items())))
+    rows = [Endpoint(name, "a") for name in names]
+    return EndpointList(
+        EndpointListKind.FULL, (*rows, *(Endpoint(n, "b", state=s) for n, s in others.items()))
+    )
 
 
 class Forbids(NamedTuple):
     """A list in doubt, and which servers get nothing new by it."""
 
     version: int
-    news: ServerList
+    news: EndpointList
     stopped: set[str]
 
 
@@ -62,7 +63,7 @@
     doubt.follow(5, servers(*TEN))
     assert not doubt.takes(version, news, True)
     found = doubt.forbids(news)
-    assert {entry.server for entry in found} == stopped
+    assert {entry.address for entry in found} == stopped
     assert all(entry.state is DRAINING and entry.zone == "a" for entry in found)
     assert doubt.forbids(news) == ()  # told once
     for at in range(3):
@@ -263,7 +264,7 @@
     async def scenario() -> None:
         agent, script = Held(), Script(lambda event: [])
         task = asyncio.create_task(agent.answer(0, whole(5, *FOUR)))
-        many = replace(config(1, 1, []).settings, gateways=200)
+        many = replace(config(1, 1, []).settings, gateway_count=200)
         more: dict[str, Any] = {"settings": many, "number": 150, "operator": OPERATOR, "known": None}
         async with site(always(None), decisions=script, discovery=agent, **more) as one:  # type: ignore[arg-type]
             await task
@@ -282,6 +283,6 @@
             await agent.answer(2, scene.second)
             await until(lambda: discovery.since is not None)
             assert stand() == scene.after and passed_on == [5, discovery.since]
-            assert len(script.of(api.ServerList)) <= 5
+            assert len(script.of(EndpointList)) <= 5
 
     play(scenario())
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -19,12 +19,12 @@
 from glenchute.cli.run import LIST_WAIT_S
 from glenchute.clients.discovery import PART_BODY, Discovery, ListError, read_list
 from glenchute.clients.discovery import Held as HeldList
-from glenchute.policy import interface as api
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.endpoints import watch
 from glenchute.policy.endpoints.polling import Pacing, Terms
 from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
+from glenchute.policy.events import EndpointList
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership.endpoint_sharing import ListShare
 from lab.peers import Peer, always, http, listing, play, row, until
@@ -380,7 +380,7 @@
 
 def states(script: Script) -> dict[str, str]:
     """What the module was told of each server last."""
-    return {e.server: e.state.value for event in script.of(api.ServerList) for e in event.entries}
+    return {e.address: e.state.value for event in script.of(EndpointList) for e in event.endpoints}
 
 
 DRAINS = listing(9, [row("a", 80, "Terminating")], full=False)
@@ -525,7 +525,7 @@
         agent, script = Held(), Script(lambda event: [])
         task = asyncio.create_task(first_answers(agent))
         operator = "[discovery]\ncalls_per_s = 15\nlist_age_s = 30\n"
-        many = replace(config(1, 1, []).settings, gateways=200)
+        many = replace(config(1, 1, []).settings, gateway_count=200)
         more: dict[str, Any] = {"settings": many, "number": 150, "operator": operator}
         async with site(decisions=script, discovery=agent, **more) as one:  # type: ignore[arg-type]
             await task
--- a/tests/policy/lifecycle/test_succession.py
+++ b/tests/policy/lifecycle/test_succession.py
@@ -15,23 +15,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from glenchute.capture import format_1
 from glenchute.capture.recorder import Recorder, Rule
 from glenchute.capture.replay import replay as replayed
 from glenchute.capture.replay import runs
 from glenchute.clients import handover as way
-from glenchute.policy.engine import Gateway
-from glenchute.policy.interface import (
-    Alone,
-    Beside,
-    Count,
-    CountReply,
-    Ending,
+from glenchute.policy.actions import IncrementCounter, SendState, StartAttempt
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    CounterReply,
     Event,
-    HandOver,
+    OtherProcessEnded,
+    Outcome,
+    QuotaSnapshot,
     Request,
-    Send,
-    Stock,
-    TakeOver,
+    StateReceived,
+    SuccessorStarted,
 )
 from glenchute.policy.lifecycle.handover import (
     FIELDS,
@@ -46,7 +45,7 @@
 from tests.loopback import always, play, site, until
 from tests.rig import SETTINGS, Rig, only
 
-STOCK = Stock("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
+STOCK = QuotaSnapshot("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
 figures = st.floats(-1e12, 1e12)
 
 
@@ -57,14 +56,14 @@
 @given(
     st.lists(
         st.builds(
-            Stock, st.text(min_size=1, max_size=64), st.text(max_size=20), st.integers(1, 500),
+            QuotaSnapshot, st.text(min_size=1, max_size=64), st.text(max_size=20), st.integers(1, 500),
             *[figures] * 6, st.floats(-1e15, 1e15), st.one_of(figures, st.just(math.inf)),
         ),
         max_size=5,
     ),
     st.floats(LEAST_SHARE, 1.0 - LEAST_SHARE),
 )  # fmt: skip
-def test_what_is_told_is_read(stocks: list[Stock], share: float) -> None:
+def test_what_is_told_is_read(stocks: list[QuotaSnapshot], share: float) -> None:
     raw = message("g", share, stocks)
     assert parse("g", raw) == Told(share, tuple(stocks))
     for cut in (1, len(raw) // 2, len(raw) - 1):
@@ -145,25 +144,27 @@
 
 
 def next_list() -> Any:
-    from glenchute.policy.interface import ListKind, ServerList
+    from glenchute.policy.events import EndpointList, EndpointListKind
     from tests.rig import entries
 
-    return ServerList(ListKind.SAVED, entries(3))
+    return EndpointList(EndpointListKind.CACHED, entries(3))
 
 
 def succeed(old: Rig) -> Rig:
     """The next process, told all."""
-    [handed] = only(old.feed(Beside()), HandOver)
+    [handed] = only(old.feed(SuccessorStarted()), SendState)
     new = Rig()
     new.now = old.now
-    new.feed(TakeOver(handed.stocks))
+    new.feed(StateReceived(handed.quotas))
     new.feed(next_list())
     return new
 
 
 def let_in(rig: Rig, plan: str, customer: str, requests: int = 60) -> int:
     """How many go on of so many at once. Calls to the counter get no answer."""
-    return sum(bool(only(rig.ask("read", plan, customer, spread=1)[1], Send)) for _ in range(requests))
+    return sum(
+        bool(only(rig.ask("read", plan, customer, spread=1)[1], StartAttempt)) for _ in range(requests)
+    )
 
 
 def test_a_spent_quota_is_not_fresh_in_the_next_process() -> None:
@@ -177,7 +178,7 @@
 @pytest.mark.parametrize("spent", [0, 4, 30])
 def test_two_processes_grant_no_more_than_one_under_a_ceiling(spent: int) -> None:
     alone = busy("c", "hard", spent)
-    alone.ending = Ending.TIMEOUT
+    alone.ending = Outcome.TIMEOUT
     most = let_in(alone, "hard", "c")
     old = busy("c", "hard", spent)
     new = succeed(old)
@@ -199,7 +200,7 @@
 
     assert not marks(old)
     assert marks(new)
-    old.feed(Alone())
+    old.feed(OtherProcessEnded())
     assert marks(old)
 
 
@@ -207,11 +208,11 @@
     old = busy("c", "hard", 2)
     quota = old.gateway.quota
     before = quota.customers["c"].spread
-    old.feed(Beside())
+    old.feed(SuccessorStarted())
     assert quota.customers["c"].spread == 2 * before
     old.ask("read", "hard", "c", spread=1)
     assert quota.customers["c"].spread == 2
-    old.feed(Alone())
+    old.feed(OtherProcessEnded())
     assert quota.customers["c"].spread == before == 1
 
 
@@ -228,13 +229,15 @@
     new._totals = dict(old._totals)
     name = new.gateway.quota.customers["c"].name
     new.ask("read", "rate", "c", spread=1)
-    calls = [action for _, action in new.log if isinstance(action, Count) and action.name == name]
+    calls = [action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name]
     if not calls:
         new.advance(1200.0)
-        calls = [action for _, action in new.log if isinstance(action, Count) and action.name == name]
+        calls = [
+            action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name
+        ]
     assert calls
     total = old._totals.get(name, 0.0) + calls[0].amount
-    new.feed(CountReply(name, total, Ending.OK))
+    new.feed(CounterReply(name, total, Outcome.OK))
     after = new.gateway.quota.customers["c"].store
     assert after >= left - 1.0 - 0.5, (left, after)
 
@@ -307,17 +310,24 @@
 
 
 def test_every_field_of_a_stock_is_told() -> None:
-    assert Stock.__match_args__ == FIELDS
+    assert len(QuotaSnapshot.__match_args__) == len(FIELDS)
+    assert dict(zip(FIELDS, QuotaSnapshot.__match_args__, strict=True)) == {
+        **format_1.QUOTA_SNAPSHOT,
+        "plan": "plan",
+    }
 
 
 def test_a_replacement_is_recorded_and_replayed_to_the_bit(tmp_path: Path) -> None:
     clock = [0.0]
-    keeper = Recorder(Gateway(SETTINGS, 1), SETTINGS, 1, Rule(str(tmp_path)), lambda: clock[0])
+    keeper = Recorder(DecisionEngine(SETTINGS, 1), SETTINGS, 1, Rule(str(tmp_path)), lambda: clock[0])
     keeper.handle(1000.0, next_list())
-    events: list[Event] = [TakeOver((STOCK, replace(STOCK, customer="d", total=math.inf))), Alone()]
+    events: list[Event] = [
+        StateReceived((STOCK, replace(STOCK, tenant="d", window_total_units=math.inf))),
+        OtherProcessEnded(),
+    ]
     for n in range(20):
         events.append(Request(f"r{n}", "read", "rate", "c", 900.0, 1.0, 2))
-    events += [Beside(), Request("last", "read", "rate", "c", 900.0, 1.0, 2), Alone()]
+    events += [SuccessorStarted(), Request("last", "read", "rate", "c", 900.0, 1.0, 2), OtherProcessEnded()]
     for at, event in enumerate(events):
         keeper.handle(1001.0 + at, event)
     keeper.trigger("asked for")
--- a/tests/policy/membership/test_audit.py
+++ b/tests/policy/membership/test_audit.py
@@ -9,18 +9,18 @@
 import pytest
 
 from glenchute.policy.admission.windows import span_of, stable, window_start
-from glenchute.policy.interface import Plan
 from glenchute.policy.membership import usage_audit as audits
 from glenchute.policy.membership.replica import Kind, Row
 from glenchute.policy.membership.usage_audit import LOOKS, Audit
+from glenchute.policy.settings import Plan
 from lab.fleet.acting import MORE
 from lab.fleet.processes import FleetSite
 from lab.load import Account
 from lab.peers import play
 from lab.site import SETTINGS
 
-PLAN = Plan("p", rate=4.0, burst=12.0)
-HARD = Plan("h", rate=4.0, burst=12.0, ceiling_rate=8.0, ceiling_burst=20.0)
+PLAN = Plan("p", rate_per_s=4.0, burst_units=12.0)
+HARD = Plan("h", rate_per_s=4.0, burst_units=12.0, ceiling_rate_per_s=8.0, ceiling_burst_units=20.0)
 NOW = 1_700_000_000_000.0
 SPAN = span_of(PLAN)
 MARK = 1000.0
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -20,7 +20,7 @@
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms, calls_bound
-from glenchute.policy.interface import ListKind, ServerEntry, ServerList, ServerState
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from glenchute.policy.membership.endpoint_sharing import ListShare, Part, Sent, Server
 from lab.coldstart import Crowd, Herd, busiest, outage, release, starts, turned_away
 from lab.fleet.processes import FleetSite
@@ -167,13 +167,13 @@
         assert busiest(crowd.calls, 20.0) <= 1.2 * pace and turned_away(crowd.calls, STATED + 60.0) < 0.2
 
 
-def listing(*names: str, kind: ListKind = ListKind.FULL) -> ServerList:
-    return ServerList(kind, tuple(ServerEntry(name, "a") for name in names))
+def listing(*names: str, kind: EndpointListKind = EndpointListKind.FULL) -> EndpointList:
+    return EndpointList(kind, tuple(Endpoint(name, "a") for name in names))
 
 
 TEN = [f"s{n}" for n in range(10)]
-GONE = ServerList(ListKind.CHANGES, (ServerEntry("s0", "a", state=ServerState.GONE),))
-LISTS: dict[str, list[tuple[int, ServerList, bool, bool]]] = {
+GONE = EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", state=EndpointState.REMOVED),))
+LISTS: dict[str, list[tuple[int, EndpointList, bool, bool]]] = {
     # version, list, whether servers answer, whether it is taken
     "the same again": [(5, listing(*TEN), True, True)],
     "one fewer": [(6, listing(*TEN[1:]), True, True)],
--- a/tests/policy/membership/test_directmail.py
+++ b/tests/policy/membership/test_directmail.py
@@ -10,10 +10,8 @@
 
 from glenchute.clients.membership.node import TICK_S, Fleet
 from glenchute.config.operator import parse
-from glenchute.policy import interface as api
 from glenchute.policy.admission.windows import span_of
-from glenchute.policy.engine import Gateway
-from glenchute.policy.interface import Plan
+from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.membership import direct_messages as directmail
 from glenchute.policy.membership.direct_messages import (
     ASKS_PER_S,
@@ -29,10 +27,11 @@
 from glenchute.policy.membership.members import Members, Message, State, Update
 from glenchute.policy.membership.replica import RULES, Kind, Replica, Row
 from glenchute.policy.membership.usage import MOST_WINDOWS, MOST_WRITERS, TOLD_SHARE, Use, allowance
+from glenchute.policy.settings import Plan, Settings, SlowStart
 from glenchute.protocol.member_datagrams import encode
 from lab.fleet.posted import Posts
 
-PLAN = Plan("p", rate=4.0, burst=12.0)
+PLAN = Plan("p", rate_per_s=4.0, burst_units=12.0)
 
 
 def settled(count: int, **more: object) -> Posts:
@@ -179,14 +178,18 @@
 # --- what is left unsaid ----------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("plan", [PLAN, Plan("short", rate=8.0, burst=2.0), Plan("long", 1.0, 0.1, 30.0)])
+@pytest.mark.parametrize(
+    "plan", [PLAN, Plan("short", rate_per_s=8.0, burst_units=2.0), Plan("long", 1.0, 0.1, 30.0)]
+)
 def test_half_of_the_allowance_in_each_window_empties_no_store(plan: Plan) -> None:
     """The claim on which silence rests, by the store itself: all of it at the end of a window and at the
     beginning of the next, for ever."""
-    store, at = plan.burst, 0.0
+    store, at = plan.burst_units, 0.0
     for window in range(50):
         moment = (window + window % 2) * span_of(plan) / 1000.0  # of every second one its end
-        store = min(plan.burst, store + plan.rate * (moment - at)) - 2.0 * TOLD_SHARE * allowance(plan)
+        store = min(plan.burst_units, store + plan.rate_per_s * (moment - at)) - 2.0 * TOLD_SHARE * allowance(
+            plan
+        )
         at = moment
         assert store >= -1e-9
 
@@ -349,8 +352,8 @@
     monkeypatch.setattr(Members, "alive", counted)
     rows = [{"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(1, 520)]
     raw = {"fleet": "lab", "name": "g0", "listen": "127.0.0.1:7000", "members": rows}
-    made = api.Settings("a", 520, (), (), api.Safety())
-    fleet = Fleet(raw, Clock(), Gateway(made, 1), made, 1)  # type: ignore[arg-type]
+    made = Settings("a", 520, (), (), SlowStart())
+    fleet = Fleet(raw, Clock(), DecisionEngine(made, 1), made, 1)  # type: ignore[arg-type]
     probes = [Message(Probes.ACK, n, "", (Update(f"g{n}", State.ALIVE, 0, n),)) for n in (1, 2)]
     for n, probe in enumerate(probes, 1):
         walks.clear()
@@ -381,8 +384,8 @@
         raw["number"] = stated
         for n, row in enumerate(rows, 10):
             row["number"] = n
-    made = api.Settings("a", 20, (), (), api.Safety())
-    fleet = Fleet(raw, Clock(), Gateway(made, 1), made, 1, number)  # type: ignore[arg-type]
+    made = Settings("a", 20, (), (), SlowStart())
+    fleet = Fleet(raw, Clock(), DecisionEngine(made, 1), made, 1, number)  # type: ignore[arg-type]
     assert bool(fleet.post.ring.steps) is numbered
     if not numbered:
         assert fleet.post.ring.near(3) == tuple(f"g{n}" for n in range(10, 19))
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -13,7 +13,7 @@
 
 from glenchute.config.operator import parse
 from glenchute.core.types import Failed, Refused, Served
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 from glenchute.policy.retries.route_limits import (
     CREDIT_S,
     LEAST_STORE_S,
@@ -29,7 +29,7 @@
 from tests.sites import FACTS, OVERLAP
 
 CLASSES = tuple(FACTS.classes)
-ENDINGS = (Ending.OK, Ending.ERROR, Ending.FULL, Ending.RESET)
+ENDINGS = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
 FATES = st.builds(
     Fate,
     connect_s=st.sampled_from([0.0, 0.0, 0.001, 0.1, 0.249, math.inf]),
@@ -115,7 +115,7 @@
 
 def test_a_keyed_attempt_whose_connection_comes_up_too_late_is_not_written() -> None:
     """The repeat starts inside the span, its connection is up beyond it: no byte may leave."""
-    fates = iter([Fate(0.0, 2.3, Ending.ERROR), Fate(0.24, 0.01, Ending.OK)])
+    fates = iter([Fate(0.0, 2.3, Outcome.ERROR), Fate(0.24, 0.01, Outcome.OK)])
     site = Site(None, lambda: next(fates))
     request = site.ask("check-order", 4000.0)
     site.loop.run(site.loop.now + 5.0)
@@ -126,7 +126,7 @@
 
 def test_a_deadline_before_the_first_pause_is_answered_at_once() -> None:
     route = Route("r", backoff=Backoff(500.0, most_ms=500.0))
-    site = Site(Routes({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.01, Ending.FULL))
+    site = Site(Routes({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.01, Outcome.REJECTED))
     asked = site.loop.now
     request = site.ask("report-read", 400.0)
     site.loop.run(asked + 3.0)
@@ -135,12 +135,12 @@
 
 
 def test_a_time_out_under_the_connect_time_ends_as_unreachable_and_tries_again() -> None:
-    fates = iter([Fate(0.2, 0.0, Ending.OK), Fate(0.01, 0.02, Ending.OK)])
+    fates = iter([Fate(0.2, 0.0, Outcome.OK), Fate(0.01, 0.02, Outcome.OK)])
     route = Route("r", attempt_timeout_ms=100.0)
     site = Site(Routes({("check-charge", "osnovni"): route}, 1), lambda: next(fates))
     request = site.ask("check-charge", 3000.0)
     site.loop.run(site.loop.now + 4.0)
-    assert [r.ending for r in site.servers.of(request)] == [Ending.UNREACHABLE, Ending.OK]
+    assert [r.ending for r in site.servers.of(request)] == [Outcome.UNREACHABLE, Outcome.OK]
     assert isinstance(site.answers[request][0][1], Served)
 
 
@@ -149,7 +149,7 @@
         ("report-read", "osnovni"): Route("reads", attempt_timeout_ms=200.0, attempts=2),
         ("check-order", "osnovni"): Route("orders", attempt_timeout_ms=900.0, attempts=1),
     }
-    site = Site(Routes(table, 1), lambda: Fate(0.0, 1e9, Ending.OK))
+    site = Site(Routes(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK))
     read, order = site.ask("report-read", 3000.0), site.ask("check-order", 3000.0)
     site.loop.run(site.loop.now + 5.0)
     assert [round(r.timeout_s, 3) for r in site.servers.of(read)] == [0.2, 0.2]
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("class_name", ["report-read", "check-order"])
 def test_a_second_copy_goes_to_another_server_and_the_loser_is_called_off(class_name: str) -> None:
-    fates = iter([Fate(0.0, 1e9, Ending.OK), Fate(0.0, 0.05, Ending.OK)])
+    fates = iter([Fate(0.0, 1e9, Outcome.OK), Fate(0.0, 0.05, Outcome.OK)])
     route = Route("r", copy_after_ms=100.0)
     site = Site(Routes({(class_name, "osnovni"): route}, 1), lambda: next(fates), overlap=True)
     asked = site.loop.now
@@ -166,7 +166,7 @@
     site.loop.run(asked + 4.0)
     first, second = site.servers.of(request)
     assert first.server != second.server and 0.1 <= second.started - asked < 0.11
-    assert first.ending is Ending.CANCELLED and first.ended == second.ended
+    assert first.ending is Outcome.CANCELLED and first.ended == second.ended
     assert [type(answer) for _, answer in site.answers[request]] == [Served]
 
 
@@ -175,7 +175,7 @@
     for class_name, overlap in (("check-charge", True), ("report-read", False)):
         route = Route("r", copy_after_ms=50.0, attempts=2)
         table = {(class_name, "osnovni"): route}
-        site = Site(Routes(table, 1), lambda: Fate(0.0, 1e9, Ending.OK), overlap=overlap)
+        site = Site(Routes(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK), overlap=overlap)
         request = site.ask(class_name, 400.0)
         site.loop.run(site.loop.now + 0.3)
         assert len(site.servers.of(request)) == 1
@@ -183,8 +183,8 @@
 
 def failing(budget: BudgetRule | None, requests: int, rate: float) -> tuple[int, Site]:
     """Requests to a fleet that fails wholly; the attempts sent."""
-    route = Route("r", attempts=5, budget=budget, causes=frozenset(Ending))
-    site = Site(Routes({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.002, Ending.RESET))
+    route = Route("r", attempts=5, budget=budget, causes=frozenset(Outcome))
+    site = Site(Routes({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.002, Outcome.RESET))
     for _ in range(requests):
         site.ask("report-read", 3000.0)
         site.loop.run(site.loop.now + 1.0 / rate)
@@ -239,13 +239,13 @@
     budget = Budget(BudgetRule(0.0, 1.0), 0.0)
     course = Course(Route("r", budget=budget.rule), budget, random.Random(1))
     assert course.begin(0.0, False)
-    assert course.after(0.0, Ending.FULL) == 0.0 and budget.spent == 1
+    assert course.after(0.0, Outcome.REJECTED) == 0.0 and budget.spent == 1
     course.close()
     assert budget.spent == 0
-    assert course.after(0.0, Ending.FULL) == 0.0 and course.begin(0.0, False)
+    assert course.after(0.0, Outcome.REJECTED) == 0.0 and course.begin(0.0, False)
     course.close()
     assert budget.spent == 1
-    assert course.after(0.0, Ending.FULL) == NEVER and not course.begin(0.0, False)
+    assert course.after(0.0, Outcome.REJECTED) == NEVER and not course.begin(0.0, False)
 
 
 def test_a_reload_hands_out_no_fresh_budget() -> None:
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -8,17 +8,8 @@
 
 import pytest
 
-from glenchute.policy.interface import (
-    AttemptEnded,
-    Count,
-    Ending,
-    ListKind,
-    Log,
-    Refuse,
-    Send,
-    ServerEntry,
-    ServerList,
-)
+from glenchute.policy.actions import IncrementCounter, LogMessage, Reject, StartAttempt
+from glenchute.policy.events import AttemptEnded, Endpoint, EndpointList, EndpointListKind, Outcome
 from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -29,9 +20,9 @@
     done = 0
     for _ in range(count):
         name, actions = rig.ask(plan=plan, units=units)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             done += 1
-            rig.end(name, 0, Ending.OK, 1.0)
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(gap_ms)
     return done
@@ -53,8 +44,8 @@
         rig.others = others
         for _ in range(200):
             name, actions = rig.ask(plan="rate")
-            if only(actions, Send):
-                rig.end(name, 0, Ending.OK, 1.0)
+            if only(actions, StartAttempt):
+                rig.end(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(100.0)
     went = [len({r for r in rig.sent}) for rig in (alone, shared)]
@@ -67,13 +58,13 @@
 
 
 def test_mute_counter_keeps_to_this_gateways_part() -> None:
-    rig = Rig(entries(4), with_(SETTINGS, counter=True))
-    rig.ending, done = Ending.UNREACHABLE, 0
+    rig = Rig(entries(4), with_(SETTINGS, has_counter=True))
+    rig.ending, done = Outcome.UNREACHABLE, 0
     for _ in range(600):
         name, actions = rig.ask(plan="rate")
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             done += 1
-            rig.end(name, 0, Ending.OK, 1.0)
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(25.0)
     assert 10 <= done <= 6 / 2 + 2.0 / 2 * 15 + 5
@@ -81,7 +72,7 @@
 
 def test_mute_counter_is_called_rarely_and_recovers() -> None:
     rig = Rig(entries(4))
-    rig.ending = Ending.TIMEOUT
+    rig.ending = Outcome.TIMEOUT
     for _ in range(100):
         rig.ask(plan="rate")
         rig.answer_calls()
@@ -92,8 +83,8 @@
         rig.ask(plan="rate")
         rig.answer_calls()
         rig.advance(25.0)
-    assert len([a for _, a in rig.log[before:] if isinstance(a, Count)]) <= 6
-    rig.ending = Ending.OK
+    assert len([a for _, a in rig.log[before:] if isinstance(a, IncrementCounter)]) <= 6
+    rig.ending = Outcome.OK
     rig.advance(600.0)
     rig.ask(plan="rate")
     rig.answer_calls()
@@ -105,8 +96,8 @@
     rig.others = 0.5
     for _ in range(70):
         name, actions = rig.ask(plan="rate")
-        if only(actions, Send):
-            rig.end(name, 0, Ending.OK, 1.0)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(50.0)
     customer = rig.gateway.quota.customers["c"]
@@ -127,8 +118,8 @@
     rig.others = 3.0
     for _ in range(40):
         name, actions = rig.ask(plan="rate")
-        if only(actions, Send):
-            rig.end(name, 0, Ending.OK, 1.0)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(100.0)
     rig.others = 0.0
@@ -136,36 +127,36 @@
 
 
 def test_calls_ease_off_while_they_are_turned_away() -> None:
-    def calls(ending: Ending) -> int:
+    def calls(ending: Outcome) -> int:
         rig = Rig(entries(4))
         for i in range(400):
-            rig.ending = ending if i % 3 else Ending.OK
+            rig.ending = ending if i % 3 else Outcome.OK
             rig.ask(plan="rate", customer=f"c{i % 20}")
             rig.answer_calls()
             rig.advance(20.0)
-        return len([a for _, a in rig.log if isinstance(a, Count)])
+        return len([a for _, a in rig.log if isinstance(a, IncrementCounter)])
 
-    assert calls(Ending.FULL) < 0.5 * calls(Ending.OK)
+    assert calls(Outcome.REJECTED) < 0.5 * calls(Outcome.OK)
 
 
 def test_open_cap_counts_attempts_out() -> None:
     rig = Rig(entries(4))
-    went = [bool(only(rig.ask(plan="open")[1], Send)) for _ in range(6)]
+    went = [bool(only(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
     assert went == [True, True, False, False, False, False]
-    rig.end("r1", 0, Ending.OK)
-    assert only(rig.ask(plan="open")[1], Send)
+    rig.end("r1", 0, Outcome.OK)
+    assert only(rig.ask(plan="open")[1], StartAttempt)
 
 
 def test_refused_with_advice_within_what_clients_heed() -> None:
     rig = Rig(entries(4))
-    refusals = [a for _ in range(30) for a in only(rig.ask(plan="rate")[1], Refuse)]
+    refusals = [a for _ in range(30) for a in only(rig.ask(plan="rate")[1], Reject)]
     assert refusals and all(1.0 <= a.retry_after_ms <= SETTINGS.max_retry_after_ms for a in refusals)
 
 
 def test_forgotten_customer_meets_no_empty_guard() -> None:
     rig = Rig(entries(4))
     rig.advance(30_000.0)
-    assert only(rig.ask(plan="hard", customer="new", units=2.0)[1], Send)
+    assert only(rig.ask(plan="hard", customer="new", units=2.0)[1], StartAttempt)
 
 
 # --- capacity ------------------------------------------------------------------------------------------
@@ -177,12 +168,12 @@
     most = 0
     for step in range(int(seconds * 100)):
         name, actions = rig.ask(customer=f"c{step % 7}", left=4000.0)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             out.append(name)
         most = max(most, len(out))
         rig.now += 10.0
         if out and step % 4 == 0:
-            rig.end(out.pop(0), 0, Ending.OK, took)
+            rig.end(out.pop(0), 0, Outcome.OK, took)
         rig.advance(0.0)
         rig.answer_calls()
     return most
@@ -205,8 +196,8 @@
     rig.warm_up()
     for _ in range(40):
         name, actions = rig.ask(customer="w")
-        if only(actions, Send):
-            rig.end(name, 0, Ending.OK, 2500.0)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.OK, 2500.0)
         rig.advance(50.0)
     rig.advance(8000.0)
     assert sends(rig, 100, 50.0, plan="wide") >= 90
@@ -215,39 +206,39 @@
 def test_time_outs_lengthen_the_next_ones() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
-    first = only(rig.ask()[1], Send)[0].timeout_ms
+    first = only(rig.ask()[1], StartAttempt)[0].timeout_ms
     for _ in range(60):
         name, actions = rig.ask()
-        while only(actions, Send) and not finals(actions):
+        while only(actions, StartAttempt) and not finals(actions):
             rig.now += 20.0
-            actions = rig.end(name, len(rig.sent[name]) - 1, Ending.TIMEOUT, 500.0)
+            actions = rig.end(name, len(rig.sent[name]) - 1, Outcome.TIMEOUT, 500.0)
         rig.advance(20.0)
     rig.advance(9000.0)
-    sent = [a for _ in range(3) for a in only(rig.ask()[1], Send)]
+    sent = [a for _ in range(3) for a in only(rig.ask()[1], StartAttempt)]
     assert first > 0 and sent and all(a.timeout_ms == 0 or a.timeout_ms > first for a in sent)
 
 
 # --- servers -------------------------------------------------------------------------------------------
 
 
-def share_of(rig: Rig, server: str, count: int, other: Ending, took: float, classes: str = "read") -> float:
+def share_of(rig: Rig, server: str, count: int, other: Outcome, took: float, classes: str = "read") -> float:
     """Share of first attempts that a server gets while it ends them in another way than the rest."""
     hits = total = 0
     for _ in range(count):
         name, actions = rig.ask(classes)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             total += 1
             at = rig.sent[name][0]
             hits += at == server
-            rig.end(name, 0, other if at == server else Ending.OK, took if at == server else 20.0)
+            rig.end(name, 0, other if at == server else Outcome.OK, took if at == server else 20.0)
         rig.advance(20.0)
     return hits / total
 
 
 @pytest.mark.parametrize(
-    ("ending", "took"), [(Ending.ERROR, 1.0), (Ending.FULL, 1.0), (Ending.UNREACHABLE, 250.0)]
+    ("ending", "took"), [(Outcome.ERROR, 1.0), (Outcome.REJECTED, 1.0), (Outcome.UNREACHABLE, 250.0)]
 )
-def test_quickly_failing_server_does_not_attract_requests(ending: Ending, took: float) -> None:
+def test_quickly_failing_server_does_not_attract_requests(ending: Outcome, took: float) -> None:
     rig = Rig(entries(5))
     rig.warm_up()
     assert share_of(rig, "s0", 200, ending, took) < 0.1
@@ -256,7 +247,7 @@
 def test_slow_server_gets_less() -> None:
     rig = Rig(entries(5))
     rig.warm_up()
-    assert share_of(rig, "s0", 300, Ending.OK, 200.0) < 0.12
+    assert share_of(rig, "s0", 300, Outcome.OK, 200.0) < 0.12
 
 
 def test_silent_server_gets_nothing_more_before_any_time_out() -> None:
@@ -267,8 +258,8 @@
         name, actions = rig.ask("charge")
         if rig.sent[name][0] == "s0":
             hung += 1
-        elif only(actions, Send):
-            rig.end(name, 0, Ending.OK)
+        elif only(actions, StartAttempt):
+            rig.end(name, 0, Outcome.OK)
         rig.advance(5.0)
     assert hung <= 6
 
@@ -279,11 +270,11 @@
     rig.warm_up()
     for i in range(80):
         name, _ = rig.ask("charge")
-        rig.end(name, 0, Ending.ERROR if i % 2 else Ending.OK, 20.0)
+        rig.end(name, 0, Outcome.ERROR if i % 2 else Outcome.OK, 20.0)
         rig.advance(20.0)
     rig.advance(300.0)
     for server in rig.gateway.fleet.servers.values():
-        server.held, server.held_at = (0.0 if server.entry.server == "s1" else 30.0), rig.now
+        server.held, server.held_at = (0.0 if server.entry.address == "s1" else 30.0), rig.now
     names = [rig.ask("charge")[0] for _ in range(3)]
     assert [rig.sent[name][0] for name in names].count("s1") >= 2
 
@@ -291,8 +282,8 @@
 def test_restarted_server_starts_with_a_clean_slate() -> None:
     rig = Rig(entries(3))
     rig.warm_up()
-    share_of(rig, "s0", 100, Ending.ERROR, 1.0)
-    rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("s0", "a", started_ms=rig.now),)))
+    share_of(rig, "s0", 100, Outcome.ERROR, 1.0)
+    rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", started_ms=rig.now),)))
     assert rig.gateway.fleet.servers["s0"].fails == 0.0
 
 
@@ -301,7 +292,7 @@
     rig.warm_up()
     name, _ = rig.ask()
     at = rig.sent[name][0]
-    rig.feed(AttemptEnded(name, 0, at, Ending.OK, 20.0, True, queue=40.0))
+    rig.feed(AttemptEnded(name, 0, at, Outcome.OK, 20.0, True, queued_requests=40.0))
     names = [rig.ask()[0] for _ in range(3)]
     assert all(rig.sent[n][0] != at for n in names)
 
@@ -311,8 +302,8 @@
     attempts = 0
     for _ in range(100):
         name, actions = rig.ask("read")
-        while only(actions, Send) and not finals(actions):
-            actions = rig.end(name, len(rig.sent[name]) - 1, Ending.FULL, 1.0)
+        while only(actions, StartAttempt) and not finals(actions):
+            actions = rig.end(name, len(rig.sent[name]) - 1, Outcome.REJECTED, 1.0)
         attempts += len(rig.sent.get(name, []))
         rig.advance(10.0)
     assert attempts <= 100 * 1.3 + 10
@@ -320,11 +311,11 @@
 
 def test_states_are_logged_once_when_they_begin_and_end() -> None:
     rig = Rig(entries(1))
-    rig.feed(ServerList(ListKind.FULL))
+    rig.feed(EndpointList(EndpointListKind.FULL))
     rig.advance(20_000.0)
-    rig.feed(ServerList(ListKind.FULL, entries(1)))
+    rig.feed(EndpointList(EndpointListKind.FULL, entries(1)))
     rig.advance(20_000.0)
-    lines = [a.message for _, a in rig.log if isinstance(a, Log)]
+    lines = [a.message for _, a in rig.log if isinstance(a, LogMessage)]
     assert lines == ["no server to send to: begins", "no server to send to: ends"]
 
 
@@ -332,14 +323,14 @@
 
 SCRIPT = """
 from tests.rig import Rig, entries
-from glenchute.policy.interface import Ending
+from glenchute.policy.events import Outcome
 rig = Rig(entries(7, "abc"), seed=5)
 rig.warm_up(2.0)
 for i in range(200):
     cls, plan = ("read", "order", "bid", "charge")[i % 4], ("rate", "hard", "open")[i % 3]
     name, _ = rig.ask(cls, plan, f"c{i % 9}")
     if name in rig.sent:
-        rig.end(name, 0, (Ending.OK, Ending.FULL, Ending.TIMEOUT, Ending.ERROR)[i % 4])
+        rig.end(name, 0, (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.ERROR)[i % 4])
     rig.answer_calls()
     rig.advance(15.0)
 print(rig.log)
@@ -376,14 +367,14 @@
             sent = bool(rig.sent.get(name))
             went += sent
             if sent:
-                rig.end(name, 0, Ending.OK, 1.0)
+                rig.end(name, 0, Outcome.OK, 1.0)
             rig.advance(500.0)
             rig.answer_calls()
         return went
 
     for _ in range(20):
         second()
-    rig.ending = Ending.TIMEOUT
+    rig.ending = Outcome.TIMEOUT
     for _ in range(5):
         second()
     assert rig.gateway.quota.mute
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -9,8 +9,11 @@
 import pytest
 
 from benchmarks.recovery import measure
-from glenchute.policy.engine import LEAST_SHARE, Pressure
-from glenchute.policy.interface import AttemptEnded, Ending, ListKind, Repeat, RequestClass, Send, ServerList
+from glenchute.policy.actions import StartAttempt
+from glenchute.policy.admission.capacity import CapacityEstimate
+from glenchute.policy.admission.quota import LEAST_SHARE
+from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Outcome
+from glenchute.policy.settings import Idempotency, RequestClass
 from lab.peers import play
 from lab.sim.recovery import drawn, shape_of, tried
 from lab.sim.swarm import Fault, Script
@@ -39,33 +42,33 @@
 
 def old_line(patch: pytest.MonkeyPatch) -> None:
     """V is what was asked for in a window, however little was seen; nothing lies under it."""
-    sound = Pressure.window
+    sound = CapacityEstimate.window
 
-    def window(self: Pressure, now: float, ages: list[float]) -> None:
+    def window(self: CapacityEstimate, now: float, ages: list[float]) -> None:
         late = sorted(self.times + ages)
         before, at, asked = self.capacity, self.at, sum(self.demand.values())
         sound(self, now, ages)
         if self.at == now and at is not None and late and late[len(late) // 2] > 0.5:
             self.capacity = min(before, 0.7 * asked / ((now - at) / 1000.0))
 
-    patch.setattr(Pressure, "window", window)
-    patch.setattr(Pressure, "floor", 0.0)
+    patch.setattr(CapacityEstimate, "window", window)
+    patch.setattr(CapacityEstimate, "floor", 0.0)
 
 
 def no_floor(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Pressure, "floor", 0.0)
+    patch.setattr(CapacityEstimate, "floor", 0.0)
 
 
 def no_growth(patch: pytest.MonkeyPatch) -> None:
     """What was seen once holds for ever."""
-    sound = Pressure.window
+    sound = CapacityEstimate.window
 
-    def window(self: Pressure, now: float, ages: list[float]) -> None:
+    def window(self: CapacityEstimate, now: float, ages: list[float]) -> None:
         before = self.capacity
         sound(self, now, ages)
         self.capacity = min(before, self.capacity)
 
-    patch.setattr(Pressure, "window", window)
+    patch.setattr(CapacityEstimate, "window", window)
 
 
 @pytest.mark.parametrize(
@@ -84,7 +87,7 @@
     assert failure is not None and failure.rule == "recovery"
 
 
-def judged(pressure: Pressure, windows: int, answers: int, lateness: float, demand: float) -> float:
+def judged(pressure: CapacityEstimate, windows: int, answers: int, lateness: float, demand: float) -> float:
     """So many windows of a second, each with these answers; V after them."""
     now = pressure.at or 0.0
     pressure.window(now, [])
@@ -98,14 +101,14 @@
 
 
 def test_one_old_request_in_a_silence_is_no_bound() -> None:
-    pressure = Pressure()
+    pressure = CapacityEstimate()
     judged(pressure, 3, 20, 0.05, 20.0)
     pressure.window((pressure.at or 0.0) + 4000.0, [0.7])
     assert pressure.capacity > 20.0
 
 
 def test_a_hung_fleet_is_seen_though_it_answers_nothing() -> None:
-    pressure = Pressure()
+    pressure = CapacityEstimate()
     judged(pressure, 3, 20, 0.05, 20.0)
     pressure.demand = {1.0: 80.0}
     pressure.window((pressure.at or 0.0) + 4000.0, [2.0] * 60)
@@ -113,7 +116,7 @@
 
 
 def test_v_is_measured_up_from_wherever_it_fell_to() -> None:
-    pressure = Pressure()
+    pressure = CapacityEstimate()
     judged(pressure, 40, 20, 2.0, 20.0)
     fell = pressure.capacity
     assert 0.0 < fell < 2.0
@@ -122,7 +125,7 @@
 
 
 def test_the_floor_is_one_request_at_a_time_at_each_server_of_ones_part() -> None:
-    pressure = Pressure()
+    pressure = CapacityEstimate()
     pressure.part = 0.5
     for _ in range(60):
         pressure.heard(250.0, 1000.0)
@@ -132,12 +135,14 @@
 def test_what_was_out_while_the_process_stood_tells_nothing_of_servers() -> None:
     rig = Rig(entries(3))
     rig.warm_up()
-    out = [name for name, actions in (rig.ask(customer=f"c{i}") for i in range(6)) if only(actions, Send)]
+    out = [
+        name for name, actions in (rig.ask(customer=f"c{i}") for i in range(6)) if only(actions, StartAttempt)
+    ]
     means = dict(rig.gateway.fleet.means)
     paces = {name: server.pace for name, server in rig.gateway.fleet.servers.items()}
     rig.now += 3500.0  # no tick in all this time
     for name in out:
-        rig.end(name, 0, Ending.TIMEOUT, 3500.0)
+        rig.end(name, 0, Outcome.TIMEOUT, 3500.0)
     rig.advance(2000.0)
     assert out and rig.gateway.fleet.means == means
     assert {name: server.pace for name, server in rig.gateway.fleet.servers.items()} == paces
@@ -158,7 +163,7 @@
 
 def mute(rig: Rig) -> None:
     """The counter answers nothing, with units to tell it of."""
-    rig.ending = Ending.TIMEOUT
+    rig.ending = Outcome.TIMEOUT
     for _ in range(4):
         rig.ask(plan="rate", customer="c")
         rig.advance(1500.0)
@@ -167,7 +172,7 @@
 
 def heard_again(rig: Rig) -> bool:
     """The counter answers; one request, by the lot, gives something to tell it of."""
-    rig.ending = Ending.OK
+    rig.ending = Outcome.OK
     rig.ask(plan="rate", customer="other")
     for _ in range(8):
         rig.advance(250.0)
@@ -182,18 +187,18 @@
 def overloaded(rig: Rig) -> None:
     """V is at its floor, and the credit of what asks is spent."""
     rig.gateway.pressure.capacity, rig.gateway.pressure.took = 0.01, 3.0
-    while only((one := rig.ask())[1], Send):
-        rig.end(one[0], 0, Ending.OK, 900.0)
+    while only((one := rig.ask())[1], StartAttempt):
+        rig.end(one[0], 0, Outcome.OK, 900.0)
 
 
 def filled(rig: Rig) -> None:
     """So much is out that a new request would come late; then all of it runs out of time."""
     names = []
-    while only((one := rig.ask(left=500.0))[1], Send):
+    while only((one := rig.ask(left=500.0))[1], StartAttempt):
         names.append(one[0])
     rig.now += 500.0
     for name in names:
-        rig.end(name, 0, Ending.TIMEOUT, 500.0, final=True)
+        rig.end(name, 0, Outcome.TIMEOUT, 500.0, final=True)
 
 
 def moved(rig: Rig) -> None:
@@ -210,15 +215,15 @@
 
 def gone(rig: Rig, refusals: int = 10) -> None:
     """A server that could not be reached ten times in a row is paused, and judged by it."""
-    request = RequestClass("read", 1000.0, 1.0, Repeat.SAFE)
-    end = AttemptEnded("x", 0, "s0", Ending.UNREACHABLE, 1.0, False)
+    request = RequestClass("read", 1000.0, 1.0, Idempotency.IDEMPOTENT)
+    end = AttemptEnded("x", 0, "s0", Outcome.UNREACHABLE, 1.0, False)
     for _ in range(refusals):
         rig.gateway.fleet.ended(rig.now, end, request, 1.0)
 
 
 def cold(rig: Rig) -> None:
     """All servers have just started, and their turns are spent."""
-    rig.feed(ServerList(ListKind.FULL, entries(3, started=rig.now)))
+    rig.feed(EndpointList(EndpointListKind.FULL, entries(3, started=rig.now)))
     for server in rig.gateway.fleet.servers.values():
         server.turn, server.turn_at = 0.0, rig.now
 
@@ -244,7 +249,7 @@
 
 
 def serves(rig: Rig, plan: str = "wide", customer: str = "c") -> bool:
-    return bool(only(rig.ask(plan=plan, customer=customer)[1], Send))
+    return bool(only(rig.ask(plan=plan, customer=customer)[1], StartAttempt))
 
 
 def reaches(rig: Rig, server: str = "s0") -> bool:
@@ -264,8 +269,8 @@
     """A try that failed is made again, after the five requests that one repeat costs."""
     for _ in range(5):
         name, _ = rig.ask()
-        rig.end(name, 0, Ending.OK)
-    return bool(only(rig.end(rig.ask()[0], 0, Ending.RESET), Send))
+        rig.end(name, 0, Outcome.OK)
+    return bool(only(rig.end(rig.ask()[0], 0, Outcome.RESET), StartAttempt))
 
 
 def asks(rig: Rig) -> bool:
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -6,34 +6,29 @@
 
 import pytest
 
-from glenchute.policy.interface import (
-    AnswerBegan,
+from glenchute.policy.actions import Fail, IncrementCounter, Reject, StartAttempt
+from glenchute.policy.events import (
     AttemptEnded,
-    Count,
-    CountReply,
-    Ending,
-    Fail,
-    ListKind,
-    Refuse,
-    Repeat,
+    ClientDisconnected,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Outcome,
     Request,
-    RequestClass,
-    RequestGone,
-    Scope,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
+    ResponseStarted,
     TimerFired,
 )
+from glenchute.policy.settings import Idempotency, IdempotencyScope, RequestClass
 from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
-NOT_RUN = (Ending.FULL, Ending.UNREACHABLE)
-MAY_HAVE_RUN = (Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED)
+NOT_RUN = (Outcome.REJECTED, Outcome.UNREACHABLE)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
-def gone(server: str, state: ServerState = ServerState.DRAINING) -> ServerList:
-    return ServerList(ListKind.CHANGES, (ServerEntry(server, "a", state=state),))
+def gone(server: str, state: EndpointState = EndpointState.DRAINING) -> EndpointList:
+    return EndpointList(EndpointListKind.CHANGES, (Endpoint(server, "a", state=state),))
 
 
 # --- rule 1: exactly one final answer, in time ---------------------------------------------------------
@@ -43,7 +38,7 @@
 def test_no_time_left_is_answered_at_once(left: float) -> None:
     rig = Rig(entries(3))
     _, actions = rig.ask(left=left)
-    assert len(finals(actions)) == 1 and not only(actions, Send)
+    assert len(finals(actions)) == 1 and not only(actions, StartAttempt)
 
 
 def test_no_server_holds_briefly_then_refuses_in_time() -> None:
@@ -59,20 +54,20 @@
     rig = Rig(entries(1))
     rig.feed(gone("s0"))
     name, _ = rig.ask()
-    actions = rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("s9", "a"),)))
-    assert [(s.request_id, s.server) for s in only(actions, Send)] == [(name, "s9")]
+    actions = rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),)))
+    assert [(s.request_id, s.address) for s in only(actions, StartAttempt)] == [(name, "s9")]
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask("charge", left=800.0)
     rig.now += 800.0
-    assert [type(a) for a in finals(rig.end(name, 0, Ending.TIMEOUT, 800.0))] == [Fail]
+    assert [type(a) for a in finals(rig.end(name, 0, Outcome.TIMEOUT, 800.0))] == [Fail]
 
 
 @pytest.mark.parametrize("cls", ["read", "order", "bid", "charge", "unknown"])
-@pytest.mark.parametrize("ending", [*NOT_RUN, *MAY_HAVE_RUN, Ending.UNSENT])
-def test_one_final_answer_however_attempts_end(cls: str, ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [*NOT_RUN, *MAY_HAVE_RUN, Outcome.NOT_SENT])
+def test_one_final_answer_however_attempts_end(cls: str, ending: Outcome) -> None:
     rig = Rig(entries(6))
     name, actions = rig.ask(cls)
     attempt, answers = 0, finals(actions)
@@ -88,29 +83,29 @@
 def test_late_duplicate_and_unasked_events_are_ignored() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask()
-    rig.end(name, 0, Ending.OK)
-    assert not finals(rig.end(name, 0, Ending.ERROR))
-    rig.feed(RequestGone(name))
-    rig.feed(RequestGone("never-seen"))
-    rig.feed(AttemptEnded("never-seen", 3, "nowhere", Ending.OK, 1.0, True))
-    rig.feed(CountReply(12345, 7.0, Ending.OK))
+    rig.end(name, 0, Outcome.OK)
+    assert not finals(rig.end(name, 0, Outcome.ERROR))
+    rig.feed(ClientDisconnected(name))
+    rig.feed(ClientDisconnected("never-seen"))
+    rig.feed(AttemptEnded("never-seen", 3, "nowhere", Outcome.OK, 1.0, True))
+    rig.feed(CounterReply(12345, 7.0, Outcome.OK))
     rig.feed(TimerFired(999))
-    rig.feed(AnswerBegan("never-seen", 0))
+    rig.feed(ResponseStarted("never-seen", 0))
     assert not finals([action for _, action in rig.log])
 
 
 def test_gone_client_gets_no_further_attempt() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask()
-    rig.feed(RequestGone(name))
-    assert not only(rig.end(name, 0, Ending.FULL, final=False), Send)
+    rig.feed(ClientDisconnected(name))
+    assert not only(rig.end(name, 0, Outcome.REJECTED, final=False), StartAttempt)
 
 
 def test_unknown_plan_and_class_are_served_as_unsafe_without_quota() -> None:
     rig = Rig(entries(3))
     actions = rig.feed(Request("x", "no-such-class", "no-such-plan", "c", 1000.0))
-    assert only(actions, Send)
-    assert [type(a) for a in finals(rig.end("x", 0, Ending.TIMEOUT))] == [Fail]
+    assert only(actions, StartAttempt)
+    assert [type(a) for a in finals(rig.end("x", 0, Outcome.TIMEOUT))] == [Fail]
 
 
 def test_more_requests_than_may_be_open_are_refused() -> None:
@@ -123,26 +118,26 @@
 
 
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
-def test_unsafe_request_that_may_have_run_fails(ending: Ending) -> None:
+def test_unsafe_request_that_may_have_run_fails(ending: Outcome) -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
     actions = rig.end(name, 0, ending)
-    assert [type(a) for a in finals(actions)] == [Fail] and not only(actions, Send)
+    assert [type(a) for a in finals(actions)] == [Fail] and not only(actions, StartAttempt)
 
 
 @pytest.mark.parametrize("ending", NOT_RUN)
-def test_unsafe_request_that_did_not_run_is_tried_elsewhere(ending: Ending) -> None:
+def test_unsafe_request_that_did_not_run_is_tried_elsewhere(ending: Outcome) -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
-    sends = only(rig.end(name, 0, ending, 5.0), Send)
-    assert len(sends) == 1 and sends[0].server != rig.sent[name][0]
+    sends = only(rig.end(name, 0, ending, 5.0), StartAttempt)
+    assert len(sends) == 1 and sends[0].address != rig.sent[name][0]
 
 
 def test_unsafe_request_is_refused_only_if_no_attempt_ran() -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
-    rig.end(name, 0, Ending.FULL, 5.0)
-    assert [type(a) for a in finals(rig.end(name, 1, Ending.RESET, 5.0))] == [Fail]
+    rig.end(name, 0, Outcome.REJECTED, 5.0)
+    assert [type(a) for a in finals(rig.end(name, 1, Outcome.RESET, 5.0))] == [Fail]
 
 
 def test_zone_keyed_request_stays_in_its_zone_once_it_may_have_run() -> None:
@@ -151,17 +146,17 @@
         name, _ = rig.ask("bid")
         first = rig.sent[name][0]
         rig.now += 100.0
-        rig.end(name, 0, Ending.TIMEOUT, 100.0)
+        rig.end(name, 0, Outcome.TIMEOUT, 100.0)
         zones = {int(server[1:]) % 3 for server in rig.sent[name]}
         assert zones == {int(first[1:]) % 3} and len(rig.sent[name]) == 2
 
 
 def test_zone_keyed_request_without_a_server_in_its_zone_fails() -> None:
-    rig = Rig((ServerEntry("s0", "a"),))
+    rig = Rig((Endpoint("s0", "a"),))
     name, _ = rig.ask("bid")
-    rig.feed(ServerList(ListKind.FULL, (ServerEntry("s1", "b"),)))
-    actions = rig.end(name, 0, Ending.TIMEOUT, 100.0) + rig.advance(4000.0)
-    assert not only(actions, Send)
+    rig.feed(EndpointList(EndpointListKind.FULL, (Endpoint("s1", "b"),)))
+    actions = rig.end(name, 0, Outcome.TIMEOUT, 100.0) + rig.advance(4000.0)
+    assert not only(actions, StartAttempt)
     assert [type(a) for a in finals(actions)] == [Fail]
 
 
@@ -169,28 +164,28 @@
     rig = Rig(entries(4))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 2100.0
-    actions = rig.end(name, 0, Ending.RESET, 2100.0)
-    assert not only(actions, Send) and [type(a) for a in finals(actions)] == [Fail]
+    actions = rig.end(name, 0, Outcome.RESET, 2100.0)
+    assert not only(actions, StartAttempt) and [type(a) for a in finals(actions)] == [Fail]
 
 
 def test_held_keyed_request_is_not_sent_after_servers_forget() -> None:
-    order = RequestClass("order", 5000.0, 2.0, Repeat.KEYED, Scope.ALL, 1200.0)
+    order = RequestClass("order", 5000.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 1200.0)
     classes = (order,)
     rig = Rig(entries(1), with_(SETTINGS, classes=classes))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 1000.0
     rig.feed(gone("s0"))
-    rig.end(name, 0, Ending.RESET, 1000.0)
+    rig.end(name, 0, Outcome.RESET, 1000.0)
     rig.now += 400.0
-    actions = rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("s9", "a"),))) + rig.advance(6000.0)
-    assert not only(actions, Send) and [type(a) for a in finals(actions)] == [Fail]
+    actions = rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),))) + rig.advance(6000.0)
+    assert not only(actions, StartAttempt) and [type(a) for a in finals(actions)] == [Fail]
 
 
 # --- rule 3: drains ------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_nothing_new_to_a_draining_or_gone_server(state: ServerState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
+def test_nothing_new_to_a_draining_or_gone_server(state: EndpointState) -> None:
     rig = Rig(entries(3))
     rig.feed(gone("s1", state))
     for _ in range(60):
@@ -200,7 +195,7 @@
 
 def test_absent_from_a_full_list_is_gone() -> None:
     rig = Rig(entries(3))
-    rig.feed(ServerList(ListKind.FULL, entries(2)))
+    rig.feed(EndpointList(EndpointListKind.FULL, entries(2)))
     for _ in range(60):
         rig.ask()
     assert "s2" not in {s for sent in rig.sent.values() for s in sent}
@@ -208,16 +203,16 @@
 
 def test_failed_list_keeps_the_old_one() -> None:
     rig = Rig(entries(2))
-    rig.feed(ServerList(ListKind.FAILED))
-    assert only(rig.ask()[1], Send)
+    rig.feed(EndpointList(EndpointListKind.FAILED))
+    assert only(rig.ask()[1], StartAttempt)
 
 
 def test_held_request_is_not_sent_to_a_server_told_to_drain() -> None:
     rig = Rig(entries(1))
     name, _ = rig.ask()
     rig.feed(gone("s0"))
-    actions = rig.end(name, 0, Ending.FULL, 5.0) + rig.advance(3000.0)
-    assert not only(actions, Send) and len(finals(actions)) == 1
+    actions = rig.end(name, 0, Outcome.REJECTED, 5.0) + rig.advance(3000.0)
+    assert not only(actions, StartAttempt) and len(finals(actions)) == 1
 
 
 # --- rule 4: cold servers ------------------------------------------------------------------------------
@@ -226,7 +221,7 @@
 def test_cold_server_gets_less_than_its_share_of_warm_traffic() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
-    rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("cold", "a", started_ms=rig.now),)))
+    rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
     start = rig.now
     sent: dict[str, int] = {}
     for _ in range(100):
@@ -234,7 +229,7 @@
         server = rig.sent[name][0]
         sent[server] = sent.get(server, 0) + 1
         rig.now += 5.0
-        rig.end(name, 0, Ending.OK)
+        rig.end(name, 0, Outcome.OK)
         rig.now += 5.0
     warm = sum(n for s, n in sent.items() if s != "cold") / 4
     assert rig.now - start <= 1000.0 and sent.get("cold", 0) <= max(1.0, 0.5 * warm)
@@ -243,15 +238,15 @@
 def test_three_gateways_together_stay_under_a_cold_servers_share() -> None:
     total = {"cold": 0, "warm": 0}
     for seed in range(3):
-        rig = Rig(entries(4), with_(SETTINGS, gateways=3), seed=seed)
+        rig = Rig(entries(4), with_(SETTINGS, gateway_count=3), seed=seed)
         rig.warm_up()
-        rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("cold", "a", started_ms=rig.now),)))
+        rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
         for _ in range(100):
             name, actions = rig.ask()
-            if only(actions, Send):
+            if only(actions, StartAttempt):
                 total["cold" if rig.sent[name][0] == "cold" else "warm"] += 1
                 rig.now += 5.0
-                rig.end(name, 0, Ending.OK)
+                rig.end(name, 0, Outcome.OK)
             rig.now += 5.0
     # It starts at a quarter of its capacity and bears twice that: half of what a warm one gets, at most.
     assert total["warm"] > 200 and total["cold"] <= 0.5 * total["warm"] / 4
@@ -259,7 +254,7 @@
 
 def test_fresh_gateway_is_shy_with_a_fleet_of_cold_servers() -> None:
     rig = Rig(entries(3, started=1000.0))
-    sends = sum(len(only(rig.ask()[1], Send)) for _ in range(200))
+    sends = sum(len(only(rig.ask()[1], StartAttempt)) for _ in range(200))
     assert sends <= 6
 
 
@@ -269,9 +264,9 @@
     sends = 0
     for _ in range(400):
         name, actions = rig.ask()
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             sends += 1
-            rig.end(name, 0, Ending.OK, 10.0)
+            rig.end(name, 0, Outcome.OK, 10.0)
         rig.advance(10.0)
     assert sends <= 6
 
@@ -285,10 +280,10 @@
     while elapsed < ms:
         for rig in rigs:
             name, actions = rig.ask(plan="hard", units=units)
-            if only(actions, Send):
+            if only(actions, StartAttempt):
                 total += units
                 rig.now += 1.0
-                rig.end(name, 0, Ending.OK, 1.0)
+                rig.end(name, 0, Outcome.OK, 1.0)
             rig.advance(each_ms)
         elapsed += each_ms
     return total
@@ -297,7 +292,7 @@
 @pytest.mark.parametrize("counter", [True, False])
 @pytest.mark.parametrize("units", [1.0, 2.0])
 def test_ceiling_holds_with_a_mute_or_empty_counter(counter: bool, units: float) -> None:
-    rigs = [Rig(entries(4), with_(SETTINGS, counter=counter), seed=i) for i in range(2)]
+    rigs = [Rig(entries(4), with_(SETTINGS, has_counter=counter), seed=i) for i in range(2)]
     seconds = 8.0
     sent = send_through(rigs, seconds * 1000.0, 50.0, units)
     assert sent <= 12.0 + 4.0 * (rigs[0].now - 1000.0) / 1000.0 + 2.0
@@ -314,14 +309,14 @@
 
 def test_unknown_refuse_kinds_carry_advice() -> None:
     rig = Rig(entries(4))
-    refused = [a for _ in range(60) for a in only(rig.ask(plan="rate")[1], Refuse)]
+    refused = [a for _ in range(60) for a in only(rig.ask(plan="rate")[1], Reject)]
     assert refused and all(0 < a.retry_after_ms <= 500.0 for a in refused)
 
 
 def told(rig: Rig) -> float:
     """What the counter has been told of a customer's use, and what it is about to be told."""
     rig.answer_calls()
-    amounts = [action.amount for _, action in rig.log if isinstance(action, Count)]
+    amounts = [action.amount for _, action in rig.log if isinstance(action, IncrementCounter)]
     return round(sum(amounts, rig.gateway.quota.customers["c"].fresh), 3)
 
 
@@ -329,59 +324,59 @@
     """No server is there; the client leaves before one comes up."""
     name, actions = rig.ask(plan=plan)
     assert not finals(actions)
-    rig.feed(RequestGone(name))
-    rig.feed(ServerList(ListKind.CHANGES, entries(1)))
+    rig.feed(ClientDisconnected(name))
+    rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
 
 
 def leaves_while_it_asks(rig: Rig, plan: str) -> None:
     """The counter's word comes after the client has left."""
     rig.gateway.quota.unsure = lambda now, c, units: True  # type: ignore[method-assign]
     rig.feed(Request("gone", "read", plan, "c", 3000.0, 1.0, 2))
-    rig.feed(RequestGone("gone"))
-    assert not only(rig.answer_calls(), Send)
+    rig.feed(ClientDisconnected("gone"))
+    assert not only(rig.answer_calls(), StartAttempt)
 
 
 def leaves_while_it_connects(rig: Rig, plan: str) -> None:
-    rig.feed(ServerList(ListKind.CHANGES, entries(1)))
+    rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
-    rig.feed(RequestGone(name))
-    rig.end(name, 0, Ending.UNSENT, final=True)
+    rig.feed(ClientDisconnected(name))
+    rig.end(name, 0, Outcome.NOT_SENT, final=True)
 
 
 def finds_no_server(rig: Rig, plan: str) -> None:
     _, actions = rig.ask(plan=plan)
-    assert only(actions + rig.advance(500.0), Refuse)
+    assert only(actions + rig.advance(500.0), Reject)
 
 
 def reaches_no_server(rig: Rig, plan: str) -> None:
-    rig.feed(ServerList(ListKind.CHANGES, entries(1)))
+    rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
     for attempt in range(4):
         if len(rig.sent.get(name, ())) > attempt:
-            rig.end(name, attempt, Ending.UNREACHABLE)
+            rig.end(name, attempt, Outcome.UNREACHABLE)
         rig.advance(300.0)
 
 
 def leaves_while_it_runs(rig: Rig, plan: str) -> None:
-    rig.feed(ServerList(ListKind.CHANGES, entries(1)))
+    rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
-    rig.feed(RequestGone(name))
-    rig.end(name, 0, Ending.CANCELLED, final=True)
+    rig.feed(ClientDisconnected(name))
+    rig.end(name, 0, Outcome.CANCELLED, final=True)
 
 
 def is_turned_away(rig: Rig, plan: str) -> None:
     """It has come to a server: that takes its units."""
-    rig.feed(ServerList(ListKind.CHANGES, entries(1)))
+    rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
-    rig.feed(RequestGone(name))
-    rig.end(name, 0, Ending.FULL, final=True)
+    rig.feed(ClientDisconnected(name))
+    rig.end(name, 0, Outcome.REJECTED, final=True)
 
 
 @pytest.mark.parametrize("way", [leaves_while_held, leaves_while_it_asks, leaves_while_it_connects,
                                  finds_no_server, reaches_no_server])  # fmt: skip
 def test_what_came_to_no_server_gives_its_units_back(way: Callable[[Rig, str], None]) -> None:
     rig = Rig(())
-    rig.feed(ServerList(ListKind.SAVED, ()))
+    rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     way(rig, "rate")
     assert told(rig) == 0.0
     customer = rig.gateway.quota.customers["c"]
@@ -391,7 +386,7 @@
 @pytest.mark.parametrize("way", [leaves_while_it_runs, is_turned_away])
 def test_what_came_to_a_server_keeps_its_units(way: Callable[[Rig, str], None]) -> None:
     rig = Rig(())
-    rig.feed(ServerList(ListKind.SAVED, ()))
+    rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     way(rig, "rate")
     assert told(rig) == 1.0
 
@@ -399,12 +394,12 @@
 def test_under_a_ceiling_nothing_is_taken_off_a_total() -> None:
     """The guard and the counter keep what was booked: a memory that was lost would grant it twice."""
     rig = Rig(())
-    rig.feed(ServerList(ListKind.SAVED, ()))
+    rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     name, actions = rig.ask(plan="hard")
     assert not finals(actions)
     guard = rig.gateway.quota.customers["c"].guard
-    rig.feed(RequestGone(name))
+    rig.feed(ClientDisconnected(name))
     assert rig.gateway.quota.customers["c"].guard == guard
     rig.advance(3000.0)
     rig.answer_calls()
-    assert all(action.amount >= 0.0 for _, action in rig.log if isinstance(action, Count))
+    assert all(action.amount >= 0.0 for _, action in rig.log if isinstance(action, IncrementCounter))
--- a/tests/policy/test_trust.py
+++ b/tests/policy/test_trust.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from glenchute.policy.interface import Count, CountReply, Ending
+from glenchute.policy.actions import IncrementCounter
+from glenchute.policy.events import CounterReply, Outcome
 from tests.rig import SETTINGS, Rig, entries, with_
 
 
@@ -12,11 +13,11 @@
 def test_of_many_gateways_a_word_must_be_younger(spread: int, free: bool) -> None:
     """Half a second after a word, of a window of three: of two gateways one may spend what the store is
     thought to hold, of a hundred each keeps to its part, as they would overspend it a hundredfold."""
-    rig = Rig(entries(4), with_(SETTINGS, gateways=spread))
+    rig = Rig(entries(4), with_(SETTINGS, gateway_count=spread))
     rig.ask(plan="rate", spread=spread)
     rig.advance(1200.0)
-    for call in [action for _, action in rig.log if isinstance(action, Count)]:
-        rig.feed(CountReply(call.name, call.amount, Ending.OK))
+    for call in [action for _, action in rig.log if isinstance(action, IncrementCounter)]:
+        rig.feed(CounterReply(call.key, call.amount, Outcome.OK))
     rig.advance(500.0)
     quota = rig.gateway.quota
     c = quota.customers["c"]
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -15,8 +15,9 @@
 from glenchute.listeners.extproc import events as ev
 from glenchute.listeners.extproc.calls import Calls, Downstream, Upstream, Ways
 from glenchute.listeners.extproc.token import Signer
-from glenchute.policy.interface import Ending, Repeat
+from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import Rules
+from glenchute.policy.settings import Idempotency
 from tests.simulated import Fate, Order, Record, Site
 from tests.sites import FACTS
 
@@ -27,18 +28,18 @@
 }  # fmt: skip
 ACCOUNT = "00000000000000c1"
 DETAILS = {
-    Ending.OK: (200, "via_upstream"),
-    Ending.ERROR: (500, "via_upstream"),
-    Ending.FULL: (429, "via_upstream"),
-    Ending.RESET: (503, "upstream_reset_before_response_started{connection_termination}"),
-    Ending.TIMEOUT: (504, "upstream_per_try_timeout"),
-    Ending.UNREACHABLE: (503, "upstream_reset_before_response_started{remote_connection_failure}"),
+    Outcome.OK: (200, "via_upstream"),
+    Outcome.ERROR: (500, "via_upstream"),
+    Outcome.REJECTED: (429, "via_upstream"),
+    Outcome.RESET: (503, "upstream_reset_before_response_started{connection_termination}"),
+    Outcome.TIMEOUT: (504, "upstream_per_try_timeout"),
+    Outcome.UNREACHABLE: (503, "upstream_reset_before_response_started{remote_connection_failure}"),
 }
 
 
 def ways(**changes: Any) -> Ways:
     """The settings of the front, for the platform of `sites.py`."""
-    classes = {name: cls.repeat is Repeat.KEYED for name, cls in FACTS.classes.items()}
+    classes = {name: cls.repeat is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
     rules = Rules(SOURCES, (), classes, FACTS.plans, 1)
     repeats = {name: (cls.repeat, cls.memory_ms, 1e6) for name, cls in FACTS.classes.items()}
     return Ways(rules, repeats, **{"max_attempts": 5, **changes})
@@ -119,7 +120,7 @@
         record = self.record = Record(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
         fate = self.proxy.site.servers.fate(record)
         loop, connect_s = self.proxy.loop, self.proxy.site.connect_s
-        loop.call_later(timeout_s * self.proxy.pace, self.ended, up, record, Ending.TIMEOUT)
+        loop.call_later(timeout_s * self.proxy.pace, self.ended, up, record, Outcome.TIMEOUT)
         up_in_time = fate.connect_s <= connect_s
         connects = fate if up_in_time else None
         loop.call_later(min(fate.connect_s, connect_s), self.connected, up, record, connects)
@@ -129,14 +130,14 @@
         if record.ending is not None:
             return
         if fate is None:
-            self.ended(up, record, Ending.UNREACHABLE)
+            self.ended(up, record, Outcome.UNREACHABLE)
             return
         record.left = self.proxy.loop.now
         self.proxy.site.servers.check(record)
         if fate.took_s < 1e6:
             self.proxy.loop.call_later(fate.took_s, self.ended, up, record, fate.ending)
 
-    def ended(self, up: Upstream, record: Record, ending: Ending) -> None:
+    def ended(self, up: Upstream, record: Record, ending: Outcome) -> None:
         """The attempt's ending, told as a response, or by the stream's end alone."""
         if record.ending is not None:
             return
@@ -171,7 +172,7 @@
             self.cut()
             self.show(500, "")
 
-    def cut(self, why: Ending = Ending.CANCELLED) -> None:
+    def cut(self, why: Outcome = Outcome.CANCELLED) -> None:
         """Closes the connection of an attempt that is out."""
         up, self.up = self.up, None
         if self.record is not None and self.record.ending is None:
@@ -182,7 +183,7 @@
     def route_timeout(self) -> None:
         """The proxy's own time for the request is up."""
         if not self.over and not self.answers:
-            self.cut(Ending.TIMEOUT)
+            self.cut(Outcome.TIMEOUT)
             self.show(504, "response_timeout")
 
     def show(self, status: int, details: str) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -6,78 +6,77 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from glenchute.policy.engine import Gateway
-from glenchute.policy.interface import (
-    Action,
+from glenchute.policy.actions import Action, Fail, IncrementCounter, Reject, SetTimer, StartAttempt
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
     AttemptEnded,
-    Count,
-    CountReply,
-    Ending,
+    CounterReply,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
     Event,
-    Fail,
-    ListKind,
-    Plan,
-    Refuse,
-    Repeat,
+    Outcome,
     Request,
-    RequestClass,
-    Safety,
-    Scope,
-    Send,
-    ServerEntry,
-    ServerList,
-    SetTimer,
-    Settings,
     TimerFired,
 )
+from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
 
 A = TypeVar("A")
 
 SETTINGS = Settings(
     zone="a",
-    gateways=2,
+    gateway_count=2,
     classes=(
-        RequestClass("read", 1000.0, 1.0, Repeat.SAFE),
-        RequestClass("order", 1000.0, 2.0, Repeat.KEYED, Scope.ALL, 2000.0),
-        RequestClass("bid", 1000.0, 2.0, Repeat.KEYED, Scope.ZONE, 2000.0),
-        RequestClass("charge", 1000.0, 2.0, Repeat.UNSAFE),
+        RequestClass("read", 1000.0, 1.0, Idempotency.IDEMPOTENT),
+        RequestClass("order", 1000.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 2000.0),
+        RequestClass("bid", 1000.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ZONE, 2000.0),
+        RequestClass("charge", 1000.0, 2.0, Idempotency.NON_IDEMPOTENT),
     ),
     plans=(
-        Plan("rate", rate=2.0, burst=6.0, beyond_cost=0.5),
-        Plan("hard", rate=2.0, burst=6.0, ceiling_rate=4.0, ceiling_burst=12.0, ceiling_slack=2.0),
-        Plan("open", max_open=2),
-        Plan("wide", rate=1000.0, burst=4000.0),
+        Plan("rate", rate_per_s=2.0, burst_units=6.0, over_quota_cost_fraction=0.5),
+        Plan(
+            "hard",
+            rate_per_s=2.0,
+            burst_units=6.0,
+            ceiling_rate_per_s=4.0,
+            ceiling_burst_units=12.0,
+            ceiling_slack_units=2.0,
+        ),
+        Plan("open", max_concurrent=2),
+        Plan("wide", rate_per_s=1000.0, burst_units=4000.0),
+    ),
+    slow_start=SlowStart(
+        initial_fraction=0.25, warm_up_ms=10_000.0, overload_factor=2.0, overload_window_ms=1000.0
     ),
-    safety=Safety(cold_share=0.25, warm_ms=10_000.0, overload_factor=2.0, overload_ms=1000.0),
     max_attempts=4,
     max_retry_after_ms=500.0,
-    counter=True,
+    has_counter=True,
 )
 
 
-def entries(count: int, zones: str = "a", started: float = 0.0) -> tuple[ServerEntry, ...]:
+def entries(count: int, zones: str = "a", started: float = 0.0) -> tuple[Endpoint, ...]:
     """Servers s0, s1, ... spread over the zones."""
-    return tuple(ServerEntry(f"s{i}", zones[i % len(zones)], started_ms=started) for i in range(count))
+    return tuple(Endpoint(f"s{i}", zones[i % len(zones)], started_ms=started) for i in range(count))
 
 
 class Rig:
     """One gateway under script."""
 
     def __init__(
-        self, servers: Sequence[ServerEntry] = (), settings: Settings = SETTINGS, seed: int = 1
+        self, servers: Sequence[Endpoint] = (), settings: Settings = SETTINGS, seed: int = 1
     ) -> None:
-        self.gateway = Gateway(settings, seed)
+        self.gateway = DecisionEngine(settings, seed)
         self.now = 1000.0
         self.log: list[tuple[float, Action]] = []
         self.serial = 0
         self.timers: list[tuple[float, int]] = []
         self.sent: dict[str, list[str]] = {}
-        self.ending: Ending = Ending.OK  # how calls to the counter end
+        self.ending: Outcome = Outcome.OK  # how calls to the counter end
         self.others = 0.0  # units that the other gateways add between two calls
         self._answered = 0
         self._totals: dict[int, float] = {}
         if servers:
-            self.feed(ServerList(ListKind.SAVED, tuple(servers)))
+            self.feed(EndpointList(EndpointListKind.CACHED, tuple(servers)))
 
     def feed(self, event: Event) -> list[Action]:
         """Hands over one event."""
@@ -86,8 +85,8 @@
             self.log.append((self.now, action))
             if isinstance(action, SetTimer):
                 self.timers.append((action.at_ms, action.token))
-            if isinstance(action, Send):
-                self.sent.setdefault(action.request_id, []).append(action.server)
+            if isinstance(action, StartAttempt):
+                self.sent.setdefault(action.request_id, []).append(action.address)
         return actions
 
     def advance(self, ms: float) -> list[Action]:
@@ -115,27 +114,27 @@
         self.serial += 1
         name = name or f"r{self.serial}"
         actions = self.feed(Request(name, cls, plan, customer, left, units, spread))
-        if only(actions, Count) and not only(actions, Send) and not finals(actions):
+        if only(actions, IncrementCounter) and not only(actions, StartAttempt) and not finals(actions):
             actions = actions + self.answer_calls()
         return name, actions
 
     def end(
-        self, name: str, attempt: int, ending: Ending, took: float = 20.0, final: bool | None = None
+        self, name: str, attempt: int, ending: Outcome, took: float = 20.0, final: bool | None = None
     ) -> list[Action]:
         """An attempt's outcome."""
         server = self.sent[name][attempt]
-        done = ending is Ending.OK if final is None else final
+        done = ending is Outcome.OK if final is None else final
         return self.feed(AttemptEnded(name, attempt, server, ending, took, done))
 
     def answer_calls(self) -> list[Action]:
         """Answers every call to the counter that was not answered yet; returns what that brought about."""
-        calls = [action for _, action in self.log if isinstance(action, Count)]
+        calls = [action for _, action in self.log if isinstance(action, IncrementCounter)]
         fresh, self._answered = calls[self._answered :], len(calls)
         actions: list[Action] = []
         for call in fresh:
-            if self.ending is Ending.OK:
-                self._totals[call.name] = self._totals.get(call.name, 0.0) + call.amount + self.others
-            actions += self.feed(CountReply(call.name, self._totals.get(call.name, 0.0), self.ending))
+            if self.ending is Outcome.OK:
+                self._totals[call.key] = self._totals.get(call.key, 0.0) + call.amount + self.others
+            actions += self.feed(CounterReply(call.key, self._totals.get(call.key, 0.0), self.ending))
         return actions
 
     def warm_up(self, seconds: float = 4.0) -> None:
@@ -143,8 +142,8 @@
         for _ in range(int(seconds * 20)):
             name, actions = self.ask(customer="warm-up")
             self.now += 20.0
-            if only(actions, Send):
-                self.end(name, 0, Ending.OK)
+            if only(actions, StartAttempt):
+                self.end(name, 0, Outcome.OK)
             self.advance(30.0)
             self.answer_calls()
 
@@ -154,9 +153,9 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def finals(actions: Sequence[Action]) -> list[Refuse | Fail]:
+def finals(actions: Sequence[Action]) -> list[Reject | Fail]:
     """The final answers."""
-    return [action for action in actions if isinstance(action, Refuse | Fail)]
+    return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
 def with_(settings: Settings, **changes: object) -> Settings:
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -14,22 +14,12 @@
 
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import About, Address, Answer, Call, Failed, Refused, Result, Served, Source
-from glenchute.policy.engine import Gateway as Module
-from glenchute.policy.interface import (
-    Ending,
-    ListKind,
-    Plan,
-    Repeat,
-    RequestClass,
-    Safety,
-    Scope,
-    ServerEntry,
-    ServerList,
-    Settings,
-)
+from glenchute.policy.engine import DecisionEngine as Module
+from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Outcome
 from glenchute.policy.retries.route_limits import Routes
+from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
 
-MAY_HAVE_RUN = (Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.CANCELLED)
+MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
 ZONES = "aab"
 
 
@@ -89,7 +79,7 @@
 
     connect_s: float
     took_s: float
-    ending: Ending
+    ending: Outcome
 
 
 @dataclass
@@ -101,7 +91,7 @@
     started: float
     left: float | None = None  # when its bytes left
     ended: float | None = None
-    ending: Ending | None = None
+    ending: Outcome | None = None
     timeout_s: float = 0.0
 
 
@@ -109,7 +99,7 @@
 class Order(Call):
     """A request; the servers are told who it is."""
 
-    repeat: Repeat = Repeat.SAFE
+    repeat: Idempotency = Idempotency.IDEMPOTENT
 
     def encode(self, left_ms: int) -> bytes:
         return self.request_id
@@ -131,7 +121,7 @@
 
     def start(self) -> None:
         loop = self.servers.loop
-        loop.call_later(self.record.timeout_s, self.stop, Ending.TIMEOUT)
+        loop.call_later(self.record.timeout_s, self.stop, Outcome.TIMEOUT)
         connect = min(self.fate.connect_s, self.servers.connect_s)
         loop.call_later(connect, self.connected, self.fate.connect_s <= self.servers.connect_s)
 
@@ -139,22 +129,22 @@
         if self.over:
             return
         if not up or self.servers.loop.now > self.write_by:
-            self.end(Ending.UNREACHABLE)
+            self.end(Outcome.UNREACHABLE)
             return
         self.written, self.record.left = True, self.servers.loop.now
         self.servers.check(self.record)
         if self.fate.took_s < 1e6:
             self.servers.loop.call_later(self.fate.took_s, self.end, self.fate.ending)
 
-    def stop(self, ending: Ending) -> None:
-        self.end(ending if self.written else Ending.UNREACHABLE)
+    def stop(self, ending: Outcome) -> None:
+        self.end(ending if self.written else Outcome.UNREACHABLE)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: Outcome) -> None:
         if self.over:
             return
         self.over = True
         self.record.ended, self.record.ending = self.servers.loop.now, ending
-        self.done(Result(ending, self.record.request if ending is Ending.OK else None))
+        self.done(Result(ending, self.record.request if ending is Outcome.OK else None))
 
 
 class Servers:
@@ -222,9 +212,9 @@
         if not self.overlap:
             assert all(r.ended is not None for r in before), "two attempts at once"
         ran = [r for r in before if r.left is not None and (r.ending is None or r.ending in MAY_HAVE_RUN)]
-        if ran and order.repeat is Repeat.UNSAFE:
+        if ran and order.repeat is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("an unsafe request went out again after it may have run")
-        if ran and order.repeat is Repeat.KEYED:
+        if ran and order.repeat is Idempotency.WITH_KEY:
             first = min(r.left for r in ran if r.left is not None)
             assert self.loop.now - first <= self.memory_s, "a keyed attempt left beyond the memory span"
 
@@ -248,19 +238,19 @@
         self.loop = Loop()
         settings = Settings(
             zone="a",
-            gateways=1,
+            gateway_count=1,
             classes=(
-                RequestClass("report-read", 2500.0, 1.0, Repeat.SAFE),
-                RequestClass("check-order", 3500.0, 2.0, Repeat.KEYED, Scope.ALL, 2500.0),
-                RequestClass("check-charge", 5000.0, 2.0, Repeat.UNSAFE),
+                RequestClass("report-read", 2500.0, 1.0, Idempotency.IDEMPOTENT),
+                RequestClass("check-order", 3500.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 2500.0),
+                RequestClass("check-charge", 5000.0, 2.0, Idempotency.NON_IDEMPOTENT),
             ),
-            plans=(Plan("osnovni", rate=1e6, burst=1e6),),
-            safety=Safety(),
+            plans=(Plan("osnovni", rate_per_s=1e6, burst_units=1e6),),
+            slow_start=SlowStart(),
             max_attempts=self.max_attempts,
             max_retry_after_ms=1000.0,
-            overlap=self.overlap,
+            allows_hedging=self.overlap,
         )
-        self.repeats = {cls.name: cls.repeat for cls in settings.classes}
+        self.repeats = {cls.name: cls.idempotency for cls in settings.classes}
         self.servers = Servers(self.loop, self.fates, self.overlap, self.connect_s)
         self.servers.memory_s = 2.5
         self.gateway = Gateway(
@@ -268,9 +258,9 @@
         )  # fmt: skip
         self.gateway.clock = Clock(self.loop)  # type: ignore[assignment]
         self.gateway.routes, self.gateway.overlap = self.routes, self.overlap
-        entries = tuple(ServerEntry(f"s{i}", ZONES[i % 3]) for i in range(6))
-        self.servers.names = [entry.server for entry in entries]
-        self.gateway.post(ServerList(ListKind.SAVED, entries))
+        entries = tuple(Endpoint(f"s{i}", ZONES[i % 3]) for i in range(6))
+        self.servers.names = [entry.address for entry in entries]
+        self.gateway.post(EndpointList(EndpointListKind.CACHED, entries))
 
     def ask(self, class_name: str, left_ms: float, plan: str = "osnovni") -> bytes:
         """A client's request."""
@@ -290,6 +280,6 @@
         if isinstance(answer, Refused):
             assert not ran, "a refusal after a try that may have run"
         elif isinstance(answer, Served):
-            assert answer.value == request and any(r.ending is Ending.OK for r in ran)
+            assert answer.value == request and any(r.ending is Outcome.OK for r in ran)
         else:
             assert isinstance(answer, Failed)
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -13,7 +13,19 @@
 
 import pytest
 
-from glenchute.policy import interface as api
+from glenchute.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from glenchute.policy.events import Event
+from glenchute.policy.settings import Idempotency
 from glenchute.simulator import Host, WireError, encode, serve, settings
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -100,23 +112,23 @@
 
 
 def test_every_action_is_written() -> None:
-    made: list[tuple[api.Action, list[Any]]] = [
-        (api.Send("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
-        (api.Refuse("r", 9.0), ["bounce", 1, "r", 9.0]),
-        (api.Fail("r"), ["give_up", 1, "r"]),
-        (api.Cancel("r", 2), ["recall", 1, "r", 2]),
-        (api.SetTimer(4, 8.0), ["remind", 1, 4, 8.0]),
-        (api.Count(6, 2.0, 60.0), ["incr", 1, 6, 2.0, 60.0]),
-        (api.Subscribe(), ["tail", 1, True]),
-        (api.Log("x"), ["say_log", 1, "x"]),
+    made: list[tuple[Action, list[Any]]] = [
+        (StartAttempt("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
+        (Reject("r", 9.0), ["bounce", 1, "r", 9.0]),
+        (Fail("r"), ["give_up", 1, "r"]),
+        (CancelAttempt("r", 2), ["recall", 1, "r", 2]),
+        (SetTimer(4, 8.0), ["remind", 1, 4, 8.0]),
+        (IncrementCounter(6, 2.0, 60.0), ["incr", 1, 6, 2.0, 60.0]),
+        (SubscribeToEndpoints(), ["tail", 1, True]),
+        (LogMessage("x"), ["say_log", 1, "x"]),
     ]
     assert [encode(1, action) for action, _ in made] == [wire for _, wire in made]
 
 
 def test_missing_settings_get_the_safest_reading() -> None:
     bare = settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
-    assert bare.classes[0].repeat is api.Repeat.UNSAFE and bare.max_attempts == 1
-    assert bare.gateways == 1 and not bare.counter and bare.plans == ()
+    assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT and bare.max_attempts == 1
+    assert bare.gateway_count == 1 and not bare.has_counter and bare.plans == ()
 
 
 @pytest.mark.parametrize(
@@ -142,7 +154,7 @@
 def test_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     host = started(3)
 
-    def broken(now_ms: float, event: api.Event) -> list[api.Action]:
+    def broken(now_ms: float, event: Event) -> list[Action]:
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr(host.gateways[3], "handle", broken)
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 
 from glenchute.config.facts import ClassFacts, Facts
-from glenchute.policy.interface import Repeat
+from glenchute.policy.settings import Idempotency
 
 FACTS = Facts(
     classes={
-        "report-read": ClassFacts(Repeat.SAFE, 3000.0),
-        "check-order": ClassFacts(Repeat.KEYED, 4000.0, 2500.0),
-        "check-charge": ClassFacts(Repeat.UNSAFE, 6000.0),
+        "report-read": ClassFacts(Idempotency.IDEMPOTENT, 3000.0),
+        "check-order": ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0),
+        "check-charge": ClassFacts(Idempotency.NON_IDEMPOTENT, 6000.0),
     },
     plans=("osnovni", "standard", "agencija", "korporativni"),
     attempts_cap=5,
@@ -19,5 +19,5 @@
     connect_ms=250.0,
 )
 OVERLAP = replace(FACTS, overlap=True)
-ORDERS = ClassFacts(Repeat.KEYED, 4000.0, 2500.0, scope_known=False)
+ORDERS = ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0, scope_known=False)
 NO_SCOPE = replace(FACTS, classes={**FACTS.classes, "check-order": ORDERS})
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -28,11 +28,11 @@
     TURN_BYTES,
 )
 from glenchute.listeners.resp2.clients import Client as Connection
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.connections import client_slots as places
 from glenchute.policy.connections.client_slots import Reason
-from glenchute.policy.engine import Gateway as Policy
-from glenchute.policy.interface import Ending
+from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.policy.lifecycle import draining as lifecycle
 from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
 from glenchute.protocol import resp2 as resp
@@ -303,10 +303,10 @@
             client = await one.client()
             for number in range(pending):
                 client.send(*READ, b"%d" % number, GET)
-            await until(lambda: len(script.of(api.Request)) == min(pending, MOST_PENDING))
+            await until(lambda: len(script.of(Request)) == min(pending, MOST_PENDING))
             end(client, how)
-            await until(lambda: len(script.of(api.RequestGone)) == min(pending, MOST_PENDING))
-            assert len(script.of(api.Request)) == min(pending, MOST_PENDING)
+            await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MOST_PENDING))
+            assert len(script.of(Request)) == min(pending, MOST_PENDING)
             assert not one.program.gateway.live and not one.program.listener.open_ids
             again = await one.client()  # its ids may be used again at once
             again.send(*READ, b"0", GET)
@@ -329,10 +329,10 @@
             await until(lambda: held.full and not held.slots)
             script.decide = lambda event: []
             client.send(*READ, b"more", GET)  # stays unread
-            taken = len(script.of(api.Request))
+            taken = len(script.of(Request))
             end(client, how)
             await until(lambda: not one.program.listener.clients)
-            assert len(script.of(api.Request)) == taken and not one.program.gateway.live
+            assert len(script.of(Request)) == taken and not one.program.gateway.live
 
     play(scenario())
 
@@ -368,8 +368,8 @@
             client.send(*READ, b"1", GET)
             await until(lambda: len(one.program.servers.coming) == 1)
             end(client, how)
-            await until(lambda: script.of(api.AttemptEnded))
-            assert [(e.ending, e.final) for e in script.of(api.AttemptEnded)] == [(Ending.UNSENT, True)]
+            await until(lambda: script.of(AttemptEnded))
+            assert [(e.outcome, e.is_final) for e in script.of(AttemptEnded)] == [(Outcome.NOT_SENT, True)]
             await until(lambda: not one.program.servers.coming)
 
     play(scenario())
@@ -503,27 +503,27 @@
 
 HALF, ENDLESS = SERVED[:9], SERVED.replace(b"$5", b"$9000", 1)
 AGAIN = {b"read": True, b"order": True, b"charge": False}
-SERVERS: dict[str, tuple[list[bytes], Callable[[asyncio.StreamWriter], Awaitable[None]], Ending]] = {
-    "half a line, silence": ([HALF], held_open, Ending.ERROR),
-    "half a line, end": ([HALF], closed, Ending.RESET),
-    "half a line, reset": ([HALF], reset, Ending.RESET),
-    "an answer without an end": ([ENDLESS], held_open, Ending.ERROR),
-    "no answer, end": ([], closed, Ending.RESET),
-    "no answer, reset": ([], reset, Ending.RESET),
-    "an error": ([b"-ERR failed\r\n"], held_open, Ending.ERROR),
-    "a null": ([b"$-1\r\n"], held_open, Ending.ERROR),
-    "no RESP": ([b"HTTP/1.1 200\r\n\r\n"], held_open, Ending.ERROR),
-    "turned away": ([b"-BUSY\r\n"], held_open, Ending.FULL),
-    "turned away, in pieces": ([b"-BU", b"SY\r", b"\n"], held_open, Ending.FULL),
-    "turned away, with bytes behind it": ([b"-BUSY\r\nx"], held_open, Ending.ERROR),
-    "turned away in part, end": ([b"-BUSY\r"], closed, Ending.RESET),
-    "turned away in part, silence": ([b"-BUSY"], held_open, Ending.ERROR),
-    "an answer": ([SERVED], held_open, Ending.OK),
-    "an answer in pieces": ([SERVED[:4], SERVED[4:11], SERVED[11:]], held_open, Ending.OK),
-    "an answer, end": ([SERVED], closed, Ending.OK),
-    "an answer with bytes behind it": ([SERVED + b"+more\r\n"], held_open, Ending.OK),
-    "two answers": ([SERVED + SERVED], held_open, Ending.OK),
-    "an answer, a second later": ([SERVED, SERVED], held_open, Ending.OK),
+SERVERS: dict[str, tuple[list[bytes], Callable[[asyncio.StreamWriter], Awaitable[None]], Outcome]] = {
+    "half a line, silence": ([HALF], held_open, Outcome.ERROR),
+    "half a line, end": ([HALF], closed, Outcome.RESET),
+    "half a line, reset": ([HALF], reset, Outcome.RESET),
+    "an answer without an end": ([ENDLESS], held_open, Outcome.ERROR),
+    "no answer, end": ([], closed, Outcome.RESET),
+    "no answer, reset": ([], reset, Outcome.RESET),
+    "an error": ([b"-ERR failed\r\n"], held_open, Outcome.ERROR),
+    "a null": ([b"$-1\r\n"], held_open, Outcome.ERROR),
+    "no RESP": ([b"HTTP/1.1 200\r\n\r\n"], held_open, Outcome.ERROR),
+    "turned away": ([b"-BUSY\r\n"], held_open, Outcome.REJECTED),
+    "turned away, in pieces": ([b"-BU", b"SY\r", b"\n"], held_open, Outcome.REJECTED),
+    "turned away, with bytes behind it": ([b"-BUSY\r\nx"], held_open, Outcome.ERROR),
+    "turned away in part, end": ([b"-BUSY\r"], closed, Outcome.RESET),
+    "turned away in part, silence": ([b"-BUSY"], held_open, Outcome.ERROR),
+    "an answer": ([SERVED], held_open, Outcome.OK),
+    "an answer in pieces": ([SERVED[:4], SERVED[4:11], SERVED[11:]], held_open, Outcome.OK),
+    "an answer, end": ([SERVED], closed, Outcome.OK),
+    "an answer with bytes behind it": ([SERVED + b"+more\r\n"], held_open, Outcome.OK),
+    "two answers": ([SERVED + SERVED], held_open, Outcome.OK),
+    "an answer, a second later": ([SERVED, SERVED], held_open, Outcome.OK),
 }
 
 
@@ -532,11 +532,11 @@
 
     def __init__(self, decisions: Policy) -> None:
         self.decisions = decisions
-        self.endings: list[Ending] = []
+        self.endings: list[Outcome] = []
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.AttemptEnded):
-            self.endings.append(event.ending)
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        if isinstance(event, AttemptEnded):
+            self.endings.append(event.outcome)
         return self.decisions.handle(now_ms, event)
 
 
@@ -546,7 +546,7 @@
     """The first attempt meets this, a further one an answer. An unsafe request that may have run goes
     nowhere again; one that never ran does, as all do; effects come from the settings, not from names."""
     pieces, then, ending = SERVERS[what]
-    follows = ending is Ending.FULL or (ending is not Ending.OK and AGAIN[name])
+    follows = ending is Outcome.REJECTED or (ending is not Outcome.OK and AGAIN[name])
 
     async def scenario() -> None:
         came = 0
@@ -568,10 +568,10 @@
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
             fields = {b"read": GET, b"order": ORDER, b"charge": CHARGE}[name]
             client.send(verb, CUSTOMER, b"1", fields)
-            served = ending is Ending.OK or follows
+            served = ending is Outcome.OK or follows
             assert (await client.reply() == b"value") is served
             assert came == 1 + follows
-            assert heard.endings == [ending, Ending.OK][:came]
+            assert heard.endings == [ending, Outcome.OK][:came]
             # What was spoilt is not used again, and another request gets no other's answer.
             assert await client.ask(*READ, b"2", GET) == b"value"
 
@@ -657,20 +657,20 @@
             steady = await rested(one)
             sock = raw_client(one, *reads(pending))
             taken = min(pending, MOST_PENDING)
-            await until(lambda: len(script.of(api.Request)) == taken)
+            await until(lambda: len(script.of(Request)) == taken)
             _, held = one.program.listener.clients
             assert held.paused is (pending >= MOST_PENDING)
-            refs = [event.request_id for event in script.of(api.Request)]
+            refs = [event.request_id for event in script.of(Request)]
             script.decide = lambda event: (
-                [api.Send(ref, "s0") for ref in refs] if isinstance(event, api.TimerFired) else []
+                [StartAttempt(ref, "s0") for ref in refs] if isinstance(event, TimerFired) else []
             )
             end_raw(sock, how)
             time.sleep(BUSY_S)
-            one.program.gateway.post(api.TimerFired(1))
-            await until(lambda: len(script.of(api.RequestGone)) == taken)
-            assert {e.ending for e in script.of(api.AttemptEnded)} == {Ending.UNSENT}
-            assert all(e.final for e in script.of(api.AttemptEnded))
-            assert len(script.of(api.AttemptEnded)) == taken
+            one.program.gateway.post(TimerFired(1))
+            await until(lambda: len(script.of(ClientDisconnected)) == taken)
+            assert {e.outcome for e in script.of(AttemptEnded)} == {Outcome.NOT_SENT}
+            assert all(e.is_final for e in script.of(AttemptEnded))
+            assert len(script.of(AttemptEnded)) == taken
             await until(lambda: held not in one.program.listener.clients)
             script.decide = send_to("s0")
             assert await steady.ask(*READ, b"0", GET) == b"value"
@@ -750,8 +750,8 @@
             await until(lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.out)
             assert await steady.ask(*READ, b"0", GET) == b"value"
             assert sum(len(server.calls()) for server in one.servers) == 12 + 2
-            assert heard.endings[0] is Ending.FULL and heard.endings[-1] is Ending.OK
-            assert set(heard.endings[1:-1]) <= {Ending.UNSENT}
+            assert heard.endings[0] is Outcome.REJECTED and heard.endings[-1] is Outcome.OK
+            assert set(heard.endings[1:-1]) <= {Outcome.NOT_SENT}
 
     play(scenario())
 
@@ -776,7 +776,7 @@
             for _ in range(turns):
                 await asyncio.sleep(0)
             out = one.program.gateway.out.values()
-            written = len(script.of(api.AttemptEnded)) + sum(attempt.written for attempt in out)
+            written = len(script.of(AttemptEnded)) + sum(attempt.written for attempt in out)
             end_raw(sock, how)
             time.sleep(BUSY_S)
             await until(lambda: not one.program.listener.clients and not one.program.gateway.out)
@@ -815,11 +815,11 @@
     """By how long the first has taken at least, which its client has waited already."""
 
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0", 1000.0 * FIRST_S if first is silent else 0.0)]
-            if isinstance(event, api.AttemptEnded) and not event.final:
-                return [api.Send(event.request_id, "s1", 0.0)]
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0", 1000.0 * FIRST_S if first is silent else 0.0)]
+            if isinstance(event, AttemptEnded) and not event.is_final:
+                return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -887,7 +887,7 @@
     sock.send(packed(*READ, b"open", GET))
     await until(lambda: one.program.gateway.live)
     sock.shutdown(socket.SHUT_WR)
-    await until(lambda: script.of(api.RequestGone))
+    await until(lambda: script.of(ClientDisconnected))
     assert held.transport is not None and held.transport.is_closing()
     assert not one.program.gateway.live and not one.program.listener.open_ids
 
--- a/tests/upstreams/test_lines_loopback.py
+++ b/tests/upstreams/test_lines_loopback.py
@@ -13,7 +13,16 @@
 import pytest
 
 from glenchute.core.types import Decisions
-from glenchute.policy import interface as api
+from glenchute.policy.events import (
+    AttemptEnded,
+    AttemptStalled,
+    ClientDisconnected,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Outcome,
+)
 from glenchute.upstreams.pipelined import LinePool, Lines
 from tests.loopback import (
     CHARGE,
@@ -130,8 +139,8 @@
     return [(b"CALL.GET", CUSTOMER, name, GET) for name in ids]
 
 
-def endings(script: Script) -> dict[str, api.Ending]:
-    return {event.request_id: event.ending for event in script.of(api.AttemptEnded)}
+def endings(script: Script) -> dict[str, Outcome]:
+    return {event.request_id: event.outcome for event in script.of(AttemptEnded)}
 
 
 def test_a_burst_leaves_in_one_write_and_is_answered_in_order() -> None:
@@ -153,11 +162,11 @@
 def test_endings_of_a_line_in_every_shape_of_reply() -> None:
     """Three on a line; what comes back, and how each is told to have ended."""
     ok, busy, failed = value(b"v"), b"-BUSY\r\n", b"-ERR failed\r\n"
-    e = api.Ending
-    table: list[tuple[bytes, bool, list[api.Ending]]] = [
+    e = Outcome
+    table: list[tuple[bytes, bool, list[Outcome]]] = [
         (ok + ok + ok, False, [e.OK, e.OK, e.OK]),
-        (ok + busy + ok, False, [e.OK, e.FULL, e.OK]),
-        (failed + ok + busy, False, [e.ERROR, e.OK, e.FULL]),
+        (ok + busy + ok, False, [e.OK, e.REJECTED, e.OK]),
+        (failed + ok + busy, False, [e.ERROR, e.OK, e.REJECTED]),
         (ok + ok + ok + ok, False, [e.OK, e.OK, e.OK]),  # one too many: the connection ends
         (ok + b"noise\r\n", False, [e.OK, e.ERROR, e.RESET]),
         (ok + b"-ERR what\r\n" + ok, False, [e.OK, e.ERROR, e.RESET]),
@@ -169,7 +178,7 @@
         (ok + ok[:9], False, [e.OK, e.ERROR, e.RESET]),  # it stops midway
     ]
 
-    async def row(data: bytes, ends: bool, expected: list[api.Ending]) -> None:
+    async def row(data: bytes, ends: bool, expected: list[Outcome]) -> None:
         book, script = Book(), Script(send_to("s0"))
         patient = SHARED + "least_stall_ms = 1500\n"  # or a reply that stops midway would count as a stall
         async with sharing(book, decisions=script, operator=patient) as (one, lines):
@@ -252,14 +261,14 @@
         stuck, sound = Book(), Book(sound=True)
         async with sharing(stuck, sound) as (one, lines):
             # The first goes to the stuck one, and so does what comes while that has the shorter line.
-            one.program.gateway.news(_news(one, "s1", api.ServerState.GONE))
+            one.program.gateway.news(_news(one, "s1", EndpointState.REMOVED))
             teach(one.program)
             loop = asyncio.get_running_loop()
             client = await one.client()
             began = loop.time()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             await until(lambda: len(stuck.ran) == 5)
-            one.program.gateway.news(_news(one, "s1", api.ServerState.ACTIVE, sound.port))
+            one.program.gateway.news(_news(one, "s1", EndpointState.ACTIVE, sound.port))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert loop.time() - began < 2.0  # of 20 s that they would wait
             assert lines.pipeline.counts["cut at a stall"] == 1
@@ -268,11 +277,11 @@
     play(scenario())
 
 
-def _news(one: Site, server: str, state: api.ServerState, port: int = 0) -> Any:
+def _news(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
     from glenchute.core.types import News
 
-    entry = api.ServerEntry(server, "a", state=state)
-    return News(9, api.ServerList(api.ListKind.CHANGES, (entry,)), {server: ("127.0.0.1", port)})
+    entry = Endpoint(server, "a", state=state)
+    return News(9, EndpointList(EndpointListKind.CHANGES, (entry,)), {server: ("127.0.0.1", port)})
 
 
 def test_second_copies_for_those_behind_where_they_are_allowed() -> None:
@@ -282,8 +291,8 @@
             lines.pipeline.rules = lines.pipeline.rules._replace(copies=True)
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await until(lambda: len(script.of(api.AttemptHeld)) == 2)
-            assert {event.request_id for event in script.of(api.AttemptHeld)} == {"2", "3"}
+            await until(lambda: len(script.of(AttemptStalled)) == 2)
+            assert {event.request_id for event in script.of(AttemptStalled)} == {"2", "3"}
             book.send(value(b"a") + value(b"b") + value(b"c"))
             assert [await client.reply() for _ in range(3)] == [b"a", b"b", b"c"]
             assert not book.ended  # the line went on
@@ -303,10 +312,10 @@
             await burst(stays, *reads([b"d", b"e"]))
             await until(lambda: len(book.ran) == 5)
             leaves.writer.close()
-            await until(lambda: script.of(api.RequestGone))
+            await until(lambda: script.of(ClientDisconnected))
             book.send(b"".join(value(name) for name in (b"a", b"b", b"c", b"d", b"e")))
             assert [await stays.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
-            assert all(ending is api.Ending.OK for ending in endings(script).values())
+            assert all(ending is Outcome.OK for ending in endings(script).values())
             assert len(lines.pools["s0"].idle) == 1 and not lines.attempts
 
     play(scenario())
@@ -322,11 +331,11 @@
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(book.ran) == 3)
             middle = one.program.gateway.out["2", 0]
-            middle.stop(api.Ending.CANCELLED)
+            middle.stop(Outcome.CANCELLED)
             assert "2" not in endings(script) and middle.written
             book.send(b"".join(value(name) for name in (b"a", b"b", b"c")))
             await until(lambda: len(endings(script)) == 3)
-            assert [endings(script)[n] for n in "123"] == [api.Ending.OK, api.Ending.CANCELLED, api.Ending.OK]
+            assert [endings(script)[n] for n in "123"] == [Outcome.OK, Outcome.CANCELLED, Outcome.OK]
             assert not book.ended
 
     play(scenario())
@@ -377,17 +386,17 @@
             named = {ref: live.call.request_id for ref, live in one.program.gateway.live.items()}
             loop = asyncio.get_running_loop()
             told = loop.time()
-            one.program.gateway.news(_news(one, "s0", api.ServerState.DRAINING))
+            one.program.gateway.news(_news(one, "s0", EndpointState.DRAINING))
             await until(lambda: len(endings(script)) >= held)
             assert loop.time() - told < 0.2
-            assert list(endings(script).values()).count(api.Ending.UNREACHABLE) >= held
+            assert list(endings(script).values()).count(Outcome.UNREACHABLE) >= held
             await until(lambda: len(endings(script)) == 160)
-            assert 0.1 < loop.time() - told < 0.6 and api.Ending.RESET in endings(script).values()
+            assert 0.1 < loop.time() - told < 0.6 and Outcome.RESET in endings(script).values()
             book.reads = True
             await until(lambda: 0 in book.ended)
             whole = set(book.ids())
             for ref, ending in endings(script).items():
-                if ending is api.Ending.UNREACHABLE:
+                if ending is Outcome.UNREACHABLE:
                     assert named[ref] not in whole, "told as never sent, and it ran"
 
     play(scenario())
@@ -454,9 +463,9 @@
             for _ in range(2):
                 assert str(await client.reply()) == "ERR failed"
             ended = [endings(script)[n] for n in "23"]
-            assert set(ended) <= {api.Ending.RESET, api.Ending.UNREACHABLE}
+            assert set(ended) <= {Outcome.RESET, Outcome.UNREACHABLE}
             ran = book.ids()
-            assert all(ending is api.Ending.RESET or name not in ran
+            assert all(ending is Outcome.RESET or name not in ran
                        for ending, name in zip(ended, (b"b", b"c"), strict=True))  # fmt: skip
 
     play(scenario())
@@ -474,7 +483,7 @@
             await burst(client, *reads([b"a", b"b", b"c"]))
             replies = [str(await client.reply()) for _ in range(3)]
             assert all(reply.startswith("ERR") for reply in replies)
-            assert set(endings(script).values()) == {api.Ending.UNREACHABLE}
+            assert set(endings(script).values()) == {Outcome.UNREACHABLE}
             assert not lines.coming and not lines.pipeline.posts
 
     play(scenario())
--- a/tests/upstreams/test_long_values.py
+++ b/tests/upstreams/test_long_values.py
@@ -16,8 +16,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from glenchute.policy import interface as api
+from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.policy.events import AttemptEnded, Event, Outcome, Request, ResponseStarted
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.streamed_reply import MAX_LONG, LongReply
 from glenchute.upstreams import streamed_value as long_module
@@ -212,8 +213,8 @@
     client.send(b"CALL.GET" if fields is GET else b"CALL.POST", CUSTOMER, next(ids), fields)
 
 
-def ended(script: Script) -> list[api.Ending]:
-    return [event.ending for event in script.of(api.AttemptEnded)]
+def ended(script: Script) -> list[Outcome]:
+    return [event.outcome for event in script.of(AttemptEnded)]
 
 
 def test_a_long_value_is_served_whole_and_the_connection_is_used_again() -> None:
@@ -224,9 +225,9 @@
                 ask(client, ids)
                 assert await client.reply() == VALUE
                 await asyncio.sleep(0.05)
-            assert ended(script) == [api.Ending.OK] * 3
-            assert all(event.active == 7.0 and event.final for event in script.of(api.AttemptEnded))
-            assert len(script.of(api.AnswerBegan)) == 3
+            assert ended(script) == [Outcome.OK] * 3
+            assert all(event.active_requests == 7.0 and event.is_final for event in script.of(AttemptEnded))
+            assert len(script.of(ResponseStarted)) == 3
             assert len(one.servers[0].writers) == 1
             assert not one.program.listener.open_ids
 
@@ -247,7 +248,7 @@
                 ask(client, ids)
             gates[b"%016x" % 3].set()
             gates[b"%016x" % 2].set()  # its turn has not come: its server waits
-            await until(lambda: script.of(api.AnswerBegan))
+            await until(lambda: script.of(ResponseStarted))
             await asyncio.sleep(0.05)
             assert not client.reader._buffer  # type: ignore[attr-defined]
             gates[b"%016x" % 1].set()
@@ -269,10 +270,10 @@
 
         tries: dict[str, int] = {}
 
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request) or (isinstance(event, api.AttemptEnded) and not event.final):
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request) or (isinstance(event, AttemptEnded) and not event.is_final):
                 tries[event.request_id] = tries.get(event.request_id, 0) + 1
-                return [api.Send(event.request_id, "s0", 0.0)]
+                return [StartAttempt(event.request_id, "s0", 0.0)]
             return []
 
         script = Script(decide)
@@ -285,9 +286,9 @@
             ask(client, ids, fields)
             got = await client.reader.read()  # to the end of the connection: the client can tell
             assert got == b"$70000\r\n" + VALUE[:30_000]
-            await until(lambda: len(script.of(api.AttemptEnded)) == 2)
-            last = script.of(api.AttemptEnded)[-1]
-            assert last.final and last.ending is api.Ending.RESET
+            await until(lambda: len(script.of(AttemptEnded)) == 2)
+            last = script.of(AttemptEnded)[-1]
+            assert last.is_final and last.outcome is Outcome.RESET
             assert list(tries.values()) == [2] and not one.program.gateway.live
 
     play(scenario())
@@ -306,8 +307,8 @@
             client, ids = await one.client(), numbered()
             ask(client, ids)
             assert await client.reply() == VALUE
-            await until(lambda: ended(script) == [api.Ending.OK])
-            took = script.of(api.AttemptEnded)[0].took_ms
+            await until(lambda: ended(script) == [Outcome.OK])
+            took = script.of(AttemptEnded)[0].duration_ms
             assert took < 1000.0, "the time is that of the first bytes"
 
     play(scenario())
@@ -325,7 +326,7 @@
             ask(client, ids)
             got = await client.reader.read()
             assert 0 < len(got) < len(VALUE)
-            await until(lambda: ended(script) == [api.Ending.ERROR])
+            await until(lambda: ended(script) == [Outcome.ERROR])
 
     play(scenario())
 
@@ -349,7 +350,7 @@
                 assert got.startswith(b"$70000\r\n") and len(got) < len(b"$70000\r\n") + 70_000 + 2
             else:  # found out before anything was passed on
                 assert str(await client.reply()) == "ERR failed"
-            await until(lambda: ended(script) == [api.Ending.ERROR])
+            await until(lambda: ended(script) == [Outcome.ERROR])
 
     play(scenario())
 
@@ -370,9 +371,9 @@
             time_is_up = asyncio.get_running_loop().time() + 1.1
             stays.send(b"CALL.GET", CUSTOMER, next(ids), short)
             ask(leaves, ids)
-            await until(lambda: len(script.of(api.AnswerBegan)) == 2)
+            await until(lambda: len(script.of(ResponseStarted)) == 2)
             leaves.writer.transport.abort()
-            await until(lambda: ended(script) == [api.Ending.CANCELLED])
+            await until(lambda: ended(script) == [Outcome.CANCELLED])
             # The time of the one that stays is up, but its first bytes were in time.
             await until(lambda: asyncio.get_running_loop().time() > time_is_up)
             go.set()
@@ -433,12 +434,12 @@
             stops = Client(*await asyncio.open_connection(sock=narrow))
             stops.writer.transport.pause_reading()  # type: ignore[attr-defined]
             ask(stops, ids)
-            await until(lambda: script.of(api.AnswerBegan))
+            await until(lambda: script.of(ResponseStarted))
             others = [await one.client() for _ in range(5)]
             for client in others:
                 ask(client, ids)
             assert await asyncio.gather(*(client.reply() for client in others)) == [value] * 5
-            assert api.Ending.ERROR in ended(script)  # the one that did not read was cut off for them
+            assert Outcome.ERROR in ended(script)  # the one that did not read was cut off for them
 
     play(scenario())
 
@@ -451,7 +452,7 @@
         async with serving(answer) as (one, script):
             client, ids = await one.client(), numbered()
             ask(client, ids)
-            await until(lambda: script.of(api.AnswerBegan))
+            await until(lambda: script.of(ResponseStarted))
             await asyncio.wait_for(one.program.leave(), 5.0)
             got = await client.reader.read()
             assert len(got) < len(VALUE)
@@ -466,6 +467,6 @@
             client, ids = await one.client(), numbered()
             ask(client, ids)
             assert str(await client.reply()) == "ERR failed"
-            assert ended(script) == [api.Ending.ERROR]
+            assert ended(script) == [Outcome.ERROR]
 
     play(scenario())
