--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -7,8 +7,10 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
+from typing import Any
 
 from heathglade import interface as api
+from heathglade.windows import window_start
 
 from ..rig import SETTINGS
 
@@ -108,6 +110,72 @@
         self.servers(api.ListKind.SAVED, *[(f"s{i}", "ab"[i % 2], 0.0, active) for i in range(count)])
 
 
+@dataclass
+class Environment(Evening):
+    """Further surroundings: counter calls that time out and are answered late, load reports, usage updates of
+    members, placements, and all units in a window as the gateway's peers report them."""
+
+    timeout_share: float = 0.0  # of the counter calls
+    late_endings: tuple[api.Ending, ...] = (api.Ending.OK,)  # what became of a call that timed out
+    late_after_ms: tuple[float, float] = (5.0, 400.0)  # beyond the timeout
+    settled: dict[int, float] = field(default_factory=dict)  # by name: replies before have come by then
+    placements: bool = False  # each attempt is followed by an AttemptPlaced
+    active: bool = False  # load reports tell of active requests, too
+
+    def count(self, call: api.Count) -> None:
+        """Replies for one name come in the order of the calls, late ones included."""
+        pending = self.settled.get(call.name, 0.0)
+        if pending <= self.now + 2.0 and self.rng.random() >= self.timeout_share:
+            super().count(call)
+            return
+        ending = self.rng.choice(self.late_endings)
+        if ending is api.Ending.OK:
+            self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount + self.others
+        total = self.totals.get(call.name, 0.0) if ending is api.Ending.OK else 0.0
+        self.at(self.now + 50.0, api.CountReply(call.name, 0.0, api.Ending.TIMEOUT, 50.0))
+        late = max(pending, self.now + 50.0 + self.rng.uniform(*self.late_after_ms))
+        self.settled[call.name] = late
+        self.at(late, api.CountReply(call.name, total, ending, late - self.now, True))
+
+    def send(self, action: api.Send) -> None:
+        """An attempt, with its placement and the server's load report."""
+        number = self.attempts.get(action.request_id, -1) + 1
+        if self.placements:
+            self.at(self.now, api.AttemptPlaced(action.request_id, number, "idle"))
+        super().send(action)
+        if self.active:
+            row = next(row for row in reversed(self.queue_of(action.request_id)) if row[2].attempt == number)
+            at = self.queue.index(row)
+            self.queue[at] = (row[0], row[1], replace(row[2], active=float(self.rng.randrange(9))))
+
+    def queue_of(self, request_id: str) -> list[tuple[float, int, api.AttemptEnded]]:
+        """The attempts of a request that are out."""
+        return [
+            (when, order, event)
+            for when, order, event in self.queue
+            if isinstance(event, api.AttemptEnded) and event.request_id == request_id
+        ]
+
+    def request(self, cls: str, plan: str, customer: str, **more: Any) -> api.Request:
+        """A request, not yet fed."""
+        self.serial += 1
+        given = {"time_left_ms": 3000.0, "spread": 2, **more}
+        return api.Request(f"r{self.serial}", cls, plan, customer, **given)
+
+    def ask_with_use(
+        self, request: api.Request, units: float, before: float, share: float, settings: api.Settings
+    ) -> None:
+        """A usage update of members, and the request that it goes with."""
+        plan = next(plan for plan in settings.plans if plan.name == request.plan)
+        start = window_start(self.now, request.customer, plan)
+        self.feed(api.Used(request, start, units, before, share))
+        self.feed(request)
+
+    def stand_still(self, ms: float) -> None:
+        """This process does not run: what was due meanwhile comes at once afterwards."""
+        self.now += ms
+
+
 def half_of_the_gateways_die(tell: Tell) -> None:
     """The others' use ends at once, and their customers come here."""
     evening = Evening(tell, 1, others=2.0)
