--- /dev/null
+++ b/tests/messages/handover.py
@@ -0,0 +1,97 @@
+"""The handover between two processes of a gateway: inputs, and the bytes on the socket."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+import tempfile
+from pathlib import Path
+
+from glenchute.deciders.succession import message
+from glenchute.peers.succession import Door, Predecessor, ask, path_in
+from heathglade import interface as api
+from heathglade.policy import Gateway
+
+from ..captures.scenarios import EVENING_SETTINGS, Environment
+from .files import Rows
+
+GATEWAY = "g7"
+SHARE = 0.625
+STOCKS = (
+    api.Stock(
+        "0000000000001092", "basic", 3, 17.25, 4.5, 1.125, 0.375, 12.0, 40.0, 1_700_000_000_123.5, 21.5
+    ),
+    api.Stock("b", "rate", 1, -2.0, -0.5, 0.0, 0.0, 0.0, 0.0, -1.0, math.inf),
+    api.Stock("größe", "", 1_000_000, 1e12, -1e12, 0.1, 1e-9, 3.0, 3.0, 1e15, -7.25),
+)
+NAMES = (("g7", ("127.0.0.1", 7000)), ("zagreb-12", ("0.0.0.0", 65535)))
+
+
+def driven_stocks() -> tuple[api.Stock, ...]:
+    """What a decision module hands over after a short load."""
+    module = Gateway(EVENING_SETTINGS, 31)
+    environment = Environment(module.handle, 31, others=0.5, timeout_share=0.1)
+    environment.fleet()
+    environment.load(2500.0, 25.0, 3)
+    (action,) = module.handle(environment.now, api.Beside())
+    assert isinstance(action, api.HandOver)
+    return action.stocks
+
+
+def cases() -> list[tuple[str, float, tuple[api.Stock, ...]]]:
+    """Label, share and stocks of each message."""
+    return [
+        ("every field", SHARE, STOCKS),
+        ("no customers", 0.25, ()),
+        ("after a load", 0.5, driven_stocks()),
+    ]
+
+
+def messages() -> Rows:
+    """The messages."""
+    return [(label, message(GATEWAY, share, stocks)) for label, share, stocks in cases()]
+
+
+def socket_names() -> Rows:
+    """The names of the sockets where two processes meet."""
+    return [(f"{name} {listen}", f"{path_in('/t', name, listen)}\n".encode()) for name, listen in NAMES]
+
+
+async def from_predecessor() -> bytes:
+    """All bytes that the process in service sends to one that connects."""
+    loop = asyncio.get_running_loop()
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "socket"
+        door = Door(loop, lambda: message(GATEWAY, SHARE, STOCKS), lambda: None)
+        await door.open(path)
+        reader, writer = await asyncio.open_unix_connection(str(path))
+        raw = await reader.readline()
+        door.close()
+        raw += await reader.read()
+        writer.close()
+    return raw
+
+
+async def to_successor(raw: bytes) -> tuple[Predecessor | None, bytes]:
+    """What the next process makes of these bytes, and all bytes that it sends meanwhile."""
+    loop = asyncio.get_running_loop()
+    sent = bytearray()
+    closed = asyncio.Event()
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(raw)
+        while data := await reader.read(4096):
+            sent.extend(data)
+        writer.close()
+        closed.set()
+
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "socket"
+        server = await asyncio.start_unix_server(serve, str(path))
+        found = await ask(loop, path, GATEWAY, lambda: None)
+        if found is not None:
+            assert found.transport is not None
+            found.transport.close()
+        await closed.wait()
+        server.close()
+    return found, bytes(sent)
--- /dev/null
+++ b/tests/test_message_bytes.py
@@ -0,0 +1,180 @@
+"""The bytes of messages are as an older program wrote them, and are read as it read them.
+
+`tests/messages` holds what it wrote, and builds the same inputs anew.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import math
+import subprocess
+import sys
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from glenchute.deciders.succession import Told, parse
+from glenchute.peers.fleet.wire import VERSION, decode
+from glenchute.wire import resp
+from heathglade import interface as api
+from heathglade.simhost import ENDINGS, LISTS, STATES, WIDTHS
+from heathglade.simhost import encode as wire_form
+
+from .messages import control, counter, datagrams, handover, simulator
+from .messages.files import HERE, hex_rows, text_rows
+
+ROOT = Path(__file__).resolve().parent.parent
+
+
+# --- the handover between two processes ------------------------------------------------------------------
+
+
+def test_the_handover_is_written_as_it_was() -> None:
+    assert handover.messages() == text_rows("handover.txt")
+    assert handover.socket_names() == text_rows("handover_sockets.txt")
+
+
+def test_the_handover_is_read_as_it_was() -> None:
+    stored = dict(text_rows("handover.txt"))
+    for label, share, stocks in handover.cases():
+        assert parse(handover.GATEWAY, stored[label]) == Told(share, stocks)
+    fields = json.loads(stored["every field"])["fields"]
+    assert len(fields) == len(api.Stock.__match_args__) == 11
+    assert len(handover.cases()[2][2]) >= 5 and any(
+        stock.total < math.inf for stock in handover.cases()[2][2]
+    )
+
+
+def test_the_frames_of_the_handover_in_both_directions() -> None:
+    ((_, frames),) = hex_rows("handover_frames.hex")
+    assert asyncio.run(handover.from_predecessor()) == frames
+    found, sent = asyncio.run(handover.to_successor(frames))
+    assert found is not None and found.told == Told(handover.SHARE, handover.STOCKS)
+    assert sent == b""  # the next process asks by connecting, and says nothing
+
+
+# --- datagrams between members ---------------------------------------------------------------------------
+
+
+def test_datagrams_are_written_as_they_were() -> None:
+    assert datagrams.datagrams() == hex_rows("datagrams.hex")
+
+
+def test_datagrams_are_read_as_they_were() -> None:
+    stored = dict(hex_rows("datagrams.hex"))
+    for label, body in datagrams.bodies():
+        assert decode(datagrams.FLEET, stored[label]) == (datagrams.NAME, datagrams.BOOT, body), label
+
+
+def test_every_form_of_datagram_is_there() -> None:
+    packets = [msgspec.msgpack.decode(data) for _, data in hex_rows("datagrams.hex")]
+    assert {packet[4] for packet in packets} == set(range(12))
+    assert {packet[0] for packet in packets} == {VERSION} == {2}
+
+
+# --- the shared counter ----------------------------------------------------------------------------------
+
+
+def test_names_and_amounts_on_the_counter_are_what_they_were() -> None:
+    stored = text_rows("counter_calls.txt")
+    assert counter.count_lines() == stored
+    amounts = [float(line.split()[1]) for _, line in stored]
+    assert min(amounts) < 0.0 and max(amounts) > 100_000.0 and 0.0 in amounts
+    assert any(100.0 <= amount < 200.0 for amount in amounts)  # an epoch marker of a smaller plan
+
+
+def test_commands_to_the_counter_are_what_they_were() -> None:
+    stored = hex_rows("counter_commands.hex")
+    assert counter.commands() == stored
+    assert counter.links_used() == [
+        int(line) for line in (HERE / "counter_connections.txt").read_text().split()
+    ]
+    for (_, data), call in zip(stored[1:], counter.counts(), strict=True):
+        parser = resp.Parser()
+        parser.feed(data)
+        word, name, amount, ttl = parser.next()
+        assert (word, int(name), float(amount), float(ttl)) == (
+            b"INCRTTL", call.name, call.amount, call.ttl_ms,
+        )  # fmt: skip
+
+
+def test_replies_of_the_counter_are_read_as_they_were() -> None:
+    replies = hex_rows("counter_replies.hex")
+    assert replies == counter.REPLIES
+    assert counter.outcomes(replies) == text_rows("counter_outcomes.txt")
+
+
+# --- the control socket ----------------------------------------------------------------------------------
+
+
+def test_the_control_socket_is_answered_as_it_was() -> None:
+    stored = text_rows("control_requests.txt")
+    assert control.answers(stored)[1] == text_rows("control_replies.txt")
+
+
+def test_the_control_sockets_client_writes_and_reads_as_it_did() -> None:
+    assert control.made_requests() == text_rows("control_requests.txt")
+    replies = text_rows("control_replies.txt")
+    found = 0
+    for label, reply in replies:
+        rows = control.rows_of(reply)
+        if rows is not None:
+            assert control.request_of("fleet members", reply)[1] == rows, label
+            found += 1
+    assert found == 2 * len(control.VERBS)
+
+
+# --- the simulator's wire --------------------------------------------------------------------------------
+
+
+def stored_session() -> tuple[list[str], list[str]]:
+    """The lines of the stored session, in and out."""
+    told = (HERE / "simulator_in.txt").read_text().splitlines()
+    return told, (HERE / "simulator_out.txt").read_text().splitlines()
+
+
+def test_a_session_on_the_simulators_wire_is_answered_as_it_was() -> None:
+    told, answered = stored_session()
+    assert simulator.answered(told) == answered
+    assert simulator.session() == (told, answered)
+
+
+def test_the_simulators_program_answers_the_same_on_its_streams() -> None:
+    told, answered = (HERE / name for name in ("simulator_in.txt", "simulator_out.txt"))
+    done = subprocess.run(
+        [sys.executable, "-m", "heathglade.simhost"], input=told.read_bytes(), capture_output=True, cwd=ROOT,
+        check=True, timeout=60.0,
+    )  # fmt: skip
+    assert done.stdout == answered.read_bytes() and done.stderr == b""
+
+
+def test_the_session_holds_every_event_and_action() -> None:
+    told, answered = stored_session()
+    events = [event for line in told for event in json.loads(line)["inbox"]]
+    assert {event[0] for event in events} == set(WIDTHS)
+    assert {event[5] for event in events if event[0] == "ended"} == set(ENDINGS)
+    assert {event[2] for event in events if event[0] == "topology"} == set(LISTS)
+    states = {row[6] for event in events if event[0] == "directory" for row in event[2]}
+    assert states == set(STATES)
+    actions = {action[0] for line in answered for action in json.loads(line)["actions"]}
+    # "recall" needs a hedged request, which nothing on this wire asks for.
+    assert actions == {"hand_off", "bounce", "give_up", "remind", "incr", "tail", "say_log", "die"}
+
+
+@pytest.mark.parametrize(
+    ("action", "wire"),
+    [
+        (api.Send("r", "s:1", 5.5, 17.0), '["hand_off",3,"r",5.5,"s:1"]'),
+        (api.Refuse("r", 9.0), '["bounce",3,"r",9.0]'),
+        (api.Fail("r"), '["give_up",3,"r"]'),
+        (api.Cancel("r", 2), '["recall",3,"r",2]'),
+        (api.SetTimer(4, 8.0), '["remind",3,4,8.0]'),
+        (api.Count(6, 2.0, 60.0), '["incr",3,6,2.0,60.0]'),
+        (api.Subscribe(), '["tail",3,true]'),
+        (api.Log("x"), '["say_log",3,"x"]'),
+    ],
+)
+def test_actions_on_the_simulators_wire(action: api.Action, wire: str) -> None:
+    assert json.dumps(wire_form(3, action), separators=(",", ":")) == wire
