--- a/glenchute/capture/format_1.py
+++ b/glenchute/capture/format_1.py
@@ -213,14 +213,18 @@
 
 @dataclass(frozen=True)
 class OldEnum:
-    """An old enumeration: only its members can be asked for."""
+    """An old enumeration: only its members can be asked for, by value as Python 3.11.4 and later pickle them,
+    or by name as earlier ones do. The values are those of today."""
 
     target: type[Enum]
     members: Mapping[str, str]
 
+    def __call__(self, value: object) -> Enum:
+        return self.target(value)
+
 
 def member(enumeration: Any, name: str) -> Enum:
-    """The member of today; this is how Python 3.11 pickles a member of an Enum."""
+    """The member of today for an old name."""
     if not isinstance(enumeration, OldEnum):
         raise SnapshotError(f"{name} of {enumeration!r}")
     return enumeration.target[enumeration.members.get(name, name)]
