--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -47,32 +47,36 @@
 from glenchute.clients.membership.node import Fleet as Node
 from glenchute.config.facts import ClassFacts, Facts
 from glenchute.config.operator import MOST_ROUTES, Operator, Reading, parse
-from glenchute.policy.endpoints.polling import Pacing, Terms
+from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
 from glenchute.policy.membership.members import Members, Rules
 from glenchute.policy.retries.route_limits import Routes
 from glenchute.policy.settings import Idempotency
 
 SERVERS, ROUTES = 5_700, 2_700
 NAMES_KEPT_S = 60.0  # a customer unseen for this long is forgotten, here and at the counter
-STATED = Terms(GATEWAYS, rate=20.0, list_age_s=17.0)  # `[discovery] calls_per_s = 20, list_age_s = 17`
-UNSTATED = Terms(GATEWAYS)
+STATED = PollingTerms(
+    GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0
+)  # `[discovery] calls_per_s = 20, list_age_s = 17`
+UNSTATED = PollingTerms(GATEWAYS)
 
 
-def pacings(count: int, seed: int, terms: Terms) -> Iterator[Pacing]:
+def pacings(count: int, seed: int, terms: PollingTerms) -> Iterator[PollScheduler]:
     for number in range(count):
-        yield Pacing(terms._replace(gateways=count, number=number), random.Random(seed * 100_000 + number))
+        yield PollScheduler(
+            terms._replace(gateway_count=count, gateway_index=number), random.Random(seed * 100_000 + number)
+        )
 
 
-def quiet_calls(terms: Terms) -> Measure:
+def quiet_calls(terms: PollingTerms) -> Measure:
     """Ends of watches a second, over 200 s without news."""
 
     def measure(count: int, seed: int) -> float:
         ends = 0
         for pacing in pacings(count, seed, terms):
-            at = pacing.patience() * pacing.rng.random()
+            at = pacing.watch_wait_s() * pacing.rng.random()
             while at < 200.0:
                 ends += 1
-                at += pacing.patience()
+                at += pacing.watch_wait_s()
         return ends / 200.0
 
     return measure
@@ -83,18 +87,20 @@
     return float(max(Tally(int(pause) for pause in pauses).values()))
 
 
-def start_calls(terms: Terms, listed: bool) -> Measure:
-    return lambda count, seed: worst_second([p.first(listed) for p in pacings(count, seed, terms)])
+def start_calls(terms: PollingTerms, listed: bool) -> Measure:
+    return lambda count, seed: worst_second(
+        [p.first_poll_delay_s(listed) for p in pacings(count, seed, terms)]
+    )
 
 
 def zone_back(back: int, seed: int) -> float:
     """Some of the 520, numbered in a row, start at once without saved lists."""
     first = itertools.islice(pacings(GATEWAYS, seed, STATED), back)
-    return worst_second([pacing.first(False) for pacing in first])
+    return worst_second([pacing.first_poll_delay_s(False) for pacing in first])
 
 
-def news_calls(terms: Terms) -> Measure:
-    return lambda count, seed: worst_second([p.in_step() for p in pacings(count, seed, terms)])
+def news_calls(terms: PollingTerms) -> Measure:
+    return lambda count, seed: worst_second([p.synchronized_delay_s() for p in pacings(count, seed, terms)])
 
 
 def facts(plans: int) -> Facts:
@@ -188,18 +194,18 @@
     ],
     "lists": [
         Probe("calls at quiet, nothing stated", "gateways", "calls/s",
-              quiet_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate),
-        Probe("the same, stated", "gateways", "calls/s", quiet_calls(STATED), *BEYOND, STATED.rate),
+              quiet_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate_per_s),
+        Probe("the same, stated", "gateways", "calls/s", quiet_calls(STATED), *BEYOND, STATED.rate_per_s),
         Probe("worst second after news, nothing stated", "gateways", "calls",
-              news_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate),
-        Probe("the same, stated", "gateways", "calls", news_calls(STATED), *BEYOND, STATED.rate),
+              news_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate_per_s),
+        Probe("the same, stated", "gateways", "calls", news_calls(STATED), *BEYOND, STATED.rate_per_s),
         Probe("worst second of a start, nothing stated", "gateways", "calls",
-              start_calls(UNSTATED, True), *GATEWAYS_ARE, STATED.rate),
-        Probe("the same, stated", "gateways", "calls", start_calls(STATED, True), *BEYOND, STATED.rate),
+              start_calls(UNSTATED, True), *GATEWAYS_ARE, STATED.rate_per_s),
+        Probe("the same, stated", "gateways", "calls", start_calls(STATED, True), *BEYOND, STATED.rate_per_s),
         Probe("the same, stated, without saved lists", "gateways", "calls",
-              start_calls(STATED, False), *BEYOND, STATED.rate),
+              start_calls(STATED, False), *BEYOND, STATED.rate_per_s),
         Probe("worst second of a zone's gateways back, stated, no lists", "gateways back", "calls",
-              zone_back, (20, 35, 50), 74, 74, STATED.rate),
+              zone_back, (20, 35, 50), 74, 74, STATED.rate_per_s),
         Probe("a whole list", LISTED, "KiB", lambda n, _: len(list_text(n)) / 1024, *SERVERS_ARE),
         Probe("a changed row told to all", "gateways", "KiB",
               lambda n, _: n * len(list_text(1, False)) / 1024, *GATEWAYS_ARE),
--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -9,7 +9,6 @@
 from typing import Any, NamedTuple
 
 from benchmarks.slopes import REFERENCE_MS, Measure, cpu_ms, kib, reference_ms
-from glenchute.clients.discovery import Held, read_in_parts, read_list
 from glenchute.policy.actions import Action, IncrementCounter, StartAttempt
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.engine import DecisionEngine
@@ -26,6 +25,7 @@
 )
 from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
 from glenchute.protocol import resp2 as resp
+from glenchute.protocol.endpoint_list import CurrentList, decode_list, decode_list_in_parts
 
 GATEWAYS, TENANTS, RATE = 520, 41_000, 163.0
 PLAN = Plan("standard", rate_per_s=4.0, burst_units=12.0)
@@ -48,7 +48,7 @@
 
 
 def entries(count: int) -> tuple[Endpoint, ...]:
-    return read_list(json.loads(list_text(count))).event.endpoints
+    return decode_list(json.loads(list_text(count))).event.endpoints
 
 
 def module(listed: int, seed: int, all_used: bool = False) -> DecisionEngine | Aperture:
@@ -120,15 +120,15 @@
 
 def parts_of(count: int, seed: int) -> list[float]:
     """Processor milliseconds of each part in which a whole list is read and applied, the scale not yet on."""
-    body, held, took = list_text(count).encode(), Held(), []
-    gateway, parts = module(0, seed), read_in_parts(body, held)
+    body, held, took = list_text(count).encode(), CurrentList(), []
+    gateway, parts = module(0, seed), decode_list_in_parts(body, held)
     while True:
         began, end = time.process_time(), None
         try:
             next(parts)
         except StopIteration as stop:
             end = stop.value
-            held.follow(end)
+            held.apply(end)
             gateway.handle(0.0, end.event)
         took.append(1e3 * (time.process_time() - began))
         if end is not None:
@@ -152,8 +152,8 @@
     text = list_text(count)
 
     def keep() -> object:
-        news, held, gateway = read_list(json.loads(text)), Held(), DecisionEngine(settings(), seed)
-        held.follow(news)
+        news, held, gateway = decode_list(json.loads(text)), CurrentList(), DecisionEngine(settings(), seed)
+        held.apply(news)
         gateway.handle(0.0, news.event)
         return news.addresses, held, gateway
 
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from benchmarks.machine import machine
-from glenchute.policy.endpoints.polling import Terms, calls_bound
+from glenchute.policy.endpoints.polling import PollingTerms, max_first_polls_per_s
 from lab.coldstart import Call, Crowd, Herd, busiest, outage, release, starts, turned_away
 from lab.peers import row
 from lab.site import free_port
@@ -79,9 +79,9 @@
     print("gateways  scene    busiest second  turned away  bound of a start")
     for count in (200, 500):
         rate = count / 15.0
-        bound = calls_bound(Terms(count, 0, rate, AGE))
+        bound = max_first_polls_per_s(PollingTerms(count, 0, rate, AGE))
         for scene in (starts, release, outage):
-            crowd = Crowd(count, lambda n, c=count, r=rate: Terms(c, n, r, AGE), rate)  # type: ignore[misc]
+            crowd = Crowd(count, lambda n, c=count, r=rate: PollingTerms(c, n, r, AGE), rate)  # type: ignore[misc]
             scene(crowd)
             print(f"{count:8}  {scene.__name__:8} {busiest(crowd.calls):8} of {rate:.1f}"
                   f" {turned_away(crowd.calls):10.3f} {bound:10.1f}")  # fmt: skip
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -18,13 +18,13 @@
 from typing import Any
 
 from benchmarks.machine import machine
-from glenchute.clients.discovery import Held, read_in_parts, read_list
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import News
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.settings import Settings, SlowStart
+from glenchute.protocol.endpoint_list import CurrentList, decode_list, decode_list_in_parts
 from glenchute.upstreams.connection_pool import Limits, Servers
 from lab.peers import row
 
@@ -40,7 +40,7 @@
         self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
         self.gateway = Gateway(self.loop, self.policy, self.servers, None)
         self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
-        self.held, self.parted = Held(), parted
+        self.held, self.parted = CurrentList(), parted
         self.version = 0
 
     def narrow(self) -> None:
@@ -60,10 +60,10 @@
         """An answer's body, turn by turn."""
         news: News
         if self.parted:
-            news = yield from read_in_parts(body, self.held)
+            news = yield from decode_list_in_parts(body, self.held)
         else:
-            news = read_list(json.loads(body), held=self.held)
-        self.held.follow(news)
+            news = decode_list(json.loads(body), held=self.held)
+        self.held.apply(news)
         self.gateway.news(news)
 
     def tell(self, rows: list[dict[str, Any]], full: bool = True) -> None:
--- a/glenchute/cli/aside.py
+++ b/glenchute/cli/background_reload.py
@@ -21,13 +21,13 @@
 if TYPE_CHECKING:
     from glenchute.policy.retries.route_limits import Routes
 
-SWITCH_S = 0.0001
-SLICE_S, REST_S = 0.0004, 0.001  # of work in parts: on so long, off so long
+SWITCH_INTERVAL_S = 0.0001
+WORK_SLICE_S, SLEEP_S = 0.0004, 0.001  # of work in parts: on so long, off so long
 
 T = TypeVar("T")
 
 
-class Reread(NamedTuple):
+class ReloadedFile(NamedTuple):
     """What a sound operator's file brought when it was read again."""
 
     routes: Routes
@@ -35,49 +35,49 @@
     warnings: list[str]
 
 
-class Pace:
+class TimeSlices:
     """When a work in parts rests."""
 
     def __init__(self) -> None:
-        self.until = time.perf_counter() + SLICE_S
+        self.slice_end = time.perf_counter() + WORK_SLICE_S
 
-    def rest(self) -> None:
+    def yield_if_over(self) -> None:
         """Sleeps where the slice is over: that gives the interpreter's lock away."""
-        if time.perf_counter() >= self.until:
-            time.sleep(REST_S)
-            self.until = time.perf_counter() + SLICE_S
+        if time.perf_counter() >= self.slice_end:
+            time.sleep(SLEEP_S)
+            self.slice_end = time.perf_counter() + WORK_SLICE_S
 
 
-class Sharing:
+class InterpreterSettings:
     """The interpreter while any work is aside: a short switch interval, no collection of cycles."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.users, self.usual, self.collects = 0, 0.0, True
+        self.active, self.saved_interval_s, self.saved_gc_enabled = 0, 0.0, True
 
     def begin(self) -> None:
         """One more."""
         with self.lock:
-            if not self.users:
-                self.usual, self.collects = sys.getswitchinterval(), gc.isenabled()
-                sys.setswitchinterval(SWITCH_S)
+            if not self.active:
+                self.saved_interval_s, self.saved_gc_enabled = sys.getswitchinterval(), gc.isenabled()
+                sys.setswitchinterval(SWITCH_INTERVAL_S)
                 gc.disable()
-            self.users += 1
+            self.active += 1
 
     def end(self) -> None:
         """One less; the last sets both back."""
         with self.lock:
-            self.users -= 1
-            if not self.users:
-                sys.setswitchinterval(self.usual)
-                if self.collects:
+            self.active -= 1
+            if not self.active:
+                sys.setswitchinterval(self.saved_interval_s)
+                if self.saved_gc_enabled:
                     gc.enable()
 
 
-sharing = Sharing()
+interpreter_settings = InterpreterSettings()
 
 
-class Aside(Generic[T]):
+class BackgroundReload(Generic[T]):
     """Does one work at a time aside. `done` is called on the loop with each result, or with the exception.
 
     Guarantees: of what is asked for while one is done, the latest is begun after that one has ended, and is
@@ -86,27 +86,27 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, done: Callable[[T | Exception], None]) -> None:
-        self.loop, self.done = loop, done
-        self.next: Callable[[], T] | None = None
-        self.busy = False
+        self.loop, self.on_result = loop, done
+        self.pending: Callable[[], T] | None = None
+        self.is_busy = False
 
-    def ask(self, work: Callable[[], T]) -> None:
+    def submit(self, work: Callable[[], T]) -> None:
         """Begins it, now or after what is being done."""
-        self.next = work
-        if not self.busy:
-            self.begin()
+        self.pending = work
+        if not self.is_busy:
+            self.start_next()
 
-    def begin(self) -> None:
+    def start_next(self) -> None:
         """Starts the thread. Where the system gives none, that is the result."""
-        work, self.next = self.next, None
+        work, self.pending = self.pending, None
         if work is None:
             return
-        self.busy = True
-        sharing.begin()
+        self.is_busy = True
+        interpreter_settings.begin()
         try:
             threading.Thread(target=self.run, args=(work,), name="aside", daemon=True).start()
         except RuntimeError as error:
-            self.end(error)
+            self.finish(error)
 
     def run(self, work: Callable[[], T]) -> None:
         """The thread."""
@@ -116,15 +116,15 @@
         except Exception as error:
             result = error
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits for it
-            self.loop.call_soon_threadsafe(self.end, result)
+            self.loop.call_soon_threadsafe(self.finish, result)
 
-    def end(self, result: T | Exception) -> None:
+    def finish(self, result: T | Exception) -> None:
         """On the loop: tells, and begins what was asked for meanwhile."""
-        sharing.end()
-        self.busy = False
+        interpreter_settings.end()
+        self.is_busy = False
         try:
-            self.done(result)
+            self.on_result(result)
         finally:
             if isinstance(result, Exception):
                 result.__traceback__ = None  # its frames hold the result: a cycle
-            self.begin()
+            self.start_next()
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/handover.py
@@ -6,18 +6,18 @@
 import logging
 from pathlib import Path
 
-from glenchute.clients.handover import Door, Predecessor, ask, path_in
+from glenchute.clients.handover import HandoverServer, PredecessorConnection, request_handover, socket_path
 from glenchute.config.platform import Config
 from glenchute.core.gateway import Gateway
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
-from glenchute.policy.lifecycle.handover import keeps, message
+from glenchute.policy.lifecycle.handover import encode_handover, retained_limit_share
 from glenchute.upstreams.connection_pool import Servers
 
 log = logging.getLogger("glenchute")
 
 
-class Succession:
+class ProcessHandover:
     """One process's part in replacements."""
 
     def __init__(
@@ -26,71 +26,71 @@
     ) -> None:  # fmt: skip
         self.path, self.config, self.loop = path, config, loop
         self.gateway, self.listener, self.servers = gateway, listener, servers
-        self.before: Predecessor | None = None
-        self.door = Door(loop, self.tell, self.alone)
-        self.stocks: tuple[QuotaSnapshot, ...] = ()
-        self.closed = False
-        gateway.handing = self.handing
+        self.predecessor: PredecessorConnection | None = None
+        self.server = HandoverServer(loop, self.make_message, self.on_other_ended)
+        self.quotas: tuple[QuotaSnapshot, ...] = ()
+        self.is_closed = False
+        gateway.handing = self.set_quotas
 
     @classmethod
-    def of(
+    def create(
         cls, folder: str | None, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
         listener: Listener, servers: Servers,
-    ) -> Succession | None:  # fmt: skip
+    ) -> ProcessHandover | None:  # fmt: skip
         """None where the processes have no place to meet."""
-        path = path_in(folder, config.name, config.listen) if folder else None
+        path = socket_path(folder, config.name, config.listen) if folder else None
         if path is None:
             log.warning("nothing is handed over: TMPDIR is not set, or its name is too long")
             return None
         return cls(path, config, loop, gateway, listener, servers)
 
-    async def take(self) -> None:
+    async def request_state(self) -> None:
         """Before clients come: what the process before knows, if there is one."""
-        self.before = await ask(self.loop, self.path, self.config.name, self.alone)
-        if self.before is None or self.before.told is None:
+        self.predecessor = await request_handover(self.loop, self.path, self.config.name, self.on_other_ended)
+        if self.predecessor is None or self.predecessor.state is None:
             return
-        told = self.before.told
-        log.info("takes over beside the process before: %d customers", len(told.stocks))
-        self.shares(told.share)
-        self.gateway.post(StateReceived(told.stocks))
-        if self.before.transport is None:
-            self.alone()  # it ended meanwhile
+        told = self.predecessor.state
+        log.info("takes over beside the process before: %d customers", len(told.quotas))
+        self.apply_limit_share(told.limit_share)
+        self.gateway.post(StateReceived(told.quotas))
+        if self.predecessor.transport is None:
+            self.on_other_ended()  # it ended meanwhile
 
-    async def open(self) -> None:
+    async def start_serving(self) -> None:
         """The process serves: the next one may ask."""
-        await self.door.open(self.path)
+        await self.server.start(self.path)
 
-    def tell(self) -> bytes:
+    def make_message(self) -> bytes:
         """The next process asks."""
         whole = self.config.sockets
-        share = keeps(2 * max(len(self.listener.clients), self.servers.count()), whole)
-        self.shares(share)
-        self.stocks = ()
+        share = retained_limit_share(2 * max(len(self.listener.clients), self.servers.count()), whole)
+        self.apply_limit_share(share)
+        self.quotas = ()
         self.gateway.post(SuccessorStarted())
-        log.info("the next process is up beside this one: %d customers handed over", len(self.stocks))
-        return message(self.config.name, 1.0 - share, self.stocks)
+        log.info("the next process is up beside this one: %d customers handed over", len(self.quotas))
+        return encode_handover(self.config.name, 1.0 - share, self.quotas)
 
-    def handing(self, stocks: tuple[QuotaSnapshot, ...]) -> None:
+    def set_quotas(self, stocks: tuple[QuotaSnapshot, ...]) -> None:
         """The module's part of the message."""
-        self.stocks = stocks
+        self.quotas = stocks
 
-    def alone(self) -> None:
+    def on_other_ended(self) -> None:
         """The other process has ended."""
-        if self.closed:
+        if self.is_closed:
             return
-        if self.door.next is None and (self.before is None or self.before.transport is None):
+        if self.server.successor is None and (self.predecessor is None or self.predecessor.transport is None):
             log.info("the other process has gone")
-            self.shares(1.0)
+            self.apply_limit_share(1.0)
             self.gateway.post(OtherProcessEnded())
 
-    def shares(self, share: float) -> None:
+    def apply_limit_share(self, share: float) -> None:
         """This process keeps to so much of the gateway's limits."""
         self.listener.share(share)
         self.servers.share(share)
 
     def close(self) -> None:
         """The end of the process."""
-        self.closed = True
-        self.door.close()
-        if self.before is not None:
-            self.before.close()
+        self.is_closed = True
+        self.server.close()
+        if self.predecessor is not None:
+            self.predecessor.close()
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -14,17 +14,18 @@
 
 import uvloop
 
-from glenchute.clients.counter import Counter
-from glenchute.clients.discovery import Discovery
+from glenchute.clients.counter import CounterClient
+from glenchute.clients.discovery import DiscoveryClient
 from glenchute.config.platform import OPERATOR, Config, ConfigError, load, passed_socket
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import Decisions, News
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import Catalogue
 from glenchute.policy.balancing.subset_size import WHOLE
-from glenchute.policy.endpoints.polling import Doubt, Terms
+from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+from glenchute.policy.endpoints.polling import PollingTerms
 from glenchute.policy.engine import DecisionEngine as Policy
-from glenchute.policy.lifecycle.draining import ACCEPT_S
+from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
 from glenchute.upstreams.connection_pool import Servers
 
 if TYPE_CHECKING:
@@ -38,8 +39,8 @@
     from glenchute.listeners.operations import OperationsServer
     from glenchute.policy.events import Endpoint
 
-    from .aside import Aside, Reread
-    from .succession import Succession
+    from .background_reload import BackgroundReload, ReloadedFile
+    from .handover import ProcessHandover
 
 LIST_WAIT_S = 0.3  # a start waits this long for the list of the day before it serves by the saved one ...
 CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
@@ -85,7 +86,7 @@
         shared = operator.pipeline if operator is not None else None  # connections to servers
         self.servers = self.backend(shared)
         self.counter = (
-            Counter(loop, config.counter, made.counter_timeout_ms / 1000.0, config.budget.links)
+            CounterClient(loop, config.counter, made.counter_timeout_ms / 1000.0, config.budget.links)
             if config.counter
             else None
         )
@@ -118,24 +119,26 @@
         self.succession = self.succeeding() if self.passed is not None else None
         self.operations = self.operating() if config.operations is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
-        self.doubt = Doubt() if asked.get("doubt") else None
-        self.discovery = Discovery(
+        self.doubt = ListConfirmation() if asked.get("doubt") else None
+        self.discovery = DiscoveryClient(
             loop, config.discovery, self.listed, self.terms(asked), config.seed, self.doubt, self.serving
         )
-        self.discovery.restrain = self.gateway.news
+        self.discovery.on_restriction = self.gateway.news
         if self.fleet is not None:
             self.fleet.follow, self.fleet.counter = self.gateway.news, self.counter
         # What of the operator's file holds until a restart.
         self.begun = started(operator) if operator is not None else None
-        self.aside: Aside[Reread] | None = None  # the reading of that file again
+        self.aside: BackgroundReload[ReloadedFile] | None = None  # the reading of that file again
         self.stopping = asyncio.Event()
 
-    def terms(self, asked: dict[str, Any]) -> Terms:
+    def terms(self, asked: dict[str, Any]) -> PollingTerms:
         """Who shares discovery, and what it bears."""
         # Who tells what the service bears, or has gateways ask for each other, has a shared one.
         pushed = not self.config.settings.must_subscribe and not asked and self.fleet is None
-        terms = Terms(self.config.settings.gateway_count, self.config.number, pushed=pushed)
-        return terms._replace(rate=asked.get("calls_per_s", terms.rate), list_age_s=asked.get("list_age_s"))
+        terms = PollingTerms(self.config.settings.gateway_count, self.config.number, is_pushed=pushed)
+        return terms._replace(
+            rate_per_s=asked.get("calls_per_s", terms.rate_per_s), max_list_age_s=asked.get("list_age_s")
+        )
 
     def serving(self) -> bool:
         """Whether servers answer, as far as anybody has asked them."""
@@ -165,7 +168,7 @@
     def narrow(self) -> None:
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
         told of some servers. It stands as with `[subset]`: behind members' words, before the recorder."""
-        rows, servers = self.discovery.held.rows, self.servers
+        rows, servers = self.discovery.current_list.rows, self.servers
         listed = [rows[name][0] for name in servers.known() if name in rows and not servers.stops(name)]
         if self.fleet is not None:
             self.fleet.telling.module = self.narrowed(self.fleet.telling.module, {}, listed)
@@ -226,31 +229,33 @@
         listener = self.listener
 
         def ready() -> tuple[int, str]:
-            return (200 if listener.life.ready else 503), listener.life.phase.value
+            return (200 if listener.life.is_ready else 503), listener.life.phase.value
 
         def on() -> tuple[int, str]:
             listener.lame_duck()
             if self.fleet is not None:
                 self.fleet.rest(on=True)
-            return (200 if listener.life.parting else 409), listener.life.phase.value
+            return (200 if listener.life.is_closing_connections else 409), listener.life.phase.value
 
         def off() -> tuple[int, str]:
             listener.back()
             if self.fleet is not None:
                 self.fleet.rest(on=False)
-            return (200 if listener.life.ready else 409), listener.life.phase.value
+            return (200 if listener.life.is_ready else 409), listener.life.phase.value
 
         return OperationsServer(
             self.loop,
             {"/_ready": {"GET": ready}, "/_lameduck/on": {"PUT": on}, "/_lameduck/off": {"PUT": off}},
         )
 
-    def succeeding(self) -> Succession | None:
+    def succeeding(self) -> ProcessHandover | None:
         """The way to the processes before and after; imported only where the platform replaces them."""
-        from .succession import Succession
+        from .handover import ProcessHandover
 
         folder = self.environ.get("TMPDIR")
-        return Succession.of(folder, self.config, self.loop, self.gateway, self.listener, self.servers)
+        return ProcessHandover.create(
+            folder, self.config, self.loop, self.gateway, self.listener, self.servers
+        )
 
     def bind(self, operator: Operator) -> None:
         """The operator's routes hold for requests from the start on."""
@@ -288,26 +293,26 @@
         if self.config.known is not None:
             self.gateway.news(self.config.known)
             if self.doubt is not None:
-                self.doubt.follow(self.config.known.version, self.config.known.event)
+                self.doubt.apply(self.config.known.version, self.config.known.event)
         asks = self.fleet is not None and self.fleet.begin(self.config.known, self.discovery)
-        awaited = self.discovery.begin(self.config.known, LIST_WAIT_S, asks)
+        awaited = self.discovery.start(self.config.known, LIST_WAIT_S, asks)
         if self.fleet is not None:
             await self.fleet.start()
         if self.control is not None:
             await self.control.start()
         if self.succession is not None:
-            await self.succession.take()
+            await self.succession.request_state()
         # The saved list may be old: a moment is given for today's, but no start hangs on discovery. Where the
         # turn to ask comes later than that, the saved list serves until then.
         if awaited:
             # A process that gets little of its core makes the call late: that time is not the agent's.
-            await wait(self.discovery.called, CALL_WAIT_S)
-            await wait(self.discovery.first, LIST_WAIT_S)
+            await wait(self.discovery.first_poll_made, CALL_WAIT_S)
+            await wait(self.discovery.first_answer, LIST_WAIT_S)
         if self.stopping.is_set():
             return
         await self.listener.start(*self.config.listen, self.passed)
         if self.succession is not None:
-            await self.succession.open()
+            await self.succession.start_serving()
         if self.extproc is not None:
             await self.extproc.start()
 
@@ -324,9 +329,9 @@
         if replace(config, discovery=self.config.discovery, counter=self.config.counter, known=None,
                    seed=self.config.seed) != replace(self.config, known=None):  # fmt: skip
             log.warning("what changed besides the addresses of discovery and counter waits for a restart")
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         self.config = replace(self.config, discovery=config.discovery, counter=config.counter)
         if self.environ.get(OPERATOR):
             self.reread(self.environ[OPERATOR], config)
@@ -334,13 +339,13 @@
     def reread(self, path: str, config: Config) -> None:
         """Reads the operator's file beside the loop, as it may take long; `follow` is told what came of it.
         Asked for again meanwhile, it is read once more afterwards."""
-        from .aside import Aside
+        from .background_reload import BackgroundReload
 
         if self.aside is None:
-            self.aside = Aside(self.loop, self.follow)
-        self.aside.ask(partial(read_again, path, config))
+            self.aside = BackgroundReload(self.loop, self.follow)
+        self.aside.submit(partial(read_again, path, config))
 
-    def follow(self, found: Reread | Exception) -> None:
+    def follow(self, found: ReloadedFile | Exception) -> None:
         """A sound file's routes hold for requests from now on; a wrong one changes nothing. Each is told."""
         if isinstance(found, Exception):
             fault = None if isinstance(found, ConfigError) else found
@@ -350,7 +355,7 @@
         self.gateway.routes = found.routes.after(routes) if routes is not None else found.routes
         self.tell(found, 0)
 
-    def tell(self, found: Reread, first: int) -> None:
+    def tell(self, found: ReloadedFile, first: int) -> None:
         """Logs what was read, some lines a turn of the loop: a file may have a warning for each route."""
         for line in found.warnings[first : first + LINES_A_TURN]:
             log.warning("%s", line)
@@ -368,13 +373,13 @@
         proxies = None
         if self.extproc is not None:
             # GOAWAY at once: a proxy opens its next stream elsewhere, and what is open is served to its end.
-            proxies = self.loop.create_task(self.extproc.stop(self.listener.life.leave_s))
+            proxies = self.loop.create_task(self.extproc.stop(self.listener.life.shutdown_grace_s))
         if self.fleet is not None:
             self.fleet.leave(replaced=self.passed is not None)
         self.listener.leave(replaced=self.passed is not None)
-        end = began + self.listener.life.leave_s  # what is still held then is answered and left
+        end = began + self.listener.life.shutdown_grace_s  # what is still held then is answered and left
         if self.passed is None:
-            await asyncio.sleep(ACCEPT_S)
+            await asyncio.sleep(SHUTDOWN_ACCEPT_S)
             # Closing the socket resets those that wait to be accepted, with requests that have been taken. A
             # process that stood still meanwhile finds them all here.
             while self.listener.called() and self.loop.time() < end:
@@ -442,18 +447,18 @@
     return reading.operator, lines
 
 
-def read_again(path: str, config: Config) -> Reread:
+def read_again(path: str, config: Config) -> ReloadedFile:
     """What a sound operator's file brings to a gateway that serves; ConfigError for a wrong one. Touches
     nothing else, so that it may run beside the loop."""
     from glenchute.policy.retries.route_limits import Routes
 
-    from .aside import Pace, Reread
+    from .background_reload import ReloadedFile, TimeSlices
 
     try:
-        operator, warnings = checked(path, config, Pace().rest)
+        operator, warnings = checked(path, config, TimeSlices().yield_if_over)
     except ConfigError as error:
         raise error.with_traceback(None) from None  # that holds all findings, to be freed on the loop
-    return Reread(Routes(operator.table, config.seed), started(operator), warnings)
+    return ReloadedFile(Routes(operator.table, config.seed), started(operator), warnings)
 
 
 def read_operator(path: str, config: Config) -> Operator:
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -15,47 +15,47 @@
 from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2 as resp
 
-TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
-MOST_TOTAL = 1e12
+TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
+MAX_TOTAL = 1e12
 # Connections. Answers on one come in the order of its calls, so a call that a crowded part of the counter is
 # slow to take up holds back the answers of the others behind it, and a spoilt answer ends them all.
-LINKS = MOST_LINKS  # unless the descriptors are few
-PING_S = 3.0  # the counter closes what has stood idle for about 10 s
-SILENT_S = 1.5  # an answer this late means a peer that vanished; the connection is opened anew
-CONNECT_S = 0.5
+DEFAULT_CONNECTIONS = MOST_LINKS  # unless the descriptors are few
+PING_INTERVAL_S = 3.0  # the counter closes what has stood idle for about 10 s
+REPLY_TIMEOUT_S = 1.5  # an answer this late means a peer that vanished; the connection is opened anew
+CONNECT_TIMEOUT_S = 0.5
 BACKOFF_S = (0.05, 1.0)
 
-Done = Callable[[float, Outcome, float], None]
+Completion = Callable[[float, Outcome, float], None]
 
 
-class Call:
+class CounterCall:
     """One call; `done` takes the total, the ending and the milliseconds that it took, once. If that was a
     time-out, `late` takes the same once more when the truth is known, or never will be."""
 
-    __slots__ = ("done", "late", "name", "sent", "timer")
+    __slots__ = ("key", "on_done", "on_late_reply", "sent_at", "timer")
 
     def __init__(
-        self, done: Done | None, sent: float, name: int | None = None, late: Done | None = None
+        self, done: Completion | None, sent: float, name: int | None = None, late: Completion | None = None
     ) -> None:
-        self.done = done
-        self.late = late
-        self.sent = sent
-        self.name = name
+        self.on_done = done
+        self.on_late_reply = late
+        self.sent_at = sent
+        self.key = name
         self.timer: asyncio.TimerHandle | None = None
 
-    def end(self, now: float, ending: Outcome, total: float = 0.0) -> None:
+    def complete(self, now: float, ending: Outcome, total: float = 0.0) -> None:
         """Tells the ending, if it has not been told."""
-        done, self.done = self.done, None
+        done, self.on_done = self.on_done, None
         if done is None:
-            done, self.late = self.late, None
+            done, self.on_late_reply = self.on_late_reply, None
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if done is not None:
-            done(total, ending, 1000.0 * (now - self.sent))
+            done(total, ending, 1000.0 * (now - self.sent_at))
 
 
-class Link(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection to the counter, opened anew whenever it is lost."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
@@ -63,32 +63,36 @@
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.parser = resp.Parser()
-        self.calls: deque[Call] = deque()  # written and unanswered, late ones too, so that replies pair
+        self.calls: deque[CounterCall] = (
+            deque()
+        )  # written and unanswered, late ones too, so that replies pair
         self.backoff = BACKOFF_S[0]
-        self.retired = False  # takes no new calls, and closes when those that are out have ended
-        self.closed = False  # is not opened anew
-        self.proven = False  # the connection has answered
-        self.last_used = 0.0
-        self.task: asyncio.Task[None] | None = None
-        self.heart = loop.call_later(PING_S, self.beat)
+        self.is_retired = False  # takes no new calls, and closes when those that are out have ended
+        self.is_closed = False  # is not opened anew
+        self.has_answered = False  # the connection has answered
+        self.last_used_at = 0.0
+        self.connect_task: asyncio.Task[None] | None = None
+        self.heartbeat_timer = loop.call_later(PING_INTERVAL_S, self.heartbeat)
         self.connect()
 
     def connect(self) -> None:
         """Opens the connection in the background."""
-        if not self.closed:
-            self.task = self.loop.create_task(self.open())
+        if not self.is_closed:
+            self.connect_task = self.loop.create_task(self.try_connect())
 
-    async def open(self) -> None:
+    async def try_connect(self) -> None:
         """One try; a failed one is followed by another after a pause."""
         try:
-            await asyncio.wait_for(self.loop.create_connection(lambda: self, *self.address), CONNECT_S)
+            await asyncio.wait_for(
+                self.loop.create_connection(lambda: self, *self.address), CONNECT_TIMEOUT_S
+            )
         except (OSError, TimeoutError):
-            self.again()
+            self.reconnect()
 
-    def again(self) -> None:
+    def reconnect(self) -> None:
         """Another try: at once after the loss of a connection that answered, else later each time."""
-        if self.proven:
-            self.proven = False
+        if self.has_answered:
+            self.has_answered = False
             self.loop.call_soon(self.connect)
             return
         self.loop.call_later(self.backoff, self.connect)
@@ -96,19 +100,19 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        if self.closed:
+        if self.is_closed:
             transport.abort()  # type: ignore[attr-defined]  # retired while it came up
             return
         self.parser = resp.Parser()
-        self.write(resp.command(b"PING"), Call(None, self.loop.time()))
+        self.write(resp.command(b"PING"), CounterCall(None, self.loop.time()))
 
-    def write(self, data: bytes, call: Call) -> None:
+    def write(self, data: bytes, call: CounterCall) -> None:
         """Writes one call and waits for its answer in turn."""
         assert self.transport is not None
         self.calls.append(call)
         self.transport.write(data)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether a call can be written."""
         return self.transport is not None and not self.transport.is_closing()
 
@@ -116,126 +120,132 @@
         try:
             self.parser.feed(data)
             while (reply := self.parser.next()) is not False:
-                self.answered(reply)
+                self.handle_reply(reply)
         except (resp.ProtocolError, IndexError):
             if self.transport is not None:
                 self.transport.abort()  # replies no longer pair with calls
-        if self.retired and not self.calls:
+        if self.is_retired and not self.calls:
             self.close()
 
-    def answered(self, reply: object) -> None:
+    def handle_reply(self, reply: object) -> None:
         """The reply to the oldest call. Only the protocol's own forms say what became of it; after any other
         the amount counts as added and the connection as of no use."""
         ending, total = Outcome.TIMEOUT, 0.0
-        if self.calls[0].name is None:
+        if self.calls[0].key is None:
             if reply != "PONG":
                 raise resp.ProtocolError("no answer to a ping")
-        elif isinstance(reply, bytes) and TOTAL.fullmatch(reply) and abs(float(reply)) <= MOST_TOTAL:
+        elif isinstance(reply, bytes) and TOTAL_PATTERN.fullmatch(reply) and abs(float(reply)) <= MAX_TOTAL:
             ending, total = Outcome.OK, float(reply)
         elif isinstance(reply, resp.ReplyError) and (str(reply) == "BUSY" or str(reply)[:4] == "ERR "):
             ending = Outcome.REJECTED
         else:
             raise resp.ProtocolError("no total")
-        self.proven, self.backoff = True, BACKOFF_S[0]
-        self.calls.popleft().end(self.loop.time(), ending, total)
+        self.has_answered, self.backoff = True, BACKOFF_S[0]
+        self.calls.popleft().complete(self.loop.time(), ending, total)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         calls, self.calls = self.calls, deque()
-        if not self.closed:
-            self.again()
+        if not self.is_closed:
+            self.reconnect()
         else:
-            self.heart.cancel()
+            self.heartbeat_timer.cancel()
         for call in calls:
-            call.end(self.loop.time(), Outcome.TIMEOUT)  # it may have been added ...
-            call.end(self.loop.time(), Outcome.TIMEOUT)  # ... and nobody will know
+            call.complete(self.loop.time(), Outcome.TIMEOUT)  # it may have been added ...
+            call.complete(self.loop.time(), Outcome.TIMEOUT)  # ... and nobody will know
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         """Keeps the connection from standing idle, and gives up one that has gone silent."""
-        self.heart = self.loop.call_later(0.5, self.beat)
+        self.heartbeat_timer = self.loop.call_later(0.5, self.heartbeat)
         if self.transport is None:
             return
         now = self.loop.time()
         if self.calls:
-            if now - self.calls[0].sent > SILENT_S:
+            if now - self.calls[0].sent_at > REPLY_TIMEOUT_S:
                 self.transport.abort()
-        elif now - self.last_used > PING_S:
-            self.last_used = now
-            self.write(resp.command(b"PING"), Call(None, now))
+        elif now - self.last_used_at > PING_INTERVAL_S:
+            self.last_used_at = now
+            self.write(resp.command(b"PING"), CounterCall(None, now))
 
     def retire(self) -> None:
         """No new calls come; those that are out end first. The silence of a peer ends them too."""
-        self.retired = self.closed = True
+        self.is_retired = self.is_closed = True
         if not self.calls:
             self.close()
 
-    def give_up(self, name: int) -> None:
+    def abandon_key(self, name: int) -> None:
         """A call for this name goes out elsewhere: the answers for one name must keep their order."""
         for call in self.calls:
-            if call.name == name:
-                call.end(self.loop.time(), Outcome.TIMEOUT)
-                call.end(self.loop.time(), Outcome.TIMEOUT)  # what it still tells would come out of turn
+            if call.key == name:
+                call.complete(self.loop.time(), Outcome.TIMEOUT)
+                call.complete(self.loop.time(), Outcome.TIMEOUT)  # what it still tells would come out of turn
 
     def close(self) -> None:
         """The end of the connection, for good."""
-        self.closed = True
-        self.heart.cancel()
-        if self.task is not None:
-            self.task.cancel()
+        self.is_closed = True
+        self.heartbeat_timer.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if self.transport is not None:
             self.transport.abort()
 
 
-class Counter:
+class CounterClient:
     """Calls to the counter."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], timeout_s: float, links: int = LINKS
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        timeout_s: float,
+        links: int = DEFAULT_CONNECTIONS,
     ) -> None:
         """`links`: connections."""
         self.loop = loop
         self.timeout_s = timeout_s
         self.address = address
-        self.links = [Link(loop, address) for _ in range(links)]
-        self.leaving: list[Link] = []  # to addresses of before, with calls that are still out
+        self.connections = [CounterConnection(loop, address) for _ in range(links)]
+        self.retiring: list[CounterConnection] = []  # to addresses of before, with calls that are still out
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """The counter has another address: new calls go there."""
         if address == self.address:
             return
         self.address = address
-        self.leaving = [link for link in [*self.leaving, *self.links] if link.calls]
-        for link in self.links:
+        self.retiring = [link for link in [*self.retiring, *self.connections] if link.calls]
+        for link in self.connections:
             link.retire()
-        self.links = [Link(self.loop, address) for _ in range(len(self.links))]
+        self.connections = [CounterConnection(self.loop, address) for _ in range(len(self.connections))]
 
-    def call(self, name: int, amount: float, ttl_ms: float, done: Done, late: Done | None = None) -> None:
+    def call(
+        self, name: int, amount: float, ttl_ms: float, done: Completion, late: Completion | None = None
+    ) -> None:
         """Adds an amount to a name; `done` is called once, within the time-out. After a time-out `late` is
         called once, with what became of the call, within `SILENT_S` and half a second."""
-        link, now = self.links[name % len(self.links)], self.loop.time()
-        if self.leaving:
-            for old in self.leaving:
-                old.give_up(name)
-            self.leaving = [old for old in self.leaving if old.calls]
-        call = Call(done, now, name, late)
-        if not link.ready():
-            call.late = None
-            call.end(now, Outcome.UNREACHABLE)  # nothing was written, so nothing was added
+        link, now = self.connections[name % len(self.connections)], self.loop.time()
+        if self.retiring:
+            for old in self.retiring:
+                old.abandon_key(name)
+            self.retiring = [old for old in self.retiring if old.calls]
+        call = CounterCall(done, now, name, late)
+        if not link.is_ready():
+            call.on_late_reply = None
+            call.complete(now, Outcome.UNREACHABLE)  # nothing was written, so nothing was added
             return
         call.timer = self.loop.call_later(self.timeout_s, self.expire, call, link)
-        link.last_used = now
+        link.last_used_at = now
         ttl = max(1, min(60_000, round(ttl_ms)))
         # A name in decimal is the same at every gateway; the module rounds amounts to three places.
         link.write(resp.command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
 
-    def expire(self, call: Call, link: Link) -> None:
+    def expire(self, call: CounterCall, link: CounterConnection) -> None:
         """No answer in time. The call keeps its place in the line: its reply will still come, unless one that
         has no end stands before it."""
-        call.end(self.loop.time(), Outcome.TIMEOUT)
+        call.complete(self.loop.time(), Outcome.TIMEOUT)
         if link.parser.rest() and link.transport is not None:
             link.transport.abort()
 
     def close(self) -> None:
         """The end of the process."""
-        for link in [*self.links, *self.leaving]:
+        for link in [*self.connections, *self.retiring]:
             link.close()
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -40,7 +40,7 @@
 from .usage_reports import Telling
 
 if TYPE_CHECKING:
-    from glenchute.clients.discovery import Discovery
+    from glenchute.clients.discovery import DiscoveryClient
 
 AUDIT_S = 10.0  # copies that differ for so long are told of
 TICK_S = 0.025
@@ -88,7 +88,7 @@
         self.use_audit = Audit()
         self.counter: Counting | None = None
         self.runner = self.running(raw["leases"], rng) if "leases" in raw else None
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.follow: Callable[[News], None] | None = None  # takes what others heard of servers
         self.places: dict[str, Address] = {}  # servers' addresses, as discovery told them here
         self.transport: asyncio.DatagramTransport | None = None
@@ -231,10 +231,10 @@
             return
         self.gossip.tell(self.loop.time(), row, len(self.members.members))
 
-    def begin(self, known: News | None, discovery: Discovery) -> bool:
+    def begin(self, known: News | None, discovery: DiscoveryClient) -> bool:
         """Before discovery is asked, with the saved list. Whether this gateway asks for all, and does so at
         once."""
-        discovery.confirmed = self.confirmed
+        discovery.on_confirmed = self.confirmed
         if known is not None:
             self.learn(known)
         if self.lists is None:
@@ -243,8 +243,8 @@
         if known is not None:
             self.lists.discovery(self.loop.time(), known.version, True, servers_of(known), ())
             self.lists.confirmed = -1e9  # by nobody of late
-        discovery.others = self.leave_alone
-        discovery.watch.longest_s = ASKER_WAIT_S
+        discovery.delegated_for_s = self.leave_alone
+        discovery.watch.max_wait_s = ASKER_WAIT_S
         return self.lists.asks(self.there())
 
     def confirmed(self, version: int) -> None:
@@ -274,7 +274,7 @@
             Endpoint(r.server, r.zone, r.cell, r.size, r.started_ms, states[r.state]) for r in rows
         )
         addresses = {row.server: address_of(row.address) for row in rows if row.address and row.state == 0}
-        self.discovery.since = self.lists.version
+        self.discovery.version = self.lists.version
         self.restraint.listed(self.lists.version, False, entries)
         self.places |= addresses
         self.follow(News(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
@@ -382,7 +382,7 @@
             if self.lists is not None and coldstart.TASK in self.runner.running:
                 leased, self.lists.leased = self.lists.leased, self.runner.holds(coldstart.TASK)
                 if self.lists.leased and not leased and self.discovery is not None:
-                    self.discovery.hurry()
+                    self.discovery.resume_polling()
         if self.lists is not None:
             self.shared(self.lists.tick(now, self.there()), [])
         self.replica.expire(now)
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -6,12 +6,12 @@
 import socket
 from typing import Any
 
-from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import News
 from glenchute.listeners.resp2.commands import Bounds, bounds
 from glenchute.policy.connections.client_slots import Budget, budget
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list, parse_address
 from glenchute.simulator import SCOPES, num, settings
 from glenchute.upstreams.connection_pool import Limits
 
@@ -79,24 +79,24 @@
     """The parts of the configuration, checked."""
     made = settings(raw["settings"])
     if not made.classes or not made.plans:
-        raise ListError("the settings name no classes or no plans")
+        raise EndpointListError("the settings name no classes or no plans")
     limits, safety = part(raw["settings"], "limits"), part(raw["settings"], "safety")
     sockets = int(num(part(raw, "limits").get("sockets"), 1024))
     if sockets < 64:
-        raise ListError(f"{sockets} sockets are too few")
+        raise EndpointListError(f"{sockets} sockets are too few")
     memory_mb = num(part(raw, "limits").get("memory_mb"), 192.0)
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     parts = budget(sockets, bool(operations))
     return Config(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
-        listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
-        operations=address(operations) if operations else None,
-        discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and made.has_counter else None,
+        listen=parse_address(raw.get("listen") or environ.get("EDGE_LISTEN")),
+        operations=parse_address(operations) if operations else None,
+        discovery=parse_address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
+        counter=parse_address(raw["counter"]) if raw.get("counter") and made.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
         sockets=sockets,
         budget=parts,
-        known=read_list(raw["known"], saved=True) if raw.get("known") else None,
+        known=decode_list(raw["known"], saved=True) if raw.get("known") else None,
         passed=descriptor(environ.get("EDGE_PASSED_SOCKET")),
         settings=made,
         number=own_number(raw["settings"].get("me"), made.gateway_count),
--- a/glenchute/listeners/resp2/clients.py
+++ b/glenchute/listeners/resp2/clients.py
@@ -20,7 +20,7 @@
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import Answer, Refused, Served, Source, Streamed
 from glenchute.policy.connections.client_slots import Budget, Close, Places, Reason, State
-from glenchute.policy.lifecycle.draining import Lifecycle
+from glenchute.policy.lifecycle.draining import ProcessLifecycle
 from glenchute.protocol import resp2 as resp
 
 from .commands import Catalogue, CommandError
@@ -314,7 +314,7 @@
             # On the servers two requests of one id would be taken for one, and both might be spoilt.
             raise CommandError("this request id is in use")
         now = self.listener.loop.time()
-        if not self.listener.life.takes(now):
+        if not self.listener.life.admits_requests(now):
             slot.reply = resp.busy(0.0)
             return
         self.listener.places.request(now, self)
@@ -335,7 +335,7 @@
         if verb == b"PING":
             if len(words) > 2:
                 raise CommandError("wrong number of arguments for 'ping'")
-            if self.listener.life.parting:
+            if self.listener.life.is_closing_connections:
                 return resp.error(self.listener.life.phase.value)
             return resp.bulk(words[1]) if len(words) == 2 else resp.PONG
         if verb in (b"CLIENT", b"SELECT"):
@@ -546,7 +546,7 @@
         self.said = "", loop.time()  # the last line for the operators, and when
         self.left_unread: set[Client] = set()
         self.looker: asyncio.TimerHandle | None = None
-        self.life = Lifecycle(catalogue.bounds.wait_ms / 1000.0)
+        self.life = ProcessLifecycle(catalogue.bounds.wait_ms / 1000.0)
         self.parter: asyncio.TimerHandle | None = None
         self.sweeper = loop.call_later(self.places.next_check(), self.sweep)
 
@@ -624,7 +624,7 @@
             self.server = await self.loop.create_server(lambda: Client(self), sock=passed, backlog=BACKLOG)
         else:
             self.server = await self.loop.create_server(lambda: Client(self), host, port, backlog=BACKLOG)
-        self.life.serving(self.loop.time())
+        self.life.begin_serving(self.loop.time())
 
     def made(self, client: Client) -> None:
         """A new connection."""
@@ -670,11 +670,11 @@
 
     def parts(self) -> bool:
         """Whether connections close behind their last reply."""
-        return self.life.parting and self.life.closes(self.loop.time())
+        return self.life.is_closing_connections and self.life.closes_after_response(self.loop.time())
 
     def lame_duck(self) -> bool:
         """Drains; False where that changes nothing."""
-        changed = self.life.lame_duck(self.loop.time())
+        changed = self.life.begin_drain(self.loop.time())
         if changed:
             log.info("drain: on, %d connections held", len(self.clients))
             self.part()
@@ -682,14 +682,14 @@
 
     def back(self) -> bool:
         """Ends the drain; False where none is on."""
-        changed = self.life.back(self.loop.time())
+        changed = self.life.cancel_drain(self.loop.time())
         if changed:
             log.info("drain: off")
         return changed
 
     def leave(self, replaced: bool = False) -> None:
         """The end has begun. `replaced`: another process accepts from the same socket."""
-        self.life.leave(self.loop.time(), replaced)
+        self.life.begin_shutdown(self.loop.time(), replaced)
         self.part()
 
     def part(self) -> None:
@@ -697,10 +697,10 @@
         if self.parter is not None:
             self.parter.cancel()
             self.parter = None
-        if not self.life.parting:
+        if not self.life.is_closing_connections:
             return
         now = self.loop.time()
-        borne = self.life.borne(now)
+        borne = self.life.idle_limit_s(now)
         if borne < math.inf:
             for client in list(self.clients):
                 client.part(now - borne)
--- a/glenchute/policy/connections/operator_slots.py
+++ b/glenchute/policy/connections/operator_slots.py
@@ -14,28 +14,28 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-class Callers(Generic[Key]):
+class OperatorSlots(Generic[Key]):
     """The callers of one address, in the order in which they came."""
 
     def __init__(self, most: int, patience_s: float) -> None:
         if most < 1 or patience_s <= 0:
             raise ValueError("an address needs places, and patience")
-        self.most, self.patience_s = most, patience_s
-        self.held: OrderedDict[Key, float] = OrderedDict()
+        self.max_connections, self.timeout_s = most, patience_s
+        self.opened_at: OrderedDict[Key, float] = OrderedDict()
 
-    def came(self, now: float, key: Key) -> list[Key]:
+    def add(self, now: float, key: Key) -> list[Key]:
         """A new caller; those that are to be ended for it."""
-        self.held[key] = now
-        over = len(self.held) - self.most
-        return [self.held.popitem(last=False)[0] for _ in range(over)] if over > 0 else []
+        self.opened_at[key] = now
+        over = len(self.opened_at) - self.max_connections
+        return [self.opened_at.popitem(last=False)[0] for _ in range(over)] if over > 0 else []
 
-    def left(self, key: Key) -> None:
+    def remove(self, key: Key) -> None:
         """A caller's connection is closed, or ended."""
-        self.held.pop(key, None)
+        self.opened_at.pop(key, None)
 
-    def late(self, now: float) -> list[Key]:
+    def remove_expired(self, now: float) -> list[Key]:
         """Those whose time is up. They count as ended."""
         late = []
-        while self.held and now - next(iter(self.held.values())) >= self.patience_s:
-            late.append(self.held.popitem(last=False)[0])
+        while self.opened_at and now - next(iter(self.opened_at.values())) >= self.timeout_s:
+            late.append(self.opened_at.popitem(last=False)[0])
         return late
--- a/glenchute/policy/endpoints/notification.py
+++ b/glenchute/policy/endpoints/notification.py
@@ -20,37 +20,39 @@
 
 from __future__ import annotations
 
-TOLD_S = 6.0
-TOLD_AFTER_WAIT_S = 2.0
-TOLD_MOVED_S = 4.0
-ANSWER_S = 2.0  # left for a new connection and its answer, by a service that is crowded but can be reached
-FRESH_S = 3.0  # a list that members have confirmed so long ago, at most, leaves discovery alone
-PUSHED_WAIT_S = 3.0  # of a watch where lists are pushed: half of `TOLD_S`, so that three tries fit
+NOTIFIED_AFTER_S = 6.0
+NOTIFIED_AFTER_WAIT_S = 2.0
+NOTIFIED_AFTER_MOVE_S = 4.0
+ANSWER_ALLOWANCE_S = (
+    2.0  # left for a new connection and its answer, by a service that is crowded but can be reached
+)
+CONFIRMATION_TTL_S = 3.0  # a list that members have confirmed so long ago, at most, leaves discovery alone
+PUSHED_WATCH_WAIT_S = 3.0  # of a watch where lists are pushed: half of `TOLD_S`, so that three tries fit
 
 
-def budget(wait_s: float, moved: bool = False) -> float:
+def recovery_budget_s(wait_s: float, moved: bool = False) -> float:
     """From the end of a call's wait until what it misses may count as told, at least."""
-    return max((TOLD_MOVED_S if moved else TOLD_S) - wait_s, TOLD_AFTER_WAIT_S)
+    return max((NOTIFIED_AFTER_MOVE_S if moved else NOTIFIED_AFTER_S) - wait_s, NOTIFIED_AFTER_WAIT_S)
 
 
-def latest(wait_s: float, moved: bool = False) -> float:
+def next_poll_deadline_s(wait_s: float, moved: bool = False) -> float:
     """How long after a call the next goes at the latest, if that one came to nothing."""
-    return wait_s + budget(wait_s, moved) - ANSWER_S
+    return wait_s + recovery_budget_s(wait_s, moved) - ANSWER_ALLOWANCE_S
 
 
-def longest_pause(moved: bool = False) -> float:
+def max_backoff_s(moved: bool = False) -> float:
     """... where it came to nothing at once, or another address was named."""
-    return latest(0.0, moved)
+    return next_poll_deadline_s(0.0, moved)
 
 
-def wait_in_doubt() -> float:
+def max_wait_after_failure_s() -> float:
     """The longest wait of a call that follows one that came to nothing: if it is not answered either, what it
     misses is in force `TOLD_S` after it was made. Longer waits have `TOLD_AFTER_WAIT_S` beyond them, shorter
     ones cost calls just when a service that was away has all its callers back."""
-    return TOLD_S - TOLD_AFTER_WAIT_S
+    return NOTIFIED_AFTER_S - NOTIFIED_AFTER_WAIT_S
 
 
-def left_alone() -> float:
+def max_own_poll_delay_s() -> float:
     """How long after such a word was out of date the next call goes at the latest: what came right after the
     list was confirmed counts `TOLD_S` after that."""
-    return longest_pause() - FRESH_S
+    return max_backoff_s() - CONFIRMATION_TTL_S
--- a/glenchute/policy/endpoints/polling.py
+++ b/glenchute/policy/endpoints/polling.py
@@ -25,224 +25,169 @@
 from __future__ import annotations
 
 import random
-from dataclasses import replace
 from typing import NamedTuple
 
-from ..events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from . import notification as told
 
 # A watch waits so long for news; what it waits for counts as told 2 s after that. Each end of a wait costs
 # the service a call, so the wait grows with the fleet, in these bounds: all together end so many a second.
-WAIT_S = (4.0, 20.0)
-CALLS_PER_S = 3.0
-CROWDED_WAIT_S = 55.0  # the longest wait at a service that turns calls away
-URGENT = 0.25  # the first part of a spread belongs to those without a list
-LOAD = 0.8  # of the rate is what turns take; the ends of waits need some
-WATCHES = 0.25  # ... and no more than this
-DECREASE = 4.0  # of the rate, at each call that is turned away
-INCREASE = 0.1  # of what is left then, at each answer
-MOST_SPREAD_S = 60.0  # of calls that all make after news, at a service that turned calls away
-AGAIN = 0.75  # who comes again and again takes the last part of the longest pause, so that few calls are made
+WATCH_WAIT_S = (4.0, 20.0)
+WATCH_ENDS_PER_S = 3.0
+MAX_OVERLOADED_WAIT_S = 55.0  # the longest wait at a service that turns calls away
+URGENT_SHARE = 0.25  # the first part of a spread belongs to those without a list
+POLL_RATE_SHARE = 0.8  # of the rate is what turns take; the ends of waits need some
+WATCH_RATE_SHARE = 0.25  # ... and no more than this
+RATE_DECREASE_FACTOR = 4.0  # of the rate, at each call that is turned away
+RATE_INCREASE_SHARE = 0.1  # of what is left then, at each answer
+MAX_OVERLOADED_SPREAD_S = 60.0  # of calls that all make after news, at a service that turned calls away
+REPEATED_FAILURE_MIN_SHARE = (
+    0.75  # who comes again and again takes the last part of the longest pause, so that few calls are made
+)
 BACKOFF_S = (0.1, 1.0)  # pauses between tries at a service that does not answer
 
 
-class Terms(NamedTuple):
+class PollingTerms(NamedTuple):
     """What turns are drawn by."""
 
-    gateways: int
-    number: int | None = None  # of this gateway among them, from 0; None: not known
-    rate: float = 15.0  # calls a second, of all together, that the service is taken to bear at first
+    gateway_count: int
+    gateway_index: int | None = None  # of this gateway among them, from 0; None: not known
+    rate_per_s: float = 15.0  # calls a second, of all together, that the service is taken to bear at first
     # What the service has to tell counts as told after this, for a gateway that starts too. None: nobody says
     # so, a saved list may be of long ago, and no call is put off but those that the service turns away.
-    list_age_s: float | None = None
+    max_list_age_s: float | None = None
     # Lists are pushed: the service is an agent on this machine, which answers at once and at no cost. What it
     # has counts as told whether or not a call is out.
-    pushed: bool = False
+    is_pushed: bool = False
 
 
-def calls_bound(terms: Terms, listed: bool = True) -> float:
+def max_first_polls_per_s(terms: PollingTerms, listed: bool = True) -> float:
     """First calls in a second, at most, of gateways that all begin in one moment and know their numbers."""
-    if terms.list_age_s is None:
-        return float(terms.gateways)
-    spread = max(1e-9, terms.list_age_s - told.ANSWER_S)
-    most = max(LOAD * terms.rate, terms.gateways / (1.0 - URGENT) / spread)
-    return min(float(terms.gateways), most * (1.0 if listed else (1.0 - URGENT) / URGENT) + 1.0)
+    if terms.max_list_age_s is None:
+        return float(terms.gateway_count)
+    spread = max(1e-9, terms.max_list_age_s - told.ANSWER_ALLOWANCE_S)
+    most = max(POLL_RATE_SHARE * terms.rate_per_s, terms.gateway_count / (1.0 - URGENT_SHARE) / spread)
+    return min(
+        float(terms.gateway_count), most * (1.0 if listed else (1.0 - URGENT_SHARE) / URGENT_SHARE) + 1.0
+    )
 
 
-class Pacing:
+class PollScheduler:
     """The calls of one gateway."""
 
-    def __init__(self, terms: Terms, rng: random.Random) -> None:
+    def __init__(self, terms: PollingTerms, rng: random.Random) -> None:
         self.terms, self.rng = terms, rng
-        self.gateways = max(1, terms.gateways)
-        self.rate = terms.rate
-        self.step = 0.0  # by which it grows
-        self.crowded = False  # calls were turned away, and the rate is not yet what it was
-        self.backoff = BACKOFF_S[0]
-        self.doubted = False  # the last call came to nothing
+        self.gateway_count = max(1, terms.gateway_count)
+        self.rate_per_s = terms.rate_per_s
+        self.rate_increment_per_s = 0.0  # by which it grows
+        self.is_overloaded = False  # calls were turned away, and the rate is not yet what it was
+        self.backoff_s = BACKOFF_S[0]
+        self.last_poll_failed = False  # the last call came to nothing
 
     @property
-    def spread(self) -> float:
+    def spread_s(self) -> float:
         """Over how long the calls of a fleet in step are spread. No longer than a list may be old, unless the
         service has shown that it can't answer all by then."""
-        spread = self.gateways / (LOAD * self.rate)
-        return min(spread, self.most)
+        spread = self.gateway_count / (POLL_RATE_SHARE * self.rate_per_s)
+        return min(spread, self.max_spread_s)
 
     @property
-    def most(self) -> float:
+    def max_spread_s(self) -> float:
         """The longest spread."""
-        if self.crowded:
-            return told.longest_pause() if self.terms.list_age_s is None else MOST_SPREAD_S
-        return self.calm
+        if self.is_overloaded:
+            return told.max_backoff_s() if self.terms.max_list_age_s is None else MAX_OVERLOADED_SPREAD_S
+        return self.max_calm_spread_s
 
     @property
-    def calm(self) -> float:
+    def max_calm_spread_s(self) -> float:
         """The longest spread of calls that the service has not turned away: a change in the meantime is heard
         of no later than a list may be old. Where nobody says how old that is, nothing is put off."""
-        age = self.terms.list_age_s
-        return 0.0 if age is None else max(0.0, age - told.ANSWER_S)
+        age = self.terms.max_list_age_s
+        return 0.0 if age is None else max(0.0, age - told.ANSWER_ALLOWANCE_S)
 
-    def turn(self) -> float:
+    def draw_phase(self) -> float:
         """Where in a spread this gateway's turn is: by its number, where it knows that, else drawn."""
-        number, at = self.terms.number, self.rng.random()
-        if number is not None and 0 <= number < self.gateways:
-            at = (number + at) / self.gateways
+        number, at = self.terms.gateway_index, self.rng.random()
+        if number is not None and 0 <= number < self.gateway_count:
+            at = (number + at) / self.gateway_count
         return at
 
-    def first(self, listed: bool) -> float:
+    def first_poll_delay_s(self, listed: bool) -> float:
         """The pause before a start's first call. `listed`: a list that can be served by is at hand."""
-        at = self.turn()
-        if self.gateways == 1:
+        at = self.draw_phase()
+        if self.gateway_count == 1:
             return 0.0
         # The first part is left free, and the others' calls are no denser for that where time allows.
-        spread = min(self.spread / (1.0 - URGENT), self.most)
-        return spread * (URGENT + (1.0 - URGENT) * at if listed else URGENT * at)
+        spread = min(self.spread_s / (1.0 - URGENT_SHARE), self.max_spread_s)
+        return spread * (URGENT_SHARE + (1.0 - URGENT_SHARE) * at if listed else URGENT_SHARE * at)
 
-    def in_step(self) -> float:
+    def synchronized_delay_s(self) -> float:
         """The pause before a call that all gateways would make now: their watches have told the same news."""
-        return self.turn() * min(self.spread, self.calm) if self.gateways > 1 else 0.0
+        return (
+            self.draw_phase() * min(self.spread_s, self.max_calm_spread_s) if self.gateway_count > 1 else 0.0
+        )
 
-    def moved(self) -> float:
+    def reset_for_new_address(self) -> float:
         """Another service from now on, of which nothing is known: the pause before its first call."""
-        self.rate, self.crowded, self.backoff = self.terms.rate, False, BACKOFF_S[0]
-        self.doubted = False
-        return self.turn() * min(self.spread, self.calm, told.longest_pause(moved=True))
+        self.rate_per_s, self.is_overloaded, self.backoff_s = self.terms.rate_per_s, False, BACKOFF_S[0]
+        self.last_poll_failed = False
+        return self.draw_phase() * min(self.spread_s, self.max_calm_spread_s, told.max_backoff_s(moved=True))
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """The service answers."""
-        self.backoff = BACKOFF_S[0]
-        self.doubted = False
-        self.rate = min(self.terms.rate, self.rate + self.step)
-        self.crowded = self.crowded and self.rate < self.terms.rate
+        self.backoff_s = BACKOFF_S[0]
+        self.last_poll_failed = False
+        self.rate_per_s = min(self.terms.rate_per_s, self.rate_per_s + self.rate_increment_per_s)
+        self.is_overloaded = self.is_overloaded and self.rate_per_s < self.terms.rate_per_s
 
-    def busy(self, retry_after_s: float | None, listed: bool) -> float:
+    def record_rejection(self, retry_after_s: float | None, listed: bool) -> float:
         """A call was turned away: the pause before the next. Who has a list leaves the first part of the
         spread to those that have none."""
-        if self.terms.pushed:
-            return self.failed()  # nobody else asks this agent, and what it has counts at once
-        again, self.doubted, self.crowded = self.doubted, True, True
-        stated = self.terms.list_age_s is not None
-        least_rate = self.gateways / (LOAD * self.most) if stated else self.terms.rate / DECREASE
-        self.rate = max(least_rate, self.rate / DECREASE)
-        self.step = INCREASE * self.rate
+        if self.terms.is_pushed:
+            return self.record_failure()  # nobody else asks this agent, and what it has counts at once
+        again, self.last_poll_failed, self.is_overloaded = self.last_poll_failed, True, True
+        stated = self.terms.max_list_age_s is not None
+        least_rate = (
+            self.gateway_count / (POLL_RATE_SHARE * self.max_spread_s)
+            if stated
+            else self.terms.rate_per_s / RATE_DECREASE_FACTOR
+        )
+        self.rate_per_s = max(least_rate, self.rate_per_s / RATE_DECREASE_FACTOR)
+        self.rate_increment_per_s = RATE_INCREASE_SHARE * self.rate_per_s
         # What it asks for is kept as far as the terms allow, with room left to be out of step.
-        most = told.longest_pause()
+        most = told.max_backoff_s()
         first = max(BACKOFF_S[0], min(0.5 * most, retry_after_s or 0.0))
         # Those that came to nothing before are spread already.
-        part = self.rng.uniform(AGAIN if again else URGENT if stated and listed else 0.1, 1.0)
+        part = self.rng.uniform(
+            REPEATED_FAILURE_MIN_SHARE if again else URGENT_SHARE if stated and listed else 0.1, 1.0
+        )
         if stated and not listed:
-            part *= URGENT
-        return first + part * min(max(self.spread, BACKOFF_S[0]), most - first)
+            part *= URGENT_SHARE
+        return first + part * min(max(self.spread_s, BACKOFF_S[0]), most - first)
 
-    def failed(self) -> float:
+    def record_failure(self) -> float:
         """No connection, or no sound answer: the pause before the next try. All may have lost the service in
         this moment, and all wait for its return, so that they must not come in the same second."""
-        again, self.doubted = self.doubted, True
-        spread = min(self.spread, self.calm)
+        again, self.last_poll_failed = self.last_poll_failed, True
+        spread = min(self.spread_s, self.max_calm_spread_s)
         if again:  # as many calls as by draws from the whole spread
-            pause = self.rng.uniform(AGAIN, 1.0) * min(2.0 * spread / (1.0 + AGAIN), told.longest_pause())
+            pause = self.rng.uniform(REPEATED_FAILURE_MIN_SHARE, 1.0) * min(
+                2.0 * spread / (1.0 + REPEATED_FAILURE_MIN_SHARE), told.max_backoff_s()
+            )
         else:
-            pause = self.turn() * min(spread, told.longest_pause())
-        pause = max(pause, self.backoff * self.rng.uniform(0.5, 1.0))
-        self.backoff = BACKOFF_S[0] if self.terms.pushed else min(BACKOFF_S[1], 2.0 * self.backoff)
+            pause = self.draw_phase() * min(spread, told.max_backoff_s())
+        pause = max(pause, self.backoff_s * self.rng.uniform(0.5, 1.0))
+        self.backoff_s = BACKOFF_S[0] if self.terms.is_pushed else min(BACKOFF_S[1], 2.0 * self.backoff_s)
         return pause
 
-    def patience(self) -> float:
+    def watch_wait_s(self) -> float:
         """How long a watch waits for news. Gateways that began together must not end together."""
-        wait = min(WAIT_S[1], max(WAIT_S[0], self.gateways / CALLS_PER_S))
-        if self.terms.pushed:
-            wait = told.PUSHED_WAIT_S
-        if self.terms.list_age_s is not None:
-            wait = max(wait, min(CROWDED_WAIT_S, self.gateways / (WATCHES * self.rate)))
-        if self.doubted:
-            wait = min(wait, told.wait_in_doubt())
+        wait = min(WATCH_WAIT_S[1], max(WATCH_WAIT_S[0], self.gateway_count / WATCH_ENDS_PER_S))
+        if self.terms.is_pushed:
+            wait = told.PUSHED_WATCH_WAIT_S
+        if self.terms.max_list_age_s is not None:
+            wait = max(
+                wait, min(MAX_OVERLOADED_WAIT_S, self.gateway_count / (WATCH_RATE_SHARE * self.rate_per_s))
+            )
+        if self.last_poll_failed:
+            wait = min(wait, told.max_wait_after_failure_s())
         return wait * self.rng.uniform(0.75, 1.0)
-
-
-class Doubt:
-    """Whether a whole list is taken at its word. For services that may answer half a list, an older or an
-    empty one; whoever follows a service that is always right has no need of it.
-
-    Such a list is taken when the answer to a later call is not odd beside it; an empty one only when the
-    servers held have not answered either. So a lying answer costs one call, and a true one comes so much
-    later: that call goes with no pause (`Watch.doubted`).
-
-    What a doubted list forbids holds before that (`forbids`): it may forbid, never loosen.
-    """
-
-    HALF = 0.5
-    WORDS = 2  # answers that an odd list takes to be in force
-
-    def __init__(self) -> None:
-        self.version = -1  # of the list in force
-        self.servers: dict[str, Endpoint] = {}  # ... and who is on it, as they may be used
-        self.working = 0  # of these, how many took work when it came into force
-        self.seen: tuple[int, frozenset[str]] | None = None  # a list in doubt
-
-    def takes(self, version: int, news: EndpointList, serving: bool) -> bool:
-        """Whether this answer may come into force. `serving`: servers of the list held answer now."""
-        if news.kind is EndpointListKind.FULL:
-            names = frozenset(entry.address for entry in news.endpoints)
-            odd = version < self.version or self.lacking(names, frozenset(self.servers))
-            if odd and not (self.said_again(version, names) and (names or not serving)):
-                self.seen = version, names
-                return False
-        self.follow(version, news)
-        return True
-
-    def lacking(self, names: frozenset[str], of: frozenset[str]) -> bool:
-        """Whether less than half of these are named."""
-        return len(of & names) < self.HALF * len(of)
-
-    def said_again(self, version: int, names: frozenset[str]) -> bool:
-        """Whether a list bears out the one in doubt. Not word for word: while servers come and go each answer
-        of a sound service has another version, and none would ever be taken."""
-        if self.seen is None or version < self.seen[0]:
-            return False
-        return not self.lacking(names, self.seen[1]) and (bool(self.seen[1]) or not names)
-
-    def forbids(self, news: EndpointList) -> tuple[Endpoint, ...]:
-        """Servers that a doubted list has draining or gone, and that were used until now: they get nothing
-        new from now on, and the next list that is taken tells whether they come back. None, where fewer than
-        half of those that took work would be left: a false list must not end service, and the second word is
-        asked for at once."""
-        named = {entry.address for entry in news.endpoints if entry.state is not EndpointState.ACTIVE}
-        working = [entry for entry in self.servers.values() if entry.state is EndpointState.ACTIVE]
-        stopped = [entry for entry in working if entry.address in named]
-        if len(working) - len(stopped) < self.HALF * self.working:
-            return ()
-        found = tuple(replace(entry, state=EndpointState.DRAINING) for entry in stopped)
-        self.servers.update({entry.address: entry for entry in found})
-        return found
-
-    def follow(self, version: int, news: EndpointList) -> None:
-        """This is in force now."""
-        if news.kind is not EndpointListKind.CHANGES:
-            self.servers = {}
-        for entry in news.endpoints:
-            if entry.state is EndpointState.REMOVED:
-                self.servers.pop(entry.address, None)
-            else:
-                self.servers[entry.address] = entry
-        self.working = sum(entry.state is EndpointState.ACTIVE for entry in self.servers.values())
-        self.version, self.seen = version, None
--- a/glenchute/policy/endpoints/watch.py
+++ b/glenchute/policy/endpoints/watch.py
@@ -38,158 +38,170 @@
 from typing import NamedTuple
 
 from . import notification as told
-from .polling import Pacing
+from .polling import PollScheduler
 
-TRIES_PUSHED = 3  # calls beside a silent one, within the budget
-TRIES_ASKED = 1
-AT_ONCE_S = 0.001  # the wait of a call that wants an answer now, whether or not there are news
-MOST_OUT = 2  # calls at one time: the newest, and one that may still be answered
+MAX_HEDGED_POLLS_PUSHED = 3  # calls beside a silent one, within the budget
+MAX_HEDGED_POLLS = 1
+IMMEDIATE_WAIT_S = 0.001  # the wait of a call that wants an answer now, whether or not there are news
+MAX_IN_FLIGHT = 2  # calls at one time: the newest, and one that may still be answered
 
 
-class Open(NamedTuple):
+class OpenAndPoll(NamedTuple):
     """A connection is to be opened, and a call made on it."""
 
-    line: int
+    connection_id: int
     wait_s: float  # for news; 0: the whole list is asked for
 
 
-class Ask(NamedTuple):
+class Poll(NamedTuple):
     """A call on a connection that has answered."""
 
-    line: int
+    connection_id: int
     wait_s: float
 
 
-class Close(NamedTuple):
+class CloseConnection(NamedTuple):
     """A connection is to be closed: nothing that comes on it counts any more."""
 
-    line: int
+    connection_id: int
 
 
-Action = Open | Ask | Close
+WatchCommand = OpenAndPoll | Poll | CloseConnection
 
 
-class Watch:
+class EndpointWatch:
     """The calls of one gateway. The owner carries actions out in order, calls `tick` at `due`, and tells of
     each line that it was asked to open or to ask what became of it, in the order of events."""
 
-    def __init__(self, turns: Pacing, others: Callable[[], float] = lambda: 0.0, words: int = 1) -> None:
+    def __init__(
+        self, turns: PollScheduler, others: Callable[[], float] = lambda: 0.0, words: int = 1
+    ) -> None:
         """`others`: for how long, in seconds, members ask for this gateway. `words`: answers, asked for one
         right after the other, that a change may take to be in force."""
-        self.turns, self.words = turns, words
-        self.others = others
-        self.tries = TRIES_PUSHED if turns.terms.pushed else TRIES_ASKED
-        self.longest_s = float("inf")  # of a watch's waits
-        self.due = float("inf")  # when the next call goes, if nothing comes before
-        self.out: list[int] = []  # lines with a call out or coming up, oldest first
-        self.rest: int | None = None  # the line that has answered, between two calls
-        self.last = 0  # number of the newest line
-        self.beside = 0  # calls made beside a late one since the last answer
-        self.awaited = False  # a start waits for the next answer
-        self.moved = False  # nothing has come from the present address yet
-        self.latest = float("inf")  # when the next call goes, whatever becomes of the last one made
-        self.left_alone = False  # members ask for this gateway
-        self.hurried = False  # the next call asks for a second word
-        self.second: int | None = None  # the line of the last call that did
-
-    def reach(self, wait_s: float) -> float:
+        self.scheduler, self.answers_needed = turns, words
+        self.delegated_for_s = others
+        self.max_hedged_polls = MAX_HEDGED_POLLS_PUSHED if turns.terms.is_pushed else MAX_HEDGED_POLLS
+        self.max_wait_s = float("inf")  # of a watch's waits
+        self.next_poll_at = float("inf")  # when the next call goes, if nothing comes before
+        self.in_flight: list[int] = []  # lines with a call out or coming up, oldest first
+        self.idle_connection: int | None = None  # the line that has answered, between two calls
+        self.last_connection_id = 0  # number of the newest line
+        self.hedged_polls = 0  # calls made beside a late one since the last answer
+        self.is_start_waiting = False  # a start waits for the next answer
+        self.is_moved = False  # nothing has come from the present address yet
+        self.poll_deadline = float("inf")  # when the next call goes, whatever becomes of the last one made
+        self.is_delegated = False  # members ask for this gateway
+        self.needs_confirmation = False  # the next call asks for a second word
+        self.confirming_connection: int | None = None  # the line of the last call that did
+
+    def answer_timeout_s(self, wait_s: float) -> float:
         """The part of the budget after which a call gets another beside it. An agent on this machine answers
         all calls alike, so that even those that need not wait are late by the same measure there."""
-        if self.turns.terms.pushed:
-            wait_s = max(wait_s, told.PUSHED_WAIT_S)
-        return told.budget(wait_s, self.moved) / (self.tries + self.words)
+        if self.scheduler.terms.is_pushed:
+            wait_s = max(wait_s, told.PUSHED_WATCH_WAIT_S)
+        return told.recovery_budget_s(wait_s, self.is_moved) / (self.max_hedged_polls + self.answers_needed)
 
-    def begin(self, now: float, pause_s: float, awaited: bool) -> None:
+    def start(self, now: float, pause_s: float, awaited: bool) -> None:
         """The first call goes after this pause."""
-        self.due, self.awaited = now + pause_s, awaited
+        self.next_poll_at, self.is_start_waiting = now + pause_s, awaited
 
-    def move(self, now: float) -> list[Action]:
+    def change_address(self, now: float) -> list[WatchCommand]:
         """Another address: what is out at the old one counts no more."""
-        closed = [*self.out, *([self.rest] if self.rest is not None else [])]
-        self.out, self.rest, self.beside, self.moved, self.hurried = [], None, 0, True, False
-        self.due = now + self.turns.moved()
-        return [Close(line) for line in closed]
-
-    def hurry(self, now: float) -> None:
+        closed = [*self.in_flight, *([self.idle_connection] if self.idle_connection is not None else [])]
+        self.in_flight, self.idle_connection, self.hedged_polls, self.is_moved, self.needs_confirmation = (
+            [],
+            None,
+            0,
+            True,
+            False,
+        )
+        self.next_poll_at = now + self.scheduler.reset_for_new_address()
+        return [CloseConnection(line) for line in closed]
+
+    def resume_polling(self, now: float) -> None:
         """This gateway is to ask for others from now on."""
-        if self.left_alone:
-            self.due = now
+        if self.is_delegated:
+            self.next_poll_at = now
 
-    def tick(self, now: float, listed: bool) -> list[Action]:
+    def tick(self, now: float, listed: bool) -> list[WatchCommand]:
         """Makes the call that is due, if one is. `listed`: a list is held, and news of it are asked."""
-        if now < self.due:
+        if now < self.next_poll_at:
             return []
-        if not self.out:
-            seconds = self.others()
-            self.left_alone = seconds > 0.0
-            if self.left_alone:
-                self.due = now + seconds + min(self.turns.in_step(), told.left_alone())
+        if not self.in_flight:
+            seconds = self.delegated_for_s()
+            self.is_delegated = seconds > 0.0
+            if self.is_delegated:
+                self.next_poll_at = (
+                    now + seconds + min(self.scheduler.synchronized_delay_s(), told.max_own_poll_delay_s())
+                )
                 return []
-            return [self.call(now, self.wait() if listed else 0.0)]
-        self.beside += 1
-        actions: list[Action] = [self.call(now, AT_ONCE_S if listed else 0.0)]
-        if self.beside > self.tries:
+            return [self.poll(now, self.next_wait_s() if listed else 0.0)]
+        self.hedged_polls += 1
+        actions: list[WatchCommand] = [self.poll(now, IMMEDIATE_WAIT_S if listed else 0.0)]
+        if self.hedged_polls > self.max_hedged_polls:
             # In vain so far: no longer a matter of one broken watch, and the service's callers take turns.
-            self.due = max(self.due, now + self.turns.failed())
-        while len(self.out) > MOST_OUT:
-            actions.append(Close(self.out.pop(0)))
+            self.next_poll_at = max(self.next_poll_at, now + self.scheduler.record_failure())
+        while len(self.in_flight) > MAX_IN_FLIGHT:
+            actions.append(CloseConnection(self.in_flight.pop(0)))
         return actions
 
-    def wait(self) -> float:
+    def next_wait_s(self) -> float:
         """The wait of the next call for news."""
-        return AT_ONCE_S if self.awaited else min(self.longest_s, self.turns.patience())
+        return (
+            IMMEDIATE_WAIT_S if self.is_start_waiting else min(self.max_wait_s, self.scheduler.watch_wait_s())
+        )
 
-    def call(self, now: float, wait_s: float) -> Action:
+    def poll(self, now: float, wait_s: float) -> WatchCommand:
         """A call, on the line that rests or on a new one."""
-        self.due = now + wait_s + self.reach(wait_s)
-        latest = now + told.latest(wait_s)
-        self.latest = min(self.latest, latest) if self.hurried else latest
-        line, self.rest = self.rest, None
-        action = Ask if line is not None else Open
+        self.next_poll_at = now + wait_s + self.answer_timeout_s(wait_s)
+        latest = now + told.next_poll_deadline_s(wait_s)
+        self.poll_deadline = min(self.poll_deadline, latest) if self.needs_confirmation else latest
+        line, self.idle_connection = self.idle_connection, None
+        action = Poll if line is not None else OpenAndPoll
         if line is None:
-            self.last += 1
-            line = self.last
-        if self.hurried or self.second == line:
-            self.second = line if self.hurried else None
-        self.hurried = False
-        self.out.append(line)
+            self.last_connection_id += 1
+            line = self.last_connection_id
+        if self.needs_confirmation or self.confirming_connection == line:
+            self.confirming_connection = line if self.needs_confirmation else None
+        self.needs_confirmation = False
+        self.in_flight.append(line)
         return action(line, wait_s)
 
-    def answered(self, now: float, line: int, pause_s: float) -> list[Action]:
+    def record_answer(self, now: float, line: int, pause_s: float) -> list[WatchCommand]:
         """A sound answer is in force; the next call goes after a pause."""
-        closed = [one for one in self.out if one != line]
-        self.out, self.rest, self.beside = [], line, 0
-        self.awaited = self.moved = self.hurried = False
-        self.due = now + pause_s
-        return [Close(one) for one in closed]
+        closed = [one for one in self.in_flight if one != line]
+        self.in_flight, self.idle_connection, self.hedged_polls = [], line, 0
+        self.is_start_waiting = self.is_moved = self.needs_confirmation = False
+        self.next_poll_at = now + pause_s
+        return [CloseConnection(one) for one in closed]
 
-    def failed(self, now: float, line: int, pause_s: float) -> list[Action]:
+    def record_failure(self, now: float, line: int, pause_s: float) -> list[WatchCommand]:
         """An answer that says nothing; the next call goes after a pause."""
-        self.out.remove(line)
-        self.after(now, pause_s)
-        if self.out:
-            return [Close(line)]  # another call is out, and one line rests at most
-        self.rest = line
+        self.in_flight.remove(line)
+        self.schedule_retry(now, pause_s)
+        if self.in_flight:
+            return [CloseConnection(line)]  # another call is out, and one line rests at most
+        self.idle_connection = line
         return []
 
-    def doubted(self, now: float, line: int, pause_s: float) -> list[Action]:
+    def record_unconfirmed(self, now: float, line: int, pause_s: float) -> list[WatchCommand]:
         """An answer that takes a second word. That is asked for at once, unless this was one: then the next
         call goes after a pause."""
-        self.hurried = line != self.second
-        return self.failed(now, line, 0.0 if self.hurried else pause_s)
+        self.needs_confirmation = line != self.confirming_connection
+        return self.record_failure(now, line, 0.0 if self.needs_confirmation else pause_s)
 
-    def lost(self, now: float, line: int) -> bool:
+    def record_connection_lost(self, now: float, line: int) -> bool:
         """A connection has ended or did not come up. Whether no call is out any more because of it."""
-        if line == self.rest:
-            self.rest = None  # after its answer: the next call opens another
-        if line not in self.out:
+        if line == self.idle_connection:
+            self.idle_connection = None  # after its answer: the next call opens another
+        if line not in self.in_flight:
             return False
-        self.out.remove(line)
-        if self.out:
+        self.in_flight.remove(line)
+        if self.in_flight:
             return False
-        self.after(now, self.turns.failed())
+        self.schedule_retry(now, self.scheduler.record_failure())
         return True
 
-    def after(self, now: float, pause_s: float) -> None:
+    def schedule_retry(self, now: float, pause_s: float) -> None:
         """A call came to nothing: when the next goes."""
-        self.due = max(now, min(now + pause_s, self.latest))
+        self.next_poll_at = max(now, min(now + pause_s, self.poll_deadline))
--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -32,7 +32,7 @@
 
 ASKERS = CANDIDATES  # the same members, whether they ask by rank or by lease
 TASK = "ask"  # the lease by which one of the askers asks, where there are leases
-FRESH_S = told.FRESH_S  # a list confirmed so long ago needs no call
+FRESH_S = told.CONFIRMATION_TTL_S  # a list confirmed so long ago needs no call
 ASK_S = 1.0  # an asker is asked this often
 ASKER_WAIT_S = 1.5  # an asker's watch waits so long, so that its word is never older
 MOST_ROWS = 12  # in a message
--- a/glenchute/protocol/member_datagrams.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -10,13 +10,14 @@
 
 import msgspec
 
-from glenchute.clients.discovery import address
 from glenchute.policy.membership import direct_messages as directmail
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import gossip, leases, members
 from glenchute.policy.membership.gossip import Body
 from glenchute.policy.membership.replica import BUCKETS, Kind, Row
 
+from .endpoint_list import parse_address
+
 VERSION = 2
 MOST_BYTES = 4096  # of a datagram; a longer one is not read
 
@@ -170,7 +171,7 @@
         servers = tuple(coldstart.Server(*row) for row in raw)
         for one in servers:
             if one.address:
-                address(one.address)  # a ValueError where it is none
+                parse_address(one.address)  # a ValueError where it is none
             if not (0.0 < one.size < math.inf and 0.0 <= one.started_ms < math.inf and 0 <= one.state <= 2):
                 raise ValueError
         return coldstart.Part(since, version, at, of, servers)
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -19,7 +19,7 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from glenchute.policy.endpoints.polling import Pacing, Terms
+from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
 from lab.nodes import Node, Trade
 from lab.peers import http
 from lab.services import CounterService, DiscoveryService
@@ -55,7 +55,7 @@
     """So many pacings and one service with a line, in simulated time."""
 
     def __init__(
-        self, count: int, terms: Callable[[int], Terms], rate: float, line: int = 30, seed: int = 1,
+        self, count: int, terms: Callable[[int], PollingTerms], rate: float, line: int = 30, seed: int = 1,
         listed: Callable[[int], bool] = lambda number: True,
     ) -> None:  # fmt: skip
         self.rng = random.Random(seed)
@@ -67,11 +67,11 @@
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
         self.life = [0] * count  # a start ends all that was due of the process before
-        self.pacing: list[Pacing] = [self.made(number) for number in range(count)]
+        self.pacing: list[PollScheduler] = [self.made(number) for number in range(count)]
         self.parked: dict[int, int] = {}  # watches; by gateway, its life
 
-    def made(self, number: int) -> Pacing:
-        return Pacing(self.terms(number), random.Random(self.rng.getrandbits(60)))
+    def made(self, number: int) -> PollScheduler:
+        return PollScheduler(self.terms(number), random.Random(self.rng.getrandbits(60)))
 
     def at(self, seconds: float, act: Callable[..., None], *args: Any) -> None:
         """Something due in so many seconds."""
@@ -84,7 +84,7 @@
             self.pacing[number] = self.made(number)
             self.parked.pop(number, None)
             self.heard.pop(number, None)
-            pause = self.pacing[number].first(self.has_list(number))
+            pause = self.pacing[number].first_poll_delay_s(self.has_list(number))
             self.at(pause, self.call, number, self.life[number])
 
     def call(self, number: int, life: int) -> None:
@@ -94,23 +94,23 @@
         pacing = self.pacing[number]
         if self.down:
             self.calls.append(Call(self.now, "unheard"))
-            self.at(pacing.failed(), self.call, number, life)
+            self.at(pacing.record_failure(), self.call, number, life)
             return
         self.free_at = max(self.now, self.free_at)
         if (self.free_at - self.now) * self.rate > self.line:
             self.calls.append(Call(self.now, "turned away"))
             listed = self.has_list(number) or number in self.heard
-            self.at(pacing.busy(None, listed), self.call, number, life)
+            self.at(pacing.record_rejection(None, listed), self.call, number, life)
             return
         self.calls.append(Call(self.now, "answered"))
         self.free_at += 1.0 / self.rate
         # The wait goes with the call, so that it is drawn before it is known that the service answers.
-        self.at(self.free_at - self.now, self.answer, number, life, pacing.patience())
+        self.at(self.free_at - self.now, self.answer, number, life, pacing.watch_wait_s())
 
     def answer(self, number: int, life: int, wait_s: float) -> None:
         """The answer to a first call, or none yet to a watch."""
         if life == self.life[number]:
-            self.pacing[number].answered()
+            self.pacing[number].record_answer()
             self.heard.setdefault(number, self.now)
             self.parked[number] = life
             self.at(wait_s, self.wait_ends, number, life, self.now)
@@ -125,13 +125,13 @@
         """The list changes: all watches end in the same moment."""
         parked, self.parked = self.parked, {}
         for number, life in parked.items():
-            self.at(self.pacing[number].in_step(), self.call, number, life)
+            self.at(self.pacing[number].synchronized_delay_s(), self.call, number, life)
 
     def lose(self) -> None:
         """The service has started again: all watches break off."""
         parked, self.parked = self.parked, {}
         for number, life in parked.items():
-            self.at(self.pacing[number].failed(), self.call, number, life)
+            self.at(self.pacing[number].record_failure(), self.call, number, life)
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -212,7 +212,7 @@
         """As `Program.start` without listener."""
         if self.config.known is not None:
             self.gateway.news(self.config.known)
-        self.discovery.begin(self.config.known, LIST_WAIT_S, False)
+        self.discovery.start(self.config.known, LIST_WAIT_S, False)
 
     def down(self) -> None:
         """Its connections end, and its module hears no more."""
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -15,8 +15,14 @@
 import pytest
 
 import glenchute.config.operator as operators
-from glenchute.cli import aside
-from glenchute.cli.aside import REST_S, SLICE_S, SWITCH_S, Aside, Pace
+from glenchute.cli import background_reload
+from glenchute.cli.background_reload import (
+    SLEEP_S,
+    SWITCH_INTERVAL_S,
+    WORK_SLICE_S,
+    BackgroundReload,
+    TimeSlices,
+)
 from glenchute.cli.run import LINES_A_TURN, read_again
 from glenchute.config.facts import Facts
 from glenchute.config.operator import Reading
@@ -73,7 +79,7 @@
 
             reread(reads("second"))
             await until(lambda: held.begun == 1)
-            assert sys.getswitchinterval() == pytest.approx(SWITCH_S) and not gc.isenabled()
+            assert sys.getswitchinterval() == pytest.approx(SWITCH_INTERVAL_S) and not gc.isenabled()
             reread(reads("third"))
             reread(reads("fourth"))
             client = await one.client()
@@ -82,8 +88,8 @@
             held.go.set()
             await until(lambda: bound(one) == "fourth")
             assert held.begun == 2 and held.waited  # the third was overtaken, none is read twice
-            await until(lambda: program.aside is not None and not program.aside.busy)
-            assert sys.getswitchinterval() > SWITCH_S and gc.isenabled()
+            await until(lambda: program.aside is not None and not program.aside.is_busy)
+            assert sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
 
     play(scenario())
 
@@ -107,7 +113,9 @@
                 file.write_text(text)
                 program.reread(str(file), program.config)
                 await until(lambda: len(told()) > before)
-                assert bound(one) == "first" and sys.getswitchinterval() > SWITCH_S and gc.isenabled()
+                assert (
+                    bound(one) == "first" and sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
+                )
                 return told()[-1]
 
             wrong = "".join(reads(f"r{n}", attempts=7) for n in range(300))
@@ -170,7 +178,7 @@
         async with site(always(SERVED), operator=reads("first")) as one:
             program, turns = one.program, 0
             program.reread(str(file), program.config)
-            while program.aside is not None and program.aside.busy:
+            while program.aside is not None and program.aside.is_busy:
                 turns += 1
                 await asyncio.sleep(0)
             assert turns > 20 and bound(one) == "first"
@@ -181,15 +189,15 @@
 def test_nothing_is_told_to_a_loop_that_has_closed() -> None:
     told: list[bool | Exception] = []
     loop, go = asyncio.new_event_loop(), threading.Event()
-    one: Aside[bool] = Aside(loop, told.append)
-    one.ask(lambda: go.wait(20.0))
+    one: BackgroundReload[bool] = BackgroundReload(loop, told.append)
+    one.submit(lambda: go.wait(20.0))
     loop.close()
     go.set()
     for thread in [t for t in threading.enumerate() if t.name == "aside"]:
         thread.join(20.0)
         assert not thread.is_alive()
-    aside.sharing.end()
-    assert told == [] and sys.getswitchinterval() > SWITCH_S
+    background_reload.interpreter_settings.end()
+    assert told == [] and sys.getswitchinterval() > SWITCH_INTERVAL_S
 
 
 def test_work_in_parts_rests_when_its_slice_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -200,12 +208,12 @@
         slept.append(seconds)
         now += seconds
 
-    monkeypatch.setattr(aside, "time", SimpleNamespace(perf_counter=lambda: now, sleep=sleep))
-    pace = Pace()
+    monkeypatch.setattr(background_reload, "time", SimpleNamespace(perf_counter=lambda: now, sleep=sleep))
+    pace = TimeSlices()
     for _ in range(100):
-        now += SLICE_S / 4.0
-        pace.rest()
-    assert 20 <= len(slept) <= 25 and set(slept) == {REST_S}
+        now += WORK_SLICE_S / 4.0
+        pace.yield_if_over()
+    assert 20 <= len(slept) <= 25 and set(slept) == {SLEEP_S}
 
 
 HOLD = """\
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 
 from benchmarks.list_turns import LISTS, Chain, zoned
-from glenchute.clients import discovery as discoveries
-from glenchute.clients.discovery import PART_ROWS, Held, read_in_parts, read_list
 from glenchute.core import gateway as gateways
 from glenchute.core.types import News
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import EndpointList, EndpointListKind
+from glenchute.protocol import endpoint_list as discoveries
+from glenchute.protocol.endpoint_list import ROWS_PER_PART, CurrentList, decode_list, decode_list_in_parts
 from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
 from tests.loopback import Script, Site, site
@@ -28,12 +28,12 @@
 MANY = [row(f"n{n}", 9) for n in range(1_000)]  # some 100 KB
 
 
-def whole(body: bytes, held: Held | None) -> News:
-    return read_list(json.loads(body), held=held)
+def whole(body: bytes, held: CurrentList | None) -> News:
+    return decode_list(json.loads(body), held=held)
 
 
-def parted(body: bytes, held: Held | None) -> News:
-    parts = read_in_parts(body, held)
+def parted(body: bytes, held: CurrentList | None) -> News:
+    parts = decode_list_in_parts(body, held)
     while True:
         try:
             next(parts)
@@ -42,7 +42,7 @@
             return news
 
 
-def outcome(read: Callable[[bytes, Held | None], News], body: bytes, held: Held | None) -> Any:
+def outcome(read: Callable[[bytes, CurrentList | None], News], body: bytes, held: CurrentList | None) -> Any:
     """The list, or that there is none."""
     try:
         return read(body, held)
@@ -50,7 +50,7 @@
         return None
 
 
-ROWS = json.dumps([row(f"n{n}", 9) for n in range(2 * PART_ROWS + 5)])
+ROWS = json.dumps([row(f"n{n}", 9) for n in range(2 * ROWS_PER_PART + 5)])
 BODIES = [
     f'{{"version": 3, "full": true, "servers": {ROWS}}}',
     f'{{"servers": {ROWS}, "full": false, "version": "3"}}',
@@ -75,9 +75,9 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("held", [None, Held()])
+@pytest.mark.parametrize("held", [None, CurrentList()])
 @pytest.mark.parametrize("number", range(len(BODIES)))
-def test_the_same_lists_are_read_and_the_same_refused(number: int, held: Held | None) -> None:
+def test_the_same_lists_are_read_and_the_same_refused(number: int, held: CurrentList | None) -> None:
     body = BODIES[number].encode("utf-8", "surrogatepass")
     assert outcome(parted, body, held) == outcome(whole, body, held)
 
@@ -89,7 +89,7 @@
 )  # fmt: skip
 def test_what_was_spoilt_is_read_alike(text: str, at: int, cut: int, put: str, hold: bool) -> None:
     body = (text[:at] + put + text[at + cut :]).encode()
-    held = Held() if hold else None
+    held = CurrentList() if hold else None
     assert outcome(parted, body, held) == outcome(whole, body, held)
 
 
@@ -103,10 +103,10 @@
 )  # fmt: skip
 def test_a_row_whose_text_was_read_before_is_read_alike(at: int, cut: int, put: str, comma: str) -> None:
     """After a long list, of which the texts are kept: the same list spoilt somewhere or written otherwise."""
-    held, other = Held(), Held()
-    held.follow(parted(LONG.encode(), held))
+    held, other = CurrentList(), CurrentList()
+    held.apply(parted(LONG.encode(), held))
     other.rows = dict(held.rows)
-    assert len(held.texts) == WHOLE + 9
+    assert len(held.rows_by_text) == WHOLE + 9
     body = (LONG[:at] + put + LONG[at + cut :]).replace("}, {", "}" + comma + "{").encode()
     assert outcome(parted, body, held) == outcome(whole, body, other)
 
@@ -114,14 +114,14 @@
 def test_a_row_that_is_known_is_not_read_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """Of a whole list read anew only the rows that differ are; no more texts are kept than it has rows."""
     read: list[str] = []
-    sound = discoveries.read_row
-    held, rows = Held(), [row(f"n{n}", 9) for n in range(1_000)]
+    sound = discoveries.decode_row
+    held, rows = CurrentList(), [row(f"n{n}", 9) for n in range(1_000)]
 
     def read_row(one: Any) -> Any:
         read.append(one["id"])
         return sound(one)
 
-    monkeypatch.setattr(discoveries, "read_row", read_row)
+    monkeypatch.setattr(discoveries, "decode_row", read_row)
     for changed, expected in (([], 1_000), ([], 0), ([3, 999], 2), (list(range(1_000)), 1_000)):
         read.clear()
         for n in changed:
@@ -129,7 +129,7 @@
         news = parted(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), held)
         assert len(read) == expected and [entry.address for entry in news.event.endpoints][3] == "n3"
         assert [entry.weight for entry in news.event.endpoints] == [one.get("weight", 1.0) for one in rows]
-        assert len(held.texts) == len(rows)
+        assert len(held.rows_by_text) == len(rows)
 
 
 class Parts:
@@ -138,7 +138,7 @@
     def __init__(self, patch: pytest.MonkeyPatch, one: Site) -> None:
         self.held: list[Any] = []
         self.one = one
-        patch.setattr(one.program.discovery, "read_on", self.read_on)
+        patch.setattr(one.program.discovery, "decode_next_part", self.read_on)
 
     def read_on(self, reading: Any) -> None:
         self.held.append(reading)
@@ -147,10 +147,10 @@
         """So many parts; what comes after them waits again."""
         discovery = self.one.program.discovery
         for _ in range(parts):
-            await until(lambda: self.held or discovery.reading is None)
+            await until(lambda: self.held or discovery.partial_decode is None)
             waiting, self.held = self.held, []
             for reading in waiting:
-                type(discovery).read_on(discovery, reading)
+                type(discovery).decode_next_part(discovery, reading)
 
 
 def lists(module: Script) -> list[EndpointList]:
@@ -171,7 +171,7 @@
         await other.start()
         async with site(decisions=module, discovery=answers) as one:
             discovery = one.program.discovery
-            await until(lambda: discovery.since == 2)
+            await until(lambda: discovery.version == 2)
             parts = Parts(monkeypatch, one)
             body = json.dumps({"version": 3, "full": True, "servers": MANY}).encode()
             answers.answers.append(http(body))
@@ -181,28 +181,30 @@
             client = await one.client()
             assert await client.ask(b"PING") == b"PONG" and parts.held and len(lists(module)) == before
             if end == "closes":
-                line = discovery.reading.line  # type: ignore[union-attr]
+                line = discovery.partial_decode.connection_id  # type: ignore[union-attr]
                 answers.writers[-1].close()
-                await until(lambda: line not in discovery.lines or discovery.lines[line].transport is None)
+                await until(
+                    lambda: line not in discovery.connections or discovery.connections[line].transport is None
+                )
             elif end == "moves":
-                discovery.move(("127.0.0.1", other.port))
-                await until(lambda: discovery.since == 9)
+                discovery.change_address(("127.0.0.1", other.port))
+                await until(lambda: discovery.version == 9)
             elif end == "ends":
                 discovery.close()
             elif end == "another":
-                discovery.watch.due = asyncio.get_running_loop().time()
-                discovery.tick()  # a call beside the one whose answer is being read
+                discovery.watch.next_poll_at = asyncio.get_running_loop().time()
+                discovery.on_timer()  # a call beside the one whose answer is being read
                 answers.answers.append(listing(4, [row("s0", 9, "Terminating")], full=False))
-                await until(lambda: discovery.since == 4)
+                await until(lambda: discovery.version == 4)
             await parts.go_on(40)
             told = [event for event in lists(module)[before:] if len(event.endpoints) > 100]
             if end in ("stays", "closes"):
-                assert discovery.since == 3 and discovery.reading is None
+                assert discovery.version == 3 and discovery.partial_decode is None
                 assert [event.kind for event in told] == [EndpointListKind.FULL]
                 answers.answers.append(listing(5, [row("n0", 9, "Terminating")], full=False))
-                await until(lambda: discovery.since == 5)  # the watch goes on
+                await until(lambda: discovery.version == 5)  # the watch goes on
             else:
-                assert discovery.since != 3 and not told and not parts.held
+                assert discovery.version != 3 and not told and not parts.held
         await other.stop()
 
     play(scenario())
@@ -215,11 +217,11 @@
     async def scenario() -> None:
         answers = DiscoveryPeer(listing(2, [row("s0", 9)]))
         async with site(decisions=module, discovery=answers) as one:
-            await until(lambda: one.program.discovery.since == 2)
+            await until(lambda: one.program.discovery.version == 2)
             parts = Parts(monkeypatch, one)
             rows = [*MANY[:300], row("s0", 9, "Terminating")]
             answers.answers.append(listing(3, rows, full=False))
-            await until(lambda: one.program.discovery.since == 3)
+            await until(lambda: one.program.discovery.version == 3)
             assert not parts.held and one.program.servers.pools["s0"].stop_at is not None
 
     play(scenario())
@@ -228,18 +230,20 @@
 def test_a_part_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """No part reads more rows than `PART_ROWS`, be they readable or not."""
     read, most = 0, 0
-    sound = discoveries.read_row
+    sound = discoveries.decode_row
 
     def read_row(one: Any) -> Any:
         nonlocal read
         read += 1
         return sound(one)
 
-    monkeypatch.setattr(discoveries, "read_row", read_row)
+    monkeypatch.setattr(discoveries, "decode_row", read_row)
     rows = [one if n % 3 else {"id": n} for n, one in enumerate(MANY)]
-    for _ in read_in_parts(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), Held()):
+    for _ in decode_list_in_parts(
+        json.dumps({"version": 3, "full": True, "servers": rows}).encode(), CurrentList()
+    ):
         most, read = max(most, read), 0
-    assert 0 < most <= PART_ROWS
+    assert 0 < most <= ROWS_PER_PART
 
 
 # --- what a list costs in one turn -----------------------------------------------------------------------
@@ -306,7 +310,7 @@
         for _ in chain.turns(rows, full):
             turns += 1
             assert json.dumps(sorted(chain.used())) == before and chain.state() == state
-        assert turns > 3_000 // PART_ROWS
+        assert turns > 3_000 // ROWS_PER_PART
         assert all(chain.servers.stops(name) for name in drained) and chain.used().isdisjoint(drained)
         drained = sorted(chain.used())[:10]
 
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -15,8 +15,7 @@
 import pytest
 
 from glenchute.clients import counter as counter_module
-from glenchute.clients.counter import Counter
-from glenchute.clients.discovery import ListError, read_list
+from glenchute.clients.counter import CounterClient
 from glenchute.listeners.resp2 import clients as clients_module
 from glenchute.listeners.resp2.clients import MOST_PENDING
 from glenchute.policy.actions import Action
@@ -24,6 +23,7 @@
 from glenchute.policy.connections.client_slots import FIRST_COMMAND_S
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Event, Outcome, Request
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list
 from glenchute.upstreams import connection_pool as servers_module
 from lab.ports import outgoing_ports
 from tests.loopback import (
@@ -527,7 +527,7 @@
         peer = RespPeer(reply)
         await peer.start()
         loop = asyncio.get_running_loop()
-        made = Counter(loop, ("127.0.0.1", peer.port), 0.05)
+        made = CounterClient(loop, ("127.0.0.1", peer.port), 0.05)
         ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
@@ -535,7 +535,7 @@
 
         call(2)
         assert ends == [(2, 0.0, Outcome.UNREACHABLE)]  # not connected yet: nothing was added
-        await until(lambda: all(link.ready() for link in made.links))
+        await until(lambda: all(link.is_ready() for link in made.connections))
         call(2)
         await until(lambda: len(ends) == 2)
         made.timeout_s = 30.0
@@ -567,10 +567,10 @@
 
         peer = RespPeer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
         ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
-            await until(lambda: all(link.ready() for link in made.links))
+            await until(lambda: all(link.is_ready() for link in made.connections))
             made.call(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
@@ -596,15 +596,15 @@
 
         peer = RespPeer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
         ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
-            await until(lambda: all(link.ready() for link in made.links))
+            await until(lambda: all(link.is_ready() for link in made.connections))
             made.call(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
         assert ends == [(0.0, Outcome.TIMEOUT), (4.5, Outcome.OK)]
-        assert len(peer.writers) == counter_module.LINKS + 1
+        assert len(peer.writers) == counter_module.DEFAULT_CONNECTIONS + 1
         made.close()
         await peer.stop()
 
@@ -624,8 +624,8 @@
 
         peer = RespPeer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        await until(lambda: all(link.ready() for link in made.links))
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        await until(lambda: all(link.is_ready() for link in made.connections))
         ends: list[int] = []
 
         def call(name: int) -> None:
@@ -646,13 +646,13 @@
     async def scenario() -> None:
         peer = RespPeer(always(None))
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
-        await until(lambda: len(peer.writers) > 2 * counter_module.LINKS)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
+        await until(lambda: len(peer.writers) > 2 * counter_module.DEFAULT_CONNECTIONS)
         made.close()
         await peer.stop()
 
-    monkeypatch.setattr(counter_module, "SILENT_S", 0.0)
-    monkeypatch.setattr(counter_module, "PING_S", 0.01)
+    monkeypatch.setattr(counter_module, "REPLY_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(counter_module, "PING_INTERVAL_S", 0.01)
     play(scenario())
 
 
@@ -717,18 +717,18 @@
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))  # nobody listens there, and nobody else can
             async with site(discovery=busy) as one:
-                await until(lambda: one.program.discovery.failed == 1)
-                one.program.discovery.move(taken.getsockname())
-                await until(lambda: one.program.discovery.failed > 3)
+                await until(lambda: one.program.discovery.failed_polls == 1)
+                one.program.discovery.change_address(taken.getsockname())
+                await until(lambda: one.program.discovery.failed_polls > 3)
 
-    monkeypatch.setattr(pacing, "DECREASE", 1e6)  # the pause lasts for seconds
+    monkeypatch.setattr(pacing, "RATE_DECREASE_FACTOR", 1e6)  # the pause lasts for seconds
     play(scenario())
 
 
 def test_after_a_start_only_what_changed_since_the_saved_list_is_asked_for() -> None:
     async def scenario() -> None:
         discovery = DiscoveryPeer(listing(8, [row("b", 81)], full=False))
-        known = read_list({"version": 7, "full": True, "servers": []}, saved=True)
+        known = decode_list({"version": 7, "full": True, "servers": []}, saved=True)
         async with site(discovery=discovery, known=known) as one:
             await until(lambda: len(discovery.targets) == 2)
             assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
@@ -754,8 +754,8 @@
 @pytest.mark.parametrize("addr", ["x", "x:", ":5", "h:0", "h:99999", "h:p", None])
 def test_lists_with_bad_addresses_are_turned_down(addr: Any) -> None:
     bad = {"version": 1, "full": True, "servers": [row("a", 1) | {"addr": addr}]}
-    with pytest.raises(ListError):
-        read_list(bad)
+    with pytest.raises(EndpointListError):
+        decode_list(bad)
 
 
 # --- the program -----------------------------------------------------------------------------------------
@@ -868,7 +868,9 @@
             while b"read again" not in await process.stderr.readline():
                 pass
         discovery, counts = places[2]
-        await until(lambda: len(discovery.targets) > 1 and len(counts.writers) == counter_module.LINKS)
+        await until(
+            lambda: len(discovery.targets) > 1 and len(counts.writers) == counter_module.DEFAULT_CONNECTIONS
+        )
         assert discovery.targets[0] == "/v1/servers" and "since=3&" in discovery.targets[1]
         ids = (b"%016x" % number for number in range(100, 10_000))
         while not counts.calls():
@@ -897,24 +899,26 @@
         old, new = RespPeer(late), RespPeer(three)
         await old.start()
         await new.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
         ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
             made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
 
-        await until(lambda: all(link.ready() for link in made.links))
+        await until(lambda: all(link.is_ready() for link in made.connections))
         call(2)
         call(4)
         await until(lambda: len(old.calls()) == 2)
-        made.move(("127.0.0.1", new.port))
-        await until(lambda: all(link.ready() for link in made.links))
+        made.change_address(("127.0.0.1", new.port))
+        await until(lambda: all(link.is_ready() for link in made.connections))
         call(4)  # its old call ends now: answers for one name keep their order
         await until(lambda: len(ends) == 2)
         assert ends == [(4, 0.0, Outcome.TIMEOUT), (4, 3.0, Outcome.OK)]
         release.set()
         await until(lambda: len(ends) == 3)
-        await until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
+        await until(
+            lambda: [what for what, *_ in old.log].count("closed") == counter_module.DEFAULT_CONNECTIONS
+        )
         assert ends[2] == (2, 7.0, Outcome.OK) and len(new.calls()) == 1
         made.close()
         await old.stop()
@@ -930,7 +934,7 @@
         script = Script(lambda event: [])
         async with site(decisions=script, discovery=old) as one:
             await until(lambda: len(old.targets) == 2)
-            one.program.discovery.move(("127.0.0.1", new.port))
+            one.program.discovery.change_address(("127.0.0.1", new.port))
             old.answers.append(listing(10, [], full=True))
             await until(lambda: new.targets)
             assert list(one.program.servers.pools) == ["a"]  # the list held stays until the new one comes
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -94,7 +94,7 @@
             answer = await raw(port_of(one), data)
             assert answer.split(b" ")[1] == status
             assert (b"Allow: " in answer) == (status == b"405")
-            assert one.program.listener.life.ready
+            assert one.program.listener.life.is_ready
 
     play(scenario())
 
@@ -110,7 +110,7 @@
                 await asyncio.sleep(0)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
             writer.close()
-            assert not one.program.listener.life.ready
+            assert not one.program.listener.life.is_ready
 
     play(scenario())
 
@@ -118,7 +118,7 @@
 def test_callers_that_finish_nothing_neither_stay_nor_keep_others_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(operations_server, "PATIENCE_S", 0.5)
+    monkeypatch.setattr(operations_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def scenario() -> None:
         async with served() as one:
@@ -128,8 +128,8 @@
                 writer.write(b"GET /_rea")
             assert await call(port, "GET", "/_ready") == 200
             held = one.program.operations
-            assert held is not None and len(held.callers.held) <= operations_server.MOST_CALLERS
-            await until(lambda: not held.callers.held)  # and each one's wait ends
+            assert held is not None and len(held.slots.opened_at) <= operations_server.MAX_CONNECTIONS
+            await until(lambda: not held.slots.opened_at)  # and each one's wait ends
             for _, writer in idle:
                 writer.close()
 
@@ -153,7 +153,7 @@
                 assert await client.ended()
             assert one.program.listener.taken == serial - 8
             last = await one.client()  # who comes nevertheless is served, and the connection goes
-            if one.program.listener.life.takes(one.program.loop.time()):
+            if one.program.listener.life.admits_requests(one.program.loop.time()):
                 assert await read(last, serial + 1) == b"value"
                 assert await last.ended()
             await call(port_of(one), "PUT", "/_lameduck/off")
@@ -180,7 +180,7 @@
             await until(lambda: one.program.listener.taken == 3)
             one.program.listener.lame_duck()
             life = one.program.listener.life
-            life.since -= 10.0  # the drain has gone on for long
+            life.phase_started_at -= 10.0  # the drain has gone on for long
             one.program.listener.part()
             client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
             go.set()
@@ -198,7 +198,7 @@
             assert await read(client, 1) == b"value"
             for target in ("on", "off"):
                 await call(port_of(one), "PUT", f"/_lameduck/{target}")
-            one.program.listener.life.since -= 10.0
+            one.program.listener.life.phase_started_at -= 10.0
             one.program.listener.part()
             assert await read(client, 2) == b"value"
             assert await read(client, 3) == b"value"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -166,7 +166,9 @@
     program = Program(made, asyncio.get_running_loop(), decisions, operator=bound)
     await program.start()
     if program.counter is not None:
-        await until(lambda: program.counter is None or all(link.ready() for link in program.counter.links))
+        await until(
+            lambda: program.counter is None or all(link.is_ready() for link in program.counter.connections)
+        )
     try:
         yield Site(program, servers, counts)
     finally:
--- a/tests/messages/counter.py
+++ b/tests/messages/counter.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from glenchute.clients.counter import Counter
+from glenchute.clients.counter import CounterClient
 from glenchute.policy.actions import Action, IncrementCounter
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event, Outcome
@@ -91,11 +91,11 @@
         return False
 
 
-def connected(links: int) -> tuple[Counter, list[Kept]]:
+def connected(links: int) -> tuple[CounterClient, list[Kept]]:
     """Connections to a counter that never answers by itself."""
-    counter = Counter(StillLoop(), ("127.0.0.1", 1), 0.05, links)  # type: ignore[arg-type]
-    transports = [Kept() for _ in counter.links]
-    for link, transport in zip(counter.links, transports, strict=True):
+    counter = CounterClient(StillLoop(), ("127.0.0.1", 1), 0.05, links)  # type: ignore[arg-type]
+    transports = [Kept() for _ in counter.connections]
+    for link, transport in zip(counter.connections, transports, strict=True):
         link.connection_made(transport)  # type: ignore[arg-type]
     return counter, transports
 
@@ -133,8 +133,8 @@
         def done(total: float, ending: Outcome, took_ms: float, told: list[str] = told) -> None:
             told.append(f"{ending.value} {total!r}\n")
 
-        counter.links[0].data_received(b"+PONG\r\n")
+        counter.connections[0].data_received(b"+PONG\r\n")
         counter.call(9, 1.0, 60_000.0, done)
-        counter.links[0].data_received(reply)
+        counter.connections[0].data_received(reply)
         rows.append((label, told[0].encode()))
     return rows
--- a/tests/messages/handover.py
+++ b/tests/messages/handover.py
@@ -7,11 +7,11 @@
 import tempfile
 from pathlib import Path
 
-from glenchute.clients.handover import Door, Predecessor, ask, path_in
+from glenchute.clients.handover import HandoverServer, PredecessorConnection, request_handover, socket_path
 from glenchute.policy.actions import SendState
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import QuotaSnapshot, SuccessorStarted
-from glenchute.policy.lifecycle.handover import message
+from glenchute.policy.lifecycle.handover import encode_handover
 
 from ..captures.scenarios import EVENING_SETTINGS, Environment
 from .files import Rows
@@ -50,12 +50,12 @@
 
 def messages() -> Rows:
     """The messages."""
-    return [(label, message(GATEWAY, share, stocks)) for label, share, stocks in cases()]
+    return [(label, encode_handover(GATEWAY, share, stocks)) for label, share, stocks in cases()]
 
 
 def socket_names() -> Rows:
     """The names of the sockets where two processes meet."""
-    return [(f"{name} {listen}", f"{path_in('/t', name, listen)}\n".encode()) for name, listen in NAMES]
+    return [(f"{name} {listen}", f"{socket_path('/t', name, listen)}\n".encode()) for name, listen in NAMES]
 
 
 async def from_predecessor() -> bytes:
@@ -63,8 +63,8 @@
     loop = asyncio.get_running_loop()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "socket"
-        door = Door(loop, lambda: message(GATEWAY, SHARE, STOCKS), lambda: None)
-        await door.open(path)
+        door = HandoverServer(loop, lambda: encode_handover(GATEWAY, SHARE, STOCKS), lambda: None)
+        await door.start(path)
         reader, writer = await asyncio.open_unix_connection(str(path))
         raw = await reader.readline()
         door.close()
@@ -73,7 +73,7 @@
     return raw
 
 
-async def to_successor(raw: bytes) -> tuple[Predecessor | None, bytes]:
+async def to_successor(raw: bytes) -> tuple[PredecessorConnection | None, bytes]:
     """What the next process makes of these bytes, and all bytes that it sends meanwhile."""
     loop = asyncio.get_running_loop()
     sent = bytearray()
@@ -89,7 +89,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "socket"
         server = await asyncio.start_unix_server(serve, str(path))
-        found = await ask(loop, path, GATEWAY, lambda: None)
+        found = await request_handover(loop, path, GATEWAY, lambda: None)
         if found is not None:
             assert found.transport is not None
             found.transport.close()
--- a/tests/policy/admission/test_late_answers.py
+++ b/tests/policy/admission/test_late_answers.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.clients.counter import Counter
+from glenchute.clients.counter import CounterClient
 from glenchute.policy.actions import IncrementCounter, StartAttempt
 from glenchute.policy.events import CounterReply, EndpointList, EndpointListKind, Outcome
 from tests.loopback import RespPeer, Script, always, play, site, until
@@ -22,9 +22,9 @@
     """What a counter that answers as `reply` when `go` is set makes of so many calls for one name."""
     peer = RespPeer(reply)
     await peer.start()
-    counter = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.05)
+    counter = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.05)
     told: list[Told] = []
-    await until(lambda: all(link.ready() for link in counter.links))
+    await until(lambda: all(link.is_ready() for link in counter.connections))
     for _ in range(calls):
         counter.call(
             7, 1.0, 4000.0,
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -582,7 +582,7 @@
         rows = [{**row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(WHOLE + 40)]
         answers = DiscoveryPeer(listing(2, rows[:20]), listing(3, rows[20:], full=False))
         async with site(decisions=module, discovery=answers) as one:
-            await until(lambda: one.program.discovery.since == 3)
+            await until(lambda: one.program.discovery.version == 3)
             lists = module.of(EndpointList)
             assert [event.total_endpoints for event in lists] == [0, 0, WHOLE + 40]
             assert len(lists[1].endpoints) == 20
@@ -591,7 +591,7 @@
             assert len(used) == size(WHOLE + 40, SETTINGS.gateway_count)
             gone = next(iter(used))
             answers.answers.append(listing(4, [row(gone, 9, "Terminating")], full=False))
-            await until(lambda: one.program.discovery.since == 4)
+            await until(lambda: one.program.discovery.version == 4)
             assert gone not in used and len(used) == WHOLE
             assert gone in {entry.address for entry in module.of(EndpointList)[-1].endpoints}
 
--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -73,7 +73,7 @@
             listener, links = one.program.listener, one.program.counter
             places = listener.places
             assert (places.most, places.most_requesting, places.spare) == (7, 5, 1)
-            assert links is not None and len(links.links) == 3
+            assert links is not None and len(links.connections) == 3
             listener.share(0.5)
             assert (places.most, places.most_requesting) == (3, 2)
 
--- a/tests/policy/endpoints/test_doubt.py
+++ b/tests/policy/endpoints/test_doubt.py
@@ -17,8 +17,9 @@
 from glenchute.core.types import News
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
-from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
-from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
+from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from tests.loopback import Script, always, config, http, play, row, site, until
 from tests.policy.endpoints.test_watch import Held, states
@@ -59,23 +60,23 @@
 @pytest.mark.parametrize("name", FORBIDS)
 def test_what_a_list_in_doubt_forbids_holds_at_once_and_nothing_in_it_loosens(name: str) -> None:
     """A false list can't end service by it: half of what took work is left, however many come."""
-    doubt, (version, news, stopped) = Doubt(), FORBIDS[name]
-    doubt.follow(5, servers(*TEN))
-    assert not doubt.takes(version, news, True)
-    found = doubt.forbids(news)
+    doubt, (version, news, stopped) = ListConfirmation(), FORBIDS[name]
+    doubt.apply(5, servers(*TEN))
+    assert not doubt.accepts(version, news, True)
+    found = doubt.withdraw_endpoints(news)
     assert {entry.address for entry in found} == stopped
     assert all(entry.state is DRAINING and entry.zone == "a" for entry in found)
-    assert doubt.forbids(news) == ()  # told once
+    assert doubt.withdraw_endpoints(news) == ()  # told once
     for at in range(3):
-        doubt.forbids(servers(**dict.fromkeys(TEN[3 * at : 3 * at + 3], DRAINING)))
-    assert sum(entry.state is READY for entry in doubt.servers.values()) >= 5
+        doubt.withdraw_endpoints(servers(**dict.fromkeys(TEN[3 * at : 3 * at + 3], DRAINING)))
+    assert sum(entry.state is READY for entry in doubt.endpoints.values()) >= 5
 
 
 def test_a_drain_that_is_known_stays_whatever_a_list_in_doubt_says() -> None:
-    doubt = Doubt()
-    doubt.follow(5, servers(*TEN[1:], s0=DRAINING))
-    assert not doubt.takes(4, servers(*TEN), True)
-    assert doubt.forbids(servers(*TEN)) == () and doubt.servers["s0"].state is DRAINING
+    doubt = ListConfirmation()
+    doubt.apply(5, servers(*TEN[1:], s0=DRAINING))
+    assert not doubt.accepts(4, servers(*TEN), True)
+    assert doubt.withdraw_endpoints(servers(*TEN)) == () and doubt.endpoints["s0"].state is DRAINING
 
 
 SAID: dict[str, list[tuple[int, list[str], bool]]] = {
@@ -96,24 +97,24 @@
 @pytest.mark.parametrize("name", SAID)
 def test_a_second_word_need_not_be_the_first_letter_by_letter(name: str) -> None:
     """While servers come and go each answer has another version."""
-    doubt = Doubt()
-    doubt.follow(5, servers(*TEN))
-    assert [doubt.takes(version, servers(*names), True) for version, names, _ in SAID[name]] == [
+    doubt = ListConfirmation()
+    doubt.apply(5, servers(*TEN))
+    assert [doubt.accepts(version, servers(*names), True) for version, names, _ in SAID[name]] == [
         taken for *_, taken in SAID[name]
     ]
 
 
 def test_a_service_that_says_something_else_each_time_gets_two_calls_a_pause() -> None:
-    turns = Pacing(Terms(200, 199, 15.0, 30.0), random.Random(1))
-    one, calls, now = Watch(turns, words=Doubt.WORDS), 0, 0.0
-    one.begin(0.0, 0.0, True)
-    while (now := one.due) < 60.0:
+    turns = PollScheduler(PollingTerms(200, 199, 15.0, 30.0), random.Random(1))
+    one, calls, now = EndpointWatch(turns, words=ListConfirmation.ANSWERS_NEEDED), 0, 0.0
+    one.start(0.0, 0.0, True)
+    while (now := one.next_poll_at) < 60.0:
         for action in one.tick(now, False):
             calls += 1
             now += 0.01
-            one.doubted(now, action.line, turns.failed())
-    least_pause = pacing.AGAIN * told.longest_pause()
-    assert 60.0 / told.TOLD_S <= calls <= 2 * 60.0 / least_pause + 4
+            one.record_unconfirmed(now, action.connection_id, turns.record_failure())
+    least_pause = pacing.REPEATED_FAILURE_MIN_SHARE * told.max_backoff_s()
+    assert 60.0 / told.NOTIFIED_AFTER_S <= calls <= 2 * 60.0 / least_pause + 4
 
 
 # --- in force within the terms -----------------------------------------------------------------------------
@@ -126,48 +127,51 @@
     what is held, `late` after it was asked for, of another version each time. One gateway that doubts it."""
 
     def __init__(
-        self, terms: Terms, rng: random.Random, back: float, late: float, first: float | None
+        self, terms: PollingTerms, rng: random.Random, back: float, late: float, first: float | None
     ) -> None:  # fmt: skip
         """`first`: when the first call is told a lie, if ever."""
-        self.turns, self.rng, self.back, self.late = Pacing(terms, rng), rng, back, late
+        self.turns, self.rng, self.back, self.late = PollScheduler(terms, rng), rng, back, late
         self.first: float | None = first
-        self.watch, self.doubt = Watch(self.turns, words=Doubt.WORDS), Doubt()
-        self.doubt.follow(5, servers(*TEN))
+        self.watch, self.doubt = (
+            EndpointWatch(self.turns, words=ListConfirmation.ANSWERS_NEEDED),
+            ListConfirmation(),
+        )
+        self.doubt.apply(5, servers(*TEN))
         self.due: dict[int, tuple[float, str]] = {}
         self.wait_s = -1.0  # of the first call
         self.now, self.version, self.listed = 0.0, 6, True
 
-    def carry_out(self, actions: list[Open | Ask | Close]) -> None:
+    def carry_out(self, actions: list[OpenAndPoll | Poll | CloseConnection]) -> None:
         for action in actions:
-            if isinstance(action, Close):
-                self.due.pop(action.line, None)
+            if isinstance(action, CloseConnection):
+                self.due.pop(action.connection_id, None)
             elif self.wait_s < 0.0:
                 self.wait_s = action.wait_s
                 if self.first is not None:
-                    self.due[action.line] = self.first, "odd"
+                    self.due[action.connection_id] = self.first, "odd"
             elif self.now >= self.back:
-                self.due[action.line] = self.now + self.late, "true"
+                self.due[action.connection_id] = self.now + self.late, "true"
             else:
                 fate = self.rng.choice(FATES)
                 if fate != "hung":
                     late = self.rng.random() * self.rng.choice([0.0, 1.0, 9.0])
-                    self.due[action.line] = self.now + late, fate
+                    self.due[action.connection_id] = self.now + late, fate
 
     def answer(self, line: int, names: list[str]) -> bool:
         """A whole list; whether it is taken."""
         self.version += 1
-        if self.doubt.takes(self.version, servers(*names), True):
+        if self.doubt.accepts(self.version, servers(*names), True):
             return True
-        self.carry_out(self.watch.doubted(self.now, line, self.turns.failed()))
+        self.carry_out(self.watch.record_unconfirmed(self.now, line, self.turns.record_failure()))
         return False
 
     def heard_at(self) -> float:
         """When the true list is in force."""
-        self.watch.begin(0.0, 0.0, self.first is not None)
+        self.watch.start(0.0, 0.0, self.first is not None)
         for _ in range(100_000):
             line, (at, how) = min(self.due.items(), key=lambda one: one[1], default=(0, (float("inf"), "")))
-            self.now = max(self.now, min(at, self.watch.due))
-            if self.watch.due < at:
+            self.now = max(self.now, min(at, self.watch.next_poll_at))
+            if self.watch.next_poll_at < at:
                 self.carry_out(self.watch.tick(self.now, self.listed))
                 continue
             del self.due[line]
@@ -180,10 +184,14 @@
                 if self.answer(line, [f"x{self.rng.random()}"]):
                     raise AssertionError("a lie is believed")
             elif how == "refused":
-                self.watch.lost(self.now, line)
+                self.watch.record_connection_lost(self.now, line)
             else:
-                pause = self.turns.busy(30.0, self.listed) if how == "busy" else self.turns.failed()
-                self.carry_out(self.watch.failed(self.now, line, pause))
+                pause = (
+                    self.turns.record_rejection(30.0, self.listed)
+                    if how == "busy"
+                    else self.turns.record_failure()
+                )
+                self.carry_out(self.watch.record_failure(self.now, line, pause))
         raise AssertionError("nothing was ever heard")
 
 
@@ -201,10 +209,10 @@
     """Whatever became of the calls before, also lies, while both words are answered in their part of what the
     terms leave: a third of the least of it. With no `first` answer that call is a watch, silent from its
     beginning, with a wait of its own."""
-    reach = told.TOLD_AFTER_WAIT_S / 3.0
-    one = Odd(Terms(gateways, 0, rate, age), random.Random(seed), back, share * reach, first)
+    reach = told.NOTIFIED_AFTER_WAIT_S / 3.0
+    one = Odd(PollingTerms(gateways, 0, rate, age), random.Random(seed), back, share * reach, first)
     heard = one.heard_at()
-    assert heard <= max(back + told.TOLD_S, one.wait_s + told.TOLD_AFTER_WAIT_S) + 1e-6
+    assert heard <= max(back + told.NOTIFIED_AFTER_S, one.wait_s + told.NOTIFIED_AFTER_WAIT_S) + 1e-6
 
 
 # --- on sockets --------------------------------------------------------------------------------------------
@@ -248,10 +256,10 @@
 ) -> None:
     """The second word is held back until what the first forbids is in force, and is asked for though any
     pause would be far too long. Members hear of no list that is in doubt."""
-    monkeypatch.setattr(Pacing, "first", lambda self, listed: 0.0)
-    monkeypatch.setattr(Pacing, "in_step", lambda self: 0.0)
-    monkeypatch.setattr(Pacing, "failed", lambda self: 1000.0)
-    monkeypatch.setattr(told, "TOLD_S", 1000.0)
+    monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
+    monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
+    monkeypatch.setattr(PollScheduler, "record_failure", lambda self: 1000.0)
+    monkeypatch.setattr(told, "NOTIFIED_AFTER_S", 1000.0)
     scene, passed_on, listed = SCENES[name], list[int](), Program.listed
 
     def recorded(self: Program, news: News) -> None:
@@ -276,13 +284,13 @@
                     assert servers.stops(name) is (name not in servers.known() or said[name] != "active")
                 return "".join("-" if n not in servers.known() else said[n][0].upper() for n in "abcd")
 
-            await until(lambda: discovery.since == 5)
+            await until(lambda: discovery.version == 5)
             await agent.answer(1, scene.first)
             await agent.call(2)
             assert agent.calls[2][0] == "/v1/servers" and stand() == scene.before and passed_on == [5]
             await agent.answer(2, scene.second)
-            await until(lambda: discovery.since is not None)
-            assert stand() == scene.after and passed_on == [5, discovery.since]
+            await until(lambda: discovery.version is not None)
+            assert stand() == scene.after and passed_on == [5, discovery.version]
             assert len(script.of(EndpointList)) <= 5
 
     play(scenario())
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -17,16 +17,17 @@
 from hypothesis import strategies as st
 
 from glenchute.cli.run import LIST_WAIT_S
-from glenchute.clients.discovery import PART_BODY, Discovery, ListError, read_list
-from glenchute.clients.discovery import Held as HeldList
+from glenchute.clients.discovery import MAX_UNDIVIDED_BODY_BYTES, DiscoveryClient
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.endpoints import watch
-from glenchute.policy.endpoints.polling import Pacing, Terms
-from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
+from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.events import EndpointList
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership.endpoint_sharing import ListShare
+from glenchute.protocol.endpoint_list import CurrentList as HeldList
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list
 from lab.peers import Peer, always, http, listing, play, row, until
 from tests.loopback import Script, config, site
 
@@ -35,43 +36,43 @@
     """What answers a gateway's calls, under a simulated clock. Calls made before `silent_at` that have not
     been answered by then never are; a later one is answered `late` after it was made, with what is new."""
 
-    def __init__(self, terms: Terms, seed: int, silent_at: float, late: list[float]) -> None:
-        self.turns = Pacing(terms, random.Random(seed))
-        self.watch = Watch(self.turns)
+    def __init__(self, terms: PollingTerms, seed: int, silent_at: float, late: list[float]) -> None:
+        self.turns = PollScheduler(terms, random.Random(seed))
+        self.watch = EndpointWatch(self.turns)
         self.silent_at, self.late = silent_at, late
         self.now = 0.0
         self.answers: dict[int, float] = {}  # when a line's call is answered
         self.calls: list[tuple[float, float]] = []  # when each was made, and its wait
         self.most_out = 0
 
-    def carry_out(self, actions: list[watch.Action]) -> None:
+    def carry_out(self, actions: list[watch.WatchCommand]) -> None:
         for action in actions:
-            if isinstance(action, Close):
-                self.answers.pop(action.line, None)
+            if isinstance(action, CloseConnection):
+                self.answers.pop(action.connection_id, None)
                 continue
-            assert isinstance(action, Open | Ask)
+            assert isinstance(action, OpenAndPoll | Poll)
             self.calls.append((self.now, action.wait_s))
             if self.now >= self.silent_at:
                 late = self.late[min(len(self.late) - 1, self.made_since() - 1)]
-                self.answers[action.line] = self.now + late
+                self.answers[action.connection_id] = self.now + late
             elif self.now + action.wait_s < self.silent_at:
-                self.answers[action.line] = self.now + action.wait_s
-            self.most_out = max(self.most_out, len(self.watch.out))
+                self.answers[action.connection_id] = self.now + action.wait_s
+            self.most_out = max(self.most_out, len(self.watch.in_flight))
 
     def made_since(self) -> int:
         return sum(at >= self.silent_at for at, _ in self.calls)
 
     def heard_at(self) -> float:
         """When the news of the silence are in force."""
-        self.watch.begin(0.0, 0.0, False)
+        self.watch.start(0.0, 0.0, False)
         for _ in range(10_000):
             line, at = min(self.answers.items(), key=lambda one: one[1], default=(0, float("inf")))
-            self.now = max(self.now, min(at, self.watch.due))
-            if at <= self.watch.due:
+            self.now = max(self.now, min(at, self.watch.next_poll_at))
+            if at <= self.watch.next_poll_at:
                 del self.answers[line]
                 if self.now >= self.silent_at:
                     return self.now
-                self.carry_out(self.watch.answered(self.now, line, 0.0))
+                self.carry_out(self.watch.record_answer(self.now, line, 0.0))
             else:
                 self.carry_out(self.watch.tick(self.now, True))
         raise AssertionError("nothing was ever heard")
@@ -80,7 +81,7 @@
 def told_at(agent: Agent) -> float:
     """When it counts as told: the terms of PROTOCOL and of the standing test, by the silent call."""
     began, wait_s = max(one for one in agent.calls if one[0] < agent.silent_at)
-    return max(agent.silent_at + told.TOLD_S, began + wait_s + told.TOLD_AFTER_WAIT_S)
+    return max(agent.silent_at + told.NOTIFIED_AFTER_S, began + wait_s + told.NOTIFIED_AFTER_WAIT_S)
 
 
 @st.composite
@@ -91,26 +92,30 @@
     # Lateness of the calls after the silence; in each pair one is within reach, the other may never be.
     first, share = draw(st.sampled_from([0, 1] if pushed else [0])), draw(st.floats(0.0, 1.0))
     late = [1e9] * first + [share * reach]
-    return Agent(Terms(gateways, 0, pushed=pushed), draw(st.integers(0, 99)), silent_at, late), reach
+    return Agent(
+        PollingTerms(gateways, 0, is_pushed=pushed), draw(st.integers(0, 99)), silent_at, late
+    ), reach
 
 
 @settings(max_examples=600, deadline=None)
 @given(silences())
 def test_what_a_silent_watch_misses_is_in_force_before_it_counts_as_told(made: tuple[Agent, float]) -> None:
     agent, reach = made
-    for wait_s in (0.0, 2.25, 3.0) if agent.turns.terms.pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0):
-        assert agent.watch.reach(wait_s) >= reach  # what the page of the decider promises
+    for wait_s in (0.0, 2.25, 3.0) if agent.turns.terms.is_pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0):
+        assert agent.watch.answer_timeout_s(wait_s) >= reach  # what the page of the decider promises
     heard = agent.heard_at()
     assert heard <= told_at(agent)
-    assert agent.most_out <= watch.MOST_OUT
-    pushed = agent.turns.terms.pushed
-    assert sum(at >= agent.silent_at for at, _ in agent.calls) <= (2 + watch.TRIES_PUSHED if pushed else 2)
+    assert agent.most_out <= watch.MAX_IN_FLIGHT
+    pushed = agent.turns.terms.is_pushed
+    assert sum(at >= agent.silent_at for at, _ in agent.calls) <= (
+        2 + watch.MAX_HEDGED_POLLS_PUSHED if pushed else 2
+    )
 
 
 def test_without_the_call_beside_it_would_be_late(monkeypatch: pytest.MonkeyPatch) -> None:
     """As it was: an answer was given up 3 s after its wait."""
-    monkeypatch.setattr(Watch, "reach", lambda self, wait_s: 3.0)
-    agent = Agent(Terms(200, 0), 1, 30.0, [0.0])
+    monkeypatch.setattr(EndpointWatch, "answer_timeout_s", lambda self, wait_s: 3.0)
+    agent = Agent(PollingTerms(200, 0), 1, 30.0, [0.0])
     assert agent.heard_at() > told_at(agent)
 
 
@@ -121,22 +126,22 @@
     for late in (0.0, 0.9, 1.9, 1e9):
         calls = 0
         for number in range(200):
-            agent = Watch(Pacing(Terms(200, number), random.Random(number)))
+            agent = EndpointWatch(PollScheduler(PollingTerms(200, number), random.Random(number)))
             now, answers = 0.0, dict[int, float]()
-            agent.begin(0.0, number * 0.1, False)
+            agent.start(0.0, number * 0.1, False)
             while now < 120.0:
                 line, at = min(answers.items(), key=lambda one: one[1], default=(0, 1e18))
-                now = min(at, agent.due)
-                if at <= agent.due:
+                now = min(at, agent.next_poll_at)
+                if at <= agent.next_poll_at:
                     answers.clear()
-                    agent.answered(now, line, 0.0)
+                    agent.record_answer(now, line, 0.0)
                     continue
                 for action in agent.tick(now, True):
-                    if not isinstance(action, Close):
+                    if not isinstance(action, CloseConnection):
                         calls += 1
-                        answers[action.line] = now + action.wait_s + late
+                        answers[action.connection_id] = now + action.wait_s + late
                     else:
-                        answers.pop(action.line, None)
+                        answers.pop(action.connection_id, None)
         made[late] = calls / 120.0
     assert made[0.9] <= made[0.0] <= 12.5 and made[1.9] <= 2.0 * made[0.0]
     assert made[1e9] <= 200 / 1.5  # each asks again at a bounded pace
@@ -145,8 +150,8 @@
 @pytest.mark.parametrize("wait_s", [0.0, 3.0, 4.0, 20.0, 55.0])
 def test_the_budget_is_what_the_terms_leave(wait_s: float) -> None:
     for silent in (0.0, 0.5 * wait_s, wait_s):
-        counts = max(silent + told.TOLD_S, wait_s + told.TOLD_AFTER_WAIT_S)
-        assert wait_s + told.budget(wait_s) <= counts
+        counts = max(silent + told.NOTIFIED_AFTER_S, wait_s + told.NOTIFIED_AFTER_WAIT_S)
+        assert wait_s + told.recovery_budget_s(wait_s) <= counts
 
 
 @pytest.mark.parametrize("gateways", [1, 40, 200, 2000])
@@ -158,19 +163,21 @@
 ) -> None:
     """A 503 is no reason to be late with a drain: pause and answer fit, also at the tenth 503 in a row, and
     whatever the operators state. Who comes again is out of step, though the service names one moment."""
-    turns = Pacing(Terms(gateways, 0, list_age_s=age), random.Random(1))
-    pauses = [turns.busy(retry_after_s, listed) for _ in range(10)]
-    assert max(pauses) + told.ANSWER_S <= told.TOLD_S and min(pauses) > 0.0
+    turns = PollScheduler(PollingTerms(gateways, 0, max_list_age_s=age), random.Random(1))
+    pauses = [turns.record_rejection(retry_after_s, listed) for _ in range(10)]
+    assert max(pauses) + told.ANSWER_ALLOWANCE_S <= told.NOTIFIED_AFTER_S and min(pauses) > 0.0
     assert len(set(pauses)) == 10
-    pauses = [turns.failed() for _ in range(10)] + [turns.moved() + told.TOLD_S - told.TOLD_MOVED_S]
-    assert max(pauses) + told.ANSWER_S <= told.TOLD_S
+    pauses = [turns.record_failure() for _ in range(10)] + [
+        turns.reset_for_new_address() + told.NOTIFIED_AFTER_S - told.NOTIFIED_AFTER_MOVE_S
+    ]
+    assert max(pauses) + told.ANSWER_ALLOWANCE_S <= told.NOTIFIED_AFTER_S
 
 
 @pytest.mark.parametrize("retry_after_s", [None, 30.0])
 def test_an_agent_that_answers_503_is_asked_again_at_once(retry_after_s: float | None) -> None:
     """Where lists are pushed, what the agent has counts as told, and its calls cost nobody else."""
-    turns = Pacing(Terms(200, 199, pushed=True), random.Random(1))
-    assert max(turns.busy(retry_after_s, True) for _ in range(10)) <= pacing.BACKOFF_S[0]
+    turns = PollScheduler(PollingTerms(200, 199, is_pushed=True), random.Random(1))
+    assert max(turns.record_rejection(retry_after_s, True) for _ in range(10)) <= pacing.BACKOFF_S[0]
 
 
 # What becomes of a call to a service that is away: how long after it was made that is told, and whether the
@@ -183,54 +190,60 @@
     meets a fate of its own, told when it likes, also after the return; so does the watch that was out then.
     From `back` on calls are answered `late` after they were made, with what is new."""
 
-    def __init__(self, terms: Terms, rng: random.Random, gone: float, back: float, late: float) -> None:
-        self.turns, self.rng = Pacing(terms, rng), rng
-        self.watch = Watch(self.turns)
+    def __init__(
+        self, terms: PollingTerms, rng: random.Random, gone: float, back: float, late: float
+    ) -> None:
+        self.turns, self.rng = PollScheduler(terms, rng), rng
+        self.watch = EndpointWatch(self.turns)
         self.gone, self.back, self.late = gone, back, late
         self.now = 0.0
         self.due: dict[int, tuple[float, str]] = {}  # what becomes of a line's call, and when
         self.sound = (0.0, 0.0)  # when the last call that met a sound service was made, and its wait
         self.calls: list[float] = []
 
-    def carry_out(self, actions: list[watch.Action]) -> None:
+    def carry_out(self, actions: list[watch.WatchCommand]) -> None:
         for action in actions:
-            if isinstance(action, Close):
-                self.due.pop(action.line, None)
+            if isinstance(action, CloseConnection):
+                self.due.pop(action.connection_id, None)
                 continue
-            assert isinstance(action, Open | Ask)
+            assert isinstance(action, OpenAndPoll | Poll)
             self.calls.append(self.now)
             fate = self.rng.choice(FATES), self.rng.choice([0.0, 0.1, 1.0, 5.0, 60.0]) * self.rng.random()
             if self.now >= self.back:
-                self.due[action.line] = self.now + self.late, "news"
+                self.due[action.connection_id] = self.now + self.late, "news"
                 continue
             if self.now < self.gone or len(self.calls) == 1:
                 self.sound = self.now, action.wait_s
                 if self.now + action.wait_s < self.gone:
-                    self.due[action.line] = self.now + action.wait_s, "nothing new"
+                    self.due[action.connection_id] = self.now + action.wait_s, "nothing new"
                     continue
             if fate[0] != "hung":
-                self.due[action.line] = max(self.now, self.gone) + fate[1], fate[0]
+                self.due[action.connection_id] = max(self.now, self.gone) + fate[1], fate[0]
 
     def heard_at(self, awaited: bool, retry_after_s: float | None) -> float:
         """When the news are in force."""
-        self.watch.begin(0.0, 0.0, awaited)
+        self.watch.start(0.0, 0.0, awaited)
         for _ in range(100_000):
             line, (at, how) = min(self.due.items(), key=lambda one: one[1], default=(0, (float("inf"), "")))
-            self.now = max(self.now, min(at, self.watch.due))
-            if self.watch.due < at:
+            self.now = max(self.now, min(at, self.watch.next_poll_at))
+            if self.watch.next_poll_at < at:
                 self.carry_out(self.watch.tick(self.now, True))
                 continue
             del self.due[line]
             if how == "news":
                 return self.now
             if how == "nothing new":
-                self.turns.answered()
-                self.carry_out(self.watch.answered(self.now, line, 0.0))
+                self.turns.record_answer()
+                self.carry_out(self.watch.record_answer(self.now, line, 0.0))
             elif how in ("busy", "garbage"):
-                pause = self.turns.busy(retry_after_s, True) if how == "busy" else self.turns.failed()
-                self.carry_out(self.watch.failed(self.now, line, pause))
+                pause = (
+                    self.turns.record_rejection(retry_after_s, True)
+                    if how == "busy"
+                    else self.turns.record_failure()
+                )
+                self.carry_out(self.watch.record_failure(self.now, line, pause))
             else:
-                self.watch.lost(self.now, line)
+                self.watch.record_connection_lost(self.now, line)
         raise AssertionError("nothing was ever heard")
 
 
@@ -248,11 +261,11 @@
     """Whatever became of the calls before, and whenever that was told. Only the watch that was out when the
     service went away has its wait (or the first call, if that came later): a silent one counts 2 s after."""
     reach = 0.75 if pushed else 1.0
-    terms = Terms(gateways, 0, rate, None if pushed else age, pushed)  # nobody states both
+    terms = PollingTerms(gateways, 0, rate, None if pushed else age, pushed)  # nobody states both
     one = Away(terms, random.Random(seed), gone, gone + away, share * reach)
     heard = one.heard_at(awaited, retry_after_s)
     made, wait_s = one.sound
-    counts = max(one.back + told.TOLD_S, made + wait_s + told.TOLD_AFTER_WAIT_S)
+    counts = max(one.back + told.NOTIFIED_AFTER_S, made + wait_s + told.NOTIFIED_AFTER_WAIT_S)
     assert heard <= counts + 1e-6
 
 
@@ -260,11 +273,11 @@
 @pytest.mark.parametrize("how", ["failed", "lost"])
 def test_a_pause_counts_from_the_call_not_from_the_late_word_of_its_failure(how: str, word_s: float) -> None:
     """The service may have come back right after the call was made."""
-    one = Watch(Pacing(Terms(200, 199, 13.0, 30.0), random.Random(1)))
-    one.begin(0.0, 0.0, True)
+    one = EndpointWatch(PollScheduler(PollingTerms(200, 199, 13.0, 30.0), random.Random(1)))
+    one.start(0.0, 0.0, True)
     one.tick(0.0, True)
-    _ = one.failed(word_s, 1, 4.0) if how == "failed" else one.lost(word_s, 1)
-    assert one.due <= max(word_s, told.TOLD_S - told.ANSWER_S)
+    _ = one.record_failure(word_s, 1, 4.0) if how == "failed" else one.record_connection_lost(word_s, 1)
+    assert one.next_poll_at <= max(word_s, told.NOTIFIED_AFTER_S - told.ANSWER_ALLOWANCE_S)
 
 
 @pytest.mark.parametrize("count", [200, 520])
@@ -272,46 +285,50 @@
     """What the terms cost it: one call a gateway in 3 to 4 s."""
     calls: list[float] = []
     for number in range(count):
-        terms = Terms(count, number, count / 15.0, 30.0)
+        terms = PollingTerms(count, number, count / 15.0, 30.0)
         one = Away(terms, random.Random(number), 0.0, 1e9, 0.0)
         one.rng = random.Random(0)
-        one.watch.begin(0.0, number * 4.0 / count, True)
+        one.watch.start(0.0, number * 4.0 / count, True)
         while one.now < 60.0:
-            one.now = one.watch.due
+            one.now = one.watch.next_poll_at
             actions = one.watch.tick(one.now, True)
             for action in actions:
-                if not isinstance(action, Close):
+                if not isinstance(action, CloseConnection):
                     calls.append(one.now)
-                    one.watch.failed(one.now, action.line, one.turns.busy(30.0, True))
+                    one.watch.record_failure(
+                        one.now, action.connection_id, one.turns.record_rejection(30.0, True)
+                    )
     seconds = [sum(s <= at < s + 1.0 for at in calls) for s in range(10, 60)]
     assert sum(seconds) / 50.0 <= count / 3.5 and max(seconds) <= 1.5 * count / 3.5
 
 
-def heard_beside_members(terms: Terms, words: list[tuple[float, float]], change: float, late: float) -> float:
+def heard_beside_members(
+    terms: PollingTerms, words: list[tuple[float, float]], change: float, late: float
+) -> float:
     """When one that leaves asking to its members has a change in force of which none of them tells. `words`:
     when they come, and for when each confirms the list held, a moment before the change."""
     share = ListShare("m9", 0.0, random.Random(1))
     share.version, share.confirmed = 5, 0.0
     share.leased = False  # others ask
-    one = Watch(Pacing(terms, random.Random(1)), lambda: share.waits(now, ["m0"]))
+    one = EndpointWatch(PollScheduler(terms, random.Random(1)), lambda: share.waits(now, ["m0"]))
     now, answers, words = 0.0, dict[int, float](), sorted(words, reverse=True)
-    one.begin(0.0, 0.0, False)
+    one.start(0.0, 0.0, False)
     while True:
         line, at = min(answers.items(), key=lambda pair: pair[1], default=(0, math.inf))
         told_at = words[-1][0] if words else math.inf
-        now = max(now, min(at, one.due, told_at))
+        now = max(now, min(at, one.next_poll_at, told_at))
         if told_at <= now:
             share.confirmed = max(share.confirmed, words.pop()[1])
-        elif one.due <= now:
+        elif one.next_poll_at <= now:
             for action in one.tick(now, True):
-                if isinstance(action, Close):
-                    answers.pop(action.line, None)
+                if isinstance(action, CloseConnection):
+                    answers.pop(action.connection_id, None)
                 else:
-                    answers[action.line] = now + late if now >= change else max(now + late, change)
+                    answers[action.connection_id] = now + late if now >= change else max(now + late, change)
         elif now >= change:
             return now
         else:
-            one.answered(now, line, 0.0)
+            one.record_answer(now, line, 0.0)
             answers.clear()
 
 
@@ -326,13 +343,13 @@
 ) -> None:  # fmt: skip
     """Words of members may stop at any moment, whatever age of lists the operators state."""
     confirming = [(at, max(0.0, at - old)) for at, old in words if at - old <= change]
-    terms = Terms(gateways, gateways - 1, rate, age)
-    heard = heard_beside_members(terms, confirming, change, share * told.ANSWER_S)
-    assert heard <= change + told.TOLD_S + 1e-6
+    terms = PollingTerms(gateways, gateways - 1, rate, age)
+    heard = heard_beside_members(terms, confirming, change, share * told.ANSWER_ALLOWANCE_S)
+    assert heard <= change + told.NOTIFIED_AFTER_S + 1e-6
 
 
 def test_a_members_word_is_no_fresher_than_the_terms_take_it_for() -> None:
-    assert coldstart.FRESH_S <= told.FRESH_S
+    assert coldstart.FRESH_S <= told.CONFIRMATION_TTL_S
 
 
 # --- on sockets ------------------------------------------------------------------------------------------
@@ -372,9 +389,12 @@
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """The terms at a tenth of their size."""
     for name, value in (
-        ("TOLD_S", 0.6), ("TOLD_AFTER_WAIT_S", 0.2), ("TOLD_MOVED_S", 0.4), ("ANSWER_S", 0.2),
-        ("PUSHED_WAIT_S", 0.3),
-    ):  # fmt: skip
+        ("NOTIFIED_AFTER_S", 0.6),
+        ("NOTIFIED_AFTER_WAIT_S", 0.2),
+        ("NOTIFIED_AFTER_MOVE_S", 0.4),
+        ("ANSWER_ALLOWANCE_S", 0.2),
+        ("PUSHED_WATCH_WAIT_S", 0.3),
+    ):
         monkeypatch.setattr(told, name, value)
 
 
@@ -471,7 +491,7 @@
     """Down: two calls are out at most, and the one that is answered at the return counts."""
     for number in range(2, 7):
         await agent.call(number)
-        await until(lambda: agent.open <= watch.MOST_OUT)
+        await until(lambda: agent.open <= watch.MAX_IN_FLIGHT)
     last = len(agent.calls) - 1
     agent.calls[last][1].write(DRAINS)
 
@@ -529,7 +549,7 @@
         more: dict[str, Any] = {"settings": many, "number": 150, "operator": operator}
         async with site(decisions=script, discovery=agent, **more) as one:  # type: ignore[arg-type]
             await task
-            assert not one.program.discovery.turns.terms.pushed
+            assert not one.program.discovery.scheduler.terms.is_pushed
             number = 1
             for fate in OUTAGES[name]:
                 await agent.call(number)
@@ -543,8 +563,8 @@
                 await until(lambda: states(script)["a"] == "draining")
 
     # Turns at a start and after news are another matter.
-    monkeypatch.setattr(Pacing, "first", lambda self, listed: 0.0)
-    monkeypatch.setattr(Pacing, "in_step", lambda self: 0.0)
+    monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
+    monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
     play(scenario())
 
 
@@ -577,7 +597,7 @@
             others = [row(f"m{n}", 1000 + n) | {"note": "x" * 400} for n in range(many)]
             rows = [row("a", 80, "Terminating"), *others]
             data = FORMS[form]({"version": 9, "full": True, "servers": rows})
-            assert (len(data) > PART_BODY) is (many > 0)
+            assert (len(data) > MAX_UNDIVIDED_BODY_BYTES) is (many > 0)
             writer = await agent.call(1)
             for at in range(0, len(data), 1 + len(data) // 50):
                 writer.write(data[at : at + 1 + len(data) // 50])
@@ -610,10 +630,10 @@
 
 def test_a_list_of_which_no_row_can_be_read_is_turned_down() -> None:
     """A form that is new to us must not end service."""
-    with pytest.raises(ListError):
-        read_list({"version": 1, "full": True, "servers": UNREADABLE}, held=None)
-    with pytest.raises(ListError):
-        read_list({"version": 1, "full": True, "servers": UNREADABLE}, held=HeldList())
+    with pytest.raises(EndpointListError):
+        decode_list({"version": 1, "full": True, "servers": UNREADABLE}, held=None)
+    with pytest.raises(EndpointListError):
+        decode_list({"version": 1, "full": True, "servers": UNREADABLE}, held=HeldList())
 
 
 @pytest.mark.parametrize("way", ["silent", "connecting", "twice", "back"])
@@ -625,22 +645,22 @@
             await task
             for peer in (other, new):
                 await peer.start()
-            discovery, first = one.program.discovery, one.program.discovery.where
+            discovery, first = one.program.discovery, one.program.discovery.address
             last = new
             if way == "silent":
                 await old.call(2)  # a call is late, and another out beside it
             if way == "connecting":
-                discovery.move(("127.0.0.1", other.port))
-                await until(lambda: bool(discovery.opening))
+                discovery.change_address(("127.0.0.1", other.port))
+                await until(lambda: bool(discovery.connect_tasks))
             if way == "twice":
-                discovery.move(("127.0.0.1", other.port))
+                discovery.change_address(("127.0.0.1", other.port))
                 await other.call(0)
             if way == "back":
-                discovery.move(("127.0.0.1", new.port))
+                discovery.change_address(("127.0.0.1", new.port))
                 await new.call(0)
                 last = old
             before = len(last.calls)
-            discovery.move(first if way == "back" else ("127.0.0.1", new.port))
+            discovery.change_address(first if way == "back" else ("127.0.0.1", new.port))
             # What the places left behind say now counts no more.
             for peer in {old, other, new} - {last}:
                 for writer in [one for _, one in peer.calls if not one.transport.is_closing()]:
@@ -669,9 +689,9 @@
             assert states(script)["s0"] == "draining"
         await task
 
-    def late(self: Discovery, line: int, wait_s: float) -> None:
+    def late(self: DiscoveryClient, line: int, wait_s: float) -> None:
         self.loop.call_later(2.0 * LIST_WAIT_S, at_once, self, line, wait_s)
 
-    at_once = Discovery.open
-    monkeypatch.setattr(Discovery, "open", late)
+    at_once = DiscoveryClient.open_connection
+    monkeypatch.setattr(DiscoveryClient, "open_connection", late)
     play(scenario())
--- a/tests/policy/lifecycle/test_lifecycle.py
+++ b/tests/policy/lifecycle/test_lifecycle.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from glenchute.policy.connections.operator_slots import Callers
+from glenchute.policy.connections.operator_slots import OperatorSlots
 from glenchute.policy.lifecycle import draining as lifecycle
-from glenchute.policy.lifecycle.draining import Lifecycle, Phase
+from glenchute.policy.lifecycle.draining import Phase, ProcessLifecycle
 
 
 class Phases(RuleBasedStateMachine):
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.life = Lifecycle()
+        self.life = ProcessLifecycle()
         self.now = 0.0
         self.up = self.leaving = False
         self.lame_since = math.inf
@@ -29,51 +29,56 @@
 
     @rule()
     def serving(self) -> None:
-        self.life.serving(self.now)
+        self.life.begin_serving(self.now)
         self.up = True
 
     @precondition(lambda self: self.up or not self.leaving)
     @rule()
     def lame_duck(self) -> None:
-        changed = self.life.lame_duck(self.now)
+        changed = self.life.begin_drain(self.now)
         assert changed == (self.up and not self.leaving and self.lame_since == math.inf)
         if changed:
             self.lame_since = self.now
 
     @rule()
     def back(self) -> None:
-        assert self.life.back(self.now) == (self.lame_since < math.inf and not self.leaving)
+        assert self.life.cancel_drain(self.now) == (self.lame_since < math.inf and not self.leaving)
         if not self.leaving:
             self.lame_since = math.inf
 
     @precondition(lambda self: self.up)
     @rule(replaced=st.booleans())
     def leave(self, replaced: bool) -> None:
-        heard = self.life.closes(self.now)
-        self.life.leave(self.now, replaced)
-        assert not heard or self.life.closes(self.now), "a drain that was heard of begins anew"
+        heard = self.life.closes_after_response(self.now)
+        self.life.begin_shutdown(self.now, replaced)
+        assert not heard or self.life.closes_after_response(self.now), "a drain that was heard of begins anew"
         self.leaving = True
 
     @invariant()
     def ready_while_serving_alone(self) -> None:
-        assert self.life.ready == (self.up and not self.leaving and self.lame_since == math.inf)
+        assert self.life.is_ready == (self.up and not self.leaving and self.lame_since == math.inf)
 
     @invariant()
     def idle_goes_within_its_time(self) -> None:
         life, now = self.life, self.now
-        if life.closes(now):
-            assert life.parting and life.borne(now) <= lifecycle.BORNE_S
+        if life.closes_after_response(now):
+            assert life.is_closing_connections and life.idle_limit_s(now) <= lifecycle.INITIAL_IDLE_LIMIT_S
         else:
-            assert life.borne(now) == math.inf
-        if life.parting and now - life.since >= lifecycle.ACCEPT_S + lifecycle.QUIET_S:
-            assert life.borne(now) == 0.0
+            assert life.idle_limit_s(now) == math.inf
+        if (
+            life.is_closing_connections
+            and now - life.phase_started_at >= lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
+        ):
+            assert life.idle_limit_s(now) == 0.0
 
     @invariant()
     def late_requests_of_a_drain_are_turned_away(self) -> None:
         if not self.leaving and self.lame_since < math.inf:
-            assert self.life.takes(self.now) == (self.now - self.lame_since < lifecycle.LATE_S)
+            assert self.life.admits_requests(self.now) == (
+                self.now - self.lame_since < lifecycle.DRAIN_ADMISSION_S
+            )
         else:
-            assert self.life.takes(self.now)
+            assert self.life.admits_requests(self.now)
 
 
 Phases.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
@@ -85,14 +90,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.callers: Callers[int] = Callers(3, 2.0)
+        self.callers: OperatorSlots[int] = OperatorSlots(3, 2.0)
         self.now, self.serial = 0.0, 0
         self.came: dict[int, float] = {}
 
     @rule()
     def comes(self) -> None:
         self.serial += 1
-        ended = self.callers.came(self.now, self.serial)
+        ended = self.callers.add(self.now, self.serial)
         self.came[self.serial] = self.now
         assert self.serial not in ended
         for key in ended:
@@ -102,18 +107,18 @@
     def finishes(self) -> None:
         if self.came:
             key = max(self.came)
-            self.callers.left(key)
+            self.callers.remove(key)
             del self.came[key]
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 2.5]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        for key in self.callers.late(self.now):
+        for key in self.callers.remove_expired(self.now):
             assert self.now - self.came.pop(key) >= 2.0
 
     @invariant()
     def bounded(self) -> None:
-        assert set(self.callers.held) == set(self.came) and len(self.came) <= 3
+        assert set(self.callers.opened_at) == set(self.came) and len(self.came) <= 3
         assert all(self.now - at < 2.0 or at == self.now for at in self.came.values())
 
 
@@ -122,15 +127,17 @@
 
 
 def test_a_drain_before_the_start_is_no_order() -> None:
-    life = Lifecycle()
-    assert not life.lame_duck(0.0) and life.phase is Phase.STARTING
-    life.serving(1.0)
-    assert life.ready
+    life = ProcessLifecycle()
+    assert not life.begin_drain(0.0) and life.phase is Phase.STARTING
+    life.begin_serving(1.0)
+    assert life.is_ready
 
 
 def test_a_replaced_process_closes_at_once_and_another_waits_for_the_front() -> None:
-    for replaced, after in ((True, 0.0), (False, lifecycle.ACCEPT_S)):
-        life = Lifecycle()
-        life.serving(0.0)
-        life.leave(5.0, replaced)
-        assert life.closes(5.0 + after) and (not after or not life.closes(5.0 + after / 2))
+    for replaced, after in ((True, 0.0), (False, lifecycle.SHUTDOWN_ACCEPT_S)):
+        life = ProcessLifecycle()
+        life.begin_serving(0.0)
+        life.begin_shutdown(5.0, replaced)
+        assert life.closes_after_response(5.0 + after) and (
+            not after or not life.closes_after_response(5.0 + after / 2)
+        )
--- a/tests/policy/lifecycle/test_succession.py
+++ b/tests/policy/lifecycle/test_succession.py
@@ -34,13 +34,13 @@
 )
 from glenchute.policy.lifecycle.handover import (
     FIELDS,
-    LEAST_SHARE,
-    MOST_STOCKS,
-    SuccessionError,
-    Told,
-    keeps,
-    message,
-    parse,
+    MAX_QUOTAS,
+    MIN_LIMIT_SHARE,
+    HandoverError,
+    HandoverState,
+    decode_handover,
+    encode_handover,
+    retained_limit_share,
 )
 from tests.loopback import always, play, site, until
 from tests.rig import SETTINGS, Rig, only
@@ -61,24 +61,24 @@
         ),
         max_size=5,
     ),
-    st.floats(LEAST_SHARE, 1.0 - LEAST_SHARE),
+    st.floats(MIN_LIMIT_SHARE, 1.0 - MIN_LIMIT_SHARE),
 )  # fmt: skip
 def test_what_is_told_is_read(stocks: list[QuotaSnapshot], share: float) -> None:
-    raw = message("g", share, stocks)
-    assert parse("g", raw) == Told(share, tuple(stocks))
+    raw = encode_handover("g", share, stocks)
+    assert decode_handover("g", raw) == HandoverState(share, tuple(stocks))
     for cut in (1, len(raw) // 2, len(raw) - 1):
-        with pytest.raises(SuccessionError):
-            parse("g", raw[:cut])
+        with pytest.raises(HandoverError):
+            decode_handover("g", raw[:cut])
 
 
 def changed(**changes: Any) -> bytes:
-    told = json.loads(message("g", 0.5, [STOCK]))
+    told = json.loads(encode_handover("g", 0.5, [STOCK]))
     told.update(changes)
     return json.dumps(told).encode() + b"\n"
 
 
 def row(at: int, value: Any) -> bytes:
-    cells = json.loads(message("g", 0.5, [STOCK]))["stocks"][0]
+    cells = json.loads(encode_handover("g", 0.5, [STOCK]))["stocks"][0]
     cells[at] = value
     return changed(stocks=[cells])
 
@@ -94,7 +94,7 @@
         (changed(gateway="h"), "another gateway"),
         (changed(fields=["customer"]), "fields"),
         (changed(stocks={}), "customers"),
-        (changed(stocks=[[]] * (MOST_STOCKS + 1)), "customers"),
+        (changed(stocks=[[]] * (MAX_QUOTAS + 1)), "customers"),
         (changed(stocks=[[1]]), "not whole"),
         (changed(share=0.9), "range"),
         (changed(share=True), "range"),
@@ -107,26 +107,26 @@
         (row(3, 1e300), "range"),
         (row(9, None), "range"),
         (changed(stocks=[[*range(11)]]), "name"),
-        (message("g", 0.5, [STOCK]).replace(b"3.0", b"NaN"), "no JSON"),
-        (message("g", 0.5, [STOCK]).replace(b"3.0", b"Infinity"), "no JSON"),
+        (encode_handover("g", 0.5, [STOCK]).replace(b"3.0", b"NaN"), "no JSON"),
+        (encode_handover("g", 0.5, [STOCK]).replace(b"3.0", b"Infinity"), "no JSON"),
     ],
 )
 def test_what_is_not_as_it_should_be_is_void_as_a_whole(raw: bytes, why: str) -> None:
-    with pytest.raises(SuccessionError, match=why):
-        parse("g", raw)
+    with pytest.raises(HandoverError, match=why):
+        decode_handover("g", raw)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
 def test_no_bytes_do_harm(raw: bytes) -> None:
-    with pytest.raises(SuccessionError):
-        parse("g", raw + b"\n")
+    with pytest.raises(HandoverError):
+        decode_handover("g", raw + b"\n")
 
 
 @given(st.integers(0, 5000), st.integers(64, 4096))
 def test_both_shares_are_at_least_a_quarter_and_the_keeper_closes_nobody(held: int, whole: int) -> None:
-    share = keeps(held, whole)
-    assert LEAST_SHARE <= 1.0 - share <= 0.5
+    share = retained_limit_share(held, whole)
+    assert MIN_LIMIT_SHARE <= 1.0 - share <= 0.5
     assert share * whole >= min(held, 0.75 * whole)
 
 
@@ -245,23 +245,28 @@
 # --- the socket --------------------------------------------------------------------------------------------
 
 
-def door(loop: asyncio.AbstractEventLoop, raw: bytes, gone: list[str]) -> way.Door:
-    return way.Door(loop, lambda: raw, lambda: gone.append("next"))
+def door(loop: asyncio.AbstractEventLoop, raw: bytes, gone: list[str]) -> way.HandoverServer:
+    return way.HandoverServer(loop, lambda: raw, lambda: gone.append("next"))
 
 
 def test_either_side_hears_of_the_others_end(tmp_path: Path) -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         gone: list[str] = []
-        path = way.path_in(str(tmp_path), "g", ("127.0.0.1", 1))
-        assert path is not None and await way.ask(loop, path, "g", lambda: gone.append("old")) is None
-        old = door(loop, message("g", 0.5, [STOCK]), gone)
-        await old.open(path)
+        path = way.socket_path(str(tmp_path), "g", ("127.0.0.1", 1))
+        assert (
+            path is not None
+            and await way.request_handover(loop, path, "g", lambda: gone.append("old")) is None
+        )
+        old = door(loop, encode_handover("g", 0.5, [STOCK]), gone)
+        await old.start(path)
         assert path.stat().st_mode & 0o077 == 0
         for side in ("next", "old"):
-            found = await way.ask(loop, path, "g", lambda: gone.append("old"))
-            assert found is not None and found.told == Told(0.5, (STOCK,))
-            assert await way.ask(loop, path, "g", lambda: gone.append("third")) is None  # one at a time
+            found = await way.request_handover(loop, path, "g", lambda: gone.append("old"))
+            assert found is not None and found.state == HandoverState(0.5, (STOCK,))
+            assert (
+                await way.request_handover(loop, path, "g", lambda: gone.append("third")) is None
+            )  # one at a time
             assert not gone
             if side == "next":
                 found.close()  # the new process dies: the old one is alone, and may be asked again
@@ -275,17 +280,17 @@
     play(scenario())
 
 
-@pytest.mark.parametrize("raw", [b"", b"{", b"{}\n", message("h", 0.5, [])])
+@pytest.mark.parametrize("raw", [b"", b"{", b"{}\n", encode_handover("h", 0.5, [])])
 def test_void_torn_or_no_words_mean_a_start_without(tmp_path: Path, raw: bytes, monkeypatch: Any) -> None:
-    monkeypatch.setattr(way, "WAIT_S", 0.2)
+    monkeypatch.setattr(way, "REQUEST_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         gone: list[str] = []
         path = tmp_path / "s"
         old = door(loop, raw, gone)
-        await old.open(path)
-        assert await way.ask(loop, path, "g", lambda: gone.append("old")) is None
+        await old.start(path)
+        assert await way.request_handover(loop, path, "g", lambda: gone.append("old")) is None
         old.close()
         await asyncio.sleep(0.02)
         assert "old" not in gone
@@ -298,13 +303,13 @@
         loop = asyncio.get_running_loop()
         path = tmp_path / "s"
         path.write_text("left over")
-        assert await way.ask(loop, path, "g", lambda: None) is None
-        one = door(loop, message("g", 0.5, []), [])
-        await one.open(path)
-        assert await way.ask(loop, path, "g", lambda: None) is not None
+        assert await way.request_handover(loop, path, "g", lambda: None) is None
+        one = door(loop, encode_handover("g", 0.5, []), [])
+        await one.start(path)
+        assert await way.request_handover(loop, path, "g", lambda: None) is not None
         one.close()
-        assert way.path_in("/" + "x" * 200, "g", ("127.0.0.1", 1)) is None
-        await door(loop, b"", []).open(tmp_path / "no" / "folder")  # serves all the same
+        assert way.socket_path("/" + "x" * 200, "g", ("127.0.0.1", 1)) is None
+        await door(loop, b"", []).start(tmp_path / "no" / "folder")  # serves all the same
 
     play(scenario())
 
@@ -342,9 +347,12 @@
 ) -> None:
     """On the platform's other days no Unix socket is opened, and nothing of it is imported."""
     code = (
-        "import sys, glenchute.cli.run\n"
-        "for name in ('peers.succession', 'cli.succession', 'fronts.operations', 'backends.long'):\n"
-        "    assert 'glenchute.' + name not in sys.modules, name\n"
+        "import importlib.util, sys, glenchute.cli.run\n"
+        "names = ('clients.handover', 'cli.handover', 'listeners.operations', 'upstreams.streamed_value')\n"
+        "for name in ['glenchute.' + name for name in names]:\n"
+        "    assert name not in sys.modules, name\n"
+        "for name in ['glenchute.' + name for name in names]:\n"
+        "    assert importlib.util.find_spec(name) is not None, name\n"
     )
     subprocess.run([sys.executable, "-c", code], check=True)
     monkeypatch.setenv("TMPDIR", str(tmp_path))
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -19,7 +19,8 @@
 from glenchute.policy.admission.quota_bounds import bound, start_bound
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
-from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms, calls_bound
+from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler, max_first_polls_per_s
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from glenchute.policy.membership.endpoint_sharing import ListShare, Part, Sent, Server
 from lab.coldstart import Crowd, Herd, busiest, outage, release, starts, turned_away
@@ -80,8 +81,8 @@
 def test_a_service_whose_rate_is_known_is_not_overrun(scene: str, count: int) -> None:
     """No second brings much more than 1.5 times what the service bears, and one call in twenty at most is
     turned away. Where calls came to nothing it has to bear them within the terms."""
-    rate = count / (pacing.LOAD * told.longest_pause()) if scene in LOST else count / 15.0
-    crowd = Crowd(count, lambda n: Terms(count, n, rate, STATED), rate)
+    rate = count / (pacing.POLL_RATE_SHARE * told.max_backoff_s()) if scene in LOST else count / 15.0
+    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, STATED), rate)
     SCENES[scene](crowd)
     assert len(crowd.heard) == count  # all have their list
     assert busiest(crowd.calls) <= 1.5 * rate + 12.0 and turned_away(crowd.calls) <= 0.05
@@ -92,7 +93,7 @@
     """At a quarter of that rate each gateway goes on at the pace that the terms want, no faster, and the
     service answers all that it can until all have heard."""
     rate = count / 15.0
-    crowd = Crowd(count, lambda n: Terms(count, n, rate, STATED), rate)
+    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, STATED), rate)
     starts(crowd)
     crowd.down = True
     crowd.lose()
@@ -101,24 +102,26 @@
     crowd.heard.clear()
     crowd.down, began = False, crowd.now
     crowd.run(120.0)
-    assert busiest(crowd.calls) <= 1.2 * count / (pacing.AGAIN * told.longest_pause())
+    assert busiest(crowd.calls) <= 1.2 * count / (pacing.REPEATED_FAILURE_MIN_SHARE * told.max_backoff_s())
     answered = [call for call in crowd.calls if call.how == "answered" and call.at < began + 20.0]
     assert len(answered) >= 0.95 * 20.0 * rate
     assert len(crowd.heard) == count and max(crowd.heard.values()) <= began + 60.0
     assert turned_away(crowd.calls, began + 90.0) == 0.0
 
 
-def at_once(self: Pacing, *_: object) -> float:
+def at_once(self: PollScheduler, *_: object) -> float:
     """What the program did: a start asks at once, a loss is retried within 0.1 s."""
     return 0.0
 
 
-@pytest.mark.parametrize(("scene", "bug"), [("all at once", "first"), ("news for all", "in_step")])
+@pytest.mark.parametrize(
+    ("scene", "bug"), [("all at once", "first_poll_delay_s"), ("news for all", "synchronized_delay_s")]
+)
 def test_without_turns_the_same_service_is_overrun(
     scene: str, bug: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Pacing, bug, at_once)
-    crowd = Crowd(300, lambda n: Terms(300, n, 20.0, STATED), 20.0)
+    monkeypatch.setattr(PollScheduler, bug, at_once)
+    crowd = Crowd(300, lambda n: PollingTerms(300, n, 20.0, STATED), 20.0)
     SCENES[scene](crowd)
     assert busiest(crowd.calls) >= 250
 
@@ -128,25 +131,27 @@
 )
 def test_the_bound_that_is_told_holds(gateways: int, rate: float, age: float) -> None:
     for listed in (True, False):
-        terms = [Terms(gateways, number, rate, age) for number in range(gateways)]
-        times = sorted(Pacing(one, random.Random(n)).first(listed) for n, one in enumerate(terms))
+        terms = [PollingTerms(gateways, number, rate, age) for number in range(gateways)]
+        times = sorted(
+            PollScheduler(one, random.Random(n)).first_poll_delay_s(listed) for n, one in enumerate(terms)
+        )
         most = max(sum(at <= other < at + 1.0 for other in times) for at in times)
-        assert most <= calls_bound(terms[0], listed) and times[-1] <= age - told.ANSWER_S
+        assert most <= max_first_polls_per_s(terms[0], listed) and times[-1] <= age - told.ANSWER_ALLOWANCE_S
 
 
 def test_where_no_age_is_stated_only_a_call_that_was_turned_away_is_put_off() -> None:
     """A crowd long ago must not put off what comes after news: seen as a broken drain on a bench's day."""
-    pacing_ = Pacing(Terms(200, 7), random.Random(1))
-    assert pacing_.first(True) == pacing_.in_step() == 0.0
-    pauses = [pacing_.busy(None, True) for _ in range(5)]
-    assert max(pauses) <= told.longest_pause() and len(set(pauses)) == 5
-    assert pacing_.in_step() == pacing_.moved() == 0.0
-    assert all(pacing_.failed() <= pacing.BACKOFF_S[1] for _ in range(9))
-    assert pacing_.patience() <= pacing.WAIT_S[1]
+    pacing_ = PollScheduler(PollingTerms(200, 7), random.Random(1))
+    assert pacing_.first_poll_delay_s(True) == pacing_.synchronized_delay_s() == 0.0
+    pauses = [pacing_.record_rejection(None, True) for _ in range(5)]
+    assert max(pauses) <= told.max_backoff_s() and len(set(pauses)) == 5
+    assert pacing_.synchronized_delay_s() == pacing_.reset_for_new_address() == 0.0
+    assert all(pacing_.record_failure() <= pacing.BACKOFF_S[1] for _ in range(9))
+    assert pacing_.watch_wait_s() <= pacing.WATCH_WAIT_S[1]
 
 
 def test_one_without_a_list_goes_before_those_that_have_one() -> None:
-    crowd = Crowd(300, lambda n: Terms(300, n, 20.0, STATED), 20.0, listed=lambda n: n % 100 != 7)
+    crowd = Crowd(300, lambda n: PollingTerms(300, n, 20.0, STATED), 20.0, listed=lambda n: n % 100 != 7)
     starts(crowd)
     urgent = [crowd.heard.pop(n) for n in (7, 107, 207)]
     assert max(urgent) < min(crowd.heard.values()) + 0.5
@@ -156,14 +161,16 @@
 def test_a_size_that_is_set_wrong_costs_time_not_the_service(believed: int, there: int) -> None:
     """Three that think they are 300 are late, but in time; 300 that think they are three are turned away, at
     the pace of the terms, until all have been answered."""
-    crowd = Crowd(there, lambda n: Terms(believed, n % believed, 20.0, STATED), 20.0)
+    crowd = Crowd(there, lambda n: PollingTerms(believed, n % believed, 20.0, STATED), 20.0)
     starts(crowd)
     crowd.run(60.0)
     assert len(crowd.heard) == there
     if there < believed:
         assert max(crowd.heard.values()) < STATED and turned_away(crowd.calls) == 0.0
     else:
-        pace = there / (pacing.AGAIN * told.longest_pause())  # whoever is turned away comes again in time
+        pace = there / (
+            pacing.REPEATED_FAILURE_MIN_SHARE * told.max_backoff_s()
+        )  # whoever is turned away comes again in time
         assert busiest(crowd.calls, 20.0) <= 1.2 * pace and turned_away(crowd.calls, STATED + 60.0) < 0.2
 
 
@@ -190,9 +197,9 @@
 
 @pytest.mark.parametrize("name", LISTS)
 def test_odd_lists_wait_for_a_second_word(name: str) -> None:
-    doubt = Doubt()
-    doubt.follow(5, listing(*TEN))
-    assert [doubt.takes(version, told, serving) for version, told, serving, _ in LISTS[name]] == [
+    doubt = ListConfirmation()
+    doubt.apply(5, listing(*TEN))
+    assert [doubt.accepts(version, told, serving) for version, told, serving, _ in LISTS[name]] == [
         taken for *_, taken in LISTS[name]
     ]
 
