--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -34,7 +34,12 @@
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.policy.lifecycle import draining as lifecycle
-from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
+from glenchute.policy.lifecycle.draining import (
+    KILL_DELAY_S,
+    MAX_COUNTED_DEADLINE_S,
+    SHUTDOWN_ACCEPT_S,
+    ProcessLifecycle,
+)
 from glenchute.protocol import resp2 as resp
 from glenchute.simulator import settings
 from glenchute.upstreams.connection_pool import SETTLE_S
@@ -133,7 +138,7 @@
     one.signal(signal.SIGSTOP)
     late = await Client.connect(one.listen)  # by the machine: the process does not run
     late.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await asyncio.sleep(ACCEPT_S + 0.2)  # its timer is due before its sockets are looked at
+    await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # its timer is due before its sockets are looked at
     one.release.set()
     one.signal(signal.SIGCONT)
     assert await late.reply() == b"value"
@@ -243,13 +248,15 @@
 @pytest.mark.parametrize("longest_s", [0.05, 0.15, 0.8, 1.5, 3.0, 6.0, 60.0])
 def test_all_is_over_before_the_kill_however_short_deadlines_are(longest_s: float) -> None:
     """The kill comes no sooner than the longest deadline, three seconds at most, and 0.7 s more."""
-    life = Lifecycle(longest_s)
-    kill = min(longest_s, MOST_HELD_S) + KILL_S
-    assert ACCEPT_S < life.leave_s <= kill - 0.2
-    life.serving(0.0)
-    life.leave(1.0, False)
-    assert life.borne(1.0 + life.leave_s) == 0.0, "an idle connection would be open at the end"
-    assert life.borne(1.0 + ACCEPT_S - 0.01) == float("inf")
+    life = ProcessLifecycle(longest_s)
+    kill = min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
+    assert SHUTDOWN_ACCEPT_S < life.shutdown_grace_s <= kill - 0.2
+    life.begin_serving(0.0)
+    life.begin_shutdown(1.0, False)
+    assert life.idle_limit_s(1.0 + life.shutdown_grace_s) == 0.0, (
+        "an idle connection would be open at the end"
+    )
+    assert life.idle_limit_s(1.0 + SHUTDOWN_ACCEPT_S - 0.01) == float("inf")
 
 
 def test_with_short_deadlines_idle_connections_go_before_the_kill(tmp_path: Path) -> None:
@@ -268,7 +275,7 @@
             assert str(await held.reply()) == "ERR failed"
             assert await idle.ended() and await one.process.wait() == 0
             # The kill comes after 0.9 s; a process that took 1.5 s for its idle connections was ended by it.
-            assert loop.time() - began < lifecycle.ACCEPT_S + lifecycle.QUIET_S
+            assert loop.time() - began < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
 
     play(scenario())
 
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -27,7 +27,7 @@
     SubscribeToEndpoints,
 )
 from glenchute.policy.events import QuotaSnapshot
-from glenchute.policy.lifecycle.handover import Told, parse
+from glenchute.policy.lifecycle.handover import HandoverState, decode_handover
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.member_datagrams import VERSION, decode
 from glenchute.simulator import ENDINGS, LISTS, STATES, WIDTHS
@@ -49,7 +49,7 @@
 def test_the_handover_is_read_as_it_was() -> None:
     stored = dict(text_rows("handover.txt"))
     for label, share, stocks in handover.cases():
-        assert parse(handover.GATEWAY, stored[label]) == Told(share, stocks)
+        assert decode_handover(handover.GATEWAY, stored[label]) == HandoverState(share, stocks)
     fields = json.loads(stored["every field"])["fields"]
     assert len(fields) == len(QuotaSnapshot.__match_args__) == 11
     assert len(handover.cases()[2][2]) >= 5 and any(
@@ -61,7 +61,7 @@
     ((_, frames),) = hex_rows("handover_frames.hex")
     assert asyncio.run(handover.from_predecessor()) == frames
     found, sent = asyncio.run(handover.to_successor(frames))
-    assert found is not None and found.told == Told(handover.SHARE, handover.STOCKS)
+    assert found is not None and found.state == HandoverState(handover.SHARE, handover.STOCKS)
     assert sent == b""  # the next process asks by connecting, and says nothing
 
 
