--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -19,6 +19,7 @@
 from benchmarks.machine import machine
 from glenchute.capture.replay import other_module, replay, runs
 
+WORKERS = 4
 ROOT = Path(__file__).resolve().parent.parent
 CAPTURES = ROOT / "tests" / "captures"
 SWAPS: dict[type[ast.AST], type[ast.AST]] = {
@@ -87,7 +88,7 @@
 def main(count: int) -> None:
     """Prints the share, and the mutants that live."""
     found = mutants(count)
-    with ProcessPoolExecutor() as pool:
+    with ProcessPoolExecutor(WORKERS) as pool:
         told = list(pool.map(caught, found))
     print(machine())
     print(f"{sum(told)} of {len(found)} mutants are caught, {sum(told) / len(found):.0%}")
--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -7,20 +7,22 @@
 
 import argparse
 import datetime
+from collections.abc import Callable
 from pathlib import Path
 
 from glenchute.capture.codec import Head, batch, module_digest, note
 from heathglade import Gateway
 from heathglade import interface as api
 
-from .scenarios import EVENING_SETTINGS, SCENARIOS, START
+from .scenarios import EVENING_SETTINGS, SCENARIOS, SETTINGS_OF, START, Tell
 
 HERE = Path(__file__).resolve().parent
 
 
-def record(scenario: object, play: object, seed: int) -> bytes:
+def record(scenario: str, play: Callable[[Tell], None], seed: int) -> bytes:
     """A scenario's capture."""
-    module = Gateway(EVENING_SETTINGS, seed)
+    settings = SETTINGS_OF.get(scenario, EVENING_SETTINGS)
+    module = Gateway(settings, seed)
     notes = []
 
     def tell(now: float, event: api.Event) -> list[api.Action]:
@@ -28,9 +30,8 @@
         notes.append(note(now, event, actions))
         return actions
 
-    assert callable(play)
     play(tell)
-    head = Head(str(scenario), 0, 0, START, module_digest(), EVENING_SETTINGS, seed, None)
+    head = Head(scenario, 0, 0, START, module_digest(), settings, seed, None)
     return head.encode() + b"".join(batch(notes[at : at + 512]) for at in range(0, len(notes), 512))
 
 
@@ -49,4 +50,3 @@
 
 if __name__ == "__main__":
     main()
-
--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -119,6 +119,11 @@
     late_endings: tuple[api.Ending, ...] = (api.Ending.OK,)  # what became of a call that timed out
     late_after_ms: tuple[float, float] = (5.0, 400.0)  # beyond the timeout
     settled: dict[int, float] = field(default_factory=dict)  # by name: replies before have come by then
+    service_ms: float = 0.0  # servers take one request at a time, each so long; 0: as an Evening's
+    reply_ms: float = 2.0  # of the counter
+    free_at: dict[str, float] = field(default_factory=dict)  # by server
+    by_server: dict[str, api.Ending] = field(default_factory=dict)  # servers whose attempts all end so
+    kinds: tuple[tuple[str, str], ...] = KINDS
     placements: bool = False  # each attempt is followed by an AttemptPlaced
     active: bool = False  # load reports tell of active requests, too
 
@@ -126,7 +131,12 @@
         """Replies for one name come in the order of the calls, late ones included."""
         pending = self.settled.get(call.name, 0.0)
         if pending <= self.now + 2.0 and self.rng.random() >= self.timeout_share:
-            super().count(call)
+            if self.counter is not api.Ending.OK or self.reply_ms == 2.0:
+                super().count(call)
+                return
+            total = self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount + self.others
+            reply = api.CountReply(call.name, total, api.Ending.OK, self.reply_ms)
+            self.at(self.now + self.reply_ms, reply)
             return
         ending = self.rng.choice(self.late_endings)
         if ending is api.Ending.OK:
@@ -142,12 +152,43 @@
         number = self.attempts.get(action.request_id, -1) + 1
         if self.placements:
             self.at(self.now, api.AttemptPlaced(action.request_id, number, "idle"))
-        super().send(action)
+        if self.service_ms:
+            self.serve(action, number)
+        else:
+            endings = self.endings
+            if action.server in self.by_server:
+                self.endings = (self.by_server[action.server],)
+            super().send(action)
+            self.endings = endings
         if self.active:
             row = next(row for row in reversed(self.queue_of(action.request_id)) if row[2].attempt == number)
             at = self.queue.index(row)
             self.queue[at] = (row[0], row[1], replace(row[2], active=float(self.rng.randrange(9))))
 
+    def serve(self, action: api.Send, number: int) -> None:
+        """A server's queue: an answer when those before are done, or a timeout."""
+        self.attempts[action.request_id] = number
+        free = max(self.now, self.free_at.get(action.server, 0.0))
+        waiting = round((free - self.now) / self.service_ms, 2)
+        done = free + self.service_ms * self.rng.uniform(0.6, 1.4)
+        took, ending = done - self.now, self.rng.choice(self.endings)
+        if 0.0 < action.timeout_ms < took:
+            took, ending = action.timeout_ms, api.Ending.TIMEOUT
+        else:
+            self.free_at[action.server] = done
+        ok = ending is api.Ending.OK
+        self.at(self.now + took, api.AttemptEnded(
+            action.request_id, number, action.server, ending, took, ok, waiting))  # fmt: skip
+
+    def mix(self, ms: float, gap_ms: float, customers: int = 4, **more: Any) -> None:
+        """A load of the kinds of this environment."""
+        end = self.now + ms
+        while self.now < end:
+            cls, plan = self.rng.choice(self.kinds)
+            customer = f"m{self.rng.randrange(customers)}{plan}"
+            self.feed(self.request(cls, plan, customer, units=self.rng.choice((1.0, 1.0, 2.0)), **more))
+            self.run(self.rng.expovariate(1.0 / gap_ms))
+
     def queue_of(self, request_id: str) -> list[tuple[float, int, api.AttemptEnded]]:
         """The attempts of a request that are out."""
         return [
@@ -343,6 +384,632 @@
     evening.load(7000.0, 30.0)
 
 
+# --- scenarios that reach every branch; some have settings of their own ------------------------------------
+
+
+def retry_budget_exhausted(tell: Tell) -> None:
+    """All attempts fail at once until no retry is left; then the budget fills by a fifth for each request."""
+    made = Environment(tell, 21, endings=(api.Ending.ERROR,), took_ms=4.0)
+    made.fleet(6)
+    for _ in range(12):  # the start's budget is spent within the first requests
+        made.feed(made.request("read", "wide", "first"))
+        made.run(60.0)
+    for good in (10, 24, 40, 70):
+        made.endings = (api.Ending.OK,)
+        for _ in range(good):
+            made.feed(made.request("read", "wide", "well"))
+            made.run(12.0)
+        for ending in (api.Ending.ERROR, api.Ending.UNREACHABLE, api.Ending.FULL):
+            made.endings = (ending,)
+            for _ in range(8):
+                made.feed(made.request("read", "wide", "failing"))
+                made.run(25.0)
+    made.endings = (api.Ending.TIMEOUT, api.Ending.RESET, api.Ending.UNSENT, api.Ending.CANCELLED)
+    made.mix(2500.0, 30.0)
+
+
+def capacity_estimate_binds(tell: Tell) -> None:
+    """More is offered than two servers can do: V falls, binds, and the cheaper requests give way."""
+    made = Environment(tell, 22, service_ms=24.0)
+    made.kinds = (("read", "wide"), ("read", "dear"), ("order", "wide"), ("read", "cheap"), ("order", "dear"))
+    made.fleet(2)
+    for ms, gap, service in (
+        (2500.0, 30.0, 24.0), (4500.0, 9.0, 24.0), (2000.0, 25.0, 24.0), (2500.0, 9.0, 60.0),
+        (3000.0, 30.0, 12.0), (2500.0, 25.0, 150.0), (3000.0, 40.0, 10.0),
+    ):  # fmt: skip
+        made.service_ms = service
+        made.mix(ms, gap)
+    made.service_ms = 60.0
+    made.mix(2500.0, 12.0)
+    for kinds in ((("read", "cheap"),), (("none", "wide"), ("order", "free"), ("read", "wide"))):
+        made.kinds = kinds  # one kind stops, others are new
+        made.mix(2200.0, 14.0)
+
+
+def capacity_estimate_follows_slow_answers(tell: Tell) -> None:
+    """Answers take from a third of their aim to more than all of it, step by step, at an even load."""
+    made = Environment(tell, 23)
+    made.kinds = (("read", "wide"), ("read", "cheap"), ("read", "dear"))
+    entries = tuple(api.ServerEntry(f"s{n}", "ab"[n % 2]) for n in range(12))
+    made.feed(api.ServerList(api.ListKind.SAVED, entries, 20))
+    for took in (80.0, 200.0, 300.0, 380.0, 420.0, 460.0, 520.0, 600.0, 900.0, 400.0, 150.0, 40.0):
+        made.took_ms = took
+        made.mix(2200.0, 35.0)
+    for took in (700.0, 60.0):
+        made.took_ms = took
+        made.mix(3000.0, 170.0)
+
+
+def usage_updates_of_members(tell: Tell) -> None:
+    """Members tell of their use, beside a counter that answers, is mute, and answers again."""
+    made = Environment(tell, 24, others=0.4, took_ms=40.0)
+    made.fleet()
+    plans = ("rate", "hard", "rate", "soft")
+    for ending in (api.Ending.OK, api.Ending.TIMEOUT, api.Ending.OK, api.Ending.UNREACHABLE):
+        made.counter = ending
+        for turn in range(135):
+            plan = plans[turn % 4]
+            request = made.request(
+                "read",
+                plan,
+                f"u{made.rng.randrange(3)}{plan}",
+                units=made.rng.choice((1.0, 1.0, 2.5)),
+                spread=4,
+            )
+            draw = made.rng.random()
+            if draw < 0.6:
+                share = made.rng.choice((0.0, 0.25, 0.5, 0.75, 1.0, 1.5, -0.5))
+                units, before = made.rng.uniform(0.0, 6.0), made.rng.choice((0.0, 1.0, 4.0, 9.0))
+                made.ask_with_use(request, units, before, share, MEMBERS_SETTINGS)
+            elif draw < 0.65:  # of a window that is over
+                made.feed(api.Used(request, made.now - 9000.0, 3.0, 1.0, 1.0))
+                made.feed(request)
+            elif draw < 0.68:  # of a plan that is not known here
+                made.feed(api.Used(replace(request, plan="none"), made.now, 3.0, 1.0, 1.0))
+                made.feed(replace(request, plan="none"))
+            else:
+                made.feed(request)
+            made.run(made.rng.expovariate(1.0 / 35.0))
+        made.run(made.rng.choice((1400.0, 1600.0, 4000.0)))
+
+
+def usage_updates_without_a_counter(tell: Tell) -> None:
+    """There is no counter: what members tell is all that is known."""
+    made = Environment(tell, 25, took_ms=40.0)
+    made.fleet()
+    used = 0.0
+    for turn in range(420):
+        plan = ("rate", "hard", "soft", "rate")[turn % 4]
+        request = made.request(
+            "read", plan, f"u{turn % 3}{plan}", units=made.rng.choice((1.0, 2.0)), spread=4
+        )
+        used = 0.0 if turn % 60 == 0 else used + made.rng.uniform(0.0, 0.3)
+        if turn % 50 < 38:
+            share = (0.25, 0.5, 0.75, 1.0)[turn // 50 % 4]
+            made.ask_with_use(request, used, made.rng.choice((0.0, 2.0, 5.0)), share, MEMBERS_SETTINGS)
+        else:
+            made.feed(request)
+        made.run(made.rng.expovariate(1.0 / 60.0))
+    made.run(1.0 - made.now % 1.0)
+    for wait in (1100.0, 1300.0, 1450.0, 1499.0, 1500.0, 1550.0, 1700.0, 2000.0):  # until words are too old
+        customer = f"w{wait}"
+        for units in (2.0, 2.0, 1.0):
+            request = made.request("read", "rate", customer, units=units, spread=4)
+            made.ask_with_use(request, 0.5, 0.0, 0.75, MEMBERS_SETTINGS)
+        made.run(wait)
+        for _ in range(5):
+            made.feed(made.request("read", "rate", customer, spread=4))
+        made.run(100.0)
+
+
+def late_counter_replies(tell: Tell) -> None:
+    """Calls time out and are answered later, or turned away, or never known, in their window or after it."""
+    made = Environment(tell, 26, others=0.3, took_ms=40.0)
+    made.fleet()
+    made.late_endings = (api.Ending.OK, api.Ending.OK, api.Ending.FULL, api.Ending.TIMEOUT)
+    made.kinds = (("read", "rate"), ("read", "hard"), ("read", "soft"), ("order", "open"))
+    for share, after in (
+        (0.3, (5.0, 200.0)),
+        (0.7, (20.0, 900.0)),
+        (0.4, (1500.0, 4000.0)),
+        (0.0, (1.0, 2.0)),
+    ):
+        made.timeout_share, made.late_after_ms = share, after
+        made.mix(3500.0, 30.0, 2)
+    made.feed(api.CountReply(12345, 3.0, api.Ending.OK, 60.0, True))  # of a name that nobody knows
+    made.feed(api.CountReply(12345, 3.0, api.Ending.OK, 2.0))
+
+
+def handover_between_processes(tell: Tell) -> None:
+    """The next process comes up beside this one, goes, comes again; names are marked by one of them only."""
+    made = Environment(tell, 27, others=0.4, took_ms=60.0, timeout_share=0.05)
+    made.fleet()
+    made.mix(2500.0, 25.0)
+    for _ in range(2):
+        made.feed(api.Beside())
+        made.mix(2500.0, 25.0)
+        made.feed(api.Alone())
+        made.mix(2500.0, 25.0)
+    made.timeout_share = 0.4
+    for _ in range(6):  # own units may be added that no answer has told of
+        made.feed(api.Beside())
+        made.mix(250.0, 25.0)
+        made.feed(api.Alone())
+        made.mix(150.0, 25.0)
+    made.counter = api.Ending.TIMEOUT
+    made.feed(api.Beside())
+    made.mix(1500.0, 25.0)
+
+
+def handover_taken_from_another_process(tell: Tell) -> None:
+    """This process begins with what the one before knew, serves beside it, and is then alone."""
+    made = Environment(tell, 28, others=0.4, took_ms=60.0)
+    # A customer that is known here already: what was told of it is not taken.
+    made.feed(api.Request("r0", "read", "rate", "m0rate", 2000.0, 1.0, 4))
+    stocks = []
+    for number, plan in enumerate(MEMBERS_SETTINGS.plans * 2):
+        customer = f"m{number % 4}{plan.name}"
+        start = window_start(made.now, customer, plan) - (0.0 if number % 3 else 5.0)
+        total = float("inf") if number % 5 == 1 or number == 6 else 1.0 + 0.5 * number
+        store, guard = (plan.burst + 2.0, 9.0) if number % 2 else (0.4 * plan.burst, 0.5)
+        stocks.append(api.Stock(
+            customer, plan.name, (1, 3, 9)[number % 3], store, guard, 0.5 * number, 0.3 * number,
+            4.0 + number, (3.0, 30.0)[number % 2], start, total))  # fmt: skip
+    stocks.append(api.Stock("x", "none", 1, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0))
+    made.feed(api.TakeOver(tuple(stocks)))
+    made.fleet()
+    made.kinds = (("read", "rate"), ("read", "hard"), ("order", "soft"), ("read", "open"), ("read", "wide"))
+    made.mix(3500.0, 18.0, spread=4)
+    made.feed(api.Alone())
+    made.mix(3500.0, 22.0, spread=4)
+    made.counter = api.Ending.TIMEOUT
+    made.feed(api.TakeOver(tuple(stocks)))
+    made.mix(2500.0, 25.0, spread=4)
+
+
+def stalled_process(tell: Tell) -> None:
+    """The process stands still for less and for more than the limit while attempts are out."""
+    made = Environment(tell, 29, took_ms=150.0)
+    made.fleet()
+    made.kinds = (("read", "wide"), ("order", "wide"), ("read", "rate"))
+    for ms in (900.0, 1100.0, 1260.0, 1500.0, 4000.0, 20_000.0):
+        made.mix(1000.0, 24.0)
+        made.stand_still(ms)
+        made.mix(1000.0, 24.0)
+    made.took_ms = 900.0
+    made.mix(2500.0, 18.0)
+    made.stand_still(3000.0)
+    made.took_ms = 60.0
+    made.mix(3000.0, 25.0)
+
+
+def hedged_requests(tell: Tell) -> None:
+    """Second attempts beside first ones, of each class, by time and as an attempt is held up."""
+    made = Environment(tell, 30, took_ms=250.0, endings=(*MANY, api.Ending.UNREACHABLE), placements=True)
+    made.fleet(5)
+    for turn in range(212):
+        cls = ("read", "order", "bid", "charge", "cell")[turn % 5]
+        copy = made.rng.choice((0.0, 30.0, 120.0, 400.0))
+        request = made.request(
+            cls, "wide", "hedged", copy_after_ms=copy, time_left_ms=made.rng.choice((800.0, 2500.0))
+        )
+        made.feed(request)
+        made.run(made.rng.uniform(5.0, 50.0))
+        if turn % 3 == 0:
+            made.feed(api.AttemptHeld(request.request_id, 0))
+        if turn % 11 == 0:
+            made.feed(api.AttemptHeld("unknown", 0))
+        if turn % 17 == 0:
+            made.feed(api.RequestGone(request.request_id))
+        if turn % 13 == 0:
+            made.feed(api.AnswerBegan(request.request_id, 0))
+    for copy in (0.5, 1.0, 1.5):
+        for bound in (0.5, 1.0, 900.0):
+            for cls in ("read", "charge"):
+                bounds = {"attempt_timeout_ms": bound, "copy_after_ms": copy}
+                made.feed(made.request(cls, "wide", "hedged", **bounds))
+                made.run(60.0)
+    made.fleet(1)  # nowhere to hedge to
+    for cls in ("read", "order", "bid", "cell"):
+        made.feed(made.request(cls, "wide", "hedged", copy_after_ms=30.0))
+        made.run(400.0)
+
+
+def servers_avoided(tell: Tell) -> None:
+    """Servers that can't be reached, here or by the words of other gateways, and that can again."""
+    made = Environment(tell, 31, took_ms=30.0)
+    made.fleet(6)
+    made.kinds = (("read", "wide"), ("order", "wide"), ("bid", "wide"))
+    for turn in range(5):
+        name = f"s{turn % 6}"
+        made.by_server = {name: (api.Ending.UNREACHABLE, api.Ending.TIMEOUT, api.Ending.RESET)[turn % 3]}
+        made.mix(900.0, 18.0)
+        made.feed(api.Avoid(f"s{(turn + 1) % 6}", 1500.0))
+        made.feed(api.Avoid("unknown", 1500.0))
+        made.mix(500.0, 15.0)
+        made.feed(api.Avoid(f"s{(turn + 1) % 6}", 0.0))
+        made.feed(api.Avoid(name, 0.0))
+        made.mix(400.0, 15.0)
+    made.by_server = {f"s{n}": api.Ending.UNREACHABLE for n in range(6)}
+    made.mix(5000.0, 50.0)
+    made.by_server = {"s0": api.Ending.UNREACHABLE}
+    made.mix(20_000.0, 130.0)
+    made.by_server = {}
+    made.mix(12_000.0, 130.0)
+
+
+def servers_of_many_sizes(tell: Tell) -> None:
+    """A part of a large list, with sizes, cells and cold servers, and load reports of two kinds."""
+    made = Environment(tell, 32, service_ms=30.0, active=True)
+    made.kinds = (("read", "wide"), ("cell", "wide"), ("bid", "wide"), ("order", "dear"))
+    active, inf = api.ServerState.ACTIVE, float("inf")
+    sizes = (1.0, 4.0, 0.5, inf, 0.0, -1.0, 2.0)
+    for turn, of in enumerate((0, 21, 14, 0)):
+        started = (made.now, 0.0, made.now - 30_000.0, 0.0)
+        rows = tuple(
+            api.ServerEntry(f"s{n}", "ab"[n % 2], n % 3, size, started[(n + turn) % 4], active)
+            for n, size in enumerate(sizes)
+        )
+        made.feed(api.ServerList(api.ListKind.FULL if turn else api.ListKind.SAVED, rows, of))
+        made.endings = MANY if turn % 2 else (api.Ending.OK,)
+        made.mix(2300.0, 18.0)
+    made.feed(api.ServerList(api.ListKind.FAILED))
+    made.servers(api.ListKind.FULL)
+    made.mix(1500.0, 60.0)
+
+
+def cold_fleet_under_load(tell: Tell) -> None:
+    """Servers start one after the other under a load near what warm ones can do; then all at once."""
+    made = Environment(tell, 33, service_ms=15.0)
+    made.kinds = (("read", "wide"), ("order", "wide"))
+    made.fleet(4)
+    made.mix(2000.0, 9.0)
+    for n in range(2):
+        made.servers(api.ListKind.CHANGES, (f"s{n}", "a", made.now, api.ServerState.ACTIVE))
+        made.mix(2000.0, 9.0)
+    made.servers(api.ListKind.FULL, *[(f"s{n}", "a", made.now, api.ServerState.ACTIVE) for n in range(4)])
+    for turn in range(260):  # some are held until a server has a turn
+        left = made.rng.choice((250.0, 450.0, 500.0, 600.0, 900.0, 1200.0, 1600.0, 3000.0))
+        request = made.request(made.rng.choice(("read", "order")), "wide", "held", time_left_ms=left)
+        made.feed(request)
+        if turn % 9 == 0:
+            made.feed(api.RequestGone(request.request_id))
+        made.run(made.rng.expovariate(1.0 / 15.0))
+
+
+def many_gateways(tell: Tell) -> None:
+    """One of 120 gateways: customers are seen seldom, and a request's spread varies."""
+    made = Environment(tell, 34, others=3.0, took_ms=30.0, timeout_share=0.03)
+    made.fleet()
+    for ending in (api.Ending.OK, api.Ending.TIMEOUT, api.Ending.OK, api.Ending.FULL, api.Ending.OK):
+        made.counter = ending
+        for _ in range(115):
+            cls, plan = made.rng.choice(
+                (("read", "rate"), ("read", "hard"), ("order", "soft"), ("read", "open"))
+            )
+            spread = made.rng.choice((1, 8, 60, 200, 0))
+            if ending is api.Ending.FULL:  # some get through
+                made.counter, spread = made.rng.choice((api.Ending.FULL, api.Ending.OK)), 8
+            made.feed(made.request(cls, plan, f"g{made.rng.randrange(5)}{plan}", spread=spread))
+            made.run(made.rng.expovariate(1.0 / 30.0))
+    made.kinds = (("read", "soft"), ("order", "soft"))
+    for down, ms in ((6, 2500.0), (2, 2500.0), (6, 2500.0), (2, 14_000.0)):  # servers out of reach, of six
+        made.fleet(6)
+        made.by_server = {f"s{n}": api.Ending.UNREACHABLE for n in range(down)}
+        made.mix(ms, ms / 75.0)
+
+
+def few_attempts_out(tell: Tell) -> None:
+    """One slow server: refusals for a backlog begin with the fifth attempt out."""
+    made = Environment(tell, 44, service_ms=200.0)
+    made.kinds = (("read", "wide"), ("read", "dear"))
+    made.fleet(1)
+    for gap in (300.0, 150.0, 90.0, 220.0):
+        made.mix(4000.0, gap)
+
+
+def counter_split_in_two(tell: Tell) -> None:
+    """A busy customer's windows hear of all gateways' epoch markers, then of half of them, then of all."""
+    made = Environment(tell, 35, took_ms=20.0)
+    made.fleet()
+    marked: set[int] = set()
+    heard = [3.0]
+    count = made.count
+
+    def counted(call: api.Count) -> None:
+        if call.name not in marked and call.amount >= 1000.0:  # the marker of the plan
+            marked.add(call.name)
+            made.totals[call.name] = made.totals.get(call.name, 0.0) + heard[0] * 1000.0
+        count(call)
+
+    made.count = counted  # type: ignore[method-assign]
+    for others, ms in (
+        (3.0, 9000.0),
+        (1.0, 9000.0),
+        (0.0, 6000.0),
+        (3.0, 9000.0),
+        (-1.0, 6000.0),
+        (9.0, 3000.0),
+    ):
+        heard[0] = max(0.0, others)
+        made.timeout_share = 1.0 if others < 0.0 else 0.0  # windows in which no word comes
+        end = made.now + ms
+        while made.now < end:
+            made.feed(made.request("read", "brisk", f"b{made.rng.randrange(2)}", spread=4))
+            made.run(made.rng.expovariate(1.0 / 36.0))
+        if others == 1.0:
+            made.totals.clear()
+
+
+def odd_requests(tell: Tell) -> None:
+    """Unknown classes and plans, many units, no time, more requests than are held, and no server."""
+    made = Environment(tell, 36, took_ms=700.0)
+    for turn in range(40):
+        made.feed(made.request(("read", "none")[turn % 2], ("rate", "none", "free")[turn % 3], "early"))
+        made.run(15.0)
+    made.run(2000.0)
+    made.fleet(2)
+    for turn in range(160):
+        cls = ("read", "none", "charge", "bid")[turn % 4]
+        plan = ("none", "free", "rate", "hard", "open")[turn % 5]
+        left = made.rng.choice((-5.0, 0.0, 1.0, 340.0, 350.0, 360.0, 2000.0))
+        units = made.rng.choice((0.25, 1.0, 7.0, 40.0))
+        made.feed(made.request(cls, plan, f"o{turn % 3}{plan}", time_left_ms=left, units=units))
+        made.run(10.0)
+    made.feed(api.AttemptEnded("unknown", 0, "s0", api.Ending.OK, 5.0, True))
+    made.feed(api.TimerFired(999))
+    made.run(3000.0)
+
+
+def counter_totals_of_all_kinds(tell: Tell) -> None:
+    """Totals that hold more epoch markers than gateways, or fewer than before, and units below 0."""
+    made = Environment(tell, 37, took_ms=15.0)
+    made.fleet()
+    markers = {"hard": 100.0, "even": 1000.0, "brisk": 1000.0, "rate": 100.0}
+
+    heard: dict[int, int] = {}  # markers of others, by name
+
+    def counted(call: api.Count) -> None:
+        marker = markers[made.kinds[0][1]]
+        if call.name not in heard:
+            heard[call.name] = made.rng.choice((0, 1, 2, 5))
+            made.totals[call.name] = made.rng.choice((0.0, 0.0, 2.0, 4.0, -1.5, -2.0, -2.75))
+        made.totals[call.name] += call.amount + made.rng.choice((0.0, 0.0, 0.125, 1.0))
+        lost = made.rng.choice((0,) * 14 + (1, 2)) * marker
+        total = made.totals[call.name] + heard[call.name] * marker - lost
+        made.at(made.now + 2.0, api.CountReply(call.name, total, api.Ending.OK, 2.0))
+
+    made.count = counted  # type: ignore[method-assign]
+    for plan in ("hard", "even", "brisk", "rate", "hard", "brisk"):
+        made.kinds = (("read", plan),)
+        for spread, gap in ((2, 60.0), (4, 150.0), (1, 40.0)):
+            made.mix(3000.0, gap, 2, spread=spread)
+
+
+def slow_counter(tell: Tell) -> None:
+    """The counter answers late but in time, some calls are turned away, and units are parts of one."""
+    made = Environment(tell, 38, others=0.2, took_ms=25.0)
+    made.fleet()
+    plans = ("rate", "soft", "open", "single", "even", "hard")
+    for reply_ms, ending in (
+        (2.0, api.Ending.OK), (30.0, api.Ending.OK), (25.0, api.Ending.OK), (2.0, api.Ending.FULL),
+        (24.0, api.Ending.OK), (45.0, api.Ending.OK), (2.0, api.Ending.OK),
+    ):  # fmt: skip
+        made.reply_ms, made.counter = reply_ms, ending
+        for turn in range(78):
+            if ending is api.Ending.FULL:
+                made.counter = (api.Ending.FULL, api.Ending.OK)[turn % 2]
+            plan = plans[made.rng.randrange(len(plans))]
+            units = made.rng.choice((0.25, 0.5, 0.75, 1.0, 1.0005))
+            made.feed(made.request("read", plan, f"s{made.rng.randrange(2)}{plan}", units=units))
+            made.run(made.rng.expovariate(1.0 / 25.0))
+
+
+def usage_updates_after_pauses(tell: Tell) -> None:
+    """Customers come back after one window, two, or five, with what members used before."""
+    made = Environment(tell, 39, took_ms=15.0, others=0.1)
+    made.fleet()
+    plans = {plan.name: plan for plan in WIDE_SETTINGS.plans if plan.rate and plan.burst < 100.0}
+    for turn in range(212):
+        plan = plans[made.rng.choice(("rate", "soft", "even", "brisk"))]
+        customer = f"{'new' if turn % 4 == 0 else 'p'}{turn if turn % 4 == 0 else turn % 3}{plan.name}"
+        request = made.request("read", plan.name, customer, units=made.rng.choice((1.0, 2.0)), spread=4)
+        before = made.rng.choice((0.0, made.rng.uniform(0.5, 2.4) * plan.burst))
+        units = made.rng.choice((0.0, made.rng.uniform(0.0, 1.0) * plan.burst))
+        made.counter = api.Ending.TIMEOUT if turn % 110 > 80 else api.Ending.OK
+        made.ask_with_use(request, units, before, made.rng.choice((0.5, 1.0)), WIDE_SETTINGS)
+        if turn % 3 == 0:
+            made.run(made.rng.uniform(5.0, 60.0))
+            made.feed(replace(request, request_id=f"{request.request_id}b"))
+        made.run(made.rng.choice((20.0, 100.0, 700.0, 1300.0, 2600.0, 3900.0)))
+
+
+def pauses_between_attempts(tell: Tell) -> None:
+    """Attempts end with a pause before the next; the retry budget is filled up in between."""
+    made = Environment(tell, 40, took_ms=5.0)
+    made.fleet()
+    for wait in (0.5, 1.0, 1.5, 40.0, 300.0, 1200.0, 2900.0, float("inf")):
+        for cls in ("read", "order", "bid", "charge", "cell"):
+            for ending in (api.Ending.FULL, api.Ending.ERROR):
+                request = made.request(cls, "wide", "paused")
+                made.feed(request)
+                made.queue = [row for row in made.queue if not isinstance(row[2], api.AttemptEnded)]
+                heapq.heapify(made.queue)
+                made.feed(api.AttemptEnded(
+                    request.request_id, 0, "s0", ending, 5.0, False, next_after_ms=wait))  # fmt: skip
+                made.run(20.0)
+                for _ in range(5):
+                    made.feed(made.request("read", "wide", "well"))
+                made.run(20.0)
+        made.run(1500.0)
+
+
+def cold_server_for_retries(tell: Tell) -> None:
+    """A cold server is the dearest one: only retries come to it, when it has a turn."""
+    made = Environment(tell, 41, took_ms=12.0, endings=(api.Ending.OK, api.Ending.ERROR))
+    made.kinds = (("read", "wide"),)
+    made.servers(api.ListKind.SAVED, *[(f"s{i}", "a", 0.0, api.ServerState.ACTIVE) for i in range(2)])
+    made.mix(3000.0, 25.0)
+    for gap in (30.0, 300.0, 90.0):
+        made.servers(api.ListKind.CHANGES, ("s2", "a", made.now, api.ServerState.ACTIVE))
+        made.mix(4000.0, gap)
+
+
+def counter_replaced_with_open_plans_only(tell: Tell) -> None:
+    """No plan has a rate; the counter's memory is lost, and lost again a few seconds later."""
+    made = Environment(tell, 42, took_ms=30.0)
+    made.fleet()
+    for losses in ((8, 12, 54), (9, 50), (7, 51, 53)):  # in tenths of a second
+        for tenth in range(100):
+            if tenth in losses:
+                made.totals = {name: 0.0 for name in made.totals}
+            if tenth % 3 == 0:
+                made.feed(made.request("read", "open", "lost", spread=2))
+            made.run(100.0)
+
+
+def exact_moments(tell: Tell) -> None:
+    """Figures that meet a limit to the bit: ages of words, store and units, an attempt's end and a tick."""
+    made = Environment(tell, 43, took_ms=8.0)
+    made.fleet(5)
+    for number, units in enumerate((6.0, 5.0, 3.0, 2.0)):
+        customer = f"e{number}"
+        made.feed(made.request("read", "rate", customer, units=units))
+        made.run(2.0)  # the reply comes
+        for wait in (1002.0, 100.0, 1002.0, 998.0, 1000.0, 1002.0, 4000.0, 1002.0, 0.0):
+            made.feed(made.request("read", "rate", customer, units=units))
+            made.run(wait)
+    for number in range(6):  # a word of much use by others, then a full store
+        made.others = 45.0
+        customer = f"f{number}"
+        made.feed(made.request("read", "rate", customer, units=1.0))
+        made.run(50.0)
+        made.feed(made.request("read", "rate", customer, units=1.0))
+        made.run(15_000.0 + number)
+        for units in (6.0, 6.0, 5.0):
+            made.feed(made.request("read", "rate", customer, units=units, time_left_ms=340.0))
+        made.run(1000.0)
+    made.run(6000.0)
+    made.others = 0.0
+    for _ in range(3):  # a tick that comes late by the limit
+        made.mix(400.0, 20.0)
+        tick = min(when for when, _, event in made.queue if event == api.TimerFired(0))
+        made.now = tick + 1000.0
+        made.feed(made.request("read", "wide", "stalled"))
+        made.run(500.0)
+    for turn in range(4):
+        tick = min(when for when, _, event in made.queue if event == api.TimerFired(0))
+        made.run(tick - made.now - 5.0)
+        request = made.request("charge", "wide", "judged")
+        made.feed(request)
+        made.queue = [row for row in made.queue if not isinstance(row[2], api.AttemptEnded)]
+        server = f"s{turn}"
+        ended = api.AttemptEnded(request.request_id, 0, server, api.Ending.TIMEOUT, 5.0, True)
+        made.queue.append((tick, -1, ended))
+        heapq.heapify(made.queue)
+        made.run(7000.0)
+    for for_ms in (0.5, 1.0, 0.0):  # words of others on a server that was found out of reach here
+        made.by_server = {f"s{n}": api.Ending.UNREACHABLE for n in range(5)}
+        made.kinds = (("read", "wide"),)
+        made.mix(700.0, 25.0)
+        made.feed(api.Avoid("s0", for_ms))
+        made.run(2.0)
+        made.by_server = {}
+        made.mix(900.0, 25.0)
+
+
+def ceilings_that_bind(tell: Tell) -> None:
+    """The ceiling's guard is empty before the quota's store is; totals tell of few, all, or more gateways."""
+    made = Environment(tell, 45, took_ms=10.0)
+    made.fleet()
+    heard: dict[int, int] = {}
+
+    def counted(call: api.Count) -> None:
+        if call.name not in heard:
+            heard[call.name] = made.rng.choice((0, 2, 3, 8, 11))
+            made.totals[call.name] = made.rng.choice((0.0, 0.0, 1.0, 3.0, 6.0))
+        made.totals[call.name] += call.amount
+        if made.rng.random() < 0.05:
+            made.totals[call.name] = call.amount  # memory was lost
+        total = made.totals[call.name] + heard[call.name] * 1000.0
+        made.at(made.now + 2.0, api.CountReply(call.name, total, api.Ending.OK, 2.0))
+
+    made.count = counted  # type: ignore[method-assign]
+    for plan, gap in (("tight", 40.0), ("close", 60.0), ("ceiling", 60.0), ("tight", 90.0)):
+        made.kinds = (("read", plan),)
+        made.mix(4500.0, gap, 2, spread=4)
+
+
+def counter_mute_from_the_start(tell: Tell) -> None:
+    """No word comes from the first call on; requests come in pairs, and some reach no server."""
+    made = Environment(tell, 46, took_ms=60.0, counter=api.Ending.TIMEOUT)
+    made.fleet()
+    for turn in range(150):
+        plan = ("rate", "open", "soft", "hard", "trickle")[turn % 5]
+        down = turn % 30 >= 18
+        made.by_server = {f"s{n}": api.Ending.UNREACHABLE for n in range(4)} if down else {}
+        for _ in range(2):
+            units = 0.25 if plan == "trickle" else 1.0
+            made.feed(made.request("read", plan, f"m{turn % 2}{plan}", units=units))
+        made.run(made.rng.choice((10.0, 60.0, 200.0)))
+
+
+def shares_of_large_requests(tell: Tell) -> None:
+    """Requests of many units and of small parts of one, with and without time to ask the counter."""
+    made = Environment(tell, 47, took_ms=10.0, reply_ms=45.0)
+    made.fleet()
+    for turn in range(420):
+        plan = ("rate", "soft", "even", "trickle", "even")[turn % 5]
+        made.others = made.rng.choice((0.0, 0.5, 2.0)) if plan != "trickle" else 0.0
+        units = made.rng.choice((0.125, 0.25) if plan == "trickle" else (0.5, 1.0, 2.0, 4.0, 6.0))
+        request = made.request(
+            "read", plan, f"l{made.rng.randrange(2)}{plan}", units=units, spread=made.rng.choice((1, 2)),
+            time_left_ms=made.rng.choice((340.0, 2000.0)),
+        )  # fmt: skip
+        made.counter = api.Ending.FULL if turn % 120 > 100 else api.Ending.OK
+        made.feed(request)
+        if turn % 6 == 0:  # the client leaves before the counter's word comes
+            made.feed(api.RequestGone(request.request_id))
+        made.run(made.rng.expovariate(1.0 / 45.0))
+
+
+def handover_without_a_counter(tell: Tell) -> None:
+    """What was handed over counts by this gateway's part alone, as there is no counter."""
+    made = Environment(tell, 48, took_ms=20.0)
+    made.fleet()
+    stocks = []
+    for number, plan in enumerate(("rate", "soft", "hard", "open", "rate", "soft")):
+        told_own, told_all = ((0.0, 0.0), (2.0, 30.0))[number % 2]
+        stocks.append(api.Stock(
+            f"t{number}{plan}", plan, number % 3 + 1, 6.0, 3.0, 0.0, 0.0, told_own, told_all, 0.0, 1.0
+        ))  # fmt: skip
+    made.feed(api.TakeOver(tuple(stocks)))
+    for number, stock in enumerate(stocks * 12):
+        made.feed(made.request("read", stock.plan, stock.customer, spread=stock.spread))
+        made.run(7.0 if number % 6 else 150.0)
+    made.feed(api.Alone())
+    for stock in stocks * 5:
+        made.feed(made.request("read", stock.plan, stock.customer, spread=stock.spread))
+        made.run(20.0)
+
+
+def capacity_estimate_from_the_start(tell: Tell) -> None:
+    """The first answers of all are late, and V binds before anything was learned."""
+    made = Environment(tell, 49, took_ms=650.0)
+    made.kinds = (("read", "wide"), ("read", "cheap"), ("order", "dear"))
+    made.fleet(1)
+    made.mix(1300.0, 140.0)
+    made.mix(4000.0, 25.0)
+
+
+def two_attempts_at_most(tell: Tell) -> None:
+    """Settings that allow one further attempt."""
+    made = Environment(tell, 50, took_ms=300.0, endings=(api.Ending.OK, api.Ending.TIMEOUT, api.Ending.ERROR))
+    made.kinds = (("read", "wide"), ("order", "wide"), ("bid", "wide"), ("charge", "wide"))
+    made.fleet()
+    made.mix(5000.0, 50.0)
+
+
 SCENARIOS: tuple[Callable[[Tell], None], ...] = (
     half_of_the_gateways_die,
     flood_with_the_counter_mute,
@@ -358,5 +1025,90 @@
     customers_come_back,
     second_copies,
     one_server_fails,
+    retry_budget_exhausted,
+    capacity_estimate_binds,
+    capacity_estimate_follows_slow_answers,
+    usage_updates_of_members,
+    usage_updates_without_a_counter,
+    late_counter_replies,
+    handover_between_processes,
+    handover_taken_from_another_process,
+    stalled_process,
+    hedged_requests,
+    servers_avoided,
+    servers_of_many_sizes,
+    cold_fleet_under_load,
+    many_gateways,
+    counter_split_in_two,
+    odd_requests,
+    counter_totals_of_all_kinds,
+    slow_counter,
+    usage_updates_after_pauses,
+    pauses_between_attempts,
+    cold_server_for_retries,
+    counter_replaced_with_open_plans_only,
+    exact_moments,
+    few_attempts_out,
+    ceilings_that_bind,
+    counter_mute_from_the_start,
+    shares_of_large_requests,
+    handover_without_a_counter,
+    capacity_estimate_from_the_start,
+    two_attempts_at_most,
 )
 EVENING_SETTINGS = replace(SETTINGS, cross_zone_price=0.02, overlap=True, subscribe=True, max_requests=60)
+SOFT = api.Plan("soft", price=2.0, rate=8.0, burst=10.0)
+CELL = api.RequestClass("cell", 900.0, 1.5, api.Repeat.KEYED, api.Scope.CELL, 1500.0, late_worth=0.3)
+MEMBERS_SETTINGS = replace(EVENING_SETTINGS, gateways=4, plans=(*SETTINGS.plans, SOFT), max_requests=400)
+WIDE_SETTINGS = replace(
+    EVENING_SETTINGS,
+    classes=(*SETTINGS.classes, CELL),
+    plans=(
+        *SETTINGS.plans,
+        SOFT,
+        api.Plan("dear", price=5.0, rate=1000.0, burst=4000.0),
+        api.Plan("cheap", price=0.3, rate=1000.0, burst=4000.0),
+        api.Plan("free"),
+        api.Plan("single", max_open=1),
+        api.Plan("even", rate=8.0, burst=8.0),
+        api.Plan("trickle", rate=0.2, burst=1.0),
+        api.Plan("tight", rate=30.0, burst=30.0, ceiling_rate=24.0, ceiling_burst=48.0),
+        api.Plan("close", rate=30.0, burst=30.0, ceiling_rate=30.0, ceiling_burst=30.0),
+        api.Plan("ceiling", ceiling_rate=20.0, ceiling_burst=30.0),
+        api.Plan("brisk", rate=20.0, burst=20.0, ceiling_rate=30.0, ceiling_burst=30.0, ceiling_slack=4.0),
+    ),
+    max_requests=2000,
+)
+SETTINGS_OF: dict[str, api.Settings] = {  # those that are not here have EVENING_SETTINGS
+    "retry_budget_exhausted": WIDE_SETTINGS,
+    "capacity_estimate_binds": WIDE_SETTINGS,
+    "capacity_estimate_follows_slow_answers": WIDE_SETTINGS,
+    "usage_updates_of_members": MEMBERS_SETTINGS,
+    "usage_updates_without_a_counter": replace(MEMBERS_SETTINGS, counter=False),
+    "late_counter_replies": MEMBERS_SETTINGS,
+    "handover_taken_from_another_process": MEMBERS_SETTINGS,
+    "hedged_requests": WIDE_SETTINGS,
+    "servers_avoided": replace(WIDE_SETTINGS, gateways=3, cross_zone_price=0.0),
+    "servers_of_many_sizes": replace(WIDE_SETTINGS, sizes_known=True),
+    "cold_fleet_under_load": WIDE_SETTINGS,
+    "many_gateways": replace(MEMBERS_SETTINGS, gateways=120),
+    "counter_split_in_two": replace(WIDE_SETTINGS, gateways=4),
+    "odd_requests": replace(WIDE_SETTINGS, max_requests=25, overlap=False, subscribe=False),
+    "stalled_process": WIDE_SETTINGS,
+    "counter_totals_of_all_kinds": WIDE_SETTINGS,
+    "slow_counter": WIDE_SETTINGS,
+    "usage_updates_after_pauses": WIDE_SETTINGS,
+    "pauses_between_attempts": WIDE_SETTINGS,
+    "cold_server_for_retries": WIDE_SETTINGS,
+    "counter_replaced_with_open_plans_only": replace(
+        EVENING_SETTINGS, plans=(api.Plan("open", max_open=2), api.Plan("single", max_open=1))
+    ),
+    "exact_moments": WIDE_SETTINGS,
+    "few_attempts_out": WIDE_SETTINGS,
+    "ceilings_that_bind": replace(WIDE_SETTINGS, gateways=4),
+    "counter_mute_from_the_start": WIDE_SETTINGS,
+    "shares_of_large_requests": WIDE_SETTINGS,
+    "handover_without_a_counter": replace(MEMBERS_SETTINGS, counter=False),
+    "capacity_estimate_from_the_start": WIDE_SETTINGS,
+    "two_attempts_at_most": replace(WIDE_SETTINGS, max_attempts=2),
+}
