--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from benchmarks.machine import machine
-from glenchute.simulator import settings as read
+from glenchute.config.policy_settings import policy_settings as read
 from glenchute.upstreams.connection_pool import Limits
 from lab.peers import Client, numbered
 from tests.loopback import CUSTOMER, SERVED, SETTINGS, site
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -12,10 +12,10 @@
 from glenchute.policy.connections.client_slots import Budget, budget
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
-from glenchute.simulator import SCOPES, num, settings
 from glenchute.upstreams.connection_pool import Limits
 
 from .facts import ClassFacts, Facts
+from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
 
 OPERATOR = "GLENCHUTE_OPERATOR"  # the variable that names the operator's file
 
@@ -51,12 +51,6 @@
     facts: Facts
 
 
-def part(raw: dict[str, Any], key: str) -> dict[str, Any]:
-    """A nested object, or an empty one."""
-    found = raw.get(key)
-    return found if isinstance(found, dict) else {}
-
-
 def load(environ: dict[str, str]) -> Config:
     """The configuration; the single variables count where the file is silent."""
     path = environ.get("EDGE_CONFIG")
@@ -77,14 +71,14 @@
 
 def build(raw: dict[str, Any], environ: dict[str, str]) -> Config:
     """The parts of the configuration, checked."""
-    made = settings(raw["settings"])
+    made = policy_settings(raw["settings"])
     if not made.classes or not made.plans:
         raise ListError("the settings name no classes or no plans")
-    limits, safety = part(raw["settings"], "limits"), part(raw["settings"], "safety")
-    sockets = int(num(part(raw, "limits").get("sockets"), 1024))
+    limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
+    sockets = int(number(table(raw, "limits").get("sockets"), 1024))
     if sockets < 64:
         raise ListError(f"{sockets} sockets are too few")
-    memory_mb = num(part(raw, "limits").get("memory_mb"), 192.0)
+    memory_mb = number(table(raw, "limits").get("memory_mb"), 192.0)
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     parts = budget(sockets, bool(operations))
     return Config(
@@ -102,9 +96,9 @@
         number=own_number(raw["settings"].get("me"), made.gateway_count),
         place=own_number(raw["settings"].get("me"), MOST_GATEWAYS),
         limits=Limits(
-            connect_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
-            idle_s=max(0.5, num(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
-            grace_s=num(safety.get("drain_grace_ms"), 250.0) / 1000.0,
+            connect_s=number(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
+            idle_s=max(0.5, number(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
+            grace_s=number(safety.get("drain_grace_ms"), 250.0) / 1000.0,
             connections=parts.servers,
             long_values=max(4, int(memory_mb * 1e6 * LONG_SHARE / LONG_COST)),
         ),
@@ -159,9 +153,9 @@
     classes = {
         cls.name: ClassFacts(
             repeat=cls.idempotency,
-            deadline_ms=num(rows[cls.name].get("hard_limit_ms")) or 60_000.0,
+            deadline_ms=number(rows[cls.name].get("hard_limit_ms")) or 60_000.0,
             memory_ms=cls.idempotency_window_ms,
-            scope_known=str(rows[cls.name].get("group")) in SCOPES,
+            scope_known=str(rows[cls.name].get("group")) in IDEMPOTENCY_SCOPES,
         )
         for cls in made.classes
     }
@@ -170,7 +164,7 @@
         plans=tuple(plan.name for plan in made.plans),
         attempts_cap=made.max_attempts,
         overlap=made.allows_hedging,
-        connect_ms=num(part(raw, "limits").get("connect_timeout_ms"), 250.0),
-        streams=int(num(part(raw, "limits").get("max_streams"))),
-        idle_ms=num(part(raw, "limits").get("conn_idle_ms"), 15_000.0),
+        connect_ms=number(table(raw, "limits").get("connect_timeout_ms"), 250.0),
+        streams=int(number(table(raw, "limits").get("max_streams"))),
+        idle_ms=number(table(raw, "limits").get("conn_idle_ms"), 15_000.0),
     )
--- /dev/null
+++ b/glenchute/config/policy_settings.py
@@ -0,0 +1,99 @@
+"""The engine's settings from the platform's `settings` object, whose field names are mapped here only.
+
+Unknown keys are ignored, missing ones get the safest reading.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
+
+IDEMPOTENCIES = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.WITH_KEY,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
+IDEMPOTENCY_SCOPES = {
+    "all": IdempotencyScope.ALL,
+    "zone": IdempotencyScope.ZONE,
+    "cell": IdempotencyScope.CELL,
+}
+
+
+def number(value: Any, default: float = 0.0) -> float:
+    """A number, or the default where the platform states none."""
+    return default if value is None or isinstance(value, bool) else float(value)
+
+
+def table(raw: dict[str, Any], key: str) -> dict[str, Any]:
+    """A nested object, or an empty one where there is none."""
+    found = raw.get(key)
+    return found if isinstance(found, dict) else {}
+
+
+def rows(raw: dict[str, Any], key: str) -> list[dict[str, Any]]:
+    """A list of objects; whatever else stands in it is left out."""
+    found = raw.get(key)
+    return [row for row in found if isinstance(row, dict)] if isinstance(found, list) else []
+
+
+def policy_settings(raw: dict[str, Any]) -> Settings:
+    """The settings of one gateway. ValueError or TypeError where a figure is none."""
+    limits, counter = table(raw, "limits"), table(raw, "domain")
+    return Settings(
+        zone=str(raw.get("my_zone")),
+        gateway_count=max(1, int(number(raw.get("balancers"), 1))),
+        classes=tuple(request_class(row) for row in rows(raw, "profiles")),
+        plans=tuple(plan(row) for row in rows(raw, "packages")),
+        slow_start=slow_start(table(raw, "safety")),
+        max_attempts=int(number(limits.get("attempts_cap"), 1)),
+        max_requests=int(number(limits.get("max_open"), 20000)),
+        max_retry_after_ms=number(limits.get("max_retry_after_ms")) if limits.get("retry_after") else 0.0,
+        has_counter=bool(counter.get("counter")),
+        counter_timeout_ms=number(counter.get("counter_timeout_ms"), 50.0),
+        must_subscribe=raw.get("membership_mode") == "subscribe",
+        weights_known=raw.get("weight_kind") in ("nominal", "rough"),
+        cross_zone_price=number(table(raw, "prices").get("cross_zone")),
+        allows_hedging=limits.get("second_copies") is True,
+    )
+
+
+def request_class(row: dict[str, Any]) -> RequestClass:
+    """One row of `profiles`."""
+    return RequestClass(
+        name=str(row.get("name")),
+        latency_objective_ms=number(row.get("aim_ms"), number(row.get("hard_limit_ms"), 1000.0)),
+        priority_weight=number(row.get("importance"), 1.0),
+        idempotency=IDEMPOTENCIES.get(str(row.get("repeat")), Idempotency.NON_IDEMPOTENT),
+        idempotency_scope=IDEMPOTENCY_SCOPES.get(str(row.get("group")), IdempotencyScope.CELL),
+        idempotency_window_ms=number(row.get("memory_span_ms")),
+        late_weight_fraction=number(row.get("late_worth")),
+    )
+
+
+def plan(row: dict[str, Any]) -> Plan:
+    """One row of `packages`."""
+    return Plan(
+        name=str(row.get("name")),
+        price=number(row.get("price"), 1.0),
+        rate_per_s=number(row.get("per_second")),
+        burst_units=number(row.get("most_at_once")),
+        max_concurrent=int(number(row.get("max_out"))),
+        ceiling_rate_per_s=number(row.get("ceiling_rate")),
+        ceiling_burst_units=number(row.get("hard_burst")),
+        ceiling_slack_units=number(row.get("ceiling_slack")),
+        over_quota_weight_fraction=number(row.get("excess_worth")),
+        over_quota_cost_fraction=number(row.get("beyond_costs")),
+    )
+
+
+def slow_start(safety: dict[str, Any]) -> SlowStart:
+    """The table `safety`."""
+    defaults = SlowStart()
+    return SlowStart(
+        initial_fraction=number(safety.get("cold_from"), defaults.initial_fraction),
+        warm_up_ms=number(safety.get("warm_after_ms"), defaults.warm_up_ms),
+        overload_factor=number(safety.get("overload_factor"), defaults.overload_factor),
+        overload_window_ms=number(safety.get("fall_ms"), defaults.overload_window_ms),
+    )
--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -5,11 +5,11 @@
 import re
 from typing import Any
 
+from glenchute.config.policy_settings import number
 from glenchute.core.types import Call
 from glenchute.policy.record import record
 from glenchute.policy.settings import Idempotency, Settings
 from glenchute.protocol import resp2 as resp
-from glenchute.simulator import num
 
 MOST_FIELDS = 512  # bytes of the list of names and values
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
@@ -47,9 +47,9 @@
 
 def bounds(raw: dict[str, Any]) -> Bounds:
     """From the settings."""
-    waits = [num(row.get("hard_limit_ms")) for row in raw["profiles"]]
+    waits = [number(row.get("hard_limit_ms")) for row in raw["profiles"]]
     return Bounds(
-        units=num((raw.get("domain") or {}).get("max_units")) or 1e6,
+        units=number((raw.get("domain") or {}).get("max_units")) or 1e6,
         wait_ms=max(waits) if waits and min(waits) > 0 else 60_000.0,
     )
 
--- a/glenchute/simulator.py
+++ b/glenchute/simulator.py
@@ -11,6 +11,7 @@
 from enum import Enum
 from typing import Any, TextIO, TypeVar
 
+from glenchute.config.policy_settings import number, policy_settings
 from glenchute.policy.actions import (
     Action,
     CancelAttempt,
@@ -38,7 +39,6 @@
     ResponseStarted,
     TimerFired,
 )
-from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
 
 ENDINGS = {
     "pass": Outcome.OK,
@@ -50,12 +50,6 @@
     "undone": Outcome.CANCELLED,
     "stale_send": Outcome.NOT_SENT,
 }
-REPEATS = {
-    "read_like": Idempotency.IDEMPOTENT,
-    "idempotency_key": Idempotency.WITH_KEY,
-    "non_idempotent": Idempotency.NON_IDEMPOTENT,
-}
-SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
 STATES = {
     "active": EndpointState.ACTIVE,
     "leaving": EndpointState.DRAINING,
@@ -78,11 +72,6 @@
     """A message that this adapter can't read."""
 
 
-def num(value: Any, default: float = 0.0) -> float:
-    """A number, or the default where the wire holds none."""
-    return default if value is None or isinstance(value, bool) else float(value)
-
-
 def word(table: dict[str, E], value: Any, what: str) -> E:
     """One word of the wire in the interface's terms."""
     try:
@@ -91,69 +80,6 @@
         raise WireError(f"unknown {what} {value!r}") from None
 
 
-def settings(raw: dict[str, Any]) -> Settings:
-    """The settings of one gateway; unknown keys are passed over, missing ones get the safest reading."""
-
-    def part(key: str) -> dict[str, Any]:
-        found = raw.get(key)
-        return found if isinstance(found, dict) else {}
-
-    def rows(key: str) -> list[dict[str, Any]]:
-        found = raw.get(key)
-        return [row for row in found if isinstance(row, dict)] if isinstance(found, list) else []
-
-    limits, safety, family, prices = part("limits"), part("safety"), part("domain"), part("prices")
-    classes = tuple(
-        RequestClass(
-            name=str(row.get("name")),
-            latency_objective_ms=num(row.get("aim_ms"), num(row.get("hard_limit_ms"), 1000.0)),
-            priority_weight=num(row.get("importance"), 1.0),
-            idempotency=REPEATS.get(str(row.get("repeat")), Idempotency.NON_IDEMPOTENT),
-            idempotency_scope=SCOPES.get(str(row.get("group")), IdempotencyScope.CELL),
-            idempotency_window_ms=num(row.get("memory_span_ms")),
-            late_weight_fraction=num(row.get("late_worth")),
-        )
-        for row in rows("profiles")
-    )
-    plans = tuple(
-        Plan(
-            name=str(row.get("name")),
-            price=num(row.get("price"), 1.0),
-            rate_per_s=num(row.get("per_second")),
-            burst_units=num(row.get("most_at_once")),
-            max_concurrent=int(num(row.get("max_out"))),
-            ceiling_rate_per_s=num(row.get("ceiling_rate")),
-            ceiling_burst_units=num(row.get("hard_burst")),
-            ceiling_slack_units=num(row.get("ceiling_slack")),
-            over_quota_weight_fraction=num(row.get("excess_worth")),
-            over_quota_cost_fraction=num(row.get("beyond_costs")),
-        )
-        for row in rows("packages")
-    )
-    rules = SlowStart()
-    return Settings(
-        zone=str(raw.get("my_zone")),
-        gateway_count=max(1, int(num(raw.get("balancers"), 1))),
-        classes=classes,
-        plans=plans,
-        slow_start=SlowStart(
-            initial_fraction=num(safety.get("cold_from"), rules.initial_fraction),
-            warm_up_ms=num(safety.get("warm_after_ms"), rules.warm_up_ms),
-            overload_factor=num(safety.get("overload_factor"), rules.overload_factor),
-            overload_window_ms=num(safety.get("fall_ms"), rules.overload_window_ms),
-        ),
-        max_attempts=int(num(limits.get("attempts_cap"), 1)),
-        max_requests=int(num(limits.get("max_open"), 20000)),
-        max_retry_after_ms=num(limits.get("max_retry_after_ms")) if limits.get("retry_after") else 0.0,
-        has_counter=bool(family.get("counter")),
-        counter_timeout_ms=num(family.get("counter_timeout_ms"), 50.0),
-        must_subscribe=raw.get("membership_mode") == "subscribe",
-        weights_known=raw.get("weight_kind") in ("nominal", "rough"),
-        cross_zone_price=num(prices.get("cross_zone")),
-        allows_hedging=limits.get("second_copies") is True,
-    )
-
-
 class Host:
     """All gateways of one process, by their ids. They share the numbered lists of the wire, nothing else."""
 
@@ -190,7 +116,7 @@
             gid = int(args[0])
             if kind == "create":
                 given = args[2] or {}
-                made, seed = settings(given), int(args[1])
+                made, seed = policy_settings(given), int(args[1])
                 self.fields[gid] = list((given.get("reporting") or {}).get("fields") or [])
             elif kind == "shutdown":
                 self.gateways.pop(gid, None)
@@ -218,9 +144,9 @@
         return Endpoint(
             address=str(server),
             zone=str(zone),
-            cell=int(num(cell)),
-            weight=num(hint, 1.0),
-            started_ms=num(started),
+            cell=int(number(cell)),
+            weight=number(hint, 1.0),
+            started_ms=number(started),
             state=word(STATES, state, "server state"),
         )
 
@@ -232,18 +158,18 @@
                 class_name=str(args[2]),
                 plan=str(args[3]),
                 tenant=str(args[4]),
-                time_left_ms=num(args[5]),
-                units=num(args[6], 1.0),
-                gateway_spread=max(1, int(num(args[7], 1))),
+                time_left_ms=number(args[5]),
+                units=number(args[6], 1.0),
+                gateway_spread=max(1, int(number(args[7], 1))),
             )
         if kind == "ended":
             report = dict(zip(self.fields.get(gid, []), args[9] or [], strict=False))
             return AttemptEnded(
                 request_id=str(args[1]),
-                attempt=int(num(args[2])),
+                attempt=int(number(args[2])),
                 address=str(args[3]),
                 outcome=word(ENDINGS, args[4], "outcome"),
-                duration_ms=num(args[5]),
+                duration_ms=number(args[5]),
                 is_final=bool(args[6]),
                 queued_requests=optional(report.get("waiting")),
                 active_requests=optional(report.get("active")),
@@ -257,9 +183,9 @@
             return TimerFired(int(args[1]))
         if kind == "ledger_reply":
             ending = word(ENDINGS, args[4], "outcome")
-            return CounterReply(int(args[2]), num(args[3]), ending, num(args[1]))
+            return CounterReply(int(args[2]), number(args[3]), ending, number(args[1]))
         if kind == "streaming":
-            return ResponseStarted(str(args[1]), int(num(args[2])))
+            return ResponseStarted(str(args[1]), int(number(args[2])))
         return None  # probes and messages to peers are never asked for
 
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from glenchute.config.policy_settings import policy_settings
 from glenchute.policy.actions import (
     Action,
     CancelAttempt,
@@ -26,7 +27,7 @@
 )
 from glenchute.policy.events import Event
 from glenchute.policy.settings import Idempotency
-from glenchute.simulator import Host, WireError, encode, serve, settings
+from glenchute.simulator import Host, WireError, encode, serve
 
 ROOT = Path(__file__).resolve().parents[2]
 PARAMS: dict[str, Any] = {
@@ -126,7 +127,7 @@
 
 
 def test_missing_settings_get_the_safest_reading() -> None:
-    bare = settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
+    bare = policy_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
     assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT and bare.max_attempts == 1
     assert bare.gateway_count == 1 and not bare.has_counter and bare.plans == ()
 
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -17,6 +17,7 @@
 import hiredis
 import pytest
 
+from glenchute.config.policy_settings import policy_settings
 from glenchute.listeners.resp2 import clients
 from glenchute.listeners.resp2.clients import (
     BUFFERED,
@@ -36,7 +37,6 @@
 from glenchute.policy.lifecycle import draining as lifecycle
 from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
 from glenchute.protocol import resp2 as resp
-from glenchute.simulator import settings
 from glenchute.upstreams.connection_pool import SETTLE_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
@@ -562,7 +562,7 @@
             await then(writer)
             return None
 
-        heard = Heard(Policy(settings(SETTINGS), 1))
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             client = await one.client()
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
@@ -740,7 +740,7 @@
                 return b""
             return SERVED
 
-        heard = Heard(Policy(settings(SETTINGS), 1))
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await rested(one, 12)
             await asyncio.sleep(2.0 * SETTLE_S)  # before that they are not used again
