--- a/glenchute/simulator.py
+++ b/glenchute/simulator.py
@@ -1,13 +1,14 @@
-"""The wire adapter: hosts gateways for the simulator, translating JSON lines. It decides nothing.
+"""The simulator's adapter: hosts decision engines, translates JSON lines, and decides nothing.
 
-Run as ``python -m glenchute.simulator``. Words of the wire are turned into those of the interface here.
+Run as ``python -m glenchute.simulator``. The wire's words are mapped to the engine's events and actions here
+and nowhere else.
 """
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from enum import Enum
 from typing import Any, TextIO, TypeVar
 
@@ -40,7 +41,7 @@
     TimerFired,
 )
 
-ENDINGS = {
+OUTCOMES = {
     "pass": Outcome.OK,
     "fault": Outcome.ERROR,
     "no_room": Outcome.REJECTED,
@@ -61,170 +62,213 @@
     "warm_copy": EndpointListKind.CACHED,
     "lost": EndpointListKind.FAILED,
 }
-WIDTHS = {
-    "create": 3, "shutdown": 1, "directory": 2, "topology": 4, "accept": 11, "streaming": 4, "ended": 10,
-    "gone": 2, "alarm": 2, "echo": 5, "whisper": 3, "ledger_reply": 5,
-}  # fmt: skip
-E = TypeVar("E", bound=Enum)
+# By event: how many arguments follow its name. Missing ones at the end are read as None.
+ARGUMENT_COUNTS = {
+    "create": 3,
+    "shutdown": 1,
+    "directory": 2,
+    "topology": 4,
+    "accept": 11,
+    "streaming": 4,
+    "ended": 10,
+    "gone": 2,
+    "alarm": 2,
+    "echo": 5,
+    "whisper": 3,
+    "ledger_reply": 5,
+}
+ENDPOINT_COLUMNS = 7
+EXCERPT_CHARACTERS = 200  # of a message in an error's text
+AnyEnum = TypeVar("AnyEnum", bound=Enum)
+Row = list[Any]  # an event or an action on the wire: its name and its arguments
 
 
 class WireError(ValueError):
     """A message that this adapter can't read."""
 
 
-def word(table: dict[str, E], value: Any, what: str) -> E:
-    """One word of the wire in the interface's terms."""
+def lookup(table: dict[str, AnyEnum], value: Any, what: str) -> AnyEnum:
+    """The member that a word of the wire stands for; WireError for an unknown word."""
     try:
         return table[value]
     except (KeyError, TypeError):
         raise WireError(f"unknown {what} {value!r}") from None
 
 
-class Host:
-    """All gateways of one process, by their ids. They share the numbered lists of the wire, nothing else."""
+def reported_load(value: Any) -> float | None:
+    """A figure of a load report, or None where the server sent none."""
+    return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
+
+
+class SimulatorHost:
+    """All gateways of one process, by id. They share the numbered endpoint lists of the wire only."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, DecisionEngine] = {}
-        self.fields: dict[int, list[str]] = {}
-        self.lists: dict[int, tuple[Endpoint, ...]] = {}
+        self.engines: dict[int, DecisionEngine] = {}
+        self.load_report_fields: dict[int, list[str]] = {}
+        self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def batch(self, text: str) -> str:
-        """Answers one line of the wire."""
+    def answer(self, line: str) -> str:
+        """The reply to one line of the wire; WireError where the line can't be read."""
         try:
-            message = json.loads(text)
-            now, inbox = float(message["moment_ms"]), message["inbox"]
+            message = json.loads(line)
+            now_ms, inbox = float(message["moment_ms"]), message["inbox"]
         except (ValueError, KeyError, TypeError) as error:
-            raise WireError(f"not a batch ({error!r}): {text[:200]!r}") from error
+            raise WireError(f"not a batch ({error!r}): {line[:EXCERPT_CHARACTERS]!r}") from error
         if not isinstance(inbox, list):
-            raise WireError(f"inbox is not a list: {text[:200]!r}")
-        out: list[list[Any]] = []
+            raise WireError(f"inbox is not a list: {line[:EXCERPT_CHARACTERS]!r}")
+        actions: list[Row] = []
         for raw in inbox:
-            out += self.event(now, raw)
-        return json.dumps({"actions": out}, separators=(",", ":"))
+            actions += self.handle_row(now_ms, raw)
+        return json.dumps({"actions": actions}, separators=(",", ":"))
 
-    def event(self, now: float, raw: Any) -> list[list[Any]]:
+    def handle_row(self, now_ms: float, raw: Any) -> list[Row]:
         """Hands one event to its gateway and returns the actions in the wire's form."""
         try:
-            kind, args = raw[0], list(raw[1:])
-            width = WIDTHS.get(kind)
-            if width is None:
-                raise WireError(f"unknown event {kind!r}")
-            args += [None] * (width - len(args))
-            if kind == "directory":
-                self.lists[int(args[0])] = tuple(self.entry(row) for row in args[1])
-                return []
-            gid = int(args[0])
-            if kind == "create":
-                given = args[2] or {}
-                made, seed = policy_settings(given), int(args[1])
-                self.fields[gid] = list((given.get("reporting") or {}).get("fields") or [])
-            elif kind == "shutdown":
-                self.gateways.pop(gid, None)
-                return []
-            elif gid not in self.gateways:
-                raise WireError(f"event for gateway {gid}, which was not created")
-            else:
-                event = self.decode(kind, gid, args)
+            call = self.prepare(now_ms, raw)
         except WireError:
             raise
         except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-            raise WireError(f"can't read event ({error!r}): {json.dumps(raw)[:200]}") from error
+            excerpt = json.dumps(raw)[:EXCERPT_CHARACTERS]
+            raise WireError(f"can't read event ({error!r}): {excerpt}") from error
+        if call is None:
+            return []
         try:
-            if kind == "create":
-                self.gateways[gid] = DecisionEngine(made, seed)
-                return []
-            actions = self.gateways[gid].handle(now, event) if event is not None else []
-        except Exception as error:  # the wire wants the text of any failure of the decisions
-            return [["die", gid, f"{type(error).__name__}: {error}"]]
-        return [encode(gid, action) for action in actions]
-
-    def entry(self, row: list[Any]) -> Endpoint:
-        """One server of a list."""
-        hint, started, zone, cell, _kind, server, state = (list(row) + [None] * 7)[:7]
-        return Endpoint(
-            address=str(server),
-            zone=str(zone),
-            cell=int(number(cell)),
-            weight=number(hint, 1.0),
-            started_ms=number(started),
-            state=word(STATES, state, "server state"),
+            actions = call()
+        except Exception as error:  # the wire wants the text of any failure of the engine
+            return [["die", int(raw[1]), f"{type(error).__name__}: {error}"]]
+        return [encode(int(raw[1]), action) for action in actions]
+
+    def prepare(self, now_ms: float, raw: Any) -> Callable[[], list[Action]] | None:
+        """The engine call that an event asks for; None where the event needs no engine."""
+        kind, arguments = raw[0], list(raw[1:])
+        count = ARGUMENT_COUNTS.get(kind)
+        if count is None:
+            raise WireError(f"unknown event {kind!r}")
+        arguments += [None] * (count - len(arguments))
+        if kind == "directory":
+            self.endpoint_lists[int(arguments[0])] = tuple(endpoint(row) for row in arguments[1])
+            return None
+        gateway = int(arguments[0])
+        if kind == "create":
+            return self.prepare_creation(gateway, int(arguments[1]), arguments[2] or {})
+        if kind == "shutdown":
+            self.engines.pop(gateway, None)
+            return None
+        if gateway not in self.engines:
+            raise WireError(f"event for gateway {gateway}, which was not created")
+        event = self.decode(kind, gateway, arguments)
+        if event is None:
+            return None
+        return lambda: self.engines[gateway].handle(now_ms, event)
+
+    def prepare_creation(self, gateway: int, seed: int, raw: dict[str, Any]) -> Callable[[], list[Action]]:
+        """Reads the settings of a new gateway; the call makes its engine."""
+        settings = policy_settings(raw)
+        self.load_report_fields[gateway] = list((raw.get("reporting") or {}).get("fields") or [])
+
+        def create() -> list[Action]:
+            self.engines[gateway] = DecisionEngine(settings, seed)
+            return []
+
+        return create
+
+    def decode(self, kind: str, gateway: int, arguments: Row) -> Event | None:
+        """The engine's event; None for probes and messages to peers, which the engine never asks for."""
+        match kind:
+            case "accept":
+                return request(arguments)
+            case "ended":
+                return self.attempt_ended(gateway, arguments)
+            case "topology":
+                how = lookup(LISTS, arguments[1], "list kind")
+                failed = how is EndpointListKind.FAILED
+                return EndpointList(how, () if failed else self.endpoint_lists[int(arguments[3])])
+            case "gone":
+                return ClientDisconnected(str(arguments[1]))
+            case "alarm":
+                return TimerFired(int(arguments[1]))
+            case "ledger_reply":
+                outcome = lookup(OUTCOMES, arguments[4], "outcome")
+                return CounterReply(int(arguments[2]), number(arguments[3]), outcome, number(arguments[1]))
+            case "streaming":
+                return ResponseStarted(str(arguments[1]), int(number(arguments[2])))
+        return None
+
+    def attempt_ended(self, gateway: int, arguments: Row) -> AttemptEnded:
+        """The event of an attempt's end, with the server's load report under the names of its settings."""
+        names = self.load_report_fields.get(gateway, [])
+        report = dict(zip(names, arguments[9] or [], strict=False))
+        return AttemptEnded(
+            request_id=str(arguments[1]),
+            attempt=int(number(arguments[2])),
+            address=str(arguments[3]),
+            outcome=lookup(OUTCOMES, arguments[4], "outcome"),
+            duration_ms=number(arguments[5]),
+            is_final=bool(arguments[6]),
+            queued_requests=reported_load(report.get("waiting")),
+            active_requests=reported_load(report.get("active")),
         )
 
-    def decode(self, kind: str, gid: int, args: list[Any]) -> Event | None:
-        """An event in the interface's terms; None for what no decision needs."""
-        if kind == "accept":
-            return Request(
-                request_id=str(args[1]),
-                class_name=str(args[2]),
-                plan=str(args[3]),
-                tenant=str(args[4]),
-                time_left_ms=number(args[5]),
-                units=number(args[6], 1.0),
-                gateway_spread=max(1, int(number(args[7], 1))),
-            )
-        if kind == "ended":
-            report = dict(zip(self.fields.get(gid, []), args[9] or [], strict=False))
-            return AttemptEnded(
-                request_id=str(args[1]),
-                attempt=int(number(args[2])),
-                address=str(args[3]),
-                outcome=word(ENDINGS, args[4], "outcome"),
-                duration_ms=number(args[5]),
-                is_final=bool(args[6]),
-                queued_requests=optional(report.get("waiting")),
-                active_requests=optional(report.get("active")),
-            )
-        if kind == "topology":
-            how = word(LISTS, args[1], "list kind")
-            return EndpointList(how, () if how is EndpointListKind.FAILED else self.lists[int(args[3])])
-        if kind == "gone":
-            return ClientDisconnected(str(args[1]))
-        if kind == "alarm":
-            return TimerFired(int(args[1]))
-        if kind == "ledger_reply":
-            ending = word(ENDINGS, args[4], "outcome")
-            return CounterReply(int(args[2]), number(args[3]), ending, number(args[1]))
-        if kind == "streaming":
-            return ResponseStarted(str(args[1]), int(number(args[2])))
-        return None  # probes and messages to peers are never asked for
-
-
-def optional(value: Any) -> float | None:
-    """A reported figure, or None."""
-    return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
+
+def endpoint(row: Row) -> Endpoint:
+    """One server of an endpoint list."""
+    columns = (list(row) + [None] * ENDPOINT_COLUMNS)[:ENDPOINT_COLUMNS]
+    weight, started_ms, zone, cell, _kind, address, state = columns
+    return Endpoint(
+        address=str(address),
+        zone=str(zone),
+        cell=int(number(cell)),
+        weight=number(weight, 1.0),
+        started_ms=number(started_ms),
+        state=lookup(STATES, state, "server state"),
+    )
+
+
+def request(arguments: Row) -> Request:
+    """The event of a client's request."""
+    return Request(
+        request_id=str(arguments[1]),
+        class_name=str(arguments[2]),
+        plan=str(arguments[3]),
+        tenant=str(arguments[4]),
+        time_left_ms=number(arguments[5]),
+        units=number(arguments[6], 1.0),
+        gateway_spread=max(1, int(number(arguments[7], 1))),
+    )
 
 
-def encode(gid: int, action: Action) -> list[Any]:
+def encode(gateway: int, action: Action) -> Row:
     """An action in the wire's form."""
     match action:
-        case StartAttempt(request_id, server, timeout_ms):
-            return ["hand_off", gid, request_id, timeout_ms, server]
+        case StartAttempt(request_id, address, timeout_ms):
+            return ["hand_off", gateway, request_id, timeout_ms, address]
         case Reject(request_id, retry_after_ms):
-            return ["bounce", gid, request_id, retry_after_ms]
+            return ["bounce", gateway, request_id, retry_after_ms]
         case Fail(request_id):
-            return ["give_up", gid, request_id]
+            return ["give_up", gateway, request_id]
         case CancelAttempt(request_id, attempt):
-            return ["recall", gid, request_id, attempt]
+            return ["recall", gateway, request_id, attempt]
         case SetTimer(token, at_ms):
-            return ["remind", gid, token, at_ms]
-        case IncrementCounter(name, amount, ttl_ms):
-            return ["incr", gid, name, amount, ttl_ms]
+            return ["remind", gateway, token, at_ms]
+        case IncrementCounter(key, amount, ttl_ms):
+            return ["incr", gateway, key, amount, ttl_ms]
         case SubscribeToEndpoints():
-            return ["tail", gid, True]
+            return ["tail", gateway, True]
         case LogMessage(message):
-            return ["say_log", gid, message]
+            return ["say_log", gateway, message]
         case SendState():
             raise WireError("the simulator's gateways have no second process")
 
 
 def serve(lines: Iterable[str], out: TextIO) -> int:
-    """Answers every line until the input ends; returns the exit status."""
-    host = Host()
+    """Answers every line until the input ends; returns the exit status: 1 after a line that can't be read."""
+    host = SimulatorHost()
     for line in lines:
         if not line.strip():
             continue
         try:
-            reply = host.batch(line)
+            reply = host.answer(line)
         except WireError as error:
             print(f"glenchute.simulator: {error}", file=sys.stderr)
             return 1
--- a/tests/messages/simulator.py
+++ b/tests/messages/simulator.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from glenchute.simulator import ENDINGS, Host, serve
+from glenchute.simulator import OUTCOMES, SimulatorHost, serve
 
 START = 1_700_000_000_000.0
 SETTINGS: dict[str, Any] = {
@@ -44,7 +44,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.host = Host()
+        self.host = SimulatorHost()
         self.lines: list[str] = []
         self.answers: list[str] = []
         self.now = START
@@ -56,7 +56,7 @@
     def write(self, *events: list[Any]) -> None:
         """A line for the wire, and what its answer brings about."""
         line = json.dumps({"moment_ms": self.now, "inbox": list(events)})
-        answer = self.host.batch(line)
+        answer = self.host.answer(line)
         self.lines.append(line)
         self.answers.append(answer)
         for action in json.loads(answer)["actions"]:
@@ -72,7 +72,7 @@
         if kind == "hand_off":
             ref, _, server = args
             number = self.attempts[ref] = self.attempts.get(ref, -1) + 1
-            word = self.rng.choice(["pass"] * 12 + list(ENDINGS))
+            word = self.rng.choice(["pass"] * 12 + list(OUTCOMES))
             took = round(self.rng.uniform(5.0, 200.0), 3)
             report = [0, self.rng.randrange(5), self.rng.choice([None, 3])]
             if self.rng.random() < 0.2:
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -27,7 +27,7 @@
 )
 from glenchute.policy.events import Event
 from glenchute.policy.settings import Idempotency
-from glenchute.simulator import Host, WireError, encode, serve
+from glenchute.simulator import SimulatorHost, WireError, encode, serve
 
 ROOT = Path(__file__).resolve().parents[2]
 PARAMS: dict[str, Any] = {
@@ -57,18 +57,18 @@
     return ["accept", gid, ref, "read", "basic", "c1", 900.0, 1, 2, 0, False, False]
 
 
-def started(*gids: int) -> Host:
-    host = Host()
+def started(*gids: int) -> SimulatorHost:
+    host = SimulatorHost()
     events: list[list[Any]] = []
     for gid in gids:
         events += [["create", gid, 7 + gid, PARAMS], ["directory", 0, [entry(f"s{gid}:1")]]]
         events += [["topology", gid, "warm_copy", 1, 0]]
-    host.batch(line(10.0, *events))
+    host.answer(line(10.0, *events))
     return host
 
 
-def actions(host: Host, now: float, *events: list[Any]) -> list[list[Any]]:
-    found: list[list[Any]] = json.loads(host.batch(line(now, *events)))["actions"]
+def actions(host: SimulatorHost, now: float, *events: list[Any]) -> list[list[Any]]:
+    found: list[list[Any]] = json.loads(host.answer(line(now, *events)))["actions"]
     return found
 
 
@@ -99,7 +99,7 @@
     ]
     for event in events:
         assert all(a[0] != "die" for a in actions(host, 30.0, event)), event
-    assert 3 not in host.gateways
+    assert 3 not in host.engines
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,7 @@
     assert serve([text], out) == 1
     assert out.getvalue() == "" and "glenchute.simulator: " in capsys.readouterr().err
     with pytest.raises(WireError):
-        Host().batch(text)
+        SimulatorHost().answer(text)
 
 
 def test_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -158,7 +158,7 @@
     def broken(now_ms: float, event: Event) -> list[Action]:
         raise RuntimeError("out of luck")
 
-    monkeypatch.setattr(host.gateways[3], "handle", broken)
+    monkeypatch.setattr(host.engines[3], "handle", broken)
     assert actions(host, 20.0, ["alarm", 3, 1]) == [["die", 3, "RuntimeError: out of luck"]]
 
 
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -30,7 +30,7 @@
 from glenchute.policy.lifecycle.handover import Told, parse
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.member_datagrams import VERSION, decode
-from glenchute.simulator import ENDINGS, LISTS, STATES, WIDTHS
+from glenchute.simulator import ARGUMENT_COUNTS, LISTS, OUTCOMES, STATES
 from glenchute.simulator import encode as wire_form
 from tests.messages import control, counter, datagrams, handover, simulator
 from tests.messages.files import HERE, hex_rows, text_rows
@@ -163,8 +163,8 @@
 def test_the_session_holds_every_event_and_action() -> None:
     told, answered = stored_session()
     events = [event for line in told for event in json.loads(line)["inbox"]]
-    assert {event[0] for event in events} == set(WIDTHS)
-    assert {event[5] for event in events if event[0] == "ended"} == set(ENDINGS)
+    assert {event[0] for event in events} == set(ARGUMENT_COUNTS)
+    assert {event[5] for event in events if event[0] == "ended"} == set(OUTCOMES)
     assert {event[2] for event in events if event[0] == "topology"} == set(LISTS)
     states = {row[6] for event in events if event[0] == "directory" for row in event[2]}
     assert states == set(STATES)
