--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -45,8 +45,9 @@
 from benchmarks.slopes import Measure, Probe, cpu_ms, kib, table
 from glenchute.cli.fleet import table as text_table
 from glenchute.clients.membership.node import Fleet as Node
-from glenchute.config.facts import ClassFacts, Facts
-from glenchute.config.operator import MOST_ROUTES, Operator, Reading, parse
+from glenchute.config.facts import ClassFacts, PlatformFacts
+from glenchute.config.operator import OperatorConfig, ReadResult, parse
+from glenchute.config.operator_shape import MAX_ROUTES
 from glenchute.policy.endpoints.polling import Pacing, Terms
 from glenchute.policy.membership.members import Members, Rules
 from glenchute.policy.retries.route_limits import Routes
@@ -97,8 +98,8 @@
     return lambda count, seed: worst_second([p.in_step() for p in pacings(count, seed, terms)])
 
 
-def facts(plans: int) -> Facts:
-    return Facts({f"class-{n}": ClassFacts(Idempotency.IDEMPOTENT, 4e3) for n in range(10)},
+def facts(plans: int) -> PlatformFacts:
+    return PlatformFacts({f"class-{n}": ClassFacts(Idempotency.IDEMPOTENT, 4e3) for n in range(10)},
                  tuple(f"plan-{n}" for n in range(plans)), 5, False, 250.0)  # fmt: skip
 
 
@@ -109,26 +110,26 @@
 
 
 @functools.cache
-def loaded(count: int, seed: int) -> tuple[float, Operator]:
+def loaded(count: int, seed: int) -> tuple[float, OperatorConfig]:
     """Milliseconds for reading and checking an operator's file, which SIGHUP does beside the loop; and what
     is read."""
     text, known = routes_text(count), facts(-(-count // 10))
-    readings: list[Reading] = []
+    readings: list[ReadResult] = []
     spent = cpu_ms(lambda: readings.append(parse(text, known)))
-    if readings[0].operator is None:
+    if readings[0].config is None:
         raise ValueError(f"{count} routes: {readings[0].findings[0].code}")
-    return spent, readings[0].operator
+    return spent, readings[0].config
 
 
 def match(count: int, seed: int) -> float:
     """Microseconds for finding the route of a request."""
-    routes, plan = Routes(loaded(count, seed)[1].table, seed), f"plan-{(count - 1) // 10}"
+    routes, plan = Routes(loaded(count, seed)[1].bindings, seed), f"plan-{(count - 1) // 10}"
     return 1e3 * cpu_ms(lambda: routes.course(1.0, "class-3", plan), 50_000)
 
 
 def routes_kib(count: int, seed: int) -> float:
     text, known = routes_text(count), facts(-(-count // 10))
-    return kib(lambda: parse(text, known).operator)
+    return kib(lambda: parse(text, known).config)
 
 
 def refusals() -> None:
@@ -137,7 +138,7 @@
     row = '[[fleet.members]]\nname = "m{0}"\naddress = "127.0.0.1:{0}"\n'
     members = head + "".join(row.format(2_000 + n) for n in range(GATEWAYS - 1))
     for what, text in ((f"{ROUTES:,} routes", routes_text(ROUTES)), ("[fleet] of 520", members)):
-        found = [f for f in parse(text, None).findings if not f.warning]
+        found = [f for f in parse(text, None).findings if not f.is_warning]
         words = f"{found[0].code}: {found[0].message}" if found else "taken"
         print(f"| {what}, {len(text) / 1024:.0f} KiB | {words} |")
 
@@ -165,7 +166,7 @@
 RATES = (20, 40, 80), round(RATE), round(RATE)
 TALKING = (30, 60, 120), 240, GATEWAYS
 TOLD = (20, 40, 80), 163, 163
-ROUTES_ARE = (300, 600, 1_200), MOST_ROUTES, ROUTES
+ROUTES_ARE = (300, 600, 1_200), MAX_ROUTES, ROUTES
 ADDED, CPU, MEMORY, BYTES = 3.9, 2.4, 32e6 / 1024.0, 11.0 / 1.024  # ms, percent, KiB, KiB/s: the limits
 LISTED, MEMBERS_, ASKED, CORE = "servers listed", "members", "requests/s", "% of a core"
 ALL = "all listed used"
--- a/glenchute/cli/check.py
+++ b/glenchute/cli/check.py
@@ -20,7 +20,7 @@
         print(f"glenchute: {error}", file=sys.stderr)
         return 2
     reading = read(path, facts)
-    sound = reading.operator is not None
+    sound = reading.config is not None
     if args.json:
         rows = [finding.record() for finding in reading.findings]
         print(json.dumps({"file": path, "sound": sound, "platform": facts is not None, "findings": rows}))
@@ -29,8 +29,8 @@
         print(finding.render(path))
     if facts is None:
         print("only the shape was checked: name the platform's file by --platform", file=sys.stderr)
-    elif reading.operator is not None:
+    elif reading.config is not None:
         kinds = len(facts.classes) * len(facts.plans)
-        bound, routes = len(reading.operator.table), len(reading.operator.routes)
+        bound, routes = len(reading.config.bindings), len(reading.config.routes)
         print(f"{path}: sound; {routes} routes, {bound} of {kinds} kinds of request are bound")
     return 0 if sound else 2
--- a/glenchute/cli/explain.py
+++ b/glenchute/cli/explain.py
@@ -6,10 +6,10 @@
 import sys
 from collections.abc import Iterator
 
-from glenchute.config.facts import Facts
-from glenchute.config.operator import Operator
+from glenchute.config.facts import PlatformFacts
+from glenchute.config.operator import OperatorConfig
 from glenchute.config.platform import ConfigError
-from glenchute.config.rules import attempts_of, latest_write, pauses
+from glenchute.config.rules import backoff_delays_ms, latest_write_ms, max_attempts
 from glenchute.policy.retries.route_limits import Route
 from glenchute.policy.settings import Idempotency
 
@@ -38,11 +38,11 @@
     return 0
 
 
-def story(operator: Operator, facts: Facts, class_name: str, plan: str) -> Iterator[str]:
+def story(operator: OperatorConfig, facts: PlatformFacts, class_name: str, plan: str) -> Iterator[str]:
     """The lines."""
     cls = facts.classes[class_name]
-    yield f"CALL.{cls.command} of class {class_name} ({cls.repeat.value}), plan {plan}:"
-    route = operator.table.get((class_name, plan))
+    yield f"CALL.{cls.command} of class {class_name} ({cls.idempotency.value}), plan {plan}:"
+    route = operator.bindings.get((class_name, plan))
     for one in sorted(operator.routes, key=lambda m: -m.rank):
         if one.covers(class_name, plan, cls.command):
             verdict = "binds" if route is not None and one.route.name == route.name else "is less specific"
@@ -55,11 +55,11 @@
     yield from timeline(route, facts, class_name)
 
 
-def timeline(route: Route, facts: Facts, class_name: str) -> Iterator[str]:
+def timeline(route: Route, facts: PlatformFacts, class_name: str) -> Iterator[str]:
     """When each attempt may start, from the first one's start."""
     cls = facts.classes[class_name]
-    timeout, attempts = route.attempt_timeout_ms, attempts_of(route, facts)
-    shortest, longest = pauses(route, attempts, False), pauses(route, attempts, True)
+    timeout, attempts = route.attempt_timeout_ms, max_attempts(route, facts)
+    shortest, longest = backoff_delays_ms(route, attempts, False), backoff_delays_ms(route, attempts, True)
     early = late = 0.0
     for number in range(attempts):
         if number:
@@ -81,9 +81,9 @@
         rule = route.budget
         yield f"  budget of further attempts: {rule.share:g} a request, and {rule.least_per_s:g} a second"
     yield f"  the client waits {cls.deadline_ms:g} ms at most"
-    if cls.repeat is Idempotency.WITH_KEY:
-        latest = latest_write(route, facts)
+    if cls.idempotency is Idempotency.WITH_KEY:
+        latest = latest_write_ms(route, facts)
         last = f"the last byte of a try leaves by {latest:g} ms" if latest else "the module keeps to that"
-        yield f"  repeats are dropped for {cls.memory_ms:g} ms; {last}"
-    elif cls.repeat is Idempotency.NON_IDEMPOTENT:
+        yield f"  repeats are dropped for {cls.idempotency_window_ms:g} ms; {last}"
+    elif cls.idempotency is Idempotency.NON_IDEMPOTENT:
         yield "  once it may have run there is no further attempt, whatever the route says"
--- a/glenchute/cli/lines.py
+++ b/glenchute/cli/lines.py
@@ -8,25 +8,25 @@
 from typing import Any
 
 from glenchute.config.pipeline import rules_of
-from glenchute.config.platform import Config
+from glenchute.config.platform import PlatformConfig
 from glenchute.policy.connections.class_compatibility import Sharing
 from glenchute.policy.connections.pipelining import Rules
 from glenchute.upstreams.pipelined import Gather, Lines
 
 
-def rules(raw: Mapping[str, Any], config: Config) -> Rules:
+def rules(raw: Mapping[str, Any], config: PlatformConfig) -> Rules:
     """The rules that the table makes on this platform."""
     return rules_of(raw)._replace(
         idle_ms=1000.0 * config.limits.idle_s, copies=config.settings.allows_hedging
     )
 
 
-def sharing(raw: Mapping[str, Any], config: Config) -> Sharing:
+def sharing(raw: Mapping[str, Any], config: PlatformConfig) -> Sharing:
     """Which classes may share a line."""
     return Sharing(config.settings.classes, raw["classes"], raw.get("behind_unsafe", False))
 
 
-def backend(raw: Mapping[str, Any], config: Config, loop: asyncio.AbstractEventLoop) -> Lines:
+def backend(raw: Mapping[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop) -> Lines:
     """The backend."""
     usual = Gather()
     gather = Gather(raw.get("gather", usual.most), raw.get("gather_bytes", usual.most_bytes))
--- a/glenchute/cli/pipeline.py
+++ b/glenchute/cli/pipeline.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Iterator
 
-from glenchute.config.platform import Config, ConfigError
+from glenchute.config.platform import ConfigError, PlatformConfig
 from glenchute.policy.connections.class_compatibility import WHY
 
 from .files import operator_file, platform, sound_operator
@@ -31,7 +31,7 @@
     return 0
 
 
-def story(raw: dict[str, object], config: Config) -> Iterator[str]:
+def story(raw: dict[str, object], config: PlatformConfig) -> Iterator[str]:
     """The lines."""
     shared, made = sharing(raw, config), rules(raw, config)
     width = max(len(name) for name in shared.classes)
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -16,7 +16,7 @@
 
 from glenchute.clients.counter import Counter
 from glenchute.clients.discovery import Discovery
-from glenchute.config.platform import OPERATOR, Config, ConfigError, load, passed_socket
+from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
 from glenchute.core.gateway import Gateway
 from glenchute.core.types import Decisions, News
 from glenchute.listeners.resp2.clients import Listener
@@ -32,7 +32,7 @@
 
     from glenchute.capture.recorder import Recorder
     from glenchute.clients.membership.node import Fleet
-    from glenchute.config.operator import Operator
+    from glenchute.config.operator import OperatorConfig
     from glenchute.control.server import ControlServer
     from glenchute.listeners.extproc.server import Server as ExtProc
     from glenchute.listeners.operations import OperationsServer
@@ -71,11 +71,11 @@
 
     def __init__(
         self,
-        config: Config,
+        config: PlatformConfig,
         loop: asyncio.AbstractEventLoop,
         decisions: Decisions | None = None,
         environ: dict[str, str] | None = None,
-        operator: Operator | None = None,
+        operator: OperatorConfig | None = None,
     ) -> None:
         self.config = config
         self.passed = passed_socket(config)
@@ -106,7 +106,7 @@
             self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
         if operator is not None:
             self.bind(operator)
-        catalogue = Catalogue(made, config.bounds)
+        catalogue = Catalogue(made, config.request_bounds)
         self.listener = Listener(loop, self.gateway, catalogue, config.budget)
         if shared is not None:
             self.gateway.most_attempts = made.max_attempts
@@ -116,7 +116,7 @@
         if operator is not None and operator.fronts and "extproc" in operator.fronts:
             self.extproc = self.processing(operator.fronts["extproc"])
         self.succession = self.succeeding() if self.passed is not None else None
-        self.operations = self.operating() if config.operations is not None else None
+        self.operations = self.operating() if config.operations_address is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
         self.doubt = Doubt() if asked.get("doubt") else None
         self.discovery = Discovery(
@@ -134,7 +134,7 @@
         """Who shares discovery, and what it bears."""
         # Who tells what the service bears, or has gateways ask for each other, has a shared one.
         pushed = not self.config.settings.must_subscribe and not asked and self.fleet is None
-        terms = Terms(self.config.settings.gateway_count, self.config.number, pushed=pushed)
+        terms = Terms(self.config.settings.gateway_count, self.config.gateway_number, pushed=pushed)
         return terms._replace(rate=asked.get("calls_per_s", terms.rate), list_age_s=asked.get("list_age_s"))
 
     def serving(self) -> bool:
@@ -158,7 +158,7 @@
         chance alone."""
         from glenchute.policy.balancing.subset import Aperture, Terms
 
-        made, number = self.config.settings, self.config.place
+        made, number = self.config.settings, self.config.stated_number
         number = number if number is not None else self.config.seed
         return Aperture(decisions, made, Terms(gateways=made.gateway_count, number=number, **raw), listed)
 
@@ -207,7 +207,7 @@
         except ImportError as error:
             raise ConfigError(f"fleet needs glenchute[fleet]: {error}") from None
         config = self.config
-        self.fleet = Fleet(raw, self.loop, decisions, config.settings, config.seed, config.number)
+        self.fleet = Fleet(raw, self.loop, decisions, config.settings, config.seed, config.gateway_number)
         if "control" in raw:
             self.control = ControlServer(raw["control"])
             self.control.register("fleet", self.fleet.verbs())
@@ -252,11 +252,11 @@
         folder = self.environ.get("TMPDIR")
         return Succession.of(folder, self.config, self.loop, self.gateway, self.listener, self.servers)
 
-    def bind(self, operator: Operator) -> None:
+    def bind(self, operator: OperatorConfig) -> None:
         """The operator's routes hold for requests from the start on."""
         from glenchute.policy.retries.route_limits import Routes
 
-        self.gateway.routes = Routes(operator.table, self.config.seed)
+        self.gateway.routes = Routes(operator.bindings, self.config.seed)
 
     async def run(self, early: list[int]) -> None:
         """Serves until told to stop. `early` holds the signals that came before the loop ran."""
@@ -283,14 +283,14 @@
 
     async def start(self) -> None:
         """Brings the parts up; clients come last."""
-        if self.operations is not None and self.config.operations is not None:
-            await self.operations.start(*self.config.operations)
-        if self.config.known is not None:
-            self.gateway.news(self.config.known)
+        if self.operations is not None and self.config.operations_address is not None:
+            await self.operations.start(*self.config.operations_address)
+        if self.config.cached_endpoints is not None:
+            self.gateway.news(self.config.cached_endpoints)
             if self.doubt is not None:
-                self.doubt.follow(self.config.known.version, self.config.known.event)
-        asks = self.fleet is not None and self.fleet.begin(self.config.known, self.discovery)
-        awaited = self.discovery.begin(self.config.known, LIST_WAIT_S, asks)
+                self.doubt.follow(self.config.cached_endpoints.version, self.config.cached_endpoints.event)
+        asks = self.fleet is not None and self.fleet.begin(self.config.cached_endpoints, self.discovery)
+        awaited = self.discovery.begin(self.config.cached_endpoints, LIST_WAIT_S, asks)
         if self.fleet is not None:
             await self.fleet.start()
         if self.control is not None:
@@ -321,17 +321,22 @@
             log.error("the configuration in force stays: %s", error)
             return
         log.info("the configuration was read again")
-        if replace(config, discovery=self.config.discovery, counter=self.config.counter, known=None,
-                   seed=self.config.seed) != replace(self.config, known=None):  # fmt: skip
+        if replace(
+            config,
+            discovery=self.config.discovery,
+            counter=self.config.counter,
+            cached_endpoints=None,
+            seed=self.config.seed,
+        ) != replace(self.config, cached_endpoints=None):
             log.warning("what changed besides the addresses of discovery and counter waits for a restart")
         self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
             self.counter.move(config.counter)
         self.config = replace(self.config, discovery=config.discovery, counter=config.counter)
-        if self.environ.get(OPERATOR):
-            self.reread(self.environ[OPERATOR], config)
+        if self.environ.get(OPERATOR_FILE_VARIABLE):
+            self.reread(self.environ[OPERATOR_FILE_VARIABLE], config)
 
-    def reread(self, path: str, config: Config) -> None:
+    def reread(self, path: str, config: PlatformConfig) -> None:
         """Reads the operator's file beside the loop, as it may take long; `follow` is told what came of it.
         Asked for again meanwhile, it is read once more afterwards."""
         from .aside import Aside
@@ -410,7 +415,7 @@
         await asyncio.sleep(0)
 
 
-def started(operator: Operator) -> tuple[Any, ...]:
+def started(operator: OperatorConfig) -> tuple[Any, ...]:
     """What of an operator's file is followed only from a start on."""
     return (operator.capture, operator.fronts, operator.pipeline, operator.fleet, operator.discovery,
             operator.subset)  # fmt: skip
@@ -424,25 +429,29 @@
         return
 
 
-async def serve(config: Config, environ: dict[str, str], operator: Operator | None, early: list[int]) -> None:
+async def serve(
+    config: PlatformConfig, environ: dict[str, str], operator: OperatorConfig | None, early: list[int]
+) -> None:
     """Runs the program in the loop that is running."""
     loop = asyncio.get_running_loop()
     await Program(config, loop, environ=environ, operator=operator).run(early)
 
 
-def checked(path: str, config: Config, rest: Callable[[], None] | None = None) -> tuple[Operator, list[str]]:
+def checked(
+    path: str, config: PlatformConfig, rest: Callable[[], None] | None = None
+) -> tuple[OperatorConfig, list[str]]:
     """The operator's file and its warnings; with all that is wrong in a ConfigError. `rest` is called between
     parts of the reading. Imported only where one is named."""
     from glenchute.config.operator import read
 
     reading = read(path, config.facts, rest)
     lines = [finding.render(path) for finding in reading.findings]
-    if reading.operator is None:
+    if reading.config is None:
         raise ConfigError("\n".join(lines))
-    return reading.operator, lines
+    return reading.config, lines
 
 
-def read_again(path: str, config: Config) -> Reread:
+def read_again(path: str, config: PlatformConfig) -> Reread:
     """What a sound operator's file brings to a gateway that serves; ConfigError for a wrong one. Touches
     nothing else, so that it may run beside the loop."""
     from glenchute.policy.retries.route_limits import Routes
@@ -453,10 +462,10 @@
         operator, warnings = checked(path, config, Pace().rest)
     except ConfigError as error:
         raise error.with_traceback(None) from None  # that holds all findings, to be freed on the loop
-    return Reread(Routes(operator.table, config.seed), started(operator), warnings)
+    return Reread(Routes(operator.bindings, config.seed), started(operator), warnings)
 
 
-def read_operator(path: str, config: Config) -> Operator:
+def read_operator(path: str, config: PlatformConfig) -> OperatorConfig:
     """The same; the warnings are logged."""
     operator, lines = checked(path, config)
     for line in lines:
@@ -475,9 +484,13 @@
     try:
         environ = dict(os.environ)
         if operator_file:
-            environ[OPERATOR] = operator_file
+            environ[OPERATOR_FILE_VARIABLE] = operator_file
         config = load(environ)
-        operator = read_operator(environ[OPERATOR], config) if environ.get(OPERATOR) else None
+        operator = (
+            read_operator(environ[OPERATOR_FILE_VARIABLE], config)
+            if environ.get(OPERATOR_FILE_VARIABLE)
+            else None
+        )
     except ConfigError as error:
         print(f"glenchute: {error}", file=sys.stderr)
         return 2
--- a/glenchute/cli/schema.py
+++ b/glenchute/cli/schema.py
@@ -5,7 +5,7 @@
 import argparse
 import json
 
-from glenchute.config.operator import json_schema
+from glenchute.config.operator_shape import json_schema
 
 
 def text() -> str:
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from glenchute.clients.handover import Door, Predecessor, ask, path_in
-from glenchute.config.platform import Config
+from glenchute.config.platform import PlatformConfig
 from glenchute.core.gateway import Gateway
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
@@ -21,7 +21,7 @@
     """One process's part in replacements."""
 
     def __init__(
-        self, path: Path, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
+        self, path: Path, config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: Gateway,
         listener: Listener, servers: Servers,
     ) -> None:  # fmt: skip
         self.path, self.config, self.loop = path, config, loop
@@ -34,7 +34,7 @@
 
     @classmethod
     def of(
-        cls, folder: str | None, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
+        cls, folder: str | None, config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: Gateway,
         listener: Listener, servers: Servers,
     ) -> Succession | None:  # fmt: skip
         """None where the processes have no place to meet."""
@@ -62,7 +62,7 @@
 
     def tell(self) -> bytes:
         """The next process asks."""
-        whole = self.config.sockets
+        whole = self.config.max_descriptors
         share = keeps(2 * max(len(self.listener.clients), self.servers.count()), whole)
         self.shares(share)
         self.stocks = ()
--- a/glenchute/config/extproc.py
+++ b/glenchute/config/extproc.py
@@ -7,14 +7,14 @@
 from glenchute.policy.services.request_mapping import SOURCE, Operation, Rules, Template
 from glenchute.policy.settings import Idempotency
 
-from .facts import Facts
+from .facts import PlatformFacts
 from .schema import MISSING, Path, Report
 
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS", "TRACE")  # RFC 9110, 9.2.1
 HERE: Path = ("fronts", "extproc")
 
 
-def check(raw: dict[str, Any], facts: Facts | None, report: Report) -> None:
+def check(raw: dict[str, Any], facts: PlatformFacts | None, report: Report) -> None:
     """Reports all that is wrong with a table whose shape is right."""
     operations = check_operations(raw, facts, report)
     check_map(raw.get("map", {}), (*HERE, "map"), operations, False, report)
@@ -28,7 +28,7 @@
             report("no-class", (*HERE, "ratelimit", "map"), "has no class; add one, as value:NAME")
     if facts is None:
         return
-    keyed = [name for name, cls in facts.classes.items() if cls.repeat is Idempotency.WITH_KEY]
+    keyed = [name for name, cls in facts.classes.items() if cls.idempotency is Idempotency.WITH_KEY]
     reached = {row["class"] for row in raw.get("operation", []) if row is not MISSING and "class" in row}
     if "key" not in mapped and any(name in reached or "class" in mapped for name in keyed):
         report("no-key", (*HERE, "map"), f"has no key, which {', '.join(keyed)} needs; add it")
@@ -36,12 +36,12 @@
         if name not in facts.classes:
             names = ", ".join(facts.classes)
             report("unknown-class", (*HERE, "restart_open"), f"{name[:40]!r} is none of {names}; write one")
-        elif facts.classes[name].repeat is Idempotency.NON_IDEMPOTENT:
+        elif facts.classes[name].idempotency is Idempotency.NON_IDEMPOTENT:
             report("unsafe-open", (*HERE, "restart_open"),
                    f"{name!r} must never run twice, and a fresh process can't know; take it out")  # fmt: skip
 
 
-def check_operations(raw: dict[str, Any], facts: Facts | None, report: Report) -> list[Operation]:
+def check_operations(raw: dict[str, Any], facts: PlatformFacts | None, report: Report) -> list[Operation]:
     """The operations that are in order, reporting the others."""
     made: list[Operation] = []
     seen: dict[Any, int] = {}
@@ -61,7 +61,7 @@
         if facts is not None and name not in facts.classes:
             names = ", ".join(facts.classes)
             report("unknown-class", (*path, "class"), f"{name[:40]!r} is none of {names}; write one")
-        elif facts is not None and facts.classes[name].repeat is not Idempotency.IDEMPOTENT:
+        elif facts is not None and facts.classes[name].idempotency is not Idempotency.IDEMPOTENT:
             if method in SAFE_METHODS:
                 report("unsafe-by-safe-method", (*path, "method"),
                        f"{method} is repeated by whoever likes (RFC 9110, 9.2.1), and {name} must not be; "
@@ -90,9 +90,11 @@
             report("unknown-variable", (*path, key), f"no operation's path has {{{where}}}; add it there")
 
 
-def rules(raw: dict[str, Any], facts: Facts, gateways: int, most_units: float) -> tuple[Rules, Rules | None]:
+def rules(
+    raw: dict[str, Any], facts: PlatformFacts, gateways: int, most_units: float
+) -> tuple[Rules, Rules | None]:
     """The rules of a checked table: for requests, and for rate limit calls where these are on."""
-    classes = {name: cls.repeat is Idempotency.WITH_KEY for name, cls in facts.classes.items()}
+    classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in facts.classes.items()}
     operations = tuple(
         Operation(row["class"], row.get("method", ""), Template.parse(row["path"]))
         for row in raw.get("operation", [])
--- a/glenchute/config/facts.py
+++ b/glenchute/config/facts.py
@@ -12,25 +12,25 @@
 class ClassFacts:
     """One class of the platform's file."""
 
-    repeat: Idempotency
+    idempotency: Idempotency
     deadline_ms: float
-    memory_ms: float = 0.0
-    scope_known: bool = True
+    idempotency_window_ms: float = 0.0
+    is_scope_known: bool = True
 
     @property
     def command(self) -> str:
         """The command that it comes by."""
-        return "GET" if self.repeat is Idempotency.IDEMPOTENT else "POST"
+        return "GET" if self.idempotency is Idempotency.IDEMPOTENT else "POST"
 
 
 @record(frozen=True, slots=True)
-class Facts:
+class PlatformFacts:
     """What of the platform's file the rules are about."""
 
     classes: Mapping[str, ClassFacts]
     plans: tuple[str, ...]
-    attempts_cap: int
-    overlap: bool
-    connect_ms: float
-    streams: int = 0  # commands of one connection that a server begins at once; 0: not told
-    idle_ms: float = 15_000.0  # connections are closed after this long without use
+    max_attempts: int
+    allows_hedging: bool
+    connect_timeout_ms: float
+    max_streams: int = 0  # commands of one connection that a server begins at once; 0: not told
+    idle_timeout_ms: float = 15_000.0  # connections are closed after this long without use
--- a/glenchute/config/findings.py
+++ b/glenchute/config/findings.py
@@ -12,27 +12,33 @@
 
     code: str
     line: int
-    place: str
+    location: str
     message: str
-    warning: bool = False
+    is_warning: bool = False
 
     def render(self, file: str) -> str:
         """One line for a person."""
         where = f"{file}:{self.line}" if self.line else file
-        kind = "warning" if self.warning else "error"
-        place = f"{self.place}: " if self.place else ""
+        kind = "warning" if self.is_warning else "error"
+        place = f"{self.location}: " if self.location else ""
         return f"{where}: {kind} {self.code}: {place}{self.message}"
 
     def record(self) -> dict[str, Any]:
-        """The same for a program."""
-        return self._asdict()
+        """The same for a program; the keys are what `glenchute check --json` prints."""
+        return {
+            "code": self.code,
+            "line": self.line,
+            "place": self.location,
+            "message": self.message,
+            "warning": self.is_warning,
+        }
 
 
-def ordered(findings: Iterable[Finding]) -> list[Finding]:
+def sort_findings(findings: Iterable[Finding]) -> list[Finding]:
     """By line, each once. Findings come nearly in order, and sorting them from there is short."""
-    return sorted(dict.fromkeys(findings), key=lambda f: (f.line, f.place, f.code, f.message))
+    return sorted(dict.fromkeys(findings), key=lambda f: (f.line, f.location, f.code, f.message))
 
 
-def fatal(findings: Iterable[Finding]) -> bool:
+def has_errors(findings: Iterable[Finding]) -> bool:
     """Whether the file must not be loaded."""
-    return any(not finding.warning for finding in findings)
+    return any(not finding.is_warning for finding in findings)
--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -4,28 +4,30 @@
 
 from typing import TYPE_CHECKING, Any
 
-from .schema import Number, Rows, Switch, Table, Word, Words
+from .schema import Boolean, Number, String, Strings, Table, TableArray
 
 if TYPE_CHECKING:
-    from .facts import Facts
-    from .operator import Faults
+    from .facts import PlatformFacts
+    from .operator_text import FindingCollector
 
 MOST_MEMBERS = 1_000
 MOST_NUMBER = 999_999
 MOST_TASKS = 50
-ADDRESS = Word(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}", "an IPv4 address with its port, as 127.0.0.1:7946")
-NAME = Word("[A-Za-z0-9_.-]{1,64}", "1 to 64 letters, digits, '_', '.' or '-'")
+ADDRESS = String(
+    r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}", "an IPv4 address with its port, as 127.0.0.1:7946"
+)
+NAME = String("[A-Za-z0-9_.-]{1,64}", "1 to 64 letters, digits, '_', '.' or '-'")
 LEASES = Table(
     {
-        "voters": Words(alone=False),
-        "changing": Switch(),
+        "voters": Strings(alone=False),
+        "changing": Boolean(),
         "longest_s": Number(0.5, 300),
         "drift": Number(0, 0.1),
-        "tasks": Rows(
+        "tasks": TableArray(
             Table(
                 {
                     "name": NAME,
-                    "kind": Word("ask|audit|call", "ask, audit or call"),
+                    "kind": String("ask|audit|call", "ask, audit or call"),
                     "address": ADDRESS,
                     "interval_s": Number(0.05, 86_400),
                     "longest_step_s": Number(0.01, 100),
@@ -43,7 +45,7 @@
         "name": NAME,
         "listen": ADDRESS,
         "number": Number(0, MOST_NUMBER, whole=True),
-        "members": Rows(
+        "members": TableArray(
             Table(
                 {"name": NAME, "address": ADDRESS, "number": Number(0, MOST_NUMBER, whole=True)},
                 ("name", "address"),
@@ -56,16 +58,16 @@
         "compare_ms": Number(50, 60_000),
         "budget_kib_s": Number(4, 10_240),
         "use_kib_s": Number(1, 10_240),
-        "share_list": Switch(),
+        "share_list": Boolean(),
         "leases": LEASES,
-        "control": Word("/[^\\x00-\\x1f]{1,100}", "the path of a socket, from the root"),
+        "control": String("/[^\\x00-\\x1f]{1,100}", "the path of a socket, from the root"),
     },
     ("fleet", "name", "listen", "members"),
 )
 PLACE = ("fleet",)
 
 
-def check(raw: dict[str, Any], facts: Facts | None, faults: Faults) -> None:
+def check(raw: dict[str, Any], facts: PlatformFacts | None, faults: FindingCollector) -> None:
     """What keys must be to each other."""
     names: dict[str, int] = {}
     addresses: dict[str, int] = {}
@@ -95,7 +97,7 @@
         faults("no-members", PLACE, "has no members; list them, or leave [fleet] out", True)
 
 
-def of_numbers(raw: dict[str, Any], faults: Faults) -> None:
+def of_numbers(raw: dict[str, Any], faults: FindingCollector) -> None:
     """What gateways' numbers must be to each other, where the file states any."""
     rows = [(PLACE, raw), *(((*PLACE, "members", at), row) for at, row in enumerate(raw.get("members", [])))]
     stated: dict[int, str] = {}
@@ -111,7 +113,7 @@
             stated[number] = row.get("name", "this gateway")
 
 
-def of_leases(raw: dict[str, Any], names: set[str], faults: Faults) -> None:
+def of_leases(raw: dict[str, Any], names: set[str], faults: FindingCollector) -> None:
     """What `[fleet.leases]` must be to the members and to itself."""
     from glenchute.policy.membership.leases import Terms, sound_voters  # only for a file that has it
 
--- a/glenchute/config/fronts.py
+++ b/glenchute/config/fronts.py
@@ -3,13 +3,13 @@
 
 from __future__ import annotations
 
-from .schema import Number, Rows, Switch, Table, Word, Words
+from .schema import Boolean, Number, String, Strings, Table, TableArray
 
-MOST_OPERATIONS = 500
-SOURCE = Word("[a-z]{4,10}:[^\\x00-\\x1f]{0,200}", "a source, as header:x-account")
-FILE = Word("[^\\x00-\\x1f]{1,400}", "the path of a file")
-HEADER = Word("[!#$%&'*+.^_`|~0-9a-z-]{1,100}", "the name of a header in small letters")
-NAMED = Word("[^\\x00-\\x1f]{1,100}", "a name")
+MAX_OPERATIONS = 500
+SOURCE = String("[a-z]{4,10}:[^\\x00-\\x1f]{0,200}", "a source, as header:x-account")
+FILE = String("[^\\x00-\\x1f]{1,400}", "the path of a file")
+HEADER = String("[!#$%&'*+.^_`|~0-9a-z-]{1,100}", "the name of a header in small letters")
+NAMED = String("[^\\x00-\\x1f]{1,100}", "a name")
 MAP = Table(
     {
         "class": SOURCE, "account": SOURCE, "plan": SOURCE, "units": SOURCE, "spread": SOURCE, "id": SOURCE,
@@ -20,14 +20,14 @@
 OPERATION = Table(
     {
         "class": NAMED,
-        "method": Word("[A-Z]{1,20}", "a method in capitals"),
-        "path": Word("/[^\\x00-\\x20?#]{0,199}", "a path template, as /v1/checks/{account}"),
+        "method": String("[A-Z]{1,20}", "a method in capitals"),
+        "path": String("/[^\\x00-\\x20?#]{0,199}", "a path template, as /v1/checks/{account}"),
     },
     ("class", "path"),
 )
 EXTPROC = Table(
     {
-        "listen": Word(
+        "listen": String(
             r"(127\.[0-9]{1,3}\.[0-9]{1,3}\.[0-9]{1,3}|localhost|\[::1\]):[0-9]{1,5}|unix:/[^\x00-\x1f]{1,100}",
             "a loopback address with its port, or unix: and the path of a socket",
         ),
@@ -35,16 +35,16 @@
         "most_calls": Number(1, 1_000_000, whole=True),
         "most_streams": Number(1, 1_000_000, whole=True),
         "reopen_ms": Number(0, 10_000),
-        "attempt_streams": Switch(),
+        "attempt_streams": Boolean(),
         "endpoint_header": HEADER,
         "load_header": HEADER,
         "full_status": Number(0, 599, whole=True),
-        "restart_open": Words(),
+        "restart_open": Strings(),
         "tls": Table({"certificate": FILE, "key": FILE, "client_ca": FILE}, ("certificate", "key")),
         "map": MAP,
-        "operation": Rows(OPERATION, MOST_OPERATIONS),
+        "operation": TableArray(OPERATION, MAX_OPERATIONS),
         "ratelimit": Table({"domain": NAMED, "map": MAP}, ("domain", "map")),
     },
     ("listen", "map"),
 )
-FRONTS = Table({"extproc": EXTPROC})
+LISTENERS = Table({"extproc": EXTPROC})
--- a/glenchute/config/locate.py
+++ b/glenchute/config/locate.py
@@ -14,7 +14,7 @@
 OPENING, CLOSING = "[{", "]}"
 
 
-def dotted(text: str, at: int) -> tuple[list[str], int]:
+def parse_dotted_key(text: str, at: int) -> tuple[list[str], int]:
     """The parts of a key that begins here, and where it ends."""
     parts = []
     while (found := KEY.match(text, at)) is not None:
@@ -57,7 +57,7 @@
     return len(text)
 
 
-def positions(text: str) -> dict[Path, int]:
+def line_numbers(text: str) -> dict[Path, int]:
     """The line of each table and key. Keys inside an inline table count as on their table's line."""
     found: dict[Path, int] = {}
     counts: dict[Path, int] = {}
@@ -73,27 +73,27 @@
         if text[at] == "#":
             at = value_end(text, at)
         elif text.startswith("[[", at):
-            parts, end = dotted(text, at + 2)
-            base = resolve(tuple(parts), counts)
+            parts, end = parse_dotted_key(text, at + 2)
+            base = resolve_header(tuple(parts), counts)
             counts[base] = counts.get(base, -1) + 1
             table = (*base, counts[base])
             found.setdefault(base, line)
             found[table] = line
             at = value_end(text, end + 2)
         elif text[at] == "[":
-            parts, end = dotted(text, at + 1)
-            table = resolve(tuple(parts), counts)
+            parts, end = parse_dotted_key(text, at + 1)
+            table = resolve_header(tuple(parts), counts)
             found.setdefault(table, line)
             at = value_end(text, end + 1)
         else:
-            parts, end = dotted(text, at)
+            parts, end = parse_dotted_key(text, at)
             for size in range(1, len(parts) + 1):
                 found.setdefault((*table, *parts[:size]), line)
             at = max(at + 1, value_end(text, end))
     return found
 
 
-def resolve(parts: tuple[str, ...], counts: dict[Path, int]) -> Path:
+def resolve_header(parts: tuple[str, ...], counts: dict[Path, int]) -> Path:
     """A header's path, through the last entry of each array of tables on its way."""
     path: Path = ()
     for part in parts[:-1]:
--- a/glenchute/config/matching.py
+++ b/glenchute/config/matching.py
@@ -13,15 +13,15 @@
 
 from glenchute.policy.retries.route_limits import Route
 
-from .facts import Facts
+from .facts import PlatformFacts
 
 RANKS = (3, 2, 1)
 
 
-class Matched(NamedTuple):
+class MatchedRoute(NamedTuple):
     """A route of the file with what it matches; an empty tuple matches all."""
 
-    at: int
+    position: int
     route: Route
     classes: tuple[str, ...]
     plans: tuple[str, ...]
@@ -34,59 +34,59 @@
 
     def covers(self, class_name: str, plan: str, command: str) -> bool:
         """Whether it matches such a request."""
-        pairs = zip(parts(self), (class_name, plan, command), strict=True)
+        pairs = zip(match_fields(self), (class_name, plan, command), strict=True)
         return all(not names or name in names for names, name in pairs)
 
 
-def parts(one: Matched) -> tuple[tuple[str, ...], ...]:
+def match_fields(one: MatchedRoute) -> tuple[tuple[str, ...], ...]:
     """What it names, by kind."""
     return one.classes, one.plans, one.commands
 
 
-class Named:
+class NameIndex:
     """The routes by what they name of one kind (class, plan or command), as bits by place."""
 
     def __init__(self) -> None:
-        self.open = self.every = 0  # that name nothing of this kind; all
+        self.unrestricted = self.all_routes = 0  # that name nothing of this kind; all
         self.by_name: dict[str, int] = {}
 
     def add(self, names: tuple[str, ...], bit: int) -> None:
         """Takes in one more route."""
-        self.every |= bit
+        self.all_routes |= bit
         if not names:
-            self.open |= bit
+            self.unrestricted |= bit
         for name in names:
             self.by_name[name] = self.by_name.get(name, 0) | bit
 
     def overlapping(self, names: tuple[str, ...]) -> int:
         """Those that have one of these in common, where no name stands for all."""
         if not names:
-            return self.every
-        found = self.open
+            return self.all_routes
+        found = self.unrestricted
         for name in names:
             found |= self.by_name.get(name, 0)
         return found
 
 
-def clashes(routes: Sequence[Matched]) -> Iterator[tuple[Matched, Matched]]:
+def equal_rank_overlaps(routes: Sequence[MatchedRoute]) -> Iterator[tuple[MatchedRoute, MatchedRoute]]:
     """Routes with the first before them that names equally many things and overlaps in each kind: what can be
     said without the platform's file."""
-    kinds = Named(), Named(), Named()
+    kinds = NameIndex(), NameIndex(), NameIndex()
     ranked: dict[int, int] = {}
     for place, one in enumerate(routes):
         rank = one.rank
         if not rank:
             continue
         found, bit = ranked.get(rank, 0), 1 << place
-        for kind, names in zip(kinds, parts(one), strict=True):
+        for kind, names in zip(kinds, match_fields(one), strict=True):
             found &= kind.overlapping(names)
             kind.add(names, bit)
         ranked[rank] = ranked.get(rank, 0) | bit
         if found:
-            yield one, routes[lowest(found)]
+            yield one, routes[lowest_bit(found)]
 
 
-def lowest(bits: int) -> int:
+def lowest_bit(bits: int) -> int:
     """The place of the first one; `bits` is not 0."""
     return (bits & -bits).bit_length() - 1
 
@@ -96,17 +96,17 @@
 Span = tuple[Sequence[int], Sequence[int]]
 # A route, the first one that names equally many things and matches the same request, and the first such
 # request: class and plan, by number.
-Clash = tuple[Matched, Matched, int, int]
+Overlap = tuple[MatchedRoute, MatchedRoute, int, int]
 
 
-class Claims:
+class RankClaims:
     """Of the routes of one rank, the first that matches each class and plan."""
 
     def __init__(self, classes: int, plans: int) -> None:
-        self.rows: list[list[Matched | None]] = [[None] * plans for _ in range(classes)]
-        self.left = [plans] * classes  # in each row, without a route
+        self.rows: list[list[MatchedRoute | None]] = [[None] * plans for _ in range(classes)]
+        self.unclaimed = [plans] * classes  # in each row, without a route
 
-    def claim(self, one: Matched, span: Span) -> Clash | None:
+    def claim(self, one: MatchedRoute, span: Span) -> Overlap | None:
         """Takes what is free of its span; the first that was not. A row in which nothing is free is not
         walked, so that each can be walked whole but once."""
         clash = None
@@ -115,7 +115,7 @@
             return None
         for at in classes:
             row = self.rows[at]
-            if not self.left[at]:
+            if not self.unclaimed[at]:
                 first = row[plans[0]]
                 if clash is None and first is not None:
                     clash = one, first, at, plans[0]
@@ -124,48 +124,48 @@
                 other = row[plan]
                 if other is None:
                     row[plan] = one
-                    self.left[at] -= 1
+                    self.unclaimed[at] -= 1
                 elif clash is None:
                     clash = one, other, at, plan
         return clash
 
 
-class Cover:
+class RouteCoverage:
     """The routes of a file laid over the classes and plans of the platform. A name that the platform doesn't
     have covers nothing."""
 
-    def __init__(self, routes: Sequence[Matched], facts: Facts) -> None:
+    def __init__(self, routes: Sequence[MatchedRoute], facts: PlatformFacts) -> None:
         self.routes = routes
         self.classes, self.plans = tuple(facts.classes), tuple(dict.fromkeys(facts.plans))
         self.commands = [cls.command for cls in facts.classes.values()]
-        self.class_at = {name: at for at, name in enumerate(self.classes)}
-        self.plan_at = {name: at for at, name in enumerate(self.plans)}
+        self.class_index = {name: at for at, name in enumerate(self.classes)}
+        self.plan_index = {name: at for at, name in enumerate(self.plans)}
         self.spans = [self.span(one) for one in routes]
-        self.claims = {rank: Claims(len(self.classes), len(self.plans)) for rank in RANKS}
+        self.claims = {rank: RankClaims(len(self.classes), len(self.plans)) for rank in RANKS}
         found = (self.claims[one.rank].claim(one, span)
                  for one, span in zip(routes, self.spans, strict=True) if one.rank)  # fmt: skip
-        self.clashes = [clash for clash in found if clash is not None]
-        self.sets: tuple[list[int], list[int], int, dict[int, int]] | None = None
+        self.overlaps = [clash for clash in found if clash is not None]
+        self.route_sets: tuple[list[int], list[int], int, dict[int, int]] | None = None
 
-    def span(self, one: Matched) -> Span:
+    def span(self, one: MatchedRoute) -> Span:
         """What it matches."""
         classes: Sequence[int] = range(len(self.classes))
         plans: Sequence[int] = range(len(self.plans))
         if one.classes:
-            classes = sorted({self.class_at[name] for name in one.classes if name in self.class_at})
+            classes = sorted({self.class_index[name] for name in one.classes if name in self.class_index})
         if one.commands:
             classes = [at for at in classes if self.commands[at] in one.commands]
         if one.plans:
-            plans = sorted({self.plan_at[name] for name in one.plans if name in self.plan_at})
+            plans = sorted({self.plan_index[name] for name in one.plans if name in self.plan_index})
         return classes, plans
 
-    def known(self, one: Matched) -> bool:
+    def has_known_names(self, one: MatchedRoute) -> bool:
         """Whether the platform has each class and plan that it names."""
-        return all(name in self.class_at for name in one.classes) and all(
-            name in self.plan_at for name in one.plans
+        return all(name in self.class_index for name in one.classes) and all(
+            name in self.plan_index for name in one.plans
         )
 
-    def binding(self) -> Iterator[tuple[str, str, Matched | None]]:
+    def bindings(self) -> Iterator[tuple[str, str, MatchedRoute | None]]:
         """Each class and plan with the route that names most of those which match; the first of several."""
         by_rank = [self.claims[rank].rows for rank in RANKS]
         for at, name in enumerate(self.classes):
@@ -175,7 +175,7 @@
 
     def shadowing(self, place: int) -> set[str]:
         """The names of the routes that name more than the one at `place` and match a request of its."""
-        by_class, by_plan, any_plan, higher = self.sets = self.sets or self.gathered()
+        by_class, by_plan, any_plan, higher = self.route_sets = self.route_sets or self.build_route_sets()
         one, (class_ats, plan_ats) = self.routes[place], self.spans[place]
         classes, plans = 0, 0 if one.plans else any_plan
         for at in class_ats:
@@ -184,11 +184,11 @@
             plans |= by_plan[at]
         found, names = classes & plans & higher[one.rank], set()
         while found:
-            names.add(self.routes[lowest(found)].route.name)
+            names.add(self.routes[lowest_bit(found)].route.name)
             found &= found - 1
         return names
 
-    def gathered(self) -> tuple[list[int], list[int], int, dict[int, int]]:
+    def build_route_sets(self) -> tuple[list[int], list[int], int, dict[int, int]]:
         """The routes by class, by plan, of any plan, and those above each rank, as bits by place."""
         by_class, by_plan = [0] * len(self.classes), [0] * len(self.plans)
         open_ = any_plan = 0  # that match each plan, that match one at least
--- /dev/null
+++ b/glenchute/config/operator_text.py
@@ -0,0 +1,116 @@
+"""The operator's file as text: read within bounds, parsed as TOML, freed in small steps.
+
+A gateway reads its file again in a thread beside the event loop. `yield_processor` is called between parts of
+the work, so that the loop gets its turn.
+"""
+
+from __future__ import annotations
+
+import os
+import re
+import stat
+import tomllib
+from collections.abc import Callable
+from itertools import pairwise
+from typing import Any
+
+from .findings import Finding, sort_findings
+from .schema import Path, label
+
+MAX_BYTES = 1024 * 1024
+ROUTE_HEADER = r"^\[\[route\]\]"
+
+
+class FindingCollector:
+    """Collects findings by path; lines are looked up at the end, and only where there are any."""
+
+    def __init__(self, yield_processor: Callable[[], None] | None = None) -> None:
+        self.rows: list[tuple[str, Path, str, bool]] = []
+        self.yield_processor = yield_processor or do_not_yield
+
+    def __call__(self, code: str, path: Path, message: str, warning: bool = False) -> None:
+        self.rows.append((code, path, message, warning))
+
+    def findings(self, text: str) -> list[Finding]:
+        """What was collected, in the order of the lines of the text."""
+        if not self.rows:
+            return []
+        from .locate import line_numbers, line_of  # only where something is wrong
+
+        lines = line_numbers(text)
+        found: list[Finding] = []
+        for code, path, message, warning in self.rows:
+            found.append(Finding(code, line_of(path, lines), label(path), message, warning))
+            self.yield_processor()
+        found = sort_findings(found)
+        while lines:  # see `free_entries`
+            lines.popitem()
+        return found
+
+
+def do_not_yield() -> None:
+    """For a reading that nobody waits beside."""
+
+
+def read_text(path: str) -> str | Finding:
+    """The text of the file, or why there is none. The size is bounded before anything is read, and a pipe or
+    a device is not opened, as that might block for ever."""
+    try:
+        about = os.stat(path)
+        if stat.S_ISDIR(about.st_mode):
+            return Finding("is-directory", 0, "", "is a directory; name a file")
+        if not stat.S_ISREG(about.st_mode):
+            return Finding("not-a-file", 0, "", "is no regular file; name one")
+        with open(path, "rb") as file:
+            raw = file.read(MAX_BYTES + 1)
+    except (OSError, ValueError) as error:
+        reason = getattr(error, "strerror", None) or str(error)
+        return Finding("unreadable", 0, "", f"can't be read ({reason}); check path and permissions")
+    if len(raw) > MAX_BYTES:
+        return Finding("too-large", 0, "", f"has more than {MAX_BYTES} bytes; split or shorten it")
+    try:
+        return raw.decode("utf-8")
+    except UnicodeDecodeError as error:
+        line = raw.count(b"\n", 0, error.start) + 1
+        return Finding("not-utf8", line, "", "holds bytes that are not UTF-8; save it as UTF-8")
+
+
+def parse_toml(text: str, yield_processor: Callable[[], None] | None) -> dict[str, Any] | Finding:
+    """The tables of the text, or why it has none."""
+    try:
+        by_route = load_by_route(text, yield_processor) if yield_processor is not None else None
+        return by_route or tomllib.loads(text)
+    except (tomllib.TOMLDecodeError, RecursionError) as error:
+        stated = re.search(r"at line (\d+)", str(error))
+        line = int(stated[1]) if stated else text.count("\n") + 1
+        return Finding("not-toml", line, "", f"is not TOML: {error}")
+
+
+def load_by_route(text: str, yield_processor: Callable[[], None]) -> dict[str, Any] | None:
+    """What tomllib makes of a text, read route by route; None where it has to be read whole.
+
+    A line that looks like a route's header may stand in a string, and a table may stand in two parts: then a
+    part is no TOML or repeats a key, and reading the whole tells what is wrong with its line."""
+    starts = [found.start() for found in re.finditer(ROUTE_HEADER, text, re.MULTILINE)]
+    rows: list[Any] = []
+    try:
+        tables = tomllib.loads(text[: starts[0]] if starts else text)
+        for begin, end in pairwise([*starts, len(text)]):
+            if "route" in tables:
+                return None
+            part = tomllib.loads(text[begin:end])
+            rows += part.pop("route")
+            if part.keys() & tables.keys():
+                return None
+            tables.update(part)
+            yield_processor()
+    except (tomllib.TOMLDecodeError, RecursionError):
+        return None
+    return {**tables, "route": rows} if rows else tables
+
+
+def free_entries(rows: object) -> None:
+    """Frees a list entry by entry. Thousands of tables freed at once take milliseconds in which no other
+    thread runs."""
+    while isinstance(rows, list) and rows:
+        rows.pop()
--- a/glenchute/config/pipeline.py
+++ b/glenchute/config/pipeline.py
@@ -10,8 +10,8 @@
 
 from glenchute.policy.settings import Idempotency
 
-from .facts import Facts
-from .schema import MISSING, Number, Path, Report, Switch, Table, Words
+from .facts import PlatformFacts
+from .schema import MISSING, Boolean, Number, Path, Report, Strings, Table
 
 if TYPE_CHECKING:
     from glenchute.policy.connections.pipelining import Rules
@@ -21,11 +21,11 @@
 
 PIPELINE = Table(
     {
-        "classes": Words(),
-        "behind_unsafe": Switch(),
+        "classes": Strings(),
+        "behind_unsafe": Boolean(),
         "depth": Number(1, MOST_DEPTH, whole=True),
-        "adaptive": Switch(),
-        "release": Switch(),
+        "adaptive": Boolean(),
+        "release": Boolean(),
         "at_risk": Number(1, 10_000, whole=True),
         "wait_ms": Number(0, 10_000),
         "settle_ms": Number(0, 10_000),
@@ -48,7 +48,7 @@
     return Rules(**{name: raw[name] for name in Rules._fields if name in raw})
 
 
-def check(raw: dict[str, Any], rows: list[Any], defaults: dict[str, Any], facts: Facts | None,
+def check(raw: dict[str, Any], rows: list[Any], defaults: dict[str, Any], facts: PlatformFacts | None,
           report: Report) -> None:  # fmt: skip
     """Reports what is wrong with a table whose shape is right, and with the routes' depths. `rows`: the
     routes' checked tables."""
@@ -59,44 +59,58 @@
                "[pipeline] out")  # fmt: skip
     if facts is None:
         return
-    if facts.streams and depth > facts.streams:
+    if facts.max_streams and depth > facts.max_streams:
         named = (*HERE, "depth") if "depth" in raw else HERE
-        report("depth-over-settings", named, f"is {depth}; the platform begins {facts.streams} commands "
+        report("depth-over-settings", named, f"is {depth}; the platform begins {facts.max_streams} commands "
                "of a connection at once, and the rest would only wait; write that or less")  # fmt: skip
-    if facts.attempts_cap < 2:
+    if facts.max_attempts < 2:
         report("no-second-attempt", HERE, "the platform allows one attempt a request, so nothing may be put "
                "where it can be cut; take [pipeline] out")  # fmt: skip
-    if rules.settle_ms >= facts.idle_ms:
-        report("settle-over-idle", (*HERE, "settle_ms"), f"connections are closed after {facts.idle_ms:g} ms "
-               "without use, so none would be used again; write less")  # fmt: skip
+    if rules.settle_ms >= facts.idle_timeout_ms:
+        report(
+            "settle-over-idle",
+            (*HERE, "settle_ms"),
+            f"connections are closed after {facts.idle_timeout_ms:g} ms "
+            "without use, so none would be used again; write less",
+        )
     for at, name in enumerate(raw.get("classes", ())):
         path = (*HERE, "classes", at)
         cls = facts.classes.get(name)
         if cls is None:
             known = ", ".join(facts.classes)
             report("unknown-class", path, f"{name[:40]!r} is no class of the platform; write one of {known}")
-        elif cls.repeat is Idempotency.NON_IDEMPOTENT:
+        elif cls.idempotency is Idempotency.NON_IDEMPOTENT:
             report("unsafe-shares", path, f"{name} must never run twice, and a line that is cut would leave "
                    "it unknown; take it out")  # fmt: skip
-        elif cls.repeat is Idempotency.WITH_KEY and not cls.scope_known:
+        elif cls.idempotency is Idempotency.WITH_KEY and not cls.is_scope_known:
             report("keyed-scope", path, "the platform's file does not say which servers drop repeats of "
                    f"{name}; take it out")  # fmt: skip
-        elif cls.repeat is Idempotency.WITH_KEY and cls.memory_ms <= rules.least_stall_ms:
-            report("keyed-beyond-memory", path, f"repeats of {name} are dropped for {cls.memory_ms:g} ms, in "
-                   "which no stall is found; take it out, or lower least_stall_ms")  # fmt: skip
+        elif cls.idempotency is Idempotency.WITH_KEY and cls.idempotency_window_ms <= rules.least_stall_ms:
+            report(
+                "keyed-beyond-memory",
+                path,
+                f"repeats of {name} are dropped for {cls.idempotency_window_ms:g} ms, in "
+                "which no stall is found; take it out, or lower least_stall_ms",
+            )
     check_routes(raw, rules.wait_ms, rows, defaults, facts, report)
 
 
-def check_routes(raw: dict[str, Any], wait: float, rows: list[Any], defaults: dict[str, Any], facts: Facts,
-                 report: Report) -> None:  # fmt: skip
+def check_routes(
+    raw: dict[str, Any],
+    wait: float,
+    rows: list[Any],
+    defaults: dict[str, Any],
+    facts: PlatformFacts,
+    report: Report,
+) -> None:
     """What the routes of shared classes must leave room for, with a wait of so many milliseconds."""
     shared = [name for name in raw.get("classes", ()) if name in facts.classes]
     bounds: list[tuple[Path, float]] = []
     for path, row in table_rows(rows, defaults):
         depth = row.get("pipeline_depth")
-        if depth is not None and facts.streams and depth > facts.streams:
+        if depth is not None and facts.max_streams and depth > facts.max_streams:
             report("depth-over-settings", (*path, "pipeline_depth"),
-                   f"is {depth}; the platform begins {facts.streams} commands of a connection at once; "
+                   f"is {depth}; the platform begins {facts.max_streams} commands of a connection at once; "
                    "write that or less")  # fmt: skip
         named = row.get("match", {}).get("class", ())
         if depth is not None and depth > 1 and named and not set(named) & set(shared):
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -14,15 +14,15 @@
 from glenchute.policy.settings import Settings
 from glenchute.upstreams.connection_pool import Limits
 
-from .facts import ClassFacts, Facts
+from .facts import ClassFacts, PlatformFacts
 from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
 
-OPERATOR = "GLENCHUTE_OPERATOR"  # the variable that names the operator's file
+OPERATOR_FILE_VARIABLE = "GLENCHUTE_OPERATOR"  # the variable that names the operator's file
 
 
-MOST_GATEWAYS = 1_000_000  # a gateway's number is under this, or is none
-LONG_SHARE = 0.25  # of the memory that long values may take on their way through
-LONG_COST = 192 * 1024  # bytes of one: what waits for the client, and what comes in one read
+MAX_GATEWAYS = 1_000_000  # a gateway's number is under this, or is none
+STREAMING_MEMORY_FRACTION = 0.25  # of the memory that long values may take on their way through
+STREAM_BYTES = 192 * 1024  # bytes of one: what waits for the client, and what comes in one read
 
 
 class ConfigError(Exception):
@@ -30,28 +30,34 @@
 
 
 @record(frozen=True, slots=True)
-class Config:
+class PlatformConfig:
     """What the platform tells a gateway."""
 
     name: str
     listen: tuple[str, int]
-    operations: tuple[str, int] | None  # the second address; the platform's name for it is `operator`
+    operations_address: tuple[str, int] | None  # the second address; the platform's name for it is `operator`
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    sockets: int
+    max_descriptors: int
     budget: Budget  # the parts of these
-    known: News | None
-    passed: int | None  # the descriptor of the clients' listening socket, where the platform holds that
+    cached_endpoints: News | None
+    passed_descriptor: (
+        int | None
+    )  # the descriptor of the clients' listening socket, where the platform holds that
     settings: Settings
-    number: int | None  # of this gateway among `settings.gateways`; None where the platform does not say
-    place: int | None  # the number that the platform gave, though it may not be one of `settings.gateways`
+    gateway_number: (
+        int | None
+    )  # of this gateway among `settings.gateways`; None where the platform does not say
+    stated_number: (
+        int | None
+    )  # the number that the platform gave, though it may not be one of `settings.gateways`
     limits: Limits
-    bounds: Bounds
-    facts: Facts
+    request_bounds: Bounds
+    facts: PlatformFacts
 
 
-def load(environ: dict[str, str]) -> Config:
+def load(environ: dict[str, str]) -> PlatformConfig:
     """The configuration; the single variables count where the file is silent."""
     path = environ.get("EDGE_CONFIG")
     if not path:
@@ -69,7 +75,7 @@
         raise ConfigError(f"bad configuration in {path}: {error}") from None
 
 
-def build(raw: dict[str, Any], environ: dict[str, str]) -> Config:
+def build(raw: dict[str, Any], environ: dict[str, str]) -> PlatformConfig:
     """The parts of the configuration, checked."""
     made = policy_settings(raw["settings"])
     if not made.classes or not made.plans:
@@ -81,33 +87,33 @@
     memory_mb = number(table(raw, "limits").get("memory_mb"), 192.0)
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     parts = budget(sockets, bool(operations))
-    return Config(
+    return PlatformConfig(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
         listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
-        operations=address(operations) if operations else None,
+        operations_address=address(operations) if operations else None,
         discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
         counter=address(raw["counter"]) if raw.get("counter") and made.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
-        sockets=sockets,
+        max_descriptors=sockets,
         budget=parts,
-        known=read_list(raw["known"], saved=True) if raw.get("known") else None,
-        passed=descriptor(environ.get("EDGE_PASSED_SOCKET")),
+        cached_endpoints=read_list(raw["known"], saved=True) if raw.get("known") else None,
+        passed_descriptor=descriptor(environ.get("EDGE_PASSED_SOCKET")),
         settings=made,
-        number=own_number(raw["settings"].get("me"), made.gateway_count),
-        place=own_number(raw["settings"].get("me"), MOST_GATEWAYS),
+        gateway_number=gateway_number(raw["settings"].get("me"), made.gateway_count),
+        stated_number=gateway_number(raw["settings"].get("me"), MAX_GATEWAYS),
         limits=Limits(
             connect_s=number(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
             idle_s=max(0.5, number(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
             grace_s=number(safety.get("drain_grace_ms"), 250.0) / 1000.0,
             connections=parts.servers,
-            long_values=max(4, int(memory_mb * 1e6 * LONG_SHARE / LONG_COST)),
+            long_values=max(4, int(memory_mb * 1e6 * STREAMING_MEMORY_FRACTION / STREAM_BYTES)),
         ),
-        bounds=bounds(raw["settings"]),
+        request_bounds=bounds(raw["settings"]),
         facts=facts(made, raw["settings"]),
     )
 
 
-def own_number(me: Any, gateways: int) -> int | None:
+def gateway_number(me: Any, gateways: int) -> int | None:
     """This gateway's number among them, if it is one."""
     return me if isinstance(me, int) and not isinstance(me, bool) and 0 <= me < gateways else None
 
@@ -121,15 +127,15 @@
     return int(text)
 
 
-def passed_socket(config: Config) -> socket.socket | None:
+def passed_socket(config: PlatformConfig) -> socket.socket | None:
     """The clients' listening socket that was passed on, checked to be what `listen` names; None where none
     was. ConfigError where it is anything else: a process that accepts somewhere else, or not at all, must
     not say that it serves."""
-    if config.passed is None:
+    if config.passed_descriptor is None:
         return None
-    what = f"EDGE_PASSED_SOCKET: descriptor {config.passed}"
+    what = f"EDGE_PASSED_SOCKET: descriptor {config.passed_descriptor}"
     try:
-        found = socket.socket(fileno=config.passed)
+        found = socket.socket(fileno=config.passed_descriptor)
     except OSError as error:
         raise ConfigError(f"{what} is no socket: {error.strerror}") from None
     try:
@@ -146,25 +152,25 @@
     return found
 
 
-def facts(made: Settings, raw: dict[str, Any]) -> Facts:
+def facts(made: Settings, raw: dict[str, Any]) -> PlatformFacts:
     """What the rules of the operator's file need to know. The raw settings still tell an unknown group from a
     known one, which the interface reads as the narrowest."""
     rows = {str(row.get("name")): row for row in raw["profiles"] if isinstance(row, dict)}
     classes = {
         cls.name: ClassFacts(
-            repeat=cls.idempotency,
+            idempotency=cls.idempotency,
             deadline_ms=number(rows[cls.name].get("hard_limit_ms")) or 60_000.0,
-            memory_ms=cls.idempotency_window_ms,
-            scope_known=str(rows[cls.name].get("group")) in IDEMPOTENCY_SCOPES,
+            idempotency_window_ms=cls.idempotency_window_ms,
+            is_scope_known=str(rows[cls.name].get("group")) in IDEMPOTENCY_SCOPES,
         )
         for cls in made.classes
     }
-    return Facts(
+    return PlatformFacts(
         classes=classes,
         plans=tuple(plan.name for plan in made.plans),
-        attempts_cap=made.max_attempts,
-        overlap=made.allows_hedging,
-        connect_ms=number(table(raw, "limits").get("connect_timeout_ms"), 250.0),
-        streams=int(number(table(raw, "limits").get("max_streams"))),
-        idle_ms=number(table(raw, "limits").get("conn_idle_ms"), 15_000.0),
+        max_attempts=made.max_attempts,
+        allows_hedging=made.allows_hedging,
+        connect_timeout_ms=number(table(raw, "limits").get("connect_timeout_ms"), 250.0),
+        max_streams=int(number(table(raw, "limits").get("max_streams"))),
+        idle_timeout_ms=number(table(raw, "limits").get("conn_idle_ms"), 15_000.0),
     )
--- a/glenchute/config/schema.py
+++ b/glenchute/config/schema.py
@@ -25,7 +25,7 @@
     return text
 
 
-def named(value: Any) -> str:
+def toml_type(value: Any) -> str:
     """What TOML calls the type of a value."""
     names = {bool: "a boolean", int: "a whole number", float: "a number", str: "a string", list: "an array"}
     return names.get(type(value), "a table" if isinstance(value, dict) else "a date or time")
@@ -47,33 +47,37 @@
     """A finite number in a range; `above` leaves the lower end out."""
 
     def __init__(self, least: float, most: float, above: bool = False, whole: bool = False) -> None:
-        self.least, self.most, self.above, self.whole = least, most, above, whole
+        self.minimum, self.maximum, self.excludes_minimum, self.is_integer = least, most, above, whole
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
-        wanted = "a whole number" if self.whole else "a number"
-        if isinstance(value, bool) or not isinstance(value, int if self.whole else int | float):
-            report("wrong-type", path, f"is {named(value)}; write {wanted}")
+        wanted = "a whole number" if self.is_integer else "a number"
+        if isinstance(value, bool) or not isinstance(value, int if self.is_integer else int | float):
+            report("wrong-type", path, f"is {toml_type(value)}; write {wanted}")
             return MISSING
         if not math.isfinite(value):
             report("not-finite", path, f"is {value}; write a finite number")
             return MISSING
-        if not self.least <= value <= self.most or (self.above and value == self.least):
-            bounds = f"{'above' if self.above else 'from'} {self.least:g} to {self.most:g}"
+        if not self.minimum <= value <= self.maximum or (self.excludes_minimum and value == self.minimum):
+            bounds = f"{'above' if self.excludes_minimum else 'from'} {self.minimum:g} to {self.maximum:g}"
             report("out-of-range", path, f"is {value:g}; write {wanted} {bounds}")
             return MISSING
-        return value if self.whole else float(value)
+        return value if self.is_integer else float(value)
 
     def schema(self) -> dict[str, Any]:
-        lower = "exclusiveMinimum" if self.above else "minimum"
-        return {"type": "integer" if self.whole else "number", lower: self.least, "maximum": self.most}
+        lower = "exclusiveMinimum" if self.excludes_minimum else "minimum"
+        return {
+            "type": "integer" if self.is_integer else "number",
+            lower: self.minimum,
+            "maximum": self.maximum,
+        }
 
 
-class Switch(Kind):
+class Boolean(Kind):
     """true or false."""
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         if not isinstance(value, bool):
-            report("wrong-type", path, f"is {named(value)}; write true or false")
+            report("wrong-type", path, f"is {toml_type(value)}; write true or false")
             return MISSING
         return value
 
@@ -81,18 +85,18 @@
         return {"type": "boolean"}
 
 
-class Word(Kind):
+class String(Kind):
     """A string of a form."""
 
     def __init__(self, pattern: str, wanted: str) -> None:
-        self.pattern, self.wanted = pattern, wanted
+        self.pattern, self.expected = pattern, wanted
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         if not isinstance(value, str):
-            report("wrong-type", path, f"is {named(value)}; write a string")
+            report("wrong-type", path, f"is {toml_type(value)}; write a string")
             return MISSING
         if re.fullmatch(self.pattern, value) is None:
-            report("bad-word", path, f"is {value[:40]!r}; write {self.wanted}")
+            report("bad-word", path, f"is {value[:40]!r}; write {self.expected}")
             return MISSING
         return value
 
@@ -100,18 +104,18 @@
         return {"type": "string", "pattern": f"^(?:{self.pattern})$"}
 
 
-class Words(Kind):
+class Strings(Kind):
     """One string or an array of them, none twice; from `options` where these are given. `alone`: a single
     word may stand without brackets."""
 
     def __init__(self, options: tuple[str, ...] = (), alone: bool = True, code: str = "unknown-word") -> None:
-        self.options, self.alone, self.code = options, alone, code
+        self.options, self.allows_single, self.code = options, alone, code
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
-        rows = [value] if isinstance(value, str) and self.alone else value
+        rows = [value] if isinstance(value, str) and self.allows_single else value
         if not isinstance(rows, list):
-            one = "a string or " if self.alone else ""
-            report("wrong-type", path, f"is {named(value)}; write {one}an array of strings")
+            one = "a string or " if self.allows_single else ""
+            report("wrong-type", path, f"is {toml_type(value)}; write {one}an array of strings")
             return MISSING
         if not rows:
             report("empty-list", path, "is empty; name at least one, or leave the key out")
@@ -120,7 +124,7 @@
         for at, row in enumerate(rows):
             here = path if rows is not value else (*path, at)
             if not isinstance(row, str):
-                report("wrong-type", here, f"is {named(row)}; write a string")
+                report("wrong-type", here, f"is {toml_type(row)}; write a string")
             elif self.options and row not in self.options:
                 report(self.code, here, f"is {row[:40]!r}; write one of {', '.join(self.options)}")
             elif row in good:
@@ -134,7 +138,7 @@
         if self.options:
             item["enum"] = list(self.options)
         many = {"type": "array", "items": item, "minItems": 1, "uniqueItems": True}
-        return {"anyOf": [item, many]} if self.alone else many
+        return {"anyOf": [item, many]} if self.allows_single else many
 
 
 class Table(Kind):
@@ -145,7 +149,7 @@
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         if not isinstance(value, dict):
-            report("wrong-type", path, f"is {named(value)}; write a table")
+            report("wrong-type", path, f"is {toml_type(value)}; write a table")
             return MISSING
         good: dict[str, Any] = {}
         for key, given in value.items():
@@ -172,20 +176,20 @@
         return made
 
 
-class Rows(Kind):
+class TableArray(Kind):
     """An array of tables; each row keeps its number, also where one before it was dropped."""
 
     def __init__(self, of: Table, most: int) -> None:
-        self.of, self.most = of, most
+        self.table, self.max_rows = of, most
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
-            report("wrong-type", path, f"is {named(value)}; write [[{label(path)}]] for each")
+            report("wrong-type", path, f"is {toml_type(value)}; write [[{label(path)}]] for each")
             return MISSING
-        if len(value) > self.most:
-            report("too-many", path, f"has {len(value)} entries; {self.most} at most are allowed")
+        if len(value) > self.max_rows:
+            report("too-many", path, f"has {len(value)} entries; {self.max_rows} at most are allowed")
             return MISSING
-        return [self.of.check(row, (*path, at), report) for at, row in enumerate(value)]
+        return [self.table.check(row, (*path, at), report) for at, row in enumerate(value)]
 
     def schema(self) -> dict[str, Any]:
-        return {"type": "array", "items": self.of.schema(), "maxItems": self.most}
+        return {"type": "array", "items": self.table.schema(), "maxItems": self.max_rows}
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from glenchute.config.extproc import rules
-from glenchute.config.files import contents, secret_key
-from glenchute.config.platform import Config
+from glenchute.config.files import read_file, secret_key
+from glenchute.config.platform import PlatformConfig
 from glenchute.core.gateway import Gateway
 
 from .calls import Calls, Ways
@@ -27,16 +27,20 @@
     """The certificates, where any are named."""
     if raw is None:
         return None
-    client_ca = contents(raw["client_ca"], "client_ca") if "client_ca" in raw else None
-    return Tls(contents(raw["certificate"], "certificate"), contents(raw["key"], "key", True), client_ca)
+    client_ca = read_file(raw["client_ca"], "client_ca") if "client_ca" in raw else None
+    return Tls(read_file(raw["certificate"], "certificate"), read_file(raw["key"], "key", True), client_ca)
 
 
-def ways(raw: dict[str, Any], config: Config) -> tuple[Ways, Any]:
+def ways(raw: dict[str, Any], config: PlatformConfig) -> tuple[Ways, Any]:
     """The settings of the front, and the rules for rate limit calls."""
     facts, made = config.facts, config.settings
-    requests, limits = rules(raw, facts, made.gateway_count, config.bounds.units)
+    requests, limits = rules(raw, facts, made.gateway_count, config.request_bounds.units)
     repeats = {
-        name: (cls.repeat, cls.memory_ms, min(cls.deadline_ms, config.bounds.wait_ms))
+        name: (
+            cls.idempotency,
+            cls.idempotency_window_ms,
+            min(cls.deadline_ms, config.request_bounds.wait_ms),
+        )
         for name, cls in facts.classes.items()
     }
     found = Ways(
@@ -54,13 +58,15 @@
     return found, limits
 
 
-def front(raw: dict[str, Any], config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway) -> Server:
+def front(
+    raw: dict[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: Gateway
+) -> Server:
     """The front, not listening yet; ConfigError where a file that it needs can't be used."""
     found, limits = ways(raw, config)
     calls = Calls(loop, gateway, found, signer(raw))
     limiter = None
     if limits is not None:
-        wait_ms = min(config.bounds.wait_ms, 1000.0)
+        wait_ms = min(config.request_bounds.wait_ms, 1000.0)
         limiter = Limiter(gateway, limits, raw["ratelimit"]["domain"], wait_ms, calls.counts)
     most = raw.get("most_streams", 4 * found.most_calls)
     longest_s = max(wait for _, _, wait in found.repeats.values()) / 1000.0
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from glenchute.cli.run import LIST_WAIT_S, Program, read_operator
-from glenchute.config.platform import Config
+from glenchute.config.platform import PlatformConfig
 from glenchute.core.types import (
     About,
     Address,
@@ -187,11 +187,16 @@
     """One. `up` and `down` are its start and end."""
 
     def __init__(
-        self, site: Site, config: Config, loop: asyncio.AbstractEventLoop, line: Timeline, operator: Any
+        self,
+        site: Site,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        line: Timeline,
+        operator: Any,
     ) -> None:
         self.site, self.line = site, line
         self.rng = random.Random(config.seed)
-        self.part = Part(Policy(config.settings, config.seed), config.number or 0, site.most_known)
+        self.part = Part(Policy(config.settings, config.seed), config.gateway_number or 0, site.most_known)
         super().__init__(config, loop, self.part, operator=operator)
 
     def backend(self, shared: dict[str, Any] | None) -> Servers:
@@ -210,9 +215,9 @@
 
     def up(self) -> None:
         """As `Program.start` without listener."""
-        if self.config.known is not None:
-            self.gateway.news(self.config.known)
-        self.discovery.begin(self.config.known, LIST_WAIT_S, False)
+        if self.config.cached_endpoints is not None:
+            self.gateway.news(self.config.cached_endpoints)
+        self.discovery.begin(self.config.cached_endpoints, LIST_WAIT_S, False)
 
     def down(self) -> None:
         """Its connections end, and its module hears no more."""
@@ -226,7 +231,9 @@
 class Crowd:
     """The hollow gateways of one process, and their requests."""
 
-    def __init__(self, site: Site, numbers: list[int], config: Config, operator_path: str | None) -> None:
+    def __init__(
+        self, site: Site, numbers: list[int], config: PlatformConfig, operator_path: str | None
+    ) -> None:
         self.site, self.numbers = site, numbers
         self.line = Timeline(site)
         self.loop = asyncio.get_running_loop()
@@ -241,7 +248,9 @@
         """One of them, with its own settings and seed; the saved list is shared."""
         config = self.config
         settings = replace(config.settings, zone=self.site.zone_name(self.site.gateway_zone(number)))
-        config = replace(config, name=f"h{number}", settings=settings, number=number, seed=7919 * number + 17)
+        config = replace(
+            config, name=f"h{number}", settings=settings, gateway_number=number, seed=7919 * number + 17
+        )
         return HollowGateway(self.site, config, self.loop, self.line, self.operator)
 
     async def begin(self, numbers: list[int]) -> None:
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -18,8 +18,8 @@
 from glenchute.cli import aside
 from glenchute.cli.aside import REST_S, SLICE_S, SWITCH_S, Aside, Pace
 from glenchute.cli.run import LINES_A_TURN, read_again
-from glenchute.config.facts import Facts
-from glenchute.config.operator import Reading
+from glenchute.config.facts import PlatformFacts
+from glenchute.config.operator import ReadResult
 from lab.faults import Fault, Kind, Script
 from lab.nodes import Node, Trade
 from lab.site import GatewayProcess, LabSite
@@ -43,7 +43,9 @@
         self.go = threading.Event()
         patch.setattr(operators, "read", self.read)
 
-    def read(self, path: str, facts: Facts | None, rest: Callable[[], None] | None = None) -> Reading:
+    def read(
+        self, path: str, facts: PlatformFacts | None, rest: Callable[[], None] | None = None
+    ) -> ReadResult:
         reading = self.real(path, facts, rest)
         self.begun += 1
         self.waited &= self.go.wait(20.0)  # False: nobody could let it go, as on the loop
@@ -117,7 +119,7 @@
             assert "error not-toml" in await refused("[[route]\n")
             with monkeypatch.context() as patch:
 
-                def broken(*_: object) -> Reading:
+                def broken(*_: object) -> ReadResult:
                     raise MemoryError("no more")
 
                 patch.setattr(operators, "read", broken)
--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -14,9 +14,11 @@
 from hypothesis import strategies as st
 
 from glenchute.cli.schema import text as schema_text
-from glenchute.config.facts import Facts
-from glenchute.config.locate import line_of, positions
-from glenchute.config.operator import MOST_BYTES, MOST_ROUTES, Reading, parse, read
+from glenchute.config.facts import PlatformFacts
+from glenchute.config.locate import line_numbers, line_of
+from glenchute.config.operator import ReadResult, parse, read
+from glenchute.config.operator_shape import MAX_ROUTES
+from glenchute.config.operator_text import MAX_BYTES
 from glenchute.config.schema import Path as Place
 from glenchute.policy.events import Outcome
 from tests.loopback import raw_config
@@ -47,10 +49,10 @@
 
     text: str
     found: tuple[tuple[str, int], ...]
-    facts: Facts = FACTS
+    facts: PlatformFacts = FACTS
 
 
-def bad(text: str, *found: tuple[str, int], facts: Facts = FACTS) -> Bad:
+def bad(text: str, *found: tuple[str, int], facts: PlatformFacts = FACTS) -> Bad:
     return Bad(text, found, facts)
 
 
@@ -173,14 +175,14 @@
 ]  # fmt: skip
 
 
-def found(reading: Reading) -> list[tuple[str, int]]:
-    return [(finding.code, finding.line) for finding in reading.findings if not finding.warning]
+def found(reading: ReadResult) -> list[tuple[str, int]]:
+    return [(finding.code, finding.line) for finding in reading.findings if not finding.is_warning]
 
 
 @pytest.mark.parametrize("case", BAD, ids=lambda case: f"{case.found[0][0]}-{case.found[0][1]}")
 def test_a_wrong_file_fails_with_its_code_and_line(case: Bad) -> None:
     reading = parse(case.text, case.facts)
-    assert reading.operator is None
+    assert reading.config is None
     assert sorted(found(reading)) == sorted(case.found)
     lines = [finding.line for finding in reading.findings]
     assert lines == sorted(lines)
@@ -192,7 +194,7 @@
     assert len(BAD) >= 60
     source = "".join(
         (ROOT / "glenchute" / "config" / f"{m}.py").read_text()
-        for m in ("rules", "operator", "schema", "fleet")
+        for m in ("rules", "operator", "operator_shape", "operator_text", "schema", "fleet")
     )
     codes = {code for case in BAD for code, _ in case.found}
     for code in codes:
@@ -206,7 +208,7 @@
         return finding.code
 
     large, latin, locked = tmp_path / "large", tmp_path / "latin", tmp_path / "locked"
-    large.write_bytes(b"#" * (MOST_BYTES + 1))
+    large.write_bytes(b"#" * (MAX_BYTES + 1))
     latin.write_bytes(b"# one\n# \xe9\n")
     os.mkfifo(tmp_path / "pipe")
     locked.symlink_to(locked)  # a loop: unreadable for root too
@@ -220,22 +222,22 @@
 
 def test_too_many_routes_are_refused() -> None:
     row = "[[route]]\nname = 'r{}'\nmatch = {{ class = 'report-read' }}\n"
-    text = "".join(row.format(i) for i in range(MOST_ROUTES + 1))
+    text = "".join(row.format(i) for i in range(MAX_ROUTES + 1))
     assert found(parse(text, FACTS)) == [("too-many", 1)]
 
 
 def test_the_example_of_the_issue_loads_where_copies_may_overlap() -> None:
     text = (ROOT / "deploy" / "operator.toml").read_text()
-    assert [f.code for f in parse(text, FACTS).findings if not f.warning] == []
+    assert [f.code for f in parse(text, FACTS).findings if not f.is_warning] == []
     text = READS.replace('"report-read"', '"report-read", plan = "korporativni"') + (
         "attempt_timeout_ms = 700\nattempts = 3\n"
         "backoff = { first_ms = 20, factor = 2.0, most_ms = 200, jitter = 0.2 }\n"
         'retry_on = ["full", "unreachable", "error", "reset", "timeout"]\n'
         "second_copy_after_ms = 300\nretry_budget = { share = 0.1, least_per_s = 2 }\n"
     )
-    operator = parse(text, OVERLAP).operator
-    assert operator is not None and list(operator.table) == [("report-read", "korporativni")]
-    route = operator.table["report-read", "korporativni"]
+    operator = parse(text, OVERLAP).config
+    assert operator is not None and list(operator.bindings) == [("report-read", "korporativni")]
+    route = operator.bindings["report-read", "korporativni"]
     assert route.attempts == 3 and route.causes is not None and Outcome.TIMEOUT in route.causes
 
 
@@ -245,7 +247,7 @@
 def test_the_border_of_the_memory_span(timeout: int, loads: bool) -> None:
     """2,500 ms, less 5 that the module keeps, 250 to connect and 4 for the clock's coarseness: 2,241."""
     reading = parse(ORDERS + f"attempts = 2\nattempt_timeout_ms = {timeout}\n", FACTS)
-    assert (reading.operator is not None) is loads
+    assert (reading.config is not None) is loads
 
 
 @pytest.mark.parametrize(("jitter", "loads"), [(0.0, True), (0.2, True), (0.22, False), (1.0, False)])
@@ -254,18 +256,18 @@
         ORDERS
         + f"attempts = 2\nattempt_timeout_ms = 1041\nbackoff = {{ first_ms = 1000, jitter = {jitter} }}\n"
     )
-    assert (parse(text, FACTS).operator is not None) is loads
+    assert (parse(text, FACTS).config is not None) is loads
 
 
 def test_a_time_out_under_the_connect_time_is_a_warning() -> None:
     reading = parse(READS + "attempt_timeout_ms = 100\n", FACTS)
-    assert reading.operator is not None
-    assert [(f.code, f.line, f.warning) for f in reading.findings] == [("timeout-under-connect", 4, True)]
+    assert reading.config is not None
+    assert [(f.code, f.line, f.is_warning) for f in reading.findings] == [("timeout-under-connect", 4, True)]
 
 
 def test_keyed_attempts_after_endings_that_did_not_run_need_no_memory() -> None:
     text = ORDERS + 'attempt_timeout_ms = 2400\nattempts = 5\nretry_on = ["full", "unreachable"]\n'
-    assert parse(text, FACTS).operator is not None
+    assert parse(text, FACTS).config is not None
 
 
 def test_the_most_specific_route_wins_and_defaults_fill_in() -> None:
@@ -275,13 +277,13 @@
         + "attempt_timeout_ms = 500\n"
         + READS.replace('"reads"', '"dear"').replace('"report-read"', '"report-read", plan = "agencija"')
     )
-    operator = parse(text, FACTS).operator
+    operator = parse(text, FACTS).config
     assert operator is not None
-    names = {key: route.name for key, route in operator.table.items()}
+    names = {key: route.name for key, route in operator.bindings.items()}
     assert names["report-read", "agencija"] == "dear" and names["report-read", "osnovni"] == "reads"
     assert names["check-charge", "osnovni"] == "defaults"
-    assert operator.table["report-read", "osnovni"].attempts == 2
-    assert operator.table["report-read", "agencija"].attempt_timeout_ms == 0.0  # no other route's
+    assert operator.bindings["report-read", "osnovni"].attempts == 2
+    assert operator.bindings["report-read", "agencija"].attempt_timeout_ms == 0.0  # no other route's
 
 
 def test_a_list_may_overlap_with_a_route_that_names_more() -> None:
@@ -289,7 +291,7 @@
         "[[route]]\nname = 'a'\nmatch = { class = ['report-read', 'check-order'] }\n"
         "[[route]]\nname = 'b'\nmatch = { class = 'check-order', plan = ['agencija', 'standard'] }\n"
     )
-    assert parse(text, FACTS).operator is not None
+    assert parse(text, FACTS).config is not None
 
 
 TOML = '''\
@@ -317,7 +319,7 @@
 
 
 def test_lines_are_found_through_strings_arrays_and_comments() -> None:
-    lines = positions(TOML)
+    lines = line_numbers(TOML)
     wanted: dict[Place, int] = {
         ("a", "b"): 2, ("c d",): 3, ("route", 0): 8, ("route", 0, "name"): 9, ("route", 0, "match"): 12,
         ("route", 0, "backoff"): 13, ("route", 0, "backoff", "first_ms"): 14, ("route", 1): 15,
@@ -331,9 +333,9 @@
 @given(st.text(max_size=200) | st.text(alphabet="[]{}=\"'#\n .ab1\\", max_size=80))
 def test_no_text_breaks_the_reading(text: str) -> None:
     """Whatever stands in a file, reading it ends, with findings or a file that loads."""
-    positions(text)
+    line_numbers(text)
     reading = parse(text, FACTS)
-    assert reading.operator is not None or reading.findings
+    assert reading.config is not None or reading.findings
 
 
 def test_the_schema_checked_in_is_the_one_of_the_code() -> None:
--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -15,13 +15,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.config.facts import ClassFacts, Facts
+from glenchute.config.facts import ClassFacts, PlatformFacts
 from glenchute.config.findings import Finding
-from glenchute.config.locate import positions
-from glenchute.config.matching import Matched
-from glenchute.config.operator import Faults, Reading, in_parts, parse
+from glenchute.config.locate import line_numbers
+from glenchute.config.matching import MatchedRoute
+from glenchute.config.operator import ReadResult, parse
+from glenchute.config.operator_text import FindingCollector, load_by_route
 from glenchute.config.rules import violations
-from glenchute.config.schema import Words
+from glenchute.config.schema import Strings
 from glenchute.policy.retries.route_limits import Route
 from glenchute.policy.settings import Idempotency
 from tests.sites import FACTS
@@ -31,21 +32,21 @@
 NO_POST = replace(FACTS, classes=READS, plans=("standard", "osnovni"))
 
 
-def combinations(facts: Facts) -> Iterator[tuple[str, str, str]]:
+def combinations(facts: PlatformFacts) -> Iterator[tuple[str, str, str]]:
     for name, cls in facts.classes.items():
         for plan in facts.plans:
             yield name, plan, cls.command
 
 
-def named(one: Matched) -> tuple[tuple[str, ...], ...]:
+def named(one: MatchedRoute) -> tuple[tuple[str, ...], ...]:
     return one.classes, one.plans, one.commands
 
 
-def rank(one: Matched) -> int:
+def rank(one: MatchedRoute) -> int:
     return sum(1 for names in named(one) if names)
 
 
-def covers(one: Matched, combination: tuple[str, str, str]) -> bool:
+def covers(one: MatchedRoute, combination: tuple[str, str, str]) -> bool:
     return all(not names or name in names for names, name in zip(named(one), combination, strict=True))
 
 
@@ -54,16 +55,16 @@
 
 
 def plain(
-    routes: tuple[Matched, ...], base: Route | None, facts: Facts | None, text: str
+    routes: tuple[MatchedRoute, ...], base: Route | None, facts: PlatformFacts | None, text: str
 ) -> tuple[list[Finding], dict[tuple[str, str], Route]]:
     """The findings about routes against each other and the platform, and the table, by walking all pairs."""
-    faults, table = Faults(), {}
-    clashes: dict[int, tuple[Matched, str]] = {}
+    faults, table = FindingCollector(), {}
+    clashes: dict[int, tuple[MatchedRoute, str]] = {}
     for at, one in enumerate(routes if facts is None else ()):
         for other in routes[:at]:
             pairs = zip(named(one), named(other), strict=True)
             if rank(one) == rank(other) and rank(one) and all(overlaps(a, b) for a, b in pairs):
-                clashes.setdefault(one.at, (other, "a request"))
+                clashes.setdefault(one.position, (other, "a request"))
     known = True
     for one in routes if facts is not None else ():
         assert facts is not None
@@ -72,18 +73,18 @@
                 if word not in there:
                     known = False
                     listed = ", ".join(there)
-                    faults(f"unknown-{key}", ("route", one.at, "match", key),
+                    faults(f"unknown-{key}", ("route", one.position, "match", key),
                            f"{word[:40]!r} is no {key} of the platform; write one of {listed}")  # fmt: skip
     for name, plan, command in combinations(facts) if facts is not None and known else ():
-        first: dict[int, Matched] = {}
+        first: dict[int, MatchedRoute] = {}
         for one in routes:
             if rank(one) and covers(one, (name, plan, command)):
                 other = first.setdefault(rank(one), one)
                 if other is not one:
-                    clashes.setdefault(one.at, (other, f"{command} of class {name}, plan {plan}"))
+                    clashes.setdefault(one.position, (other, f"{command} of class {name}, plan {plan}"))
     for at, (other, what) in clashes.items():
         faults("equal-rank", ("route", at, "match"),
-               f"{what} matches route[{other.at}] ({other.route.name}) too, and neither names more; "
+               f"{what} matches route[{other.position}] ({other.route.name}) too, and neither names more; "
                "name more in one of them, or take the common part out")  # fmt: skip
     if facts is None:
         return faults.findings(text), {}
@@ -94,7 +95,7 @@
         best = max(matching, key=rank, default=None)
         if best is not None:
             table[name, plan] = best.route
-            used.setdefault(best.at, set()).add(name)
+            used.setdefault(best.position, set()).add(name)
         elif base is not None:
             table[name, plan] = base
             bare.add(name)
@@ -106,17 +107,21 @@
     for one in routes:
         mine = [combo for combo in combinations(facts) if covers(one, combo)]
         sure = all(n in facts.classes for n in one.classes) and all(p in facts.plans for p in one.plans)
-        if rank(one) and one.at not in used and sure:
+        if rank(one) and one.position not in used and sure:
             above = [o for o in routes if rank(o) > rank(one)]
             over = {o.route.name for combo in mine for o in above if covers(o, combo)}
             if over:
-                faults("never-matches", ("route", one.at),
+                faults("never-matches", ("route", one.position),
                        f"is shadowed by {', '.join(sorted(over))}; drop it or name less there")  # fmt: skip
             elif not mine:
-                faults("never-matches", ("route", one.at), "matches no class of the platform: safe classes "
-                       "come by GET, the others by POST; mend match")  # fmt: skip
-        for name in used.get(one.at, ()):
-            broken(one.route, name, ("route", one.at))
+                faults(
+                    "never-matches",
+                    ("route", one.position),
+                    "matches no class of the platform: safe classes "
+                    "come by GET, the others by POST; mend match",
+                )
+        for name in used.get(one.position, ()):
+            broken(one.route, name, ("route", one.position))
     for name in bare:
         assert base is not None
         broken(base, name, ("defaults",))
@@ -156,43 +161,43 @@
 @given(st.lists(st.tuples(MATCHES, KEYS), max_size=12), st.booleans(), KNOWN,
        st.sampled_from([None, FACTS, TWO_READS, NO_POST]))  # fmt: skip
 def test_the_findings_and_the_table_are_those_of_a_walk_of_all_pairs(
-    matches: Rows, defaults: bool, known: bool, facts: Facts | None
+    matches: Rows, defaults: bool, known: bool, facts: PlatformFacts | None
 ) -> None:
     """Code, line, place, sentence and order, with the platform's file and without; the table in its order."""
     text = ("[defaults]\nattempts = 2\n" if defaults else "") + written(matches, known)
     reading = parse(text, facts)
     sound = parse(text, None)  # its routes, also of a file that must not load
-    made = reading.operator or sound.operator
+    made = reading.config or sound.config
     routes = made.routes if made is not None else taken(matches, defaults, known)
     base = Route("defaults", attempts=2) if defaults else None
     findings, table = plain(routes, base, facts, text)
     assert [f for f in reading.findings if f.code != "empty-match"] == findings
-    if reading.operator is not None:
-        assert list(reading.operator.table.items()) == list(table.items())
+    if reading.config is not None:
+        assert list(reading.config.bindings.items()) == list(table.items())
 
 
-def taken(matches: Rows, defaults: bool, known: bool) -> tuple[Matched, ...]:
+def taken(matches: Rows, defaults: bool, known: bool) -> tuple[MatchedRoute, ...]:
     """The routes of a file that is wrong, each read by itself: alone it stands against no other."""
     found = []
     for at, row in enumerate(matches):
         text = ("[defaults]\nattempts = 2\n" if defaults else "") + written([row], known)
         reading = parse(text, None)
-        if reading.operator is None:  # it names nothing at all: `empty-match`
-            found.append(Matched(at, Route(f"r{at}"), (), (), ()))
+        if reading.config is None:  # it names nothing at all: `empty-match`
+            found.append(MatchedRoute(at, Route(f"r{at}"), (), (), ()))
         else:
-            (one,) = reading.operator.routes
-            found.append(one._replace(at=at, route=one.route._replace(name=f"r{at}")))
+            (one,) = reading.config.routes
+            found.append(one._replace(position=at, route=one.route._replace(name=f"r{at}")))
     return tuple(found)
 
 
 # What it costs.
 
 
-def plans_of(count: int) -> Facts:
+def plans_of(count: int) -> PlatformFacts:
     """Ten classes, half of them safe, and so many plans."""
     kinds = (Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT)
     classes = {f"class-{n}": ClassFacts(kinds[n % 2], 4e3) for n in range(10)}
-    return Facts(classes, tuple(f"plan-{n:05}" for n in range(count)), 5, False, 250.0)
+    return PlatformFacts(classes, tuple(f"plan-{n:05}" for n in range(count)), 5, False, 250.0)
 
 
 def each_its_own(count: int) -> str:
@@ -257,8 +262,8 @@
 def test_a_load_costs_by_routes_and_not_by_their_square(file: Callable[[int], str], with_facts: bool) -> None:
     """Twice the routes, with twice the plans, take twice the steps. The square would take four times."""
 
-    def load(count: int) -> tuple[int, Reading]:
-        readings: list[Reading] = []
+    def load(count: int) -> tuple[int, ReadResult]:
+        readings: list[ReadResult] = []
         text, facts = file(count), plans_of(count // 10) if with_facts else None
         return steps(lambda: readings.append(parse(text, facts))), readings[0]
 
@@ -279,7 +284,7 @@
 
 def test_lines_of_a_long_file_are_counted_once() -> None:
     text = Looked(each_its_own(300))
-    assert positions(text) == positions(str(text))
+    assert line_numbers(text) == line_numbers(str(text))
     assert Looked.characters <= len(text)
 
 
@@ -295,8 +300,8 @@
 
 
 def test_a_long_list_is_not_walked_for_each_of_its_names() -> None:
-    words, told = [Compared(f"plan-{n}") for n in range(500)], Faults()
-    assert Words().check([*words, Compared("plan-7")], ("plan",), told) == tuple(words)
+    words, told = [Compared(f"plan-{n}") for n in range(500)], FindingCollector()
+    assert Strings().check([*words, Compared("plan-7")], ("plan",), told) == tuple(words)
     assert [(code, path) for code, path, _, _ in told.rows] == [("named-twice", ("plan", 500))]
     assert Compared.times <= 3 * len(words)
 
@@ -317,7 +322,7 @@
 def test_a_file_read_in_parts_is_the_file(lines: list[str], end: str) -> None:
     """Whatever tomllib makes of the whole is made of the parts, or they are given up; what it refuses is."""
     text = end.join(lines)
-    parts = in_parts(text, lambda: None)
+    parts = load_by_route(text, lambda: None)
     try:
         whole = tomllib.loads(text)
     except tomllib.TOMLDecodeError:
@@ -325,7 +330,7 @@
         return
     assert parts is None or parts == whole
     reading = parse(text, FACTS)
-    assert parse(text, FACTS, rest=lambda: None) == reading
+    assert parse(text, FACTS, yield_processor=lambda: None) == reading
 
 
 @pytest.mark.parametrize("head", ["", "[defaults]\nattempts = 2\n", "# none\r\n"])
@@ -333,10 +338,13 @@
     """With a rest after each route; a head of a route that stands in a string makes it whole."""
     rests: list[None] = []
     text = head + each_its_own(50)
-    assert in_parts(text, lambda: rests.append(None)) == tomllib.loads(text)
+    assert load_by_route(text, lambda: rests.append(None)) == tomllib.loads(text)
     assert len(rests) == 50
     rests.clear()
-    assert parse(text, plans_of(5), rest=lambda: rests.append(None)).operator is not None
+    assert parse(text, plans_of(5), yield_processor=lambda: rests.append(None)).config is not None
     assert len(rests) == 3 * 50  # read, made, and looked at beside the others
-    assert in_parts(text + 'more = """\n[[route]]\n"""\n', lambda: None) is None
-    assert in_parts("[defaults]\n", lambda: None) == {"defaults": {}} and in_parts("", lambda: None) == {}
+    assert load_by_route(text + 'more = """\n[[route]]\n"""\n', lambda: None) is None
+    assert (
+        load_by_route("[defaults]\n", lambda: None) == {"defaults": {}}
+        and load_by_route("", lambda: None) == {}
+    )
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -15,7 +15,7 @@
 from glenchute.capture.codec import event_of
 from glenchute.capture.replay import read as read_segment
 from glenchute.capture.replay import replay, runs
-from glenchute.config.facts import Facts
+from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import parse
 from glenchute.policy.events import AttemptAssigned, AttemptEnded, Event, Outcome
 from glenchute.policy.retries.route_limits import Budget, BudgetRule, Course, Route
@@ -24,54 +24,54 @@
 from tests.upstreams.test_lines_loopback import Book, burst, reads, sharing
 
 ROOT = Path(__file__).resolve().parents[2]
-HERE = replace(FACTS, streams=32)
+HERE = replace(FACTS, max_streams=32)
 READS = '[pipeline]\nclasses = "report-read"\n'
 ROUTE = '[[route]]\nname = "r"\nmatch = { class = "report-read" }\n'
 
-WRONG: list[tuple[str, str, int, Facts]] = [
+WRONG: list[tuple[str, str, int, PlatformFacts]] = [
     ("[pipeline]\ndepth = 4\n", "missing-key", 1, HERE),
     (READS + "depth = 33\n", "depth-over-settings", 3, HERE),
     (READS + "depth = 1\n", "depth-of-one", 3, HERE),
     (READS + "depth = 2.5\n", "wrong-type", 3, HERE),
     (READS + "deep = 2\n", "unknown-key", 3, HERE),
-    (READS, "depth-over-settings", 1, replace(FACTS, streams=3)),  # the depth that is not written is 4
+    (READS, "depth-over-settings", 1, replace(FACTS, max_streams=3)),  # the depth that is not written is 4
     (READS + ROUTE + "pipeline_depth = 33\n", "depth-over-settings", 6, HERE),
     ('[pipeline]\nclasses = ["report-read", "check-charge"]\n', "unsafe-shares", 2, HERE),
     ('[pipeline]\nclasses = ["report-read", "check-chess"]\n', "unknown-class", 2, HERE),
-    ('[pipeline]\nclasses = ["check-order"]\n', "keyed-scope", 2, replace(NO_SCOPE, streams=32)),
+    ('[pipeline]\nclasses = ["check-order"]\n', "keyed-scope", 2, replace(NO_SCOPE, max_streams=32)),
     ('[pipeline]\nclasses = ["check-order"]\nleast_stall_ms = 2500\n', "keyed-beyond-memory", 2, HERE),
     ("[pipeline]\nclasses = []\n", "empty-list", 2, HERE),
     (READS + "wait_ms = 400\n" + ROUTE + "attempt_timeout_ms = 400\n", "wait-over-timeout", 3, HERE),
     (READS + ROUTE + "attempt_timeout_ms = 4\n", "wait-over-timeout", 1, HERE),
     (READS + "wait_ms = 3000\n", "wait-over-timeout", 3, HERE),
-    (READS + "settle_ms = 9000\n", "settle-over-idle", 3, replace(HERE, idle_ms=9000.0)),
+    (READS + "settle_ms = 9000\n", "settle-over-idle", 3, replace(HERE, idle_timeout_ms=9000.0)),
     (READS + "gather = 0\n", "out-of-range", 3, HERE),
     (READS + "gather_bytes = 1\n", "out-of-range", 3, HERE),
     (READS + "stall_quantile = 1.0\n", "out-of-range", 3, HERE),
     (READS + "stall_factor = 0.9\n", "out-of-range", 3, HERE),
     (READS + "at_risk = 0\n", "out-of-range", 3, HERE),
     (READS + "behind_unsafe = 1\n", "wrong-type", 3, HERE),
-    (READS, "no-second-attempt", 1, replace(HERE, attempts_cap=1)),
+    (READS, "no-second-attempt", 1, replace(HERE, max_attempts=1)),
     (ROUTE + "pipeline_depth = 2\n", "depth-unused", 4, HERE),
     (READS + ROUTE.replace("report-read", "check-order") + "pipeline_depth = 2\n", "depth-unused", 6, HERE),
 ]
 
 
 @pytest.mark.parametrize("case", WRONG, ids=lambda case: f"{case[1]}-{case[0][-24:]!r}")
-def test_a_wrong_table_fails_with_its_code_and_line(case: tuple[str, str, int, Facts]) -> None:
+def test_a_wrong_table_fails_with_its_code_and_line(case: tuple[str, str, int, PlatformFacts]) -> None:
     text, code, line, facts = case
     reading = parse(text, facts)
-    assert reading.operator is None
+    assert reading.config is None
     assert (code, line) in [(finding.code, finding.line) for finding in reading.findings], reading.findings
 
 
 def test_a_sound_table_loads_and_routes_bound_the_depth() -> None:
     text = READS + "depth = 8\nbehind_unsafe = true\n" + ROUTE + "pipeline_depth = 2\n"
     reading = parse(text, HERE)
-    assert reading.operator is not None and not reading.findings
-    assert reading.operator.pipeline == {"classes": ("report-read",), "depth": 8, "behind_unsafe": True}
-    assert reading.operator.table["report-read", "standard"].depth == 2
-    assert parse(READS + "depth = 400\n", FACTS).operator is not None  # the platform does not say how many
+    assert reading.config is not None and not reading.findings
+    assert reading.config.pipeline == {"classes": ("report-read",), "depth": 8, "behind_unsafe": True}
+    assert reading.config.bindings["report-read", "standard"].depth == 2
+    assert parse(READS + "depth = 400\n", FACTS).config is not None  # the platform does not say how many
 
 
 @pytest.mark.parametrize(
--- a/tests/docs/test_capacity_page.py
+++ b/tests/docs/test_capacity_page.py
@@ -13,7 +13,7 @@
 from benchmarks import capacity
 from benchmarks.slopes import Probe, fitted, table
 from glenchute.cli.main import COMMANDS, FLEET
-from glenchute.config.operator import json_schema
+from glenchute.config.operator_shape import json_schema
 
 ROOT = Path(__file__).resolve().parents[2]
 PAGE = (ROOT / "docs" / "CAPACITY.md").read_text()
@@ -117,7 +117,7 @@
     "glenchute fleet member", "[subset] server", "[subsets]", "[fleet.lease]",
     "[discovery] calls_per_s = 1, age",
     "glenchute/policy/pace.py", "docs/capacity-call.svg", "ServerPool.picks", "ServerPools.pick",
-    "MOST_ROUTE",
+    "MAX_ROUTE",
     "two words",
 ])  # fmt: skip
 def test_a_wrong_name_is_found(span: str) -> None:
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -87,8 +87,8 @@
         """A fresh gateway on the same port."""
         config = build(self.lab.platform(), {})
         reading = parse(OPERATOR.format(port=self.port, more=more), config.facts)
-        assert reading.operator is not None, reading.findings
-        made = Program(config, asyncio.get_running_loop(), operator=reading.operator)
+        assert reading.config is not None, reading.findings
+        made = Program(config, asyncio.get_running_loop(), operator=reading.config)
         await made.start()
         self.programs.append(made)
         return made
@@ -337,7 +337,7 @@
             path = tmp_path / "s"
             config = build(one.lab.platform(), {})
             text = OPERATOR.format(port=1, more="").replace("127.0.0.1:1", f"unix:{path}")
-            operator = parse(text, config.facts).operator
+            operator = parse(text, config.facts).config
             program = Program(config, asyncio.get_running_loop(), operator=operator)
             await program.start()
             one.programs.append(program)
--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -52,7 +52,7 @@
 
 def test_the_operators_file_of_the_page_loads() -> None:
     reading = parse(block("toml"), FACTS)
-    assert reading.findings == () and reading.operator is not None
+    assert reading.findings == () and reading.config is not None
 
 
 def test_the_proxys_configuration_is_of_the_published_api() -> None:
--- a/tests/listeners/extproc/test_extproc_rules.py
+++ b/tests/listeners/extproc/test_extproc_rules.py
@@ -171,15 +171,15 @@
 @pytest.mark.parametrize("text, code, line", BAD)
 def test_a_wrong_file_fails_with_its_code_and_line(text: str, code: str, line: int) -> None:
     reading = parse(text, FACTS)
-    assert reading.operator is None
+    assert reading.config is None
     assert (code, line) in [(finding.code, finding.line) for finding in reading.findings], reading.findings
 
 
 def test_a_file_in_order_loads() -> None:
     text = HEAD + 'restart_open = ["report-read", "check-order"]\n' + MAP + READS
     reading = parse(text + OPERATION.format("check-charge", "POST", "/r/{a}"), FACTS)
-    assert reading.findings == () and reading.operator is not None
-    assert reading.operator.fronts is not None and "extproc" in reading.operator.fronts
+    assert reading.findings == () and reading.config is not None
+    assert reading.config.fronts is not None and "extproc" in reading.config.fronts
 
 
 # --- the pure decisions ------------------------------------------------------------------------------------
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -232,10 +232,10 @@
 
 def test_a_second_address_that_is_wrong_or_taken_ends_the_start(tmp_path: Path) -> None:
     raw_ = raw_config(1, 1, [])
-    assert build(raw_, {}).operations is None
-    assert build(raw_, {"EDGE_OPERATOR": "127.0.0.1:7"}).operations == ("127.0.0.1", 7)
+    assert build(raw_, {}).operations_address is None
+    assert build(raw_, {"EDGE_OPERATOR": "127.0.0.1:7"}).operations_address == ("127.0.0.1", 7)
     both = build({**raw_, "operator": "127.0.0.1:8"}, {"EDGE_OPERATOR": "1.1.1.1:7"})
-    assert both.operations == ("127.0.0.1", 8)
+    assert both.operations_address == ("127.0.0.1", 8)
     path = tmp_path / "config.json"
     path.write_text('{"settings": {}}')
     with pytest.raises(ConfigError):
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,7 @@
 
 from glenchute.cli.run import Program
 from glenchute.config.operator import parse
-from glenchute.config.platform import Config, build
+from glenchute.config.platform import PlatformConfig, build
 from glenchute.core.types import Decisions
 from glenchute.policy.actions import Action, Fail, StartAttempt
 from glenchute.policy.events import AttemptEnded, Event, Request
@@ -127,7 +127,7 @@
     }  # fmt: skip
 
 
-def config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> Config:
+def config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> PlatformConfig:
     """The same, read; the gateway listens on a free port."""
     raw = raw_config(discovery, counter, rows, free_port())
     raw["limits"]["sockets"] = changes.pop("sockets", raw["limits"]["sockets"])
@@ -161,7 +161,7 @@
     discovery = discovery or DiscoveryPeer(listing(1, rows))
     await discovery.start()
     made = config(discovery.port, counts.port, rows, **changes)
-    bound = parse(operator, made.facts).operator if operator is not None else None
+    bound = parse(operator, made.facts).config if operator is not None else None
     assert operator is None or bound is not None
     program = Program(made, asyncio.get_running_loop(), decisions, operator=bound)
     await program.start()
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -77,11 +77,11 @@
     text: str, overlap: bool, fates: list[Fate], asks: list[tuple[str, float]], gap_s: float
 ) -> None:
     """The simulated servers refuse, at the moment when bytes leave, what the rules forbid."""
-    operator = parse(text, OVERLAP if overlap else FACTS).operator
+    operator = parse(text, OVERLAP if overlap else FACTS).config
     assume(operator is not None)
     assert operator is not None
     stream = iter(fates * 200)
-    site = Site(Routes(operator.table, 3) if operator else None, lambda: next(stream), overlap)
+    site = Site(Routes(operator.bindings, 3) if operator else None, lambda: next(stream), overlap)
     asked = []
     for class_name, left_ms in asks:
         asked.append((site.ask(class_name, left_ms), site.loop.now, left_ms))
@@ -89,7 +89,7 @@
     site.loop.run(site.loop.now + 10.0)
     for (request, at, left_ms), (class_name, _) in zip(asked, asks, strict=True):
         site.check_answers(request, at, left_ms)
-        bounded(site, request, operator.table.get((class_name, "osnovni")))
+        bounded(site, request, operator.bindings.get((class_name, "osnovni")))
     assert not site.gateway.live and not site.gateway.out
 
 
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -39,9 +39,9 @@
 
 def ways(**changes: Any) -> Ways:
     """The settings of the front, for the platform of `sites.py`."""
-    classes = {name: cls.repeat is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
+    classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
     rules = Rules(SOURCES, (), classes, FACTS.plans, 1)
-    repeats = {name: (cls.repeat, cls.memory_ms, 1e6) for name, cls in FACTS.classes.items()}
+    repeats = {name: (cls.idempotency, cls.idempotency_window_ms, 1e6) for name, cls in FACTS.classes.items()}
     return Ways(rules, repeats, **{"max_attempts": 5, **changes})
 
 
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -4,20 +4,20 @@
 
 from dataclasses import replace
 
-from glenchute.config.facts import ClassFacts, Facts
+from glenchute.config.facts import ClassFacts, PlatformFacts
 from glenchute.policy.settings import Idempotency
 
-FACTS = Facts(
+FACTS = PlatformFacts(
     classes={
         "report-read": ClassFacts(Idempotency.IDEMPOTENT, 3000.0),
         "check-order": ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0),
         "check-charge": ClassFacts(Idempotency.NON_IDEMPOTENT, 6000.0),
     },
     plans=("osnovni", "standard", "agencija", "korporativni"),
-    attempts_cap=5,
-    overlap=False,
-    connect_ms=250.0,
+    max_attempts=5,
+    allows_hedging=False,
+    connect_timeout_ms=250.0,
 )
-OVERLAP = replace(FACTS, overlap=True)
-ORDERS = ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0, scope_known=False)
+OVERLAP = replace(FACTS, allows_hedging=True)
+ORDERS = ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0, is_scope_known=False)
 NO_SCOPE = replace(FACTS, classes={**FACTS.classes, "check-order": ORDERS})
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -165,15 +165,15 @@
         open(os.devnull) as file,
     ):
         deaf.bind(("127.0.0.1", 0))
-        good = replace(config(1, 1, []), passed=door.fileno(), listen=door.getsockname())
+        good = replace(config(1, 1, []), passed_descriptor=door.fileno(), listen=door.getsockname())
         found = passed_socket(good)
         assert found is not None and found.detach() == door.fileno()
-        assert passed_socket(replace(good, passed=None)) is None
+        assert passed_socket(replace(good, passed_descriptor=None)) is None
         for wrong, why in (
-            (replace(good, passed=deaf.fileno(), listen=deaf.getsockname()), "does not listen"),
-            (replace(good, passed=other.fileno()), "no TCP socket"),
-            (replace(good, passed=file.fileno()), "no socket"),
-            (replace(good, passed=99_999), "no socket"),
+            (replace(good, passed_descriptor=deaf.fileno(), listen=deaf.getsockname()), "does not listen"),
+            (replace(good, passed_descriptor=other.fileno()), "no TCP socket"),
+            (replace(good, passed_descriptor=file.fileno()), "no socket"),
+            (replace(good, passed_descriptor=99_999), "no socket"),
             (replace(good, listen=("127.0.0.1", 1)), "not at `listen`"),
         ):
             with pytest.raises(ConfigError, match=why):
@@ -182,8 +182,8 @@
     for text in ("-1", "x", "4 ", "٤"):
         with pytest.raises(ValueError):
             build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": text})
-    assert build(raw_config(1, 1, []), {}).passed is None
-    assert build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": "4"}).passed == 4
+    assert build(raw_config(1, 1, []), {}).passed_descriptor is None
+    assert build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": "4"}).passed_descriptor == 4
 
 
 def test_a_wrong_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
