--- a/glenchute/cli/main.py
+++ b/glenchute/cli/main.py
@@ -1,13 +1,18 @@
 """The command line: ``glenchute`` or ``python -m glenchute``; without a command it runs a gateway.
 
-argparse, as its import takes 4 ms, click's 21 and typer's 53; a bare ``run`` takes not even that, as every
-restart pays for it.
+A bare ``run`` imports no argument parser, as every restart would pay for it.
 """
 
 from __future__ import annotations
 
+import os
+import signal
 import sys
 from importlib import import_module
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    import argparse
 
 COMMANDS = {
     "run": "serve as one gateway (the default)",
@@ -20,23 +25,39 @@
     "demo": "play a small site on loopback, with a node that fails midway",
     "schema": "print the JSON Schema of the operator's file",
 }
-
-
 FLEET = ("members", "state", "list", "conflicts", "digest", "tasks", "leases", "release", "unpark")
+CLOSED_PIPE_STATUS = 128 + signal.SIGPIPE  # as a shell reports a program that ended by the signal
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Carries out a command; the exit status: 0 done, 1 could not start, 2 unusable arguments or files."""
+    """Runs a command; the exit status: 0 done, 1 could not start, 2 unusable arguments or files."""
     argv = sys.argv[1:] if argv is None else argv
     if not argv or argv == ["run"]:
         from .run import run
 
         return run()
-    return arguments(argv)
+    try:
+        status = run_command(parse_arguments(argv))
+        sys.stdout.flush()
+    except BrokenPipeError:
+        # Whoever read the output has closed it. What is still buffered has nowhere to go at the exit.
+        os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
+        return CLOSED_PIPE_STATUS
+    return status
+
+
+def run_command(args: argparse.Namespace) -> int:
+    """The exit status of the command that the arguments name; without one a gateway runs."""
+    if args.command == "run" or args.command is None:
+        from .run import run
+
+        return run(getattr(args, "operator", None))
+    status: int = import_module(f"glenchute.cli.{args.command}").command(args)
+    return status
 
 
-def arguments(argv: list[str]) -> int:
-    """The commands with arguments."""
+def parse_arguments(argv: list[str]) -> argparse.Namespace:
+    """The arguments of a command. SystemExit with a message where they can't be used."""
     import argparse
 
     from glenchute import __version__
@@ -47,6 +68,15 @@
     parser.add_argument("--version", action="version", version=f"glenchute {__version__}")
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     parsers = {name: commands.add_parser(name, help=text) for name, text in COMMANDS.items()}
+    add_file_arguments(parsers)
+    add_query_arguments(parsers)
+    add_replay_arguments(parsers["replay"])
+    add_demo_arguments(parsers["demo"])
+    return parser.parse_args(argv)
+
+
+def add_file_arguments(parsers: dict[str, argparse.ArgumentParser]) -> None:
+    """The files that a command reads."""
     for name in ("run", "check", "explain", "pipeline"):
         parsers[name].add_argument(
             "--operator", metavar="FILE", help="the operator's file; else GLENCHUTE_OPERATOR names it"
@@ -55,32 +85,37 @@
         parsers[name].add_argument(
             "--platform", metavar="FILE", help="the platform's file; else EDGE_CONFIG names it"
         )
+
+
+def add_query_arguments(parsers: dict[str, argparse.ArgumentParser]) -> None:
+    """What `check`, `explain`, `quota` and `fleet` are asked."""
     parsers["check"].add_argument("--json", action="store_true", help="findings for a program")
     parsers["explain"].add_argument("--class", dest="class_name", required=True, help="the request's class")
     parsers["explain"].add_argument("--plan", required=True, help="its customer's plan")
     parsers["explain"].add_argument("--command", dest="verb", choices=("GET", "POST"))
-    parsers["replay"].add_argument("path", help="a segment, or a folder of them")
-    parsers["replay"].add_argument("--from", dest="since", type=float, default=0.0, metavar="MS")
-    parsers["replay"].add_argument("--until", type=float, default=float("inf"), metavar="MS")
-    parsers["replay"].add_argument("--diff", action="store_true", help="all differences, not the first")
-    parsers["replay"].add_argument("--explain", metavar="REQUEST", help="the story of one request")
-    parsers["replay"].add_argument("--refusals", action="store_true", help="which limits refused, how often")
-    parsers["replay"].add_argument("--against", metavar="FOLDER", help="another version of the module")
     parsers["quota"].add_argument("what", choices=("bound",))
     parsers["quota"].add_argument("--spread", type=int, default=0, help="gateways of an account; else all")
     parsers["quota"].add_argument("--clocks-ms", type=float, default=100.0, help="by which clocks differ")
+    parsers["quota"].add_argument("--asked", type=float, default=0.0, help="units a second; members' bound")
     parsers["fleet"].add_argument("what", choices=FLEET)
     parsers["fleet"].add_argument("task", nargs="?", help="for release and unpark")
     parsers["fleet"].add_argument("--control", metavar="PATH", required=True, help="the gateway's socket")
     parsers["fleet"].add_argument("--json", action="store_true", help="rows for a program")
-    parsers["quota"].add_argument("--asked", type=float, default=0.0, help="units a second; members' bound")
-    parsers["demo"].add_argument("--seconds", type=float, default=8.0, help="length, 2 to 600 (default 8)")
-    parsers["demo"].add_argument("--rate", type=float, default=80.0, help="requests a second, 1 to 500")
-    parsers["demo"].add_argument("--seed", type=int, default=1, help="of load and faults")
-    args = parser.parse_args(argv)
-    if args.command == "run" or args.command is None:
-        from .run import run
 
-        return run(getattr(args, "operator", None))
-    status: int = import_module(f"glenchute.cli.{args.command}").command(args)
-    return status
+
+def add_replay_arguments(parser: argparse.ArgumentParser) -> None:
+    """Which part of a capture is replayed, and what is printed."""
+    parser.add_argument("path", help="a segment, or a folder of them")
+    parser.add_argument("--from", dest="since", type=float, default=0.0, metavar="MS")
+    parser.add_argument("--until", type=float, default=float("inf"), metavar="MS")
+    parser.add_argument("--diff", action="store_true", help="all differences, not the first")
+    parser.add_argument("--explain", metavar="REQUEST", help="the story of one request")
+    parser.add_argument("--refusals", action="store_true", help="which limits refused, how often")
+    parser.add_argument("--against", metavar="FOLDER", help="another version of the module")
+
+
+def add_demo_arguments(parser: argparse.ArgumentParser) -> None:
+    """The size of the demonstration."""
+    parser.add_argument("--seconds", type=float, default=8.0, help="length, 2 to 600 (default 8)")
+    parser.add_argument("--rate", type=float, default=80.0, help="requests a second, 1 to 500")
+    parser.add_argument("--seed", type=int, default=1, help="of load and faults")
