--- a/glenchute/policy/services/fair_queue.py
+++ b/glenchute/policy/services/fair_queue.py
@@ -1,12 +1,11 @@
-"""Fairness between the accounts of one service: a bounded number of lanes, each account in one of them.
+"""Fairness between the tenants of one service: a bounded queue with a bounded number of lanes.
 
-Stochastic fairness queueing (McKenney, INFOCOM 1990): a queue for each account would grow with the accounts,
-so they are spread over lanes by a hash that nobody outside can foresee and that changes now and then, as two
-accounts that share a lane must not share it for good. Lanes take turns by deficit round robin. Where all
-lanes together are full, the longest gives up its oldest entry, which has waited longest for what is least its
-due: so a flood drops its own.
+Stochastic fairness queueing (McKenney, INFOCOM 1990): a queue for each tenant would grow with the tenants, so
+they are spread over lanes by a keyed hash that no tenant can predict and that changes now and then, so that
+two tenants do not share a lane for good. Lanes take turns by deficit round robin. Where the queue is full,
+the longest lane drops its oldest item, so that a flood drops its own.
 
-Pure; time is handed in, in milliseconds.
+Pure; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -15,67 +14,78 @@
 from collections import deque
 from typing import Generic, NamedTuple, TypeVar
 
-from .bulkheads import Rounds
+from .round_robin import DeficitRoundRobin
 
 T = TypeVar("T")
+REHASH_INTERVAL_MS = 10_000.0
 
 
-class Entry(NamedTuple, Generic[T]):
-    """What waits, since when, what it is thought to cost."""
+class QueuedItem(NamedTuple, Generic[T]):
+    """An item, since when it waits, and its expected cost."""
 
     item: T
-    came: float
+    queued_at_ms: float
     cost: float
 
 
-class Lanes(Generic[T]):
-    """What waits in one service. Bounded by `most`, whatever the accounts do.
+class FairQueue(Generic[T]):
+    """What waits in one service: at most `max_items`, whatever the tenants do.
 
-    Guarantees: entries of one account leave in the order in which they came, but for a change of the hash; an
-    account that shares its lane with no flood has its turn within one round of the lanes; nothing is dropped
-    while there is room; each entry leaves exactly once, by `next` or as what `put` gives back."""
+    Guarantees: items of one tenant leave in the order in which they came, but for a change of the hash; a
+    tenant that shares its lane with no flood has its turn within one round of the lanes; nothing is dropped
+    while there is room; each item leaves exactly once, by `dequeue` or as what `enqueue` returns."""
 
     def __init__(
-        self, lanes: int, most: int, quantum: float, seed: bytes, renew_ms: float = 10_000.0
+        self,
+        lanes: int,
+        max_items: int,
+        quantum: float,
+        seed: bytes,
+        rehash_interval_ms: float = REHASH_INTERVAL_MS,
     ) -> None:
-        self.count, self.most = lanes, most
-        self.seed, self.renew_ms = seed, renew_ms
-        self.epoch = 0
-        self.lanes: dict[str, deque[Entry[T]]] = {str(n): deque() for n in range(lanes)}
-        self.rounds = Rounds(dict.fromkeys(self.lanes, 1.0), quantum)
+        self.lane_count, self.max_items = lanes, max_items
+        self.seed, self.rehash_interval_ms = seed, rehash_interval_ms
+        self.lanes: dict[str, deque[QueuedItem[T]]] = {str(number): deque() for number in range(lanes)}
+        self.round_robin = DeficitRoundRobin(dict.fromkeys(self.lanes, 1.0), quantum)
         self.size = 0
 
-    def lane(self, now: float, account: str) -> str:
-        """The lane of an account at this time."""
-        epoch = int(now // self.renew_ms)
-        key = hashlib.blake2b(account.encode(), digest_size=4, key=self.seed[:32] + epoch.to_bytes(8, "big"))
-        return str(int.from_bytes(key.digest(), "big") % self.count)
+    def lane_of(self, now_ms: float, tenant: str) -> str:
+        """The lane of a tenant at this time."""
+        epoch = int(now_ms // self.rehash_interval_ms)
+        key = self.seed[:32] + epoch.to_bytes(8, "big")
+        digest = hashlib.blake2b(tenant.encode(), digest_size=4, key=key).digest()
+        return str(int.from_bytes(digest, "big") % self.lane_count)
 
-    def put(self, now: float, account: str, item: T, cost: float) -> T | None:
-        """Something comes; what had to give way for it, which may be itself, or None."""
-        name = self.lane(now, account)
+    def enqueue(self, now_ms: float, tenant: str, item: T, cost: float) -> T | None:
+        """Adds an item. Returns the item that was dropped for it, which may be itself, or None."""
+        name = self.lane_of(now_ms, tenant)
         dropped: T | None = None
-        if self.size >= self.most:
-            longest = max(self.lanes, key=lambda n: (len(self.lanes[n]), n))
+        if self.size >= self.max_items:
+            longest = max(self.lanes, key=lambda lane: (len(self.lanes[lane]), lane))
             if len(self.lanes[longest]) <= len(self.lanes[name]):
-                longest = name  # it would be the longest itself
+                longest = name  # with the new item it would be the longest itself
             if not self.lanes[longest]:
                 return item
-            dropped = self.lanes[longest].popleft().item
-            self.size -= 1
-            if not self.lanes[longest] and longest != name:
-                self.rounds.spent(longest, 0.0, False)
-        self.lanes[name].append(Entry(item, now, cost))
+            dropped = self.drop_oldest(longest, name)
+        self.lanes[name].append(QueuedItem(item, now_ms, cost))
         self.size += 1
-        self.rounds.ready(name)
+        self.round_robin.add_work(name)
         return dropped
 
-    def next(self) -> Entry[T] | None:
-        """What has its turn; None where nothing waits."""
-        name = self.rounds.next()
+    def drop_oldest(self, lane: str, next_lane: str) -> T:
+        """Drops the oldest item of a lane; `next_lane` is about to get one and stays active."""
+        dropped = self.lanes[lane].popleft().item
+        self.size -= 1
+        if not self.lanes[lane] and lane != next_lane:
+            self.round_robin.charge(lane, 0.0, False)
+        return dropped
+
+    def dequeue(self) -> QueuedItem[T] | None:
+        """The item whose turn it is; None where nothing waits."""
+        name = self.round_robin.next()
         if name is None:
             return None
         entry = self.lanes[name].popleft()
         self.size -= 1
-        self.rounds.spent(name, entry.cost, bool(self.lanes[name]))
+        self.round_robin.charge(name, entry.cost, bool(self.lanes[name]))
         return entry
--- /dev/null
+++ b/glenchute/policy/services/queue_delay.py
@@ -0,0 +1,31 @@
+"""How long a request may wait for its service's turn before it is rejected. Pure; times are milliseconds."""
+
+from __future__ import annotations
+
+import math
+
+STANDING_LIMIT_MS = 5.0
+BURST_LIMIT_MS = 100.0
+
+
+class QueueDelayLimit:
+    """Controlled delay as in Maurer, "Fail at Scale" (ACM Queue, 2015).
+
+    A queue that was empty within `burst_ms` holds a burst, whose requests may wait `burst_ms`. One that was
+    not is a standing queue, and a request that has waited `standing_ms` in it is rejected at once, as it
+    would be late for its client anyway."""
+
+    __slots__ = ("burst_ms", "empty_at_ms", "standing_ms")
+
+    def __init__(self, standing_ms: float = STANDING_LIMIT_MS, burst_ms: float = BURST_LIMIT_MS) -> None:
+        self.standing_ms, self.burst_ms = standing_ms, burst_ms
+        self.empty_at_ms = -math.inf
+
+    def note_empty(self, now_ms: float) -> None:
+        """The queue is empty just now."""
+        self.empty_at_ms = now_ms
+
+    def must_reject(self, now_ms: float, waited_ms: float) -> bool:
+        """Whether a request that has waited so long is rejected instead of served."""
+        is_standing = now_ms - self.empty_at_ms > self.burst_ms
+        return waited_ms > (self.standing_ms if is_standing else self.burst_ms)
--- a/tests/policy/services/test_isolation.py
+++ b/tests/policy/services/test_isolation.py
@@ -13,7 +13,9 @@
 
 import pytest
 
-from glenchute.policy.services.bulkheads import Claim, Delay, Ledger, Rounds, Taken
+from glenchute.policy.services.queue_delay import QueueDelayLimit
+from glenchute.policy.services.resource_ledger import Grant, ResourceLedger, ResourceShare
+from glenchute.policy.services.round_robin import DeficitRoundRobin
 
 TURN_MS = (0.1, 0.4)  # one request's work
 REFUSAL_MS = 0.03
@@ -49,9 +51,9 @@
         rng = random.Random(self.seed)
         names = list(self.rates)
         floor = OPEN / (len(names) + 1) if self.fair else 0.0
-        ledger = Ledger(OPEN, {name: Claim(floor) for name in names}, RECALL_MS)
-        rounds = Rounds(dict.fromkeys(names, 1.0), QUANTUM_MS)
-        delays = {name: Delay() for name in names}
+        ledger = ResourceLedger(OPEN, {name: ResourceShare(floor) for name in names}, RECALL_MS)
+        rounds = DeficitRoundRobin(dict.fromkeys(names, 1.0), QUANTUM_MS)
+        delays = {name: QueueDelayLimit() for name in names}
         tallies = {name: Tally() for name in names}
         queues: dict[str, list[float]] = {name: [] for name in names}
         order = itertools.count()
@@ -70,18 +72,18 @@
                 if comes:
                     queues[name].append(at)
                     first.append(name)
-                    rounds.ready(name)
+                    rounds.add_work(name)
                 else:
-                    ledger.give(at, name, 1.0)
+                    ledger.release(name, 1.0)
             if not any(queues.values()):
                 continue
             name = (rounds.next() or "") if self.fair else first.pop(0)
             came = queues[name].pop(0)
             tally = tallies[name]
             tally.asked += 1
-            shed = self.fair and delays[name].refuse(now, now - came)
-            taken = Taken.NO if shed else ledger.take(now, name, 1.0)
-            served = taken in (Taken.OWN, Taken.LENT)
+            shed = self.fair and delays[name].must_reject(now, now - came)
+            taken = Grant.DENIED if shed else ledger.acquire(now, name, 1.0)
+            served = taken in (Grant.GUARANTEED, Grant.BORROWED)
             cost = rng.uniform(*TURN_MS) if served else REFUSAL_MS
             now += cost
             if served:
@@ -89,14 +91,14 @@
                 heapq.heappush(events, (now + rng.expovariate(1.0 / HOLD_MS), next(order), name, False))
             else:
                 tally.refused += 1
-                if taken is Taken.RECALLED:
-                    ledger.forget(name)  # its client is told to come back; the recall stands
+                if taken is Grant.RECALLED:
+                    ledger.stop_waiting(name)  # its client is told to come back; the recall stands
             if not queues[name]:
-                delays[name].empty(now)
+                delays[name].note_empty(now)
             if self.fair:
-                rounds.spent(name, cost, bool(queues[name]))
+                rounds.charge(name, cost, bool(queues[name]))
             else:
-                rounds.waiting.discard(name)
+                rounds.has_work.discard(name)
         return tallies
 
 
