--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -85,7 +85,7 @@
         shared = operator.pipeline if operator is not None else None  # connections to servers
         self.servers = self.backend(shared)
         self.counter = (
-            Counter(loop, config.counter, made.counter_timeout_ms / 1000.0, config.budget.links)
+            Counter(loop, config.counter, made.counter_timeout_ms / 1000.0, config.budget.counter_connections)
             if config.counter
             else None
         )
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -11,7 +11,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from glenchute.policy.connections.client_slots import MOST_LINKS
+from glenchute.policy.connections.descriptor_budget import MAX_COUNTER_CONNECTIONS
 from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2 as resp
 
@@ -19,7 +19,7 @@
 MOST_TOTAL = 1e12
 # Connections. Answers on one come in the order of its calls, so a call that a crowded part of the counter is
 # slow to take up holds back the answers of the others behind it, and a spoilt answer ends them all.
-LINKS = MOST_LINKS  # unless the descriptors are few
+LINKS = MAX_COUNTER_CONNECTIONS  # unless the descriptors are few
 PING_S = 3.0  # the counter closes what has stood idle for about 10 s
 SILENT_S = 1.5  # an answer this late means a peer that vanished; the connection is opened anew
 CONNECT_S = 0.5
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -9,7 +9,7 @@
 from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import News
 from glenchute.listeners.resp2.commands import Bounds, bounds
-from glenchute.policy.connections.client_slots import Budget, budget
+from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
 from glenchute.simulator import SCOPES, num, settings
@@ -40,7 +40,7 @@
     counter: tuple[str, int] | None
     seed: int
     sockets: int
-    budget: Budget  # the parts of these
+    budget: DescriptorBudget  # the parts of these
     known: News | None
     passed: int | None  # the descriptor of the clients' listening socket, where the platform holds that
     settings: Settings
@@ -86,7 +86,7 @@
         raise ListError(f"{sockets} sockets are too few")
     memory_mb = num(part(raw, "limits").get("memory_mb"), 192.0)
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
-    parts = budget(sockets, bool(operations))
+    parts = divide_descriptors(sockets, bool(operations))
     return Config(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
         listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
@@ -105,7 +105,7 @@
             connect_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
             idle_s=max(0.5, num(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
             grace_s=num(safety.get("drain_grace_ms"), 250.0) / 1000.0,
-            connections=parts.servers,
+            connections=parts.server_connections,
             long_values=max(4, int(memory_mb * 1e6 * LONG_SHARE / LONG_COST)),
         ),
         bounds=bounds(raw["settings"]),
--- a/glenchute/listeners/resp2/clients.py
+++ b/glenchute/listeners/resp2/clients.py
@@ -19,7 +19,14 @@
 
 from glenchute.core.gateway import Gateway, Live
 from glenchute.core.types import Answer, Refused, Served, Source, Streamed
-from glenchute.policy.connections.client_slots import Budget, Close, Places, Reason, State
+from glenchute.policy.connections.client_slots import (
+    ABORT_REASONS,
+    CloseConnection,
+    CloseReason,
+    ConnectionSlots,
+    ConnectionState,
+)
+from glenchute.policy.connections.descriptor_budget import DescriptorBudget
 from glenchute.policy.lifecycle.draining import Lifecycle
 from glenchute.protocol import resp2 as resp
 
@@ -203,7 +210,7 @@
         look = self.listener.looks.pop(self, None)
         if look is not None:
             look.cancel()
-        self.listener.places.left(self)
+        self.listener.places.remove(self)
         self.listener.left_unread.discard(self)
         self.drop_all()
 
@@ -212,7 +219,7 @@
         a client that reads nothing would else keep its place, and have its requests sent on."""
         self.closing = True
         self.drop_all()
-        self.be(State.STUCK)
+        self.be(ConnectionState.WRITE_BLOCKED)
 
     def drop_all(self) -> None:
         """Nobody waits for the replies that are due."""
@@ -257,7 +264,7 @@
                 left -= 1
                 self.spoke = True
                 if self.partial:
-                    self.be(State.BUSY)  # that command has ended; the next has its own time
+                    self.be(ConnectionState.ACTIVE)  # that command has ended; the next has its own time
                 self.command(words)
         except resp.ProtocolError as error:
             self.broken(error)
@@ -317,7 +324,7 @@
         if not self.listener.life.takes(now):
             slot.reply = resp.busy(0.0)
             return
-        self.listener.places.request(now, self)
+        self.listener.places.on_request(now, self)
         self.listener.open_ids.add(call.request_id)
         slot.request_id = call.request_id
         self.listener.taken += 1
@@ -419,24 +426,24 @@
         self.closing = True
         self.slots[0].source = None
         if self.transport is not None and not self.transport.is_closing():
-            self.be(State.STUCK)  # its time, should the client not read them
+            self.be(ConnectionState.WRITE_BLOCKED)  # its time, should the client not read them
             self.transport.close()
 
     def settle(self) -> None:
         """Tells what the connection is doing now."""
         if self.full or (self.closing and self.transport is not None and self.transport.is_closing()):
-            self.be(State.STUCK)  # also when some has been read: the rest has no other time
+            self.be(ConnectionState.WRITE_BLOCKED)  # also when some has been read: the rest has no other time
         elif self.slots or self.closing:
-            self.be(State.BUSY)
+            self.be(ConnectionState.ACTIVE)
         elif self.parser.rest():
-            self.be(State.PARTIAL)
+            self.be(ConnectionState.PARTIAL_COMMAND)
         else:
-            self.be(State.BARE if self.spoke else State.FRESH)
+            self.be(ConnectionState.IDLE_UNUSED if self.spoke else ConnectionState.AWAITING_COMMAND)
 
-    def be(self, state: State) -> None:
+    def be(self, state: ConnectionState) -> None:
         """Enters a state, if it is another."""
-        self.partial = state is State.PARTIAL
-        self.listener.places.changed(self.listener.loop.time(), self, state)
+        self.partial = state is ConnectionState.PARTIAL_COMMAND
+        self.listener.places.set_state(self.listener.loop.time(), self, state)
 
     def leave(self) -> None:
         """All is written. Closing with bytes unread, or on its way, would reset the connection, and what was
@@ -448,14 +455,15 @@
         self.leaving = True
         self.parser = resp.Parser()
         if self.full:
-            self.be(State.STUCK)
+            self.be(ConnectionState.WRITE_BLOCKED)
             self.transport.close()
         elif self.transport.get_write_buffer_size():
-            self.be(State.STUCK)  # the time to close runs for those that have got their replies
+            # The time to close runs for those that have got their replies.
+            self.be(ConnectionState.WRITE_BLOCKED)
             self.throttle()
             self.transport.write_eof()
         else:
-            self.be(State.LEAVING)
+            self.be(ConnectionState.LINGERING)
             self.throttle()
             self.transport.write_eof()
 
@@ -496,19 +504,19 @@
         self.closing = True
         self.flush()
 
-    def end(self, reason: Reason) -> bool:
+    def end(self, reason: CloseReason) -> bool:
         """Ends as `Places` says; False where bytes have come that may be a command, or one has and waits for
         its turn."""
         if self.transport is None:
             return True
-        if reason in (Reason.STUCK, Reason.LINGERED, Reason.FLOOD):
+        if reason in ABORT_REASONS:
             self.transport.abort()
-        elif reason is Reason.FULL:
+        elif reason is CloseReason.NO_SLOT:
             self.broken(resp.ProtocolError("too many connections"))
-        elif self.waiting or (reason is not Reason.PARTIAL and self.readable()):
-            self.listener.places.revived(self.listener.loop.time(), self)
+        elif self.waiting or (reason is not CloseReason.PARTIAL_COMMAND and self.readable()):
+            self.listener.places.revive(self.listener.loop.time(), self)
             return False
-        elif reason is Reason.PARTIAL:
+        elif reason is CloseReason.PARTIAL_COMMAND:
             self.broken(resp.ProtocolError("the end of a command did not come"))
         else:
             self.finish()
@@ -516,10 +524,10 @@
 
     def part(self, since: float) -> None:
         """Closes a connection that has stood idle since that time or longer, unless a command is coming."""
-        place = self.listener.places.all.get(self)
+        place = self.listener.places.slots.get(self)
         if place is None or self.slots or self.closing or self.parser.rest():
             return
-        if place.since <= since and not self.readable():
+        if place.state_entered_s <= since and not self.readable():
             self.finish()
 
 
@@ -527,14 +535,16 @@
     """Accepts clients, up to a number, and ends those whose time is up."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, gateway: Gateway, catalogue: Catalogue, made: Budget
+        self, loop: asyncio.AbstractEventLoop, gateway: Gateway, catalogue: Catalogue, made: DescriptorBudget
     ) -> None:  # fmt: skip
         """`made`: the parts of the process's descriptors, of which clients have theirs."""
         self.loop = loop
         self.gateway = gateway
         self.catalogue = catalogue
         self.budget = made
-        self.places: Places[Client] = Places(made.clients, made.requesting, made.spare)
+        self.places: ConnectionSlots[Client] = ConnectionSlots(
+            made.client_connections, made.requesting_connections, made.overflow_connections
+        )
         self.open_ids: set[bytes] = set()
         self.release = False  # an unfinished read may be given up for the finished replies behind it
         self.ends = Ends()
@@ -548,12 +558,12 @@
         self.looker: asyncio.TimerHandle | None = None
         self.life = Lifecycle(catalogue.bounds.wait_ms / 1000.0)
         self.parter: asyncio.TimerHandle | None = None
-        self.sweeper = loop.call_later(self.places.next_check(), self.sweep)
+        self.sweeper = loop.call_later(self.places.next_sweep_s(), self.sweep)
 
     @property
     def clients(self) -> KeysView[Client]:
         """All connections."""
-        return self.places.all.keys()
+        return self.places.slots.keys()
 
     def book(self, client: Client) -> None:
         """A turn for a connection that has commands left, after those that wait for one already."""
@@ -630,11 +640,11 @@
         """A new connection."""
         now = self.loop.time()
         self.accepted += 1
-        closes = self.places.accepted(now, client)
+        closes = self.places.add(now, client)
         while not all([self.carry_out(close) for close in closes]):
-            closes = self.places.room(now, client)  # who was to make room has a command waiting
+            closes = self.places.evict_excess(now, client)  # who was to make room has a command waiting
 
-    def carry_out(self, close: Close[Client]) -> bool:
+    def carry_out(self, close: CloseConnection[Client]) -> bool:
         """Ends a connection; False where it stays after all. A fault of ours costs this one its clean
         end, and the others nothing."""
         try:
@@ -648,25 +658,27 @@
     def sweep(self) -> None:
         """Ends connections whose time is up."""
         now = self.loop.time()
-        for close in self.places.expired(now):
+        for close in self.places.close_expired(now):
             self.carry_out(close)
         if now - self.said[1] >= REPORT_S:
             self.report(now)
-        self.sweeper = self.loop.call_later(self.places.next_check(), self.sweep)
+        self.sweeper = self.loop.call_later(self.places.next_sweep_s(), self.sweep)
 
     def report(self, now: float) -> None:
         """Tells how many came, and why connections were ended, unless that is what was said last."""
-        ends = " ".join(f"{reason.value}={n}" for reason, n in self.places.closed.items() if n)
+        ends = " ".join(f"{reason.value}={n}" for reason, n in self.places.closed_counts.items() if n)
         line = f"accepted={self.accepted} requests={self.taken} closed: {ends or 'none'}"
         if line != self.said[0]:
-            log.info("clients: held=%d requesting=%d %s", len(self.places), self.places.requesting, line)
+            log.info(
+                "clients: held=%d requesting=%d %s", len(self.places), self.places.requesting_count, line
+            )
         self.said = line, now
 
     def share(self, share: float) -> None:
         """From now on this process keeps to so much of the gateway's places; what is held over that goes as
         new connections come."""
-        self.places.most = max(1, int(self.budget.clients * share))
-        self.places.most_requesting = max(1, int(self.budget.requesting * share))
+        self.places.max_connections = max(1, int(self.budget.client_connections * share))
+        self.places.max_requesting = max(1, int(self.budget.requesting_connections * share))
 
     def parts(self) -> bool:
         """Whether connections close behind their last reply."""
--- a/glenchute/policy/connections/client_slots.py
+++ b/glenchute/policy/connections/client_slots.py
@@ -1,21 +1,21 @@
-"""Which client connections keep their places, for how long, and who makes room when none is free.
+"""Client connection slots: how long an idle client connection is kept, and which is evicted for a new one.
 
-A gateway has places for so many connections, and clients may hold a part of them for requests. A connection
-between requests holds a place for nothing but the chance of its next request, so the time that it may do so
-follows from what is free: generous while places are plentiful, falling smoothly to nothing as they run out.
-Who goes first follows from what a connection has carried and how it came back, not from when it last said
-something: a ping is no merit.
+A listener has a fixed number of slots. The time that a connection may stay idle shrinks smoothly with the
+fraction of free slots, to zero when none is left. Eviction ranks connections by what they have carried: those
+without any request first, then those that sent one request, then reused ones by their expected idle time. A
+PING earns nothing.
 
-`Places` is told of each connection's comings, goings and changes of state, and says which to end. It does no
-I/O and knows no clock but the one handed in; times are seconds, and never go back. Each event costs O(1): a
-connection stands in one queue, by what it is doing, and every queue is in the order of its deadlines.
+`ConnectionSlots` receives each connection's events and returns the connections to close. It does no I/O; time
+is an argument, in seconds of a monotonic clock. Each event costs O(1): a connection stands in one queue, by
+state, and each queue is ordered by the time at which its connections entered the state.
 
-Guarantees, each with a property test:
+Invariants, each with a property test:
 
-- No more than ``most`` connections are held besides those that are being left, and ``most + spare`` in all.
-- A connection with a request open, or on which a request may be arriving, is never named to be closed.
-- One that has come back after its answer outlives every one that asked once and is idle for as long.
-- A newcomer is not turned out before ``FIRST_COMMAND_S``.
+- At most ``max_connections`` connections are not lingering, and at most ``max_connections + max_overflow``
+  exist.
+- A connection with a request in flight, or whose next command may be arriving, is never closed.
+- A connection that was reused after a response outlives one with a single request that is idle for as long.
+- A new connection is not evicted before ``MIN_FIRST_COMMAND_S``.
 """
 
 from __future__ import annotations
@@ -27,303 +27,327 @@
 
 from ..record import record
 
-IDLE_S = 5.0  # what a connection between requests is allowed with every place free
-ONCE_POWER = 3  # one that never came back loses its allowance by this power of the free share, others by 1
-SILENT_S = 2.0  # a newcomer has this long for its first command with every place free ...
-FIRST_COMMAND_S = 0.1  # ... and this long with none free: a round trip and some delay
-PARTIAL_S = 2.4  # the end of a command that has begun is awaited this long: a true client may take 2 s
-STUCK_S = 30.0  # a client that leaves its replies unread is cut off after this
-LINGER_S = 0.5  # the other end has this long to read its last reply and close, while what it sends is dropped
-GAP_WEIGHT = 0.3  # of the newest pause between two requests in a connection's mean pause
-BUCKETS = 14  # of mean pauses, each twice as long as the one before; the last from 4 s on
-CHECK_S = (0.02, 0.1)  # how often `expired` wants to be asked, under pressure and at ease
-
-# Descriptors that a process has for itself: 3 streams, 11 of the loop and the look for ends (one is held
-# back, to turn clients away when there are none left), a listener, 3 calls to discovery, 2 files, 2 to spare.
-OWN = 22
-OPERATED = 9  # ... and the second address with its callers, where the platform names one
-SPARE = 16  # connections past the limit, at most, while they are told so or are being left
-LEAST_LINKS, MOST_LINKS = 2, 12  # to the counter, at few descriptors and at many
+MAX_IDLE_S = 5.0  # between requests, with every slot free
+UNPROVEN_EXPONENT = 3  # of the free fraction, for connections that were never reused; others: 1
+MAX_FIRST_COMMAND_S = 2.0  # until the first command is complete, with every slot free
+MIN_FIRST_COMMAND_S = 0.1  # the same, with no slot free: a round trip and some delay
+PARTIAL_COMMAND_TIMEOUT_S = 2.4  # a slow client may take 2 s to complete a command
+WRITE_BLOCKED_TIMEOUT_S = 30.0
+LINGER_TIMEOUT_S = 0.5  # from the shutdown of the write side to the peer's close; input is discarded
+GAP_SMOOTHING = 0.3  # weight of the newest idle gap in a connection's exponential moving average
+GAP_BUCKETS = 14  # each twice as wide as the one before; the last begins at 4 s
+SWEEP_INTERVAL_S = 0.1
+PRESSURED_SWEEP_INTERVAL_S = 0.02
+PRESSURED_FREE_FRACTION = 0.5
 
 Key = TypeVar("Key", bound=Hashable)
 
 
-class State(Enum):
-    """What a connection is doing."""
+class ConnectionState(Enum):
+    """What a client connection is doing."""
 
-    FRESH = "fresh"  # no whole command has come yet
-    BARE = "bare"  # idle; has carried no request, only pings and errors
-    ONCE = "once"  # idle after its first request, or its first burst of them
-    REUSED = "reused"  # idle; has come back with a request after its answer
-    PARTIAL = "partial"  # a command has begun, and nothing else is open
-    BUSY = "busy"  # requests are open, whose own deadlines bound the wait
-    STUCK = "stuck"  # does not read its replies
-    LEAVING = "leaving"  # all is written and the own side is shut
+    AWAITING_COMMAND = "fresh"  # no complete command has been received yet
+    IDLE_UNUSED = "bare"  # idle; has carried no request, only PINGs and errors
+    IDLE_USED_ONCE = "once"  # idle after its first request or pipelined batch
+    IDLE_REUSED = "reused"  # idle; has sent a request after a response
+    PARTIAL_COMMAND = "partial"  # a command has begun, and no request is in flight
+    ACTIVE = "busy"  # requests are in flight; their deadlines bound the wait
+    WRITE_BLOCKED = "stuck"  # the client does not read its replies
+    LINGERING = "leaving"  # all replies are written and the write side is shut down
 
 
-IDLE = (State.BARE, State.ONCE, State.REUSED)
+IDLE_STATES = (ConnectionState.IDLE_UNUSED, ConnectionState.IDLE_USED_ONCE, ConnectionState.IDLE_REUSED)
 
 
-class Reason(Enum):
-    """Why a connection is to end."""
+class CloseReason(Enum):
+    """Why a connection is closed. The values appear in the log."""
 
     IDLE = "idle"  # between requests for longer than is allowed now
-    SILENT = "silent"  # never sent a whole command
-    PARTIAL = "partial"  # the end of a command did not come
-    STUCK = "stuck"  # did not read its replies
-    LINGERED = "lingered"  # was left, and the other end did not close in time
-    ROOM = "room"  # makes room for a newcomer
-    FULL = "full"  # a newcomer for whom there is no room
-    FLOOD = "flood"  # a newcomer, or one being left, past the spare places too
+    NO_COMMAND = "silent"  # the first command did not complete in time
+    PARTIAL_COMMAND = "partial"  # a later command did not complete in time
+    WRITE_BLOCKED = "stuck"  # the client did not read its replies
+    LINGER_TIMEOUT = "lingered"  # the peer did not close in time
+    EVICTED = "room"  # gives its slot to a new connection
+    NO_SLOT = "full"  # a new connection, with nothing to evict
+    OVERFLOW = "flood"  # too many connections are lingering
+
+
+# The connection is aborted and its record dropped at once, instead of lingering.
+ABORT_REASONS = (CloseReason.WRITE_BLOCKED, CloseReason.LINGER_TIMEOUT, CloseReason.OVERFLOW)
 
 
 @record(frozen=True, slots=True)
-class Close(Generic[Key]):
-    """End this connection. After IDLE, SILENT, ROOM, PARTIAL and FULL `Places` counts it as LEAVING, to be
-    closed cleanly; after STUCK, LINGERED and FLOOD it is forgotten, to be cut off."""
+class CloseConnection(Generic[Key]):
+    """Close this connection: abort it for one of `ABORT_REASONS`, otherwise shut it down gracefully; its slot
+    then counts as LINGERING until `ConnectionSlots.remove`."""
 
     key: Key
-    reason: Reason
+    reason: CloseReason
 
 
 @record(slots=True)
-class Place(Generic[Key]):
-    """One connection's record."""
+class ClientSlot(Generic[Key]):
+    """The record of one connection."""
 
     key: Key
-    state: State
-    since: float  # when it entered its state
-    carried: bool = False  # a request has been taken on it
-    rested: float | None = None  # when its last answer had gone, while no request has come since
-    reuses: int = 0  # requests that came after an idle time
-    gap: float = 0.0  # mean idle time before such a request
-    bucket: int = 0  # of the mean gap, while REUSED
+    state: ConnectionState
+    state_entered_s: float
+    has_carried_request: bool = False
+    idle_since_s: float | None = (
+        None  # when its last response had been written; None from the next request on
+    )
+    reuse_count: int = 0  # requests that came after an idle gap
+    mean_gap_s: float = 0.0  # moving average of the idle gaps before such requests
+    gap_bucket: int = 0  # of `mean_gap_s`, while IDLE_REUSED
 
 
-def bucket(gap: float) -> int:
-    """The bucket of a mean pause: 0 below 1 ms, n from 2^(n-1) ms on."""
-    return min(BUCKETS - 1, int(gap * 1000.0).bit_length())
+def idle_gap_bucket(gap_s: float) -> int:
+    """The bucket of a mean idle gap: 0 below 1 ms, n from 2^(n-1) ms on."""
+    return min(GAP_BUCKETS - 1, int(gap_s * 1000.0).bit_length())
 
 
-@record(frozen=True, slots=True)
-class Budget:
-    """What each part of a process may hold of its descriptors."""
-
-    clients: int
-    requesting: int  # of these, for requests: a third of all descriptors, as the platform's clients have it
-    spare: int  # of clients that are told that there is no room, or are being left
-    servers: int
-    links: int  # to the counter
-
-
-def budget(sockets: int, operated: bool = False) -> Budget:
-    """The parts of so many descriptors, which with `OWN` are never more than that: what clients hold, however
-    idle, leaves the rest of the process its own. Where there are many, clients get half and servers three
-    tenths; where that leaves too few for the others, the two share what is left, three to one: a connection
-    to a server is free again with its answer, a client's place is held from its first byte to its end."""
-    links = min(MOST_LINKS, max(LEAST_LINKS, sockets // 16))
-    spare = min(SPARE, sockets // 16)
-    left = max(2, sockets - OWN - OPERATED * operated - links - spare)
-    clients = max(1, min(sockets // 2, left * 3 // 4))
-    servers = max(1, min(sockets * 3 // 10, left - clients))
-    return Budget(clients, sockets // 3, spare, servers, links)
-
-
-class Places(Generic[Key]):
-    """The places of one listener.
-
-    `most`: connections held at once. `requesting`: of these, how many may have carried a request before
-    none of them may stand idle (the platform's clients hold a third of the descriptors for requests).
-    `spare`: connections past `most` that may exist while they are told so or are being left.
+class ConnectionSlots(Generic[Key]):
+    """The connection slots of one listener.
+
+    `max_connections`: connections that are not lingering. `max_requesting`: of these, how many may have
+    carried a request before no idle one is tolerated. `max_overflow`: connections beyond `max_connections`
+    that may exist while they are rejected or lingering. Raises `ValueError` where there would be no slot.
     """
 
-    def __init__(self, most: int, requesting: int, spare: int) -> None:
-        if most < 1 or requesting < 1 or spare < 0:
-            raise ValueError("a listener needs places")
-        self.most, self.most_requesting, self.spare = most, requesting, spare
-        self.all: dict[Key, Place[Key]] = {}
-        self.requesting = 0  # that have carried a request and are not being left
+    def __init__(self, max_connections: int, max_requesting: int, max_overflow: int) -> None:
+        if max_connections < 1 or max_requesting < 1 or max_overflow < 0:
+            raise ValueError("a listener needs connection slots")
+        self.max_connections = max_connections
+        self.max_requesting = max_requesting
+        self.max_overflow = max_overflow
+        self.slots: dict[Key, ClientSlot[Key]] = {}
+        self.requesting_count = 0  # slots that have carried a request and are not lingering
         # OrderedDict, not dict: taking many first entries from a dict is quadratic.
-        self.queues: dict[State, OrderedDict[Key, Place[Key]]] = {s: OrderedDict() for s in State}
-        self.reused: list[OrderedDict[Key, Place[Key]]] = [OrderedDict() for _ in range(BUCKETS)]
-        self.closed: dict[Reason, int] = dict.fromkeys(Reason, 0)  # for the operators
-
-    # --- what is allowed ---------------------------------------------------------------------------------
-
-    def held(self) -> int:
-        """Connections that are not being left."""
-        return len(self.all) - len(self.queues[State.LEAVING])
-
-    def free(self) -> float:
-        """The free share of all places, 0 to 1."""
-        return max(0.0, 1.0 - self.held() / self.most)
-
-    def free_requesting(self) -> float:
-        """The free share of the places for requests, 0 to 1. Connections that never carried one don't count
-        against it: they make room first, so that a crowd of them costs those that ask nothing."""
-        return max(0.0, 1.0 - self.requesting / min(self.most, self.most_requesting))
-
-    def allowance(self, place: Place[Key]) -> float:
-        """Seconds that a connection in this state may go on in it, as places are now. inf: no limit here."""
-        match place.state:
-            case State.FRESH:
-                return FIRST_COMMAND_S + (SILENT_S - FIRST_COMMAND_S) * self.free()
-            case State.BARE:
-                return IDLE_S * float(self.free() ** ONCE_POWER)
-            case State.ONCE:
-                return IDLE_S * float(self.free_requesting() ** ONCE_POWER)
-            case State.REUSED:
-                # One that comes back every few ms will do so within a moment or has no more to ask: the time
-                # to its next request is thought to be its mean pause and what it has waited already.
-                free = self.free_requesting()
-                return max(IDLE_S * float(free**ONCE_POWER), IDLE_S * free - place.gap)
-            case State.PARTIAL:
-                return PARTIAL_S
-            case State.STUCK:
-                return STUCK_S
-            case State.LEAVING:
-                return LINGER_S
-            case State.BUSY:
+        self.slots_by_state: dict[ConnectionState, OrderedDict[Key, ClientSlot[Key]]] = {
+            state: OrderedDict() for state in ConnectionState
+        }
+        self.reused_by_gap: list[OrderedDict[Key, ClientSlot[Key]]] = [
+            OrderedDict() for _ in range(GAP_BUCKETS)
+        ]
+        self.closed_counts: dict[CloseReason, int] = dict.fromkeys(CloseReason, 0)
+
+    # --- limits ------------------------------------------------------------------------------------------
+
+    def connected_count(self) -> int:
+        """Connections that are not lingering."""
+        return len(self.slots) - len(self.slots_by_state[ConnectionState.LINGERING])
+
+    def free_fraction(self) -> float:
+        """The free fraction of all slots, 0 to 1."""
+        return max(0.0, 1.0 - self.connected_count() / self.max_connections)
+
+    def free_requesting_fraction(self) -> float:
+        """The free fraction of the slots for requests, 0 to 1.
+
+        Connections without a request don't count: they are evicted first, so many of them must not shorten
+        the idle time of those that send requests.
+        """
+        return max(0.0, 1.0 - self.requesting_count / min(self.max_connections, self.max_requesting))
+
+    def allowance_s(self, slot: ClientSlot[Key]) -> float:
+        """Seconds that a connection may remain in its state at the present load; inf: not limited here."""
+        match slot.state:
+            case ConnectionState.AWAITING_COMMAND:
+                adjustable_s = MAX_FIRST_COMMAND_S - MIN_FIRST_COMMAND_S
+                return MIN_FIRST_COMMAND_S + adjustable_s * self.free_fraction()
+            case ConnectionState.IDLE_UNUSED:
+                return MAX_IDLE_S * float(self.free_fraction() ** UNPROVEN_EXPONENT)
+            case ConnectionState.IDLE_USED_ONCE:
+                return MAX_IDLE_S * float(self.free_requesting_fraction() ** UNPROVEN_EXPONENT)
+            case ConnectionState.IDLE_REUSED:
+                # The expected time to the next request is the mean gap plus the time idle so far: a
+                # connection that is used every few ms and has been quiet for a second has probably finished.
+                free = self.free_requesting_fraction()
+                return max(MAX_IDLE_S * float(free**UNPROVEN_EXPONENT), MAX_IDLE_S * free - slot.mean_gap_s)
+            case ConnectionState.PARTIAL_COMMAND:
+                return PARTIAL_COMMAND_TIMEOUT_S
+            case ConnectionState.WRITE_BLOCKED:
+                return WRITE_BLOCKED_TIMEOUT_S
+            case ConnectionState.LINGERING:
+                return LINGER_TIMEOUT_S
+            case ConnectionState.ACTIVE:
                 return float("inf")
 
     # --- events ------------------------------------------------------------------------------------------
 
-    def accepted(self, now: float, key: Key) -> list[Close[Key]]:
-        """A new connection. Tells who makes room for it, or that it finds none itself."""
-        if key in self.all:
+    def add(self, now: float, key: Key) -> list[CloseConnection[Key]]:
+        """A connection was accepted. Returns what is closed for it, itself where nothing else can be.
+
+        Raises `ValueError` where `key` has a slot already.
+        """
+        if key in self.slots:
             raise ValueError("accepted twice")
-        self.enter(now, Place(key, State.FRESH, now), State.FRESH)
-        return self.room(now, key)
+        state = ConnectionState.AWAITING_COMMAND
+        self._enter_state(now, ClientSlot(key, state, now), state)
+        return self.evict_excess(now, key)
+
+    def evict_excess(self, now: float, newcomer: Key) -> list[CloseConnection[Key]]:
+        """Closes connections until the limits hold, `newcomer` where nothing else can be evicted.
 
-    def room(self, now: float, newcomer: Key) -> list[Close[Key]]:
-        """Brings the places back to their number, at the newcomer's cost if nobody can go for it. To be asked
-        again where a connection that was to make room was `revived`."""
+        To be called again where an evicted connection was revived.
+        """
         closes = []
-        while self.held() > self.most:
-            victim = self.victim(now)
+        while self.connected_count() > self.max_connections:
+            victim = self._choose_eviction(now)
             if victim is None:
-                closes.append(self.close(now, self.all[newcomer], Reason.FULL))
+                closes.append(self._close(now, self.slots[newcomer], CloseReason.NO_SLOT))
                 break
-            closes.append(self.close(now, victim, Reason.ROOM))
-        while len(self.all) > self.most + self.spare and self.queues[State.LEAVING]:
-            closes.append(self.close(now, self.first(State.LEAVING), Reason.FLOOD))
+            closes.append(self._close(now, victim, CloseReason.EVICTED))
+        lingering = self.slots_by_state[ConnectionState.LINGERING]
+        while len(self.slots) > self.max_connections + self.max_overflow and lingering:
+            closes.append(self._close(now, self._oldest(ConnectionState.LINGERING), CloseReason.OVERFLOW))
         return closes
 
-    def request(self, now: float, key: Key) -> None:
-        """A request was taken on the connection."""
-        place = self.all[key]
-        if place.state is State.LEAVING:
-            raise ValueError("a request on a connection that is being left")
-        if place.rested is not None:
-            pause = now - place.rested
-            place.gap += (GAP_WEIGHT if place.reuses else 1.0) * (pause - place.gap)
-            place.reuses += 1
-            place.rested = None
-        if not place.carried:
-            place.carried = True
-            self.requesting += 1
-        self.enter(now, place, State.BUSY)
-
-    def changed(self, now: float, key: Key, state: State) -> None:
-        """The connection does something else now. For BARE, ONCE and REUSED any of the three may be given:
-        which it is follows from what it carried. Entering the state it is in renews nothing."""
-        place = self.all.get(key)
-        if place is None or place.state is State.LEAVING:
+    def on_request(self, now: float, key: Key) -> None:
+        """A request was accepted on the connection. Raises `ValueError` where it is lingering."""
+        slot = self.slots[key]
+        if slot.state is ConnectionState.LINGERING:
+            raise ValueError("a request on a connection that is closing")
+        if slot.idle_since_s is not None:
+            gap_s = now - slot.idle_since_s
+            slot.mean_gap_s += (GAP_SMOOTHING if slot.reuse_count else 1.0) * (gap_s - slot.mean_gap_s)
+            slot.reuse_count += 1
+            slot.idle_since_s = None
+        if not slot.has_carried_request:
+            slot.has_carried_request = True
+            self.requesting_count += 1
+        self._enter_state(now, slot, ConnectionState.ACTIVE)
+
+    def set_state(self, now: float, key: Key, state: ConnectionState) -> None:
+        """The connection's state has changed. Any of `IDLE_STATES` stands for all three: the slot's history
+        tells which applies. Reporting the current state again does not restart its time."""
+        slot = self.slots.get(key)
+        if slot is None or slot.state is ConnectionState.LINGERING:
             return
-        if state in IDLE:
-            if place.carried and place.rested is None:
-                place.rested = now
-            state = State.REUSED if place.reuses else State.ONCE if place.carried else State.BARE
-        if state is not place.state:
-            self.enter(now, place, state)
-
-    def left(self, key: Key) -> None:
-        """The connection is closed."""
-        place = self.all.pop(key, None)
-        if place is not None:
-            self.queue(place).pop(key, None)
-            if place.carried and place.state is not State.LEAVING:
-                self.requesting -= 1
-
-    def revived(self, now: float, key: Key) -> None:
-        """A connection named to be closed turned out to have bytes waiting to be read: it stays, as BUSY,
-        until the bytes have been looked at."""
-        place = self.all.get(key)
-        if place is not None and place.state is State.LEAVING:
-            self.enter(now, place, State.BUSY)
-
-    def expired(self, now: float) -> list[Close[Key]]:
-        """Connections whose time in their state is up. The longest shot goes first, and each that goes
-        lengthens the time that the others are allowed, so that no more go than the pressure asks for."""
+        if state in IDLE_STATES:
+            if slot.has_carried_request and slot.idle_since_s is None:
+                slot.idle_since_s = now
+            state = self._idle_state(slot)
+        if state is not slot.state:
+            self._enter_state(now, slot, state)
+
+    def remove(self, key: Key) -> None:
+        """The connection is closed; unknown keys are ignored."""
+        slot = self.slots.pop(key, None)
+        if slot is not None:
+            self._queue_of(slot).pop(key, None)
+            if slot.has_carried_request and slot.state is not ConnectionState.LINGERING:
+                self.requesting_count -= 1
+
+    def revive(self, now: float, key: Key) -> None:
+        """A connection that was to be closed turned out to have unread input: it stays, as ACTIVE, until the
+        input has been parsed."""
+        slot = self.slots.get(key)
+        if slot is not None and slot.state is ConnectionState.LINGERING:
+            self._enter_state(now, slot, ConnectionState.ACTIVE)
+
+    def close_expired(self, now: float) -> list[CloseConnection[Key]]:
+        """Closes the connections that have outstayed their allowance.
+
+        The least likely to be used again go first, and each close lengthens the allowance of the rest, so
+        that no more are closed than the load requires.
+        """
         closes = []
         for state, reason in (
-            (State.LEAVING, Reason.LINGERED),
-            (State.STUCK, Reason.STUCK),
-            (State.PARTIAL, Reason.PARTIAL),
-            (State.FRESH, Reason.SILENT),
-            (State.BARE, Reason.IDLE),
-            (State.ONCE, Reason.IDLE),
+            (ConnectionState.LINGERING, CloseReason.LINGER_TIMEOUT),
+            (ConnectionState.WRITE_BLOCKED, CloseReason.WRITE_BLOCKED),
+            (ConnectionState.PARTIAL_COMMAND, CloseReason.PARTIAL_COMMAND),
+            (ConnectionState.AWAITING_COMMAND, CloseReason.NO_COMMAND),
+            (ConnectionState.IDLE_UNUSED, CloseReason.IDLE),
+            (ConnectionState.IDLE_USED_ONCE, CloseReason.IDLE),
         ):
-            queue = self.queues[state]
-            while queue and self.over(now, self.first(state)):
-                closes.append(self.close(now, self.first(state), reason))
-        while (place := self.idlest(now, 0.0)) is not None:
-            closes.append(self.close(now, place, Reason.IDLE))
+            queue = self.slots_by_state[state]
+            while queue and self._is_expired(now, self._oldest(state)):
+                closes.append(self._close(now, self._oldest(state), reason))
+        while (slot := self._longest_idle_reused(now, min_overdue_s=0.0)) is not None:
+            closes.append(self._close(now, slot, CloseReason.IDLE))
         return closes
 
-    def next_check(self) -> float:
-        """Seconds after which `expired` wants to be asked again."""
-        return CHECK_S[0] if min(self.free(), self.free_requesting()) < 0.5 else CHECK_S[1]
-
-    # --- inside ------------------------------------------------------------------------------------------
-
-    def over(self, now: float, place: Place[Key]) -> bool:
-        """Whether its time is up."""
-        return now - place.since > self.allowance(place)
-
-    def first(self, state: State) -> Place[Key]:
-        """The one that has been in this state for longest."""
-        return next(iter(self.queues[state].values()))
-
-    def idlest(self, now: float, late: float = -float("inf")) -> Place[Key] | None:
-        """Of those that came back, the one whose next request is thought to be farthest: its usual pause, and
-        what it has waited in vain. `late`: only of those that are over their allowance by more than this."""
-        heads = [next(iter(queue.values())) for queue in self.reused if queue]
-        heads = [place for place in heads if now - place.since - self.allowance(place) > late]
-        return max(heads, key=lambda place: place.gap + now - place.since, default=None)
-
-    def victim(self, now: float) -> Place[Key] | None:
-        """Who makes room: those that never asked, in the order of their coming, then those that did."""
-        for state, least in ((State.BARE, 0.0), (State.FRESH, FIRST_COMMAND_S), (State.ONCE, 0.0)):
-            if self.queues[state] and now - self.first(state).since >= least:
-                return self.first(state)
-        return self.idlest(now)
-
-    def close(self, now: float, place: Place[Key], reason: Reason) -> Close[Key]:
-        """Books an end."""
-        self.closed[reason] += 1
-        if reason in (Reason.STUCK, Reason.LINGERED, Reason.FLOOD):
-            self.left(place.key)
+    def next_sweep_s(self) -> float:
+        """Seconds after which `close_expired` is to be called again."""
+        if min(self.free_fraction(), self.free_requesting_fraction()) < PRESSURED_FREE_FRACTION:
+            return PRESSURED_SWEEP_INTERVAL_S
+        return SWEEP_INTERVAL_S
+
+    # --- internals ---------------------------------------------------------------------------------------
+
+    @staticmethod
+    def _idle_state(slot: ClientSlot[Key]) -> ConnectionState:
+        """The idle state that fits the slot's history."""
+        if slot.reuse_count:
+            return ConnectionState.IDLE_REUSED
+        if slot.has_carried_request:
+            return ConnectionState.IDLE_USED_ONCE
+        return ConnectionState.IDLE_UNUSED
+
+    def _is_expired(self, now: float, slot: ClientSlot[Key]) -> bool:
+        """Whether the slot has outstayed its allowance."""
+        return now - slot.state_entered_s > self.allowance_s(slot)
+
+    def _oldest(self, state: ConnectionState) -> ClientSlot[Key]:
+        """The slot that has been in this state for longest; the queue must not be empty."""
+        return next(iter(self.slots_by_state[state].values()))
+
+    def _longest_idle_reused(
+        self, now: float, min_overdue_s: float = -float("inf")
+    ) -> ClientSlot[Key] | None:
+        """The reused idle slot with the longest expected time to its next request: mean gap plus idle time.
+
+        Only slots that are past their allowance by more than `min_overdue_s` are considered.
+        """
+        heads = [next(iter(queue.values())) for queue in self.reused_by_gap if queue]
+        heads = [
+            slot for slot in heads if now - slot.state_entered_s - self.allowance_s(slot) > min_overdue_s
+        ]
+        return max(heads, key=lambda slot: slot.mean_gap_s + now - slot.state_entered_s, default=None)
+
+    def _choose_eviction(self, now: float) -> ClientSlot[Key] | None:
+        """The slot to evict: the oldest without a request, then with one, then the reused one that is
+        expected to stay idle for longest; None where all are in use."""
+        for state, min_age_s in (
+            (ConnectionState.IDLE_UNUSED, 0.0),
+            (ConnectionState.AWAITING_COMMAND, MIN_FIRST_COMMAND_S),
+            (ConnectionState.IDLE_USED_ONCE, 0.0),
+        ):
+            if self.slots_by_state[state] and now - self._oldest(state).state_entered_s >= min_age_s:
+                return self._oldest(state)
+        return self._longest_idle_reused(now)
+
+    def _close(self, now: float, slot: ClientSlot[Key], reason: CloseReason) -> CloseConnection[Key]:
+        """Counts a close and drops the slot or lets it linger."""
+        self.closed_counts[reason] += 1
+        if reason in ABORT_REASONS:
+            self.remove(slot.key)
         else:
-            self.enter(now, place, State.LEAVING)
-        return Close(place.key, reason)
-
-    def queue(self, place: Place[Key]) -> OrderedDict[Key, Place[Key]]:
-        """Where its state puts it."""
-        return self.reused[place.bucket] if place.state is State.REUSED else self.queues[place.state]
-
-    def enter(self, now: float, place: Place[Key], state: State) -> None:
-        """Goes to the end of the state's queue, so that each queue is in the order of `since`."""
-        self.queue(place).pop(place.key, None)
-        if place.carried:
-            self.requesting += (state is not State.LEAVING) - (place.state is not State.LEAVING)
-        place.state, place.since = state, now
-        place.bucket = bucket(place.gap) if state is State.REUSED else 0
-        self.queue(place)[place.key] = place
-        self.all[place.key] = place
+            self._enter_state(now, slot, ConnectionState.LINGERING)
+        return CloseConnection(slot.key, reason)
+
+    def _queue_of(self, slot: ClientSlot[Key]) -> OrderedDict[Key, ClientSlot[Key]]:
+        """The queue in which the slot stands."""
+        if slot.state is ConnectionState.IDLE_REUSED:
+            return self.reused_by_gap[slot.gap_bucket]
+        return self.slots_by_state[slot.state]
+
+    def _enter_state(self, now: float, slot: ClientSlot[Key], state: ConnectionState) -> None:
+        """Moves the slot to the end of the state's queue, which keeps queues ordered by `state_entered_s`."""
+        self._queue_of(slot).pop(slot.key, None)
+        if slot.has_carried_request:
+            was_lingering = slot.state is ConnectionState.LINGERING
+            is_lingering = state is ConnectionState.LINGERING
+            self.requesting_count += was_lingering - is_lingering
+        slot.state, slot.state_entered_s = state, now
+        is_reused = state is ConnectionState.IDLE_REUSED
+        slot.gap_bucket = idle_gap_bucket(slot.mean_gap_s) if is_reused else 0
+        self._queue_of(slot)[slot.key] = slot
+        self.slots[slot.key] = slot
 
     def __iter__(self) -> Iterator[Key]:
-        return iter(list(self.all))
+        return iter(list(self.slots))
 
     def __len__(self) -> int:
-        return len(self.all)
+        return len(self.slots)
--- a/glenchute/upstreams/connection_pool.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -14,7 +14,7 @@
 
 from glenchute.core.types import About, Address, Result, Source
 from glenchute.policy.connections.hedged_connects import Budget, Usual
-from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import Outcome
 from glenchute.policy.record import record
 from glenchute.protocol import resp2 as resp
@@ -419,7 +419,7 @@
         self.coming: set[Connection] = set()  # that are coming up, and not yet in their pools
         self.beside = 0  # of these and all before: opened beside a late one
         self.usual = Usual(limits.connect_s)
-        self.turns: Turns[LongAnswer] = Turns(limits.long_values)
+        self.turns: StreamReadPermits[LongAnswer] = StreamReadPermits(limits.long_values)
         self.sweeper = loop.call_later(SWEEP_S, self.sweep)
 
     def pool(self, server: str, address: Address) -> Pool:
@@ -493,7 +493,7 @@
     def share(self, share: float) -> None:
         """From now on this process keeps to so much of the gateway's connections and memory."""
         self.part = share
-        self.turns.most = max(1, int(self.limits.long_values * share))
+        self.turns.max_readers = max(1, int(self.limits.long_values * share))
 
     def most(self) -> float:
         """Connections that this process may have now."""
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from glenchute.core.types import Sink
-from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import Outcome
 from glenchute.protocol.streamed_reply import LongReply
 
@@ -38,7 +38,7 @@
     def __init__(self, conn: Connection, attempt: Attempt, reply: LongReply) -> None:
         self.conn, self.attempt, self.reply = conn, attempt, reply
         self.length = reply.length
-        self.turns: Turns[LongAnswer] = conn.pool.servers.turns
+        self.turns: StreamReadPermits[LongAnswer] = conn.pool.servers.turns
         self.sink: Sink | None = None
         self.held: list[bytes] = []  # until the client's turn
         self.begun = self.failed = self.dropped = self.over = False
@@ -74,7 +74,7 @@
             return
         if self.full or self.sink is None:
             return
-        if self.turns.got(self):
+        if self.turns.rotate_after_chunk(self):
             self.wait(SILENT_S, self.conn.spoilt)
         else:
             self.hush()
@@ -148,7 +148,7 @@
 
     def stuck(self) -> None:
         """The client has read nothing for a while: it makes room if others wait for what it holds."""
-        if self.turns.waiting:
+        if self.turns.waiters:
             self.conn.spoilt()
         else:
             self.wait(STUCK_S, self.stuck)
@@ -163,7 +163,7 @@
 
     def ask(self) -> None:
         """Reads on, as soon as it may."""
-        if self.turns.ask(self):
+        if self.turns.acquire(self):
             self.listen()
             self.wait(SILENT_S, self.conn.spoilt)
         else:
@@ -171,7 +171,7 @@
 
     def wake(self) -> None:
         """Whoever has the next turn reads on."""
-        while (other := self.turns.next()) is not None:
+        while (other := self.turns.grant_next()) is not None:
             other.ask()
 
     def hush(self) -> None:
@@ -208,5 +208,5 @@
         if self.end is not None:
             self.end.cancel()
             self.end = None
-        self.turns.left(self)
+        self.turns.release(self)
         self.wake()
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -20,8 +20,8 @@
 from glenchute.listeners.resp2 import clients as clients_module
 from glenchute.listeners.resp2.clients import MOST_PENDING
 from glenchute.policy.actions import Action
-from glenchute.policy.connections import client_slots as places_module
-from glenchute.policy.connections.client_slots import FIRST_COMMAND_S
+from glenchute.policy.connections import client_slots
+from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Event, Outcome, Request
 from glenchute.upstreams import connection_pool as servers_module
@@ -194,23 +194,24 @@
             assert await idle.ended()
             assert len(one.program.gateway.live) == 1  # whose client is still there
 
-    for name in ("SILENT_S", "PARTIAL_S", "IDLE_S"):
-        monkeypatch.setattr(places_module, name, 0.2)
+    for name in ("MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
+        monkeypatch.setattr(client_slots, name, 0.2)
     play(scenario())
 
 
 def test_past_the_limit_those_that_never_asked_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(places_module, "IDLE_S", 1000.0)  # room is made at need only ...
-    monkeypatch.setattr(places_module, "CHECK_S", (1000.0, 1000.0))  # ... and by no sweep before that
+    monkeypatch.setattr(client_slots, "MAX_IDLE_S", 1000.0)  # room is made at need only ...
+    for name in ("SWEEP_INTERVAL_S", "PRESSURED_SWEEP_INTERVAL_S"):
+        monkeypatch.setattr(client_slots, name, 1000.0)  # ... and by no sweep before that
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
-            one.program.listener.places.most = 2
+            one.program.listener.places.max_connections = 2
             asked = await one.client()
             assert await asked.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             silent = await one.client()
             await until(lambda: len(one.program.listener.clients) == 2)
-            await asyncio.sleep(2.0 * FIRST_COMMAND_S)  # clearly past: the loop's clock is coarse
+            await asyncio.sleep(2.0 * MIN_FIRST_COMMAND_S)  # clearly past: the loop's clock is coarse
             pinging = await one.client()
             assert await pinging.ask(b"PING") == b"PONG"
             assert await silent.ended()
@@ -321,7 +322,7 @@
 def test_past_the_limit_an_idle_connection_makes_room() -> None:
     async def scenario() -> None:
         async with site(always(None), sockets=64) as one:
-            one.program.listener.places.most = 2
+            one.program.listener.places.max_connections = 2
             busy, idle = await one.client(), await one.client()
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -9,8 +9,8 @@
 import pytest
 
 from glenchute.listeners.resp2 import clients
-from glenchute.policy.connections import client_slots as places_module
-from glenchute.policy.connections.client_slots import IDLE_S, Reason
+from glenchute.policy.connections import client_slots
+from glenchute.policy.connections.client_slots import MAX_IDLE_S, CloseReason
 from glenchute.policy.events import Request
 from glenchute.protocol import resp2 as resp
 from tests.loopback import (
@@ -31,7 +31,7 @@
 SOCKETS = 96  # descriptors: 46 places, of which clients hold 32 at most for requests
 RATE = 100.0  # one-time requests a second
 ASKERS = 150
-PATIENCE_S = IDLE_S / 2.0  # how long a client waits for its answer: who waits for a kept place gets none
+PATIENCE_S = MAX_IDLE_S / 2.0  # how long a client waits for its answer: who waits for a kept place gets none
 
 
 class Crowd:
@@ -164,8 +164,8 @@
             # One that is reused every few ms is worth keeping: nearly none is turned out.
             assert crowd.reopened <= 0.05 * crowd.usual[0], (crowd.reopened, crowd.usual)
             places = one.program.listener.places
-            assert crowd.most_held <= places.most + places.spare
-            assert places.closed[Reason.IDLE] > 0
+            assert crowd.most_held <= places.max_connections + places.max_overflow
+            assert places.closed_counts[CloseReason.IDLE] > 0
 
     play(scenario())
 
@@ -198,7 +198,7 @@
             assert await loop.run_in_executor(None, client.recv, 100) in (b"+PONG\r\n", b"$5\r\nvalue\r\n")
             taken = len(script.of(Request))
             await asyncio.sleep(0.01)
-            monkeypatch.setattr(places_module, "IDLE_S", 0.0)
+            monkeypatch.setattr(client_slots, "MAX_IDLE_S", 0.0)
             if sent_before:
                 client.sendall(ASK)
                 listener.sweep()
@@ -220,7 +220,7 @@
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             listener = one.program.listener
-            listener.places.most = 1
+            listener.places.max_connections = 1
             loop = asyncio.get_running_loop()
             asked = raw(one.port)
             asked.sendall(FIRST)
@@ -241,9 +241,9 @@
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             client = raw(one.port)
             await until(lambda: one.program.listener.clients)
-            monkeypatch.setattr(places_module, "SILENT_S", 0.0)
-            monkeypatch.setattr(places_module, "FIRST_COMMAND_S", 0.0)
-            monkeypatch.setattr(places_module, "LINGER_S", 0.1)
+            monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
+            monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
+            monkeypatch.setattr(client_slots, "LINGER_TIMEOUT_S", 0.1)
             await until(lambda: not one.program.listener.clients)
             assert client.recv(1) == b""
             client.close()
@@ -263,14 +263,14 @@
             await until(lambda: len(listener.clients) == 2)
             first = next(iter(listener.clients))
 
-            def end(client: clients.Client, reason: Reason) -> bool:
+            def end(client: clients.Client, reason: CloseReason) -> bool:
                 if client is first:
                     raise RuntimeError("a fault")
                 return sound(client, reason)
 
             monkeypatch.setattr(clients.Client, "end", end)
-            monkeypatch.setattr(places_module, "SILENT_S", 0.0)
-            monkeypatch.setattr(places_module, "FIRST_COMMAND_S", 0.0)
+            monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
+            monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             assert all([await client.ended() for client in silent])
             await until(lambda: first.transport is None)
             last = await one.client()
--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -14,7 +14,12 @@
 from glenchute.clients import counter
 from glenchute.config.platform import build
 from glenchute.core.types import Result
-from glenchute.policy.connections.client_slots import OPERATED, OWN, Budget, budget
+from glenchute.policy.connections.descriptor_budget import (
+    OPERATIONS_DESCRIPTORS,
+    PROCESS_DESCRIPTORS,
+    DescriptorBudget,
+    divide_descriptors,
+)
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import Outcome
 from glenchute.upstreams import connection_pool as resp2
@@ -47,16 +52,36 @@
 @pytest.mark.parametrize("sockets", [64, 65, 96, 127, 192, 224, 256, 1024, 4096])
 @pytest.mark.parametrize("operated", [False, True])
 def test_the_parts_of_the_descriptors_fit_into_them(sockets: int, operated: bool) -> None:
-    made = budget(sockets, operated)
-    assert OWN + OPERATED * operated + made.clients + made.spare + made.servers + made.links <= sockets
-    assert min(made.clients, made.servers, made.links, made.spare) >= 2
-    assert made.clients >= made.servers
+    made = divide_descriptors(sockets, operated)
+    assert (
+        PROCESS_DESCRIPTORS
+        + OPERATIONS_DESCRIPTORS * operated
+        + made.client_connections
+        + made.overflow_connections
+        + made.server_connections
+        + made.counter_connections
+        <= sockets
+    )
+    assert (
+        min(
+            made.client_connections,
+            made.server_connections,
+            made.counter_connections,
+            made.overflow_connections,
+        )
+        >= 2
+    )
+    assert made.client_connections >= made.server_connections
 
 
 @pytest.mark.parametrize("sockets", [320, 1024, 4096])
 def test_many_descriptors_give_clients_half_and_servers_three_tenths(sockets: int) -> None:
-    made = budget(sockets)
-    assert (made.clients, made.requesting, made.servers) == (sockets // 2, sockets // 3, sockets * 3 // 10)
+    made = divide_descriptors(sockets)
+    assert (made.client_connections, made.requesting_connections, made.server_connections) == (
+        sockets // 2,
+        sockets // 3,
+        sockets * 3 // 10,
+    )
 
 
 def test_the_parts_of_a_process_are_those_that_its_configuration_has() -> None:
@@ -65,17 +90,26 @@
     raw["limits"]["sockets"] = 96
     for more in ({}, {"operator": "127.0.0.1:9"}):
         made = build(raw | more, {})
-        assert made.budget == budget(96, bool(more)) and made.limits.connections == made.budget.servers
-    parts = Budget(clients=7, requesting=5, spare=1, servers=9, links=3)
+        assert (
+            made.budget == divide_descriptors(96, bool(more))
+            and made.limits.connections == made.budget.server_connections
+        )
+    parts = DescriptorBudget(
+        client_connections=7,
+        requesting_connections=5,
+        overflow_connections=1,
+        server_connections=9,
+        counter_connections=3,
+    )
 
     async def scenario() -> None:
         async with site(always(SERVED), budget=parts) as one:
             listener, links = one.program.listener, one.program.counter
             places = listener.places
-            assert (places.most, places.most_requesting, places.spare) == (7, 5, 1)
+            assert (places.max_connections, places.max_requesting, places.max_overflow) == (7, 5, 1)
             assert links is not None and len(links.links) == 3
             listener.share(0.5)
-            assert (places.most, places.most_requesting) == (3, 2)
+            assert (places.max_connections, places.max_requesting) == (3, 2)
 
     play(scenario())
 
@@ -187,8 +221,8 @@
     async def fill(self) -> None:
         """So many requests open that their connections to the servers, which stay, are all that those are
         given; then idle clients past the last place."""
-        made = budget(self.sockets)
-        many = min(24, made.servers)
+        made = divide_descriptors(self.sockets)
+        many = min(24, made.server_connections)
         clients = [await Client.connect(self.gateway.port) for _ in range(many)]
         for number, client in enumerate(clients):
             client.send(b"CALL.GET", b"%016x" % (7000 + number), next(self.ids), GET)
@@ -197,8 +231,11 @@
         for client in clients:
             assert await client.reply() == b"value"
             client.writer.close()
-        self.crowd = [asyncio.create_task(self.idle()) for _ in range(made.clients + made.spare + 8)]
-        await until(lambda: self.turned_away >= made.spare)
+        self.crowd = [
+            asyncio.create_task(self.idle())
+            for _ in range(made.client_connections + made.overflow_connections + 8)
+        ]
+        await until(lambda: self.turned_away >= made.overflow_connections)
 
     async def ask(self) -> Any:
         """A request on a connection of its own, made again where there was no room; its reply."""
@@ -244,7 +281,9 @@
                 quiet = quiet + 1 if held.drained() == before else 0
                 assert loop.time() - could_be_reached < TOLD_S + 1.0, "the drain was not heard"
             assert held.most <= sockets - LEFT
-            assert len(held.counter.writers) >= budget(sockets).links  # none went without one for good
+            assert (
+                len(held.counter.writers) >= divide_descriptors(sockets).counter_connections
+            )  # none went without one for good
             await back.stop()
 
     play(scenario())
@@ -284,7 +323,7 @@
             await asyncio.sleep(max(counter.BACKOFF_S[1], pacing.BACKOFF_S[1]) + 0.2)  # all have tried
             assert not [peer for peer in peers if peer.writers]
             resource.prlimit(held.pid, resource.RLIMIT_NOFILE, (128, 128))
-            await until(lambda: len(held.counter.writers) >= budget(128).links)
+            await until(lambda: len(held.counter.writers) >= divide_descriptors(128).counter_connections)
             await until(lambda: len(held.down.targets) > asked)
             while await held.ask() != b"value":
                 pass
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -29,8 +29,8 @@
 )
 from glenchute.listeners.resp2.clients import Client as Connection
 from glenchute.policy.actions import Action, StartAttempt
-from glenchute.policy.connections import client_slots as places
-from glenchute.policy.connections.client_slots import Reason
+from glenchute.policy.connections import client_slots
+from glenchute.policy.connections.client_slots import CloseReason
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.policy.lifecycle import draining as lifecycle
@@ -443,7 +443,7 @@
 def test_replies_in_our_buffer_are_not_cut_off_by_the_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
     """A slow reader asks for its connection's end behind replies that wait in our buffer: the time in which a
     client has to close runs for those that have got all."""
-    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_S", 0.05)
+    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         value = b"v" * 60000
@@ -918,7 +918,7 @@
 ) -> None:
     """The transport waits for its buffer to empty, and the peer never reads: the place is given up all the
     same, and the descriptor with it."""
-    for name in ("IDLE_S", "STUCK_S"):
+    for name in ("MAX_IDLE_S", "WRITE_BLOCKED_TIMEOUT_S"):
         monkeypatch.setattr(f"glenchute.policy.connections.client_slots.{name}", 0.2)
 
     async def scenario() -> None:
@@ -941,7 +941,7 @@
             await scene(one, script, sock, held)
             async with asyncio.timeout(20.0):
                 await until(lambda: not one.program.listener.clients and held.transport is None)
-            assert one.program.listener.places.closed[Reason.STUCK] == 1
+            assert one.program.listener.places.closed_counts[CloseReason.WRITE_BLOCKED] == 1
             sock.close()
 
     play(scenario())
@@ -1150,9 +1150,9 @@
 
 def test_a_command_that_waits_for_its_turn_keeps_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """However long the others' turns take: it has come whole, and its client is not late."""
-    for name in ("FIRST_COMMAND_S", "SILENT_S", "PARTIAL_S", "IDLE_S"):
-        monkeypatch.setattr(places, name, 0.01)
-    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[Reason]()
+    for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
+        monkeypatch.setattr(client_slots, name, 0.01)
+    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[CloseReason]()
 
     def later(self: clients.Listener) -> None:
         if held:
@@ -1160,7 +1160,7 @@
         else:
             turn(self)
 
-    def told(self: Connection, reason: Reason) -> bool:
+    def told(self: Connection, reason: CloseReason) -> bool:
         reasons.append(reason)
         return end(self, reason)
 
--- a/tests/upstreams/test_long_values.py
+++ b/tests/upstreams/test_long_values.py
@@ -17,7 +17,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from glenchute.policy.actions import Action, StartAttempt
-from glenchute.policy.connections.streaming_turns import Turns
+from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import AttemptEnded, Event, Outcome, Request, ResponseStarted
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.streamed_reply import MAX_LONG, LongReply
@@ -136,7 +136,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.turns: Turns[int] = Turns(3)
+        self.turns: StreamReadPermits[int] = StreamReadPermits(3)
         self.serial = 0
         self.moves: dict[int, int] = {}  # pieces that others got since this one began to wait
         self.reads: set[int] = set()
@@ -144,7 +144,7 @@
     @rule()
     def asks(self) -> None:
         self.serial += 1
-        if self.turns.ask(self.serial):
+        if self.turns.acquire(self.serial):
             self.reads.add(self.serial)
         else:
             self.moves[self.serial] = 0
@@ -154,7 +154,7 @@
     def got(self, pick: int) -> None:
         key = sorted(self.reads)[pick % len(self.reads)]
         ahead = len(self.moves)
-        if not self.turns.got(key):
+        if not self.turns.rotate_after_chunk(key):
             assert ahead, "nobody waits, and yet it may not go on"
             self.reads.discard(key)
             self.moves[key] = 0
@@ -165,21 +165,21 @@
     def ends(self, pick: int) -> None:
         keys = sorted(self.reads | set(self.moves))
         key = keys[pick % len(keys)]
-        self.turns.left(key)
+        self.turns.release(key)
         self.reads.discard(key)
         self.moves.pop(key, None)
         self.wake()
 
     def wake(self) -> None:
-        while (key := self.turns.next()) is not None:
+        while (key := self.turns.grant_next()) is not None:
             assert key == next(iter(self.moves)), "not the one that has waited for longest"
             del self.moves[key]
             self.reads.add(key)
 
     @invariant()
     def bounded_and_busy(self) -> None:
-        assert set(self.turns.reading) == self.reads and len(self.reads) <= 3
-        assert list(self.turns.waiting) == list(self.moves)
+        assert set(self.turns.readers) == self.reads and len(self.reads) <= 3
+        assert list(self.turns.waiters) == list(self.moves)
         assert not self.moves or len(self.reads) == 3, "a place is free and somebody waits"
 
 
@@ -426,7 +426,7 @@
             return head(size) + value + TAIL
 
         async with serving(answer) as (one, script):
-            one.program.servers.turns.most = 1
+            one.program.servers.turns.max_readers = 1
             ids = numbered()
             narrow = socket.socket()
             narrow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # or the machine takes it all
