--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -1,4 +1,7 @@
-"""The platform's file: what DEPLOY tells a gateway, read from the JSON that EDGE_CONFIG names."""
+"""The platform's configuration: the JSON file that EDGE_CONFIG names, with single variables as a fallback.
+
+The platform's field names are mapped here and in `policy_settings`, nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import News
 from glenchute.listeners.resp2.commands import Bounds, bounds
-from glenchute.policy.connections.client_slots import Budget, budget
+from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
 from glenchute.upstreams.connection_pool import Limits
@@ -17,12 +20,20 @@
 from .facts import ClassFacts, PlatformFacts
 from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
 
-OPERATOR_FILE_VARIABLE = "GLENCHUTE_OPERATOR"  # the variable that names the operator's file
-
-
-MAX_GATEWAYS = 1_000_000  # a gateway's number is under this, or is none
-STREAMING_MEMORY_FRACTION = 0.25  # of the memory that long values may take on their way through
-STREAM_BYTES = 192 * 1024  # bytes of one: what waits for the client, and what comes in one read
+OPERATOR_FILE_VARIABLE = "GLENCHUTE_OPERATOR"
+MAX_GATEWAYS = 1_000_000  # gateways are numbered from 0 to below this
+MIN_DESCRIPTORS = 64
+DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 192.0
+MIN_STREAMED_VALUES = 4
+STREAMING_MEMORY_FRACTION = 0.25  # of the memory, for long values on their way through
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+DEFAULT_DRAIN_GRACE_MS = 250.0
+DEFAULT_DEADLINE_MS = 60_000.0
+STREAM_BYTES = 192 * 1024  # of one such value: what waits for the client, and what comes in one read
+IDLE_MARGIN_S = 2.0  # connections are given up this long before the servers close them as idle
+MIN_IDLE_S = 0.5
 
 
 class ConfigError(Exception):
@@ -31,27 +42,29 @@
 
 @record(frozen=True, slots=True)
 class PlatformConfig:
-    """What the platform tells a gateway."""
+    """What the platform tells a gateway.
+
+    operations_address: the second address, which the platform calls `operator`
+    max_descriptors: of the process; `budget` divides them
+    cached_endpoints: the endpoint list from before the start
+    passed_descriptor: of the clients' listening socket, where the platform holds that socket
+    gateway_number: of this gateway among `settings.gateway_count`; None where the platform does not say
+    stated_number: the number that the platform gave, though it may not be below `settings.gateway_count`
+    """
 
     name: str
     listen: tuple[str, int]
-    operations_address: tuple[str, int] | None  # the second address; the platform's name for it is `operator`
+    operations_address: tuple[str, int] | None
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
     max_descriptors: int
-    budget: Budget  # the parts of these
+    budget: DescriptorBudget
     cached_endpoints: News | None
-    passed_descriptor: (
-        int | None
-    )  # the descriptor of the clients' listening socket, where the platform holds that
+    passed_descriptor: int | None
     settings: Settings
-    gateway_number: (
-        int | None
-    )  # of this gateway among `settings.gateways`; None where the platform does not say
-    stated_number: (
-        int | None
-    )  # the number that the platform gave, though it may not be one of `settings.gateways`
+    gateway_number: int | None
+    stated_number: int | None
     limits: Limits
     request_bounds: Bounds
     facts: PlatformFacts
@@ -76,40 +89,48 @@
 
 
 def build(raw: dict[str, Any], environ: dict[str, str]) -> PlatformConfig:
-    """The parts of the configuration, checked."""
-    made = policy_settings(raw["settings"])
-    if not made.classes or not made.plans:
+    """The parts of the configuration, checked. ValueError, TypeError, AttributeError or KeyError where one is
+    wrong."""
+    settings = policy_settings(raw["settings"])
+    if not settings.classes or not settings.plans:
         raise ListError("the settings name no classes or no plans")
-    limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
-    sockets = int(number(table(raw, "limits").get("sockets"), 1024))
-    if sockets < 64:
-        raise ListError(f"{sockets} sockets are too few")
-    memory_mb = number(table(raw, "limits").get("memory_mb"), 192.0)
+    descriptors = int(number(table(raw, "limits").get("sockets"), DEFAULT_DESCRIPTORS))
+    if descriptors < MIN_DESCRIPTORS:
+        raise ListError(f"{descriptors} sockets are too few")
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
-    parts = budget(sockets, bool(operations))
+    budget = divide_descriptors(descriptors, bool(operations))
     return PlatformConfig(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
         listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
         operations_address=address(operations) if operations else None,
         discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and made.has_counter else None,
+        counter=address(raw["counter"]) if raw.get("counter") and settings.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
-        max_descriptors=sockets,
-        budget=parts,
+        max_descriptors=descriptors,
+        budget=budget,
         cached_endpoints=read_list(raw["known"], saved=True) if raw.get("known") else None,
         passed_descriptor=descriptor(environ.get("EDGE_PASSED_SOCKET")),
-        settings=made,
-        gateway_number=gateway_number(raw["settings"].get("me"), made.gateway_count),
+        settings=settings,
+        gateway_number=gateway_number(raw["settings"].get("me"), settings.gateway_count),
         stated_number=gateway_number(raw["settings"].get("me"), MAX_GATEWAYS),
-        limits=Limits(
-            connect_s=number(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
-            idle_s=max(0.5, number(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
-            grace_s=number(safety.get("drain_grace_ms"), 250.0) / 1000.0,
-            connections=parts.servers,
-            long_values=max(4, int(memory_mb * 1e6 * STREAMING_MEMORY_FRACTION / STREAM_BYTES)),
-        ),
+        limits=connection_limits(raw, budget),
         request_bounds=bounds(raw["settings"]),
-        facts=facts(made, raw["settings"]),
+        facts=platform_facts(settings, raw["settings"]),
+    )
+
+
+def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> Limits:
+    """The limits of connections to servers."""
+    limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
+    memory_mb = number(table(raw, "limits").get("memory_mb"), DEFAULT_MEMORY_MB)
+    streamed_values = int(memory_mb * 1e6 * STREAMING_MEMORY_FRACTION / STREAM_BYTES)
+    server_idle_s = number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS) / 1000.0
+    return Limits(
+        connect_s=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS) / 1000.0,
+        idle_s=max(MIN_IDLE_S, server_idle_s - IDLE_MARGIN_S),
+        grace_s=number(safety.get("drain_grace_ms"), DEFAULT_DRAIN_GRACE_MS) / 1000.0,
+        connections=budget.server_connections,
+        long_values=max(MIN_STREAMED_VALUES, streamed_values),
     )
 
 
@@ -119,7 +140,7 @@
 
 
 def descriptor(text: str | None) -> int | None:
-    """A descriptor's number, in decimal."""
+    """A descriptor's number, in decimal; None where the variable is not set."""
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 6:
@@ -152,25 +173,26 @@
     return found
 
 
-def facts(made: Settings, raw: dict[str, Any]) -> PlatformFacts:
+def platform_facts(settings: Settings, raw: dict[str, Any]) -> PlatformFacts:
     """What the rules of the operator's file need to know. The raw settings still tell an unknown group from a
-    known one, which the interface reads as the narrowest."""
+    known one; the engine's settings read an unknown one as the narrowest."""
     rows = {str(row.get("name")): row for row in raw["profiles"] if isinstance(row, dict)}
     classes = {
         cls.name: ClassFacts(
             idempotency=cls.idempotency,
-            deadline_ms=number(rows[cls.name].get("hard_limit_ms")) or 60_000.0,
+            deadline_ms=number(rows[cls.name].get("hard_limit_ms")) or DEFAULT_DEADLINE_MS,
             idempotency_window_ms=cls.idempotency_window_ms,
             is_scope_known=str(rows[cls.name].get("group")) in IDEMPOTENCY_SCOPES,
         )
-        for cls in made.classes
+        for cls in settings.classes
     }
+    limits = table(raw, "limits")
     return PlatformFacts(
         classes=classes,
-        plans=tuple(plan.name for plan in made.plans),
-        max_attempts=made.max_attempts,
-        allows_hedging=made.allows_hedging,
-        connect_timeout_ms=number(table(raw, "limits").get("connect_timeout_ms"), 250.0),
-        max_streams=int(number(table(raw, "limits").get("max_streams"))),
-        idle_timeout_ms=number(table(raw, "limits").get("conn_idle_ms"), 15_000.0),
+        plans=tuple(plan.name for plan in settings.plans),
+        max_attempts=settings.max_attempts,
+        allows_hedging=settings.allows_hedging,
+        connect_timeout_ms=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS),
+        max_streams=int(number(limits.get("max_streams"))),
+        idle_timeout_ms=number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS),
     )
