--- a/glenchute/config/fronts.py
+++ b/glenchute/config/extproc_shape.py
@@ -1,5 +1,7 @@
-"""The shape of the operator's file where it names fronts. What it means is checked in a module of its own
-(`extproc.py`), which is imported only for a file that names that front."""
+"""The shape of `[fronts.extproc]` in the operator's file.
+
+What it means is checked in `extproc.py`, which is imported only for a file that has this table.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +12,8 @@
 FILE = String("[^\\x00-\\x1f]{1,400}", "the path of a file")
 HEADER = String("[!#$%&'*+.^_`|~0-9a-z-]{1,100}", "the name of a header in small letters")
 NAMED = String("[^\\x00-\\x1f]{1,100}", "a name")
-MAP = Table(
-    {
-        "class": SOURCE, "account": SOURCE, "plan": SOURCE, "units": SOURCE, "spread": SOURCE, "id": SOURCE,
-        "key": SOURCE, "deadline_ms": SOURCE,
-    },
-    ("account", "plan"),
-)  # fmt: skip
+MAPPED_FIELDS = ("class", "account", "plan", "units", "spread", "id", "key", "deadline_ms")
+MAP = Table(dict.fromkeys(MAPPED_FIELDS, SOURCE), ("account", "plan"))
 OPERATION = Table(
     {
         "class": NAMED,
--- a/glenchute/config/matching.py
+++ b/glenchute/config/matching.py
@@ -1,9 +1,12 @@
-"""Which route of an operator's file binds which kind of request, and which routes stand against each other.
+"""Which route of an operator's file binds which kind of request, and which routes contradict each other.
+
+The most specific route that matches a class and plan binds it: the one that names most of class, plan and
+command. Two routes of equal rank that match the same request are an error.
 
 Cost, in steps: without the platform's file a route takes one for each name in its match. With it, one for
 each of its classes times the plans that it names, and one for each class where it names no plan; besides,
-three for each class and plan there are, however many routes. None walks the other routes: sets of routes are
-bits of an int, so that a step over a set is one operation on N / 8 bytes.
+three for each class and plan there are, however many routes. No step walks the other routes: sets of routes
+are the bits of an int, so that an operation on a set takes N / 8 bytes.
 """
 
 from __future__ import annotations
@@ -29,7 +32,7 @@
 
     @property
     def rank(self) -> int:
-        """How specific it is: the number of things that it names."""
+        """How specific it is: how many of class, plan and command it names."""
         return bool(self.classes) + bool(self.plans) + bool(self.commands)
 
     def covers(self, class_name: str, plan: str, command: str) -> bool:
@@ -38,20 +41,21 @@
         return all(not names or name in names for names, name in pairs)
 
 
-def match_fields(one: MatchedRoute) -> tuple[tuple[str, ...], ...]:
-    """What it names, by kind."""
-    return one.classes, one.plans, one.commands
+def match_fields(route: MatchedRoute) -> tuple[tuple[str, ...], ...]:
+    """The names that it matches: classes, plans, commands."""
+    return route.classes, route.plans, route.commands
 
 
 class NameIndex:
-    """The routes by what they name of one kind (class, plan or command), as bits by place."""
+    """The routes by what they name of one kind (class, plan or command), as bits by index."""
 
     def __init__(self) -> None:
-        self.unrestricted = self.all_routes = 0  # that name nothing of this kind; all
+        self.unrestricted = 0  # routes that name nothing of this kind
+        self.all_routes = 0
         self.by_name: dict[str, int] = {}
 
     def add(self, names: tuple[str, ...], bit: int) -> None:
-        """Takes in one more route."""
+        """Adds a route, given as its bit."""
         self.all_routes |= bit
         if not names:
             self.unrestricted |= bit
@@ -59,7 +63,7 @@
             self.by_name[name] = self.by_name.get(name, 0) | bit
 
     def overlapping(self, names: tuple[str, ...]) -> int:
-        """Those that have one of these in common, where no name stands for all."""
+        """The routes that match one of these names; no names stand for all."""
         if not names:
             return self.all_routes
         found = self.unrestricted
@@ -69,15 +73,15 @@
 
 
 def equal_rank_overlaps(routes: Sequence[MatchedRoute]) -> Iterator[tuple[MatchedRoute, MatchedRoute]]:
-    """Routes with the first before them that names equally many things and overlaps in each kind: what can be
-    said without the platform's file."""
+    """Each route with the first one before it that has its rank and overlaps it in each kind: what can be said
+    without the platform's file."""
     kinds = NameIndex(), NameIndex(), NameIndex()
     ranked: dict[int, int] = {}
-    for place, one in enumerate(routes):
+    for index, one in enumerate(routes):
         rank = one.rank
         if not rank:
             continue
-        found, bit = ranked.get(rank, 0), 1 << place
+        found, bit = ranked.get(rank, 0), 1 << index
         for kind, names in zip(kinds, match_fields(one), strict=True):
             found &= kind.overlapping(names)
             kind.add(names, bit)
@@ -87,15 +91,15 @@
 
 
 def lowest_bit(bits: int) -> int:
-    """The place of the first one; `bits` is not 0."""
+    """The index of the lowest bit; `bits` is not 0."""
     return (bits & -bits).bit_length() - 1
 
 
-# Plain tuples, as making a named one takes as long as reading a small file. Of a route: the numbers of its
-# classes and of its plans, each ascending; it matches each of those with each of these.
+# Plain tuples: thousands are made, and named ones cost twice as much. Of a route: the indices of its classes
+# and of its plans, each ascending; it matches each of those with each of these.
 Span = tuple[Sequence[int], Sequence[int]]
-# A route, the first one that names equally many things and matches the same request, and the first such
-# request: class and plan, by number.
+# A route, the first one of its rank that matches the same request, and the first such request: the indices of
+# its class and plan.
 Overlap = tuple[MatchedRoute, MatchedRoute, int, int]
 
 
@@ -104,11 +108,11 @@
 
     def __init__(self, classes: int, plans: int) -> None:
         self.rows: list[list[MatchedRoute | None]] = [[None] * plans for _ in range(classes)]
-        self.unclaimed = [plans] * classes  # in each row, without a route
+        self.unclaimed = [plans] * classes  # entries of each row without a route
 
     def claim(self, one: MatchedRoute, span: Span) -> Overlap | None:
-        """Takes what is free of its span; the first that was not. A row in which nothing is free is not
-        walked, so that each can be walked whole but once."""
+        """Claims what is unclaimed of a route's span; returns the first overlap. A row in which nothing is
+        unclaimed is not walked, so that each is walked completely at most once."""
         clash = None
         classes, plans = span
         if not plans:
@@ -131,8 +135,8 @@
 
 
 class RouteCoverage:
-    """The routes of a file laid over the classes and plans of the platform. A name that the platform doesn't
-    have covers nothing."""
+    """The routes of a file over the classes and plans of the platform. A name that the platform doesn't have
+    covers nothing."""
 
     def __init__(self, routes: Sequence[MatchedRoute], facts: PlatformFacts) -> None:
         self.routes = routes
@@ -148,7 +152,7 @@
         self.route_sets: tuple[list[int], list[int], int, dict[int, int]] | None = None
 
     def span(self, one: MatchedRoute) -> Span:
-        """What it matches."""
+        """The classes and plans that a route matches."""
         classes: Sequence[int] = range(len(self.classes))
         plans: Sequence[int] = range(len(self.plans))
         if one.classes:
@@ -160,23 +164,23 @@
         return classes, plans
 
     def has_known_names(self, one: MatchedRoute) -> bool:
-        """Whether the platform has each class and plan that it names."""
+        """Whether the platform has each class and plan that a route names."""
         return all(name in self.class_index for name in one.classes) and all(
             name in self.plan_index for name in one.plans
         )
 
     def bindings(self) -> Iterator[tuple[str, str, MatchedRoute | None]]:
-        """Each class and plan with the route that names most of those which match; the first of several."""
+        """Each class and plan with the matching route of the highest rank; the first of several."""
         by_rank = [self.claims[rank].rows for rank in RANKS]
         for at, name in enumerate(self.classes):
             most, middle, least = (rows[at] for rows in by_rank)
             for plan, one, two, three in zip(self.plans, most, middle, least, strict=True):
                 yield name, plan, one or two or three
 
-    def shadowing(self, place: int) -> set[str]:
-        """The names of the routes that name more than the one at `place` and match a request of its."""
+    def shadowing(self, index: int) -> set[str]:
+        """The names of the routes of higher rank that match a request which the route at `index` matches."""
         by_class, by_plan, any_plan, higher = self.route_sets = self.route_sets or self.build_route_sets()
-        one, (class_ats, plan_ats) = self.routes[place], self.spans[place]
+        one, (class_ats, plan_ats) = self.routes[index], self.spans[index]
         classes, plans = 0, 0 if one.plans else any_plan
         for at in class_ats:
             classes |= by_class[at]
@@ -189,12 +193,12 @@
         return names
 
     def build_route_sets(self) -> tuple[list[int], list[int], int, dict[int, int]]:
-        """The routes by class, by plan, of any plan, and those above each rank, as bits by place."""
+        """The routes by class, by plan, with any plan, and those above each rank, as bits by index."""
         by_class, by_plan = [0] * len(self.classes), [0] * len(self.plans)
         open_ = any_plan = 0  # that match each plan, that match one at least
         ranked = dict.fromkeys((0, *RANKS), 0)
-        for place, (one, (classes, plans)) in enumerate(zip(self.routes, self.spans, strict=True)):
-            bit = 1 << place
+        for index, (one, (classes, plans)) in enumerate(zip(self.routes, self.spans, strict=True)):
+            bit = 1 << index
             for at in classes:
                 by_class[at] |= bit
             any_plan |= bit if plans else 0
--- a/glenchute/config/operator_shape.py
+++ b/glenchute/config/operator_shape.py
@@ -7,7 +7,7 @@
 from glenchute.policy.events import Outcome
 
 from .fleet import FLEET
-from .fronts import LISTENERS
+from .extproc_shape import LISTENERS
 from .pipeline import MOST_DEPTH, PIPELINE
 from .schema import Boolean, Number, String, Strings, Table, TableArray
 
