--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -24,8 +24,8 @@
     TimeSlices,
 )
 from glenchute.cli.run import LINES_A_TURN, read_again
-from glenchute.config.facts import Facts
-from glenchute.config.operator import Reading
+from glenchute.config.facts import PlatformFacts
+from glenchute.config.operator import ReadResult
 from lab.faults import Fault, Kind, Script
 from lab.nodes import Node, Trade
 from lab.site import GatewayProcess, LabSite
@@ -49,7 +49,9 @@
         self.go = threading.Event()
         patch.setattr(operators, "read", self.read)
 
-    def read(self, path: str, facts: Facts | None, rest: Callable[[], None] | None = None) -> Reading:
+    def read(
+        self, path: str, facts: PlatformFacts | None, rest: Callable[[], None] | None = None
+    ) -> ReadResult:
         reading = self.real(path, facts, rest)
         self.begun += 1
         self.waited &= self.go.wait(20.0)  # False: nobody could let it go, as on the loop
@@ -125,7 +127,7 @@
             assert "error not-toml" in await refused("[[route]\n")
             with monkeypatch.context() as patch:
 
-                def broken(*_: object) -> Reading:
+                def broken(*_: object) -> ReadResult:
                     raise MemoryError("no more")
 
                 patch.setattr(operators, "read", broken)
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -17,6 +17,7 @@
 import hiredis
 import pytest
 
+from glenchute.config.policy_settings import policy_settings
 from glenchute.listeners.resp2 import clients
 from glenchute.listeners.resp2.clients import (
     BUFFERED,
@@ -29,8 +30,8 @@
 )
 from glenchute.listeners.resp2.clients import Client as Connection
 from glenchute.policy.actions import Action, StartAttempt
-from glenchute.policy.connections import client_slots as places
-from glenchute.policy.connections.client_slots import Reason
+from glenchute.policy.connections import client_slots
+from glenchute.policy.connections.client_slots import CloseReason
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.policy.lifecycle import draining as lifecycle
@@ -41,7 +42,6 @@
     ProcessLifecycle,
 )
 from glenchute.protocol import resp2 as resp
-from glenchute.simulator import settings
 from glenchute.upstreams.connection_pool import SETTLE_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
@@ -450,7 +450,7 @@
 def test_replies_in_our_buffer_are_not_cut_off_by_the_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
     """A slow reader asks for its connection's end behind replies that wait in our buffer: the time in which a
     client has to close runs for those that have got all."""
-    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_S", 0.05)
+    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         value = b"v" * 60000
@@ -569,7 +569,7 @@
             await then(writer)
             return None
 
-        heard = Heard(Policy(settings(SETTINGS), 1))
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             client = await one.client()
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
@@ -747,7 +747,7 @@
                 return b""
             return SERVED
 
-        heard = Heard(Policy(settings(SETTINGS), 1))
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await rested(one, 12)
             await asyncio.sleep(2.0 * SETTLE_S)  # before that they are not used again
@@ -925,7 +925,7 @@
 ) -> None:
     """The transport waits for its buffer to empty, and the peer never reads: the place is given up all the
     same, and the descriptor with it."""
-    for name in ("IDLE_S", "STUCK_S"):
+    for name in ("MAX_IDLE_S", "WRITE_BLOCKED_TIMEOUT_S"):
         monkeypatch.setattr(f"glenchute.policy.connections.client_slots.{name}", 0.2)
 
     async def scenario() -> None:
@@ -948,7 +948,7 @@
             await scene(one, script, sock, held)
             async with asyncio.timeout(20.0):
                 await until(lambda: not one.program.listener.clients and held.transport is None)
-            assert one.program.listener.places.closed[Reason.STUCK] == 1
+            assert one.program.listener.places.closed_counts[CloseReason.WRITE_BLOCKED] == 1
             sock.close()
 
     play(scenario())
@@ -1157,9 +1157,9 @@
 
 def test_a_command_that_waits_for_its_turn_keeps_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """However long the others' turns take: it has come whole, and its client is not late."""
-    for name in ("FIRST_COMMAND_S", "SILENT_S", "PARTIAL_S", "IDLE_S"):
-        monkeypatch.setattr(places, name, 0.01)
-    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[Reason]()
+    for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
+        monkeypatch.setattr(client_slots, name, 0.01)
+    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[CloseReason]()
 
     def later(self: clients.Listener) -> None:
         if held:
@@ -1167,7 +1167,7 @@
         else:
             turn(self)
 
-    def told(self: Connection, reason: Reason) -> bool:
+    def told(self: Connection, reason: CloseReason) -> bool:
         reasons.append(reason)
         return end(self, reason)
 
