--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,11 +44,11 @@
 from benchmarks.machine import machine
 from benchmarks.slopes import Measure, Probe, cpu_ms, kib, table
 from glenchute.cli.fleet import table as text_table
-from glenchute.clients.membership.node import Fleet as Node
+from glenchute.clients.membership.node import MemberNode as Node
 from glenchute.config.facts import ClassFacts, Facts
 from glenchute.config.operator import MOST_ROUTES, Operator, Reading, parse
 from glenchute.policy.endpoints.polling import Pacing, Terms
-from glenchute.policy.membership.members import Members, Rules
+from glenchute.policy.membership.members import MemberList, SwimSettings
 from glenchute.policy.retries.route_limits import Routes
 from glenchute.policy.settings import Idempotency
 
@@ -154,8 +154,12 @@
 
 def shown(count: int) -> list[dict[str, Any]]:
     names = [f"gateway-{n:03d}" for n in range(count)]
-    node: Any = SimpleNamespace(loop=SimpleNamespace(time=lambda: 1.0), name=names[0], boot=1 << 59,
-                                members=Members(names[0], 1, names, Rules(), random.Random(1)))  # fmt: skip
+    node: Any = SimpleNamespace(
+        loop=SimpleNamespace(time=lambda: 1.0),
+        name=names[0],
+        boot=1 << 59,
+        members=MemberList(names[0], 1, names, SwimSettings(), random.Random(1)),
+    )
     return Node.show_members(node)
 
 
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -11,10 +11,11 @@
 from benchmarks.capacity_gateway import GATEWAYS
 from benchmarks.slopes import cpu_ms, kib
 from glenchute.policy.admission.windows import window_start
-from glenchute.policy.membership.direct_messages import Post, Ring, numbers_of
-from glenchute.policy.membership.members import Members, Out, Rules, State
-from glenchute.policy.membership.replica import Kind, Replica, Row
-from glenchute.policy.membership.usage import Use
+from glenchute.policy.membership.direct_messages import DirectMessenger, GatewayRing, gateway_numbers
+from glenchute.policy.membership.members import MemberList, MemberState, SwimMessage, SwimSettings
+from glenchute.policy.membership.outgoing import Outgoing
+from glenchute.policy.membership.replica import Replica, Row, RowKind
+from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan
 from glenchute.protocol.member_datagrams import decode, encode
 from lab.fleet.holders import Swarm
@@ -30,9 +31,13 @@
         for node in self.nodes.values():  # all have met long ago
             node.news.clear()
             for member in node.members.values():
-                member.state, member.incarnation, member.boot = State.ALIVE, 0, self.nodes[member.name].boot
+                member.state, member.incarnation, member.boot = (
+                    MemberState.ALIVE,
+                    0,
+                    self.nodes[member.name].boot,
+                )
 
-    def post(self, sender: str, outs: list[Out]) -> None:
+    def post(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
         for out in outs:
             self.bytes[sender, int(self.now)] += len(encode("site", sender, 1 << 60, out.message))
         super().post(sender, outs)
@@ -108,15 +113,15 @@
     heard: list[list[bytes]]
 
 
-def post_of(number: int, seed: int) -> Post:
+def post_of(number: int, seed: int) -> DirectMessenger:
     """A gateway's part; all others take part."""
     names = [f"g{n}" for n in range(GATEWAYS)]
-    ring = Ring(names[number], names, numbers_of(dict.fromkeys(names)), GATEWAYS)
-    use = Use(f"{names[number]}#1")
-    return Post(use, Replica(), ring, lambda name: True, random.Random(seed * 100 + number))
+    ring = GatewayRing(names[number], names, gateway_numbers(dict.fromkeys(names)), GATEWAYS)
+    use = AccountUsage(f"{names[number]}#1")
+    return DirectMessenger(use, Replica(), ring, lambda name: True, random.Random(seed * 100 + number))
 
 
-def turn(post: Post, number: int, at: float, rows: list[tuple[int, Tenant]]) -> None:
+def turn(post: DirectMessenger, number: int, at: float, rows: list[tuple[int, Tenant]]) -> None:
     """A gateway's requests of one step: what is looked up and written down for each."""
     for gateway, tenant in rows:
         if gateway == number:
@@ -156,15 +161,15 @@
             for letter in post.tick(at):
                 other = int(letter.to[1:])
                 if other in posts:
-                    data = encode("site", f"g{number}", 1, letter.body)
+                    data = encode("site", f"g{number}", 1, letter.message)
                     if other == CENTRE:
                         to_centre.append(data)
                     else:
-                        for answer in posts[other].heard(at, f"g{number}", 1, letter.body):
+                        for answer in posts[other].heard(at, f"g{number}", 1, letter.message):
                             if answer.to == f"g{CENTRE}":
-                                to_centre.append(encode("site", f"g{other}", 1, answer.body))
+                                to_centre.append(encode("site", f"g{other}", 1, answer.message))
                             elif int(answer.to[1:]) in posts:
-                                posts[int(answer.to[1:])].heard(at, f"g{other}", 1, answer.body)
+                                posts[int(answer.to[1:])].heard(at, f"g{other}", 1, answer.message)
             post.replica.expire(at)
             post.expire()
         let_in.append(rows)
@@ -173,13 +178,13 @@
     return Played(let_in, heard)
 
 
-def deliver(posts: dict[int, Post], at: float, datagrams: list[bytes]) -> None:
+def deliver(posts: dict[int, DirectMessenger], at: float, datagrams: list[bytes]) -> None:
     """The centre's mail, and its answers."""
     for data in datagrams:
         sender, boot, body = decode("site", data)
         for answer in posts[CENTRE].heard(at, sender, boot, body):  # type: ignore[arg-type]
             if int(answer.to[1:]) in posts:
-                posts[int(answer.to[1:])].heard(at, f"g{CENTRE}", 1, answer.body)
+                posts[int(answer.to[1:])].heard(at, f"g{CENTRE}", 1, answer.message)
 
 
 @functools.cache
@@ -198,7 +203,7 @@
                 sender, boot, body = decode("site", data)
                 out += post.heard(at, sender, boot, body)  # type: ignore[arg-type]
             for letter in out:
-                sent["bytes"] += len(encode("site", f"g{CENTRE}", 1, letter.body))
+                sent["bytes"] += len(encode("site", f"g{CENTRE}", 1, letter.message))
             post.replica.expire(at)
             post.expire()
 
@@ -215,7 +220,9 @@
     def keep() -> Replica:
         replica, rng = Replica(), random.Random(seed)
         for n in range(rows):
-            replica.put(0.0, Row(Kind.USE, f"{rng.getrandbits(64):016x}/{n}", f"g{n % GATEWAYS}#1", 1, 1.0))
+            replica.put(
+                0.0, Row(RowKind.USE, f"{rng.getrandbits(64):016x}/{n}", f"g{n % GATEWAYS}#1", 1, 1.0)
+            )
         return replica
 
     return kib(keep)
@@ -223,7 +230,7 @@
 
 def members_kib(count: int, seed: int) -> float:
     names = [f"gateway-{n:03d}" for n in range(count)]
-    return kib(lambda: Members(names[0], 1, list(map(str, names)), Rules(), random.Random(seed)))
+    return kib(lambda: MemberList(names[0], 1, list(map(str, names)), SwimSettings(), random.Random(seed)))
 
 
 @functools.cache
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -18,8 +18,8 @@
 import uvloop
 
 from benchmarks.machine import cpu_s, machine
-from glenchute.policy.membership.members import State
-from glenchute.policy.membership.replica import Kind, Replica, Row
+from glenchute.policy.membership.members import MemberState
+from glenchute.policy.membership.replica import Replica, Row, RowKind
 from lab.fleet import checks
 from lab.fleet.crowd import Others
 from lab.fleet.processes import FleetSite
@@ -130,9 +130,9 @@
             false += len(net.buried)
             net.stopped.add("g1")
             first.append(net.run(30.0, lambda net=net: any(  # type: ignore[misc]
-                net.seen("g1", by) is not State.ALIVE for by in net.names if by != "g1"
+                net.seen("g1", by) is not MemberState.ALIVE for by in net.names if by != "g1"
             )))  # fmt: skip
-            last.append(first[-1] + net.run(60.0, lambda net=net: net.all_see("g1", State.DEAD)))  # type: ignore[misc]
+            last.append(first[-1] + net.run(60.0, lambda net=net: net.all_see("g1", MemberState.DEAD)))  # type: ignore[misc]
         print(f"{count:3} members, {lose:.0%} lost, {slow:.0%} slow: suspected after "
               f"{statistics.mean(first):.2f} s (SWIM {0.2 * 2.582:.2f}), buried by all after "
               f"{statistics.mean(last):.1f} s, false burials {false}", flush=True)  # fmt: skip
@@ -154,7 +154,7 @@
     """A comparison of copies at 10,000 rows, and two processes' CPU and bytes beside ones without members."""
     replica, rng = Replica(), random.Random(1)
     for _ in range(10_000):
-        replica.put(0.0, Row(Kind.USE, f"{rng.getrandbits(32):016x}/1", "g1#1", 1, 1.0))
+        replica.put(0.0, Row(RowKind.USE, f"{rng.getrandbits(32):016x}/1", "g1#1", 1, 1.0))
     began = time.process_time()
     for _ in range(20):
         replica.children(0.0, None)
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -31,7 +31,7 @@
     from collections.abc import Callable, Iterable
 
     from glenchute.capture.recorder import Recorder
-    from glenchute.clients.membership.node import Fleet
+    from glenchute.clients.membership.node import MemberNode
     from glenchute.config.operator import Operator
     from glenchute.control.server import ControlServer
     from glenchute.listeners.extproc.server import Server as ExtProc
@@ -96,7 +96,7 @@
         raw = operator.subset if operator is not None else None
         if raw is not None:
             decisions = self.narrowed(decisions, raw)
-        self.fleet: Fleet | None = None
+        self.fleet: MemberNode | None = None
         self.control: ControlServer | None = None
         if operator is not None and operator.fleet is not None:
             decisions = self.among_members(decisions, operator.fleet)
@@ -203,11 +203,11 @@
         from glenchute.control.server import ControlServer
 
         try:
-            from glenchute.clients.membership.node import Fleet
+            from glenchute.clients.membership.node import MemberNode
         except ImportError as error:
             raise ConfigError(f"fleet needs glenchute[fleet]: {error}") from None
         config = self.config
-        self.fleet = Fleet(raw, self.loop, decisions, config.settings, config.seed, config.number)
+        self.fleet = MemberNode(raw, self.loop, decisions, config.settings, config.seed, config.number)
         if "control" in raw:
             self.control = ControlServer(raw["control"])
             self.control.register("fleet", self.fleet.verbs())
--- a/glenchute/clients/membership/lease_tasks.py
+++ b/glenchute/clients/membership/lease_tasks.py
@@ -16,12 +16,13 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any, NamedTuple
 
-from glenchute.policy.membership.leases import Kind as Said
-from glenchute.policy.membership.leases import Lease, Out, Seeker, Terms, Voter
-from glenchute.policy.membership.replica import Kind, Row
-from glenchute.policy.membership.task_candidates import Keeper, Record
+from glenchute.policy.membership.leases import Acceptor, LeaseMessage, LeaseTerms, Proposer
+from glenchute.policy.membership.leases import LeaseMessageKind as Said
+from glenchute.policy.membership.outgoing import Outgoing
+from glenchute.policy.membership.replica import Row, RowKind
+from glenchute.policy.membership.task_candidates import TaskCandidate, TaskRecord
 
-from .log_events import tell
+from .log_events import log_event
 
 SETTLE_S = 0.3  # for the mark of a first step to reach others before it runs
 TO_VOTERS = (Said.PREPARE, Said.PROPOSE, Said.RELEASE, Said.RECALL, Said.RECALLED)
@@ -37,10 +38,10 @@
     """No effect may begin any more."""
 
 
-class Guard:
+class LeaseGuard:
     """What a step asks before each effect."""
 
-    def __init__(self, keeper: Keeper, step: int) -> None:
+    def __init__(self, keeper: TaskCandidate, step: int) -> None:
         self.keeper, self.step = keeper, step
 
     def act(self, longest_s: float) -> int:
@@ -55,10 +56,10 @@
         self.keeper.ended(clock())
 
 
-Step = Callable[[Guard], Awaitable[None]]
+Step = Callable[[LeaseGuard], Awaitable[None]]
 
 
-class Task(NamedTuple):
+class TaskSettings(NamedTuple):
     """One task; seconds."""
 
     name: str
@@ -67,41 +68,49 @@
     step: Step | None  # None: holding the lease is all that there is to do
 
 
-class Running:
+class LeaseTask:
     """A task at this process."""
 
-    def __init__(self, task: Task, keeper: Keeper) -> None:
+    def __init__(self, task: TaskSettings, keeper: TaskCandidate) -> None:
         self.task, self.keeper = task, keeper
-        self.record = Record()
+        self.record = TaskRecord()
         self.due = 0.0
         self.job: asyncio.Task[None] | None = None
         self.steps = self.failed = 0
         self.last = "never acted"
 
 
-class Runner:
+class LeaseTaskRunner:
     """The voter, the keepers and the steps of this process."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, name: str, boot: int, terms: Terms, tasks: Sequence[Task],
-        rng: random.Random, send: Callable[[str, Lease], None], tell: Callable[[Row], None],
-        read: Callable[[str], Row | None], there: Callable[[], Sequence[str]],
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        name: str,
+        boot: int,
+        terms: LeaseTerms,
+        tasks: Sequence[TaskSettings],
+        rng: random.Random,
+        send: Callable[[str, LeaseMessage], None],
+        tell: Callable[[Row], None],
+        read: Callable[[str], Row | None],
+        there: Callable[[], Sequence[str]],
+    ) -> None:
         self.loop, self.name, self.send, self.tell = loop, name, send, tell
         self.read, self.there = read, there
         now = clock()
-        self.voter = Voter(name, terms, now) if name in terms.voters else None
-        self.running: dict[str, Running] = {}
+        self.voter = Acceptor(name, terms, now) if name in terms.voters else None
+        self.running: dict[str, LeaseTask] = {}
         for task in tasks:
-            seeker = Seeker(name, boot, task.name, terms, terms.longest)
-            self.running[task.name] = Running(task, Keeper(seeker, random.Random(rng.random()), now))
+            seeker = Proposer(name, boot, task.name, terms, terms.longest)
+            self.running[task.name] = LeaseTask(task, TaskCandidate(seeker, random.Random(rng.random()), now))
         self.placed: tuple[str, ...] | None = None  # the members by which candidates were last chosen
         self.leaving = False
-        self.own: list[Out] = []  # messages of this process to itself
+        self.own: list[Outgoing[LeaseMessage]] = []  # messages of this process to itself
 
     # --- messages and time -------------------------------------------------------------------------------
 
-    def heard(self, sender: str, message: Lease) -> None:
+    def heard(self, sender: str, message: LeaseMessage) -> None:
         """A message of a member, or of this process."""
         now = clock()
         if message.kind in TO_VOTERS:
@@ -111,7 +120,7 @@
             outs = found.keeper.heard(now, sender, message) if found is not None and not self.leaving else []
         self.post(outs)
 
-    def post(self, outs: list[Out]) -> None:
+    def post(self, outs: list[Outgoing[LeaseMessage]]) -> None:
         """Sends messages; those to this process come at once, but never inside one another."""
         first = not self.own
         for out in outs:
@@ -150,39 +159,39 @@
 
     # --- steps -------------------------------------------------------------------------------------------
 
-    def follow(self, one: Running) -> None:
+    def follow(self, one: LeaseTask) -> None:
         """What others told of a task."""
         row = self.read(one.task.name)
         if row is not None and row.version > one.record.version():
-            was, one.record = one.record.parked, Record.of(row.version, row.value)
+            was, one.record = one.record.parked, TaskRecord.of(row.version, row.value)
             if one.record.parked and not was:
-                tell("task.parked", task=one.task.name, failures=one.record.failures)
+                log_event("task.parked", task=one.task.name, failures=one.record.failures)
 
-    def note(self, one: Running, record: Record) -> None:
+    def note(self, one: LeaseTask, record: TaskRecord) -> None:
         """Tells what became of a task here."""
         one.record = record
-        self.tell(Row(Kind.TASK, one.task.name, "", record.version(), float(record.failures)))
+        self.tell(Row(RowKind.TASK, one.task.name, "", record.version(), float(record.failures)))
 
-    def begin(self, one: Running, now: float) -> None:
+    def begin(self, one: LeaseTask, now: float) -> None:
         """A step begins, where there are any."""
         if one.task.step is None:
             return
         one.due = now + one.task.interval
         one.job = self.loop.create_task(self.stepped(one))
 
-    async def stepped(self, one: Running) -> None:
+    async def stepped(self, one: LeaseTask) -> None:
         """One step to its end, whatever that is."""
         held = one.keeper.seeker.holding
         try:
             if held is not None and one.record.token < held.token:
                 self.note(one, one.record.took(held.token).step(False))
                 if one.record.parked:
-                    tell("task.parked", task=one.task.name, failures=one.record.failures)
+                    log_event("task.parked", task=one.task.name, failures=one.record.failures)
                     raise LeaseLost
                 await asyncio.sleep(SETTLE_S)
             assert one.task.step is not None
             async with asyncio.timeout(one.task.longest):
-                await one.task.step(Guard(one.keeper, one.steps))
+                await one.task.step(LeaseGuard(one.keeper, one.steps))
         except LeaseLost:
             one.last = "lost the lease"
             self.give_back(one)
@@ -191,7 +200,7 @@
         except Exception as error:  # whatever a step does, it must not keep the lease
             one.failed += 1
             one.last = f"failed: {error!r:.100}"
-            tell("task.failed", task=one.task.name, error=repr(error)[:200])
+            log_event("task.failed", task=one.task.name, error=repr(error)[:200])
             self.note(one, one.record if one.steps == 0 else one.record.step(False))
             self.give_back(one)
         else:
@@ -201,7 +210,7 @@
         finally:
             one.job = None
 
-    def give_back(self, one: Running) -> None:
+    def give_back(self, one: LeaseTask) -> None:
         """Another is to try."""
         self.post(one.keeper.release(clock()))
 
@@ -246,7 +255,7 @@
             })  # fmt: skip
         return rows
 
-    def why(self, one: Running) -> str:
+    def why(self, one: LeaseTask) -> str:
         """Why this process knows of no holder."""
         if one.record.parked:
             return "parked"
@@ -285,11 +294,11 @@
         return [{"unparked": True}]
 
 
-def call(task: str, holder: str, address: tuple[str, int], longest_s: float) -> Step:
+def call_service_step(task: str, holder: str, address: tuple[str, int], longest_s: float) -> Step:
     """A step that calls a service: a line of JSON with task, token, holder and step, and the answer is "ok".
     The service has to refuse a token lower than one that it has seen; see docs/operators/leases.md."""
 
-    async def step(guard: Guard) -> None:
+    async def step(guard: LeaseGuard) -> None:
         # Connecting acts on nothing, so it comes before the guard.
         reader, writer = await asyncio.open_connection(*address)
         try:
--- a/glenchute/clients/membership/log_events.py
+++ b/glenchute/clients/membership/log_events.py
@@ -72,7 +72,7 @@
 )
 
 
-def tell(name: str, **fields: Any) -> None:
+def log_event(name: str, **fields: Any) -> None:
     """Logs an event of the catalogue. KeyError, ValueError where it is not one, or not with these fields."""
     known = CATALOGUE[name]
     if tuple(fields) != known.fields:
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -22,22 +22,34 @@
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import members as membership
-from glenchute.policy.membership.direct_messages import Asked, Mail, Post, Ring, numbers_of
-from glenchute.policy.membership.endpoint_health import Health
-from glenchute.policy.membership.endpoint_sharing import ASKER_WAIT_S, ListShare
-from glenchute.policy.membership.gossip import Gossip, Pace, Rows, Taken
-from glenchute.policy.membership.gossiped_drains import Restraint
-from glenchute.policy.membership.leases import Lease, Terms
-from glenchute.policy.membership.members import Members, Rules, State
-from glenchute.policy.membership.replica import Kind, Replica, Row
-from glenchute.policy.membership.usage import TOLD_SHARE, Use, allowance, trusted_share
-from glenchute.policy.membership.usage_audit import Audit, Look
+from glenchute.policy.membership.direct_messages import (
+    DirectMessenger,
+    GatewayRing,
+    UsageMessage,
+    UsageRequest,
+    gateway_numbers,
+)
+from glenchute.policy.membership.endpoint_health import EndpointHealth
+from glenchute.policy.membership.endpoint_sharing import POLLER_WATCH_S, SharedEndpointList
+from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings, ReceivedRow
+from glenchute.policy.membership.gossiped_drains import GossipedDrains
+from glenchute.policy.membership.leases import LeaseMessage, LeaseTerms
+from glenchute.policy.membership.members import MemberList, MemberState, SwimSettings
+from glenchute.policy.membership.outgoing import Outgoing
+from glenchute.policy.membership.replica import Replica, Row, RowKind
+from glenchute.policy.membership.usage import (
+    REPORTED_SHARE,
+    AccountUsage,
+    known_usage_share,
+    window_allowance_units,
+)
+from glenchute.policy.membership.usage_audit import CounterQuery, UsageAudit
 from glenchute.policy.settings import Settings
-from glenchute.protocol.member_datagrams import Bad, decode, encode
+from glenchute.protocol.member_datagrams import InvalidDatagram, decode, encode
 
-from .lease_tasks import SETTLE_S, Guard, LeaseLost, Runner, Task, call
-from .log_events import tell
-from .usage_reports import Telling
+from .lease_tasks import SETTLE_S, LeaseGuard, LeaseLost, LeaseTaskRunner, TaskSettings, call_service_step
+from .log_events import log_event
+from .usage_reports import UsageReporter
 
 if TYPE_CHECKING:
     from glenchute.clients.discovery import Discovery
@@ -47,7 +59,7 @@
 RETRY_S = 0.1
 
 
-class Fleet(asyncio.DatagramProtocol):
+class MemberNode(asyncio.DatagramProtocol):
     """This process among the members."""
 
     def __init__(
@@ -65,27 +77,27 @@
         self.addresses = {row["name"]: address_of(row["address"]) for row in raw["members"]}
         self.names = {address: name for name, address in self.addresses.items()}
         now = loop.time()
-        rules = Rules(raw.get("period_ms", 200.0) / 1000.0, raw.get("patience_ms", 2500.0) / 1000.0)
-        self.members = Members(self.name, self.boot, list(self.addresses), rules, rng, now)
+        rules = SwimSettings(raw.get("period_ms", 200.0) / 1000.0, raw.get("patience_ms", 2500.0) / 1000.0)
+        self.members = MemberList(self.name, self.boot, list(self.addresses), rules, rng, now)
         self.alive: list[str] = []  # those that take part
-        pace = Pace(raw.get("push_ms", 50.0) / 1000.0, raw.get("compare_ms", 500.0) / 1000.0,
+        pace = GossipSettings(raw.get("push_ms", 50.0) / 1000.0, raw.get("compare_ms", 500.0) / 1000.0,
                     raw.get("budget_kib_s", 32.0) * 1024.0)  # fmt: skip
         self.replica = Replica()
         self.gossip = Gossip(self.replica, pace, rng, now)
         writer = f"{self.name}#{self.boot:x}"
-        self.use, self.restraint = Use(writer), Restraint()
-        numbers = numbers_of({row["name"]: row.get("number") for row in (raw, *raw["members"])})
+        self.use, self.restraint = AccountUsage(writer), GossipedDrains()
+        numbers = gateway_numbers({row["name"]: row.get("number") for row in (raw, *raw["members"])})
         if numbers is not None and number is not None and numbers[self.name] != number:
-            tell("numbers.foreign", member=self.name, platform=number, here=numbers[self.name])
+            log_event("numbers.foreign", member=self.name, platform=number, here=numbers[self.name])
             numbers = None
-        ring = Ring(self.name, list(self.addresses), numbers, made.gateway_count)
-        self.post = Post(
+        ring = GatewayRing(self.name, list(self.addresses), numbers, made.gateway_count)
+        self.post = DirectMessenger(
             self.use, self.replica, ring, self.takes_part, rng, now, raw.get("use_kib_s", 6.0) * 1024.0
         )
-        health = Health(writer, random.Random(rng.getrandbits(60)))
-        self.telling = Telling(module, made, self.use, health, self.told, self.share, loop.time)
-        self.lists = ListShare(self.name, now, rng) if raw.get("share_list") else None
-        self.use_audit = Audit()
+        health = EndpointHealth(writer, random.Random(rng.getrandbits(60)))
+        self.telling = UsageReporter(module, made, self.use, health, self.told, self.share, loop.time)
+        self.lists = SharedEndpointList(self.name, now, rng) if raw.get("share_list") else None
+        self.use_audit = UsageAudit()
         self.counter: Counting | None = None
         self.runner = self.running(raw["leases"], rng) if "leases" in raw else None
         self.discovery: Discovery | None = None
@@ -101,48 +113,54 @@
         self.audited: set[str] = set()  # members that the last audit told of
         self.shown = 0  # conflicts that the log has told of
 
-    def running(self, raw: dict[str, Any], rng: random.Random) -> Runner:
+    def running(self, raw: dict[str, Any], rng: random.Random) -> LeaseTaskRunner:
         """The leases and tasks of this process."""
-        terms = Terms(tuple(raw["voters"]), raw.get("longest_s", 10.0), raw.get("drift", 0.01))
+        terms = LeaseTerms(tuple(raw["voters"]), raw.get("longest_s", 10.0), raw.get("drift", 0.01))
         tasks = []
         for row in raw.get("tasks", []):
             longest = row.get("longest_step_s", 1.0)
             step = None
             if row["kind"] == "call":
-                step = call(row["name"], f"{self.name}#{self.boot:x}", address_of(row["address"]), longest)
+                step = call_service_step(
+                    row["name"], f"{self.name}#{self.boot:x}", address_of(row["address"]), longest
+                )
             elif row["kind"] == "audit":
                 step = self.audit
                 self.telling.seen = self.use_audit.seen
-            tasks.append(Task(row["name"], row.get("interval_s", 1.0), 2.0 * longest + SETTLE_S, step))
-        return Runner(
+            tasks.append(
+                TaskSettings(row["name"], row.get("interval_s", 1.0), 2.0 * longest + SETTLE_S, step)
+            )
+        return LeaseTaskRunner(
             self.loop, self.name, self.boot, terms, tasks, rng, self.send, self.told,
-            lambda task: self.replica.get(Kind.TASK, task), self.there,
+            lambda task: self.replica.get(RowKind.TASK, task), self.there,
         )  # fmt: skip
 
-    async def audit(self, guard: Guard) -> None:
+    async def audit(self, guard: LeaseGuard) -> None:
         """Tells once of each member whose copy has differed from this one's for longer than copies take to
         agree, and of accounts whose use the counter has otherwise. It only reads and writes a line, so that
         it needs no token."""
         now = self.loop.time()
         apart = {name: parts for name, (since, parts) in self.gossip.apart.items() if now - since > AUDIT_S}
         for name in sorted(apart.keys() - self.audited):
-            tell("audit.apart", member=name, parts=apart[name])
+            log_event("audit.apart", member=name, parts=apart[name])
         self.audited = set(apart)
         if self.counter is not None and self.gossip.known:
-            held = (self.replica.rows[at].row for at in self.replica.order[Kind.USE])
+            held = (self.replica.rows[at].row for at in self.replica.order[RowKind.USE])
             looks = self.use_audit.due(self.telling.now_ms, held)
             # Of an account's window with less than this not all is told.
-            looks = [look for look in looks if look.told >= TOLD_SHARE * allowance(look.plan)]
+            looks = [
+                look for look in looks if look.told >= REPORTED_SHARE * window_allowance_units(look.plan)
+            ]
             totals = await asyncio.gather(*map(self.total, looks))
             if looks and guard.step and totals.count(None) == len(totals):
                 raise LeaseLost  # another may reach the counter. The first step has to end well, or it failed
             for look, total in zip(looks, totals, strict=True):
                 found = self.use_audit.answered(look, total)
                 if found is not None:
-                    tell("audit.use", account=found.account, counter=round(found.counter, 1),
+                    log_event("audit.use", account=found.account, counter=round(found.counter, 1),
                          members=round(found.members, 1), holds="less" if found.less else "more")  # fmt: skip
 
-    async def total(self, look: Look) -> float | None:
+    async def total(self, look: CounterQuery) -> float | None:
         """What the counter holds under a name; None where it does not say. Adding nothing changes nothing."""
         assert self.counter is not None
         told: asyncio.Future[float | None] = self.loop.create_future()
@@ -171,7 +189,7 @@
             if error.errno != errno.EADDRINUSE:
                 raise
             if self.opening is None:
-                tell("address.taken", address=f"{self.listen[0]}:{self.listen[1]}")
+                log_event("address.taken", address=f"{self.listen[0]}:{self.listen[1]}")
             self.opening = self.loop.call_later(RETRY_S, lambda: self.loop.create_task(self.open()))
             return
         await self.loop.create_datagram_endpoint(lambda: self, sock=made)
@@ -216,17 +234,17 @@
     def share(self, spread: int) -> float:
         """The share of a set of so many gateways whose use is known here, this one's included."""
         now, spread = self.loop.time(), min(spread, self.gateways)
-        return trusted_share(
+        return known_usage_share(
             self.gossip.known, self.members.health, self.post.known(now, spread), spread, now - self.heard_at
         )
 
     def takes_part(self, name: str) -> bool:
         """Whether a member is there beyond doubt."""
-        return self.members.members[name].state is State.ALIVE
+        return self.members.members[name].state is MemberState.ALIVE
 
     def told(self, row: Row) -> None:
         """A word of this process' own."""
-        if row.kind is Kind.USE:
+        if row.kind is RowKind.USE:
             self.post.tell(self.loop.time(), row)
             return
         self.gossip.tell(self.loop.time(), row, len(self.members.members))
@@ -244,7 +262,7 @@
             self.lists.discovery(self.loop.time(), known.version, True, servers_of(known), ())
             self.lists.confirmed = -1e9  # by nobody of late
         discovery.others = self.leave_alone
-        discovery.watch.longest_s = ASKER_WAIT_S
+        discovery.watch.longest_s = POLLER_WATCH_S
         return self.lists.asks(self.there())
 
     def confirmed(self, version: int) -> None:
@@ -255,7 +273,7 @@
 
     def there(self) -> list[str]:
         """Members that are not known to be gone."""
-        gone = (State.DEAD, State.LEFT)
+        gone = (MemberState.DEAD, MemberState.LEFT)
         return [m.name for m in self.members.members.values() if m.state not in gone]
 
     def leave_alone(self) -> float:
@@ -263,13 +281,15 @@
         assert self.lists is not None
         return self.lists.waits(self.loop.time(), self.there())
 
-    def shared(self, sents: list[coldstart.Sent], rows: list[coldstart.Server]) -> None:
+    def shared(
+        self, sents: list[Outgoing[coldstart.SharingMessage]], rows: list[coldstart.SharedEndpoint]
+    ) -> None:
         """Sends what is to be sent of the list, and follows what members told of it."""
         for sent in sents:
-            self.send(sent.to, sent.body)
+            self.send(sent.to, sent.message)
         if not rows or self.follow is None or self.lists is None or self.discovery is None:
             return
-        states = {number: state for state, number in coldstart.STATES.items()}
+        states = {number: state for state, number in coldstart.STATE_RANKS.items()}
         entries = tuple(
             Endpoint(r.server, r.zone, r.cell, r.size, r.started_ms, states[r.state]) for r in rows
         )
@@ -288,8 +308,8 @@
             self.shared(self.lists.discovery(self.loop.time(), news.version, full, rows, self.there()), [])
         for entry in news.event.endpoints:
             if entry.state is not EndpointState.ACTIVE and news.event.kind is EndpointListKind.CHANGES:
-                rank = float(coldstart.STATES[entry.state])
-                self.told(Row(Kind.SERVER, entry.address, "", news.version, rank))
+                rank = float(coldstart.STATE_RANKS[entry.state])
+                self.told(Row(RowKind.SERVER, entry.address, "", news.version, rank))
 
     def learn(self, news: News) -> None:
         """What discovery has told here."""
@@ -297,12 +317,12 @@
         self.restraint.listed(news.version, full, news.event.endpoints)
         self.places = news.addresses if full else self.places | news.addresses
 
-    def heed(self, rows: list[Taken]) -> None:
+    def heed(self, rows: list[ReceivedRow]) -> None:
         """What others said. Servers that drain or are gone by their word get nothing new, on trial."""
         now, entries = self.loop.time(), []
         for taken in rows:
             row = taken.row
-            if row.kind is not Kind.SERVER:
+            if row.kind is not RowKind.SERVER:
                 self.telling.heard(taken)
             elif self.restraint.heard(now, row.key, row.version, row.value, taken.age_s, taken.sender):
                 state = self.restraint.words[row.key].state
@@ -313,7 +333,7 @@
         """Discovery's newest version: words that it does not bear out are taken back, and told of."""
         back, denied = self.restraint.confirmed(self.loop.time(), version)
         for server, word in denied:
-            tell("word.denied", server=server, state=word.state.value, version=word.version,
+            log_event("word.denied", server=server, state=word.state.value, version=word.version,
                  sender=word.sender)  # fmt: skip
         self.change([entry for entry in back if entry.address in self.places])
 
@@ -335,30 +355,30 @@
         try:
             said, boot, body = decode(self.fleet, data)
             if said != name:
-                raise Bad("another name")
-        except Bad as bad:
+                raise InvalidDatagram("another name")
+        except InvalidDatagram as bad:
             self.bad[str(bad)] += 1
             return
         now = self.heard_at = self.loop.time()
-        if isinstance(body, membership.Message):
+        if isinstance(body, membership.SwimMessage):
             for out in self.members.heard(now, name, boot, body):
                 self.send(out.to, out.message)
             return
-        if isinstance(body, coldstart.Told | coldstart.Part | coldstart.Ask):
+        if isinstance(body, coldstart.VersionReply | coldstart.EndpointListPart | coldstart.VersionQuery):
             if self.lists is not None:
                 self.shared(*self.lists.heard(now, name, body))
             return
-        if isinstance(body, Lease):
+        if isinstance(body, LeaseMessage):
             if self.runner is not None:
                 self.runner.heard(name, body)
             return
-        if isinstance(body, Mail | Asked):
+        if isinstance(body, UsageMessage | UsageRequest):
             for letter in self.post.heard(now, name, boot, body):
-                self.send(letter.to, letter.body)
+                self.send(letter.to, letter.message)
             return
         for sent in self.gossip.heard(now, name, body, len(self.members.members)):
-            self.send(sent.to, sent.body)
-        if isinstance(body, Rows):
+            self.send(sent.to, sent.message)
+        if isinstance(body, Delta):
             self.heed(self.gossip.taken())
 
     def tick(self) -> None:
@@ -369,18 +389,18 @@
             self.send(out.to, out.message)
         for change in self.changed():
             if change.conflict:
-                tell("member.doubled", member=change.name)
+                log_event("member.doubled", member=change.name)
             else:
                 now_is, was = change.now.name.lower(), change.was.name.lower()
-                tell("member.changed", member=change.name, now=now_is, was=was)
+                log_event("member.changed", member=change.name, now=now_is, was=was)
         for sent in self.gossip.tick(now, self.alive):
-            self.send(sent.to, sent.body)
+            self.send(sent.to, sent.message)
         for letter in self.post.tick(now):
-            self.send(letter.to, letter.body)
+            self.send(letter.to, letter.message)
         if self.runner is not None:
             self.runner.tick()
-            if self.lists is not None and coldstart.TASK in self.runner.running:
-                leased, self.lists.leased = self.lists.leased, self.runner.holds(coldstart.TASK)
+            if self.lists is not None and coldstart.POLL_TASK in self.runner.running:
+                leased, self.lists.leased = self.lists.leased, self.runner.holds(coldstart.POLL_TASK)
                 if self.lists.leased and not leased and self.discovery is not None:
                     self.discovery.hurry()
         if self.lists is not None:
@@ -393,11 +413,11 @@
             self.shown = self.replica.conflicted
             conflict = self.replica.conflicts[-1]
             kept = conflict.kept
-            tell("copies.differ", kind=kept.kind.name.lower(), key=kept.key, writer=kept.writer,
+            log_event("copies.differ", kind=kept.kind.name.lower(), key=kept.key, writer=kept.writer,
                  version=kept.version, kept=kept.value, other=conflict.other.value,
                  sender=conflict.seen_from)  # fmt: skip
 
-    def changed(self) -> list[membership.Change]:
+    def changed(self) -> list[membership.MemberChange]:
         """What has changed of the members since the last call; only then they are walked over."""
         changes = self.members.taken()
         if changes:
@@ -447,8 +467,8 @@
 
     def show_state(self) -> list[dict[str, Any]]:
         """A row for what is held and exchanged."""
-        held = {kind.name.lower(): len(self.replica.order[kind]) for kind in Kind}
-        evicted = {f"evicted_{kind.name.lower()}": self.replica.evicted[kind] for kind in Kind}
+        held = {kind.name.lower(): len(self.replica.order[kind]) for kind in RowKind}
+        evicted = {f"evicted_{kind.name.lower()}": self.replica.evicted[kind] for kind in RowKind}
         held |= {"denied": self.restraint.denied, "on_trial": len(self.restraint.words),
                  "avoided": len(self.telling.health.words), "audited": self.use_audit.compared,
                  "use_apart": len(self.use_audit.apart)}  # fmt: skip
@@ -478,13 +498,13 @@
         return [{"digest": f"{mark:016x}", "rows": len(self.replica.rows)}]
 
 
-def servers_of(news: News) -> list[coldstart.Server]:
+def servers_of(news: News) -> list[coldstart.SharedEndpoint]:
     """An answer of discovery, as members tell of it."""
     rows = []
     for entry in news.event.endpoints:
         host, port = news.addresses.get(entry.address, ("", 0))
         rows.append(
-            coldstart.Server(
+            coldstart.SharedEndpoint(
                 news.version,
                 entry.address,
                 f"{host}:{port}" if host else "",
@@ -492,7 +512,7 @@
                 entry.cell,
                 entry.weight,
                 entry.started_ms,
-                coldstart.STATES[entry.state],
+                coldstart.STATE_RANKS[entry.state],
             )
         )
     return rows
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -18,22 +18,28 @@
     Request,
     UsageUpdate,
 )
-from glenchute.policy.membership.endpoint_health import Health
-from glenchute.policy.membership.gossip import Taken
-from glenchute.policy.membership.replica import Kind, Row
-from glenchute.policy.membership.usage import Use
+from glenchute.policy.membership.endpoint_health import EndpointHealth
+from glenchute.policy.membership.gossip import ReceivedRow
+from glenchute.policy.membership.replica import Row, RowKind
+from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan, Settings
 
 MOST_OPEN = 20_000
 
 
-class Telling:
+class UsageReporter:
     """The decision module, with the fleet's ears before it."""
 
     def __init__(
-        self, module: Decisions, made: Settings, use: Use, health: Health, tell: Callable[[Row], None],
-        share: Callable[[int], float], clock: Callable[[], float],
-    ) -> None:  # fmt: skip
+        self,
+        module: Decisions,
+        made: Settings,
+        use: AccountUsage,
+        health: EndpointHealth,
+        tell: Callable[[Row], None],
+        share: Callable[[int], float],
+        clock: Callable[[], float],
+    ) -> None:
         """`share`: of a set of so many gateways, the part whose use is known here. `clock`: seconds, as the
         rows' ages are counted."""
         self.seen: Callable[[str, Plan], None] = lambda customer, plan: None  # for the audit of use
@@ -85,7 +91,7 @@
             active = entry.state is EndpointState.ACTIVE
             (self.servers.add if active else self.servers.discard)(entry.address)
 
-    def heard(self, taken: Taken) -> None:
+    def heard(self, taken: ReceivedRow) -> None:
         """A row of another process that the module is to know of."""
-        if taken.row.kind is Kind.HEALTH:
+        if taken.row.kind is RowKind.HEALTH:
             self.health.heard(self.clock(), taken.row, taken.age_s)
--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -113,15 +113,18 @@
 
 def of_leases(raw: dict[str, Any], names: set[str], faults: Faults) -> None:
     """What `[fleet.leases]` must be to the members and to itself."""
-    from glenchute.policy.membership.leases import Terms, sound_voters  # only for a file that has it
+    from glenchute.policy.membership.leases import (  # only for a file that has it
+        LeaseTerms,
+        acceptor_set_problem,
+    )
 
     leases = raw["leases"]
     at = (*PLACE, "leases")
     listed, changing = [*names, raw.get("name", "")], leases.get("changing", False)
-    if "voters" in leases and (wrong := sound_voters(leases["voters"], listed, changing)):
+    if "voters" in leases and (wrong := acceptor_set_problem(leases["voters"], listed, changing)):
         faults("unsound-voters", (*at, "voters"), wrong)
     seen: dict[str, int] = {}
-    terms = Terms((), leases.get("longest_s", 10.0), leases.get("drift", 0.01))
+    terms = LeaseTerms((), leases.get("longest_s", 10.0), leases.get("drift", 0.01))
     for number, row in enumerate(leases.get("tasks", [])):
         place = (*at, "tasks", number)
         name, kind = row.get("name"), row.get("kind")
--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -26,24 +26,27 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .replica import Kind, Replica, Row
-from .usage import Use
-
-PUSH_S = 0.1  # a member is sent news at once, and then no sooner than this
-GAP_S = 0.02  # ... and an account again after this for each gateway of its set
-ASK_S = 0.5  # a member is asked so often at most ...
-ASKS_PER_S = 16.0  # ... and so many in a second
-PATIENCE = 3.0  # pauses between asks after which a member that said nothing whole is no longer known
-MOST_WORDS = 64  # in a message
-WORD_BYTES, HEAD_BYTES = 18, 48  # what they are reckoned at in the budget
-MOST_OWED = 20_000  # words waiting to be sent, all members together
-MOST_TOLD = 8_000  # windows of this process that others have to know
-LEAST_SET = 8  # so large a set is kept up with before any request has come
-DIGITS = re.compile(r"[0-9]+\Z", re.ASCII)
-At = tuple[Kind, str, str]
-
-
-class Word(NamedTuple):
+from .outgoing import Outgoing
+from .replica import Replica, Row, RowKind
+from .usage import AccountUsage
+
+MIN_PUSH_INTERVAL_S = 0.1  # a member is sent news at once, and then no sooner than this
+ACCOUNT_INTERVAL_PER_GATEWAY_S = 0.02  # ... and an account again after this for each gateway of its set
+REQUEST_INTERVAL_S = 0.5  # a member is asked so often at most ...
+MAX_REQUESTS_PER_S = 16.0  # ... and so many in a second
+MAX_MISSED_REQUESTS = (
+    3.0  # pauses between asks after which a member that said nothing whole is no longer known
+)
+MAX_ENTRIES_PER_MESSAGE = 64  # in a message
+ENTRY_BYTES, HEADER_BYTES = 18, 48  # what they are reckoned at in the budget
+MAX_PENDING_ENTRIES = 20_000  # words waiting to be sent, all members together
+MAX_REPORTED_WINDOWS = 8_000  # windows of this process that others have to know
+MIN_SUBSET_SIZE = 8  # so large a set is kept up with before any request has come
+TRAILING_DIGITS = re.compile(r"[0-9]+\Z", re.ASCII)
+At = tuple[RowKind, str, str]
+
+
+class UsageEntry(NamedTuple):
     """Use of a window: `boot` 0: the sender's own; else that of a process that had the receiver's name."""
 
     key: str
@@ -52,30 +55,26 @@
     boot: int = 0
 
 
-class Mail(NamedTuple):
+class UsageMessage(NamedTuple):
     """Words to one member. `first`: nothing before counts; `whole`: all that the sender has to say by now."""
 
     serial: int
     first: bool
     whole: bool
-    words: tuple[Word, ...]
+    words: tuple[UsageEntry, ...]
 
 
-class Asked(NamedTuple):
+class UsageRequest(NamedTuple):
     """The sender has the receiver's mail up to this serial number; -1: it lacks some, or all."""
 
     serial: int
 
 
-class Letter(NamedTuple):
-    """A message to a member."""
-
-    to: str
-    body: Mail | Asked
+DirectMessage = UsageMessage | UsageRequest
 
 
 @dataclass(slots=True)
-class Way:
+class PeerChannel:
     """Mail to a member, and from it."""
 
     sent: int  # the last serial number used
@@ -89,19 +88,19 @@
     ask_at: float = -1e9
 
 
-def numbers_of(rows: Mapping[str, int | None]) -> dict[str, int] | None:
+def gateway_numbers(rows: Mapping[str, int | None]) -> dict[str, int] | None:
     """Members' numbers by name: as stated, else the digits at the name's end. None where one has none, or two
     have the same: then any two may share a set."""
     found: dict[str, int] = {}
     for name, stated in rows.items():
-        digits = DIGITS.search(name)
+        digits = TRAILING_DIGITS.search(name)
         if stated is None and digits is None:
             return None
         found[name] = stated if stated is not None else int(digits[0][-9:]) if digits else 0
     return found if len(set(found.values())) == len(found) else None
 
 
-class Ring:
+class GatewayRing:
     """The members by their distance from this one."""
 
     def __init__(
@@ -147,24 +146,30 @@
         return whole if not self.steps else min(whole, 2 * (spread - 1))
 
 
-class Post:
+class DirectMessenger:
     """The mail of one process. `there`: whether a member takes part, by the probes."""
 
     def __init__(
-        self, use: Use, replica: Replica, ring: Ring, there: Callable[[str], bool], rng: random.Random,
-        now: float = 0.0, budget: float = 6_144.0,
-    ) -> None:  # fmt: skip
+        self,
+        use: AccountUsage,
+        replica: Replica,
+        ring: GatewayRing,
+        there: Callable[[str], bool],
+        rng: random.Random,
+        now: float = 0.0,
+        budget: float = 6_144.0,
+    ) -> None:
         """`budget` in bytes a second."""
         self.use, self.replica, self.ring, self.there, self.rng = use, replica, ring, there, rng
         self.budget = budget
-        self.ways: dict[str, Way] = {}
+        self.ways: dict[str, PeerChannel] = {}
         self.told: dict[str, None] = {}  # own windows that others have to know, by their last change
         self.fresh: dict[str, float] = {}  # ... that changed since they were handed out, and when they may be
         self.next_at: dict[str, float] = {}  # ... that were handed out, and when they may be again
         self.owed: dict[str, dict[At, None]] = {}  # by member, what it is to be sent
         self.owing = 0
         self.sets: dict[int, int] = {}  # by size of a set, others known; good until the next tick
-        self.widest = min(LEAST_SET, ring.gateways)
+        self.widest = min(MIN_SUBSET_SIZE, ring.gateways)
         self.allowance, self.allowed_at = 0.0, now
         self.round: list[str] = []
         self.asked_at = now
@@ -178,7 +183,7 @@
             self.replica.put(now, row)
             self.told.pop(row.key, None)
             self.told[row.key] = None
-            if len(self.told) > MOST_TOLD:
+            if len(self.told) > MAX_REPORTED_WINDOWS:
                 del self.told[next(iter(self.told))]
             self.fresh.setdefault(row.key, self.next_at.get(row.key, now))
 
@@ -190,11 +195,11 @@
         writers = [*self.use.others.get(key, ()), *self.use.others.get(own.before, ())]
         return self.ring.near(own.spread, [writer.partition("#")[0] for writer in writers])
 
-    def way(self, name: str) -> Way:
+    def way(self, name: str) -> PeerChannel:
         """The way to a member. Numbers begin anywhere, so that a process is not taken for the one before."""
         way = self.ways.get(name)
         if way is None:
-            way = self.ways[name] = Way(self.rng.getrandbits(24))
+            way = self.ways[name] = PeerChannel(self.rng.getrandbits(24))
         return way
 
     def owe(self, name: str, at: At) -> None:
@@ -203,7 +208,7 @@
         if at not in mine:
             mine[at] = None
             self.owing += 1
-        if self.owing > MOST_OWED:
+        if self.owing > MAX_PENDING_ENTRIES:
             self.drop(name)
 
     def drop(self, name: str) -> None:
@@ -214,12 +219,12 @@
 
     # --- time --------------------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Letter]:
+    def tick(self, now: float) -> list[Outgoing[DirectMessage]]:
         """What is due now, within the budget."""
         self.allowance = min(self.budget / 4.0, self.allowance + self.budget * (now - self.allowed_at))
         self.allowed_at = now
         self.sets.clear()
-        out: list[Letter] = []
+        out: list[Outgoing[DirectMessage]] = []
         self.hand_out(now)
         for name in list(self.owed):
             if self.allowance <= 0.0:
@@ -239,35 +244,35 @@
             if own is None:
                 continue
             for name in self.partners(key):
-                self.owe(name, (Kind.USE, key, self.use.writer))
+                self.owe(name, (RowKind.USE, key, self.use.writer))
             self.next_at.pop(key, None)
-            self.next_at[key] = now + GAP_S * own.spread
+            self.next_at[key] = now + ACCOUNT_INTERVAL_PER_GATEWAY_S * own.spread
         while self.next_at and self.next_at[next(iter(self.next_at))] <= now:
             del self.next_at[next(iter(self.next_at))]
 
-    def send(self, now: float, out: list[Letter], name: str) -> None:
+    def send(self, now: float, out: list[Outgoing[DirectMessage]], name: str) -> None:
         """The next message to a member; then others are first."""
         way, mine = self.way(name), self.owed.pop(name, {})
-        words: list[Word] = []
-        while mine and len(words) < MOST_WORDS:
+        words: list[UsageEntry] = []
+        while mine and len(words) < MAX_ENTRIES_PER_MESSAGE:
             at = next(iter(mine))
             del mine[at]
             self.owing -= 1
             held = self.replica.rows.get(at)
             if held is not None:
                 boot = 0 if at[2] == self.use.writer else int(at[2].rpartition("#")[2], 16)
-                words.append(Word(at[1], held.row.version, held.row.value, boot))
+                words.append(UsageEntry(at[1], held.row.version, held.row.value, boot))
         if mine:
             self.owed[name] = mine
-        way.sent, way.sent_at, way.push_at = way.sent + 1, now, now + PUSH_S
+        way.sent, way.sent_at, way.push_at = way.sent + 1, now, now + MIN_PUSH_INTERVAL_S
         first, way.began = way.began, False
         self.words_sent += len(words)
-        self.give(out, Letter(name, Mail(way.sent, first, not mine, tuple(words))))
+        self.give(out, Outgoing(name, UsageMessage(way.sent, first, not mine, tuple(words))))
 
-    def ask(self, now: float, out: list[Letter]) -> None:
+    def ask(self, now: float, out: list[Outgoing[DirectMessage]]) -> None:
         """Asks members that may share a set in use, each in its turn, and at once where mail is missing."""
-        while self.allowance > 0.0 and now - self.asked_at >= 1.0 / ASKS_PER_S:
-            self.asked_at = max(self.asked_at + 1.0 / ASKS_PER_S, now - 0.25)
+        while self.allowance > 0.0 and now - self.asked_at >= 1.0 / MAX_REQUESTS_PER_S:
+            self.asked_at = max(self.asked_at + 1.0 / MAX_REQUESTS_PER_S, now - 0.25)
             if not self.round:
                 self.round = list(self.ring.near(self.widest))
                 self.rng.shuffle(self.round)
@@ -275,30 +280,36 @@
                 name = self.round.pop()
                 way = self.way(name)
                 if self.there(name) and now >= way.ask_at:
-                    way.ask_at = now + ASK_S
-                    self.give(out, Letter(name, Asked(way.heard)))
+                    way.ask_at = now + REQUEST_INTERVAL_S
+                    self.give(out, Outgoing(name, UsageRequest(way.heard)))
                     break
 
-    def give(self, out: list[Letter], letter: Letter) -> None:
+    def give(
+        self,
+        out: list[Outgoing[DirectMessage]],
+        outgoing: Outgoing[DirectMessage],
+    ) -> None:
         """Books a message's bytes, roughly, and sends it."""
-        cost = HEAD_BYTES + (WORD_BYTES * len(letter.body.words) if isinstance(letter.body, Mail) else 0)
+        cost = HEADER_BYTES + (
+            ENTRY_BYTES * len(outgoing.message.words) if isinstance(outgoing.message, UsageMessage) else 0
+        )
         self.allowance -= cost
         self.sent_bytes += cost
-        out.append(letter)
+        out.append(outgoing)
 
     # --- messages ----------------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: str, boot: int, body: Mail | Asked) -> list[Letter]:
+    def heard(self, now: float, sender: str, boot: int, body: DirectMessage) -> list[Outgoing[DirectMessage]]:
         """A member's message, and what is answered at once."""
-        out: list[Letter] = []
+        out: list[Outgoing[DirectMessage]] = []
         way = self.way(sender)
-        if isinstance(body, Asked):
+        if isinstance(body, UsageRequest):
             self.answer(now, out, sender, way, body.serial)
             return out
-        for word in body.words[:MOST_WORDS]:
+        for word in body.words[:MAX_ENTRIES_PER_MESSAGE]:
             own_name = self.use.writer.rpartition("#")[0]
             writer = f"{own_name}#{word.boot:x}" if word.boot else f"{sender}#{boot:x}"
-            row = Row(Kind.USE, word.key, writer, word.version, word.units)
+            row = Row(RowKind.USE, word.key, writer, word.version, word.units)
             if writer != self.use.writer and self.replica.put(now, row, seen_from=sender):
                 self.use.heard(row)
                 if word.key not in self.told and self.use.matters(word.key):
@@ -316,22 +327,29 @@
             way.whole_at = now
         return out
 
-    def answer(self, now: float, out: list[Letter], name: str, way: Way, serial: int) -> None:
+    def answer(
+        self,
+        now: float,
+        out: list[Outgoing[DirectMessage]],
+        name: str,
+        way: PeerChannel,
+        serial: int,
+    ) -> None:
         """What a member that asks is told: that there is nothing new, or all anew. While mail to it is on its
         way, nothing; answers that the budget does not allow are left out."""
-        busy = name in self.owed or now - way.sent_at < 2.0 * PUSH_S
+        busy = name in self.owed or now - way.sent_at < 2.0 * MIN_PUSH_INTERVAL_S
         if self.allowance <= 0.0 or (busy and serial >= 0):
             return
         if serial == way.sent and not way.began:
             way.sent_at = now
-            self.give(out, Letter(name, Mail(way.sent, False, True, ())))
-        elif now - way.answered_at >= ASK_S / 2.0:
+            self.give(out, Outgoing(name, UsageMessage(way.sent, False, True, ())))
+        elif now - way.answered_at >= REQUEST_INTERVAL_S / 2.0:
             way.answered_at, way.began = now, True
             for key in self.told:
                 if name in self.partners(key):
-                    self.owe(name, (Kind.USE, key, self.use.writer))
+                    self.owe(name, (RowKind.USE, key, self.use.writer))
             if serial < 0:  # it may have begun anew: what was let in under its name is nobody else's to tell
-                for at in self.replica.order[Kind.USE]:
+                for at in self.replica.order[RowKind.USE]:
                     if at[2].rpartition("#")[0] == name:
                         self.owe(name, at)
             self.send(now, out, name)
@@ -340,7 +358,7 @@
 
     def expire(self) -> None:
         """Forgets windows whose rows have gone."""
-        while self.told and (Kind.USE, next(iter(self.told)), self.use.writer) not in self.replica.rows:
+        while self.told and (RowKind.USE, next(iter(self.told)), self.use.writer) not in self.replica.rows:
             del self.told[next(iter(self.told))]
 
     def known(self, now: float, spread: int) -> int:
@@ -352,7 +370,9 @@
         found = self.sets.get(spread)
         if found is None:
             near = self.ring.near(spread)
-            since = now - PATIENCE * max(ASK_S, len(self.ring.near(self.widest)) / ASKS_PER_S)
+            since = now - MAX_MISSED_REQUESTS * max(
+                REQUEST_INTERVAL_S, len(self.ring.near(self.widest)) / MAX_REQUESTS_PER_S
+            )
             sure = sum(self.there(name) and self.way(name).whole_at >= since for name in near)
             missing = self.ring.others(spread) - sure
             found = self.sets[spread] = max(0, spread - 1 - missing)
--- a/glenchute/policy/membership/endpoint_health.py
+++ b/glenchute/policy/membership/endpoint_health.py
@@ -22,16 +22,16 @@
 from typing import NamedTuple
 
 from ..events import AvoidEndpoint, Outcome
-from .replica import Kind, Row
+from .replica import Row, RowKind
 
-FIRST_S, MOST_S = 1.0, 2.0  # pauses that are told, doubled at each look that fails
-STRETCH = 2.0
-FRESH_S = 1.0
-ALONE = 1.0 / 3.0
-MOST_SERVERS = 2_000
+MIN_AVOIDANCE_S, MAX_AVOIDANCE_S = 1.0, 2.0  # pauses that are told, doubled at each look that fails
+MAX_STRETCH = 2.0
+OWN_EVIDENCE_S = 1.0
+SINGLE_REPORTER_SHARE = 1.0 / 3.0
+MAX_ENDPOINTS = 2_000
 
 
-class Heard(NamedTuple):
+class PeerReport(NamedTuple):
     """A writer's last word on a server, by this process' clock."""
 
     version: int
@@ -39,22 +39,22 @@
     stays: float  # ... which is then
 
 
-class Own(NamedTuple):
+class OwnReport(NamedTuple):
     """What this process told last of a server."""
 
     pause: float
     until: float
 
 
-class Health:
+class EndpointHealth:
     """The words of this process and of the others."""
 
     def __init__(self, writer: str, rng: random.Random) -> None:
         self.writer, self.rng = writer, rng
         self.serial = 0
-        self.own: dict[str, Own] = {}
+        self.own: dict[str, OwnReport] = {}
         self.answered: dict[str, float] = {}  # when each server last answered here
-        self.words: dict[str, dict[str, Heard]] = {}  # by server, by writer
+        self.words: dict[str, dict[str, PeerReport]] = {}  # by server, by writer
         self.by: dict[str, set[str]] = {}  # by writer, the servers that it has in pause
         self.due: dict[str, None] = {}  # servers of which the module is to be told
         self.ignored = 0  # words that own evidence or a lone writer's bound kept out
@@ -67,17 +67,17 @@
             own = self.own.get(server)
             if own is not None and now < own.until:
                 return None  # of the same look
-            pause = FIRST_S if own is None else min(MOST_S, 2.0 * own.pause)
-            if own is None and len(self.own) >= MOST_SERVERS:
+            pause = MIN_AVOIDANCE_S if own is None else min(MAX_AVOIDANCE_S, 2.0 * own.pause)
+            if own is None and len(self.own) >= MAX_ENDPOINTS:
                 del self.own[next(iter(self.own))]
-            self.own[server] = Own(pause, now + pause)
+            self.own[server] = OwnReport(pause, now + pause)
             self.answered.pop(server, None)
             return self.row(server, pause)
         if ending in (Outcome.TIMEOUT, Outcome.NOT_SENT, Outcome.CANCELLED):
             return None  # tells nothing of whether it can be reached
         self.answered.pop(server, None)
         self.answered[server] = now
-        if len(self.answered) > MOST_SERVERS:
+        if len(self.answered) > MAX_ENDPOINTS:
             del self.answered[next(iter(self.answered))]
         told = self.own.pop(server, None) is not None
         others = server in self.words
@@ -89,7 +89,7 @@
     def row(self, server: str, pause: float) -> Row:
         """This process' next word."""
         self.serial += 1
-        return Row(Kind.HEALTH, server, self.writer, self.serial, round(1000.0 * pause))
+        return Row(RowKind.HEALTH, server, self.writer, self.serial, round(1000.0 * pause))
 
     # --- the others' -------------------------------------------------------------------------------------
 
@@ -105,15 +105,15 @@
                 self.forget(row.key)
                 self.due[row.key] = None
             return
-        pause = min(MOST_S, row.value / 1000.0)
+        pause = min(MAX_AVOIDANCE_S, row.value / 1000.0)
         made = now - age_s
-        until = made + pause * STRETCH
+        until = made + pause * MAX_STRETCH
         if until <= now:
             return
-        if row.key not in self.words and len(self.words) >= MOST_SERVERS:
+        if row.key not in self.words and len(self.words) >= MAX_ENDPOINTS:
             self.forget(next(iter(self.words)))
-        stays = made + pause * self.rng.uniform(1.0, STRETCH)
-        self.words.setdefault(row.key, {})[row.writer] = Heard(row.version, until, stays)
+        stays = made + pause * self.rng.uniform(1.0, MAX_STRETCH)
+        self.words.setdefault(row.key, {})[row.writer] = PeerReport(row.version, until, stays)
         self.by.setdefault(row.writer, set()).add(row.key)
         self.due[row.key] = None
 
@@ -142,11 +142,11 @@
 
     def pause(self, now: float, server: str, servers: int) -> float:
         """For how long a server is left for last by the others' words. `servers`: how many are listed."""
-        if now - self.answered.get(server, -1e9) <= FRESH_S:
+        if now - self.answered.get(server, -1e9) <= OWN_EVIDENCE_S:
             self.ignored += server in self.words
             return 0.0
         words = {w: word for w, word in self.words.get(server, {}).items() if word.stays > now}
-        loud = [writer for writer in words if len(self.by.get(writer, ())) > ALONE * servers]
+        loud = [writer for writer in words if len(self.by.get(writer, ())) > SINGLE_REPORTER_SHARE * servers]
         if not words or (len(words) == 1 and loud):
             self.ignored += bool(words)
             return 0.0
--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -28,22 +28,23 @@
 
 from ..endpoints import notification as told
 from ..events import EndpointState
-from .task_candidates import CANDIDATES, rank
+from .outgoing import Outgoing
+from .task_candidates import CANDIDATES_PER_TASK, candidate_rank
 
-ASKERS = CANDIDATES  # the same members, whether they ask by rank or by lease
-TASK = "ask"  # the lease by which one of the askers asks, where there are leases
+MAX_POLLERS = CANDIDATES_PER_TASK  # the same members, whether they ask by rank or by lease
+POLL_TASK = "ask"  # the lease by which one of the askers asks, where there are leases
 FRESH_S = told.FRESH_S  # a list confirmed so long ago needs no call
-ASK_S = 1.0  # an asker is asked this often
-ASKER_WAIT_S = 1.5  # an asker's watch waits so long, so that its word is never older
-MOST_ROWS = 12  # in a message
-MOST_PARTS = 100
-MOST_ASKED = 8  # questions that an answer is still taken to
-SOON_S = 0.25
-MOST_PENDING = 8  # members whose messages are collected at a time
-KEPT_GONE = 2_000  # servers that are gone and still told of
+QUERY_INTERVAL_S = 1.0  # an asker is asked this often
+POLLER_WATCH_S = 1.5  # an asker's watch waits so long, so that its word is never older
+MAX_ROWS_PER_PART = 12  # in a message
+MAX_PARTS = 100
+MAX_OPEN_QUERIES = 8  # questions that an answer is still taken to
+RETRY_QUERY_S = 0.25
+MAX_PENDING_SENDERS = 8  # members whose messages are collected at a time
+MAX_REMOVED_ENDPOINTS = 2_000  # servers that are gone and still told of
 
 
-class Server(NamedTuple):
+class SharedEndpoint(NamedTuple):
     """One server as discovery told of it in a version."""
 
     version: int
@@ -56,7 +57,7 @@
     state: int  # 0 takes work, 1 drains, 2 is gone
 
 
-class Told(NamedTuple):
+class VersionReply(NamedTuple):
     """Answer to a question: the version of the sender's list, and how long ago discovery confirmed it, in
     milliseconds."""
 
@@ -65,7 +66,7 @@
     age_ms: int
 
 
-class Part(NamedTuple):
+class EndpointListPart(NamedTuple):
     """Some of what changed after `since` up to `version`: the message `at` of so many. Together they count,
     alone none does. `since` -1: the whole list, and what is not on it has gone."""
 
@@ -73,37 +74,30 @@
     version: int
     at: int
     of: int
-    rows: tuple[Server, ...]
+    rows: tuple[SharedEndpoint, ...]
 
 
-class Ask(NamedTuple):
+class VersionQuery(NamedTuple):
     """The sender asks for what changed after this version, and how old the receiver's word is."""
 
     serial: int
     since: int
 
 
-Body = Told | Part | Ask
+SharingMessage = VersionReply | EndpointListPart | VersionQuery
 
 
-class Sent(NamedTuple):
-    """A message to a member."""
+STATE_RANKS = {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 1, EndpointState.REMOVED: 2}
 
-    to: str
-    body: Body
 
-
-STATES = {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 1, EndpointState.REMOVED: 2}
-
-
-class ListShare:
+class SharedEndpointList:
     """The list as this gateway holds it, and who asks for it."""
 
     def __init__(self, name: str, now: float, rng: random.Random) -> None:
         self.name, self.rng = name, rng
         self.version = -1  # of the list held; -1: none
         self.base = -1  # changes since then are known; of those before some may be forgotten
-        self.rows: dict[str, Server] = {}  # what discovery told, or a member
+        self.rows: dict[str, SharedEndpoint] = {}  # what discovery told, or a member
         self.leased: bool | None = None  # whether this gateway holds the lease; None: askers go by rank alone
         self.ages: dict[str, float] = {}  # how old the word of each asker was, when last asked
         self.confirmed = -1e9  # when discovery is known to have had no newer list than this one
@@ -111,7 +105,7 @@
         self.serial = 0
         self.asked: dict[int, float] = {}  # the last questions, and when they were put
         # What came so far, by sender: what it is about, and the rows of each message.
-        self.pending: dict[str, tuple[tuple[int, int, int], dict[int, tuple[Server, ...]]]] = {}
+        self.pending: dict[str, tuple[tuple[int, int, int], dict[int, tuple[SharedEndpoint, ...]]]] = {}
 
     # --- who asks ----------------------------------------------------------------------------------------
 
@@ -119,8 +113,8 @@
         """Whether this gateway asks discovery for all. `others`: members that are not known to be dead."""
         if self.leased is not None:
             return self.leased
-        mine = rank(TASK, self.name)
-        return sum(rank(TASK, other) < mine for other in others) < ASKERS
+        mine = candidate_rank(POLL_TASK, self.name)
+        return sum(candidate_rank(POLL_TASK, other) < mine for other in others) < MAX_POLLERS
 
     def waits(self, now: float, others: Sequence[str]) -> float:
         """How long this gateway leaves discovery alone from now on; 0: it is to ask."""
@@ -131,8 +125,8 @@
     # --- what discovery says -----------------------------------------------------------------------------
 
     def discovery(
-        self, now: float, version: int, full: bool, rows: Sequence[Server], others: Sequence[str]
-    ) -> list[Sent]:
+        self, now: float, version: int, full: bool, rows: Sequence[SharedEndpoint], others: Sequence[str]
+    ) -> list[Outgoing[SharingMessage]]:
         """An answer of discovery, and what is told on of it. A count of versions that began anew makes this
         list the only one: members with a higher version go on with theirs until they ask themselves."""
         if full:
@@ -146,64 +140,68 @@
         if not changed or before < 0 or not self.asks(others):
             return []
         parts = self.parts(before)
-        return [Sent(other, part) for other in others for part in parts]
+        return [Outgoing(other, part) for other in others for part in parts]
 
-    def missing(self, listed: Sequence[Server], version: int) -> list[Server]:
+    def missing(self, listed: Sequence[SharedEndpoint], version: int) -> list[SharedEndpoint]:
         """Those held that a whole list does not name: as of its version they have gone."""
         named = {row.server for row in listed}
         held = (row for name, row in self.rows.items() if name not in named and row.state != 2)
         return [row._replace(version=version, state=2) for row in held]
 
-    def differs(self, row: Server) -> bool:
+    def differs(self, row: SharedEndpoint) -> bool:
         """Whether it says something new."""
         held = self.rows.get(row.server)
         return held is None or held._replace(version=row.version) != row
 
-    def keep(self, row: Server) -> None:
+    def keep(self, row: SharedEndpoint) -> None:
         """Holds a row; the oldest that are gone are forgotten past a bound."""
         self.rows.pop(row.server, None)
         self.rows[row.server] = row
         gone = [name for name, held in self.rows.items() if held.state == 2]
-        for name in gone[: max(0, len(gone) - KEPT_GONE)]:
+        for name in gone[: max(0, len(gone) - MAX_REMOVED_ENDPOINTS)]:
             self.base = max(self.base, self.rows.pop(name).version)
 
-    def tick(self, now: float, others: Sequence[str]) -> list[Sent]:
+    def tick(self, now: float, others: Sequence[str]) -> list[Outgoing[SharingMessage]]:
         """A question to one of those that ask for this gateway; call it some times a second."""
         if now < self.ask_at or not others or self.asks(others):
             return []
-        self.ask_at = now + ASK_S * self.rng.uniform(0.8, 1.2)
+        self.ask_at = now + QUERY_INTERVAL_S * self.rng.uniform(0.8, 1.2)
         self.serial += 1
-        self.asked = {self.serial: now, **dict(list(self.asked.items())[: MOST_ASKED - 1])}
-        askers = sorted(others, key=lambda other: rank(TASK, other))[:ASKERS]
+        self.asked = {self.serial: now, **dict(list(self.asked.items())[: MAX_OPEN_QUERIES - 1])}
+        askers = sorted(others, key=lambda other: candidate_rank(POLL_TASK, other))[:MAX_POLLERS]
         # One whose word was fresh has it from discovery; one that does not answer counts as older each time.
         self.ages = {name: self.ages.get(name, 0.0) for name in askers}
         best = min(askers, key=lambda name: self.ages[name] * self.rng.uniform(0.5, 1.5))
         self.ages[best] += FRESH_S
-        return [Sent(best, Ask(self.serial, self.version))]
+        return [Outgoing(best, VersionQuery(self.serial, self.version))]
 
     # --- what members say --------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: str, body: Body) -> tuple[list[Sent], list[Server]]:
+    def heard(
+        self, now: float, sender: str, body: SharingMessage
+    ) -> tuple[list[Outgoing[SharingMessage]], list[SharedEndpoint]]:
         """A member's message: what is answered, and the rows by which this gateway's list changes."""
-        if isinstance(body, Ask):
+        if isinstance(body, VersionQuery):
             age_ms = round(1000.0 * min(1e6, now - self.confirmed))
-            told = Sent(sender, Told(body.serial, self.version, age_ms))
             parts = self.parts(body.since) if -1 <= body.since < self.version else []
-            return [*(Sent(sender, part) for part in parts), told], []
-        if isinstance(body, Told):
+            replies: list[SharingMessage] = [*parts, VersionReply(body.serial, self.version, age_ms)]
+            return [Outgoing(sender, reply) for reply in replies], []
+        if isinstance(body, VersionReply):
             asked = self.asked.pop(body.serial, None)
             if sender in self.ages:
                 self.ages[sender] = max(0, body.age_ms) / 1000.0
             if asked is not None and body.version == self.version:
                 self.confirmed = max(self.confirmed, asked - max(0, body.age_ms) / 1000.0)
-            if asked is not None and (body.version > self.version or now - self.confirmed > ASKER_WAIT_S):
-                self.ask_at = min(self.ask_at, now + SOON_S)  # lost on the way, or another has a fresher word
+            if asked is not None and (body.version > self.version or now - self.confirmed > POLLER_WATCH_S):
+                self.ask_at = min(
+                    self.ask_at, now + RETRY_QUERY_S
+                )  # lost on the way, or another has a fresher word
             return [], []
-        if body.since > self.version or body.version <= self.version or not 0 < body.of <= MOST_PARTS:
+        if body.since > self.version or body.version <= self.version or not 0 < body.of <= MAX_PARTS:
             return [], []  # a gap, or nothing new
         about = body.since, body.version, body.of
         if self.pending.get(sender, (None,))[0] != about:
-            if len(self.pending) >= MOST_PENDING:
+            if len(self.pending) >= MAX_PENDING_SENDERS:
                 self.pending.clear()
             self.pending[sender] = about, {}
         collected = self.pending[sender][1]
@@ -226,7 +224,7 @@
         self.version = body.version
         return [], taken
 
-    def merged(self, row: Server) -> Server | None:
+    def merged(self, row: SharedEndpoint) -> SharedEndpoint | None:
         """What a member's row changes here; None: nothing."""
         held = self.rows.get(row.server)
         if row.version <= self.version or not 0 <= row.state <= 2:
@@ -237,13 +235,17 @@
         made = row._replace(state=state, started_ms=started)
         return made if made != held._replace(version=row.version) else None
 
-    def parts(self, since: int) -> list[Part]:
+    def parts(self, since: int) -> list[EndpointListPart]:
         """Messages with all that changed after a version."""
         if since < self.base:
             since, rows = -1, [row for row in self.rows.values() if row.state != 2]
         else:
             rows = [row for row in self.rows.values() if row.version > since]
-        if len(rows) > MOST_ROWS * MOST_PARTS:
+        if len(rows) > MAX_ROWS_PER_PART * MAX_PARTS:
             return []  # so long a list is asked for by each
-        batches = [tuple(rows[at : at + MOST_ROWS]) for at in range(0, len(rows), MOST_ROWS)] or [()]
-        return [Part(since, self.version, at, len(batches), rows) for at, rows in enumerate(batches)]
+        batches = [
+            tuple(rows[at : at + MAX_ROWS_PER_PART]) for at in range(0, len(rows), MAX_ROWS_PER_PART)
+        ] or [()]
+        return [
+            EndpointListPart(since, self.version, at, len(batches), rows) for at, rows in enumerate(batches)
+        ]
--- a/glenchute/policy/membership/gossip.py
+++ b/glenchute/policy/membership/gossip.py
@@ -20,18 +20,19 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .replica import BUCKETS, Kind, Replica, Row, place_of
+from .outgoing import Outgoing
+from .replica import BUCKETS, Replica, Row, RowKind, leaf_of
 
 ROW_BYTES = 64  # what a row is reckoned at in the budget
-MOST_PASSES = 5
-FEW = 600  # rows whose hashes go into one datagram, cut to 32 bits
-MOST_ROWS = 16  # in a message, which thus stays under a datagram's size
-MARK = 0xFFFFFFFF
-MOST_APART = 1_000
-MOST_NEWS = 20_000  # rows waiting to be passed on; past this the comparison has to bring them
+MAX_TRANSMISSIONS = 5
+MAX_ROW_HASHES = 600  # rows whose hashes go into one datagram, cut to 32 bits
+MAX_ROWS_PER_MESSAGE = 16  # in a message, which thus stays under a datagram's size
+SHORT_HASH_MASK = 0xFFFFFFFF
+MAX_DIVERGED_MEMBERS = 1_000
+MAX_QUEUED_ROWS = 20_000  # rows waiting to be passed on; past this the comparison has to bring them
 
 
-class Rows(NamedTuple):
+class Delta(NamedTuple):
     """Rows with their ages in milliseconds."""
 
     rows: tuple[tuple[Row, int], ...]
@@ -46,21 +47,21 @@
     known: bool
 
 
-class Marks(NamedTuple):
+class RowHashes(NamedTuple):
     """Hashes of all rows that are compared, where they are few. `answer`: the sender wants the receiver's."""
 
     marks: tuple[int, ...]
     answer: bool
 
 
-class Want(NamedTuple):
+class LeafRequest(NamedTuple):
     """Leaves of a bucket whose rows the sender asks for."""
 
     bucket: int
     leaves: tuple[int, ...]
 
 
-class Done(NamedTuple):
+class MatchingBuckets(NamedTuple):
     """In these buckets the receiver's copy does not differ from the sender's: the answer to a comparison by
     one whose copy is not whole. What was sent meanwhile may be lost, so only a comparison tells."""
 
@@ -68,17 +69,10 @@
     known: bool
 
 
-Body = Rows | Digest | Marks | Want | Done
+GossipMessage = Delta | Digest | RowHashes | LeafRequest | MatchingBuckets
 
 
-class Sent(NamedTuple):
-    """A message to a member."""
-
-    to: str
-    body: Body
-
-
-class Taken(NamedTuple):
+class ReceivedRow(NamedTuple):
     """A row that came from others, how old it was then, and who passed it on."""
 
     row: Row
@@ -87,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class GossipSettings:
     """Seconds, and bytes a second."""
 
     push: float = 0.05
@@ -98,11 +92,11 @@
 class Gossip:
     """The exchange of one process."""
 
-    def __init__(self, replica: Replica, pace: Pace, rng: random.Random, now: float = 0.0) -> None:
+    def __init__(self, replica: Replica, pace: GossipSettings, rng: random.Random, now: float = 0.0) -> None:
         self.replica, self.pace, self.rng = replica, pace, rng
         self.began = now
         self.known = False
-        self.news: dict[tuple[Kind, str, str], int] = {}  # row: how often it is still to be passed on
+        self.news: dict[tuple[RowKind, str, str], int] = {}  # row: how often it is still to be passed on
         self.owed: dict[str, dict[tuple[int, int], None]] = {}  # member: leaves to be sent, in order
         # While this copy is not whole: with whom each bucket was found to agree.
         self.whole: list[set[str]] = [set() for _ in range(BUCKETS)]
@@ -114,7 +108,7 @@
         self.longest = max(rules.life_s for rules in replica.rules.values() if rules.whole)
         # Members whose copy differed at the last comparison: since when, and in how many buckets.
         self.apart: dict[str, tuple[float, int]] = {}
-        self.changed: list[Taken] = []
+        self.changed: list[ReceivedRow] = []
 
     def tell(self, now: float, row: Row, size: int) -> None:
         """A word of this process' own."""
@@ -123,18 +117,18 @@
 
     def spread(self, row: Row, size: int) -> None:
         """A row is new here, and is passed on."""
-        if len(self.news) < MOST_NEWS:
-            passes = min(MOST_PASSES, 1 + math.ceil(math.log2(size + 1)))
+        if len(self.news) < MAX_QUEUED_ROWS:
+            passes = min(MAX_TRANSMISSIONS, 1 + math.ceil(math.log2(size + 1)))
             self.news[row.kind, row.key, row.writer] = passes
 
-    def taken(self) -> list[Taken]:
+    def taken(self) -> list[ReceivedRow]:
         """The rows that came from others since the last call."""
         changed, self.changed = self.changed, []
         return changed
 
     # --- time --------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, alive: Sequence[str]) -> list[Sent]:
+    def tick(self, now: float, alive: Sequence[str]) -> list[Outgoing[GossipMessage]]:
         """What is due now, within the budget; call it each `push` seconds."""
         fresh = self.pace.budget * (now - self.allowed_at)
         self.allowance = min(self.pace.budget / 4.0, self.allowance + fresh)
@@ -144,13 +138,13 @@
         self.owed = {name: leaves for name, leaves in self.owed.items() if leaves and name in alive}
         if not alive:
             return []
-        out: list[Sent] = []
+        out: list[Outgoing[GossipMessage]] = []
         if now >= self.compare_at:
             # One that has to catch up asks as often as it pushes, of another member each time.
             pause = self.pace.compare * self.rng.uniform(0.8, 1.2) if self.known else self.pace.push
             self.compare_at = now + pause
             marks = self.replica.children(now, None)
-            self.give(out, Sent(self.compares_with(alive), Digest(-1, marks, self.known)))
+            self.give(out, Outgoing(self.compares_with(alive), Digest(-1, marks, self.known)))
         if now >= self.push_at:
             self.push_at = now + self.pace.push
             self.push(now, out, alive)
@@ -159,15 +153,15 @@
                 self.pay(now, out, name)
         return out
 
-    def push(self, now: float, out: list[Sent], alive: Sequence[str]) -> None:
+    def push(self, now: float, out: list[Outgoing[GossipMessage]], alive: Sequence[str]) -> None:
         """Passes news on to one member. What restrains is passed on even if nothing seems new, a few rows at
         a time, as a digest that agrees by chance must not hide it."""
         waiting = sorted(self.news, key=lambda at: self.replica.rules[at[0]].urgency)
-        if not waiting and (drains := list(self.replica.order[Kind.SERVER])):
+        if not waiting and (drains := list(self.replica.order[RowKind.SERVER])):
             waiting = self.rng.sample(drains, min(2, len(drains)))
         to = self.rng.choice(alive)
         while waiting and self.allowance > 0.0:
-            batch, waiting = waiting[:MOST_ROWS], waiting[MOST_ROWS:]
+            batch, waiting = waiting[:MAX_ROWS_PER_MESSAGE], waiting[MAX_ROWS_PER_MESSAGE:]
             self.rows(now, out, to, batch)
             for at in batch:
                 if at in self.news:
@@ -175,83 +169,91 @@
                     if self.news[at] <= 0:
                         del self.news[at]
 
-    def pay(self, now: float, out: list[Sent], name: str) -> None:
+    def pay(self, now: float, out: list[Outgoing[GossipMessage]], name: str) -> None:
         """Sends a member some of what it is owed; then the next one is first."""
         leaves = self.owed.pop(name)
-        batch: list[tuple[Kind, str, str]] = []
-        while leaves and len(batch) < MOST_ROWS:
+        batch: list[tuple[RowKind, str, str]] = []
+        while leaves and len(batch) < MAX_ROWS_PER_MESSAGE:
             leaf = next(iter(leaves))
             del leaves[leaf]
             batch += [(h.row.kind, h.row.key, h.row.writer) for h in self.replica.compared(now, leaf)]
-        for first in range(0, len(batch), MOST_ROWS):
-            self.rows(now, out, name, batch[first : first + MOST_ROWS])
+        for first in range(0, len(batch), MAX_ROWS_PER_MESSAGE):
+            self.rows(now, out, name, batch[first : first + MAX_ROWS_PER_MESSAGE])
         if leaves:
             self.owed[name] = leaves
 
-    def rows(self, now: float, out: list[Sent], to: str, places: Sequence[tuple[Kind, str, str]]) -> None:
+    def rows(
+        self,
+        now: float,
+        out: list[Outgoing[GossipMessage]],
+        to: str,
+        places: Sequence[tuple[RowKind, str, str]],
+    ) -> None:
         """A message with these rows, as far as they are still held."""
         held = [self.replica.rows[at] for at in places if at in self.replica.rows]
         if held:
             self.rows_sent += len(held)
-            self.give(out, Sent(to, Rows(tuple((h.row, round(1000.0 * (now - h.made))) for h in held))))
+            self.give(out, Outgoing(to, Delta(tuple((h.row, round(1000.0 * (now - h.made))) for h in held))))
 
-    def give(self, out: list[Sent], sent: Sent) -> None:
+    def give(self, out: list[Outgoing[GossipMessage]], outgoing: Outgoing[GossipMessage]) -> None:
         """Books a message's bytes, roughly, and sends it."""
-        body = sent.body
-        cost = 24 + (ROW_BYTES * len(body.rows) if isinstance(body, Rows) else 0)
-        cost += 5 * len(body.marks) if isinstance(body, Marks) else 0
+        body = outgoing.message
+        cost = 24 + (ROW_BYTES * len(body.rows) if isinstance(body, Delta) else 0)
+        cost += 5 * len(body.marks) if isinstance(body, RowHashes) else 0
         cost += BUCKETS + 8 * (BUCKETS - body.marks.count(0)) if isinstance(body, Digest) else 0
         self.allowance -= cost
         self.sent_bytes += cost
-        out.append(sent)
+        out.append(outgoing)
 
     # --- messages ----------------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: str, body: Body, size: int) -> list[Sent]:
+    def heard(self, now: float, sender: str, body: GossipMessage, size: int) -> list[Outgoing[GossipMessage]]:
         """A member's message, and what is answered at once. Answers that the budget does not allow are left
         out: the member asks again, perhaps another one."""
-        out: list[Sent] = []
-        if isinstance(body, Rows):
-            for row, age_ms in body.rows[:MOST_ROWS]:
+        out: list[Outgoing[GossipMessage]] = []
+        if isinstance(body, Delta):
+            for row, age_ms in body.rows[:MAX_ROWS_PER_MESSAGE]:
                 if not self.replica.rules[row.kind].copied:
                     self.replica.refused += 1  # its writer alone tells it
                 elif self.replica.put(now, row, age_ms / 1000.0, sender):
                     self.rows_taken += 1
-                    self.changed.append(Taken(row, age_ms / 1000.0, sender))
+                    self.changed.append(ReceivedRow(row, age_ms / 1000.0, sender))
                     self.spread(row, size)
-        elif isinstance(body, Want):
+        elif isinstance(body, LeafRequest):
             if 0 <= body.bucket < BUCKETS:
                 self.owe(sender, body.bucket, body.leaves)
-        elif isinstance(body, Done):
+        elif isinstance(body, MatchingBuckets):
             self.finished(sender, body.buckets[:BUCKETS], body.known)
-        elif isinstance(body, Marks):
+        elif isinstance(body, RowHashes):
             self.compared(now, sender, body, out)
         elif body.bucket == -1:
             differing = self.replica.differing(now, None, body.marks)
             same = tuple(set(range(BUCKETS)) - set(differing))
             if not differing:
                 self.apart.pop(sender, None)
-            elif len(self.apart) < MOST_APART:
+            elif len(self.apart) < MAX_DIVERGED_MEMBERS:
                 self.apart[sender] = self.apart.get(sender, (now, 0))[0], len(differing)
             self.finished(sender, same, body.known)
             if not body.known:
-                self.give(out, Sent(sender, Done(same, self.known)))
-            if differing and len(self.replica.counted) <= FEW:
+                self.give(out, Outgoing(sender, MatchingBuckets(same, self.known)))
+            if differing and len(self.replica.counted) <= MAX_ROW_HASHES:
                 # So few rows are named one by one for less than the hashes of the buckets that differ.
                 if self.allowance > 0.0:
-                    self.give(out, Sent(sender, Marks(self.marks(), True)))
+                    self.give(out, Outgoing(sender, RowHashes(self.marks(), True)))
                 return out
             for bucket in self.rng.sample(differing, len(differing)):
                 if self.allowance <= 0.0:
                     break
-                self.give(out, Sent(sender, Digest(bucket, self.replica.children(now, bucket), self.known)))
+                self.give(
+                    out, Outgoing(sender, Digest(bucket, self.replica.children(now, bucket), self.known))
+                )
         elif 0 <= body.bucket < BUCKETS:
             leaves = self.replica.differing(now, body.bucket, body.marks)
             if leaves:
                 self.owe(sender, body.bucket, leaves)
-                self.give(out, Sent(sender, Want(body.bucket, tuple(leaves))))
+                self.give(out, Outgoing(sender, LeafRequest(body.bucket, tuple(leaves))))
             elif not body.known:
-                self.give(out, Sent(sender, Done((body.bucket,), self.known)))
+                self.give(out, Outgoing(sender, MatchingBuckets((body.bucket,), self.known)))
         return out
 
     # --- whether this copy is whole ----------------------------------------------------------------------
@@ -283,17 +285,17 @@
 
     def marks(self) -> tuple[int, ...]:
         """The hashes of all rows that are compared."""
-        return tuple(mark & MARK for mark in self.replica.counted.values())
+        return tuple(mark & SHORT_HASH_MASK for mark in self.replica.counted.values())
 
-    def compared(self, now: float, sender: str, body: Marks, out: list[Sent]) -> None:
+    def compared(self, now: float, sender: str, body: RowHashes, out: list[Outgoing[GossipMessage]]) -> None:
         """Owes a member the rows that it does not name. Two rows whose cut hashes are the same are taken for
         one, once in 2^32 pairs: the comparison of buckets goes by the whole ones."""
-        if body.answer and self.allowance > 0.0 and len(self.replica.counted) <= FEW:
-            self.give(out, Sent(sender, Marks(self.marks(), False)))
+        if body.answer and self.allowance > 0.0 and len(self.replica.counted) <= MAX_ROW_HASHES:
+            self.give(out, Outgoing(sender, RowHashes(self.marks(), False)))
         theirs = set(body.marks)
         for at, mark in self.replica.counted.items():
-            if mark & MARK not in theirs:
-                bucket, leaf = place_of(*at)
+            if mark & SHORT_HASH_MASK not in theirs:
+                bucket, leaf = leaf_of(*at)
                 self.owe(sender, bucket, (leaf,))
 
     def owe(self, name: str, bucket: int, leaves: Sequence[int]) -> None:
--- a/glenchute/policy/membership/gossiped_drains.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -25,12 +25,12 @@
 
 SETTLE_S = 6.0  # a change counts as told to everybody after this
 DISTRUST_S = 60.0
-MOST_SHARE = 0.5
-MOST_WORDS = 5_000
-STATES = (EndpointState.DRAINING, EndpointState.REMOVED)
+MAX_WITHHELD_SHARE = 0.5
+MAX_DRAINS = 5_000
+RANKED_STATES = (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
-class Word(NamedTuple):
+class GossipedDrain(NamedTuple):
     """One server's word on trial: who passed it on here, and when it was made."""
 
     version: int
@@ -39,20 +39,20 @@
     made: float
 
 
-class Denied(NamedTuple):
+class RevokedDrain(NamedTuple):
     """A word that discovery did not bear out."""
 
     server: str
-    word: Word
+    word: GossipedDrain
 
 
-class Restraint:
+class GossipedDrains:
     """The list as discovery told it here, and the words that stand against it."""
 
     def __init__(self) -> None:
         self.version = -1  # of discovery's last answer
         self.entries: dict[str, Endpoint] = {}  # servers that take work, by discovery
-        self.words: dict[str, Word] = {}  # on trial, and in force
+        self.words: dict[str, GossipedDrain] = {}  # on trial, and in force
         self.distrusted: dict[str, float] = {}  # servers of which no member's word counts, until then
         self.denied = self.beyond = 0
 
@@ -77,29 +77,29 @@
             return False
         if now < self.distrusted.get(server, -1e9):
             return False
-        state = STATES[rank >= 2.0]
+        state = RANKED_STATES[rank >= 2.0]
         if known is not None:
             stronger = state is EndpointState.REMOVED and known.state is not EndpointState.REMOVED
             if not stronger:
                 return False
-        elif len(self.words) >= min(MOST_WORDS, MOST_SHARE * len(self.entries)):
+        elif len(self.words) >= min(MAX_DRAINS, MAX_WITHHELD_SHARE * len(self.entries)):
             self.beyond += 1
             return False
-        self.words[server] = Word(version, state, sender, now - age_s)
+        self.words[server] = GossipedDrain(version, state, sender, now - age_s)
         return True
 
-    def confirmed(self, now: float, version: int) -> tuple[list[Endpoint], list[Denied]]:
+    def confirmed(self, now: float, version: int) -> tuple[list[Endpoint], list[RevokedDrain]]:
         """Discovery has just said that `version` is its newest. Servers that are given back, and why."""
         self.version = version
         back: list[Endpoint] = []
-        denied: list[Denied] = []
+        denied: list[RevokedDrain] = []
         for server, word in list(self.words.items()):
             # Where discovery is past it, it has told this process all changes on the way: had the word been
             # true, `listed` would have settled it.
             if word.version <= version or now - word.made >= SETTLE_S:
                 del self.words[server]
                 back.append(self.entries[server])
-                denied.append(Denied(server, word))
+                denied.append(RevokedDrain(server, word))
         for row in denied:
             self.distrusted[row.server] = now + DISTRUST_S
         self.denied += len(denied)
--- a/glenchute/policy/membership/leases.py
+++ b/glenchute/policy/membership/leases.py
@@ -30,6 +30,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from .outgoing import Outgoing
+
 
 class Ballot(NamedTuple):
     """The number of a try: higher than any that its seeker has heard of, and of this process alone."""
@@ -48,10 +50,10 @@
         return (self.seeker, self.boot) == (held.seeker, held.boot) and self.number >= held.number
 
 
-NOTHING = Ballot(0, "", 0)
+NO_BALLOT = Ballot(0, "", 0)
 
 
-class Kind(IntEnum):
+class LeaseMessageKind(IntEnum):
     """What a message asks or tells."""
 
     PREPARE = 0
@@ -65,26 +67,19 @@
     FREE = 8  # to other seekers: `ballot` has just been given back
 
 
-class Lease(NamedTuple):
+class LeaseMessage(NamedTuple):
     """One message about one task."""
 
-    kind: Kind
+    kind: LeaseMessageKind
     task: str
     ballot: Ballot
-    holder: Ballot = NOTHING
+    holder: Ballot = NO_BALLOT
     span: float = 0.0
     ready: bool = True
 
 
-class Out(NamedTuple):
-    """A message to be sent."""
-
-    to: str
-    message: Lease
-
-
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTerms:
     """What all voters and seekers have to be configured with alike. Seconds by any clock within the drift."""
 
     voters: tuple[str, ...]
@@ -106,27 +101,27 @@
         return span * (1.0 - self.drift) / (1.0 + self.drift)
 
 
-class Accepted(NamedTuple):
+class AcceptedLease(NamedTuple):
     """A lease as a voter holds it, by its own clock."""
 
     ballot: Ballot
     until: float
 
 
-class Voter:
+class Acceptor:
     """One voter's promises."""
 
-    def __init__(self, name: str, terms: Terms, now: float) -> None:
+    def __init__(self, name: str, terms: LeaseTerms, now: float) -> None:
         self.name, self.terms = name, terms
         self.speaks_at = now + terms.silence
         self.recalled: dict[str, bool] = {}  # voters that told what they promised; whether they had recovered
         self.ready = False
         self.anew = False  # all voters had lost everything
-        self.floor = NOTHING  # promised for every task: the highest that the others had promised for any
+        self.floor = NO_BALLOT  # promised for every task: the highest that the others had promised for any
         self.promised: dict[str, Ballot] = {}
-        self.accepted: dict[str, Accepted] = {}
+        self.accepted: dict[str, AcceptedLease] = {}
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Asks the others what was promised, until enough have said; call it some times a second."""
         for task in [task for task, held in self.accepted.items() if held.until <= now]:
             del self.accepted[task]
@@ -139,15 +134,19 @@
         if now >= self.speaks_at and (known >= most or told == len(others) or lost >= most):
             self.ready, self.anew = True, lost >= most
             return []
-        return [Out(other, Lease(Kind.RECALL, "", NOTHING)) for other in others]
+        return [Outgoing(other, LeaseMessage(LeaseMessageKind.RECALL, "", NO_BALLOT)) for other in others]
 
-    def heard(self, now: float, sender: str, message: Lease) -> list[Out]:
+    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """A message. A voter that has not recovered answers seekers nothing."""
         kind, task, ballot = message.kind, message.task, message.ballot
-        if kind is Kind.RECALL:
+        if kind is LeaseMessageKind.RECALL:
             highest = max([self.floor, *self.promised.values()])
-            return [Out(sender, Lease(Kind.RECALLED, "", NOTHING, highest, ready=self.ready))]
-        if kind is Kind.RECALLED:
+            return [
+                Outgoing(
+                    sender, LeaseMessage(LeaseMessageKind.RECALLED, "", NO_BALLOT, highest, ready=self.ready)
+                )
+            ]
+        if kind is LeaseMessageKind.RECALLED:
             if not self.ready and sender in self.terms.voters:
                 self.recalled[sender] = message.ready
                 self.floor = max(self.floor, message.holder)
@@ -158,26 +157,31 @@
         held = self.accepted.get(task)
         if held is not None and held.until <= now:
             held = None
-        if kind is Kind.PREPARE:
+        if kind is LeaseMessageKind.PREPARE:
             if not ballot.passes(promised):
-                return [Out(sender, Lease(Kind.NO, task, ballot, promised))]
+                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.NO, task, ballot, promised))]
             self.promised[task] = ballot
             if held is None:
-                return [Out(sender, Lease(Kind.PROMISE, task, ballot))]
-            return [Out(sender, Lease(Kind.PROMISE, task, ballot, held.ballot, held.until - now))]
-        if kind is Kind.PROPOSE:
+                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.PROMISE, task, ballot))]
+            return [
+                Outgoing(
+                    sender,
+                    LeaseMessage(LeaseMessageKind.PROMISE, task, ballot, held.ballot, held.until - now),
+                )
+            ]
+        if kind is LeaseMessageKind.PROPOSE:
             if not ballot.passes(promised) or message.span > self.terms.longest:
-                return [Out(sender, Lease(Kind.NO, task, ballot, promised))]
+                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.NO, task, ballot, promised))]
             self.promised[task] = ballot
-            self.accepted[task] = Accepted(ballot, now + message.span)
-            return [Out(sender, Lease(Kind.ACCEPTED, task, ballot))]
-        if kind is Kind.RELEASE and held is not None and ballot.ends(held.ballot):
+            self.accepted[task] = AcceptedLease(ballot, now + message.span)
+            return [Outgoing(sender, LeaseMessage(LeaseMessageKind.ACCEPTED, task, ballot))]
+        if kind is LeaseMessageKind.RELEASE and held is not None and ballot.ends(held.ballot):
             del self.accepted[task]
         return []
 
 
 @dataclass(slots=True)
-class Holding:
+class OwnLease:
     """A lease that is held, by this process' clock."""
 
     token: int
@@ -186,7 +190,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class BallotRound:
     """A try under way."""
 
     ballot: Ballot
@@ -196,18 +200,18 @@
     until: float | None = None  # set when the proposal leaves
 
 
-class Seeker:
+class Proposer:
     """One process that would hold a task's lease."""
 
-    def __init__(self, name: str, boot: int, task: str, terms: Terms, span: float) -> None:
+    def __init__(self, name: str, boot: int, task: str, terms: LeaseTerms, span: float) -> None:
         if span > terms.longest:
             raise ValueError("a lease must not be longer than the longest")
         self.name, self.boot, self.task, self.terms, self.span = name, boot, task, terms, span
         self.highest = 0  # number of the highest ballot heard of
-        self.trying: Try | None = None
-        self.holding: Holding | None = None
-        self.freed = NOTHING  # another's that was given back, by its own word
-        self.other: Ballot = NOTHING  # who was found to hold it ...
+        self.trying: BallotRound | None = None
+        self.holding: OwnLease | None = None
+        self.freed = NO_BALLOT  # another's that was given back, by its own word
+        self.other: Ballot = NO_BALLOT  # who was found to hold it ...
         self.other_until = -1e9  # ... and until when it does at most, if it does not renew
 
     def holds(self, now: float) -> bool:
@@ -221,43 +225,43 @@
         end = now + longest_s * (1.0 + self.terms.drift)
         return self.holding.token if self.holding is not None and end < self.holding.until else None
 
-    def seek(self, now: float) -> list[Out]:
+    def seek(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Begins a try, or a renewal where this process holds the lease."""
         if not self.holds(now):
             self.holding = None
         self.highest += 1
-        self.trying = Try(Ballot(self.highest, self.name, self.boot))
-        return self.to_all(Lease(Kind.PREPARE, self.task, self.trying.ballot))
+        self.trying = BallotRound(Ballot(self.highest, self.name, self.boot))
+        return self.to_all(LeaseMessage(LeaseMessageKind.PREPARE, self.task, self.trying.ballot))
 
-    def release(self, now: float) -> list[Out]:
+    def release(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Gives the lease back: not held from this moment on, whatever becomes of the messages. A renewal
         that is under way goes back as well."""
         holding, trying, self.holding, self.trying = self.holding, self.trying, None, None
         if holding is None:
             return []
         last = trying.ballot if trying is not None else holding.ballot
-        return self.to_all(Lease(Kind.RELEASE, self.task, last))
+        return self.to_all(LeaseMessage(LeaseMessageKind.RELEASE, self.task, last))
 
-    def again(self) -> list[Out]:
+    def again(self) -> list[Outgoing[LeaseMessage]]:
         """The messages of the try under way to voters that have not answered, once more: what a voter hears
         twice it answers twice, and takes once."""
         trying = self.trying
         if trying is None:
             return []
         if trying.until is None:
-            message = Lease(Kind.PREPARE, self.task, trying.ballot)
+            message = LeaseMessage(LeaseMessageKind.PREPARE, self.task, trying.ballot)
             answered = trying.promises | trying.against
         else:
-            message = Lease(Kind.PROPOSE, self.task, trying.ballot, span=self.span)
+            message = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span=self.span)
             answered = trying.accepts
-        return [Out(voter, message) for voter in self.terms.voters if voter not in answered]
+        return [Outgoing(voter, message) for voter in self.terms.voters if voter not in answered]
 
     def given_back(self, ballot: Ballot) -> None:
         """Its holder says that it holds it no more: what voters still tell of it counts for nothing."""
         self.freed = ballot
         self.highest = max(self.highest, ballot.number)
 
-    def heard(self, now: float, sender: str, message: Lease) -> list[Out]:
+    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """A voter's answer. One to an older try is only learned from."""
         self.highest = max(self.highest, message.holder.number)
         trying = self.trying
@@ -265,9 +269,9 @@
             return []
         if sender not in self.terms.voters:
             return []
-        if message.kind is Kind.NO:
+        if message.kind is LeaseMessageKind.NO:
             self.opposed(trying, sender)  # the next try has a higher number
-        elif message.kind is Kind.PROMISE and trying.until is None:
+        elif message.kind is LeaseMessageKind.PROMISE and trying.until is None:
             if not self.mine(message.holder):
                 # A try that reached few voters leaves its mark at them; only a majority's tells of a holder.
                 self.other = message.holder
@@ -277,17 +281,19 @@
             trying.promises.add(sender)
             if len(trying.promises) >= self.terms.majority:
                 trying.until = now + self.terms.held_for(self.span)  # begins before the proposal leaves
-                return self.to_all(Lease(Kind.PROPOSE, self.task, trying.ballot, span=self.span))
-        elif message.kind is Kind.ACCEPTED and trying.until is not None:
+                return self.to_all(
+                    LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span=self.span)
+                )
+        elif message.kind is LeaseMessageKind.ACCEPTED and trying.until is not None:
             trying.accepts.add(sender)
             if len(trying.accepts) >= self.terms.majority:
                 self.trying = None
                 if now < trying.until:
                     token = self.holding.token if self.holds(now) and self.holding else trying.ballot.number
-                    self.holding = Holding(token, trying.until, trying.ballot)
+                    self.holding = OwnLease(token, trying.until, trying.ballot)
         return []
 
-    def opposed(self, trying: Try, voter: str) -> None:
+    def opposed(self, trying: BallotRound, voter: str) -> None:
         """One voter stands against a try; it ends when the others are no majority."""
         trying.against.add(voter)
         if len(trying.against) > len(self.terms.voters) - self.terms.majority:
@@ -296,14 +302,14 @@
     def mine(self, holder: Ballot) -> bool:
         """Whether nobody else holds it: nobody does, or this very process, or one that gave it back."""
         own = (holder.seeker, holder.boot) == (self.name, self.boot)
-        return holder == NOTHING or own or self.freed.ends(holder)
+        return holder == NO_BALLOT or own or self.freed.ends(holder)
 
-    def to_all(self, message: Lease) -> list[Out]:
+    def to_all(self, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """The same to each voter."""
-        return [Out(voter, message) for voter in self.terms.voters]
+        return [Outgoing(voter, message) for voter in self.terms.voters]
 
 
-def sound_voters(voters: Sequence[str], listed: Sequence[str], changing: bool = False) -> str:
+def acceptor_set_problem(voters: Sequence[str], listed: Sequence[str], changing: bool = False) -> str:
     """What is wrong with a set of voters, in a sentence; empty where nothing is. `changing`: it is one
     between two others. Majorities of two sets have a voter in common if one was added or one taken away, and
     not if one was put in another's place; so a replacement goes by way of an even set."""
--- a/glenchute/policy/membership/members.py
+++ b/glenchute/policy/membership/members.py
@@ -25,15 +25,19 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-PIGGYBACK = 16  # updates in a message
-RELAYS = 3  # members asked to probe in one's place
-SPREAD = 3.0  # an update is sent so many times the natural logarithm of the fleet's size: e^-3 ln n miss it
-MOST_HEALTH = 8
-CONFIRMATIONS = 3  # after which a suspicion's time is at its least
-RETRY_GONE = 8  # each so many periods one that is gone is probed as well: a cut may have ended
+from .outgoing import Outgoing
 
+MAX_PIGGYBACKED_UPDATES = 16  # updates in a message
+INDIRECT_PROBES = 3  # members asked to probe in one's place
+RETRANSMIT_FACTOR = (
+    3.0  # an update is sent so many times the natural logarithm of the fleet's size: e^-3 ln n miss it
+)
+MAX_LOCAL_HEALTH = 8
+MAX_CONFIRMATIONS = 3  # after which a suspicion's time is at its least
+DEAD_MEMBER_PROBE_PERIODS = 8  # each so many periods one that is gone is probed as well: a cut may have ended
 
-class State(IntEnum):
+
+class MemberState(IntEnum):
     """What is thought of a member; of two words of one incarnation the higher holds."""
 
     UNKNOWN = 0  # listed, and never heard
@@ -43,7 +47,7 @@
     LEFT = 4  # it said so
 
 
-class Kind(IntEnum):
+class SwimMessageKind(IntEnum):
     """What a message asks or tells."""
 
     PING = 0
@@ -52,42 +56,35 @@
     NACK = 3  # I was asked to, and it does not answer me either
 
 
-class Update(NamedTuple):
+class MemberUpdate(NamedTuple):
     """A word on a member. `boot` names the process, `incarnation` its latest word on itself."""
 
     name: str
-    state: State
+    state: MemberState
     incarnation: int
     boot: int
 
 
-class Message(NamedTuple):
+class SwimMessage(NamedTuple):
     """One message; `serial` pairs answers with probes, `about` names the member to be probed."""
 
-    kind: Kind
+    kind: SwimMessageKind
     serial: int
     about: str
-    updates: tuple[Update, ...]
-
-
-class Out(NamedTuple):
-    """A message to be sent."""
+    updates: tuple[MemberUpdate, ...]
 
-    to: str
-    message: Message
 
-
-class Change(NamedTuple):
+class MemberChange(NamedTuple):
     """A member's state has changed here; `conflict`: another process claims the name at the same time."""
 
     name: str
-    was: State
-    now: State
+    was: MemberState
+    now: MemberState
     conflict: bool = False
 
 
 @dataclass(slots=True)
-class Rules:
+class SwimSettings:
     """Times in seconds."""
 
     period: float = 0.2  # between two probes of this member
@@ -100,7 +97,7 @@
     """What is known of one."""
 
     name: str
-    state: State = State.UNKNOWN
+    state: MemberState = MemberState.UNKNOWN
     incarnation: int = -1
     boot: int = 0
     since: float = 0.0  # of the state
@@ -120,11 +117,17 @@
     asked: int = 0
 
 
-class Members:
+class MemberList:
     """The view of one process."""
 
     def __init__(
-        self, name: str, boot: int, listed: Sequence[str], rules: Rules, rng: random.Random, now: float = 0.0
+        self,
+        name: str,
+        boot: int,
+        listed: Sequence[str],
+        rules: SwimSettings,
+        rng: random.Random,
+        now: float = 0.0,
     ) -> None:
         self.name, self.boot, self.rules, self.rng = name, boot, rules, rng
         self.members = {other: Member(other, since=now) for other in listed if other != name}
@@ -140,52 +143,52 @@
         self.news: dict[str, int] = {}  # name: how often its word was sent
         self.rebooted_at = -math.inf
         self.conflicts: dict[str, int] = {}
-        self.changes: list[Change] = []
+        self.changes: list[MemberChange] = []
         self.tell(name)
 
     # --- what others read --------------------------------------------------------------------------------
 
     def alive(self) -> list[str]:
         """Those that take part, suspects too, without this process."""
-        return [m.name for m in self.members.values() if m.state in (State.ALIVE, State.SUSPECT)]
+        return [m.name for m in self.members.values() if m.state in (MemberState.ALIVE, MemberState.SUSPECT)]
 
-    def taken(self) -> list[Change]:
+    def taken(self) -> list[MemberChange]:
         """The changes since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
-    def status(self) -> State:
+    def status(self) -> MemberState:
         """What this process says of itself."""
-        return State.LEFT if self.leaving else State.ALIVE
+        return MemberState.LEFT if self.leaving else MemberState.ALIVE
 
     # --- time --------------------------------------------------------------------------------------------
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[Outgoing[SwimMessage]]:
         """Ends what is overdue and probes the next one; call it some times a period."""
-        out: list[Out] = []
+        out: list[Outgoing[SwimMessage]] = []
         for member in self.members.values():
-            if member.state is not State.SUSPECT or now - member.since < self.suspicion(member):
+            if member.state is not MemberState.SUSPECT or now - member.since < self.suspicion(member):
                 continue
             if now - member.heard < self.rules.patience:
                 member.since = member.heard  # it spoke to this process since: its denial has been lost
             else:
-                self.become(now, member, State.DEAD, member.incarnation, member.boot)
+                self.become(now, member, MemberState.DEAD, member.incarnation, member.boot)
         probe = self.probe
         scale = 1 + self.health
         if probe is not None and not probe.relayed and now - probe.began >= 0.4 * self.rules.period * scale:
             probe.relayed = True
             others = [name for name in self.alive() if name != probe.name]
-            for name in self.rng.sample(others, min(RELAYS, len(others))):
+            for name in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
                 probe.asked += 1
-                out.append(self.message(name, Kind.PING_REQ, probe.serial, probe.name))
+                out.append(self.message(name, SwimMessageKind.PING_REQ, probe.serial, probe.name))
         if now < self.next_at:
             return out
         if now - self.next_at > self.rules.patience:
             # This process stood still, or was starved: what it did not hear meanwhile is its own doing.
-            self.health = MOST_HEALTH
+            self.health = MAX_LOCAL_HEALTH
             self.probe = None
             for member in self.members.values():
-                member.since = max(member.since, now) if member.state is State.SUSPECT else member.since
+                member.since = max(member.since, now) if member.state is MemberState.SUSPECT else member.since
         elif self.probe is not None:
             self.failed(now, self.probe)
         self.next_at = now + self.rules.period * scale
@@ -194,15 +197,19 @@
         if not self.leaving and (target := self.target()) is not None:
             self.serial += 1
             self.probe = Probe(target, self.serial, now)
-            out.append(self.message(target, Kind.PING, self.serial))
+            out.append(self.message(target, SwimMessageKind.PING, self.serial))
         return out
 
     def target(self) -> str | None:
         """The next to be probed: each once a round, in an order drawn anew; now and then one that is gone."""
-        gone = [m.name for m in self.members.values() if m.state in (State.DEAD, State.LEFT, State.UNKNOWN)]
+        gone = [
+            m.name
+            for m in self.members.values()
+            if m.state in (MemberState.DEAD, MemberState.LEFT, MemberState.UNKNOWN)
+        ]
         here = self.alive()
-        fresh = [name for name in gone if self.members[name].state is State.UNKNOWN]
-        if gone and (not here or self.periods % (2 if fresh else RETRY_GONE) == 0):
+        fresh = [name for name in gone if self.members[name].state is MemberState.UNKNOWN]
+        if gone and (not here or self.periods % (2 if fresh else DEAD_MEMBER_PROBE_PERIODS) == 0):
             return self.rng.choice(fresh or gone)
         known = set(here)
         while self.round and self.round[-1] not in known:
@@ -216,10 +223,12 @@
         """The last probe has had no answer in its period."""
         self.probe = None
         member = self.members[probe.name]
-        if member.state not in (State.ALIVE, State.SUSPECT):
+        if member.state not in (MemberState.ALIVE, MemberState.SUSPECT):
             return
         # Relays that did not even say that they got no answer cast doubt on this process' own links.
-        self.health = min(MOST_HEALTH, self.health + max(0, probe.asked - probe.nacks) + (not probe.asked))
+        self.health = min(
+            MAX_LOCAL_HEALTH, self.health + max(0, probe.asked - probe.nacks) + (not probe.asked)
+        )
         self.suspect(now, member, self.name)
 
     def suspicion(self, member: Member) -> float:
@@ -227,12 +236,12 @@
         size = len(self.members) + 1
         spread = 5.0 * math.log10(max(10, size)) * self.rules.period  # in which a denial reaches all
         least = self.rules.patience + spread
-        share = math.log(1 + len(member.accusers)) / math.log(1 + CONFIRMATIONS)
+        share = math.log(1 + len(member.accusers)) / math.log(1 + MAX_CONFIRMATIONS)
         return least * max(1.0, self.rules.longest - (self.rules.longest - 1.0) * share)
 
     # --- messages ----------------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: str, boot: int, message: Message) -> list[Out]:
+    def heard(self, now: float, sender: str, boot: int, message: SwimMessage) -> list[Outgoing[SwimMessage]]:
         """A message of a listed member's process. One that is not listed is not heard."""
         member = self.members.get(sender)
         if member is None:
@@ -245,29 +254,29 @@
             self.tell(sender)
         if member.boot == boot:
             member.heard = now
-        if message.kind is Kind.PING:
-            return [self.message(sender, Kind.ACK, message.serial)]
-        if message.kind is Kind.PING_REQ:
+        if message.kind is SwimMessageKind.PING:
+            return [self.message(sender, SwimMessageKind.ACK, message.serial)]
+        if message.kind is SwimMessageKind.PING_REQ:
             if message.about not in self.members:
                 return []
             self.serial += 1
             self.relays[self.serial] = sender, message.serial, message.about, now
-            nack = self.message(sender, Kind.NACK, message.serial, message.about)
-            return [self.message(message.about, Kind.PING, self.serial), nack]
-        if message.kind is Kind.NACK:
+            nack = self.message(sender, SwimMessageKind.NACK, message.serial, message.about)
+            return [self.message(message.about, SwimMessageKind.PING, self.serial), nack]
+        if message.kind is SwimMessageKind.NACK:
             if self.probe is not None and message.serial == self.probe.serial:
                 self.probe.nacks += 1
             return []
         relay = self.relays.pop(message.serial, None)
         if relay is not None and relay[2] == sender:
-            return [self.message(relay[0], Kind.ACK, relay[1], sender)]
+            return [self.message(relay[0], SwimMessageKind.ACK, relay[1], sender)]
         probe = self.probe
         if probe is not None and message.serial == probe.serial and probe.name in (sender, message.about):
             self.probe = None
             self.health = max(0, self.health - 1)
         return []
 
-    def word(self, now: float, sender: str, update: Update) -> None:
+    def word(self, now: float, sender: str, update: MemberUpdate) -> None:
         """One word on a member, or on this process."""
         if update.name == self.name:
             self.word_on_self(now, update)
@@ -277,24 +286,26 @@
             return
         rank = (update.incarnation, update.boot)
         known = (member.incarnation, member.boot)
-        if update.state is State.SUSPECT and rank == known and member.state is State.SUSPECT:
-            if sender not in member.accusers and len(member.accusers) < CONFIRMATIONS:
+        if update.state is MemberState.SUSPECT and rank == known and member.state is MemberState.SUSPECT:
+            if sender not in member.accusers and len(member.accusers) < MAX_CONFIRMATIONS:
                 member.accusers.add(sender)
                 self.news.setdefault(member.name, 0)  # told on, but not as often again: that would add up
-        elif update.state is State.SUSPECT and rank >= known:
+        elif update.state is MemberState.SUSPECT and rank >= known:
             member.incarnation, member.boot = rank
             self.suspect(now, member, sender)
         elif rank > known or (rank == known and update.state > member.state):
             if member.boot not in (0, update.boot) and update.name == sender and now - member.heard < 1.0:
                 self.conflicts[update.name] = self.conflicts.get(update.name, 0) + 1
-                self.changes.append(Change(update.name, member.state, update.state, True))
+                self.changes.append(MemberChange(update.name, member.state, update.state, True))
             self.become(now, member, update.state, *rank)
 
-    def word_on_self(self, now: float, update: Update) -> None:
+    def word_on_self(self, now: float, update: MemberUpdate) -> None:
         """What others think of this process, or of another one under its name; denied where it is wrong, a
         period apart, so that two processes under one name cost a message a period and no more."""
         same = update.boot == self.boot
-        if same and (update.state in (State.UNKNOWN, self.status()) or update.incarnation < self.incarnation):
+        if same and (
+            update.state in (MemberState.UNKNOWN, self.status()) or update.incarnation < self.incarnation
+        ):
             return
         if not same and (update.incarnation, update.boot) < (self.incarnation, self.boot):
             self.tell(self.name)
@@ -305,35 +316,36 @@
             self.rebooted_at = now
             self.incarnation = max(self.incarnation, update.incarnation) + 1
             if same:
-                self.health = min(MOST_HEALTH, self.health + 1)
+                self.health = min(MAX_LOCAL_HEALTH, self.health + 1)
             self.tell(self.name)
 
-    def leave(self, now: float) -> list[Out]:
+    def leave(self, now: float) -> list[Outgoing[SwimMessage]]:
         """This process goes: told at once to some, by whom it spreads."""
         self.leaving = True
         self.incarnation += 1
         self.tell(self.name)
         here = self.alive()
         return [
-            self.message(name, Kind.PING, 0) for name in self.rng.sample(here, min(2 * RELAYS, len(here)))
+            self.message(name, SwimMessageKind.PING, 0)
+            for name in self.rng.sample(here, min(2 * INDIRECT_PROBES, len(here)))
         ]
 
     # --- state -------------------------------------------------------------------------------------------
 
     def suspect(self, now: float, member: Member, accuser: str) -> None:
         """It may be gone."""
-        if member.state is not State.SUSPECT:
-            self.become(now, member, State.SUSPECT, member.incarnation, member.boot)
+        if member.state is not MemberState.SUSPECT:
+            self.become(now, member, MemberState.SUSPECT, member.incarnation, member.boot)
             member.accusers = set()
         member.accusers.add(accuser)
 
-    def become(self, now: float, member: Member, state: State, incarnation: int, boot: int) -> None:
+    def become(self, now: float, member: Member, state: MemberState, incarnation: int, boot: int) -> None:
         """Takes a word over, and tells on."""
         if state is not member.state:
-            self.changes.append(Change(member.name, member.state, state))
+            self.changes.append(MemberChange(member.name, member.state, state))
             member.since = now
         member.state, member.incarnation, member.boot = state, incarnation, boot
-        if state is not State.SUSPECT:
+        if state is not MemberState.SUSPECT:
             member.accusers = set()
         self.tell(member.name)
 
@@ -341,32 +353,32 @@
         """A word on this one is to be spread."""
         self.news[name] = 0
 
-    def update(self, name: str) -> Update:
+    def update(self, name: str) -> MemberUpdate:
         """The word on one."""
         if name == self.name:
-            return Update(name, self.status(), self.incarnation, self.boot)
+            return MemberUpdate(name, self.status(), self.incarnation, self.boot)
         member = self.members[name]
-        return Update(name, member.state, member.incarnation, member.boot)
+        return MemberUpdate(name, member.state, member.incarnation, member.boot)
 
     def urgency(self, name: str) -> tuple[bool, int]:
         """Doubts, denials and ends go before what is only new: where many join at once a denial would come
         behind all of them, and too late."""
         update = self.update(name)
-        return update.state is State.ALIVE and update.incarnation <= 0, self.news[name]
+        return update.state is MemberState.ALIVE and update.incarnation <= 0, self.news[name]
 
-    def message(self, to: str, kind: Kind, serial: int, about: str = "") -> Out:
+    def message(self, to: str, kind: SwimMessageKind, serial: int, about: str = "") -> Outgoing[SwimMessage]:
         """A message with the news that have been sent least; one that is in doubt or unknown to the receiver
         is told so first."""
         names = [self.name]
-        if self.members[to].state in (State.SUSPECT, State.DEAD, State.LEFT):
+        if self.members[to].state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
             names.append(to)
-        most = max(1, math.ceil(SPREAD * math.log(len(self.members) + 2)))
+        most = max(1, math.ceil(RETRANSMIT_FACTOR * math.log(len(self.members) + 2)))
         for name in sorted(self.news, key=self.urgency):
-            if len(names) >= PIGGYBACK:
+            if len(names) >= MAX_PIGGYBACKED_UPDATES:
                 break
             if name not in names:
                 names.append(name)
             self.news[name] += 1
             if self.news[name] >= most:
                 del self.news[name]
-        return Out(to, Message(kind, serial, about, tuple(self.update(name) for name in names)))
+        return Outgoing(to, SwimMessage(kind, serial, about, tuple(self.update(name) for name in names)))
--- a/glenchute/policy/membership/replica.py
+++ b/glenchute/policy/membership/replica.py
@@ -21,12 +21,12 @@
 from typing import NamedTuple
 
 BUCKETS = 64  # children of each of the two levels of the tree
-COMPARED = 0.8  # of its life a row is compared
-MOST_KEY = 80  # characters
-MOST_CONFLICTS = 100  # kept to be shown
+COMPARED_LIFETIME_SHARE = 0.8  # of its life a row is compared
+MAX_KEY_LENGTH = 80  # characters
+MAX_RECENT_CONFLICTS = 100  # kept to be shown
 
 
-class Kind(IntEnum):
+class RowKind(IntEnum):
     """What a row tells; the numbers stand in datagrams."""
 
     SERVER = 0  # a server drains or is gone; version: discovery's. Safe: what asks for more restraint
@@ -35,13 +35,13 @@
     HEALTH = 3  # milliseconds for which a process leaves a server that it could not reach. Safe: the longer
 
 
-OF_PROCESS = (Kind.USE, Kind.HEALTH)  # kinds whose rows have one process for a writer
+PER_PROCESS_KINDS = (RowKind.USE, RowKind.HEALTH)  # kinds whose rows have one process for a writer
 
 
 class Row(NamedTuple):
     """One word. `writer` is a process (name and boot); a kind that all may tell has none."""
 
-    kind: Kind
+    kind: RowKind
     key: str
     writer: str
     version: int
@@ -59,11 +59,11 @@
     urgency: int = 0  # the lowest is passed on first
 
 
-RULES = {
-    Kind.SERVER: KindRules(60.0, 5_000),
-    Kind.USE: KindRules(20.0, 8_000, whole=False, copied=False),
-    Kind.TASK: KindRules(3600.0, 200, whole=False, urgency=1),
-    Kind.HEALTH: KindRules(20.0, 4_000, whole=False, urgency=1),
+DEFAULT_KIND_RULES = {
+    RowKind.SERVER: KindRules(60.0, 5_000),
+    RowKind.USE: KindRules(20.0, 8_000, whole=False, copied=False),
+    RowKind.TASK: KindRules(3600.0, 200, whole=False, urgency=1),
+    RowKind.HEALTH: KindRules(20.0, 4_000, whole=False, urgency=1),
 }
 
 
@@ -75,7 +75,7 @@
     seen_from: str
 
 
-class Held(NamedTuple):
+class StoredRow(NamedTuple):
     """A row as it is held: when it was made, by this process' clock, and its hash."""
 
     row: Row
@@ -83,47 +83,47 @@
     mark: int
 
 
-def mark_of(row: Row) -> int:
+def row_hash(row: Row) -> int:
     """64 bits that two rows have in common only if they are the same."""
     text = f"{int(row.kind)}|{row.key}|{row.writer}|{row.version}|{row.value!r}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def place_of(kind: Kind, key: str, writer: str) -> tuple[int, int]:
+def leaf_of(kind: RowKind, key: str, writer: str) -> tuple[int, int]:
     """The leaf of the tree in which a row lies, whatever its version."""
     raw = hashlib.blake2b(f"{int(kind)}|{key}|{writer}".encode(), digest_size=2).digest()
     return raw[0] % BUCKETS, raw[1] % BUCKETS
 
 
-def sound(row: Row) -> bool:
+def is_valid(row: Row) -> bool:
     """Whether a row from outside may be taken in: bounded, finite, of a kind's form."""
-    words = 0 < len(row.key) <= MOST_KEY and len(row.writer) <= MOST_KEY
-    by = bool(row.writer) == (row.kind in OF_PROCESS)
+    words = 0 < len(row.key) <= MAX_KEY_LENGTH and len(row.writer) <= MAX_KEY_LENGTH
+    by = bool(row.writer) == (row.kind in PER_PROCESS_KINDS)
     return words and by and row.version >= 0 and 0 <= row.value < 1e12
 
 
 class Replica:
     """One process' copy."""
 
-    def __init__(self, rules: dict[Kind, KindRules] | None = None) -> None:
-        self.rules = rules or RULES
-        self.rows: dict[tuple[Kind, str, str], Held] = {}
+    def __init__(self, rules: dict[RowKind, KindRules] | None = None) -> None:
+        self.rules = rules or DEFAULT_KIND_RULES
+        self.rows: dict[tuple[RowKind, str, str], StoredRow] = {}
         # By kind, what changed longest ago first.
-        self.order: dict[Kind, dict[tuple[Kind, str, str], None]] = {kind: {} for kind in Kind}
-        self.evicted = dict.fromkeys(Kind, 0)
-        self.leaves: dict[tuple[int, int], set[tuple[Kind, str, str]]] = {}
+        self.order: dict[RowKind, dict[tuple[RowKind, str, str], None]] = {kind: {} for kind in RowKind}
+        self.evicted = dict.fromkeys(RowKind, 0)
+        self.leaves: dict[tuple[int, int], set[tuple[RowKind, str, str]]] = {}
         # Hashes of what is young enough to be compared, kept up at each change: as sets, by exclusive or.
         self.leaf_marks: dict[tuple[int, int], int] = {}
         self.bucket_marks = [0] * BUCKETS
-        self.counted: dict[tuple[Kind, str, str], int] = {}
-        self.aging: list[tuple[float, tuple[Kind, str, str], int]] = []  # when each is no longer compared
+        self.counted: dict[tuple[RowKind, str, str], int] = {}
+        self.aging: list[tuple[float, tuple[RowKind, str, str], int]] = []  # when each is no longer compared
         self.conflicts: list[Conflict] = []
         self.conflicted = 0
         self.refused = 0  # rows that were not sound
 
     def put(self, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
         """Joins a row; True where this copy has changed."""
-        if not sound(row):
+        if not is_valid(row):
             self.refused += 1
             return False
         if age_s < 0.0 or age_s >= self.rules[row.kind].life_s:
@@ -142,12 +142,12 @@
                 self.drop(next(iter(self.order[row.kind])))
                 self.evicted[row.kind] += 1
             if self.rules[row.kind].copied:
-                self.leaves.setdefault(place_of(*at), set()).add(at)
+                self.leaves.setdefault(leaf_of(*at), set()).add(at)
         copied, made = self.rules[row.kind].copied, now - age_s
-        mark = mark_of(row) if copied else 0
-        self.rows[at] = Held(row, made, mark)
+        mark = row_hash(row) if copied else 0
+        self.rows[at] = StoredRow(row, made, mark)
         self.uncount(at)
-        young = COMPARED * self.rules[row.kind].life_s
+        young = COMPARED_LIFETIME_SHARE * self.rules[row.kind].life_s
         if copied and age_s < young:
             self.counted[at] = mark
             self.turn(at, mark)
@@ -164,30 +164,30 @@
         if any(c.kept == conflict.kept and c.other == conflict.other for c in self.conflicts):
             return
         self.conflicted += 1
-        self.conflicts = [*self.conflicts[1 - MOST_CONFLICTS :], conflict]
+        self.conflicts = [*self.conflicts[1 - MAX_RECENT_CONFLICTS :], conflict]
 
-    def turn(self, at: tuple[Kind, str, str], mark: int) -> None:
+    def turn(self, at: tuple[RowKind, str, str], mark: int) -> None:
         """Takes a row into the hashes, or out of them."""
-        leaf = place_of(*at)
+        leaf = leaf_of(*at)
         self.leaf_marks[leaf] = self.leaf_marks.get(leaf, 0) ^ mark
         self.bucket_marks[leaf[0]] ^= mark
         if not self.leaf_marks[leaf]:
             del self.leaf_marks[leaf]
 
-    def uncount(self, at: tuple[Kind, str, str]) -> None:
+    def uncount(self, at: tuple[RowKind, str, str]) -> None:
         """A row is no longer compared."""
         mark = self.counted.pop(at, None)
         if mark is not None:
             self.turn(at, mark)
 
-    def drop(self, at: tuple[Kind, str, str]) -> None:
+    def drop(self, at: tuple[RowKind, str, str]) -> None:
         """Forgets a row."""
         self.uncount(at)
         del self.rows[at]
         del self.order[at[0]][at]
         if not self.rules[at[0]].copied:
             return
-        leaf = place_of(*at)
+        leaf = leaf_of(*at)
         self.leaves[leaf].discard(at)
         if not self.leaves[leaf]:
             del self.leaves[leaf]
@@ -199,18 +199,18 @@
             while order and now - self.rows[next(iter(order))].made >= self.rules[kind].life_s:
                 self.drop(next(iter(order)))
 
-    def get(self, kind: Kind, key: str, writer: str = "") -> Row | None:
+    def get(self, kind: RowKind, key: str, writer: str = "") -> Row | None:
         """A row, if it is held."""
         held = self.rows.get((kind, key, writer))
         return held.row if held is not None else None
 
     # --- comparing copies --------------------------------------------------------------------------------
 
-    def compared(self, now: float, leaf: tuple[int, int]) -> Iterable[Held]:
+    def compared(self, now: float, leaf: tuple[int, int]) -> Iterable[StoredRow]:
         """The rows of a leaf that are young enough to be compared."""
         for at in self.leaves.get(leaf, ()):
             held = self.rows[at]
-            if now - held.made < COMPARED * self.rules[at[0]].life_s:
+            if now - held.made < COMPARED_LIFETIME_SHARE * self.rules[at[0]].life_s:
                 yield held
 
     def children(self, now: float, bucket: int | None) -> tuple[int, ...]:
--- a/glenchute/policy/membership/usage.py
+++ b/glenchute/policy/membership/usage.py
@@ -16,25 +16,25 @@
 
 from ..admission.windows import span_of
 from ..settings import Plan
-from .replica import Kind, Row
+from .replica import Row, RowKind
 
-MOST_WINDOWS = 10_000
-MOST_WRITERS = 2_000  # of a window; further ones are not added up
-TOLD_SHARE = 0.25
+MAX_WINDOWS = 10_000
+MAX_WRITERS_PER_WINDOW = 2_000  # of a window; further ones are not added up
+REPORTED_SHARE = 0.25
 
 
-def key_of(customer: str, window_ms: float) -> str:
+def window_key(customer: str, window_ms: float) -> str:
     """The key of an account's window."""
     return f"{customer}/{window_ms:.0f}"
 
 
-def allowance(plan: Plan) -> float:
+def window_allowance_units(plan: Plan) -> float:
     """Units of a window of which half can be let in, in any two windows in a row, out of any store."""
     return min(plan.burst_units, plan.rate_per_s * span_of(plan) / 1000.0)
 
 
 @dataclass(slots=True)
-class Own:
+class OwnUsage:
     """What this process let in of a window. `spread`: gateways of the account's set; `allowance`: units."""
 
     version: int = 0
@@ -44,39 +44,42 @@
     before: str = ""  # the key of the window before
 
 
-class Use:
+class AccountUsage:
     """Sums by window."""
 
     def __init__(self, writer: str) -> None:
         self.writer = writer
         self.others: dict[str, dict[str, float]] = {}  # window's key: units by writer
         self.sums: dict[str, float] = {}  # ... and of all of them
-        self.own: dict[str, Own] = {}  # by window's key
+        self.own: dict[str, OwnUsage] = {}  # by window's key
 
     def let_in(
         self, customer: str, window_ms: float, units: float, spread: int = 1, plan: Plan | None = None
     ) -> Row:
         """This process has let in so much more; the row that says so."""
-        key = key_of(customer, window_ms)
-        own = self.own.pop(key, None) or Own()
+        key = window_key(customer, window_ms)
+        own = self.own.pop(key, None) or OwnUsage()
         self.own[key] = own
         own.version, own.units, own.spread = own.version + 1, own.units + units, spread
         if plan is not None:
-            own.allowance, own.before = allowance(plan), key_of(customer, window_ms - span_of(plan))
-        if len(self.own) > MOST_WINDOWS:
+            own.allowance, own.before = (
+                window_allowance_units(plan),
+                window_key(customer, window_ms - span_of(plan)),
+            )
+        if len(self.own) > MAX_WINDOWS:
             del self.own[next(iter(self.own))]
         return self.row(key, own)
 
-    def row(self, key: str, own: Own) -> Row:
+    def row(self, key: str, own: OwnUsage) -> Row:
         """What this process has to say of a window."""
-        return Row(Kind.USE, key, self.writer, own.version, round(own.units, 3))
+        return Row(RowKind.USE, key, self.writer, own.version, round(own.units, 3))
 
     def matters(self, key: str) -> bool:
         """Whether the others have to know what this process let in of a window."""
         own = self.own.get(key)
         if own is None:
             return False
-        enough = TOLD_SHARE * own.allowance
+        enough = REPORTED_SHARE * own.allowance
         return own.units * own.spread > enough or own.units + self.sums.get(key, 0.0) >= enough
 
     def heard(self, row: Row) -> None:
@@ -84,21 +87,21 @@
         if row.writer == self.writer:
             return
         window, units = self.others.pop(row.key, {}), self.sums.pop(row.key, 0.0)
-        if row.writer in window or len(window) < MOST_WRITERS:
+        if row.writer in window or len(window) < MAX_WRITERS_PER_WINDOW:
             units += row.value - window.get(row.writer, 0.0)
             window[row.writer] = row.value
         # Those that changed last stand last.
         self.others[row.key], self.sums[row.key] = window, units
-        if len(self.others) > MOST_WINDOWS:
+        if len(self.others) > MAX_WINDOWS:
             oldest = next(iter(self.others))
             del self.others[oldest], self.sums[oldest]
 
     def by_others(self, customer: str, window_ms: float) -> float:
         """Units that others are known to have let in."""
-        return self.sums.get(key_of(customer, window_ms), 0.0)
+        return self.sums.get(window_key(customer, window_ms), 0.0)
 
 
-def trusted_share(known: bool, health: int, alive: int, gateways: int, silent_s: float) -> float:
+def known_usage_share(known: bool, health: int, alive: int, gateways: int, silent_s: float) -> float:
     """The share of an account's gateways, this one included, whose use is known here: `alive` others of
     `gateways`. 0 where this copy is not whole, where this process doubts its own hearing, or where nothing
     has come for a second. Those in doubt are not counted as heard."""
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -19,20 +19,20 @@
 from ..admission.epoch_markers import marker_value
 from ..admission.windows import span_of, stable, window_start
 from ..settings import Plan
-from .replica import Kind, Row
+from .replica import Row, RowKind
 
 SETTLED_S = 3.0  # after a window's end all words of it have come, to the counter too
-KNOWN_S = 12.0  # ... and members' rows of it are still held
-LOOKS = 16  # at most in a step
-SLACK, SHARE = 2.0, 0.1  # units, and share of the larger side, by which they may differ
+RETAINED_S = 12.0  # ... and members' rows of it are still held
+MAX_QUERIES_PER_STEP = 16  # at most in a step
+TOLERANCE_UNITS, TOLERANCE_SHARE = 2.0, 0.1  # units, and share of the larger side, by which they may differ
 # Windows of an account in a row that have to differ alike before it is told of. They have to begin further
 # apart than what a counter that forgot has lost of windows that were over and not yet looked at.
-AGAIN = 3
-MOST_ACCOUNTS = 5_000
-MOST_LOOKED = 20_000
+MIN_MISMATCHED_WINDOWS = 3
+MAX_ACCOUNTS = 5_000
+MAX_CHECKED_WINDOWS = 20_000
 
 
-class Look(NamedTuple):
+class CounterQuery(NamedTuple):
     """One total to be asked for."""
 
     account: str
@@ -43,7 +43,7 @@
     mark: float
 
 
-class Apart(NamedTuple):
+class UsageMismatch(NamedTuple):
     """An account of which both sides tell otherwise, now, or no longer."""
 
     account: str
@@ -52,7 +52,7 @@
     counter: float
 
 
-class Audit:
+class UsageAudit:
     """What one process knows for it."""
 
     def __init__(self) -> None:
@@ -60,41 +60,41 @@
         self.looked: dict[tuple[str, int], None] = {}  # windows, each once
         # Accounts: how they differ, in how many windows in a row, and when the first of these began.
         self.runs: dict[str, tuple[bool, int, int]] = {}
-        self.apart: dict[str, Apart] = {}
+        self.apart: dict[str, UsageMismatch] = {}
         self.compared = self.unanswered = 0
 
     def seen(self, account: str, plan: Plan) -> None:
         """A request of this account; only of such is the plan known, and with it where windows end."""
         if plan.rate_per_s and account not in self.plans:
-            if len(self.plans) >= MOST_ACCOUNTS:
+            if len(self.plans) >= MAX_ACCOUNTS:
                 del self.plans[next(iter(self.plans))]
             self.plans[account] = plan
 
-    def due(self, now_ms: float, rows: Iterable[Row]) -> list[Look]:
+    def due(self, now_ms: float, rows: Iterable[Row]) -> list[CounterQuery]:
         """Totals that are worth a look now; `rows` as this process holds them, `now_ms` by the clock that
         windows are named by."""
         told: dict[tuple[str, int], float] = {}
         for row in rows:
             account, _, start = row.key.rpartition("/")
             plan = self.plans.get(account)
-            if row.kind is not Kind.USE or plan is None or not (start.isascii() and start.isdigit()):
+            if row.kind is not RowKind.USE or plan is None or not (start.isascii() and start.isdigit()):
                 continue
             age_s = (now_ms - int(start) - span_of(plan)) / 1000.0
             window = account, int(start)
-            if SETTLED_S <= age_s <= KNOWN_S and window not in self.looked and self.sound(window, plan):
+            if SETTLED_S <= age_s <= RETAINED_S and window not in self.looked and self.sound(window, plan):
                 told[window] = told.get(window, 0.0) + row.value
-        chosen = sorted(told, key=lambda window: (-told[window], window))[:LOOKS]
+        chosen = sorted(told, key=lambda window: (-told[window], window))[:MAX_QUERIES_PER_STEP]
         looks = []
         for account, begins in chosen:
             self.looked[account, begins] = None
-            if len(self.looked) > MOST_LOOKED:
+            if len(self.looked) > MAX_CHECKED_WINDOWS:
                 del self.looked[next(iter(self.looked))]
             plan = self.plans[account]
             mark = marker_value(
                 plan.burst_units, plan.rate_per_s, span_of(plan) / 1000.0, plan.ceiling_burst_units
             )
             name = stable(f"{account}/{begins}")
-            looks.append(Look(account, plan, begins, name, told[account, begins], mark))
+            looks.append(CounterQuery(account, plan, begins, name, told[account, begins], mark))
         return looks
 
     @staticmethod
@@ -103,7 +103,7 @@
         account, begins = window
         return abs(window_start(begins + 0.5 * span_of(plan), account, plan) - begins) <= 1.0
 
-    def answered(self, look: Look, total: float | None) -> Apart | None:
+    def answered(self, look: CounterQuery, total: float | None) -> UsageMismatch | None:
         """The total of a look, None where none came. What is to be told of now: an account that has come to
         differ, once, until it agrees again."""
         if total is None:
@@ -111,7 +111,7 @@
             return None
         self.compared += 1
         units = total - round(total / look.mark) * look.mark
-        most = SLACK + SHARE * max(look.told, units)
+        most = TOLERANCE_UNITS + TOLERANCE_SHARE * max(look.told, units)
         less, more = units < look.told - most, units > look.told + most and not look.plan.ceiling_rate_per_s
         if not less and not more:
             self.runs.pop(look.account, None)
@@ -121,13 +121,13 @@
         if before is not less:
             count, first = 0, look.begins
         count += 1
-        if look.account not in self.runs and len(self.runs) >= MOST_ACCOUNTS:
+        if look.account not in self.runs and len(self.runs) >= MAX_ACCOUNTS:
             del self.runs[next(iter(self.runs))]
         self.runs[look.account] = less, count, first
-        if count < AGAIN or look.begins - first < 1000.0 * SETTLED_S + span_of(look.plan):
+        if count < MIN_MISMATCHED_WINDOWS or look.begins - first < 1000.0 * SETTLED_S + span_of(look.plan):
             return None
-        known, found = self.apart.get(look.account), Apart(look.account, less, look.told, units)
+        known, found = self.apart.get(look.account), UsageMismatch(look.account, less, look.told, units)
         self.apart[look.account] = found
-        if len(self.apart) > MOST_ACCOUNTS:
+        if len(self.apart) > MAX_ACCOUNTS:
             del self.apart[next(iter(self.apart))]
         return found if known is None or known.less is not less else None
--- a/lab/fleet/crowd.py
+++ b/lab/fleet/crowd.py
@@ -13,12 +13,12 @@
 import random
 from typing import Any, cast
 
-from glenchute.policy.membership.direct_messages import Asked, Mail, Word
-from glenchute.policy.membership.gossip import Digest, Done
-from glenchute.policy.membership.members import Kind as Said
-from glenchute.policy.membership.members import Message, State, Update
+from glenchute.policy.membership.direct_messages import UsageEntry, UsageMessage, UsageRequest
+from glenchute.policy.membership.gossip import Digest, MatchingBuckets
+from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage
+from glenchute.policy.membership.members import SwimMessageKind as Said
 from glenchute.policy.membership.replica import BUCKETS
-from glenchute.protocol.member_datagrams import Bad, decode, encode
+from glenchute.protocol.member_datagrams import InvalidDatagram, decode, encode
 from lab.site import free_port
 
 
@@ -37,25 +37,25 @@
         self.crowd.received += len(data)
         try:
             _, _, body = decode("lab", data)
-        except Bad:
+        except InvalidDatagram:
             return
-        if isinstance(body, Message) and body.kind in (Said.PING, Said.PING_REQ):
-            self.say(Message(Said.ACK, body.serial, "", (self.alive(),)))
+        if isinstance(body, SwimMessage) and body.kind in (Said.PING, Said.PING_REQ):
+            self.say(SwimMessage(Said.ACK, body.serial, "", (self.alive(),)))
         elif isinstance(body, Digest) and not body.known:
-            self.say(Done(tuple(range(BUCKETS)), True))
-        elif isinstance(body, Mail):
+            self.say(MatchingBuckets(tuple(range(BUCKETS)), True))
+        elif isinstance(body, UsageMessage):
             self.crowd.words += len(body.words)
-        elif isinstance(body, Asked):
+        elif isinstance(body, UsageRequest):
             self.mail((), next_one=body.serial != self.serial)
 
-    def alive(self) -> Update:
+    def alive(self) -> MemberUpdate:
         """This member is there, by its own word."""
-        return Update(self.name, State.ALIVE, 0, self.boot)
+        return MemberUpdate(self.name, MemberState.ALIVE, 0, self.boot)
 
-    def mail(self, words: tuple[Word, ...], next_one: bool = True) -> None:
+    def mail(self, words: tuple[UsageEntry, ...], next_one: bool = True) -> None:
         """Use that this member let in; the next message, or the last one again."""
         self.serial += next_one
-        self.say(Mail(self.serial, self.began, True, words))
+        self.say(UsageMessage(self.serial, self.began, True, words))
         self.began = False
 
     def say(self, body: Any) -> None:
@@ -104,14 +104,14 @@
                 for _ in range(max(1, round(rows_s / 20.0))):
                     account = self.rng.randrange(self.accounts)
                     key = f"{account:016x}/{1000 * int(passed)}"
-                    batch.append(Word(key, next(self.version), 1.0))
+                    batch.append(UsageEntry(key, next(self.version), 1.0))
                 told += len(batch)
                 self.rows += len(batch)
                 self.others[self.rng.choice(self.near) - 1].mail(tuple(batch))
             while probed < probes_s * passed:
                 probed += 1.0
                 other = self.rng.choice(self.others)
-                other.say(Message(Said.PING, next(self.serials), "", (other.alive(),)))
+                other.say(SwimMessage(Said.PING, next(self.serials), "", (other.alive(),)))
             await asyncio.sleep(0.02)
 
     def stop(self) -> None:
--- a/lab/fleet/holders.py
+++ b/lab/fleet/holders.py
@@ -12,8 +12,9 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from glenchute.policy.membership.leases import Lease, Out, Seeker, Terms, Voter
-from glenchute.policy.membership.task_candidates import Keeper
+from glenchute.policy.membership.leases import Acceptor, LeaseMessage, LeaseTerms, Proposer
+from glenchute.policy.membership.outgoing import Outgoing
+from glenchute.policy.membership.task_candidates import TaskCandidate
 from lab.fleet.simulated import apart
 
 TICK_S = 0.05
@@ -58,23 +59,23 @@
         self.name, self.boot, self.swarm, self.rate = name, boot, swarm, rate
         self.offset = swarm.rng.uniform(0.0, 1e6)  # clocks have nothing in common but their rate
         self.stopped = False
-        self.buffer: list[tuple[str, Lease]] = []  # what came while it stood
+        self.buffer: list[tuple[str, LeaseMessage]] = []  # what came while it stood
         now = self.clock()
-        self.voter = Voter(name, swarm.terms, now) if name in swarm.terms.voters else None
+        self.voter = Acceptor(name, swarm.terms, now) if name in swarm.terms.voters else None
         self.keepers = {}
         for task in swarm.tasks:
-            seeker = Seeker(name, boot, task, swarm.terms, swarm.terms.longest)
-            self.keepers[task] = Keeper(seeker, random.Random(swarm.rng.getrandbits(60)), now)
+            seeker = Proposer(name, boot, task, swarm.terms, swarm.terms.longest)
+            self.keepers[task] = TaskCandidate(seeker, random.Random(swarm.rng.getrandbits(60)), now)
 
     def clock(self) -> float:
         return self.offset + self.swarm.now * self.rate
 
-    def heard(self, sender: str, message: Lease) -> list[Out]:
+    def heard(self, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         if message.kind.name in VOTER_KINDS:
             return self.voter.heard(self.clock(), sender, message) if self.voter is not None else []
         return self.keepers[message.task].heard(self.clock(), sender, message)
 
-    def tick(self) -> list[Out]:
+    def tick(self) -> list[Outgoing[LeaseMessage]]:
         now = self.clock()
         outs = self.voter.tick(now) if self.voter is not None else []
         for keeper in self.keepers.values():
@@ -94,11 +95,11 @@
     ) -> None:  # fmt: skip
         self.rng = random.Random(seed)
         self.names = [f"g{n}" for n in range(count)]
-        self.terms = Terms(tuple(self.names[:voters]), longest, drift)
+        self.terms = LeaseTerms(tuple(self.names[:voters]), longest, drift)
         self.tasks = [f"task{n}" for n in range(tasks)]
         self.now, self.lose, self.sent, self.boots = 0.0, lose, 0, 0
         self.acts: list[Act] = []
-        self.due: list[tuple[float, int, str, str, Lease]] = []
+        self.due: list[tuple[float, int, str, str, LeaseMessage]] = []
         self.order = itertools.count()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.down: set[str] = set()
@@ -128,7 +129,7 @@
         took = self.rng.choice([0.0, 0.5, 1.0]) * ACT_S
         self.acts.append(Act(task, token, f"{by.name}#{by.boot}", self.now, self.now + took))
 
-    def post(self, sender: str, outs: Sequence[Out]) -> None:
+    def post(self, sender: str, outs: Sequence[Outgoing[LeaseMessage]]) -> None:
         for out in outs:
             self.sent += 1
             for _ in range(1 + (self.rng.random() < 0.02)):
--- a/lab/fleet/leasing.py
+++ b/lab/fleet/leasing.py
@@ -9,20 +9,21 @@
 from dataclasses import dataclass, field
 
 from glenchute.policy.membership import leases
-from glenchute.policy.membership.leases import Lease, Out, Seeker, Terms, Voter
+from glenchute.policy.membership.leases import Acceptor, LeaseMessage, LeaseTerms, Proposer
+from glenchute.policy.membership.outgoing import Outgoing
 
 LONGEST, DRIFT = 10.0, 0.1
 STEP = LONGEST  # voters' clocks are past a lease's end then, and a holder's without its margin is not
-TERMS = Terms(("v0", "v1", "v2"), LONGEST, DRIFT)
+TERMS = LeaseTerms(("v0", "v1", "v2"), LONGEST, DRIFT)
 
 
 @dataclass
 class System:
     """Three voters, two seekers, and what may still happen."""
 
-    voters: dict[str, Voter] = field(default_factory=dict)
-    seekers: dict[str, Seeker] = field(default_factory=dict)
-    net: list[tuple[str, str, Lease]] = field(default_factory=list)  # to, from, what
+    voters: dict[str, Acceptor] = field(default_factory=dict)
+    seekers: dict[str, Proposer] = field(default_factory=dict)
+    net: list[tuple[str, str, LeaseMessage]] = field(default_factory=list)  # to, from, what
     now: float = 0.0  # real time
     tries: int = 2  # of each seeker
     restarts: int = 1
@@ -35,14 +36,14 @@
         """Voters' clocks run as fast, seekers' as slow as the drift allows: the worst case for safety."""
         return self.now * (1.0 + DRIFT if name in self.voters or name.startswith("v") else 1.0 - DRIFT)
 
-    def post(self, sender: str, outs: list[Out]) -> None:
+    def post(self, sender: str, outs: list[Outgoing[LeaseMessage]]) -> None:
         """Messages on their way, each once."""
         for out in outs:
             row = (out.to, sender, out.message)
             if row not in self.net:
                 self.net.append(row)
 
-    def deliver(self, row: tuple[str, str, Lease], keep: bool) -> None:
+    def deliver(self, row: tuple[str, str, LeaseMessage], keep: bool) -> None:
         """One message comes; `keep`: it comes again later."""
         if keep:
             self.repeats -= 1
@@ -64,7 +65,7 @@
     def restart(self, name: str) -> None:
         """A voter's process is another one, which remembers nothing."""
         self.restarts -= 1
-        self.voters[name] = Voter(name, TERMS, self.clock(name))
+        self.voters[name] = Acceptor(name, TERMS, self.clock(name))
 
     def pass_time(self) -> None:
         """All clocks run on; voters that have to recover ask the others, who answer at once."""
@@ -138,15 +139,15 @@
     """Voters that have recovered, two seekers, nothing held."""
     system = System(tries=tries, restarts=restarts, repeats=repeats, steps=steps)
     for name in TERMS.voters:
-        voter = Voter(name, TERMS, -100.0)
+        voter = Acceptor(name, TERMS, -100.0)
         voter.ready = True
         system.voters[name] = voter
     for boot, name in enumerate(("a", "b")):
-        system.seekers[name] = Seeker(name, boot + 1, "task", TERMS, LONGEST)
+        system.seekers[name] = Proposer(name, boot + 1, "task", TERMS, LONGEST)
     return system
 
 
-def through(system: System, name: str, voters: tuple[str, ...], upto: leases.Kind) -> System:
+def through(system: System, name: str, voters: tuple[str, ...], upto: leases.LeaseMessageKind) -> System:
     """One seeker's try with these voters, until messages of a kind are on their way; the rest is lost."""
     system.seek(name)
     while True:
@@ -161,7 +162,7 @@
 
 def tied(**budgets: int) -> System:
     """Seeker a holds by v0 and v1, and b has heard nothing of it."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.Kind.NO)
+    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.NO)
     assert system.holding() == ["a"]
     return system
 
@@ -175,13 +176,13 @@
 
 def racing(**budgets: int) -> System:
     """Both have been promised by v0 and v1, a before b, and both proposals are on their way."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.Kind.PROPOSE)
+    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
     system.seekers["b"].highest = 1
-    return through(system, "b", ("v0", "v1"), leases.Kind.PROPOSE)
+    return through(system, "b", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
 
 
 def late(**budgets: int) -> System:
     """Seeker a has been accepted by v0 and v1, and does not know yet; b has heard of its number."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.Kind.ACCEPTED)
+    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.ACCEPTED)
     system.seekers["b"].highest = 1
     return system
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -8,9 +8,16 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from glenchute.policy.membership.direct_messages import Asked, Letter, Mail, Post, Ring, numbers_of
+from glenchute.policy.membership.direct_messages import (
+    DirectMessenger,
+    GatewayRing,
+    UsageMessage,
+    UsageRequest,
+    gateway_numbers,
+)
+from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.replica import Replica
-from glenchute.policy.membership.usage import Use
+from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan
 
 TICK = 0.025
@@ -28,20 +35,20 @@
         self.budget, self.numbered = budget, numbered
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.gone: set[str] = set()  # by the probes of all
-        self.due: list[tuple[float, int, str, str, int, Mail | Asked]] = []
+        self.due: list[tuple[float, int, str, str, int, UsageMessage | UsageRequest]] = []
         self.order = itertools.count()
         self.boots = dict.fromkeys(self.names, 1)
         self.sent: Counter[tuple[str, str]] = Counter()  # words, by sender and receiver
         self.letters: Counter[str] = Counter()
         self.posts = {name: self.made(name) for name in self.names}
 
-    def made(self, name: str) -> Post:
-        numbers = numbers_of(dict.fromkeys(self.names)) if self.numbered else None
-        ring = Ring(name, self.names, numbers, self.gateways)
-        use = Use(f"{name}#{self.boots[name]:x}")
+    def made(self, name: str) -> DirectMessenger:
+        numbers = gateway_numbers(dict.fromkeys(self.names)) if self.numbered else None
+        ring = GatewayRing(name, self.names, numbers, self.gateways)
+        use = AccountUsage(f"{name}#{self.boots[name]:x}")
         rng = random.Random(self.rng.getrandbits(60))
         there = lambda other: other not in self.gone  # noqa: E731
-        return Post(use, Replica(), ring, there, rng, self.now, self.budget)
+        return DirectMessenger(use, Replica(), ring, there, rng, self.now, self.budget)
 
     def restart(self, name: str) -> None:
         """Another process under the name, which knows nothing."""
@@ -63,10 +70,10 @@
     def known(self, name: str, spread: int) -> int:
         return self.posts[name].known(self.now, spread)
 
-    def carry(self, sender: str, letters: list[Letter]) -> None:
+    def carry(self, sender: str, letters: list[Outgoing[UsageMessage | UsageRequest]]) -> None:
         for to, body in letters:
             self.letters[sender] += 1
-            if isinstance(body, Mail):
+            if isinstance(body, UsageMessage):
                 self.sent[sender, to] += len(body.words)
             if self.rng.random() >= self.lose and not self.cut(sender, to):
                 at = self.now + self.rng.uniform(0.001, 0.005)
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -10,9 +10,10 @@
 import random
 from collections.abc import Callable, Container
 
-from glenchute.policy.membership.gossip import Body, Gossip, Pace, Sent
-from glenchute.policy.membership.members import Members, Message, Out, Rules, State
-from glenchute.policy.membership.replica import Kind, Replica, Row
+from glenchute.policy.membership.gossip import Gossip, GossipMessage, GossipSettings
+from glenchute.policy.membership.members import MemberList, MemberState, SwimMessage, SwimSettings
+from glenchute.policy.membership.outgoing import Outgoing
+from glenchute.policy.membership.replica import Replica, Row, RowKind
 
 TICK = 0.05
 
@@ -31,7 +32,7 @@
         self.lose, self.delay = lose, delay
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.now = 0.0
-        self.due: list[tuple[float, int, str, str, int, Message]] = []
+        self.due: list[tuple[float, int, str, str, int, SwimMessage]] = []
         self.order = itertools.count()
         self.stopped: set[str] = set()
         self.lag: dict[str, float] = {}  # seconds by which all that some say comes later
@@ -40,16 +41,16 @@
         self.sent = dict.fromkeys(self.names, 0)
         self.buried: list[tuple[float, str, str]] = []  # when, by whom, whom
 
-    def made(self, name: str) -> Members:
+    def made(self, name: str) -> MemberList:
         boot = self.rng.getrandbits(60)
-        return Members(name, boot, self.names, Rules(), random.Random(boot), self.now)
+        return MemberList(name, boot, self.names, SwimSettings(), random.Random(boot), self.now)
 
     def restart(self, name: str) -> None:
         """Another process under the name, which knows nothing."""
         self.nodes[name] = self.made(name)
         self.stopped.discard(name)
 
-    def post(self, sender: str, outs: list[Out]) -> None:
+    def post(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
         boot = self.nodes[sender].boot
         for out in outs:
             self.sent[sender] += 1
@@ -73,24 +74,24 @@
                 if name not in self.stopped:
                     self.post(name, node.tick(self.now))
                     for change in node.taken():
-                        if change.now is State.DEAD:
+                        if change.now is MemberState.DEAD:
                             self.buried.append((self.now, name, change.name))
         return self.now - began
 
-    def seen(self, name: str, by: str) -> State:
+    def seen(self, name: str, by: str) -> MemberState:
         return self.nodes[by].members[name].state
 
-    def all_see(self, name: str, state: State, but: tuple[str, ...] = ()) -> bool:
+    def all_see(self, name: str, state: MemberState, but: tuple[str, ...] = ()) -> bool:
         others = [other for other in self.names if other != name and other not in but]
         return all(self.seen(name, by) is state for by in others)
 
     def all_here(self) -> bool:
         """Nobody is unknown or gone to anybody; where messages are lost some are in doubt at any time."""
-        here = (State.ALIVE, State.SUSPECT)
+        here = (MemberState.ALIVE, MemberState.SUSPECT)
         return all(m.state in here for node in self.nodes.values() for m in node.members.values())
 
     def all_alive(self) -> bool:
-        return all(self.all_see(name, State.ALIVE) for name in self.names)
+        return all(self.all_see(name, MemberState.ALIVE) for name in self.names)
 
 
 def rows_of(replica: Replica) -> set[Row]:
@@ -106,23 +107,24 @@
         self.names = [f"g{i}" for i in range(count)]
         self.alive = dict.fromkeys(self.names, True)
         self.nodes = {
-            name: Gossip(Replica(), Pace(), random.Random(seed + i)) for i, name in enumerate(self.names)
+            name: Gossip(Replica(), GossipSettings(), random.Random(seed + i))
+            for i, name in enumerate(self.names)
         }
-        self.due: list[tuple[float, int, str, str, Body]] = []
+        self.due: list[tuple[float, int, str, str, GossipMessage]] = []
         self.order = itertools.count()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         for number, name in itertools.product(range(rows), self.names):
-            self.nodes[name].replica.put(0.0, Row(Kind.HEALTH, f"account{number}/0", "seed#1", 1, 1.0))
+            self.nodes[name].replica.put(0.0, Row(RowKind.HEALTH, f"account{number}/0", "seed#1", 1, 1.0))
 
     def restart(self, name: str) -> None:
         self.nodes[name] = Gossip(Replica(), self.nodes[name].pace, random.Random(99), self.now)
 
-    def post(self, sender: str, sents: list[Sent]) -> None:
+    def post(self, sender: str, sents: list[Outgoing[GossipMessage]]) -> None:
         for sent in sents:
             for _ in range(1 + (self.rng.random() < 0.05)):
                 if self.rng.random() >= self.lose and not self.cut(sender, sent.to):
                     at = self.now + self.rng.uniform(0.002, 0.02)
-                    heapq.heappush(self.due, (at, next(self.order), sender, sent.to, sent.body))
+                    heapq.heappush(self.due, (at, next(self.order), sender, sent.to, sent.message))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         began, end = self.now, self.now + seconds
@@ -152,5 +154,5 @@
         """Each copy's own words on accounts of this moment."""
         for name in self.names:
             for number in range(count):
-                row = Row(Kind.HEALTH, f"new{number}/1", f"{name}#1", 1, 2.0)
+                row = Row(RowKind.HEALTH, f"new{number}/1", f"{name}#1", 1, 2.0)
                 self.nodes[name].tell(self.now, row, len(self.names))
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -9,16 +9,22 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from glenchute.clients.membership.usage_reports import Telling
+from glenchute.clients.membership.usage_reports import UsageReporter
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event
-from glenchute.policy.membership.direct_messages import Asked, Mail, Post, Ring, numbers_of
-from glenchute.policy.membership.endpoint_health import Health
-from glenchute.policy.membership.gossip import Gossip, Pace, Rows
-from glenchute.policy.membership.members import Members, Message, Rules, State
-from glenchute.policy.membership.replica import Kind, Replica
-from glenchute.policy.membership.usage import Use, trusted_share
+from glenchute.policy.membership.direct_messages import (
+    DirectMessenger,
+    GatewayRing,
+    UsageMessage,
+    UsageRequest,
+    gateway_numbers,
+)
+from glenchute.policy.membership.endpoint_health import EndpointHealth
+from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings
+from glenchute.policy.membership.members import MemberList, MemberState, SwimMessage, SwimSettings
+from glenchute.policy.membership.replica import Replica, RowKind
+from glenchute.policy.membership.usage import AccountUsage, known_usage_share
 from glenchute.policy.settings import Plan, Settings
 from lab.fleet import checks
 from lab.sim.swarm import KINDS
@@ -37,31 +43,31 @@
         self.world, self.number, self.life = world, number, world.incarnation[number]
         names = [f"g{i}" for i in range(world.settings.gateway_count)]
         now = world.now / 1000.0
-        self.members = Members(names[number], rng.getrandbits(60), names, Rules(), rng, now)
-        self.gossip = Gossip(Replica(), Pace(), rng, now)
+        self.members = MemberList(names[number], rng.getrandbits(60), names, SwimSettings(), rng, now)
+        self.gossip = Gossip(Replica(), GossipSettings(), rng, now)
         writer = f"{names[number]}#{self.members.boot:x}"
-        self.use = Use(writer)
-        ring = Ring(names[number], names, numbers_of(dict.fromkeys(names)), len(names))
-        self.post = Post(self.use, self.gossip.replica, ring, self.takes_part, rng, now)
+        self.use = AccountUsage(writer)
+        ring = GatewayRing(names[number], names, gateway_numbers(dict.fromkeys(names)), len(names))
+        self.post = DirectMessenger(self.use, self.gossip.replica, ring, self.takes_part, rng, now)
         self.heard_at = -1e9
-        health = Health(writer, random.Random(seed + 1))
-        self.telling = Telling(
+        health = EndpointHealth(writer, random.Random(seed + 1))
+        self.telling = UsageReporter(
             module, world.settings, self.use, health, self.told, self.share, lambda: world.now / 1000.0
         )
 
     def told(self, row: Any) -> None:
-        if row.kind is Kind.USE:
+        if row.kind is RowKind.USE:
             self.post.tell(self.world.now / 1000.0, row)
             return
         self.gossip.tell(self.world.now / 1000.0, row, len(self.members.members))
 
     def takes_part(self, name: str) -> bool:
-        return self.members.members[name].state is State.ALIVE
+        return self.members.members[name].state is MemberState.ALIVE
 
     def share(self, spread: int) -> float:
         now = self.world.now / 1000.0
         known = self.post.known(now, spread)
-        return trusted_share(self.gossip.known, self.members.health, known, spread, now - self.heard_at)
+        return known_usage_share(self.gossip.known, self.members.health, known, spread, now - self.heard_at)
 
     def tick(self) -> None:
         """What is due, again and again as long as this life goes on."""
@@ -74,9 +80,9 @@
         for out in self.members.tick(now):
             world.carry(self, out.to, out.message)
         for sent in self.gossip.tick(now, self.members.alive()):
-            world.carry(self, sent.to, sent.body)
+            world.carry(self, sent.to, sent.message)
         for letter in self.post.tick(now):
-            world.carry(self, letter.to, letter.body)
+            world.carry(self, letter.to, letter.message)
         self.gossip.replica.expire(now)
         self.post.expire()
         self.telling.health.expire(now)
@@ -87,17 +93,17 @@
         if not world.lives(self.number, self.life) or self.number in world.stopped:
             return
         now = self.heard_at = world.now / 1000.0
-        if isinstance(body, Message):
+        if isinstance(body, SwimMessage):
             for out in self.members.heard(now, sender, boot, body):
                 world.carry(self, out.to, out.message)
             return
-        if isinstance(body, Mail | Asked):
+        if isinstance(body, UsageMessage | UsageRequest):
             for letter in self.post.heard(now, sender, boot, body):
-                world.carry(self, letter.to, letter.body)
+                world.carry(self, letter.to, letter.message)
             return
         for sent in self.gossip.heard(now, sender, body, len(self.members.members)):
-            world.carry(self, sent.to, sent.body)
-        if isinstance(body, Rows):
+            world.carry(self, sent.to, sent.message)
+        if isinstance(body, Delta):
             for taken in self.gossip.taken():
                 self.telling.heard(taken)
 
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -19,10 +19,10 @@
 
 from glenchute.cli import fleet as cli
 from glenchute.clients.membership import log_events as events
-from glenchute.policy.membership.direct_messages import Mail, Word
-from glenchute.policy.membership.gossip import Rows
-from glenchute.policy.membership.replica import Kind as RowKind
+from glenchute.policy.membership.direct_messages import UsageEntry, UsageMessage
+from glenchute.policy.membership.gossip import Delta
 from glenchute.policy.membership.replica import Row
+from glenchute.policy.membership.replica import RowKind as RowKind
 from glenchute.protocol.member_datagrams import encode
 from lab.fleet import checks
 from lab.fleet.processes import FleetSite
@@ -322,9 +322,9 @@
             used = Row(RowKind.USE, f"{ONE.customer.decode()}/{10**9}", "g1#1", 9, 1e11)
             gone = Row(RowKind.SERVER, "s2", "", 10**9, 2.0)
             for fleet, lie in (("lab", used), ("lab", gone), ("other", gone)):
-                site.links[0, 1].send_as(1, encode(fleet, "g1", boot, Rows(((lie, 0),))))
-            words = tuple(Word(used.key, 9, used.value, of) for of in (0, 7))  # and of g0 before
-            site.links[0, 1].send_as(1, encode("lab", "g1", boot, Mail(1 << 40, True, True, words)))
+                site.links[0, 1].send_as(1, encode(fleet, "g1", boot, Delta(((lie, 0),))))
+            words = tuple(UsageEntry(used.key, 9, used.value, of) for of in (0, 7))  # and of g0 before
+            site.links[0, 1].send_as(1, encode("lab", "g1", boot, UsageMessage(1 << 40, True, True, words)))
             await site.until(lambda: dropped(site, 0, "dropped_fleet"))
 
             site.send_signal(3, signal.SIGSTOP)  # longer than a burial takes; it goes on with old beliefs
@@ -372,13 +372,13 @@
     code = "".join(path.read_text() for path in Path(events.__file__).parent.glob("*.py"))
     for name, event in events.CATALOGUE.items():
         assert f"| `{name}` {', '.join(event.fields)} | {logging.getLevelName(event.level).lower()} |" in page
-        assert f'tell("{name}"' in code, name
+        assert f'log_event("{name}"' in code, name
         with caplog.at_level(logging.INFO, "glenchute.fleet"):
-            events.tell(name, **dict.fromkeys(event.fields, "a b"))
+            events.log_event(name, **dict.fromkeys(event.fields, "a b"))
         assert caplog.messages[-1] == " ".join([name, *(f"{key}='a b'" for key in event.fields)])
     assert "getLogger" not in code.replace(Path(events.__file__).read_text(), "")
     with pytest.raises(ValueError):
-        events.tell("task.parked", task="x")
+        events.log_event("task.parked", task="x")
 
 
 @pytest.mark.parametrize("rows", [[], [{"a": 1, "b": "x"}], [{"a": 1, "b": "x"}, {"a": 2, "b": "y"}]])
--- a/tests/clients/membership/test_server_words.py
+++ b/tests/clients/membership/test_server_words.py
@@ -15,10 +15,10 @@
 from glenchute.policy.events import Endpoint, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_health as looks
 from glenchute.policy.membership import gossiped_drains as trials
-from glenchute.policy.membership.endpoint_health import Health
-from glenchute.policy.membership.gossip import Rows
-from glenchute.policy.membership.gossiped_drains import SETTLE_S, Restraint
-from glenchute.policy.membership.replica import Kind, Row
+from glenchute.policy.membership.endpoint_health import EndpointHealth
+from glenchute.policy.membership.gossip import Delta
+from glenchute.policy.membership.gossiped_drains import SETTLE_S, GossipedDrains
+from glenchute.policy.membership.replica import Row, RowKind
 from glenchute.protocol.member_datagrams import encode
 from lab.fleet import checks
 from lab.fleet.processes import FleetSite
@@ -34,13 +34,13 @@
     return Endpoint(name, "a", state=state)
 
 
-def listed() -> Restraint:
-    restraint = Restraint()
+def listed() -> GossipedDrains:
+    restraint = GossipedDrains()
     restraint.listed(10, True, [entry(name) for name in NAMES])
     return restraint
 
 
-Step = Callable[[Restraint], object]
+Step = Callable[[GossipedDrains], object]
 GONE = EndpointState.REMOVED
 
 
@@ -123,11 +123,11 @@
 TestTrials.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
 
 
-def member(name: str = "g0#1") -> Health:
-    return Health(name, random.Random(1))
+def member(name: str = "g0#1") -> EndpointHealth:
+    return EndpointHealth(name, random.Random(1))
 
 
-def down(one: Health, now: float, server: str = "s0") -> Row:
+def down(one: EndpointHealth, now: float, server: str = "s0") -> Row:
     row = one.ended(now, server, Outcome.UNREACHABLE)
     assert row is not None
     return row
@@ -174,18 +174,21 @@
 )
 def test_a_word_lasts_no_longer_than_stated(value: float, age: float, kept: bool) -> None:
     one = member()
-    one.heard(10.0, Row(Kind.HEALTH, "s0", "g1#1", 1, value), age)
+    one.heard(10.0, Row(RowKind.HEALTH, "s0", "g1#1", 1, value), age)
     assert bool(one.words) is kept
-    assert all(avoid.duration_ms <= 1000.0 * looks.MOST_S * looks.STRETCH for avoid in one.taken(10.0, 6))
-    one.expire(10.0 + looks.MOST_S * looks.STRETCH)
+    assert all(
+        avoid.duration_ms <= 1000.0 * looks.MAX_AVOIDANCE_S * looks.MAX_STRETCH
+        for avoid in one.taken(10.0, 6)
+    )
+    one.expire(10.0 + looks.MAX_AVOIDANCE_S * looks.MAX_STRETCH)
     assert not one.words and not one.by
 
 
 def test_books_of_words_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(looks, "MOST_SERVERS", 4)
+    monkeypatch.setattr(looks, "MAX_ENDPOINTS", 4)
     one = member()
     for number in range(20):
-        one.heard(0.0, Row(Kind.HEALTH, f"x{number}", "g1#1", number + 1, 900.0), 0.0)
+        one.heard(0.0, Row(RowKind.HEALTH, f"x{number}", "g1#1", number + 1, 900.0), 0.0)
         one.ended(0.0, f"y{number}", Outcome.OK)
         one.ended(0.0, f"z{number}", Outcome.UNREACHABLE)
     assert len(one.words) == len(one.answered) == len(one.own) == 4 and one.by == {"g1#1": set(one.words)}
@@ -212,8 +215,8 @@
     boot = int((await site.asked(0, "members"))[1]["boot"], 16)
     for version in versions:
         for name in ("s0", "s1", "s2"):
-            row = Row(Kind.SERVER, name, "", 10**9 + version, 2.0)
-            site.links[0, 1].send_as(1, encode("lab", "g1", boot, Rows(((row, 0),))))
+            row = Row(RowKind.SERVER, name, "", 10**9 + version, 2.0)
+            site.links[0, 1].send_as(1, encode("lab", "g1", boot, Delta(((row, 0),))))
 
 
 def test_a_peer_that_takes_all_servers_away_is_found_out(tmp_path: Path) -> None:
@@ -286,7 +289,7 @@
 
 @pytest.mark.parametrize(
     ("bound", "without", "check"),
-    [("MOST_SHARE", 1.0, "half at most"), ("SETTLE_S", 1e9, "denied as discovery stays"),
+    [("MAX_WITHHELD_SHARE", 1.0, "half at most"), ("SETTLE_S", 1e9, "denied as discovery stays"),
      ("DISTRUST_S", 0.0, "not again for a while")],
 )  # fmt: skip
 def test_without_the_part_the_checks_fail(
--- a/tests/lab/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -8,7 +8,7 @@
 
 from glenchute.policy.admission.quota_bounds import members_bound
 from glenchute.policy.membership.gossip import Gossip
-from glenchute.policy.membership.usage import Use
+from glenchute.policy.membership.usage import AccountUsage
 from lab.sim.members import OF_MEMBERS, MembersWorld, mute_run
 from lab.sim.swarm import drawn, tried
 
@@ -35,25 +35,25 @@
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
     """Words of the others are not added up."""
-    patch.setattr(Use, "heard", lambda self, row: None)
+    patch.setattr(AccountUsage, "heard", lambda self, row: None)
 
 
 def no_window_before(patch: pytest.MonkeyPatch) -> None:
     """What came late of a window is forgotten; found at ten gateways, where each asks seldom."""
-    sound = Use.by_others
+    sound = AccountUsage.by_others
     last: dict[str, float] = {}
 
-    def by_others(self: Use, customer: str, window_ms: float) -> float:
+    def by_others(self: AccountUsage, customer: str, window_ms: float) -> float:
         newest = max(last.get(customer, 0.0), window_ms)
         last[customer] = newest
         return sound(self, customer, window_ms) if window_ms == newest else 0.0
 
-    patch.setattr(Use, "by_others", by_others)
+    patch.setattr(AccountUsage, "by_others", by_others)
 
 
 def whole_at_once(patch: pytest.MonkeyPatch) -> None:
     """Each half of a split fleet takes its copy for the fleet's."""
-    patch.setattr("lab.sim.members.trusted_share", lambda *args: 1.0)
+    patch.setattr("lab.sim.members.known_usage_share", lambda *args: 1.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/messages/control.py
+++ b/tests/messages/control.py
@@ -12,14 +12,14 @@
 from unittest import mock
 
 from glenchute.clients.membership import lease_tasks as tasks
-from glenchute.clients.membership.node import Fleet
+from glenchute.clients.membership.node import MemberNode
 from glenchute.control.client import ask
 from glenchute.control.server import ControlServer
 from glenchute.policy.engine import DecisionEngine
-from glenchute.policy.membership.endpoint_sharing import Server
-from glenchute.policy.membership.members import Kind as Probes
-from glenchute.policy.membership.members import Message, State, Update
-from glenchute.policy.membership.replica import Kind, Row
+from glenchute.policy.membership.endpoint_sharing import SharedEndpoint
+from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage
+from glenchute.policy.membership.members import SwimMessageKind as Probes
+from glenchute.policy.membership.replica import Row, RowKind
 from glenchute.policy.settings import Plan, Settings, SlowStart
 from glenchute.protocol.member_datagrams import encode
 
@@ -62,27 +62,30 @@
         return None
 
 
-def member(loop: FixedLoop) -> Fleet:
+def member(loop: FixedLoop) -> MemberNode:
     """A process among members, of which one has answered, one is suspected, and one was never heard."""
     with mock.patch("os.urandom", lambda count: b"\x5a" * count):
-        fleet = Fleet(MEMBER, loop, DecisionEngine(SETTINGS, 1), SETTINGS, 1)  # type: ignore[arg-type]
+        fleet = MemberNode(MEMBER, loop, DecisionEngine(SETTINGS, 1), SETTINGS, 1)  # type: ignore[arg-type]
     return fleet
 
 
-def in_service(loop: FixedLoop, fleet: Fleet) -> None:
+def in_service(loop: FixedLoop, fleet: MemberNode) -> None:
     """Time passes, members are heard, a lease is held, a task is parked, copies differ."""
     now = loop.time()
-    fleet.replica.put(now, Row(Kind.TASK, "audit", "", (3 << 20) | 2, 5.0), 1.0, "g1")
-    fleet.replica.put(now, Row(Kind.SERVER, "s9", "", 7, 1.0), 1.0, "g1")
-    fleet.replica.put(now, Row(Kind.SERVER, "s9", "", 7, 2.0), 1.0, "g2")
-    fleet.replica.put(now, Row(Kind.HEALTH, "s1", "g1#ff", 1, 800.0), 0.0, "g1")
-    updates = (Update("g1", State.ALIVE, 3, 0xAB), Update("g2", State.SUSPECT, 0, 0xCD))
-    datagram = encode("lab", "g1", 0xAB, Message(Probes.ACK, 1, "", updates))
+    fleet.replica.put(now, Row(RowKind.TASK, "audit", "", (3 << 20) | 2, 5.0), 1.0, "g1")
+    fleet.replica.put(now, Row(RowKind.SERVER, "s9", "", 7, 1.0), 1.0, "g1")
+    fleet.replica.put(now, Row(RowKind.SERVER, "s9", "", 7, 2.0), 1.0, "g2")
+    fleet.replica.put(now, Row(RowKind.HEALTH, "s1", "g1#ff", 1, 800.0), 0.0, "g1")
+    updates = (
+        MemberUpdate("g1", MemberState.ALIVE, 3, 0xAB),
+        MemberUpdate("g2", MemberState.SUSPECT, 0, 0xCD),
+    )
+    datagram = encode("lab", "g1", 0xAB, SwimMessage(Probes.ACK, 1, "", updates))
     fleet.datagram_received(datagram, ("127.0.0.1", 7001))
     fleet.datagram_received(b"noise", ("127.0.0.1", 7001))
     assert fleet.lists is not None
     fleet.lists.version, fleet.lists.confirmed = 170, now - 0.25
-    fleet.lists.rows = {"s0": Server(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
+    fleet.lists.rows = {"s0": SharedEndpoint(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
     assert fleet.runner is not None
     for _ in range(400):
         loop.now += 0.05
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -26,7 +26,7 @@
 from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
 from glenchute.policy.events import EndpointList
 from glenchute.policy.membership import endpoint_sharing as coldstart
-from glenchute.policy.membership.endpoint_sharing import ListShare
+from glenchute.policy.membership.endpoint_sharing import SharedEndpointList
 from lab.peers import Peer, always, http, listing, play, row, until
 from tests.loopback import Script, config, site
 
@@ -290,7 +290,7 @@
 def heard_beside_members(terms: Terms, words: list[tuple[float, float]], change: float, late: float) -> float:
     """When one that leaves asking to its members has a change in force of which none of them tells. `words`:
     when they come, and for when each confirms the list held, a moment before the change."""
-    share = ListShare("m9", 0.0, random.Random(1))
+    share = SharedEndpointList("m9", 0.0, random.Random(1))
     share.version, share.confirmed = 5, 0.0
     share.leased = False  # others ask
     one = Watch(Pacing(terms, random.Random(1)), lambda: share.waits(now, ["m0"]))
--- a/tests/policy/membership/test_audit.py
+++ b/tests/policy/membership/test_audit.py
@@ -10,8 +10,8 @@
 
 from glenchute.policy.admission.windows import span_of, stable, window_start
 from glenchute.policy.membership import usage_audit as audits
-from glenchute.policy.membership.replica import Kind, Row
-from glenchute.policy.membership.usage_audit import LOOKS, Audit
+from glenchute.policy.membership.replica import Row, RowKind
+from glenchute.policy.membership.usage_audit import MAX_QUERIES_PER_STEP, UsageAudit
 from glenchute.policy.settings import Plan
 from lab.fleet.acting import MORE
 from lab.fleet.processes import FleetSite
@@ -32,11 +32,11 @@
 
 
 def used(account: str, units: float, writer: str = "g0#1", ago: int = 2) -> Row:
-    return Row(Kind.USE, f"{account}/{begins(account, ago)}", writer, 1, units)
+    return Row(RowKind.USE, f"{account}/{begins(account, ago)}", writer, 1, units)
 
 
-def prepared(plan: Plan = PLAN) -> Audit:
-    audit = Audit()
+def prepared(plan: Plan = PLAN) -> UsageAudit:
+    audit = UsageAudit()
     for number in range(40):
         audit.seen(f"a{number}", plan)
     return audit
@@ -45,10 +45,15 @@
 def test_windows_are_looked_at_once_the_busiest_first_and_only_sound_ones() -> None:
     audit = prepared()
     rows = [used(f"a{n}", float(n), writer) for n in range(30) for writer in ("g0#1", "g1#1")]
-    rows += [Row(Kind.USE, f"a1/{begins('a1') + 700}", "g9#1", 1, 1e6), Row(Kind.USE, "a1/²", "g9#1", 1, 1e6),
-             used("stranger", 1e6), used("a2", 1e6, ago=0), used("a2", 1e6, ago=9)]  # fmt: skip
+    rows += [
+        Row(RowKind.USE, f"a1/{begins('a1') + 700}", "g9#1", 1, 1e6),
+        Row(RowKind.USE, "a1/²", "g9#1", 1, 1e6),
+        used("stranger", 1e6),
+        used("a2", 1e6, ago=0),
+        used("a2", 1e6, ago=9),
+    ]
     first = audit.due(NOW, rows)
-    assert [look.told for look in first] == [2.0 * n for n in range(29, 29 - LOOKS, -1)]
+    assert [look.told for look in first] == [2.0 * n for n in range(29, 29 - MAX_QUERIES_PER_STEP, -1)]
     at = begins("a29")
     assert first[0][2:] == (at, stable(f"a29/{at}"), 58.0, MARK)
     second = audit.due(NOW, rows)
@@ -77,7 +82,7 @@
     audit, told = prepared(plan), []
     for ago, (units, total) in enumerate(windows):
         at = NOW + ago * SPAN
-        row = Row(Kind.USE, f"a1/{round(window_start(at, 'a1', PLAN) - 2 * SPAN)}", "g0#1", 1, units)
+        row = Row(RowKind.USE, f"a1/{round(window_start(at, 'a1', PLAN) - 2 * SPAN)}", "g0#1", 1, units)
         (look,) = audit.due(at, [row])
         found = audit.answered(look, total)
         told.append(found.less if found is not None else None)
@@ -85,7 +90,7 @@
 
 
 def test_books_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    for bound in ("MOST_ACCOUNTS", "MOST_LOOKED"):
+    for bound in ("MAX_ACCOUNTS", "MAX_CHECKED_WINDOWS"):
         monkeypatch.setattr(audits, bound, 5)
     audit = prepared()
     for number in range(40):
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -21,7 +21,13 @@
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms, calls_bound
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
-from glenchute.policy.membership.endpoint_sharing import ListShare, Part, Sent, Server
+from glenchute.policy.membership.endpoint_sharing import (
+    EndpointListPart,
+    SharedEndpoint,
+    SharedEndpointList,
+    SharingMessage,
+)
+from glenchute.policy.membership.outgoing import Outgoing
 from lab.coldstart import Crowd, Herd, busiest, outage, release, starts, turned_away
 from lab.fleet.processes import FleetSite
 from lab.load import Account, Kind, Load
@@ -290,16 +296,16 @@
 # --- members that ask for each other ---------------------------------------------------------------------
 
 
-def server(version: int, name: str, state: int = 0, started: float = 0.0) -> Server:
-    return Server(version, name, "127.0.0.1:80", "a", 0, 1.0, started, state)
+def server(version: int, name: str, state: int = 0, started: float = 0.0) -> SharedEndpoint:
+    return SharedEndpoint(version, name, "127.0.0.1:80", "a", 0, 1.0, started, state)
 
 
 class Told(NamedTuple):
     """What a member holds, and what another's words make of it."""
 
-    held: tuple[int, Server]  # version, row
-    word: Server
-    taken: Server | None
+    held: tuple[int, SharedEndpoint]  # version, row
+    word: SharedEndpoint
+    taken: SharedEndpoint | None
 
 
 MERGES: dict[str, Told] = {
@@ -317,9 +323,9 @@
 @pytest.mark.parametrize("name", MERGES)
 def test_a_members_word_restrains_and_never_brings_a_server_back(name: str) -> None:
     (version, row), word, taken = MERGES[name]
-    share = ListShare("g0", 0.0, random.Random(1))
+    share = SharedEndpointList("g0", 0.0, random.Random(1))
     share.discovery(0.0, version, True, [row], ())
-    _, changed = share.heard(1.0, "g1", Part(version, max(5, word.version), 0, 1, (word,)))
+    _, changed = share.heard(1.0, "g1", EndpointListPart(version, max(5, word.version), 0, 1, (word,)))
     assert changed == ([taken] if taken is not None else [])
 
 
@@ -330,7 +336,7 @@
     list for confirmed when the service had a newer one."""
     rng = random.Random(seed)
     names = [f"g{n}" for n in range(count)]
-    shares = {name: ListShare(name, 0.0, rng) for name in names}
+    shares = {name: SharedEndpointList(name, 0.0, rng) for name in names}
     others = {name: [other for other in names if other != name] for name in names}
     truth = {f"s{n}": 0 for n in range(30)}
     past: dict[int, tuple[dict[str, int], float]] = {}  # version: the list, and until when it was the newest
@@ -338,12 +344,12 @@
     order = itertools.count()
     version, now = 1, 0.0
 
-    def post(sender: str, sents: list[Sent]) -> None:
+    def post(sender: str, sents: list[Outgoing[SharingMessage]]) -> None:
         for sent in sents:
             for _ in range(1 + (rng.random() < 0.1)):
                 if rng.random() >= lose:
                     late = rng.choice([0.005, 0.02, 0.4])
-                    heapq.heappush(due, (now + late, next(order), sender, sent.to, sent.body))
+                    heapq.heappush(due, (now + late, next(order), sender, sent.to, sent.message))
 
     while now < 12.0:
         now += 0.1
