--- a/tests/policy/membership/test_directmail.py
+++ b/tests/policy/membership/test_directmail.py
@@ -8,25 +8,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.clients.membership.node import TICK_S, Fleet
+from glenchute.clients.membership.node import TICK_S, MemberNode
 from glenchute.config.operator import parse
 from glenchute.policy.admission.windows import span_of
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.membership import direct_messages as directmail
 from glenchute.policy.membership.direct_messages import (
-    ASKS_PER_S,
-    MOST_WORDS,
-    Mail,
-    Post,
-    Ring,
-    Word,
-    numbers_of,
+    MAX_ENTRIES_PER_MESSAGE,
+    MAX_REQUESTS_PER_S,
+    DirectMessenger,
+    GatewayRing,
+    UsageEntry,
+    UsageMessage,
+    gateway_numbers,
+)
+from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings
+from glenchute.policy.membership.members import MemberList, MemberState, MemberUpdate, SwimMessage
+from glenchute.policy.membership.members import SwimMessageKind as Probes
+from glenchute.policy.membership.replica import DEFAULT_KIND_RULES, Replica, Row, RowKind
+from glenchute.policy.membership.usage import (
+    MAX_WINDOWS,
+    MAX_WRITERS_PER_WINDOW,
+    REPORTED_SHARE,
+    AccountUsage,
+    window_allowance_units,
 )
-from glenchute.policy.membership.gossip import Gossip, Pace, Rows
-from glenchute.policy.membership.members import Kind as Probes
-from glenchute.policy.membership.members import Members, Message, State, Update
-from glenchute.policy.membership.replica import RULES, Kind, Replica, Row
-from glenchute.policy.membership.usage import MOST_WINDOWS, MOST_WRITERS, TOLD_SHARE, Use, allowance
 from glenchute.policy.settings import Plan, Settings, SlowStart
 from glenchute.protocol.member_datagrams import encode
 from lab.fleet.posted import Posts
@@ -49,7 +55,7 @@
 def test_all_that_share_a_set_are_told_and_counted(count: int, me: int, spread: int, first: int) -> None:
     me, spread, first = me % count, min(spread, count), first % count
     names = [f"gw-{n:03d}" for n in range(count)]
-    ring = Ring(names[me], names, numbers_of(dict.fromkeys(names)), count)
+    ring = GatewayRing(names[me], names, gateway_numbers(dict.fromkeys(names)), count)
     members = [names[(first + step) % count] for step in range(spread)]
     if names[me] not in members:
         return
@@ -73,7 +79,7 @@
     ],
 )  # fmt: skip
 def test_numbers_are_stated_or_the_names_end(rows: dict[str, int | None], numbers: object) -> None:
-    assert numbers_of(rows) == numbers
+    assert gateway_numbers(rows) == numbers
 
 
 @pytest.mark.parametrize(
@@ -125,21 +131,23 @@
 
 
 def test_use_is_not_passed_on_and_lies_in_no_comparison() -> None:
-    gossip = Gossip(Replica(), Pace(), random.Random(1))
+    gossip = Gossip(Replica(), GossipSettings(), random.Random(1))
     blank = gossip.replica.children(0.0, None)
-    gossip.heard(0.0, "g1", Rows(((Row(Kind.USE, "a/0", "g2#1", 1, 5.0), 0),)), 5)
+    gossip.heard(0.0, "g1", Delta(((Row(RowKind.USE, "a/0", "g2#1", 1, 5.0), 0),)), 5)
     assert not gossip.news and not gossip.replica.rows and gossip.replica.refused == 1
-    assert gossip.replica.put(0.0, Row(Kind.USE, "a/0", "g2#1", 1, 5.0))
+    assert gossip.replica.put(0.0, Row(RowKind.USE, "a/0", "g2#1", 1, 5.0))
     assert gossip.replica.children(0.0, None) == blank and not gossip.replica.leaves
 
 
 def test_a_word_is_small() -> None:
     def size(count: int) -> int:
-        words = tuple(Word(f"{4096 + n:016x}/{1_700_000_000_000 + 37 * n}", 9, 7.0) for n in range(count))
-        return len(encode("zagreb", "g17", 1 << 60, Mail(9, False, True, words)))
+        words = tuple(
+            UsageEntry(f"{4096 + n:016x}/{1_700_000_000_000 + 37 * n}", 9, 7.0) for n in range(count)
+        )
+        return len(encode("zagreb", "g17", 1 << 60, UsageMessage(9, False, True, words)))
 
-    assert (size(MOST_WORDS) - size(0)) / MOST_WORDS <= directmail.WORD_BYTES
-    assert size(0) <= directmail.HEAD_BYTES and size(MOST_WORDS) <= 1_400
+    assert (size(MAX_ENTRIES_PER_MESSAGE) - size(0)) / MAX_ENTRIES_PER_MESSAGE <= directmail.ENTRY_BYTES
+    assert size(0) <= directmail.HEADER_BYTES and size(MAX_ENTRIES_PER_MESSAGE) <= 1_400
 
 
 @pytest.mark.parametrize("spread", [3, 30])
@@ -153,7 +161,7 @@
         posts.run(0.05)
     post = posts.posts["g0"]
     assert post.sent_bytes - before <= 1_000.0 * (posts.now - began + 0.25) + 64 * 18 + 48
-    assert post.owing == sum(map(len, post.owed.values())) <= directmail.MOST_OWED
+    assert post.owing == sum(map(len, post.owed.values())) <= directmail.MAX_PENDING_ENTRIES
     assert post.owing and posts.known("g1", 3) < 2
     posts.run(60.0, lambda: posts.known("g1", 3) == 2 and not post.owing)
     assert posts.known("g1", 3) == 2 and not post.owing
@@ -162,8 +170,8 @@
 def test_what_is_owed_and_kept_is_bounded_and_what_fell_out_is_asked_for(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(directmail, "MOST_OWED", 50)
-    monkeypatch.setattr(directmail, "MOST_TOLD", 40)
+    monkeypatch.setattr(directmail, "MAX_PENDING_ENTRIES", 50)
+    monkeypatch.setattr(directmail, "MAX_REPORTED_WINDOWS", 40)
     posts = settled(6)
     for n in range(300):
         posts.let_in("g0", f"a{n}", 5.0)
@@ -172,7 +180,7 @@
     assert post.owing <= 50 and post.dropped and len(post.told) == 40
     posts.run(10.0)
     assert posts.hears("g1", "a299") == 5.0 == posts.hears("g1", "a290")
-    assert len(Replica().rules) == len(RULES) and RULES[Kind.USE].most <= 8_000
+    assert len(Replica().rules) == len(DEFAULT_KIND_RULES) and DEFAULT_KIND_RULES[RowKind.USE].most <= 8_000
 
 
 # --- what is left unsaid ----------------------------------------------------------------------------------
@@ -187,9 +195,9 @@
     store, at = plan.burst_units, 0.0
     for window in range(50):
         moment = (window + window % 2) * span_of(plan) / 1000.0  # of every second one its end
-        store = min(plan.burst_units, store + plan.rate_per_s * (moment - at)) - 2.0 * TOLD_SHARE * allowance(
-            plan
-        )
+        store = min(
+            plan.burst_units, store + plan.rate_per_s * (moment - at)
+        ) - 2.0 * REPORTED_SHARE * window_allowance_units(plan)
         at = moment
         assert store >= -1e-9
 
@@ -206,9 +214,9 @@
     for number in range(3):
         heard, others = posts.hears(f"g{number}", "a"), sum(asked) - asked[number]
         assert heard <= others
-        if sum(asked) >= 2.0 * TOLD_SHARE * allowance(PLAN):
+        if sum(asked) >= 2.0 * REPORTED_SHARE * window_allowance_units(PLAN):
             assert heard == others
-        assert others - heard <= TOLD_SHARE * allowance(PLAN)
+        assert others - heard <= REPORTED_SHARE * window_allowance_units(PLAN)
 
 
 def test_nothing_is_said_of_an_account_far_from_its_limit() -> None:
@@ -290,21 +298,35 @@
 
 
 def test_mail_that_is_late_repeated_or_foreign_tells_no_more_than_it_says() -> None:
-    use, replica = Use("g1#2"), Replica()
+    use, replica = AccountUsage("g1#2"), Replica()
     names = ["g0", "g1", "g2"]
-    ring = Ring("g1", names, numbers_of(dict.fromkeys(names)), 3)
-    post = Post(use, replica, ring, lambda name: True, random.Random(1))
-    late, new = Mail(5, True, True, (Word("a/0", 1, 2.0),)), Mail(6, False, True, (Word("a/0", 2, 3.0),))
+    ring = GatewayRing("g1", names, gateway_numbers(dict.fromkeys(names)), 3)
+    post = DirectMessenger(use, replica, ring, lambda name: True, random.Random(1))
+    late, new = (
+        UsageMessage(5, True, True, (UsageEntry("a/0", 1, 2.0),)),
+        UsageMessage(6, False, True, (UsageEntry("a/0", 2, 3.0),)),
+    )
     for mail in (late, new, late, new, new):
         post.heard(1.0, "g0", 7, mail)
     assert use.by_others("a", 0.0) == 3.0
-    post.heard(1.0, "g0", 7, Mail(7, False, True, (Word("a/0", 9, 50.0, boot=2),)))  # of this very process
-    assert replica.get(Kind.USE, "a/0", "g1#2") is None
-    post.heard(1.0, "g0", 7, Mail(8, False, True, (Word("a/0", 1, 4.0, boot=1),)))  # of the one before
+    post.heard(
+        1.0, "g0", 7, UsageMessage(7, False, True, (UsageEntry("a/0", 9, 50.0, boot=2),))
+    )  # of this very process
+    assert replica.get(RowKind.USE, "a/0", "g1#2") is None
+    post.heard(
+        1.0, "g0", 7, UsageMessage(8, False, True, (UsageEntry("a/0", 1, 4.0, boot=1),))
+    )  # of the one before
     assert use.by_others("a", 0.0) == 7.0
-    post.heard(1.0, "g0", 7, Mail(9, False, True, (Word("", 1, 4.0), Word("a/0", 3, float("nan")))))
+    post.heard(
+        1.0,
+        "g0",
+        7,
+        UsageMessage(9, False, True, (UsageEntry("", 1, 4.0), UsageEntry("a/0", 3, float("nan")))),
+    )
     assert use.by_others("a", 0.0) == 7.0 and replica.refused == 2
-    post.heard(1.0, "g0", 7, Mail(9, False, True, (Word("a/0", 2, 9.0),)))  # two copies of one version
+    post.heard(
+        1.0, "g0", 7, UsageMessage(9, False, True, (UsageEntry("a/0", 2, 9.0),))
+    )  # two copies of one version
     assert replica.conflicted == 1 and use.by_others("a", 0.0) == 13.0
 
 
@@ -312,11 +334,11 @@
     posts = settled(8)
     post = posts.posts["g1"]
     for n in range(12_000):
-        words = (Word("a/0", 1, 1.0, boot=n + 5), Word(f"{n}/0", 1, 1.0))
-        post.heard(posts.now, ("g0", "g2")[n % 2], 1, Mail(7 * n, n % 4 < 2, True, words))
-    assert len(post.replica.order[Kind.USE]) <= RULES[Kind.USE].most
-    assert len(post.use.others) == len(post.use.sums) <= MOST_WINDOWS
-    assert len(post.use.others["a/0"]) == MOST_WRITERS == post.use.by_others("a", 0.0)
+        words = (UsageEntry("a/0", 1, 1.0, boot=n + 5), UsageEntry(f"{n}/0", 1, 1.0))
+        post.heard(posts.now, ("g0", "g2")[n % 2], 1, UsageMessage(7 * n, n % 4 < 2, True, words))
+    assert len(post.replica.order[RowKind.USE]) <= DEFAULT_KIND_RULES[RowKind.USE].most
+    assert len(post.use.others) == len(post.use.sums) <= MAX_WINDOWS
+    assert len(post.use.others["a/0"]) == MAX_WRITERS_PER_WINDOW == post.use.by_others("a", 0.0)
     assert len(post.ways) <= 7 and len(post.round) <= 2 * 7 + 1
 
 
@@ -326,7 +348,7 @@
         post = posts.posts["g0"]
         post.known(0.0, spread)
         asked = sum(len(post.tick(0.025 * n)) for n in range(400))
-        assert asked <= 10.0 * ASKS_PER_S + 5
+        assert asked <= 10.0 * MAX_REQUESTS_PER_S + 5
 
 
 class Clock:
@@ -343,18 +365,20 @@
 
 def test_a_quiet_tick_walks_over_no_list_of_who_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
     walks: list[int] = []
-    sound = Members.alive
+    sound = MemberList.alive
 
-    def counted(self: Members) -> list[str]:
+    def counted(self: MemberList) -> list[str]:
         walks.append(1)
         return sound(self)
 
-    monkeypatch.setattr(Members, "alive", counted)
+    monkeypatch.setattr(MemberList, "alive", counted)
     rows = [{"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(1, 520)]
     raw = {"fleet": "lab", "name": "g0", "listen": "127.0.0.1:7000", "members": rows}
     made = Settings("a", 520, (), (), SlowStart())
-    fleet = Fleet(raw, Clock(), DecisionEngine(made, 1), made, 1)  # type: ignore[arg-type]
-    probes = [Message(Probes.ACK, n, "", (Update(f"g{n}", State.ALIVE, 0, n),)) for n in (1, 2)]
+    fleet = MemberNode(raw, Clock(), DecisionEngine(made, 1), made, 1)  # type: ignore[arg-type]
+    probes = [
+        SwimMessage(Probes.ACK, n, "", (MemberUpdate(f"g{n}", MemberState.ALIVE, 0, n),)) for n in (1, 2)
+    ]
     for n, probe in enumerate(probes, 1):
         walks.clear()
         for _ in range(3):
@@ -385,7 +409,7 @@
         for n, row in enumerate(rows, 10):
             row["number"] = n
     made = Settings("a", 20, (), (), SlowStart())
-    fleet = Fleet(raw, Clock(), DecisionEngine(made, 1), made, 1, number)  # type: ignore[arg-type]
+    fleet = MemberNode(raw, Clock(), DecisionEngine(made, 1), made, 1, number)  # type: ignore[arg-type]
     assert bool(fleet.post.ring.steps) is numbered
     if not numbered:
         assert fleet.post.ring.near(3) == tuple(f"g{n}" for n in range(10, 19))
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -8,17 +8,17 @@
 
 from glenchute.config import operator
 from glenchute.policy.membership.leases import (
-    NOTHING,
+    NO_BALLOT,
+    Acceptor,
     Ballot,
-    Kind,
-    Lease,
-    Out,
-    Seeker,
-    Terms,
-    Voter,
-    sound_voters,
+    LeaseMessage,
+    LeaseMessageKind,
+    LeaseTerms,
+    Proposer,
+    acceptor_set_problem,
 )
-from glenchute.policy.membership.task_candidates import CANDIDATES, Keeper, Record
+from glenchute.policy.membership.outgoing import Outgoing
+from glenchute.policy.membership.task_candidates import CANDIDATES_PER_TASK, TaskCandidate, TaskRecord
 from lab.explore import Explored, Explorer
 from lab.fleet.holders import ACT_S, Swarm, changed, longest_gap, overlaps, troubled
 from lab.fleet.leasing import LONGEST, TERMS, System, check, events, fresh, held, late, racing, tied
@@ -48,61 +48,61 @@
 
 def no_silence(patch: pytest.MonkeyPatch) -> None:
     """A voter answers as soon as it has started."""
-    sound = Voter.__init__
+    sound = Acceptor.__init__
 
-    def init(self: Voter, name: str, terms: Terms, now: float) -> None:
+    def init(self: Acceptor, name: str, terms: LeaseTerms, now: float) -> None:
         sound(self, name, terms, now)
         self.ready = True
 
-    patch.setattr(Voter, "__init__", init)
+    patch.setattr(Acceptor, "__init__", init)
 
 
 def no_recall(patch: pytest.MonkeyPatch) -> None:
     """A voter that has waited answers without asking what was promised."""
-    sound = Voter.tick
+    sound = Acceptor.tick
 
-    def tick(self: Voter, now: float) -> list[Out]:
+    def tick(self: Acceptor, now: float) -> list[Outgoing[LeaseMessage]]:
         if not self.ready and now >= self.speaks_at:
             self.ready = True
         return sound(self, now)
 
-    patch.setattr(Voter, "tick", tick)
+    patch.setattr(Acceptor, "tick", tick)
 
 
 def half(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Terms, "majority", 1)
+    patch.setattr(LeaseTerms, "majority", 1)
 
 
 def no_margin(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Terms, "held_for", lambda self, span: span)
+    patch.setattr(LeaseTerms, "held_for", lambda self, span: span)
 
 
 def late_clock(patch: pytest.MonkeyPatch) -> None:
     """The holder's time begins when it has been accepted."""
-    sound = Seeker.heard
+    sound = Proposer.heard
 
-    def heard(self: Seeker, now: float, sender: str, message: Lease) -> list[Out]:
-        if self.trying is not None and message.kind is Kind.ACCEPTED:
+    def heard(self: Proposer, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+        if self.trying is not None and message.kind is LeaseMessageKind.ACCEPTED:
             self.trying.until = now + self.terms.held_for(self.span)
         return sound(self, now, sender, message)
 
-    patch.setattr(Seeker, "heard", heard)
+    patch.setattr(Proposer, "heard", heard)
 
 
 def any_proposal(patch: pytest.MonkeyPatch) -> None:
     """A proposal under a promise is accepted."""
-    sound = Voter.heard
+    sound = Acceptor.heard
 
-    def heard(self: Voter, now: float, sender: str, message: Lease) -> list[Out]:
-        if message.kind is Kind.PROPOSE:
-            self.promised[message.task] = min(self.promised.get(message.task, NOTHING), message.ballot)
+    def heard(self: Acceptor, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+        if message.kind is LeaseMessageKind.PROPOSE:
+            self.promised[message.task] = min(self.promised.get(message.task, NO_BALLOT), message.ballot)
         return sound(self, now, sender, message)
 
-    patch.setattr(Voter, "heard", heard)
+    patch.setattr(Acceptor, "heard", heard)
 
 
 def held_is_ignored(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Seeker, "mine", lambda self, holder: True)
+    patch.setattr(Proposer, "mine", lambda self, holder: True)
 
 
 def ties_pass(patch: pytest.MonkeyPatch) -> None:
@@ -112,16 +112,16 @@
 
 def token_not_bumped(patch: pytest.MonkeyPatch) -> None:
     """A new holder takes the token that it has heard of."""
-    sound = Seeker.heard
+    sound = Proposer.heard
 
-    def heard(self: Seeker, now: float, sender: str, message: Lease) -> list[Out]:
+    def heard(self: Proposer, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         before = self.holding
         outs = sound(self, now, sender, message)
         if self.holding is not None and before is None:
             self.holding.token = 1
         return outs
 
-    patch.setattr(Seeker, "heard", heard)
+    patch.setattr(Proposer, "heard", heard)
 
 
 RESTART, RACE, LATE = "one holds, a voter restarts", "two proposals race", "an answer comes late"
@@ -187,7 +187,7 @@
 
 
 def test_all_voters_lost_begin_anew_and_one_beside_a_dead_one_waits() -> None:
-    voters = {name: Voter(name, TERMS, 0.0) for name in TERMS.voters}
+    voters = {name: Acceptor(name, TERMS, 0.0) for name in TERMS.voters}
 
     def exchange(now: float, among: tuple[str, ...]) -> None:
         for name in among:
@@ -201,11 +201,11 @@
     for now in (TERMS.silence, TERMS.silence + 1.0):
         exchange(now, ("v0", "v1"))
     assert voters["v0"].ready and voters["v0"].anew and voters["v1"].ready
-    voters["v1"] = Voter("v1", TERMS, 20.0)
+    voters["v1"] = Acceptor("v1", TERMS, 20.0)
     for now in (40.0, 41.0):
         exchange(now, ("v0", "v1"))
     assert not voters["v1"].ready  # v2 may know more than v0, and does not answer
-    voters["v2"] = Voter("v2", TERMS, 20.0)
+    voters["v2"] = Acceptor("v2", TERMS, 20.0)
     for now in (50.0, 51.0):
         exchange(now, ("v0", "v1", "v2"))
     assert voters["v1"].ready
@@ -216,7 +216,7 @@
     [("abc", ""), ("abcde", ""), ("ab", "3 to 9"), ("abcd", "odd"), ("aab", "twice"), ("abx", "x, which is")],
 )
 def test_sets_of_voters(voters: str, what: str) -> None:
-    told = sound_voters(list(voters), list("abcdefghij"))
+    told = acceptor_set_problem(list(voters), list("abcdefghij"))
     assert (what in told) if what else not told
 
 
@@ -238,7 +238,9 @@
 
 def gives_back_at_once(patch: pytest.MonkeyPatch) -> None:
     """An effect that is under way does not keep the lease."""
-    patch.setattr(Keeper, "acting_until", property(lambda self: -1e9, lambda self, at: None), raising=False)
+    patch.setattr(
+        TaskCandidate, "acting_until", property(lambda self: -1e9, lambda self, at: None), raising=False
+    )
 
 
 def clock_that_stands(patch: pytest.MonkeyPatch) -> None:
@@ -259,7 +261,7 @@
 
 def checked_too_early(patch: pytest.MonkeyPatch) -> None:
     """The time left is held against nothing: an effect may outlast the lease."""
-    patch.setattr(Keeper, "guard", lambda self, now, longest_s: self.seeker.guard(now, 0.0))
+    patch.setattr(TaskCandidate, "guard", lambda self, now, longest_s: self.seeker.guard(now, 0.0))
 
 
 @pytest.mark.parametrize("bug", [gives_back_at_once, clock_that_stands, checked_too_early, no_silence, half])
@@ -315,7 +317,7 @@
     died = swarm.now
     swarm.run(8.0)
     assert sum(act.began > died + 5.0 for act in swarm.acts if act.task == task) > 5
-    assert sum(process.keepers[task].candidate for process in swarm.processes.values()) >= CANDIDATES
+    assert sum(process.keepers[task].candidate for process in swarm.processes.values()) >= CANDIDATES_PER_TASK
 
 
 def test_a_release_hands_over_within_a_tenth_of_a_second() -> None:
@@ -335,11 +337,13 @@
     [("ok ok", False), ("no no no", False), ("no no no no", True), ("no no ok no no no", False)],
 )
 def test_a_task_is_parked_after_holdings_that_failed_in_a_row(steps: str, parked: bool) -> None:
-    record = Record()
+    record = TaskRecord()
     for token, step in enumerate(steps.split(), 1):
         marked = record.took(token).step(False)  # before it runs
         assert marked.version() > record.version()
-        record = Record.of(marked.version(), float(marked.failures))  # told on, and read by the next holder
+        record = TaskRecord.of(
+            marked.version(), float(marked.failures)
+        )  # told on, and read by the next holder
         record = record.step(True) if step == "ok" else record
     assert record.parked is parked and not record.unparked().parked
 
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -7,7 +7,15 @@
 import pytest
 
 from glenchute.policy.membership import members as membership
-from glenchute.policy.membership.members import PIGGYBACK, Kind, Members, Message, Rules, State, Update
+from glenchute.policy.membership.members import (
+    MAX_PIGGYBACKED_UPDATES,
+    MemberList,
+    MemberState,
+    MemberUpdate,
+    SwimMessage,
+    SwimMessageKind,
+    SwimSettings,
+)
 from lab.fleet.simulated import TICK, Net, apart
 
 
@@ -24,7 +32,7 @@
     net = Net(20, seed, lose=0.05)
     net.run(5.0)
     net.stopped.add("g3")
-    assert net.run(20.0, lambda: net.all_see("g3", State.DEAD)) < 16.0
+    assert net.run(20.0, lambda: net.all_see("g3", MemberState.DEAD)) < 16.0
     assert {whom for _, _, whom in net.buried} == {"g3"}
 
 
@@ -34,13 +42,13 @@
     net.run(5.0)
     net.stopped.add("g3")
     net.run(2.0)
-    assert any(net.seen("g3", by) is State.SUSPECT for by in net.names if by != "g3")
+    assert any(net.seen("g3", by) is MemberState.SUSPECT for by in net.names if by != "g3")
     net.stopped.discard("g3")
     assert net.run(5.0, net.all_alive) < 5.0 and not net.buried
 
 
 def test_without_its_patience_a_stop_is_a_burial(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Members, "suspicion", lambda self, member: 0.0)
+    monkeypatch.setattr(MemberList, "suspicion", lambda self, member: 0.0)
     net = Net(20, 0)
     net.run(5.0)
     net.stopped.add("g3")
@@ -57,7 +65,7 @@
 
 
 def test_without_relays_a_one_way_cut_accuses_a_member(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "RELAYS", 0)
+    monkeypatch.setattr(membership, "INDIRECT_PROBES", 0)
     net = Net(10, 5)
     net.run(4.0)
     net.cut = lambda sender, to: (sender, to) == ("g1", "g0")
@@ -71,7 +79,7 @@
     half = set(net.names[:5])
     net.cut = apart(half)
     net.run(25.0)
-    assert net.seen("g9", "g0") is State.DEAD and net.seen("g0", "g9") is State.DEAD
+    assert net.seen("g9", "g0") is MemberState.DEAD and net.seen("g0", "g9") is MemberState.DEAD
     net.cut = lambda sender, to: False
     assert net.run(20.0, net.all_alive) < 20.0
 
@@ -101,20 +109,20 @@
         net.now += TICK
         for to in net.names:
             if to != "g2":
-                ping = Message(Kind.PING, 1, "", (twin.update("g2"),))
+                ping = SwimMessage(SwimMessageKind.PING, 1, "", (twin.update("g2"),))
                 net.post(to, net.nodes[to].heard(net.now, "g2", twin.boot, ping))
         twin.word(net.now, "g0", net.nodes["g0"].update("g2"))
         net.now -= TICK
         net.run(TICK)
     assert sum(net.nodes[n].conflicts.get("g2", 0) for n in net.names) > 0
-    assert net.nodes["g2"].incarnation - before <= 100 * TICK / Rules().period + 2
+    assert net.nodes["g2"].incarnation - before <= 100 * TICK / SwimSettings().period + 2
 
 
 def test_a_leave_is_told_and_no_suspicion() -> None:
     net = Net(12, 9)
     net.run(4.0)
     net.post("g4", net.nodes["g4"].leave(net.now))
-    assert net.run(4.0, lambda: net.all_see("g4", State.LEFT)) < 4.0
+    assert net.run(4.0, lambda: net.all_see("g4", MemberState.LEFT)) < 4.0
     assert not net.buried
 
 
@@ -128,15 +136,15 @@
     before = sum(net.sent.values())
     net.run(6.0)
     assert sum(net.sent.values()) - before < 2.5 * calm  # relays beside; no storm
-    assert net.longest <= PIGGYBACK
+    assert net.longest <= MAX_PIGGYBACKED_UPDATES
 
 
 def test_one_that_is_not_listed_or_speaks_of_one_is_not_taken_in() -> None:
-    node = Members("g0", 1, ["g0", "g1"], Rules(), random.Random(1))
-    words = (Update("g1", State.ALIVE, 0, 5), Update("stranger", State.ALIVE, 9, 9))
-    assert node.heard(0.1, "stranger", 9, Message(Kind.PING, 1, "", words)) == []
-    assert node.heard(0.1, "g1", 5, Message(Kind.PING, 1, "", words))
-    assert set(node.members) == {"g1"} and node.members["g1"].state is State.ALIVE
+    node = MemberList("g0", 1, ["g0", "g1"], SwimSettings(), random.Random(1))
+    words = (MemberUpdate("g1", MemberState.ALIVE, 0, 5), MemberUpdate("stranger", MemberState.ALIVE, 9, 9))
+    assert node.heard(0.1, "stranger", 9, SwimMessage(SwimMessageKind.PING, 1, "", words)) == []
+    assert node.heard(0.1, "g1", 5, SwimMessage(SwimMessageKind.PING, 1, "", words))
+    assert set(node.members) == {"g1"} and node.members["g1"].state is MemberState.ALIVE
 
 
 def test_a_process_that_stood_still_doubts_itself_first() -> None:
@@ -148,4 +156,4 @@
     net.now += 4.0  # all others went on in no time: the worst case
     net.nodes["g0"].tick(net.now)
     assert net.nodes["g0"].health > 0
-    assert all(m.state is not State.DEAD for m in net.nodes["g0"].members.values())
+    assert all(m.state is not MemberState.DEAD for m in net.nodes["g0"].members.values())
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -11,23 +11,59 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.policy.membership.direct_messages import MOST_WORDS, Asked, Mail, Word
-from glenchute.policy.membership.endpoint_sharing import MOST_ROWS, Ask, Part, Server, Told
-from glenchute.policy.membership.gossip import FEW, Digest, Done, Marks, Rows, Want
-from glenchute.policy.membership.leases import Ballot, Lease
-from glenchute.policy.membership.leases import Kind as Asks
-from glenchute.policy.membership.members import Kind as Probes
-from glenchute.policy.membership.members import Message, State, Update
-from glenchute.policy.membership.replica import OF_PROCESS, RULES, Kind, KindRules, Replica, Row
-from glenchute.policy.membership.usage import Use, trusted_share
-from glenchute.protocol.member_datagrams import MOST_BYTES, VERSION, Bad, Packet, Said, decode, encode
+from glenchute.policy.membership.direct_messages import (
+    MAX_ENTRIES_PER_MESSAGE,
+    UsageEntry,
+    UsageMessage,
+    UsageRequest,
+)
+from glenchute.policy.membership.endpoint_sharing import (
+    MAX_ROWS_PER_PART,
+    EndpointListPart,
+    SharedEndpoint,
+    VersionQuery,
+    VersionReply,
+)
+from glenchute.policy.membership.gossip import (
+    MAX_ROW_HASHES,
+    Delta,
+    Digest,
+    LeafRequest,
+    MatchingBuckets,
+    RowHashes,
+)
+from glenchute.policy.membership.leases import Ballot, LeaseMessage
+from glenchute.policy.membership.leases import LeaseMessageKind as Asks
+from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage
+from glenchute.policy.membership.members import SwimMessageKind as Probes
+from glenchute.policy.membership.replica import (
+    DEFAULT_KIND_RULES,
+    PER_PROCESS_KINDS,
+    KindRules,
+    Replica,
+    Row,
+    RowKind,
+)
+from glenchute.policy.membership.usage import AccountUsage, known_usage_share
+from glenchute.protocol.member_datagrams import (
+    MAX_DATAGRAM_BYTES,
+    VERSION,
+    InvalidDatagram,
+    MemberMessage,
+    Packet,
+    decode,
+    encode,
+)
 from lab.fleet.simulated import Mesh, apart, rows_of
 
 ROWS = st.builds(
-    lambda kind, key, writer, *rest: Row(kind, key, writer if kind in OF_PROCESS else "", *rest),
-    st.sampled_from(Kind), st.sampled_from("ab"), st.sampled_from("xy"), st.integers(0, 3),
+    lambda kind, key, writer, *rest: Row(kind, key, writer if kind in PER_PROCESS_KINDS else "", *rest),
+    st.sampled_from(RowKind),
+    st.sampled_from("ab"),
+    st.sampled_from("xy"),
+    st.integers(0, 3),
     st.sampled_from((0.0, 1.0, 2.0, 7.5)),
-)  # fmt: skip
+)
 
 
 def joined(rows: list[Row]) -> Replica:
@@ -51,40 +87,47 @@
 
 
 def test_two_copies_of_one_version_are_a_conflict_that_the_safe_one_wins() -> None:
-    for rows in itertools.permutations([Row(Kind.USE, "a/0", "g1#1", 4, units) for units in (3.0, 8.0, 5.0)]):
+    for rows in itertools.permutations(
+        [Row(RowKind.USE, "a/0", "g1#1", 4, units) for units in (3.0, 8.0, 5.0)]
+    ):
         replica = joined(list(rows) * 2)
-        assert rows_of(replica) == {Row(Kind.USE, "a/0", "g1#1", 4, 8.0)}
+        assert rows_of(replica) == {Row(RowKind.USE, "a/0", "g1#1", 4, 8.0)}
         assert replica.conflicted >= 2 and all(c.kept.value > c.other.value for c in replica.conflicts)
-    drains = joined([Row(Kind.SERVER, "s1", "", 9, 1.0), Row(Kind.SERVER, "s1", "", 9, 2.0)])
-    assert rows_of(drains) == {Row(Kind.SERVER, "s1", "", 9, 2.0)}
+    drains = joined([Row(RowKind.SERVER, "s1", "", 9, 1.0), Row(RowKind.SERVER, "s1", "", 9, 2.0)])
+    assert rows_of(drains) == {Row(RowKind.SERVER, "s1", "", 9, 2.0)}
 
 
 @pytest.mark.parametrize(
     "row",
     [
-        Row(Kind.USE, "", "w", 1, 1.0), Row(Kind.USE, "k" * 99, "w", 1, 1.0), Row(Kind.USE, "k", "", 1, 1.0),
-        Row(Kind.SERVER, "k", "w", 1, 1.0), Row(Kind.USE, "k", "w", -1, 1.0), Row(Kind.USE, "k", "w", 1, -1),
-        Row(Kind.USE, "k", "w", 1, float("nan")), Row(Kind.USE, "k", "w", 1, float("inf")),
+        Row(RowKind.USE, "", "w", 1, 1.0),
+        Row(RowKind.USE, "k" * 99, "w", 1, 1.0),
+        Row(RowKind.USE, "k", "", 1, 1.0),
+        Row(RowKind.SERVER, "k", "w", 1, 1.0),
+        Row(RowKind.USE, "k", "w", -1, 1.0),
+        Row(RowKind.USE, "k", "w", 1, -1),
+        Row(RowKind.USE, "k", "w", 1, float("nan")),
+        Row(RowKind.USE, "k", "w", 1, float("inf")),
     ],
-)  # fmt: skip
+)
 def test_rows_that_are_not_sound_are_counted_and_not_taken(row: Row) -> None:
     replica = joined([row])
     assert not replica.rows and replica.refused == 1
 
 
 def test_a_full_store_drops_what_changed_longest_ago_and_old_rows_do_not_come_back() -> None:
-    replica = Replica({Kind.USE: KindRules(10.0, 3), Kind.SERVER: RULES[Kind.SERVER]})
+    replica = Replica({RowKind.USE: KindRules(10.0, 3), RowKind.SERVER: DEFAULT_KIND_RULES[RowKind.SERVER]})
     for number in range(5):
-        replica.put(float(number), Row(Kind.USE, f"k{number}", "w", 1, 1.0))
-    assert {row.key for row in rows_of(replica)} == {"k2", "k3", "k4"} and replica.evicted[Kind.USE] == 2
+        replica.put(float(number), Row(RowKind.USE, f"k{number}", "w", 1, 1.0))
+    assert {row.key for row in rows_of(replica)} == {"k2", "k3", "k4"} and replica.evicted[RowKind.USE] == 2
     assert sum(map(len, replica.leaves.values())) == 3
     for version in range(2, 9000):  # what is kept of versions that have gone is bounded
-        replica.put(5.0, Row(Kind.USE, "k4", "w", version, 1.0))
+        replica.put(5.0, Row(RowKind.USE, "k4", "w", version, 1.0))
     assert len(replica.aging) < 2000
     assert replica.children(5.0, None) != replica.children(13.5, None) == (0,) * 64  # too old to be compared
     replica.expire(20.0)
-    assert not replica.rows and not replica.leaves and not replica.order[Kind.USE]
-    assert not replica.put(20.0, Row(Kind.USE, "k", "w", 1, 1.0), age_s=10.0)
+    assert not replica.rows and not replica.leaves and not replica.order[RowKind.USE]
+    assert not replica.put(20.0, Row(RowKind.USE, "k", "w", 1, 1.0), age_s=10.0)
 
 
 @pytest.mark.parametrize(("count", "lose"), [(2, 0.0), (5, 0.3), (40, 0.1)])
@@ -136,11 +179,11 @@
 def test_what_restrains_comes_through_though_digests_agree_by_chance(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Replica, "differing", lambda self, now, bucket, theirs: [])
     mesh = Mesh(3, 7)
-    mesh.nodes["g0"].replica.put(0.0, Row(Kind.SERVER, "s1", "", 5, 2.0))
-    mesh.nodes["g0"].replica.put(0.0, Row(Kind.HEALTH, "a/0", "g0#1", 1, 1.0))
+    mesh.nodes["g0"].replica.put(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
+    mesh.nodes["g0"].replica.put(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
     mesh.run(4.0)
-    assert all(node.replica.get(Kind.SERVER, "s1") for node in mesh.nodes.values())
-    assert mesh.nodes["g1"].replica.get(Kind.HEALTH, "a/0", "g0#1") is None  # the others wait for a change
+    assert all(node.replica.get(RowKind.SERVER, "s1") for node in mesh.nodes.values())
+    assert mesh.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None  # the others wait for a change
 
 
 def bug_lower_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
@@ -172,19 +215,30 @@
 @pytest.mark.parametrize(
     "body",
     [
-        Message(Probes.PING_REQ, 4, "g2", (Update("g1", State.SUSPECT, 3, 7),)),
-        Rows(((Row(Kind.USE, "a", "b", 1, 2.0), 9),)),
-        Digest(-1, (0, (1 << 64) - 1) * 32, True), Want(3, (1, 2)), Done((1, 5), False),
-        Marks(tuple(range(1 << 31, (1 << 31) + FEW)), True), Told(1, 2, 3), Ask(4, -1),
-        Part(1, 5, 0, 2, (Server(5, "s0", "127.0.0.1:80", "a", 1, 1.0, 0.0, 1),) * MOST_ROWS),
-        Lease(Asks.PROPOSE, "task", Ballot(7, "g1", 9), Ballot(6, "g2", 8), 3.5), Asked(-1),
-        Mail(1 << 40, True, False, (Word(f"{4242:016x}/170", 1, 0.125), Word("a/b/5", 9, 2e6, 7))),
-        Mail(3, False, True, (Word(f"{'f' * 16}/17", 1 << 40, 1e9, 1 << 62),) * MOST_WORDS),
+        SwimMessage(Probes.PING_REQ, 4, "g2", (MemberUpdate("g1", MemberState.SUSPECT, 3, 7),)),
+        Delta(((Row(RowKind.USE, "a", "b", 1, 2.0), 9),)),
+        Digest(-1, (0, (1 << 64) - 1) * 32, True),
+        LeafRequest(3, (1, 2)),
+        MatchingBuckets((1, 5), False),
+        RowHashes(tuple(range(1 << 31, (1 << 31) + MAX_ROW_HASHES)), True),
+        VersionReply(1, 2, 3),
+        VersionQuery(4, -1),
+        EndpointListPart(
+            1, 5, 0, 2, (SharedEndpoint(5, "s0", "127.0.0.1:80", "a", 1, 1.0, 0.0, 1),) * MAX_ROWS_PER_PART
+        ),
+        LeaseMessage(Asks.PROPOSE, "task", Ballot(7, "g1", 9), Ballot(6, "g2", 8), 3.5),
+        UsageRequest(-1),
+        UsageMessage(
+            1 << 40, True, False, (UsageEntry(f"{4242:016x}/170", 1, 0.125), UsageEntry("a/b/5", 9, 2e6, 7))
+        ),
+        UsageMessage(
+            3, False, True, (UsageEntry(f"{'f' * 16}/17", 1 << 40, 1e9, 1 << 62),) * MAX_ENTRIES_PER_MESSAGE
+        ),
     ],
-)  # fmt: skip
-def test_datagrams_come_back_and_no_cut_or_flip_of_one_raises(body: Said) -> None:
+)
+def test_datagrams_come_back_and_no_cut_or_flip_of_one_raises(body: MemberMessage) -> None:
     data = encode("lab", "g1", 7, body)
-    assert decode("lab", data) == ("g1", 7, body) and len(data) <= MOST_BYTES
+    assert decode("lab", data) == ("g1", 7, body) and len(data) <= MAX_DATAGRAM_BYTES
     rng = random.Random(1)
     for at in range(len(data)):
         flipped = bytearray(data)
@@ -192,48 +246,80 @@
         for torn in (data[:at], bytes(flipped)):
             try:
                 decode("lab", torn)
-            except Bad:
+            except InvalidDatagram:
                 continue
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (random.Random(1).randbytes(65_000), "too long"), (random.Random(2).randbytes(900), "noise"),
-        (encode("other", "g1", 1, Want(0, ())), "fleet"), (encode("lab", "", 1, Want(0, ())), "name"),
+        (random.Random(1).randbytes(65_000), "too long"),
+        (random.Random(2).randbytes(900), "noise"),
+        (encode("other", "g1", 1, LeafRequest(0, ())), "fleet"),
+        (encode("lab", "", 1, LeafRequest(0, ())), "name"),
         (msgspec.msgpack.encode(Packet(VERSION + 1, "lab", "g1", 1, 3, msgspec.Raw(b"\x90"))), "version"),
         (msgspec.msgpack.encode(Packet(VERSION, "lab", "g1", 1, 9, msgspec.Raw(b"\x90"))), "body"),
-        (encode("lab", "g1", 1, Want(0, tuple(range(300)))), "body"),
-        (encode("lab", "g1", 1, Part(1, 5, 0, 1, (Server(5, "s", "x", "a", 1, 1.0, 0.0, 1),))), "body"),
-        (encode("lab", "g1", 1, Part(1, 5, 0, 1, (Server(5, "s", "", "a", 1, -1.0, 0.0, 1),))), "body"),
-        (encode("lab", "g1", 1, Lease(Asks.PROPOSE, "t", Ballot(7, "g", 9), span=math.nan)), "body"),
-        (encode("lab", "g1", 1, Mail(1, True, True, (Word("a/0", 1, 1.0),) * (MOST_WORDS + 1))), "body"),
-        (encode("lab", "g1", 1, Mail(-1, True, True, ())), "body"),
-        (encode("lab", "g1", 1, Mail(1, True, True, (Word("a/0", 1, -1.0),))), "body"),
-        (encode("lab", "g1", 1, Mail(1, True, True, (Word("a" * 65 + "/0", 1, 1.0),))), "body"),
-        (encode("lab", "g1", 1, Mail(1, True, True, (Word("a/0", 1, 1.0, -3),))), "body"),
+        (encode("lab", "g1", 1, LeafRequest(0, tuple(range(300)))), "body"),
+        (
+            encode(
+                "lab",
+                "g1",
+                1,
+                EndpointListPart(1, 5, 0, 1, (SharedEndpoint(5, "s", "x", "a", 1, 1.0, 0.0, 1),)),
+            ),
+            "body",
+        ),
+        (
+            encode(
+                "lab",
+                "g1",
+                1,
+                EndpointListPart(1, 5, 0, 1, (SharedEndpoint(5, "s", "", "a", 1, -1.0, 0.0, 1),)),
+            ),
+            "body",
+        ),
+        (encode("lab", "g1", 1, LeaseMessage(Asks.PROPOSE, "t", Ballot(7, "g", 9), span=math.nan)), "body"),
+        (
+            encode(
+                "lab",
+                "g1",
+                1,
+                UsageMessage(1, True, True, (UsageEntry("a/0", 1, 1.0),) * (MAX_ENTRIES_PER_MESSAGE + 1)),
+            ),
+            "body",
+        ),
+        (encode("lab", "g1", 1, UsageMessage(-1, True, True, ())), "body"),
+        (encode("lab", "g1", 1, UsageMessage(1, True, True, (UsageEntry("a/0", 1, -1.0),))), "body"),
+        (encode("lab", "g1", 1, UsageMessage(1, True, True, (UsageEntry("a" * 65 + "/0", 1, 1.0),))), "body"),
+        (encode("lab", "g1", 1, UsageMessage(1, True, True, (UsageEntry("a/0", 1, 1.0, -3),))), "body"),
     ],
-)  # fmt: skip
+)
 def test_datagrams_that_are_not_ours_are_named(data: bytes, why: str) -> None:
-    with pytest.raises(Bad, match=why):
+    with pytest.raises(InvalidDatagram, match=why):
         decode("lab", data)
 
 
 def test_use_is_by_writer_and_window_and_a_predecessor_is_another() -> None:
-    use = Use("g0#2")
-    for row in (Row(Kind.USE, "a/0", "g1#1", 1, 3.0), Row(Kind.USE, "a/0", "g1#1", 2, 5.0),
-                Row(Kind.USE, "a/0", "g0#1", 4, 2.0), Row(Kind.USE, "a/9", "g1#1", 1, 50.0),
-                Row(Kind.USE, "a/0", "g0#2", 1, 99.0)):  # fmt: skip
+    use = AccountUsage("g0#2")
+    for row in (Row(RowKind.USE, "a/0", "g1#1", 1, 3.0), Row(RowKind.USE, "a/0", "g1#1", 2, 5.0),
+                Row(RowKind.USE, "a/0", "g0#1", 4, 2.0), Row(RowKind.USE, "a/9", "g1#1", 1, 50.0),
+                Row(RowKind.USE, "a/0", "g0#2", 1, 99.0)):  # fmt: skip
         use.heard(row)
     assert use.by_others("a", 0.0) == 7.0
-    assert [use.let_in("a", 0.0, 1.5) for _ in range(2)][-1] == Row(Kind.USE, "a/0", "g0#2", 2, 3.0)
+    assert [use.let_in("a", 0.0, 1.5) for _ in range(2)][-1] == Row(RowKind.USE, "a/0", "g0#2", 2, 3.0)
 
 
 @pytest.mark.parametrize(
     ("args", "share"),
-    [((True, 0, 4, 5, 0.1), 1.0), ((True, 0, 1, 5, 0.1), 0.4), ((False, 0, 4, 5, 0.1), 0.0),
-     ((True, 4, 4, 5, 0.1), 0.0), ((True, 0, 4, 5, 1.5), 0.0), ((True, 0, 0, 1, 0.1), 0.0),
-     ((True, 0, 9, 5, 0.1), 1.0)],
-)  # fmt: skip
+    [
+        ((True, 0, 4, 5, 0.1), 1.0),
+        ((True, 0, 1, 5, 0.1), 0.4),
+        ((False, 0, 4, 5, 0.1), 0.0),
+        ((True, 4, 4, 5, 0.1), 0.0),
+        ((True, 0, 4, 5, 1.5), 0.0),
+        ((True, 0, 0, 1, 0.1), 0.0),
+        ((True, 0, 9, 5, 0.1), 1.0),
+    ],
+)
 def test_the_share_that_is_known(args: tuple[bool, int, int, int, float], share: float) -> None:
-    assert trusted_share(*args) == pytest.approx(share)
+    assert known_usage_share(*args) == pytest.approx(share)
