--- a/glenchute/config/matching.py
+++ b/glenchute/config/matching.py
@@ -73,8 +73,8 @@
 
 
 def equal_rank_overlaps(routes: Sequence[MatchedRoute]) -> Iterator[tuple[MatchedRoute, MatchedRoute]]:
-    """Each route with the first one before it that has its rank and overlaps it in each kind: what can be said
-    without the platform's file."""
+    """Each route with the first one before it that has its rank and overlaps it in each kind: what can be
+    said without the platform's file."""
     kinds = NameIndex(), NameIndex(), NameIndex()
     ranked: dict[int, int] = {}
     for index, one in enumerate(routes):
--- a/glenchute/config/operator_shape.py
+++ b/glenchute/config/operator_shape.py
@@ -6,8 +6,8 @@
 
 from glenchute.policy.events import Outcome
 
-from .fleet import FLEET
 from .extproc_shape import LISTENERS
+from .fleet import FLEET
 from .pipeline import MOST_DEPTH, PIPELINE
 from .schema import Boolean, Number, String, Strings, Table, TableArray
 
--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -112,7 +112,7 @@
 
 
 def test_the_page_names_every_key_of_the_file() -> None:
-    from glenchute.config.fronts import EXTPROC
+    from glenchute.config.extproc_shape import EXTPROC
 
     for key in EXTPROC.keys:
         assert re.search(rf"\b{key}\b", block("toml")), key
