--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -32,7 +32,7 @@
     until,
 )
 
-ANYWHERE: dict[str, Any] = {"operations": ("127.0.0.1", 0)}
+ANYWHERE: dict[str, Any] = {"operations_address": ("127.0.0.1", 0)}
 
 
 async def raw(port: int, data: bytes, patience_s: float = 5.0) -> bytes:
--- a/tests/policy/endpoints/test_doubt.py
+++ b/tests/policy/endpoints/test_doubt.py
@@ -273,7 +273,12 @@
         agent, script = Held(), Script(lambda event: [])
         task = asyncio.create_task(agent.answer(0, whole(5, *FOUR)))
         many = replace(config(1, 1, []).settings, gateway_count=200)
-        more: dict[str, Any] = {"settings": many, "number": 150, "operator": OPERATOR, "known": None}
+        more: dict[str, Any] = {
+            "settings": many,
+            "gateway_number": 150,
+            "operator": OPERATOR,
+            "cached_endpoints": None,
+        }
         async with site(always(None), decisions=script, discovery=agent, **more) as one:  # type: ignore[arg-type]
             await task
             discovery, servers = one.program.discovery, one.program.servers
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -25,7 +25,7 @@
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.events import EndpointList
 from glenchute.policy.membership import endpoint_sharing as coldstart
-from glenchute.policy.membership.endpoint_sharing import ListShare
+from glenchute.policy.membership.endpoint_sharing import SharedEndpointList
 from glenchute.protocol.endpoint_list import CurrentList as HeldList
 from glenchute.protocol.endpoint_list import EndpointListError, decode_list
 from lab.peers import Peer, always, http, listing, play, row, until
@@ -307,7 +307,7 @@
 ) -> float:
     """When one that leaves asking to its members has a change in force of which none of them tells. `words`:
     when they come, and for when each confirms the list held, a moment before the change."""
-    share = ListShare("m9", 0.0, random.Random(1))
+    share = SharedEndpointList("m9", 0.0, random.Random(1))
     share.version, share.confirmed = 5, 0.0
     share.leased = False  # others ask
     one = EndpointWatch(PollScheduler(terms, random.Random(1)), lambda: share.waits(now, ["m0"]))
@@ -546,7 +546,7 @@
         task = asyncio.create_task(first_answers(agent))
         operator = "[discovery]\ncalls_per_s = 15\nlist_age_s = 30\n"
         many = replace(config(1, 1, []).settings, gateway_count=200)
-        more: dict[str, Any] = {"settings": many, "number": 150, "operator": operator}
+        more: dict[str, Any] = {"settings": many, "gateway_number": 150, "operator": operator}
         async with site(decisions=script, discovery=agent, **more) as one:  # type: ignore[arg-type]
             await task
             assert not one.program.discovery.scheduler.terms.is_pushed
