--- a/glenchute/policy/endpoints/notification.py
+++ b/glenchute/policy/endpoints/notification.py
@@ -1,21 +1,21 @@
-"""When what discovery has to tell counts as told, whether or not it was heard: the one statement of the
-terms, and what they leave for pauses, waits and answers. Seconds; no state.
-
-The terms (the operators' standing test; what it says goes before older sentences of PROTOCOL):
-
-- whatever else is allowed after a failed, refused or given-up call, a change counts `TOLD_S` after discovery
-  had it and could be reached;
-- what a silent watch misses counts `TOLD_S` after it fell silent, or `TOLD_AFTER_WAIT_S` after the wait of
-  its call is over, whichever is later;
-- another address counts `TOLD_MOVED_S` after the order to follow it;
-- where lists are pushed, by an agent on this machine that answers at once and at no cost, what the agent has
-  counts whether or not a call is out.
-
-Neither a rate nor an age of lists that an operator states changes them, nor that an odd list takes a second
-word: it is asked for with no pause, and both answers fit into what is left for one (`watch.Watch.reach`).
-Nobody tells a gateway when
-discovery could be reached again: it may have been right after the last call was made, and that call may
-never be answered. So all is counted from there (`latest`).
+"""Deadlines by which a change at the discovery service counts as notified to this gateway, and the polling
+limits that follow from them. Stateless; all times in seconds.
+
+The deadlines are the operators' terms and take precedence over older sentences of PROTOCOL:
+
+- After a failed, rejected or abandoned poll, whatever else is allowed: `NOTIFIED_AFTER_S` after discovery had
+  the change and could be reached.
+- A change that a silent watch misses: `NOTIFIED_AFTER_S` after the watch fell silent, or
+  `NOTIFIED_AFTER_WAIT_S` after the wait of its poll has elapsed, whichever is later.
+- A new discovery address: `NOTIFIED_AFTER_MOVE_S` after the instruction to use it.
+- Where an agent on this machine pushes the lists: at once, whether or not a poll is in flight.
+
+The poll rate and the maximum list age that an operator may configure do not extend these deadlines. Nor does
+the confirmation of an unusual list: its poll goes without delay, and both answers fit into the budget of one
+(`watch.EndpointWatch.answer_timeout_s`).
+
+A gateway does not learn when discovery became reachable again. It may have been right after the last poll was
+sent, and that poll may never be answered, so `next_poll_deadline_s` counts from the moment of the poll.
 """
 
 from __future__ import annotations
@@ -23,36 +23,35 @@
 NOTIFIED_AFTER_S = 6.0
 NOTIFIED_AFTER_WAIT_S = 2.0
 NOTIFIED_AFTER_MOVE_S = 4.0
-ANSWER_ALLOWANCE_S = (
-    2.0  # left for a new connection and its answer, by a service that is crowded but can be reached
-)
-CONFIRMATION_TTL_S = 3.0  # a list that members have confirmed so long ago, at most, leaves discovery alone
-PUSHED_WATCH_WAIT_S = 3.0  # of a watch where lists are pushed: half of `TOLD_S`, so that three tries fit
+ANSWER_ALLOWANCE_S = 2.0  # for a new connection and an answer, at a service that is loaded but reachable
+CONFIRMATION_TTL_S = 3.0  # a list that members confirmed within this time needs no poll of its own
+PUSHED_WATCH_WAIT_S = 3.0  # half of `NOTIFIED_AFTER_S`, so that three hedged polls fit behind it
 
 
 def recovery_budget_s(wait_s: float, moved: bool = False) -> float:
-    """From the end of a call's wait until what it misses may count as told, at least."""
+    """The least time between the end of a poll's wait and the moment at which a change it missed counts as
+    notified. `wait_s`: how long the poll waits for a change; `moved`: the first poll at a new address."""
     return max((NOTIFIED_AFTER_MOVE_S if moved else NOTIFIED_AFTER_S) - wait_s, NOTIFIED_AFTER_WAIT_S)
 
 
 def next_poll_deadline_s(wait_s: float, moved: bool = False) -> float:
-    """How long after a call the next goes at the latest, if that one came to nothing."""
+    """The latest time after a poll was sent at which the next one is sent, if the first has failed."""
     return wait_s + recovery_budget_s(wait_s, moved) - ANSWER_ALLOWANCE_S
 
 
 def max_backoff_s(moved: bool = False) -> float:
-    """... where it came to nothing at once, or another address was named."""
+    """The longest delay after a poll that failed at once, or after a change of address (`moved`)."""
     return next_poll_deadline_s(0.0, moved)
 
 
 def max_wait_after_failure_s() -> float:
-    """The longest wait of a call that follows one that came to nothing: if it is not answered either, what it
-    misses is in force `TOLD_S` after it was made. Longer waits have `TOLD_AFTER_WAIT_S` beyond them, shorter
-    ones cost calls just when a service that was away has all its callers back."""
+    """The longest wait of a poll that follows a failed one. If it is not answered either, a change it missed
+    is in force `NOTIFIED_AFTER_S` after it was sent. A longer wait is due `NOTIFIED_AFTER_WAIT_S` after its
+    end; a shorter one costs polls just when a service that was away gets all its clients back."""
     return NOTIFIED_AFTER_S - NOTIFIED_AFTER_WAIT_S
 
 
 def max_own_poll_delay_s() -> float:
-    """How long after such a word was out of date the next call goes at the latest: what came right after the
-    list was confirmed counts `TOLD_S` after that."""
+    """The latest time after a member's confirmation has expired at which this gateway polls by itself. A
+    change right after the list was confirmed counts as notified `NOTIFIED_AFTER_S` after that."""
     return max_backoff_s() - CONFIRMATION_TTL_S
--- a/glenchute/policy/endpoints/polling.py
+++ b/glenchute/policy/endpoints/polling.py
@@ -1,25 +1,27 @@
-"""When a gateway calls discovery, and what of its answers it believes: for fleets that start, lose their
-watch or are moved in one moment. No I/O; seconds by one clock of this process.
-
-Nothing is shared between gateways: each knows the fleet's size and its own number, so that turns drawn by
-each alone are spread over what the service bears. The rate of the whole fleet is held by additive increase
-and multiplicative decrease (Chiu and Jain, 1989), each gateway by its share; jitter keeps them out of step.
-
-What a service sees of N gateways, at a rate of R calls a second and lists that may be B old, both stated:
-
-- N that start at once: at most `calls_bound` in any second, which is the larger of `LOAD` R and
-  4/3 N / (B - 2 s), and one. These are first calls. Where the size is set wrong by a factor, so is this,
-  until the service has turned calls away: each time divides the rate by `DECREASE`.
-- N that hear the same news at once: as many; on average, where they don't know their numbers.
-- N that lose their watch or are turned away: the same, but each comes again within `told.longest_pause`
-  (4 s), whatever the service says of it and whatever is stated: its news count as told by then. So the
-  terms go before the rate: R below N / (4 s) / `LOAD` does not bear them. While calls fail or are turned
-  away, again and again, each makes one in 3 to 4 s.
-- N that are moved: within 2 s, for the same reason.
-- A start over and over with a pause shorter than its turn makes no call; a longer one, one call each.
-- Without a list (its turn comes in the first quarter, which the others leave free) four times as many, if
-  all have none.
-- On quiet days the ends of waits: N / W, W from 4 to 20 s, or more if that is over a quarter of R.
+"""When a gateway polls the discovery service: staggered starts, backoff, and the rate that all gateways
+share. No I/O; seconds by one monotonic clock of this process.
+
+Gateways exchange nothing for this. Each knows how many there are and its own index, and draws its phase
+within a common period, so that the polls of all are spread over what the service can serve. The rate of the
+whole fleet follows additive increase and multiplicative decrease (Chiu and Jain, 1989), each gateway by its
+share; jitter keeps them out of step.
+
+What a service sees of N gateways with a configured rate of R polls per second and a maximum list age of B:
+
+- N that start at once: at most `max_first_polls_per_s` in any second, which is the larger of
+  `POLL_RATE_SHARE` R and 4/3 N / (B - 2 s), plus one. These are first polls. A wrong N scales the bound by
+  the same factor until the service has rejected polls: each rejection divides the rate by
+  `RATE_DECREASE_FACTOR`.
+- N that receive the same change at once: as many; on average, where they do not know their indexes.
+- N that lose their watch or are rejected: the same, but each polls again within `notification.max_backoff_s`
+  (4 s) whatever the service's Retry-After and the configuration say, as a change counts as notified by then.
+  So the deadlines take precedence over the rate: R below N / (4 s) / `POLL_RATE_SHARE` does not serve them.
+  While polls keep failing or being rejected, each gateway makes one in 3 to 4 s.
+- N whose discovery address changes: within 2 s, for the same reason.
+- A crash loop with a period shorter than the start delay makes no poll; a longer one makes one per start.
+- Without a list: four times as many, if no gateway has one. Their starts take the first quarter of the
+  period, which the others leave free.
+- In steady state, the ends of waits: N / W, with W from 4 to 20 s, or longer if that is over a quarter of R.
 """
 
 from __future__ import annotations
@@ -27,167 +29,189 @@
 import random
 from typing import NamedTuple
 
-from . import notification as told
-
-# A watch waits so long for news; what it waits for counts as told 2 s after that. Each end of a wait costs
-# the service a call, so the wait grows with the fleet, in these bounds: all together end so many a second.
-WATCH_WAIT_S = (4.0, 20.0)
-WATCH_ENDS_PER_S = 3.0
-MAX_OVERLOADED_WAIT_S = 55.0  # the longest wait at a service that turns calls away
-URGENT_SHARE = 0.25  # the first part of a spread belongs to those without a list
-POLL_RATE_SHARE = 0.8  # of the rate is what turns take; the ends of waits need some
-WATCH_RATE_SHARE = 0.25  # ... and no more than this
-RATE_DECREASE_FACTOR = 4.0  # of the rate, at each call that is turned away
-RATE_INCREASE_SHARE = 0.1  # of what is left then, at each answer
-MAX_OVERLOADED_SPREAD_S = 60.0  # of calls that all make after news, at a service that turned calls away
-REPEATED_FAILURE_MIN_SHARE = (
-    0.75  # who comes again and again takes the last part of the longest pause, so that few calls are made
-)
-BACKOFF_S = (0.1, 1.0)  # pauses between tries at a service that does not answer
+from . import notification
+
+MIN_WATCH_WAIT_S = 4.0
+MAX_WATCH_WAIT_S = 20.0
+WATCH_ENDS_PER_S = 3.0  # of all gateways: each ended wait costs the service a poll
+MAX_OVERLOADED_WAIT_S = 55.0  # the longest wait at a service that rejects polls
+URGENT_SHARE = 0.25  # the first part of a period is reserved for gateways without a list
+POLL_RATE_SHARE = 0.8  # of the rate, for scheduled polls; the ends of waits need the rest
+WATCH_RATE_SHARE = 0.25  # of the rate, at most, for the ends of waits
+RATE_DECREASE_FACTOR = 4.0  # divides the rate at each rejected poll
+RATE_INCREASE_SHARE = 0.1  # of the decreased rate, added at each answer
+MAX_OVERLOADED_SPREAD_S = 60.0  # of simultaneous polls at a service that has rejected some
+REPEATED_FAILURE_MIN_SHARE = 0.75  # of the longest backoff: the earliest retry after repeated failures
+MIN_REJECTED_SHARE = 0.1  # of the spread: the earliest retry after a first rejection
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
+BACKOFF_FACTOR = 2.0
 
 
 class PollingTerms(NamedTuple):
-    """What turns are drawn by."""
+    """Who shares the discovery service, and what it can serve."""
 
     gateway_count: int
-    gateway_index: int | None = None  # of this gateway among them, from 0; None: not known
-    rate_per_s: float = 15.0  # calls a second, of all together, that the service is taken to bear at first
-    # What the service has to tell counts as told after this, for a gateway that starts too. None: nobody says
-    # so, a saved list may be of long ago, and no call is put off but those that the service turns away.
+    gateway_index: int | None = None  # of this gateway, from 0; None: not known
+    rate_per_s: float = 15.0  # polls of all gateways together that the service is taken to serve at first
+    # A change counts as notified after this time, also for a gateway that starts. None: not configured; a
+    # saved list may be of any age, and only polls that the service has rejected are delayed.
     max_list_age_s: float | None = None
-    # Lists are pushed: the service is an agent on this machine, which answers at once and at no cost. What it
-    # has counts as told whether or not a call is out.
+    # The service is an agent on this machine that answers at once and at no cost. What it has counts as
+    # notified whether or not a poll is in flight.
     is_pushed: bool = False
 
 
 def max_first_polls_per_s(terms: PollingTerms, listed: bool = True) -> float:
-    """First calls in a second, at most, of gateways that all begin in one moment and know their numbers."""
+    """The upper bound of first polls in a second by gateways that start at one moment and know their indexes.
+    `listed`: they have a saved list to serve by."""
     if terms.max_list_age_s is None:
         return float(terms.gateway_count)
-    spread = max(1e-9, terms.max_list_age_s - told.ANSWER_ALLOWANCE_S)
-    most = max(POLL_RATE_SHARE * terms.rate_per_s, terms.gateway_count / (1.0 - URGENT_SHARE) / spread)
-    return min(
-        float(terms.gateway_count), most * (1.0 if listed else (1.0 - URGENT_SHARE) / URGENT_SHARE) + 1.0
-    )
+    spread_s = max(1e-9, terms.max_list_age_s - notification.ANSWER_ALLOWANCE_S)
+    scheduled = max(POLL_RATE_SHARE * terms.rate_per_s, terms.gateway_count / (1.0 - URGENT_SHARE) / spread_s)
+    density = 1.0 if listed else (1.0 - URGENT_SHARE) / URGENT_SHARE
+    return min(float(terms.gateway_count), scheduled * density + 1.0)
 
 
 class PollScheduler:
-    """The calls of one gateway."""
+    """The delays between the polls of one gateway.
+
+    The `record_...` methods follow the result of a poll; those that return a number return the delay in
+    seconds before the next poll.
+    """
 
     def __init__(self, terms: PollingTerms, rng: random.Random) -> None:
         self.terms, self.rng = terms, rng
         self.gateway_count = max(1, terms.gateway_count)
         self.rate_per_s = terms.rate_per_s
-        self.rate_increment_per_s = 0.0  # by which it grows
-        self.is_overloaded = False  # calls were turned away, and the rate is not yet what it was
-        self.backoff_s = BACKOFF_S[0]
-        self.last_poll_failed = False  # the last call came to nothing
+        self.rate_increment_per_s = 0.0
+        self.is_overloaded = False  # polls were rejected, and the rate has not recovered yet
+        self.backoff_s = MIN_BACKOFF_S
+        self.last_poll_failed = False
 
     @property
     def spread_s(self) -> float:
-        """Over how long the calls of a fleet in step are spread. No longer than a list may be old, unless the
-        service has shown that it can't answer all by then."""
+        """The period over which simultaneous polls of all gateways are spread. No longer than the maximum
+        list age, unless the service has shown that it can't answer all by then."""
         spread = self.gateway_count / (POLL_RATE_SHARE * self.rate_per_s)
         return min(spread, self.max_spread_s)
 
     @property
     def max_spread_s(self) -> float:
-        """The longest spread."""
+        """The upper bound of `spread_s`."""
         if self.is_overloaded:
-            return told.max_backoff_s() if self.terms.max_list_age_s is None else MAX_OVERLOADED_SPREAD_S
+            is_age_configured = self.terms.max_list_age_s is not None
+            return MAX_OVERLOADED_SPREAD_S if is_age_configured else notification.max_backoff_s()
         return self.max_calm_spread_s
 
     @property
     def max_calm_spread_s(self) -> float:
-        """The longest spread of calls that the service has not turned away: a change in the meantime is heard
-        of no later than a list may be old. Where nobody says how old that is, nothing is put off."""
-        age = self.terms.max_list_age_s
-        return 0.0 if age is None else max(0.0, age - told.ANSWER_ALLOWANCE_S)
+        """The longest spread of polls that the service has not rejected: a change in the meantime is received
+        within the maximum list age. Without one, no poll is delayed."""
+        max_age = self.terms.max_list_age_s
+        return 0.0 if max_age is None else max(0.0, max_age - notification.ANSWER_ALLOWANCE_S)
 
     def draw_phase(self) -> float:
-        """Where in a spread this gateway's turn is: by its number, where it knows that, else drawn."""
-        number, at = self.terms.gateway_index, self.rng.random()
-        if number is not None and 0 <= number < self.gateway_count:
-            at = (number + at) / self.gateway_count
-        return at
+        """This gateway's position within a period, from 0 to 1: by its index where known, otherwise
+        random."""
+        index, phase = self.terms.gateway_index, self.rng.random()
+        if index is not None and 0 <= index < self.gateway_count:
+            phase = (index + phase) / self.gateway_count
+        return phase
 
     def first_poll_delay_s(self, listed: bool) -> float:
-        """The pause before a start's first call. `listed`: a list that can be served by is at hand."""
-        at = self.draw_phase()
+        """The delay before the first poll of a start. `listed`: there is a saved list to serve by."""
+        phase = self.draw_phase()
         if self.gateway_count == 1:
             return 0.0
-        # The first part is left free, and the others' calls are no denser for that where time allows.
+        # The urgent part is left free; where time allows, the polls of the others are no denser for that.
         spread = min(self.spread_s / (1.0 - URGENT_SHARE), self.max_spread_s)
-        return spread * (URGENT_SHARE + (1.0 - URGENT_SHARE) * at if listed else URGENT_SHARE * at)
+        return spread * (URGENT_SHARE + (1.0 - URGENT_SHARE) * phase if listed else URGENT_SHARE * phase)
 
     def synchronized_delay_s(self) -> float:
-        """The pause before a call that all gateways would make now: their watches have told the same news."""
-        return (
-            self.draw_phase() * min(self.spread_s, self.max_calm_spread_s) if self.gateway_count > 1 else 0.0
-        )
+        """The delay before a poll that all gateways would make now, as their watches returned the same
+        change."""
+        if self.gateway_count == 1:
+            return 0.0
+        return self.draw_phase() * min(self.spread_s, self.max_calm_spread_s)
 
     def reset_for_new_address(self) -> float:
-        """Another service from now on, of which nothing is known: the pause before its first call."""
-        self.rate_per_s, self.is_overloaded, self.backoff_s = self.terms.rate_per_s, False, BACKOFF_S[0]
+        """Forgets what was learned of the service, for another address; the delay before the first poll
+        there."""
+        self.rate_per_s, self.is_overloaded, self.backoff_s = self.terms.rate_per_s, False, MIN_BACKOFF_S
         self.last_poll_failed = False
-        return self.draw_phase() * min(self.spread_s, self.max_calm_spread_s, told.max_backoff_s(moved=True))
+        return self.draw_phase() * min(
+            self.spread_s, self.max_calm_spread_s, notification.max_backoff_s(moved=True)
+        )
 
     def record_answer(self) -> None:
-        """The service answers."""
-        self.backoff_s = BACKOFF_S[0]
+        """A valid answer was received."""
+        self.backoff_s = MIN_BACKOFF_S
         self.last_poll_failed = False
         self.rate_per_s = min(self.terms.rate_per_s, self.rate_per_s + self.rate_increment_per_s)
         self.is_overloaded = self.is_overloaded and self.rate_per_s < self.terms.rate_per_s
 
     def record_rejection(self, retry_after_s: float | None, listed: bool) -> float:
-        """A call was turned away: the pause before the next. Who has a list leaves the first part of the
-        spread to those that have none."""
+        """A poll was rejected because of load; the delay before the next. `retry_after_s`: as the service
+        asks, if it does; `listed`: this gateway has a list and leaves the urgent part to those without."""
         if self.terms.is_pushed:
-            return self.record_failure()  # nobody else asks this agent, and what it has counts at once
-        again, self.last_poll_failed, self.is_overloaded = self.last_poll_failed, True, True
-        stated = self.terms.max_list_age_s is not None
-        least_rate = (
-            self.gateway_count / (POLL_RATE_SHARE * self.max_spread_s)
-            if stated
-            else self.terms.rate_per_s / RATE_DECREASE_FACTOR
-        )
-        self.rate_per_s = max(least_rate, self.rate_per_s / RATE_DECREASE_FACTOR)
+            return self.record_failure()  # an agent has no other clients, and what it has counts at once
+        failed_before, self.last_poll_failed, self.is_overloaded = self.last_poll_failed, True, True
+        self._decrease_rate()
+        # The service's Retry-After is followed as far as the deadlines allow, with time left to spread polls.
+        longest = notification.max_backoff_s()
+        earliest = max(MIN_BACKOFF_S, min(0.5 * longest, retry_after_s or 0.0))
+        share = self._draw_rejected_share(failed_before, listed)
+        return earliest + share * min(max(self.spread_s, MIN_BACKOFF_S), longest - earliest)
+
+    def _decrease_rate(self) -> None:
+        if self.terms.max_list_age_s is not None:
+            floor = self.gateway_count / (POLL_RATE_SHARE * self.max_spread_s)
+        else:
+            floor = self.terms.rate_per_s / RATE_DECREASE_FACTOR
+        self.rate_per_s = max(floor, self.rate_per_s / RATE_DECREASE_FACTOR)
         self.rate_increment_per_s = RATE_INCREASE_SHARE * self.rate_per_s
-        # What it asks for is kept as far as the terms allow, with room left to be out of step.
-        most = told.max_backoff_s()
-        first = max(BACKOFF_S[0], min(0.5 * most, retry_after_s or 0.0))
-        # Those that came to nothing before are spread already.
-        part = self.rng.uniform(
-            REPEATED_FAILURE_MIN_SHARE if again else URGENT_SHARE if stated and listed else 0.1, 1.0
-        )
-        if stated and not listed:
-            part *= URGENT_SHARE
-        return first + part * min(max(self.spread_s, BACKOFF_S[0]), most - first)
+
+    def _draw_rejected_share(self, failed_before: bool, listed: bool) -> float:
+        """The share of the spread that a rejected poll is delayed by."""
+        is_age_configured = self.terms.max_list_age_s is not None
+        if failed_before:  # spread by the failure before: retries come late, so that there are few
+            least = REPEATED_FAILURE_MIN_SHARE
+        elif is_age_configured and listed:
+            least = URGENT_SHARE
+        else:
+            least = MIN_REJECTED_SHARE
+        share = self.rng.uniform(least, 1.0)
+        return share * URGENT_SHARE if is_age_configured and not listed else share
 
     def record_failure(self) -> float:
-        """No connection, or no sound answer: the pause before the next try. All may have lost the service in
-        this moment, and all wait for its return, so that they must not come in the same second."""
-        again, self.last_poll_failed = self.last_poll_failed, True
+        """No connection, or no valid answer; the delay before the next poll. All gateways may have lost the
+        service at this moment and wait for its return, so they must not come back in the same second."""
+        failed_before, self.last_poll_failed = self.last_poll_failed, True
         spread = min(self.spread_s, self.max_calm_spread_s)
-        if again:  # as many calls as by draws from the whole spread
-            pause = self.rng.uniform(REPEATED_FAILURE_MIN_SHARE, 1.0) * min(
-                2.0 * spread / (1.0 + REPEATED_FAILURE_MIN_SHARE), told.max_backoff_s()
-            )
+        if failed_before:  # as many polls as with delays drawn from the whole spread
+            share = self.rng.uniform(REPEATED_FAILURE_MIN_SHARE, 1.0)
+            period = 2.0 * spread / (1.0 + REPEATED_FAILURE_MIN_SHARE)
+            delay = share * min(period, notification.max_backoff_s())
+        else:
+            delay = self.draw_phase() * min(spread, notification.max_backoff_s())
+        delay = max(delay, self.backoff_s * self.rng.uniform(0.5, 1.0))
+        if self.terms.is_pushed:
+            self.backoff_s = MIN_BACKOFF_S
         else:
-            pause = self.draw_phase() * min(spread, told.max_backoff_s())
-        pause = max(pause, self.backoff_s * self.rng.uniform(0.5, 1.0))
-        self.backoff_s = BACKOFF_S[0] if self.terms.is_pushed else min(BACKOFF_S[1], 2.0 * self.backoff_s)
-        return pause
+            self.backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * self.backoff_s)
+        return delay
 
     def watch_wait_s(self) -> float:
-        """How long a watch waits for news. Gateways that began together must not end together."""
-        wait = min(WATCH_WAIT_S[1], max(WATCH_WAIT_S[0], self.gateway_count / WATCH_ENDS_PER_S))
+        """How long the next watch waits for a change. Jittered, as gateways that began together must not end
+        together."""
+        wait = min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, self.gateway_count / WATCH_ENDS_PER_S))
         if self.terms.is_pushed:
-            wait = told.PUSHED_WATCH_WAIT_S
+            wait = notification.PUSHED_WATCH_WAIT_S
         if self.terms.max_list_age_s is not None:
             wait = max(
                 wait, min(MAX_OVERLOADED_WAIT_S, self.gateway_count / (WATCH_RATE_SHARE * self.rate_per_s))
             )
         if self.last_poll_failed:
-            wait = min(wait, told.max_wait_after_failure_s())
+            wait = min(wait, notification.max_wait_after_failure_s())
         return wait * self.rng.uniform(0.75, 1.0)
--- a/glenchute/policy/endpoints/watch.py
+++ b/glenchute/policy/endpoints/watch.py
@@ -1,67 +1,68 @@
-"""Which calls for the list are out, when the next one goes, and which are given up: so that what the service
-has to tell is in force before it counts as told. No I/O; seconds of one clock that never goes back.
-
-What counts as told, and when, is stated in `told.py`; all pauses and waits derive from it.
-
-A silent watch looks like one without news until its wait is over, and it cannot have fallen silent before
-the answer before it. So from the end of the wait on, `budget` is what is left at least: for noticing, a new
-connection and an answer. It is parted evenly, by the calls and the answers that have to fit: a call that is
-not answered after a part of it gets another beside it, on a connection of its own, that does not wait for
-news. Whichever is answered first counts, and the others are closed. Where an odd list takes a second word
-(`pacing.Doubt`) there is a part for that one too. It is asked for at once, by a call that puts off none of
-the later ones; of a service that says something else each time no more than two calls a pause are made.
-
-A call that came to nothing (no connection, a reset, a 503 with whatever `Retry-After`, an answer that says
-nothing) is followed by the next within `told.latest` of the moment at which it was made, and within
-`told.longest_pause`. Until a sound answer has come, calls wait for news no longer than `told.wait_in_doubt`,
-as each may hang.
-
-Guarantee (property tests): while one of the calls made after the silence comes up and is answered within
-`reach`, its answer is in force in time, whatever the wait, the moment of the silence, and what became of
-the other calls; one that takes a second word, if that is answered within `reach` as well. The same holds from
-the moment in which discovery could be reached again, whatever became of each call before it and however
-late that was told.
-
-A gateway that leaves asking to its members is as late as their words while these come. When they stop it
-calls `told.left_alone` after the last was out of date at the latest, whatever age of lists is stated, so that
-what came since the list was confirmed is heard of in time.
-
-Cost: where lists are asked for, the service is shared. One call is made beside one that is late, no sooner
-than half of the budget after its wait; then the pauses of `Pacing` hold. A service that answers within a
-second gets no call more than before. Where lists are pushed waits are half of `TOLD_S`, so that three tries
-fit, and pauses are short enough for a drain's grace, as the calls cost nobody but this machine.
+"""State machine of the endpoint watch: which polls of the discovery service are in flight, when the next one
+is sent, and which are abandoned. No I/O; seconds by one monotonic clock.
+
+It keeps the deadlines of `notification`; every delay and wait derives from them.
+
+A silent watch looks like one without changes until its wait is over, and it cannot have fallen silent before
+the previous answer. So from the end of the wait on, at least `notification.recovery_budget_s` is left for
+detecting the silence, a new connection and an answer. The budget is divided evenly by the polls and answers
+that have to fit: a poll that is not answered within its part is hedged by another on a connection of its own,
+which does not wait for a change. The first answer counts, and the other connections are closed. Where an
+unusual list needs a confirming answer (`list_confirmation`), that one has a part too. It is requested at once
+by a poll that does not postpone later ones; a service that answers differently each time gets two polls per
+delay at most.
+
+After a failed poll (no connection, a reset, a 503 with any Retry-After, an invalid answer) the next one is
+sent within `next_poll_deadline_s` of when the failed one was sent, and within `max_backoff_s`. Until a valid
+answer has come, polls wait for changes no longer than `max_wait_after_failure_s`, as each may hang.
+
+Guarantee, held by property tests: if one of the polls after the silence connects and is answered within
+`answer_timeout_s`, its answer is in force by the deadline, whatever the wait, the moment of the silence and
+the fate of the other polls; if it needs a confirmation, that has to be answered within `answer_timeout_s`
+too. The same holds from the moment at which discovery becomes reachable again, whatever became of each poll
+before it and however late that was reported.
+
+A gateway that delegates polling to other members depends on their confirmations. After the last one has
+expired it polls by itself within `max_own_poll_delay_s`, whatever maximum list age is configured, so that
+changes since that confirmation are received in time.
+
+Cost. Where the service is shared, one poll hedges a late one, no sooner than half of the budget after its
+wait; after that the delays of `PollScheduler` hold. A service that answers within a second gets no additional
+polls. Where lists are pushed by an agent, waits are half of `NOTIFIED_AFTER_S`, so that three hedged polls
+fit, and delays are shorter than a drain's grace period, as polls cost only this machine.
 """
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable
 from typing import NamedTuple
 
-from . import notification as told
+from . import notification
 from .polling import PollScheduler
 
-MAX_HEDGED_POLLS_PUSHED = 3  # calls beside a silent one, within the budget
+MAX_HEDGED_POLLS_PUSHED = 3  # for a silent poll, within the budget
 MAX_HEDGED_POLLS = 1
-IMMEDIATE_WAIT_S = 0.001  # the wait of a call that wants an answer now, whether or not there are news
-MAX_IN_FLIGHT = 2  # calls at one time: the newest, and one that may still be answered
+IMMEDIATE_WAIT_S = 0.001  # the wait of a poll that is to be answered now, changed or not
+MAX_IN_FLIGHT = 2  # polls: the newest, and one that may still be answered
 
 
 class OpenAndPoll(NamedTuple):
-    """A connection is to be opened, and a call made on it."""
+    """Command: open a connection and poll on it."""
 
     connection_id: int
-    wait_s: float  # for news; 0: the whole list is asked for
+    wait_s: float  # for a change; 0: the complete list is requested
 
 
 class Poll(NamedTuple):
-    """A call on a connection that has answered."""
+    """Command: poll on an idle connection."""
 
     connection_id: int
-    wait_s: float
+    wait_s: float  # as above
 
 
 class CloseConnection(NamedTuple):
-    """A connection is to be closed: nothing that comes on it counts any more."""
+    """Command: close a connection; an answer on it no longer counts."""
 
     connection_id: int
 
@@ -70,138 +71,145 @@
 
 
 class EndpointWatch:
-    """The calls of one gateway. The owner carries actions out in order, calls `tick` at `due`, and tells of
-    each line that it was asked to open or to ask what became of it, in the order of events."""
+    """The polls of one gateway.
+
+    The owner executes the returned commands in order, calls `tick` at `next_poll_at`, and reports the result
+    of each commanded poll with one of the `record_...` methods, in the order of events.
+    """
 
     def __init__(
-        self, turns: PollScheduler, others: Callable[[], float] = lambda: 0.0, words: int = 1
+        self,
+        scheduler: PollScheduler,
+        delegated_for_s: Callable[[], float] = lambda: 0.0,
+        answers_needed: int = 1,
     ) -> None:
-        """`others`: for how long, in seconds, members ask for this gateway. `words`: answers, asked for one
-        right after the other, that a change may take to be in force."""
-        self.scheduler, self.answers_needed = turns, words
-        self.delegated_for_s = others
-        self.max_hedged_polls = MAX_HEDGED_POLLS_PUSHED if turns.terms.is_pushed else MAX_HEDGED_POLLS
-        self.max_wait_s = float("inf")  # of a watch's waits
-        self.next_poll_at = float("inf")  # when the next call goes, if nothing comes before
-        self.in_flight: list[int] = []  # lines with a call out or coming up, oldest first
-        self.idle_connection: int | None = None  # the line that has answered, between two calls
-        self.last_connection_id = 0  # number of the newest line
-        self.hedged_polls = 0  # calls made beside a late one since the last answer
-        self.is_start_waiting = False  # a start waits for the next answer
-        self.is_moved = False  # nothing has come from the present address yet
-        self.poll_deadline = float("inf")  # when the next call goes, whatever becomes of the last one made
-        self.is_delegated = False  # members ask for this gateway
-        self.needs_confirmation = False  # the next call asks for a second word
-        self.confirming_connection: int | None = None  # the line of the last call that did
+        """`delegated_for_s`: for how long from now other members poll for this gateway. `answers_needed`:
+        answers to consecutive polls that a change may need to come into force."""
+        self.scheduler, self.answers_needed = scheduler, answers_needed
+        self.delegated_for_s = delegated_for_s
+        is_pushed = scheduler.terms.is_pushed
+        self.max_hedged_polls = MAX_HEDGED_POLLS_PUSHED if is_pushed else MAX_HEDGED_POLLS
+        self.max_wait_s = math.inf  # of a poll, for a change
+        self.next_poll_at = math.inf  # unless something happens before
+        self.poll_deadline = math.inf  # for the next poll, whatever becomes of the last one
+        self.in_flight: list[int] = []  # connections with a poll in flight or connecting, oldest first
+        self.idle_connection: int | None = None  # has answered and has no poll in flight
+        self.last_connection_id = 0
+        self.hedged_polls = 0  # since the last answer
+        self.is_start_waiting = False  # the start of the process waits for the next answer
+        self.is_moved = False  # the present address has not answered yet
+        self.is_delegated = False  # other members poll for this gateway
+        self.needs_confirmation = False  # the next poll asks to confirm the last answer
+        self.confirming_connection: int | None = None  # of the last poll that did
 
     def answer_timeout_s(self, wait_s: float) -> float:
-        """The part of the budget after which a call gets another beside it. An agent on this machine answers
-        all calls alike, so that even those that need not wait are late by the same measure there."""
+        """The part of the budget after which a poll with this wait is hedged. An agent on this machine serves
+        all polls alike, so there even those that do not wait get the timeout of those that do."""
         if self.scheduler.terms.is_pushed:
-            wait_s = max(wait_s, told.PUSHED_WATCH_WAIT_S)
-        return told.recovery_budget_s(wait_s, self.is_moved) / (self.max_hedged_polls + self.answers_needed)
+            wait_s = max(wait_s, notification.PUSHED_WATCH_WAIT_S)
+        budget_s = notification.recovery_budget_s(wait_s, self.is_moved)
+        return budget_s / (self.max_hedged_polls + self.answers_needed)
 
-    def start(self, now: float, pause_s: float, awaited: bool) -> None:
-        """The first call goes after this pause."""
-        self.next_poll_at, self.is_start_waiting = now + pause_s, awaited
+    def start(self, now: float, delay_s: float, is_start_waiting: bool) -> None:
+        """Schedules the first poll."""
+        self.next_poll_at, self.is_start_waiting = now + delay_s, is_start_waiting
 
     def change_address(self, now: float) -> list[WatchCommand]:
-        """Another address: what is out at the old one counts no more."""
-        closed = [*self.in_flight, *([self.idle_connection] if self.idle_connection is not None else [])]
-        self.in_flight, self.idle_connection, self.hedged_polls, self.is_moved, self.needs_confirmation = (
-            [],
-            None,
-            0,
-            True,
-            False,
-        )
+        """Discovery has another address: abandons all polls at the old one."""
+        obsolete = [*self.in_flight, *([self.idle_connection] if self.idle_connection is not None else [])]
+        self.in_flight, self.idle_connection = [], None
+        self.hedged_polls, self.is_moved, self.needs_confirmation = 0, True, False
         self.next_poll_at = now + self.scheduler.reset_for_new_address()
-        return [CloseConnection(line) for line in closed]
+        return [CloseConnection(connection_id) for connection_id in obsolete]
 
     def resume_polling(self, now: float) -> None:
-        """This gateway is to ask for others from now on."""
+        """Polls are no longer delegated: this gateway polls for others from now on."""
         if self.is_delegated:
             self.next_poll_at = now
 
     def tick(self, now: float, listed: bool) -> list[WatchCommand]:
-        """Makes the call that is due, if one is. `listed`: a list is held, and news of it are asked."""
+        """Sends the next poll once it is due. `listed`: a list is in force, so changes to it are
+        requested."""
         if now < self.next_poll_at:
             return []
-        if not self.in_flight:
-            seconds = self.delegated_for_s()
-            self.is_delegated = seconds > 0.0
-            if self.is_delegated:
-                self.next_poll_at = (
-                    now + seconds + min(self.scheduler.synchronized_delay_s(), told.max_own_poll_delay_s())
-                )
-                return []
-            return [self.poll(now, self.next_wait_s() if listed else 0.0)]
+        if self.in_flight:
+            return self._hedge(now, listed)
+        delegated_s = self.delegated_for_s()
+        self.is_delegated = delegated_s > 0.0
+        if self.is_delegated:
+            own_delay_s = min(self.scheduler.synchronized_delay_s(), notification.max_own_poll_delay_s())
+            self.next_poll_at = now + delegated_s + own_delay_s
+            return []
+        return [self._poll(now, self._next_wait_s() if listed else 0.0)]
+
+    def _hedge(self, now: float, listed: bool) -> list[WatchCommand]:
+        """Sends a poll beside those that are late."""
         self.hedged_polls += 1
-        actions: list[WatchCommand] = [self.poll(now, IMMEDIATE_WAIT_S if listed else 0.0)]
+        commands: list[WatchCommand] = [self._poll(now, IMMEDIATE_WAIT_S if listed else 0.0)]
         if self.hedged_polls > self.max_hedged_polls:
-            # In vain so far: no longer a matter of one broken watch, and the service's callers take turns.
+            # The hedged polls failed too, so it is not one broken watch: gateways take turns from here on.
             self.next_poll_at = max(self.next_poll_at, now + self.scheduler.record_failure())
         while len(self.in_flight) > MAX_IN_FLIGHT:
-            actions.append(CloseConnection(self.in_flight.pop(0)))
-        return actions
+            commands.append(CloseConnection(self.in_flight.pop(0)))
+        return commands
 
-    def next_wait_s(self) -> float:
-        """The wait of the next call for news."""
-        return (
-            IMMEDIATE_WAIT_S if self.is_start_waiting else min(self.max_wait_s, self.scheduler.watch_wait_s())
-        )
+    def _next_wait_s(self) -> float:
+        if self.is_start_waiting:
+            return IMMEDIATE_WAIT_S
+        return min(self.max_wait_s, self.scheduler.watch_wait_s())
 
-    def poll(self, now: float, wait_s: float) -> WatchCommand:
-        """A call, on the line that rests or on a new one."""
+    def _poll(self, now: float, wait_s: float) -> WatchCommand:
+        """A poll on the idle connection, or on a new one."""
         self.next_poll_at = now + wait_s + self.answer_timeout_s(wait_s)
-        latest = now + told.next_poll_deadline_s(wait_s)
-        self.poll_deadline = min(self.poll_deadline, latest) if self.needs_confirmation else latest
-        line, self.idle_connection = self.idle_connection, None
-        action = Poll if line is not None else OpenAndPoll
-        if line is None:
+        deadline = now + notification.next_poll_deadline_s(wait_s)
+        # A confirming poll does not extend the deadline of the poll that it follows.
+        self.poll_deadline = min(self.poll_deadline, deadline) if self.needs_confirmation else deadline
+        connection_id, self.idle_connection = self.idle_connection, None
+        command = Poll if connection_id is not None else OpenAndPoll
+        if connection_id is None:
             self.last_connection_id += 1
-            line = self.last_connection_id
-        if self.needs_confirmation or self.confirming_connection == line:
-            self.confirming_connection = line if self.needs_confirmation else None
+            connection_id = self.last_connection_id
+        if self.needs_confirmation or self.confirming_connection == connection_id:
+            self.confirming_connection = connection_id if self.needs_confirmation else None
         self.needs_confirmation = False
-        self.in_flight.append(line)
-        return action(line, wait_s)
+        self.in_flight.append(connection_id)
+        return command(connection_id, wait_s)
 
-    def record_answer(self, now: float, line: int, pause_s: float) -> list[WatchCommand]:
-        """A sound answer is in force; the next call goes after a pause."""
-        closed = [one for one in self.in_flight if one != line]
-        self.in_flight, self.idle_connection, self.hedged_polls = [], line, 0
+    def record_answer(self, now: float, connection_id: int, delay_s: float) -> list[WatchCommand]:
+        """A valid answer is in force; the next poll is sent after a delay."""
+        superseded = [other for other in self.in_flight if other != connection_id]
+        self.in_flight, self.idle_connection, self.hedged_polls = [], connection_id, 0
         self.is_start_waiting = self.is_moved = self.needs_confirmation = False
-        self.next_poll_at = now + pause_s
-        return [CloseConnection(one) for one in closed]
+        self.next_poll_at = now + delay_s
+        return [CloseConnection(other) for other in superseded]
 
-    def record_failure(self, now: float, line: int, pause_s: float) -> list[WatchCommand]:
-        """An answer that says nothing; the next call goes after a pause."""
-        self.in_flight.remove(line)
-        self.schedule_retry(now, pause_s)
+    def record_failure(self, now: float, connection_id: int, delay_s: float) -> list[WatchCommand]:
+        """An invalid answer or a rejection; the next poll is sent after a delay."""
+        self.in_flight.remove(connection_id)
+        self._schedule_retry(now, delay_s)
         if self.in_flight:
-            return [CloseConnection(line)]  # another call is out, and one line rests at most
-        self.idle_connection = line
+            return [CloseConnection(connection_id)]  # one connection is kept idle at most
+        self.idle_connection = connection_id
         return []
 
-    def record_unconfirmed(self, now: float, line: int, pause_s: float) -> list[WatchCommand]:
-        """An answer that takes a second word. That is asked for at once, unless this was one: then the next
-        call goes after a pause."""
-        self.needs_confirmation = line != self.confirming_connection
-        return self.record_failure(now, line, 0.0 if self.needs_confirmation else pause_s)
-
-    def record_connection_lost(self, now: float, line: int) -> bool:
-        """A connection has ended or did not come up. Whether no call is out any more because of it."""
-        if line == self.idle_connection:
-            self.idle_connection = None  # after its answer: the next call opens another
-        if line not in self.in_flight:
+    def record_unconfirmed(self, now: float, connection_id: int, delay_s: float) -> list[WatchCommand]:
+        """A list that needs a confirming answer. The confirming poll is sent at once, unless this was the
+        answer to one: then the next poll is sent after the delay."""
+        self.needs_confirmation = connection_id != self.confirming_connection
+        return self.record_failure(now, connection_id, 0.0 if self.needs_confirmation else delay_s)
+
+    def record_connection_lost(self, now: float, connection_id: int) -> bool:
+        """A connection was closed by the peer or could not be opened. Whether this left no poll in flight."""
+        if connection_id == self.idle_connection:
+            self.idle_connection = None  # the next poll opens another
+        if connection_id not in self.in_flight:
             return False
-        self.in_flight.remove(line)
+        self.in_flight.remove(connection_id)
         if self.in_flight:
             return False
-        self.schedule_retry(now, self.scheduler.record_failure())
+        self._schedule_retry(now, self.scheduler.record_failure())
         return True
 
-    def schedule_retry(self, now: float, pause_s: float) -> None:
-        """A call came to nothing: when the next goes."""
-        self.next_poll_at = max(now, min(now + pause_s, self.poll_deadline))
+    def _schedule_retry(self, now: float, delay_s: float) -> None:
+        """A poll has failed: the next one is sent after the delay, at the deadline at the latest."""
+        self.next_poll_at = max(now, min(now + delay_s, self.poll_deadline))
--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -13,8 +13,8 @@
   drains or is gone here, nor makes one warmer: those are discovery's to say.
 - A list is never held for newer than what discovery said to somebody: versions come from its answers, what
   changed is applied whole and without a gap, and ages add up on the way.
-- With no word of an asker this gateway has made a call of its own `FRESH_S` and `told.left_alone` later at
-  most.
+- With no word of an asker this gateway has made a call of its own `FRESH_S` and
+  `notification.max_own_poll_delay_s` later at most.
 
 Not covered: a listed member that makes up versions and ages. What it withholds is found out when an honest
 asker tells of a newer version, or when it is silent.
@@ -26,14 +26,14 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from ..endpoints import notification as told
+from ..endpoints import notification
 from ..events import EndpointState
 from .outgoing import Outgoing
 from .task_candidates import CANDIDATES_PER_TASK, candidate_rank
 
 MAX_POLLERS = CANDIDATES_PER_TASK  # the same members, whether they ask by rank or by lease
 POLL_TASK = "ask"  # the lease by which one of the askers asks, where there are leases
-FRESH_S = told.CONFIRMATION_TTL_S  # a list confirmed so long ago needs no call
+FRESH_S = notification.CONFIRMATION_TTL_S  # a list confirmed so long ago needs no call
 QUERY_INTERVAL_S = 1.0  # an asker is asked this often
 POLLER_WATCH_S = 1.5  # an asker's watch waits so long, so that its word is never older
 MAX_ROWS_PER_PART = 12  # in a message
--- a/tests/policy/endpoints/test_doubt.py
+++ b/tests/policy/endpoints/test_doubt.py
@@ -15,8 +15,7 @@
 
 from glenchute.cli.run import Program
 from glenchute.core.types import News
-from glenchute.policy.endpoints import notification as told
-from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.endpoints import notification, polling
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
@@ -106,15 +105,15 @@
 
 def test_a_service_that_says_something_else_each_time_gets_two_calls_a_pause() -> None:
     turns = PollScheduler(PollingTerms(200, 199, 15.0, 30.0), random.Random(1))
-    one, calls, now = EndpointWatch(turns, words=ListConfirmation.ANSWERS_NEEDED), 0, 0.0
+    one, calls, now = EndpointWatch(turns, answers_needed=ListConfirmation.ANSWERS_NEEDED), 0, 0.0
     one.start(0.0, 0.0, True)
     while (now := one.next_poll_at) < 60.0:
         for action in one.tick(now, False):
             calls += 1
             now += 0.01
             one.record_unconfirmed(now, action.connection_id, turns.record_failure())
-    least_pause = pacing.REPEATED_FAILURE_MIN_SHARE * told.max_backoff_s()
-    assert 60.0 / told.NOTIFIED_AFTER_S <= calls <= 2 * 60.0 / least_pause + 4
+    least_pause = polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
+    assert 60.0 / notification.NOTIFIED_AFTER_S <= calls <= 2 * 60.0 / least_pause + 4
 
 
 # --- in force within the terms -----------------------------------------------------------------------------
@@ -133,7 +132,7 @@
         self.turns, self.rng, self.back, self.late = PollScheduler(terms, rng), rng, back, late
         self.first: float | None = first
         self.watch, self.doubt = (
-            EndpointWatch(self.turns, words=ListConfirmation.ANSWERS_NEEDED),
+            EndpointWatch(self.turns, answers_needed=ListConfirmation.ANSWERS_NEEDED),
             ListConfirmation(),
         )
         self.doubt.apply(5, servers(*TEN))
@@ -209,10 +208,13 @@
     """Whatever became of the calls before, also lies, while both words are answered in their part of what the
     terms leave: a third of the least of it. With no `first` answer that call is a watch, silent from its
     beginning, with a wait of its own."""
-    reach = told.NOTIFIED_AFTER_WAIT_S / 3.0
+    reach = notification.NOTIFIED_AFTER_WAIT_S / 3.0
     one = Odd(PollingTerms(gateways, 0, rate, age), random.Random(seed), back, share * reach, first)
     heard = one.heard_at()
-    assert heard <= max(back + told.NOTIFIED_AFTER_S, one.wait_s + told.NOTIFIED_AFTER_WAIT_S) + 1e-6
+    assert (
+        heard
+        <= max(back + notification.NOTIFIED_AFTER_S, one.wait_s + notification.NOTIFIED_AFTER_WAIT_S) + 1e-6
+    )
 
 
 # --- on sockets --------------------------------------------------------------------------------------------
@@ -259,7 +261,7 @@
     monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
     monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
     monkeypatch.setattr(PollScheduler, "record_failure", lambda self: 1000.0)
-    monkeypatch.setattr(told, "NOTIFIED_AFTER_S", 1000.0)
+    monkeypatch.setattr(notification, "NOTIFIED_AFTER_S", 1000.0)
     scene, passed_on, listed = SCENES[name], list[int](), Program.listed
 
     def recorded(self: Program, news: News) -> None:
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -18,9 +18,7 @@
 
 from glenchute.cli.run import LIST_WAIT_S
 from glenchute.clients.discovery import MAX_UNDIVIDED_BODY_BYTES, DiscoveryClient
-from glenchute.policy.endpoints import notification as told
-from glenchute.policy.endpoints import polling as pacing
-from glenchute.policy.endpoints import watch
+from glenchute.policy.endpoints import notification, polling, watch
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.events import EndpointList
@@ -81,7 +79,9 @@
 def told_at(agent: Agent) -> float:
     """When it counts as told: the terms of PROTOCOL and of the standing test, by the silent call."""
     began, wait_s = max(one for one in agent.calls if one[0] < agent.silent_at)
-    return max(agent.silent_at + told.NOTIFIED_AFTER_S, began + wait_s + told.NOTIFIED_AFTER_WAIT_S)
+    return max(
+        agent.silent_at + notification.NOTIFIED_AFTER_S, began + wait_s + notification.NOTIFIED_AFTER_WAIT_S
+    )
 
 
 @st.composite
@@ -150,8 +150,8 @@
 @pytest.mark.parametrize("wait_s", [0.0, 3.0, 4.0, 20.0, 55.0])
 def test_the_budget_is_what_the_terms_leave(wait_s: float) -> None:
     for silent in (0.0, 0.5 * wait_s, wait_s):
-        counts = max(silent + told.NOTIFIED_AFTER_S, wait_s + told.NOTIFIED_AFTER_WAIT_S)
-        assert wait_s + told.recovery_budget_s(wait_s) <= counts
+        counts = max(silent + notification.NOTIFIED_AFTER_S, wait_s + notification.NOTIFIED_AFTER_WAIT_S)
+        assert wait_s + notification.recovery_budget_s(wait_s) <= counts
 
 
 @pytest.mark.parametrize("gateways", [1, 40, 200, 2000])
@@ -165,19 +165,21 @@
     whatever the operators state. Who comes again is out of step, though the service names one moment."""
     turns = PollScheduler(PollingTerms(gateways, 0, max_list_age_s=age), random.Random(1))
     pauses = [turns.record_rejection(retry_after_s, listed) for _ in range(10)]
-    assert max(pauses) + told.ANSWER_ALLOWANCE_S <= told.NOTIFIED_AFTER_S and min(pauses) > 0.0
+    assert (
+        max(pauses) + notification.ANSWER_ALLOWANCE_S <= notification.NOTIFIED_AFTER_S and min(pauses) > 0.0
+    )
     assert len(set(pauses)) == 10
     pauses = [turns.record_failure() for _ in range(10)] + [
-        turns.reset_for_new_address() + told.NOTIFIED_AFTER_S - told.NOTIFIED_AFTER_MOVE_S
+        turns.reset_for_new_address() + notification.NOTIFIED_AFTER_S - notification.NOTIFIED_AFTER_MOVE_S
     ]
-    assert max(pauses) + told.ANSWER_ALLOWANCE_S <= told.NOTIFIED_AFTER_S
+    assert max(pauses) + notification.ANSWER_ALLOWANCE_S <= notification.NOTIFIED_AFTER_S
 
 
 @pytest.mark.parametrize("retry_after_s", [None, 30.0])
 def test_an_agent_that_answers_503_is_asked_again_at_once(retry_after_s: float | None) -> None:
     """Where lists are pushed, what the agent has counts as told, and its calls cost nobody else."""
     turns = PollScheduler(PollingTerms(200, 199, is_pushed=True), random.Random(1))
-    assert max(turns.record_rejection(retry_after_s, True) for _ in range(10)) <= pacing.BACKOFF_S[0]
+    assert max(turns.record_rejection(retry_after_s, True) for _ in range(10)) <= polling.MIN_BACKOFF_S
 
 
 # What becomes of a call to a service that is away: how long after it was made that is told, and whether the
@@ -265,7 +267,7 @@
     one = Away(terms, random.Random(seed), gone, gone + away, share * reach)
     heard = one.heard_at(awaited, retry_after_s)
     made, wait_s = one.sound
-    counts = max(one.back + told.NOTIFIED_AFTER_S, made + wait_s + told.NOTIFIED_AFTER_WAIT_S)
+    counts = max(one.back + notification.NOTIFIED_AFTER_S, made + wait_s + notification.NOTIFIED_AFTER_WAIT_S)
     assert heard <= counts + 1e-6
 
 
@@ -277,7 +279,7 @@
     one.start(0.0, 0.0, True)
     one.tick(0.0, True)
     _ = one.record_failure(word_s, 1, 4.0) if how == "failed" else one.record_connection_lost(word_s, 1)
-    assert one.next_poll_at <= max(word_s, told.NOTIFIED_AFTER_S - told.ANSWER_ALLOWANCE_S)
+    assert one.next_poll_at <= max(word_s, notification.NOTIFIED_AFTER_S - notification.ANSWER_ALLOWANCE_S)
 
 
 @pytest.mark.parametrize("count", [200, 520])
@@ -344,12 +346,12 @@
     """Words of members may stop at any moment, whatever age of lists the operators state."""
     confirming = [(at, max(0.0, at - old)) for at, old in words if at - old <= change]
     terms = PollingTerms(gateways, gateways - 1, rate, age)
-    heard = heard_beside_members(terms, confirming, change, share * told.ANSWER_ALLOWANCE_S)
-    assert heard <= change + told.NOTIFIED_AFTER_S + 1e-6
+    heard = heard_beside_members(terms, confirming, change, share * notification.ANSWER_ALLOWANCE_S)
+    assert heard <= change + notification.NOTIFIED_AFTER_S + 1e-6
 
 
 def test_a_members_word_is_no_fresher_than_the_terms_take_it_for() -> None:
-    assert coldstart.FRESH_S <= told.CONFIRMATION_TTL_S
+    assert coldstart.FRESH_S <= notification.CONFIRMATION_TTL_S
 
 
 # --- on sockets ------------------------------------------------------------------------------------------
@@ -395,7 +397,7 @@
         ("ANSWER_ALLOWANCE_S", 0.2),
         ("PUSHED_WATCH_WAIT_S", 0.3),
     ):
-        monkeypatch.setattr(told, name, value)
+        monkeypatch.setattr(notification, name, value)
 
 
 def states(script: Script) -> dict[str, str]:
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -17,8 +17,7 @@
 from hypothesis import strategies as st
 
 from glenchute.policy.admission.quota_bounds import bound, start_bound
-from glenchute.policy.endpoints import notification as told
-from glenchute.policy.endpoints import polling as pacing
+from glenchute.policy.endpoints import notification, polling
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler, max_first_polls_per_s
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
@@ -78,7 +77,7 @@
 }  # fmt: skip
 
 
-# After these all come again within `told.longest_pause`, which goes before the service's rate.
+# After these all come again within `notification.longest_pause`, which goes before the service's rate.
 LOST = ("the service down for 30 s", "the service forgets all watches")
 
 
@@ -87,7 +86,7 @@
 def test_a_service_whose_rate_is_known_is_not_overrun(scene: str, count: int) -> None:
     """No second brings much more than 1.5 times what the service bears, and one call in twenty at most is
     turned away. Where calls came to nothing it has to bear them within the terms."""
-    rate = count / (pacing.POLL_RATE_SHARE * told.max_backoff_s()) if scene in LOST else count / 15.0
+    rate = count / (polling.POLL_RATE_SHARE * notification.max_backoff_s()) if scene in LOST else count / 15.0
     crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, STATED), rate)
     SCENES[scene](crowd)
     assert len(crowd.heard) == count  # all have their list
@@ -108,7 +107,9 @@
     crowd.heard.clear()
     crowd.down, began = False, crowd.now
     crowd.run(120.0)
-    assert busiest(crowd.calls) <= 1.2 * count / (pacing.REPEATED_FAILURE_MIN_SHARE * told.max_backoff_s())
+    assert busiest(crowd.calls) <= 1.2 * count / (
+        polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
+    )
     answered = [call for call in crowd.calls if call.how == "answered" and call.at < began + 20.0]
     assert len(answered) >= 0.95 * 20.0 * rate
     assert len(crowd.heard) == count and max(crowd.heard.values()) <= began + 60.0
@@ -142,7 +143,10 @@
             PollScheduler(one, random.Random(n)).first_poll_delay_s(listed) for n, one in enumerate(terms)
         )
         most = max(sum(at <= other < at + 1.0 for other in times) for at in times)
-        assert most <= max_first_polls_per_s(terms[0], listed) and times[-1] <= age - told.ANSWER_ALLOWANCE_S
+        assert (
+            most <= max_first_polls_per_s(terms[0], listed)
+            and times[-1] <= age - notification.ANSWER_ALLOWANCE_S
+        )
 
 
 def test_where_no_age_is_stated_only_a_call_that_was_turned_away_is_put_off() -> None:
@@ -150,10 +154,10 @@
     pacing_ = PollScheduler(PollingTerms(200, 7), random.Random(1))
     assert pacing_.first_poll_delay_s(True) == pacing_.synchronized_delay_s() == 0.0
     pauses = [pacing_.record_rejection(None, True) for _ in range(5)]
-    assert max(pauses) <= told.max_backoff_s() and len(set(pauses)) == 5
+    assert max(pauses) <= notification.max_backoff_s() and len(set(pauses)) == 5
     assert pacing_.synchronized_delay_s() == pacing_.reset_for_new_address() == 0.0
-    assert all(pacing_.record_failure() <= pacing.BACKOFF_S[1] for _ in range(9))
-    assert pacing_.watch_wait_s() <= pacing.WATCH_WAIT_S[1]
+    assert all(pacing_.record_failure() <= polling.MAX_BACKOFF_S for _ in range(9))
+    assert pacing_.watch_wait_s() <= polling.MAX_WATCH_WAIT_S
 
 
 def test_one_without_a_list_goes_before_those_that_have_one() -> None:
@@ -175,7 +179,7 @@
         assert max(crowd.heard.values()) < STATED and turned_away(crowd.calls) == 0.0
     else:
         pace = there / (
-            pacing.REPEATED_FAILURE_MIN_SHARE * told.max_backoff_s()
+            polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
         )  # whoever is turned away comes again in time
         assert busiest(crowd.calls, 20.0) <= 1.2 * pace and turned_away(crowd.calls, STATED + 60.0) < 0.2
 
