--- /dev/null
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -0,0 +1,122 @@
+"""Unconfirmed endpoint lists in a whole gateway: their drains hold before the confirming answer has come."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from dataclasses import replace
+from typing import Any, NamedTuple
+
+import pytest
+
+from glenchute.cli.run import Program
+from glenchute.core.types import News
+from glenchute.policy.endpoints import notification
+from glenchute.policy.endpoints.polling import PollScheduler
+from glenchute.policy.events import EndpointList
+from tests.loopback import Script, always, config, http, play, row, site, until
+
+from .manual_discovery import ManualDiscovery, endpoint_states
+
+FOUR = [row(name, 80 + at) for at, name in enumerate("abcd")]
+OPERATOR = "[discovery]\ncalls_per_s = 15\nlist_age_s = 30\ndoubt = true\n"
+
+
+def complete_list(version: int, *rows: dict[str, Any]) -> bytes:
+    return http(json.dumps({"version": version, "full": True, "servers": rows}).encode())
+
+
+def drain_row(name: str, state: str = "Terminating") -> dict[str, Any]:
+    return row(name, 80 + "abcd".index(name), state)
+
+
+class ConfirmationCase(NamedTuple):
+    """An unconfirmed list, what holds before its confirmation, the confirming list, and what holds then."""
+
+    first: bytes
+    before: str  # states of a, b, c, d: A active, D draining, - removed
+    second: bytes
+    after: str
+
+
+CONFIRMATION_CASES: dict[str, ConfirmationCase] = {
+    "older, with a drain": ConfirmationCase(
+        complete_list(4, drain_row("a"), *FOUR[1:]),
+        "DAAA",
+        complete_list(4, drain_row("a"), *FOUR[1:]),
+        "DAAA",
+    ),
+    "few, with a drain, true": ConfirmationCase(
+        complete_list(6, drain_row("a")), "DAAA", complete_list(7, drain_row("a")), "D---"
+    ),
+    "few, with one removed, false": ConfirmationCase(
+        complete_list(6, drain_row("a", "Gone")), "DAAA", complete_list(7, *FOUR), "AAAA"
+    ),
+    "all drain, true": ConfirmationCase(
+        complete_list(4, *map(drain_row, "abcd")), "AAAA", complete_list(4, *map(drain_row, "abcd")), "DDDD"
+    ),
+    "few, no drain, true": ConfirmationCase(
+        complete_list(6, FOUR[0]), "AAAA", complete_list(6, FOUR[0]), "A---"
+    ),
+    "no address in the drain's row": ConfirmationCase(
+        complete_list(4, *FOUR[1:], {"id": "a", "state": "Terminating"}),
+        "DAAA",
+        complete_list(4, *FOUR[1:], {"state": "?"}),
+        "DAAA",
+    ),
+}
+
+
+@pytest.mark.parametrize("name", CONFIRMATION_CASES)
+def test_a_drain_in_an_unconfirmed_list_holds_before_its_confirmation(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The confirming answer is held back until the first list has withdrawn endpoints, and is polled for
+    though any delay would be far too long. Members are not sent unconfirmed lists."""
+    monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
+    monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
+    monkeypatch.setattr(PollScheduler, "record_failure", lambda self: 1000.0)
+    monkeypatch.setattr(notification, "NOTIFIED_AFTER_S", 1000.0)
+    case, versions_for_members, listed = CONFIRMATION_CASES[name], list[int](), Program.listed
+
+    def recorded(self: Program, news: News) -> None:
+        """Lists that members are sent pass here."""
+        versions_for_members.append(news.version)
+        listed(self, news)
+
+    monkeypatch.setattr(Program, "listed", recorded)
+
+    async def scenario() -> None:
+        manual, script = ManualDiscovery(), Script(lambda event: [])
+        task = asyncio.create_task(manual.answer(0, complete_list(5, *FOUR)))
+        platform_settings = replace(config(1, 1, []).settings, gateway_count=200)
+        changes: dict[str, Any] = {
+            "settings": platform_settings,
+            "gateway_number": 150,
+            "operator": OPERATOR,
+            "cached_endpoints": None,
+        }
+        async with site(always(None), decisions=script, discovery=manual, **changes) as one:  # type: ignore[arg-type]
+            await task
+            discovery, servers = one.program.discovery, one.program.servers
+
+            def summary() -> str:
+                reported = endpoint_states(script)
+                for name in "abcd":  # the transport and the decision engine agree
+                    assert servers.stops(name) is (name not in servers.known() or reported[name] != "active")
+                return "".join("-" if n not in servers.known() else reported[n][0].upper() for n in "abcd")
+
+            await until(lambda: discovery.version == 5)
+            await manual.answer(1, case.first)
+            await manual.poll(2)
+            assert (
+                manual.polls[2][0] == "/v1/servers"
+                and summary() == case.before
+                and versions_for_members == [5]
+            )
+            await manual.answer(2, case.second)
+            await until(lambda: discovery.version is not None)
+            assert summary() == case.after and versions_for_members == [5, discovery.version]
+            assert len(script.of(EndpointList)) <= 5
+
+    play(scenario())
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -45,6 +45,7 @@
 from glenchute.upstreams.connection_pool import SETTLE_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
+from tests.clients.manual_discovery import ManualDiscovery
 from tests.clients.test_peers import patient, start
 from tests.loopback import (
     CHARGE,
@@ -59,7 +60,6 @@
     send_to,
     site,
 )
-from tests.policy.endpoints.test_watch import Held
 
 READ = (b"CALL.GET", CUSTOMER)
 
@@ -210,9 +210,9 @@
     """Discovery holds the start's call until the signal has been sent."""
 
     async def scenario() -> None:
-        agent = Held()
+        agent = ManualDiscovery()
         async with whole(tmp_path, agent) as one:
-            await agent.call(0)
+            await agent.poll(0)
             one.signal(signal.SIGTERM)
             assert await one.process.wait() == 0
             with pytest.raises(ConnectionRefusedError):
@@ -225,7 +225,7 @@
     """Discovery and counter say nothing, no list is saved; the process runs for 20 ms of each 100."""
 
     async def scenario() -> None:
-        agent = Held()
+        agent = ManualDiscovery()
         async with whole(tmp_path, agent, counter=None, saved=False) as one:
 
             async def fifth() -> None:
@@ -589,7 +589,7 @@
     """It drains, is gone, and comes back elsewhere, while an attempt connects to the old place."""
 
     async def scenario() -> None:
-        agent, script = Held(), Script(send_to("s0"))
+        agent, script = ManualDiscovery(), Script(send_to("s0"))
         asyncio.get_running_loop().create_task(agent.answer(0, listing(2, [], full=False)))
         new = RespPeer(always(SERVED))
         await new.start()
