--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -1,4 +1,4 @@
-"""Ties a process of the gateway to the ones before and after it: who is beside whom, and what follows."""
+"""One process's part in a replacement: connects the handover to the decision engine and to the limits."""
 
 from __future__ import annotations
 
@@ -16,14 +16,21 @@
 
 log = logging.getLogger("glenchute")
 
+DESCRIPTORS_PER_CLIENT = 2  # its connection, and one to a server
+
 
 class ProcessHandover:
-    """One process's part in replacements."""
+    """The handover from the predecessor of this process, and to its successor."""
 
     def __init__(
-        self, path: Path, config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: Gateway,
-        listener: Listener, servers: Servers,
-    ) -> None:  # fmt: skip
+        self,
+        path: Path,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        gateway: Gateway,
+        listener: Listener,
+        servers: Servers,
+    ) -> None:
         self.path, self.config, self.loop = path, config, loop
         self.gateway, self.listener, self.servers = gateway, listener, servers
         self.predecessor: PredecessorConnection | None = None
@@ -34,10 +41,15 @@
 
     @classmethod
     def create(
-        cls, folder: str | None, config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: Gateway,
-        listener: Listener, servers: Servers,
-    ) -> ProcessHandover | None:  # fmt: skip
-        """None where the processes have no place to meet."""
+        cls,
+        folder: str | None,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        gateway: Gateway,
+        listener: Listener,
+        servers: Servers,
+    ) -> ProcessHandover | None:
+        """None, with a warning, where there is no usable folder for the socket."""
         path = socket_path(folder, config.name, config.listen) if folder else None
         if path is None:
             log.warning("nothing is handed over: TMPDIR is not set, or its name is too long")
@@ -45,46 +57,47 @@
         return cls(path, config, loop, gateway, listener, servers)
 
     async def request_state(self) -> None:
-        """Before clients come: what the process before knows, if there is one."""
+        """Applies the state of the predecessor, if there is one. Called before clients are accepted."""
         self.predecessor = await request_handover(self.loop, self.path, self.config.name, self.on_other_ended)
         if self.predecessor is None or self.predecessor.state is None:
             return
-        told = self.predecessor.state
-        log.info("takes over beside the process before: %d customers", len(told.quotas))
-        self.apply_limit_share(told.limit_share)
-        self.gateway.post(StateReceived(told.quotas))
+        state = self.predecessor.state
+        log.info("takes over beside the process before: %d customers", len(state.quotas))
+        self.apply_limit_share(state.limit_share)
+        self.gateway.post(StateReceived(state.quotas))
         if self.predecessor.transport is None:
             self.on_other_ended()  # it ended meanwhile
 
     async def start_serving(self) -> None:
-        """The process serves: the next one may ask."""
+        """Accepts a successor from now on."""
         await self.server.start(self.path)
 
     def make_message(self) -> bytes:
-        """The next process asks."""
-        whole = self.config.max_descriptors
-        share = retained_limit_share(2 * max(len(self.listener.clients), self.servers.count()), whole)
+        """A successor has connected: reduces the limits of this process, and returns the message to it."""
+        in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.count())
+        share = retained_limit_share(in_use, self.config.max_descriptors)
         self.apply_limit_share(share)
         self.quotas = ()
-        self.gateway.post(SuccessorStarted())
+        self.gateway.post(SuccessorStarted())  # answered by `set_quotas` before it returns
         log.info("the next process is up beside this one: %d customers handed over", len(self.quotas))
         return encode_handover(self.config.name, 1.0 - share, self.quotas)
 
-    def set_quotas(self, stocks: tuple[QuotaSnapshot, ...]) -> None:
-        """The module's part of the message."""
-        self.quotas = stocks
+    def set_quotas(self, quotas: tuple[QuotaSnapshot, ...]) -> None:
+        """The decision engine's part of the message."""
+        self.quotas = quotas
 
     def on_other_ended(self) -> None:
-        """The other process has ended."""
+        """A process that overlapped has ended; if it was the last, this one has all limits again."""
         if self.is_closed:
             return
-        if self.server.successor is None and (self.predecessor is None or self.predecessor.transport is None):
+        has_predecessor = self.predecessor is not None and self.predecessor.transport is not None
+        if self.server.successor is None and not has_predecessor:
             log.info("the other process has gone")
             self.apply_limit_share(1.0)
             self.gateway.post(OtherProcessEnded())
 
     def apply_limit_share(self, share: float) -> None:
-        """This process keeps to so much of the gateway's limits."""
+        """Restricts this process to a share of the gateway's descriptors, 0 to 1."""
         self.listener.share(share)
         self.servers.share(share)
 
--- a/glenchute/policy/connections/operator_slots.py
+++ b/glenchute/policy/connections/operator_slots.py
@@ -1,8 +1,9 @@
-"""The few places of a second address, and who makes room when they are all taken.
+"""The few connection slots of the operations address, and which connection is closed when they are all taken.
 
-A call there is short, so that whoever has finished none gives way to a newcomer, the oldest first: callers
-that connect and say nothing can't keep out one that does. No I/O; times are seconds of one clock. A property
-test holds that no more than `most` are held and that every caller's wait ends.
+A request there is short, so a connection that has not finished one gives way to a newcomer, the oldest first:
+clients that connect and send nothing cannot keep out one that does. No I/O; times are seconds of one
+monotonic clock. Property tests hold that there are at most `max_connections` and that every connection times
+out.
 """
 
 from __future__ import annotations
@@ -11,31 +12,32 @@
 from collections.abc import Hashable
 from typing import Generic, TypeVar
 
-Key = TypeVar("Key", bound=Hashable)
+Connection = TypeVar("Connection", bound=Hashable)
 
 
-class OperatorSlots(Generic[Key]):
-    """The callers of one address, in the order in which they came."""
+class OperatorSlots(Generic[Connection]):
+    """The open connections of one address, oldest first."""
 
-    def __init__(self, most: int, patience_s: float) -> None:
-        if most < 1 or patience_s <= 0:
-            raise ValueError("an address needs places, and patience")
-        self.max_connections, self.timeout_s = most, patience_s
-        self.opened_at: OrderedDict[Key, float] = OrderedDict()
+    def __init__(self, max_connections: int, timeout_s: float) -> None:
+        """`timeout_s`: how long a connection may stay. ValueError unless both are positive."""
+        if max_connections < 1 or timeout_s <= 0:
+            raise ValueError("operator slots need a positive number of connections and a positive timeout")
+        self.max_connections, self.timeout_s = max_connections, timeout_s
+        self.opened_at: OrderedDict[Connection, float] = OrderedDict()
 
-    def add(self, now: float, key: Key) -> list[Key]:
-        """A new caller; those that are to be ended for it."""
-        self.opened_at[key] = now
-        over = len(self.opened_at) - self.max_connections
-        return [self.opened_at.popitem(last=False)[0] for _ in range(over)] if over > 0 else []
+    def add(self, now: float, connection: Connection) -> list[Connection]:
+        """Adds a connection; returns those that are to be closed for it, already removed."""
+        self.opened_at[connection] = now
+        excess = len(self.opened_at) - self.max_connections
+        return [self.opened_at.popitem(last=False)[0] for _ in range(excess)] if excess > 0 else []
 
-    def remove(self, key: Key) -> None:
-        """A caller's connection is closed, or ended."""
-        self.opened_at.pop(key, None)
+    def remove(self, connection: Connection) -> None:
+        """A connection has been closed."""
+        self.opened_at.pop(connection, None)
 
-    def remove_expired(self, now: float) -> list[Key]:
-        """Those whose time is up. They count as ended."""
-        late = []
+    def remove_expired(self, now: float) -> list[Connection]:
+        """Removes and returns the connections whose time is up."""
+        expired = []
         while self.opened_at and now - next(iter(self.opened_at.values())) >= self.timeout_s:
-            late.append(self.opened_at.popitem(last=False)[0])
-        return late
+            expired.append(self.opened_at.popitem(last=False)[0])
+        return expired
--- a/glenchute/policy/lifecycle/handover.py
+++ b/glenchute/policy/lifecycle/handover.py
@@ -1,10 +1,12 @@
-"""What passes from one process of a gateway to the next, and how the two share the gateway's limits.
+"""State handed over from one process of a gateway to its successor, and how the two share the gateway's
+limits while they overlap. No I/O, no clock.
 
-The message is one JSON object. Whatever of it is not as it should be makes it void as a whole: the next
-process then begins as after a kill, on the safe side, and its log names the reason. No I/O, no clock.
+The message is one line of JSON. It is rejected as a whole unless every part is valid; the successor then
+starts as after a kill, on the safe side, and logs the reason.
 
-A property test holds that both shares are at least a quarter, that they sum to the whole at most, and that no
-bytes whatever make `parse` raise anything but `SuccessionError` or give a figure out of its range.
+Property tests hold that both shares are at least `MIN_LIMIT_SHARE`, that they sum to 1 at most, and that
+`decode_handover` raises nothing but `HandoverError` and returns no figure out of its range, whatever its
+input.
 """
 
 from __future__ import annotations
@@ -17,11 +19,15 @@
 from ..events import QuotaSnapshot
 
 FORMAT = 1
-MAX_QUOTAS = 10_000  # customers that are handed over, those seen last first
+MAX_QUOTAS = 10_000  # tenants that are handed over, the most recently seen first
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+MAX_TENANT_LENGTH = 64
+MAX_GATEWAY_SPREAD = 1_000_000
 MAX_UNITS = 1e12
+MAX_WINDOW_MS = 1e15
 MIN_LIMIT_SHARE = 0.25  # of the gateway's descriptors, for either process
-# The names of the columns between processes of any version, in the order of `QuotaSnapshot`'s fields.
+RESERVE_SHARE = 1 / 8  # of the descriptors, retained beyond those in use
+# The columns of the message, for processes of any version, in the order of `QuotaSnapshot`'s fields.
 FIELDS = (
     "customer",
     "plan",
@@ -38,87 +44,88 @@
 
 
 class HandoverError(ValueError):
-    """A message that can't be used, and why."""
+    """A handover message is invalid; the text is the reason, as the log names it."""
 
 
 class HandoverState(NamedTuple):
-    """What the process before told."""
+    """What the predecessor hands over."""
 
-    limit_share: float  # of the gateway's descriptors that it leaves to the next one
+    limit_share: float  # of the gateway's descriptors, for the successor
     quotas: tuple[QuotaSnapshot, ...]
 
 
-def retained_limit_share(held: int, whole: int) -> float:
-    """The share of the gateway's descriptors that a process keeps to when another comes up beside it: a half,
-    or what it holds and an eighth more, so that nobody is closed for it. The rest is the other's."""
-    return min(1.0 - MIN_LIMIT_SHARE, max(0.5, (held + whole / 8) / whole))
+def retained_limit_share(in_use: int, limit: int) -> float:
+    """The share of the gateway's descriptors that a process retains when its successor starts: half, or those
+    in use and `RESERVE_SHARE` more, so that no connection is closed for it. The rest is the successor's."""
+    return min(1.0 - MIN_LIMIT_SHARE, max(0.5, (in_use + RESERVE_SHARE * limit) / limit))
 
 
-def encode_handover(gateway: str, share: float, stocks: Sequence[QuotaSnapshot]) -> bytes:
-    """What a process tells the next one, of the gateway of this name."""
-    rows = [
-        [getattr(decode_quota, name) for name in QuotaSnapshot.__match_args__]
-        for decode_quota in stocks[:MAX_QUOTAS]
-    ]
+def encode_handover(gateway: str, limit_share: float, quotas: Sequence[QuotaSnapshot]) -> bytes:
+    """The message to the successor of the gateway with this name. Quotas beyond `MAX_QUOTAS` are left out."""
+    rows = [[getattr(quota, name) for name in QuotaSnapshot.__match_args__] for quota in quotas[:MAX_QUOTAS]]
     for row in rows:
-        row[:] = [None if value == math.inf else value for value in row]
-    told = {"format": FORMAT, "gateway": gateway, "share": share, "fields": FIELDS, "stocks": rows}
-    return json.dumps(told, allow_nan=False, separators=(",", ":")).encode() + b"\n"
+        row[:] = [None if value == math.inf else value for value in row]  # JSON has no infinity
+    message = {"format": FORMAT, "gateway": gateway, "share": limit_share, "fields": FIELDS, "stocks": rows}
+    return json.dumps(message, allow_nan=False, separators=(",", ":")).encode() + b"\n"
 
 
 def decode_handover(gateway: str, raw: bytes) -> HandoverState:
-    """Reads a message for the gateway of this name; SuccessionError with the reason where it is void."""
+    """Decodes a message to the gateway with this name; HandoverError if it is invalid."""
     if not raw.endswith(b"\n"):
         raise HandoverError("torn")
     try:
-        told = json.loads(raw, parse_constant=reject_constant)
+        message = json.loads(raw, parse_constant=reject_constant)
     except (ValueError, RecursionError):
         raise HandoverError("no JSON") from None
-    if not isinstance(told, dict) or told.get("format") != FORMAT:
+    if not isinstance(message, dict) or message.get("format") != FORMAT:
         raise HandoverError(f"not of format {FORMAT}")
-    if told.get("gateway") != gateway:
+    if message.get("gateway") != gateway:
         raise HandoverError("another gateway's")
-    if told.get("fields") != list(FIELDS):
+    if message.get("fields") != list(FIELDS):
         raise HandoverError("other fields than this version's")
-    rows = told.get("stocks")
+    rows = message.get("stocks")
     if not isinstance(rows, list) or len(rows) > MAX_QUOTAS:
         raise HandoverError("too many customers, or no list of them")
-    share = decode_number(told.get("share"), MIN_LIMIT_SHARE, 1.0 - MIN_LIMIT_SHARE)
-    return HandoverState(share, tuple([decode_quota(row) for row in rows]))
+    limit_share = decode_number(message.get("share"), MIN_LIMIT_SHARE, 1.0 - MIN_LIMIT_SHARE)
+    return HandoverState(limit_share, tuple([decode_quota(row) for row in rows]))
 
 
 def decode_quota(row: Any) -> QuotaSnapshot:
-    """One customer's."""
+    """Decodes the quota of one tenant; HandoverError if it is invalid."""
     if not isinstance(row, list) or len(row) != len(FIELDS):
         raise HandoverError("a customer's row is not whole")
-    customer, plan, spread, *plain, window, total = row
-    if not isinstance(customer, str) or not isinstance(plan, str) or not 0 < len(customer) <= 64:
+    tenant, plan, gateway_spread, *figures, window_start, window_total = row
+    if not isinstance(tenant, str) or not isinstance(plan, str) or not 0 < len(tenant) <= MAX_TENANT_LENGTH:
         raise HandoverError("a customer without a name")
-    if type(spread) is not int or not 1 <= spread <= 1_000_000:
+    if type(gateway_spread) is not int or not 1 <= gateway_spread <= MAX_GATEWAY_SPREAD:
         raise HandoverError("a spread out of range")
-    store, guard, own, others, told_own, told_all = [decode_number(v, -MAX_UNITS, MAX_UNITS) for v in plain]
+    bucket, guard, own_demand, others_demand, reported_own, reported = [
+        decode_number(figure, -MAX_UNITS, MAX_UNITS) for figure in figures
+    ]
     return QuotaSnapshot(
-        tenant=customer,
+        tenant=tenant,
         plan=plan,
-        gateway_spread=spread,
-        bucket_units=store,
+        gateway_spread=gateway_spread,
+        bucket_units=bucket,
         ceiling_guard_units=guard,
-        own_demand_per_s=own,
-        others_demand_per_s=others,
-        reported_own_units=told_own,
-        reported_units=told_all,
-        window_start_ms=decode_number(window, -1e15, 1e15),
-        window_total_units=math.inf if total is None else decode_number(total, -MAX_UNITS, MAX_UNITS),
+        own_demand_per_s=own_demand,
+        others_demand_per_s=others_demand,
+        reported_own_units=reported_own,
+        reported_units=reported,
+        window_start_ms=decode_number(window_start, -MAX_WINDOW_MS, MAX_WINDOW_MS),
+        window_total_units=(
+            math.inf if window_total is None else decode_number(window_total, -MAX_UNITS, MAX_UNITS)
+        ),
     )
 
 
 def decode_number(value: Any, least: float, most: float) -> float:
-    """A figure in its range."""
+    """A number within its range, as a float; HandoverError otherwise."""
     if type(value) not in (int, float) or not least <= value <= most:
         raise HandoverError("a figure out of range")
     return float(value)
 
 
 def reject_constant(name: str) -> float:
-    """NaN and the like are no figures."""
+    """ValueError for NaN and the infinities, which are not JSON."""
     raise ValueError(name)
--- /dev/null
+++ b/tests/clients/test_handover_socket.py
@@ -0,0 +1,114 @@
+"""The Unix socket between a process and its successor."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from glenchute.clients import handover
+from glenchute.policy.events import QuotaSnapshot
+from glenchute.policy.lifecycle.handover import HandoverState, encode_handover
+from tests.loopback import always, play, site, until
+
+QUOTA = QuotaSnapshot("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
+
+
+def handover_server(loop: asyncio.AbstractEventLoop, raw: bytes, ended: list[str]) -> handover.HandoverServer:
+    return handover.HandoverServer(loop, lambda: raw, lambda: ended.append("successor"))
+
+
+def test_either_side_notices_the_end_of_the_other(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        loop = asyncio.get_running_loop()
+        ended: list[str] = []
+        path = handover.socket_path(str(tmp_path), "g", ("127.0.0.1", 1))
+        assert (
+            path is not None
+            and await handover.request_handover(loop, path, "g", lambda: ended.append("predecessor")) is None
+        )
+        predecessor = handover_server(loop, encode_handover("g", 0.5, [QUOTA]), ended)
+        await predecessor.start(path)
+        assert path.stat().st_mode & 0o077 == 0
+        for side in ("successor", "predecessor"):
+            connection = await handover.request_handover(loop, path, "g", lambda: ended.append("predecessor"))
+            assert connection is not None and connection.state == HandoverState(0.5, (QUOTA,))
+            assert (
+                await handover.request_handover(loop, path, "g", lambda: ended.append("third")) is None
+            )  # one at a time
+            assert not ended
+            if side == "successor":
+                connection.close()  # the successor dies: the predecessor accepts another
+                await until(lambda: ended)
+                assert "successor" in ended and "third" not in ended
+                ended.clear()
+            else:
+                predecessor.close()
+                await until(lambda: "predecessor" in ended)
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("raw", [b"", b"{", b"{}\n", encode_handover("h", 0.5, [])])
+def test_an_invalid_or_missing_message_means_a_start_without_handover(
+    tmp_path: Path, raw: bytes, monkeypatch: Any
+) -> None:
+    monkeypatch.setattr(handover, "REQUEST_TIMEOUT_S", 0.2)
+
+    async def scenario() -> None:
+        loop = asyncio.get_running_loop()
+        ended: list[str] = []
+        path = tmp_path / "s"
+        predecessor = handover_server(loop, raw, ended)
+        await predecessor.start(path)
+        assert await handover.request_handover(loop, path, "g", lambda: ended.append("predecessor")) is None
+        predecessor.close()
+        await asyncio.sleep(0.02)
+        assert "predecessor" not in ended
+
+    play(scenario())
+
+
+def test_a_leftover_socket_is_replaced_and_a_long_path_is_not_used(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        loop = asyncio.get_running_loop()
+        path = tmp_path / "s"
+        path.write_text("left over")
+        assert await handover.request_handover(loop, path, "g", lambda: None) is None
+        one = handover_server(loop, encode_handover("g", 0.5, []), [])
+        await one.start(path)
+        assert await handover.request_handover(loop, path, "g", lambda: None) is not None
+        one.close()
+        assert handover.socket_path("/" + "x" * 200, "g", ("127.0.0.1", 1)) is None
+        await handover_server(loop, b"", []).start(
+            tmp_path / "no" / "folder"
+        )  # no error: the process serves without
+
+    play(scenario())
+
+
+def test_without_replacement_by_the_platform_nothing_of_it_is_imported_or_opened(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """No Unix socket is opened, and no module of the replacement is imported."""
+    code = (
+        "import importlib.util, sys, glenchute.cli.run\n"
+        "names = ('clients.handover', 'cli.handover', 'listeners.operations', 'upstreams.streamed_value')\n"
+        "for name in ['glenchute.' + name for name in names]:\n"
+        "    assert name not in sys.modules, name\n"
+        "for name in ['glenchute.' + name for name in names]:\n"
+        "    assert importlib.util.find_spec(name) is not None, name\n"
+    )
+    subprocess.run([sys.executable, "-c", code], check=True)
+    monkeypatch.setenv("TMPDIR", str(tmp_path))
+
+    async def scenario() -> None:
+        async with site(always(b"")) as one:
+            assert one.program.succession is None and one.program.operations is None
+            assert not list(tmp_path.iterdir())
+
+    play(scenario())
--- /dev/null
+++ b/tests/policy/lifecycle/test_handover.py
@@ -0,0 +1,267 @@
+"""The handover between processes of a gateway: the message, and the decision engine's part."""
+
+from __future__ import annotations
+
+import json
+import math
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from glenchute.capture import format_1
+from glenchute.capture.recorder import Recorder, Rule
+from glenchute.capture.replay import replay as replayed
+from glenchute.capture.replay import runs
+from glenchute.policy.actions import IncrementCounter, SendState, StartAttempt
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.events import (
+    CounterReply,
+    Event,
+    OtherProcessEnded,
+    Outcome,
+    QuotaSnapshot,
+    Request,
+    StateReceived,
+    SuccessorStarted,
+)
+from glenchute.policy.lifecycle.handover import (
+    FIELDS,
+    MAX_QUOTAS,
+    MIN_LIMIT_SHARE,
+    HandoverError,
+    HandoverState,
+    decode_handover,
+    encode_handover,
+    retained_limit_share,
+)
+from tests.rig import SETTINGS, Rig, only
+
+QUOTA = QuotaSnapshot("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
+figures = st.floats(-1e12, 1e12)
+
+
+# --- the message -------------------------------------------------------------------------------------------
+
+
+@settings(max_examples=60, deadline=None, derandomize=True)
+@given(
+    st.lists(
+        st.builds(
+            QuotaSnapshot, st.text(min_size=1, max_size=64), st.text(max_size=20), st.integers(1, 500),
+            *[figures] * 6, st.floats(-1e15, 1e15), st.one_of(figures, st.just(math.inf)),
+        ),
+        max_size=5,
+    ),
+    st.floats(MIN_LIMIT_SHARE, 1.0 - MIN_LIMIT_SHARE),
+)  # fmt: skip
+def test_an_encoded_message_is_decoded(quotas: list[QuotaSnapshot], share: float) -> None:
+    raw = encode_handover("g", share, quotas)
+    assert decode_handover("g", raw) == HandoverState(share, tuple(quotas))
+    for cut in (1, len(raw) // 2, len(raw) - 1):
+        with pytest.raises(HandoverError):
+            decode_handover("g", raw[:cut])
+
+
+def changed(**changes: Any) -> bytes:
+    message = json.loads(encode_handover("g", 0.5, [QUOTA]))
+    message.update(changes)
+    return json.dumps(message).encode() + b"\n"
+
+
+def row(at: int, value: Any) -> bytes:
+    cells = json.loads(encode_handover("g", 0.5, [QUOTA]))["stocks"][0]
+    cells[at] = value
+    return changed(stocks=[cells])
+
+
+@pytest.mark.parametrize(
+    ("raw", "reason"),
+    [
+        (b"\n", "no JSON"),
+        (b"[" * 100_000 + b"\n", "no JSON"),
+        (b"\xff\xfe\n", "no JSON"),
+        (b"[]\n", "format"),
+        (changed(format=2), "format"),
+        (changed(gateway="h"), "another gateway"),
+        (changed(fields=["customer"]), "fields"),
+        (changed(stocks={}), "customers"),
+        (changed(stocks=[[]] * (MAX_QUOTAS + 1)), "customers"),
+        (changed(stocks=[[1]]), "not whole"),
+        (changed(share=0.9), "range"),
+        (changed(share=True), "range"),
+        (row(0, ""), "name"),
+        (row(0, "x" * 65), "name"),
+        (row(1, 5), "name"),
+        (row(2, 0), "spread"),
+        (row(2, True), "spread"),
+        (row(3, "1"), "range"),
+        (row(3, 1e300), "range"),
+        (row(9, None), "range"),
+        (changed(stocks=[[*range(11)]]), "name"),
+        (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"NaN"), "no JSON"),
+        (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"Infinity"), "no JSON"),
+    ],
+)
+def test_an_invalid_message_is_rejected_as_a_whole(raw: bytes, reason: str) -> None:
+    with pytest.raises(HandoverError, match=reason):
+        decode_handover("g", raw)
+
+
+@settings(max_examples=200, deadline=None, derandomize=True)
+@given(st.binary(max_size=200))
+def test_arbitrary_bytes_are_rejected(raw: bytes) -> None:
+    with pytest.raises(HandoverError):
+        decode_handover("g", raw + b"\n")
+
+
+@given(st.integers(0, 5000), st.integers(64, 4096))
+def test_both_shares_are_at_least_a_quarter_and_no_connection_in_use_is_closed(
+    in_use: int, limit: int
+) -> None:
+    share = retained_limit_share(in_use, limit)
+    assert MIN_LIMIT_SHARE <= 1.0 - share <= 0.5
+    assert share * limit >= min(in_use, 0.75 * limit)
+
+
+# --- the decision engine's part ---------------------------------------------------------------------------
+
+
+def gateway_with_use(customer: str, plan: str, requests: int) -> Rig:
+    """A gateway at which a tenant has used part of its quota."""
+    rig = Rig()
+    rig.feed(saved_list())
+    for _ in range(requests):
+        rig.ask("read", plan, customer, spread=1)
+        rig.answer_calls()
+    return rig
+
+
+def saved_list() -> Any:
+    from glenchute.policy.events import EndpointList, EndpointListKind
+    from tests.rig import entries
+
+    return EndpointList(EndpointListKind.CACHED, entries(3))
+
+
+def replaced(old: Rig) -> Rig:
+    """The successor, after the handover."""
+    [sent] = only(old.feed(SuccessorStarted()), SendState)
+    new = Rig()
+    new.now = old.now
+    new.feed(StateReceived(sent.quotas))
+    new.feed(saved_list())
+    return new
+
+
+def admitted(rig: Rig, plan: str, customer: str, requests: int = 60) -> int:
+    """How many of simultaneous requests are admitted. Calls to the counter get no answer."""
+    return sum(
+        bool(only(rig.ask("read", plan, customer, spread=1)[1], StartAttempt)) for _ in range(requests)
+    )
+
+
+def test_a_spent_quota_stays_spent_in_the_successor() -> None:
+    old = gateway_with_use("c", "rate", 20)  # a burst of 6
+    fresh = Rig()
+    fresh.feed(saved_list())
+    assert admitted(fresh, "rate", "c") >= 5
+    assert admitted(replaced(old), "rate", "c") <= 1
+
+
+@pytest.mark.parametrize("spent", [0, 4, 30])
+def test_two_processes_admit_no_more_than_one_under_a_ceiling(spent: int) -> None:
+    single = gateway_with_use("c", "hard", spent)
+    single.ending = Outcome.TIMEOUT
+    most = admitted(single, "hard", "c")
+    old = gateway_with_use("c", "hard", spent)
+    new = replaced(old)
+    both = admitted(old, "hard", "c") + admitted(new, "hard", "c")
+    assert both <= most + 1, (both, most)  # a request is not split
+
+
+def test_only_the_successor_marks_epochs_until_the_predecessor_is_single_again() -> None:
+    old = gateway_with_use("c", "hard", 2)
+    new = replaced(old)
+
+    def may_mark(rig: Rig) -> bool:
+        """Whether a window that begins from now on is marked."""
+        rig.advance(20_000.0)
+        rig.ask("read", "hard", "c", spread=1)
+        word = rig.gateway.quota.customers["c"].word
+        assert word is not None
+        return word.may_mark
+
+    assert not may_mark(old)
+    assert may_mark(new)
+    old.feed(OtherProcessEnded())
+    assert may_mark(old)
+
+
+def test_local_shares_are_halved_during_the_overlap_and_restored_after_it() -> None:
+    old = gateway_with_use("c", "hard", 2)
+    quota = old.gateway.quota
+    before = quota.customers["c"].spread
+    old.feed(SuccessorStarted())
+    assert quota.customers["c"].spread == 2 * before
+    old.ask("read", "hard", "c", spread=1)
+    assert quota.customers["c"].spread == 2
+    old.feed(OtherProcessEnded())
+    assert quota.customers["c"].spread == before == 1
+
+
+def test_use_of_the_predecessor_is_not_deducted_twice() -> None:
+    old = Rig()
+    old.feed(saved_list())
+    for _ in range(3):
+        old.ask("read", "rate", "c", spread=1)
+        old.answer_calls()
+    old.advance(300.0)
+    old.answer_calls()
+    new = replaced(old)
+    left = new.gateway.quota.customers["c"].store
+    new._totals = dict(old._totals)
+    name = new.gateway.quota.customers["c"].name
+    new.ask("read", "rate", "c", spread=1)
+    calls = [action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name]
+    if not calls:
+        new.advance(1200.0)
+        calls = [
+            action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name
+        ]
+    assert calls
+    total = old._totals.get(name, 0.0) + calls[0].amount
+    new.feed(CounterReply(name, total, Outcome.OK))
+    after = new.gateway.quota.customers["c"].store
+    assert after >= left - 1.0 - 0.5, (left, after)
+
+
+def test_every_field_of_a_quota_is_handed_over() -> None:
+    assert len(QuotaSnapshot.__match_args__) == len(FIELDS)
+    assert dict(zip(FIELDS, QuotaSnapshot.__match_args__, strict=True)) == {
+        **format_1.QUOTA_SNAPSHOT,
+        "plan": "plan",
+    }
+
+
+def test_a_replacement_is_recorded_and_replayed_bit_equal(tmp_path: Path) -> None:
+    clock = [0.0]
+    recorder = Recorder(DecisionEngine(SETTINGS, 1), SETTINGS, 1, Rule(str(tmp_path)), lambda: clock[0])
+    recorder.handle(1000.0, saved_list())
+    events: list[Event] = [
+        StateReceived((QUOTA, replace(QUOTA, tenant="d", window_total_units=math.inf))),
+        OtherProcessEnded(),
+    ]
+    for n in range(20):
+        events.append(Request(f"r{n}", "read", "rate", "c", 900.0, 1.0, 2))
+    events += [SuccessorStarted(), Request("last", "read", "rate", "c", 900.0, 1.0, 2), OtherProcessEnded()]
+    for at, event in enumerate(events):
+        recorder.handle(1001.0 + at, event)
+    recorder.trigger("asked for")
+    recorder.writer.close(10.0)
+    (files,) = runs(tmp_path).values()
+    report = replayed(files)
+    assert not report.differences and not report.faults and report.records == len(events) + 1
