--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -45,18 +45,19 @@
 
 def probe() -> None:
     """In the gateway's process, before it starts: notes moments, written out at its end."""
-    from glenchute.core.gateway import Gateway
+    from glenchute.core.gateway import RequestExecutor
     from glenchute.upstreams.connection_pool import Attempt, Connection
 
     moments: Moments = {}
-    take, write, answered, answer = Gateway.take, Attempt.write, Connection.answered, Gateway.answer
+    accept, respond = RequestExecutor.accept, RequestExecutor.respond
+    write, answered = Attempt.write, Connection.answered
 
     def note(call: Any, name: str) -> None:
         moments.setdefault(call.request_id.decode(), {})[name] = time.monotonic()
 
-    def noted_take(self: Any, call: Any, *more: Any) -> Any:
+    def noted_accept(self: Any, call: Any, *more: Any) -> Any:
         note(call, "taken")
-        return take(self, call, *more)
+        return accept(self, call, *more)
 
     def noted_write(self: Any, conn: Any) -> None:
         write(self, conn)
@@ -66,16 +67,16 @@
         note(attempt.payload.__self__, "answered")
         answered(self, attempt, *more)
 
-    def noted_answer(self: Any, ref: str, reply: Any) -> None:
-        live = self.live.get(ref)
-        answer(self, ref, reply)
+    def noted_respond(self: Any, ref: str, reply: Any) -> None:
+        live = self.active_requests.get(ref)
+        respond(self, ref, reply)
         if live is not None:
             note(live.call, "told")
 
-    core: Any = Gateway
+    core: Any = RequestExecutor
     attempt: Any = Attempt
     connection: Any = Connection
-    core.take, core.answer = noted_take, noted_answer
+    core.accept, core.respond = noted_accept, noted_respond
     attempt.write, connection.answered = noted_write, noted_answered
     atexit.register(lambda: Path(os.environ["ADDED_PROBE"]).write_text(json.dumps(moments)))
 
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -19,8 +19,8 @@
 
 from benchmarks.machine import machine
 from glenchute.clients.discovery import Held, read_in_parts, read_list
-from glenchute.core.gateway import Gateway
-from glenchute.core.types import News
+from glenchute.core.gateway import RequestExecutor
+from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.engine import DecisionEngine as Policy
@@ -38,14 +38,14 @@
         self.loop = asyncio.new_event_loop()
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
         self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
-        self.gateway = Gateway(self.loop, self.policy, self.servers, None)
-        self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
+        self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
+        self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
         self.held, self.parted = Held(), parted
         self.version = 0
 
     def narrow(self) -> None:
         rows, servers = self.held.rows, self.servers
-        listed = [rows[name][0] for name in servers.known() if name in rows and not servers.stops(name)]
+        listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
         self.gateway.decisions = Aperture(self.policy, self.policy.settings, Terms(GATEWAYS, 3), listed)
 
     def body(self, rows: list[dict[str, Any]], full: bool) -> bytes:
@@ -58,13 +58,13 @@
 
     def bring(self, body: bytes) -> Generator[None, None, None]:
         """An answer's body, turn by turn."""
-        news: News
+        news: EndpointUpdate
         if self.parted:
             news = yield from read_in_parts(body, self.held)
         else:
             news = read_list(json.loads(body), held=self.held)
         self.held.follow(news)
-        self.gateway.news(news)
+        self.gateway.update_endpoints(news)
 
     def tell(self, rows: list[dict[str, Any]], full: bool = True) -> None:
         for _ in self.turns(rows, full):
@@ -75,12 +75,12 @@
 
     def state(self) -> Any:
         """All that a later request or list could find different."""
-        names, servers, decisions = sorted(self.servers.known()), self.servers, self.gateway.decisions
+        names, servers, decisions = sorted(self.servers.server_ids()), self.servers, self.gateway.decisions
         subset = decisions.subset if isinstance(decisions, Aperture) else None
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
             names, [servers.stops(name) for name in names], where,
-            self.gateway.started_ms, self.held.rows, self.used(), self.policy.fleet.of,
+            self.gateway.server_started_ms, self.held.rows, self.used(), self.policy.fleet.of,
             subset and (subset.listed, subset.rings, list(subset.held)),
         )  # fmt: skip
 
--- a/glenchute/capture/recorder.py
+++ b/glenchute/capture/recorder.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from glenchute.core.types import Decisions
+from glenchute.core.types import DecisionHandler
 from glenchute.policy.actions import Action, Reject
 from glenchute.policy.events import Event, Request
 from glenchute.policy.settings import Settings
@@ -103,7 +103,7 @@
     """The module, seen from the core; each call is recorded. `clock` tells the loop's seconds."""
 
     def __init__(
-        self, module: Decisions, settings: Settings, seed: int, rule: Rule, clock: Callable[[], float]
+        self, module: DecisionHandler, settings: Settings, seed: int, rule: Rule, clock: Callable[[], float]
     ) -> None:
         self.module, self.settings, self.seed = module, settings, seed
         self.rule, self.clock = rule, clock
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -17,8 +17,8 @@
 from glenchute.clients.counter import Counter
 from glenchute.clients.discovery import Discovery
 from glenchute.config.platform import OPERATOR, Config, ConfigError, load, passed_socket
-from glenchute.core.gateway import Gateway
-from glenchute.core.types import Decisions, News
+from glenchute.core.gateway import RequestExecutor
+from glenchute.core.types import DecisionHandler, EndpointUpdate
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import Catalogue
 from glenchute.policy.balancing.subset_size import WHOLE
@@ -73,7 +73,7 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        decisions: Decisions | None = None,
+        decisions: DecisionHandler | None = None,
         environ: dict[str, str] | None = None,
         operator: Operator | None = None,
     ) -> None:
@@ -100,17 +100,17 @@
         self.control: ControlServer | None = None
         if operator is not None and operator.fleet is not None:
             decisions = self.among_members(decisions, operator.fleet)
-        self.gateway = Gateway(loop, decisions, self.servers, self.counter)
-        self.gateway.overlap = made.allows_hedging
+        self.gateway = RequestExecutor(loop, decisions, self.servers, self.counter)
+        self.gateway.allows_concurrent_attempts = made.allows_hedging
         if raw is None:
-            self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
+            self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
         if operator is not None:
             self.bind(operator)
         catalogue = Catalogue(made, config.bounds)
         self.listener = Listener(loop, self.gateway, catalogue, config.budget)
         if shared is not None:
-            self.gateway.most_attempts = made.max_attempts
-            self.gateway.tells_places = self.recorder is not None
+            self.gateway.max_attempts = made.max_attempts
+            self.gateway.reports_assignments = self.recorder is not None
             self.listener.release = shared.get("release", False)
         self.extproc: ExtProc | None = None
         if operator is not None and operator.fronts and "extproc" in operator.fronts:
@@ -122,9 +122,9 @@
         self.discovery = Discovery(
             loop, config.discovery, self.listed, self.terms(asked), config.seed, self.doubt, self.serving
         )
-        self.discovery.restrain = self.gateway.news
+        self.discovery.restrain = self.gateway.update_endpoints
         if self.fleet is not None:
-            self.fleet.follow, self.fleet.counter = self.gateway.news, self.counter
+            self.fleet.follow, self.fleet.counter = self.gateway.update_endpoints, self.counter
         # What of the operator's file holds until a restart.
         self.begun = started(operator) if operator is not None else None
         self.aside: Aside[Reread] | None = None  # the reading of that file again
@@ -139,7 +139,7 @@
 
     def serving(self) -> bool:
         """Whether servers answer, as far as anybody has asked them."""
-        return self.gateway.failed_at - self.gateway.served_at < SERVING_S
+        return self.gateway.last_failure_at - self.gateway.last_response_at < SERVING_S
 
     def backend(self, shared: dict[str, Any] | None) -> Servers:
         """The connections to the servers: one for each attempt, or shared where the operator's file says
@@ -151,8 +151,8 @@
         return backend(shared, self.config, self.loop)
 
     def narrowed(
-        self, decisions: Decisions, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
-    ) -> Decisions:
+        self, decisions: DecisionHandler, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
+    ) -> DecisionHandler:
         """The module that is told of some of the servers only; imported only where the operator's file says
         so, or a list is that long. A gateway that does not know its number takes one by its seed: balanced by
         chance alone."""
@@ -166,14 +166,14 @@
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
         told of some servers. It stands as with `[subset]`: behind members' words, before the recorder."""
         rows, servers = self.discovery.held.rows, self.servers
-        listed = [rows[name][0] for name in servers.known() if name in rows and not servers.stops(name)]
+        listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
         if self.fleet is not None:
             self.fleet.telling.module = self.narrowed(self.fleet.telling.module, {}, listed)
         else:
             self.gateway.decisions = self.narrowed(self.gateway.decisions, {}, listed)
         log.info("more than %d servers are listed: from now on a part of them is used", WHOLE)
 
-    def recording(self, decisions: Decisions, raw: dict[str, Any]) -> Recorder:
+    def recording(self, decisions: DecisionHandler, raw: dict[str, Any]) -> Recorder:
         """The module behind a recorder; imported only where the operator's file asks for one."""
         from glenchute.capture.recorder import Recorder, Rule
         from glenchute.config.files import secret_key
@@ -198,7 +198,7 @@
             raise ConfigError(f"fronts.extproc needs glenchute[extproc]: {error}") from None
         return front(raw, self.config, self.loop, self.gateway)
 
-    def among_members(self, decisions: Decisions, raw: dict[str, Any]) -> Decisions:
+    def among_members(self, decisions: DecisionHandler, raw: dict[str, Any]) -> DecisionHandler:
         """The members' socket, and the module behind what they tell; imported only where `[fleet]` is set."""
         from glenchute.control.server import ControlServer
 
@@ -213,11 +213,11 @@
             self.control.register("fleet", self.fleet.verbs())
         return self.fleet.telling
 
-    def listed(self, news: News) -> None:
+    def listed(self, news: EndpointUpdate) -> None:
         """Discovery's word."""
         if self.fleet is not None:
             self.fleet.news(news)
-        self.gateway.news(news)
+        self.gateway.update_endpoints(news)
 
     def operating(self) -> OperationsServer:
         """The second address; imported only where the platform names one."""
@@ -286,7 +286,7 @@
         if self.operations is not None and self.config.operations is not None:
             await self.operations.start(*self.config.operations)
         if self.config.known is not None:
-            self.gateway.news(self.config.known)
+            self.gateway.update_endpoints(self.config.known)
             if self.doubt is not None:
                 self.doubt.follow(self.config.known.version, self.config.known.event)
         asks = self.fleet is not None and self.fleet.begin(self.config.known, self.discovery)
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -8,7 +8,7 @@
 
 from glenchute.clients.handover import Door, Predecessor, ask, path_in
 from glenchute.config.platform import Config
-from glenchute.core.gateway import Gateway
+from glenchute.core.gateway import RequestExecutor
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import keeps, message
@@ -21,7 +21,7 @@
     """One process's part in replacements."""
 
     def __init__(
-        self, path: Path, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
+        self, path: Path, config: Config, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor,
         listener: Listener, servers: Servers,
     ) -> None:  # fmt: skip
         self.path, self.config, self.loop = path, config, loop
@@ -30,11 +30,11 @@
         self.door = Door(loop, self.tell, self.alone)
         self.stocks: tuple[QuotaSnapshot, ...] = ()
         self.closed = False
-        gateway.handing = self.handing
+        gateway.send_state = self.handing
 
     @classmethod
     def of(
-        cls, folder: str | None, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
+        cls, folder: str | None, config: Config, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor,
         listener: Listener, servers: Servers,
     ) -> Succession | None:  # fmt: skip
         """None where the processes have no place to meet."""
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -209,7 +209,9 @@
             link.retire()
         self.links = [Link(self.loop, address) for _ in range(len(self.links))]
 
-    def call(self, name: int, amount: float, ttl_ms: float, done: Done, late: Done | None = None) -> None:
+    def increment(
+        self, name: int, amount: float, ttl_ms: float, done: Done, late: Done | None = None
+    ) -> None:
         """Adds an amount to a name; `done` is called once, within the time-out. After a time-out `late` is
         called once, with what became of the call, within `SILENT_S` and half a second."""
         link, now = self.links[name % len(self.links)], self.loop.time()
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Generator
 from typing import TYPE_CHECKING, Any
 
-from glenchute.core.types import Address, News
+from glenchute.core.types import Address, EndpointUpdate
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
 from glenchute.policy.endpoints.watch import Action, Ask, Close, Open, Watch
@@ -79,7 +79,7 @@
         self.texts: dict[str, tuple[Endpoint, Address | None]] = {}
         self.spots: dict[str, tuple[bytes, str]] = {}
 
-    def follow(self, news: News) -> None:
+    def follow(self, news: EndpointUpdate) -> None:
         """This is in force now."""
         placed: Placed | None = getattr(news.event.endpoints, "placed", None)
         if placed is not None and news.event.kind is not EndpointListKind.CHANGES:
@@ -145,7 +145,7 @@
         if self.placing is not None:
             self.placing.take(pair)
 
-    def news(self, raw: Any, saved: bool = False) -> News:
+    def news(self, raw: Any, saved: bool = False) -> EndpointUpdate:
         """The list that they make, with what else its text says."""
         kind = (
             EndpointListKind.CACHED
@@ -165,10 +165,10 @@
                     self.add(pair)
         placing = self.placing if len(read) > WHOLE else None
         entries = placing.done() if placing is not None else tuple(one for one, _ in read)
-        return News(version, EndpointList(kind, entries), self.addresses)
+        return EndpointUpdate(version, EndpointList(kind, entries), self.addresses)
 
 
-def read_list(raw: Any, saved: bool = False, held: Held | None = None) -> News:
+def read_list(raw: Any, saved: bool = False, held: Held | None = None) -> EndpointUpdate:
     """Discovery's form of the list, in the module's terms; ListError if it is none. `Rows` tells what becomes
     of single rows that can't be read."""
     try:
@@ -182,7 +182,7 @@
         raise ListError(f"not a list of servers ({error!r})") from None
 
 
-def read_in_parts(body: bytes, held: Held | None) -> Generator[None, None, News]:
+def read_in_parts(body: bytes, held: Held | None) -> Generator[None, None, EndpointUpdate]:
     """What `read_list` makes of an answer's body, `PART_ROWS` at a time: to read thousands of rows at once
     would hold up all requests. The rows are taken out of the text one by one; what is left is read whole.
     What follows from a whole list is worked out on the way (`Placing`). A row whose text the list before had
@@ -232,7 +232,7 @@
         raise ListError(f"not a list of servers ({error!r})") from None
 
 
-def raised(found: News | Exception) -> News:
+def raised(found: EndpointUpdate | Exception) -> EndpointUpdate:
     """A list, or what reading it raised."""
     if isinstance(found, Exception):
         raise found
@@ -340,7 +340,7 @@
 class Reading:
     """An answer that has come whole and is read in parts."""
 
-    def __init__(self, line: int, parts: Generator[None, None, News]) -> None:
+    def __init__(self, line: int, parts: Generator[None, None, EndpointUpdate]) -> None:
         self.line, self.parts = line, parts
         self.lost = False  # the connection has ended since
 
@@ -353,7 +353,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         where: tuple[str, int],
-        tell: Callable[[News], None],
+        tell: Callable[[EndpointUpdate], None],
         terms: Terms,
         seed: int,
         doubt: Doubt | None = None,
@@ -383,7 +383,7 @@
         self.confirmed: Callable[[int], None] = lambda version: None  # told of each sound answer
         self.closed = False
 
-    def begin(self, known: News | None, patience_s: float, at_once: bool = False) -> bool:
+    def begin(self, known: EndpointUpdate | None, patience_s: float, at_once: bool = False) -> bool:
         """The first call, in this gateway's turn. `known`: the saved list, if there is one that can be served
         by. Whether the answer is worth waiting for so long."""
         if known is not None:
@@ -497,7 +497,7 @@
         try:
             next(reading.parts)
         except StopIteration as end:
-            found: News | Exception = end.value
+            found: EndpointUpdate | Exception = end.value
         except (ValueError, RecursionError) as error:
             found = error
         else:
@@ -509,7 +509,7 @@
             self.lost(reading.line)
 
     def take(
-        self, line: int, status: int, read: Callable[[], News], retry_after: float | None = None
+        self, line: int, status: int, read: Callable[[], EndpointUpdate], retry_after: float | None = None
     ) -> None:
         """An answer: told on if it is a list, else asked for anew after a pause."""
         now, failed = self.loop.time(), self.watch.failed
@@ -560,7 +560,7 @@
         """What a list that is not believed yet forbids is in force at once."""
         stopped = doubt.forbids(event)
         if stopped:
-            news = News(doubt.version, EndpointList(EndpointListKind.CHANGES, stopped), {})
+            news = EndpointUpdate(doubt.version, EndpointList(EndpointListKind.CHANGES, stopped), {})
             self.held.follow(news)
             self.restrain(news)
 
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -18,7 +18,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, cast
 
-from glenchute.core.types import Address, Counting, Decisions, News
+from glenchute.core.types import Address, DecisionHandler, EndpointUpdate, SharedCounter
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import members as membership
@@ -51,7 +51,7 @@
     """This process among the members."""
 
     def __init__(
-        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: Decisions, made: Settings,
+        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: DecisionHandler, made: Settings,
         seed: int, number: int | None = None,
     ) -> None:  # fmt: skip
         """`number`: this gateway's, where the platform tells it: members' numbers count only if its own is
@@ -86,10 +86,10 @@
         self.telling = Telling(module, made, self.use, health, self.told, self.share, loop.time)
         self.lists = ListShare(self.name, now, rng) if raw.get("share_list") else None
         self.use_audit = Audit()
-        self.counter: Counting | None = None
+        self.counter: SharedCounter | None = None
         self.runner = self.running(raw["leases"], rng) if "leases" in raw else None
         self.discovery: Discovery | None = None
-        self.follow: Callable[[News], None] | None = None  # takes what others heard of servers
+        self.follow: Callable[[EndpointUpdate], None] | None = None  # takes what others heard of servers
         self.places: dict[str, Address] = {}  # servers' addresses, as discovery told them here
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -151,7 +151,7 @@
             if not told.done():
                 told.set_result(total if ending is Outcome.OK else None)
 
-        self.counter.call(look.name, 0.0, 1000.0, done, lambda *late: None)
+        self.counter.increment(look.name, 0.0, 1000.0, done, lambda *late: None)
         return await told
 
     async def start(self) -> None:
@@ -231,7 +231,7 @@
             return
         self.gossip.tell(self.loop.time(), row, len(self.members.members))
 
-    def begin(self, known: News | None, discovery: Discovery) -> bool:
+    def begin(self, known: EndpointUpdate | None, discovery: Discovery) -> bool:
         """Before discovery is asked, with the saved list. Whether this gateway asks for all, and does so at
         once."""
         discovery.confirmed = self.confirmed
@@ -277,9 +277,11 @@
         self.discovery.since = self.lists.version
         self.restraint.listed(self.lists.version, False, entries)
         self.places |= addresses
-        self.follow(News(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
+        self.follow(
+            EndpointUpdate(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses)
+        )
 
-    def news(self, news: News) -> None:
+    def news(self, news: EndpointUpdate) -> None:
         """Discovery's word, before the core has it: restraint that it asks for is told on."""
         self.learn(news)
         if self.lists is not None:
@@ -291,7 +293,7 @@
                 rank = float(coldstart.STATES[entry.state])
                 self.told(Row(Kind.SERVER, entry.address, "", news.version, rank))
 
-    def learn(self, news: News) -> None:
+    def learn(self, news: EndpointUpdate) -> None:
         """What discovery has told here."""
         full = news.event.kind is not EndpointListKind.CHANGES
         self.restraint.listed(news.version, full, news.event.endpoints)
@@ -321,7 +323,7 @@
         """Changes of the list that are not discovery's news."""
         if entries and self.follow is not None:
             news = EndpointList(EndpointListKind.CHANGES, tuple(entries))
-            self.follow(News(self.restraint.version, news, self.places))
+            self.follow(EndpointUpdate(self.restraint.version, news, self.places))
 
     # --- socket and clock --------------------------------------------------------------------------------
 
@@ -478,7 +480,7 @@
         return [{"digest": f"{mark:016x}", "rows": len(self.replica.rows)}]
 
 
-def servers_of(news: News) -> list[coldstart.Server]:
+def servers_of(news: EndpointUpdate) -> list[coldstart.Server]:
     """An answer of discovery, as members tell of it."""
     rows = []
     for entry in news.event.endpoints:
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from glenchute.core.types import Decisions
+from glenchute.core.types import DecisionHandler
 from glenchute.policy.actions import Action, Fail, Reject, StartAttempt
 from glenchute.policy.admission.windows import window_start
 from glenchute.policy.events import (
@@ -31,7 +31,7 @@
     """The decision module, with the fleet's ears before it."""
 
     def __init__(
-        self, module: Decisions, made: Settings, use: Use, health: Health, tell: Callable[[Row], None],
+        self, module: DecisionHandler, made: Settings, use: Use, health: Health, tell: Callable[[Row], None],
         share: Callable[[int], float], clock: Callable[[], float],
     ) -> None:  # fmt: skip
         """`share`: of a set of so many gateways, the part whose use is known here. `clock`: seconds, as the
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from glenchute.clients.discovery import ListError, address, read_list
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.listeners.resp2.commands import Bounds, bounds
 from glenchute.policy.connections.client_slots import Budget, budget
 from glenchute.policy.record import record
@@ -41,7 +41,7 @@
     seed: int
     sockets: int
     budget: Budget  # the parts of these
-    known: News | None
+    known: EndpointUpdate | None
     passed: int | None  # the descriptor of the clients' listening socket, where the platform holds that
     settings: Settings
     number: int | None  # of this gateway among `settings.gateways`; None where the platform does not say
--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -20,17 +20,17 @@
     request_id: bytes
     class_name: str
     plan: str
-    customer: str
+    tenant: str
     time_left_ms: float
     units: float
-    spread: int
+    gateway_spread: int
 
     def encode(self, left_ms: int) -> bytes:
         """The bytes for a server, told that the gateway will wait so long."""
         raise NotImplementedError
 
     @property
-    def carrier(self) -> Carrier | None:
+    def transport(self) -> AttemptTransport | None:
         """Who makes this request's attempts in place of the gateway's own backend: the proxy it came from."""
         return None
 
@@ -43,7 +43,7 @@
 
 
 @record(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """Final answer: no try ran; come again after this time, 0 for no advice."""
 
     retry_after_ms: float
@@ -54,27 +54,27 @@
     """Final answer: no promise about the effect."""
 
 
-class Sink(Protocol):
+class ResponseSink(Protocol):
     """Where a long value goes: a client whose turn it is. None of these is called from within a call to the
-    source, but for `Source.to`."""
+    source, but for `ResponseSource.start`."""
 
-    def piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """The next bytes."""
 
-    def whole(self) -> None:
+    def finish(self) -> None:
         """All bytes have been given."""
 
-    def cut_short(self) -> None:
+    def abort(self) -> None:
         """No more come, and the client has to be able to tell."""
 
 
-class Source(Protocol):
+class ResponseSource(Protocol):
     """A long value on its way, `length` bytes in all. One that has `failed` gave nothing on, and won't."""
 
-    length: int
-    failed: bool
+    length_bytes: int
+    has_failed: bool
 
-    def to(self, sink: Sink) -> None:
+    def start(self, sink: ResponseSink) -> None:
         """The client's turn has come: gives all on that comes from now on, at the client's pace. Once."""
 
     def pause(self) -> None:
@@ -83,7 +83,7 @@
     def resume(self) -> None:
         """It does again."""
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Nobody wants it any more. No call to the sink follows."""
 
 
@@ -91,26 +91,26 @@
 class Streamed:
     """Final answer: a value too long to be held, as a server gives it for this request."""
 
-    source: Source
+    source: ResponseSource
 
 
-Answer = Served | Streamed | Refused | Failed
+FinalResponse = Served | Streamed | Rejected | Failed
 
 
 @record(slots=True)
-class Result:
+class AttemptResult:
     """How an attempt ended; `sound` where the connection can be used again, `last` where whoever carries the
     attempts makes no further one."""
 
-    ending: Outcome
+    outcome: Outcome
     value: bytes | None = None
-    report: bytes | None = None
-    sound: bool = False
-    last: bool = False
+    load_report: bytes | None = None
+    is_connection_reusable: bool = False
+    is_last_attempt: bool = False
 
 
 @record(slots=True)
-class News:
+class EndpointUpdate:
     """A list or changes to it, with the addresses, which only the transport needs."""
 
     version: int
@@ -118,19 +118,21 @@
     addresses: dict[str, Address] = field(default_factory=dict)
 
 
-class Decisions(Protocol):
+class DecisionHandler(Protocol):
     """The decision module, as far as the core needs it."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]: ...
 
 
-class Attempt(Protocol):
+class UpstreamAttempt(Protocol):
     """One request on its way to one server. `done` was handed over at the making and is called once."""
 
-    started: float  # the loop's time
-    written: bool  # a byte may have left: it may have run
-    began: Callable[[Source], None] | None  # told of an answer too long to be held, before `done`
-    wanted: Callable[[], bool] | None  # asked right before it is written; False: it has ended, unsent
+    started_at: float  # the loop's time
+    is_written: bool  # a byte may have left: it may have run
+    on_response_started: (
+        Callable[[ResponseSource], None] | None
+    )  # told of an answer too long to be held, before `done`
+    is_wanted: Callable[[], bool] | None  # asked right before it is written; False: it has ended, unsent
 
     def start(self) -> None:
         """Sends it, or begins to."""
@@ -139,64 +141,64 @@
         """Ends it early. `done` is called once the connection is closed."""
 
 
-class About(NamedTuple):
+class AttemptContext(NamedTuple):
     """What a carrier that places attempts on shared connections needs to know of one. Times are the loop's,
     in seconds."""
 
     class_name: str
-    came: float  # when its request came
+    received_at: float  # when its request came
     deadline: float  # attempts end by then
-    again: bool  # its request may have a further attempt after a reset, as far as numbers and routes go
-    depth: int  # most attempts on its connection, by its route; 0: none said
-    held: Callable[[], None]  # to be told that it waits behind a stalled one
-    placed: Callable[[str], None] | None  # to be told where it went and why, if anybody wants to know
+    may_retry: bool  # its request may have a further attempt after a reset, as far as numbers and routes go
+    max_depth: int  # most attempts on its connection, by its route; 0: none said
+    on_stalled: Callable[[], None]  # to be told that it waits behind a stalled one
+    on_assigned: Callable[[str], None] | None  # to be told where it went and why, if anybody wants to know
 
 
-class Carrier(Protocol):
+class AttemptTransport(Protocol):
     """Makes attempts."""
 
-    def attempt(
+    def create_attempt(
         self,
         server: str,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
-        about: About | None = None,
-    ) -> Attempt | None:
+        about: AttemptContext | None = None,
+    ) -> UpstreamAttempt | None:
         """Makes an attempt, not started yet; None if the server takes nothing (any more). Not a byte of it
         leaves after `write_by`, the loop's time: it then ends as "could not connect"."""
 
 
-class Backend(Carrier, Protocol):
+class UpstreamServers(AttemptTransport, Protocol):
     """The servers, by their ids."""
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server that takes work."""
 
-    def relisted(
+    def activate_servers(
         self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
     ) -> None:
         """Many servers that take work; `anew` tells of one whether it was started anew. Of the others all
         `stay` as they are, or those named, the rest having left the list."""
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """A server that drains: nothing new, what is out may finish."""
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """A server that left the list."""
 
-    def known(self) -> list[str]:
+    def server_ids(self) -> list[str]:
         """All that are listed or drain."""
 
     def address(self, server: str) -> Address | None:
         """Where it listens; None if it takes nothing (any more)."""
 
 
-class Counting(Protocol):
+class SharedCounter(Protocol):
     """The shared counter."""
 
-    def call(
+    def increment(
         self,
         name: int,
         amount: float,
--- a/glenchute/listeners/extproc/calls.py
+++ b/glenchute/listeners/extproc/calls.py
@@ -14,8 +14,20 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from glenchute.core.gateway import Gateway, Live
-from glenchute.core.types import About, Address, Answer, Call, Carrier, Refused, Result, Served, Source
+from glenchute.core.gateway import ActiveRequest, RequestExecutor
+from glenchute.core.types import (
+    Address,
+    AttemptContext,
+    AttemptResult,
+    AttemptTransport,
+    Call,
+    Failed,
+    FinalResponse,
+    Rejected,
+    ResponseSource,
+    Served,
+    Streamed,
+)
 from glenchute.policy.events import Outcome
 from glenchute.policy.record import record
 from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
@@ -34,6 +46,13 @@
 TIMEOUT = "x-envoy-upstream-rq-timeout-ms"
 TRY_TIMEOUT = "x-envoy-upstream-rq-per-try-timeout-ms"
 EXPECTED = "x-envoy-expected-rq-timeout-ms"  # what a node is told of the time that it has
+# The final response in the words of the counters and of `proxied_attempts`.
+RESPONSE_WORDS: dict[type[FinalResponse], str] = {
+    Served: "served",
+    Streamed: "streamed",
+    Rejected: "refused",
+    Failed: "failed",
+}
 PASSED = ev.Go("response_headers", {}, (RETRY,))  # a node must not ask for a retry in the module's name
 SWEEP_S = 0.25
 AFTERMATH_S = 1.0  # an entry outlives its request's deadline by this at most
@@ -87,7 +106,7 @@
         return b""
 
     @property
-    def carrier(self) -> Carrier | None:
+    def transport(self) -> AttemptTransport | None:
         return self.entry
 
 
@@ -95,22 +114,41 @@
     """An attempt that the proxy makes, from the module's choice to its one ending."""
 
     __slots__ = (
-        "address", "began", "done", "entry", "over", "server", "started", "stream", "timeout_s", "timer",
-        "until", "wanted", "write_by", "written",
-    )  # fmt: skip
+        "address",
+        "done",
+        "entry",
+        "is_wanted",
+        "is_written",
+        "on_response_started",
+        "over",
+        "server",
+        "started_at",
+        "stream",
+        "timeout_s",
+        "timer",
+        "until",
+        "write_by",
+    )
 
     def __init__(
-        self, entry: Entry, server: str, address: Address, timeout_s: float, done: Callable[[Result], None],
+        self,
+        entry: Entry,
+        server: str,
+        address: Address,
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
         write_by: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.entry, self.server, self.address = entry, server, hostport(address)
         self.timeout_s, self.done, self.write_by = timeout_s, done, write_by
-        self.started = entry.calls.loop.time()
-        self.until = self.started + timeout_s
-        self.written = False  # the proxy was let through: it may have run
+        self.started_at = entry.calls.loop.time()
+        self.until = self.started_at + timeout_s
+        self.is_written = False  # the proxy was let through: it may have run
         self.over = False
-        self.began: Callable[[Source], None] | None = None  # values go by the proxy, however long
-        self.wanted: Callable[[], bool] | None = None  # the proxy writes
+        self.on_response_started: Callable[[ResponseSource], None] | None = (
+            None  # values go by the proxy, however long
+        )
+        self.is_wanted: Callable[[], bool] | None = None  # the proxy writes
         self.stream: Upstream | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -125,11 +163,11 @@
         if self.over:
             return
         stream = self.stream
-        self.end(Result(why if self.written else Outcome.NOT_SENT))
+        self.end(AttemptResult(why if self.is_written else Outcome.NOT_SENT))
         if stream is not None and stream.abort is not None:
             stream.abort()
 
-    def end(self, result: Result) -> None:
+    def end(self, result: AttemptResult) -> None:
         """The one ending; later ones are dropped."""
         if self.over:
             return
@@ -166,7 +204,7 @@
 
     def __init__(self, calls: Calls, ref: int, fields: Fields, deadline: float) -> None:
         self.calls, self.ref, self.fields, self.deadline = calls, ref, fields, deadline
-        self.live: Live | None = None
+        self.live: ActiveRequest | None = None
         self.first: ev.Go | None = None  # the first decision, told again where its stream is opened again
         self.stream: Downstream | None = None
         self.ask: ev.Answer | None = None  # the proxy waits for the first decision
@@ -174,7 +212,7 @@
         self.held: ev.Answer | None = None  # an attempt's response waits for what follows from it
         self.shown: tuple[int, ev.Answer] | None = None  # the client's response waits for the final answer
         self.detached = False  # the proxy shows no response here: the attempt's stream must
-        self.final: Answer | None = None
+        self.final: FinalResponse | None = None
         self.settled = False  # the final answer is known, or the proxy has given its own
         self.may_have_run = False
         self.strays = 0
@@ -184,12 +222,17 @@
 
     # --- as the carrier ----------------------------------------------------------------------------------
 
-    def attempt(
-        self, server: str, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None],
-        write_by: float, about: About | None = None,
-    ) -> Try | None:  # fmt: skip
+    def create_attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
+        write_by: float,
+        about: AttemptContext | None = None,
+    ) -> Try | None:
         """An attempt that the proxy is to make; None where the node takes nothing (any more)."""
-        address = self.calls.gateway.servers.address(server)
+        address = self.calls.gateway.upstream.address(server)
         if address is None or self.settled:
             return None
         self.tries.append(Try(self, server, address, timeout_s, done, write_by))
@@ -200,7 +243,7 @@
         if self.first is None:
             self.first = self.calls.admission(self, attempt)
             if not self.calls.ways.attempt_streams:
-                attempt.written = self.may_have_run = True
+                attempt.is_written = self.may_have_run = True
             if self.ask is not None:
                 answer, self.ask = self.ask, None
                 answer(self.first)
@@ -211,10 +254,10 @@
             answer(ev.Go("response_headers", again, endpoint=attempt.address))
         self.judge()
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: FinalResponse) -> None:
         """The core's one final answer."""
         self.final, self.settled = answer, True
-        self.calls.counts[type(answer).__name__.lower()] += 1
+        self.calls.counts[RESPONSE_WORDS[type(answer)]] += 1
         if self.ask is not None:
             ask, self.ask = self.ask, None
             ask(self.last_word())
@@ -228,7 +271,7 @@
 
     def last_word(self) -> ev.Told:
         """The final answer as an immediate response."""
-        if isinstance(self.final, Refused):
+        if isinstance(self.final, Rejected):
             return refusal(self.final.retry_after_ms, "refused")
         return failure("failed")
 
@@ -248,14 +291,15 @@
             return
         stream, going_to, answer = self.asking
         attempt = self.tries[-1] if self.tries else None
-        offered = attempt is not None and not attempt.over and not attempt.written
+        offered = attempt is not None and not attempt.over and not attempt.is_written
         known = Asking(
             final=self.settled,
             offered=offered,
             others_open=bool(self.open),
             going_to=going_to,
             chosen=attempt.address if attempt else "",
-            takes_work=attempt is not None and self.calls.gateway.servers.address(attempt.server) is not None,
+            takes_work=attempt is not None
+            and self.calls.gateway.upstream.address(attempt.server) is not None,
             in_time=attempt is not None and self.calls.loop.time() <= attempt.write_by,
         )
         verdict = gate(known)
@@ -264,12 +308,12 @@
             return
         if verdict is Gate.LATE and attempt is not None:
             attempt.end(
-                Result(Outcome.UNREACHABLE)
+                AttemptResult(Outcome.UNREACHABLE)
             )  # the module's next word comes by `offered` or `answered`
             return
         self.asking = None
         if verdict is Gate.PASS and attempt is not None:
-            attempt.written = self.may_have_run = True
+            attempt.is_written = self.may_have_run = True
             attempt.stream, stream.attempt = stream, attempt
             self.open.add(stream)
             self.strays = 0
@@ -280,7 +324,7 @@
             again = {RETRY: "1", self.calls.ways.endpoint_header: attempt.address}
             if self.strays >= STRAYS:
                 again = {}
-                attempt.end(Result(Outcome.NOT_SENT))
+                attempt.end(AttemptResult(Outcome.NOT_SENT))
             answer(ev.Reply(503, {REASON: "other-node", **again}, "", "glenchute_other_node"))
         else:
             answer(self.last_word() if self.final is not None else failure("over"))
@@ -295,7 +339,7 @@
             return
         how = ending(status, details, self.calls.ways.full_status)
         self.held = answer
-        attempt.end(Result(how, b"" if how is Outcome.OK else None, load.encode() or None))
+        attempt.end(AttemptResult(how, b"" if how is Outcome.OK else None, load.encode() or None))
 
     def attempt_closed(self, stream: Upstream) -> None:
         """A stream of the node's side has ended, or broke."""
@@ -309,7 +353,7 @@
             else:
                 timed_out = self.calls.loop.time() >= attempt.until - TIMEOUT_SLACK_S
                 how = Outcome.TIMEOUT if timed_out else Outcome.RESET
-            attempt.end(Result(how))
+            attempt.end(AttemptResult(how))
         elif attempt is not None and self.held is not None and attempt is self.tries[-1]:
             self.held = None  # nobody hears what follows from its response; the next attempt asks
         self.judge()
@@ -322,11 +366,15 @@
         self.shown = status, answer
         attempt = self.tries[-1] if self.tries else None
         if not self.settled and attempt is not None and not attempt.over:
-            if attempt.written:
+            if attempt.is_written:
                 how = ending(status, details, self.calls.ways.full_status)
             else:
                 how = Outcome.UNREACHABLE  # it never asked, and will not be let through
-            attempt.end(Result(how, b"" if how is Outcome.OK else None, load.encode() or None, last=True))
+            attempt.end(
+                AttemptResult(
+                    how, b"" if how is Outcome.OK else None, load.encode() or None, is_last_attempt=True
+                )
+            )
         if not self.settled:  # the module waits for something that the proxy won't do
             self.give_up()
         self.reveal()
@@ -336,7 +384,7 @@
         if self.shown is None or not self.settled:
             return
         (status, answer), self.shown = self.shown, None
-        outcome = type(self.final).__name__.lower() if self.final is not None else ""
+        outcome = RESPONSE_WORDS[type(self.final)] if self.final is not None else ""
         match show(outcome, self.may_have_run, status):
             case Show.THROUGH:
                 extra = {EFFECT: "unknown"} if status >= 500 and self.may_have_run else {}
@@ -372,7 +420,7 @@
         """No answer of ours is owed any more; the module hears that the request is gone."""
         self.settled = True
         if self.live is not None:
-            self.calls.gateway.client_left(self.live)
+            self.calls.gateway.client_disconnected(self.live)
         self.judge()
 
     def expire(self) -> None:
@@ -548,7 +596,9 @@
 class Calls:
     """The table, bounded by `most_calls`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, gateway: Gateway, ways: Ways, signer: Signer) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor, ways: Ways, signer: Signer
+    ) -> None:
         self.loop, self.gateway, self.ways, self.signer = loop, gateway, ways, signer
         self.by_ref: dict[int, Entry] = {}
         self.by_id: dict[str, Entry] = {}
@@ -602,7 +652,7 @@
             fields.spread, entry,
         )  # fmt: skip
         try:
-            live = self.gateway.take(call, entry.answered)
+            live = self.gateway.accept(call, entry.answered)
         except Exception:
             log.exception("a call failed")
             entry.expire()
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -12,8 +12,16 @@
 
 from envoy.service.ratelimit.v3 import rls_pb2
 
-from glenchute.core.gateway import Gateway, Live
-from glenchute.core.types import About, Answer, Call, Carrier, Refused, Result, Source
+from glenchute.core.gateway import ActiveRequest, RequestExecutor
+from glenchute.core.types import (
+    AttemptContext,
+    AttemptResult,
+    AttemptTransport,
+    Call,
+    FinalResponse,
+    Rejected,
+    ResponseSource,
+)
 from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import MappingError, Rules, View
 
@@ -28,21 +36,26 @@
 class Question(Call):
     """A call that only asks; its own carrier."""
 
-    gateway: Gateway | None = None
-    live: Live | None = None
+    gateway: RequestExecutor | None = None
+    live: ActiveRequest | None = None
     admitted: Callable[[], None] | None = None
 
     def encode(self, left_ms: int) -> bytes:
         return b""
 
     @property
-    def carrier(self) -> Carrier | None:
+    def transport(self) -> AttemptTransport | None:
         return self
 
-    def attempt(
-        self, server: str, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None],
-        write_by: float, about: About | None = None,
-    ) -> Elsewhere:  # fmt: skip
+    def create_attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
+        write_by: float,
+        about: AttemptContext | None = None,
+    ) -> Elsewhere:
         """The module lets it go on: that is the answer."""
         return Elsewhere(self, done)
 
@@ -51,13 +64,13 @@
     """The attempt of a question: whoever asked makes it, and nobody here hears what became of it. It ends as
     called off, which may have run, so that its units stay taken."""
 
-    def __init__(self, question: Question, done: Callable[[Result], None]) -> None:
+    def __init__(self, question: Question, done: Callable[[AttemptResult], None]) -> None:
         assert question.gateway is not None
         self.question, self.done = question, done
-        self.started = question.gateway.loop.time()
-        self.written = False
-        self.began: Callable[[Source], None] | None = None
-        self.wanted: Callable[[], bool] | None = None  # nothing is written
+        self.started_at = question.gateway.loop.time()
+        self.is_written = False
+        self.on_response_started: Callable[[ResponseSource], None] | None = None
+        self.is_wanted: Callable[[], bool] | None = None  # nothing is written
         self.over = False
 
     def start(self) -> None:
@@ -73,21 +86,21 @@
         """The request is over before its attempt ends, so that the module looks for no other node."""
         gateway, live = self.question.gateway, self.question.live
         if gateway is not None and live is not None:
-            gateway.client_left(live)
+            gateway.client_disconnected(live)
         self.stop(Outcome.CANCELLED)
 
     def stop(self, ending: Outcome) -> None:
         """Ends it."""
         if not self.over:
             self.over = True
-            self.done(Result(Outcome.CANCELLED))
+            self.done(AttemptResult(Outcome.CANCELLED))
 
 
 class Limiter:
     """Answers the calls."""
 
     def __init__(
-        self, gateway: Gateway, rules: Rules, domain: str, wait_ms: float, counts: dict[str, int]
+        self, gateway: RequestExecutor, rules: Rules, domain: str, wait_ms: float, counts: dict[str, int]
     ) -> None:
         self.gateway, self.rules, self.domain, self.wait_ms = gateway, rules, domain, wait_ms
         self.counts = counts
@@ -130,13 +143,13 @@
                 said = True
                 answer(made)
 
-        def final(given: Answer) -> None:
+        def final(given: FinalResponse) -> None:
             codes[at] = OVER
-            say(response(codes, at, given.retry_after_ms if isinstance(given, Refused) else 0.0))
+            say(response(codes, at, given.retry_after_ms if isinstance(given, Rejected) else 0.0))
 
         question.admitted = lambda: say(response(codes))
-        live = question.live = self.gateway.take(question, final)
-        return lambda: self.gateway.client_left(live)
+        live = question.live = self.gateway.accept(question, final)
+        return lambda: self.gateway.client_disconnected(live)
 
 
 def response(codes: list[int], at: int = 0, retry_after_ms: float | None = None) -> Any:
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -8,7 +8,7 @@
 from glenchute.config.extproc import rules
 from glenchute.config.files import contents, secret_key
 from glenchute.config.platform import Config
-from glenchute.core.gateway import Gateway
+from glenchute.core.gateway import RequestExecutor
 
 from .calls import Calls, Ways
 from .ratelimit import Limiter
@@ -54,7 +54,9 @@
     return found, limits
 
 
-def front(raw: dict[str, Any], config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway) -> Server:
+def front(
+    raw: dict[str, Any], config: Config, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor
+) -> Server:
     """The front, not listening yet; ConfigError where a file that it needs can't be used."""
     found, limits = ways(raw, config)
     calls = Calls(loop, gateway, found, signer(raw))
--- a/glenchute/listeners/resp2/clients.py
+++ b/glenchute/listeners/resp2/clients.py
@@ -17,8 +17,8 @@
 from collections.abc import KeysView
 from typing import Any
 
-from glenchute.core.gateway import Gateway, Live
-from glenchute.core.types import Answer, Refused, Served, Source, Streamed
+from glenchute.core.gateway import ActiveRequest, RequestExecutor
+from glenchute.core.types import FinalResponse, Rejected, ResponseSource, Served, Streamed
 from glenchute.policy.connections.client_slots import Budget, Close, Places, Reason, State
 from glenchute.policy.lifecycle.draining import Lifecycle
 from glenchute.protocol import resp2 as resp
@@ -46,11 +46,11 @@
 PART_S = 0.05  # how often idle connections are looked at while the process leaves or drains
 
 
-def encode(answer: Answer) -> bytes:
+def encode(answer: FinalResponse) -> bytes:
     """A final answer in the protocol's words."""
     if isinstance(answer, Served):
         return resp.bulk(answer.value)
-    if isinstance(answer, Refused):
+    if isinstance(answer, Rejected):
         return resp.busy(answer.retry_after_ms)
     return resp.FAILED
 
@@ -119,9 +119,9 @@
     def __init__(self, client: Client) -> None:
         self.client = client
         self.due = math.inf  # the client waits until then, by the loop's clock
-        self.live: Live | None = None
+        self.live: ActiveRequest | None = None
         self.reply: bytes | None = None
-        self.source: Source | None = None  # of a reply that is too long to be held
+        self.source: ResponseSource | None = None  # of a reply that is too long to be held
         self.request_id: bytes | None = None  # while the request is open
 
     def release(self) -> None:
@@ -130,7 +130,7 @@
             self.client.listener.open_ids.discard(self.request_id)
             self.request_id = None
 
-    def fill(self, answer: Answer) -> None:
+    def fill(self, answer: FinalResponse) -> None:
         """The answer is known; it goes out when those before it have."""
         self.live = None
         if isinstance(answer, Streamed):
@@ -184,7 +184,7 @@
         self.spoke = False  # a whole command has come
         self.errors = 0
         self.partial = False  # the end of a command that has begun is awaited
-        self.streaming: Source | None = None  # the long value whose turn it is
+        self.streaming: ResponseSource | None = None  # the long value whose turn it is
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -221,9 +221,9 @@
             slot.release()
             live, slot.live = slot.live, None
             if live is not None:
-                self.listener.gateway.client_left(live)
+                self.listener.gateway.client_disconnected(live)
             if slot.source is not None:
-                slot.source.drop()
+                slot.source.discard()
         self.streaming = None
 
     def data_received(self, data: bytes) -> None:
@@ -322,7 +322,7 @@
         slot.request_id = call.request_id
         self.listener.taken += 1
         try:
-            live = self.listener.gateway.take(call, slot.fill, self.left)
+            live = self.listener.gateway.accept(call, slot.fill, self.left)
         except Exception:
             slot.release()
             raise
@@ -382,28 +382,28 @@
     @staticmethod
     def next_reply(slot: Slot) -> bool:
         """Whether the reply that is next in order can be written whole."""
-        if slot.reply is None and slot.source is not None and slot.source.failed:
+        if slot.reply is None and slot.source is not None and slot.source.has_failed:
             slot.release()
             slot.reply, slot.source = resp.FAILED, None  # it ended while it waited: nothing of it has left
         return slot.reply is not None
 
-    def stream(self, source: Source) -> None:
+    def stream(self, source: ResponseSource) -> None:
         """The turn of a long value: its bytes go on as they come."""
         assert self.transport is not None
         self.streaming = source
         self.transport.set_write_buffer_limits(high=LONG_BUFFERED)
-        self.transport.write(b"$%d\r\n" % source.length)
+        self.transport.write(b"$%d\r\n" % source.length_bytes)
         self.settle()
         self.throttle()
         if self.full:
             source.pause()  # of replies before it
-        source.to(self)
+        source.start(self)
 
-    def piece(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(data)
 
-    def whole(self) -> None:
+    def finish(self) -> None:
         if self.transport is not None and self.streaming is not None:
             self.streaming = None
             self.transport.set_write_buffer_limits(high=BUFFERED)
@@ -412,7 +412,7 @@
             slot.reply, slot.source = b"\r\n", None
             self.flush()
 
-    def cut_short(self) -> None:
+    def abort(self) -> None:
         """The value ends before its length is reached, and so does the connection: the client can tell. The
         replies before it have been written, and leave."""
         self.streaming = None
@@ -491,7 +491,7 @@
         """Whether bytes, or the end, have come from the other side and wait in the machine."""
         return self.transport is not None and happened(self.transport.get_extra_info("socket"), select.POLLIN)
 
-    def finish(self) -> None:
+    def close_when_answered(self) -> None:
         """Closes once all that was taken is answered."""
         self.closing = True
         self.flush()
@@ -511,7 +511,7 @@
         elif reason is Reason.PARTIAL:
             self.broken(resp.ProtocolError("the end of a command did not come"))
         else:
-            self.finish()
+            self.close_when_answered()
         return True
 
     def part(self, since: float) -> None:
@@ -520,14 +520,14 @@
         if place is None or self.slots or self.closing or self.parser.rest():
             return
         if place.since <= since and not self.readable():
-            self.finish()
+            self.close_when_answered()
 
 
 class Listener:
     """Accepts clients, up to a number, and ends those whose time is up."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, gateway: Gateway, catalogue: Catalogue, made: Budget
+        self, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor, catalogue: Catalogue, made: Budget
     ) -> None:  # fmt: skip
         """`made`: the parts of the process's descriptors, of which clients have theirs."""
         self.loop = loop
@@ -594,7 +594,7 @@
         found = verdict(self.loop.time(), order, RELEASE_S)
         for slot in list(client.slots)[: found.through]:
             if slot.reply is None and slot.live is not None:
-                self.gateway.close_request(slot.live.ref)
+                self.gateway.abort_request(slot.live.request_id)
         if found.next_look < math.inf and client.slots:
             self.looks[client] = self.loop.call_at(found.next_look, client.flush)
 
--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -97,10 +97,10 @@
             class_name=name,
             plan=self.known(self.plans, fields, b"t", "plan"),
             # The one form that all gateways share: windows and counter names hang on it.
-            customer=customer.lower().decode(),
+            tenant=customer.lower().decode(),
             time_left_ms=min(left_ms, self.bounds.wait_ms),
             units=units,
-            spread=spread,
+            gateway_spread=spread,
             before=b"*%d\r\n%b" % (len(words), b"".join([resp.bulk(word) for word in words[:3]])),
             fields=gap,
             after=resp.bulk(words[4]) if len(words) == 5 else b"",
--- a/glenchute/upstreams/connection_pool.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Collection, Coroutine
 from typing import TYPE_CHECKING, Any
 
-from glenchute.core.types import About, Address, Result, Source
+from glenchute.core.types import Address, AttemptContext, AttemptResult, ResponseSource
 from glenchute.policy.connections.hedged_connects import Budget, Usual
 from glenchute.policy.connections.streaming_turns import Turns
 from glenchute.policy.events import Outcome
@@ -43,20 +43,20 @@
     long_values: int = 64  # that may be read at the same time
 
 
-def classify(reply: Any) -> Result:
+def classify(reply: Any) -> AttemptResult:
     """A server's reply as PROTOCOL's table reads it. Only the exact forms count: what was spoilt on its way
     has run, so it must neither be served nor pass for a request that never ran."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
-        return Result(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
+        return AttemptResult(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
     if isinstance(reply, resp.ReplyError):
         text, _, last = str(reply).rpartition(" ")
         report = last.encode() if LOAD.fullmatch(last) else None
         if report is None:
             text = str(reply)
         if text == "BUSY":
-            return Result(Outcome.REJECTED, None, report, True)
-        return Result(Outcome.ERROR, None, report, text == "ERR failed")
-    return Result(Outcome.ERROR)
+            return AttemptResult(Outcome.REJECTED, None, report, True)
+        return AttemptResult(Outcome.ERROR, None, report, text == "ERR failed")
+    return AttemptResult(Outcome.ERROR)
 
 
 class Connection(asyncio.Protocol):
@@ -103,10 +103,10 @@
             return
         self.answered(attempt, classify(reply), self.parser.rest())
 
-    def answered(self, attempt: Attempt, result: Result, more: bool) -> None:
+    def answered(self, attempt: Attempt, result: AttemptResult, more: bool) -> None:
         """The answer has come whole; `more`: with bytes behind it."""
-        sound = result.sound and not more
-        if not sound and result.ending is not Outcome.OK:
+        sound = result.is_connection_reusable and not more
+        if not sound and result.outcome is not Outcome.OK:
             self.spoilt()
             return
         self.attempt = None
@@ -119,7 +119,7 @@
     def too_long(self, attempt: Attempt) -> None:
         """A value that is not held here: passed on as it comes, if it is the answer's own."""
         found = LongReply.of(self.parser.take())
-        if found is None or attempt.began is None:
+        if found is None or attempt.on_response_started is None:
             self.spoilt()
             return
         from .streamed_value import LongAnswer  # most processes never meet one
@@ -133,7 +133,7 @@
     def spoilt(self) -> None:
         """What came is no answer, but the request may have run."""
         if self.attempt is not None and self.attempt.result is None:
-            self.attempt.result = Result(Outcome.ERROR)
+            self.attempt.result = AttemptResult(Outcome.ERROR)
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -147,7 +147,7 @@
             # uvloop closes the socket only after this call. The ending may start another attempt, which must
             # not reach a server while this one is still out, so it is told in the loop's next round.
             # The request was handed to the kernel whole, or may have been: reset, never "did not run".
-            result = attempt.result or Result(Outcome.RESET)
+            result = attempt.result or AttemptResult(Outcome.RESET)
             self.pool.servers.loop.call_soon(attempt.finish, result)
 
     def abort(self) -> None:
@@ -227,25 +227,34 @@
     """One request on its way to one server, from `Send` to its one ending, whatever carries it."""
 
     __slots__ = (
-        "began", "done", "ended", "payload", "started", "timer", "until", "wanted", "write_by", "written",
-    )  # fmt: skip
+        "done",
+        "ended",
+        "is_wanted",
+        "is_written",
+        "on_response_started",
+        "payload",
+        "started_at",
+        "timer",
+        "until",
+        "write_by",
+    )
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
         self.payload = payload  # makes the command, given the milliseconds left
         self.done = done
-        self.began: Callable[[Source], None] | None = None
-        self.wanted: Callable[[], bool] | None = None  # asked right before it is written; ends it if not
-        self.started = loop.time()
-        self.until = self.started + timeout_s
+        self.on_response_started: Callable[[ResponseSource], None] | None = None
+        self.is_wanted: Callable[[], bool] | None = None  # asked right before it is written; ends it if not
+        self.started_at = loop.time()
+        self.until = self.started_at + timeout_s
         self.write_by = write_by  # not a byte may leave after this
-        self.ended = self.written = False
+        self.ended = self.is_written = False
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -262,7 +271,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def finish(self, result: Result) -> None:
+    def finish(self, result: AttemptResult) -> None:
         """The one ending; later ones are dropped."""
         if self.ended:
             return
@@ -281,12 +290,12 @@
         pool: Pool,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
         super().__init__(pool.servers.loop, payload, timeout_s, done, write_by)
         self.pool = pool
-        self.result: Result | None = None  # set while the connection closes for a reason of ours
+        self.result: AttemptResult | None = None  # set while the connection closes for a reason of ours
         self.conn: Connection | None = None
         self.opening: set[asyncio.Task[None]] = set()  # connections coming up: one, or two if that is late
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -300,12 +309,12 @@
         if conn is not None:
             self.write(conn)
         elif not servers.make_room():
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
         else:
             self.open()
             connect_s = servers.limits.connect_s
             self.connect_timer = servers.loop.call_later(connect_s, self.no_connection)
-            late_s = servers.usual.late_after(min(connect_s, self.until - self.started))
+            late_s = servers.usual.late_after(min(connect_s, self.until - self.started_at))
             if late_s is not None:
                 self.late_timer = servers.loop.call_later(late_s, self.late)
 
@@ -336,7 +345,7 @@
             await servers.loop.create_connection(lambda: conn, host, port)
         except OSError:
             self.opening.discard(task)
-            if not self.opening and not self.written:
+            if not self.opening and not self.is_written:
                 self.no_connection()
             return
         except asyncio.CancelledError:
@@ -348,29 +357,29 @@
         pool.beside.came_up()
         if pool.stop_at is not None and servers.loop.time() > pool.stop_at:
             conn.abort()  # the drain's grace ended while this connection came up
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
         else:
             self.write(conn)
 
     def write(self, conn: Connection) -> None:
         """Writes the request; from here on it may have run."""
         self.drop_connects()
-        if self.wanted is not None and not self.wanted():
+        if self.is_wanted is not None and not self.is_wanted():
             conn.abort()
             return
         now = self.pool.servers.loop.time()
         left = int(1000.0 * (self.until - now))
         if left < 1 or now > self.write_by or conn.transport is None or conn.transport.is_closing():
             conn.abort()
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
             return
-        self.conn, self.written = conn, True
+        self.conn, self.is_written = conn, True
         conn.attempt = self
         conn.transport.write(self.payload(left))
 
     def no_connection(self) -> None:
         """The connection was refused or did not come up in time."""
-        self.finish(Result(Outcome.UNREACHABLE))
+        self.finish(AttemptResult(Outcome.UNREACHABLE))
 
     def drop_connects(self) -> None:
         """Gives up what is coming up, but for the one that has just come."""
@@ -388,14 +397,14 @@
             return
         if self.conn is None:
             # Nothing was written: it can't have run. Called off, it says nothing of the server either.
-            self.finish(Result(Outcome.UNREACHABLE if ending is Outcome.TIMEOUT else Outcome.NOT_SENT))
+            self.finish(AttemptResult(Outcome.UNREACHABLE if ending is Outcome.TIMEOUT else Outcome.NOT_SENT))
         else:
             if ending is Outcome.TIMEOUT:
                 # A machine that vanished says nothing, and resets what it finds open once it is back. Its
                 # other connections, unused for as long as this attempt, would then turn requests that never
                 # ran into resets, after which an unsafe one can't be tried again.
-                self.pool.close_idle(self.started)
-            self.result = Result(ending)
+                self.pool.close_idle(self.started_at)
+            self.result = AttemptResult(ending)
             self.conn.abort()
 
     def let_go(self) -> None:
@@ -426,7 +435,7 @@
         """A pool for a server that was not listed at this address before."""
         return Pool(self, address)
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server that takes work."""
         if self.unopened.pop(server, None) is not None:
             self.stopping.pop(server, None)
@@ -441,16 +450,16 @@
         elif started_anew:
             pool.close_idle()  # they lead to the process that ended
 
-    def relisted(
+    def activate_servers(
         self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
     ) -> None:
         """Many servers that take work; what is not among them stays, or that of it which `stay` names. A pool
         that was not there is made when it is first asked for: most never are."""
         for server in list(self.pools):
             if server in addresses:
-                self.listed(server, addresses[server], anew(server))
+                self.activate_server(server, addresses[server], anew(server))
             elif stay is not None and server not in stay:
-                self.gone(server)
+                self.remove_server(server)
         drain = self.stopping.items()
         self.stopping = {
             name: at for name, at in drain if name not in addresses and (stay is None or name in stay)
@@ -461,7 +470,7 @@
         for server in self.pools:
             self.unopened.pop(server, None)
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """A server that drains: nothing new, what is out may finish."""
         if server in self.unopened:
             self.stopping.setdefault(server, self.loop.time() + self.limits.grace_s - GRACE_MARGIN_S)
@@ -470,7 +479,7 @@
         if pool is not None:
             pool.stop()
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """A server that left the list."""
         self.unopened.pop(server, None)
         self.stopping.pop(server, None)
@@ -486,7 +495,7 @@
             return server not in self.unopened or server in self.stopping
         return pool.stop_at is not None
 
-    def known(self) -> list[str]:
+    def server_ids(self) -> list[str]:
         """All that are listed or drain."""
         return [*self.pools, *self.unopened]
 
@@ -532,7 +541,7 @@
             made = self.pools[server] = self.pool(server, self.unopened.pop(server))
             made.stop_at = self.stopping.pop(server)
         elif server in self.unopened:
-            self.listed(server, self.unopened[server], False)
+            self.activate_server(server, self.unopened[server], False)
         pool = self.pools.get(server)
         if pool is None or (pool.stop_at is not None and self.loop.time() > pool.stop_at):
             return None
@@ -543,14 +552,14 @@
         pool = self.open_pool(server)
         return pool.address if pool is not None else None
 
-    def attempt(
+    def create_attempt(
         self,
         server: str,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float = math.inf,
-        about: About | None = None,
+        about: AttemptContext | None = None,
     ) -> Underway | None:
         """Makes an attempt, not started yet; None if the server takes nothing (any more). Each has a
         connection to itself, so that `about` says nothing of use here."""
--- a/glenchute/upstreams/pipelined.py
+++ b/glenchute/upstreams/pipelined.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from glenchute.core.types import About, Address, Result
+from glenchute.core.types import Address, AttemptContext, AttemptResult
 from glenchute.policy.connections.class_compatibility import Sharing
 from glenchute.policy.connections.pipelined_connection import CROSSING_MS, Entry, Line
 from glenchute.policy.connections.pipelining import (
@@ -60,7 +60,7 @@
 
     def __init__(
         self, pool: LinePool, payload: Callable[[int], bytes], timeout_s: float,
-        done: Callable[[Result], None], write_by: float, about: About | None,
+        done: Callable[[AttemptResult], None], write_by: float, about: AttemptContext | None,
     ) -> None:  # fmt: skip
         servers = pool.servers
         super().__init__(servers.loop, payload, timeout_s, done, write_by)
@@ -87,11 +87,11 @@
         while True:
             now = servers.loop.time()
             if now > self.write_by or (pool.stop_at is not None and now > pool.stop_at):
-                self.finish(Result(Outcome.UNREACHABLE))
+                self.finish(AttemptResult(Outcome.UNREACHABLE))
                 return
             found = servers.place(self, now, now >= self.wait_until)
             if found.how is How.NONE or (found.how is How.WAIT and len(pool.waiting) >= MOST_WAITING):
-                self.finish(Result(Outcome.UNREACHABLE))
+                self.finish(AttemptResult(Outcome.UNREACHABLE))
                 return
             if found.how is How.WAIT:
                 pool.waiting[self.ref] = self
@@ -104,7 +104,7 @@
                 self.conn = pool.opened(found.line)
                 if self.conn is None:
                     servers.pipeline.lost(1000.0 * now, found.line)
-                    self.finish(Result(Outcome.UNREACHABLE))
+                    self.finish(AttemptResult(Outcome.UNREACHABLE))
                     return
                 break
             conn = pool.by_line.get(found.line)
@@ -112,13 +112,13 @@
                 self.conn = conn
                 break
             servers.pipeline.lost(1000.0 * now, found.line)
-        if self.about is not None and self.about.placed is not None:
-            self.about.placed(f"{pool.server}: {found.reason(1000.0 * servers.loop.time())}")
+        if self.about is not None and self.about.on_assigned is not None:
+            self.about.on_assigned(f"{pool.server}: {found.reason(1000.0 * servers.loop.time())}")
         self.conn.join(self)
 
     def unsend(self) -> None:
         """Its server drains: it ends, unless it was handed over meanwhile."""
-        if not self.ended and not self.written:
+        if not self.ended and not self.is_written:
             self.stop(Outcome.CANCELLED)
 
     def stop(self, ending: Outcome) -> None:
@@ -132,13 +132,15 @@
             if conn is not None:
                 conn.rest()
             # Nothing was handed over: it can't have run. Called off, it says nothing of the server either.
-            self.finish(Result(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE))
+            self.finish(
+                AttemptResult(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE)
+            )
         elif ending is Outcome.CANCELLED and len(conn.line) > 1:
             entry.called_off = True
         else:
             if ending is Outcome.TIMEOUT:
                 # As in `resp2.Attempt.stop`: a machine that vanished resets what it finds open later.
-                self.pool.close_idle(self.started)
+                self.pool.close_idle(self.started_at)
             conn.cut(entry, ending, "its time is up" if ending is Outcome.TIMEOUT else "called off")
 
     def let_go(self) -> None:
@@ -162,7 +164,9 @@
         super().__init__(pool)
         self.number = number
         self.line: Line[LineAttempt] = Line(CROSSING_MS, pool.servers.pipeline.rules.settle_ms)
-        self.endings: list[tuple[LineAttempt, Result]] | None = None  # fixed when the gateway closes it
+        self.endings: list[tuple[LineAttempt, AttemptResult]] | None = (
+            None  # fixed when the gateway closes it
+        )
         self.up = self.full = self.booked = False
         self.task: asyncio.Task[None] | None = None
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -217,7 +221,7 @@
         self.endings = []
         self.forgotten(False)
         for item, ending in ended:
-            item.finish(Result(ending))
+            item.finish(AttemptResult(ending))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -248,8 +252,8 @@
         if transport is None or transport.is_closing():
             return
         for entry in list(self.line.waiting):
-            if entry.item.wanted is not None and not entry.item.ended:
-                entry.item.wanted()  # takes it back
+            if entry.item.is_wanted is not None and not entry.item.ended:
+                entry.item.is_wanted()  # takes it back
         now = self.lines.loop.time()
         stop_at = self.pool.stop_at
         late: list[LineAttempt] = []
@@ -265,7 +269,7 @@
         batch, data = self.line.batch(1000.0 * now, gather.most, gather.most_bytes)
         if batch:
             for entry in batch:
-                entry.item.written = True
+                entry.item.is_written = True
             self.lines.counts["writes"] += 1
             self.lines.counts["commands"] += len(batch)
             transport.write(data)
@@ -273,7 +277,7 @@
             if self.line.waiting:
                 self.book()
         for attempt in late:
-            attempt.finish(Result(Outcome.UNREACHABLE))
+            attempt.finish(AttemptResult(Outcome.UNREACHABLE))
         if late:
             self.rest()
 
@@ -330,7 +334,7 @@
             self.stall = None
         now = 1000.0 * self.lines.loop.time()
         self.sample()
-        done: list[tuple[LineAttempt, Result]] = []
+        done: list[tuple[LineAttempt, AttemptResult]] = []
         fault = ""
         try:
             self.parser.feed(data)
@@ -350,8 +354,8 @@
             self.cut(None, Outcome.RESET, fault)
             # What was spoilt may be tried again: that too must wait until the connection is closed.
             assert self.endings is not None
-            self.endings[:0] = [row for row in done if row[1].ending is not Outcome.OK]
-            done = [row for row in done if row[1].ending is Outcome.OK]
+            self.endings[:0] = [row for row in done if row[1].outcome is not Outcome.OK]
+            done = [row for row in done if row[1].outcome is Outcome.OK]
         elif done:
             self.rest()
         for attempt, result in done:
@@ -360,7 +364,7 @@
             self.lines.wake(self.pool)
         self.lines.arm()
 
-    def replied(self, now: float, reply: object, done: list[tuple[LineAttempt, Result]]) -> str:
+    def replied(self, now: float, reply: object, done: list[tuple[LineAttempt, AttemptResult]]) -> str:
         """One whole reply; what is wrong with it, if the line can't go on after it."""
         found = self.line.reply(now)
         if found is None:
@@ -368,28 +372,28 @@
         entry, trusted = found
         result = classify(reply)
         if not trusted:
-            result = Result(Outcome.ERROR)
-        self.lines.pipeline.answered(now, self.number, result.ending is Outcome.OK)
+            result = AttemptResult(Outcome.ERROR)
+        self.lines.pipeline.answered(now, self.number, result.outcome is Outcome.OK)
         if entry.called_off:
-            result = Result(Outcome.CANCELLED, sound=result.sound)
+            result = AttemptResult(Outcome.CANCELLED, is_connection_reusable=result.is_connection_reusable)
         done.append((entry.item, result))
         if not trusted:
             return "a reply that may be another's"
-        return "" if result.sound else "a reply of no known form"
+        return "" if result.is_connection_reusable else "a reply of no known form"
 
-    def spoil_head(self, now: float, done: list[tuple[LineAttempt, Result]]) -> None:
+    def spoil_head(self, now: float, done: list[tuple[LineAttempt, AttemptResult]]) -> None:
         """What came for the head is no answer, but it may have run."""
         entry = self.line.out[0]
         if self.line.may_have_left(entry):
             self.line.out.popleft()
             self.lines.pipeline.answered(now, self.number, False)
-            done.append((entry.item, Result(Outcome.CANCELLED if entry.called_off else Outcome.ERROR)))
+            done.append((entry.item, AttemptResult(Outcome.CANCELLED if entry.called_off else Outcome.ERROR)))
 
     def spoilt(self) -> None:
         """An answer that began does not go on."""
         self.stall = None
         if self.endings is None:
-            done: list[tuple[LineAttempt, Result]] = []
+            done: list[tuple[LineAttempt, AttemptResult]] = []
             self.sample()
             if self.line.out:
                 self.spoil_head(1000.0 * self.lines.loop.time(), done)
@@ -405,7 +409,7 @@
             return
         self.sample()
         ended = self.line.cut(cause, ending)
-        self.endings = [(item, Result(how)) for item, how in ended]
+        self.endings = [(item, AttemptResult(how)) for item, how in ended]
         if len(ended) > 1:
             log.info("line %d to %s with %d attempts is cut: %s", self.number, self.pool.address,
                      len(ended), why)  # fmt: skip
@@ -429,7 +433,7 @@
             # The machine does not say how much it had sent: all that was handed over may have left.
             self.line.gone(0)
             ended = self.line.cut()
-            self.endings = [(item, Result(how)) for item, how in ended]
+            self.endings = [(item, AttemptResult(how)) for item, how in ended]
             self.forgotten(bool(ended))
         # uvloop closes the socket only after this call; see `resp2.Connection.connection_lost`.
         self.lines.loop.call_soon(self.tell)
@@ -513,28 +517,33 @@
         """A pool for a server that was not listed at this address before."""
         return LinePool(self, server, address)
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server that takes work."""
         before = self.pools.get(server)
-        super().listed(server, address, started_anew)
+        super().activate_server(server, address, started_anew)
         if started_anew or self.pools[server] is not before:
             self.pipeline.renewed(server)
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """A server that drains: nothing new, what is out may finish."""
         self.pipeline.stopped(server)
-        super().stopped(server)
+        super().drain_server(server)
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """A server that left the list."""
         self.pipeline.stopped(server)
-        super().gone(server)
+        super().remove_server(server)
         self.pipeline.gone(server)
 
-    def attempt(
-        self, server: str, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None],
-        write_by: float = math.inf, about: About | None = None,
-    ) -> LineAttempt | None:  # fmt: skip
+    def create_attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
+        write_by: float = math.inf,
+        about: AttemptContext | None = None,
+    ) -> LineAttempt | None:
         """Makes an attempt, not started yet; None if the server takes nothing (any more)."""
         pool = self.open_pool(server)
         if pool is None:
@@ -553,10 +562,16 @@
             job = Job("", 1000.0 * attempt.until, math.inf, -math.inf, 1)
         else:
             job = job_of(
-                cls, self.pipeline.times.mean(cls.name, server), ms, 1000.0 * attempt.until,
-                1000.0 * about.came, 1000.0 * about.deadline, 1000.0 * attempt.write_by, about.again,
-                about.depth or 1 << 30,
-            )  # fmt: skip
+                cls,
+                self.pipeline.times.mean(cls.name, server),
+                ms,
+                1000.0 * attempt.until,
+                1000.0 * about.received_at,
+                1000.0 * about.deadline,
+                1000.0 * attempt.write_by,
+                about.may_retry,
+                about.max_depth or 1 << 30,
+            )
         found = self.pipeline.place(ms, server, attempt.ref, job, self.has_room, waited)
         if found.how is How.JOIN:
             self.arm()
@@ -589,7 +604,7 @@
                 case Copy(ref):
                     attempt = self.attempts.get(ref)
                     if attempt is not None and attempt.about is not None:
-                        attempt.about.held()
+                        attempt.about.on_stalled()
                 case Cut(line, ref, why):
                     self.cut(line, ref, why)
         self.arm()
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -1,10 +1,10 @@
 """A long value on its way from a server's connection to a client, at the slower one's pace.
 
-The core hears of it when the first bytes have come (`Attempt.began`); the front takes it when the client's
-turn has come (`to`). Until then, while the client does not read, and while others have their turn, the
-server's connection is not read from. Every wait has an end: a server that gives nothing although it is read
-from, and a value that takes too long in all, are cut off; a client that does not read is the front's to cut
-off.
+The core hears of it when the first bytes have come (`UpstreamAttempt.on_response_started`); the listener
+takes it when the client's turn has come (`start`). Until then, while the client does not read, and while
+others have their turn, the server's connection is not read from. Every wait has an end: a server that gives
+nothing although it is read from, and a value that takes too long in all, are cut off; a client that does not
+read is the listener's to cut off.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from glenchute.core.types import Sink
+from glenchute.core.types import ResponseSink
 from glenchute.policy.connections.streaming_turns import Turns
 from glenchute.policy.events import Outcome
 from glenchute.protocol.streamed_reply import LongReply
@@ -37,11 +37,11 @@
 
     def __init__(self, conn: Connection, attempt: Attempt, reply: LongReply) -> None:
         self.conn, self.attempt, self.reply = conn, attempt, reply
-        self.length = reply.length
+        self.length_bytes = reply.length
         self.turns: Turns[LongAnswer] = conn.pool.servers.turns
-        self.sink: Sink | None = None
+        self.sink: ResponseSink | None = None
         self.held: list[bytes] = []  # until the client's turn
-        self.begun = self.failed = self.dropped = self.over = False
+        self.begun = self.has_failed = self.dropped = self.over = False
         self.full = False  # the client does not read
         self.reads = True
         self.timer: asyncio.TimerHandle | None = None
@@ -58,7 +58,7 @@
         value = self.reply.feed(data)
         if value:
             if self.sink is not None:
-                self.sink.piece(value)
+                self.sink.write_chunk(value)
             else:
                 self.held.append(value)
         if not self.begun:
@@ -90,8 +90,8 @@
         if self.attempt.timer is not None:
             self.attempt.timer.cancel()  # the first bytes are in time; the rest has limits of its own
         self.end = loop.call_later(MOST_S, self.conn.spoilt)
-        assert self.attempt.began is not None
-        self.attempt.began(self)
+        assert self.attempt.on_response_started is not None
+        self.attempt.on_response_started(self)
         if self.sink is None and not self.dropped:
             self.hush()  # it waits for its turn
 
@@ -105,7 +105,7 @@
         result = classify(reply)
         result.value = None  # it is not ours to give again
         if self.sink is not None:
-            self.sink.whole()
+            self.sink.finish()
         self.conn.answered(self.attempt, result, self.reply.surplus)
 
     def lost(self) -> None:
@@ -116,20 +116,20 @@
         if self.dropped:
             return
         if self.sink is not None:
-            self.sink.cut_short()
+            self.sink.abort()
         else:
-            self.failed, self.held = True, []
+            self.has_failed, self.held = True, []
 
     # --- from the client's side --------------------------------------------------------------------------
 
-    def to(self, sink: Sink) -> None:
+    def start(self, sink: ResponseSink) -> None:
         """The client's turn: what is held goes out, and the server is read from."""
         self.sink = sink
         held, self.held = self.held, []
         for value in held:
-            sink.piece(value)
+            sink.write_chunk(value)
         if self.over:
-            sink.whole()
+            sink.finish()
         elif not self.full:
             self.ask()
 
@@ -153,7 +153,7 @@
         else:
             self.wait(STUCK_S, self.stuck)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Nobody wants it: the attempt ends with its connection."""
         self.dropped, self.sink, self.held = True, None, []
         if not self.over:
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -15,16 +15,16 @@
 from glenchute.cli.run import LIST_WAIT_S, Program, read_operator
 from glenchute.config.platform import Config
 from glenchute.core.types import (
-    About,
     Address,
-    Answer,
-    Attempt,
+    AttemptContext,
+    AttemptResult,
     Call,
-    Decisions,
+    DecisionHandler,
     Failed,
-    Refused,
-    Result,
-    Source,
+    FinalResponse,
+    Rejected,
+    ResponseSource,
+    UpstreamAttempt,
 )
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine as Policy
@@ -48,22 +48,22 @@
     """An attempt at a hollow server, from a hollow gateway: it ends after a drawn time."""
 
     def __init__(
-        self, servers: Hollows, server: str, timeout_s: float, done: Callable[[Result], None]
+        self, servers: Hollows, server: str, timeout_s: float, done: Callable[[AttemptResult], None]
     ) -> None:
         self.servers, self.server, self.timeout_s, self.done = servers, server, timeout_s, done
-        self.started = servers.loop.time()
-        self.written = False
-        self.began: Callable[[Source], None] | None = None
-        self.wanted: Callable[[], bool] | None = None  # nobody leaves: clients are not there
+        self.started_at = servers.loop.time()
+        self.is_written = False
+        self.on_response_started: Callable[[ResponseSource], None] | None = None
+        self.is_wanted: Callable[[], bool] | None = None  # nobody leaves: clients are not there
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Sends nothing."""
-        self.started = self.servers.loop.time()
+        self.started_at = self.servers.loop.time()
         if self.servers.away(self.server):
             self.timer = self.servers.loop.call_later(0.0005, self.end, Outcome.UNREACHABLE)
             return
-        self.written = True
+        self.is_written = True
         self.servers.out += 1
         service = self.servers.service_s()
         late = service > self.timeout_s
@@ -76,12 +76,12 @@
         if self.timer is None:
             return
         self.timer = None
-        if self.written:
+        if self.is_written:
             self.servers.out -= 1
         if ending is Outcome.OK:
-            self.done(Result(ending, b"$6\r\nhollow\r\n", b"inflight=1,queue=0", True))
+            self.done(AttemptResult(ending, b"$6\r\nhollow\r\n", b"inflight=1,queue=0", True))
         else:
-            self.done(Result(ending))
+            self.done(AttemptResult(ending))
 
     def stop(self, ending: Outcome) -> None:
         """Ended early."""
@@ -105,21 +105,26 @@
         """As the stand-ins draw theirs."""
         return self.half + self.rng.expovariate(1.0 / self.half)
 
-    def attempt(
-        self, server: str, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None],
-        write_by: float, about: About | None = None,
-    ) -> Attempt | None:  # fmt: skip
+    def create_attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
+        write_by: float,
+        about: AttemptContext | None = None,
+    ) -> UpstreamAttempt | None:
         """Makes one."""
         if server not in self.at or self.loop.time() >= write_by:
             return None
         return Trial(self, server, timeout_s, done)
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """It takes work."""
         self.at[server] = address
         self.draining.discard(server)
 
-    def relisted(
+    def activate_servers(
         self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
     ) -> None:
         """They take work."""
@@ -129,12 +134,12 @@
         self.at.update(addresses)
         self.draining.difference_update(addresses)
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """It drains."""
         self.at.pop(server, None)
         self.draining.add(server)
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """It left."""
         self.at.pop(server, None)
         self.draining.discard(server)
@@ -143,7 +148,7 @@
         """Whether it takes nothing new."""
         return server not in self.at
 
-    def known(self) -> list[str]:
+    def server_ids(self) -> list[str]:
         """All."""
         return [*self.at, *self.draining]
 
@@ -160,7 +165,7 @@
     all is what a real gateway is measured for, and would be most of the run's processor time here. Without
     `most`, and on lists no longer than that, the module is told all."""
 
-    def __init__(self, module: Decisions, number: int, most: int) -> None:
+    def __init__(self, module: DecisionHandler, number: int, most: int) -> None:
         self.module, self.number, self.most, self.step = module, number, most, 1
         self.ended = False
 
@@ -198,10 +203,10 @@
         hollow = Hollows(self.loop, self.rng, self.site.service_ms / 1000.0, self.away)
         return hollow  # type: ignore[return-value]
 
-    def narrowed(self, *args: Any, **kwargs: Any) -> Decisions:
+    def narrowed(self, *args: Any, **kwargs: Any) -> DecisionHandler:
         """Subsets are left out where a part is taken anyway (`most_known`): a start of one before 5,700
         servers and each change of the list would cost as much here as at a real one, 500 times."""
-        module: Decisions = args[0]
+        module: DecisionHandler = args[0]
         return module if self.site.most_known else super().narrowed(*args, **kwargs)
 
     def away(self, server: str) -> bool:
@@ -211,7 +216,7 @@
     def up(self) -> None:
         """As `Program.start` without listener."""
         if self.config.known is not None:
-            self.gateway.news(self.config.known)
+            self.gateway.update_endpoints(self.config.known)
         self.discovery.begin(self.config.known, LIST_WAIT_S, False)
 
     def down(self) -> None:
@@ -292,16 +297,16 @@
         call = Asked(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
                      float(kind.deadline_ms), 1.0, spread)  # fmt: skip
         self.answers["asked"] += 1
-        gateway.gateway.take(call, self.answered)
+        gateway.gateway.accept(call, self.answered)
 
     @property
     def open(self) -> int:
         """Requests without an answer."""
         return self.answers["asked"] - sum(self.answers[what] for what in ("served", "refused", "failed"))
 
-    def answered(self, answer: Answer) -> None:
+    def answered(self, answer: FinalResponse) -> None:
         """Books how it ended."""
-        self.answers[{Refused: "refused", Failed: "failed"}.get(type(answer), "served")] += 1
+        self.answers[{Rejected: "refused", Failed: "failed"}.get(type(answer), "served")] += 1
 
     def close(self) -> None:
         """All end."""
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -18,7 +18,7 @@
 from glenchute.clients import discovery as discoveries
 from glenchute.clients.discovery import PART_ROWS, Held, read_in_parts, read_list
 from glenchute.core import gateway as gateways
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import EndpointList, EndpointListKind
 from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
@@ -28,21 +28,21 @@
 MANY = [row(f"n{n}", 9) for n in range(1_000)]  # some 100 KB
 
 
-def whole(body: bytes, held: Held | None) -> News:
+def whole(body: bytes, held: Held | None) -> EndpointUpdate:
     return read_list(json.loads(body), held=held)
 
 
-def parted(body: bytes, held: Held | None) -> News:
+def parted(body: bytes, held: Held | None) -> EndpointUpdate:
     parts = read_in_parts(body, held)
     while True:
         try:
             next(parts)
         except StopIteration as end:
-            news: News = end.value
+            news: EndpointUpdate = end.value
             return news
 
 
-def outcome(read: Callable[[bytes, Held | None], News], body: bytes, held: Held | None) -> Any:
+def outcome(read: Callable[[bytes, Held | None], EndpointUpdate], body: bytes, held: Held | None) -> Any:
     """The list, or that there is none."""
     try:
         return read(body, held)
@@ -323,7 +323,7 @@
         turns.close()
         assert chain.state() == state
     chain.tell(zoned(100, 5_700, weight=2.0))
-    assert set(chain.servers.known()) == {f"n{n}" for n in range(100, 5_800)}
+    assert set(chain.servers.server_ids()) == {f"n{n}" for n in range(100, 5_800)}
     assert all(entry.entry.weight == 2.0 for entry in chain.policy.fleet.servers.values())
 
 
@@ -331,9 +331,9 @@
     """Half of a surrogate pair, as JSON can have it: the list is in force, that server like the others."""
     odd = {**row("x\ud83d", 9), "zone": "z"}
     chain.tell([*zoned(0, 600), odd])
-    assert len(chain.servers.known()) == 601 and len(chain.used()) >= 48 and odd["id"] in chain.used()
+    assert len(chain.servers.server_ids()) == 601 and len(chain.used()) >= 48 and odd["id"] in chain.used()
     chain.tell([{**odd, "state": "Gone"}], False)
-    assert odd["id"] not in chain.servers.known() and odd["id"] not in chain.used()
+    assert odd["id"] not in chain.servers.server_ids() and odd["id"] not in chain.used()
 
 
 def test_connections_to_processes_that_ended_are_closed(
@@ -378,7 +378,7 @@
     assert all(chain.servers.stops(one["id"]) for one in drain[300:])
     assert chain.servers.open_pool("n300") is not None and chain.servers.open_pool("n599") is not None
     chain.tell([*zoned(0, 600), *zoned(900, 4_800)])
-    assert len(chain.servers.known()) == 5_400 and chain.servers.open_pool("n700") is None
+    assert len(chain.servers.server_ids()) == 5_400 and chain.servers.open_pool("n700") is None
 
 
 def drawn(rng: random.Random, names: int) -> list[dict[str, Any]]:
@@ -412,7 +412,7 @@
             old.tell(rows, full)
         for name in rng.sample(sorted(new.used()), len(new.used()) // 3):  # pools that are made by use
             assert new.servers.open_pool(name) is not None
-        for name in rng.sample(sorted(new.servers.known()), 9):  # ... also of some that drain
+        for name in rng.sample(sorted(new.servers.server_ids()), 9):  # ... also of some that drain
             first, second = new.servers.open_pool(name), old.servers.open_pool(name)
             assert first is None or second is None or first.address == second.address
         ours, theirs = new.state(), old.state()
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -192,7 +192,7 @@
             assert "did not come" in str(await half.reply())
             assert await half.reply() is None
             assert await idle.ended()
-            assert len(one.program.gateway.live) == 1  # whose client is still there
+            assert len(one.program.gateway.active_requests) == 1  # whose client is still there
 
     for name in ("SILENT_S", "PARTIAL_S", "IDLE_S"):
         monkeypatch.setattr(places_module, name, 0.2)
@@ -291,7 +291,7 @@
             for number in range(3 * MOST_PENDING):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             await until(lambda: len(script.of(Request)) >= MOST_PENDING)
-            assert len(one.program.gateway.live) == MOST_PENDING
+            assert len(one.program.gateway.active_requests) == MOST_PENDING
             release.set()
             assert {await client.reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
 
@@ -325,12 +325,12 @@
             busy, idle = await one.client(), await one.client()
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: one.program.gateway.live)
+            await until(lambda: one.program.gateway.active_requests)
             third = await one.client()
             assert await third.ask(b"PING") == b"PONG"
             assert await idle.ended()
             third.send(b"CALL.GET", CUSTOMER, b"2", GET)
-            await until(lambda: len(one.program.gateway.live) == 2)
+            await until(lambda: len(one.program.gateway.active_requests) == 2)
             fourth = await one.client()
             assert "too many connections" in str(await fourth.reply())
 
@@ -344,7 +344,7 @@
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             client = await one.client()
             with monkeypatch.context() as patch:
-                patch.setattr(one.program.gateway, "take", None)
+                patch.setattr(one.program.gateway, "accept", None)
                 assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
@@ -460,7 +460,9 @@
             await until(lambda: ("closed", 1, []) in one.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
-            assert not one.program.gateway.started_ms and not one.program.servers.pools  # ids are ever new
+            assert (
+                not one.program.gateway.server_started_ms and not one.program.servers.pools
+            )  # ids are ever new
 
     play(scenario())
 
@@ -531,7 +533,7 @@
         ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
-            made.call(name, 1.5, 4000.0, lambda total, ending, took: ends.append((name, total, ending)))
+            made.increment(name, 1.5, 4000.0, lambda total, ending, took: ends.append((name, total, ending)))
 
         call(2)
         assert ends == [(2, 0.0, Outcome.UNREACHABLE)]  # not connected yet: nothing was added
@@ -571,7 +573,7 @@
         ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
             await until(lambda: all(link.ready() for link in made.links))
-            made.call(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
+            made.increment(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
         assert ends == [(0.0, Outcome.TIMEOUT), (3.0, Outcome.OK)]
@@ -600,7 +602,7 @@
         ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
             await until(lambda: all(link.ready() for link in made.links))
-            made.call(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
+            made.increment(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
         assert ends == [(0.0, Outcome.TIMEOUT), (4.5, Outcome.OK)]
@@ -629,7 +631,7 @@
         ends: list[int] = []
 
         def call(name: int) -> None:
-            made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append(name))
+            made.increment(name, 1.0, 1.0, lambda total, ending, took: ends.append(name))
 
         for name in (0, 2, 4, 6, 8):
             call(name)
@@ -735,7 +737,7 @@
             # A start that waited for news would wait in vain where there is none.
             assert discovery.targets[0].endswith("timeout_ms=1")
             assert not discovery.targets[1].endswith("timeout_ms=1")
-            assert one.program.servers.known() == ["b"]
+            assert one.program.servers.server_ids() == ["b"]
 
     play(scenario())
 
@@ -901,7 +903,7 @@
         ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
-            made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
+            made.increment(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
 
         await until(lambda: all(link.ready() for link in made.links))
         call(2)
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -173,6 +173,6 @@
 def test_without_a_capture_nobody_is_told_of_places() -> None:
     async def scenario() -> None:
         async with site(always(b"+x\r\n"), operator='[pipeline]\nclasses = ["read"]\n') as one:
-            assert not one.program.gateway.tells_places and one.program.gateway.most_attempts == 4
+            assert not one.program.gateway.reports_assignments and one.program.gateway.max_attempts == 4
 
     play(scenario())
--- a/tests/core/test_gateway.py
+++ b/tests/core/test_gateway.py
@@ -259,7 +259,7 @@
             await until(lambda: one.servers[0].calls())
             client.writer.close()
             await until(lambda: script.of(ClientDisconnected))
-            assert one.program.gateway.live == {}
+            assert one.program.gateway.active_requests == {}
 
     play(scenario())
 
@@ -270,13 +270,13 @@
 
         def decide(event: Event) -> list[Action]:
             if isinstance(event, EndpointList) and not script.of(EndpointList)[1:]:
-                return [SetTimer(3, one_clock.now() + 5.0)]
+                return [SetTimer(3, one_clock.now_ms() + 5.0)]
             if isinstance(event, TimerFired):
-                fired.append(one_clock.now())
+                fired.append(one_clock.now_ms())
             return []
 
         one_clock, script = Clock(), Script(decide)
-        start = one_clock.now()
+        start = one_clock.now_ms()
         async with site(decisions=script):
             await until(lambda: fired)
             assert fired[0] >= start + 5.0 and script.of(TimerFired) == [TimerFired(3)]
@@ -286,8 +286,8 @@
 
 def test_the_clock_is_unix_time_and_never_goes_back() -> None:
     clock = Clock()
-    assert abs(clock.now() - time.time() * 1000.0) < 60_000.0
-    times = [clock.now() for _ in range(1000)]
+    assert abs(clock.now_ms() - time.time() * 1000.0) < 60_000.0
+    times = [clock.now_ms() for _ in range(1000)]
     assert times == sorted(times)
 
 
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -182,7 +182,7 @@
     calls = front.calls
     async with asyncio.timeout(10.0):
         await until(lambda: not calls.by_ref and not calls.by_id and not front.streams)
-        await until(lambda: not calls.gateway.live and not calls.gateway.out)
+        await until(lambda: not calls.gateway.active_requests and not calls.gateway.attempts_in_flight)
 
 
 def faulty(seed: int) -> Script:
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.core.types import Answer, Failed, Refused, Served, Streamed
+from glenchute.core.types import Failed, FinalResponse, Rejected, Served, Streamed
 from glenchute.listeners.extproc import events as ev
 from glenchute.listeners.extproc.calls import AFTERMATH_S, MOST_BODY, SWEEP_S, Calls, Downstream, Upstream
 from glenchute.listeners.extproc.token import Signer
@@ -71,7 +71,7 @@
         request = b"%d" % number
         ((at, answer),) = proxy.asked[request].answers if proxy else site.answers[request]
         tries = tuple((r.server, round(r.started, 6), r.ending) for r in site.servers.of(request))
-        wait = int(answer.retry_after_ms) if isinstance(answer, Refused) else 0
+        wait = int(answer.retry_after_ms) if isinstance(answer, Rejected) else 0
         log[request] = tries, type(answer).__name__, round(at, 3), wait
     if proxy is not None:
         settled(proxy)
@@ -82,7 +82,7 @@
     """Nothing is left of any request, in the table, the core or the module."""
     calls, gateway = proxy.calls, proxy.site.gateway
     assert not calls.by_ref and not calls.by_id
-    assert not gateway.live and not gateway.out
+    assert not gateway.active_requests and not gateway.attempts_in_flight
     module: Any = gateway.decisions
     assert not module.requests and not module.attempts
     assert all(customer.open == 0 for customer in module.quota.customers.values())
@@ -94,7 +94,7 @@
     by_proxy = played(seed, 2000, faulty, proxied=True)
     assert {r: (inline[r], by_proxy[r]) for r in inline if inline[r] != by_proxy[r]} == {}
     outcomes = [row[1] for row in inline.values()]
-    assert min(outcomes.count(kind) for kind in ("Served", "Refused", "Failed")) > 400
+    assert min(outcomes.count(kind) for kind in ("Served", "Rejected", "Failed")) > 400
     assert sum(len(row[0]) > 1 for row in inline.values()) > 200  # of which many were tried again
 
 
@@ -165,7 +165,7 @@
     fresh = Site(None, lambda: SERVED, connect_s=site.connect_s, seed=site.seed + 1)
     fresh.loop, fresh.servers = site.loop, site.servers
     fresh.gateway.loop = site.loop  # type: ignore[assignment]
-    fresh.gateway.servers = site.servers
+    fresh.gateway.upstream = site.servers
     fresh.gateway.clock = site.gateway.clock
     after = Proxy(fresh, proxy.tells, **changes)
     after.calls = Calls(after.loop, fresh.gateway, ways(**changes), Signer(b"k" * 32))
@@ -590,4 +590,4 @@
 def test_final_answers_are_the_cores() -> None:
     """A type for each; a new one must be given its words here. `Streamed` comes from the gateway's own
     servers alone: the core tells no carrier's attempt where a long answer would go, so no proxy gets one."""
-    assert {Served, Streamed, Refused, Failed} == set(Answer.__args__)
+    assert {Served, Streamed, Rejected, Failed} == set(FinalResponse.__args__)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 from glenchute.cli.run import Program
 from glenchute.config.operator import parse
 from glenchute.config.platform import Config, build
-from glenchute.core.types import Decisions
+from glenchute.core.types import DecisionHandler
 from glenchute.policy.actions import Action, Fail, StartAttempt
 from glenchute.policy.events import AttemptEnded, Event, Request
 from lab.peers import (
@@ -137,7 +137,7 @@
 @asynccontextmanager
 async def site(
     *replies: Reply,
-    decisions: Decisions | None = None,
+    decisions: DecisionHandler | None = None,
     counter: Reply | None = None,
     discovery: DiscoveryPeer | None = None,
     operator: str | None = None,
--- a/tests/messages/counter.py
+++ b/tests/messages/counter.py
@@ -106,7 +106,7 @@
     rows: Rows = [("ping", bytes(transport.sent))]
     for at, call in enumerate(counts()):
         transport.sent.clear()
-        counter.call(call.key, call.amount, call.ttl_ms, lambda *done: None)
+        counter.increment(call.key, call.amount, call.ttl_ms, lambda *done: None)
         rows.append((str(at), bytes(transport.sent)))
     return rows
 
@@ -118,7 +118,7 @@
     for call in counts():
         for transport in transports:
             transport.sent.clear()
-        counter.call(call.key, call.amount, call.ttl_ms, lambda *done: None)
+        counter.increment(call.key, call.amount, call.ttl_ms, lambda *done: None)
         found.append(next(at for at, transport in enumerate(transports) if transport.sent))
     return found
 
@@ -134,7 +134,7 @@
             told.append(f"{ending.value} {total!r}\n")
 
         counter.links[0].data_received(b"+PONG\r\n")
-        counter.call(9, 1.0, 60_000.0, done)
+        counter.increment(9, 1.0, 60_000.0, done)
         counter.links[0].data_received(reply)
         rows.append((label, told[0].encode()))
     return rows
--- a/tests/policy/admission/test_late_answers.py
+++ b/tests/policy/admission/test_late_answers.py
@@ -26,7 +26,7 @@
     told: list[Told] = []
     await until(lambda: all(link.ready() for link in counter.links))
     for _ in range(calls):
-        counter.call(
+        counter.increment(
             7, 1.0, 4000.0,
             lambda total, ending, took: told.append(("done", total, ending)),
             lambda total, ending, took: told.append(("late", total, ending)),
@@ -97,7 +97,7 @@
             counter = one.program.counter
             assert counter is not None
             counter.timeout_s = 0.05
-            one.program.gateway.perform(IncrementCounter(12, 1.0, 4000.0))
+            one.program.gateway.execute(IncrementCounter(12, 1.0, 4000.0))
             await until(lambda: script.of(CounterReply))
             go.set()
             await until(lambda: len(script.of(CounterReply)) == 2)
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -625,7 +625,7 @@
         servers = Servers(asyncio.get_running_loop(), Limits(0.25, 13.0, 0.25, 3))
         monkeypatch.setattr(servers, "pool", lambda server, address: Counted(servers, address))
         for n in range(5_700):
-            servers.listed(f"n{n}", ("127.0.0.1", 9), False)
+            servers.activate_server(f"n{n}", ("127.0.0.1", 9), False)
         conns = []
         for n in (5, 7, 7):
             conns.append(Connection(servers.pools[f"n{n}"]))
@@ -633,7 +633,7 @@
         assert servers.count() == 3 and not servers.has_room() and not servers.make_room()
         servers.pools["n7"].give_back(conns[1])
         assert servers.has_room() and servers.make_room() and servers.count() == 2
-        servers.gone("n5")
+        servers.remove_server("n5")
         servers.sweep()
         assert walked <= 3 and servers.count() == 2 and len(servers.used) == 2
         servers.close()
--- a/tests/policy/connections/test_connecting.py
+++ b/tests/policy/connections/test_connecting.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenchute.core.types import Result
+from glenchute.core.types import AttemptResult
 from glenchute.policy.connections.hedged_connects import (
     LATE_TIMES,
     MOST_KEPT,
@@ -113,8 +113,8 @@
     def __init__(self, loop: HeldLoop, server: RespPeer, connections: int) -> None:
         self.loop, self.server = loop, server
         self.servers = Servers(loop, Limits(CONNECT_S, 15.0, 0.25, connections))
-        self.servers.listed("s0", ("127.0.0.1", server.port), False)
-        self.results: list[Result] = []
+        self.servers.activate_server("s0", ("127.0.0.1", server.port), False)
+        self.results: list[AttemptResult] = []
         self.attempt = self.begin()
 
     @property
@@ -122,7 +122,7 @@
         return self.servers.pools["s0"]
 
     def begin(self, timeout_s: float = 60.0) -> Any:
-        made = self.servers.attempt("s0", lambda left: COMMAND, timeout_s, self.results.append)
+        made = self.servers.create_attempt("s0", lambda left: COMMAND, timeout_s, self.results.append)
         assert made is not None
         made.start()
         return made
@@ -141,7 +141,7 @@
         await until(lambda: self.results)
         await until(lambda: not self.servers.coming)
         await until(lambda: self.servers.count() == len(self.pool.idle))
-        assert [result.ending for result in self.results] == [ending]
+        assert [result.outcome for result in self.results] == [ending]
         assert len(self.server.calls()) == calls
 
 
@@ -198,7 +198,8 @@
 
 async def neither_in_time(scene: Scene) -> None:
     """The time-out counts from the first: a second does not make it longer."""
-    assert scene.attempt.connect_timer.when() == pytest.approx(scene.attempt.started + CONNECT_S, abs=0.005)
+    connect_timer_at = scene.attempt.connect_timer.when()
+    assert connect_timer_at == pytest.approx(scene.attempt.started_at + CONNECT_S, abs=0.005)
     await scene.ended(Outcome.UNREACHABLE, 0)
     assert all(gate.cancelled() for gate in scene.loop.gates)
 
@@ -353,7 +354,7 @@
                     client.sendall(packed(b"CALL.GET", CUSTOMER, b"%d" % number, GET))
                 if number % 20 == 0:
                     await asyncio.sleep(0)
-            await until(lambda: not one.program.listener.clients and not one.program.gateway.live)
+            await until(lambda: not one.program.listener.clients and not one.program.gateway.active_requests)
             asker = await one.client()
             assert await asker.ask(b"CALL.GET", CUSTOMER, b"last", GET) == b"value"
             await until(lambda: servers.count() == sum(len(pool.idle) for pool in servers.pools.values()))
--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -13,7 +13,7 @@
 
 from glenchute.clients import counter
 from glenchute.config.platform import build
-from glenchute.core.types import Result
+from glenchute.core.types import AttemptResult
 from glenchute.policy.connections.client_slots import OPERATED, OWN, Budget, budget
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import Outcome
@@ -105,12 +105,12 @@
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             servers = one.program.servers
-            ends: list[Result] = []
-            attempt = servers.attempt("s0", lambda left: b"", 1.0, ends.append)
+            ends: list[AttemptResult] = []
+            attempt = servers.create_attempt("s0", lambda left: b"", 1.0, ends.append)
             assert attempt is not None
             attempt.start()
             attempt.stop(Outcome.NOT_SENT)
-            assert [result.ending for result in ends] == [Outcome.NOT_SENT]
+            assert [result.outcome for result in ends] == [Outcome.NOT_SENT]
             await until(lambda: servers.count() == 0)
 
     play(scenario())
--- a/tests/policy/connections/test_release.py
+++ b/tests/policy/connections/test_release.py
@@ -109,7 +109,7 @@
             assert str(replies[0]) == "ERR failed" and replies[1:] == [b"v%d" % n for n in range(1, 64)]
             assert loop.time() < due
             await until(lambda: not held.slots)
-            assert not one.program.gateway.live and not one.program.listener.looks
+            assert not one.program.gateway.active_requests and not one.program.listener.looks
             if release:
                 await until(lambda: where[b"0"] in book.ended)  # nor is the stalled one left at the node
             if end is not None:
--- a/tests/policy/endpoints/test_doubt.py
+++ b/tests/policy/endpoints/test_doubt.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from glenchute.cli.run import Program
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.policy.endpoints import notification as told
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
@@ -254,7 +254,7 @@
     monkeypatch.setattr(told, "TOLD_S", 1000.0)
     scene, passed_on, listed = SCENES[name], list[int](), Program.listed
 
-    def recorded(self: Program, news: News) -> None:
+    def recorded(self: Program, news: EndpointUpdate) -> None:
         """What members hear of is what passes here."""
         passed_on.append(news.version)
         listed(self, news)
@@ -273,8 +273,8 @@
             def stand() -> str:
                 said = states(script)
                 for name in "abcd":  # what is written on and what the module knows are one
-                    assert servers.stops(name) is (name not in servers.known() or said[name] != "active")
-                return "".join("-" if n not in servers.known() else said[n][0].upper() for n in "abcd")
+                    assert servers.stops(name) is (name not in servers.server_ids() or said[name] != "active")
+                return "".join("-" if n not in servers.server_ids() else said[n][0].upper() for n in "abcd")
 
             await until(lambda: discovery.since == 5)
             await agent.answer(1, scene.first)
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -585,8 +585,8 @@
             if form == "as it ends":
                 writer.close()
             await until(lambda: states(script)["a"] == "draining")
-            assert "b" not in one.program.servers.known()
-            assert len(one.program.servers.known()) == 1 + many
+            assert "b" not in one.program.servers.server_ids()
+            assert len(one.program.servers.server_ids()) == 1 + many
 
     play(scenario())
 
@@ -602,7 +602,7 @@
             rows = {"version": 9, "full": full, "servers": [row("a", 80, "Terminating"), bad]}
             await agent.answer(1, http(json.dumps(rows).encode()))
             await until(lambda: states(script)["a"] == "draining")
-            assert states(script)["b"] == "active" and set(one.program.servers.known()) == {"a", "b"}
+            assert states(script)["b"] == "active" and set(one.program.servers.server_ids()) == {"a", "b"}
             assert "since=9&" in (await agent.call(2), agent.calls[2][0])[1]
 
     play(scenario())
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from glenchute.config.operator import parse
-from glenchute.core.types import Failed, Refused, Served
+from glenchute.core.types import Failed, Rejected, Served
 from glenchute.policy.events import Outcome
 from glenchute.policy.retries.route_limits import (
     CREDIT_S,
@@ -90,7 +90,7 @@
     for (request, at, left_ms), (class_name, _) in zip(asked, asks, strict=True):
         site.check_answers(request, at, left_ms)
         bounded(site, request, operator.table.get((class_name, "osnovni")))
-    assert not site.gateway.live and not site.gateway.out
+    assert not site.gateway.active_requests and not site.gateway.attempts_in_flight
 
 
 def bounded(site: Site, request: bytes, route: Route | None) -> None:
@@ -131,7 +131,7 @@
     request = site.ask("report-read", 400.0)
     site.loop.run(asked + 3.0)
     ((at, answer),) = site.answers[request]
-    assert isinstance(answer, Refused) and at - asked < 0.02 and len(site.servers.of(request)) == 1
+    assert isinstance(answer, Rejected) and at - asked < 0.02 and len(site.servers.of(request)) == 1
 
 
 def test_a_time_out_under_the_connect_time_ends_as_unreachable_and_tries_again() -> None:
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from glenchute.core.types import Answer, Failed, Refused, Served
+from glenchute.core.types import Failed, FinalResponse, Rejected, Served
 from glenchute.listeners.extproc import events as ev
 from glenchute.listeners.extproc.calls import Calls, Downstream, Upstream, Ways
 from glenchute.listeners.extproc.token import Signer
@@ -71,7 +71,7 @@
     most: int = 0
     retry_on: str = ""
     over: bool = False
-    answers: list[tuple[float, Answer]] = field(default_factory=list)
+    answers: list[tuple[float, FinalResponse]] = field(default_factory=list)
 
     def decided(self, told: ev.Told | None) -> None:
         """The first decision."""
@@ -201,7 +201,7 @@
 
         self.down.receive(responded(status, details), shown)
 
-    def finish(self, answer: Answer) -> None:
+    def finish(self, answer: FinalResponse) -> None:
         """The client has its answer."""
         self.over = True
         self.answers.append((self.proxy.loop.now, answer))
@@ -238,11 +238,11 @@
         asker.down.receive(ev.RequestHeaders(said), asker.decided)
         return asker
 
-    def read(self, told: ev.Reply) -> Answer:
+    def read(self, told: ev.Reply) -> FinalResponse:
         """An immediate response in the core's terms."""
         if told.status == 429:
             assert told.headers["x-glenchute-effect"] == "none"
-            return Refused(float(told.headers.get("x-glenchute-retry-after-ms", 0)))
+            return Rejected(float(told.headers.get("x-glenchute-retry-after-ms", 0)))
         return Failed()
 
 
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -12,8 +12,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from glenchute.core.gateway import Gateway
-from glenchute.core.types import About, Address, Answer, Call, Failed, Refused, Result, Served, Source
+from glenchute.core.gateway import RequestExecutor
+from glenchute.core.types import (
+    Address,
+    AttemptContext,
+    AttemptResult,
+    Call,
+    Failed,
+    FinalResponse,
+    Rejected,
+    ResponseSource,
+    Served,
+)
 from glenchute.policy.engine import DecisionEngine as Module
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Outcome
 from glenchute.policy.retries.route_limits import Routes
@@ -68,7 +78,7 @@
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         return self.loop.now * 1000.0
 
 
@@ -109,14 +119,19 @@
     """An attempt, as the real backend makes it: its own time-out, no bytes after `write_by`, one ending."""
 
     def __init__(
-        self, servers: Servers, record: Record, fate: Fate, done: Callable[[Result], None], write_by: float
+        self,
+        servers: Servers,
+        record: Record,
+        fate: Fate,
+        done: Callable[[AttemptResult], None],
+        write_by: float,
     ) -> None:
         self.servers, self.record, self.fate, self.done = servers, record, fate, done
-        self.started = record.started
+        self.started_at = record.started
         self.write_by = write_by
-        self.written = False
-        self.began: Callable[[Source], None] | None = None
-        self.wanted: Callable[[], bool] | None = None
+        self.is_written = False
+        self.on_response_started: Callable[[ResponseSource], None] | None = None
+        self.is_wanted: Callable[[], bool] | None = None
         self.over = False
 
     def start(self) -> None:
@@ -131,20 +146,20 @@
         if not up or self.servers.loop.now > self.write_by:
             self.end(Outcome.UNREACHABLE)
             return
-        self.written, self.record.left = True, self.servers.loop.now
+        self.is_written, self.record.left = True, self.servers.loop.now
         self.servers.check(self.record)
         if self.fate.took_s < 1e6:
             self.servers.loop.call_later(self.fate.took_s, self.end, self.fate.ending)
 
     def stop(self, ending: Outcome) -> None:
-        self.end(ending if self.written else Outcome.UNREACHABLE)
+        self.end(ending if self.is_written else Outcome.UNREACHABLE)
 
     def end(self, ending: Outcome) -> None:
         if self.over:
             return
         self.over = True
         self.record.ended, self.record.ending = self.servers.loop.now, ending
-        self.done(Result(ending, self.record.request if ending is Outcome.OK else None))
+        self.done(AttemptResult(ending, self.record.request if ending is Outcome.OK else None))
 
 
 class Servers:
@@ -159,37 +174,37 @@
         self.memory_s = 0.0
         self.drawn: Callable[[bytes, int], Fate] | None = None  # by request and attempt, in place of `fates`
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         if server not in self.names:
             self.names.append(server)
 
-    def relisted(
+    def activate_servers(
         self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
     ) -> None:
         for server in [] if stay is None else [name for name in self.names if name not in stay]:
-            self.gone(server)
+            self.remove_server(server)
         for server, address in addresses.items():
-            self.listed(server, address, anew(server))
+            self.activate_server(server, address, anew(server))
 
-    def stopped(self, server: str) -> None: ...
+    def drain_server(self, server: str) -> None: ...
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         self.names.remove(server)
 
-    def known(self) -> list[str]:
+    def server_ids(self) -> list[str]:
         return list(self.names)
 
     def address(self, server: str) -> Address | None:
         return ("127.0.0.1", 7000 + int(server[1:])) if server in self.names else None
 
-    def attempt(
+    def create_attempt(
         self,
         server: str,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
-        about: About | None = None,
+        about: AttemptContext | None = None,
     ) -> Try | None:
         if server not in self.names:
             return None
@@ -232,7 +247,7 @@
     connect_s: float = 0.25
     max_attempts: int = 5
     seed: int = 1
-    answers: dict[bytes, list[tuple[float, Answer]]] = field(default_factory=dict)
+    answers: dict[bytes, list[tuple[float, FinalResponse]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.loop = Loop()
@@ -253,11 +268,11 @@
         self.repeats = {cls.name: cls.idempotency for cls in settings.classes}
         self.servers = Servers(self.loop, self.fates, self.overlap, self.connect_s)
         self.servers.memory_s = 2.5
-        self.gateway = Gateway(
+        self.gateway = RequestExecutor(
             self.loop, Module(settings, self.seed), self.servers, None  # type: ignore[arg-type]
         )  # fmt: skip
         self.gateway.clock = Clock(self.loop)  # type: ignore[assignment]
-        self.gateway.routes, self.gateway.overlap = self.routes, self.overlap
+        self.gateway.routes, self.gateway.allows_concurrent_attempts = self.routes, self.overlap
         entries = tuple(Endpoint(f"s{i}", ZONES[i % 3]) for i in range(6))
         self.servers.names = [entry.address for entry in entries]
         self.gateway.post(EndpointList(EndpointListKind.CACHED, entries))
@@ -269,7 +284,7 @@
         order = Order(request, class_name, plan, "c1", left_ms, 1.0, 1, repeat)
         self.servers.orders[request] = order
         self.answers[request] = []
-        self.gateway.take(order, lambda answer: self.answers[request].append((self.loop.now, answer)))
+        self.gateway.accept(order, lambda answer: self.answers[request].append((self.loop.now, answer)))
         return request
 
     def check_answers(self, request: bytes, asked: float, left_ms: float) -> None:
@@ -277,7 +292,7 @@
         ((at, answer),) = self.answers[request]
         assert at <= asked + left_ms / 1000.0 + 1e-6
         ran = [r for r in self.servers.of(request) if r.left is not None and r.ending in MAY_HAVE_RUN]
-        if isinstance(answer, Refused):
+        if isinstance(answer, Rejected):
             assert not ran, "a refusal after a try that may have run"
         elif isinstance(answer, Served):
             assert answer.value == request and any(r.ending is Outcome.OK for r in ran)
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -307,10 +307,10 @@
             end(client, how)
             await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MOST_PENDING))
             assert len(script.of(Request)) == min(pending, MOST_PENDING)
-            assert not one.program.gateway.live and not one.program.listener.open_ids
+            assert not one.program.gateway.active_requests and not one.program.listener.open_ids
             again = await one.client()  # its ids may be used again at once
             again.send(*READ, b"0", GET)
-            await until(lambda: len(one.program.gateway.live) == 1)
+            await until(lambda: len(one.program.gateway.active_requests) == 1)
 
     play(scenario())
 
@@ -332,7 +332,7 @@
             taken = len(script.of(Request))
             end(client, how)
             await until(lambda: not one.program.listener.clients)
-            assert len(script.of(Request)) == taken and not one.program.gateway.live
+            assert len(script.of(Request)) == taken and not one.program.gateway.active_requests
 
     play(scenario())
 
@@ -363,7 +363,7 @@
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with deaf() as port, site(always(SERVED), decisions=script) as one:
-            one.program.servers.listed("s0", ("127.0.0.1", port), False)
+            one.program.servers.activate_server("s0", ("127.0.0.1", port), False)
             client = await one.client()
             client.send(*READ, b"1", GET)
             await until(lambda: len(one.program.servers.coming) == 1)
@@ -392,9 +392,9 @@
             calls = [server.calls for server in one.servers]
             await until(lambda: sum(len(c()) for c in calls) == 1)
             end(client, how)
-            await until(lambda: not one.program.gateway.live)
+            await until(lambda: not one.program.gateway.active_requests)
             release.set()
-            await until(lambda: not one.program.gateway.out)
+            await until(lambda: not one.program.gateway.attempts_in_flight)
             assert sum(len(c()) for c in calls) == 1
 
     play(scenario())
@@ -411,16 +411,20 @@
                 crowd = [await one.client() for _ in range(count)]
                 for number, client in enumerate(crowd):
                     client.send(*READ, b"%d.%d" % (round_, number), GET)
-                await until(lambda: len(one.program.gateway.live) == count)
+                await until(lambda: len(one.program.gateway.active_requests) == count)
                 script.decide = send_to("s0")
                 steady = await one.client()
                 for client in crowd:
                     end(client, "reset")
                 assert await steady.ask(*READ, b"steady", GET) == b"value"
                 steady.writer.close()
-                await until(lambda: not listener.clients and not one.program.gateway.live)
+                await until(lambda: not listener.clients and not one.program.gateway.active_requests)
                 script.decide = lambda event: []
-            assert not listener.open_ids and not one.program.gateway.out and not listener.left_unread
+            assert (
+                not listener.open_ids
+                and not one.program.gateway.attempts_in_flight
+                and not listener.left_unread
+            )
 
     play(scenario())
 
@@ -747,7 +751,9 @@
             heard.endings.clear()
             socks.append(raw_client(one, *reads(1)))
             await until(lambda: not socks)
-            await until(lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.out)
+            await until(
+                lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.attempts_in_flight
+            )
             assert await steady.ask(*READ, b"0", GET) == b"value"
             assert sum(len(server.calls()) for server in one.servers) == 12 + 2
             assert heard.endings[0] is Outcome.REJECTED and heard.endings[-1] is Outcome.OK
@@ -775,11 +781,13 @@
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
-            out = one.program.gateway.out.values()
-            written = len(script.of(AttemptEnded)) + sum(attempt.written for attempt in out)
+            out = one.program.gateway.attempts_in_flight.values()
+            written = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in out)
             end_raw(sock, how)
             time.sleep(BUSY_S)
-            await until(lambda: not one.program.listener.clients and not one.program.gateway.out)
+            await until(
+                lambda: not one.program.listener.clients and not one.program.gateway.attempts_in_flight
+            )
             assert await (await one.client()).ask(*READ, b"again", GET) == b"value"
             assert len(one.servers[0].calls()) <= written + 1
             sock.close()
@@ -885,11 +893,11 @@
     """... and with a request that waits for its decision: over at once, though the transport is not."""
     script.decide = lambda event: []
     sock.send(packed(*READ, b"open", GET))
-    await until(lambda: one.program.gateway.live)
+    await until(lambda: one.program.gateway.active_requests)
     sock.shutdown(socket.SHUT_WR)
     await until(lambda: script.of(ClientDisconnected))
     assert held.transport is not None and held.transport.is_closing()
-    assert not one.program.gateway.live and not one.program.listener.open_ids
+    assert not one.program.gateway.active_requests and not one.program.listener.open_ids
 
 
 async def left_full_then_read_in_part(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
@@ -901,7 +909,7 @@
         sock.send(packed(*READ, b"%d" % number, GET))
         await until(lambda: one.program.listener.taken == taken + 1 and not held.slots)  # noqa: B023
     assert held.full
-    held.finish()
+    held.close_when_answered()
     assert held.leaving and held.transport.is_closing()
     while held.full:
         try:
--- a/tests/upstreams/test_lines_loopback.py
+++ b/tests/upstreams/test_lines_loopback.py
@@ -12,7 +12,7 @@
 import hiredis
 import pytest
 
-from glenchute.core.types import Decisions
+from glenchute.core.types import DecisionHandler
 from glenchute.policy.events import (
     AttemptEnded,
     AttemptStalled,
@@ -107,7 +107,7 @@
 
 @asynccontextmanager
 async def sharing(
-    *books: Book, decisions: Decisions | None = None, operator: str = SHARED, **changes: Any
+    *books: Book, decisions: DecisionHandler | None = None, operator: str = SHARED, **changes: Any
 ) -> AsyncIterator[tuple[Site, Lines]]:
     """A gateway in front of these nodes that shares connections."""
 
@@ -117,7 +117,7 @@
     async with site(*[unused] * len(books), decisions=decisions, operator=operator, **changes) as one:
         for number, book in enumerate(books):
             await book.start()
-            one.program.servers.listed(f"s{number}", ("127.0.0.1", book.port), False)
+            one.program.servers.activate_server(f"s{number}", ("127.0.0.1", book.port), False)
         try:
             yield one, teach(one.program)
         finally:
@@ -152,7 +152,7 @@
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert len(book.writers) == 1 and lines.counts["writes"] == 1 and lines.counts["commands"] == 5
             assert book.ids() == [b"a", b"b", b"c", b"d", b"e"]
-            assert not lines.attempts and not one.program.gateway.out
+            assert not lines.attempts and not one.program.gateway.attempts_in_flight
             await burst(client, *reads([b"f"]))
             assert await client.reply() == b"f" and len(book.writers) == 1  # on the same, idle again
 
@@ -249,7 +249,7 @@
                         assert ran[name] == 0, offset
             assert served > 3 * whole  # most go again and are served
             assert lines.counts["commands"] > lines.counts["writes"]
-            assert not one.program.gateway.live and not one.program.gateway.out
+            assert not one.program.gateway.active_requests and not one.program.gateway.attempts_in_flight
 
     play(scenario())
 
@@ -261,14 +261,14 @@
         stuck, sound = Book(), Book(sound=True)
         async with sharing(stuck, sound) as (one, lines):
             # The first goes to the stuck one, and so does what comes while that has the shorter line.
-            one.program.gateway.news(_news(one, "s1", EndpointState.REMOVED))
+            one.program.gateway.update_endpoints(_news(one, "s1", EndpointState.REMOVED))
             teach(one.program)
             loop = asyncio.get_running_loop()
             client = await one.client()
             began = loop.time()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             await until(lambda: len(stuck.ran) == 5)
-            one.program.gateway.news(_news(one, "s1", EndpointState.ACTIVE, sound.port))
+            one.program.gateway.update_endpoints(_news(one, "s1", EndpointState.ACTIVE, sound.port))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert loop.time() - began < 2.0  # of 20 s that they would wait
             assert lines.pipeline.counts["cut at a stall"] == 1
@@ -278,10 +278,10 @@
 
 
 def _news(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
-    from glenchute.core.types import News
+    from glenchute.core.types import EndpointUpdate
 
     entry = Endpoint(server, "a", state=state)
-    return News(9, EndpointList(EndpointListKind.CHANGES, (entry,)), {server: ("127.0.0.1", port)})
+    return EndpointUpdate(9, EndpointList(EndpointListKind.CHANGES, (entry,)), {server: ("127.0.0.1", port)})
 
 
 def test_second_copies_for_those_behind_where_they_are_allowed() -> None:
@@ -330,9 +330,9 @@
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(book.ran) == 3)
-            middle = one.program.gateway.out["2", 0]
+            middle = one.program.gateway.attempts_in_flight["2", 0]
             middle.stop(Outcome.CANCELLED)
-            assert "2" not in endings(script) and middle.written
+            assert "2" not in endings(script) and middle.is_written
             book.send(b"".join(value(name) for name in (b"a", b"b", b"c")))
             await until(lambda: len(endings(script)) == 3)
             assert [endings(script)[n] for n in "123"] == [Outcome.OK, Outcome.CANCELLED, Outcome.OK]
@@ -383,10 +383,10 @@
             conn = next(iter(pool.by_line.values()))
             held = len(conn.line.waiting)
             assert held > 0
-            named = {ref: live.call.request_id for ref, live in one.program.gateway.live.items()}
+            named = {ref: live.call.request_id for ref, live in one.program.gateway.active_requests.items()}
             loop = asyncio.get_running_loop()
             told = loop.time()
-            one.program.gateway.news(_news(one, "s0", EndpointState.DRAINING))
+            one.program.gateway.update_endpoints(_news(one, "s0", EndpointState.DRAINING))
             await until(lambda: len(endings(script)) >= held)
             assert loop.time() - told < 0.2
             assert list(endings(script).values()).count(Outcome.UNREACHABLE) >= held
@@ -422,8 +422,8 @@
                 assert not odd  # refused, or failed on a busy machine; never another's value
             ran = Counter(books[0].ids() + books[1].ids())
             # A stall of this very machine is one of the server's, too: reads then go again.
-            assert max(ran.values()) <= one.program.gateway.most_attempts and len(ran) > 100
-            assert not lines.attempts and not one.program.gateway.live
+            assert max(ran.values()) <= one.program.gateway.max_attempts and len(ran) > 100
+            assert not lines.attempts and not one.program.gateway.active_requests
             # An idle one at one server may be closed to make room for one at the other: what is open counts.
             assert peak <= lines.limits.connections
             assert sum(len(book.writers) - len(book.ended) for book in books) <= lines.limits.connections
--- a/tests/upstreams/test_long_values.py
+++ b/tests/upstreams/test_long_values.py
@@ -289,7 +289,7 @@
             await until(lambda: len(script.of(AttemptEnded)) == 2)
             last = script.of(AttemptEnded)[-1]
             assert last.is_final and last.outcome is Outcome.RESET
-            assert list(tries.values()) == [2] and not one.program.gateway.live
+            assert list(tries.values()) == [2] and not one.program.gateway.active_requests
 
     play(scenario())
 
