--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from glenchute.clients.handover import Door, Predecessor, ask, path_in
-from glenchute.config.platform import Config
+from glenchute.config.platform import PlatformConfig
 from glenchute.core.gateway import RequestExecutor
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
@@ -21,7 +21,7 @@
     """One process's part in replacements."""
 
     def __init__(
-        self, path: Path, config: Config, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor,
+        self, path: Path, config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor,
         listener: Listener, servers: Servers,
     ) -> None:  # fmt: skip
         self.path, self.config, self.loop = path, config, loop
@@ -34,9 +34,14 @@
 
     @classmethod
     def of(
-        cls, folder: str | None, config: Config, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor,
-        listener: Listener, servers: Servers,
-    ) -> Succession | None:  # fmt: skip
+        cls,
+        folder: str | None,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        gateway: RequestExecutor,
+        listener: Listener,
+        servers: Servers,
+    ) -> Succession | None:
         """None where the processes have no place to meet."""
         path = path_in(folder, config.name, config.listen) if folder else None
         if path is None:
@@ -62,7 +67,7 @@
 
     def tell(self) -> bytes:
         """The next process asks."""
-        whole = self.config.sockets
+        whole = self.config.max_descriptors
         share = keeps(2 * max(len(self.listener.clients), self.servers.count()), whole)
         self.shares(share)
         self.stocks = ()
--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -52,7 +52,7 @@
 
 def test_the_operators_file_of_the_page_loads() -> None:
     reading = parse(block("toml"), FACTS)
-    assert reading.findings == () and reading.operator is not None
+    assert reading.findings == () and reading.config is not None
 
 
 def test_the_proxys_configuration_is_of_the_published_api() -> None:
@@ -112,7 +112,7 @@
 
 
 def test_the_page_names_every_key_of_the_file() -> None:
-    from glenchute.config.fronts import EXTPROC
+    from glenchute.config.extproc_shape import EXTPROC
 
     for key in EXTPROC.keys:
         assert re.search(rf"\b{key}\b", block("toml")), key
