--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -8,7 +8,7 @@
 from glenchute.config.extproc import rules
 from glenchute.config.files import read_file, secret_key
 from glenchute.config.platform import PlatformConfig
-from glenchute.core.gateway import Gateway
+from glenchute.core.gateway import RequestExecutor
 
 from .calls import Calls, Ways
 from .ratelimit import Limiter
@@ -59,7 +59,7 @@
 
 
 def front(
-    raw: dict[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: Gateway
+    raw: dict[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor
 ) -> Server:
     """The front, not listening yet; ConfigError where a file that it needs can't be used."""
     found, limits = ways(raw, config)
--- a/glenchute/upstreams/pipelined.py
+++ b/glenchute/upstreams/pipelined.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from glenchute.core.types import About, Address, Result
+from glenchute.core.types import Address, AttemptContext, AttemptResult
 from glenchute.policy.connections.class_compatibility import ClassCompatibility
 from glenchute.policy.connections.pipeline_types import (
     AbortConnection,
@@ -65,7 +65,7 @@
 
     def __init__(
         self, pool: LinePool, payload: Callable[[int], bytes], timeout_s: float,
-        done: Callable[[Result], None], write_by: float, about: About | None,
+        done: Callable[[AttemptResult], None], write_by: float, about: AttemptContext | None,
     ) -> None:  # fmt: skip
         servers = pool.servers
         super().__init__(servers.loop, payload, timeout_s, done, write_by)
@@ -92,13 +92,13 @@
         while True:
             now = servers.loop.time()
             if now > self.write_by or (pool.stop_at is not None and now > pool.stop_at):
-                self.finish(Result(Outcome.UNREACHABLE))
+                self.finish(AttemptResult(Outcome.UNREACHABLE))
                 return
             found = servers.place(self, now, now >= self.wait_until)
             if found.kind is PlacementKind.NONE or (
                 found.kind is PlacementKind.WAIT and len(pool.waiting) >= MOST_WAITING
             ):
-                self.finish(Result(Outcome.UNREACHABLE))
+                self.finish(AttemptResult(Outcome.UNREACHABLE))
                 return
             if found.kind is PlacementKind.WAIT:
                 pool.waiting[self.ref] = self
@@ -111,7 +111,7 @@
                 self.conn = pool.opened(found.connection_id)
                 if self.conn is None:
                     servers.pipeline.on_closed(found.connection_id)
-                    self.finish(Result(Outcome.UNREACHABLE))
+                    self.finish(AttemptResult(Outcome.UNREACHABLE))
                     return
                 break
             conn = pool.by_line.get(found.connection_id)
@@ -119,13 +119,13 @@
                 self.conn = conn
                 break
             servers.pipeline.on_closed(found.connection_id)
-        if self.about is not None and self.about.placed is not None:
-            self.about.placed(f"{pool.server}: {found.describe(1000.0 * servers.loop.time())}")
+        if self.about is not None and self.about.on_assigned is not None:
+            self.about.on_assigned(f"{pool.server}: {found.describe(1000.0 * servers.loop.time())}")
         self.conn.join(self)
 
     def unsend(self) -> None:
         """Its server drains: it ends, unless it was handed over meanwhile."""
-        if not self.ended and not self.written:
+        if not self.ended and not self.is_written:
             self.stop(Outcome.CANCELLED)
 
     def stop(self, ending: Outcome) -> None:
@@ -139,13 +139,15 @@
             if conn is not None:
                 conn.rest()
             # Nothing was handed over: it can't have run. Called off, it says nothing of the server either.
-            self.finish(Result(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE))
+            self.finish(
+                AttemptResult(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE)
+            )
         elif ending is Outcome.CANCELLED and len(conn.line) > 1:
             entry.is_cancelled = True
         else:
             if ending is Outcome.TIMEOUT:
                 # As in `resp2.Attempt.stop`: a machine that vanished resets what it finds open later.
-                self.pool.close_idle(self.started)
+                self.pool.close_idle(self.started_at)
             conn.cut(entry, ending, "its time is up" if ending is Outcome.TIMEOUT else "called off")
 
     def let_go(self) -> None:
@@ -171,7 +173,9 @@
         self.line: CommandPipeline[LineAttempt] = CommandPipeline(
             NETWORK_DELAY_MS, pool.servers.pipeline.rules.settle_ms
         )
-        self.endings: list[tuple[LineAttempt, Result]] | None = None  # fixed when the gateway closes it
+        self.endings: list[tuple[LineAttempt, AttemptResult]] | None = (
+            None  # fixed when the gateway closes it
+        )
         self.up = self.full = self.booked = False
         self.task: asyncio.Task[None] | None = None
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -226,7 +230,7 @@
         self.endings = []
         self.forgotten(False)
         for item, ending in ended:
-            item.finish(Result(ending))
+            item.finish(AttemptResult(ending))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -257,8 +261,8 @@
         if transport is None or transport.is_closing():
             return
         for entry in list(self.line.pending):
-            if entry.item.wanted is not None and not entry.item.ended:
-                entry.item.wanted()  # takes it back
+            if entry.item.is_wanted is not None and not entry.item.ended:
+                entry.item.is_wanted()  # takes it back
         now = self.lines.loop.time()
         stop_at = self.pool.stop_at
         late: list[LineAttempt] = []
@@ -274,7 +278,7 @@
         batch, data = self.line.next_batch(1000.0 * now, gather.most, gather.most_bytes)
         if batch:
             for entry in batch:
-                entry.item.written = True
+                entry.item.is_written = True
             self.lines.counts["writes"] += 1
             self.lines.counts["commands"] += len(batch)
             transport.write(data)
@@ -282,7 +286,7 @@
             if self.line.pending:
                 self.book()
         for attempt in late:
-            attempt.finish(Result(Outcome.UNREACHABLE))
+            attempt.finish(AttemptResult(Outcome.UNREACHABLE))
         if late:
             self.rest()
 
@@ -339,7 +343,7 @@
             self.stall = None
         now = 1000.0 * self.lines.loop.time()
         self.sample()
-        done: list[tuple[LineAttempt, Result]] = []
+        done: list[tuple[LineAttempt, AttemptResult]] = []
         fault = ""
         try:
             self.parser.feed(data)
@@ -359,8 +363,8 @@
             self.cut(None, Outcome.RESET, fault)
             # What was spoilt may be tried again: that too must wait until the connection is closed.
             assert self.endings is not None
-            self.endings[:0] = [row for row in done if row[1].ending is not Outcome.OK]
-            done = [row for row in done if row[1].ending is Outcome.OK]
+            self.endings[:0] = [row for row in done if row[1].outcome is not Outcome.OK]
+            done = [row for row in done if row[1].outcome is Outcome.OK]
         elif done:
             self.rest()
         for attempt, result in done:
@@ -369,7 +373,7 @@
             self.lines.wake(self.pool)
         self.lines.arm()
 
-    def replied(self, now: float, reply: object, done: list[tuple[LineAttempt, Result]]) -> str:
+    def replied(self, now: float, reply: object, done: list[tuple[LineAttempt, AttemptResult]]) -> str:
         """One whole reply; what is wrong with it, if the line can't go on after it."""
         found = self.line.match_reply(now)
         if found is None:
@@ -377,28 +381,30 @@
         entry, trusted = found
         result = classify(reply)
         if not trusted:
-            result = Result(Outcome.ERROR)
-        self.lines.pipeline.on_reply(now, self.number, result.ending is Outcome.OK)
+            result = AttemptResult(Outcome.ERROR)
+        self.lines.pipeline.on_reply(now, self.number, result.outcome is Outcome.OK)
         if entry.is_cancelled:
-            result = Result(Outcome.CANCELLED, sound=result.sound)
+            result = AttemptResult(Outcome.CANCELLED, is_connection_reusable=result.is_connection_reusable)
         done.append((entry.item, result))
         if not trusted:
             return "a reply that may be another's"
-        return "" if result.sound else "a reply of no known form"
+        return "" if result.is_connection_reusable else "a reply of no known form"
 
-    def spoil_head(self, now: float, done: list[tuple[LineAttempt, Result]]) -> None:
+    def spoil_head(self, now: float, done: list[tuple[LineAttempt, AttemptResult]]) -> None:
         """What came for the head is no answer, but it may have run."""
         entry = self.line.in_flight[0]
         if self.line.may_be_sent(entry):
             self.line.in_flight.popleft()
             self.lines.pipeline.on_reply(now, self.number, False)
-            done.append((entry.item, Result(Outcome.CANCELLED if entry.is_cancelled else Outcome.ERROR)))
+            done.append(
+                (entry.item, AttemptResult(Outcome.CANCELLED if entry.is_cancelled else Outcome.ERROR))
+            )
 
     def spoilt(self) -> None:
         """An answer that began does not go on."""
         self.stall = None
         if self.endings is None:
-            done: list[tuple[LineAttempt, Result]] = []
+            done: list[tuple[LineAttempt, AttemptResult]] = []
             self.sample()
             if self.line.in_flight:
                 self.spoil_head(1000.0 * self.lines.loop.time(), done)
@@ -414,7 +420,7 @@
             return
         self.sample()
         ended = self.line.close(cause, ending)
-        self.endings = [(item, Result(how)) for item, how in ended]
+        self.endings = [(item, AttemptResult(how)) for item, how in ended]
         if len(ended) > 1:
             log.info("line %d to %s with %d attempts is cut: %s", self.number, self.pool.address,
                      len(ended), why)  # fmt: skip
@@ -438,7 +444,7 @@
             # The machine does not say how much it had sent: all that was handed over may have left.
             self.line.update_sent(0)
             ended = self.line.close()
-            self.endings = [(item, Result(how)) for item, how in ended]
+            self.endings = [(item, AttemptResult(how)) for item, how in ended]
             self.forgotten(bool(ended))
         # uvloop closes the socket only after this call; see `resp2.Connection.connection_lost`.
         self.lines.loop.call_soon(self.tell)
@@ -522,28 +528,33 @@
         """A pool for a server that was not listed at this address before."""
         return LinePool(self, server, address)
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server that takes work."""
         before = self.pools.get(server)
-        super().listed(server, address, started_anew)
+        super().activate_server(server, address, started_anew)
         if started_anew or self.pools[server] is not before:
             self.pipeline.on_server_started(server)
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """A server that drains: nothing new, what is out may finish."""
         self.pipeline.on_server_draining(server)
-        super().stopped(server)
+        super().drain_server(server)
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """A server that left the list."""
         self.pipeline.on_server_draining(server)
-        super().gone(server)
+        super().remove_server(server)
         self.pipeline.on_server_removed(server)
 
-    def attempt(
-        self, server: str, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None],
-        write_by: float = math.inf, about: About | None = None,
-    ) -> LineAttempt | None:  # fmt: skip
+    def create_attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
+        write_by: float = math.inf,
+        about: AttemptContext | None = None,
+    ) -> LineAttempt | None:
         """Makes an attempt, not started yet; None if the server takes nothing (any more)."""
         pool = self.open_pool(server)
         if pool is None:
@@ -562,10 +573,16 @@
             job = PlacementRequest("", 1000.0 * attempt.until, math.inf, -math.inf, 1)
         else:
             job = placement_request(
-                cls, self.pipeline.times.mean(cls.name, server), ms, 1000.0 * attempt.until,
-                1000.0 * about.came, 1000.0 * about.deadline, 1000.0 * attempt.write_by, about.again,
-                about.depth or 1 << 30,
-            )  # fmt: skip
+                cls,
+                self.pipeline.times.mean(cls.name, server),
+                ms,
+                1000.0 * attempt.until,
+                1000.0 * about.received_at,
+                1000.0 * about.deadline,
+                1000.0 * attempt.write_by,
+                about.may_retry,
+                about.max_depth or 1 << 30,
+            )
         found = self.pipeline.place(ms, server, attempt.ref, job, self.has_room, waited)
         if found.kind is PlacementKind.JOIN:
             self.arm()
@@ -598,7 +615,7 @@
                 case HedgeAttempt(ref):
                     attempt = self.attempts.get(ref)
                     if attempt is not None and attempt.about is not None:
-                        attempt.about.held()
+                        attempt.about.on_stalled()
                 case AbortConnection(line, ref, why):
                     self.cut(line, ref, why)
         self.arm()
