--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -34,15 +34,21 @@
     since: int | None = None
 
 
-def busiest(calls: Iterable[Call], first: float = 0.0, last: float = float("inf")) -> int:
-    """The most calls in any one second."""
-    times = sorted(call.at for call in calls if first <= call.at < last)
-    most = low = 0
-    for high, at in enumerate(times):
-        while times[low] <= at - 1.0:
+def busiest_second(times: Iterable[float]) -> tuple[int, float]:
+    """The most calls in any one second, and that second's beginning; 0 and 0.0 without calls."""
+    ordered = sorted(times)
+    most, begin, low = 0, 0.0, 0
+    for high, at in enumerate(ordered):
+        while ordered[low] <= at - 1.0:
             low += 1
-        most = max(most, high - low + 1)
-    return most
+        if high - low + 1 > most:
+            most, begin = high - low + 1, ordered[low]
+    return most, begin
+
+
+def busiest(calls: Iterable[Call], first: float = 0.0, last: float = float("inf")) -> int:
+    """The most calls in any one second from `first` to `last`."""
+    return busiest_second(call.at for call in calls if first <= call.at < last)[0]
 
 
 def turned_away(calls: Iterable[Call], first: float = 0.0) -> float:
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from lab.coldstart import Call, busiest
+from lab.coldstart import busiest_second
 from lab.load import percentile
 from lab.scale.site import Site
 from lab.site import GatewayProcess, free_port
@@ -165,15 +165,7 @@
 
 def worst(times: list[float], first: float, last: float) -> tuple[int, float]:
     """The most calls in a second, and that second's beginning."""
-    times = sorted(at for at in times if first <= at < last)
-    most, where, low = 0, 0.0, 0
-    for high, at in enumerate(times):
-        while times[low] <= at - 1.0:
-            low += 1
-        if high - low + 1 > most:
-            most, where = high - low + 1, times[low]
-    assert most == busiest(Call(at, "") for at in times)
-    return most, where
+    return busiest_second(at for at in times if first <= at < last)
 
 
 class Scale:
