--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -8,7 +8,7 @@
 
 from glenchute.clients.handover import HandoverServer, PredecessorConnection, request_handover, socket_path
 from glenchute.config.platform import PlatformConfig
-from glenchute.core.gateway import Gateway
+from glenchute.core.gateway import RequestExecutor
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import encode_handover, retained_limit_share
@@ -27,7 +27,7 @@
         path: Path,
         config: PlatformConfig,
         loop: asyncio.AbstractEventLoop,
-        gateway: Gateway,
+        gateway: RequestExecutor,
         listener: Listener,
         servers: Servers,
     ) -> None:
@@ -37,7 +37,7 @@
         self.server = HandoverServer(loop, self.make_message, self.on_other_ended)
         self.quotas: tuple[QuotaSnapshot, ...] = ()
         self.is_closed = False
-        gateway.handing = self.set_quotas
+        gateway.send_state = self.set_quotas
 
     @classmethod
     def create(
@@ -45,7 +45,7 @@
         folder: str | None,
         config: PlatformConfig,
         loop: asyncio.AbstractEventLoop,
-        gateway: Gateway,
+        gateway: RequestExecutor,
         listener: Listener,
         servers: Servers,
     ) -> ProcessHandover | None:
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -217,7 +217,7 @@
             link.retire()
         self.connections = [CounterConnection(self.loop, address) for _ in range(len(self.connections))]
 
-    def call(
+    def increment(
         self, name: int, amount: float, ttl_ms: float, done: Completion, late: Completion | None = None
     ) -> None:
         """Adds an amount to a name; `done` is called once, within the time-out. After a time-out `late` is
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -15,7 +15,7 @@
 import random
 from collections.abc import Callable, Generator
 
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll, WatchCommand
@@ -33,7 +33,7 @@
 )  # a body over this is read in parts, between which requests have their turn
 
 
-def unwrap(found: News | Exception) -> News:
+def unwrap(found: EndpointUpdate | Exception) -> EndpointUpdate:
     """A list, or what reading it raised."""
     if isinstance(found, Exception):
         raise found
@@ -43,7 +43,7 @@
 class PartialDecode:
     """An answer that has come whole and is read in parts."""
 
-    def __init__(self, line: int, parts: Generator[None, None, News]) -> None:
+    def __init__(self, line: int, parts: Generator[None, None, EndpointUpdate]) -> None:
         self.connection_id, self.parts = line, parts
         self.is_connection_lost = False  # the connection has ended since
 
@@ -56,7 +56,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         where: tuple[str, int],
-        tell: Callable[[News], None],
+        tell: Callable[[EndpointUpdate], None],
         terms: PollingTerms,
         seed: int,
         doubt: ListConfirmation | None = None,
@@ -94,7 +94,7 @@
         self.on_confirmed: Callable[[int], None] = lambda version: None  # told of each sound answer
         self.is_closed = False
 
-    def start(self, known: News | None, patience_s: float, at_once: bool = False) -> bool:
+    def start(self, known: EndpointUpdate | None, patience_s: float, at_once: bool = False) -> bool:
         """The first call, in this gateway's turn. `known`: the saved list, if there is one that can be served
         by. Whether the answer is worth waiting for so long."""
         if known is not None:
@@ -212,7 +212,7 @@
         try:
             next(reading.parts)
         except StopIteration as end:
-            found: News | Exception = end.value
+            found: EndpointUpdate | Exception = end.value
         except (ValueError, RecursionError) as error:
             found = error
         else:
@@ -224,7 +224,7 @@
             self.on_connection_closed(reading.connection_id)
 
     def handle_answer(
-        self, line: int, status: int, read: Callable[[], News], retry_after: float | None = None
+        self, line: int, status: int, read: Callable[[], EndpointUpdate], retry_after: float | None = None
     ) -> None:
         """An answer: told on if it is a list, else asked for anew after a pause."""
         now, failed = self.loop.time(), self.watch.record_failure
@@ -277,7 +277,7 @@
         self.version = news.version
         self.scheduler.record_answer()
         self.first_answer.set()
-        # News end all gateways' watches in the same moment.
+        # EndpointUpdate end all gateways' watches in the same moment.
         pause = self.scheduler.synchronized_delay_s() if news.event.endpoints else 0.0
         self.execute(self.watch.record_answer(now, line, EMPTY_ANSWER_PAUSE_S if at_once else pause))
         self.reset_timer()
@@ -286,7 +286,7 @@
         """What a list that is not believed yet forbids is in force at once."""
         stopped = doubt.withdraw_endpoints(event)
         if stopped:
-            news = News(doubt.version, EndpointList(EndpointListKind.CHANGES, stopped), {})
+            news = EndpointUpdate(doubt.version, EndpointList(EndpointListKind.CHANGES, stopped), {})
             self.current_list.apply(news)
             self.on_restriction(news)
 
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from glenchute.core.types import Decisions
+from glenchute.core.types import DecisionHandler
 from glenchute.policy.actions import Action, Fail, Reject, StartAttempt
 from glenchute.policy.admission.windows import window_start
 from glenchute.policy.events import (
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        module: Decisions,
+        module: DecisionHandler,
         made: Settings,
         use: AccountUsage,
         health: EndpointHealth,
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -9,7 +9,7 @@
 import socket
 from typing import Any
 
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.listeners.resp2.commands import Bounds, bounds
 from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
@@ -60,7 +60,7 @@
     seed: int
     max_descriptors: int
     budget: DescriptorBudget
-    cached_endpoints: News | None
+    cached_endpoints: EndpointUpdate | None
     passed_descriptor: int | None
     settings: Settings
     gateway_number: int | None
--- a/glenchute/protocol/endpoint_list.py
+++ b/glenchute/protocol/endpoint_list.py
@@ -8,7 +8,7 @@
 from collections.abc import Generator
 from typing import TYPE_CHECKING, Any
 
-from glenchute.core.types import Address, News
+from glenchute.core.types import Address, EndpointUpdate
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
@@ -64,7 +64,7 @@
         self.rows_by_text: dict[str, tuple[Endpoint, Address | None]] = {}
         self.ring_positions: dict[str, tuple[bytes, str]] = {}
 
-    def apply(self, news: News) -> None:
+    def apply(self, news: EndpointUpdate) -> None:
         """This is in force now."""
         placed: Placed | None = getattr(news.event.endpoints, "placed", None)
         if placed is not None and news.event.kind is not EndpointListKind.CHANGES:
@@ -130,7 +130,7 @@
         if self.ring_builder is not None:
             self.ring_builder.take(pair)
 
-    def to_news(self, raw: Any, saved: bool = False) -> News:
+    def to_news(self, raw: Any, saved: bool = False) -> EndpointUpdate:
         """The list that they make, with what else its text says."""
         kind = (
             EndpointListKind.CACHED
@@ -150,10 +150,10 @@
                     self.add(pair)
         placing = self.ring_builder if len(read) > WHOLE else None
         entries = placing.done() if placing is not None else tuple(one for one, _ in read)
-        return News(version, EndpointList(kind, entries), self.addresses)
+        return EndpointUpdate(version, EndpointList(kind, entries), self.addresses)
 
 
-def decode_list(raw: Any, saved: bool = False, held: CurrentList | None = None) -> News:
+def decode_list(raw: Any, saved: bool = False, held: CurrentList | None = None) -> EndpointUpdate:
     """Discovery's form of the list, in the module's terms; ListError if it is none. `Rows` tells what becomes
     of single rows that can't be read."""
     try:
@@ -167,7 +167,7 @@
         raise EndpointListError(f"not a list of servers ({error!r})") from None
 
 
-def decode_list_in_parts(body: bytes, held: CurrentList | None) -> Generator[None, None, News]:
+def decode_list_in_parts(body: bytes, held: CurrentList | None) -> Generator[None, None, EndpointUpdate]:
     """What `read_list` makes of an answer's body, `PART_ROWS` at a time: to read thousands of rows at once
     would hold up all requests. The rows are taken out of the text one by one; what is left is read whole.
     What follows from a whole list is worked out on the way (`Placing`). A row whose text the list before had
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -246,8 +246,8 @@
             if form == "ended by close":
                 writer.close()
             await until(lambda: endpoint_states(script)["a"] == "draining")
-            assert "b" not in one.program.servers.known()
-            assert len(one.program.servers.known()) == 1 + padding_rows
+            assert "b" not in one.program.servers.server_ids()
+            assert len(one.program.servers.server_ids()) == 1 + padding_rows
 
     play(scenario())
 
@@ -265,7 +265,10 @@
             rows = {"version": 9, "full": full, "servers": [row("a", 80, "Terminating"), unreadable_row]}
             await discovery.answer(1, http(json.dumps(rows).encode()))
             await until(lambda: endpoint_states(script)["a"] == "draining")
-            assert endpoint_states(script)["b"] == "active" and set(one.program.servers.known()) == {"a", "b"}
+            assert endpoint_states(script)["b"] == "active" and set(one.program.servers.server_ids()) == {
+                "a",
+                "b",
+            }
             assert "since=9&" in (await discovery.poll(2), discovery.polls[2][0])[1]
 
     play(scenario())
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -10,7 +10,7 @@
 import pytest
 
 from glenchute.cli.run import Program
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.policy.endpoints import notification
 from glenchute.policy.endpoints.polling import PollScheduler
 from glenchute.policy.events import EndpointList
@@ -79,7 +79,7 @@
     monkeypatch.setattr(notification, "NOTIFIED_AFTER_S", 1000.0)
     case, versions_for_members, listed = CONFIRMATION_CASES[name], list[int](), Program.listed
 
-    def recorded(self: Program, news: News) -> None:
+    def recorded(self: Program, news: EndpointUpdate) -> None:
         """Lists that members are sent pass here."""
         versions_for_members.append(news.version)
         listed(self, news)
@@ -103,8 +103,12 @@
             def summary() -> str:
                 reported = endpoint_states(script)
                 for name in "abcd":  # the transport and the decision engine agree
-                    assert servers.stops(name) is (name not in servers.known() or reported[name] != "active")
-                return "".join("-" if n not in servers.known() else reported[n][0].upper() for n in "abcd")
+                    assert servers.stops(name) is (
+                        name not in servers.server_ids() or reported[name] != "active"
+                    )
+                return "".join(
+                    "-" if n not in servers.server_ids() else reported[n][0].upper() for n in "abcd"
+                )
 
             await until(lambda: discovery.version == 5)
             await manual.answer(1, case.first)
