--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -62,7 +62,7 @@
         if self.parted:
             news = yield from decode_list_in_parts(body, self.held)
         else:
-            news = decode_list(json.loads(body), held=self.held)
+            news = decode_list(json.loads(body), current=self.held)
         self.held.apply(news)
         self.gateway.update_endpoints(news)
 
--- a/glenchute/clients/http_exchange.py
+++ b/glenchute/clients/http_exchange.py
@@ -1,43 +1,53 @@
-"""One HTTP/1.1 client connection with one request at a time."""
+"""An HTTP/1.1 client connection that carries one GET request at a time."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from typing import NamedTuple
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_RETRY_AFTER_DIGITS = 5
+
+
+class HttpResponse(NamedTuple):
+    """A complete response."""
+
+    status: int
+    body: bytes
+    retry_after_s: float | None  # None: not named, or not as a number of seconds
 
 
 def parse_retry_after_s(text: bytes) -> float | None:
-    """A retry-after in seconds; a date says nothing to a clock that nobody shares."""
-    return float(text) if text.isdigit() and len(text) <= 5 else None
+    """Parses a Retry-After header in seconds. A date is ignored: the clocks of two machines may differ."""
+    return float(text) if text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS else None
 
 
 class HttpExchange(asyncio.Protocol):
-    """One HTTP connection: a request at a time, each answer handed on whole."""
+    """The connection. It is closed on an invalid response, on one over `MAX_BODY_BYTES`, and after one that
+    does not leave it reusable."""
 
-    def __init__(
-        self, answered: Callable[[int, bytes, float | None], None], lost: Callable[[], None]
-    ) -> None:
-        import h11  # a tenth of what a start imports, and not needed before the first call
+    def __init__(self, on_response: Callable[[HttpResponse], None], on_closed: Callable[[], None]) -> None:
+        """`on_closed`: called once the connection has ended, whoever ended it."""
+        import h11  # a tenth of the import time of a start, and not needed before the first request
 
         self.h11 = h11
-        self.on_response = answered
-        self.on_closed = lost
+        self.on_response = on_response
+        self.on_closed = on_closed
         self.http = h11.Connection(h11.CLIENT)
         self.transport: asyncio.Transport | None = None
         self.status = 0
         self.body = b""
-        self.retry_after: float | None = None  # seconds, if the answer names them
+        self.retry_after_s: float | None = None
         self.is_aborted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
         if self.is_aborted:
-            transport.abort()  # type: ignore[attr-defined]  # given up while it came up
+            transport.abort()  # type: ignore[attr-defined]  # abandoned while it was connecting
 
     def get(self, host: str, target: str) -> None:
-        """Sends a request."""
+        """Sends a GET request. `host`: for the Host header; `target`: path and query."""
         assert self.transport is not None
         head = self.h11.Request(
             method="GET", target=target, headers=[("Host", host), ("Accept", "application/json")]
@@ -45,56 +55,58 @@
         self.transport.write((self.http.send(head) or b"") + (self.http.send(self.h11.EndOfMessage()) or b""))
 
     def data_received(self, data: bytes) -> None:
-        self.feed(data)
+        self._feed(data)
 
     def eof_received(self) -> None:
-        self.feed(b"")  # ends a body that has no length
+        self._feed(b"")  # ends a body without a length
 
-    def feed(self, data: bytes) -> None:
-        """Feeds the parser and hands on what is whole."""
+    def _feed(self, data: bytes) -> None:
         try:
             self.http.receive_data(data)
-            while self.handle_next_event():
+            while self._handle_next_event():
                 pass
         except self.h11.RemoteProtocolError:
             self.abort()
 
-    def handle_next_event(self) -> bool:
+    def _handle_next_event(self) -> bool:
         """One step of the parser; False when it needs more bytes."""
         event = self.http.next_event()
         if isinstance(event, self.h11.Response):
             self.status, self.body = event.status_code, b""
-            self.retry_after = parse_retry_after_s(dict(event.headers).get(b"retry-after", b""))
+            self.retry_after_s = parse_retry_after_s(dict(event.headers).get(b"retry-after", b""))
         elif isinstance(event, self.h11.Data):
             self.body += bytes(event.data)
             if len(self.body) > MAX_BODY_BYTES:
                 self.abort()
                 return False
         elif isinstance(event, self.h11.EndOfMessage):
-            status, body = self.status, self.body
-            if self.http.our_state is self.h11.DONE and self.http.their_state is self.h11.DONE:
-                self.http.start_next_cycle()
-                self.on_response(status, body, self.retry_after)
-            else:
-                self.on_response(status, body, self.retry_after)
-                self.abort()
+            self._finish_response()
             return False
         elif isinstance(event, self.h11.ConnectionClosed):
             self.abort()
             return False
         return event is not self.h11.NEED_DATA and event is not self.h11.PAUSED
 
+    def _finish_response(self) -> None:
+        response = HttpResponse(self.status, self.body, self.retry_after_s)
+        if self.http.our_state is self.h11.DONE and self.http.their_state is self.h11.DONE:
+            self.http.start_next_cycle()
+            self.on_response(response)
+        else:
+            self.on_response(response)
+            self.abort()
+
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.on_closed()
 
     def is_usable(self) -> bool:
         """Whether another request may be sent."""
-        idle = self.http.our_state is self.h11.IDLE
-        return idle and self.transport is not None and not self.transport.is_closing()
+        is_idle = self.http.our_state is self.h11.IDLE
+        return is_idle and self.transport is not None and not self.transport.is_closing()
 
     def abort(self) -> None:
-        """Closes the connection."""
+        """Closes the connection, now or once it has come up."""
         self.is_aborted = True
         if self.transport is not None:
             self.transport.abort()
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -277,9 +277,9 @@
 def test_a_list_without_a_readable_row_is_rejected() -> None:
     """A list in an unknown form must not end service."""
     with pytest.raises(EndpointListError):
-        decode_list({"version": 1, "full": True, "servers": UNREADABLE}, held=None)
+        decode_list({"version": 1, "full": True, "servers": UNREADABLE}, current=None)
     with pytest.raises(EndpointListError):
-        decode_list({"version": 1, "full": True, "servers": UNREADABLE}, held=CurrentList())
+        decode_list({"version": 1, "full": True, "servers": UNREADABLE}, current=CurrentList())
 
 
 @pytest.mark.parametrize("case", ["silent", "connecting", "twice", "back"])
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -29,7 +29,7 @@
 
 
 def whole(body: bytes, held: CurrentList | None) -> EndpointUpdate:
-    return decode_list(json.loads(body), held=held)
+    return decode_list(json.loads(body), current=held)
 
 
 def parted(body: bytes, held: CurrentList | None) -> EndpointUpdate:
