--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -320,7 +320,7 @@
             assert await newcomer.ended()
             held.gateway.signal(signal.SIGHUP)
             await until(lambda: "the configuration in force stays" in held.gateway.log.read_text())
-            await asyncio.sleep(max(counter.BACKOFF_S[1], polling.MAX_BACKOFF_S) + 0.2)  # all have tried
+            await asyncio.sleep(max(counter.MAX_BACKOFF_S, polling.MAX_BACKOFF_S) + 0.2)  # all have tried
             assert not [peer for peer in peers if peer.writers]
             resource.prlimit(held.pid, resource.RLIMIT_NOFILE, (128, 128))
             await until(lambda: len(held.counter.writers) >= divide_descriptors(128).counter_connections)
