--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -97,9 +97,9 @@
     def measure(listed: int, seed: int) -> float:
         made, gateway = settings(), module(listed, seed, all_used)
         inner: Any = gateway.module if isinstance(gateway, Aperture) else gateway
-        server = next(iter(inner.fleet.servers))
+        server = next(iter(inner.pool.servers))
         event = AttemptEnded("1", 0, server, Outcome.UNREACHABLE, 1.0, False)
-        return 1e3 * cpu_ms(lambda: inner.fleet.ended(1.0, event, made.classes[0], 1.0), 400)
+        return 1e3 * cpu_ms(lambda: inner.pool.record_end(1.0, event, made.classes[0], 1.0), 400)
 
     return measure
 
@@ -168,7 +168,7 @@
         gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(4)))
         for n in range(count):
             request = Request(str(n), "read", "standard", f"{n:016x}", 4e3, gateway_spread=GATEWAYS)
-            gateway.quota.customer(1.0, request)
+            gateway.quota.tenant_for(1.0, request)
         return gateway
 
     return kib(keep)
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -71,7 +71,7 @@
             pass
 
     def used(self) -> set[str]:
-        return set(self.policy.fleet.servers)
+        return set(self.policy.pool.servers)
 
     def state(self) -> Any:
         """All that a later request or list could find different."""
@@ -80,7 +80,7 @@
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
             names, [servers.stops(name) for name in names], where,
-            self.gateway.started_ms, self.held.rows, self.used(), self.policy.fleet.of,
+            self.gateway.started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
             subset and (subset.listed, subset.rings, list(subset.held)),
         )  # fmt: skip
 
--- a/glenchute/capture/refusals.py
+++ b/glenchute/capture/refusals.py
@@ -79,7 +79,7 @@
         admit, count = module.quota.admit, module.count
 
         def by_quota(now: float, c: Any, units: float, asked: bool, blind: bool) -> Any:
-            self.last = units, c.store
+            self.last = units, c.bucket_units
             return admit(now, c, units, asked, blind)
 
         def counted(what: str) -> None:
--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -118,18 +118,34 @@
         self.lines += [f"  => {readable(action)}" for action in shown or ()]
 
 
-def state(module: Any, customer: str) -> Iterator[str]:
-    """What the module believed of a customer, the counter and the servers."""
+def state(module: Any, tenant_id: str) -> Iterator[str]:
+    """What the engine believed of a tenant, the counter and the servers."""
     quota = module.quota
-    c = quota.customers.get(customer)
-    if c is not None:
-        yield f"customer: store {c.store:.2f}, part {c.part:.2f}, guard {c.guard:.2f}, credit {c.credit:.2f}"
-        yield f"customer: own {c.own:.2f}/s, others {c.others:.2f}/s, open {c.open}"
-        yield f"counter: total {c.total:.2f} heard at {c.total_at:.0f}, {c.under_way} calls out, {c.word}"
-    state_now = "mute" if quota.mute else f"share of calls {quota.share:.2f}, missed {quota.missed}"
-    yield f"counter as a whole: {state_now}"
-    pressure = module.pressure
-    yield f"V: {pressure.capacity:.1f} units/s, backlog {pressure.backlog:.0f} ms"
-    yield f"further attempts in store: {module.retries:.1f}"
-    for name, server in module.fleet.servers.items():
-        yield f"server {name}: out {server.out}, pace {server.pace:.2f}, fails {server.fails:.2f}"
+    tenant = quota.tenants.get(tenant_id)
+    if tenant is not None:
+        yield (
+            f"customer: store {tenant.bucket_units:.2f}, part {tenant.local_units:.2f}, "
+            f"guard {tenant.ceiling_guard_units:.2f}, credit {tenant.credit_units:.2f}"
+        )
+        yield (
+            f"customer: own {tenant.own_demand_per_s:.2f}/s, others {tenant.others_demand_per_s:.2f}/s, "
+            f"open {tenant.attempts_in_flight}"
+        )
+        yield (
+            f"counter: total {tenant.counter_total_units:.2f} heard at {tenant.counter_total_ms:.0f}, "
+            f"{tenant.calls_in_flight} calls out, {tenant.window_counter}"
+        )
+    counter = (
+        "mute"
+        if quota.is_counter_unavailable
+        else f"share of calls {quota.call_fraction:.2f}, missed {quota.consecutive_failures}"
+    )
+    yield f"counter as a whole: {counter}"
+    capacity = module.capacity
+    yield f"V: {capacity.capacity_per_s:.1f} units/s, backlog {capacity.backlog_ms:.0f} ms"
+    yield f"further attempts in store: {module.retry_tokens:.1f}"
+    for name, server in module.pool.servers.items():
+        yield (
+            f"server {name}: out {server.in_flight}, pace {server.relative_latency:.2f}, "
+            f"fails {server.failure_rate:.2f}"
+        )
--- a/glenchute/policy/admission/epoch_markers.py
+++ b/glenchute/policy/admission/epoch_markers.py
@@ -39,50 +39,50 @@
 class WindowCounter:
     """What this gateway knows of one window's name."""
 
-    mark: float
-    may_mark: bool  # the window began after the gateway did
-    marked: bool = False  # its mark was put in, or may have been
-    confirmed: bool = False  # ... and an answer has shown it
-    marks: int = 0  # of the last answer
+    marker: float
+    may_add_marker: bool  # the window began after the gateway did
+    is_marked: bool = False  # its mark was put in, or may have been
+    is_marker_confirmed: bool = False  # ... and an answer has shown it
+    marker_count: int = 0  # of the last answer
     units: float = 0.0  # likewise
-    told: float = 0.0  # own units that were confirmed and not lost since
-    lost: bool = False  # memory was lost in this window
+    confirmed_units: float = 0.0  # own units that were confirmed and not lost since
+    has_lost_memory: bool = False  # memory was lost in this window
 
-    def toll(self) -> float:
+    def take_marker(self) -> float:
         """What the next call adds besides its units."""
-        if self.marked or not self.may_mark:
+        if self.is_marked or not self.may_add_marker:
             return 0.0
-        self.marked = True
-        return self.mark
+        self.is_marked = True
+        return self.marker
 
-    def unsent(self, toll: float) -> None:
+    def marker_not_added(self, toll: float) -> None:
         """That call was turned away, and nothing of it was added."""
         if toll:
-            self.marked = False
+            self.is_marked = False
 
-    def heard(self, total: float, units: float, toll: float) -> float | None:
+    def apply_total(self, total: float, units: float, toll: float) -> float | None:
         """An answer to a call that added `units` and `toll`. The own units to be put in again where memory
         was lost, else None."""
-        marks = round(total / self.mark)
-        rest = total - marks * self.mark
+        marks = round(total / self.marker)
+        rest = total - marks * self.marker
         # What was asked for in one window and refused in the next is taken off there.
-        blur = max(0.5 + DIGITS * abs(total), BLUR * self.mark)
-        least = max(self.marks, 1 if toll else 0)
-        fell = marks < least or rest < self.told + units - blur
-        self.marks, self.units = marks, rest
-        self.confirmed = self.confirmed or bool(toll)
+        blur = max(0.5 + DIGITS * abs(total), BLUR * self.marker)
+        least = max(self.marker_count, 1 if toll else 0)
+        fell = marks < least or rest < self.confirmed_units + units - blur
+        self.marker_count, self.units = marks, rest
+        self.is_marker_confirmed = self.is_marker_confirmed or bool(toll)
         if not fell:
-            self.told += units
+            self.confirmed_units += units
             return None
-        again, self.told = self.told, units
-        self.lost = True
+        again, self.confirmed_units = self.confirmed_units, units
+        self.has_lost_memory = True
         return max(0.0, again)
 
-    def granted(self, spread: int) -> float:
+    def granted_fraction(self, spread: int) -> float:
         """The share of the counted part that this name may grant, 0 to 1."""
-        if self.lost or not self.confirmed or self.units < -0.5:
+        if self.has_lost_memory or not self.is_marker_confirmed or self.units < -0.5:
             return 0.0
-        return min(1.0, self.marks / spread)
+        return min(1.0, self.marker_count / spread)
 
 
 class CounterHealth(Enum):
@@ -90,7 +90,7 @@
 
     SOUND = "sound"
     SLOW = "slow"  # answers late or turns away
-    MUTE = "mute"  # no answers in a row
+    UNAVAILABLE = "mute"  # no answers in a row
     SPLIT = "split suspected"  # names hear fewer gateways than a while ago, by half or more
     REPLACED = "replaced"  # memory was lost
     RECOVERING = "recovering"  # answers again; windows that began before are still open
@@ -101,40 +101,40 @@
     """The state of the counter as a whole, for the operators. Driven by replies and time only."""
 
     recover_ms: float  # the longest window: after it no name of before the trouble is in use
-    mute_after: int = 3
-    missed: int = 0
-    share: float = 1.0  # of the wished calls that are made
-    lost_at: float = -math.inf
-    mute_at: float = -math.inf
-    crew: float = 0.0  # mean share of their gateways that names hear, slowly
-    fresh: float = 0.0  # the same, quickly
-
-    def missed_one(self, now: float) -> None:
+    unavailable_after: int = 3
+    consecutive_failures: int = 0
+    call_fraction: float = 1.0  # of the wished calls that are made
+    memory_lost_ms: float = -math.inf
+    unavailable_ms: float = -math.inf
+    slow_marker_fraction: float = 0.0  # mean share of their gateways that names hear, slowly
+    fast_marker_fraction: float = 0.0  # the same, quickly
+
+    def record_failure(self, now: float) -> None:
         """A call had no answer, or was turned away."""
-        self.missed += 1
-        if self.missed >= self.mute_after:
-            self.mute_at = now
+        self.consecutive_failures += 1
+        if self.consecutive_failures >= self.unavailable_after:
+            self.unavailable_ms = now
 
-    def answered(self, now: float, lost: bool) -> None:
+    def record_reply(self, now: float, lost: bool) -> None:
         """A call was answered."""
-        self.missed = 0
+        self.consecutive_failures = 0
         if lost:
-            self.lost_at = now
+            self.memory_lost_ms = now
 
-    def window_ended(self, heard: float) -> None:
+    def record_window(self, heard: float) -> None:
         """A window of a busy customer is over; the share of its gateways that its name had heard."""
-        first = self.crew == 0.0
-        self.crew += (1.0 if first else 0.01) * (heard - self.crew)
-        self.fresh += (1.0 if first else 0.1) * (heard - self.fresh)
+        first = self.slow_marker_fraction == 0.0
+        self.slow_marker_fraction += (1.0 if first else 0.01) * (heard - self.slow_marker_fraction)
+        self.fast_marker_fraction += (1.0 if first else 0.1) * (heard - self.fast_marker_fraction)
 
     def state(self, now: float) -> CounterHealth:
         """The one that matters most."""
-        if self.missed >= self.mute_after:
-            return CounterHealth.MUTE
-        if now - self.lost_at < self.recover_ms:
+        if self.consecutive_failures >= self.unavailable_after:
+            return CounterHealth.UNAVAILABLE
+        if now - self.memory_lost_ms < self.recover_ms:
             return CounterHealth.REPLACED
-        if self.crew > 0.5 and self.fresh < 0.75 * self.crew:
+        if self.slow_marker_fraction > 0.5 and self.fast_marker_fraction < 0.75 * self.slow_marker_fraction:
             return CounterHealth.SPLIT
-        if now - self.mute_at < self.recover_ms:
+        if now - self.unavailable_ms < self.recover_ms:
             return CounterHealth.RECOVERING
-        return CounterHealth.SLOW if self.share < 0.5 else CounterHealth.SOUND
+        return CounterHealth.SLOW if self.call_fraction < 0.5 else CounterHealth.SOUND
--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -66,125 +66,132 @@
         self.rng = random.Random(seed)
         self.classes = {cls.name: cls for cls in settings.classes}
         self.quota = QuotaAccounting(settings, self.rng)
-        self.fleet = ServerPool(settings, self.rng)
-        self.pressure = CapacityEstimate()
+        self.pool = ServerPool(settings, self.rng)
+        self.capacity = CapacityEstimate()
         self.requests: dict[str, PendingRequest] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.held: list[str] = []
-        self.waits: dict[
+        self.waiting: list[str] = []
+        self.scheduled: dict[
             int, tuple[PendingRequest, bool]
         ] = {}  # by timer: what is to be tried then; a second copy?
-        self.serial = 0
-        self.retries = 5.0  # further attempts that may be made; each request adds a fifth
-        self.told: dict[str, tuple[bool, float]] = {}  # states told to the operators, and when
-        self.tally: dict[str, int] = {}  # what happened since the last line about it
-        self.tallied_at = 0.0
-        self.tick_at = math.inf  # when the next tick is due
-        self.woke = -math.inf  # when this process last went on after it had stood still
+        self.last_token = 0
+        self.retry_tokens = 5.0  # further attempts that may be made; each request adds a fifth
+        self.reported_states: dict[str, tuple[bool, float]] = {}  # states told to the operators, and when
+        self.counts: dict[str, int] = {}  # what happened since the last line about it
+        self.counts_since_ms = 0.0
+        self.next_tick_ms = math.inf  # when the next tick is due
+        self.resumed_ms = -math.inf  # when this process last went on after it had stood still
         self.actions: list[Action] = []
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Takes one event, returns what to do."""
         self.actions = []
-        if self.quota.started == math.inf:
-            self.quota.started = self.tallied_at = now_ms
-            self.tick_at = now_ms + TICK_MS * self.rng.uniform(0.5, 1.5)
-            self.actions.append(SetTimer(0, self.tick_at))
-        if now_ms - self.tick_at > STOOD_MS:
+        if self.quota.started_ms == math.inf:
+            self.quota.started_ms = self.counts_since_ms = now_ms
+            self.next_tick_ms = now_ms + TICK_MS * self.rng.uniform(0.5, 1.5)
+            self.actions.append(SetTimer(0, self.next_tick_ms))
+        if now_ms - self.next_tick_ms > STOOD_MS:
             # What was out meanwhile tells how long this process stood, and nothing of those that it asked.
-            self.woke, self.tick_at = now_ms, now_ms
-            self.pressure.stood(now_ms)
-            for server in self.fleet.servers.values():
-                server.silent_since = None
+            self.resumed_ms, self.next_tick_ms = now_ms, now_ms
+            self.capacity.reset_after_stall(now_ms)
+            for server in self.pool.servers.values():
+                server.unanswered_since_ms = None
         match event:
             case Request():
                 self.accept(now_ms, event)
             case AttemptEnded():
-                self.ended(now_ms, event)
+                self.handle_attempt_ended(now_ms, event)
             case EndpointList():
-                self.fleet.update(event, now_ms)
+                self.pool.update(event, now_ms)
                 if (
                     event.kind in (EndpointListKind.CACHED, EndpointListKind.FAILED)
                     and self.settings.must_subscribe
                 ):
                     self.actions.append(SubscribeToEndpoints())
-                self.resume(now_ms)
+                self.retry_waiting(now_ms)
             case TimerFired(token):
                 if token:
-                    self.due(now_ms, token)
+                    self.handle_timer(now_ms, token)
                 else:
                     self.tick(now_ms)
             case CounterReply():
                 self.count(f"counter: {event.outcome.value}")
-                name = self.quota.counted(now_ms, event)
+                name = self.quota.handle_reply(now_ms, event)
                 if waiting := self.requests.get(name or ""):
-                    waiting.counted = event.outcome in (Outcome.OK, Outcome.TIMEOUT)  # else nothing was added
+                    waiting.is_counted = event.outcome in (
+                        Outcome.OK,
+                        Outcome.TIMEOUT,
+                    )  # else nothing was added
                     self.decide(now_ms, waiting, event.outcome is Outcome.OK, event.outcome is not Outcome.OK)
-                elif name and self.quota.asker and event.outcome is Outcome.OK:
-                    self.quota.give_back(self.quota.asker)  # its client has left
+                elif name and self.quota.replied_tenant and event.outcome is Outcome.OK:
+                    self.quota.refund_counted(self.quota.replied_tenant)  # its client has left
             case AttemptStalled(request_id):
                 if self.settings.allows_hedging and (held := self.requests.get(request_id)):
-                    self.copy(now_ms, held)
+                    self.hedge(now_ms, held)
             case ClientDisconnected(request_id):
                 if (left := self.requests.pop(request_id, None)) is not None:
-                    self.unbook(left)
+                    self.refund(left)
             case ResponseStarted(request_id, number):
                 self.requests.pop(request_id, None)
                 if attempt := self.attempts.get((request_id, number)):
-                    attempt.began = now_ms
+                    attempt.response_started_ms = now_ms
             case SuccessorStarted():
-                self.actions.append(self.quota.beside(now_ms))
+                self.actions.append(self.quota.start_handover(now_ms))
             case StateReceived(stocks):
-                self.quota.take_over(now_ms, stocks)
+                self.quota.restore(now_ms, stocks)
             case OtherProcessEnded():
-                self.quota.alone(now_ms)
+                self.quota.end_handover(now_ms)
             case UsageUpdate():
-                self.quota.used(now_ms, event)
+                self.quota.apply_usage_update(now_ms, event)
             case AvoidEndpoint(name, for_ms):
-                if known := self.fleet.servers.get(name):
-                    known.avoid_to = now_ms + for_ms
-                    known.look_at *= for_ms > 0
+                if known := self.pool.servers.get(name):
+                    known.avoid_until_ms = now_ms + for_ms
+                    known.next_probe_ms *= for_ms > 0
         return self.actions
 
     def tick(self, now: float) -> None:
         """Judges pressure, ages out customers, looks at held requests."""
-        self.tick_at = now + TICK_MS
-        self.actions.append(SetTimer(0, self.tick_at))
-        self.pressure.part = max(1, self.fleet.of, len(self.fleet.servers)) / self.settings.gateway_count
-        self.pressure.window(now, [
-            (min(now, a.began) - a.sent) / a.opened.cls.latency_objective_ms
-            for a in self.attempts.values() if a.sent >= self.woke
+        self.next_tick_ms = now + TICK_MS
+        self.actions.append(SetTimer(0, self.next_tick_ms))
+        self.capacity.servers_per_gateway = (
+            max(1, self.pool.total_servers, len(self.pool.servers)) / self.settings.gateway_count
+        )
+        self.capacity.end_window(now, [
+            (min(now, a.response_started_ms) - a.sent_ms) / a.pending.request_class.latency_objective_ms
+            for a in self.attempts.values() if a.sent_ms >= self.resumed_ms
         ])  # fmt: skip
-        self.tell(now, "counter mute", self.settings.has_counter and self.quota.mute)
-        self.tell(now, "calls to the counter slowed", self.quota.share < 0.5)
-        health = self.quota.watch.state(now)
-        self.tell(
+        self.report_state(
+            now, "counter mute", self.settings.has_counter and self.quota.is_counter_unavailable
+        )
+        self.report_state(now, "calls to the counter slowed", self.quota.call_fraction < 0.5)
+        health = self.quota.monitor.state(now)
+        self.report_state(
             now,
             "counter in doubt",
             health.value if health in (CounterHealth.REPLACED, CounterHealth.SPLIT) else "",
         )
-        self.tell(now, "V binds", self.pressure.capacity < math.inf)
-        self.tell(now, "no server to send to", not self.fleet.servers)
-        self.tell(now, "requests fail on most servers", self.fleet.usual > 0.2)
-        self.tell(now, "servers avoided", ", ".join(self.fleet.judge(now)))
-        if now - self.tallied_at >= TALLY_MS and self.tally:
-            line = ", ".join(f"{what} {n}" for what, n in sorted(self.tally.items()))
-            self.actions.append(LogMessage(f"in {(now - self.tallied_at) / 1000.0:.1f} s: {line}"))
-            self.tally, self.tallied_at = {}, now
-        self.quota.idle(now)
-        for customer in list(self.quota.due.values()):
-            self.actions += self.quota.calls(now, customer)
-        self.resume(now)
+        self.report_state(now, "V binds", self.capacity.capacity_per_s < math.inf)
+        self.report_state(now, "no server to send to", not self.pool.servers)
+        self.report_state(now, "requests fail on most servers", self.pool.median_failure_rate > 0.2)
+        self.report_state(now, "servers avoided", ", ".join(self.pool.detect_outliers(now)))
+        if now - self.counts_since_ms >= TALLY_MS and self.counts:
+            line = ", ".join(f"{what} {n}" for what, n in sorted(self.counts.items()))
+            self.actions.append(LogMessage(f"in {(now - self.counts_since_ms) / 1000.0:.1f} s: {line}"))
+            self.counts, self.counts_since_ms = {}, now
+        self.quota.evict_idle(now)
+        for customer in list(self.quota.unreported_tenants.values()):
+            self.actions += self.quota.due_calls(now, customer)
+        self.retry_waiting(now)
 
     def count(self, what: str) -> None:
         """Books what the line of every `TALLY_MS` tells."""
-        self.tally[what] = self.tally.get(what, 0) + 1
+        self.counts[what] = self.counts.get(what, 0) + 1
 
-    def tell(self, now: float, what: str, state: bool | str) -> None:
+    def report_state(self, now: float, what: str, state: bool | str) -> None:
         """Logs a state's start and end, each state once in five seconds at most."""
-        was, at = self.told.get(what, (False, -math.inf))
+        was, at = self.reported_states.get(what, (False, -math.inf))
         if bool(state) != was and now - at >= 5000.0:
-            self.told[what] = (bool(state), now)
+            self.reported_states[what] = (bool(state), now)
             detail = f" ({state})" if state and isinstance(state, str) else ""
             self.actions.append(LogMessage(f"{what}: {'begins' if state else 'ends'}{detail}"))
 
@@ -197,203 +204,220 @@
             self.count("refused: at the door")
             self.actions.append(Reject(request.request_id, self.settings.max_retry_after_ms))
             return
-        self.retries = min(10.0, self.retries + 0.2)
-        customer = self.quota.customer(now, request)
+        self.retry_tokens = min(10.0, self.retry_tokens + 0.2)
+        customer = self.quota.tenant_for(now, request)
         opened = PendingRequest(request, cls, customer, now, now + left)
         self.requests[request.request_id] = opened
         hasty = left < 2.0 * self.settings.counter_timeout_ms + TICK_MS  # no time to ask
-        if customer is not None and not hasty and self.quota.unsure(now, customer, request.units):
-            opened.counted = True
-            if (call := self.quota.ask(now, customer, request)) is not None:
+        if customer is not None and not hasty and self.quota.needs_counter(now, customer, request.units):
+            opened.is_counted = True
+            if (call := self.quota.call_for_request(now, customer, request)) is not None:
                 self.actions.append(call)
                 return
-        self.decide(now, opened, False, opened.counted)
+        self.decide(now, opened, False, opened.is_counted)
 
     def decide(self, now: float, opened: PendingRequest, asked: bool, blind: bool = False) -> None:
         """Lets a request go on or refuses it. `asked`: by a word of the moment; `blind`: such a word was
         asked for, and did not come."""
-        request, cls, customer = opened.request, opened.cls, opened.customer
+        request, cls, customer = opened.request, opened.request_class, opened.tenant
         if customer is not None:
             value = cls.priority_weight * customer.plan.price
             wait = self.quota.admit(now, customer, request.units, asked, blind)
-            many = len(self.attempts) > max(FEW, 2.0 * len(self.fleet.servers) / self.settings.gateway_count)
-            if wait is None and not self.pressure.admit(value, request.units, cls.latency_objective_ms, many):
-                wait, self.quota.cause = self.settings.max_retry_after_ms, "overload"
+            many = len(self.attempts) > max(FEW, 2.0 * len(self.pool.servers) / self.settings.gateway_count)
+            if wait is None and not self.capacity.admit(value, request.units, cls.latency_objective_ms, many):
+                wait, self.quota.rejection_cause = self.settings.max_retry_after_ms, "overload"
             if wait is not None:
-                self.count("refused: " + self.quota.cause)
+                self.count("refused: " + self.quota.rejection_cause)
                 if asked and customer is not None:
-                    self.quota.give_back(customer)
+                    self.quota.refund_counted(customer)
                 del self.requests[request.request_id]
                 wait = max(1.0, min(wait, self.settings.max_retry_after_ms))
                 self.actions.append(Reject(request.request_id, wait))
                 return
             # Booked now and not at the sending, so that held requests don't pass a ceiling together.
-            self.quota.take(customer, request.units, opened.counted, asked)
-            opened.booked = True
-            self.actions += self.quota.calls(now, customer)
-        self.send(now, opened)
+            self.quota.charge(customer, request.units, opened.is_counted, asked)
+            opened.is_charged = True
+            self.actions += self.quota.due_calls(now, customer)
+        self.dispatch(now, opened)
 
-    def send(self, now: float, opened: PendingRequest) -> None:
+    def dispatch(self, now: float, opened: PendingRequest) -> None:
         """Starts an attempt; holds or refuses the request where there is no server for it."""
-        request, cls = opened.request, opened.cls
-        server = self.fleet.pick(now, opened)
+        request, cls = opened.request, opened.request_class
+        server = self.pool.pick(now, opened)
         if server is not None:
             self.start(now, opened, server)
-            if request.hedge_after_ms > 0 and self.settings.allows_hedging and opened.attempts == 1:
-                self.later(now + request.hedge_after_ms, opened, True)
+            if request.hedge_after_ms > 0 and self.settings.allows_hedging and opened.attempt_count == 1:
+                self.schedule(now + request.hedge_after_ms, opened, True)
         else:
-            if now - opened.came < 0.3 * cls.latency_objective_ms and now < opened.deadline - 2 * TICK_MS:
-                self.held.append(request.request_id)  # a server may come up, or a cold one's turn
+            if (
+                now - opened.arrived_ms < 0.3 * cls.latency_objective_ms
+                and now < opened.deadline_ms - 2 * TICK_MS
+            ):
+                self.waiting.append(request.request_id)  # a server may come up, or a cold one's turn
             else:
                 self.finish(opened)
 
     def start(self, now: float, opened: PendingRequest, server: Server) -> None:
         """Starts an attempt at this server."""
-        request, cls = opened.request, opened.cls
-        if opened.customer is not None:
-            opened.customer.open += 1
-        mean = self.fleet.mean(cls, request.units)
-        patience = max(0.5 * cls.latency_objective_ms, 5.0 * mean * max(1.0, self.fleet.load))
-        late = patience > 0.75 * cls.latency_objective_ms or opened.deadline - now - patience < mean
+        request, cls = opened.request, opened.request_class
+        if opened.tenant is not None:
+            opened.tenant.attempts_in_flight += 1
+        mean = self.pool.expected_latency_ms(cls, request.units)
+        patience = max(0.5 * cls.latency_objective_ms, 5.0 * mean * max(1.0, self.pool.load_factor))
+        late = patience > 0.75 * cls.latency_objective_ms or opened.deadline_ms - now - patience < mean
         if (
             late
             or cls.idempotency is Idempotency.NON_IDEMPOTENT
-            or opened.attempts >= min(2, self.settings.max_attempts - 1)
+            or opened.attempt_count >= min(2, self.settings.max_attempts - 1)
         ):
             patience = 0.0  # a second try would come too late: a busy fleet is left to finish its work
         if request.attempt_timeout_ms > 0:
             patience = min(patience or math.inf, request.attempt_timeout_ms)
         self.actions.append(
-            StartAttempt(request.request_id, server.entry.address, patience, self.forgotten(opened))
+            StartAttempt(
+                request.request_id, server.endpoint.address, patience, self.idempotency_expiry_ms(opened)
+            )
         )
-        self.attempts[request.request_id, opened.attempts] = Attempt(opened, server.entry, now, mean)
-        opened.attempts += 1
-        opened.out += 1
-        opened.tried.append(server.entry.address)
-        self.fleet.sent(now, server)
-        self.pressure.backlog += mean
+        self.attempts[request.request_id, opened.attempt_count] = Attempt(opened, server.endpoint, now, mean)
+        opened.attempt_count += 1
+        opened.in_flight += 1
+        opened.attempted_addresses.append(server.endpoint.address)
+        self.pool.record_start(now, server)
+        self.capacity.backlog_ms += mean
 
-    def resume(self, now: float) -> None:
+    def retry_waiting(self, now: float) -> None:
         """Tries held requests again."""
-        held, self.held = self.held, []
+        held, self.waiting = self.waiting, []
         for request_id in held:
             opened = self.requests.get(request_id)
-            if opened is None or opened.out:
+            if opened is None or opened.in_flight:
                 continue
-            if opened.may_run_at is None or self.may_repeat(now, opened, None):
-                self.send(now, opened)
+            if opened.may_have_run_ms is None or self.may_retry(now, opened, None):
+                self.dispatch(now, opened)
             else:
                 self.finish(opened)  # what may have run is not sent once the servers may have forgotten it
 
-    def ended(self, now: float, event: AttemptEnded) -> None:
+    def handle_attempt_ended(self, now: float, event: AttemptEnded) -> None:
         """An attempt's outcome: learn from it, then try again where that is allowed, else answer."""
         if (attempt := self.attempts.pop((event.request_id, event.attempt), None)) is None:
             return
-        opened = attempt.opened
+        opened = attempt.pending
         self.count(f"attempt: {event.outcome.value}")
-        told = attempt.sent >= self.woke
+        told = attempt.sent_ms >= self.resumed_ms
         heard = event if told else replace(event, outcome=Outcome.CANCELLED)
-        self.fleet.ended(now, heard, opened.cls, opened.request.units)
-        if opened.customer is not None:
-            opened.customer.open -= 1
-            self.quota.hold_s += 0.02 * (event.duration_ms / 1000.0 - self.quota.hold_s) * told
-        self.pressure.backlog = max(0.0, self.pressure.backlog - attempt.work)
+        self.pool.record_end(now, heard, opened.request_class, opened.request.units)
+        if opened.tenant is not None:
+            opened.tenant.attempts_in_flight -= 1
+            self.quota.mean_attempt_s += (
+                0.02 * (event.duration_ms / 1000.0 - self.quota.mean_attempt_s) * told
+            )
+        self.capacity.backlog_ms = max(0.0, self.capacity.backlog_ms - attempt.expected_latency_ms)
         if event.outcome is Outcome.OK:
-            self.pressure.answered(now, attempt.work)
+            self.capacity.record_completed(now, attempt.expected_latency_ms)
         if event.outcome in (Outcome.OK, Outcome.TIMEOUT) and told:
-            self.pressure.heard(event.duration_ms, opened.cls.latency_objective_ms)
-        opened.out -= 1
-        opened.reached |= event.outcome not in (Outcome.UNREACHABLE, Outcome.NOT_SENT)
+            self.capacity.record_latency(event.duration_ms, opened.request_class.latency_objective_ms)
+        opened.in_flight -= 1
+        opened.has_reached_server |= event.outcome not in (Outcome.UNREACHABLE, Outcome.NOT_SENT)
         if event.request_id not in self.requests:
-            self.unbook(opened)
+            self.refund(opened)
             return
         if event.is_final:
             del self.requests[event.request_id]
-            if opened.out:  # a second copy, whose answer nobody waits for
-                out = [n for n in range(opened.attempts) if (event.request_id, n) in self.attempts]
+            if opened.in_flight:  # a second copy, whose answer nobody waits for
+                out = [n for n in range(opened.attempt_count) if (event.request_id, n) in self.attempts]
                 self.actions += [CancelAttempt(event.request_id, n) for n in out]
             return
-        if event.outcome not in DID_NOT_RUN and opened.may_run_at is None:
-            opened.may_run_at = attempt.sent
-            opened.home = attempt.server
-        if opened.out > 0:
+        if event.outcome not in DID_NOT_RUN and opened.may_have_run_ms is None:
+            opened.may_have_run_ms = attempt.sent_ms
+            opened.pinned_endpoint = attempt.endpoint
+        if opened.in_flight > 0:
             return
         # The budget spares servers in trouble further work; one that can't be reached has had none.
         price = 0.0 if event.outcome is Outcome.UNREACHABLE else 1.0
-        if self.may_repeat(now + event.retry_delay_ms, opened, event) and self.retries >= price:
-            self.retries -= price
+        if self.may_retry(now + event.retry_delay_ms, opened, event) and self.retry_tokens >= price:
+            self.retry_tokens -= price
             if event.retry_delay_ms > 0:
-                self.later(now + event.retry_delay_ms, opened, False)
+                self.schedule(now + event.retry_delay_ms, opened, False)
             else:
-                self.send(now, opened)
+                self.dispatch(now, opened)
         else:
             self.finish(opened)
 
-    def later(self, at: float, opened: PendingRequest, copy: bool) -> None:
+    def schedule(self, at: float, opened: PendingRequest, copy: bool) -> None:
         """Comes back to a request."""
-        self.serial += 1
-        self.waits[self.serial] = opened, copy
-        self.actions.append(SetTimer(self.serial, at))
+        self.last_token += 1
+        self.scheduled[self.last_token] = opened, copy
+        self.actions.append(SetTimer(self.last_token, at))
 
-    def due(self, now: float, token: int) -> None:
+    def handle_timer(self, now: float, token: int) -> None:
         """A pause before a further attempt is over, or the time for a second copy has come."""
-        opened, copy = self.waits.pop(token, (None, False))
+        opened, copy = self.scheduled.pop(token, (None, False))
         if opened is None or self.requests.get(opened.request.request_id) is not opened:
             return
         if copy:
-            self.copy(now, opened)
-        elif not opened.out:
-            if self.may_repeat(now, opened, None):
-                self.send(now, opened)
+            self.hedge(now, opened)
+        elif not opened.in_flight:
+            if self.may_retry(now, opened, None):
+                self.dispatch(now, opened)
             else:
                 self.finish(opened)
 
-    def copy(self, now: float, opened: PendingRequest) -> None:
+    def hedge(self, now: float, opened: PendingRequest) -> None:
         """A second copy beside the first, where that is out alone and a repeat does no harm."""
         first = self.attempts.get((opened.request.request_id, 0))
-        if first is None or opened.out != 1 or opened.attempts != 1 or self.retries < 1.0:
+        if first is None or opened.in_flight != 1 or opened.attempt_count != 1 or self.retry_tokens < 1.0:
             return
-        if opened.cls.idempotency is Idempotency.NON_IDEMPOTENT:
+        if opened.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return
-        if opened.cls.idempotency is Idempotency.WITH_KEY:
-            opened.may_run_at, opened.home = first.sent, first.server  # what is out counts as run
-        server = self.fleet.pick(now, opened) if self.may_repeat(now, opened, None) else None
-        if server is not None and server.entry.address not in opened.tried:
-            self.retries -= 1.0
+        if opened.request_class.idempotency is Idempotency.WITH_KEY:
+            opened.may_have_run_ms, opened.pinned_endpoint = (
+                first.sent_ms,
+                first.endpoint,
+            )  # what is out counts as run
+        server = self.pool.pick(now, opened) if self.may_retry(now, opened, None) else None
+        if server is not None and server.endpoint.address not in opened.attempted_addresses:
+            self.retry_tokens -= 1.0
             self.start(now, opened, server)
 
-    def forgotten(self, opened: PendingRequest) -> float:
+    def idempotency_expiry_ms(self, opened: PendingRequest) -> float:
         """When the servers may have forgotten a keyed request that may have run; 0: no such time."""
-        if opened.cls.idempotency is not Idempotency.WITH_KEY or opened.may_run_at is None:
+        if opened.request_class.idempotency is not Idempotency.WITH_KEY or opened.may_have_run_ms is None:
             return 0.0
-        return opened.may_run_at + opened.cls.idempotency_window_ms - 5.0
+        return opened.may_have_run_ms + opened.request_class.idempotency_window_ms - 5.0
 
-    def may_repeat(self, now: float, opened: PendingRequest, event: AttemptEnded | None) -> bool:
+    def may_retry(self, now: float, opened: PendingRequest, event: AttemptEnded | None) -> bool:
         """Whether another attempt is allowed and of use."""
-        cls = opened.cls
+        cls = opened.request_class
         useful = (
-            opened.deadline
+            opened.deadline_ms
             if cls.late_weight_fraction > 0
-            else min(opened.deadline, opened.came + cls.latency_objective_ms)
+            else min(opened.deadline_ms, opened.arrived_ms + cls.latency_objective_ms)
         )
-        if opened.attempts >= self.settings.max_attempts or (event and event.outcome is Outcome.NOT_SENT):
+        if opened.attempt_count >= self.settings.max_attempts or (
+            event and event.outcome is Outcome.NOT_SENT
+        ):
             return False
-        if now + 0.5 * self.fleet.mean(cls, opened.request.units) > useful:
+        if now + 0.5 * self.pool.expected_latency_ms(cls, opened.request.units) > useful:
             return False
-        if opened.may_run_at is None or cls.idempotency is Idempotency.IDEMPOTENT:
+        if opened.may_have_run_ms is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        return cls.idempotency is Idempotency.WITH_KEY and now < self.forgotten(opened)
+        return cls.idempotency is Idempotency.WITH_KEY and now < self.idempotency_expiry_ms(opened)
 
-    def unbook(self, opened: PendingRequest) -> None:
+    def refund(self, opened: PendingRequest) -> None:
         """Gives the units of a request back that is over, if none of its attempts came to a server."""
-        if opened.customer is not None and opened.booked and not opened.reached and not opened.out:
-            opened.booked = False
-            self.quota.put_back(opened.customer, opened.request.units)
+        if (
+            opened.tenant is not None
+            and opened.is_charged
+            and not opened.has_reached_server
+            and not opened.in_flight
+        ):
+            opened.is_charged = False
+            self.quota.refund(opened.tenant, opened.request.units)
 
     def finish(self, opened: PendingRequest) -> None:
         """The final answer of a request that was not served: refused only if that promises nothing false."""
-        self.unbook(opened)
-        name, clear = opened.request.request_id, opened.may_run_at is None
+        self.refund(opened)
+        name, clear = opened.request.request_id, opened.may_have_run_ms is None
         self.count("refused: no attempt" if clear else "failed")
         del self.requests[name]
         self.actions.append(Reject(name, self.settings.max_retry_after_ms) if clear else Fail(name))
--- a/glenchute/policy/requests.py
+++ b/glenchute/policy/requests.py
@@ -16,26 +16,28 @@
     """A request that awaits its final answer."""
 
     request: Request
-    cls: RequestClass
-    customer: Tenant | None
-    came: float
-    deadline: float
-    attempts: int = 0
-    out: int = 0
-    counted: bool = False  # its call has told the counter of it
-    booked: bool = False  # its units are taken from the stores
-    reached: bool = False  # an attempt came to a server, or may have
-    tried: list[str] = field(default_factory=list)
-    may_run_at: float | None = None  # when the first attempt was sent that may have run
-    home: Endpoint | None = None  # where that one went
+    request_class: RequestClass
+    tenant: Tenant | None
+    arrived_ms: float
+    deadline_ms: float
+    attempt_count: int = 0
+    in_flight: int = 0
+    is_counted: bool = False  # its call has told the counter of it
+    is_charged: bool = False  # its units are taken from the stores
+    has_reached_server: bool = False  # an attempt came to a server, or may have
+    attempted_addresses: list[str] = field(default_factory=list)
+    may_have_run_ms: float | None = None  # when the first attempt was sent that may have run
+    pinned_endpoint: Endpoint | None = None  # where that one went
 
 
 @record(slots=True)
 class Attempt:
     """An attempt under way; it may outlive its request."""
 
-    opened: PendingRequest
-    server: Endpoint
-    sent: float
-    work: float  # mean time of such a request by then
-    began: float = math.inf  # when a long answer's first bytes came; from then on it is not late
+    pending: PendingRequest
+    endpoint: Endpoint
+    sent_ms: float
+    expected_latency_ms: float  # mean time of such a request by then
+    response_started_ms: float = (
+        math.inf
+    )  # when a long answer's first bytes came; from then on it is not late
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -325,50 +325,50 @@
     def base(self, c: Tenant, now: float, store: float) -> None:
         """From this state on, the next word is counted."""
         true = now - self.world.skew[self.number]
-        self.bases[c.key] = true, store, self.world.told_store(c.key).was(true)[1]
-        self.taken[c.key] = 0
+        self.bases[c.tenant_id] = true, store, self.world.told_store(c.tenant_id).was(true)[1]
+        self.taken[c.tenant_id] = 0
 
-    def customer(self, now: float, request: Request) -> Tenant | None:
-        c, self.read = super().customer(now, request), ""
+    def tenant_for(self, now: float, request: Request) -> Tenant | None:
+        c, self.read = super().tenant_for(now, request), ""
         if c is not None:
-            if "word" in self.exact and c.word is not None:
-                self.learn(now, c, c.word, 0.0, 0.0, 0.0, 0.0)
+            if "word" in self.exact and c.window_counter is not None:
+                self.apply_total(now, c, c.window_counter, 0.0, 0.0, 0.0, 0.0)
             if "fraction" in self.exact:
-                c.credit = 1e9
+                c.credit_units = 1e9
         return c
 
     def refresh(self, now: float, c: Tenant) -> None:
-        start = window_start(now, c.key, c.plan)
-        if start <= c.window:
+        start = window_start(now, c.tenant_id, c.plan)
+        if start <= c.window_start_ms:
             super().refresh(now, c)
             return
-        self.elapse(start, c)
+        self.refill(start, c)
         if "window" in self.exact:
             # The store of the window's beginning, less what this gateway has taken and not told.
             true = start - self.world.skew[self.number]
-            c.store = self.world.told_store(c.key).was(true)[0] - max(0.0, c.fresh)
-            c.at, c.drained = start, 0.0
-        store = c.store
+            c.bucket_units = self.world.told_store(c.tenant_id).was(true)[0] - max(0.0, c.unreported_units)
+            c.updated_ms, c.assumed_drain_units = start, 0.0
+        store = c.bucket_units
         super().refresh(now, c)
         self.base(c, start, store)
 
-    def take(self, c: Tenant, units: float, counted: bool, asked: bool) -> None:
-        if counted and self.read == c.key:
-            counted, self.read, c.called_at = False, "", -1e9
-        super().take(c, units, counted, asked)
-        self.taken[c.key] += units
+    def charge(self, c: Tenant, units: float, counted: bool, asked: bool) -> None:
+        if counted and self.read == c.tenant_id:
+            counted, self.read, c.last_call_ms = False, "", -1e9
+        super().charge(c, units, counted, asked)
+        self.taken[c.tenant_id] += units
 
-    def spent(self, now: float, c: Tenant, rise: float) -> None:
-        super().spent(now, c, rise)
-        if "overflow" in self.exact and c.key in self.bases:
-            at, store, over = self.bases[c.key]
+    def deduct_others_use(self, now: float, c: Tenant, rise: float) -> None:
+        super().deduct_others_use(now, c, rise)
+        if "overflow" in self.exact and c.tenant_id in self.bases:
+            at, store, over = self.bases[c.tenant_id]
             true = now - self.world.skew[self.number]
             filled = c.plan.rate_per_s * (true - at) / 1000.0
-            came = self.world.told_store(c.key).was(true)[1] - over
-            c.store = min(c.plan.burst_units, store + filled - self.taken[c.key] - rise - came)
-        self.base(c, now, c.store)
+            came = self.world.told_store(c.tenant_id).was(true)[1] - over
+            c.bucket_units = min(c.plan.burst_units, store + filled - self.taken[c.tenant_id] - rise - came)
+        self.base(c, now, c.bucket_units)
 
-    def learn(
+    def apply_total(
         self,
         now: float,
         c: Tenant,
@@ -378,50 +378,63 @@
         toll: float,
         after: float,
     ) -> None:
-        if "word" in self.exact and word is c.word:
-            total = self.world.total(c.name) - self.world.arrived[self.number, c.name]
-        rise = total - round(total / word.mark) * word.mark - c.total - (c.mine - after)
-        current, lost = word is c.word, word.lost
-        super().learn(now, c, word, total, amount, toll, after)
-        if "refused" in self.exact and current and rise < -0.5 and word.lost == lost:
-            self.spent(now, c, rise)
-
-    def ask(self, now: float, c: Tenant, request: Request) -> IncrementCounter | None:
+        if "word" in self.exact and word is c.window_counter:
+            total = self.world.total(c.counter_key) - self.world.arrived[self.number, c.counter_key]
+        rise = (
+            total
+            - round(total / word.marker) * word.marker
+            - c.counter_total_units
+            - (c.own_units_since_reply - after)
+        )
+        current, lost = word is c.window_counter, word.has_lost_memory
+        super().apply_total(now, c, word, total, amount, toll, after)
+        if "refused" in self.exact and current and rise < -0.5 and word.has_lost_memory == lost:
+            self.deduct_others_use(now, c, rise)
+
+    def call_for_request(self, now: float, c: Tenant, request: Request) -> IncrementCounter | None:
         """With "reads", a call that only reads where half of the store or less is left: what it lets in is
         told by a call of its own, and what it refuses leaves nothing on the count. Not under a ceiling, which
         grants only what the very call has added."""
-        if "reads" not in self.exact or c.plan.ceiling_rate_per_s or c.store > 0.5 * c.plan.burst_units:
-            return super().ask(now, c, request)
-        return None if self.rng.random() > self.share else self.call(now, c, 0.0, request.request_id)
-
-    def counted(self, now: float, reply: CounterReply) -> str | None:
-        calls = () if reply.is_late else self.calls_out.get(reply.key, ())
-        self.read = calls[0][0].key if calls and calls[0][4] and not calls[0][6] else ""
-        return super().counted(now, reply)
-
-    def give_back(self, c: Tenant) -> None:
-        if "refused" not in self.exact or not self.ahead or c.word is None:
-            super().give_back(c)
+        if (
+            "reads" not in self.exact
+            or c.plan.ceiling_rate_per_s
+            or c.bucket_units > 0.5 * c.plan.burst_units
+        ):
+            return super().call_for_request(now, c, request)
+        return (
+            None
+            if self.rng.random() > self.call_fraction
+            else self.make_call(now, c, 0.0, request.request_id)
+        )
+
+    def handle_reply(self, now: float, reply: CounterReply) -> str | None:
+        calls = () if reply.is_late else self.calls_in_flight.get(reply.key, ())
+        self.read = calls[0][0].tenant_id if calls and calls[0][4] and not calls[0][6] else ""
+        return super().handle_reply(now, reply)
+
+    def refund_counted(self, c: Tenant) -> None:
+        if "refused" not in self.exact or not self.reserved_units or c.window_counter is None:
+            super().refund_counted(c)
             return
-        self.world.take_off(c.key, c.name, self.ahead)
-        c.total -= self.ahead
-        c.word.units -= self.ahead
-        c.word.told -= self.ahead
+        self.world.take_off(c.tenant_id, c.counter_key, self.reserved_units)
+        c.counter_total_units -= self.reserved_units
+        c.window_counter.units -= self.reserved_units
+        c.window_counter.confirmed_units -= self.reserved_units
 
     def admit(self, now: float, c: Tenant, units: float, asked: bool, blind: bool) -> float | None:
         if "lot" in self.exact:
             blind = False
         if "store" in self.exact:
-            c.store = self.world.books.store(self.world.accounts[c.key]).fill(self.world.now)
-            c.credit = 1e9
+            c.bucket_units = self.world.books.store(self.world.accounts[c.tenant_id]).fill(self.world.now)
+            c.credit_units = 1e9
             return super().admit(now, c, units, asked, False)
         if "untold" not in self.exact:
             return super().admit(now, c, units, asked, blind)
-        kept = c.store
-        c.store = max(0.0, kept - self.world.untold(c.key, self.number))
-        lower = kept - c.store
+        kept = c.bucket_units
+        c.bucket_units = max(0.0, kept - self.world.untold(c.tenant_id, self.number))
+        lower = kept - c.bucket_units
         wait = super().admit(now, c, units, asked, blind)
-        c.store += lower
+        c.bucket_units += lower
         return wait
 
 
@@ -508,8 +521,8 @@
         for other in self.accounts[key].gateways:
             if other != number:
                 found += max(0.0, self.flying[key, other])
-                if (c := self.modules[other].quota.customers.get(key)) is not None:
-                    found += max(0.0, c.fresh)
+                if (c := self.modules[other].quota.tenants.get(key)) is not None:
+                    found += max(0.0, c.unreported_units)
         return found
 
     # --- tries ----------------------------------------------------------------------------------------------
@@ -560,7 +573,7 @@
         if isinstance(action, Reject):
             asked = self.asked[action.request_id]
             account, luck, again = self.whose[asked.ref]
-            cause = self.modules[number].quota.cause if not asked.attempts else "no attempt"
+            cause = self.modules[number].quota.rejection_cause if not asked.attempts else "no attempt"
             self.books.refused(self.now, account, asked.units, cause)
             if again < 2 and luck < self.retry:
                 honours = luck < 0.6 * self.retry
@@ -569,8 +582,8 @@
                 self.at(wait + 1.0, self.request, account, asked.units, other, luck, again + 1)
         elif isinstance(action, IncrementCounter):
             self.books.calls += self.now >= self.books.warm
-            row = self.modules[number].quota.calls_out[action.key][-1]
-            self.flying[row[0].key, number] += row[2] - row[6]
+            row = self.modules[number].quota.calls_in_flight[action.key][-1]
+            self.flying[row[0].tenant_id, number] += row[2] - row[6]
         super().perform(number, incarnation, action)
 
     def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
@@ -619,9 +632,9 @@
 
     def row(self, number: int, call: IncrementCounter, began: float) -> tuple[str, float, float]:
         """Customer, units and units ahead of a call that is on its way."""
-        for row in self.modules[number].quota.calls_out[call.key]:
+        for row in self.modules[number].quota.calls_in_flight[call.key]:
             if round(row[2] + row[3], 3) == call.amount:
-                return row[0].key, row[2], row[6]
+                return row[0].tenant_id, row[2], row[6]
         raise LookupError(f"no call {call}")
 
 
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -511,14 +511,18 @@
                 continue
             out: dict[str, int] = {}
             for attempt in module.attempts.values():
-                if attempt.opened.customer is not None:
-                    key = attempt.opened.customer.key
+                if attempt.pending.tenant is not None:
+                    key = attempt.pending.tenant.tenant_id
                     out[key] = out.get(key, 0) + 1
-            for key, customer in module.quota.customers.items():
-                if customer.open != out.get(key, 0):
-                    raise BrokenRule("open counts", f"{key}: {customer.open} booked, {out.get(key, 0)} out")
-                if customer.store > customer.plan.burst_units + 1e-6 or customer.part < -1e-6:
-                    raise BrokenRule("stores", f"{key}: store {customer.store}, part {customer.part}")
+            for key, tenant in module.quota.tenants.items():
+                if tenant.attempts_in_flight != out.get(key, 0):
+                    raise BrokenRule(
+                        "open counts", f"{key}: {tenant.attempts_in_flight} booked, {out.get(key, 0)} out"
+                    )
+                if tenant.bucket_units > tenant.plan.burst_units + 1e-6 or tenant.local_units < -1e-6:
+                    raise BrokenRule(
+                        "stores", f"{key}: store {tenant.bucket_units}, part {tenant.local_units}"
+                    )
         self.check_ceiling()
 
     def check_ceiling(self) -> None:
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -324,7 +324,7 @@
         assert chain.state() == state
     chain.tell(zoned(100, 5_700, weight=2.0))
     assert set(chain.servers.known()) == {f"n{n}" for n in range(100, 5_800)}
-    assert all(entry.entry.weight == 2.0 for entry in chain.policy.fleet.servers.values())
+    assert all(entry.endpoint.weight == 2.0 for entry in chain.policy.pool.servers.values())
 
 
 def test_a_name_that_is_no_text_hides_nothing_of_a_long_list(chain: Chain) -> None:
--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -32,17 +32,17 @@
 
 @bug
 def unsafe_requests_are_repeated(patch: pytest.MonkeyPatch) -> None:
-    sound = DecisionEngine.may_repeat
+    sound = DecisionEngine.may_retry
 
     def repeat(self: DecisionEngine, now: float, opened: PendingRequest, event: Any) -> bool:
-        return sound(self, now, opened, event) or opened.attempts < 2
+        return sound(self, now, opened, event) or opened.attempt_count < 2
 
-    patch.setattr(DecisionEngine, "may_repeat", repeat)
+    patch.setattr(DecisionEngine, "may_retry", repeat)
 
 
 @bug
 def keys_are_never_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(DecisionEngine, "forgotten", lambda self, opened: 1e18)
+    patch.setattr(DecisionEngine, "idempotency_expiry_ms", lambda self, opened: 1e18)
 
 
 @bug
@@ -50,7 +50,7 @@
     sound = ServerPool.pick
 
     def pick(self: ServerPool, now: float, opened: PendingRequest) -> Any:
-        opened.home = None
+        opened.pinned_endpoint = None
         return sound(self, now, opened)
 
     patch.setattr(ServerPool, "pick", pick)
@@ -61,7 +61,7 @@
     sound = DecisionEngine.finish
 
     def finish(self: DecisionEngine, opened: PendingRequest) -> None:
-        opened.may_run_at = None
+        opened.may_have_run_ms = None
         sound(self, opened)
 
     patch.setattr(DecisionEngine, "finish", finish)
@@ -83,51 +83,51 @@
 
 @bug
 def open_counts_leak(patch: pytest.MonkeyPatch) -> None:
-    sound = DecisionEngine.ended
+    sound = DecisionEngine.handle_attempt_ended
 
     def ended(self: DecisionEngine, now: float, event: AttemptEnded) -> None:
         attempt = self.attempts.get((event.request_id, event.attempt))
         sound(self, now, event)
-        if attempt is not None and attempt.opened.customer and event.outcome is Outcome.RESET:
-            attempt.opened.customer.open += 1
+        if attempt is not None and attempt.pending.tenant and event.outcome is Outcome.RESET:
+            attempt.pending.tenant.attempts_in_flight += 1
 
-    patch.setattr(DecisionEngine, "ended", ended)
+    patch.setattr(DecisionEngine, "handle_attempt_ended", ended)
 
 
 @bug
 def stores_overflow(patch: pytest.MonkeyPatch) -> None:
-    sound = QuotaAccounting.take
+    sound = QuotaAccounting.charge
 
     def take(self: QuotaAccounting, c: Any, units: float, counted: bool, asked: bool) -> None:
         sound(self, c, units, counted, asked)
-        c.store += 3.0 * units
+        c.bucket_units += 3.0 * units
 
-    patch.setattr(QuotaAccounting, "take", take)
+    patch.setattr(QuotaAccounting, "charge", take)
 
 
 @bug
 def guards_are_not_kept(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(QuotaAccounting, "assured", lambda self, c, asked: True)
-    patch.setattr(QuotaAccounting, "unsure", lambda self, now, c, units: False)
-    patch.setattr(QuotaAccounting, "room", lambda self, c: 1e9)
+    patch.setattr(QuotaAccounting, "is_vouched_by_counter", lambda self, c, asked: True)
+    patch.setattr(QuotaAccounting, "needs_counter", lambda self, now, c, units: False)
+    patch.setattr(QuotaAccounting, "headroom", lambda self, c: 1e9)
     sound = QuotaAccounting.admit
 
     def admit(self: QuotaAccounting, now: float, c: Any, units: float, asked: bool, blind: bool) -> Any:
-        return None if c.plan.ceiling_rate else sound(self, now, c, units, asked, blind)
+        return None if c.plan.ceiling_rate_per_s else sound(self, now, c, units, asked, blind)
 
     patch.setattr(QuotaAccounting, "admit", admit)
 
 
 @bug
 def some_requests_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    sound = DecisionEngine.ended
+    sound = DecisionEngine.handle_attempt_ended
 
     def ended(self: DecisionEngine, now: float, event: AttemptEnded) -> None:
         if event.outcome is Outcome.ERROR:
             self.requests.pop(event.request_id, None)
         sound(self, now, event)
 
-    patch.setattr(DecisionEngine, "ended", ended)
+    patch.setattr(DecisionEngine, "handle_attempt_ended", ended)
 
 
 @bug
@@ -143,18 +143,18 @@
 
 @bug
 def newcomers_look_idle_and_get_it_all(patch: pytest.MonkeyPatch) -> None:
-    sound = ServerPool.delay
+    sound = ServerPool.expected_delay
 
     def delay(self: ServerPool, server: Server, now: float, mean: float, warmth: float) -> float:
-        return 0.0 if server.entry.started_ms > 0 else sound(self, server, now, mean, warmth)
+        return 0.0 if server.endpoint.started_ms > 0 else sound(self, server, now, mean, warmth)
 
-    patch.setattr(ServerPool, "delay", delay)
-    patch.setattr(ServerPool, "warmth", lambda self, server, now: 1.0)
+    patch.setattr(ServerPool, "expected_delay", delay)
+    patch.setattr(ServerPool, "slow_start_weight", lambda self, server, now: 1.0)
 
 
 @bug
 def a_time_out_raises(patch: pytest.MonkeyPatch) -> None:
-    sound = WindowCounter.heard
+    sound = WindowCounter.apply_total
 
     def heard(self: WindowCounter, total: float, units: float, toll: float) -> Any:
         found = sound(self, total, units, toll)
@@ -162,15 +162,15 @@
             raise ZeroDivisionError("lost")
         return found
 
-    patch.setattr(WindowCounter, "heard", heard)
+    patch.setattr(WindowCounter, "apply_total", heard)
 
 
 @bug
 def attempts_have_no_end(patch: pytest.MonkeyPatch) -> None:
     def repeat(self: DecisionEngine, now: float, opened: PendingRequest, event: Any) -> bool:
-        return opened.may_run_at is None or opened.cls.idempotency is Idempotency.IDEMPOTENT
+        return opened.may_have_run_ms is None or opened.request_class.idempotency is Idempotency.IDEMPOTENT
 
-    patch.setattr(DecisionEngine, "may_repeat", repeat)
+    patch.setattr(DecisionEngine, "may_retry", repeat)
 
 
 def test_the_rules_hold_over_seeds() -> None:
--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -209,25 +209,25 @@
 
 def test_a_build_without_the_marks_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     assert broken(monkeypatch) <= 1e-6
-    assert broken(monkeypatch, granted=lambda self, spread: 1.0) > BARE.ceiling_slack_units
+    assert broken(monkeypatch, granted_fraction=lambda self, spread: 1.0) > BARE.ceiling_slack_units
 
 
 def test_a_build_that_takes_units_off_a_total_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first form of this module: what was refused was taken off a memory that had never held it, and a
     fresh one granted that much more."""
-    taken_off = QuotaAccounting.call
+    taken_off = QuotaAccounting.make_call
 
     def call(
         self: QuotaAccounting, now: float, c: Tenant, extra: float = 0.0, waits: str | None = None
     ) -> IncrementCounter:
-        due = round(c.fresh + extra, 3)
+        due = round(c.unreported_units + extra, 3)
         made = taken_off(self, now, c, extra, waits)
-        queue = self.calls_out[c.name]
+        queue = self.calls_in_flight[c.counter_key]
         queue[-1] = (*queue[-1][:2], due, *queue[-1][3:5], True, extra)
-        c.fresh = 0.0
+        c.unreported_units = 0.0
         return replace(made, amount=round(due + queue[-1][3], 3))
 
-    monkeypatch.setattr(QuotaAccounting, "call", call)
+    monkeypatch.setattr(QuotaAccounting, "make_call", call)
     assert broken(monkeypatch) > BARE.ceiling_slack_units
 
 
@@ -239,13 +239,13 @@
         for step in range(6):
             if step == 2:
                 memory = 0.0
-            toll = name.toll()
+            toll = name.take_marker()
             memory += fresh + toll
-            again = name.heard(memory, fresh, toll)
+            again = name.apply_total(memory, fresh, toll)
             fresh = 1.0 + (again or 0.0)
             if twice and again is not None:
-                name.told += again
-                name.marks = 1
+                name.confirmed_units += again
+                name.marker_count = 1
         return memory % 1000.0
 
     assert put_in(False) == 3.0 + 5 * 1.0
@@ -260,24 +260,24 @@
         for _ in range(2):
             memory = best = 0.0
             for name in (*names, *names):
-                toll = name.toll()
+                toll = name.take_marker()
                 memory += 1.0 + toll
-                name.heard(memory, 1.0, toll)
-                best = max(best, name.granted(2))
+                name.apply_total(memory, 1.0, toll)
+                best = max(best, name.granted_fraction(2))
             granted += best
         return granted
 
     assert shares() == 1.0
-    heard = WindowCounter.heard
+    heard = WindowCounter.apply_total
 
     def again(self: WindowCounter, total: float, units: float, toll: float) -> float | None:
         lost = heard(self, total, units, toll)
         if lost is not None:
-            self.lost = self.marked = self.confirmed = False
-            self.marks = 0
+            self.has_lost_memory = self.is_marked = self.is_marker_confirmed = False
+            self.marker_count = 0
         return lost
 
-    monkeypatch.setattr(WindowCounter, "heard", again)
+    monkeypatch.setattr(WindowCounter, "apply_total", again)
     assert shares() > 1.0
 
 
@@ -310,34 +310,34 @@
             memories.append(0.0)
             reach = [len(memories) - 1 if i % 2 else r for i, r in enumerate(reach)]
         else:
-            toll = name.toll()
+            toll = name.take_marker()
             if what == "full":
-                name.unsent(toll)
+                name.marker_not_added(toll)
             elif what != "timeout lost":
                 memories[reach[gateway]] += toll + 1.0
                 if what == "add":
-                    name.heard(memories[reach[gateway]], 1.0, toll)
+                    name.apply_total(memories[reach[gateway]], 1.0, toll)
                     at = reach[gateway]
-                    granting[at] = max(granting.get(at, 0.0), name.granted(6))
+                    granting[at] = max(granting.get(at, 0.0), name.granted_fraction(6))
         assert sum(granting.values()) <= 1.0 + 1e-9
         assert sum(round(total / mark) for total in memories) <= 6
 
 
 def test_own_words_are_put_in_again_once_for_each_loss() -> None:
     name = WindowCounter(1000.0, True)
-    assert name.toll() == 1000.0 and name.toll() == 0.0
-    assert name.heard(1003.0, 3.0, 1000.0) is None and name.told == 3.0
-    assert name.heard(1008.0, 2.0, 0.0) is None  # another's three units
-    assert name.heard(1.0, 1.0, 0.0) == 5.0 and name.lost and name.granted(1) == 0.0
-    assert name.heard(7.0, 5.0, 0.0) is None and name.told == 6.0
-    assert name.heard(0.5, 0.5, 0.0) is None or name.told <= 6.5
+    assert name.take_marker() == 1000.0 and name.take_marker() == 0.0
+    assert name.apply_total(1003.0, 3.0, 1000.0) is None and name.confirmed_units == 3.0
+    assert name.apply_total(1008.0, 2.0, 0.0) is None  # another's three units
+    assert name.apply_total(1.0, 1.0, 0.0) == 5.0 and name.has_lost_memory and name.granted_fraction(1) == 0.0
+    assert name.apply_total(7.0, 5.0, 0.0) is None and name.confirmed_units == 6.0
+    assert name.apply_total(0.5, 0.5, 0.0) is None or name.confirmed_units <= 6.5
 
 
 def test_a_window_of_before_the_start_is_not_marked_and_grants_nothing() -> None:
     name = WindowCounter(1000.0, False)
-    assert name.toll() == 0.0
-    name.heard(3002.0, 2.0, 0.0)
-    assert name.granted(3) == 0.0
+    assert name.take_marker() == 0.0
+    name.apply_total(3002.0, 2.0, 0.0)
+    assert name.granted_fraction(3) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -351,20 +351,20 @@
 def test_the_counters_state_follows_its_answers() -> None:
     watch = CounterMonitor(2500.0)
     assert watch.state(0.0) is CounterHealth.SOUND
-    watch.share = 0.3
+    watch.call_fraction = 0.3
     assert watch.state(0.0) is CounterHealth.SLOW
     for _ in range(3):
-        watch.missed_one(100.0)
-    assert watch.state(100.0) is CounterHealth.MUTE
-    watch.share = 1.0
-    watch.answered(200.0, False)
+        watch.record_failure(100.0)
+    assert watch.state(100.0) is CounterHealth.UNAVAILABLE
+    watch.call_fraction = 1.0
+    watch.record_reply(200.0, False)
     assert watch.state(200.0) is CounterHealth.RECOVERING and watch.state(2700.0) is CounterHealth.SOUND
-    watch.answered(3000.0, True)
+    watch.record_reply(3000.0, True)
     assert watch.state(3100.0) is CounterHealth.REPLACED and watch.state(5600.0) is CounterHealth.SOUND
     for _ in range(50):
-        watch.window_ended(1.0)
+        watch.record_window(1.0)
     for _ in range(10):
-        watch.window_ended(0.5)
+        watch.record_window(0.5)
     assert watch.state(9000.0) is CounterHealth.SPLIT
 
 
@@ -378,7 +378,7 @@
     fleet.counter.replace()
     fleet.run(fleet.now + 1000.0)
     assert fleet.units("soft") - before <= 2.5 * SOFT.rate_per_s
-    assert any(module.quota.watch.lost_at > 0 for module in fleet.modules)
+    assert any(module.quota.monitor.memory_lost_ms > 0 for module in fleet.modules)
 
 
 def test_quota_bound_prints_a_line_for_each_plan(tmp_path: Path) -> None:
--- a/tests/policy/admission/test_late_answers.py
+++ b/tests/policy/admission/test_late_answers.py
@@ -150,7 +150,7 @@
     slow, mute = Slow(), Slow()
     slow.spend(15)
     mute.spend(15, late=False)
-    assert mute.gateway.quota.mute and not slow.gateway.quota.mute
+    assert mute.gateway.quota.is_counter_unavailable and not slow.gateway.quota.is_counter_unavailable
 
 
 def test_late_totals_tell_of_the_others_use_and_own_units_count_once() -> None:
@@ -161,9 +161,11 @@
             rig.advance(250.0)
             rig.answer_calls()
             rig.answer_late(others=others)
-    assert alone.gateway.quota.customers["c"].others < 0.2, "own units passed for the others'"
-    assert crowded.gateway.quota.customers["c"].others > 1.0
-    assert crowded.gateway.quota.customers["c"].store < alone.gateway.quota.customers["c"].store + 0.1
+    assert alone.gateway.quota.tenants["c"].others_demand_per_s < 0.2, "own units passed for the others'"
+    assert crowded.gateway.quota.tenants["c"].others_demand_per_s > 1.0
+    assert (
+        crowded.gateway.quota.tenants["c"].bucket_units < alone.gateway.quota.tenants["c"].bucket_units + 0.1
+    )
 
 
 def test_what_was_turned_away_late_is_told_again() -> None:
@@ -171,11 +173,11 @@
     rig.ask("read", "rate", "c", spread=2)
     rig.advance(300.0)
     rig.answer_calls()
-    c = rig.gateway.quota.customers["c"]
-    owed = c.fresh + c.mine
+    c = rig.gateway.quota.tenants["c"]
+    owed = c.unreported_units + c.own_units_since_reply
     rig.answer_late(Outcome.REJECTED)
-    assert c.mine == 0.0 and c.fresh <= owed
-    assert not rig.gateway.quota.timed_out
+    assert c.own_units_since_reply == 0.0 and c.unreported_units <= owed
+    assert not rig.gateway.quota.timed_out_calls
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -193,9 +195,17 @@
             rig.answer_late(endings[step])
         rig.answer_calls()
     quota = rig.gateway.quota
-    for c in quota.customers.values():
-        assert 0.0 <= c.store <= c.plan.burst_units and c.own >= 0.0 and c.others >= 0.0
-        assert c.word is None or not c.word.marks or c.word.marks <= 2
-    assert sum(map(len, quota.timed_out.values())) <= 60
-    names = {c.name for c in quota.customers.values()}
-    assert set(quota.timed_out) <= names, "kept for a window that has ended"
+    for c in quota.tenants.values():
+        assert (
+            0.0 <= c.bucket_units <= c.plan.burst_units
+            and c.own_demand_per_s >= 0.0
+            and c.others_demand_per_s >= 0.0
+        )
+        assert (
+            c.window_counter is None
+            or not c.window_counter.marker_count
+            or c.window_counter.marker_count <= 2
+        )
+    assert sum(map(len, quota.timed_out_calls.values())) <= 60
+    names = {c.counter_key for c in quota.tenants.values()}
+    assert set(quota.timed_out_calls) <= names, "kept for a window that has ended"
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -528,14 +528,14 @@
 def test_a_pick_looks_at_as_many_servers_at_5700_as_at_100(monkeypatch: pytest.MonkeyPatch) -> None:
     """The decision module itself behind the subset, counted by its looks at a server."""
     looks = 0
-    sound = ServerPool.delay
+    sound = ServerPool.expected_delay
 
     def delay(*args: Any) -> float:
         nonlocal looks
         looks += 1
         return sound(*args)
 
-    monkeypatch.setattr(ServerPool, "delay", delay)
+    monkeypatch.setattr(ServerPool, "expected_delay", delay)
     found = {}
     for listed in (20, 5_700):
         made = replace(SETTINGS, gateway_count=520)
@@ -569,7 +569,7 @@
     for seed in range(6):
         failure = tried(drawn(seed), make, large)
         assert failure is None, failure
-    used = [len(part.inner.fleet.servers) for part in parts]
+    used = [len(part.inner.pool.servers) for part in parts]
     assert all(part.aperture.narrow for part in parts) and max(used) < WHOLE
 
 
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -77,7 +77,7 @@
         rig.ask(plan="rate")
         rig.answer_calls()
         rig.advance(25.0)
-    assert rig.gateway.quota.mute
+    assert rig.gateway.quota.is_counter_unavailable
     before = len(rig.log)
     for _ in range(100):
         rig.ask(plan="rate")
@@ -88,7 +88,7 @@
     rig.advance(600.0)
     rig.ask(plan="rate")
     rig.answer_calls()
-    assert not rig.gateway.quota.mute
+    assert not rig.gateway.quota.is_counter_unavailable
 
 
 def test_flush_is_no_fall_in_demand() -> None:
@@ -100,8 +100,8 @@
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(50.0)
-    customer = rig.gateway.quota.customers["c"]
-    before, window = customer.others, customer.window
+    customer = rig.gateway.quota.tenants["c"]
+    before, window = customer.others_demand_per_s, customer.window_start_ms
     rig._totals.clear()
     rig.others = -1.0
     heard = rig._answered
@@ -109,7 +109,7 @@
         rig.ask(plan="rate")
         rig.advance(20.0)
         rig.answer_calls()
-    assert customer.window == window and before > 0 and customer.others >= 0.5 * before
+    assert customer.window_start_ms == window and before > 0 and customer.others_demand_per_s >= 0.5 * before
 
 
 def test_refusing_gateway_hears_that_the_others_stopped() -> None:
@@ -273,8 +273,11 @@
         rig.end(name, 0, Outcome.ERROR if i % 2 else Outcome.OK, 20.0)
         rig.advance(20.0)
     rig.advance(300.0)
-    for server in rig.gateway.fleet.servers.values():
-        server.held, server.held_at = (0.0 if server.entry.address == "s1" else 30.0), rig.now
+    for server in rig.gateway.pool.servers.values():
+        server.peer_requests, server.load_report_ms = (
+            (0.0 if server.endpoint.address == "s1" else 30.0),
+            rig.now,
+        )
     names = [rig.ask("charge")[0] for _ in range(3)]
     assert [rig.sent[name][0] for name in names].count("s1") >= 2
 
@@ -284,7 +287,7 @@
     rig.warm_up()
     share_of(rig, "s0", 100, Outcome.ERROR, 1.0)
     rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", started_ms=rig.now),)))
-    assert rig.gateway.fleet.servers["s0"].fails == 0.0
+    assert rig.gateway.pool.servers["s0"].failure_rate == 0.0
 
 
 def test_load_report_is_heeded() -> None:
@@ -377,5 +380,5 @@
     rig.ending = Outcome.TIMEOUT
     for _ in range(5):
         second()
-    assert rig.gateway.quota.mute
+    assert rig.gateway.quota.is_counter_unavailable
     assert least <= sum(second() for _ in range(18)) <= most  # even parts would let 18 to 21 go
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -42,33 +42,33 @@
 
 def old_line(patch: pytest.MonkeyPatch) -> None:
     """V is what was asked for in a window, however little was seen; nothing lies under it."""
-    sound = CapacityEstimate.window
+    sound = CapacityEstimate.end_window
 
     def window(self: CapacityEstimate, now: float, ages: list[float]) -> None:
-        late = sorted(self.times + ages)
-        before, at, asked = self.capacity, self.at, sum(self.demand.values())
+        late = sorted(self.latency_ratios + ages)
+        before, at, asked = self.capacity_per_s, self.window_start_ms, sum(self.window_units.values())
         sound(self, now, ages)
-        if self.at == now and at is not None and late and late[len(late) // 2] > 0.5:
-            self.capacity = min(before, 0.7 * asked / ((now - at) / 1000.0))
+        if self.window_start_ms == now and at is not None and late and late[len(late) // 2] > 0.5:
+            self.capacity_per_s = min(before, 0.7 * asked / ((now - at) / 1000.0))
 
-    patch.setattr(CapacityEstimate, "window", window)
-    patch.setattr(CapacityEstimate, "floor", 0.0)
+    patch.setattr(CapacityEstimate, "end_window", window)
+    patch.setattr(CapacityEstimate, "floor_per_s", 0.0)
 
 
 def no_floor(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(CapacityEstimate, "floor", 0.0)
+    patch.setattr(CapacityEstimate, "floor_per_s", 0.0)
 
 
 def no_growth(patch: pytest.MonkeyPatch) -> None:
     """What was seen once holds for ever."""
-    sound = CapacityEstimate.window
+    sound = CapacityEstimate.end_window
 
     def window(self: CapacityEstimate, now: float, ages: list[float]) -> None:
-        before = self.capacity
+        before = self.capacity_per_s
         sound(self, now, ages)
-        self.capacity = min(before, self.capacity)
+        self.capacity_per_s = min(before, self.capacity_per_s)
 
-    patch.setattr(CapacityEstimate, "window", window)
+    patch.setattr(CapacityEstimate, "end_window", window)
 
 
 @pytest.mark.parametrize(
@@ -89,47 +89,47 @@
 
 def judged(pressure: CapacityEstimate, windows: int, answers: int, lateness: float, demand: float) -> float:
     """So many windows of a second, each with these answers; V after them."""
-    now = pressure.at or 0.0
-    pressure.window(now, [])
+    now = pressure.window_start_ms or 0.0
+    pressure.end_window(now, [])
     for _ in range(windows):
         now += 1000.0
         for _ in range(answers):
-            pressure.heard(lateness * 1000.0, 1000.0)
-        pressure.demand = {1.0: demand} if demand else {}
-        pressure.window(now, [])
-    return pressure.capacity
+            pressure.record_latency(lateness * 1000.0, 1000.0)
+        pressure.window_units = {1.0: demand} if demand else {}
+        pressure.end_window(now, [])
+    return pressure.capacity_per_s
 
 
 def test_one_old_request_in_a_silence_is_no_bound() -> None:
     pressure = CapacityEstimate()
     judged(pressure, 3, 20, 0.05, 20.0)
-    pressure.window((pressure.at or 0.0) + 4000.0, [0.7])
-    assert pressure.capacity > 20.0
+    pressure.end_window((pressure.window_start_ms or 0.0) + 4000.0, [0.7])
+    assert pressure.capacity_per_s > 20.0
 
 
 def test_a_hung_fleet_is_seen_though_it_answers_nothing() -> None:
     pressure = CapacityEstimate()
     judged(pressure, 3, 20, 0.05, 20.0)
-    pressure.demand = {1.0: 80.0}
-    pressure.window((pressure.at or 0.0) + 4000.0, [2.0] * 60)
-    assert pressure.capacity <= 0.7 * 20.0
+    pressure.window_units = {1.0: 80.0}
+    pressure.end_window((pressure.window_start_ms or 0.0) + 4000.0, [2.0] * 60)
+    assert pressure.capacity_per_s <= 0.7 * 20.0
 
 
 def test_v_is_measured_up_from_wherever_it_fell_to() -> None:
     pressure = CapacityEstimate()
     judged(pressure, 40, 20, 2.0, 20.0)
-    fell = pressure.capacity
+    fell = pressure.capacity_per_s
     assert 0.0 < fell < 2.0
     judged(pressure, 6, 20, 0.05, 20.0)
-    assert pressure.capacity > 20.0
+    assert pressure.capacity_per_s > 20.0
 
 
 def test_the_floor_is_one_request_at_a_time_at_each_server_of_ones_part() -> None:
     pressure = CapacityEstimate()
-    pressure.part = 0.5
+    pressure.servers_per_gateway = 0.5
     for _ in range(60):
-        pressure.heard(250.0, 1000.0)
-    assert pressure.floor == pytest.approx(2.0, rel=0.01)
+        pressure.record_latency(250.0, 1000.0)
+    assert pressure.floor_per_s == pytest.approx(2.0, rel=0.01)
 
 
 def test_what_was_out_while_the_process_stood_tells_nothing_of_servers() -> None:
@@ -138,16 +138,16 @@
     out = [
         name for name, actions in (rig.ask(customer=f"c{i}") for i in range(6)) if only(actions, StartAttempt)
     ]
-    means = dict(rig.gateway.fleet.means)
-    paces = {name: server.pace for name, server in rig.gateway.fleet.servers.items()}
+    means = dict(rig.gateway.pool.mean_latency_ms)
+    paces = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
     rig.now += 3500.0  # no tick in all this time
     for name in out:
         rig.end(name, 0, Outcome.TIMEOUT, 3500.0)
     rig.advance(2000.0)
-    assert out and rig.gateway.fleet.means == means
-    assert {name: server.pace for name, server in rig.gateway.fleet.servers.items()} == paces
-    assert rig.gateway.pressure.capacity == math.inf
-    assert all(not s.out and s.silent_since is None for s in rig.gateway.fleet.servers.values())
+    assert out and rig.gateway.pool.mean_latency_ms == means
+    assert {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()} == paces
+    assert rig.gateway.capacity.capacity_per_s == math.inf
+    assert all(not s.in_flight and s.unanswered_since_ms is None for s in rig.gateway.pool.servers.values())
 
 
 def test_a_quiet_night_with_slow_answers_does_not_end_service(tmp_path: Path) -> None:
@@ -177,16 +177,16 @@
     for _ in range(8):
         rig.advance(250.0)
         rig.answer_calls()
-    return not rig.gateway.quota.mute
+    return not rig.gateway.quota.is_counter_unavailable
 
 
 def crowd(rig: Rig) -> None:
-    rig.gateway.quota.share, rig.gateway.quota.slow = LEAST_SHARE, 1.0
+    rig.gateway.quota.call_fraction, rig.gateway.quota.late_fraction = LEAST_SHARE, 1.0
 
 
 def overloaded(rig: Rig) -> None:
     """V is at its floor, and the credit of what asks is spent."""
-    rig.gateway.pressure.capacity, rig.gateway.pressure.took = 0.01, 3.0
+    rig.gateway.capacity.capacity_per_s, rig.gateway.capacity.mean_latency_s = 0.01, 3.0
     while only((one := rig.ask())[1], StartAttempt):
         rig.end(one[0], 0, Outcome.OK, 900.0)
 
@@ -210,7 +210,7 @@
         rig.answer_calls()
     rig.others = 0.0
     mute(rig)
-    rig.gateway.quota.customers["c"].part = 0.0
+    rig.gateway.quota.tenants["c"].local_units = 0.0
 
 
 def gone(rig: Rig, refusals: int = 10) -> None:
@@ -218,14 +218,14 @@
     request = RequestClass("read", 1000.0, 1.0, Idempotency.IDEMPOTENT)
     end = AttemptEnded("x", 0, "s0", Outcome.UNREACHABLE, 1.0, False)
     for _ in range(refusals):
-        rig.gateway.fleet.ended(rig.now, end, request, 1.0)
+        rig.gateway.pool.record_end(rig.now, end, request, 1.0)
 
 
 def cold(rig: Rig) -> None:
     """All servers have just started, and their turns are spent."""
     rig.feed(EndpointList(EndpointListKind.FULL, entries(3, started=rig.now)))
-    for server in rig.gateway.fleet.servers.values():
-        server.turn, server.turn_at = 0.0, rig.now
+    for server in rig.gateway.pool.servers.values():
+        server.slow_start_tokens, server.slow_start_tokens_ms = 0.0, rig.now
 
 
 def forgot(rig: Rig) -> None:
@@ -233,19 +233,19 @@
     rig.ask(plan="hard", customer="c")
     rig.advance(1500.0)
     rig.answer_calls()
-    word = rig.gateway.quota.customers["c"].word
+    word = rig.gateway.quota.tenants["c"].window_counter
     assert word is not None
-    word.lost = True
+    word.has_lost_memory = True
 
 
 def spent(rig: Rig) -> None:
-    rig.gateway.retries = 0.0
+    rig.gateway.retry_tokens = 0.0
 
 
 def slow(rig: Rig) -> None:
     """One server answered sixty times as late as the others, so that they would rather refuse than ask it."""
-    server = rig.gateway.fleet.servers["s0"]
-    server.pace, server.paced_at = 60.0, rig.now
+    server = rig.gateway.pool.servers["s0"]
+    server.relative_latency, server.relative_latency_ms = 60.0, rig.now
 
 
 def serves(rig: Rig, plan: str = "wide", customer: str = "c") -> bool:
@@ -261,8 +261,8 @@
     rig.ask(plan="hard", customer="c")
     rig.advance(1500.0)
     rig.answer_calls()
-    word = rig.gateway.quota.customers["c"].word
-    return word is not None and word.granted(2) > 0.0
+    word = rig.gateway.quota.tenants["c"].window_counter
+    return word is not None and word.granted_fraction(2) > 0.0
 
 
 def repeats(rig: Rig) -> bool:
@@ -274,7 +274,7 @@
 
 
 def asks(rig: Rig) -> bool:
-    return rig.gateway.quota.share == 1.0
+    return rig.gateway.quota.call_fraction == 1.0
 
 
 HELD: dict[str, tuple[Callable[[Rig], None], Callable[[Rig], bool], float]] = {
@@ -285,7 +285,7 @@
     "a mute counter": (mute, heard_again, 0.0),
     "slowed calls": (crowd, asks, 120.0),
     "a pause of a server": (gone, reaches, 12.5),
-    "a judgement of a server": (gone, lambda rig: rig.gateway.fleet.judge(rig.now) == [], 5.0),
+    "a judgement of a server": (gone, lambda rig: rig.gateway.pool.detect_outliers(rig.now) == [], 5.0),
     "turns at cold servers": (cold, serves, 10.0),
     "a window's lost memory": (forgot, granting, 3.0),
     "the budget of repeats": (spent, repeats, 0.0),
