--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -1,4 +1,7 @@
-"""The platform's file: what DEPLOY tells a gateway, read from the JSON that EDGE_CONFIG names."""
+"""The platform's configuration: the JSON file that EDGE_CONFIG names, with single variables as a fallback.
+
+The platform's field names are mapped here and in `policy_settings`, nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +10,30 @@
 from typing import Any
 
 from glenchute.clients.discovery import ListError, address, read_list
-from glenchute.core.types import News
+from glenchute.core.types import EndpointUpdate
 from glenchute.listeners.resp2.commands import Bounds, bounds
-from glenchute.policy.connections.client_slots import Budget, budget
+from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
-from glenchute.simulator import SCOPES, num, settings
 from glenchute.upstreams.connection_pool import Limits
 
-from .facts import ClassFacts, Facts
-
-OPERATOR = "GLENCHUTE_OPERATOR"  # the variable that names the operator's file
-
-
-MOST_GATEWAYS = 1_000_000  # a gateway's number is under this, or is none
-LONG_SHARE = 0.25  # of the memory that long values may take on their way through
-LONG_COST = 192 * 1024  # bytes of one: what waits for the client, and what comes in one read
+from .facts import ClassFacts, PlatformFacts
+from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
+
+OPERATOR_FILE_VARIABLE = "GLENCHUTE_OPERATOR"
+MAX_GATEWAYS = 1_000_000  # gateways are numbered from 0 to below this
+MIN_DESCRIPTORS = 64
+DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 192.0
+MIN_STREAMED_VALUES = 4
+STREAMING_MEMORY_FRACTION = 0.25  # of the memory, for long values on their way through
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
+DEFAULT_DRAIN_GRACE_MS = 250.0
+DEFAULT_DEADLINE_MS = 60_000.0
+STREAM_BYTES = 192 * 1024  # of one such value: what waits for the client, and what comes in one read
+IDLE_MARGIN_S = 2.0  # connections are given up this long before the servers close them as idle
+MIN_IDLE_S = 0.5
 
 
 class ConfigError(Exception):
@@ -30,34 +41,36 @@
 
 
 @record(frozen=True, slots=True)
-class Config:
-    """What the platform tells a gateway."""
+class PlatformConfig:
+    """What the platform tells a gateway.
+
+    operations_address: the second address, which the platform calls `operator`
+    max_descriptors: of the process; `budget` divides them
+    cached_endpoints: the endpoint list from before the start
+    passed_descriptor: of the clients' listening socket, where the platform holds that socket
+    gateway_number: of this gateway among `settings.gateway_count`; None where the platform does not say
+    stated_number: the number that the platform gave, though it may not be below `settings.gateway_count`
+    """
 
     name: str
     listen: tuple[str, int]
-    operations: tuple[str, int] | None  # the second address; the platform's name for it is `operator`
+    operations_address: tuple[str, int] | None
     discovery: tuple[str, int]
     counter: tuple[str, int] | None
     seed: int
-    sockets: int
-    budget: Budget  # the parts of these
-    known: News | None
-    passed: int | None  # the descriptor of the clients' listening socket, where the platform holds that
+    max_descriptors: int
+    budget: DescriptorBudget
+    cached_endpoints: EndpointUpdate | None
+    passed_descriptor: int | None
     settings: Settings
-    number: int | None  # of this gateway among `settings.gateways`; None where the platform does not say
-    place: int | None  # the number that the platform gave, though it may not be one of `settings.gateways`
+    gateway_number: int | None
+    stated_number: int | None
     limits: Limits
-    bounds: Bounds
-    facts: Facts
+    request_bounds: Bounds
+    facts: PlatformFacts
 
 
-def part(raw: dict[str, Any], key: str) -> dict[str, Any]:
-    """A nested object, or an empty one."""
-    found = raw.get(key)
-    return found if isinstance(found, dict) else {}
-
-
-def load(environ: dict[str, str]) -> Config:
+def load(environ: dict[str, str]) -> PlatformConfig:
     """The configuration; the single variables count where the file is silent."""
     path = environ.get("EDGE_CONFIG")
     if not path:
@@ -75,51 +88,59 @@
         raise ConfigError(f"bad configuration in {path}: {error}") from None
 
 
-def build(raw: dict[str, Any], environ: dict[str, str]) -> Config:
-    """The parts of the configuration, checked."""
-    made = settings(raw["settings"])
-    if not made.classes or not made.plans:
+def build(raw: dict[str, Any], environ: dict[str, str]) -> PlatformConfig:
+    """The parts of the configuration, checked. ValueError, TypeError, AttributeError or KeyError where one is
+    wrong."""
+    settings = policy_settings(raw["settings"])
+    if not settings.classes or not settings.plans:
         raise ListError("the settings name no classes or no plans")
-    limits, safety = part(raw["settings"], "limits"), part(raw["settings"], "safety")
-    sockets = int(num(part(raw, "limits").get("sockets"), 1024))
-    if sockets < 64:
-        raise ListError(f"{sockets} sockets are too few")
-    memory_mb = num(part(raw, "limits").get("memory_mb"), 192.0)
+    descriptors = int(number(table(raw, "limits").get("sockets"), DEFAULT_DESCRIPTORS))
+    if descriptors < MIN_DESCRIPTORS:
+        raise ListError(f"{descriptors} sockets are too few")
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
-    parts = budget(sockets, bool(operations))
-    return Config(
+    budget = divide_descriptors(descriptors, bool(operations))
+    return PlatformConfig(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
         listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
-        operations=address(operations) if operations else None,
+        operations_address=address(operations) if operations else None,
         discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and made.has_counter else None,
+        counter=address(raw["counter"]) if raw.get("counter") and settings.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
-        sockets=sockets,
-        budget=parts,
-        known=read_list(raw["known"], saved=True) if raw.get("known") else None,
-        passed=descriptor(environ.get("EDGE_PASSED_SOCKET")),
-        settings=made,
-        number=own_number(raw["settings"].get("me"), made.gateway_count),
-        place=own_number(raw["settings"].get("me"), MOST_GATEWAYS),
-        limits=Limits(
-            connect_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
-            idle_s=max(0.5, num(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
-            grace_s=num(safety.get("drain_grace_ms"), 250.0) / 1000.0,
-            connections=parts.servers,
-            long_values=max(4, int(memory_mb * 1e6 * LONG_SHARE / LONG_COST)),
-        ),
-        bounds=bounds(raw["settings"]),
-        facts=facts(made, raw["settings"]),
+        max_descriptors=descriptors,
+        budget=budget,
+        cached_endpoints=read_list(raw["known"], saved=True) if raw.get("known") else None,
+        passed_descriptor=descriptor(environ.get("EDGE_PASSED_SOCKET")),
+        settings=settings,
+        gateway_number=gateway_number(raw["settings"].get("me"), settings.gateway_count),
+        stated_number=gateway_number(raw["settings"].get("me"), MAX_GATEWAYS),
+        limits=connection_limits(raw, budget),
+        request_bounds=bounds(raw["settings"]),
+        facts=platform_facts(settings, raw["settings"]),
+    )
+
+
+def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> Limits:
+    """The limits of connections to servers."""
+    limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
+    memory_mb = number(table(raw, "limits").get("memory_mb"), DEFAULT_MEMORY_MB)
+    streamed_values = int(memory_mb * 1e6 * STREAMING_MEMORY_FRACTION / STREAM_BYTES)
+    server_idle_s = number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS) / 1000.0
+    return Limits(
+        connect_s=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS) / 1000.0,
+        idle_s=max(MIN_IDLE_S, server_idle_s - IDLE_MARGIN_S),
+        grace_s=number(safety.get("drain_grace_ms"), DEFAULT_DRAIN_GRACE_MS) / 1000.0,
+        connections=budget.server_connections,
+        long_values=max(MIN_STREAMED_VALUES, streamed_values),
     )
 
 
-def own_number(me: Any, gateways: int) -> int | None:
+def gateway_number(me: Any, gateways: int) -> int | None:
     """This gateway's number among them, if it is one."""
     return me if isinstance(me, int) and not isinstance(me, bool) and 0 <= me < gateways else None
 
 
 def descriptor(text: str | None) -> int | None:
-    """A descriptor's number, in decimal."""
+    """A descriptor's number, in decimal; None where the variable is not set."""
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 6:
@@ -127,15 +148,15 @@
     return int(text)
 
 
-def passed_socket(config: Config) -> socket.socket | None:
+def passed_socket(config: PlatformConfig) -> socket.socket | None:
     """The clients' listening socket that was passed on, checked to be what `listen` names; None where none
     was. ConfigError where it is anything else: a process that accepts somewhere else, or not at all, must
     not say that it serves."""
-    if config.passed is None:
+    if config.passed_descriptor is None:
         return None
-    what = f"EDGE_PASSED_SOCKET: descriptor {config.passed}"
+    what = f"EDGE_PASSED_SOCKET: descriptor {config.passed_descriptor}"
     try:
-        found = socket.socket(fileno=config.passed)
+        found = socket.socket(fileno=config.passed_descriptor)
     except OSError as error:
         raise ConfigError(f"{what} is no socket: {error.strerror}") from None
     try:
@@ -152,25 +173,26 @@
     return found
 
 
-def facts(made: Settings, raw: dict[str, Any]) -> Facts:
+def platform_facts(settings: Settings, raw: dict[str, Any]) -> PlatformFacts:
     """What the rules of the operator's file need to know. The raw settings still tell an unknown group from a
-    known one, which the interface reads as the narrowest."""
+    known one; the engine's settings read an unknown one as the narrowest."""
     rows = {str(row.get("name")): row for row in raw["profiles"] if isinstance(row, dict)}
     classes = {
         cls.name: ClassFacts(
-            repeat=cls.idempotency,
-            deadline_ms=num(rows[cls.name].get("hard_limit_ms")) or 60_000.0,
-            memory_ms=cls.idempotency_window_ms,
-            scope_known=str(rows[cls.name].get("group")) in SCOPES,
+            idempotency=cls.idempotency,
+            deadline_ms=number(rows[cls.name].get("hard_limit_ms")) or DEFAULT_DEADLINE_MS,
+            idempotency_window_ms=cls.idempotency_window_ms,
+            is_scope_known=str(rows[cls.name].get("group")) in IDEMPOTENCY_SCOPES,
         )
-        for cls in made.classes
+        for cls in settings.classes
     }
-    return Facts(
+    limits = table(raw, "limits")
+    return PlatformFacts(
         classes=classes,
-        plans=tuple(plan.name for plan in made.plans),
-        attempts_cap=made.max_attempts,
-        overlap=made.allows_hedging,
-        connect_ms=num(part(raw, "limits").get("connect_timeout_ms"), 250.0),
-        streams=int(num(part(raw, "limits").get("max_streams"))),
-        idle_ms=num(part(raw, "limits").get("conn_idle_ms"), 15_000.0),
+        plans=tuple(plan.name for plan in settings.plans),
+        max_attempts=settings.max_attempts,
+        allows_hedging=settings.allows_hedging,
+        connect_timeout_ms=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS),
+        max_streams=int(number(limits.get("max_streams"))),
+        idle_timeout_ms=number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS),
     )
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -26,7 +26,7 @@
 from glenchute.policy.endpoints.watch import Ask, Close, Open, Watch
 from glenchute.policy.events import EndpointList
 from glenchute.policy.membership import endpoint_sharing as coldstart
-from glenchute.policy.membership.endpoint_sharing import ListShare
+from glenchute.policy.membership.endpoint_sharing import SharedEndpointList
 from lab.peers import Peer, always, http, listing, play, row, until
 from tests.loopback import Script, config, site
 
@@ -290,7 +290,7 @@
 def heard_beside_members(terms: Terms, words: list[tuple[float, float]], change: float, late: float) -> float:
     """When one that leaves asking to its members has a change in force of which none of them tells. `words`:
     when they come, and for when each confirms the list held, a moment before the change."""
-    share = ListShare("m9", 0.0, random.Random(1))
+    share = SharedEndpointList("m9", 0.0, random.Random(1))
     share.version, share.confirmed = 5, 0.0
     share.leased = False  # others ask
     one = Watch(Pacing(terms, random.Random(1)), lambda: share.waits(now, ["m0"]))
@@ -585,8 +585,8 @@
             if form == "as it ends":
                 writer.close()
             await until(lambda: states(script)["a"] == "draining")
-            assert "b" not in one.program.servers.known()
-            assert len(one.program.servers.known()) == 1 + many
+            assert "b" not in one.program.servers.server_ids()
+            assert len(one.program.servers.server_ids()) == 1 + many
 
     play(scenario())
 
@@ -602,7 +602,7 @@
             rows = {"version": 9, "full": full, "servers": [row("a", 80, "Terminating"), bad]}
             await agent.answer(1, http(json.dumps(rows).encode()))
             await until(lambda: states(script)["a"] == "draining")
-            assert states(script)["b"] == "active" and set(one.program.servers.known()) == {"a", "b"}
+            assert states(script)["b"] == "active" and set(one.program.servers.server_ids()) == {"a", "b"}
             assert "since=9&" in (await agent.call(2), agent.calls[2][0])[1]
 
     play(scenario())
--- a/tests/upstreams/test_lines_loopback.py
+++ b/tests/upstreams/test_lines_loopback.py
@@ -12,7 +12,7 @@
 import hiredis
 import pytest
 
-from glenchute.core.types import Decisions
+from glenchute.core.types import DecisionHandler
 from glenchute.policy.events import (
     AttemptEnded,
     AttemptStalled,
@@ -100,14 +100,21 @@
         for share in range(60):
             lines.pipeline.times.add(now, name, "s0", 20.0 + share / 3.0, False)
     for server in lines.pools:
-        lines.pipeline.node(server).depth.limit = 8.0
-        lines.pipeline.node(server).connect_ms = connect_ms
+        lines.pipeline.server(server).depth_limit.limit = 8.0
+        lines.pipeline.server(server).connect_ms = connect_ms
     return lines
 
 
+def change_rules(lines: Lines, **changes: Any) -> None:
+    """Other rules than those of the operator's file, for all parts of the scheduler."""
+    scheduler = lines.pipeline
+    rules = scheduler.rules._replace(**changes)
+    scheduler.rules = scheduler.chooser.rules = scheduler.stalls.rules = rules
+
+
 @asynccontextmanager
 async def sharing(
-    *books: Book, decisions: Decisions | None = None, operator: str = SHARED, **changes: Any
+    *books: Book, decisions: DecisionHandler | None = None, operator: str = SHARED, **changes: Any
 ) -> AsyncIterator[tuple[Site, Lines]]:
     """A gateway in front of these nodes that shares connections."""
 
@@ -117,7 +124,7 @@
     async with site(*[unused] * len(books), decisions=decisions, operator=operator, **changes) as one:
         for number, book in enumerate(books):
             await book.start()
-            one.program.servers.listed(f"s{number}", ("127.0.0.1", book.port), False)
+            one.program.servers.activate_server(f"s{number}", ("127.0.0.1", book.port), False)
         try:
             yield one, teach(one.program)
         finally:
@@ -152,7 +159,7 @@
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert len(book.writers) == 1 and lines.counts["writes"] == 1 and lines.counts["commands"] == 5
             assert book.ids() == [b"a", b"b", b"c", b"d", b"e"]
-            assert not lines.attempts and not one.program.gateway.out
+            assert not lines.attempts and not one.program.gateway.attempts_in_flight
             await burst(client, *reads([b"f"]))
             assert await client.reply() == b"f" and len(book.writers) == 1  # on the same, idle again
 
@@ -249,7 +256,7 @@
                         assert ran[name] == 0, offset
             assert served > 3 * whole  # most go again and are served
             assert lines.counts["commands"] > lines.counts["writes"]
-            assert not one.program.gateway.live and not one.program.gateway.out
+            assert not one.program.gateway.active_requests and not one.program.gateway.attempts_in_flight
 
     play(scenario())
 
@@ -261,14 +268,14 @@
         stuck, sound = Book(), Book(sound=True)
         async with sharing(stuck, sound) as (one, lines):
             # The first goes to the stuck one, and so does what comes while that has the shorter line.
-            one.program.gateway.news(_news(one, "s1", EndpointState.REMOVED))
+            one.program.gateway.update_endpoints(_news(one, "s1", EndpointState.REMOVED))
             teach(one.program)
             loop = asyncio.get_running_loop()
             client = await one.client()
             began = loop.time()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             await until(lambda: len(stuck.ran) == 5)
-            one.program.gateway.news(_news(one, "s1", EndpointState.ACTIVE, sound.port))
+            one.program.gateway.update_endpoints(_news(one, "s1", EndpointState.ACTIVE, sound.port))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert loop.time() - began < 2.0  # of 20 s that they would wait
             assert lines.pipeline.counts["cut at a stall"] == 1
@@ -278,17 +285,17 @@
 
 
 def _news(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
-    from glenchute.core.types import News
+    from glenchute.core.types import EndpointUpdate
 
     entry = Endpoint(server, "a", state=state)
-    return News(9, EndpointList(EndpointListKind.CHANGES, (entry,)), {server: ("127.0.0.1", port)})
+    return EndpointUpdate(9, EndpointList(EndpointListKind.CHANGES, (entry,)), {server: ("127.0.0.1", port)})
 
 
 def test_second_copies_for_those_behind_where_they_are_allowed() -> None:
     async def scenario() -> None:
         book, script = Book(), Script(send_to("s0"))
         async with sharing(book, decisions=script) as (one, lines):
-            lines.pipeline.rules = lines.pipeline.rules._replace(copies=True)
+            change_rules(lines, may_hedge=True)
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(script.of(AttemptStalled)) == 2)
@@ -330,9 +337,9 @@
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(book.ran) == 3)
-            middle = one.program.gateway.out["2", 0]
+            middle = one.program.gateway.attempts_in_flight["2", 0]
             middle.stop(Outcome.CANCELLED)
-            assert "2" not in endings(script) and middle.written
+            assert "2" not in endings(script) and middle.is_written
             book.send(b"".join(value(name) for name in (b"a", b"b", b"c")))
             await until(lambda: len(endings(script)) == 3)
             assert [endings(script)[n] for n in "123"] == [Outcome.OK, Outcome.CANCELLED, Outcome.OK]
@@ -369,9 +376,9 @@
         operator = SHARED.replace(', "order"', "") + "gather_bytes = 262144\nleast_stall_ms = 2500\n"
         async with sharing(book, decisions=script, operator=operator) as (one, lines):
             clients = [await one.client() for _ in range(8)]
-            lines.pipeline.rules = lines.pipeline.rules._replace(depth=200, at_risk=200)
-            lines.pipeline.node("s0").depth.most = 200
-            lines.pipeline.node("s0").depth.limit = 200.0
+            change_rules(lines, max_depth=200, max_queued_per_server=200)
+            lines.pipeline.server("s0").depth_limit.max_depth = 200
+            lines.pipeline.server("s0").depth_limit.limit = 200.0
             body = b"y" * 60_000
             for number, client in enumerate(clients):
                 words = [(b"CALL.GET", CUSTOMER, b"%d-%d" % (number, n), GET, body) for n in range(20)]
@@ -381,12 +388,12 @@
             await until(lambda: len(lines.attempts) == 160)
             await until(lambda: any(conn.full for conn in pool.by_line.values()))
             conn = next(iter(pool.by_line.values()))
-            held = len(conn.line.waiting)
+            held = len(conn.line.pending)
             assert held > 0
-            named = {ref: live.call.request_id for ref, live in one.program.gateway.live.items()}
+            named = {ref: live.call.request_id for ref, live in one.program.gateway.active_requests.items()}
             loop = asyncio.get_running_loop()
             told = loop.time()
-            one.program.gateway.news(_news(one, "s0", EndpointState.DRAINING))
+            one.program.gateway.update_endpoints(_news(one, "s0", EndpointState.DRAINING))
             await until(lambda: len(endings(script)) >= held)
             assert loop.time() - told < 0.2
             assert list(endings(script).values()).count(Outcome.UNREACHABLE) >= held
@@ -422,8 +429,8 @@
                 assert not odd  # refused, or failed on a busy machine; never another's value
             ran = Counter(books[0].ids() + books[1].ids())
             # A stall of this very machine is one of the server's, too: reads then go again.
-            assert max(ran.values()) <= one.program.gateway.most_attempts and len(ran) > 100
-            assert not lines.attempts and not one.program.gateway.live
+            assert max(ran.values()) <= one.program.gateway.max_attempts and len(ran) > 100
+            assert not lines.attempts and not one.program.gateway.active_requests
             # An idle one at one server may be closed to make room for one at the other: what is open counts.
             assert peak <= lines.limits.connections
             assert sum(len(book.writers) - len(book.ended) for book in books) <= lines.limits.connections
@@ -484,7 +491,7 @@
             replies = [str(await client.reply()) for _ in range(3)]
             assert all(reply.startswith("ERR") for reply in replies)
             assert set(endings(script).values()) == {Outcome.UNREACHABLE}
-            assert not lines.coming and not lines.pipeline.posts
+            assert not lines.coming and not lines.pipeline.connections
 
     play(scenario())
 
