--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -50,7 +50,7 @@
 from glenchute.config.operator_shape import MAX_ROUTES
 from glenchute.policy.endpoints.polling import Pacing, Terms
 from glenchute.policy.membership.members import MemberList, SwimSettings
-from glenchute.policy.retries.route_limits import Routes
+from glenchute.policy.retries.route_limits import RouteTable
 from glenchute.policy.settings import Idempotency
 
 SERVERS, ROUTES = 5_700, 2_700
@@ -123,8 +123,8 @@
 
 def match(count: int, seed: int) -> float:
     """Microseconds for finding the route of a request."""
-    routes, plan = Routes(loaded(count, seed)[1].bindings, seed), f"plan-{(count - 1) // 10}"
-    return 1e3 * cpu_ms(lambda: routes.course(1.0, "class-3", plan), 50_000)
+    routes, plan = RouteTable(loaded(count, seed)[1].bindings, seed), f"plan-{(count - 1) // 10}"
+    return 1e3 * cpu_ms(lambda: routes.start_request(1.0, "class-3", plan), 50_000)
 
 
 def routes_kib(count: int, seed: int) -> float:
--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -207,7 +207,7 @@
                 total = totals[action.key] = totals.get(action.key, 0.0) + action.amount
                 amount, ttl = b"%.3f" % action.amount, b"%d" % action.ttl_ms
                 calls += 1
-                out += len(resp.command(b"INCRTTL", b"%d" % action.key, amount, ttl))
+                out += len(resp.encode_command(b"INCRTTL", b"%d" % action.key, amount, ttl))
                 text = b"%.3f" % total
                 back += len(b"$%d\r\n%s\r\n" % (len(text), text))
                 reply = CounterReply(action.key, total, Outcome.OK, 1.0)
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -38,8 +38,8 @@
 ARRIVAL_S = 2.0  # of the flood: what was due then is told apart
 ROOM = {"per_second": 1e5, "most_at_once": 1e6, "ceiling_rate": 0.0}
 WORD = b"x" * 60_000
-LARGE = resp.command(b"PING", WORD)
-PLAIN = resp.command(b"CALL.GET", b"%016x" % 7, b"slow", b"c=report-read,t=standard,d=2000")
+LARGE = resp.encode_command(b"PING", WORD)
+PLAIN = resp.encode_command(b"CALL.GET", b"%016x" % 7, b"slow", b"c=report-read,t=standard,d=2000")
 
 
 class Scene(NamedTuple):
--- a/glenchute/cli/aside.py
+++ b/glenchute/cli/aside.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING, Any, Generic, NamedTuple, TypeVar
 
 if TYPE_CHECKING:
-    from glenchute.policy.retries.route_limits import Routes
+    from glenchute.policy.retries.route_limits import RouteTable
 
 SWITCH_S = 0.0001
 SLICE_S, REST_S = 0.0004, 0.001  # of work in parts: on so long, off so long
@@ -30,7 +30,7 @@
 class Reread(NamedTuple):
     """What a sound operator's file brought when it was read again."""
 
-    routes: Routes
+    routes: RouteTable
     started: tuple[Any, ...]  # what holds from a start on
     warnings: list[str]
 
--- a/glenchute/cli/explain.py
+++ b/glenchute/cli/explain.py
@@ -10,7 +10,7 @@
 from glenchute.config.operator import OperatorConfig
 from glenchute.config.platform import ConfigError
 from glenchute.config.rules import backoff_delays_ms, latest_write_ms, max_attempts
-from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.retries.route_limits import RouteLimits
 from glenchute.policy.settings import Idempotency
 
 from .files import operator_file, platform, sound_operator
@@ -55,7 +55,7 @@
     yield from timeline(route, facts, class_name)
 
 
-def timeline(route: Route, facts: PlatformFacts, class_name: str) -> Iterator[str]:
+def timeline(route: RouteLimits, facts: PlatformFacts, class_name: str) -> Iterator[str]:
     """When each attempt may start, from the first one's start."""
     cls = facts.classes[class_name]
     timeout, attempts = route.attempt_timeout_ms, max_attempts(route, facts)
@@ -70,16 +70,25 @@
         until = f", given up after {timeout:g} ms" if timeout else ""
         when = "at 0 ms" if not number else f"from {early:g} ms" + (f" to {late:g} ms" if timeout else "")
         yield f"  attempt {number + 1}: {when}{until}"
-    if route.copy_after_ms:
-        yield f"  a second copy after {route.copy_after_ms:g} ms, if the first is still out"
-    causes = sorted(cause.value for cause in route.causes) if route.causes is not None else None
+    if route.hedge_after_ms:
+        yield f"  a second copy after {route.hedge_after_ms:g} ms, if the first is still out"
+    causes = (
+        sorted(cause.value for cause in route.retryable_outcomes)
+        if route.retryable_outcomes is not None
+        else None
+    )
     yield f"  a further attempt after: {', '.join(causes) if causes else 'what the module allows'}"
-    if route.depth:
-        shared = "a connection to itself" if route.depth == 1 else f"{route.depth} on one connection at most"
+    if route.max_pipeline_depth:
+        shared = (
+            "a connection to itself"
+            if route.max_pipeline_depth == 1
+            else f"{route.max_pipeline_depth} on one connection at most"
+        )
         yield f"  [pipeline]: {shared}"
-    if route.budget is not None:
-        rule = route.budget
-        yield f"  budget of further attempts: {rule.share:g} a request, and {rule.least_per_s:g} a second"
+    if route.retry_budget is not None:
+        rule = route.retry_budget
+        per_request, per_s = rule.retries_per_request, rule.min_retries_per_s
+        yield f"  budget of further attempts: {per_request:g} a request, and {per_s:g} a second"
     yield f"  the client waits {cls.deadline_ms:g} ms at most"
     if cls.idempotency is Idempotency.WITH_KEY:
         latest = latest_write_ms(route, facts)
--- a/glenchute/cli/quota.py
+++ b/glenchute/cli/quota.py
@@ -30,7 +30,7 @@
     except ConfigError as error:
         print(f"glenchute: {error}", file=sys.stderr)
         return 2
-    largest = config.request_bounds.units
+    largest = config.request_bounds.max_units
     print(f"units past what the plan allows, for an account that comes through {spread} gateways whose")
     print(f"clocks differ by {args.clocks_ms:g} ms; requests of {largest:g} units at most")
     print(f"{'plan':16}" + "".join(f"{column:>10}" for column in COLUMNS))
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -20,7 +20,7 @@
 from glenchute.core.gateway import RequestExecutor
 from glenchute.core.types import DecisionHandler, EndpointUpdate
 from glenchute.listeners.resp2.clients import Listener
-from glenchute.listeners.resp2.commands import Catalogue
+from glenchute.listeners.resp2.commands import CommandParser
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.polling import Doubt, Terms
 from glenchute.policy.engine import DecisionEngine as Policy
@@ -34,7 +34,7 @@
     from glenchute.clients.membership.node import MemberNode
     from glenchute.config.operator import OperatorConfig
     from glenchute.control.server import ControlServer
-    from glenchute.listeners.extproc.server import Server as ExtProc
+    from glenchute.listeners.extproc.server import ExtProcServer as ExtProc
     from glenchute.listeners.operations import OperationsServer
     from glenchute.policy.events import Endpoint
 
@@ -106,12 +106,12 @@
             self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
         if operator is not None:
             self.bind(operator)
-        catalogue = Catalogue(made, config.request_bounds)
+        catalogue = CommandParser(made, config.request_bounds)
         self.listener = Listener(loop, self.gateway, catalogue, config.budget)
         if shared is not None:
             self.gateway.max_attempts = made.max_attempts
             self.gateway.reports_assignments = self.recorder is not None
-            self.listener.release = shared.get("release", False)
+            self.listener.may_release_replies = shared.get("release", False)
         self.extproc: ExtProc | None = None
         if operator is not None and operator.fronts and "extproc" in operator.fronts:
             self.extproc = self.processing(operator.fronts["extproc"])
@@ -193,10 +193,10 @@
     def processing(self, raw: dict[str, Any]) -> ExtProc:
         """The front for proxies; imported, with its libraries, only where the operator's file names it."""
         try:
-            from glenchute.listeners.extproc.start import front
+            from glenchute.listeners.extproc.start import create_server
         except ImportError as error:
             raise ConfigError(f"fronts.extproc needs glenchute[extproc]: {error}") from None
-        return front(raw, self.config, self.loop, self.gateway)
+        return create_server(raw, self.config, self.loop, self.gateway)
 
     def among_members(self, decisions: DecisionHandler, raw: dict[str, Any]) -> DecisionHandler:
         """The members' socket, and the module behind what they tell; imported only where `[fleet]` is set."""
@@ -228,19 +228,19 @@
         listener = self.listener
 
         def ready() -> tuple[int, str]:
-            return (200 if listener.life.ready else 503), listener.life.phase.value
+            return (200 if listener.lifecycle.ready else 503), listener.lifecycle.phase.value
 
         def on() -> tuple[int, str]:
-            listener.lame_duck()
+            listener.start_drain()
             if self.fleet is not None:
                 self.fleet.rest(on=True)
-            return (200 if listener.life.parting else 409), listener.life.phase.value
+            return (200 if listener.lifecycle.parting else 409), listener.lifecycle.phase.value
 
         def off() -> tuple[int, str]:
-            listener.back()
+            listener.end_drain()
             if self.fleet is not None:
                 self.fleet.rest(on=False)
-            return (200 if listener.life.ready else 409), listener.life.phase.value
+            return (200 if listener.lifecycle.ready else 409), listener.lifecycle.phase.value
 
         return OperationsServer(
             self.loop,
@@ -256,9 +256,9 @@
 
     def bind(self, operator: OperatorConfig) -> None:
         """The operator's routes hold for requests from the start on."""
-        from glenchute.policy.retries.route_limits import Routes
+        from glenchute.policy.retries.route_limits import RouteTable
 
-        self.gateway.routes = Routes(operator.bindings, self.config.seed)
+        self.gateway.routes = RouteTable(operator.bindings, self.config.seed)
 
     async def run(self, early: list[int]) -> None:
         """Serves until told to stop. `early` holds the signals that came before the loop ran."""
@@ -354,7 +354,7 @@
             log.error("the operator's file in force stays: %s", found, exc_info=fault)
             return
         routes = self.gateway.routes
-        self.gateway.routes = found.routes.after(routes) if routes is not None else found.routes
+        self.gateway.routes = found.routes.inherit_budgets(routes) if routes is not None else found.routes
         self.tell(found, 0)
 
     def tell(self, found: Reread, first: int) -> None:
@@ -375,16 +375,16 @@
         proxies = None
         if self.extproc is not None:
             # GOAWAY at once: a proxy opens its next stream elsewhere, and what is open is served to its end.
-            proxies = self.loop.create_task(self.extproc.stop(self.listener.life.leave_s))
+            proxies = self.loop.create_task(self.extproc.stop(self.listener.lifecycle.leave_s))
         if self.fleet is not None:
             self.fleet.leave(replaced=self.passed is not None)
-        self.listener.leave(replaced=self.passed is not None)
-        end = began + self.listener.life.leave_s  # what is still held then is answered and left
+        self.listener.start_shutdown(replaced=self.passed is not None)
+        end = began + self.listener.lifecycle.leave_s  # what is still held then is answered and left
         if self.passed is None:
             await asyncio.sleep(ACCEPT_S)
             # Closing the socket resets those that wait to be accepted, with requests that have been taken. A
             # process that stood still meanwhile finds them all here.
-            while self.listener.called() and self.loop.time() < end:
+            while self.listener.has_pending_accept() and self.loop.time() < end:
                 await asyncio.sleep(0.002)
         self.listener.stop()  # what waits to be accepted at a socket that was passed on is another process's
         while self.listener.clients and self.loop.time() < end:
@@ -456,7 +456,7 @@
 def read_again(path: str, config: PlatformConfig) -> Reread:
     """What a sound operator's file brings to a gateway that serves; ConfigError for a wrong one. Touches
     nothing else, so that it may run beside the loop."""
-    from glenchute.policy.retries.route_limits import Routes
+    from glenchute.policy.retries.route_limits import RouteTable
 
     from .aside import Pace, Reread
 
@@ -464,7 +464,7 @@
         operator, warnings = checked(path, config, Pace().rest)
     except ConfigError as error:
         raise error.with_traceback(None) from None  # that holds all findings, to be freed on the loop
-    return Reread(Routes(operator.bindings, config.seed), started(operator), warnings)
+    return Reread(RouteTable(operator.bindings, config.seed), started(operator), warnings)
 
 
 def read_operator(path: str, config: PlatformConfig) -> OperatorConfig:
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -90,7 +90,7 @@
 
     def shares(self, share: float) -> None:
         """This process keeps to so much of the gateway's limits."""
-        self.listener.share(share)
+        self.listener.set_share(share)
         self.servers.share(share)
 
     def close(self) -> None:
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -100,7 +100,7 @@
             transport.abort()  # type: ignore[attr-defined]  # retired while it came up
             return
         self.parser = resp.Parser()
-        self.write(resp.command(b"PING"), Call(None, self.loop.time()))
+        self.write(resp.encode_command(b"PING"), Call(None, self.loop.time()))
 
     def write(self, data: bytes, call: Call) -> None:
         """Writes one call and waits for its answer in turn."""
@@ -115,7 +115,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed(data)
-            while (reply := self.parser.next()) is not False:
+            while (reply := self.parser.next_message()) is not False:
                 self.answered(reply)
         except (resp.ProtocolError, IndexError):
             if self.transport is not None:
@@ -161,7 +161,7 @@
                 self.transport.abort()
         elif now - self.last_used > PING_S:
             self.last_used = now
-            self.write(resp.command(b"PING"), Call(None, now))
+            self.write(resp.encode_command(b"PING"), Call(None, now))
 
     def retire(self) -> None:
         """No new calls come; those that are out end first. The silence of a peer ends them too."""
@@ -228,13 +228,13 @@
         link.last_used = now
         ttl = max(1, min(60_000, round(ttl_ms)))
         # A name in decimal is the same at every gateway; the module rounds amounts to three places.
-        link.write(resp.command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
+        link.write(resp.encode_command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
 
     def expire(self, call: Call, link: Link) -> None:
         """No answer in time. The call keeps its place in the line: its reply will still come, unless one that
         has no end stands before it."""
         call.end(self.loop.time(), Outcome.TIMEOUT)
-        if link.parser.rest() and link.transport is not None:
+        if link.parser.has_unparsed() and link.transport is not None:
             link.transport.abort()
 
     def close(self) -> None:
--- a/glenchute/config/extproc.py
+++ b/glenchute/config/extproc.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from glenchute.policy.services.request_mapping import SOURCE, Operation, Rules, Template
+from glenchute.policy.services.request_mapping import SOURCE_PATTERN, MappingRules, Operation, PathTemplate
 from glenchute.policy.settings import Idempotency
 
 from .facts import PlatformFacts
@@ -51,11 +51,11 @@
         path: Path = (*HERE, "operation", at)
         name, method = row["class"], row.get("method", "")
         try:
-            template = Template.parse(row["path"])
+            template = PathTemplate.parse(row["path"])
         except ValueError as error:
             report("bad-template", (*path, "path"), f"{error}, as /v1/checks/{{account}}; mend it")
             continue
-        same = seen.setdefault((method, template.shape), at)
+        same = seen.setdefault((method, template.normalized_parts), at)
         if same != at:
             report("duplicate-operation", path, f"matches what operation[{same}] does; drop one of them")
         if facts is not None and name not in facts.classes:
@@ -79,29 +79,29 @@
     """Each source must be of a form that is known, and able to yield something."""
     for key, source in mapped.items():
         kind, _, where = source.partition(":")
-        if SOURCE.fullmatch(source) is None:
+        if SOURCE_PATTERN.fullmatch(source) is None:
             report("bad-source", (*path, key),
                    f"{source[:60]!r} is no source; write header:, query:, path:, metadata:, json:/, value: "
                    "or, for rate limit calls, descriptor: with a name")  # fmt: skip
         elif descriptors != (kind == "descriptor") and kind != "value":
             where = "a rate limit call has only descriptors" if descriptors else "a request has none"
             report("bad-source", (*path, key), f"{source[:60]!r}: {where}; write another source")
-        elif kind == "path" and not any(where in one.template.names for one in operations):
+        elif kind == "path" and not any(where in one.template.variable_names for one in operations):
             report("unknown-variable", (*path, key), f"no operation's path has {{{where}}}; add it there")
 
 
 def rules(
     raw: dict[str, Any], facts: PlatformFacts, gateways: int, most_units: float
-) -> tuple[Rules, Rules | None]:
+) -> tuple[MappingRules, MappingRules | None]:
     """The rules of a checked table: for requests, and for rate limit calls where these are on."""
     classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in facts.classes.items()}
     operations = tuple(
-        Operation(row["class"], row.get("method", ""), Template.parse(row["path"]))
+        Operation(row["class"], row.get("method", ""), PathTemplate.parse(row["path"]))
         for row in raw.get("operation", [])
     )
-    made = Rules(raw["map"], operations, classes, facts.plans, gateways, most_units)
+    made = MappingRules(raw["map"], operations, classes, facts.plans, gateways, most_units)
     limit = raw.get("ratelimit")
     if limit is None:
         return made, None
     unkeyed = dict.fromkeys(classes, False)  # a question repeats nothing
-    return made, Rules(limit["map"], (), unkeyed, facts.plans, gateways, most_units)
+    return made, MappingRules(limit["map"], (), unkeyed, facts.plans, gateways, most_units)
--- a/glenchute/config/matching.py
+++ b/glenchute/config/matching.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.retries.route_limits import RouteLimits
 
 from .facts import PlatformFacts
 
@@ -25,7 +25,7 @@
     """A route of the file with what it matches; an empty tuple matches all."""
 
     position: int
-    route: Route
+    route: RouteLimits
     classes: tuple[str, ...]
     plans: tuple[str, ...]
     commands: tuple[str, ...]
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from glenchute.policy.retries.route_limits import Backoff, BudgetRule, Route
+from glenchute.policy.retries.route_limits import Backoff, RetryBudgetSettings, RouteLimits
 
 from . import fleet, pipeline
 from .facts import PlatformFacts
@@ -28,7 +28,7 @@
 class OperatorConfig(NamedTuple):
     """A file that may be loaded: the route that binds each class and plan, and the optional tables."""
 
-    bindings: dict[tuple[str, str], Route]
+    bindings: dict[tuple[str, str], RouteLimits]
     routes: tuple[MatchedRoute, ...] = ()
     capture: dict[str, Any] | None = None
     fronts: dict[str, Any] | None = None
@@ -125,7 +125,7 @@
         pipeline.unused(routes, defaults, report)
 
 
-def build_routes(rows: list[Any], base: Route | None, report: FindingCollector) -> list[MatchedRoute]:
+def build_routes(rows: list[Any], base: RouteLimits | None, report: FindingCollector) -> list[MatchedRoute]:
     """The routes of the checked rows; rows that were rejected as a whole are left out."""
     routes: list[MatchedRoute] = []
     first_with_name: dict[str, int] = {}
@@ -148,31 +148,31 @@
 
 
 def route_from_table(
-    name: str, raw: dict[str, Any], base: Route | None = None, shared: dict[Any, Any] | None = None
-) -> Route:
+    name: str, raw: dict[str, Any], base: RouteLimits | None = None, shared: dict[Any, Any] | None = None
+) -> RouteLimits:
     """The route that a table's keys make; keys that it leaves out are those of `base`. Routes made with the
     same `shared` hold equal values once."""
     intern = (shared if shared is not None else {}).setdefault
-    route = base._replace(name=name) if base is not None else Route(name)
+    route = base._replace(name=name) if base is not None else RouteLimits(name)
     if "attempt_timeout_ms" in raw:
         timeout = raw["attempt_timeout_ms"]
         route = route._replace(attempt_timeout_ms=intern(timeout, timeout))
     if "attempts" in raw:
-        route = route._replace(attempts=raw["attempts"])
+        route = route._replace(max_attempts=raw["attempts"])
     if "second_copy_after_ms" in raw:
-        route = route._replace(copy_after_ms=raw["second_copy_after_ms"])
+        route = route._replace(hedge_after_ms=raw["second_copy_after_ms"])
     if "pipeline_depth" in raw:
-        route = route._replace(depth=raw["pipeline_depth"])
+        route = route._replace(max_pipeline_depth=raw["pipeline_depth"])
     if "retry_on" in raw:
         causes = frozenset(RETRY_CAUSES[word] for word in raw["retry_on"])
-        route = route._replace(causes=intern(causes, causes))
+        route = route._replace(retryable_outcomes=intern(causes, causes))
     if "first_ms" in raw.get("backoff", {}):
         backoff = backoff_from_table(raw["backoff"])
         route = route._replace(backoff=intern(backoff, backoff))
     budget = raw.get("retry_budget", {})
     if "share" in budget:
-        rule = BudgetRule(budget["share"], budget.get("least_per_s", 0.0))
-        route = route._replace(budget=intern(rule, rule))
+        rule = RetryBudgetSettings(budget["share"], budget.get("least_per_s", 0.0))
+        route = route._replace(retry_budget=intern(rule, rule))
     return route
 
 
@@ -184,8 +184,8 @@
 
 
 def bind(
-    routes: list[MatchedRoute], base: Route | None, facts: PlatformFacts, report: FindingCollector
-) -> dict[tuple[str, str], Route]:
+    routes: list[MatchedRoute], base: RouteLimits | None, facts: PlatformFacts, report: FindingCollector
+) -> dict[tuple[str, str], RouteLimits]:
     """Which route binds each class and plan of the platform; reports what is wrong with any of them."""
     coverage = RouteCoverage(routes, facts)
     if not report_unknown_names(coverage, facts, report):
@@ -195,10 +195,10 @@
 
 
 def resolve_bindings(
-    coverage: RouteCoverage, base: Route | None, facts: PlatformFacts, report: FindingCollector
-) -> dict[tuple[str, str], Route]:
+    coverage: RouteCoverage, base: RouteLimits | None, facts: PlatformFacts, report: FindingCollector
+) -> dict[tuple[str, str], RouteLimits]:
     """Which route binds each class and plan; reports routes that bind nothing and rules that are broken."""
-    bindings: dict[tuple[str, str], Route] = {}
+    bindings: dict[tuple[str, str], RouteLimits] = {}
     classes_by_route: dict[int, set[str]] = {}
     classes_by_defaults: set[str] = set()
     for name, plan, best in coverage.bindings():
@@ -287,7 +287,7 @@
 
 
 def report_violations(
-    route: Route, name: str, path: Path, facts: PlatformFacts, report: FindingCollector
+    route: RouteLimits, name: str, path: Path, facts: PlatformFacts, report: FindingCollector
 ) -> None:
     """Reports what a route breaks for a class."""
     for found in violations(route, name, facts):
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -11,7 +11,7 @@
 
 from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import EndpointUpdate
-from glenchute.listeners.resp2.commands import Bounds, bounds
+from glenchute.listeners.resp2.commands import RequestBounds, read_request_bounds
 from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
@@ -66,7 +66,7 @@
     gateway_number: int | None
     stated_number: int | None
     limits: Limits
-    request_bounds: Bounds
+    request_bounds: RequestBounds
     facts: PlatformFacts
 
 
@@ -114,7 +114,7 @@
         gateway_number=gateway_number(raw["settings"].get("me"), settings.gateway_count),
         stated_number=gateway_number(raw["settings"].get("me"), MAX_GATEWAYS),
         limits=connection_limits(raw, budget),
-        request_bounds=bounds(raw["settings"]),
+        request_bounds=read_request_bounds(raw["settings"]),
         facts=platform_facts(settings, raw["settings"]),
     )
 
--- a/glenchute/config/rules.py
+++ b/glenchute/config/rules.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from glenchute.policy.events import Outcome
-from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.retries.route_limits import RouteLimits
 from glenchute.policy.settings import Idempotency
 
 from .facts import ClassFacts, PlatformFacts
@@ -31,20 +31,20 @@
     is_warning: bool = False
 
 
-def backoff_delays_ms(route: Route, attempts: int, longest: bool) -> list[float]:
+def backoff_delays_ms(route: RouteLimits, attempts: int, longest: bool) -> list[float]:
     """The delays before attempts 1, 2, ... at their longest or shortest."""
     if route.backoff is None:
         return [0.0] * (attempts - 1)
-    pick = route.backoff.most if longest else route.backoff.least
+    pick = route.backoff.max_delay_ms if longest else route.backoff.min_delay_ms
     return [pick(number) for number in range(1, attempts)]
 
 
-def max_attempts(route: Route, facts: PlatformFacts) -> int:
+def max_attempts(route: RouteLimits, facts: PlatformFacts) -> int:
     """How many attempts of a request the route allows."""
-    return min(route.attempts or facts.max_attempts, facts.max_attempts)
+    return min(route.max_attempts or facts.max_attempts, facts.max_attempts)
 
 
-def latest_write_ms(route: Route, facts: PlatformFacts) -> float | None:
+def latest_write_ms(route: RouteLimits, facts: PlatformFacts) -> float | None:
     """How long after the first attempt's start a byte of the last one can leave; None where the route sets no
     timeout, so that the engine spaces its attempts by the idempotency window itself."""
     attempts = max_attempts(route, facts)
@@ -60,7 +60,7 @@
     return cls.idempotency_window_ms - IDEMPOTENCY_MARGIN_MS
 
 
-def violations(route: Route, name: str, facts: PlatformFacts) -> list[Violation]:
+def violations(route: RouteLimits, name: str, facts: PlatformFacts) -> list[Violation]:
     """What this route breaks for the class `name`."""
     return [
         *hedging_violations(route, name, facts),
@@ -69,9 +69,9 @@
     ]
 
 
-def hedging_violations(route: Route, name: str, facts: PlatformFacts) -> Iterator[Violation]:
+def hedging_violations(route: RouteLimits, name: str, facts: PlatformFacts) -> Iterator[Violation]:
     """A hedged request must be allowed, harmless, and of use."""
-    cls, delay_ms, key = facts.classes[name], route.copy_after_ms, "second_copy_after_ms"
+    cls, delay_ms, key = facts.classes[name], route.hedge_after_ms, "second_copy_after_ms"
     if not delay_ms:
         return
     latest_ms = delay_ms + facts.connect_timeout_ms + TIMER_ERROR_MS
@@ -85,7 +85,7 @@
             f"repeats are dropped for {cls.idempotency_window_ms:g} ms; shorten it"
         )
         yield Violation("copy-beyond-memory", key, message)
-    if route.attempts == 1:
+    if route.max_attempts == 1:
         yield Violation("copy-over-attempts", key, "attempts = 1 leaves no second copy; allow 2")
     if route.attempt_timeout_ms and delay_ms >= route.attempt_timeout_ms:
         message = (
@@ -94,16 +94,16 @@
         yield Violation("copy-after-timeout", key, message)
 
 
-def repeat_violations(route: Route, name: str, facts: PlatformFacts) -> Iterator[Violation]:
+def repeat_violations(route: RouteLimits, name: str, facts: PlatformFacts) -> Iterator[Violation]:
     """No retry may make a request take effect twice."""
     cls, attempts = facts.classes[name], max_attempts(route, facts)
-    risky = sorted(cause.value for cause in route.causes or () if cause in MAY_HAVE_RUN)
+    risky = sorted(cause.value for cause in route.retryable_outcomes or () if cause in MAY_HAVE_RUN)
     if risky and cls.idempotency is Idempotency.NON_IDEMPOTENT:
         message = f"after {', '.join(risky)} {name} may have run and must not run again; {ONLY_UNRUN}"
         yield Violation("cause-may-have-run", "retry_on", message)
     if cls.idempotency is not Idempotency.WITH_KEY or attempts < 2:
         return
-    if not risky and route.causes is not None:
+    if not risky and route.retryable_outcomes is not None:
         return
     if not cls.is_scope_known:
         message = f"the platform's file does not say which servers drop repeats of {name}; {ONLY_UNRUN}"
@@ -120,11 +120,11 @@
         yield Violation("keyed-beyond-memory", "attempt_timeout_ms", message)
 
 
-def timing_violations(route: Route, name: str, facts: PlatformFacts) -> Iterator[Violation]:
+def timing_violations(route: RouteLimits, name: str, facts: PlatformFacts) -> Iterator[Violation]:
     """Attempts must fit the platform's cap and the time that clients wait."""
     cls, timeout_ms = facts.classes[name], route.attempt_timeout_ms
     attempts = max_attempts(route, facts)
-    if route.attempts > facts.max_attempts:
+    if route.max_attempts > facts.max_attempts:
         message = f"the platform allows {facts.max_attempts}; write that or less"
         yield Violation("attempts-over-cap", "attempts", message)
     if timeout_ms > cls.deadline_ms:
--- a/glenchute/core/gateway.py
+++ b/glenchute/core/gateway.py
@@ -63,7 +63,7 @@
 
 if TYPE_CHECKING:  # only an operator's file brings routes in
     from glenchute.policy.balancing.hash_ring import Placed
-    from glenchute.policy.retries.route_limits import Course, Routes
+    from glenchute.policy.retries.route_limits import RequestRetries, RouteTable
 
 log = logging.getLogger("glenchute")
 
@@ -118,7 +118,7 @@
         self.attempts_in_flight: list[
             UpstreamAttempt
         ] = []  # attempts under way: one, or two where copies may overlap
-        self.route_limits: Course | None = None  # what the operator's routes allow
+        self.route_limits: RequestRetries | None = None  # what the operator's routes allow
         self.may_have_run = False
         self.time_to_first_byte_ms: float | None = (
             None  # from its attempt's start to the first bytes of a long answer
@@ -163,7 +163,7 @@
         ] = {}  # attempts may outlive their requests
         self.server_started_ms: dict[str, float] = {}
         self.last_request_number = 0
-        self.routes: Routes | None = None
+        self.routes: RouteTable | None = None
         self.send_state: Callable[[tuple[QuotaSnapshot, ...]], None] | None = (
             None  # to the gateway's next process
         )
@@ -226,10 +226,10 @@
         live.deadline_timer = self.loop.call_at(live.deadline, self.deadline_expired, ref)
         timeout_ms = copy_after_ms = 0.0
         if self.routes is not None:
-            live.route_limits = self.routes.course(self.clock.now_ms(), call.class_name, call.plan)
+            live.route_limits = self.routes.start_request(self.clock.now_ms(), call.class_name, call.plan)
             if live.route_limits is not None:
-                route = live.route_limits.route
-                timeout_ms, copy_after_ms = route.attempt_timeout_ms, route.copy_after_ms
+                route = live.route_limits.limits
+                timeout_ms, copy_after_ms = route.attempt_timeout_ms, route.hedge_after_ms
         self.post(
             Request(
                 ref,
@@ -422,7 +422,9 @@
     def attempt_context(self, live: ActiveRequest, number: int) -> AttemptContext:
         """What the backend needs to know to place this attempt on a connection that others use too."""
         call, course = live.call, live.route_limits
-        again = live.attempt_count < self.max_attempts and (course is None or course.again(Outcome.RESET))
+        again = live.attempt_count < self.max_attempts and (
+            course is None or course.may_retry_after(Outcome.RESET)
+        )
 
         def held() -> None:
             self.post(AttemptStalled(live.request_id, number))
@@ -432,7 +434,7 @@
 
         deadline = live.deadline - ANSWER_MARGIN_S
         came = live.deadline - call.time_left_ms / 1000.0
-        depth = course.route.depth if course is not None else 0
+        depth = course.limits.max_pipeline_depth if course is not None else 0
         told = placed if self.reports_assignments else None
         return AttemptContext(call.class_name, came, deadline, again, depth, held, told)
 
@@ -440,7 +442,7 @@
         """Whether an attempt may go out now, beside what is out and under the request's route."""
         if live.attempts_in_flight and not self.allows_concurrent_attempts:
             return False
-        return live.route_limits is None or live.route_limits.begin(
+        return live.route_limits is None or live.route_limits.try_start_attempt(
             self.clock.now_ms(), bool(live.attempts_in_flight)
         )
 
@@ -448,7 +450,7 @@
         """How long the route has a further attempt wait after this ending; inf: there is to be none."""
         if live.route_limits is None or live.attempts_in_flight:
             return 0.0
-        return live.route_limits.after(self.clock.now_ms(), ending)
+        return live.route_limits.retry_delay_ms(self.clock.now_ms(), ending)
 
     def response_started(self, live: ActiveRequest, number: int, source: ResponseSource) -> None:
         """A long answer has begun. It is the request's final answer, however it ends: from the first byte on
@@ -529,7 +531,7 @@
             live.deadline_timer.cancel()
             live.deadline_timer = None
         if live.route_limits is not None:
-            live.route_limits.close()
+            live.route_limits.release()
         return True
 
     def close_all(self) -> None:
--- a/glenchute/listeners/extproc/calls.py
+++ b/glenchute/listeners/extproc/calls.py
@@ -30,22 +30,36 @@
 )
 from glenchute.policy.events import Outcome
 from glenchute.policy.record import record
-from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
-from glenchute.policy.services.request_mapping import Fields, MappingError, NeedsBody, Rules, View
+from glenchute.policy.retries.proxied_attempts import (
+    AttemptState,
+    AttemptVerdict,
+    ResponseVerdict,
+    classify_response,
+    judge_attempt,
+    judge_response,
+    may_send_undecided,
+)
+from glenchute.policy.services.request_mapping import (
+    BodyRequired,
+    MappedRequest,
+    MappingError,
+    MappingRules,
+    RequestView,
+)
 from glenchute.policy.settings import Idempotency
 
 from . import events as ev
-from .token import Signer, Token
+from .token import Token, TokenSigner
 
 log = logging.getLogger("glenchute")
 
-TOKEN = "x-glenchute-token"
-RETRY = "x-glenchute-retry"  # on a response: the proxy is to try again
-REASON = "x-glenchute-reason"
-EFFECT = "x-glenchute-effect"  # "none": no try ran; "unknown": no promise
-TIMEOUT = "x-envoy-upstream-rq-timeout-ms"
-TRY_TIMEOUT = "x-envoy-upstream-rq-per-try-timeout-ms"
-EXPECTED = "x-envoy-expected-rq-timeout-ms"  # what a node is told of the time that it has
+TOKEN_HEADER = "x-glenchute-token"
+RETRY_HEADER = "x-glenchute-retry"  # on a response: the proxy is to try again
+REASON_HEADER = "x-glenchute-reason"
+EFFECT_HEADER = "x-glenchute-effect"  # "none": no try ran; "unknown": no promise
+ROUTE_TIMEOUT_HEADER = "x-envoy-upstream-rq-timeout-ms"
+ATTEMPT_TIMEOUT_HEADER = "x-envoy-upstream-rq-per-try-timeout-ms"
+EXPECTED_TIMEOUT_HEADER = "x-envoy-expected-rq-timeout-ms"  # what a node is told of the time that it has
 # The final response in the words of the counters and of `proxied_attempts`.
 RESPONSE_WORDS: dict[type[FinalResponse], str] = {
     Served: "served",
@@ -53,172 +67,184 @@
     Rejected: "refused",
     Failed: "failed",
 }
-PASSED = ev.Go("response_headers", {}, (RETRY,))  # a node must not ask for a retry in the module's name
-SWEEP_S = 0.25
-AFTERMATH_S = 1.0  # an entry outlives its request's deadline by this at most
-MARGIN_S = 0.01  # the proxy's time ends this long before the client's, as the core's attempts do
-STRAYS = 3  # times in a row that an attempt asks for another node, after which the request is given up
-MOST_BODY = 64 * 1024  # bytes of a body that a rule needs
-TIMEOUT_SLACK_S = 0.001  # what ends without a word this long before its time, or later, ran out of it
+PASS_RESPONSE = ev.ContinueResponse(
+    "response_headers", {}, (RETRY_HEADER,)
+)  # a node must not ask for a retry in the module's name
+SWEEP_INTERVAL_S = 0.25
+EXPIRY_GRACE_S = 1.0  # an entry outlives its request's deadline by this at most
+DEADLINE_MARGIN_S = 0.01  # the proxy's time ends this long before the client's, as the core's attempts do
+MAX_WRONG_SERVERS = (
+    3  # times in a row that an attempt asks for another node, after which the request is given up
+)
+MAX_BODY_BYTES = 64 * 1024  # bytes of a body that a rule needs
+TIMEOUT_TOLERANCE_S = 0.001  # what ends without a word this long before its time, or later, ran out of it
 
 
 @record(frozen=True, slots=True)
-class Ways:
+class ExtProcSettings:
     """The operator's settings of the front; times in seconds."""
 
-    rules: Rules
-    repeats: Mapping[
+    mapping_rules: MappingRules
+    class_limits: Mapping[
         str, tuple[Idempotency, float, float]
     ]  # class: repeat, memory (ms), longest deadline (ms)
-    most_calls: int = 10_000
-    reopen_s: float = 0.25
-    attempt_streams: bool = True  # a filter at the node's side asks for each attempt
+    max_calls: int = 10_000
+    reconnect_grace_s: float = 0.25
+    has_attempt_streams: bool = True  # a filter at the node's side asks for each attempt
     endpoint_header: str = "x-gateway-destination-endpoint"
     load_header: str = "x-glenchute-load"
-    full_status: int = 429
-    open_classes: frozenset[str] = frozenset()  # may follow a decision of an earlier process
+    rejected_status: int = 429
+    resumable_classes: frozenset[str] = frozenset()  # may follow a decision of an earlier process
     max_attempts: int = 3
 
 
-def hostport(address: Address) -> str:
+def format_address(address: Address) -> str:
     """As a proxy writes it."""
     return f"{address[0]}:{address[1]}" if ":" not in address[0] else f"[{address[0]}]:{address[1]}"
 
 
-def whole_ms(seconds: float) -> str:
+def format_timeout_ms(seconds: float) -> str:
     """Whole milliseconds, rounded down, so that the proxy's clock runs out no later than ours; 1 at least."""
     return str(max(1, int(1000.0 * seconds + 1e-6)))
 
 
-def one(headers: Mapping[str, list[bytes]], name: str) -> str:
+def single_header(headers: Mapping[str, list[bytes]], name: str) -> str:
     """A header's only value, "" without one or with several."""
     values = headers.get(name, ())
     return values[0].decode("latin-1") if len(values) == 1 and len(values[0]) <= 4096 else ""
 
 
 @record(slots=True)
-class Asked(Call):
+class ProxiedCall(Call):
     """A request whose attempts its proxy makes."""
 
-    entry: Entry | None = None
+    request: ProxiedRequest | None = None
 
     def encode(self, left_ms: int) -> bytes:
         return b""
 
     @property
     def transport(self) -> AttemptTransport | None:
-        return self.entry
+        return self.request
 
 
-class Try:
+class ProxiedAttempt:
     """An attempt that the proxy makes, from the module's choice to its one ending."""
 
     __slots__ = (
         "address",
+        "deadline",
         "done",
-        "entry",
+        "has_ended",
         "is_wanted",
         "is_written",
         "on_response_started",
-        "over",
+        "request",
         "server",
         "started_at",
         "stream",
         "timeout_s",
         "timer",
-        "until",
         "write_by",
     )
 
     def __init__(
         self,
-        entry: Entry,
+        entry: ProxiedRequest,
         server: str,
         address: Address,
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
-        self.entry, self.server, self.address = entry, server, hostport(address)
+        self.request, self.server, self.address = entry, server, format_address(address)
         self.timeout_s, self.done, self.write_by = timeout_s, done, write_by
-        self.started_at = entry.calls.loop.time()
-        self.until = self.started_at + timeout_s
+        self.started_at = entry.table.loop.time()
+        self.deadline = self.started_at + timeout_s
         self.is_written = False  # the proxy was let through: it may have run
-        self.over = False
+        self.has_ended = False
         self.on_response_started: Callable[[ResponseSource], None] | None = (
             None  # values go by the proxy, however long
         )
         self.is_wanted: Callable[[], bool] | None = None  # the proxy writes
-        self.stream: Upstream | None = None
+        self.stream: UpstreamStream | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Tells the proxy, or has it wait to be asked."""
-        self.timer = self.entry.calls.loop.call_at(self.until, self.stop, Outcome.TIMEOUT)
-        self.entry.offered(self)
+        self.timer = self.request.table.loop.call_at(self.deadline, self.stop, Outcome.TIMEOUT)
+        self.request.on_attempt_chosen(self)
 
     def stop(self, why: Outcome) -> None:
         """A time-out or a cancel. What was not let through will not be; what was is cut off, as far as a
         processor can, and no other attempt passes before its stream has ended."""
-        if self.over:
+        if self.has_ended:
             return
         stream = self.stream
-        self.end(AttemptResult(why if self.is_written else Outcome.NOT_SENT))
+        self.finish(AttemptResult(why if self.is_written else Outcome.NOT_SENT))
         if stream is not None and stream.abort is not None:
             stream.abort()
 
-    def end(self, result: AttemptResult) -> None:
+    def finish(self, result: AttemptResult) -> None:
         """The one ending; later ones are dropped."""
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
+        self.has_ended = True
         if self.timer is not None:
             self.timer.cancel()
         self.done(result)
 
 
-class Entry:
+class ProxiedRequest:
     """One request of a proxy."""
 
     __slots__ = (
-        "ask",
-        "asking",
-        "calls",
+        "active_request",
+        "attempts",
+        "client_stream",
         "deadline",
-        "detached",
         "fields",
-        "final",
-        "first",
-        "held",
-        "live",
+        "final_response",
+        "first_decision",
+        "is_detached",
+        "is_finished",
         "may_have_run",
-        "open",
-        "ref",
-        "reopen",
-        "settled",
-        "shown",
-        "strays",
-        "stream",
-        "tries",
-    )  # fmt: skip
-
-    def __init__(self, calls: Calls, ref: int, fields: Fields, deadline: float) -> None:
-        self.calls, self.ref, self.fields, self.deadline = calls, ref, fields, deadline
-        self.live: ActiveRequest | None = None
-        self.first: ev.Go | None = None  # the first decision, told again where its stream is opened again
-        self.stream: Downstream | None = None
-        self.ask: ev.Answer | None = None  # the proxy waits for the first decision
-        self.asking: tuple[Upstream, str, ev.Answer] | None = None  # an attempt waits to be let through
-        self.held: ev.Answer | None = None  # an attempt's response waits for what follows from it
-        self.shown: tuple[int, ev.Answer] | None = None  # the client's response waits for the final answer
-        self.detached = False  # the proxy shows no response here: the attempt's stream must
-        self.final: FinalResponse | None = None
-        self.settled = False  # the final answer is known, or the proxy has given its own
+        "number",
+        "on_first_decision",
+        "open_attempt_streams",
+        "pending_attempt_response",
+        "pending_client_response",
+        "reconnect_timer",
+        "table",
+        "waiting_attempt",
+        "wrong_server_count",
+    )
+
+    def __init__(self, calls: RequestTable, ref: int, fields: MappedRequest, deadline: float) -> None:
+        self.table, self.number, self.fields, self.deadline = calls, ref, fields, deadline
+        self.active_request: ActiveRequest | None = None
+        self.first_decision: ev.ContinueResponse | None = (
+            None  # the first decision, told again where its stream is opened again
+        )
+        self.client_stream: DownstreamStream | None = None
+        self.on_first_decision: ev.RespondCallback | None = None  # the proxy waits for the first decision
+        self.waiting_attempt: tuple[UpstreamStream, str, ev.RespondCallback] | None = (
+            None  # an attempt waits to be let through
+        )
+        self.pending_attempt_response: ev.RespondCallback | None = (
+            None  # an attempt's response waits for what follows from it
+        )
+        self.pending_client_response: tuple[int, ev.RespondCallback] | None = (
+            None  # the client's response waits for the final answer
+        )
+        self.is_detached = False  # the proxy shows no response here: the attempt's stream must
+        self.final_response: FinalResponse | None = None
+        self.is_finished = False  # the final answer is known, or the proxy has given its own
         self.may_have_run = False
-        self.strays = 0
-        self.tries: list[Try] = []
-        self.open: set[Upstream] = set()  # streams of attempts that were let through
-        self.reopen: asyncio.TimerHandle | None = None
+        self.wrong_server_count = 0
+        self.attempts: list[ProxiedAttempt] = []
+        self.open_attempt_streams: set[UpstreamStream] = set()  # streams of attempts that were let through
+        self.reconnect_timer: asyncio.TimerHandle | None = None
 
     # --- as the carrier ----------------------------------------------------------------------------------
 
@@ -230,489 +256,562 @@
         done: Callable[[AttemptResult], None],
         write_by: float,
         about: AttemptContext | None = None,
-    ) -> Try | None:
+    ) -> ProxiedAttempt | None:
         """An attempt that the proxy is to make; None where the node takes nothing (any more)."""
-        address = self.calls.gateway.upstream.address(server)
-        if address is None or self.settled:
+        address = self.table.gateway.upstream.address(server)
+        if address is None or self.is_finished:
             return None
-        self.tries.append(Try(self, server, address, timeout_s, done, write_by))
-        return self.tries[-1]
+        self.attempts.append(ProxiedAttempt(self, server, address, timeout_s, done, write_by))
+        return self.attempts[-1]
 
-    def offered(self, attempt: Try) -> None:
+    def on_attempt_chosen(self, attempt: ProxiedAttempt) -> None:
         """The module has chosen: whoever waits for that hears it."""
-        if self.first is None:
-            self.first = self.calls.admission(self, attempt)
-            if not self.calls.ways.attempt_streams:
+        if self.first_decision is None:
+            self.first_decision = self.table.first_decision(self, attempt)
+            if not self.table.settings.has_attempt_streams:
                 attempt.is_written = self.may_have_run = True
-            if self.ask is not None:
-                answer, self.ask = self.ask, None
-                answer(self.first)
-        elif self.held is not None:
-            answer, self.held = self.held, None
-            name = self.calls.ways.endpoint_header
-            again = {RETRY: "1", name: attempt.address}
-            answer(ev.Go("response_headers", again, endpoint=attempt.address))
-        self.judge()
-
-    def answered(self, answer: FinalResponse) -> None:
+            if self.on_first_decision is not None:
+                answer, self.on_first_decision = self.on_first_decision, None
+                answer(self.first_decision)
+        elif self.pending_attempt_response is not None:
+            answer, self.pending_attempt_response = self.pending_attempt_response, None
+            name = self.table.settings.endpoint_header
+            again = {RETRY_HEADER: "1", name: attempt.address}
+            answer(ev.ContinueResponse("response_headers", again, endpoint=attempt.address))
+        self.review_waiting_attempt()
+
+    def on_final_response(self, answer: FinalResponse) -> None:
         """The core's one final answer."""
-        self.final, self.settled = answer, True
-        self.calls.counts[RESPONSE_WORDS[type(answer)]] += 1
-        if self.ask is not None:
-            ask, self.ask = self.ask, None
-            ask(self.last_word())
-        if self.held is not None:
-            held, self.held = self.held, None
-            unserved = self.detached and not isinstance(answer, Served)
-            held(self.last_word() if unserved else PASSED)
-        self.judge()
-        self.reveal()
-        self.leave()
-
-    def last_word(self) -> ev.Told:
+        self.final_response, self.is_finished = answer, True
+        self.table.counts[RESPONSE_WORDS[type(answer)]] += 1
+        if self.on_first_decision is not None:
+            ask, self.on_first_decision = self.on_first_decision, None
+            ask(self.final_message())
+        if self.pending_attempt_response is not None:
+            held, self.pending_attempt_response = self.pending_attempt_response, None
+            unserved = self.is_detached and not isinstance(answer, Served)
+            held(self.final_message() if unserved else PASS_RESPONSE)
+        self.review_waiting_attempt()
+        self.show_client_response()
+        self.remove_if_done()
+
+    def final_message(self) -> ev.ProcessorResponse:
         """The final answer as an immediate response."""
-        if isinstance(self.final, Rejected):
-            return refusal(self.final.retry_after_ms, "refused")
-        return failure("failed")
+        if isinstance(self.final_response, Rejected):
+            return rejection_response(self.final_response.retry_after_ms, "refused")
+        return failure_response("failed")
 
     # --- the attempts' streams ---------------------------------------------------------------------------
 
-    def ask_attempt(self, stream: Upstream, going_to: str, answer: ev.Answer) -> None:
+    def request_attempt(self, stream: UpstreamStream, going_to: str, answer: ev.RespondCallback) -> None:
         """A stream of the node's side asks whether its attempt may go."""
-        if self.asking is not None:
-            answer(failure("attempt-in-waiting"))  # one at a time: the other has not been let through
+        if self.waiting_attempt is not None:
+            answer(
+                failure_response("attempt-in-waiting")
+            )  # one at a time: the other has not been let through
             return
-        self.asking = stream, going_to, answer
-        self.judge()
+        self.waiting_attempt = stream, going_to, answer
+        self.review_waiting_attempt()
 
-    def judge(self) -> None:
+    def review_waiting_attempt(self) -> None:
         """Looks at the attempt that waits to be let through."""
-        if self.asking is None:
+        if self.waiting_attempt is None:
             return
-        stream, going_to, answer = self.asking
-        attempt = self.tries[-1] if self.tries else None
-        offered = attempt is not None and not attempt.over and not attempt.is_written
-        known = Asking(
-            final=self.settled,
-            offered=offered,
-            others_open=bool(self.open),
-            going_to=going_to,
-            chosen=attempt.address if attempt else "",
-            takes_work=attempt is not None
-            and self.calls.gateway.upstream.address(attempt.server) is not None,
-            in_time=attempt is not None and self.calls.loop.time() <= attempt.write_by,
+        stream, going_to, answer = self.waiting_attempt
+        attempt = self.attempts[-1] if self.attempts else None
+        offered = attempt is not None and not attempt.has_ended and not attempt.is_written
+        known = AttemptState(
+            is_request_finished=self.is_finished,
+            has_chosen_server=offered,
+            has_open_attempts=bool(self.open_attempt_streams),
+            requested_address=going_to,
+            chosen_address=attempt.address if attempt else "",
+            is_server_accepting=attempt is not None
+            and self.table.gateway.upstream.address(attempt.server) is not None,
+            is_in_time=attempt is not None and self.table.loop.time() <= attempt.write_by,
         )
-        verdict = gate(known)
-        self.calls.counts[f"gate-{verdict.value}"] += 1
-        if verdict is Gate.HOLD:
+        verdict = judge_attempt(known)
+        self.table.counts[f"gate-{verdict.value}"] += 1
+        if verdict is AttemptVerdict.WAIT:
             return
-        if verdict is Gate.LATE and attempt is not None:
-            attempt.end(
+        if verdict is AttemptVerdict.TOO_LATE and attempt is not None:
+            attempt.finish(
                 AttemptResult(Outcome.UNREACHABLE)
             )  # the module's next word comes by `offered` or `answered`
             return
-        self.asking = None
-        if verdict is Gate.PASS and attempt is not None:
+        self.waiting_attempt = None
+        if verdict is AttemptVerdict.ALLOW and attempt is not None:
             attempt.is_written = self.may_have_run = True
             attempt.stream, stream.attempt = stream, attempt
-            self.open.add(stream)
-            self.strays = 0
-            left = whole_ms(attempt.until - self.calls.loop.time())
-            answer(ev.Go("request_headers", {TRY_TIMEOUT: left, EXPECTED: left}, (TOKEN,)))
-        elif verdict is Gate.NODE and attempt is not None:
-            self.strays += 1
-            again = {RETRY: "1", self.calls.ways.endpoint_header: attempt.address}
-            if self.strays >= STRAYS:
+            self.open_attempt_streams.add(stream)
+            self.wrong_server_count = 0
+            left = format_timeout_ms(attempt.deadline - self.table.loop.time())
+            answer(
+                ev.ContinueResponse(
+                    "request_headers",
+                    {ATTEMPT_TIMEOUT_HEADER: left, EXPECTED_TIMEOUT_HEADER: left},
+                    (TOKEN_HEADER,),
+                )
+            )
+        elif verdict is AttemptVerdict.WRONG_SERVER and attempt is not None:
+            self.wrong_server_count += 1
+            again = {RETRY_HEADER: "1", self.table.settings.endpoint_header: attempt.address}
+            if self.wrong_server_count >= MAX_WRONG_SERVERS:
                 again = {}
-                attempt.end(AttemptResult(Outcome.NOT_SENT))
-            answer(ev.Reply(503, {REASON: "other-node", **again}, "", "glenchute_other_node"))
+                attempt.finish(AttemptResult(Outcome.NOT_SENT))
+            answer(
+                ev.ImmediateResponse(503, {REASON_HEADER: "other-node", **again}, "", "glenchute_other_node")
+            )
         else:
-            answer(self.last_word() if self.final is not None else failure("over"))
+            answer(self.final_message() if self.final_response is not None else failure_response("over"))
 
-    def attempt_answered(
-        self, stream: Upstream, status: int, details: str, load: str, answer: ev.Answer
+    def on_attempt_response(
+        self, stream: UpstreamStream, status: int, details: str, load: str, answer: ev.RespondCallback
     ) -> None:
         """An attempt's response headers came: its ending, unless it has one."""
         attempt = stream.attempt
-        if attempt is None or attempt.over or self.settled:
-            answer(PASSED)  # too late to matter: the downstream stream shows what counts
+        if attempt is None or attempt.has_ended or self.is_finished:
+            answer(PASS_RESPONSE)  # too late to matter: the downstream stream shows what counts
             return
-        how = ending(status, details, self.calls.ways.full_status)
-        self.held = answer
-        attempt.end(AttemptResult(how, b"" if how is Outcome.OK else None, load.encode() or None))
+        how = classify_response(status, details, self.table.settings.rejected_status)
+        self.pending_attempt_response = answer
+        attempt.finish(AttemptResult(how, b"" if how is Outcome.OK else None, load.encode() or None))
 
-    def attempt_closed(self, stream: Upstream) -> None:
+    def on_attempt_stream_closed(self, stream: UpstreamStream) -> None:
         """A stream of the node's side has ended, or broke."""
-        if self.asking is not None and self.asking[0] is stream:
-            self.asking = None  # it was not let through, and now never will be
-        self.open.discard(stream)
+        if self.waiting_attempt is not None and self.waiting_attempt[0] is stream:
+            self.waiting_attempt = None  # it was not let through, and now never will be
+        self.open_attempt_streams.discard(stream)
         attempt = stream.attempt
-        if attempt is not None and not attempt.over:
-            if self.stream is None and not self.detached:
+        if attempt is not None and not attempt.has_ended:
+            if self.client_stream is None and not self.is_detached:
                 how = Outcome.CANCELLED  # its proxy is gone: no fault of the node's
             else:
-                timed_out = self.calls.loop.time() >= attempt.until - TIMEOUT_SLACK_S
+                timed_out = self.table.loop.time() >= attempt.deadline - TIMEOUT_TOLERANCE_S
                 how = Outcome.TIMEOUT if timed_out else Outcome.RESET
-            attempt.end(AttemptResult(how))
-        elif attempt is not None and self.held is not None and attempt is self.tries[-1]:
-            self.held = None  # nobody hears what follows from its response; the next attempt asks
-        self.judge()
-        self.leave()
+            attempt.finish(AttemptResult(how))
+        elif (
+            attempt is not None and self.pending_attempt_response is not None and attempt is self.attempts[-1]
+        ):
+            self.pending_attempt_response = (
+                None  # nobody hears what follows from its response; the next attempt asks
+            )
+        self.review_waiting_attempt()
+        self.remove_if_done()
 
     # --- the client's stream -----------------------------------------------------------------------------
 
-    def client_shown(self, status: int, details: str, load: str, answer: ev.Answer) -> None:
+    def on_client_response(self, status: int, details: str, load: str, answer: ev.RespondCallback) -> None:
         """The proxy is about to give its client a response: no attempt follows any more."""
-        self.shown = status, answer
-        attempt = self.tries[-1] if self.tries else None
-        if not self.settled and attempt is not None and not attempt.over:
+        self.pending_client_response = status, answer
+        attempt = self.attempts[-1] if self.attempts else None
+        if not self.is_finished and attempt is not None and not attempt.has_ended:
             if attempt.is_written:
-                how = ending(status, details, self.calls.ways.full_status)
+                how = classify_response(status, details, self.table.settings.rejected_status)
             else:
                 how = Outcome.UNREACHABLE  # it never asked, and will not be let through
-            attempt.end(
+            attempt.finish(
                 AttemptResult(
                     how, b"" if how is Outcome.OK else None, load.encode() or None, is_last_attempt=True
                 )
             )
-        if not self.settled:  # the module waits for something that the proxy won't do
-            self.give_up()
-        self.reveal()
+        if not self.is_finished:  # the module waits for something that the proxy won't do
+            self.withdraw_request()
+        self.show_client_response()
 
-    def reveal(self) -> None:
+    def show_client_response(self) -> None:
         """Says what becomes of the client's response, once that is known."""
-        if self.shown is None or not self.settled:
+        if self.pending_client_response is None or not self.is_finished:
             return
-        (status, answer), self.shown = self.shown, None
-        outcome = RESPONSE_WORDS[type(self.final)] if self.final is not None else ""
-        match show(outcome, self.may_have_run, status):
-            case Show.THROUGH:
-                extra = {EFFECT: "unknown"} if status >= 500 and self.may_have_run else {}
-                hidden = (RETRY, TOKEN, self.calls.ways.endpoint_header)
-                answer(ev.Go("response_headers", extra, hidden))
-            case Show.REFUSAL:
-                answer(self.last_word())
-            case Show.UNKNOWN:
-                answer(failure("failed"))
-
-    def client_closed(self, stream: Downstream, clean: bool) -> None:
+        (status, answer), self.pending_client_response = self.pending_client_response, None
+        outcome = RESPONSE_WORDS[type(self.final_response)] if self.final_response is not None else ""
+        match judge_response(outcome, self.may_have_run, status):
+            case ResponseVerdict.PASS_THROUGH:
+                extra = {EFFECT_HEADER: "unknown"} if status >= 500 and self.may_have_run else {}
+                hidden = (RETRY_HEADER, TOKEN_HEADER, self.table.settings.endpoint_header)
+                answer(ev.ContinueResponse("response_headers", extra, hidden))
+            case ResponseVerdict.REJECTION:
+                answer(self.final_message())
+            case ResponseVerdict.FAILURE:
+                answer(failure_response("failed"))
+
+    def on_client_stream_closed(self, stream: DownstreamStream, clean: bool) -> None:
         """The client's stream ended. Half-closed in order it only needs no more; broken, its proxy may open
         it again or be gone."""
-        if self.stream is not stream:
+        if self.client_stream is not stream:
             return
-        self.stream, self.ask, self.shown = None, None, None
-        if clean and self.first is not None:
-            self.detached = True
-        elif not self.settled:
-            self.reopen = self.calls.loop.call_later(self.calls.ways.reopen_s, self.abandon)
-        self.leave()
-
-    def abandon(self) -> None:
+        self.client_stream, self.on_first_decision, self.pending_client_response = None, None, None
+        if clean and self.first_decision is not None:
+            self.is_detached = True
+        elif not self.is_finished:
+            self.reconnect_timer = self.table.loop.call_later(
+                self.table.settings.reconnect_grace_s, self.on_reconnect_timeout
+            )
+        self.remove_if_done()
+
+    def on_reconnect_timeout(self) -> None:
         """Nobody opened the stream again: the client or its proxy is gone."""
-        if self.stream is None and not self.settled:
-            self.calls.counts["abandoned"] += 1
-            self.give_up()
-            for attempt in self.tries:
+        if self.client_stream is None and not self.is_finished:
+            self.table.counts["abandoned"] += 1
+            self.withdraw_request()
+            for attempt in self.attempts:
                 attempt.stop(Outcome.CANCELLED)
-        self.leave()
+        self.remove_if_done()
 
-    def give_up(self) -> None:
+    def withdraw_request(self) -> None:
         """No answer of ours is owed any more; the module hears that the request is gone."""
-        self.settled = True
-        if self.live is not None:
-            self.calls.gateway.client_disconnected(self.live)
-        self.judge()
+        self.is_finished = True
+        if self.active_request is not None:
+            self.table.gateway.client_disconnected(self.active_request)
+        self.review_waiting_attempt()
 
     def expire(self) -> None:
         """The last end of every wait."""
-        if not self.settled:
-            self.calls.counts["expired"] += 1
-            self.give_up()
-        for attempt in self.tries:
+        if not self.is_finished:
+            self.table.counts["expired"] += 1
+            self.withdraw_request()
+        for attempt in self.attempts:
             attempt.stop(Outcome.CANCELLED)
-        for waiting in (self.ask, self.held, self.shown[1] if self.shown else None):
+        for waiting in (
+            self.on_first_decision,
+            self.pending_attempt_response,
+            self.pending_client_response[1] if self.pending_client_response else None,
+        ):
             if waiting is not None:
-                waiting(failure("expired"))
-        self.ask = self.held = self.shown = None
-        if self.stream is not None and self.stream.abort is not None:
-            self.stream.abort()  # its proxy neither reads nor ends it
-        self.calls.drop(self)
+                waiting(failure_response("expired"))
+        self.on_first_decision = self.pending_attempt_response = self.pending_client_response = None
+        if self.client_stream is not None and self.client_stream.abort is not None:
+            self.client_stream.abort()  # its proxy neither reads nor ends it
+        self.table.remove(self)
 
-    def leave(self) -> None:
+    def remove_if_done(self) -> None:
         """Off the table, once nothing can come for it. An attempt that outlives its request is waited for."""
-        if self.settled and self.stream is None and not self.open and self.asking is None:
-            self.calls.drop(self)
+        if (
+            self.is_finished
+            and self.client_stream is None
+            and not self.open_attempt_streams
+            and self.waiting_attempt is None
+        ):
+            self.table.remove(self)
 
 
-class Downstream:
+class DownstreamStream:
     """A stream of the filter at the client's side: the request, then the response it gets."""
 
-    __slots__ = ("abort", "body", "calls", "entry", "view")
+    __slots__ = ("abort", "buffered_body", "partial_request", "request", "table")
 
-    def __init__(self, calls: Calls) -> None:
-        self.calls = calls
-        self.entry: Entry | None = None
-        self.view: View | None = None  # while a body is awaited
-        self.body = bytearray()
+    def __init__(self, calls: RequestTable) -> None:
+        self.table = calls
+        self.request: ProxiedRequest | None = None
+        self.partial_request: RequestView | None = None  # while a body is awaited
+        self.buffered_body = bytearray()
         self.abort: Callable[[], None] | None = None
 
-    def receive(self, message: ev.Said, answer: ev.Answer) -> None:
+    def receive(self, message: ev.ProxyMessage, answer: ev.RespondCallback) -> None:
         """Takes one message; `answer` is called once, now or later."""
         match message:
             case ev.RequestHeaders():
-                if self.entry is not None or self.view is not None:
-                    answer(ev.Go("request_headers"))  # a second time on one stream: changes nothing
+                if self.request is not None or self.partial_request is not None:
+                    answer(
+                        ev.ContinueResponse("request_headers")
+                    )  # a second time on one stream: changes nothing
                     return
-                view = View(message.headers, message.metadata, body=b"" if message.end else None)
-                self.begin(view, "request_headers", answer)
+                view = RequestView(
+                    message.headers, message.metadata, body=b"" if message.end_of_stream else None
+                )
+                self.start_request(view, "request_headers", answer)
             case ev.RequestBody():
-                self.take_body(message, answer)
+                self.buffer_body(message, answer)
             case ev.ResponseHeaders():
-                if self.entry is None:
-                    answer(ev.Go("response_headers"))
+                if self.request is None:
+                    answer(ev.ContinueResponse("response_headers"))
                     return
-                status, details, load = self.calls.told(message)
-                self.entry.client_shown(status, details, load, answer)
-            case ev.Other(kind):
-                answer(ev.Go(kind))
+                status, details, load = self.table.read_response(message)
+                self.request.on_client_response(status, details, load, answer)
+            case ev.UnhandledMessage(kind):
+                answer(ev.ContinueResponse(kind))
             case _:
                 answer(None)
 
-    def take_body(self, message: ev.RequestBody, answer: ev.Answer) -> None:
+    def buffer_body(self, message: ev.RequestBody, answer: ev.RespondCallback) -> None:
         """A body, or a part of it, where the rules wait for it."""
-        if self.view is None:
-            answer(ev.Go("request_body"))
+        if self.partial_request is None:
+            answer(ev.ContinueResponse("request_body"))
             return
-        self.body += message.body
-        if len(self.body) > MOST_BODY:
-            self.view = None
-            answer(invalid(MappingError("body-too-large", 413)))
-        elif message.end:
-            view, self.view = self.view, None
-            view.body = bytes(self.body)
-            self.begin(view, "request_body", answer)
+        self.buffered_body += message.body
+        if len(self.buffered_body) > MAX_BODY_BYTES:
+            self.partial_request = None
+            answer(invalid_request_response(MappingError("body-too-large", 413)))
+        elif message.end_of_stream:
+            view, self.partial_request = self.partial_request, None
+            view.body = bytes(self.buffered_body)
+            self.start_request(view, "request_body", answer)
         else:
-            answer(ev.Go("request_body"))
+            answer(ev.ContinueResponse("request_body"))
 
-    def begin(self, view: View, kind: str, answer: ev.Answer) -> None:
+    def start_request(self, view: RequestView, kind: str, answer: ev.RespondCallback) -> None:
         """The request is known: a call is taken, or found again."""
         try:
-            fields = self.calls.ways.rules.fields(view)
+            fields = self.table.settings.mapping_rules.map_request(view)
         except MappingError as error:
-            self.calls.counts["invalid"] += 1
-            answer(invalid(error))
+            self.table.counts["invalid"] += 1
+            answer(invalid_request_response(error))
             return
-        except NeedsBody:
-            self.view = view
-            answer(ev.Go(kind, want_body=True))
+        except BodyRequired:
+            self.partial_request = view
+            answer(ev.ContinueResponse(kind, wants_request_body=True))
             return
 
-        def after_body(told: ev.Told | None) -> None:
-            if isinstance(told, ev.Go):
-                told = ev.Go(kind, told.set_headers, told.remove_headers, told.endpoint)
+        def after_body(told: ev.ProcessorResponse | None) -> None:
+            if isinstance(told, ev.ContinueResponse):
+                told = ev.ContinueResponse(kind, told.set_headers, told.remove_headers, told.endpoint)
             answer(told)
 
         plain = kind == "request_headers"
-        self.calls.take(self, fields, one(view.headers, TOKEN), answer if plain else after_body)
+        self.table.accept(
+            self, fields, single_header(view.headers, TOKEN_HEADER), answer if plain else after_body
+        )
 
     def close(self, clean: bool) -> None:
         """The stream is over; `clean` where the proxy ended it in order."""
-        if self.entry is not None:
-            self.entry.client_closed(self, clean)
+        if self.request is not None:
+            self.request.on_client_stream_closed(self, clean)
 
 
-class Upstream:
+class UpstreamStream:
     """A stream of the filter at the node's side: one attempt."""
 
-    __slots__ = ("abort", "attempt", "calls", "entry")
+    __slots__ = ("abort", "attempt", "request", "table")
 
-    def __init__(self, calls: Calls) -> None:
-        self.calls = calls
-        self.entry: Entry | None = None
-        self.attempt: Try | None = None
+    def __init__(self, calls: RequestTable) -> None:
+        self.table = calls
+        self.request: ProxiedRequest | None = None
+        self.attempt: ProxiedAttempt | None = None
         self.abort: Callable[[], None] | None = None
 
-    def receive(self, message: ev.Said, answer: ev.Answer) -> None:
+    def receive(self, message: ev.ProxyMessage, answer: ev.RespondCallback) -> None:
         """Takes one message; `answer` is called once, now or later."""
         match message:
             case ev.RequestHeaders():
-                if self.entry is not None:
-                    answer(failure("asked-twice"))
+                if self.request is not None:
+                    answer(failure_response("asked-twice"))
                     return
-                self.begin(message, answer)
+                self.start_attempt(message, answer)
             case ev.ResponseHeaders():
-                if self.entry is None:
-                    answer(ev.Go("response_headers"))
+                if self.request is None:
+                    answer(ev.ContinueResponse("response_headers"))
                     return
-                status, details, load = self.calls.told(message)
-                self.entry.attempt_answered(self, status, details, load, answer)
+                status, details, load = self.table.read_response(message)
+                self.request.on_attempt_response(self, status, details, load, answer)
             case ev.RequestBody():
-                answer(ev.Go("request_body"))
-            case ev.Other(kind):
-                answer(ev.Go(kind))
+                answer(ev.ContinueResponse("request_body"))
+            case ev.UnhandledMessage(kind):
+                answer(ev.ContinueResponse(kind))
             case _:
                 answer(None)
 
-    def begin(self, message: ev.RequestHeaders, answer: ev.Answer) -> None:
+    def start_attempt(self, message: ev.RequestHeaders, answer: ev.RespondCallback) -> None:
         """An attempt asks to go."""
-        token = self.calls.signer.read(one(message.headers, TOKEN))
-        entry = self.calls.by_ref.get(token.ref) if token and token.boot == self.calls.signer.boot else None
+        token = self.table.signer.verify(single_header(message.headers, TOKEN_HEADER))
+        entry = (
+            self.table.requests_by_number.get(token.request_number)
+            if token and token.process_id == self.table.signer.process_id
+            else None
+        )
         if entry is not None:
-            self.entry = entry
-            entry.ask_attempt(self, str(message.attributes.get("upstream.address", "")), answer)
-        elif token is not None and token.boot != self.calls.signer.boot and self.calls.may_follow(token):
-            self.calls.counts["followed"] += 1
-            answer(ev.Go("request_headers", remove_headers=(TOKEN,)))
+            self.request = entry
+            entry.request_attempt(self, str(message.attributes.get("upstream.address", "")), answer)
+        elif (
+            token is not None
+            and token.process_id != self.table.signer.process_id
+            and self.table.may_resume(token)
+        ):
+            self.table.counts["followed"] += 1
+            answer(ev.ContinueResponse("request_headers", remove_headers=(TOKEN_HEADER,)))
         else:
-            self.calls.counts["unproven"] += 1
-            answer(failure("not-proven-unsent"))
+            self.table.counts["unproven"] += 1
+            answer(failure_response("not-proven-unsent"))
 
     def close(self, clean: bool) -> None:
         """The stream is over."""
-        if self.entry is not None:
-            self.entry.attempt_closed(self)
+        if self.request is not None:
+            self.request.on_attempt_stream_closed(self)
 
 
-def refusal(retry_after_ms: float, reason: str) -> ev.Reply:
+def rejection_response(retry_after_ms: float, reason: str) -> ev.ImmediateResponse:
     """No try ran, and none will: come again. Whole seconds upwards, as RFC 9110, 10.2.3 has them; the exact
     milliseconds beside it."""
-    headers = {REASON: reason, EFFECT: "none"}
+    headers = {REASON_HEADER: reason, EFFECT_HEADER: "none"}
     if retry_after_ms > 0:
         headers["retry-after"] = str(max(1, -int(-retry_after_ms // 1000)))
         headers["x-glenchute-retry-after-ms"] = str(int(retry_after_ms))
-    return ev.Reply(429, headers, "", "glenchute_refused")
+    return ev.ImmediateResponse(429, headers, "", "glenchute_refused")
 
 
-def failure(reason: str) -> ev.Reply:
+def failure_response(reason: str) -> ev.ImmediateResponse:
     """No promise about the effect. 500 and not 503, which clients and proxies try again."""
-    return ev.Reply(500, {REASON: reason, EFFECT: "unknown"}, "", f"glenchute_{reason}".replace("-", "_"))
+    return ev.ImmediateResponse(
+        500, {REASON_HEADER: reason, EFFECT_HEADER: "unknown"}, "", f"glenchute_{reason}".replace("-", "_")
+    )
 
 
-def invalid(error: MappingError) -> ev.Reply:
+def invalid_request_response(error: MappingError) -> ev.ImmediateResponse:
     """The rules can't read the request; nothing ran."""
-    return ev.Reply(error.status, {REASON: error.reason, EFFECT: "none"}, "", "glenchute_invalid")
+    return ev.ImmediateResponse(
+        error.status, {REASON_HEADER: error.reason, EFFECT_HEADER: "none"}, "", "glenchute_invalid"
+    )
 
 
-class Calls:
+class RequestTable:
     """The table, bounded by `most_calls`."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor, ways: Ways, signer: Signer
+        self,
+        loop: asyncio.AbstractEventLoop,
+        gateway: RequestExecutor,
+        ways: ExtProcSettings,
+        signer: TokenSigner,
     ) -> None:
-        self.loop, self.gateway, self.ways, self.signer = loop, gateway, ways, signer
-        self.by_ref: dict[int, Entry] = {}
-        self.by_id: dict[str, Entry] = {}
-        self.serial = 0
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.loop, self.gateway, self.settings, self.signer = loop, gateway, ways, signer
+        self.requests_by_number: dict[int, ProxiedRequest] = {}
+        self.requests_by_id: dict[str, ProxiedRequest] = {}
+        self.last_number = 0
+        self.sweep_timer: asyncio.TimerHandle | None = None
         self.counts: Counter[str] = Counter()  # for the operators
-        self.wanted = ways.rules.read | {TOKEN, ":status", ways.load_header}  # headers that anybody reads
-        self.wall = time.time
-
-    def stream(self, upstream: bool) -> Downstream | Upstream:
+        self.used_headers = ways.mapping_rules.used_headers | {
+            TOKEN_HEADER,
+            ":status",
+            ways.load_header,
+        }  # headers that anybody reads
+        self.wall_clock = time.time
+
+    def open_stream(self, upstream: bool) -> DownstreamStream | UpstreamStream:
         """A new stream of one of the two filters."""
         self.counts["streams"] += 1
-        return Upstream(self) if upstream else Downstream(self)
+        return UpstreamStream(self) if upstream else DownstreamStream(self)
 
-    def told(self, message: ev.ResponseHeaders) -> tuple[int, str, str]:
+    def read_response(self, message: ev.ResponseHeaders) -> tuple[int, str, str]:
         """Status, response code details and load report of a response."""
-        digits = one(message.headers, ":status")
+        digits = single_header(message.headers, ":status")
         status = int(digits) if digits.isdecimal() and len(digits) == 3 else 0
         details = str(message.attributes.get("response.code_details", ""))
-        return status, details, one(message.headers, self.ways.load_header)
+        return status, details, single_header(message.headers, self.settings.load_header)
 
-    def take(self, stream: Downstream, fields: Fields, token_text: str, answer: ev.Answer) -> None:
+    def accept(
+        self, stream: DownstreamStream, fields: MappedRequest, token_text: str, answer: ev.RespondCallback
+    ) -> None:
         """A request: the entry of its id if there is one, else a call on the decisions."""
-        same = self.by_id.get(fields.request_id) if fields.request_id else None
+        same = self.requests_by_id.get(fields.request_id) if fields.request_id else None
         if same is not None:
-            self.again(same, stream, fields, answer)
+            self.reattach(same, stream, fields, answer)
             return
-        token = self.signer.read(token_text) if token_text else None
-        proven = token is not None and token.class_name == fields.class_name and self.may_follow(token)
+        token = self.signer.verify(token_text) if token_text else None
+        proven = token is not None and token.class_name == fields.class_name and self.may_resume(token)
         if token_text and not proven:
             # Decided before, and whoever decided is not here to say what became of it.
             self.counts["unproven"] += 1
-            answer(failure("not-proven-unsent"))
+            answer(failure_response("not-proven-unsent"))
             return
-        if len(self.by_ref) >= self.ways.most_calls:
+        if len(self.requests_by_number) >= self.settings.max_calls:
             self.counts["table-full"] += 1
-            answer(refusal(1000.0, "table-full"))
+            answer(rejection_response(1000.0, "table-full"))
             return
-        longest = self.ways.repeats[fields.class_name][2]
+        longest = self.settings.class_limits[fields.class_name][2]
         left_ms = min(fields.deadline_ms or longest, longest)
-        self.serial += 1
-        entry = Entry(self, self.serial, fields, self.loop.time() + left_ms / 1000.0)
-        entry.stream, entry.ask, stream.entry = stream, answer, entry
-        self.by_ref[entry.ref] = entry
-        if self.sweeper is None:
-            self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
+        self.last_number += 1
+        entry = ProxiedRequest(self, self.last_number, fields, self.loop.time() + left_ms / 1000.0)
+        entry.client_stream, entry.on_first_decision, stream.request = stream, answer, entry
+        self.requests_by_number[entry.number] = entry
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         if fields.request_id:
-            self.by_id[fields.request_id] = entry
-        call = Asked(
+            self.requests_by_id[fields.request_id] = entry
+        call = ProxiedCall(
             fields.request_id.encode(), fields.class_name, fields.plan, fields.account, left_ms, fields.units,
-            fields.spread, entry,
+            fields.gateway_spread, entry,
         )  # fmt: skip
         try:
-            live = self.gateway.accept(call, entry.answered)
+            live = self.gateway.accept(call, entry.on_final_response)
         except Exception:
             log.exception("a call failed")
             entry.expire()
             return
-        if not entry.settled:
-            entry.live = live
+        if not entry.is_finished:
+            entry.active_request = live
 
-    def again(self, entry: Entry, stream: Downstream, fields: Fields, answer: ev.Answer) -> None:
+    def reattach(
+        self,
+        entry: ProxiedRequest,
+        stream: DownstreamStream,
+        fields: MappedRequest,
+        answer: ev.RespondCallback,
+    ) -> None:
         """The id is in the table: the same request whose stream broke, or another one."""
-        if entry.stream is not None or entry.detached or entry.fields != fields:
+        if entry.client_stream is not None or entry.is_detached or entry.fields != fields:
             self.counts["id-in-use"] += 1
-            answer(ev.Reply(409, {REASON: "id-in-use", EFFECT: "unknown"}, "", "glenchute_id_in_use"))
+            answer(
+                ev.ImmediateResponse(
+                    409, {REASON_HEADER: "id-in-use", EFFECT_HEADER: "unknown"}, "", "glenchute_id_in_use"
+                )
+            )
             return
         self.counts["reopened"] += 1
-        entry.stream, stream.entry = stream, entry
-        if entry.settled:
-            answer(entry.last_word())
-        elif entry.first is not None:
-            answer(entry.first)
+        entry.client_stream, stream.request = stream, entry
+        if entry.is_finished:
+            answer(entry.final_message())
+        elif entry.first_decision is not None:
+            answer(entry.first_decision)
         else:
-            entry.ask = answer
+            entry.on_first_decision = answer
 
-    def may_follow(self, token: Token) -> bool:
+    def may_resume(self, token: Token) -> bool:
         """Whether a request with such a token may be sent, which no entry here speaks for."""
-        repeat, memory_ms, _ = self.ways.repeats.get(token.class_name, (Idempotency.NON_IDEMPOTENT, 0.0, 0.0))
-        age_ms = self.wall() * 1000.0 - token.first_ms
-        return may_follow(repeat, token.class_name in self.ways.open_classes, age_ms, memory_ms)
+        repeat, memory_ms, _ = self.settings.class_limits.get(
+            token.class_name, (Idempotency.NON_IDEMPOTENT, 0.0, 0.0)
+        )
+        age_ms = self.wall_clock() * 1000.0 - token.decided_at_ms
+        return may_send_undecided(
+            repeat, token.class_name in self.settings.resumable_classes, age_ms, memory_ms
+        )
 
-    def admission(self, entry: Entry, attempt: Try) -> ev.Go:
+    def first_decision(self, entry: ProxiedRequest, attempt: ProxiedAttempt) -> ev.ContinueResponse:
         """The first decision in the proxy's words."""
-        repeat = self.ways.repeats[entry.fields.class_name][0]
-        left = entry.deadline - MARGIN_S - self.loop.time()
+        repeat = self.settings.class_limits[entry.fields.class_name][0]
+        left = entry.deadline - DEADLINE_MARGIN_S - self.loop.time()
         headers = {
-            self.ways.endpoint_header: attempt.address,
-            TIMEOUT: whole_ms(left),
-            TRY_TIMEOUT: whole_ms(attempt.timeout_s),
+            self.settings.endpoint_header: attempt.address,
+            ROUTE_TIMEOUT_HEADER: format_timeout_ms(left),
+            ATTEMPT_TIMEOUT_HEADER: format_timeout_ms(attempt.timeout_s),
             "x-envoy-max-retries": "0",
         }
-        if self.ways.attempt_streams:
-            token = self.signer.issue(entry.ref, self.wall() * 1000.0, entry.fields.class_name)
-            headers[TOKEN] = token
-            headers["x-envoy-max-retries"] = str(2 * (self.ways.max_attempts - 1) + STRAYS)
+        if self.settings.has_attempt_streams:
+            token = self.signer.issue(entry.number, self.wall_clock() * 1000.0, entry.fields.class_name)
+            headers[TOKEN_HEADER] = token
+            headers["x-envoy-max-retries"] = str(2 * (self.settings.max_attempts - 1) + MAX_WRONG_SERVERS)
             again = "retriable-headers,connect-failure"
             headers["x-envoy-retry-on"] = again if repeat is Idempotency.NON_IDEMPOTENT else again + ",reset"
-            headers["x-envoy-retriable-header-names"] = RETRY
-        return ev.Go("request_headers", headers, (), attempt.address, True)
+            headers["x-envoy-retriable-header-names"] = RETRY_HEADER
+        return ev.ContinueResponse("request_headers", headers, (), attempt.address, True)
 
     def sweep(self) -> None:
         """The last end of every wait: entries whose deadline is long past. One timer for all of them, and
         none while the table is empty."""
         now = self.loop.time()
-        for entry in [one for one in self.by_ref.values() if one.deadline + AFTERMATH_S <= now]:
+        for entry in [
+            request
+            for request in self.requests_by_number.values()
+            if request.deadline + EXPIRY_GRACE_S <= now
+        ]:
             entry.expire()
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep) if self.by_ref else None
+        self.sweep_timer = (
+            self.loop.call_later(SWEEP_INTERVAL_S, self.sweep) if self.requests_by_number else None
+        )
 
-    def drop(self, entry: Entry) -> None:
+    def remove(self, entry: ProxiedRequest) -> None:
         """Off the table."""
-        if self.by_ref.pop(entry.ref, None) is None:
+        if self.requests_by_number.pop(entry.number, None) is None:
             return
-        if entry.reopen is not None:
-            entry.reopen.cancel()
-        if self.by_id.get(entry.fields.request_id) is entry:
-            del self.by_id[entry.fields.request_id]
+        if entry.reconnect_timer is not None:
+            entry.reconnect_timer.cancel()
+        if self.requests_by_id.get(entry.fields.request_id) is entry:
+            del self.requests_by_id[entry.fields.request_id]
--- a/glenchute/listeners/extproc/events.py
+++ b/glenchute/listeners/extproc/events.py
@@ -12,7 +12,7 @@
     """A request's headers, names in small letters; `end` where no body follows."""
 
     headers: dict[str, list[bytes]]
-    end: bool = True
+    end_of_stream: bool = True
     attributes: Mapping[str, Any] = field(default_factory=dict)
     metadata: Mapping[str, Any] = field(default_factory=dict)
 
@@ -22,7 +22,7 @@
     """A buffered body, or a part of one."""
 
     body: bytes
-    end: bool
+    end_of_stream: bool
 
 
 @dataclass(slots=True)
@@ -30,12 +30,12 @@
     """A response's headers: of an attempt on an upstream stream, for the client on a downstream one."""
 
     headers: dict[str, list[bytes]]
-    end: bool = False
+    end_of_stream: bool = False
     attributes: Mapping[str, Any] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Other:
+class UnhandledMessage:
     """A message that needs an answer of its own kind and no more: bodies and trailers that were not asked
     for. `kind` is the field of ProcessingRequest."""
 
@@ -43,32 +43,34 @@
 
 
 @dataclass(slots=True)
-class Observed:
+class ObservedMessage:
     """Observability mode: the proxy does not wait, and what it is told has no effect."""
 
 
 @dataclass(slots=True)
-class Unknown:
+class UnknownMessage:
     """A message without anything that is known."""
 
 
-Said = RequestHeaders | RequestBody | ResponseHeaders | Other | Observed | Unknown
+ProxyMessage = (
+    RequestHeaders | RequestBody | ResponseHeaders | UnhandledMessage | ObservedMessage | UnknownMessage
+)
 
 
 @dataclass(slots=True)
-class Go:
+class ContinueResponse:
     """Go on, with changes. `kind` is the field of ProcessingResponse; `endpoint` goes into `envoy.lb`."""
 
     kind: str
     set_headers: dict[str, str] = field(default_factory=dict)
     remove_headers: tuple[str, ...] = ()
     endpoint: str = ""
-    want_response: bool = False  # by mode_override: the response's headers are to come here
-    want_body: bool = False  # by mode_override: the request's body is to come here, buffered
+    wants_response_headers: bool = False  # by mode_override: the response's headers are to come here
+    wants_request_body: bool = False  # by mode_override: the request's body is to come here, buffered
 
 
 @dataclass(slots=True)
-class Reply:
+class ImmediateResponse:
     """ImmediateResponse: the proxy answers with this and does nothing else."""
 
     status: int
@@ -77,5 +79,5 @@
     details: str
 
 
-Told = Go | Reply
-Answer = Callable[[Told | None], None]  # None: nothing is to be said
+ProcessorResponse = ContinueResponse | ImmediateResponse
+RespondCallback = Callable[[ProcessorResponse | None], None]  # None: nothing is to be said
--- a/glenchute/listeners/extproc/messages.py
+++ b/glenchute/listeners/extproc/messages.py
@@ -13,21 +13,24 @@
 
 ProcessingRequest = pb.ProcessingRequest
 ProcessingResponse = pb.ProcessingResponse
-MOST_DEPTH = 4
-MOST_SHAPES = 64
-SHAPES: dict[Any, Any] = {}  # answers of each shape, to be copied
+MAX_STRUCT_DEPTH = 4
+MAX_RESPONSE_TEMPLATES = 64
+RESPONSE_TEMPLATES: dict[Any, Any] = {}  # answers of each shape, to be copied
 OVERWRITE = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
-LB = "envoy.lb"
-LB_KEY = "x-gateway-destination-endpoint"  # Gateway API inference extension, endpoint picker protocol
-OTHERS = ("response_body", "request_trailers", "response_trailers")
-CONTINUES = {
-    kind: pb.ProcessingResponse() for kind in (*OTHERS, "request_headers", "request_body", "response_headers")
+LB_METADATA_NAMESPACE = "envoy.lb"
+LB_ENDPOINT_KEY = (
+    "x-gateway-destination-endpoint"  # Gateway API inference extension, endpoint picker protocol
+)
+UNHANDLED_KINDS = ("response_body", "request_trailers", "response_trailers")
+PLAIN_RESPONSES = {
+    kind: pb.ProcessingResponse()
+    for kind in (*UNHANDLED_KINDS, "request_headers", "request_body", "response_headers")
 }
-for _kind, _made in CONTINUES.items():
+for _kind, _made in PLAIN_RESPONSES.items():
     getattr(_made, _kind).SetInParent()
 
 
-def headers(found: Any, wanted: Container[str]) -> dict[str, list[bytes]]:
+def decode_headers(found: Any, wanted: Container[str]) -> dict[str, list[bytes]]:
     """Those of a HeaderMap that somebody reads; values come in `raw_value`, from old proxies in `value`."""
     made: dict[str, list[bytes]] = {}
     for header in found.headers:
@@ -37,47 +40,53 @@
     return made
 
 
-def value(found: Any, depth: int = 0) -> Any:
+def decode_value(found: Any, depth: int = 0) -> Any:
     """A google.protobuf.Value as plain data; lists, nulls and what lies too deep are left out as None."""
     kind = found.WhichOneof("kind")
     if kind in ("string_value", "number_value", "bool_value"):
         return getattr(found, kind)
-    if kind == "struct_value" and depth < MOST_DEPTH:
-        return struct(found.struct_value, depth + 1)
+    if kind == "struct_value" and depth < MAX_STRUCT_DEPTH:
+        return decode_struct(found.struct_value, depth + 1)
     return None
 
 
-def struct(found: Any, depth: int = 0) -> dict[str, Any]:
+def decode_struct(found: Any, depth: int = 0) -> dict[str, Any]:
     """A google.protobuf.Struct."""
-    return {key: value(inner, depth) for key, inner in found.fields.items()}
+    return {key: decode_value(inner, depth) for key, inner in found.fields.items()}
 
 
-def attributes(message: Any) -> dict[str, Any]:
+def decode_attributes(message: Any) -> dict[str, Any]:
     """All attributes, whichever filter's name they come under."""
     made: dict[str, Any] = {}
     for inner in message.attributes.values():
-        made.update(struct(inner))
+        made.update(decode_struct(inner))
     return made
 
 
-def read(message: Any, wanted: Container[str]) -> ev.Said:
+def decode_request(message: Any, wanted: Container[str]) -> ev.ProxyMessage:
     """A ProcessingRequest as an event, with the headers that are `wanted`."""
     if message.observability_mode:
-        return ev.Observed()
+        return ev.ObservedMessage()
     kind = message.WhichOneof("request")
     if kind == "request_headers":
         said = message.request_headers
-        told = {name: struct(inner) for name, inner in message.metadata_context.filter_metadata.items()}
-        return ev.RequestHeaders(headers(said.headers, wanted), said.end_of_stream, attributes(message), told)
+        told = {
+            name: decode_struct(inner) for name, inner in message.metadata_context.filter_metadata.items()
+        }
+        return ev.RequestHeaders(
+            decode_headers(said.headers, wanted), said.end_of_stream, decode_attributes(message), told
+        )
     if kind == "response_headers":
         said = message.response_headers
-        return ev.ResponseHeaders(headers(said.headers, wanted), said.end_of_stream, attributes(message))
+        return ev.ResponseHeaders(
+            decode_headers(said.headers, wanted), said.end_of_stream, decode_attributes(message)
+        )
     if kind == "request_body":
         return ev.RequestBody(message.request_body.body, message.request_body.end_of_stream)
-    return ev.Other(kind) if kind in OTHERS else ev.Unknown()
+    return ev.UnhandledMessage(kind) if kind in UNHANDLED_KINDS else ev.UnknownMessage()
 
 
-def change(changes: Any, told: ev.Go) -> None:
+def apply_header_changes(changes: Any, told: ev.ContinueResponse) -> None:
     """Header changes; what is set replaces what a client may have sent by the same name."""
     for name, text in told.set_headers.items():
         option = changes.set_headers.add(append_action=OVERWRITE)
@@ -85,16 +94,16 @@
     changes.remove_headers.extend(told.remove_headers)
 
 
-def mutation(made: Any, kind: str) -> Any:
+def header_mutation(made: Any, kind: str) -> Any:
     """Where the header changes of an answer stand."""
     part = getattr(made, kind)
     return part.header_mutation if kind.endswith("trailers") else part.response.header_mutation
 
 
-def write(told: ev.Told) -> Any:
+def encode_response(told: ev.ProcessorResponse) -> Any:
     """An event as a ProcessingResponse."""
     made = pb.ProcessingResponse()
-    if isinstance(told, ev.Reply):
+    if isinstance(told, ev.ImmediateResponse):
         reply = made.immediate_response
         reply.status.code = told.status
         for name, text in told.headers.items():
@@ -102,32 +111,44 @@
             option.header.key, option.header.raw_value = name, text.encode()
         reply.body, reply.details = told.body.encode(), told.details
         return made
-    if not (told.set_headers or told.remove_headers or told.want_response or told.want_body):
-        return CONTINUES[told.kind]
+    if not (
+        told.set_headers or told.remove_headers or told.wants_response_headers or told.wants_request_body
+    ):
+        return PLAIN_RESPONSES[told.kind]
     # The same few shapes come again and again: a copy of one is cheaper than building it.
-    shape = told.kind, tuple(told.set_headers), told.remove_headers, bool(told.endpoint), told.want_response
-    known = SHAPES.get(shape) if not told.want_body else None
+    shape = (
+        told.kind,
+        tuple(told.set_headers),
+        told.remove_headers,
+        bool(told.endpoint),
+        told.wants_response_headers,
+    )
+    known = RESPONSE_TEMPLATES.get(shape) if not told.wants_request_body else None
     if known is not None:
         made.CopyFrom(known)
-        options = mutation(made, told.kind).set_headers
+        options = header_mutation(made, told.kind).set_headers
         for option, text in zip(options, told.set_headers.values(), strict=True):
             option.header.raw_value = text.encode()
         if told.endpoint:
-            made.dynamic_metadata.fields[LB].struct_value.fields[LB_KEY].string_value = told.endpoint
+            made.dynamic_metadata.fields[LB_METADATA_NAMESPACE].struct_value.fields[
+                LB_ENDPOINT_KEY
+            ].string_value = told.endpoint
         return made
     getattr(made, told.kind).SetInParent()
-    change(mutation(made, told.kind), told)
+    apply_header_changes(header_mutation(made, told.kind), told)
     if told.endpoint:
-        made.dynamic_metadata.fields[LB].struct_value.fields[LB_KEY].string_value = told.endpoint
-    if told.kind == "request_headers" and (told.want_response or told.want_body):
+        made.dynamic_metadata.fields[LB_METADATA_NAMESPACE].struct_value.fields[
+            LB_ENDPOINT_KEY
+        ].string_value = told.endpoint
+    if told.kind == "request_headers" and (told.wants_response_headers or told.wants_request_body):
         mode = made.mode_override  # all of it counts: what is left out would go back to its default
         mode.request_header_mode = mode.response_header_mode = processing_mode_pb2.ProcessingMode.SEND
         mode.request_trailer_mode = mode.response_trailer_mode = processing_mode_pb2.ProcessingMode.SKIP
-        if told.want_body:
+        if told.wants_request_body:
             mode.request_body_mode = processing_mode_pb2.ProcessingMode.BUFFERED
             return made
-    if len(SHAPES) < MOST_SHAPES:
-        SHAPES[shape] = made
+    if len(RESPONSE_TEMPLATES) < MAX_RESPONSE_TEMPLATES:
+        RESPONSE_TEMPLATES[shape] = made
     kept = pb.ProcessingResponse()
     kept.CopyFrom(made)
     return kept
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -10,64 +10,66 @@
 from glenchute.config.platform import PlatformConfig
 from glenchute.core.gateway import RequestExecutor
 
-from .calls import Calls, Ways
-from .ratelimit import Limiter
-from .server import Server, Tls
-from .token import Signer
+from .calls import ExtProcSettings, RequestTable
+from .ratelimit import RateLimiter
+from .server import ExtProcServer, TlsCredentials
+from .token import TokenSigner
 
 
-def signer(raw: dict[str, Any]) -> Signer:
+def token_signer(raw: dict[str, Any]) -> TokenSigner:
     """With the operators' key, or one of this process's own."""
     if "token_key_file" not in raw:
-        return Signer()
-    return Signer(secret_key(raw["token_key_file"], "token_key_file"))
+        return TokenSigner()
+    return TokenSigner(secret_key(raw["token_key_file"], "token_key_file"))
 
 
-def tls(raw: dict[str, Any] | None) -> Tls | None:
+def tls_credentials(raw: dict[str, Any] | None) -> TlsCredentials | None:
     """The certificates, where any are named."""
     if raw is None:
         return None
     client_ca = read_file(raw["client_ca"], "client_ca") if "client_ca" in raw else None
-    return Tls(read_file(raw["certificate"], "certificate"), read_file(raw["key"], "key", True), client_ca)
+    return TlsCredentials(
+        read_file(raw["certificate"], "certificate"), read_file(raw["key"], "key", True), client_ca
+    )
 
 
-def ways(raw: dict[str, Any], config: PlatformConfig) -> tuple[Ways, Any]:
+def extproc_settings(raw: dict[str, Any], config: PlatformConfig) -> tuple[ExtProcSettings, Any]:
     """The settings of the front, and the rules for rate limit calls."""
     facts, made = config.facts, config.settings
-    requests, limits = rules(raw, facts, made.gateway_count, config.request_bounds.units)
+    requests, limits = rules(raw, facts, made.gateway_count, config.request_bounds.max_units)
     repeats = {
         name: (
             cls.idempotency,
             cls.idempotency_window_ms,
-            min(cls.deadline_ms, config.request_bounds.wait_ms),
+            min(cls.deadline_ms, config.request_bounds.max_deadline_ms),
         )
         for name, cls in facts.classes.items()
     }
-    found = Ways(
+    found = ExtProcSettings(
         requests,
         repeats,
-        most_calls=raw.get("most_calls", 10_000),
-        reopen_s=raw.get("reopen_ms", 250.0) / 1000.0,
-        attempt_streams=raw.get("attempt_streams", True),
+        max_calls=raw.get("most_calls", 10_000),
+        reconnect_grace_s=raw.get("reopen_ms", 250.0) / 1000.0,
+        has_attempt_streams=raw.get("attempt_streams", True),
         endpoint_header=raw.get("endpoint_header", "x-gateway-destination-endpoint"),
         load_header=raw.get("load_header", "x-glenchute-load"),
-        full_status=raw.get("full_status", 429),
-        open_classes=frozenset(raw.get("restart_open", ())),
+        rejected_status=raw.get("full_status", 429),
+        resumable_classes=frozenset(raw.get("restart_open", ())),
         max_attempts=made.max_attempts,
     )
     return found, limits
 
 
-def front(
+def create_server(
     raw: dict[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor
-) -> Server:
+) -> ExtProcServer:
     """The front, not listening yet; ConfigError where a file that it needs can't be used."""
-    found, limits = ways(raw, config)
-    calls = Calls(loop, gateway, found, signer(raw))
+    found, limits = extproc_settings(raw, config)
+    calls = RequestTable(loop, gateway, found, token_signer(raw))
     limiter = None
     if limits is not None:
-        wait_ms = min(config.request_bounds.wait_ms, 1000.0)
-        limiter = Limiter(gateway, limits, raw["ratelimit"]["domain"], wait_ms, calls.counts)
-    most = raw.get("most_streams", 4 * found.most_calls)
-    longest_s = max(wait for _, _, wait in found.repeats.values()) / 1000.0
-    return Server(calls, limiter, raw["listen"], most, tls(raw.get("tls")), longest_s)
+        wait_ms = min(config.request_bounds.max_deadline_ms, 1000.0)
+        limiter = RateLimiter(gateway, limits, raw["ratelimit"]["domain"], wait_ms, calls.counts)
+    most = raw.get("most_streams", 4 * found.max_calls)
+    longest_s = max(wait for _, _, wait in found.class_limits.values()) / 1000.0
+    return ExtProcServer(calls, limiter, raw["listen"], most, tls_credentials(raw.get("tls")), longest_s)
--- a/glenchute/listeners/extproc/token.py
+++ b/glenchute/listeners/extproc/token.py
@@ -14,55 +14,55 @@
 import struct
 from dataclasses import dataclass
 
-HEAD = struct.Struct(">B8sQQB")  # version, boot, reference, first decision (Unix ms), length of the class
+HEADER = struct.Struct(">B8sQQB")  # version, boot, reference, first decision (Unix ms), length of the class
 VERSION = 1
-MAC = 16  # bytes kept of HMAC-SHA256 (RFC 2104, section 5)
-MOST_TEXT = 256
-KEY_BYTES = 32
+SIGNATURE_BYTES = 16  # bytes kept of HMAC-SHA256 (RFC 2104, section 5)
+MAX_TOKEN_CHARS = 256
+MIN_KEY_BYTES = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Token:
     """What a token says. `ref` names the entry in its process's table."""
 
-    boot: bytes
-    ref: int
-    first_ms: int
+    process_id: bytes
+    request_number: int
+    decided_at_ms: int
     class_name: str
 
 
-class Signer:
+class TokenSigner:
     """Makes and reads tokens. Without a key of the operators' each process has its own, and takes the tokens
     of its forerunner for forged, which closes all their attempts."""
 
     def __init__(self, key: bytes | None = None) -> None:
-        self.key = key or os.urandom(KEY_BYTES)
-        if len(self.key) < KEY_BYTES:
-            raise ValueError(f"a key has {KEY_BYTES} bytes at least")
-        self.boot = os.urandom(8)
+        self.key = key or os.urandom(MIN_KEY_BYTES)
+        if len(self.key) < MIN_KEY_BYTES:
+            raise ValueError(f"a key has {MIN_KEY_BYTES} bytes at least")
+        self.process_id = os.urandom(8)
 
     def issue(self, ref: int, first_ms: float, class_name: str) -> str:
         """The text of a token, at most 256 characters."""
         name = class_name.encode()[:100]
-        body = HEAD.pack(VERSION, self.boot, ref, int(first_ms), len(name)) + name
-        return base64.urlsafe_b64encode(body + self.mac(body)).decode().rstrip("=")
+        body = HEADER.pack(VERSION, self.process_id, ref, int(first_ms), len(name)) + name
+        return base64.urlsafe_b64encode(body + self.signature(body)).decode().rstrip("=")
 
-    def read(self, text: str) -> Token | None:
+    def verify(self, text: str) -> Token | None:
         """What it says; None for what nobody signed with this key."""
-        if len(text) > MOST_TEXT:
+        if len(text) > MAX_TOKEN_CHARS:
             return None
         try:
             raw = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
         except (binascii.Error, ValueError):
             return None
-        body, mac = raw[:-MAC], raw[-MAC:]
-        if len(body) < HEAD.size or not hmac.compare_digest(mac, self.mac(body)):
+        body, mac = raw[:-SIGNATURE_BYTES], raw[-SIGNATURE_BYTES:]
+        if len(body) < HEADER.size or not hmac.compare_digest(mac, self.signature(body)):
             return None
-        version, boot, ref, first, length = HEAD.unpack_from(body)
-        if version != VERSION or len(body) != HEAD.size + length:
+        version, boot, ref, first, length = HEADER.unpack_from(body)
+        if version != VERSION or len(body) != HEADER.size + length:
             return None
-        return Token(boot, ref, first, body[HEAD.size :].decode("utf-8", "replace"))
+        return Token(boot, ref, first, body[HEADER.size :].decode("utf-8", "replace"))
 
-    def mac(self, body: bytes) -> bytes:
+    def signature(self, body: bytes) -> bytes:
         """The signature."""
-        return hmac.new(self.key, body, hashlib.sha256).digest()[:MAC]
+        return hmac.new(self.key, body, hashlib.sha256).digest()[:SIGNATURE_BYTES]
--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -11,26 +11,26 @@
 from glenchute.policy.settings import Idempotency, Settings
 from glenchute.protocol import resp2 as resp
 
-MOST_FIELDS = 512  # bytes of the list of names and values
-CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-MOST_CUSTOMER = 1 << 33
-WORD = re.compile(rb"[!-~]{1,64}")  # ids and keys: no space, nothing that can't be printed
-DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,9})?")
-WHOLE = re.compile(rb"[0-9]{1,6}")
+MAX_FIELDS_BYTES = 512  # bytes of the list of names and values
+TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+MAX_TENANT_NUMBER = 1 << 33
+IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,64}")  # ids and keys: no space, nothing that can't be printed
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,9})?")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
 
 
 @record(slots=True)
 class Command(Call):
     """A client's command, parsed and checked once. `fields` has a gap where the time left goes."""
 
-    before: bytes  # the command up to the field list
-    fields: tuple[bytes, bytes]  # the list up to and with "d=", and what follows the number
-    after: bytes  # the body, encoded, or nothing
+    prefix: bytes  # the command up to the field list
+    fields_around_deadline: tuple[bytes, bytes]  # the list up to and with "d=", and what follows the number
+    suffix: bytes  # the body, encoded, or nothing
 
     def encode(self, left_ms: int) -> bytes:
         """The command for a server: the client's own, but for the time left."""
-        fields = b"%b%d%b" % (self.fields[0], left_ms, self.fields[1])
-        return b"%b%b%b" % (self.before, resp.bulk(fields), self.after)
+        fields = b"%b%d%b" % (self.fields_around_deadline[0], left_ms, self.fields_around_deadline[1])
+        return b"%b%b%b" % (self.prefix, resp.encode_bulk(fields), self.suffix)
 
 
 class CommandError(ValueError):
@@ -38,76 +38,78 @@
 
 
 @record(frozen=True, slots=True)
-class Bounds:
+class RequestBounds:
     """The most that a command may ask for."""
 
-    units: float
-    wait_ms: float  # longer deadlines are served as this: none may hold a place for minutes
+    max_units: float
+    max_deadline_ms: float  # longer deadlines are served as this: none may hold a place for minutes
 
 
-def bounds(raw: dict[str, Any]) -> Bounds:
+def read_request_bounds(raw: dict[str, Any]) -> RequestBounds:
     """From the settings."""
     waits = [number(row.get("hard_limit_ms")) for row in raw["profiles"]]
-    return Bounds(
-        units=number((raw.get("domain") or {}).get("max_units")) or 1e6,
-        wait_ms=max(waits) if waits and min(waits) > 0 else 60_000.0,
+    return RequestBounds(
+        max_units=number((raw.get("domain") or {}).get("max_units")) or 1e6,
+        max_deadline_ms=max(waits) if waits and min(waits) > 0 else 60_000.0,
     )
 
 
-class Catalogue:
+class CommandParser:
     """What a command may name, from the settings."""
 
-    def __init__(self, settings: Settings, most: Bounds) -> None:
-        self.gateways = settings.gateway_count
+    def __init__(self, settings: Settings, most: RequestBounds) -> None:
+        self.gateway_count = settings.gateway_count
         self.bounds = most
         self.plans = {plan.name.encode(): plan.name for plan in settings.plans}
         self.classes = {cls.name.encode(): (cls.name, cls.idempotency) for cls in settings.classes}
-        self.safe = {cls.name for cls in settings.classes if cls.idempotency is Idempotency.IDEMPOTENT}
+        self.idempotent_classes = {
+            cls.name for cls in settings.classes if cls.idempotency is Idempotency.IDEMPOTENT
+        }
 
-    def call(self, words: list[bytes]) -> Command:
+    def parse(self, words: list[bytes]) -> Command:
         """Checks a command and takes it apart, once."""
         verb = words[0].upper()
         if not 4 <= len(words) <= 5:
             raise CommandError("wrong number of arguments")
         customer, request_id, text = words[1:4]
-        if CUSTOMER.fullmatch(customer) is None or int(customer, 16) >= MOST_CUSTOMER:
+        if TENANT_PATTERN.fullmatch(customer) is None or int(customer, 16) >= MAX_TENANT_NUMBER:
             raise CommandError("bad customer")
-        if WORD.fullmatch(request_id) is None:
+        if IDENTIFIER_PATTERN.fullmatch(request_id) is None:
             raise CommandError("bad request id")
-        if len(text) > MOST_FIELDS:
+        if len(text) > MAX_FIELDS_BYTES:
             raise CommandError("bad fields")
         fields, gap = split_fields(text)
-        name, repeat = self.known(self.classes, fields, b"c", "class")
+        name, repeat = self.lookup(self.classes, fields, b"c", "class")
         if (repeat is Idempotency.IDEMPOTENT) != (verb == b"CALL.GET"):
             raise CommandError("this class goes by the other command")
-        if (b"k" in fields or repeat is Idempotency.WITH_KEY) and WORD.fullmatch(
+        if (b"k" in fields or repeat is Idempotency.WITH_KEY) and IDENTIFIER_PATTERN.fullmatch(
             fields.get(b"k", b"")
         ) is None:
             raise CommandError("no idempotency key")
-        spread = whole(fields, b"spread", 1, self.gateways, 1)
-        whole(fields, b"first", 0, self.gateways - 1, 0)
-        units = decimal(fields, b"units", self.bounds.units, b"1")
+        spread = integer_field(fields, b"spread", 1, self.gateway_count, 1)
+        integer_field(fields, b"first", 0, self.gateway_count - 1, 0)
+        units = decimal_field(fields, b"units", self.bounds.max_units, b"1")
         if not units:
             raise CommandError("bad number for units")
-        left_ms = decimal(fields, b"d", float("inf"), b"")
+        left_ms = decimal_field(fields, b"d", float("inf"), b"")
         if left_ms < 1.0:
             raise CommandError("bad number for d")
         return Command(
             request_id=request_id,
             class_name=name,
-            plan=self.known(self.plans, fields, b"t", "plan"),
+            plan=self.lookup(self.plans, fields, b"t", "plan"),
             # The one form that all gateways share: windows and counter names hang on it.
             tenant=customer.lower().decode(),
-            time_left_ms=min(left_ms, self.bounds.wait_ms),
+            time_left_ms=min(left_ms, self.bounds.max_deadline_ms),
             units=units,
             gateway_spread=spread,
-            before=b"*%d\r\n%b" % (len(words), b"".join([resp.bulk(word) for word in words[:3]])),
-            fields=gap,
-            after=resp.bulk(words[4]) if len(words) == 5 else b"",
+            prefix=b"*%d\r\n%b" % (len(words), b"".join([resp.encode_bulk(word) for word in words[:3]])),
+            fields_around_deadline=gap,
+            suffix=resp.encode_bulk(words[4]) if len(words) == 5 else b"",
         )
 
     @staticmethod
-    def known(table: dict[bytes, Any], fields: dict[bytes, bytes], key: bytes, what: str) -> Any:
+    def lookup(table: dict[bytes, Any], fields: dict[bytes, bytes], key: bytes, what: str) -> Any:
         """What a field names."""
         try:
             return table[fields[key]]
@@ -133,19 +135,19 @@
     return fields, gap
 
 
-def decimal(fields: dict[bytes, bytes], key: bytes, most: float, default: bytes) -> float:
+def decimal_field(fields: dict[bytes, bytes], key: bytes, most: float, default: bytes) -> float:
     """A number that is not negative. `float` alone would let through `nan`, `1_0`, `1e9` and white space."""
     text = fields.get(key, default)
-    if DECIMAL.fullmatch(text) is None or float(text) > most:
+    if DECIMAL_PATTERN.fullmatch(text) is None or float(text) > most:
         raise CommandError(f"bad number for {key.decode()}")
     return float(text)
 
 
-def whole(fields: dict[bytes, bytes], key: bytes, least: int, most: int, default: int) -> int:
+def integer_field(fields: dict[bytes, bytes], key: bytes, least: int, most: int, default: int) -> int:
     """A whole number in its range."""
     text = fields.get(key)
     if text is None:
         return default
-    if WHOLE.fullmatch(text) is None or not least <= int(text) <= most:
+    if INTEGER_PATTERN.fullmatch(text) is None or not least <= int(text) <= most:
         raise CommandError(f"bad number for {key.decode()}")
     return int(text)
--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -22,10 +22,10 @@
     r"local_connection_failure|connection_timeout|overflow)\b"
 )
 TIMEOUT_DETAILS = re.compile(r"(?:upstream_)?(?:response_timeout|per_try_timeout)|upstream_per_try_timeout")
-CALLED_OFF = re.compile(r"downstream_remote_disconnect|downstream_local_disconnect")
+CANCELLED_DETAILS = re.compile(r"downstream_remote_disconnect|downstream_local_disconnect")
 
 
-def ending(status: int, details: str, full_status: int) -> Outcome:
+def classify_response(status: int, details: str, full_status: int) -> Outcome:
     """An attempt's ending from what the proxy saw: the status of the response (0: none), and the response
     code details where the proxy sends that attribute. `full_status`: the status by which nodes turn a
     request away unseen, 0 if they have none."""
@@ -35,7 +35,7 @@
         return Outcome.UNREACHABLE
     elif TIMEOUT_DETAILS.match(details):
         return Outcome.TIMEOUT
-    elif CALLED_OFF.match(details):
+    elif CANCELLED_DETAILS.match(details):
         return Outcome.CANCELLED
     elif details.startswith("upstream_reset"):
         return Outcome.RESET
@@ -48,7 +48,9 @@
     return Outcome.ERROR if status else Outcome.RESET
 
 
-def may_follow(repeat: Idempotency, open_after_restart: bool, age_ms: float, memory_ms: float) -> bool:
+def may_send_undecided(
+    repeat: Idempotency, open_after_restart: bool, age_ms: float, memory_ms: float
+) -> bool:
     """Whether a request that another process decided on `age_ms` ago may be sent, though nobody here knows
     whether it was sent before. An unsafe one never; a keyed one while the nodes drop repeats, by the age of
     its first decision, which is before its first sending; where the operator has the class closed, none. An
@@ -58,60 +60,64 @@
     return repeat is Idempotency.IDEMPOTENT or age_ms < memory_ms - 5.0
 
 
-class Gate(Enum):
+class AttemptVerdict(Enum):
     """What an attempt that asks is told."""
 
-    PASS = "pass"
-    HOLD = "hold"  # until what it waits for has happened; each such wait ends at the deadline
-    OVER = "over"  # the request has its final answer
-    NODE = "node"  # goes to another node than the chosen one
-    LATE = "late"  # the chosen node takes nothing any more, or repeats are no longer dropped
+    ALLOW = "pass"
+    WAIT = "hold"  # until what it waits for has happened; each such wait ends at the deadline
+    REQUEST_FINISHED = "over"  # the request has its final answer
+    WRONG_SERVER = "node"  # goes to another node than the chosen one
+    TOO_LATE = "late"  # the chosen node takes nothing any more, or repeats are no longer dropped
 
 
 @record(frozen=True, slots=True)
-class Asking:
+class AttemptState:
     """What is known where an attempt asks."""
 
-    final: bool  # the request has its final answer
-    offered: bool  # the module has chosen, and this choice has not been used
-    others_open: bool  # an earlier attempt's stream is open: its connection may be
-    going_to: str  # the node's address as the proxy tells it, "" if it does not
-    chosen: str  # the chosen node's address
-    takes_work: bool  # the node's, by the list and its drain
-    in_time: bool  # before the moment after which no byte may leave
+    is_request_finished: bool  # the request has its final answer
+    has_chosen_server: bool  # the module has chosen, and this choice has not been used
+    has_open_attempts: bool  # an earlier attempt's stream is open: its connection may be
+    requested_address: str  # the node's address as the proxy tells it, "" if it does not
+    chosen_address: str  # the chosen node's address
+    is_server_accepting: bool  # the node's, by the list and its drain
+    is_in_time: bool  # before the moment after which no byte may leave
 
 
-def gate(asking: Asking) -> Gate:
+def judge_attempt(asking: AttemptState) -> AttemptVerdict:
     """Whether the attempt may go. Where it may not, no byte of it has left and none will."""
-    if asking.final:
-        return Gate.OVER
-    if not asking.offered or asking.others_open:
-        return Gate.HOLD
-    if not asking.takes_work or not asking.in_time:
-        return Gate.LATE
-    if asking.going_to and asking.going_to != asking.chosen:
-        return Gate.NODE
-    return Gate.PASS
-
-
-class Show(Enum):
+    if asking.is_request_finished:
+        return AttemptVerdict.REQUEST_FINISHED
+    if not asking.has_chosen_server or asking.has_open_attempts:
+        return AttemptVerdict.WAIT
+    if not asking.is_server_accepting or not asking.is_in_time:
+        return AttemptVerdict.TOO_LATE
+    if asking.requested_address and asking.requested_address != asking.chosen_address:
+        return AttemptVerdict.WRONG_SERVER
+    return AttemptVerdict.ALLOW
+
+
+class ResponseVerdict(Enum):
     """What becomes of the response that a proxy is about to give its client."""
 
-    THROUGH = "through"  # as it is
-    REFUSAL = "refusal"  # replaced by a refusal, which promises that nothing ran
-    UNKNOWN = "unknown"  # replaced by a failure without a promise
+    PASS_THROUGH = "through"  # as it is
+    REJECTION = "refusal"  # replaced by a refusal, which promises that nothing ran
+    FAILURE = "unknown"  # replaced by a failure without a promise
 
 
-PROMISES = (429, 503)  # statuses that clients take for "not done, come again"
+RETRYABLE_STATUSES = (429, 503)  # statuses that clients take for "not done, come again"
 
 
-def show(outcome: str, may_have_run: bool, status: int) -> Show:
+def judge_response(outcome: str, may_have_run: bool, status: int) -> ResponseVerdict:
     """`outcome` is "served", "refused", "failed", or "" where the proxy answers by itself. What may have run
     must not leave with a status that clients read as a promise that it did not."""
     if outcome == "served":
-        return Show.THROUGH
+        return ResponseVerdict.PASS_THROUGH
     if outcome == "refused":
-        return Show.REFUSAL
+        return ResponseVerdict.REJECTION
     if outcome == "failed" or may_have_run:
-        return Show.UNKNOWN if status in PROMISES or status < 400 else Show.THROUGH
-    return Show.THROUGH
+        return (
+            ResponseVerdict.FAILURE
+            if status in RETRYABLE_STATUSES or status < 400
+            else ResponseVerdict.PASS_THROUGH
+        )
+    return ResponseVerdict.PASS_THROUGH
--- a/glenchute/policy/services/request_mapping.py
+++ b/glenchute/policy/services/request_mapping.py
@@ -14,19 +14,19 @@
 from typing import Any
 from urllib.parse import parse_qsl, unquote
 
-MOST_VALUE = 512  # bytes of one field
-MOST_PATH = 8192
-SOURCE = re.compile(
+MAX_VALUE_BYTES = 512  # bytes of one field
+MAX_PATH_BYTES = 8192
+SOURCE_PATTERN = re.compile(
     r"header:[!#$%&'*+.^_`|~0-9a-z-]{1,100}|query:[^&=#\s]{1,100}|path:[a-z_][a-z_0-9]{0,40}|"
     r"metadata:[^/\s]{1,100}/[^\s]{1,100}|json:(?:/[^/]*){1,16}|descriptor:[!-~]{1,100}|value:.{0,100}"
 )
-SEGMENT = re.compile(r"\{([a-z_][a-z_0-9]{0,40})(=\*\*)?\}")
-FIELDS = ("class", "account", "plan", "units", "spread", "id", "key", "deadline_ms")
-CUSTOMER = re.compile(r"[0-9a-fA-F]{16}")
-MOST_CUSTOMER = 1 << 33
-WORD = re.compile(r"[!-~]{1,128}")
-DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
-WHOLE = re.compile(r"[0-9]{1,6}")
+SEGMENT_PATTERN = re.compile(r"\{([a-z_][a-z_0-9]{0,40})(=\*\*)?\}")
+FIELD_NAMES = ("class", "account", "plan", "units", "spread", "id", "key", "deadline_ms")
+ACCOUNT_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+MAX_ACCOUNT_NUMBER = 1 << 33
+IDENTIFIER_PATTERN = re.compile(r"[!-~]{1,128}")
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
+INTEGER_PATTERN = re.compile(r"[0-9]{1,6}")
 
 
 class MappingError(ValueError):
@@ -37,25 +37,25 @@
         self.reason, self.status = reason, status
 
 
-class NeedsBody(Exception):  # noqa: N818
+class BodyRequired(Exception):  # noqa: N818
     """A field lies in the body, which has not come yet."""
 
 
 @dataclass(frozen=True, slots=True)
-class Template:
+class PathTemplate:
     """A path template: literals, `{name}` for one segment, and `{name=**}` at the end for the rest."""
 
     text: str
     parts: tuple[tuple[str, str], ...]  # ("=", literal), ("1", name) or ("*", name)
 
     @classmethod
-    def parse(cls, text: str) -> Template:
+    def parse(cls, text: str) -> PathTemplate:
         """Raises ValueError with the reason."""
         if not text.startswith("/") or len(text) > 200:
             raise ValueError("begins with / and has at most 200 characters")
         parts: list[tuple[str, str]] = []
         for segment in text[1:].split("/"):
-            found = SEGMENT.fullmatch(segment)
+            found = SEGMENT_PATTERN.fullmatch(segment)
             if found is None and ("{" in segment or "}" in segment):
                 raise ValueError("has a variable that is not {name} or {name=**}")
             if parts and parts[-1][0] == "*":
@@ -67,17 +67,17 @@
         return cls(text, tuple(parts))
 
     @property
-    def rank(self) -> tuple[int, ...]:
+    def specificity(self) -> tuple[int, ...]:
         """Which of two that match counts: literals before variables before the rest, from the left."""
         return tuple("=1*".index(kind) for kind, _ in self.parts)
 
     @property
-    def shape(self) -> tuple[tuple[str, str], ...]:
+    def normalized_parts(self) -> tuple[tuple[str, str], ...]:
         """Equal for two that match the same paths."""
         return tuple((kind, name if kind == "=" else "") for kind, name in self.parts)
 
     @property
-    def names(self) -> tuple[str, ...]:
+    def variable_names(self) -> tuple[str, ...]:
         """Its variables."""
         return tuple(name for kind, name in self.parts if kind != "=")
 
@@ -106,27 +106,27 @@
 
     class_name: str
     method: str  # "" for any
-    template: Template
+    template: PathTemplate
 
 
 @dataclass(slots=True)
-class View:
+class RequestView:
     """What a proxy tells of one request. Names of headers are in small letters."""
 
     headers: Mapping[str, list[bytes]]
     metadata: Mapping[str, Any] = field(default_factory=dict)
     descriptors: Mapping[str, str] = field(default_factory=dict)
     body: bytes | None = None  # whole, or None while it has not come
-    variables: Mapping[str, str] = field(default_factory=dict)
+    path_variables: Mapping[str, str] = field(default_factory=dict)
 
-    def header(self, name: str) -> str | None:
+    def single_header(self, name: str) -> str | None:
         """The one value of a header. Of two values each of both sides could take another."""
         values = self.headers.get(name)
         if not values:
             return None
         if len(values) > 1:
             raise MappingError(f"repeated-{name}"[:60])
-        if len(values[0]) > (MOST_PATH if name == ":path" else MOST_VALUE):
+        if len(values[0]) > (MAX_PATH_BYTES if name == ":path" else MAX_VALUE_BYTES):
             raise MappingError(f"long-{name}"[:60], 431)
         try:
             return values[0].decode("ascii")
@@ -135,105 +135,107 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fields:
+class MappedRequest:
     """A call as the rules read it."""
 
     class_name: str
     plan: str
     account: str
     units: float
-    spread: int
+    gateway_spread: int
     request_id: str  # "" where the proxy gave none
-    key: str
+    idempotency_key: str
     deadline_ms: float  # 0 where it gave none
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class MappingRules:
     """The mapping of one front. `sources` by field; `keyed` are the classes that need a key."""
 
     sources: Mapping[str, str]
     operations: tuple[Operation, ...]
-    classes: Mapping[str, bool]  # name: whether it is keyed
+    needs_key_by_class: Mapping[str, bool]  # name: whether it is keyed
     plans: tuple[str, ...]
-    gateways: int
-    most_units: float = 1e6
-    parsed: Mapping[str, tuple[str, str]] = field(init=False, repr=False, compare=False)
-    read: frozenset[str] = field(init=False, repr=False, compare=False)  # names of headers that count
+    gateway_count: int
+    max_units: float = 1e6
+    parsed_sources: Mapping[str, tuple[str, str]] = field(init=False, repr=False, compare=False)
+    used_headers: frozenset[str] = field(init=False, repr=False, compare=False)  # names of headers that count
 
     def __post_init__(self) -> None:
         parts = {name: source.partition(":") for name, source in self.sources.items()}
         parsed = {name: (kind, where) for name, (kind, _, where) in parts.items()}
-        object.__setattr__(self, "parsed", parsed)
+        object.__setattr__(self, "parsed_sources", parsed)
         named = {where for kind, where in parsed.values() if kind == "header"}
-        object.__setattr__(self, "read", frozenset(named | {":path", ":method"}))
+        object.__setattr__(self, "used_headers", frozenset(named | {":path", ":method"}))
 
-    def fields(self, view: View) -> Fields:
+    def map_request(self, view: RequestView) -> MappedRequest:
         """The fields of one request; raises MappingError, or NeedsBody where the body must come first."""
-        path = view.header(":path") or "/"
-        if "path" not in view.variables and self.operations:
-            operation, view.variables = self.operation(view, path)
+        path = view.single_header(":path") or "/"
+        if "path" not in view.path_variables and self.operations:
+            operation, view.path_variables = self.match_operation(view, path)
             named = operation.class_name if operation else ""
         else:
             named = ""
-        name = named or self.text(view, "class", path)
-        if name not in self.classes:
+        name = named or self.text_field(view, "class", path)
+        if name not in self.needs_key_by_class:
             raise MappingError("unknown-class", 404 if self.operations else 400)
-        plan = self.text(view, "plan", path)
+        plan = self.text_field(view, "plan", path)
         if plan not in self.plans:
             raise MappingError("unknown-plan")
-        account = self.text(view, "account", path)
-        if CUSTOMER.fullmatch(account) is None or int(account, 16) >= MOST_CUSTOMER:
+        account = self.text_field(view, "account", path)
+        if ACCOUNT_PATTERN.fullmatch(account) is None or int(account, 16) >= MAX_ACCOUNT_NUMBER:
             raise MappingError("bad-account")
-        key = self.text(view, "key", path)
-        if (key or self.classes[name]) and WORD.fullmatch(key) is None:
+        key = self.text_field(view, "key", path)
+        if (key or self.needs_key_by_class[name]) and IDENTIFIER_PATTERN.fullmatch(key) is None:
             raise MappingError("no-key" if not key else "bad-key")
-        request_id = self.text(view, "id", path)
-        if request_id and WORD.fullmatch(request_id) is None:
+        request_id = self.text_field(view, "id", path)
+        if request_id and IDENTIFIER_PATTERN.fullmatch(request_id) is None:
             raise MappingError("bad-id")
-        units = self.number(view, "units", path, 1.0)
-        if not 0.0 < units <= self.most_units:
+        units = self.decimal_field(view, "units", path, 1.0)
+        if not 0.0 < units <= self.max_units:
             raise MappingError("bad-units")
-        spread = self.text(view, "spread", path) or str(self.gateways)
-        if WHOLE.fullmatch(spread) is None or not 1 <= int(spread) <= self.gateways:
+        spread = self.text_field(view, "spread", path) or str(self.gateway_count)
+        if INTEGER_PATTERN.fullmatch(spread) is None or not 1 <= int(spread) <= self.gateway_count:
             raise MappingError("bad-spread")
-        deadline = self.number(view, "deadline_ms", path, 0.0)
-        return Fields(name, plan, account.lower(), units, int(spread), request_id, key, deadline)
+        deadline = self.decimal_field(view, "deadline_ms", path, 0.0)
+        return MappedRequest(name, plan, account.lower(), units, int(spread), request_id, key, deadline)
 
-    def operation(self, view: View, path: str) -> tuple[Operation | None, dict[str, str]]:
+    def match_operation(self, view: RequestView, path: str) -> tuple[Operation | None, dict[str, str]]:
         """The operation that matches, the most literal one, with its variables decoded."""
-        method = view.header(":method") or ""
+        method = view.single_header(":method") or ""
         segments = path.partition("?")[0][1:].split("/")
         best: tuple[Operation, dict[str, str]] | None = None
         for one in self.operations:
             if one.method and one.method != method:
                 continue
             found = one.template.match(segments)
-            if found is not None and (best is None or one.template.rank < best[0].template.rank):
+            if found is not None and (
+                best is None or one.template.specificity < best[0].template.specificity
+            ):
                 best = one, {name: unquote(value) for name, value in found.items()}
         return best or (None, {})
 
-    def number(self, view: View, name: str, path: str, default: float) -> float:
+    def decimal_field(self, view: RequestView, name: str, path: str, default: float) -> float:
         """A number that is not negative."""
-        text = self.text(view, name, path)
+        text = self.text_field(view, name, path)
         if not text:
             return default
-        if DECIMAL.fullmatch(text) is None:
+        if DECIMAL_PATTERN.fullmatch(text) is None:
             raise MappingError(f"bad-{name}")
         return float(text)
 
-    def text(self, view: View, name: str, path: str) -> str:
+    def text_field(self, view: RequestView, name: str, path: str) -> str:
         """A field's text, "" where its source has nothing."""
-        source = self.parsed.get(name)
+        source = self.parsed_sources.get(name)
         if source is None:
             return ""
         kind, where = source
         found: Any = None
         match kind:
             case "header":
-                found = view.header(where)
+                found = view.single_header(where)
             case "path":
-                found = view.variables.get(where)
+                found = view.path_variables.get(where)
             case "value":
                 found = where
             case "descriptor":
@@ -249,7 +251,7 @@
                 inner = view.metadata.get(space)
                 found = inner.get(key) if isinstance(inner, Mapping) else None
             case "json":
-                found = self.pointed(view, where)
+                found = self.resolve_json_pointer(view, where)
         if found is None:
             return ""
         if type(found) is not str:
@@ -258,15 +260,15 @@
             if isinstance(found, bool) or not isinstance(found, int | float):
                 raise MappingError(f"bad-{name}")
         text = str(found)
-        if len(text) > MOST_VALUE:
+        if len(text) > MAX_VALUE_BYTES:
             raise MappingError(f"long-{name}", 431)
         return text
 
     @staticmethod
-    def pointed(view: View, pointer: str) -> Any:
+    def resolve_json_pointer(view: RequestView, pointer: str) -> Any:
         """What a JSON pointer finds in the body."""
         if view.body is None:
-            raise NeedsBody
+            raise BodyRequired
         try:
             at: Any = json.loads(view.body)
         except (ValueError, RecursionError):
@@ -275,7 +277,7 @@
             step = step.replace("~1", "/").replace("~0", "~")
             if isinstance(at, dict):
                 at = at.get(step)
-            elif isinstance(at, list) and WHOLE.fullmatch(step) and int(step) < len(at):
+            elif isinstance(at, list) and INTEGER_PATTERN.fullmatch(step) and int(step) < len(at):
                 at = at[int(step)]
             else:
                 return None
--- a/glenchute/protocol/resp2.py
+++ b/glenchute/protocol/resp2.py
@@ -12,18 +12,18 @@
 
 import hiredis
 
-MAX_VALUE = 64 * 1024  # the longest value that the protocol allows
-MAX_PENDING = 2 * MAX_VALUE  # bytes of one message that may wait for its end
-MAX_LINE = 1024  # of a status or an error
-MAX_HEAD = 24  # of the line that tells a length, or a number
-MAX_FRAMES = 99  # elements of an array; the protocol's own have five at most
-MAX_DEPTH = 2  # arrays in an array: figures on use
+MAX_VALUE_BYTES = 64 * 1024  # the longest value that the protocol allows
+MAX_PENDING_BYTES = 2 * MAX_VALUE_BYTES  # bytes of one message that may wait for its end
+MAX_LINE_BYTES = 1024  # of a status or an error
+MAX_LENGTH_LINE_BYTES = 24  # of the line that tells a length, or a number
+MAX_ARRAY_ELEMENTS = 99  # elements of an array; the protocol's own have five at most
+MAX_ARRAY_DEPTH = 2  # arrays in an array: figures on use
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
 FAILED = b"-ERR failed\r\n"
 ReplyError = hiredis.ReplyError
-INTEGER = re.compile(rb"-?(0|[1-9][0-9]{0,17})")
+INTEGER_PATTERN = re.compile(rb"-?(0|[1-9][0-9]{0,17})")
 STATUS, ERROR, NUMBER, BULK, ARRAY = b"+-:$*"
 
 
@@ -31,11 +31,11 @@
     """Bytes that are not RESP, or more of them than a message may have."""
 
 
-class TooLongError(ProtocolError):
+class ValueTooLongError(ProtocolError):
     """A value over `MAX_VALUE`: not held here."""
 
 
-def line(raw: bytes, at: int, most: int) -> int:
+def find_line_end(raw: bytes, at: int, most: int) -> int:
     """Where the line at `at` ends, its line break included; 0 if that has not come."""
     end = raw.find(b"\n", at, at + most + 2)
     if end < 0:
@@ -47,38 +47,38 @@
     return end + 1
 
 
-def integer(raw: bytes, at: int, end: int) -> int:
+def parse_integer(raw: bytes, at: int, end: int) -> int:
     """The number of a line."""
-    if INTEGER.fullmatch(raw, at + 1, end - 2) is None:
+    if INTEGER_PATTERN.fullmatch(raw, at + 1, end - 2) is None:
         raise ProtocolError("bad number")
     return int(raw[at + 1 : end - 2])
 
 
-def frame(raw: bytes, at: int, depth: int = 0) -> int:
+def find_message_end(raw: bytes, at: int, depth: int = 0) -> int:
     """Where the message at `at` ends; 0 if its end has not come."""
     if at >= len(raw):
         return 0
     kind = raw[at]
     if kind in (STATUS, ERROR) and not depth:
-        return line(raw, at, MAX_LINE)
+        return find_line_end(raw, at, MAX_LINE_BYTES)
     if kind not in (NUMBER, BULK, ARRAY):
         raise ProtocolError("not RESP")
-    end = line(raw, at, MAX_HEAD)
+    end = find_line_end(raw, at, MAX_LENGTH_LINE_BYTES)
     if not end:
         return 0
-    count = integer(raw, at, end)
+    count = parse_integer(raw, at, end)
     if kind == NUMBER or count == -1:
         return end
     if kind == ARRAY:
-        if not 0 <= count <= MAX_FRAMES or depth >= MAX_DEPTH:
+        if not 0 <= count <= MAX_ARRAY_ELEMENTS or depth >= MAX_ARRAY_DEPTH:
             raise ProtocolError("too many elements")
         for _ in range(count):
-            end = frame(raw, end, depth + 1)
+            end = find_message_end(raw, end, depth + 1)
             if not end:
                 return 0
         return end
-    if not 0 <= count <= MAX_VALUE:
-        raise TooLongError("value too long")
+    if not 0 <= count <= MAX_VALUE_BYTES:
+        raise ValueTooLongError("value too long")
     end += count
     if raw[end : end + 2] not in (b"\r\n", b"\r", b""):
         raise ProtocolError("a value that is longer than announced")
@@ -98,11 +98,11 @@
         self._raw = self._raw[self._at :] + data if self._at < len(self._raw) else data
         self._at = 0
 
-    def next(self) -> Any:
+    def next_message(self) -> Any:
         """The next whole message, or False if its end has not come yet. A status is a `str`."""
-        start, end = self._at, frame(self._raw, self._at)
+        start, end = self._at, find_message_end(self._raw, self._at)
         if not end:
-            if len(self._raw) - start > MAX_PENDING:
+            if len(self._raw) - start > MAX_PENDING_BYTES:
                 raise ProtocolError("message too large")
             return False
         self._at = end
@@ -117,32 +117,32 @@
         except hiredis.ProtocolError as error:
             raise ProtocolError(str(error)) from None
 
-    def take(self) -> bytes:
+    def take_unparsed(self) -> bytes:
         """All that waits; the parser is empty then."""
         raw, self._raw, self._at = self._raw[self._at :], b"", 0
         return raw
 
-    def rest(self) -> bool:
+    def has_unparsed(self) -> bool:
         """Whether bytes wait behind the last message."""
         return self._at < len(self._raw)
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk(value: bytes) -> bytes:
     """A bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def command(*parts: bytes) -> bytes:
+def encode_command(*parts: bytes) -> bytes:
     """A command: an array of bulk strings."""
-    return b"*%d\r\n%b" % (len(parts), b"".join([bulk(part) for part in parts]))
+    return b"*%d\r\n%b" % (len(parts), b"".join([encode_bulk(part) for part in parts]))
 
 
-def busy(retry_after_ms: float) -> bytes:
+def encode_busy(retry_after_ms: float) -> bytes:
     """A refusal; the time is rounded up, so that nobody is told to come back too early."""
     return b"-BUSY %d\r\n" % -int(-retry_after_ms // 1) if retry_after_ms > 0 else b"-BUSY\r\n"
 
 
-def error(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """An error line; line breaks and what is not ASCII can't stand in it."""
     clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:200]
     return b"-ERR " + clean.encode() + b"\r\n"
--- a/glenchute/upstreams/connection_pool.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -18,7 +18,7 @@
 from glenchute.policy.events import Outcome
 from glenchute.policy.record import record
 from glenchute.protocol import resp2 as resp
-from glenchute.protocol.streamed_reply import LongReply
+from glenchute.protocol.streamed_reply import StreamedReply
 
 if TYPE_CHECKING:
     from .streamed_value import LongAnswer
@@ -90,8 +90,8 @@
                 self.long.feed(data)
                 return
             self.parser.feed(data)
-            reply = self.parser.next()
-        except resp.TooLongError:
+            reply = self.parser.next_message()
+        except resp.ValueTooLongError:
             self.too_long(attempt)
             return
         except resp.ProtocolError:
@@ -101,7 +101,7 @@
             # A length that does not fit leaves an answer without an end, on a connection that stays open.
             self.stall = self.pool.servers.loop.call_later(STALL_S, self.spoilt)
             return
-        self.answered(attempt, classify(reply), self.parser.rest())
+        self.answered(attempt, classify(reply), self.parser.has_unparsed())
 
     def answered(self, attempt: Attempt, result: AttemptResult, more: bool) -> None:
         """The answer has come whole; `more`: with bytes behind it."""
@@ -118,7 +118,7 @@
 
     def too_long(self, attempt: Attempt) -> None:
         """A value that is not held here: passed on as it comes, if it is the answer's own."""
-        found = LongReply.of(self.parser.take())
+        found = StreamedReply.parse_head(self.parser.take_unparsed())
         if found is None or attempt.on_response_started is None:
             self.spoilt()
             return
--- a/glenchute/upstreams/pipelined.py
+++ b/glenchute/upstreams/pipelined.py
@@ -347,13 +347,13 @@
         fault = ""
         try:
             self.parser.feed(data)
-            while not fault and (reply := self.parser.next()) is not False:
+            while not fault and (reply := self.parser.next_message()) is not False:
                 fault = self.replied(now, reply, done)
         except resp.ProtocolError:
             fault = "a reply that can't be read"
             if self.line.in_flight:
                 self.spoil_head(now, done)
-        if not fault and self.parser.rest():
+        if not fault and self.parser.has_unparsed():
             if self.line.in_flight:
                 # A length that does not fit leaves an answer without an end, on a connection that stays open.
                 self.stall = self.lines.loop.call_later(STALL_S, self.spoilt)
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -18,7 +18,7 @@
 from glenchute.core.types import ResponseSink
 from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import Outcome
-from glenchute.protocol.streamed_reply import LongReply
+from glenchute.protocol.streamed_reply import StreamedReply
 
 from .connection_pool import STALL_S, classify
 
@@ -35,9 +35,9 @@
 class LongAnswer:
     """One long value. `failed`: ended before any of it was taken."""
 
-    def __init__(self, conn: Connection, attempt: Attempt, reply: LongReply) -> None:
+    def __init__(self, conn: Connection, attempt: Attempt, reply: StreamedReply) -> None:
         self.conn, self.attempt, self.reply = conn, attempt, reply
-        self.length_bytes = reply.length
+        self.length_bytes = reply.length_bytes
         self.turns: StreamReadPermits[LongAnswer] = conn.pool.servers.turns
         self.sink: ResponseSink | None = None
         self.held: list[bytes] = []  # until the client's turn
@@ -69,7 +69,7 @@
                 return
         if self.dropped or self.over:
             return
-        if self.reply.done:
+        if self.reply.is_complete:
             self.finish()
             return
         if self.full or self.sink is None:
@@ -82,7 +82,7 @@
 
     def begin(self) -> None:
         """Enough has come, or a while has passed since some did: it is the request's answer."""
-        if self.begun or self.over or (not self.held and not self.reply.done):
+        if self.begun or self.over or (not self.held and not self.reply.is_complete):
             return
         self.begun = True
         self.rest()
@@ -101,12 +101,12 @@
         self.conn.long = None
         self.let_go()
         self.listen()
-        reply = [b"", *self.reply.reply]
+        reply = [b"", *self.reply.trailer]
         result = classify(reply)
         result.value = None  # it is not ours to give again
         if self.sink is not None:
             self.sink.finish()
-        self.conn.answered(self.attempt, result, self.reply.surplus)
+        self.conn.answered(self.attempt, result, self.reply.has_surplus)
 
     def lost(self) -> None:
         """The connection has ended."""
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -56,7 +56,7 @@
     """The name of the route in force."""
     routes = one.program.gateway.routes
     assert routes is not None
-    return routes.table["read", "basic"].name
+    return routes.limits_by_binding["read", "basic"].name
 
 
 def test_requests_are_answered_while_a_file_is_read_and_the_last_file_wins(
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -18,7 +18,7 @@
 from glenchute.clients.counter import Counter
 from glenchute.clients.discovery import ListError, read_list
 from glenchute.listeners.resp2 import clients as clients_module
-from glenchute.listeners.resp2.clients import MOST_PENDING
+from glenchute.listeners.resp2.clients import MAX_PENDING_COMMANDS
 from glenchute.policy.actions import Action
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
@@ -106,7 +106,7 @@
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
 
-    monkeypatch.setattr(clients_module, "MOST_ERRORS", 1000)
+    monkeypatch.setattr(clients_module, "MAX_COMMAND_ERRORS", 1000)
     play(scenario())
 
 
@@ -118,7 +118,7 @@
             for _ in range(500):
                 client.send(b"NOPE")
             assert await client.reply() == b"value"
-            for _ in range(clients_module.MOST_ERRORS):
+            for _ in range(clients_module.MAX_COMMAND_ERRORS):
                 assert "unknown command" in str(await client.reply())
             assert await client.reply() is None  # and no reset, which could have cost the errors
             assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
@@ -134,9 +134,9 @@
             (held,) = one.program.listener.clients
             taken: list[int] = []
             held.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
-            held.work()
+            held.process_commands()
             taken.append(len(held.parser._raw) - held.parser._at)
-            assert taken == [14 * (50 - clients_module.TURN)]
+            assert taken == [14 * (50 - clients_module.MAX_COMMANDS_PER_TURN)]
             assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
 
     play(scenario())
@@ -206,7 +206,7 @@
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
-            one.program.listener.places.max_connections = 2
+            one.program.listener.connection_slots.max_connections = 2
             asked = await one.client()
             assert await asked.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             silent = await one.client()
@@ -289,12 +289,12 @@
         script = Script(send_to("s0"))
         async with site(reply, decisions=script) as one:
             client = await one.client()
-            for number in range(3 * MOST_PENDING):
+            for number in range(3 * MAX_PENDING_COMMANDS):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(Request)) >= MOST_PENDING)
-            assert len(one.program.gateway.active_requests) == MOST_PENDING
+            await until(lambda: len(script.of(Request)) >= MAX_PENDING_COMMANDS)
+            assert len(one.program.gateway.active_requests) == MAX_PENDING_COMMANDS
             release.set()
-            assert {await client.reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
+            assert {await client.reply() for _ in range(3 * MAX_PENDING_COMMANDS)} == {b"value"}
 
     play(scenario())
 
@@ -307,13 +307,15 @@
             await until(lambda: one.program.listener.clients)
             (held,) = one.program.listener.clients
             word = b"x" * 60_000
-            while not held.full:
+            while not held.is_write_blocked:
                 client.send(b"PING", word)
                 await asyncio.sleep(0)
-            assert held.paused and held.transport is not None
+            assert held.is_reading_paused and held.transport is not None
             assert held.transport.get_write_buffer_size() < 8_000_000
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            while held.full:  # all of it, or the client itself would stop reading at its own bound
+            while (
+                held.is_write_blocked
+            ):  # all of it, or the client itself would stop reading at its own bound
                 assert await client.reply() == word
 
     play(scenario())
@@ -322,7 +324,7 @@
 def test_past_the_limit_an_idle_connection_makes_room() -> None:
     async def scenario() -> None:
         async with site(always(None), sockets=64) as one:
-            one.program.listener.places.max_connections = 2
+            one.program.listener.connection_slots.max_connections = 2
             busy, idle = await one.client(), await one.client()
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -238,7 +238,11 @@
     operator = parse(text, OVERLAP).config
     assert operator is not None and list(operator.bindings) == [("report-read", "korporativni")]
     route = operator.bindings["report-read", "korporativni"]
-    assert route.attempts == 3 and route.causes is not None and Outcome.TIMEOUT in route.causes
+    assert (
+        route.max_attempts == 3
+        and route.retryable_outcomes is not None
+        and Outcome.TIMEOUT in route.retryable_outcomes
+    )
 
 
 @pytest.mark.parametrize(
@@ -282,7 +286,7 @@
     names = {key: route.name for key, route in operator.bindings.items()}
     assert names["report-read", "agencija"] == "dear" and names["report-read", "osnovni"] == "reads"
     assert names["check-charge", "osnovni"] == "defaults"
-    assert operator.bindings["report-read", "osnovni"].attempts == 2
+    assert operator.bindings["report-read", "osnovni"].max_attempts == 2
     assert operator.bindings["report-read", "agencija"].attempt_timeout_ms == 0.0  # no other route's
 
 
--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -23,7 +23,7 @@
 from glenchute.config.operator_text import FindingCollector, load_by_route
 from glenchute.config.rules import violations
 from glenchute.config.schema import Strings
-from glenchute.policy.retries.route_limits import Route
+from glenchute.policy.retries.route_limits import RouteLimits
 from glenchute.policy.settings import Idempotency
 from tests.sites import FACTS
 
@@ -55,8 +55,8 @@
 
 
 def plain(
-    routes: tuple[MatchedRoute, ...], base: Route | None, facts: PlatformFacts | None, text: str
-) -> tuple[list[Finding], dict[tuple[str, str], Route]]:
+    routes: tuple[MatchedRoute, ...], base: RouteLimits | None, facts: PlatformFacts | None, text: str
+) -> tuple[list[Finding], dict[tuple[str, str], RouteLimits]]:
     """The findings about routes against each other and the platform, and the table, by walking all pairs."""
     faults, table = FindingCollector(), {}
     clashes: dict[int, tuple[MatchedRoute, str]] = {}
@@ -100,7 +100,7 @@
             table[name, plan] = base
             bare.add(name)
 
-    def broken(route: Route, name: str, path: tuple[str | int, ...]) -> None:
+    def broken(route: RouteLimits, name: str, path: tuple[str | int, ...]) -> None:
         for code, key, sentence, warning in violations(route, name, facts):
             faults(code, (*path, key), sentence, warning)
 
@@ -169,7 +169,7 @@
     sound = parse(text, None)  # its routes, also of a file that must not load
     made = reading.config or sound.config
     routes = made.routes if made is not None else taken(matches, defaults, known)
-    base = Route("defaults", attempts=2) if defaults else None
+    base = RouteLimits("defaults", max_attempts=2) if defaults else None
     findings, table = plain(routes, base, facts, text)
     assert [f for f in reading.findings if f.code != "empty-match"] == findings
     if reading.config is not None:
@@ -183,7 +183,7 @@
         text = ("[defaults]\nattempts = 2\n" if defaults else "") + written([row], known)
         reading = parse(text, None)
         if reading.config is None:  # it names nothing at all: `empty-match`
-            found.append(MatchedRoute(at, Route(f"r{at}"), (), (), ()))
+            found.append(MatchedRoute(at, RouteLimits(f"r{at}"), (), (), ()))
         else:
             (one,) = reading.config.routes
             found.append(one._replace(position=at, route=one.route._replace(name=f"r{at}")))
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -19,7 +19,12 @@
 from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import parse
 from glenchute.policy.events import AttemptAssigned, AttemptEnded, Event, Outcome
-from glenchute.policy.retries.route_limits import Budget, BudgetRule, Course, Route
+from glenchute.policy.retries.route_limits import (
+    RequestRetries,
+    RetryBudget,
+    RetryBudgetSettings,
+    RouteLimits,
+)
 from tests.loopback import always, play, raw_config, site
 from tests.sites import FACTS, NO_SCOPE
 from tests.upstreams.test_lines_loopback import Book, burst, reads, sharing
@@ -71,7 +76,7 @@
     reading = parse(text, HERE)
     assert reading.config is not None and not reading.findings
     assert reading.config.pipeline == {"classes": ("report-read",), "depth": 8, "behind_unsafe": True}
-    assert reading.config.bindings["report-read", "standard"].depth == 2
+    assert reading.config.bindings["report-read", "standard"].max_pipeline_depth == 2
     assert parse(READS + "depth = 400\n", FACTS).config is not None  # the platform does not say how many
 
 
@@ -87,10 +92,14 @@
 ) -> None:
     import random
 
-    rule = BudgetRule(0.0)
-    course = Course(Route("r", attempts=attempts, causes=causes), Budget(rule, 0.0), random.Random(1))
-    course.started = started
-    assert course.again(Outcome.RESET) is again
+    rule = RetryBudgetSettings(0.0)
+    course = RequestRetries(
+        RouteLimits("r", max_attempts=attempts, retryable_outcomes=causes),
+        RetryBudget(rule, 0.0),
+        random.Random(1),
+    )
+    course.started_attempts = started
+    assert course.may_retry_after(Outcome.RESET) is again
 
 
 @pytest.fixture(name="platform")
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -26,7 +26,7 @@
 from glenchute.config.operator import parse
 from glenchute.config.platform import build
 from glenchute.listeners.extproc import server as server_module
-from glenchute.listeners.extproc.server import Server
+from glenchute.listeners.extproc.server import ExtProcServer
 from lab.faults import Fault, Kind, Script
 from lab.http_nodes import HttpNode, charged_twice, whole
 from lab.nodes import Trade
@@ -101,7 +101,7 @@
         made.start("run")
         return made
 
-    def front(self) -> Server:
+    def front(self) -> ExtProcServer:
         found = self.programs[-1].extproc
         assert found is not None
         return found
@@ -177,11 +177,13 @@
     return await asyncio.gather(*(one(*ask) for ask in asks))
 
 
-async def settled(front: Server) -> None:
+async def settled(front: ExtProcServer) -> None:
     """Nothing is left in the table, the core or the module."""
     calls = front.calls
     async with asyncio.timeout(10.0):
-        await until(lambda: not calls.by_ref and not calls.by_id and not front.streams)
+        await until(
+            lambda: not calls.requests_by_number and not calls.requests_by_id and not front.open_stream_count
+        )
         await until(lambda: not calls.gateway.active_requests and not calls.gateway.attempts_in_flight)
 
 
@@ -432,7 +434,7 @@
             await stream.stream.send_message(pb.ProcessingRequest())  # nor is one with nothing in it
             await stream.stream.end()
             assert await stream.stream.recv_message() is None
-            assert one.front().calls.serial == 0
+            assert one.front().calls.last_number == 0
             await proxy.stop()
 
     play(scenario())
@@ -494,7 +496,7 @@
                 await stream.open()
                 await stream.stream.send_message(heads(f"r{at}"))  # whose answers nobody reads yet
             async with asyncio.timeout(20.0):
-                await until(lambda: one.front().calls.serial == 1000)
+                await until(lambda: one.front().calls.last_number == 1000)
             told = [await stream.stream.recv_message() for stream in streams]
             admitted = sum(not answer.HasField("immediate_response") for answer in told)
             assert 0 < admitted < 1000  # within the account's quota; the others were refused at once
@@ -538,7 +540,7 @@
                     with pytest.raises((grpc.RpcError, asyncio.InvalidStateError)):
                         await stream.write(heads())
                         await stream.read()
-                    assert one.front().calls.serial == 0
+                    assert one.front().calls.last_number == 0
 
     play(scenario())
 
@@ -546,8 +548,8 @@
 def test_a_reader_without_a_window_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
     """HTTP/2's flow control at its worst: the proxy asks 50 times and grants no byte for the answers. Each
     stream holds one answer at most, and ends with its call."""
-    monkeypatch.setattr(server_module, "WRITE_S", 0.3)
-    monkeypatch.setattr(server_module, "SWEEP_S", 0.1)
+    monkeypatch.setattr(server_module, "WRITE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 0.1)
 
     async def scenario() -> None:
         async with place() as one:
@@ -566,9 +568,9 @@
                 conn.send_data(stream, b"\0" + len(said).to_bytes(4, "big") + said)
             writer.write(conn.data_to_send())
             async with asyncio.timeout(10.0):
-                await until(lambda: one.front().calls.serial == 50)
-                assert one.front().cuts
-                await until(lambda: not one.front().cuts)
+                await until(lambda: one.front().calls.last_number == 50)
+                assert one.front().stream_guards
+                await until(lambda: not one.front().stream_guards)
             await settled(one.front())
             proxy = one.proxy()
             await proxy.start()
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -18,8 +18,15 @@
 
 from glenchute.core.types import Failed, FinalResponse, Rejected, Served, Streamed
 from glenchute.listeners.extproc import events as ev
-from glenchute.listeners.extproc.calls import AFTERMATH_S, MOST_BODY, SWEEP_S, Calls, Downstream, Upstream
-from glenchute.listeners.extproc.token import Signer
+from glenchute.listeners.extproc.calls import (
+    EXPIRY_GRACE_S,
+    MAX_BODY_BYTES,
+    SWEEP_INTERVAL_S,
+    DownstreamStream,
+    RequestTable,
+    UpstreamStream,
+)
+from glenchute.listeners.extproc.token import TokenSigner
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from tests.proxied import ACCOUNT, Asker, Proxy, drawn, headers, responded, ways
 from tests.simulated import Fate, Site
@@ -81,7 +88,7 @@
 def settled(proxy: Proxy) -> None:
     """Nothing is left of any request, in the table, the core or the module."""
     calls, gateway = proxy.calls, proxy.site.gateway
-    assert not calls.by_ref and not calls.by_id
+    assert not calls.requests_by_number and not calls.requests_by_id
     assert not gateway.active_requests and not gateway.attempts_in_flight
     module: Any = gateway.decisions
     assert not module.requests and not module.attempts
@@ -168,16 +175,16 @@
     fresh.gateway.upstream = site.servers
     fresh.gateway.clock = site.gateway.clock
     after = Proxy(fresh, proxy.tells, **changes)
-    after.calls = Calls(after.loop, fresh.gateway, ways(**changes), Signer(b"k" * 32))
-    after.calls.wall = lambda: float(site.loop.now)
+    after.calls = RequestTable(after.loop, fresh.gateway, ways(**changes), TokenSigner(b"k" * 32))
+    after.calls.wall_clock = lambda: float(site.loop.now)
     after.asked = proxy.asked
     return after
 
 
-def let_through(asker: Asker, proxy: Proxy) -> ev.Told | None:
+def let_through(asker: Asker, proxy: Proxy) -> ev.ProcessorResponse | None:
     """Asks a processor for an attempt with the token that another one gave."""
-    told: list[ev.Told | None] = []
-    up = Upstream(proxy.calls)
+    told: list[ev.ProcessorResponse | None] = []
+    up = UpstreamStream(proxy.calls)
     said = headers(x_glenchute_token=asker.token, x_envoy_attempt_count="2")
     up.receive(ev.RequestHeaders(said, attributes={"upstream.address": asker.node}), told.append)
     up.close(True)
@@ -187,24 +194,26 @@
 ALL_CLASSES = frozenset({"report-read", "check-order", "check-charge"})
 
 
-@pytest.mark.parametrize("open_classes", [frozenset(), ALL_CLASSES])
+@pytest.mark.parametrize("resumable_classes", [frozenset(), ALL_CLASSES])
 @pytest.mark.parametrize("age_s", [0.01, 2.6])
 def test_a_fresh_processor_lets_only_pass_what_can_do_no_harm(
-    open_classes: frozenset[str], age_s: float
+    resumable_classes: frozenset[str], age_s: float
 ) -> None:
     site = place(1, lambda rng: NEVER)
     proxy = Proxy(site)
     askers = {name: proxy.ask(name, 6000.0) for name in ("report-read", "check-order", "check-charge")}
     site.loop.run(site.loop.now + age_s)
-    fresh = restarted(site, proxy, open_classes=open_classes)
-    passed = {name for name, asker in askers.items() if isinstance(let_through(asker, fresh), ev.Go)}
+    fresh = restarted(site, proxy, resumable_classes=resumable_classes)
+    passed = {
+        name for name, asker in askers.items() if isinstance(let_through(asker, fresh), ev.ContinueResponse)
+    }
     keyed = {"check-order"} if age_s < 2.5 else set()  # repeats are dropped for 2.5 s
-    assert passed == ({"report-read"} | keyed if open_classes else set())
+    assert passed == ({"report-read"} | keyed if resumable_classes else set())
     for name, asker in askers.items():  # so with the request itself, sent again with its token
         for given_as in askers:
             _, told = opened(fresh, heads(f"{name}-{given_as}", given_as, x_glenchute_token=asker.token))
             if given_as == name and name in passed:
-                assert isinstance(told[0], ev.Go)
+                assert isinstance(told[0], ev.ContinueResponse)
             else:
                 assert told[0].status == 500 and told[0].headers["x-glenchute-effect"] == "unknown"
 
@@ -219,40 +228,47 @@
         for _ in range(5):
             proxy.ask("check-charge", 3000.0)
         site.loop.run(site.loop.now + at_ms / 1000.0)
-        fresh = restarted(site, proxy, open_classes=frozenset({"check-charge"}))
+        fresh = restarted(site, proxy, resumable_classes=frozenset({"check-charge"}))
         for asker in list(proxy.asked.values()):
             if asker.token and not asker.answers:
-                reissued += isinstance(let_through(asker, fresh), ev.Go)
-        assert not fresh.calls.by_ref
+                reissued += isinstance(let_through(asker, fresh), ev.ContinueResponse)
+        assert not fresh.calls.requests_by_number
     assert reissued == 0
 
 
-FORGED = Signer(b"q" * 32).issue(1, 0.0, "report-read")
+FORGED = TokenSigner(b"q" * 32).issue(1, 0.0, "report-read")
 
 
 @pytest.mark.parametrize("token", ["", "x", "A" * 300, "AAAA", FORGED], ids=range(5))
 def test_an_attempt_without_a_token_of_ours_is_not_let_through(token: str) -> None:
-    proxy = Proxy(place(1, lambda rng: SERVED), open_classes=frozenset({"report-read"}))
-    told: list[ev.Told | None] = []
-    up = Upstream(proxy.calls)
+    proxy = Proxy(place(1, lambda rng: SERVED), resumable_classes=frozenset({"report-read"}))
+    told: list[ev.ProcessorResponse | None] = []
+    up = UpstreamStream(proxy.calls)
     up.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), told.append)
     (answer,) = told
-    assert isinstance(answer, ev.Reply) and answer.headers["x-glenchute-reason"] == "not-proven-unsent"
+    assert (
+        isinstance(answer, ev.ImmediateResponse)
+        and answer.headers["x-glenchute-reason"] == "not-proven-unsent"
+    )
 
 
 @given(st.binary(max_size=200), st.integers(0, 2**63), st.floats(0, 1e15), st.text(max_size=60))
 @settings(max_examples=200, deadline=None)
 def test_tokens_are_read_back_and_no_others(noise: bytes, ref: int, first_ms: float, name: str) -> None:
-    signer = Signer(b"k" * 32)
+    signer = TokenSigner(b"k" * 32)
     text = signer.issue(ref, first_ms, name)
-    token = signer.read(text)
-    assert token is not None and (token.ref, token.first_ms, token.boot) == (ref, int(first_ms), signer.boot)
+    token = signer.verify(text)
+    assert token is not None and (token.request_number, token.decided_at_ms, token.process_id) == (
+        ref,
+        int(first_ms),
+        signer.process_id,
+    )
     for at in range(0, len(text), 9):
         other = "B" if text[at] != "B" else "C"
-        changed = signer.read(text[:at] + other + text[at + 1 :])
+        changed = signer.verify(text[:at] + other + text[at + 1 :])
         assert changed is None or at == len(text) - 1  # whose last bits are padding
-    assert signer.read(noise.decode("latin-1")) is None
-    assert Signer(b"z" * 32).read(text) is None
+    assert signer.verify(noise.decode("latin-1")) is None
+    assert TokenSigner(b"z" * 32).verify(text) is None
 
 
 # --- one id, several streams ----------------------------------------------------------------------------
@@ -268,10 +284,10 @@
     )  # fmt: skip
 
 
-def opened(proxy: Proxy, said: ev.RequestHeaders) -> tuple[Downstream, list[Any]]:
+def opened(proxy: Proxy, said: ev.RequestHeaders) -> tuple[DownstreamStream, list[Any]]:
     """A stream that asks, and what it is told."""
     told: list[Any] = []
-    down = Downstream(proxy.calls)
+    down = DownstreamStream(proxy.calls)
     down.receive(said, told.append)
     return down, told
 
@@ -283,10 +299,10 @@
     first.close(False)
     site.loop.run(site.loop.now + 0.1)
     again, told_again = opened(proxy, heads())
-    assert told_again == told and isinstance(told[0], ev.Go)
-    assert proxy.calls.counts["reopened"] == 1 and len(proxy.calls.by_ref) == 1
+    assert told_again == told and isinstance(told[0], ev.ContinueResponse)
+    assert proxy.calls.counts["reopened"] == 1 and len(proxy.calls.requests_by_number) == 1
     site.loop.run(site.loop.now + 1.0)
-    assert len(proxy.calls.by_ref) == 1  # it is held, as its stream is open
+    assert len(proxy.calls.requests_by_number) == 1  # it is held, as its stream is open
     again.close(False)
     site.loop.run(site.loop.now + 1.0)
     settled(proxy)
@@ -340,7 +356,7 @@
     proxy = Proxy(site)
     down, told = opened(proxy, heads())
     replies: list[Any] = []
-    up = Upstream(proxy.calls)
+    up = UpstreamStream(proxy.calls)
     token = told[0].set_headers["x-glenchute-token"]
     up.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), replies.append)
     said = responded(200, "via_upstream")
@@ -368,7 +384,7 @@
     if first == "client":
         up.close(False)
     (answer,) = told  # 503 would read as a promise that it did not run
-    assert isinstance(answer, ev.Reply) and answer.status == 500
+    assert isinstance(answer, ev.ImmediateResponse) and answer.status == 500
     asker.down.close(True)
     site.loop.run(site.loop.now + 5.0)
     settled(proxy)
@@ -381,7 +397,7 @@
     token = told[0].set_headers["x-glenchute-token"]
     replies: list[Any] = []
     for _ in range(4):
-        up = Upstream(proxy.calls)
+        up = UpstreamStream(proxy.calls)
         elsewhere = {"upstream.address": "127.0.0.1:9"}
         said = ev.RequestHeaders(headers(x_glenchute_token=token), attributes=elsewhere)
         up.receive(said, replies.append)
@@ -406,7 +422,7 @@
         EndpointList(EndpointListKind.CHANGES, (Endpoint(gone, "a", state=EndpointState.REMOVED),))
     )
     replies: list[Any] = []
-    up = Upstream(proxy.calls)
+    up = UpstreamStream(proxy.calls)
     said = headers(x_glenchute_token=told[0].set_headers["x-glenchute-token"])
     up.receive(ev.RequestHeaders(said, attributes={"upstream.address": told[0].endpoint}), replies.append)
     assert replies[0].status == 503 and replies[0].headers["x-glenchute-retry"] == "1"
@@ -428,23 +444,23 @@
     ]
     for said, expected in endings:
         site = place(1, lambda rng: NEVER)
-        proxy = Proxy(site, attempt_streams=False)
+        proxy = Proxy(site, has_attempt_streams=False)
         down, told = opened(proxy, heads(name="check-charge"))
         assert told[0].set_headers["x-envoy-max-retries"] == "0"
         assert "x-glenchute-token" not in told[0].set_headers
         shown: list[Any] = []
         down.receive(said, shown.append)
         assert len(shown) == 1
-        assert (shown[0].status if isinstance(shown[0], ev.Reply) else "go") == expected, said
+        assert (shown[0].status if isinstance(shown[0], ev.ImmediateResponse) else "go") == expected, said
         down.close(True)
         settled(proxy)
 
 
 def test_the_table_has_a_bound_and_says_so() -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site, most_calls=10)
+    proxy = Proxy(site, max_calls=10)
     streams = [opened(proxy, heads(f"r{n}")) for n in range(15)]
-    assert len(proxy.calls.by_ref) == 10 and proxy.calls.counts["table-full"] == 5
+    assert len(proxy.calls.requests_by_number) == 10 and proxy.calls.counts["table-full"] == 5
     for _, told in streams[10:]:
         assert told[0].status == 429 and told[0].headers["retry-after"] == "1"
     for down, _ in streams:
@@ -460,9 +476,11 @@
     asker = proxy.ask("check-charge", 1000.0)
     asker.over = True
     waiting: list[Any] = []
-    Upstream(proxy.calls).receive(ev.RequestHeaders(headers(x_glenchute_token=asker.token)), waiting.append)
+    UpstreamStream(proxy.calls).receive(
+        ev.RequestHeaders(headers(x_glenchute_token=asker.token)), waiting.append
+    )
     assert not waiting  # held: the first is out
-    site.loop.run(site.loop.now + 1.0 + AFTERMATH_S + SWEEP_S + 0.01)
+    site.loop.run(site.loop.now + 1.0 + EXPIRY_GRACE_S + SWEEP_INTERVAL_S + 0.01)
     assert waiting and waiting[0].headers["x-glenchute-effect"] == "unknown"
     settled(proxy)
 
@@ -478,26 +496,26 @@
         ([b'{"plan": 7}'], 400),
         ([b"{"], 400),
         ([b"[" * 5000], 400),
-        ([b"x" * (MOST_BODY + 1)], 413),
+        ([b"x" * (MAX_BODY_BYTES + 1)], 413),
     ],
 )
 def test_a_rule_that_needs_the_body_waits_for_it(parts: list[bytes], status: int | None) -> None:
     site = place(1, lambda rng: NEVER)
     proxy = Proxy(site)
-    rules = proxy.calls.ways.rules
+    rules = proxy.calls.settings.mapping_rules
     rules = replace(rules, sources={**rules.sources, "plan": "json:/plan"})
-    proxy.calls.ways = replace(proxy.calls.ways, rules=rules)
+    proxy.calls.settings = replace(proxy.calls.settings, mapping_rules=rules)
     said = heads()
-    said.end = False
+    said.end_of_stream = False
     down, told = opened(proxy, said)
-    assert told[0].want_body and not proxy.calls.by_ref
+    assert told[0].wants_request_body and not proxy.calls.requests_by_number
     for at, part in enumerate(parts):
         down.receive(ev.RequestBody(part, at == len(parts) - 1), told.append)
     last = told[-1]
     if status is None:
         assert last.kind == "request_body" and last.endpoint
     else:
-        assert last.status == status and not proxy.calls.by_ref
+        assert last.status == status and not proxy.calls.requests_by_number
     down.close(False)
     site.loop.run(site.loop.now + 5.0)
     settled(proxy)
@@ -505,15 +523,15 @@
 
 def test_observability_mode_and_unknown_messages_take_nothing() -> None:
     proxy = Proxy(place(1, lambda rng: SERVED))
-    for made in (Downstream(proxy.calls), Upstream(proxy.calls)):
-        for message in (ev.Observed(), ev.Unknown()):
+    for made in (DownstreamStream(proxy.calls), UpstreamStream(proxy.calls)):
+        for message in (ev.ObservedMessage(), ev.UnknownMessage()):
             told: list[Any] = []
             made.receive(message, told.append)
             assert told == [None]
         for kind in ("request_trailers", "response_trailers", "response_body"):
-            made.receive(ev.Other(kind), told.append)
-            assert told[-1] == ev.Go(kind)
-    assert not proxy.calls.by_ref
+            made.receive(ev.UnhandledMessage(kind), told.append)
+            assert told[-1] == ev.ContinueResponse(kind)
+    assert not proxy.calls.requests_by_number
 
 
 MESSAGES = st.one_of(
@@ -524,8 +542,8 @@
         details=st.sampled_from(["", "via_upstream", "upstream_response_timeout", "no_healthy_upstream"]),
     ),
     st.builds(ev.RequestBody, st.binary(max_size=4), st.booleans()),
-    st.builds(ev.Other, st.sampled_from(["request_trailers", "response_body"])),
-    st.sampled_from([ev.Observed(), ev.Unknown()]),
+    st.builds(ev.UnhandledMessage, st.sampled_from(["request_trailers", "response_body"])),
+    st.sampled_from([ev.ObservedMessage(), ev.UnknownMessage()]),
 )
 STEPS = st.lists(
     st.one_of(
@@ -545,14 +563,14 @@
     """Any messages, in any order, on any streams: each is answered at most once, nothing raises, two attempts
     of one request are never let through side by side, and in the end nothing is left."""
     site = Site(None, lambda: NEVER)
-    proxy = Proxy(site, attempt_streams=streams)
-    downs = [Downstream(proxy.calls) for _ in range(4)]
-    ups = [Upstream(proxy.calls) for _ in range(4)]
+    proxy = Proxy(site, has_attempt_streams=streams)
+    downs = [DownstreamStream(proxy.calls) for _ in range(4)]
+    ups = [UpstreamStream(proxy.calls) for _ in range(4)]
     tokens: list[str] = []
     answers: list[list[Any]] = []
 
     def hear(told: Any) -> None:
-        if isinstance(told, ev.Go) and "x-glenchute-token" in told.set_headers:
+        if isinstance(told, ev.ContinueResponse) and "x-glenchute-token" in told.set_headers:
             tokens.append(told.set_headers["x-glenchute-token"])
 
     for what, which, given_ in steps:
@@ -561,12 +579,12 @@
             continue
         if what == "close":
             downs[which].close(given_)
-            downs[which] = Downstream(proxy.calls)
+            downs[which] = DownstreamStream(proxy.calls)
         elif what == "close-up":
             ups[which].close(given_)
-            ups[which] = Upstream(proxy.calls)
+            ups[which] = UpstreamStream(proxy.calls)
         else:
-            stream: Downstream | Upstream = downs[which] if what == "down" else ups[which]
+            stream: DownstreamStream | UpstreamStream = downs[which] if what == "down" else ups[which]
             if what == "up" and isinstance(given_, ev.RequestHeaders) and tokens:
                 given_ = ev.RequestHeaders(headers(x_glenchute_token=tokens[-1]))
             told: list[Any] = []
@@ -577,8 +595,8 @@
                 hear(answer)
 
             stream.receive(given_, both)
-        for entry in proxy.calls.by_ref.values():
-            assert len(entry.open) <= 1
+        for entry in proxy.calls.requests_by_number.values():
+            assert len(entry.open_attempt_streams) <= 1
     for down, up in zip(downs, ups, strict=True):
         down.close(False)
         up.close(False)
--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -71,9 +71,9 @@
         send = modes.fields_by_name["response_header_mode"].enum_type.values_by_name["SEND"].number
         assert each.processing_mode.response_header_mode == send
     assert down.mutation_rules.allow_envoy.value  # or no time-out of the processor's would count
-    assert down.metadata_options.receiving_namespaces.untyped == [messages.LB]
+    assert down.metadata_options.receiving_namespaces.untyped == [messages.LB_METADATA_NAMESPACE]
     role = {each.key: each.value for each in up.grpc_service.initial_metadata}
-    assert role == {server.ROLE: "upstream"} and not down.grpc_service.initial_metadata
+    assert role == {server.ROLE_METADATA: "upstream"} and not down.grpc_service.initial_metadata
     assert up.request_attributes == ["upstream.address"]
     (host,) = manager.route_config.virtual_hosts
     assert host.include_request_attempt_count
@@ -86,7 +86,7 @@
     )
     (early,) = manager.early_header_mutation_extensions
     gone = {each.remove for each in inner(early.typed_config, header_mutation_pb2.HeaderMutation).mutations}
-    assert gone == {calls.TOKEN, messages.LB_KEY}
+    assert gone == {calls.TOKEN_HEADER, messages.LB_ENDPOINT_KEY}
 
 
 def test_the_nodes_are_chosen_by_the_processor() -> None:
@@ -94,18 +94,28 @@
     (policy,) = nodes.load_balancing_policy.policies
     override = inner(policy.typed_extension_config.typed_config, override_host_pb2.OverrideHost)
     by_metadata, by_header = override.override_host_sources
-    assert by_metadata.metadata.key == messages.LB and by_metadata.metadata.path[0].key == messages.LB_KEY
-    assert by_header.header == messages.LB_KEY
+    assert (
+        by_metadata.metadata.key == messages.LB_METADATA_NAMESPACE
+        and by_metadata.metadata.path[0].key == messages.LB_ENDPOINT_KEY
+    )
+    assert by_header.header == messages.LB_ENDPOINT_KEY
     (packed,) = processor.typed_extension_protocol_options.values()
     options = inner(packed, http_protocol_options_pb2.HttpProtocolOptions)
     assert options.explicit_http_config.HasField("http2_protocol_options")
 
 
 def test_the_page_names_every_header_and_reason() -> None:
-    for name in (calls.TOKEN, calls.RETRY, calls.REASON, calls.EFFECT, calls.TIMEOUT, "retry-after"):
+    for name in (
+        calls.TOKEN_HEADER,
+        calls.RETRY_HEADER,
+        calls.REASON_HEADER,
+        calls.EFFECT_HEADER,
+        calls.ROUTE_TIMEOUT_HEADER,
+        "retry-after",
+    ):
         assert f"`{name}" in PAGE, name
     source = Path(calls.__file__).read_text()
-    reasons = set(re.findall(r'failure\("([a-z-]+)"\)', source))
+    reasons = set(re.findall(r'failure_response\("([a-z-]+)"\)', source))
     reasons |= {"table-full", "refused", "id-in-use", "other-node"}
     for reason in reasons:
         assert f"`{reason}`" in PAGE, reason
--- a/tests/listeners/extproc/test_extproc_rules.py
+++ b/tests/listeners/extproc/test_extproc_rules.py
@@ -11,22 +11,37 @@
 
 from glenchute.config.operator import parse
 from glenchute.policy.events import Outcome
-from glenchute.policy.retries.proxied_attempts import Asking, Gate, Show, ending, gate, may_follow, show
-from glenchute.policy.services.request_mapping import Fields, MappingError, Operation, Rules, Template, View
+from glenchute.policy.retries.proxied_attempts import (
+    AttemptState,
+    AttemptVerdict,
+    ResponseVerdict,
+    classify_response,
+    judge_attempt,
+    judge_response,
+    may_send_undecided,
+)
+from glenchute.policy.services.request_mapping import (
+    MappedRequest,
+    MappingError,
+    MappingRules,
+    Operation,
+    PathTemplate,
+    RequestView,
+)
 from glenchute.policy.settings import Idempotency
 from tests.sites import FACTS
 
 ACCOUNT = "00000000b4d65521"
-RULES = Rules(
+RULES = MappingRules(
     {
         "account": "path:account", "plan": "metadata:glenchute.auth/plan", "units": "query:units",
         "id": "header:x-request-id", "key": "header:idempotency-key", "deadline_ms": "header:x-deadline-ms",
     },
     (
-        Operation("report-read", "GET", Template.parse("/v1/reports/{account}")),
-        Operation("report-read", "GET", Template.parse("/v1/reports/{account}/{part=**}")),
-        Operation("check-order", "POST", Template.parse("/v1/orders/{account}")),
-        Operation("check-charge", "POST", Template.parse("/v1/{kind}/{account}")),
+        Operation("report-read", "GET", PathTemplate.parse("/v1/reports/{account}")),
+        Operation("report-read", "GET", PathTemplate.parse("/v1/reports/{account}/{part=**}")),
+        Operation("check-order", "POST", PathTemplate.parse("/v1/orders/{account}")),
+        Operation("check-charge", "POST", PathTemplate.parse("/v1/{kind}/{account}")),
     ),
     {"report-read": False, "check-order": True, "check-charge": False},
     ("osnovni", "standard"),
@@ -35,17 +50,17 @@
 )  # fmt: skip
 
 
-def view(method: str, path: str, **more: bytes | list[bytes]) -> View:
+def view(method: str, path: str, **more: bytes | list[bytes]) -> RequestView:
     """A request of the plan `osnovni`."""
     given: dict[str, list[bytes]] = {":method": [method.encode()], ":path": [path.encode()]}
     for name, value in more.items():
         given[name.replace("_", "-")] = value if isinstance(value, list) else [value]
-    return View(given, {"glenchute.auth": {"plan": "osnovni"}})
+    return RequestView(given, {"glenchute.auth": {"plan": "osnovni"}})
 
 
-def fields(class_name: str, **more: Any) -> Fields:
+def fields(class_name: str, **more: Any) -> MappedRequest:
     """What is expected, but for what is given."""
-    return replace(Fields(class_name, "osnovni", ACCOUNT, 1.0, 4, "", "", 0.0), **more)
+    return replace(MappedRequest(class_name, "osnovni", ACCOUNT, 1.0, 4, "", "", 0.0), **more)
 
 
 READ = [
@@ -53,7 +68,7 @@
     (view("GET", f"/v1/reports/{ACCOUNT}/2026/11"), fields("report-read")),
     (view("GET", f"/v1/reports/{ACCOUNT.upper()}?units=2.5&x=1"), fields("report-read", units=2.5)),
     (view("GET", "/v1/reports/%300000000b4d65521"), fields("report-read")),
-    (view("POST", f"/v1/orders/{ACCOUNT}", idempotency_key=b"k"), fields("check-order", key="k")),
+    (view("POST", f"/v1/orders/{ACCOUNT}", idempotency_key=b"k"), fields("check-order", idempotency_key="k")),
     (view("POST", f"/v1/charges/{ACCOUNT}", x_request_id=b"r"), fields("check-charge", request_id="r")),
     (view("POST", f"/v1/charges/{ACCOUNT}", x_deadline_ms=b"150"), fields("check-charge", deadline_ms=150.0)),
     (view("POST", f"/v1/charges/{ACCOUNT}", x_other=[b"\xff", b"\x00"]), fields("check-charge")),
@@ -80,14 +95,14 @@
 
 
 @pytest.mark.parametrize("seen, expected", READ)
-def test_requests_are_read_by_the_rules(seen: View, expected: Fields) -> None:
-    assert RULES.fields(seen) == expected
+def test_requests_are_read_by_the_rules(seen: RequestView, expected: MappedRequest) -> None:
+    assert RULES.map_request(seen) == expected
 
 
 @pytest.mark.parametrize("seen, reason, status", UNREAD)
-def test_what_can_not_be_read_says_why(seen: View, reason: str, status: int) -> None:
+def test_what_can_not_be_read_says_why(seen: RequestView, reason: str, status: int) -> None:
     with pytest.raises(MappingError) as found:
-        RULES.fields(seen)
+        RULES.map_request(seen)
     assert (found.value.reason, found.value.status) == (reason, status)
 
 
@@ -99,11 +114,11 @@
 def test_no_headers_break_the_reading(given_: dict[str, list[bytes]], path: str) -> None:
     for headers in (given_, {**given_, ":path": [path.encode()], ":method": [b"GET"]}):
         try:
-            read = RULES.fields(View(headers, {"glenchute.auth": {"plan": "osnovni"}}))
+            read = RULES.map_request(RequestView(headers, {"glenchute.auth": {"plan": "osnovni"}}))
         except MappingError as error:
             assert 400 <= error.status < 500
         else:
-            assert read.class_name in RULES.classes and len(read.account) == 16
+            assert read.class_name in RULES.needs_key_by_class and len(read.account) == 16
 
 
 @given(st.lists(st.sampled_from(["=a", "=b", "1x", "1y", "*z"]), min_size=1, max_size=4))
@@ -114,13 +129,13 @@
     wrong = wrong or "*z" in kinds[:-1]
     if wrong:
         with pytest.raises(ValueError, match=r"variable|end"):
-            Template.parse(text)
+            PathTemplate.parse(text)
         return
-    template = Template.parse(text)
+    template = PathTemplate.parse(text)
     path = [{"=a": "a", "=b": "b"}.get(kind, "v") for kind in kinds]
     assert template.match(path) is not None
-    literal = Template.parse("/" + "/".join(path))
-    assert literal.rank <= template.rank and literal.match(path) == {}
+    literal = PathTemplate.parse("/" + "/".join(path))
+    assert literal.specificity <= template.specificity and literal.match(path) == {}
 
 
 # --- files -----------------------------------------------------------------------------------------------
@@ -211,18 +226,22 @@
     ],
 )
 def test_endings_are_read_from_what_a_proxy_saw(status: int, details: str, expected: Outcome) -> None:
-    assert ending(status, details, 429) is expected
+    assert classify_response(status, details, 429) is expected
 
 
 @given(st.integers(0, 599), st.text(max_size=40))
 def test_only_listed_details_prove_that_nothing_ran(status: int, details: str) -> None:
     if not details.startswith(("no_", "cluster", "route", "maintenance", "upstream_reset")):
-        assert ending(status, details, 0) not in (Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.REJECTED)
+        assert classify_response(status, details, 0) not in (
+            Outcome.UNREACHABLE,
+            Outcome.NOT_SENT,
+            Outcome.REJECTED,
+        )
 
 
 @given(st.sampled_from(Idempotency), st.booleans(), st.floats(-1e6, 1e9), st.floats(0, 1e6))
 def test_what_an_earlier_process_decided(repeat: Idempotency, open_: bool, age: float, memory: float) -> None:
-    if may_follow(repeat, open_, age, memory):
+    if may_send_undecided(repeat, open_, age, memory):
         assert open_ and age >= 0 and repeat is not Idempotency.NON_IDEMPOTENT
         assert repeat is Idempotency.IDEMPOTENT or age < memory
 
@@ -230,19 +249,23 @@
 NODES = st.sampled_from(["", "a:1", "b:2"])
 
 
-@given(st.builds(Asking, *[st.booleans()] * 3, NODES, NODES, st.booleans(), st.booleans()))
-def test_an_attempt_passes_only_where_all_is_as_chosen(asking: Asking) -> None:
-    verdict = gate(asking)
-    if verdict is Gate.PASS:
-        assert asking.offered and not asking.final and not asking.others_open
-        assert asking.takes_work and asking.in_time and asking.going_to in ("", asking.chosen)
-    if asking.final:
-        assert verdict is Gate.OVER  # whatever else holds: the client has its answer
+@given(st.builds(AttemptState, *[st.booleans()] * 3, NODES, NODES, st.booleans(), st.booleans()))
+def test_an_attempt_passes_only_where_all_is_as_chosen(asking: AttemptState) -> None:
+    verdict = judge_attempt(asking)
+    if verdict is AttemptVerdict.ALLOW:
+        assert asking.has_chosen_server and not asking.is_request_finished and not asking.has_open_attempts
+        assert (
+            asking.is_server_accepting
+            and asking.is_in_time
+            and asking.requested_address in ("", asking.chosen_address)
+        )
+    if asking.is_request_finished:
+        assert verdict is AttemptVerdict.REQUEST_FINISHED  # whatever else holds: the client has its answer
 
 
 @given(st.sampled_from(["served", "refused", "failed", ""]), st.booleans(), st.integers(100, 599))
 def test_no_client_is_promised_what_is_not_known(outcome: str, may_have_run: bool, status: int) -> None:
-    shown = show(outcome, may_have_run, status)
-    if shown is Show.THROUGH and may_have_run and outcome in ("failed", ""):
+    shown = judge_response(outcome, may_have_run, status)
+    if shown is ResponseVerdict.PASS_THROUGH and may_have_run and outcome in ("failed", ""):
         assert status not in (429, 503) and status >= 400
-    assert (shown is Show.REFUSAL) == (outcome == "refused")
+    assert (shown is ResponseVerdict.REJECTION) == (outcome == "refused")
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -94,7 +94,7 @@
             answer = await raw(port_of(one), data)
             assert answer.split(b" ")[1] == status
             assert (b"Allow: " in answer) == (status == b"405")
-            assert one.program.listener.life.ready
+            assert one.program.listener.lifecycle.ready
 
     play(scenario())
 
@@ -110,7 +110,7 @@
                 await asyncio.sleep(0)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
             writer.close()
-            assert not one.program.listener.life.ready
+            assert not one.program.listener.lifecycle.ready
 
     play(scenario())
 
@@ -151,9 +151,9 @@
             # Each of them ended between requests: nothing that was taken is without an answer.
             for client in (idle, probe, fresh):
                 assert await client.ended()
-            assert one.program.listener.taken == serial - 8
+            assert one.program.listener.request_count == serial - 8
             last = await one.client()  # who comes nevertheless is served, and the connection goes
-            if one.program.listener.life.takes(one.program.loop.time()):
+            if one.program.listener.lifecycle.takes(one.program.loop.time()):
                 assert await read(last, serial + 1) == b"value"
                 assert await last.ended()
             await call(port_of(one), "PUT", "/_lameduck/off")
@@ -177,11 +177,11 @@
             ids = numbered()
             for _ in range(3):  # written behind one another
                 client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
-            await until(lambda: one.program.listener.taken == 3)
-            one.program.listener.lame_duck()
-            life = one.program.listener.life
+            await until(lambda: one.program.listener.request_count == 3)
+            one.program.listener.start_drain()
+            life = one.program.listener.lifecycle
             life.since -= 10.0  # the drain has gone on for long
-            one.program.listener.part()
+            one.program.listener.close_idle()
             client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
             go.set()
             assert [await client.reply() for _ in range(3)] == [b"value"] * 3
@@ -198,8 +198,8 @@
             assert await read(client, 1) == b"value"
             for target in ("on", "off"):
                 await call(port_of(one), "PUT", f"/_lameduck/{target}")
-            one.program.listener.life.since -= 10.0
-            one.program.listener.part()
+            one.program.listener.lifecycle.since -= 10.0
+            one.program.listener.close_idle()
             assert await read(client, 2) == b"value"
             assert await read(client, 3) == b"value"
 
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -163,7 +163,7 @@
             assert crowd.usual[1] >= 0.95 * crowd.usual[0], crowd.usual
             # One that is reused every few ms is worth keeping: nearly none is turned out.
             assert crowd.reopened <= 0.05 * crowd.usual[0], (crowd.reopened, crowd.usual)
-            places = one.program.listener.places
+            places = one.program.listener.connection_slots
             assert crowd.most_held <= places.max_connections + places.max_overflow
             assert places.closed_counts[CloseReason.IDLE] > 0
 
@@ -177,10 +177,10 @@
     return made
 
 
-FIRST, ASK = (resp.command(b"CALL.GET", CUSTOMER, number, GET) for number in (b"1", b"2"))
+FIRST, ASK = (resp.encode_command(b"CALL.GET", CUSTOMER, number, GET) for number in (b"1", b"2"))
 
 
-@pytest.mark.parametrize("first", [resp.command(b"PING"), FIRST])
+@pytest.mark.parametrize("first", [resp.encode_command(b"PING"), FIRST])
 @pytest.mark.parametrize("sent_before", [True, False])
 def test_a_command_that_crosses_the_close_is_served_or_left_whole(
     monkeypatch: pytest.MonkeyPatch, first: bytes, sent_before: bool
@@ -220,7 +220,7 @@
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             listener = one.program.listener
-            listener.places.max_connections = 1
+            listener.connection_slots.max_connections = 1
             loop = asyncio.get_running_loop()
             asked = raw(one.port)
             asked.sendall(FIRST)
@@ -254,7 +254,7 @@
 def test_a_fault_in_ending_one_connection_keeps_none_of_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two are silent past their time, and ending the first fails: it is cut off, the other is told the end in
     order, and the next to come is ended in its time too."""
-    sound = clients.Client.end
+    sound = clients.ClientConnection.close_for
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
@@ -263,12 +263,12 @@
             await until(lambda: len(listener.clients) == 2)
             first = next(iter(listener.clients))
 
-            def end(client: clients.Client, reason: CloseReason) -> bool:
+            def end(client: clients.ClientConnection, reason: CloseReason) -> bool:
                 if client is first:
                     raise RuntimeError("a fault")
                 return sound(client, reason)
 
-            monkeypatch.setattr(clients.Client, "end", end)
+            monkeypatch.setattr(clients.ClientConnection, "close_for", end)
             monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             assert all([await client.ended() for client in silent])
