--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -105,10 +105,10 @@
     async def scenario() -> None:
         async with site(always(SERVED), budget=parts) as one:
             listener, links = one.program.listener, one.program.counter
-            places = listener.places
+            places = listener.connection_slots
             assert (places.max_connections, places.max_requesting, places.max_overflow) == (7, 5, 1)
             assert links is not None and len(links.links) == 3
-            listener.share(0.5)
+            listener.set_share(0.5)
             assert (places.max_connections, places.max_requesting) == (3, 2)
 
     play(scenario())
--- a/tests/policy/connections/test_release.py
+++ b/tests/policy/connections/test_release.py
@@ -91,9 +91,9 @@
             for n in range(1, 63):
                 book.send(value(b"v%d" % n), where[b"%d" % n])
             await until(lambda: sum(slot.reply is not None for slot in held.slots) == 62)
-            due = min(slot.due for slot in held.slots if slot.reply is not None)
+            due = min(slot.deadline for slot in held.slots if slot.reply is not None)
             look = loop.time() + AHEAD_S
-            monkeypatch.setattr(clients, "RELEASE_S", due - look)
+            monkeypatch.setattr(clients, "RELEASE_MARGIN_S", due - look)
             book.send(value(b"v63"), where[b"63"])
             await until(lambda: not held.slots or held.slots[-1].reply is not None)
 
@@ -111,7 +111,7 @@
             assert str(replies[0]) == "ERR failed" and replies[1:] == [b"v%d" % n for n in range(1, 64)]
             assert loop.time() < due
             await until(lambda: not held.slots)
-            assert not one.program.gateway.active_requests and not one.program.listener.looks
+            assert not one.program.gateway.active_requests and not one.program.listener.release_timers
             if release:
                 await until(lambda: where[b"0"] in book.ended)  # nor is the stalled one left at the node
             if end is not None:
@@ -136,7 +136,7 @@
             await until(lambda: len(book.ran) == 4)
             (held,) = one.program.listener.clients
             look = loop.time() + AHEAD_S
-            monkeypatch.setattr(clients, "RELEASE_S", min(slot.due for slot in held.slots) - look)
+            monkeypatch.setattr(clients, "RELEASE_MARGIN_S", min(slot.deadline for slot in held.slots) - look)
             where = {ran[2]: number for number, ran in book.ran}
             for number, ran in book.ran:
                 if ran[2] != b"x":
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -15,15 +15,15 @@
 from glenchute.core.types import Failed, Rejected, Served
 from glenchute.policy.events import Outcome
 from glenchute.policy.retries.route_limits import (
-    CREDIT_S,
-    LEAST_STORE_S,
-    NEVER,
+    MIN_TOKEN_BUFFER_S,
+    NO_RETRY_MS,
+    REQUEST_TOKEN_DECAY_S,
     Backoff,
-    Budget,
-    BudgetRule,
-    Course,
-    Route,
-    Routes,
+    RequestRetries,
+    RetryBudget,
+    RetryBudgetSettings,
+    RouteLimits,
+    RouteTable,
 )
 from tests.simulated import Fate, Site
 from tests.sites import FACTS, OVERLAP
@@ -81,7 +81,7 @@
     assume(operator is not None)
     assert operator is not None
     stream = iter(fates * 200)
-    site = Site(Routes(operator.bindings, 3) if operator else None, lambda: next(stream), overlap)
+    site = Site(RouteTable(operator.bindings, 3) if operator else None, lambda: next(stream), overlap)
     asked = []
     for class_name, left_ms in asks:
         asked.append((site.ask(class_name, left_ms), site.loop.now, left_ms))
@@ -93,24 +93,24 @@
     assert not site.gateway.active_requests and not site.gateway.attempts_in_flight
 
 
-def bounded(site: Site, request: bytes, route: Route | None) -> None:
+def bounded(site: Site, request: bytes, route: RouteLimits | None) -> None:
     """The attempts of a request against its route."""
     if route is None:
         return
     records = site.servers.of(request)
-    if route.attempts:
-        assert len(records) <= route.attempts
+    if route.max_attempts:
+        assert len(records) <= route.max_attempts
     for record in records:
         if route.attempt_timeout_ms:
             assert record.timeout_s <= route.attempt_timeout_ms / 1000.0 + 1e-9
-    if route.copy_after_ms:
+    if route.hedge_after_ms:
         return  # a copy may stand between an attempt and its repeat
     for number, (one, two) in enumerate(pairwise(records), 1):
         assert one.ended is not None and one.ending is not None
-        if route.causes is not None:
-            assert one.ending in route.causes
+        if route.retryable_outcomes is not None:
+            assert one.ending in route.retryable_outcomes
         if route.backoff is not None:
-            assert two.started - one.ended >= route.backoff.least(number) / 1000.0 - 1e-6
+            assert two.started - one.ended >= route.backoff.min_delay_ms(number) / 1000.0 - 1e-6
 
 
 def test_a_keyed_attempt_whose_connection_comes_up_too_late_is_not_written() -> None:
@@ -125,8 +125,8 @@
 
 
 def test_a_deadline_before_the_first_pause_is_answered_at_once() -> None:
-    route = Route("r", backoff=Backoff(500.0, most_ms=500.0))
-    site = Site(Routes({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.01, Outcome.REJECTED))
+    route = RouteLimits("r", backoff=Backoff(500.0, max_ms=500.0))
+    site = Site(RouteTable({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.01, Outcome.REJECTED))
     asked = site.loop.now
     request = site.ask("report-read", 400.0)
     site.loop.run(asked + 3.0)
@@ -136,8 +136,8 @@
 
 def test_a_time_out_under_the_connect_time_ends_as_unreachable_and_tries_again() -> None:
     fates = iter([Fate(0.2, 0.0, Outcome.OK), Fate(0.01, 0.02, Outcome.OK)])
-    route = Route("r", attempt_timeout_ms=100.0)
-    site = Site(Routes({("check-charge", "osnovni"): route}, 1), lambda: next(fates))
+    route = RouteLimits("r", attempt_timeout_ms=100.0)
+    site = Site(RouteTable({("check-charge", "osnovni"): route}, 1), lambda: next(fates))
     request = site.ask("check-charge", 3000.0)
     site.loop.run(site.loop.now + 4.0)
     assert [r.ending for r in site.servers.of(request)] == [Outcome.UNREACHABLE, Outcome.OK]
@@ -146,10 +146,10 @@
 
 def test_two_routes_time_their_attempts_apart() -> None:
     table = {
-        ("report-read", "osnovni"): Route("reads", attempt_timeout_ms=200.0, attempts=2),
-        ("check-order", "osnovni"): Route("orders", attempt_timeout_ms=900.0, attempts=1),
+        ("report-read", "osnovni"): RouteLimits("reads", attempt_timeout_ms=200.0, max_attempts=2),
+        ("check-order", "osnovni"): RouteLimits("orders", attempt_timeout_ms=900.0, max_attempts=1),
     }
-    site = Site(Routes(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK))
+    site = Site(RouteTable(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK))
     read, order = site.ask("report-read", 3000.0), site.ask("check-order", 3000.0)
     site.loop.run(site.loop.now + 5.0)
     assert [round(r.timeout_s, 3) for r in site.servers.of(read)] == [0.2, 0.2]
@@ -159,8 +159,8 @@
 @pytest.mark.parametrize("class_name", ["report-read", "check-order"])
 def test_a_second_copy_goes_to_another_server_and_the_loser_is_called_off(class_name: str) -> None:
     fates = iter([Fate(0.0, 1e9, Outcome.OK), Fate(0.0, 0.05, Outcome.OK)])
-    route = Route("r", copy_after_ms=100.0)
-    site = Site(Routes({(class_name, "osnovni"): route}, 1), lambda: next(fates), overlap=True)
+    route = RouteLimits("r", hedge_after_ms=100.0)
+    site = Site(RouteTable({(class_name, "osnovni"): route}, 1), lambda: next(fates), overlap=True)
     asked = site.loop.now
     request = site.ask(class_name, 3000.0)
     site.loop.run(asked + 4.0)
@@ -173,18 +173,18 @@
 def test_no_copy_goes_out_for_an_unsafe_class_or_where_overlap_is_not_allowed() -> None:
     """Also where a route that load would have refused says so."""
     for class_name, overlap in (("check-charge", True), ("report-read", False)):
-        route = Route("r", copy_after_ms=50.0, attempts=2)
+        route = RouteLimits("r", hedge_after_ms=50.0, max_attempts=2)
         table = {(class_name, "osnovni"): route}
-        site = Site(Routes(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK), overlap=overlap)
+        site = Site(RouteTable(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK), overlap=overlap)
         request = site.ask(class_name, 400.0)
         site.loop.run(site.loop.now + 0.3)
         assert len(site.servers.of(request)) == 1
 
 
-def failing(budget: BudgetRule | None, requests: int, rate: float) -> tuple[int, Site]:
+def failing(budget: RetryBudgetSettings | None, requests: int, rate: float) -> tuple[int, Site]:
     """Requests to a fleet that fails wholly; the attempts sent."""
-    route = Route("r", attempts=5, budget=budget, causes=frozenset(Outcome))
-    site = Site(Routes({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.002, Outcome.RESET))
+    route = RouteLimits("r", max_attempts=5, retry_budget=budget, retryable_outcomes=frozenset(Outcome))
+    site = Site(RouteTable({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.002, Outcome.RESET))
     for _ in range(requests):
         site.ask("report-read", 3000.0)
         site.loop.run(site.loop.now + 1.0 / rate)
@@ -196,10 +196,10 @@
     """The module's own store allows a fifth of the requests; a route's budget less, and whatever the module
     would allow."""
     bare, _ = failing(None, 300, 100.0)
-    rule = BudgetRule(0.1, 2.0)
+    rule = RetryBudgetSettings(0.1, 2.0)
     bound, site = failing(rule, 300, 100.0)
     assert bare > 360
-    assert 300 < bound <= 300 + 0.1 * 300 + 2.0 * (3.0 + LEAST_STORE_S) + 1
+    assert 300 < bound <= 300 + 0.1 * 300 + 2.0 * (3.0 + MIN_TOKEN_BUFFER_S) + 1
     assert bound < bare
     assert all(len(answers) == 1 for answers in site.answers.values())
 
@@ -214,61 +214,67 @@
     share: float, least: float, steps: list[tuple[float, bool]]
 ) -> None:
     now = 0.0
-    budget = Budget(BudgetRule(share, least), now)
+    budget = RetryBudget(RetryBudgetSettings(share, least), now)
     for wait, request in steps:
         now += wait
         if request:
             budget.deposit(now)
         else:
-            budget.withdraw(now)
+            budget.try_withdraw(now)
         requests = sum(1 for _, is_request in steps if is_request)
-        bound = share * requests + least * (now / 1000.0 + LEAST_STORE_S) + 1 + 1e-6
-        assert budget.spent <= bound
-        assert budget.shared >= -1e-9 and budget.steady <= max(1.0, least * LEAST_STORE_S)
+        bound = share * requests + least * (now / 1000.0 + MIN_TOKEN_BUFFER_S) + 1 + 1e-6
+        assert budget.granted_count <= bound
+        assert budget.request_tokens >= -1e-9 and budget.steady_tokens <= max(1.0, least * MIN_TOKEN_BUFFER_S)
 
 
 def test_what_requests_put_in_fades() -> None:
-    budget = Budget(BudgetRule(1.0), 0.0)
+    budget = RetryBudget(RetryBudgetSettings(1.0), 0.0)
     for _ in range(100):
         budget.deposit(0.0)
-    budget.advance(CREDIT_S * 1000.0)
-    assert math.isclose(budget.shared, 100.0 / math.e)
+    budget.advance(REQUEST_TOKEN_DECAY_S * 1000.0)
+    assert math.isclose(budget.request_tokens, 100.0 / math.e)
 
 
 def test_what_is_granted_and_not_used_is_given_back() -> None:
-    budget = Budget(BudgetRule(0.0, 1.0), 0.0)
-    course = Course(Route("r", budget=budget.rule), budget, random.Random(1))
-    assert course.begin(0.0, False)
-    assert course.after(0.0, Outcome.REJECTED) == 0.0 and budget.spent == 1
-    course.close()
-    assert budget.spent == 0
-    assert course.after(0.0, Outcome.REJECTED) == 0.0 and course.begin(0.0, False)
-    course.close()
-    assert budget.spent == 1
-    assert course.after(0.0, Outcome.REJECTED) == NEVER and not course.begin(0.0, False)
+    budget = RetryBudget(RetryBudgetSettings(0.0, 1.0), 0.0)
+    course = RequestRetries(RouteLimits("r", retry_budget=budget.settings), budget, random.Random(1))
+    assert course.try_start_attempt(0.0, False)
+    assert course.retry_delay_ms(0.0, Outcome.REJECTED) == 0.0 and budget.granted_count == 1
+    course.release()
+    assert budget.granted_count == 0
+    assert course.retry_delay_ms(0.0, Outcome.REJECTED) == 0.0 and course.try_start_attempt(0.0, False)
+    course.release()
+    assert budget.granted_count == 1
+    assert course.retry_delay_ms(0.0, Outcome.REJECTED) == NO_RETRY_MS and not course.try_start_attempt(
+        0.0, False
+    )
 
 
 def test_a_reload_hands_out_no_fresh_budget() -> None:
-    rule = BudgetRule(0.5, 0.0)
-    table = {("c", "p"): Route("r", budget=rule)}
-    routes = Routes(table, 1)
+    rule = RetryBudgetSettings(0.5, 0.0)
+    table = {("c", "p"): RouteLimits("r", retry_budget=rule)}
+    routes = RouteTable(table, 1)
     for _ in range(4):
-        routes.course(0.0, "c", "p")
+        routes.start_request(0.0, "c", "p")
     budget = routes.budgets["r"]
-    assert budget.withdraw(0.0) and budget.withdraw(0.0) and not budget.withdraw(0.0)
-    again = Routes({("c", "p"): Route("r", attempts=2, budget=rule)}, 0).after(routes)
+    assert budget.try_withdraw(0.0) and budget.try_withdraw(0.0) and not budget.try_withdraw(0.0)
+    again = RouteTable({("c", "p"): RouteLimits("r", max_attempts=2, retry_budget=rule)}, 0).inherit_budgets(
+        routes
+    )
     assert again.budgets["r"] is budget
-    other = Routes({("c", "p"): Route("r", budget=rule._replace(share=0.9))}, 0).after(again)
+    other = RouteTable(
+        {("c", "p"): RouteLimits("r", retry_budget=rule._replace(retries_per_request=0.9))}, 0
+    ).inherit_budgets(again)
     assert "r" not in other.budgets
 
 
 def draws(backoff: Backoff, number: int) -> Iterator[float]:
     rng = random.Random(5)
-    return (backoff.draw(number, rng) for _ in range(200))
+    return (backoff.draw_delay_ms(number, rng) for _ in range(200))
 
 
 @pytest.mark.parametrize("number", [1, 2, 3, 10, 5000])
 def test_pauses_stay_between_their_least_and_most(number: int) -> None:
     backoff = Backoff(20.0, 100.0, 200.0, 0.2)
     for pause in draws(backoff, number):
-        assert backoff.least(number) <= pause <= backoff.most(number) <= 240.0
+        assert backoff.min_delay_ms(number) <= pause <= backoff.max_delay_ms(number) <= 240.0
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -13,10 +13,10 @@
 
 from glenchute.core.types import Failed, FinalResponse, Rejected, Served
 from glenchute.listeners.extproc import events as ev
-from glenchute.listeners.extproc.calls import Calls, Downstream, Upstream, Ways
-from glenchute.listeners.extproc.token import Signer
+from glenchute.listeners.extproc.calls import DownstreamStream, ExtProcSettings, RequestTable, UpstreamStream
+from glenchute.listeners.extproc.token import TokenSigner
 from glenchute.policy.events import Outcome
-from glenchute.policy.services.request_mapping import Rules
+from glenchute.policy.services.request_mapping import MappingRules
 from glenchute.policy.settings import Idempotency
 from tests.simulated import Fate, Order, Record, Site
 from tests.sites import FACTS
@@ -37,12 +37,12 @@
 }
 
 
-def ways(**changes: Any) -> Ways:
+def ways(**changes: Any) -> ExtProcSettings:
     """The settings of the front, for the platform of `sites.py`."""
     classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
-    rules = Rules(SOURCES, (), classes, FACTS.plans, 1)
+    rules = MappingRules(SOURCES, (), classes, FACTS.plans, 1)
     repeats = {name: (cls.idempotency, cls.idempotency_window_ms, 1e6) for name, cls in FACTS.classes.items()}
-    return Ways(rules, repeats, **{"max_attempts": 5, **changes})
+    return ExtProcSettings(rules, repeats, **{"max_attempts": 5, **changes})
 
 
 def headers(**named: str) -> dict[str, list[bytes]]:
@@ -62,9 +62,9 @@
 
     proxy: Proxy
     request: bytes
-    down: Downstream
+    down: DownstreamStream
     attempts: int = 0
-    up: Upstream | None = None
+    up: UpstreamStream | None = None
     record: Record | None = None
     token: str = ""
     node: str = ""
@@ -73,15 +73,15 @@
     over: bool = False
     answers: list[tuple[float, FinalResponse]] = field(default_factory=list)
 
-    def decided(self, told: ev.Told | None) -> None:
+    def decided(self, told: ev.ProcessorResponse | None) -> None:
         """The first decision."""
         if self.over:
             return
-        if isinstance(told, ev.Reply):
+        if isinstance(told, ev.ImmediateResponse):
             self.finish(self.proxy.read(told))
             self.down.close(True)
             return
-        assert isinstance(told, ev.Go)
+        assert isinstance(told, ev.ContinueResponse)
         self.node = told.set_headers["x-gateway-destination-endpoint"]
         self.token = told.set_headers["x-glenchute-token"]
         self.most = 1 + int(told.set_headers["x-envoy-max-retries"])
@@ -93,7 +93,7 @@
     def attempt(self) -> None:
         """Asks for an attempt."""
         self.attempts += 1
-        up = self.up = Upstream(self.proxy.calls)
+        up = self.up = UpstreamStream(self.proxy.calls)
         up.abort = lambda: self.proxy.loop.call_later(0.0, self.aborted, up) and None
         said = headers(x_glenchute_token=self.token)
         up.receive(
@@ -101,11 +101,11 @@
             lambda told: self.let_through(up, told),
         )
 
-    def let_through(self, up: Upstream, told: ev.Told | None) -> None:
+    def let_through(self, up: UpstreamStream, told: ev.ProcessorResponse | None) -> None:
         """Whether the attempt may go."""
         if self.up is not up or self.over:
             return
-        if isinstance(told, ev.Reply):
+        if isinstance(told, ev.ImmediateResponse):
             self.up = None
             up.close(True)
             if told.headers.get("x-glenchute-retry") and self.attempts < self.most:
@@ -114,7 +114,7 @@
             else:
                 self.show(told.status, "")
             return
-        assert isinstance(told, ev.Go)
+        assert isinstance(told, ev.ContinueResponse)
         server = self.proxy.names[self.node]
         timeout_s = int(told.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
         record = self.record = Record(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
@@ -125,7 +125,7 @@
         connects = fate if up_in_time else None
         loop.call_later(min(fate.connect_s, connect_s), self.connected, up, record, connects)
 
-    def connected(self, up: Upstream, record: Record, fate: Fate | None) -> None:
+    def connected(self, up: UpstreamStream, record: Record, fate: Fate | None) -> None:
         """The connection is up, or won't come up; the request's bytes leave."""
         if record.ending is not None:
             return
@@ -137,7 +137,7 @@
         if fate.took_s < 1e6:
             self.proxy.loop.call_later(fate.took_s, self.ended, up, record, fate.ending)
 
-    def ended(self, up: Upstream, record: Record, ending: Outcome) -> None:
+    def ended(self, up: UpstreamStream, record: Record, ending: Outcome) -> None:
         """The attempt's ending, told as a response, or by the stream's end alone."""
         if record.ending is not None:
             return
@@ -153,20 +153,22 @@
         else:
             self.show(status, details)
 
-    def follow(self, up: Upstream, told: ev.Told | None, status: int, details: str) -> None:
+    def follow(
+        self, up: UpstreamStream, told: ev.ProcessorResponse | None, status: int, details: str
+    ) -> None:
         """What follows from an attempt's response."""
         if self.up is not up:
             return
         self.up = None
         up.close(True)
-        assert isinstance(told, ev.Go)
+        assert isinstance(told, ev.ContinueResponse)
         if told.set_headers.get("x-glenchute-retry") and self.attempts < self.most and not self.over:
             self.node = told.set_headers["x-gateway-destination-endpoint"]
             self.attempt()
         else:
             self.show(status, details)
 
-    def aborted(self, up: Upstream) -> None:
+    def aborted(self, up: UpstreamStream) -> None:
         """The processor broke the attempt's stream: the attempt is reset."""
         if self.up is up:
             self.cut()
@@ -192,8 +194,8 @@
             return
         self.over = True
 
-        def shown(told: ev.Told | None) -> None:
-            if isinstance(told, ev.Reply):
+        def shown(told: ev.ProcessorResponse | None) -> None:
+            if isinstance(told, ev.ImmediateResponse):
                 self.finish(self.proxy.read(told))
             else:
                 self.finish(Served(self.request) if status < 500 and status != 429 else Failed())
@@ -220,8 +222,8 @@
     def __init__(self, site: Site, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
         self.site, self.tells, self.pace = site, tells, pace
         self.loop = cast(Any, site.loop)
-        self.calls = Calls(self.loop, site.gateway, ways(**changes), Signer(b"k" * 32))
-        self.calls.wall = lambda: float(site.loop.now)
+        self.calls = RequestTable(self.loop, site.gateway, ways(**changes), TokenSigner(b"k" * 32))
+        self.calls.wall_clock = lambda: float(site.loop.now)
         self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
         self.asked: dict[bytes, Asker] = {}
 
@@ -230,7 +232,7 @@
         request = b"%d" % (len(self.asked) + 1 if number is None else number)
         order = Order(request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.repeats[class_name])
         self.site.servers.orders[request] = order
-        asker = self.asked[request] = Asker(self, request, Downstream(self.calls))
+        asker = self.asked[request] = Asker(self, request, DownstreamStream(self.calls))
         said = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
             idempotency_key="k1", x_deadline_ms=str(left_ms),
@@ -238,7 +240,7 @@
         asker.down.receive(ev.RequestHeaders(said), asker.decided)
         return asker
 
-    def read(self, told: ev.Reply) -> FinalResponse:
+    def read(self, told: ev.ImmediateResponse) -> FinalResponse:
         """An immediate response in the core's terms."""
         if told.status == 429:
             assert told.headers["x-glenchute-effect"] == "none"
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -26,7 +26,7 @@
 )
 from glenchute.policy.engine import DecisionEngine as Module
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Outcome
-from glenchute.policy.retries.route_limits import Routes
+from glenchute.policy.retries.route_limits import RouteTable
 from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
 
 MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
@@ -241,7 +241,7 @@
 class Site:
     """One gateway and its servers; `answers` holds each request's final answers and when they came."""
 
-    routes: Routes | None
+    routes: RouteTable | None
     fates: Callable[[], Fate]
     overlap: bool = False
     connect_s: float = 0.25
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -20,15 +20,15 @@
 from glenchute.config.policy_settings import policy_settings
 from glenchute.listeners.resp2 import clients
 from glenchute.listeners.resp2.clients import (
-    BUFFERED,
-    GONE_S,
-    HEAPED,
-    MOST_ENDS,
-    MOST_PENDING,
-    TURN,
-    TURN_BYTES,
+    MAX_CLOSE_DETECTION_S,
+    MAX_CLOSES_PER_POLL,
+    MAX_COMMANDS_PER_TURN,
+    MAX_PENDING_COMMANDS,
+    MAX_QUEUED_REPLY_BYTES,
+    MAX_TURN_REPLY_BYTES,
+    WRITE_BUFFER_BYTES,
 )
-from glenchute.listeners.resp2.clients import Client as Connection
+from glenchute.listeners.resp2.clients import ClientConnection as Connection
 from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import CloseReason
@@ -292,7 +292,7 @@
 
 
 @pytest.mark.parametrize("how", ENDS)
-@pytest.mark.parametrize("pending", [1, MOST_PENDING, 3 * MOST_PENDING])
+@pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_leaves_while_waiting_is_gone_also_where_nothing_is_read(how: str, pending: int) -> None:
     """Requests wait for a decision. With 64 pending the connection is not read from, and its end is not seen
     by reading; commands that were not read are never begun."""
@@ -303,10 +303,10 @@
             client = await one.client()
             for number in range(pending):
                 client.send(*READ, b"%d" % number, GET)
-            await until(lambda: len(script.of(Request)) == min(pending, MOST_PENDING))
+            await until(lambda: len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS))
             end(client, how)
-            await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MOST_PENDING))
-            assert len(script.of(Request)) == min(pending, MOST_PENDING)
+            await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MAX_PENDING_COMMANDS))
+            assert len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS)
             assert not one.program.gateway.active_requests and not one.program.listener.open_ids
             again = await one.client()  # its ids may be used again at once
             again.send(*READ, b"0", GET)
@@ -326,7 +326,7 @@
             client, held = await slow_reader(one)
             for number in range(60):  # of which some go on, until the buffer is full
                 client.send(*READ, b"%d" % number, GET)
-            await until(lambda: held.full and not held.slots)
+            await until(lambda: held.is_write_blocked and not held.slots)
             script.decide = lambda event: []
             client.send(*READ, b"more", GET)  # stays unread
             taken = len(script.of(Request))
@@ -423,7 +423,7 @@
             assert (
                 not listener.open_ids
                 and not one.program.gateway.attempts_in_flight
-                and not listener.left_unread
+                and not listener.paused_clients
             )
 
     play(scenario())
@@ -458,10 +458,10 @@
             while not held.transport.get_write_buffer_size():
                 number += 1
                 client.send(*READ, b"%d" % number, GET)
-                await until(lambda: one.program.listener.taken == number and not held.slots)  # noqa: B023
-            assert 0 < held.transport.get_write_buffer_size() < BUFFERED
+                await until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
+            assert 0 < held.transport.get_write_buffer_size() < WRITE_BUFFER_BYTES
             client.send(b"QUIT")
-            await until(lambda: held.leaving)
+            await until(lambda: held.is_write_shut)
             await asyncio.sleep(0.3)  # several times what others have
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert [len(await client.reply()) for _ in range(number)] == [60000] * number
@@ -610,7 +610,9 @@
 
 # --- clients that leave while the gateway is busy ---------------------------------------------------------
 
-BUSY_S = 1.5 * GONE_S  # the loop stands still for longer than an attempt may follow its client's end
+BUSY_S = (
+    1.5 * MAX_CLOSE_DETECTION_S
+)  # the loop stands still for longer than an attempt may follow its client's end
 
 
 def raw_client(one: Site, *commands: bytes) -> socket.socket:
@@ -650,7 +652,7 @@
 
 
 @pytest.mark.parametrize("how", ENDS)
-@pytest.mark.parametrize("pending", [1, MOST_PENDING, 3 * MOST_PENDING])
+@pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_left_while_the_loop_was_busy_is_not_sent_on(how: str, pending: int) -> None:
     """Requests wait; the client goes while the loop stands still; then, before any socket is looked at, the
     module sends them. With 64 pending the connection is not even read from."""
@@ -660,10 +662,10 @@
         async with site(always(SERVED), decisions=script) as one:
             steady = await rested(one)
             sock = raw_client(one, *reads(pending))
-            taken = min(pending, MOST_PENDING)
+            taken = min(pending, MAX_PENDING_COMMANDS)
             await until(lambda: len(script.of(Request)) == taken)
             _, held = one.program.listener.clients
-            assert held.paused is (pending >= MOST_PENDING)
+            assert held.is_reading_paused is (pending >= MAX_PENDING_COMMANDS)
             refs = [event.request_id for event in script.of(Request)]
             script.decide = lambda event: (
                 [StartAttempt(ref, "s0") for ref in refs] if isinstance(event, TimerFired) else []
@@ -715,12 +717,12 @@
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script) as one:
             steady = await rested(one)
-            accepted = one.program.listener.accepted
+            accepted = one.program.listener.accepted_count
             steady.send(*READ, b"steady", GET)
             end_raw(sock := raw_client(one, *reads(1)), how)
             time.sleep(BUSY_S)
             assert await steady.reply() == b"value"
-            await until(lambda: one.program.listener.accepted == accepted + 1)
+            await until(lambda: one.program.listener.accepted_count == accepted + 1)
             await until(lambda: len(one.program.listener.clients) == 1)
             assert await steady.ask(*READ, b"steady", GET) == b"value"
             assert len(one.servers[0].calls()) == 4 + 2
@@ -776,7 +778,7 @@
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script, operator=operator) as one:
-            sock = raw_client(one, *reads(MOST_PENDING))
+            sock = raw_client(one, *reads(MAX_PENDING_COMMANDS))
             while not one.program.servers.coming:
                 await asyncio.sleep(0)
             for _ in range(turns):
@@ -860,17 +862,17 @@
     async def scenario() -> None:
         script = Script(lambda event: [])
         async with site(always(SERVED), decisions=script) as one:
-            ends, count = one.program.listener.ends, MOST_ENDS + 10
+            ends, count = one.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
             socks = [raw_client(one) for _ in range(count)]
             await until(lambda: len(one.program.listener.clients) == count)
             stays, *others = one.program.listener.clients
-            assert not ends.gone(stays)
+            assert not ends.has_closed(stays)
             for sock in socks[1:]:
                 sock.close()
-            ends.looked = time.monotonic() + 60.0
-            assert not any(ends.gone(other) for other in others)
-            ends.looked = -float("inf")
-            assert not ends.gone(stays) and all(other.gone for other in others)
+            ends.checked_at = time.monotonic() + 60.0
+            assert not any(ends.has_closed(other) for other in others)
+            ends.checked_at = -float("inf")
+            assert not ends.has_closed(stays) and all(other.is_closed_by_peer for other in others)
             assert list(ends.clients.values()) == [stays]
             await until(lambda: len(one.program.listener.clients) == 1)
             socks[0].close()
@@ -903,15 +905,15 @@
 async def left_full_then_read_in_part(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
     """The gateway closes behind a full buffer, of which the client then reads some and no more."""
     for number in range(1000, 1100):
-        if held.full:
+        if held.is_write_blocked:
             break
-        taken = one.program.listener.taken
+        taken = one.program.listener.request_count
         sock.send(packed(*READ, b"%d" % number, GET))
-        await until(lambda: one.program.listener.taken == taken + 1 and not held.slots)  # noqa: B023
-    assert held.full
+        await until(lambda: one.program.listener.request_count == taken + 1 and not held.slots)  # noqa: B023
+    assert held.is_write_blocked
     held.close_when_answered()
-    assert held.leaving and held.transport.is_closing()
-    while held.full:
+    assert held.is_write_shut and held.transport.is_closing()
+    while held.is_write_blocked:
         try:
             sock.recv(2000)  # in small pieces: the rest stays in our buffer
         except BlockingIOError:
@@ -944,12 +946,12 @@
             while not held.transport.get_write_buffer_size():
                 number += 1
                 sock.send(packed(*READ, b"%d" % number, GET))
-                await until(lambda: one.program.listener.taken == number and not held.slots)  # noqa: B023
+                await until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
                 await asyncio.sleep(0)  # the write happens at the turn's end
             await scene(one, script, sock, held)
             async with asyncio.timeout(20.0):
                 await until(lambda: not one.program.listener.clients and held.transport is None)
-            assert one.program.listener.places.closed_counts[CloseReason.WRITE_BLOCKED] == 1
+            assert one.program.listener.connection_slots.closed_counts[CloseReason.WRITE_BLOCKED] == 1
             sock.close()
 
     play(scenario())
@@ -982,7 +984,7 @@
             sock.setblocking(False)
             rest = memoryview(command * count)
             most = turns = 0
-            while turns < 300 and not (held.full and turns > 20):
+            while turns < 300 and not (held.is_write_blocked and turns > 20):
                 with suppress(BlockingIOError):
                     while rest:
                         rest = rest[sock.send(rest) :]
@@ -990,8 +992,10 @@
                 turns += 1
                 left = len(held.parser._raw) - held.parser._at
                 most = max(most, left + held.transport.get_write_buffer_size())
-            assert 0 < most <= BUFFERED + HEAPED + ONE_READ, f"{most} bytes held for one client"
-            assert held.paused
+            assert 0 < most <= WRITE_BUFFER_BYTES + MAX_QUEUED_REPLY_BYTES + ONE_READ, (
+                f"{most} bytes held for one client"
+            )
+            assert held.is_reading_paused
             assert await other.ask(b"PING") == b"PONG"
             sock.close()
 
@@ -1046,7 +1050,7 @@
     request of others takes some turns. All get all of their replies, in order."""
     word, count, each = b"x" * 60_000, 40, 10
     made, most = 0, 0
-    bulk = resp.bulk
+    bulk = resp.encode_bulk
 
     def counted(value: bytes) -> bytes:
         nonlocal made
@@ -1056,49 +1060,54 @@
     async def scenario() -> None:
         nonlocal made, most
         async with site(always(SERVED)) as one:
-            monkeypatch.setattr(resp, "bulk", counted)
+            monkeypatch.setattr(resp, "encode_bulk", counted)
             other = await one.client()
             async with crowd(one, count, packed(b"PING", word) * each) as socks:
                 turns, total = 0, 0
-                while turns < 500 and total < 4 * TURN_BYTES:
+                while turns < 500 and total < 4 * MAX_TURN_REPLY_BYTES:
                     made = 0
                     await asyncio.sleep(0)
                     most, total, turns = max(most, made), total + made, turns + 1
-                assert total >= 4 * TURN_BYTES  # they are many, and go on
+                assert total >= 4 * MAX_TURN_REPLY_BYTES  # they are many, and go on
                 assert await other.ask(b"PING") == b"PONG"
                 expected = bulk(word) * each
                 assert all([(await received(sock, len(expected))) == expected for sock in socks])
             # A part that has begun is ended; a read after it may bring another.
-            assert most <= TURN_BYTES + 2 * (HEAPED + len(word)), f"{most} bytes of replies in one turn"
+            assert most <= MAX_TURN_REPLY_BYTES + 2 * (MAX_QUEUED_REPLY_BYTES + len(word)), (
+                f"{most} bytes of replies in one turn"
+            )
 
     play(scenario())
 
 
 def turns_of(monkeypatch: pytest.MonkeyPatch) -> list[Connection]:
     """The connections that go on with what is left of their commands, as they do."""
-    turn, gone_on = Connection.turn, list[Connection]()
+    turn, gone_on = Connection.run_turn, list[Connection]()
 
     def counted(self: Connection) -> None:
         gone_on.append(self)
         turn(self)
 
-    monkeypatch.setattr(Connection, "turn", counted)
+    monkeypatch.setattr(Connection, "run_turn", counted)
     return gone_on
 
 
 def test_what_is_left_of_all_connections_has_a_time_in_each_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """With no time at all one connection goes on in each turn of the loop, and all come to their end."""
-    monkeypatch.setattr(clients, "TURN_S", 0.0)
+    monkeypatch.setattr(clients, "MAX_TURN_S", 0.0)
     gone_on, most = turns_of(monkeypatch), 0
 
     async def scenario() -> None:
         nonlocal most
-        async with site(always(SERVED)) as one, crowd(one, 20, packed(b"PING") * 10 * TURN) as socks:
+        async with (
+            site(always(SERVED)) as one,
+            crowd(one, 20, packed(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
+        ):
             for _ in range(400):
                 gone_on.clear()
                 await asyncio.sleep(0)
                 most = max(most, len(gone_on))
-            expected = b"+PONG\r\n" * 10 * TURN
+            expected = b"+PONG\r\n" * 10 * MAX_COMMANDS_PER_TURN
             assert all([(await received(sock, len(expected))) == expected for sock in socks])
             assert most == 1
 
@@ -1108,7 +1117,7 @@
 def test_a_fault_in_ones_turn_leaves_the_others_theirs(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    turn, at_fault = Connection.turn, list[Connection]()
+    turn, at_fault = Connection.run_turn, list[Connection]()
 
     def faulty(self: Connection) -> None:
         if not at_fault:
@@ -1117,12 +1126,15 @@
             raise RuntimeError("a fault of ours")
         turn(self)
 
-    monkeypatch.setattr(Connection, "turn", faulty)
+    monkeypatch.setattr(Connection, "run_turn", faulty)
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one, crowd(one, 20, packed(b"PING") * 10 * TURN) as socks:
+        async with (
+            site(always(SERVED)) as one,
+            crowd(one, 20, packed(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
+        ):
             await until(lambda: bool(at_fault))
-            expected = b"+PONG\r\n" * 10 * TURN
+            expected = b"+PONG\r\n" * 10 * MAX_COMMANDS_PER_TURN
             assert at_fault[0].transport is not None
             theirs = at_fault[0].transport.get_extra_info("peername")
             for sock in socks:
@@ -1134,22 +1146,22 @@
 
 def test_turns_are_short_while_connections_wait_to_be_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     """The loop accepts one in a turn: behind a crowd's large turns a newcomer would wait for all of them."""
-    monkeypatch.setattr(clients, "TURN_S", 60.0)
+    monkeypatch.setattr(clients, "MAX_TURN_S", 60.0)
     gone_on = turns_of(monkeypatch)
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one, crowd(one, 20, packed(b"PING") * 40 * TURN):
+        async with site(always(SERVED)) as one, crowd(one, 20, packed(b"PING") * 40 * MAX_COMMANDS_PER_TURN):
             listener = one.program.listener
-            await until(lambda: len(listener.booked) == 20)
+            await until(lambda: len(listener.scheduled_clients) == 20)
             newcomers = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(10)]
             waited = 0
-            while listener.called():
+            while listener.has_pending_accept():
                 gone_on.clear()
                 await asyncio.sleep(0)
-                if listener.called():  # as before: they waited all the time
+                if listener.has_pending_accept():  # as before: they waited all the time
                     assert len(gone_on) <= 1
                     waited += 1
-            assert waited and listener.booked  # there was more to do than that
+            assert waited and listener.scheduled_clients  # there was more to do than that
             for sock in newcomers:
                 sock.close()
 
@@ -1160,11 +1172,11 @@
     """However long the others' turns take: it has come whole, and its client is not late."""
     for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.01)
-    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[CloseReason]()
+    turn, end, held, reasons = clients.Listener.run_turns, Connection.close_for, True, list[CloseReason]()
 
     def later(self: clients.Listener) -> None:
         if held:
-            self.loop.call_later(0.005, self.turn)
+            self.loop.call_later(0.005, self.run_turns)
         else:
             turn(self)
 
@@ -1172,23 +1184,25 @@
         reasons.append(reason)
         return end(self, reason)
 
-    monkeypatch.setattr(clients.Listener, "turn", later)
-    monkeypatch.setattr(Connection, "end", told)
+    monkeypatch.setattr(clients.Listener, "run_turns", later)
+    monkeypatch.setattr(Connection, "close_for", told)
     word = b"x" * 60_000
 
     async def scenario() -> None:
         nonlocal held
         async with site(always(SERVED)) as one:
             listener = one.program.listener
-            listener.heaped = 2 * TURN_BYTES
+            listener.queued_reply_bytes = 2 * MAX_TURN_REPLY_BYTES
             sock = socket.create_connection(("127.0.0.1", one.port))
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             sock.setblocking(False)
             sock.sendall(packed(b"PING", word) * 2)
-            await until(lambda: listener.booked and not listener.booked[0].readable())
+            await until(
+                lambda: listener.scheduled_clients and not listener.scheduled_clients[0].has_unread_input()
+            )
             await until(lambda: reasons)
             held = False
-            assert await received(sock, 2 * len(resp.bulk(word))) == resp.bulk(word) * 2
+            assert await received(sock, 2 * len(resp.encode_bulk(word))) == resp.encode_bulk(word) * 2
             sock.close()
 
     play(scenario())
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -104,7 +104,7 @@
     for (_, data), call in zip(stored[1:], counter.counts(), strict=True):
         parser = resp.Parser()
         parser.feed(data)
-        word, name, amount, ttl = parser.next()
+        word, name, amount, ttl = parser.next_message()
         assert (word, int(name), float(amount), float(ttl)) == (
             b"INCRTTL", call.key, call.amount, call.ttl_ms,
         )  # fmt: skip
--- a/tests/upstreams/test_long_values.py
+++ b/tests/upstreams/test_long_values.py
@@ -20,7 +20,7 @@
 from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import AttemptEnded, Event, Outcome, Request, ResponseStarted
 from glenchute.protocol import resp2 as resp
-from glenchute.protocol.streamed_reply import MAX_LONG, LongReply
+from glenchute.protocol.streamed_reply import MAX_STREAMED_BYTES, StreamedReply
 from glenchute.upstreams import streamed_value as long_module
 from tests.loopback import (
     CUSTOMER,
@@ -57,7 +57,7 @@
 # --- the framer --------------------------------------------------------------------------------------------
 
 
-def taken(pieces: list[bytes]) -> tuple[bytes, LongReply]:
+def taken(pieces: list[bytes]) -> tuple[bytes, StreamedReply]:
     """What comes of an answer that comes in these pieces."""
     parser, reply, out = resp.Parser(), None, []
     for piece in pieces:
@@ -66,9 +66,9 @@
             continue
         parser.feed(piece)
         try:
-            assert parser.next() is False
-        except resp.TooLongError:
-            found = LongReply.of(parser.take())
+            assert parser.next_message() is False
+        except resp.ValueTooLongError:
+            found = StreamedReply.parse_head(parser.take_unparsed())
             assert found is not None
             reply = found[0]
             out.append(reply.feed(found[1]))
@@ -84,28 +84,28 @@
 @pytest.mark.parametrize("at", [*range(1, 20), *range(len(ANSWER) - 40, len(ANSWER))])
 def test_one_cut_anywhere_near_an_edge(at: int) -> None:
     value, reply = taken(cut(ANSWER, [at]))
-    assert value == VALUE and reply.done and not reply.surplus
-    assert reply.reply == [None, b"inflight=7,queue=2.5"]
+    assert value == VALUE and reply.is_complete and not reply.has_surplus
+    assert reply.trailer == [None, b"inflight=7,queue=2.5"]
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, len(ANSWER) - 1), max_size=40))
 def test_any_cuts(at: list[int]) -> None:
     value, reply = taken(cut(ANSWER, at))
-    assert value == VALUE and reply.done and reply.reply == [None, b"inflight=7,queue=2.5"]
+    assert value == VALUE and reply.is_complete and reply.trailer == [None, b"inflight=7,queue=2.5"]
 
 
 def test_byte_by_byte_and_with_more_behind() -> None:
     value, reply = taken([ANSWER[i : i + 1] for i in range(len(ANSWER))])
-    assert value == VALUE and reply.done and not reply.surplus
+    assert value == VALUE and reply.is_complete and not reply.has_surplus
     _, reply = taken([ANSWER + b"+OK\r\n"])
-    assert reply.done and reply.surplus
+    assert reply.is_complete and reply.has_surplus
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        b"*3\r\n$%d\r\n" % (MAX_LONG + 1),
+        b"*3\r\n$%d\r\n" % (MAX_STREAMED_BYTES + 1),
         b"*2\r\n$70000\r\n",
         b"*3\r\n$-1\r\n$70000\r\n",
         b"*3\r\n$5\r\nvalue\r\n*-1\r\n$70000\r\n",
@@ -117,13 +117,13 @@
     parser = resp.Parser()
     parser.feed(data)
     with pytest.raises(resp.ProtocolError):
-        parser.next()
-    assert LongReply.of(parser.take()) is None
+        parser.next_message()
+    assert StreamedReply.parse_head(parser.take_unparsed()) is None
 
 
 @pytest.mark.parametrize("tail", [b"xy", b"\rx", b"\r\n-ERR\r\n", b"\r\n:1\r\n$70000\r\n", b"\r\n$x\r\n"])
 def test_a_wrong_length_or_end_is_found(tail: bytes) -> None:
-    reply = LongReply(4)
+    reply = StreamedReply(4)
     with pytest.raises(resp.ProtocolError):
         reply.feed(b"abcd" + tail)
 
@@ -417,7 +417,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(long_module, "STUCK_S", 0.1)
-    size = MAX_LONG
+    size = MAX_STREAMED_BYTES
 
     async def scenario() -> None:
         value = body(size)
