--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -29,7 +29,7 @@
         self.bytes: Tally[tuple[str, int]] = Tally()  # by sender and second
         super().__init__(count, seed)
         for node in self.nodes.values():  # all have met long ago
-            node.news.clear()
+            node.piggyback_counts.clear()
             for member in node.members.values():
                 member.state, member.incarnation, member.boot = (
                     MemberState.ALIVE,
@@ -126,9 +126,9 @@
     for gateway, tenant in rows:
         if gateway == number:
             window = window_start(1000.0 * at, tenant.name, tenant.plan)
-            post.use.by_others(tenant.name, window)
-            post.known(at, tenant.spread)
-            post.tell(at, post.use.let_in(tenant.name, window, 1.0, tenant.spread, tenant.plan))
+            post.usage.admitted_by_peers(tenant.name, window)
+            post.known_gateways(at, tenant.spread)
+            post.report(at, post.usage.add_admitted(tenant.name, window, 1.0, tenant.spread, tenant.plan))
 
 
 @functools.cache
@@ -165,11 +165,11 @@
                     if other == CENTRE:
                         to_centre.append(data)
                     else:
-                        for answer in posts[other].heard(at, f"g{number}", 1, letter.message):
+                        for answer in posts[other].receive(at, f"g{number}", 1, letter.message):
                             if answer.to == f"g{CENTRE}":
                                 to_centre.append(encode("site", f"g{other}", 1, answer.message))
                             elif int(answer.to[1:]) in posts:
-                                posts[int(answer.to[1:])].heard(at, f"g{other}", 1, answer.message)
+                                posts[int(answer.to[1:])].receive(at, f"g{other}", 1, answer.message)
             post.replica.expire(at)
             post.expire()
         let_in.append(rows)
@@ -182,9 +182,9 @@
     """The centre's mail, and its answers."""
     for data in datagrams:
         sender, boot, body = decode("site", data)
-        for answer in posts[CENTRE].heard(at, sender, boot, body):  # type: ignore[arg-type]
+        for answer in posts[CENTRE].receive(at, sender, boot, body):  # type: ignore[arg-type]
             if int(answer.to[1:]) in posts:
-                posts[int(answer.to[1:])].heard(at, f"g{CENTRE}", 1, answer.message)
+                posts[int(answer.to[1:])].receive(at, f"g{CENTRE}", 1, answer.message)
 
 
 @functools.cache
@@ -201,7 +201,7 @@
             out = post.tick(at)
             for data in block.heard[step]:
                 sender, boot, body = decode("site", data)
-                out += post.heard(at, sender, boot, body)  # type: ignore[arg-type]
+                out += post.receive(at, sender, boot, body)  # type: ignore[arg-type]
             for letter in out:
                 sent["bytes"] += len(encode("site", f"g{CENTRE}", 1, letter.message))
             post.replica.expire(at)
@@ -209,9 +209,9 @@
 
     run(0, 200)
     sent.clear()
-    before = post.words_sent
+    before = post.entries_sent
     spent = cpu_ms(lambda: run(200, 400))
-    return spent / 100.0, sent["bytes"] / 10.0 / 1024.0, (post.words_sent - before) / 10.0
+    return spent / 100.0, sent["bytes"] / 10.0 / 1024.0, (post.entries_sent - before) / 10.0
 
 
 def replica_kib(rows: int, seed: int) -> float:
@@ -220,7 +220,7 @@
     def keep() -> Replica:
         replica, rng = Replica(), random.Random(seed)
         for n in range(rows):
-            replica.put(
+            replica.merge(
                 0.0, Row(RowKind.USE, f"{rng.getrandbits(64):016x}/{n}", f"g{n % GATEWAYS}#1", 1, 1.0)
             )
         return replica
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -154,10 +154,10 @@
     """A comparison of copies at 10,000 rows, and two processes' CPU and bytes beside ones without members."""
     replica, rng = Replica(), random.Random(1)
     for _ in range(10_000):
-        replica.put(0.0, Row(RowKind.USE, f"{rng.getrandbits(32):016x}/1", "g1#1", 1, 1.0))
+        replica.merge(0.0, Row(RowKind.USE, f"{rng.getrandbits(32):016x}/1", "g1#1", 1, 1.0))
     began = time.process_time()
     for _ in range(20):
-        replica.children(0.0, None)
+        replica.child_hashes(0.0, None)
     print(f"one root of hashes over 10,000 rows: {50.0 * (time.process_time() - began):.1f} ms")
     for count in (2, 10, 30):
         print(uvloop.run(cost(count)), flush=True)
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -126,7 +126,7 @@
                 )
             elif row["kind"] == "audit":
                 step = self.audit
-                self.telling.seen = self.use_audit.seen
+                self.telling.note_account = self.use_audit.note_account
             tasks.append(
                 TaskSettings(row["name"], row.get("interval_s", 1.0), 2.0 * longest + SETTLE_S, step)
             )
@@ -140,25 +140,34 @@
         agree, and of accounts whose use the counter has otherwise. It only reads and writes a line, so that
         it needs no token."""
         now = self.loop.time()
-        apart = {name: parts for name, (since, parts) in self.gossip.apart.items() if now - since > AUDIT_S}
+        apart = {
+            name: parts for name, (since, parts) in self.gossip.diverged.items() if now - since > AUDIT_S
+        }
         for name in sorted(apart.keys() - self.audited):
             log_event("audit.apart", member=name, parts=apart[name])
         self.audited = set(apart)
-        if self.counter is not None and self.gossip.known:
-            held = (self.replica.rows[at].row for at in self.replica.order[RowKind.USE])
-            looks = self.use_audit.due(self.telling.now_ms, held)
+        if self.counter is not None and self.gossip.is_complete:
+            held = (self.replica.rows[at].row for at in self.replica.keys_by_age[RowKind.USE])
+            looks = self.use_audit.due_queries(self.telling.now_ms, held)
             # Of an account's window with less than this not all is told.
             looks = [
-                look for look in looks if look.told >= REPORTED_SHARE * window_allowance_units(look.plan)
+                look
+                for look in looks
+                if look.reported_units >= REPORTED_SHARE * window_allowance_units(look.plan)
             ]
             totals = await asyncio.gather(*map(self.total, looks))
             if looks and guard.step and totals.count(None) == len(totals):
                 raise LeaseLost  # another may reach the counter. The first step has to end well, or it failed
             for look, total in zip(looks, totals, strict=True):
-                found = self.use_audit.answered(look, total)
+                found = self.use_audit.receive_total(look, total)
                 if found is not None:
-                    log_event("audit.use", account=found.account, counter=round(found.counter, 1),
-                         members=round(found.members, 1), holds="less" if found.less else "more")  # fmt: skip
+                    log_event(
+                        "audit.use",
+                        account=found.account,
+                        counter=round(found.counter_units, 1),
+                        members=round(found.member_units, 1),
+                        holds="less" if found.is_counter_lower else "more",
+                    )
 
     async def total(self, look: CounterQuery) -> float | None:
         """What the counter holds under a name; None where it does not say. Adding nothing changes nothing."""
@@ -169,7 +178,7 @@
             if not told.done():
                 told.set_result(total if ending is Outcome.OK else None)
 
-        self.counter.call(look.name, 0.0, 1000.0, done, lambda *late: None)
+        self.counter.call(look.counter_name, 0.0, 1000.0, done, lambda *late: None)
         return await told
 
     async def start(self) -> None:
@@ -212,11 +221,11 @@
     def rest(self, on: bool) -> None:
         """No task begins here while a lame duck; leases go back when what was begun is over."""
         if self.runner is not None:
-            self.runner.leave() if on else self.runner.back()
+            self.runner.leave() if on else self.runner.resume()
 
     def part(self) -> None:
         """Closes the socket for the next process, once no effect of this one holds a lease."""
-        if self.parting and (self.runner is None or not self.runner.giving()):
+        if self.parting and (self.runner is None or not self.runner.is_releasing()):
             self.close()
 
     def close(self) -> None:
@@ -235,7 +244,11 @@
         """The share of a set of so many gateways whose use is known here, this one's included."""
         now, spread = self.loop.time(), min(spread, self.gateways)
         return known_usage_share(
-            self.gossip.known, self.members.health, self.post.known(now, spread), spread, now - self.heard_at
+            self.gossip.is_complete,
+            self.members.local_health,
+            self.post.known_gateways(now, spread),
+            spread,
+            now - self.heard_at,
         )
 
     def takes_part(self, name: str) -> bool:
@@ -245,9 +258,9 @@
     def told(self, row: Row) -> None:
         """A word of this process' own."""
         if row.kind is RowKind.USE:
-            self.post.tell(self.loop.time(), row)
+            self.post.report(self.loop.time(), row)
             return
-        self.gossip.tell(self.loop.time(), row, len(self.members.members))
+        self.gossip.publish(self.loop.time(), row, len(self.members.members))
 
     def begin(self, known: News | None, discovery: Discovery) -> bool:
         """Before discovery is asked, with the saved list. Whether this gateway asks for all, and does so at
@@ -259,16 +272,16 @@
             return False
         self.discovery = discovery
         if known is not None:
-            self.lists.discovery(self.loop.time(), known.version, True, servers_of(known), ())
-            self.lists.confirmed = -1e9  # by nobody of late
+            self.lists.receive_discovery(self.loop.time(), known.version, True, servers_of(known), ())
+            self.lists.confirmed_at = -1e9  # by nobody of late
         discovery.others = self.leave_alone
         discovery.watch.longest_s = POLLER_WATCH_S
-        return self.lists.asks(self.there())
+        return self.lists.is_poller(self.there())
 
     def confirmed(self, version: int) -> None:
         """Discovery has answered: it has nothing newer than this."""
         if self.lists is not None and version == self.lists.version:
-            self.lists.confirmed = self.loop.time()
+            self.lists.confirmed_at = self.loop.time()
         self.settle(version)
 
     def there(self) -> list[str]:
@@ -279,7 +292,7 @@
     def leave_alone(self) -> float:
         """How long discovery is left alone."""
         assert self.lists is not None
-        return self.lists.waits(self.loop.time(), self.there())
+        return self.lists.poll_delay_s(self.loop.time(), self.there())
 
     def shared(
         self, sents: list[Outgoing[coldstart.SharingMessage]], rows: list[coldstart.SharedEndpoint]
@@ -291,11 +304,11 @@
             return
         states = {number: state for state, number in coldstart.STATE_RANKS.items()}
         entries = tuple(
-            Endpoint(r.server, r.zone, r.cell, r.size, r.started_ms, states[r.state]) for r in rows
+            Endpoint(r.endpoint, r.zone, r.cell, r.weight, r.started_ms, states[r.state]) for r in rows
         )
-        addresses = {row.server: address_of(row.address) for row in rows if row.address and row.state == 0}
+        addresses = {row.endpoint: address_of(row.address) for row in rows if row.address and row.state == 0}
         self.discovery.since = self.lists.version
-        self.restraint.listed(self.lists.version, False, entries)
+        self.restraint.apply_discovery_list(self.lists.version, False, entries)
         self.places |= addresses
         self.follow(News(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
 
@@ -305,7 +318,9 @@
         if self.lists is not None:
             full = news.event.kind is EndpointListKind.FULL
             rows = servers_of(news)
-            self.shared(self.lists.discovery(self.loop.time(), news.version, full, rows, self.there()), [])
+            self.shared(
+                self.lists.receive_discovery(self.loop.time(), news.version, full, rows, self.there()), []
+            )
         for entry in news.event.endpoints:
             if entry.state is not EndpointState.ACTIVE and news.event.kind is EndpointListKind.CHANGES:
                 rank = float(coldstart.STATE_RANKS[entry.state])
@@ -314,7 +329,7 @@
     def learn(self, news: News) -> None:
         """What discovery has told here."""
         full = news.event.kind is not EndpointListKind.CHANGES
-        self.restraint.listed(news.version, full, news.event.endpoints)
+        self.restraint.apply_discovery_list(news.version, full, news.event.endpoints)
         self.places = news.addresses if full else self.places | news.addresses
 
     def heed(self, rows: list[ReceivedRow]) -> None:
@@ -323,15 +338,15 @@
         for taken in rows:
             row = taken.row
             if row.kind is not RowKind.SERVER:
-                self.telling.heard(taken)
-            elif self.restraint.heard(now, row.key, row.version, row.value, taken.age_s, taken.sender):
-                state = self.restraint.words[row.key].state
+                self.telling.receive(taken)
+            elif self.restraint.receive(now, row.key, row.version, row.value, taken.age_s, taken.sender):
+                state = self.restraint.on_trial[row.key].state
                 entries.append(Endpoint(row.key, "", state=state))
         self.change(entries)
 
     def settle(self, version: int) -> None:
         """Discovery's newest version: words that it does not bear out are taken back, and told of."""
-        back, denied = self.restraint.confirmed(self.loop.time(), version)
+        back, denied = self.restraint.confirm_version(self.loop.time(), version)
         for server, word in denied:
             log_event("word.denied", server=server, state=word.state.value, version=word.version,
                  sender=word.sender)  # fmt: skip
@@ -361,25 +376,25 @@
             return
         now = self.heard_at = self.loop.time()
         if isinstance(body, membership.SwimMessage):
-            for out in self.members.heard(now, name, boot, body):
+            for out in self.members.receive(now, name, boot, body):
                 self.send(out.to, out.message)
             return
         if isinstance(body, coldstart.VersionReply | coldstart.EndpointListPart | coldstart.VersionQuery):
             if self.lists is not None:
-                self.shared(*self.lists.heard(now, name, body))
+                self.shared(*self.lists.receive(now, name, body))
             return
         if isinstance(body, LeaseMessage):
             if self.runner is not None:
-                self.runner.heard(name, body)
+                self.runner.receive(name, body)
             return
         if isinstance(body, UsageMessage | UsageRequest):
-            for letter in self.post.heard(now, name, boot, body):
+            for letter in self.post.receive(now, name, boot, body):
                 self.send(letter.to, letter.message)
             return
-        for sent in self.gossip.heard(now, name, body, len(self.members.members)):
+        for sent in self.gossip.receive(now, name, body, len(self.members.members)):
             self.send(sent.to, sent.message)
         if isinstance(body, Delta):
-            self.heed(self.gossip.taken())
+            self.heed(self.gossip.take_received())
 
     def tick(self) -> None:
         """All that time brings about."""
@@ -388,10 +403,10 @@
         for out in self.members.tick(now):
             self.send(out.to, out.message)
         for change in self.changed():
-            if change.conflict:
+            if change.is_name_conflict:
                 log_event("member.doubled", member=change.name)
             else:
-                now_is, was = change.now.name.lower(), change.was.name.lower()
+                now_is, was = change.after.name.lower(), change.before.name.lower()
                 log_event("member.changed", member=change.name, now=now_is, was=was)
         for sent in self.gossip.tick(now, self.alive):
             self.send(sent.to, sent.message)
@@ -399,9 +414,12 @@
             self.send(letter.to, letter.message)
         if self.runner is not None:
             self.runner.tick()
-            if self.lists is not None and coldstart.POLL_TASK in self.runner.running:
-                leased, self.lists.leased = self.lists.leased, self.runner.holds(coldstart.POLL_TASK)
-                if self.lists.leased and not leased and self.discovery is not None:
+            if self.lists is not None and coldstart.POLL_TASK in self.runner.tasks:
+                leased, self.lists.is_lease_holder = (
+                    self.lists.is_lease_holder,
+                    self.runner.is_holder(coldstart.POLL_TASK),
+                )
+                if self.lists.is_lease_holder and not leased and self.discovery is not None:
                     self.discovery.hurry()
         if self.lists is not None:
             self.shared(self.lists.tick(now, self.there()), [])
@@ -409,19 +427,19 @@
         self.post.expire()
         self.telling.health.expire(now)
         self.part()
-        while self.shown < self.replica.conflicted:
-            self.shown = self.replica.conflicted
+        while self.shown < self.replica.conflict_count:
+            self.shown = self.replica.conflict_count
             conflict = self.replica.conflicts[-1]
             kept = conflict.kept
             log_event("copies.differ", kind=kept.kind.name.lower(), key=kept.key, writer=kept.writer,
                  version=kept.version, kept=kept.value, other=conflict.other.value,
-                 sender=conflict.seen_from)  # fmt: skip
+                 sender=conflict.sender)  # fmt: skip
 
     def changed(self) -> list[membership.MemberChange]:
         """What has changed of the members since the last call; only then they are walked over."""
-        changes = self.members.taken()
+        changes = self.members.take_changes()
         if changes:
-            self.alive = self.members.alive()
+            self.alive = self.members.alive_names()
         return changes
 
     def send(self, to: str, body: Any) -> None:
@@ -436,7 +454,7 @@
         verbs: dict[str, Callable[[], list[dict[str, Any]]]] = {}
         if self.runner is not None:
             verbs = {"tasks": self.runner.show_tasks, "leases": self.runner.show_leases}
-            for task in self.runner.running:
+            for task in self.runner.tasks:
                 verbs[f"release {task}"] = partial(self.runner.release, task)
                 verbs[f"unpark {task}"] = partial(self.runner.unpark, task)
         return verbs | {"list": self.show_list, "members": self.show_members, "state": self.show_state,
@@ -445,13 +463,13 @@
     def show_members(self) -> list[dict[str, Any]]:
         """A row a member, this process first."""
         now = self.loop.time()
-        me = {"name": self.name, "state": self.members.status().name.lower(), "for_s": 0.0,
+        me = {"name": self.name, "state": self.members.own_state().name.lower(), "for_s": 0.0,
               "incarnation": self.members.incarnation, "boot": f"{self.boot:x}",
-              "conflicts": self.members.conflicts.get(self.name, 0)}  # fmt: skip
+              "conflicts": self.members.name_conflicts.get(self.name, 0)}  # fmt: skip
         rows = [
-            {"name": m.name, "state": m.state.name.lower(), "for_s": round(now - m.since, 1),
+            {"name": m.name, "state": m.state.name.lower(), "for_s": round(now - m.state_since, 1),
              "incarnation": m.incarnation, "boot": f"{m.boot:x}",
-             "conflicts": self.members.conflicts.get(m.name, 0)}
+             "conflicts": self.members.name_conflicts.get(m.name, 0)}
             for m in self.members.members.values()
         ]  # fmt: skip
         return [me, *rows]
@@ -460,25 +478,25 @@
         """A row: the list shared by members, where it is."""
         if self.lists is None:
             return []
-        age = self.loop.time() - self.lists.confirmed
-        serve = sum(row.state == 0 for row in self.lists.rows.values())
+        age = self.loop.time() - self.lists.confirmed_at
+        serve = sum(row.state == 0 for row in self.lists.endpoints.values())
         return [{"version": self.lists.version, "confirmed_s": round(min(age, 1e6), 2), "servers": serve,
-                 "asks": self.lists.asks(self.there())}]  # fmt: skip
+                 "asks": self.lists.is_poller(self.there())}]  # fmt: skip
 
     def show_state(self) -> list[dict[str, Any]]:
         """A row for what is held and exchanged."""
-        held = {kind.name.lower(): len(self.replica.order[kind]) for kind in RowKind}
-        evicted = {f"evicted_{kind.name.lower()}": self.replica.evicted[kind] for kind in RowKind}
-        held |= {"denied": self.restraint.denied, "on_trial": len(self.restraint.words),
-                 "avoided": len(self.telling.health.words), "audited": self.use_audit.compared,
-                 "use_apart": len(self.use_audit.apart)}  # fmt: skip
-        return [{**held, **evicted, "known": self.gossip.known,
-                 "share": round(self.share(self.post.widest), 3), "health": self.members.health,
+        held = {kind.name.lower(): len(self.replica.keys_by_age[kind]) for kind in RowKind}
+        evicted = {f"evicted_{kind.name.lower()}": self.replica.evicted_counts[kind] for kind in RowKind}
+        held |= {"denied": self.restraint.revoked_count, "on_trial": len(self.restraint.on_trial),
+                 "avoided": len(self.telling.health.peer_reports), "audited": self.use_audit.compared_count,
+                 "use_apart": len(self.use_audit.mismatches)}  # fmt: skip
+        return [{**held, **evicted, "known": self.gossip.is_complete,
+                 "share": round(self.share(self.post.widest_subset), 3), "health": self.members.local_health,
                  "sent_bytes": self.gossip.sent_bytes + self.post.sent_bytes,
-                 "numbered": bool(self.post.ring.steps), "use_bytes": self.post.sent_bytes,
-                 "words_sent": self.post.words_sent, "words_owed": self.post.owing,
-                 "mail_dropped": self.post.dropped,
-                 "rows_sent": self.gossip.rows_sent, "rows_taken": self.gossip.rows_taken,
+                 "numbered": bool(self.post.ring.offsets), "use_bytes": self.post.sent_bytes,
+                 "words_sent": self.post.entries_sent, "words_owed": self.post.pending_count,
+                 "mail_dropped": self.post.dropped_batches,
+                 "rows_sent": self.gossip.rows_sent, "rows_taken": self.gossip.rows_merged,
                  "datagrams": self.received,
                  **{f"dropped_{why}": n for why, n in sorted(self.bad.items())}}]  # fmt: skip
 
@@ -486,14 +504,14 @@
         """A row a conflict, the latest last."""
         return [
             {"kind": c.kept.kind.name.lower(), "key": c.kept.key, "writer": c.kept.writer,
-             "version": c.kept.version, "kept": c.kept.value, "other": c.other.value, "from": c.seen_from}
+             "version": c.kept.version, "kept": c.kept.value, "other": c.other.value, "from": c.sender}
             for c in self.replica.conflicts
         ]  # fmt: skip
 
     def show_digest(self) -> list[dict[str, Any]]:
         """One hash over all that is compared: the same at members whose copies agree."""
         mark = 0
-        for one in self.replica.children(self.loop.time(), None):
+        for one in self.replica.child_hashes(self.loop.time(), None):
             mark ^= one
         return [{"digest": f"{mark:016x}", "rows": len(self.replica.rows)}]
 
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -42,56 +42,61 @@
     ) -> None:
         """`share`: of a set of so many gateways, the part whose use is known here. `clock`: seconds, as the
         rows' ages are counted."""
-        self.seen: Callable[[str, Plan], None] = lambda customer, plan: None  # for the audit of use
+        self.note_account: Callable[[str, Plan], None] = lambda customer, plan: None  # for the audit of use
         self.now_ms = 0.0  # of the windows' clock, at the last event
-        self.module, self.use, self.health, self.clock = module, use, health, clock
-        self.tell, self.share = tell, share
-        self.servers: set[str] = set()  # on the list
+        self.module, self.usage, self.health, self.clock = module, use, health, clock
+        self.publish, self.known_share = tell, share
+        self.active_endpoints: set[str] = set()  # on the list
         self.plans = {plan.name: plan for plan in made.plans}
-        self.open: dict[str, Request] = {}  # requests that have not gone on
+        self.pending_requests: dict[str, Request] = {}  # requests that have not gone on
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """One event for the module."""
         self.now_ms = now_ms
         if isinstance(event, Request):
-            for avoid in self.health.taken(self.clock(), len(self.servers)):
+            for avoid in self.health.take_changes(self.clock(), len(self.active_endpoints)):
                 self.module.handle(now_ms, avoid)
             plan = self.plans.get(event.plan)
-            if plan is not None and plan.rate_per_s and len(self.open) < MOST_OPEN:
-                self.seen(event.tenant, plan)
-                window, share = window_start(now_ms, event.tenant, plan), self.share(event.gateway_spread)
-                units = self.use.by_others(event.tenant, window)
+            if plan is not None and plan.rate_per_s and len(self.pending_requests) < MOST_OPEN:
+                self.note_account(event.tenant, plan)
+                window, share = (
+                    window_start(now_ms, event.tenant, plan),
+                    self.known_share(event.gateway_spread),
+                )
+                units = self.usage.admitted_by_peers(event.tenant, window)
                 last = window_start(window - 1.0, event.tenant, plan)
-                before = self.use.by_others(event.tenant, last)
+                before = self.usage.admitted_by_peers(event.tenant, last)
                 self.module.handle(now_ms, UsageUpdate(event, window, units, before, share))
-                self.open[event.request_id] = event
+                self.pending_requests[event.request_id] = event
         elif isinstance(event, ClientDisconnected):
-            self.open.pop(event.request_id, None)
+            self.pending_requests.pop(event.request_id, None)
         elif isinstance(event, AttemptEnded):
-            row = self.health.ended(self.clock(), event.address, event.outcome)
+            row = self.health.attempt_ended(self.clock(), event.address, event.outcome)
             if row is not None:
-                self.tell(row)
+                self.publish(row)
         elif isinstance(event, EndpointList):
-            self.listed(event)
+            self.apply_endpoint_list(event)
         actions = self.module.handle(now_ms, event)
         for action in actions:
             if isinstance(action, StartAttempt | Reject | Fail):
-                found = self.open.pop(action.request_id, None)
+                found = self.pending_requests.pop(action.request_id, None)
                 if found is not None and isinstance(action, StartAttempt):
                     plan = self.plans[found.plan]
                     window = window_start(now_ms, found.tenant, plan)
-                    self.tell(self.use.let_in(found.tenant, window, found.units, found.gateway_spread, plan))
+                    self.publish(
+                        self.usage.add_admitted(found.tenant, window, found.units, found.gateway_spread, plan)
+                    )
         return actions
 
-    def listed(self, event: EndpointList) -> None:
+    def apply_endpoint_list(self, event: EndpointList) -> None:
         """Which servers there are."""
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
-            self.servers.clear()
+            self.active_endpoints.clear()
         for entry in event.endpoints:
             active = entry.state is EndpointState.ACTIVE
-            (self.servers.add if active else self.servers.discard)(entry.address)
+            (self.active_endpoints.add if active else self.active_endpoints.discard)(entry.address)
 
-    def heard(self, taken: ReceivedRow) -> None:
+    def receive(self, taken: ReceivedRow) -> None:
         """A row of another process that the module is to know of."""
         if taken.row.kind is RowKind.HEALTH:
-            self.health.heard(self.clock(), taken.row, taken.age_s)
+            self.health.receive(self.clock(), taken.row, taken.age_s)
--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -138,7 +138,7 @@
             faults("task-ask", place, "the task that asks discovery is of kind ask and named ask")
         if kind == "ask" and not raw.get("share_list"):
             faults("task-ask", place, "asks for a list that nobody is told of; set share_list = true")
-        most = 0.5 * terms.held_for(terms.longest) / (1.0 + terms.drift)
+        most = 0.5 * terms.usable_span_s(terms.max_span_s) / (1.0 + terms.max_clock_drift)
         if kind == "call" and row.get("longest_step_s", 1.0) > most:
             message = f"longest_step_s is over {most:.2f}, half of what a lease of longest_s lasts"
             faults("long-step", place, f"{message}: it might never begin; raise longest_s, or cut the step")
--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -59,9 +59,9 @@
     """Words to one member. `first`: nothing before counts; `whole`: all that the sender has to say by now."""
 
     serial: int
-    first: bool
-    whole: bool
-    words: tuple[UsageEntry, ...]
+    is_first: bool
+    is_complete: bool
+    entries: tuple[UsageEntry, ...]
 
 
 class UsageRequest(NamedTuple):
@@ -77,15 +77,15 @@
 class PeerChannel:
     """Mail to a member, and from it."""
 
-    sent: int  # the last serial number used
+    sent_serial: int  # the last serial number used
     sent_at: float = -1e9
-    push_at: float = -1e9  # from when on it may be sent news
-    began: bool = True  # the next message is the first of a row
-    answered_at: float = -1e9  # when it was last sent all anew
-    boot: int = -1  # of the process that is heard
-    heard: int = -1  # its last number, all before having come; -1: some have not
-    whole_at: float = -1e9
-    ask_at: float = -1e9
+    next_push_at: float = -1e9  # from when on it may be sent news
+    restarts_sequence: bool = True  # the next message is the first of a row
+    resynced_at: float = -1e9  # when it was last sent all anew
+    peer_boot: int = -1  # of the process that is heard
+    received_serial: int = -1  # its last number, all before having come; -1: some have not
+    complete_at: float = -1e9
+    next_request_at: float = -1e9
 
 
 def gateway_numbers(rows: Mapping[str, int | None]) -> dict[str, int] | None:
@@ -106,44 +106,46 @@
     def __init__(
         self, name: str, members: Sequence[str], numbers: dict[str, int] | None, gateways: int
     ) -> None:  # fmt: skip
-        self.gateways = max(gateways, 1)
+        self.gateway_count = max(gateways, 1)
         self.members = tuple(other for other in members if other != name)
-        self.steps: dict[str, int] = {}  # how far on each is
+        self.offsets: dict[str, int] = {}  # how far on each is
         if numbers is not None:
             own = numbers[name]
-            self.steps = {other: (numbers[other] - own) % self.gateways for other in self.members}
-            if 0 in self.steps.values() or len(set(self.steps.values())) < len(self.steps):
-                self.steps = {}  # more numbers than gateways
-        self.at = {step: other for other, step in self.steps.items()}
-        self.ranges: dict[tuple[int, int], tuple[str, ...]] = {}
+            self.offsets = {other: (numbers[other] - own) % self.gateway_count for other in self.members}
+            if 0 in self.offsets.values() or len(set(self.offsets.values())) < len(self.offsets):
+                self.offsets = {}  # more numbers than gateways
+        self.member_at = {step: other for other, step in self.offsets.items()}
+        self.range_cache: dict[tuple[int, int], tuple[str, ...]] = {}
 
-    def near(self, spread: int, seen: Sequence[str] = ()) -> tuple[str, ...]:
+    def subset_candidates(self, spread: int, seen: Sequence[str] = ()) -> tuple[str, ...]:
         """Members that may share a set of so many with this one, and with these that are in it."""
-        if not self.steps or 2 * spread > self.gateways:
+        if not self.offsets or 2 * spread > self.gateway_count:
             return self.members if spread > 1 else ()
         low = high = 0
         for name in seen:
-            step = self.steps.get(name, 0)
-            step -= self.gateways if 2 * step > self.gateways else 0
+            step = self.offsets.get(name, 0)
+            step -= self.gateway_count if 2 * step > self.gateway_count else 0
             low, high = min(low, step), max(high, step)
         if high - low >= spread:
             low = high = 0  # not of one set: nothing is known of where it lies
-        return self.between(high - spread + 1, low + spread - 1)
+        return self.members_between(high - spread + 1, low + spread - 1)
 
-    def between(self, first: int, last: int) -> tuple[str, ...]:
+    def members_between(self, first: int, last: int) -> tuple[str, ...]:
         """Members from one distance to another, negative ones before this one."""
-        found = self.ranges.get((first, last))
+        found = self.range_cache.get((first, last))
         if found is None:
-            if len(self.ranges) > 256:
-                self.ranges.clear()
-            steps = [step % self.gateways for step in range(first, last + 1)]
-            found = self.ranges[first, last] = tuple(self.at[step] for step in steps if step in self.at)
+            if len(self.range_cache) > 256:
+                self.range_cache.clear()
+            steps = [step % self.gateway_count for step in range(first, last + 1)]
+            found = self.range_cache[first, last] = tuple(
+                self.member_at[step] for step in steps if step in self.member_at
+            )
         return found
 
-    def others(self, spread: int) -> int:
+    def expected_candidates(self, spread: int) -> int:
         """How many gateways `near` has to name for so large a set, were all of them members."""
-        whole = self.gateways - 1
-        return whole if not self.steps else min(whole, 2 * (spread - 1))
+        whole = self.gateway_count - 1
+        return whole if not self.offsets else min(whole, 2 * (spread - 1))
 
 
 class DirectMessenger:
@@ -160,174 +162,188 @@
         budget: float = 6_144.0,
     ) -> None:
         """`budget` in bytes a second."""
-        self.use, self.replica, self.ring, self.there, self.rng = use, replica, ring, there, rng
-        self.budget = budget
-        self.ways: dict[str, PeerChannel] = {}
-        self.told: dict[str, None] = {}  # own windows that others have to know, by their last change
-        self.fresh: dict[str, float] = {}  # ... that changed since they were handed out, and when they may be
-        self.next_at: dict[str, float] = {}  # ... that were handed out, and when they may be again
-        self.owed: dict[str, dict[At, None]] = {}  # by member, what it is to be sent
-        self.owing = 0
-        self.sets: dict[int, int] = {}  # by size of a set, others known; good until the next tick
-        self.widest = min(MIN_SUBSET_SIZE, ring.gateways)
-        self.allowance, self.allowed_at = 0.0, now
-        self.round: list[str] = []
-        self.asked_at = now
-        self.sent_bytes = self.words_sent = self.dropped = 0
+        self.usage, self.replica, self.ring, self.is_alive, self.rng = use, replica, ring, there, rng
+        self.budget_bytes_per_s = budget
+        self.channels: dict[str, PeerChannel] = {}
+        self.reported_windows: dict[
+            str, None
+        ] = {}  # own windows that others have to know, by their last change
+        self.changed_windows: dict[
+            str, float
+        ] = {}  # ... that changed since they were handed out, and when they may be
+        self.next_report_at: dict[str, float] = {}  # ... that were handed out, and when they may be again
+        self.pending: dict[str, dict[At, None]] = {}  # by member, what it is to be sent
+        self.pending_count = 0
+        self.known_counts: dict[int, int] = {}  # by size of a set, others known; good until the next tick
+        self.widest_subset = min(MIN_SUBSET_SIZE, ring.gateway_count)
+        self.byte_allowance, self.allowance_at = 0.0, now
+        self.request_round: list[str] = []
+        self.last_request_at = now
+        self.sent_bytes = self.entries_sent = self.dropped_batches = 0
 
     # --- what this process lets in -----------------------------------------------------------------------
 
-    def tell(self, now: float, row: Row) -> None:
+    def report(self, now: float, row: Row) -> None:
         """This process' own row of use has changed."""
-        if self.use.matters(row.key):
-            self.replica.put(now, row)
-            self.told.pop(row.key, None)
-            self.told[row.key] = None
-            if len(self.told) > MAX_REPORTED_WINDOWS:
-                del self.told[next(iter(self.told))]
-            self.fresh.setdefault(row.key, self.next_at.get(row.key, now))
-
-    def partners(self, key: str) -> tuple[str, ...]:
+        if self.usage.must_report(row.key):
+            self.replica.merge(now, row)
+            self.reported_windows.pop(row.key, None)
+            self.reported_windows[row.key] = None
+            if len(self.reported_windows) > MAX_REPORTED_WINDOWS:
+                del self.reported_windows[next(iter(self.reported_windows))]
+            self.changed_windows.setdefault(row.key, self.next_report_at.get(row.key, now))
+
+    def recipients(self, key: str) -> tuple[str, ...]:
         """Who is told of a window of this process."""
-        own = self.use.own.get(key)
+        own = self.usage.own.get(key)
         if own is None:
             return ()
-        writers = [*self.use.others.get(key, ()), *self.use.others.get(own.before, ())]
-        return self.ring.near(own.spread, [writer.partition("#")[0] for writer in writers])
+        writers = [
+            *self.usage.units_by_writer.get(key, ()),
+            *self.usage.units_by_writer.get(own.previous_key, ()),
+        ]
+        return self.ring.subset_candidates(
+            own.gateway_spread, [writer.partition("#")[0] for writer in writers]
+        )
 
-    def way(self, name: str) -> PeerChannel:
+    def channel(self, name: str) -> PeerChannel:
         """The way to a member. Numbers begin anywhere, so that a process is not taken for the one before."""
-        way = self.ways.get(name)
+        way = self.channels.get(name)
         if way is None:
-            way = self.ways[name] = PeerChannel(self.rng.getrandbits(24))
+            way = self.channels[name] = PeerChannel(self.rng.getrandbits(24))
         return way
 
-    def owe(self, name: str, at: At) -> None:
+    def queue_row(self, name: str, at: At) -> None:
         """A member is to be sent a row. Past the bound its mail begins anew, when it asks."""
-        mine = self.owed.setdefault(name, {})
+        mine = self.pending.setdefault(name, {})
         if at not in mine:
             mine[at] = None
-            self.owing += 1
-        if self.owing > MAX_PENDING_ENTRIES:
-            self.drop(name)
+            self.pending_count += 1
+        if self.pending_count > MAX_PENDING_ENTRIES:
+            self.drop_pending(name)
 
-    def drop(self, name: str) -> None:
+    def drop_pending(self, name: str) -> None:
         """What a member was to be sent is not sent: it will find a number missing."""
-        self.owing -= len(self.owed.pop(name))
-        self.dropped += 1
-        self.way(name).sent += 1
+        self.pending_count -= len(self.pending.pop(name))
+        self.dropped_batches += 1
+        self.channel(name).sent_serial += 1
 
     # --- time --------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Outgoing[DirectMessage]]:
         """What is due now, within the budget."""
-        self.allowance = min(self.budget / 4.0, self.allowance + self.budget * (now - self.allowed_at))
-        self.allowed_at = now
-        self.sets.clear()
+        self.byte_allowance = min(
+            self.budget_bytes_per_s / 4.0,
+            self.byte_allowance + self.budget_bytes_per_s * (now - self.allowance_at),
+        )
+        self.allowance_at = now
+        self.known_counts.clear()
         out: list[Outgoing[DirectMessage]] = []
-        self.hand_out(now)
-        for name in list(self.owed):
-            if self.allowance <= 0.0:
+        self.queue_changed_windows(now)
+        for name in list(self.pending):
+            if self.byte_allowance <= 0.0:
                 break
-            if not self.there(name):
-                self.drop(name)
-            elif now >= self.way(name).push_at:
-                self.send(now, out, name)
-        self.ask(now, out)
+            if not self.is_alive(name):
+                self.drop_pending(name)
+            elif now >= self.channel(name).next_push_at:
+                self.send_pending(now, out, name)
+        self.send_requests(now, out)
         return out
 
-    def hand_out(self, now: float) -> None:
+    def queue_changed_windows(self, now: float) -> None:
         """Changed windows, to those whom they concern."""
-        for key in [key for key, due in self.fresh.items() if due <= now]:
-            del self.fresh[key]
-            own = self.use.own.get(key)
+        for key in [key for key, due in self.changed_windows.items() if due <= now]:
+            del self.changed_windows[key]
+            own = self.usage.own.get(key)
             if own is None:
                 continue
-            for name in self.partners(key):
-                self.owe(name, (RowKind.USE, key, self.use.writer))
-            self.next_at.pop(key, None)
-            self.next_at[key] = now + ACCOUNT_INTERVAL_PER_GATEWAY_S * own.spread
-        while self.next_at and self.next_at[next(iter(self.next_at))] <= now:
-            del self.next_at[next(iter(self.next_at))]
-
-    def send(self, now: float, out: list[Outgoing[DirectMessage]], name: str) -> None:
+            for name in self.recipients(key):
+                self.queue_row(name, (RowKind.USE, key, self.usage.writer))
+            self.next_report_at.pop(key, None)
+            self.next_report_at[key] = now + ACCOUNT_INTERVAL_PER_GATEWAY_S * own.gateway_spread
+        while self.next_report_at and self.next_report_at[next(iter(self.next_report_at))] <= now:
+            del self.next_report_at[next(iter(self.next_report_at))]
+
+    def send_pending(self, now: float, out: list[Outgoing[DirectMessage]], name: str) -> None:
         """The next message to a member; then others are first."""
-        way, mine = self.way(name), self.owed.pop(name, {})
+        way, mine = self.channel(name), self.pending.pop(name, {})
         words: list[UsageEntry] = []
         while mine and len(words) < MAX_ENTRIES_PER_MESSAGE:
             at = next(iter(mine))
             del mine[at]
-            self.owing -= 1
+            self.pending_count -= 1
             held = self.replica.rows.get(at)
             if held is not None:
-                boot = 0 if at[2] == self.use.writer else int(at[2].rpartition("#")[2], 16)
+                boot = 0 if at[2] == self.usage.writer else int(at[2].rpartition("#")[2], 16)
                 words.append(UsageEntry(at[1], held.row.version, held.row.value, boot))
         if mine:
-            self.owed[name] = mine
-        way.sent, way.sent_at, way.push_at = way.sent + 1, now, now + MIN_PUSH_INTERVAL_S
-        first, way.began = way.began, False
-        self.words_sent += len(words)
-        self.give(out, Outgoing(name, UsageMessage(way.sent, first, not mine, tuple(words))))
+            self.pending[name] = mine
+        way.sent_serial, way.sent_at, way.next_push_at = way.sent_serial + 1, now, now + MIN_PUSH_INTERVAL_S
+        first, way.restarts_sequence = way.restarts_sequence, False
+        self.entries_sent += len(words)
+        self.emit(out, Outgoing(name, UsageMessage(way.sent_serial, first, not mine, tuple(words))))
 
-    def ask(self, now: float, out: list[Outgoing[DirectMessage]]) -> None:
+    def send_requests(self, now: float, out: list[Outgoing[DirectMessage]]) -> None:
         """Asks members that may share a set in use, each in its turn, and at once where mail is missing."""
-        while self.allowance > 0.0 and now - self.asked_at >= 1.0 / MAX_REQUESTS_PER_S:
-            self.asked_at = max(self.asked_at + 1.0 / MAX_REQUESTS_PER_S, now - 0.25)
-            if not self.round:
-                self.round = list(self.ring.near(self.widest))
-                self.rng.shuffle(self.round)
-            for _ in range(len(self.round)):
-                name = self.round.pop()
-                way = self.way(name)
-                if self.there(name) and now >= way.ask_at:
-                    way.ask_at = now + REQUEST_INTERVAL_S
-                    self.give(out, Outgoing(name, UsageRequest(way.heard)))
+        while self.byte_allowance > 0.0 and now - self.last_request_at >= 1.0 / MAX_REQUESTS_PER_S:
+            self.last_request_at = max(self.last_request_at + 1.0 / MAX_REQUESTS_PER_S, now - 0.25)
+            if not self.request_round:
+                self.request_round = list(self.ring.subset_candidates(self.widest_subset))
+                self.rng.shuffle(self.request_round)
+            for _ in range(len(self.request_round)):
+                name = self.request_round.pop()
+                way = self.channel(name)
+                if self.is_alive(name) and now >= way.next_request_at:
+                    way.next_request_at = now + REQUEST_INTERVAL_S
+                    self.emit(out, Outgoing(name, UsageRequest(way.received_serial)))
                     break
 
-    def give(
+    def emit(
         self,
         out: list[Outgoing[DirectMessage]],
         outgoing: Outgoing[DirectMessage],
     ) -> None:
         """Books a message's bytes, roughly, and sends it."""
         cost = HEADER_BYTES + (
-            ENTRY_BYTES * len(outgoing.message.words) if isinstance(outgoing.message, UsageMessage) else 0
+            ENTRY_BYTES * len(outgoing.message.entries) if isinstance(outgoing.message, UsageMessage) else 0
         )
-        self.allowance -= cost
+        self.byte_allowance -= cost
         self.sent_bytes += cost
         out.append(outgoing)
 
     # --- messages ----------------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: str, boot: int, body: DirectMessage) -> list[Outgoing[DirectMessage]]:
+    def receive(
+        self, now: float, sender: str, boot: int, body: DirectMessage
+    ) -> list[Outgoing[DirectMessage]]:
         """A member's message, and what is answered at once."""
         out: list[Outgoing[DirectMessage]] = []
-        way = self.way(sender)
+        way = self.channel(sender)
         if isinstance(body, UsageRequest):
-            self.answer(now, out, sender, way, body.serial)
+            self.answer_request(now, out, sender, way, body.serial)
             return out
-        for word in body.words[:MAX_ENTRIES_PER_MESSAGE]:
-            own_name = self.use.writer.rpartition("#")[0]
+        for word in body.entries[:MAX_ENTRIES_PER_MESSAGE]:
+            own_name = self.usage.writer.rpartition("#")[0]
             writer = f"{own_name}#{word.boot:x}" if word.boot else f"{sender}#{boot:x}"
             row = Row(RowKind.USE, word.key, writer, word.version, word.units)
-            if writer != self.use.writer and self.replica.put(now, row, seen_from=sender):
-                self.use.heard(row)
-                if word.key not in self.told and self.use.matters(word.key):
-                    self.tell(now, self.use.row(word.key, self.use.own[word.key]))
-        if boot != way.boot:
-            way.boot, way.heard = boot, -1
-        if body.first or (way.heard >= 0 and body.serial == way.heard + 1):
-            way.heard = body.serial
-        elif body.serial != way.heard:
-            if way.heard >= 0 and len(self.round) <= 2 * len(self.ring.members):
-                way.ask_at = -1e9
-                self.round.append(sender)  # the next to be asked
-            way.heard = -1
-        if body.whole and way.heard == body.serial:
-            way.whole_at = now
+            if writer != self.usage.writer and self.replica.merge(now, row, seen_from=sender):
+                self.usage.receive(row)
+                if word.key not in self.reported_windows and self.usage.must_report(word.key):
+                    self.report(now, self.usage.row_for(word.key, self.usage.own[word.key]))
+        if boot != way.peer_boot:
+            way.peer_boot, way.received_serial = boot, -1
+        if body.is_first or (way.received_serial >= 0 and body.serial == way.received_serial + 1):
+            way.received_serial = body.serial
+        elif body.serial != way.received_serial:
+            if way.received_serial >= 0 and len(self.request_round) <= 2 * len(self.ring.members):
+                way.next_request_at = -1e9
+                self.request_round.append(sender)  # the next to be asked
+            way.received_serial = -1
+        if body.is_complete and way.received_serial == body.serial:
+            way.complete_at = now
         return out
 
-    def answer(
+    def answer_request(
         self,
         now: float,
         out: list[Outgoing[DirectMessage]],
@@ -337,43 +353,46 @@
     ) -> None:
         """What a member that asks is told: that there is nothing new, or all anew. While mail to it is on its
         way, nothing; answers that the budget does not allow are left out."""
-        busy = name in self.owed or now - way.sent_at < 2.0 * MIN_PUSH_INTERVAL_S
-        if self.allowance <= 0.0 or (busy and serial >= 0):
+        busy = name in self.pending or now - way.sent_at < 2.0 * MIN_PUSH_INTERVAL_S
+        if self.byte_allowance <= 0.0 or (busy and serial >= 0):
             return
-        if serial == way.sent and not way.began:
+        if serial == way.sent_serial and not way.restarts_sequence:
             way.sent_at = now
-            self.give(out, Outgoing(name, UsageMessage(way.sent, False, True, ())))
-        elif now - way.answered_at >= REQUEST_INTERVAL_S / 2.0:
-            way.answered_at, way.began = now, True
-            for key in self.told:
-                if name in self.partners(key):
-                    self.owe(name, (RowKind.USE, key, self.use.writer))
+            self.emit(out, Outgoing(name, UsageMessage(way.sent_serial, False, True, ())))
+        elif now - way.resynced_at >= REQUEST_INTERVAL_S / 2.0:
+            way.resynced_at, way.restarts_sequence = now, True
+            for key in self.reported_windows:
+                if name in self.recipients(key):
+                    self.queue_row(name, (RowKind.USE, key, self.usage.writer))
             if serial < 0:  # it may have begun anew: what was let in under its name is nobody else's to tell
-                for at in self.replica.order[RowKind.USE]:
+                for at in self.replica.keys_by_age[RowKind.USE]:
                     if at[2].rpartition("#")[0] == name:
-                        self.owe(name, at)
-            self.send(now, out, name)
+                        self.queue_row(name, at)
+            self.send_pending(now, out, name)
 
     # --- what is known -----------------------------------------------------------------------------------
 
     def expire(self) -> None:
         """Forgets windows whose rows have gone."""
-        while self.told and (RowKind.USE, next(iter(self.told)), self.use.writer) not in self.replica.rows:
-            del self.told[next(iter(self.told))]
+        while (
+            self.reported_windows
+            and (RowKind.USE, next(iter(self.reported_windows)), self.usage.writer) not in self.replica.rows
+        ):
+            del self.reported_windows[next(iter(self.reported_windows))]
 
-    def known(self, now: float, spread: int) -> int:
+    def known_gateways(self, now: float, spread: int) -> int:
         """Of a set's other gateways, how many are known for certain by all that they have let in."""
-        spread = min(spread, self.ring.gateways)
-        if spread > self.widest:
-            self.widest = spread
-            self.round.clear()
-        found = self.sets.get(spread)
+        spread = min(spread, self.ring.gateway_count)
+        if spread > self.widest_subset:
+            self.widest_subset = spread
+            self.request_round.clear()
+        found = self.known_counts.get(spread)
         if found is None:
-            near = self.ring.near(spread)
+            near = self.ring.subset_candidates(spread)
             since = now - MAX_MISSED_REQUESTS * max(
-                REQUEST_INTERVAL_S, len(self.ring.near(self.widest)) / MAX_REQUESTS_PER_S
+                REQUEST_INTERVAL_S, len(self.ring.subset_candidates(self.widest_subset)) / MAX_REQUESTS_PER_S
             )
-            sure = sum(self.there(name) and self.way(name).whole_at >= since for name in near)
-            missing = self.ring.others(spread) - sure
-            found = self.sets[spread] = max(0, spread - 1 - missing)
+            sure = sum(self.is_alive(name) and self.channel(name).complete_at >= since for name in near)
+            missing = self.ring.expected_candidates(spread) - sure
+            found = self.known_counts[spread] = max(0, spread - 1 - missing)
         return found
--- a/glenchute/policy/membership/endpoint_health.py
+++ b/glenchute/policy/membership/endpoint_health.py
@@ -35,15 +35,15 @@
     """A writer's last word on a server, by this process' clock."""
 
     version: int
-    until: float  # when its pause ends; this process' own pause reaches a drawn part beyond that
-    stays: float  # ... which is then
+    avoid_until: float  # when its pause ends; this process' own pause reaches a drawn part beyond that
+    own_avoid_until: float  # ... which is then
 
 
 class OwnReport(NamedTuple):
     """What this process told last of a server."""
 
-    pause: float
-    until: float
+    avoidance_s: float
+    avoid_until: float
 
 
 class EndpointHealth:
@@ -51,110 +51,116 @@
 
     def __init__(self, writer: str, rng: random.Random) -> None:
         self.writer, self.rng = writer, rng
-        self.serial = 0
-        self.own: dict[str, OwnReport] = {}
-        self.answered: dict[str, float] = {}  # when each server last answered here
-        self.words: dict[str, dict[str, PeerReport]] = {}  # by server, by writer
-        self.by: dict[str, set[str]] = {}  # by writer, the servers that it has in pause
-        self.due: dict[str, None] = {}  # servers of which the module is to be told
-        self.ignored = 0  # words that own evidence or a lone writer's bound kept out
+        self.last_version = 0
+        self.own_reports: dict[str, OwnReport] = {}
+        self.last_answer_at: dict[str, float] = {}  # when each server last answered here
+        self.peer_reports: dict[str, dict[str, PeerReport]] = {}  # by server, by writer
+        self.avoided_by_writer: dict[str, set[str]] = {}  # by writer, the servers that it has in pause
+        self.changed_endpoints: dict[str, None] = {}  # servers of which the module is to be told
+        self.ignored_count = 0  # words that own evidence or a lone writer's bound kept out
 
     # --- this process' own tries -------------------------------------------------------------------------
 
-    def ended(self, now: float, server: str, ending: Outcome) -> Row | None:
+    def attempt_ended(self, now: float, server: str, ending: Outcome) -> Row | None:
         """An attempt's ending here; the row to be told on, if it is news to the others."""
         if ending is Outcome.UNREACHABLE:
-            own = self.own.get(server)
-            if own is not None and now < own.until:
+            own = self.own_reports.get(server)
+            if own is not None and now < own.avoid_until:
                 return None  # of the same look
-            pause = MIN_AVOIDANCE_S if own is None else min(MAX_AVOIDANCE_S, 2.0 * own.pause)
-            if own is None and len(self.own) >= MAX_ENDPOINTS:
-                del self.own[next(iter(self.own))]
-            self.own[server] = OwnReport(pause, now + pause)
-            self.answered.pop(server, None)
-            return self.row(server, pause)
+            pause = MIN_AVOIDANCE_S if own is None else min(MAX_AVOIDANCE_S, 2.0 * own.avoidance_s)
+            if own is None and len(self.own_reports) >= MAX_ENDPOINTS:
+                del self.own_reports[next(iter(self.own_reports))]
+            self.own_reports[server] = OwnReport(pause, now + pause)
+            self.last_answer_at.pop(server, None)
+            return self.report_row(server, pause)
         if ending in (Outcome.TIMEOUT, Outcome.NOT_SENT, Outcome.CANCELLED):
             return None  # tells nothing of whether it can be reached
-        self.answered.pop(server, None)
-        self.answered[server] = now
-        if len(self.answered) > MAX_ENDPOINTS:
-            del self.answered[next(iter(self.answered))]
-        told = self.own.pop(server, None) is not None
-        others = server in self.words
+        self.last_answer_at.pop(server, None)
+        self.last_answer_at[server] = now
+        if len(self.last_answer_at) > MAX_ENDPOINTS:
+            del self.last_answer_at[next(iter(self.last_answer_at))]
+        told = self.own_reports.pop(server, None) is not None
+        others = server in self.peer_reports
         if others:
-            self.forget(server)
-            self.due[server] = None
-        return self.row(server, 0.0) if told or others else None
+            self.forget_endpoint(server)
+            self.changed_endpoints[server] = None
+        return self.report_row(server, 0.0) if told or others else None
 
-    def row(self, server: str, pause: float) -> Row:
+    def report_row(self, server: str, pause: float) -> Row:
         """This process' next word."""
-        self.serial += 1
-        return Row(RowKind.HEALTH, server, self.writer, self.serial, round(1000.0 * pause))
+        self.last_version += 1
+        return Row(RowKind.HEALTH, server, self.writer, self.last_version, round(1000.0 * pause))
 
     # --- the others' -------------------------------------------------------------------------------------
 
-    def heard(self, now: float, row: Row, age_s: float) -> None:
+    def receive(self, now: float, row: Row, age_s: float) -> None:
         """A member's word. "Back" ends all older words on that server, whoever said them."""
         if row.writer == self.writer:
             return
-        known = self.words.get(row.key, {}).get(row.writer)
+        known = self.peer_reports.get(row.key, {}).get(row.writer)
         if known is not None and row.version <= known.version:
             return
         if row.value <= 0.0:
-            if row.key in self.words:
-                self.forget(row.key)
-                self.due[row.key] = None
+            if row.key in self.peer_reports:
+                self.forget_endpoint(row.key)
+                self.changed_endpoints[row.key] = None
             return
         pause = min(MAX_AVOIDANCE_S, row.value / 1000.0)
         made = now - age_s
         until = made + pause * MAX_STRETCH
         if until <= now:
             return
-        if row.key not in self.words and len(self.words) >= MAX_ENDPOINTS:
-            self.forget(next(iter(self.words)))
+        if row.key not in self.peer_reports and len(self.peer_reports) >= MAX_ENDPOINTS:
+            self.forget_endpoint(next(iter(self.peer_reports)))
         stays = made + pause * self.rng.uniform(1.0, MAX_STRETCH)
-        self.words.setdefault(row.key, {})[row.writer] = PeerReport(row.version, until, stays)
-        self.by.setdefault(row.writer, set()).add(row.key)
-        self.due[row.key] = None
+        self.peer_reports.setdefault(row.key, {})[row.writer] = PeerReport(row.version, until, stays)
+        self.avoided_by_writer.setdefault(row.writer, set()).add(row.key)
+        self.changed_endpoints[row.key] = None
 
-    def forget(self, server: str) -> None:
+    def forget_endpoint(self, server: str) -> None:
         """All words on a server."""
-        for writer in self.words.pop(server, {}):
-            self.lift(writer, server)
+        for writer in self.peer_reports.pop(server, {}):
+            self.forget_report(writer, server)
 
-    def lift(self, writer: str, server: str) -> None:
+    def forget_report(self, writer: str, server: str) -> None:
         """One writer no longer has this server in pause."""
-        told = self.by.get(writer)
+        told = self.avoided_by_writer.get(writer)
         if told is not None:
             told.discard(server)
             if not told:
-                del self.by[writer]
+                del self.avoided_by_writer[writer]
 
     def expire(self, now: float) -> None:
         """Forgets words that are over; call it now and then."""
-        for server in list(self.words):
-            words = self.words[server]
-            for writer in [writer for writer, word in words.items() if word.until <= now]:
+        for server in list(self.peer_reports):
+            words = self.peer_reports[server]
+            for writer in [writer for writer, word in words.items() if word.avoid_until <= now]:
                 del words[writer]
-                self.lift(writer, server)
+                self.forget_report(writer, server)
             if not words:
-                del self.words[server]
+                del self.peer_reports[server]
 
-    def pause(self, now: float, server: str, servers: int) -> float:
+    def avoidance_s(self, now: float, server: str, servers: int) -> float:
         """For how long a server is left for last by the others' words. `servers`: how many are listed."""
-        if now - self.answered.get(server, -1e9) <= OWN_EVIDENCE_S:
-            self.ignored += server in self.words
+        if now - self.last_answer_at.get(server, -1e9) <= OWN_EVIDENCE_S:
+            self.ignored_count += server in self.peer_reports
             return 0.0
-        words = {w: word for w, word in self.words.get(server, {}).items() if word.stays > now}
-        loud = [writer for writer in words if len(self.by.get(writer, ())) > SINGLE_REPORTER_SHARE * servers]
+        words = {
+            w: word for w, word in self.peer_reports.get(server, {}).items() if word.own_avoid_until > now
+        }
+        loud = [
+            writer
+            for writer in words
+            if len(self.avoided_by_writer.get(writer, ())) > SINGLE_REPORTER_SHARE * servers
+        ]
         if not words or (len(words) == 1 and loud):
-            self.ignored += bool(words)
+            self.ignored_count += bool(words)
             return 0.0
-        return max(word.stays for word in words.values()) - now
+        return max(word.own_avoid_until for word in words.values()) - now
 
-    def taken(self, now: float, servers: int) -> list[AvoidEndpoint]:
+    def take_changes(self, now: float, servers: int) -> list[AvoidEndpoint]:
         """What the module is to be told since the last call."""
-        if not self.due:
+        if not self.changed_endpoints:
             return []  # as before nearly every request
-        due, self.due = self.due, {}
-        return [AvoidEndpoint(server, 1000.0 * self.pause(now, server, servers)) for server in due]
+        due, self.changed_endpoints = self.changed_endpoints, {}
+        return [AvoidEndpoint(server, 1000.0 * self.avoidance_s(now, server, servers)) for server in due]
--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -48,11 +48,11 @@
     """One server as discovery told of it in a version."""
 
     version: int
-    server: str
+    endpoint: str
     address: str
     zone: str
     cell: int
-    size: float
+    weight: float
     started_ms: float
     state: int  # 0 takes work, 1 drains, 2 is gone
 
@@ -70,18 +70,18 @@
     """Some of what changed after `since` up to `version`: the message `at` of so many. Together they count,
     alone none does. `since` -1: the whole list, and what is not on it has gone."""
 
-    since: int
+    base_version: int
     version: int
-    at: int
-    of: int
-    rows: tuple[SharedEndpoint, ...]
+    part_number: int
+    part_count: int
+    endpoints: tuple[SharedEndpoint, ...]
 
 
 class VersionQuery(NamedTuple):
     """The sender asks for what changed after this version, and how old the receiver's word is."""
 
     serial: int
-    since: int
+    known_version: int
 
 
 SharingMessage = VersionReply | EndpointListPart | VersionQuery
@@ -96,137 +96,148 @@
     def __init__(self, name: str, now: float, rng: random.Random) -> None:
         self.name, self.rng = name, rng
         self.version = -1  # of the list held; -1: none
-        self.base = -1  # changes since then are known; of those before some may be forgotten
-        self.rows: dict[str, SharedEndpoint] = {}  # what discovery told, or a member
-        self.leased: bool | None = None  # whether this gateway holds the lease; None: askers go by rank alone
-        self.ages: dict[str, float] = {}  # how old the word of each asker was, when last asked
-        self.confirmed = -1e9  # when discovery is known to have had no newer list than this one
-        self.ask_at = now
-        self.serial = 0
-        self.asked: dict[int, float] = {}  # the last questions, and when they were put
+        self.history_start = -1  # changes since then are known; of those before some may be forgotten
+        self.endpoints: dict[str, SharedEndpoint] = {}  # what discovery told, or a member
+        self.is_lease_holder: bool | None = (
+            None  # whether this gateway holds the lease; None: askers go by rank alone
+        )
+        self.poller_ages_s: dict[str, float] = {}  # how old the word of each asker was, when last asked
+        self.confirmed_at = -1e9  # when discovery is known to have had no newer list than this one
+        self.next_query_at = now
+        self.last_serial = 0
+        self.open_queries: dict[int, float] = {}  # the last questions, and when they were put
         # What came so far, by sender: what it is about, and the rows of each message.
-        self.pending: dict[str, tuple[tuple[int, int, int], dict[int, tuple[SharedEndpoint, ...]]]] = {}
+        self.partial_lists: dict[str, tuple[tuple[int, int, int], dict[int, tuple[SharedEndpoint, ...]]]] = {}
 
     # --- who asks ----------------------------------------------------------------------------------------
 
-    def asks(self, others: Iterable[str]) -> bool:
+    def is_poller(self, others: Iterable[str]) -> bool:
         """Whether this gateway asks discovery for all. `others`: members that are not known to be dead."""
-        if self.leased is not None:
-            return self.leased
+        if self.is_lease_holder is not None:
+            return self.is_lease_holder
         mine = candidate_rank(POLL_TASK, self.name)
         return sum(candidate_rank(POLL_TASK, other) < mine for other in others) < MAX_POLLERS
 
-    def waits(self, now: float, others: Sequence[str]) -> float:
+    def poll_delay_s(self, now: float, others: Sequence[str]) -> float:
         """How long this gateway leaves discovery alone from now on; 0: it is to ask."""
-        if self.version < 0 or not others or self.asks(others):
+        if self.version < 0 or not others or self.is_poller(others):
             return 0.0
-        return max(0.0, self.confirmed + FRESH_S - now)
+        return max(0.0, self.confirmed_at + FRESH_S - now)
 
     # --- what discovery says -----------------------------------------------------------------------------
 
-    def discovery(
+    def receive_discovery(
         self, now: float, version: int, full: bool, rows: Sequence[SharedEndpoint], others: Sequence[str]
     ) -> list[Outgoing[SharingMessage]]:
         """An answer of discovery, and what is told on of it. A count of versions that began anew makes this
         list the only one: members with a higher version go on with theirs until they ask themselves."""
         if full:
-            rows = [*rows, *self.missing(rows, version)]
-        changed = [row for row in rows if self.differs(row)]
+            rows = [*rows, *self.missing_from(rows, version)]
+        changed = [row for row in rows if self.is_new(row)]
         for row in changed:
-            self.keep(row._replace(version=version))
-        before, self.version, self.confirmed = self.version, version, now
+            self.store(row._replace(version=version))
+        before, self.version, self.confirmed_at = self.version, version, now
         if before < 0 or version < before:
-            self.base = version
-        if not changed or before < 0 or not self.asks(others):
+            self.history_start = version
+        if not changed or before < 0 or not self.is_poller(others):
             return []
-        parts = self.parts(before)
+        parts = self.list_parts(before)
         return [Outgoing(other, part) for other in others for part in parts]
 
-    def missing(self, listed: Sequence[SharedEndpoint], version: int) -> list[SharedEndpoint]:
+    def missing_from(self, listed: Sequence[SharedEndpoint], version: int) -> list[SharedEndpoint]:
         """Those held that a whole list does not name: as of its version they have gone."""
-        named = {row.server for row in listed}
-        held = (row for name, row in self.rows.items() if name not in named and row.state != 2)
+        named = {row.endpoint for row in listed}
+        held = (row for name, row in self.endpoints.items() if name not in named and row.state != 2)
         return [row._replace(version=version, state=2) for row in held]
 
-    def differs(self, row: SharedEndpoint) -> bool:
+    def is_new(self, row: SharedEndpoint) -> bool:
         """Whether it says something new."""
-        held = self.rows.get(row.server)
+        held = self.endpoints.get(row.endpoint)
         return held is None or held._replace(version=row.version) != row
 
-    def keep(self, row: SharedEndpoint) -> None:
+    def store(self, row: SharedEndpoint) -> None:
         """Holds a row; the oldest that are gone are forgotten past a bound."""
-        self.rows.pop(row.server, None)
-        self.rows[row.server] = row
-        gone = [name for name, held in self.rows.items() if held.state == 2]
+        self.endpoints.pop(row.endpoint, None)
+        self.endpoints[row.endpoint] = row
+        gone = [name for name, held in self.endpoints.items() if held.state == 2]
         for name in gone[: max(0, len(gone) - MAX_REMOVED_ENDPOINTS)]:
-            self.base = max(self.base, self.rows.pop(name).version)
+            self.history_start = max(self.history_start, self.endpoints.pop(name).version)
 
     def tick(self, now: float, others: Sequence[str]) -> list[Outgoing[SharingMessage]]:
         """A question to one of those that ask for this gateway; call it some times a second."""
-        if now < self.ask_at or not others or self.asks(others):
+        if now < self.next_query_at or not others or self.is_poller(others):
             return []
-        self.ask_at = now + QUERY_INTERVAL_S * self.rng.uniform(0.8, 1.2)
-        self.serial += 1
-        self.asked = {self.serial: now, **dict(list(self.asked.items())[: MAX_OPEN_QUERIES - 1])}
+        self.next_query_at = now + QUERY_INTERVAL_S * self.rng.uniform(0.8, 1.2)
+        self.last_serial += 1
+        self.open_queries = {
+            self.last_serial: now,
+            **dict(list(self.open_queries.items())[: MAX_OPEN_QUERIES - 1]),
+        }
         askers = sorted(others, key=lambda other: candidate_rank(POLL_TASK, other))[:MAX_POLLERS]
         # One whose word was fresh has it from discovery; one that does not answer counts as older each time.
-        self.ages = {name: self.ages.get(name, 0.0) for name in askers}
-        best = min(askers, key=lambda name: self.ages[name] * self.rng.uniform(0.5, 1.5))
-        self.ages[best] += FRESH_S
-        return [Outgoing(best, VersionQuery(self.serial, self.version))]
+        self.poller_ages_s = {name: self.poller_ages_s.get(name, 0.0) for name in askers}
+        best = min(askers, key=lambda name: self.poller_ages_s[name] * self.rng.uniform(0.5, 1.5))
+        self.poller_ages_s[best] += FRESH_S
+        return [Outgoing(best, VersionQuery(self.last_serial, self.version))]
 
     # --- what members say --------------------------------------------------------------------------------
 
-    def heard(
+    def receive(
         self, now: float, sender: str, body: SharingMessage
     ) -> tuple[list[Outgoing[SharingMessage]], list[SharedEndpoint]]:
         """A member's message: what is answered, and the rows by which this gateway's list changes."""
         if isinstance(body, VersionQuery):
-            age_ms = round(1000.0 * min(1e6, now - self.confirmed))
-            parts = self.parts(body.since) if -1 <= body.since < self.version else []
+            age_ms = round(1000.0 * min(1e6, now - self.confirmed_at))
+            parts = self.list_parts(body.known_version) if -1 <= body.known_version < self.version else []
             replies: list[SharingMessage] = [*parts, VersionReply(body.serial, self.version, age_ms)]
             return [Outgoing(sender, reply) for reply in replies], []
         if isinstance(body, VersionReply):
-            asked = self.asked.pop(body.serial, None)
-            if sender in self.ages:
-                self.ages[sender] = max(0, body.age_ms) / 1000.0
+            asked = self.open_queries.pop(body.serial, None)
+            if sender in self.poller_ages_s:
+                self.poller_ages_s[sender] = max(0, body.age_ms) / 1000.0
             if asked is not None and body.version == self.version:
-                self.confirmed = max(self.confirmed, asked - max(0, body.age_ms) / 1000.0)
-            if asked is not None and (body.version > self.version or now - self.confirmed > POLLER_WATCH_S):
-                self.ask_at = min(
-                    self.ask_at, now + RETRY_QUERY_S
+                self.confirmed_at = max(self.confirmed_at, asked - max(0, body.age_ms) / 1000.0)
+            if asked is not None and (
+                body.version > self.version or now - self.confirmed_at > POLLER_WATCH_S
+            ):
+                self.next_query_at = min(
+                    self.next_query_at, now + RETRY_QUERY_S
                 )  # lost on the way, or another has a fresher word
             return [], []
-        if body.since > self.version or body.version <= self.version or not 0 < body.of <= MAX_PARTS:
+        if (
+            body.base_version > self.version
+            or body.version <= self.version
+            or not 0 < body.part_count <= MAX_PARTS
+        ):
             return [], []  # a gap, or nothing new
-        about = body.since, body.version, body.of
-        if self.pending.get(sender, (None,))[0] != about:
-            if len(self.pending) >= MAX_PENDING_SENDERS:
-                self.pending.clear()
-            self.pending[sender] = about, {}
-        collected = self.pending[sender][1]
-        if 0 <= body.at < body.of:
-            collected[body.at] = body.rows
-        if len(collected) < body.of:
+        about = body.base_version, body.version, body.part_count
+        if self.partial_lists.get(sender, (None,))[0] != about:
+            if len(self.partial_lists) >= MAX_PENDING_SENDERS:
+                self.partial_lists.clear()
+            self.partial_lists[sender] = about, {}
+        collected = self.partial_lists[sender][1]
+        if 0 <= body.part_number < body.part_count:
+            collected[body.part_number] = body.endpoints
+        if len(collected) < body.part_count:
             return [], []
-        del self.pending[sender]
+        del self.partial_lists[sender]
         listed = [row for rows in collected.values() for row in rows]
-        if body.since < 0:
-            listed += self.missing(listed, body.version)
+        if body.base_version < 0:
+            listed += self.missing_from(listed, body.version)
             if self.version < 0:
-                self.base = body.version
+                self.history_start = body.version
         taken = []
         for row in listed:
-            merged = self.merged(row)
+            merged = self.merge(row)
             if merged is not None:
-                self.keep(merged)
+                self.store(merged)
                 taken.append(merged)
         self.version = body.version
         return [], taken
 
-    def merged(self, row: SharedEndpoint) -> SharedEndpoint | None:
+    def merge(self, row: SharedEndpoint) -> SharedEndpoint | None:
         """What a member's row changes here; None: nothing."""
-        held = self.rows.get(row.server)
+        held = self.endpoints.get(row.endpoint)
         if row.version <= self.version or not 0 <= row.state <= 2:
             return None
         if held is None:
@@ -235,12 +246,12 @@
         made = row._replace(state=state, started_ms=started)
         return made if made != held._replace(version=row.version) else None
 
-    def parts(self, since: int) -> list[EndpointListPart]:
+    def list_parts(self, since: int) -> list[EndpointListPart]:
         """Messages with all that changed after a version."""
-        if since < self.base:
-            since, rows = -1, [row for row in self.rows.values() if row.state != 2]
+        if since < self.history_start:
+            since, rows = -1, [row for row in self.endpoints.values() if row.state != 2]
         else:
-            rows = [row for row in self.rows.values() if row.version > since]
+            rows = [row for row in self.endpoints.values() if row.version > since]
         if len(rows) > MAX_ROWS_PER_PART * MAX_PARTS:
             return []  # so long a list is asked for by each
         batches = [
--- a/glenchute/policy/membership/gossip.py
+++ b/glenchute/policy/membership/gossip.py
@@ -43,15 +43,15 @@
     copy is whole."""
 
     bucket: int
-    marks: tuple[int, ...]
-    known: bool
+    hashes: tuple[int, ...]
+    is_complete: bool
 
 
 class RowHashes(NamedTuple):
     """Hashes of all rows that are compared, where they are few. `answer`: the sender wants the receiver's."""
 
-    marks: tuple[int, ...]
-    answer: bool
+    hashes: tuple[int, ...]
+    wants_reply: bool
 
 
 class LeafRequest(NamedTuple):
@@ -66,7 +66,7 @@
     one whose copy is not whole. What was sent meanwhile may be lost, so only a comparison tells."""
 
     buckets: tuple[int, ...]
-    known: bool
+    is_complete: bool
 
 
 GossipMessage = Delta | Digest | RowHashes | LeafRequest | MatchingBuckets
@@ -84,105 +84,117 @@
 class GossipSettings:
     """Seconds, and bytes a second."""
 
-    push: float = 0.05
-    compare: float = 0.5
-    budget: float = 32_768.0
+    push_interval_s: float = 0.05
+    compare_interval_s: float = 0.5
+    budget_bytes_per_s: float = 32_768.0
 
 
 class Gossip:
     """The exchange of one process."""
 
     def __init__(self, replica: Replica, pace: GossipSettings, rng: random.Random, now: float = 0.0) -> None:
-        self.replica, self.pace, self.rng = replica, pace, rng
-        self.began = now
-        self.known = False
-        self.news: dict[tuple[RowKind, str, str], int] = {}  # row: how often it is still to be passed on
-        self.owed: dict[str, dict[tuple[int, int], None]] = {}  # member: leaves to be sent, in order
+        self.replica, self.settings, self.rng = replica, pace, rng
+        self.started_at = now
+        self.is_complete = False
+        self.transmissions_left: dict[
+            tuple[RowKind, str, str], int
+        ] = {}  # row: how often it is still to be passed on
+        self.pending_leaves: dict[
+            str, dict[tuple[int, int], None]
+        ] = {}  # member: leaves to be sent, in order
         # While this copy is not whole: with whom each bucket was found to agree.
-        self.whole: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self.sure: set[str] = set()  # members whose copy is whole, by their word
+        self.matching_members: list[set[str]] = [set() for _ in range(BUCKETS)]
+        self.complete_members: set[str] = set()  # members whose copy is whole, by their word
         self.push_at = self.compare_at = now
-        self.allowance = 0.0
-        self.allowed_at = now
-        self.sent_bytes = self.rows_sent = self.rows_taken = 0
-        self.longest = max(rules.life_s for rules in replica.rules.values() if rules.whole)
+        self.byte_allowance = 0.0
+        self.allowance_at = now
+        self.sent_bytes = self.rows_sent = self.rows_merged = 0
+        self.max_lifetime_s = max(rules.lifetime_s for rules in replica.rules.values() if rules.is_required)
         # Members whose copy differed at the last comparison: since when, and in how many buckets.
-        self.apart: dict[str, tuple[float, int]] = {}
-        self.changed: list[ReceivedRow] = []
+        self.diverged: dict[str, tuple[float, int]] = {}
+        self.received_rows: list[ReceivedRow] = []
 
-    def tell(self, now: float, row: Row, size: int) -> None:
+    def publish(self, now: float, row: Row, size: int) -> None:
         """A word of this process' own."""
-        if self.replica.put(now, row):
-            self.spread(row, size)
+        if self.replica.merge(now, row):
+            self.queue_row(row, size)
 
-    def spread(self, row: Row, size: int) -> None:
+    def queue_row(self, row: Row, size: int) -> None:
         """A row is new here, and is passed on."""
-        if len(self.news) < MAX_QUEUED_ROWS:
+        if len(self.transmissions_left) < MAX_QUEUED_ROWS:
             passes = min(MAX_TRANSMISSIONS, 1 + math.ceil(math.log2(size + 1)))
-            self.news[row.kind, row.key, row.writer] = passes
+            self.transmissions_left[row.kind, row.key, row.writer] = passes
 
-    def taken(self) -> list[ReceivedRow]:
+    def take_received(self) -> list[ReceivedRow]:
         """The rows that came from others since the last call."""
-        changed, self.changed = self.changed, []
+        changed, self.received_rows = self.received_rows, []
         return changed
 
     # --- time --------------------------------------------------------------------------------------------
 
     def tick(self, now: float, alive: Sequence[str]) -> list[Outgoing[GossipMessage]]:
         """What is due now, within the budget; call it each `push` seconds."""
-        fresh = self.pace.budget * (now - self.allowed_at)
-        self.allowance = min(self.pace.budget / 4.0, self.allowance + fresh)
-        self.allowed_at = now
-        if not self.known and (now - self.began >= self.longest or self.complete(alive)):
-            self.known = True
-        self.owed = {name: leaves for name, leaves in self.owed.items() if leaves and name in alive}
+        fresh = self.settings.budget_bytes_per_s * (now - self.allowance_at)
+        self.byte_allowance = min(self.settings.budget_bytes_per_s / 4.0, self.byte_allowance + fresh)
+        self.allowance_at = now
+        if not self.is_complete and (
+            now - self.started_at >= self.max_lifetime_s or self.has_matched_all(alive)
+        ):
+            self.is_complete = True
+        self.pending_leaves = {
+            name: leaves for name, leaves in self.pending_leaves.items() if leaves and name in alive
+        }
         if not alive:
             return []
         out: list[Outgoing[GossipMessage]] = []
         if now >= self.compare_at:
             # One that has to catch up asks as often as it pushes, of another member each time.
-            pause = self.pace.compare * self.rng.uniform(0.8, 1.2) if self.known else self.pace.push
+            pause = (
+                self.settings.compare_interval_s * self.rng.uniform(0.8, 1.2)
+                if self.is_complete
+                else self.settings.push_interval_s
+            )
             self.compare_at = now + pause
-            marks = self.replica.children(now, None)
-            self.give(out, Outgoing(self.compares_with(alive), Digest(-1, marks, self.known)))
+            marks = self.replica.child_hashes(now, None)
+            self.send(out, Outgoing(self.comparison_peer(alive), Digest(-1, marks, self.is_complete)))
         if now >= self.push_at:
-            self.push_at = now + self.pace.push
+            self.push_at = now + self.settings.push_interval_s
             self.push(now, out, alive)
-            while self.owed and self.allowance > 0.0:
-                name = next(iter(self.owed))
-                self.pay(now, out, name)
+            while self.pending_leaves and self.byte_allowance > 0.0:
+                name = next(iter(self.pending_leaves))
+                self.send_pending(now, out, name)
         return out
 
     def push(self, now: float, out: list[Outgoing[GossipMessage]], alive: Sequence[str]) -> None:
         """Passes news on to one member. What restrains is passed on even if nothing seems new, a few rows at
         a time, as a digest that agrees by chance must not hide it."""
-        waiting = sorted(self.news, key=lambda at: self.replica.rules[at[0]].urgency)
-        if not waiting and (drains := list(self.replica.order[RowKind.SERVER])):
+        waiting = sorted(self.transmissions_left, key=lambda at: self.replica.rules[at[0]].urgency)
+        if not waiting and (drains := list(self.replica.keys_by_age[RowKind.SERVER])):
             waiting = self.rng.sample(drains, min(2, len(drains)))
         to = self.rng.choice(alive)
-        while waiting and self.allowance > 0.0:
+        while waiting and self.byte_allowance > 0.0:
             batch, waiting = waiting[:MAX_ROWS_PER_MESSAGE], waiting[MAX_ROWS_PER_MESSAGE:]
-            self.rows(now, out, to, batch)
+            self.send_rows(now, out, to, batch)
             for at in batch:
-                if at in self.news:
-                    self.news[at] -= 1
-                    if self.news[at] <= 0:
-                        del self.news[at]
+                if at in self.transmissions_left:
+                    self.transmissions_left[at] -= 1
+                    if self.transmissions_left[at] <= 0:
+                        del self.transmissions_left[at]
 
-    def pay(self, now: float, out: list[Outgoing[GossipMessage]], name: str) -> None:
+    def send_pending(self, now: float, out: list[Outgoing[GossipMessage]], name: str) -> None:
         """Sends a member some of what it is owed; then the next one is first."""
-        leaves = self.owed.pop(name)
+        leaves = self.pending_leaves.pop(name)
         batch: list[tuple[RowKind, str, str]] = []
         while leaves and len(batch) < MAX_ROWS_PER_MESSAGE:
             leaf = next(iter(leaves))
             del leaves[leaf]
-            batch += [(h.row.kind, h.row.key, h.row.writer) for h in self.replica.compared(now, leaf)]
+            batch += [(h.row.kind, h.row.key, h.row.writer) for h in self.replica.compared_rows(now, leaf)]
         for first in range(0, len(batch), MAX_ROWS_PER_MESSAGE):
-            self.rows(now, out, name, batch[first : first + MAX_ROWS_PER_MESSAGE])
+            self.send_rows(now, out, name, batch[first : first + MAX_ROWS_PER_MESSAGE])
         if leaves:
-            self.owed[name] = leaves
+            self.pending_leaves[name] = leaves
 
-    def rows(
+    def send_rows(
         self,
         now: float,
         out: list[Outgoing[GossipMessage]],
@@ -193,114 +205,129 @@
         held = [self.replica.rows[at] for at in places if at in self.replica.rows]
         if held:
             self.rows_sent += len(held)
-            self.give(out, Outgoing(to, Delta(tuple((h.row, round(1000.0 * (now - h.made))) for h in held))))
+            self.send(
+                out, Outgoing(to, Delta(tuple((h.row, round(1000.0 * (now - h.created_at))) for h in held)))
+            )
 
-    def give(self, out: list[Outgoing[GossipMessage]], outgoing: Outgoing[GossipMessage]) -> None:
+    def send(self, out: list[Outgoing[GossipMessage]], outgoing: Outgoing[GossipMessage]) -> None:
         """Books a message's bytes, roughly, and sends it."""
         body = outgoing.message
         cost = 24 + (ROW_BYTES * len(body.rows) if isinstance(body, Delta) else 0)
-        cost += 5 * len(body.marks) if isinstance(body, RowHashes) else 0
-        cost += BUCKETS + 8 * (BUCKETS - body.marks.count(0)) if isinstance(body, Digest) else 0
-        self.allowance -= cost
+        cost += 5 * len(body.hashes) if isinstance(body, RowHashes) else 0
+        cost += BUCKETS + 8 * (BUCKETS - body.hashes.count(0)) if isinstance(body, Digest) else 0
+        self.byte_allowance -= cost
         self.sent_bytes += cost
         out.append(outgoing)
 
     # --- messages ----------------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: str, body: GossipMessage, size: int) -> list[Outgoing[GossipMessage]]:
+    def receive(
+        self, now: float, sender: str, body: GossipMessage, size: int
+    ) -> list[Outgoing[GossipMessage]]:
         """A member's message, and what is answered at once. Answers that the budget does not allow are left
         out: the member asks again, perhaps another one."""
         out: list[Outgoing[GossipMessage]] = []
         if isinstance(body, Delta):
             for row, age_ms in body.rows[:MAX_ROWS_PER_MESSAGE]:
-                if not self.replica.rules[row.kind].copied:
-                    self.replica.refused += 1  # its writer alone tells it
-                elif self.replica.put(now, row, age_ms / 1000.0, sender):
-                    self.rows_taken += 1
-                    self.changed.append(ReceivedRow(row, age_ms / 1000.0, sender))
-                    self.spread(row, size)
+                if not self.replica.rules[row.kind].is_replicated:
+                    self.replica.rejected_count += 1  # its writer alone tells it
+                elif self.replica.merge(now, row, age_ms / 1000.0, sender):
+                    self.rows_merged += 1
+                    self.received_rows.append(ReceivedRow(row, age_ms / 1000.0, sender))
+                    self.queue_row(row, size)
         elif isinstance(body, LeafRequest):
             if 0 <= body.bucket < BUCKETS:
-                self.owe(sender, body.bucket, body.leaves)
+                self.queue_leaves(sender, body.bucket, body.leaves)
         elif isinstance(body, MatchingBuckets):
-            self.finished(sender, body.buckets[:BUCKETS], body.known)
+            self.note_matching(sender, body.buckets[:BUCKETS], body.is_complete)
         elif isinstance(body, RowHashes):
-            self.compared(now, sender, body, out)
+            self.queue_missing_rows(now, sender, body, out)
         elif body.bucket == -1:
-            differing = self.replica.differing(now, None, body.marks)
+            differing = self.replica.differing_children(now, None, body.hashes)
             same = tuple(set(range(BUCKETS)) - set(differing))
             if not differing:
-                self.apart.pop(sender, None)
-            elif len(self.apart) < MAX_DIVERGED_MEMBERS:
-                self.apart[sender] = self.apart.get(sender, (now, 0))[0], len(differing)
-            self.finished(sender, same, body.known)
-            if not body.known:
-                self.give(out, Outgoing(sender, MatchingBuckets(same, self.known)))
-            if differing and len(self.replica.counted) <= MAX_ROW_HASHES:
+                self.diverged.pop(sender, None)
+            elif len(self.diverged) < MAX_DIVERGED_MEMBERS:
+                self.diverged[sender] = self.diverged.get(sender, (now, 0))[0], len(differing)
+            self.note_matching(sender, same, body.is_complete)
+            if not body.is_complete:
+                self.send(out, Outgoing(sender, MatchingBuckets(same, self.is_complete)))
+            if differing and len(self.replica.compared_hashes) <= MAX_ROW_HASHES:
                 # So few rows are named one by one for less than the hashes of the buckets that differ.
-                if self.allowance > 0.0:
-                    self.give(out, Outgoing(sender, RowHashes(self.marks(), True)))
+                if self.byte_allowance > 0.0:
+                    self.send(out, Outgoing(sender, RowHashes(self.row_hashes(), True)))
                 return out
             for bucket in self.rng.sample(differing, len(differing)):
-                if self.allowance <= 0.0:
+                if self.byte_allowance <= 0.0:
                     break
-                self.give(
-                    out, Outgoing(sender, Digest(bucket, self.replica.children(now, bucket), self.known))
+                self.send(
+                    out,
+                    Outgoing(
+                        sender, Digest(bucket, self.replica.child_hashes(now, bucket), self.is_complete)
+                    ),
                 )
         elif 0 <= body.bucket < BUCKETS:
-            leaves = self.replica.differing(now, body.bucket, body.marks)
+            leaves = self.replica.differing_children(now, body.bucket, body.hashes)
             if leaves:
-                self.owe(sender, body.bucket, leaves)
-                self.give(out, Outgoing(sender, LeafRequest(body.bucket, tuple(leaves))))
-            elif not body.known:
-                self.give(out, Outgoing(sender, MatchingBuckets((body.bucket,), self.known)))
+                self.queue_leaves(sender, body.bucket, leaves)
+                self.send(out, Outgoing(sender, LeafRequest(body.bucket, tuple(leaves))))
+            elif not body.is_complete:
+                self.send(out, Outgoing(sender, MatchingBuckets((body.bucket,), self.is_complete)))
         return out
 
     # --- whether this copy is whole ----------------------------------------------------------------------
 
-    def finished(self, sender: str, buckets: Sequence[int], known: bool) -> None:
+    def note_matching(self, sender: str, buckets: Sequence[int], known: bool) -> None:
         """A member's copy agrees with this one in these buckets."""
         if known:
-            self.sure.add(sender)
+            self.complete_members.add(sender)
         else:
-            self.sure.discard(sender)
-        if not self.known:
+            self.complete_members.discard(sender)
+        if not self.is_complete:
             for bucket in buckets:
                 if 0 <= bucket < BUCKETS:
-                    self.whole[bucket].add(sender)
+                    self.matching_members[bucket].add(sender)
 
-    def complete(self, alive: Sequence[str]) -> bool:
+    def has_matched_all(self, alive: Sequence[str]) -> bool:
         """Whether each bucket was found to agree with one of a whole copy, or with all that there are: what
         none of them has died with its writers."""
         everyone = set(alive)
-        return bool(alive) and all(have & self.sure or have >= everyone for have in self.whole)
+        return bool(alive) and all(
+            have & self.complete_members or have >= everyone for have in self.matching_members
+        )
 
-    def compares_with(self, alive: Sequence[str]) -> str:
+    def comparison_peer(self, alive: Sequence[str]) -> str:
         """Whom to compare with: anybody; while this copy is not whole, one whose copy is, or a new one."""
-        if not self.known:
-            better = [name for name in alive if name in self.sure]
-            lacking = [name for name in alive if any(name not in have for have in self.whole)]
+        if not self.is_complete:
+            better = [name for name in alive if name in self.complete_members]
+            lacking = [name for name in alive if any(name not in have for have in self.matching_members)]
             alive = better or lacking or alive
         return self.rng.choice(alive)
 
-    def marks(self) -> tuple[int, ...]:
+    def row_hashes(self) -> tuple[int, ...]:
         """The hashes of all rows that are compared."""
-        return tuple(mark & SHORT_HASH_MASK for mark in self.replica.counted.values())
+        return tuple(mark & SHORT_HASH_MASK for mark in self.replica.compared_hashes.values())
 
-    def compared(self, now: float, sender: str, body: RowHashes, out: list[Outgoing[GossipMessage]]) -> None:
+    def queue_missing_rows(
+        self, now: float, sender: str, body: RowHashes, out: list[Outgoing[GossipMessage]]
+    ) -> None:
         """Owes a member the rows that it does not name. Two rows whose cut hashes are the same are taken for
         one, once in 2^32 pairs: the comparison of buckets goes by the whole ones."""
-        if body.answer and self.allowance > 0.0 and len(self.replica.counted) <= MAX_ROW_HASHES:
-            self.give(out, Outgoing(sender, RowHashes(self.marks(), False)))
-        theirs = set(body.marks)
-        for at, mark in self.replica.counted.items():
+        if (
+            body.wants_reply
+            and self.byte_allowance > 0.0
+            and len(self.replica.compared_hashes) <= MAX_ROW_HASHES
+        ):
+            self.send(out, Outgoing(sender, RowHashes(self.row_hashes(), False)))
+        theirs = set(body.hashes)
+        for at, mark in self.replica.compared_hashes.items():
             if mark & SHORT_HASH_MASK not in theirs:
                 bucket, leaf = leaf_of(*at)
-                self.owe(sender, bucket, (leaf,))
+                self.queue_leaves(sender, bucket, (leaf,))
 
-    def owe(self, name: str, bucket: int, leaves: Sequence[int]) -> None:
+    def queue_leaves(self, name: str, bucket: int, leaves: Sequence[int]) -> None:
         """Leaves that a member is to be sent; each once, so no more than the tree has."""
-        mine = self.owed.setdefault(name, {})
+        mine = self.pending_leaves.setdefault(name, {})
         for leaf in leaves[:BUCKETS]:
             if 0 <= leaf < BUCKETS:
                 mine[bucket, leaf] = None
--- a/glenchute/policy/membership/gossiped_drains.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -36,14 +36,14 @@
     version: int
     state: EndpointState
     sender: str
-    made: float
+    created_at: float
 
 
 class RevokedDrain(NamedTuple):
     """A word that discovery did not bear out."""
 
-    server: str
-    word: GossipedDrain
+    endpoint: str
+    drain: GossipedDrain
 
 
 class GossipedDrains:
@@ -51,57 +51,57 @@
 
     def __init__(self) -> None:
         self.version = -1  # of discovery's last answer
-        self.entries: dict[str, Endpoint] = {}  # servers that take work, by discovery
-        self.words: dict[str, GossipedDrain] = {}  # on trial, and in force
-        self.distrusted: dict[str, float] = {}  # servers of which no member's word counts, until then
-        self.denied = self.beyond = 0
+        self.active_endpoints: dict[str, Endpoint] = {}  # servers that take work, by discovery
+        self.on_trial: dict[str, GossipedDrain] = {}  # on trial, and in force
+        self.distrusted_until: dict[str, float] = {}  # servers of which no member's word counts, until then
+        self.revoked_count = self.over_limit_count = 0
 
-    def listed(self, version: int, full: bool, entries: Iterable[Endpoint]) -> None:
+    def apply_discovery_list(self, version: int, full: bool, entries: Iterable[Endpoint]) -> None:
         """A list or changes of discovery, before they come into force; they settle what they tell of."""
         entries = tuple(entries)
         if full:
-            self.entries.clear()
-            self.words.clear()  # a whole list says of each server what is so
+            self.active_endpoints.clear()
+            self.on_trial.clear()  # a whole list says of each server what is so
         for entry in entries:
-            self.words.pop(entry.address, None)
+            self.on_trial.pop(entry.address, None)
             if entry.state is EndpointState.ACTIVE:
-                self.entries[entry.address] = entry
+                self.active_endpoints[entry.address] = entry
             else:
-                self.entries.pop(entry.address, None)
+                self.active_endpoints.pop(entry.address, None)
         self.version = version
 
-    def heard(self, now: float, server: str, version: int, rank: float, age_s: float, sender: str) -> bool:
+    def receive(self, now: float, server: str, version: int, rank: float, age_s: float, sender: str) -> bool:
         """A member's word; `rank` 1: it drains, 2: it is gone. Whether it comes into force now."""
-        known = self.words.get(server)
-        if version <= self.version or server not in self.entries or not 1.0 <= rank <= 2.0:
+        known = self.on_trial.get(server)
+        if version <= self.version or server not in self.active_endpoints or not 1.0 <= rank <= 2.0:
             return False
-        if now < self.distrusted.get(server, -1e9):
+        if now < self.distrusted_until.get(server, -1e9):
             return False
         state = RANKED_STATES[rank >= 2.0]
         if known is not None:
             stronger = state is EndpointState.REMOVED and known.state is not EndpointState.REMOVED
             if not stronger:
                 return False
-        elif len(self.words) >= min(MAX_DRAINS, MAX_WITHHELD_SHARE * len(self.entries)):
-            self.beyond += 1
+        elif len(self.on_trial) >= min(MAX_DRAINS, MAX_WITHHELD_SHARE * len(self.active_endpoints)):
+            self.over_limit_count += 1
             return False
-        self.words[server] = GossipedDrain(version, state, sender, now - age_s)
+        self.on_trial[server] = GossipedDrain(version, state, sender, now - age_s)
         return True
 
-    def confirmed(self, now: float, version: int) -> tuple[list[Endpoint], list[RevokedDrain]]:
+    def confirm_version(self, now: float, version: int) -> tuple[list[Endpoint], list[RevokedDrain]]:
         """Discovery has just said that `version` is its newest. Servers that are given back, and why."""
         self.version = version
         back: list[Endpoint] = []
         denied: list[RevokedDrain] = []
-        for server, word in list(self.words.items()):
+        for server, word in list(self.on_trial.items()):
             # Where discovery is past it, it has told this process all changes on the way: had the word been
             # true, `listed` would have settled it.
-            if word.version <= version or now - word.made >= SETTLE_S:
-                del self.words[server]
-                back.append(self.entries[server])
+            if word.version <= version or now - word.created_at >= SETTLE_S:
+                del self.on_trial[server]
+                back.append(self.active_endpoints[server])
                 denied.append(RevokedDrain(server, word))
         for row in denied:
-            self.distrusted[row.server] = now + DISTRUST_S
-        self.denied += len(denied)
-        self.distrusted = {name: until for name, until in self.distrusted.items() if until > now}
+            self.distrusted_until[row.endpoint] = now + DISTRUST_S
+        self.revoked_count += len(denied)
+        self.distrusted_until = {name: until for name, until in self.distrusted_until.items() if until > now}
         return back, denied
--- a/glenchute/policy/membership/leases.py
+++ b/glenchute/policy/membership/leases.py
@@ -37,17 +37,17 @@
     """The number of a try: higher than any that its seeker has heard of, and of this process alone."""
 
     number: int
-    seeker: str
+    proposer: str
     boot: int
 
-    def passes(self, promised: Ballot) -> bool:
+    def may_replace(self, promised: Ballot) -> bool:
         """Whether a voter that has promised another may take this one. The number alone has to be higher, as
         it is the token: of two seekers with one number the second would hold with the first one's token."""
         return self == promised or self.number > promised.number
 
-    def ends(self, held: Ballot) -> bool:
+    def releases(self, held: Ballot) -> bool:
         """Whether giving this one back gives that one back, too: it is of the same process, and no later."""
-        return (self.seeker, self.boot) == (held.seeker, held.boot) and self.number >= held.number
+        return (self.proposer, self.boot) == (held.proposer, held.boot) and self.number >= held.number
 
 
 NO_BALLOT = Ballot(0, "", 0)
@@ -60,11 +60,25 @@
     PROMISE = 1  # `ballot` is promised; `holder` is the ballot that holds now, if one does, for `span` more
     PROPOSE = 2  # for `span` seconds
     ACCEPTED = 3
-    NO = 4  # `holder` has been promised, which is higher
+    REJECTED = 4  # `holder` has been promised, which is higher
     RELEASE = 5
-    RECALL = 6  # a voter that has started asks what was promised
-    RECALLED = 7  # `holder` is the highest promise for any task; `ready`: by one that has recovered itself
-    FREE = 8  # to other seekers: `ballot` has just been given back
+    RECOVERY_REQUEST = 6  # a voter that has started asks what was promised
+    RECOVERY_REPLY = (
+        7  # `holder` is the highest promise for any task; `ready`: by one that has recovered itself
+    )
+    RELEASED = 8  # to other seekers: `ballot` has just been given back
+
+
+# What an acceptor receives; all other kinds go to a proposer.
+ACCEPTOR_MESSAGE_KINDS = frozenset(
+    {
+        LeaseMessageKind.PREPARE,
+        LeaseMessageKind.PROPOSE,
+        LeaseMessageKind.RELEASE,
+        LeaseMessageKind.RECOVERY_REQUEST,
+        LeaseMessageKind.RECOVERY_REPLY,
+    }
+)
 
 
 class LeaseMessage(NamedTuple):
@@ -73,39 +87,39 @@
     kind: LeaseMessageKind
     task: str
     ballot: Ballot
-    holder: Ballot = NO_BALLOT
-    span: float = 0.0
-    ready: bool = True
+    known_ballot: Ballot = NO_BALLOT
+    span_s: float = 0.0
+    has_recovered: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
     """What all voters and seekers have to be configured with alike. Seconds by any clock within the drift."""
 
-    voters: tuple[str, ...]
-    longest: float = 10.0  # no lease is proposed or accepted for longer
-    drift: float = 0.01
+    acceptors: tuple[str, ...]
+    max_span_s: float = 10.0  # no lease is proposed or accepted for longer
+    max_clock_drift: float = 0.01
 
     @property
     def majority(self) -> int:
         """Voters that decide."""
-        return len(self.voters) // 2 + 1
+        return len(self.acceptors) // 2 + 1
 
     @property
-    def silence(self) -> float:
+    def startup_silence_s(self) -> float:
         """How long a voter that has started answers nothing: all it may have accepted is over by then."""
-        return self.longest * (1.0 + self.drift)
+        return self.max_span_s * (1.0 + self.max_clock_drift)
 
-    def held_for(self, span: float) -> float:
+    def usable_span_s(self, span: float) -> float:
         """How long, by the holder's clock, a lease of a span by the voters' clocks may be used."""
-        return span * (1.0 - self.drift) / (1.0 + self.drift)
+        return span * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)
 
 
 class AcceptedLease(NamedTuple):
     """A lease as a voter holds it, by its own clock."""
 
     ballot: Ballot
-    until: float
+    expires_at: float
 
 
 class Acceptor:
@@ -113,69 +127,83 @@
 
     def __init__(self, name: str, terms: LeaseTerms, now: float) -> None:
         self.name, self.terms = name, terms
-        self.speaks_at = now + terms.silence
-        self.recalled: dict[str, bool] = {}  # voters that told what they promised; whether they had recovered
-        self.ready = False
-        self.anew = False  # all voters had lost everything
-        self.floor = NO_BALLOT  # promised for every task: the highest that the others had promised for any
+        self.silent_until = now + terms.startup_silence_s
+        self.recovery_replies: dict[
+            str, bool
+        ] = {}  # voters that told what they promised; whether they had recovered
+        self.has_recovered = False
+        self.has_lost_history = False  # all voters had lost everything
+        self.promise_floor = (
+            NO_BALLOT  # promised for every task: the highest that the others had promised for any
+        )
         self.promised: dict[str, Ballot] = {}
         self.accepted: dict[str, AcceptedLease] = {}
 
     def tick(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Asks the others what was promised, until enough have said; call it some times a second."""
-        for task in [task for task, held in self.accepted.items() if held.until <= now]:
+        for task in [task for task, held in self.accepted.items() if held.expires_at <= now]:
             del self.accepted[task]
-        if self.ready:
+        if self.has_recovered:
             return []
-        others = [voter for voter in self.terms.voters if voter != self.name]
-        known, told = sum(self.recalled.values()), len(self.recalled)
+        others = [voter for voter in self.terms.acceptors if voter != self.name]
+        known, told = sum(self.recovery_replies.values()), len(self.recovery_replies)
         lost = told - known + 1  # voters that remember nothing, this one included
         most = self.terms.majority
-        if now >= self.speaks_at and (known >= most or told == len(others) or lost >= most):
-            self.ready, self.anew = True, lost >= most
+        if now >= self.silent_until and (known >= most or told == len(others) or lost >= most):
+            self.has_recovered, self.has_lost_history = True, lost >= most
             return []
-        return [Outgoing(other, LeaseMessage(LeaseMessageKind.RECALL, "", NO_BALLOT)) for other in others]
+        return [
+            Outgoing(other, LeaseMessage(LeaseMessageKind.RECOVERY_REQUEST, "", NO_BALLOT))
+            for other in others
+        ]
 
-    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+    def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """A message. A voter that has not recovered answers seekers nothing."""
         kind, task, ballot = message.kind, message.task, message.ballot
-        if kind is LeaseMessageKind.RECALL:
-            highest = max([self.floor, *self.promised.values()])
+        if kind is LeaseMessageKind.RECOVERY_REQUEST:
+            highest = max([self.promise_floor, *self.promised.values()])
             return [
                 Outgoing(
-                    sender, LeaseMessage(LeaseMessageKind.RECALLED, "", NO_BALLOT, highest, ready=self.ready)
+                    sender,
+                    LeaseMessage(
+                        LeaseMessageKind.RECOVERY_REPLY,
+                        "",
+                        NO_BALLOT,
+                        highest,
+                        has_recovered=self.has_recovered,
+                    ),
                 )
             ]
-        if kind is LeaseMessageKind.RECALLED:
-            if not self.ready and sender in self.terms.voters:
-                self.recalled[sender] = message.ready
-                self.floor = max(self.floor, message.holder)
+        if kind is LeaseMessageKind.RECOVERY_REPLY:
+            if not self.has_recovered and sender in self.terms.acceptors:
+                self.recovery_replies[sender] = message.has_recovered
+                self.promise_floor = max(self.promise_floor, message.known_ballot)
             return []
-        if not self.ready:
+        if not self.has_recovered:
             return []
-        promised = self.promised.get(task, self.floor)
+        promised = self.promised.get(task, self.promise_floor)
         held = self.accepted.get(task)
-        if held is not None and held.until <= now:
+        if held is not None and held.expires_at <= now:
             held = None
         if kind is LeaseMessageKind.PREPARE:
-            if not ballot.passes(promised):
-                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.NO, task, ballot, promised))]
+            if not ballot.may_replace(promised):
+                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised))]
             self.promised[task] = ballot
             if held is None:
                 return [Outgoing(sender, LeaseMessage(LeaseMessageKind.PROMISE, task, ballot))]
             return [
                 Outgoing(
                     sender,
-                    LeaseMessage(LeaseMessageKind.PROMISE, task, ballot, held.ballot, held.until - now),
+                    LeaseMessage(LeaseMessageKind.PROMISE, task, ballot, held.ballot, held.expires_at - now),
                 )
             ]
         if kind is LeaseMessageKind.PROPOSE:
-            if not ballot.passes(promised) or message.span > self.terms.longest:
-                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.NO, task, ballot, promised))]
+            if not ballot.may_replace(promised) or message.span_s > self.terms.max_span_s:
+                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised))]
             self.promised[task] = ballot
-            self.accepted[task] = AcceptedLease(ballot, now + message.span)
+            self.accepted[task] = AcceptedLease(ballot, now + message.span_s)
             return [Outgoing(sender, LeaseMessage(LeaseMessageKind.ACCEPTED, task, ballot))]
-        if kind is LeaseMessageKind.RELEASE and held is not None and ballot.ends(held.ballot):
+        if kind is LeaseMessageKind.RELEASE and held is not None and ballot.releases(held.ballot):
             del self.accepted[task]
         return []
 
@@ -185,7 +213,7 @@
     """A lease that is held, by this process' clock."""
 
     token: int
-    until: float
+    expires_at: float
     ballot: Ballot  # of the last renewal
 
 
@@ -194,119 +222,121 @@
     """A try under way."""
 
     ballot: Ballot
-    promises: set[str] = field(default_factory=set)
-    against: set[str] = field(default_factory=set)  # voters that have promised more, or hold another's
-    accepts: set[str] = field(default_factory=set)
-    until: float | None = None  # set when the proposal leaves
+    promised_by: set[str] = field(default_factory=set)
+    rejected_by: set[str] = field(default_factory=set)  # voters that have promised more, or hold another's
+    accepted_by: set[str] = field(default_factory=set)
+    lease_expires_at: float | None = None  # set when the proposal leaves
 
 
 class Proposer:
     """One process that would hold a task's lease."""
 
     def __init__(self, name: str, boot: int, task: str, terms: LeaseTerms, span: float) -> None:
-        if span > terms.longest:
+        if span > terms.max_span_s:
             raise ValueError("a lease must not be longer than the longest")
-        self.name, self.boot, self.task, self.terms, self.span = name, boot, task, terms, span
-        self.highest = 0  # number of the highest ballot heard of
-        self.trying: BallotRound | None = None
-        self.holding: OwnLease | None = None
-        self.freed = NO_BALLOT  # another's that was given back, by its own word
-        self.other: Ballot = NO_BALLOT  # who was found to hold it ...
-        self.other_until = -1e9  # ... and until when it does at most, if it does not renew
-
-    def holds(self, now: float) -> bool:
+        self.name, self.boot, self.task, self.terms, self.span_s = name, boot, task, terms, span
+        self.highest_number = 0  # number of the highest ballot heard of
+        self.current_round: BallotRound | None = None
+        self.lease: OwnLease | None = None
+        self.released_ballot = NO_BALLOT  # another's that was given back, by its own word
+        self.other_holder: Ballot = NO_BALLOT  # who was found to hold it ...
+        self.other_holder_until = -1e9  # ... and until when it does at most, if it does not renew
+
+    def is_holder(self, now: float) -> bool:
         """Whether this process may act at this very moment."""
-        return self.holding is not None and now < self.holding.until
+        return self.lease is not None and now < self.lease.expires_at
 
-    def guard(self, now: float, longest_s: float) -> int | None:
+    def fencing_token(self, now: float, longest_s: float) -> int | None:
         """The token, if an effect of this length that begins now ends while the lease is held; else None. Ask
         just before the effect: a stop between this and the effect's start is covered only where whoever
         carries it out refuses older tokens."""
-        end = now + longest_s * (1.0 + self.terms.drift)
-        return self.holding.token if self.holding is not None and end < self.holding.until else None
+        end = now + longest_s * (1.0 + self.terms.max_clock_drift)
+        return self.lease.token if self.lease is not None and end < self.lease.expires_at else None
 
-    def seek(self, now: float) -> list[Outgoing[LeaseMessage]]:
+    def start_round(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Begins a try, or a renewal where this process holds the lease."""
-        if not self.holds(now):
-            self.holding = None
-        self.highest += 1
-        self.trying = BallotRound(Ballot(self.highest, self.name, self.boot))
-        return self.to_all(LeaseMessage(LeaseMessageKind.PREPARE, self.task, self.trying.ballot))
+        if not self.is_holder(now):
+            self.lease = None
+        self.highest_number += 1
+        self.current_round = BallotRound(Ballot(self.highest_number, self.name, self.boot))
+        return self.broadcast(LeaseMessage(LeaseMessageKind.PREPARE, self.task, self.current_round.ballot))
 
     def release(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Gives the lease back: not held from this moment on, whatever becomes of the messages. A renewal
         that is under way goes back as well."""
-        holding, trying, self.holding, self.trying = self.holding, self.trying, None, None
+        holding, trying, self.lease, self.current_round = self.lease, self.current_round, None, None
         if holding is None:
             return []
         last = trying.ballot if trying is not None else holding.ballot
-        return self.to_all(LeaseMessage(LeaseMessageKind.RELEASE, self.task, last))
+        return self.broadcast(LeaseMessage(LeaseMessageKind.RELEASE, self.task, last))
 
-    def again(self) -> list[Outgoing[LeaseMessage]]:
+    def retransmit(self) -> list[Outgoing[LeaseMessage]]:
         """The messages of the try under way to voters that have not answered, once more: what a voter hears
         twice it answers twice, and takes once."""
-        trying = self.trying
+        trying = self.current_round
         if trying is None:
             return []
-        if trying.until is None:
+        if trying.lease_expires_at is None:
             message = LeaseMessage(LeaseMessageKind.PREPARE, self.task, trying.ballot)
-            answered = trying.promises | trying.against
+            answered = trying.promised_by | trying.rejected_by
         else:
-            message = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span=self.span)
-            answered = trying.accepts
-        return [Outgoing(voter, message) for voter in self.terms.voters if voter not in answered]
+            message = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span_s=self.span_s)
+            answered = trying.accepted_by
+        return [Outgoing(voter, message) for voter in self.terms.acceptors if voter not in answered]
 
-    def given_back(self, ballot: Ballot) -> None:
+    def note_release(self, ballot: Ballot) -> None:
         """Its holder says that it holds it no more: what voters still tell of it counts for nothing."""
-        self.freed = ballot
-        self.highest = max(self.highest, ballot.number)
+        self.released_ballot = ballot
+        self.highest_number = max(self.highest_number, ballot.number)
 
-    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+    def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """A voter's answer. One to an older try is only learned from."""
-        self.highest = max(self.highest, message.holder.number)
-        trying = self.trying
+        self.highest_number = max(self.highest_number, message.known_ballot.number)
+        trying = self.current_round
         if message.task != self.task or trying is None or message.ballot != trying.ballot:
             return []
-        if sender not in self.terms.voters:
+        if sender not in self.terms.acceptors:
             return []
-        if message.kind is LeaseMessageKind.NO:
-            self.opposed(trying, sender)  # the next try has a higher number
-        elif message.kind is LeaseMessageKind.PROMISE and trying.until is None:
-            if not self.mine(message.holder):
+        if message.kind is LeaseMessageKind.REJECTED:
+            self.note_rejection(trying, sender)  # the next try has a higher number
+        elif message.kind is LeaseMessageKind.PROMISE and trying.lease_expires_at is None:
+            if not self.is_available(message.known_ballot):
                 # A try that reached few voters leaves its mark at them; only a majority's tells of a holder.
-                self.other = message.holder
-                self.other_until = now + message.span * (1.0 + 2.0 * self.terms.drift)
-                self.opposed(trying, sender)
+                self.other_holder = message.known_ballot
+                self.other_holder_until = now + message.span_s * (1.0 + 2.0 * self.terms.max_clock_drift)
+                self.note_rejection(trying, sender)
                 return []
-            trying.promises.add(sender)
-            if len(trying.promises) >= self.terms.majority:
-                trying.until = now + self.terms.held_for(self.span)  # begins before the proposal leaves
-                return self.to_all(
-                    LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span=self.span)
+            trying.promised_by.add(sender)
+            if len(trying.promised_by) >= self.terms.majority:
+                trying.lease_expires_at = now + self.terms.usable_span_s(
+                    self.span_s
+                )  # begins before the proposal leaves
+                return self.broadcast(
+                    LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span_s=self.span_s)
                 )
-        elif message.kind is LeaseMessageKind.ACCEPTED and trying.until is not None:
-            trying.accepts.add(sender)
-            if len(trying.accepts) >= self.terms.majority:
-                self.trying = None
-                if now < trying.until:
-                    token = self.holding.token if self.holds(now) and self.holding else trying.ballot.number
-                    self.holding = OwnLease(token, trying.until, trying.ballot)
+        elif message.kind is LeaseMessageKind.ACCEPTED and trying.lease_expires_at is not None:
+            trying.accepted_by.add(sender)
+            if len(trying.accepted_by) >= self.terms.majority:
+                self.current_round = None
+                if now < trying.lease_expires_at:
+                    token = self.lease.token if self.is_holder(now) and self.lease else trying.ballot.number
+                    self.lease = OwnLease(token, trying.lease_expires_at, trying.ballot)
         return []
 
-    def opposed(self, trying: BallotRound, voter: str) -> None:
+    def note_rejection(self, trying: BallotRound, voter: str) -> None:
         """One voter stands against a try; it ends when the others are no majority."""
-        trying.against.add(voter)
-        if len(trying.against) > len(self.terms.voters) - self.terms.majority:
-            self.trying = None
+        trying.rejected_by.add(voter)
+        if len(trying.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
+            self.current_round = None
 
-    def mine(self, holder: Ballot) -> bool:
+    def is_available(self, holder: Ballot) -> bool:
         """Whether nobody else holds it: nobody does, or this very process, or one that gave it back."""
-        own = (holder.seeker, holder.boot) == (self.name, self.boot)
-        return holder == NO_BALLOT or own or self.freed.ends(holder)
+        own = (holder.proposer, holder.boot) == (self.name, self.boot)
+        return holder == NO_BALLOT or own or self.released_ballot.releases(holder)
 
-    def to_all(self, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+    def broadcast(self, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """The same to each voter."""
-        return [Outgoing(voter, message) for voter in self.terms.voters]
+        return [Outgoing(voter, message) for voter in self.terms.acceptors]
 
 
 def acceptor_set_problem(voters: Sequence[str], listed: Sequence[str], changing: bool = False) -> str:
--- a/glenchute/policy/membership/replica.py
+++ b/glenchute/policy/membership/replica.py
@@ -52,18 +52,18 @@
 class KindRules:
     """How long a kind's rows live and how many are held; past that, those go that changed longest ago."""
 
-    life_s: float
-    most: int
-    whole: bool = True  # a copy that lacks some is not whole
-    copied: bool = True  # all members have it, and compare; else it goes to some alone (`directmail`)
+    lifetime_s: float
+    max_rows: int
+    is_required: bool = True  # a copy that lacks some is not whole
+    is_replicated: bool = True  # all members have it, and compare; else it goes to some alone (`directmail`)
     urgency: int = 0  # the lowest is passed on first
 
 
 DEFAULT_KIND_RULES = {
     RowKind.SERVER: KindRules(60.0, 5_000),
-    RowKind.USE: KindRules(20.0, 8_000, whole=False, copied=False),
-    RowKind.TASK: KindRules(3600.0, 200, whole=False, urgency=1),
-    RowKind.HEALTH: KindRules(20.0, 4_000, whole=False, urgency=1),
+    RowKind.USE: KindRules(20.0, 8_000, is_required=False, is_replicated=False),
+    RowKind.TASK: KindRules(3600.0, 200, is_required=False, urgency=1),
+    RowKind.HEALTH: KindRules(20.0, 4_000, is_required=False, urgency=1),
 }
 
 
@@ -72,15 +72,15 @@
 
     kept: Row
     other: Row
-    seen_from: str
+    sender: str
 
 
 class StoredRow(NamedTuple):
     """A row as it is held: when it was made, by this process' clock, and its hash."""
 
     row: Row
-    made: float
-    mark: int
+    created_at: float
+    row_hash: int
 
 
 def row_hash(row: Row) -> int:
@@ -109,24 +109,26 @@
         self.rules = rules or DEFAULT_KIND_RULES
         self.rows: dict[tuple[RowKind, str, str], StoredRow] = {}
         # By kind, what changed longest ago first.
-        self.order: dict[RowKind, dict[tuple[RowKind, str, str], None]] = {kind: {} for kind in RowKind}
-        self.evicted = dict.fromkeys(RowKind, 0)
+        self.keys_by_age: dict[RowKind, dict[tuple[RowKind, str, str], None]] = {kind: {} for kind in RowKind}
+        self.evicted_counts = dict.fromkeys(RowKind, 0)
         self.leaves: dict[tuple[int, int], set[tuple[RowKind, str, str]]] = {}
         # Hashes of what is young enough to be compared, kept up at each change: as sets, by exclusive or.
-        self.leaf_marks: dict[tuple[int, int], int] = {}
-        self.bucket_marks = [0] * BUCKETS
-        self.counted: dict[tuple[RowKind, str, str], int] = {}
-        self.aging: list[tuple[float, tuple[RowKind, str, str], int]] = []  # when each is no longer compared
+        self.leaf_hashes: dict[tuple[int, int], int] = {}
+        self.bucket_hashes = [0] * BUCKETS
+        self.compared_hashes: dict[tuple[RowKind, str, str], int] = {}
+        self.comparison_deadlines: list[
+            tuple[float, tuple[RowKind, str, str], int]
+        ] = []  # when each is no longer compared
         self.conflicts: list[Conflict] = []
-        self.conflicted = 0
-        self.refused = 0  # rows that were not sound
+        self.conflict_count = 0
+        self.rejected_count = 0  # rows that were not sound
 
-    def put(self, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
+    def merge(self, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
         """Joins a row; True where this copy has changed."""
         if not is_valid(row):
-            self.refused += 1
+            self.rejected_count += 1
             return False
-        if age_s < 0.0 or age_s >= self.rules[row.kind].life_s:
+        if age_s < 0.0 or age_s >= self.rules[row.kind].lifetime_s:
             return False
         at = (row.kind, row.key, row.writer)
         held = self.rows.get(at)
@@ -134,58 +136,62 @@
             known = held.row
             if row.version == known.version and row.value != known.value:
                 kept, other = (known, row) if known.value >= row.value else (row, known)
-                self.note(Conflict(kept, other, seen_from))
+                self.record_conflict(Conflict(kept, other, seen_from))
             if (row.version, row.value) <= (known.version, known.value):
                 return False
         else:
-            if len(self.order[row.kind]) >= self.rules[row.kind].most:
-                self.drop(next(iter(self.order[row.kind])))
-                self.evicted[row.kind] += 1
-            if self.rules[row.kind].copied:
+            if len(self.keys_by_age[row.kind]) >= self.rules[row.kind].max_rows:
+                self.remove(next(iter(self.keys_by_age[row.kind])))
+                self.evicted_counts[row.kind] += 1
+            if self.rules[row.kind].is_replicated:
                 self.leaves.setdefault(leaf_of(*at), set()).add(at)
-        copied, made = self.rules[row.kind].copied, now - age_s
+        copied, made = self.rules[row.kind].is_replicated, now - age_s
         mark = row_hash(row) if copied else 0
         self.rows[at] = StoredRow(row, made, mark)
-        self.uncount(at)
-        young = COMPARED_LIFETIME_SHARE * self.rules[row.kind].life_s
+        self.stop_comparing(at)
+        young = COMPARED_LIFETIME_SHARE * self.rules[row.kind].lifetime_s
         if copied and age_s < young:
-            self.counted[at] = mark
-            self.turn(at, mark)
-            heapq.heappush(self.aging, (made + young, at, mark))
-            if len(self.aging) > 4 * len(self.rows) + 1000:  # most are of versions that have gone
-                self.aging = [row for row in self.aging if self.counted.get(row[1]) == row[2]]
-                heapq.heapify(self.aging)
-        self.order[row.kind].pop(at, None)
-        self.order[row.kind][at] = None
+            self.compared_hashes[at] = mark
+            self.toggle_hash(at, mark)
+            heapq.heappush(self.comparison_deadlines, (made + young, at, mark))
+            if (
+                len(self.comparison_deadlines) > 4 * len(self.rows) + 1000
+            ):  # most are of versions that have gone
+                self.comparison_deadlines = [
+                    row for row in self.comparison_deadlines if self.compared_hashes.get(row[1]) == row[2]
+                ]
+                heapq.heapify(self.comparison_deadlines)
+        self.keys_by_age[row.kind].pop(at, None)
+        self.keys_by_age[row.kind][at] = None
         return True
 
-    def note(self, conflict: Conflict) -> None:
+    def record_conflict(self, conflict: Conflict) -> None:
         """Counts a conflict; each pair is shown once."""
         if any(c.kept == conflict.kept and c.other == conflict.other for c in self.conflicts):
             return
-        self.conflicted += 1
+        self.conflict_count += 1
         self.conflicts = [*self.conflicts[1 - MAX_RECENT_CONFLICTS :], conflict]
 
-    def turn(self, at: tuple[RowKind, str, str], mark: int) -> None:
+    def toggle_hash(self, at: tuple[RowKind, str, str], mark: int) -> None:
         """Takes a row into the hashes, or out of them."""
         leaf = leaf_of(*at)
-        self.leaf_marks[leaf] = self.leaf_marks.get(leaf, 0) ^ mark
-        self.bucket_marks[leaf[0]] ^= mark
-        if not self.leaf_marks[leaf]:
-            del self.leaf_marks[leaf]
+        self.leaf_hashes[leaf] = self.leaf_hashes.get(leaf, 0) ^ mark
+        self.bucket_hashes[leaf[0]] ^= mark
+        if not self.leaf_hashes[leaf]:
+            del self.leaf_hashes[leaf]
 
-    def uncount(self, at: tuple[RowKind, str, str]) -> None:
+    def stop_comparing(self, at: tuple[RowKind, str, str]) -> None:
         """A row is no longer compared."""
-        mark = self.counted.pop(at, None)
+        mark = self.compared_hashes.pop(at, None)
         if mark is not None:
-            self.turn(at, mark)
+            self.toggle_hash(at, mark)
 
-    def drop(self, at: tuple[RowKind, str, str]) -> None:
+    def remove(self, at: tuple[RowKind, str, str]) -> None:
         """Forgets a row."""
-        self.uncount(at)
+        self.stop_comparing(at)
         del self.rows[at]
-        del self.order[at[0]][at]
-        if not self.rules[at[0]].copied:
+        del self.keys_by_age[at[0]][at]
+        if not self.rules[at[0]].is_replicated:
             return
         leaf = leaf_of(*at)
         self.leaves[leaf].discard(at)
@@ -195,9 +201,9 @@
     def expire(self, now: float) -> None:
         """Forgets what has outlived its kind. Rows come here aged, so a few may lie behind younger ones:
         those go when these do."""
-        for kind, order in self.order.items():
-            while order and now - self.rows[next(iter(order))].made >= self.rules[kind].life_s:
-                self.drop(next(iter(order)))
+        for kind, order in self.keys_by_age.items():
+            while order and now - self.rows[next(iter(order))].created_at >= self.rules[kind].lifetime_s:
+                self.remove(next(iter(order)))
 
     def get(self, kind: RowKind, key: str, writer: str = "") -> Row | None:
         """A row, if it is held."""
@@ -206,26 +212,26 @@
 
     # --- comparing copies --------------------------------------------------------------------------------
 
-    def compared(self, now: float, leaf: tuple[int, int]) -> Iterable[StoredRow]:
+    def compared_rows(self, now: float, leaf: tuple[int, int]) -> Iterable[StoredRow]:
         """The rows of a leaf that are young enough to be compared."""
         for at in self.leaves.get(leaf, ()):
             held = self.rows[at]
-            if now - held.made < COMPARED_LIFETIME_SHARE * self.rules[at[0]].life_s:
+            if now - held.created_at < COMPARED_LIFETIME_SHARE * self.rules[at[0]].lifetime_s:
                 yield held
 
-    def children(self, now: float, bucket: int | None) -> tuple[int, ...]:
+    def child_hashes(self, now: float, bucket: int | None) -> tuple[int, ...]:
         """The hashes of all buckets, or of one bucket's leaves."""
-        while self.aging and self.aging[0][0] <= now:
-            _, at, mark = heapq.heappop(self.aging)
-            if self.counted.get(at) == mark:
-                self.uncount(at)
+        while self.comparison_deadlines and self.comparison_deadlines[0][0] <= now:
+            _, at, mark = heapq.heappop(self.comparison_deadlines)
+            if self.compared_hashes.get(at) == mark:
+                self.stop_comparing(at)
         if bucket is not None:
-            return tuple(self.leaf_marks.get((bucket, leaf), 0) for leaf in range(BUCKETS))
-        return tuple(self.bucket_marks)
+            return tuple(self.leaf_hashes.get((bucket, leaf), 0) for leaf in range(BUCKETS))
+        return tuple(self.bucket_hashes)
 
-    def differing(self, now: float, bucket: int | None, theirs: tuple[int, ...]) -> list[int]:
+    def differing_children(self, now: float, bucket: int | None, theirs: tuple[int, ...]) -> list[int]:
         """Which of them are not the same at a peer."""
         if len(theirs) != BUCKETS:
             return []
-        ours = self.children(now, bucket)
+        ours = self.child_hashes(now, bucket)
         return [at for at in range(BUCKETS) if ours[at] != theirs[at]]
--- a/glenchute/policy/membership/task_candidates.py
+++ b/glenchute/policy/membership/task_candidates.py
@@ -39,114 +39,118 @@
     """One process and one task's lease."""
 
     def __init__(self, seeker: Proposer, rng: random.Random, now: float) -> None:
-        self.seeker, self.rng = seeker, rng
-        self.try_at = now
+        self.proposer, self.rng = seeker, rng
+        self.next_round_at = now
         self.backoff = TRY_S[0]
-        self.others: list[str] = []  # the other candidates
-        self.position = (
-            CANDIDATES_PER_TASK  # among the members by rank; not one of the first before it is placed
-        )
-        self.paused = False  # it is not to seek, for a reason of this process or of the task
-        self.acting_until = -1e9  # an effect that has begun is over by then
-        self.again_at = -1e9
-        self.again_left = 0
-        self.giving = False  # the lease goes back as soon as that is so
+        self.other_candidates: list[str] = []  # the other candidates
+        self.rank = CANDIDATES_PER_TASK  # among the members by rank; not one of the first before it is placed
+        self.is_paused = False  # it is not to seek, for a reason of this process or of the task
+        self.effects_until = -1e9  # an effect that has begun is over by then
+        self.retransmit_at = -1e9
+        self.retransmits_left = 0
+        self.is_releasing = False  # the lease goes back as soon as that is so
 
     @property
-    def candidate(self) -> bool:
+    def is_candidate(self) -> bool:
         """Whether this process seeks the lease."""
-        return self.position < CANDIDATES_PER_TASK and not self.paused
+        return self.rank < CANDIDATES_PER_TASK and not self.is_paused
 
-    def place(self, there: Iterable[str]) -> None:
+    def update_members(self, there: Iterable[str]) -> None:
         """Which members there are, this one left out."""
-        task, name = self.seeker.task, self.seeker.name
+        task, name = self.proposer.task, self.proposer.name
         order = sorted([*there, name], key=lambda one: candidate_rank(task, one))
-        self.position = order.index(name)
-        self.others = [one for one in order[:CANDIDATES_PER_TASK] if one != name]
+        self.rank = order.index(name)
+        self.other_candidates = [one for one in order[:CANDIDATES_PER_TASK] if one != name]
 
     def tick(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """What is due; call it some twenty times a second."""
-        seeker = self.seeker
-        if seeker.holding is not None and not seeker.holds(now):
-            seeker.holding = None
-            self.try_at = now + self.pause()
-        if self.giving:
-            return self.give(now)
-        if seeker.trying is not None and self.again_left and now >= self.again_at:
-            self.again_at, self.again_left = now + RETRANSMIT_S, self.again_left - 1
-            return seeker.again()
-        if now < self.try_at or (seeker.trying is not None and self.again_left):
+        seeker = self.proposer
+        if seeker.lease is not None and not seeker.is_holder(now):
+            seeker.lease = None
+            self.next_round_at = now + self.next_backoff_s()
+        if self.is_releasing:
+            return self.finish_release(now)
+        if seeker.current_round is not None and self.retransmits_left and now >= self.retransmit_at:
+            self.retransmit_at, self.retransmits_left = now + RETRANSMIT_S, self.retransmits_left - 1
+            return seeker.retransmit()
+        if now < self.next_round_at or (seeker.current_round is not None and self.retransmits_left):
             return []
-        if seeker.holding is not None:
-            left = seeker.holding.until - now
-            lasts = seeker.terms.held_for(seeker.span)
+        if seeker.lease is not None:
+            left = seeker.lease.expires_at - now
+            lasts = seeker.terms.usable_span_s(seeker.span_s)
             if left > (1.0 - RENEW_AFTER_SHARE) * lasts:
                 return []
-            self.try_at = now + (1.0 - RENEW_AFTER_SHARE) * lasts / RENEWAL_ATTEMPTS
-            return self.seek(now)
-        if not self.candidate:
+            self.next_round_at = now + (1.0 - RENEW_AFTER_SHARE) * lasts / RENEWAL_ATTEMPTS
+            return self.start_round(now)
+        if not self.is_candidate:
             return []
-        self.try_at = now + self.pause()
-        return self.seek(now)
+        self.next_round_at = now + self.next_backoff_s()
+        return self.start_round(now)
 
-    def seek(self, now: float) -> list[Outgoing[LeaseMessage]]:
+    def start_round(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Begins a try."""
-        self.again_at, self.again_left = now + RETRANSMIT_S, MAX_RETRANSMITS
-        return self.seeker.seek(now)
+        self.retransmit_at, self.retransmits_left = now + RETRANSMIT_S, MAX_RETRANSMITS
+        return self.proposer.start_round(now)
 
-    def pause(self) -> float:
+    def next_backoff_s(self) -> float:
         """The time to another try: longer after each, drawn, and later for those that rank lower."""
         pause, self.backoff = self.backoff, min(TRY_S[1], 2.0 * self.backoff)
-        return pause * self.rng.uniform(0.5, 1.5) + RANK_DELAY_S * min(self.position, CANDIDATES_PER_TASK)
+        return pause * self.rng.uniform(0.5, 1.5) + RANK_DELAY_S * min(self.rank, CANDIDATES_PER_TASK)
 
-    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+    def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         """A voter's answer, or the word of a holder that gives its lease back."""
-        seeker = self.seeker
-        if message.kind is LeaseMessageKind.FREE:
-            seeker.given_back(message.ballot)
-            if self.candidate and seeker.holding is None:
-                self.try_at = now + RANK_DELAY_S * self.position
+        seeker = self.proposer
+        if message.kind is LeaseMessageKind.RELEASED:
+            seeker.note_release(message.ballot)
+            if self.is_candidate and seeker.lease is None:
+                self.next_round_at = now + RANK_DELAY_S * self.rank
                 self.backoff = TRY_S[0]
             return []
-        before = seeker.holding
-        trying = seeker.trying
-        outs = seeker.heard(now, sender, message)
-        if before is None and seeker.holding is not None:
+        before = seeker.lease
+        trying = seeker.current_round
+        outs = seeker.receive(now, sender, message)
+        if before is None and seeker.lease is not None:
             self.backoff = TRY_S[0]
-        elif before is None and trying is not None and seeker.trying is None:
-            if seeker.other_until > now:  # held by another: it is left alone until it would end
-                self.try_at = seeker.other_until + self.rng.random() * TRY_S[0] + RANK_DELAY_S * self.position
-            elif message.kind is LeaseMessageKind.NO:
-                self.try_at = now + self.rng.random() * self.backoff
+        elif before is None and trying is not None and seeker.current_round is None:
+            if seeker.other_holder_until > now:  # held by another: it is left alone until it would end
+                self.next_round_at = (
+                    seeker.other_holder_until + self.rng.random() * TRY_S[0] + RANK_DELAY_S * self.rank
+                )
+            elif message.kind is LeaseMessageKind.REJECTED:
+                self.next_round_at = now + self.rng.random() * self.backoff
         return outs
 
-    def guard(self, now: float, longest_s: float) -> int | None:
+    def fencing_token(self, now: float, longest_s: float) -> int | None:
         """The token, if an effect of this length may begin at this very moment; else None. Ask just before
         the effect; see `Seeker.guard` for what it does not cover."""
-        token = None if self.giving else self.seeker.guard(now, longest_s)
+        token = None if self.is_releasing else self.proposer.fencing_token(now, longest_s)
         if token is not None:
-            self.acting_until = max(self.acting_until, now + longest_s * (1.0 + self.seeker.terms.drift))
+            self.effects_until = max(
+                self.effects_until, now + longest_s * (1.0 + self.proposer.terms.max_clock_drift)
+            )
         return token
 
-    def ended(self, now: float) -> None:
+    def note_effects_ended(self, now: float) -> None:
         """What had begun is known to be over."""
-        self.acting_until = now
+        self.effects_until = now
 
     def release(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """No effect begins from now on, and the lease goes back when those that have begun are over."""
-        self.giving = self.seeker.holding is not None
-        return self.give(now)
+        self.is_releasing = self.proposer.lease is not None
+        return self.finish_release(now)
 
-    def give(self, now: float) -> list[Outgoing[LeaseMessage]]:
+    def finish_release(self, now: float) -> list[Outgoing[LeaseMessage]]:
         """Gives the lease back, if that may be, and says so to the other candidates."""
-        if self.seeker.holding is not None and now < self.acting_until:
+        if self.proposer.lease is not None and now < self.effects_until:
             return []
-        self.giving = False
-        outs = self.seeker.release(now)
+        self.is_releasing = False
+        outs = self.proposer.release(now)
         if outs:
-            free = LeaseMessage(LeaseMessageKind.FREE, self.seeker.task, outs[0].message.ballot, NO_BALLOT)
-            outs += [Outgoing(other, free) for other in self.others]
-            self.try_at = now + TRY_S[1]
+            free = LeaseMessage(
+                LeaseMessageKind.RELEASED, self.proposer.task, outs[0].message.ballot, NO_BALLOT
+            )
+            outs += [Outgoing(other, free) for other in self.other_candidates]
+            self.next_round_at = now + TRY_S[1]
         return outs
 
 
@@ -158,7 +162,7 @@
         self.token, self.serial, self.failures = token, serial, failures
 
     @property
-    def parked(self) -> bool:
+    def is_parked(self) -> bool:
         """Whether no holder is to try it again until somebody says so."""
         return self.failures > MAX_FAILED_HOLDERS
 
@@ -167,15 +171,15 @@
         return (self.token << 20) | min(self.serial, (1 << 20) - 1)
 
     @classmethod
-    def of(cls, version: int, value: float) -> TaskRecord:
+    def from_row(cls, version: int, value: float) -> TaskRecord:
         """From a row."""
         return cls(version >> 20, version & ((1 << 20) - 1), int(value))
 
-    def took(self, token: int) -> TaskRecord:
+    def taken_over_by(self, token: int) -> TaskRecord:
         """A new holder's, who has read this one."""
         return TaskRecord(token, 0, self.failures)
 
-    def step(self, well: bool) -> TaskRecord:
+    def after_step(self, well: bool) -> TaskRecord:
         """After a step."""
         failures = 0 if well else min(MAX_FAILURES, self.failures + 1)
         return TaskRecord(self.token, self.serial + 1, failures)
--- a/glenchute/policy/membership/usage.py
+++ b/glenchute/policy/membership/usage.py
@@ -39,9 +39,9 @@
 
     version: int = 0
     units: float = 0.0
-    spread: int = 1
-    allowance: float = 0.0
-    before: str = ""  # the key of the window before
+    gateway_spread: int = 1
+    allowance_units: float = 0.0
+    previous_key: str = ""  # the key of the window before
 
 
 class AccountUsage:
@@ -49,56 +49,56 @@
 
     def __init__(self, writer: str) -> None:
         self.writer = writer
-        self.others: dict[str, dict[str, float]] = {}  # window's key: units by writer
-        self.sums: dict[str, float] = {}  # ... and of all of them
+        self.units_by_writer: dict[str, dict[str, float]] = {}  # window's key: units by writer
+        self.peer_units: dict[str, float] = {}  # ... and of all of them
         self.own: dict[str, OwnUsage] = {}  # by window's key
 
-    def let_in(
+    def add_admitted(
         self, customer: str, window_ms: float, units: float, spread: int = 1, plan: Plan | None = None
     ) -> Row:
         """This process has let in so much more; the row that says so."""
         key = window_key(customer, window_ms)
         own = self.own.pop(key, None) or OwnUsage()
         self.own[key] = own
-        own.version, own.units, own.spread = own.version + 1, own.units + units, spread
+        own.version, own.units, own.gateway_spread = own.version + 1, own.units + units, spread
         if plan is not None:
-            own.allowance, own.before = (
+            own.allowance_units, own.previous_key = (
                 window_allowance_units(plan),
                 window_key(customer, window_ms - span_of(plan)),
             )
         if len(self.own) > MAX_WINDOWS:
             del self.own[next(iter(self.own))]
-        return self.row(key, own)
+        return self.row_for(key, own)
 
-    def row(self, key: str, own: OwnUsage) -> Row:
+    def row_for(self, key: str, own: OwnUsage) -> Row:
         """What this process has to say of a window."""
         return Row(RowKind.USE, key, self.writer, own.version, round(own.units, 3))
 
-    def matters(self, key: str) -> bool:
+    def must_report(self, key: str) -> bool:
         """Whether the others have to know what this process let in of a window."""
         own = self.own.get(key)
         if own is None:
             return False
-        enough = REPORTED_SHARE * own.allowance
-        return own.units * own.spread > enough or own.units + self.sums.get(key, 0.0) >= enough
+        enough = REPORTED_SHARE * own.allowance_units
+        return own.units * own.gateway_spread > enough or own.units + self.peer_units.get(key, 0.0) >= enough
 
-    def heard(self, row: Row) -> None:
+    def receive(self, row: Row) -> None:
         """A row of another process."""
         if row.writer == self.writer:
             return
-        window, units = self.others.pop(row.key, {}), self.sums.pop(row.key, 0.0)
+        window, units = self.units_by_writer.pop(row.key, {}), self.peer_units.pop(row.key, 0.0)
         if row.writer in window or len(window) < MAX_WRITERS_PER_WINDOW:
             units += row.value - window.get(row.writer, 0.0)
             window[row.writer] = row.value
         # Those that changed last stand last.
-        self.others[row.key], self.sums[row.key] = window, units
-        if len(self.others) > MAX_WINDOWS:
-            oldest = next(iter(self.others))
-            del self.others[oldest], self.sums[oldest]
+        self.units_by_writer[row.key], self.peer_units[row.key] = window, units
+        if len(self.units_by_writer) > MAX_WINDOWS:
+            oldest = next(iter(self.units_by_writer))
+            del self.units_by_writer[oldest], self.peer_units[oldest]
 
-    def by_others(self, customer: str, window_ms: float) -> float:
+    def admitted_by_peers(self, customer: str, window_ms: float) -> float:
         """Units that others are known to have let in."""
-        return self.sums.get(window_key(customer, window_ms), 0.0)
+        return self.peer_units.get(window_key(customer, window_ms), 0.0)
 
 
 def known_usage_share(known: bool, health: int, alive: int, gateways: int, silent_s: float) -> float:
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -37,19 +37,19 @@
 
     account: str
     plan: Plan
-    begins: int  # the window, milliseconds
-    name: int  # on the counter
-    told: float  # units that members let in
-    mark: float
+    window_start_ms: int  # the window, milliseconds
+    counter_name: int  # on the counter
+    reported_units: float  # units that members let in
+    epoch_marker: float
 
 
 class UsageMismatch(NamedTuple):
     """An account of which both sides tell otherwise, now, or no longer."""
 
     account: str
-    less: bool  # the counter holds less than members let in; else more
-    members: float
-    counter: float
+    is_counter_lower: bool  # the counter holds less than members let in; else more
+    member_units: float
+    counter_units: float
 
 
 class UsageAudit:
@@ -57,20 +57,20 @@
 
     def __init__(self) -> None:
         self.plans: dict[str, Plan] = {}  # of accounts that this process has seen
-        self.looked: dict[tuple[str, int], None] = {}  # windows, each once
+        self.checked_windows: dict[tuple[str, int], None] = {}  # windows, each once
         # Accounts: how they differ, in how many windows in a row, and when the first of these began.
-        self.runs: dict[str, tuple[bool, int, int]] = {}
-        self.apart: dict[str, UsageMismatch] = {}
-        self.compared = self.unanswered = 0
+        self.mismatch_runs: dict[str, tuple[bool, int, int]] = {}
+        self.mismatches: dict[str, UsageMismatch] = {}
+        self.compared_count = self.unanswered_count = 0
 
-    def seen(self, account: str, plan: Plan) -> None:
+    def note_account(self, account: str, plan: Plan) -> None:
         """A request of this account; only of such is the plan known, and with it where windows end."""
         if plan.rate_per_s and account not in self.plans:
             if len(self.plans) >= MAX_ACCOUNTS:
                 del self.plans[next(iter(self.plans))]
             self.plans[account] = plan
 
-    def due(self, now_ms: float, rows: Iterable[Row]) -> list[CounterQuery]:
+    def due_queries(self, now_ms: float, rows: Iterable[Row]) -> list[CounterQuery]:
         """Totals that are worth a look now; `rows` as this process holds them, `now_ms` by the clock that
         windows are named by."""
         told: dict[tuple[str, int], float] = {}
@@ -81,14 +81,18 @@
                 continue
             age_s = (now_ms - int(start) - span_of(plan)) / 1000.0
             window = account, int(start)
-            if SETTLED_S <= age_s <= RETAINED_S and window not in self.looked and self.sound(window, plan):
+            if (
+                SETTLED_S <= age_s <= RETAINED_S
+                and window not in self.checked_windows
+                and self.is_window(window, plan)
+            ):
                 told[window] = told.get(window, 0.0) + row.value
         chosen = sorted(told, key=lambda window: (-told[window], window))[:MAX_QUERIES_PER_STEP]
         looks = []
         for account, begins in chosen:
-            self.looked[account, begins] = None
-            if len(self.looked) > MAX_CHECKED_WINDOWS:
-                del self.looked[next(iter(self.looked))]
+            self.checked_windows[account, begins] = None
+            if len(self.checked_windows) > MAX_CHECKED_WINDOWS:
+                del self.checked_windows[next(iter(self.checked_windows))]
             plan = self.plans[account]
             mark = marker_value(
                 plan.burst_units, plan.rate_per_s, span_of(plan) / 1000.0, plan.ceiling_burst_units
@@ -98,36 +102,44 @@
         return looks
 
     @staticmethod
-    def sound(window: tuple[str, int], plan: Plan) -> bool:
+    def is_window(window: tuple[str, int], plan: Plan) -> bool:
         """Whether such a window there is: a row may say anything."""
         account, begins = window
         return abs(window_start(begins + 0.5 * span_of(plan), account, plan) - begins) <= 1.0
 
-    def answered(self, look: CounterQuery, total: float | None) -> UsageMismatch | None:
+    def receive_total(self, look: CounterQuery, total: float | None) -> UsageMismatch | None:
         """The total of a look, None where none came. What is to be told of now: an account that has come to
         differ, once, until it agrees again."""
         if total is None:
-            self.unanswered += 1
+            self.unanswered_count += 1
             return None
-        self.compared += 1
-        units = total - round(total / look.mark) * look.mark
-        most = TOLERANCE_UNITS + TOLERANCE_SHARE * max(look.told, units)
-        less, more = units < look.told - most, units > look.told + most and not look.plan.ceiling_rate_per_s
+        self.compared_count += 1
+        units = total - round(total / look.epoch_marker) * look.epoch_marker
+        most = TOLERANCE_UNITS + TOLERANCE_SHARE * max(look.reported_units, units)
+        less, more = (
+            units < look.reported_units - most,
+            units > look.reported_units + most and not look.plan.ceiling_rate_per_s,
+        )
         if not less and not more:
-            self.runs.pop(look.account, None)
-            self.apart.pop(look.account, None)
+            self.mismatch_runs.pop(look.account, None)
+            self.mismatches.pop(look.account, None)
             return None
-        before, count, first = self.runs.get(look.account, (less, 0, look.begins))
+        before, count, first = self.mismatch_runs.get(look.account, (less, 0, look.window_start_ms))
         if before is not less:
-            count, first = 0, look.begins
+            count, first = 0, look.window_start_ms
         count += 1
-        if look.account not in self.runs and len(self.runs) >= MAX_ACCOUNTS:
-            del self.runs[next(iter(self.runs))]
-        self.runs[look.account] = less, count, first
-        if count < MIN_MISMATCHED_WINDOWS or look.begins - first < 1000.0 * SETTLED_S + span_of(look.plan):
+        if look.account not in self.mismatch_runs and len(self.mismatch_runs) >= MAX_ACCOUNTS:
+            del self.mismatch_runs[next(iter(self.mismatch_runs))]
+        self.mismatch_runs[look.account] = less, count, first
+        if count < MIN_MISMATCHED_WINDOWS or look.window_start_ms - first < 1000.0 * SETTLED_S + span_of(
+            look.plan
+        ):
             return None
-        known, found = self.apart.get(look.account), UsageMismatch(look.account, less, look.told, units)
-        self.apart[look.account] = found
-        if len(self.apart) > MAX_ACCOUNTS:
-            del self.apart[next(iter(self.apart))]
-        return found if known is None or known.less is not less else None
+        known, found = (
+            self.mismatches.get(look.account),
+            UsageMismatch(look.account, less, look.reported_units, units),
+        )
+        self.mismatches[look.account] = found
+        if len(self.mismatches) > MAX_ACCOUNTS:
+            del self.mismatches[next(iter(self.mismatches))]
+        return found if known is None or known.is_counter_lower is not less else None
--- a/glenchute/protocol/member_datagrams.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -87,18 +87,18 @@
     """A datagram."""
     if isinstance(body, members.SwimMessage):
         words = [(u.name, int(u.state), u.incarnation, u.boot) for u in body.updates]
-        form, raw = 0, ENCODER.encode([int(body.kind), body.serial, body.about, words])
+        form, raw = 0, ENCODER.encode([int(body.kind), body.serial, body.target, words])
     elif isinstance(body, gossip.Delta):
         rows = [(int(r.kind), r.key, r.writer, r.version, r.value, age) for r, age in body.rows]
         form, raw = 1, ENCODER.encode(rows)
     elif isinstance(body, gossip.Digest):
-        form, raw = 2, ENCODER.encode((body.bucket, body.marks, body.known))
+        form, raw = 2, ENCODER.encode((body.bucket, body.hashes, body.is_complete))
     elif isinstance(body, gossip.LeafRequest):
         form, raw = 3, ENCODER.encode((body.bucket, body.leaves))
     elif isinstance(body, gossip.RowHashes):
-        form, raw = 9, ENCODER.encode((body.marks, body.answer))
+        form, raw = 9, ENCODER.encode((body.hashes, body.wants_reply))
     elif isinstance(body, gossip.MatchingBuckets):
-        form, raw = 4, ENCODER.encode((body.buckets, body.known))
+        form, raw = 4, ENCODER.encode((body.buckets, body.is_complete))
     elif isinstance(body, directmail.UsageMessage):
         form, raw = 10, ENCODER.encode(usage_fields(body))
     elif isinstance(body, directmail.UsageRequest):
@@ -113,12 +113,12 @@
 def usage_fields(mail: directmail.UsageMessage) -> tuple[object, ...]:
     """Words of use as they stand in a datagram, 12 to 18 bytes each for the platform's accounts."""
     base, rows = None, []
-    for word in mail.words:
+    for word in mail.entries:
         account, _, window = word.key.rpartition("/")
         base = int(window) if base is None else base
         said = int(account, 16) if HEX.fullmatch(account) else account
         rows.append((said, int(window) - base, word.version, round(1000.0 * word.units), word.boot))
-    return mail.serial, mail.first, mail.whole, base or 0, rows
+    return mail.serial, mail.is_first, mail.is_complete, base or 0, rows
 
 
 def decode(fleet: str, data: bytes) -> tuple[str, int, MemberMessage]:
@@ -188,7 +188,7 @@
         for one in servers:
             if one.address:
                 address(one.address)  # a ValueError where it is none
-            if not (0.0 < one.size < math.inf and 0.0 <= one.started_ms < math.inf and 0 <= one.state <= 2):
+            if not (0.0 < one.weight < math.inf and 0.0 <= one.started_ms < math.inf and 0 <= one.state <= 2):
                 raise ValueError
         return coldstart.EndpointListPart(since, version, at, of, servers)
     if packet.form == 7:
--- a/lab/fleet/crowd.py
+++ b/lab/fleet/crowd.py
@@ -41,10 +41,10 @@
             return
         if isinstance(body, SwimMessage) and body.kind in (Said.PING, Said.PING_REQ):
             self.say(SwimMessage(Said.ACK, body.serial, "", (self.alive(),)))
-        elif isinstance(body, Digest) and not body.known:
+        elif isinstance(body, Digest) and not body.is_complete:
             self.say(MatchingBuckets(tuple(range(BUCKETS)), True))
         elif isinstance(body, UsageMessage):
-            self.crowd.words += len(body.words)
+            self.crowd.words += len(body.entries)
         elif isinstance(body, UsageRequest):
             self.mail((), next_one=body.serial != self.serial)
 
--- a/lab/fleet/holders.py
+++ b/lab/fleet/holders.py
@@ -12,14 +12,19 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from glenchute.policy.membership.leases import Acceptor, LeaseMessage, LeaseTerms, Proposer
+from glenchute.policy.membership.leases import (
+    ACCEPTOR_MESSAGE_KINDS,
+    Acceptor,
+    LeaseMessage,
+    LeaseTerms,
+    Proposer,
+)
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.task_candidates import TaskCandidate
 from lab.fleet.simulated import apart
 
 TICK_S = 0.05
 ACT_S = 0.2  # the longest an effect takes, by its own word
-VOTER_KINDS = ("PREPARE", "PROPOSE", "RELEASE", "RECALL", "RECALLED")
 
 
 class Act(NamedTuple):
@@ -61,28 +66,28 @@
         self.stopped = False
         self.buffer: list[tuple[str, LeaseMessage]] = []  # what came while it stood
         now = self.clock()
-        self.voter = Acceptor(name, swarm.terms, now) if name in swarm.terms.voters else None
+        self.voter = Acceptor(name, swarm.terms, now) if name in swarm.terms.acceptors else None
         self.keepers = {}
         for task in swarm.tasks:
-            seeker = Proposer(name, boot, task, swarm.terms, swarm.terms.longest)
+            seeker = Proposer(name, boot, task, swarm.terms, swarm.terms.max_span_s)
             self.keepers[task] = TaskCandidate(seeker, random.Random(swarm.rng.getrandbits(60)), now)
 
     def clock(self) -> float:
         return self.offset + self.swarm.now * self.rate
 
     def heard(self, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        if message.kind.name in VOTER_KINDS:
-            return self.voter.heard(self.clock(), sender, message) if self.voter is not None else []
-        return self.keepers[message.task].heard(self.clock(), sender, message)
+        if message.kind in ACCEPTOR_MESSAGE_KINDS:
+            return self.voter.receive(self.clock(), sender, message) if self.voter is not None else []
+        return self.keepers[message.task].receive(self.clock(), sender, message)
 
     def tick(self) -> list[Outgoing[LeaseMessage]]:
         now = self.clock()
         outs = self.voter.tick(now) if self.voter is not None else []
         for keeper in self.keepers.values():
             outs += keeper.tick(now)
-            token = keeper.guard(now, ACT_S)
+            token = keeper.fencing_token(now, ACT_S)
             if token is not None and self.swarm.rng.random() < 0.5:
-                self.swarm.act(keeper.seeker.task, token, self)
+                self.swarm.act(keeper.proposer.task, token, self)
         return outs
 
 
@@ -107,12 +112,12 @@
         for name in self.names:
             voter = self.processes[name].voter
             if voter is not None:  # they have run for long
-                voter.ready = True
+                voter.has_recovered = True
         self.place()
 
     def made(self, name: str) -> Process:
         self.boots += 1
-        drift = self.terms.drift
+        drift = self.terms.max_clock_drift
         # At their bounds as often as between them.
         rate = self.rng.choice([1.0 - drift, 1.0 + drift, self.rng.uniform(1.0 - drift, 1.0 + drift)])
         return Process(name, self.boots, self, rate)
@@ -122,7 +127,7 @@
         there = [name for name in self.names if name not in self.down]
         for name, process in self.processes.items():
             for keeper in process.keepers.values():
-                keeper.place(one for one in there if one != name)
+                keeper.update_members(one for one in there if one != name)
 
     def act(self, task: str, token: int, by: Process) -> None:
         """An effect begins now; what it acts on books it."""
@@ -239,7 +244,7 @@
     rng = random.Random(seed)
     swarm = Swarm(8, seed, len(sets[0]), longest=1.0, lose=rng.choice([0.0, 0.2]))
     for at, voters in enumerate(sets):
-        swarm.terms = replace(swarm.terms, voters=tuple(swarm.names[n] for n in voters))
+        swarm.terms = replace(swarm.terms, acceptors=tuple(swarm.names[n] for n in voters))
         if at == 0:
             for name in swarm.names:
                 swarm.restart(name)
@@ -258,6 +263,6 @@
             if stopped is not None and swarm.processes[stopped].stopped:
                 swarm.go_on(stopped)
             swarm.cut = lambda a, b: False
-        swarm.run(swarm.terms.silence + 1.0)
+        swarm.run(swarm.terms.startup_silence_s + 1.0)
     swarm.lose = 0.0
     return swarm
--- a/lab/fleet/leasing.py
+++ b/lab/fleet/leasing.py
@@ -51,13 +51,13 @@
             self.net.remove(row)
         to, sender, message = row
         found = self.voters.get(to) or self.seekers[to]
-        self.post(to, found.heard(self.clock(to), sender, message))
+        self.post(to, found.receive(self.clock(to), sender, message))
         self.note()
 
     def seek(self, name: str) -> None:
         """A seeker tries, or renews."""
         self.tried[name] = self.tried.get(name, 0) + 1
-        self.post(name, self.seekers[name].seek(self.clock(name)))
+        self.post(name, self.seekers[name].start_round(self.clock(name)))
 
     def release(self, name: str) -> None:
         self.post(name, self.seekers[name].release(self.clock(name)))
@@ -73,18 +73,18 @@
         self.now += STEP
         for name, voter in self.voters.items():
             for out in voter.tick(self.clock(name)):
-                for back in self.voters[out.to].heard(self.clock(out.to), name, out.message):
-                    voter.heard(self.clock(name), out.to, back.message)
+                for back in self.voters[out.to].receive(self.clock(out.to), name, out.message):
+                    voter.receive(self.clock(name), out.to, back.message)
             voter.tick(self.clock(name))
 
     def holding(self) -> list[str]:
         """Who may act at this moment."""
-        return [name for name, seeker in self.seekers.items() if seeker.holds(self.clock(name))]
+        return [name for name, seeker in self.seekers.items() if seeker.is_holder(self.clock(name))]
 
     def note(self) -> None:
         """Books a new holding."""
         for name in self.holding():
-            held = self.seekers[name].holding
+            held = self.seekers[name].lease
             assert held is not None
             if not self.tokens or self.tokens[-1] != (name, held.token):
                 self.tokens.append((name, held.token))
@@ -92,14 +92,31 @@
     def key(self) -> bytes:
         """What makes two systems one: not the order of messages on their way."""
         rows = sorted(self.net)
-        voters = [(v.speaks_at, v.ready, v.floor, sorted(v.promised.items()), sorted(v.accepted.items()))
-                  for v in self.voters.values()]  # fmt: skip
+        voters = [
+            (
+                v.silent_until,
+                v.has_recovered,
+                v.promise_floor,
+                sorted(v.promised.items()),
+                sorted(v.accepted.items()),
+            )
+            for v in self.voters.values()
+        ]
         seekers = [
-            (s.highest, s.holding and (s.holding.token, s.holding.until, s.holding.ballot), s.other,
-             s.trying and (s.trying.ballot, sorted(s.trying.promises), sorted(s.trying.accepts),
-                           s.trying.until))
+            (
+                s.highest_number,
+                s.lease and (s.lease.token, s.lease.expires_at, s.lease.ballot),
+                s.other_holder,
+                s.current_round
+                and (
+                    s.current_round.ballot,
+                    sorted(s.current_round.promised_by),
+                    sorted(s.current_round.accepted_by),
+                    s.current_round.lease_expires_at,
+                ),
+            )
             for s in self.seekers.values()
-        ]  # fmt: skip
+        ]
         budgets = (self.now, self.restarts, self.repeats, self.steps, sorted(self.tried.items()), self.tokens)
         return pickle.dumps((rows, voters, seekers, budgets))
 
@@ -126,7 +143,7 @@
     for name in system.seekers:
         if system.tried.get(name, 0) < system.tries:
             yield f"{name} seeks", lambda s, name=name: s.seek(name)  # type: ignore[misc]
-        if system.seekers[name].holds(system.clock(name)):
+        if system.seekers[name].is_holder(system.clock(name)):
             yield f"{name} releases", lambda s, name=name: s.release(name)  # type: ignore[misc]
     if system.restarts:
         for name in system.voters:
@@ -138,9 +155,9 @@
 def fresh(tries: int = 1, restarts: int = 0, repeats: int = 0, steps: int = 1) -> System:
     """Voters that have recovered, two seekers, nothing held."""
     system = System(tries=tries, restarts=restarts, repeats=repeats, steps=steps)
-    for name in TERMS.voters:
+    for name in TERMS.acceptors:
         voter = Acceptor(name, TERMS, -100.0)
-        voter.ready = True
+        voter.has_recovered = True
         system.voters[name] = voter
     for boot, name in enumerate(("a", "b")):
         system.seekers[name] = Proposer(name, boot + 1, "task", TERMS, LONGEST)
@@ -152,7 +169,7 @@
     system.seek(name)
     while True:
         rows = [row for row in system.net if row[0] in voters or (row[0] == name and row[1] in voters)]
-        ours = [row for row in rows if row[2].kind < upto and row[2].ballot.seeker == name]
+        ours = [row for row in rows if row[2].kind < upto and row[2].ballot.proposer == name]
         if not ours:
             break
         system.deliver(ours[0], False)
@@ -162,7 +179,7 @@
 
 def tied(**budgets: int) -> System:
     """Seeker a holds by v0 and v1, and b has heard nothing of it."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.NO)
+    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.REJECTED)
     assert system.holding() == ["a"]
     return system
 
@@ -170,19 +187,19 @@
 def held(**budgets: int) -> System:
     """The same, and b has heard of a's number."""
     system = tied(**budgets)
-    system.seekers["b"].highest = 1
+    system.seekers["b"].highest_number = 1
     return system
 
 
 def racing(**budgets: int) -> System:
     """Both have been promised by v0 and v1, a before b, and both proposals are on their way."""
     system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
-    system.seekers["b"].highest = 1
+    system.seekers["b"].highest_number = 1
     return through(system, "b", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
 
 
 def late(**budgets: int) -> System:
     """Seeker a has been accepted by v0 and v1, and does not know yet; b has heard of its number."""
     system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.ACCEPTED)
-    system.seekers["b"].highest = 1
+    system.seekers["b"].highest_number = 1
     return system
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -61,20 +61,20 @@
     ) -> None:  # fmt: skip
         """A request goes on."""
         post = self.posts[name]
-        post.tell(self.now, post.use.let_in(account, window, units, spread, plan))
+        post.report(self.now, post.usage.add_admitted(account, window, units, spread, plan))
 
     def hears(self, name: str, account: str, window: float = 0.0) -> float:
         """What a gateway knows of the others."""
-        return self.posts[name].use.by_others(account, window)
+        return self.posts[name].usage.admitted_by_peers(account, window)
 
     def known(self, name: str, spread: int) -> int:
-        return self.posts[name].known(self.now, spread)
+        return self.posts[name].known_gateways(self.now, spread)
 
     def carry(self, sender: str, letters: list[Outgoing[UsageMessage | UsageRequest]]) -> None:
         for to, body in letters:
             self.letters[sender] += 1
             if isinstance(body, UsageMessage):
-                self.sent[sender, to] += len(body.words)
+                self.sent[sender, to] += len(body.entries)
             if self.rng.random() >= self.lose and not self.cut(sender, to):
                 at = self.now + self.rng.uniform(0.001, 0.005)
                 heapq.heappush(self.due, (at, next(self.order), sender, to, self.boots[sender], body))
@@ -87,7 +87,7 @@
             while self.due and self.due[0][0] <= step:
                 when, _, sender, to, boot, body = heapq.heappop(self.due)
                 self.now = max(self.now, when)
-                self.carry(to, self.posts[to].heard(self.now, sender, boot, body))
+                self.carry(to, self.posts[to].receive(self.now, sender, boot, body))
             self.now = step
             for name, post in self.posts.items():
                 self.carry(name, post.tick(self.now))
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -68,13 +68,13 @@
                 when, _, sender, to, boot, message = heapq.heappop(self.due)
                 self.now = max(self.now, when)
                 if to not in self.stopped:
-                    self.post(to, self.nodes[to].heard(self.now, sender, boot, message))
+                    self.post(to, self.nodes[to].receive(self.now, sender, boot, message))
             self.now = step
             for name, node in self.nodes.items():
                 if name not in self.stopped:
                     self.post(name, node.tick(self.now))
-                    for change in node.taken():
-                        if change.now is MemberState.DEAD:
+                    for change in node.take_changes():
+                        if change.after is MemberState.DEAD:
                             self.buried.append((self.now, name, change.name))
         return self.now - began
 
@@ -114,10 +114,10 @@
         self.order = itertools.count()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         for number, name in itertools.product(range(rows), self.names):
-            self.nodes[name].replica.put(0.0, Row(RowKind.HEALTH, f"account{number}/0", "seed#1", 1, 1.0))
+            self.nodes[name].replica.merge(0.0, Row(RowKind.HEALTH, f"account{number}/0", "seed#1", 1, 1.0))
 
     def restart(self, name: str) -> None:
-        self.nodes[name] = Gossip(Replica(), self.nodes[name].pace, random.Random(99), self.now)
+        self.nodes[name] = Gossip(Replica(), self.nodes[name].settings, random.Random(99), self.now)
 
     def post(self, sender: str, sents: list[Outgoing[GossipMessage]]) -> None:
         for sent in sents:
@@ -134,7 +134,7 @@
                 when, _, sender, to, body = heapq.heappop(self.due)
                 self.now = max(self.now, when)
                 if self.alive[to]:
-                    self.post(to, self.nodes[to].heard(self.now, sender, body, len(self.names)))
+                    self.post(to, self.nodes[to].receive(self.now, sender, body, len(self.names)))
             self.now = step
             for name, node in self.nodes.items():
                 if self.alive[name]:
@@ -148,11 +148,11 @@
         return all(copy == copies[0] for copy in copies)
 
     def whole(self) -> bool:
-        return all(node.known for name, node in self.nodes.items() if self.alive[name])
+        return all(node.is_complete for name, node in self.nodes.items() if self.alive[name])
 
     def writes(self, count: int) -> None:
         """Each copy's own words on accounts of this moment."""
         for name in self.names:
             for number in range(count):
                 row = Row(RowKind.HEALTH, f"new{number}/1", f"{name}#1", 1, 2.0)
-                self.nodes[name].tell(self.now, row, len(self.names))
+                self.nodes[name].publish(self.now, row, len(self.names))
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -57,17 +57,19 @@
 
     def told(self, row: Any) -> None:
         if row.kind is RowKind.USE:
-            self.post.tell(self.world.now / 1000.0, row)
+            self.post.report(self.world.now / 1000.0, row)
             return
-        self.gossip.tell(self.world.now / 1000.0, row, len(self.members.members))
+        self.gossip.publish(self.world.now / 1000.0, row, len(self.members.members))
 
     def takes_part(self, name: str) -> bool:
         return self.members.members[name].state is MemberState.ALIVE
 
     def share(self, spread: int) -> float:
         now = self.world.now / 1000.0
-        known = self.post.known(now, spread)
-        return known_usage_share(self.gossip.known, self.members.health, known, spread, now - self.heard_at)
+        known = self.post.known_gateways(now, spread)
+        return known_usage_share(
+            self.gossip.is_complete, self.members.local_health, known, spread, now - self.heard_at
+        )
 
     def tick(self) -> None:
         """What is due, again and again as long as this life goes on."""
@@ -79,7 +81,7 @@
             return
         for out in self.members.tick(now):
             world.carry(self, out.to, out.message)
-        for sent in self.gossip.tick(now, self.members.alive()):
+        for sent in self.gossip.tick(now, self.members.alive_names()):
             world.carry(self, sent.to, sent.message)
         for letter in self.post.tick(now):
             world.carry(self, letter.to, letter.message)
@@ -94,18 +96,18 @@
             return
         now = self.heard_at = world.now / 1000.0
         if isinstance(body, SwimMessage):
-            for out in self.members.heard(now, sender, boot, body):
+            for out in self.members.receive(now, sender, boot, body):
                 world.carry(self, out.to, out.message)
             return
         if isinstance(body, UsageMessage | UsageRequest):
-            for letter in self.post.heard(now, sender, boot, body):
+            for letter in self.post.receive(now, sender, boot, body):
                 world.carry(self, letter.to, letter.message)
             return
-        for sent in self.gossip.heard(now, sender, body, len(self.members.members)):
+        for sent in self.gossip.receive(now, sender, body, len(self.members.members)):
             world.carry(self, sent.to, sent.message)
         if isinstance(body, Delta):
-            for taken in self.gossip.taken():
-                self.telling.heard(taken)
+            for taken in self.gossip.take_received():
+                self.telling.receive(taken)
 
 
 class Module:
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -8,6 +8,7 @@
 import asyncio
 import logging
 import random
+import re
 import signal
 import socket
 import subprocess
@@ -372,7 +373,7 @@
     code = "".join(path.read_text() for path in Path(events.__file__).parent.glob("*.py"))
     for name, event in events.CATALOGUE.items():
         assert f"| `{name}` {', '.join(event.fields)} | {logging.getLevelName(event.level).lower()} |" in page
-        assert f'log_event("{name}"' in code, name
+        assert re.search(rf'log_event\(\s*"{re.escape(name)}"', code), name
         with caplog.at_level(logging.INFO, "glenchute.fleet"):
             events.log_event(name, **dict.fromkeys(event.fields, "a b"))
         assert caplog.messages[-1] == " ".join([name, *(f"{key}='a b'" for key in event.fields)])
--- a/tests/clients/membership/test_server_words.py
+++ b/tests/clients/membership/test_server_words.py
@@ -36,7 +36,7 @@
 
 def listed() -> GossipedDrains:
     restraint = GossipedDrains()
-    restraint.listed(10, True, [entry(name) for name in NAMES])
+    restraint.apply_discovery_list(10, True, [entry(name) for name in NAMES])
     return restraint
 
 
@@ -45,15 +45,15 @@
 
 
 def word(at: float, server: str, version: int = 11, rank: float = 2.0, age: float = 0.0) -> Step:
-    return lambda one: one.heard(at, server, version, rank, age, "g1")
+    return lambda one: one.receive(at, server, version, rank, age, "g1")
 
 
 def said(at: float, version: int) -> Step:
-    return lambda one: [row.address for row in one.confirmed(at, version)[0]]
+    return lambda one: [row.address for row in one.confirm_version(at, version)[0]]
 
 
 def news(version: int, *entries: Endpoint, full: bool = False) -> Step:
-    return lambda one: one.listed(version, full, entries)
+    return lambda one: one.apply_discovery_list(version, full, entries)
 
 
 TRIALS: dict[str, list[tuple[Step, object]]] = {
@@ -95,7 +95,7 @@
     @rule(server=st.sampled_from(NAMES), ahead=st.integers(-2, 30), rank=st.sampled_from((1.0, 2.0)),
           age=st.floats(0.0, 50.0))  # fmt: skip
     def lies(self, server: str, ahead: int, rank: float, age: float) -> None:
-        self.one.heard(self.now, server, self.version + ahead, rank, age, "g9")
+        self.one.receive(self.now, server, self.version + ahead, rank, age, "g9")
 
     @rule(server=st.sampled_from(NAMES))
     def changes(self, server: str) -> None:
@@ -103,19 +103,19 @@
         back = server not in self.serving
         (self.serving.add if back else self.serving.discard)(server)
         state = EndpointState.ACTIVE if back else GONE
-        self.one.listed(self.version, False, [entry(server, state)])
-        self.one.confirmed(self.now, self.version)
+        self.one.apply_discovery_list(self.version, False, [entry(server, state)])
+        self.one.confirm_version(self.now, self.version)
 
     @rule(seconds=st.floats(0.1, 8.0))
     def waits(self, seconds: float) -> None:
         self.now += seconds
-        self.one.confirmed(self.now, self.version)
-        assert all(self.now - one.made < SETTLE_S for one in self.one.words.values())
+        self.one.confirm_version(self.now, self.version)
+        assert all(self.now - one.created_at < SETTLE_S for one in self.one.on_trial.values())
 
     @invariant()
     def half_are_left(self) -> None:
-        held = set(self.one.words)
-        assert held <= self.serving == set(self.one.entries)
+        held = set(self.one.on_trial)
+        assert held <= self.serving == set(self.one.active_endpoints)
         assert len(held) <= 0.5 * len(NAMES) + 1.0
 
 
@@ -128,44 +128,50 @@
 
 
 def down(one: EndpointHealth, now: float, server: str = "s0") -> Row:
-    row = one.ended(now, server, Outcome.UNREACHABLE)
+    row = one.attempt_ended(now, server, Outcome.UNREACHABLE)
     assert row is not None
     return row
 
 
 def test_one_look_serves_all_and_the_way_back_too() -> None:
     one, other = member(), member("g1#1")
-    other.heard(0.0, down(one, 0.0), 0.0)
-    assert 1000.0 <= other.taken(0.0, 6)[0].duration_ms <= 2000.0 and other.taken(0.0, 6) == []
-    assert one.ended(0.5, "s0", Outcome.UNREACHABLE) is None  # the same look
-    other.heard(2.1, down(one, 2.1), 0.0)
-    assert 2000.0 <= other.taken(2.1, 6)[0].duration_ms <= 4000.0  # twice as long, and no longer from then on
-    other.heard(6.0, down(one, 6.0), 0.0)
-    assert other.taken(6.0, 6)[0].duration_ms <= 4000.0
-    back = one.ended(7.0, "s0", Outcome.OK)
+    other.receive(0.0, down(one, 0.0), 0.0)
+    assert 1000.0 <= other.take_changes(0.0, 6)[0].duration_ms <= 2000.0 and other.take_changes(0.0, 6) == []
+    assert one.attempt_ended(0.5, "s0", Outcome.UNREACHABLE) is None  # the same look
+    other.receive(2.1, down(one, 2.1), 0.0)
+    assert (
+        2000.0 <= other.take_changes(2.1, 6)[0].duration_ms <= 4000.0
+    )  # twice as long, and no longer from then on
+    other.receive(6.0, down(one, 6.0), 0.0)
+    assert other.take_changes(6.0, 6)[0].duration_ms <= 4000.0
+    back = one.attempt_ended(7.0, "s0", Outcome.OK)
     assert back is not None and back.value == 0.0
-    other.heard(7.0, back, 0.0)
-    assert other.taken(7.0, 6)[0].duration_ms == 0.0 and not other.words and not other.by
+    other.receive(7.0, back, 0.0)
+    assert (
+        other.take_changes(7.0, 6)[0].duration_ms == 0.0
+        and not other.peer_reports
+        and not other.avoided_by_writer
+    )
 
 
 def test_own_evidence_goes_before_words() -> None:
     one, other = member(), member("g1#1")
-    other.ended(0.0, "s0", Outcome.OK)
-    other.heard(0.5, down(one, 0.5), 0.0)
-    assert other.taken(0.5, 6)[0].duration_ms == 0.0 and other.ignored == 1
-    denial = other.ended(0.6, "s0", Outcome.ERROR)  # an error is an answer: it can be reached
+    other.attempt_ended(0.0, "s0", Outcome.OK)
+    other.receive(0.5, down(one, 0.5), 0.0)
+    assert other.take_changes(0.5, 6)[0].duration_ms == 0.0 and other.ignored_count == 1
+    denial = other.attempt_ended(0.6, "s0", Outcome.ERROR)  # an error is an answer: it can be reached
     assert denial is not None and denial.value == 0.0
-    assert other.ended(0.7, "s0", Outcome.TIMEOUT) is None
+    assert other.attempt_ended(0.7, "s0", Outcome.TIMEOUT) is None
 
 
 def test_one_writer_alone_empties_a_third_at_most_and_two_what_they_both_say() -> None:
     liar, honest, other = member("g8#1"), member("g9#1"), member()
     for name in NAMES:
-        other.heard(0.0, down(liar, 0.0, name), 0.0)
-    assert [avoid.duration_ms for avoid in other.taken(0.0, 6)] == [0.0] * 6
+        other.receive(0.0, down(liar, 0.0, name), 0.0)
+    assert [avoid.duration_ms for avoid in other.take_changes(0.0, 6)] == [0.0] * 6
     for name in NAMES[:4]:
-        other.heard(0.0, down(honest, 0.0, name), 0.0)
-    assert sum(avoid.duration_ms > 0.0 for avoid in other.taken(0.0, 6)) == 4
+        other.receive(0.0, down(honest, 0.0, name), 0.0)
+    assert sum(avoid.duration_ms > 0.0 for avoid in other.take_changes(0.0, 6)) == 4
 
 
 @pytest.mark.parametrize(
@@ -174,24 +180,26 @@
 )
 def test_a_word_lasts_no_longer_than_stated(value: float, age: float, kept: bool) -> None:
     one = member()
-    one.heard(10.0, Row(RowKind.HEALTH, "s0", "g1#1", 1, value), age)
-    assert bool(one.words) is kept
+    one.receive(10.0, Row(RowKind.HEALTH, "s0", "g1#1", 1, value), age)
+    assert bool(one.peer_reports) is kept
     assert all(
         avoid.duration_ms <= 1000.0 * looks.MAX_AVOIDANCE_S * looks.MAX_STRETCH
-        for avoid in one.taken(10.0, 6)
+        for avoid in one.take_changes(10.0, 6)
     )
     one.expire(10.0 + looks.MAX_AVOIDANCE_S * looks.MAX_STRETCH)
-    assert not one.words and not one.by
+    assert not one.peer_reports and not one.avoided_by_writer
 
 
 def test_books_of_words_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(looks, "MAX_ENDPOINTS", 4)
     one = member()
     for number in range(20):
-        one.heard(0.0, Row(RowKind.HEALTH, f"x{number}", "g1#1", number + 1, 900.0), 0.0)
-        one.ended(0.0, f"y{number}", Outcome.OK)
-        one.ended(0.0, f"z{number}", Outcome.UNREACHABLE)
-    assert len(one.words) == len(one.answered) == len(one.own) == 4 and one.by == {"g1#1": set(one.words)}
+        one.receive(0.0, Row(RowKind.HEALTH, f"x{number}", "g1#1", number + 1, 900.0), 0.0)
+        one.attempt_ended(0.0, f"y{number}", Outcome.OK)
+        one.attempt_ended(0.0, f"z{number}", Outcome.UNREACHABLE)
+    assert len(one.peer_reports) == len(one.last_answer_at) == len(
+        one.own_reports
+    ) == 4 and one.avoided_by_writer == {"g1#1": set(one.peer_reports)}
 
 
 def test_a_site_with_lost_servers_loses_fewer_tries_among_members() -> None:
--- a/tests/lab/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -35,12 +35,12 @@
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
     """Words of the others are not added up."""
-    patch.setattr(AccountUsage, "heard", lambda self, row: None)
+    patch.setattr(AccountUsage, "receive", lambda self, row: None)
 
 
 def no_window_before(patch: pytest.MonkeyPatch) -> None:
     """What came late of a window is forgotten; found at ten gateways, where each asks seldom."""
-    sound = AccountUsage.by_others
+    sound = AccountUsage.admitted_by_peers
     last: dict[str, float] = {}
 
     def by_others(self: AccountUsage, customer: str, window_ms: float) -> float:
@@ -48,7 +48,7 @@
         last[customer] = newest
         return sound(self, customer, window_ms) if window_ms == newest else 0.0
 
-    patch.setattr(AccountUsage, "by_others", by_others)
+    patch.setattr(AccountUsage, "admitted_by_peers", by_others)
 
 
 def whole_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -69,6 +69,6 @@
 
 
 def test_a_copy_that_is_not_whole_lends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Gossip, "complete", lambda self, alive: False)
+    monkeypatch.setattr(Gossip, "has_matched_all", lambda self, alive: False)
     alone, among = mute_run(1, 10, 12.0, False, False), mute_run(1, 10, 12.0, False, True)
     assert among[0] <= alone[0] + 0.5  # even parts as without members, and what is heard only tightens
--- a/tests/messages/control.py
+++ b/tests/messages/control.py
@@ -72,10 +72,10 @@
 def in_service(loop: FixedLoop, fleet: MemberNode) -> None:
     """Time passes, members are heard, a lease is held, a task is parked, copies differ."""
     now = loop.time()
-    fleet.replica.put(now, Row(RowKind.TASK, "audit", "", (3 << 20) | 2, 5.0), 1.0, "g1")
-    fleet.replica.put(now, Row(RowKind.SERVER, "s9", "", 7, 1.0), 1.0, "g1")
-    fleet.replica.put(now, Row(RowKind.SERVER, "s9", "", 7, 2.0), 1.0, "g2")
-    fleet.replica.put(now, Row(RowKind.HEALTH, "s1", "g1#ff", 1, 800.0), 0.0, "g1")
+    fleet.replica.merge(now, Row(RowKind.TASK, "audit", "", (3 << 20) | 2, 5.0), 1.0, "g1")
+    fleet.replica.merge(now, Row(RowKind.SERVER, "s9", "", 7, 1.0), 1.0, "g1")
+    fleet.replica.merge(now, Row(RowKind.SERVER, "s9", "", 7, 2.0), 1.0, "g2")
+    fleet.replica.merge(now, Row(RowKind.HEALTH, "s1", "g1#ff", 1, 800.0), 0.0, "g1")
     updates = (
         MemberUpdate("g1", MemberState.ALIVE, 3, 0xAB),
         MemberUpdate("g2", MemberState.SUSPECT, 0, 0xCD),
@@ -84,8 +84,8 @@
     fleet.datagram_received(datagram, ("127.0.0.1", 7001))
     fleet.datagram_received(b"noise", ("127.0.0.1", 7001))
     assert fleet.lists is not None
-    fleet.lists.version, fleet.lists.confirmed = 170, now - 0.25
-    fleet.lists.rows = {"s0": SharedEndpoint(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
+    fleet.lists.version, fleet.lists.confirmed_at = 170, now - 0.25
+    fleet.lists.endpoints = {"s0": SharedEndpoint(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
     assert fleet.runner is not None
     for _ in range(400):
         loop.now += 0.05
--- a/tests/messages/datagrams.py
+++ b/tests/messages/datagrams.py
@@ -36,6 +36,8 @@
     directmail.UsageEntry("ffffffffffffffff/168", 1 << 40, 1e9, 1 << 62),
     directmail.UsageEntry("an/account/171", 9, 2e6, 7),
 )
+# As the stored file names the kinds of lease messages, by their numbers.
+LEASE_LABELS = ("PREPARE", "PROMISE", "PROPOSE", "ACCEPTED", "NO", "RELEASE", "RECALL", "RECALLED", "FREE")
 
 
 def bodies() -> list[tuple[str, MemberMessage]]:
@@ -46,10 +48,10 @@
     ]
     asked: list[tuple[str, MemberMessage]] = [
         (
-            f"leases {kind.name}",
+            f"leases {label}",
             leases.LeaseMessage(kind, "close-period", BALLOT, HOLDER, 3.5, kind.value % 2 == 0),
         )
-        for kind in leases.LeaseMessageKind
+        for kind, label in zip(leases.LeaseMessageKind, LEASE_LABELS, strict=True)
     ]
     return [
         *probes,
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -291,9 +291,9 @@
     """When one that leaves asking to its members has a change in force of which none of them tells. `words`:
     when they come, and for when each confirms the list held, a moment before the change."""
     share = SharedEndpointList("m9", 0.0, random.Random(1))
-    share.version, share.confirmed = 5, 0.0
-    share.leased = False  # others ask
-    one = Watch(Pacing(terms, random.Random(1)), lambda: share.waits(now, ["m0"]))
+    share.version, share.confirmed_at = 5, 0.0
+    share.is_lease_holder = False  # others ask
+    one = Watch(Pacing(terms, random.Random(1)), lambda: share.poll_delay_s(now, ["m0"]))
     now, answers, words = 0.0, dict[int, float](), sorted(words, reverse=True)
     one.begin(0.0, 0.0, False)
     while True:
@@ -301,7 +301,7 @@
         told_at = words[-1][0] if words else math.inf
         now = max(now, min(at, one.due, told_at))
         if told_at <= now:
-            share.confirmed = max(share.confirmed, words.pop()[1])
+            share.confirmed_at = max(share.confirmed_at, words.pop()[1])
         elif one.due <= now:
             for action in one.tick(now, True):
                 if isinstance(action, Close):
--- a/tests/policy/membership/test_audit.py
+++ b/tests/policy/membership/test_audit.py
@@ -38,7 +38,7 @@
 def prepared(plan: Plan = PLAN) -> UsageAudit:
     audit = UsageAudit()
     for number in range(40):
-        audit.seen(f"a{number}", plan)
+        audit.note_account(f"a{number}", plan)
     return audit
 
 
@@ -52,13 +52,15 @@
         used("a2", 1e6, ago=0),
         used("a2", 1e6, ago=9),
     ]
-    first = audit.due(NOW, rows)
-    assert [look.told for look in first] == [2.0 * n for n in range(29, 29 - MAX_QUERIES_PER_STEP, -1)]
+    first = audit.due_queries(NOW, rows)
+    assert [look.reported_units for look in first] == [
+        2.0 * n for n in range(29, 29 - MAX_QUERIES_PER_STEP, -1)
+    ]
     at = begins("a29")
     assert first[0][2:] == (at, stable(f"a29/{at}"), 58.0, MARK)
-    second = audit.due(NOW, rows)
+    second = audit.due_queries(NOW, rows)
     assert {look.account for look in (*first, *second)} == {f"a{n}" for n in range(30)}
-    assert audit.due(NOW, rows) == []
+    assert audit.due_queries(NOW, rows) == []
 
 
 CASES: dict[str, tuple[Plan, Any, list[bool | None]]] = {
@@ -83,9 +85,9 @@
     for ago, (units, total) in enumerate(windows):
         at = NOW + ago * SPAN
         row = Row(RowKind.USE, f"a1/{round(window_start(at, 'a1', PLAN) - 2 * SPAN)}", "g0#1", 1, units)
-        (look,) = audit.due(at, [row])
-        found = audit.answered(look, total)
-        told.append(found.less if found is not None else None)
+        (look,) = audit.due_queries(at, [row])
+        found = audit.receive_total(look, total)
+        told.append(found.is_counter_lower if found is not None else None)
     assert told == wanted
 
 
@@ -94,11 +96,14 @@
         monkeypatch.setattr(audits, bound, 5)
     audit = prepared()
     for number in range(40):
-        audit.seen(f"a{number}", PLAN)
+        audit.note_account(f"a{number}", PLAN)
         for ago in range(3):
-            for look in audit.due(NOW + ago * SPAN, [used(f"a{number}", 50.0, ago=2 - ago)]):
-                audit.answered(look, 0.0)
-    assert max(len(audit.plans), len(audit.looked), len(audit.runs), len(audit.apart)) <= 5
+            for look in audit.due_queries(NOW + ago * SPAN, [used(f"a{number}", 50.0, ago=2 - ago)]):
+                audit.receive_total(look, 0.0)
+    assert (
+        max(len(audit.plans), len(audit.checked_windows), len(audit.mismatch_runs), len(audit.mismatches))
+        <= 5
+    )
 
 
 def test_a_gateway_cut_off_from_the_counter_is_found_out_by_one_of_three(tmp_path: Path) -> None:
