--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -324,8 +324,8 @@
 def test_a_members_word_restrains_and_never_brings_a_server_back(name: str) -> None:
     (version, row), word, taken = MERGES[name]
     share = SharedEndpointList("g0", 0.0, random.Random(1))
-    share.discovery(0.0, version, True, [row], ())
-    _, changed = share.heard(1.0, "g1", EndpointListPart(version, max(5, word.version), 0, 1, (word,)))
+    share.receive_discovery(0.0, version, True, [row], ())
+    _, changed = share.receive(1.0, "g1", EndpointListPart(version, max(5, word.version), 0, 1, (word,)))
     assert changed == ([taken] if taken is not None else [])
 
 
@@ -358,20 +358,20 @@
             version += 1
             truth[rng.choice([name for name, state in truth.items() if state < 2])] += 1
         for name, share in shares.items():
-            if share.waits(now, others[name]) == 0.0 and rng.random() < 0.3:
+            if share.poll_delay_s(now, others[name]) == 0.0 and rng.random() < 0.3:
                 rows = [server(version, name, state) for name, state in truth.items() if state < 2]
-                post(name, share.discovery(now, version, True, rows, others[name]))
+                post(name, share.receive_discovery(now, version, True, rows, others[name]))
             post(name, share.tick(now, others[name]))
         while due and due[0][0] <= now:
             _, _, sender, to, body = heapq.heappop(due)
-            post(to, shares[to].heard(now, sender, body)[0])
+            post(to, shares[to].receive(now, sender, body)[0])
         past[version] = dict(truth), math.inf
         for share in shares.values():
             if share.version > 0:
                 listed, until = past[share.version]
-                held = {name: row.state for name, row in share.rows.items() if row.state < 2}
+                held = {name: row.state for name, row in share.endpoints.items() if row.state < 2}
                 assert held == {name: state for name, state in listed.items() if state < 2}
-                assert share.confirmed <= until + 0.11
+                assert share.confirmed_at <= until + 0.11
     assert {share.version for share in shares.values()} == {version}
 
 
--- a/tests/policy/membership/test_directmail.py
+++ b/tests/policy/membership/test_directmail.py
@@ -59,15 +59,15 @@
     members = [names[(first + step) % count] for step in range(spread)]
     if names[me] not in members:
         return
-    near = ring.near(spread)
+    near = ring.subset_candidates(spread)
     assert set(members) - {names[me]} <= set(near) and names[me] not in near
-    assert len(near) == len(set(near)) == ring.others(spread) <= 2 * spread
+    assert len(near) == len(set(near)) == ring.expected_candidates(spread) <= 2 * spread
     # Whoever of the set has been heard of takes nobody of it away, and the whole set leaves nobody else.
     others = [name for name in members if name != names[me]]
     for seen in (others[:1], others[-1:], others):
-        assert set(others) <= set(ring.near(spread, seen)) <= set(near)
+        assert set(others) <= set(ring.subset_candidates(spread, seen)) <= set(near)
     if 2 * spread <= count:
-        assert set(ring.near(spread, others)) == set(others)
+        assert set(ring.subset_candidates(spread, others)) == set(others)
 
 
 @pytest.mark.parametrize(
@@ -132,11 +132,11 @@
 
 def test_use_is_not_passed_on_and_lies_in_no_comparison() -> None:
     gossip = Gossip(Replica(), GossipSettings(), random.Random(1))
-    blank = gossip.replica.children(0.0, None)
-    gossip.heard(0.0, "g1", Delta(((Row(RowKind.USE, "a/0", "g2#1", 1, 5.0), 0),)), 5)
-    assert not gossip.news and not gossip.replica.rows and gossip.replica.refused == 1
-    assert gossip.replica.put(0.0, Row(RowKind.USE, "a/0", "g2#1", 1, 5.0))
-    assert gossip.replica.children(0.0, None) == blank and not gossip.replica.leaves
+    blank = gossip.replica.child_hashes(0.0, None)
+    gossip.receive(0.0, "g1", Delta(((Row(RowKind.USE, "a/0", "g2#1", 1, 5.0), 0),)), 5)
+    assert not gossip.transmissions_left and not gossip.replica.rows and gossip.replica.rejected_count == 1
+    assert gossip.replica.merge(0.0, Row(RowKind.USE, "a/0", "g2#1", 1, 5.0))
+    assert gossip.replica.child_hashes(0.0, None) == blank and not gossip.replica.leaves
 
 
 def test_a_word_is_small() -> None:
@@ -161,10 +161,10 @@
         posts.run(0.05)
     post = posts.posts["g0"]
     assert post.sent_bytes - before <= 1_000.0 * (posts.now - began + 0.25) + 64 * 18 + 48
-    assert post.owing == sum(map(len, post.owed.values())) <= directmail.MAX_PENDING_ENTRIES
-    assert post.owing and posts.known("g1", 3) < 2
-    posts.run(60.0, lambda: posts.known("g1", 3) == 2 and not post.owing)
-    assert posts.known("g1", 3) == 2 and not post.owing
+    assert post.pending_count == sum(map(len, post.pending.values())) <= directmail.MAX_PENDING_ENTRIES
+    assert post.pending_count and posts.known("g1", 3) < 2
+    posts.run(60.0, lambda: posts.known("g1", 3) == 2 and not post.pending_count)
+    assert posts.known("g1", 3) == 2 and not post.pending_count
 
 
 def test_what_is_owed_and_kept_is_bounded_and_what_fell_out_is_asked_for(
@@ -176,11 +176,13 @@
     for n in range(300):
         posts.let_in("g0", f"a{n}", 5.0)
     post = posts.posts["g0"]
-    post.hand_out(posts.now)
-    assert post.owing <= 50 and post.dropped and len(post.told) == 40
+    post.queue_changed_windows(posts.now)
+    assert post.pending_count <= 50 and post.dropped_batches and len(post.reported_windows) == 40
     posts.run(10.0)
     assert posts.hears("g1", "a299") == 5.0 == posts.hears("g1", "a290")
-    assert len(Replica().rules) == len(DEFAULT_KIND_RULES) and DEFAULT_KIND_RULES[RowKind.USE].most <= 8_000
+    assert (
+        len(Replica().rules) == len(DEFAULT_KIND_RULES) and DEFAULT_KIND_RULES[RowKind.USE].max_rows <= 8_000
+    )
 
 
 # --- what is left unsaid ----------------------------------------------------------------------------------
@@ -307,27 +309,27 @@
         UsageMessage(6, False, True, (UsageEntry("a/0", 2, 3.0),)),
     )
     for mail in (late, new, late, new, new):
-        post.heard(1.0, "g0", 7, mail)
-    assert use.by_others("a", 0.0) == 3.0
-    post.heard(
+        post.receive(1.0, "g0", 7, mail)
+    assert use.admitted_by_peers("a", 0.0) == 3.0
+    post.receive(
         1.0, "g0", 7, UsageMessage(7, False, True, (UsageEntry("a/0", 9, 50.0, boot=2),))
     )  # of this very process
     assert replica.get(RowKind.USE, "a/0", "g1#2") is None
-    post.heard(
+    post.receive(
         1.0, "g0", 7, UsageMessage(8, False, True, (UsageEntry("a/0", 1, 4.0, boot=1),))
     )  # of the one before
-    assert use.by_others("a", 0.0) == 7.0
-    post.heard(
+    assert use.admitted_by_peers("a", 0.0) == 7.0
+    post.receive(
         1.0,
         "g0",
         7,
         UsageMessage(9, False, True, (UsageEntry("", 1, 4.0), UsageEntry("a/0", 3, float("nan")))),
     )
-    assert use.by_others("a", 0.0) == 7.0 and replica.refused == 2
-    post.heard(
+    assert use.admitted_by_peers("a", 0.0) == 7.0 and replica.rejected_count == 2
+    post.receive(
         1.0, "g0", 7, UsageMessage(9, False, True, (UsageEntry("a/0", 2, 9.0),))
     )  # two copies of one version
-    assert replica.conflicted == 1 and use.by_others("a", 0.0) == 13.0
+    assert replica.conflict_count == 1 and use.admitted_by_peers("a", 0.0) == 13.0
 
 
 def test_a_member_that_makes_things_up_makes_nothing_grow_without_a_bound() -> None:
@@ -335,18 +337,22 @@
     post = posts.posts["g1"]
     for n in range(12_000):
         words = (UsageEntry("a/0", 1, 1.0, boot=n + 5), UsageEntry(f"{n}/0", 1, 1.0))
-        post.heard(posts.now, ("g0", "g2")[n % 2], 1, UsageMessage(7 * n, n % 4 < 2, True, words))
-    assert len(post.replica.order[RowKind.USE]) <= DEFAULT_KIND_RULES[RowKind.USE].most
-    assert len(post.use.others) == len(post.use.sums) <= MAX_WINDOWS
-    assert len(post.use.others["a/0"]) == MAX_WRITERS_PER_WINDOW == post.use.by_others("a", 0.0)
-    assert len(post.ways) <= 7 and len(post.round) <= 2 * 7 + 1
+        post.receive(posts.now, ("g0", "g2")[n % 2], 1, UsageMessage(7 * n, n % 4 < 2, True, words))
+    assert len(post.replica.keys_by_age[RowKind.USE]) <= DEFAULT_KIND_RULES[RowKind.USE].max_rows
+    assert len(post.usage.units_by_writer) == len(post.usage.peer_units) <= MAX_WINDOWS
+    assert (
+        len(post.usage.units_by_writer["a/0"])
+        == MAX_WRITERS_PER_WINDOW
+        == post.usage.admitted_by_peers("a", 0.0)
+    )
+    assert len(post.channels) <= 7 and len(post.request_round) <= 2 * 7 + 1
 
 
 def test_questions_are_bounded_however_many_members_there_are() -> None:
     for count, spread in ((8, 8), (300, 300)):
         posts = Posts(count, 1)
         post = posts.posts["g0"]
-        post.known(0.0, spread)
+        post.known_gateways(0.0, spread)
         asked = sum(len(post.tick(0.025 * n)) for n in range(400))
         assert asked <= 10.0 * MAX_REQUESTS_PER_S + 5
 
@@ -365,13 +371,13 @@
 
 def test_a_quiet_tick_walks_over_no_list_of_who_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
     walks: list[int] = []
-    sound = MemberList.alive
+    sound = MemberList.alive_names
 
     def counted(self: MemberList) -> list[str]:
         walks.append(1)
         return sound(self)
 
-    monkeypatch.setattr(MemberList, "alive", counted)
+    monkeypatch.setattr(MemberList, "alive_names", counted)
     rows = [{"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(1, 520)]
     raw = {"fleet": "lab", "name": "g0", "listen": "127.0.0.1:7000", "members": rows}
     made = Settings("a", 520, (), (), SlowStart())
@@ -410,9 +416,9 @@
             row["number"] = n
     made = Settings("a", 20, (), (), SlowStart())
     fleet = MemberNode(raw, Clock(), DecisionEngine(made, 1), made, 1, number)  # type: ignore[arg-type]
-    assert bool(fleet.post.ring.steps) is numbered
+    assert bool(fleet.post.ring.offsets) is numbered
     if not numbered:
-        assert fleet.post.ring.near(3) == tuple(f"g{n}" for n in range(10, 19))
+        assert fleet.post.ring.subset_candidates(3) == tuple(f"g{n}" for n in range(10, 19))
     foreign = (name != "edge" and not numbered) or (number, stated) == (3, 4)
     assert ("numbers.foreign" in caplog.text) is foreign
 
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -52,7 +52,7 @@
 
     def init(self: Acceptor, name: str, terms: LeaseTerms, now: float) -> None:
         sound(self, name, terms, now)
-        self.ready = True
+        self.has_recovered = True
 
     patch.setattr(Acceptor, "__init__", init)
 
@@ -62,8 +62,8 @@
     sound = Acceptor.tick
 
     def tick(self: Acceptor, now: float) -> list[Outgoing[LeaseMessage]]:
-        if not self.ready and now >= self.speaks_at:
-            self.ready = True
+        if not self.has_recovered and now >= self.silent_until:
+            self.has_recovered = True
         return sound(self, now)
 
     patch.setattr(Acceptor, "tick", tick)
@@ -74,54 +74,54 @@
 
 
 def no_margin(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaseTerms, "held_for", lambda self, span: span)
+    patch.setattr(LeaseTerms, "usable_span_s", lambda self, span: span)
 
 
 def late_clock(patch: pytest.MonkeyPatch) -> None:
     """The holder's time begins when it has been accepted."""
-    sound = Proposer.heard
+    sound = Proposer.receive
 
     def heard(self: Proposer, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        if self.trying is not None and message.kind is LeaseMessageKind.ACCEPTED:
-            self.trying.until = now + self.terms.held_for(self.span)
+        if self.current_round is not None and message.kind is LeaseMessageKind.ACCEPTED:
+            self.current_round.lease_expires_at = now + self.terms.usable_span_s(self.span_s)
         return sound(self, now, sender, message)
 
-    patch.setattr(Proposer, "heard", heard)
+    patch.setattr(Proposer, "receive", heard)
 
 
 def any_proposal(patch: pytest.MonkeyPatch) -> None:
     """A proposal under a promise is accepted."""
-    sound = Acceptor.heard
+    sound = Acceptor.receive
 
     def heard(self: Acceptor, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         if message.kind is LeaseMessageKind.PROPOSE:
             self.promised[message.task] = min(self.promised.get(message.task, NO_BALLOT), message.ballot)
         return sound(self, now, sender, message)
 
-    patch.setattr(Acceptor, "heard", heard)
+    patch.setattr(Acceptor, "receive", heard)
 
 
 def held_is_ignored(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Proposer, "mine", lambda self, holder: True)
+    patch.setattr(Proposer, "is_available", lambda self, holder: True)
 
 
 def ties_pass(patch: pytest.MonkeyPatch) -> None:
     """As it was first written; the exploration found it."""
-    patch.setattr(Ballot, "passes", lambda self, promised: self >= promised)
+    patch.setattr(Ballot, "may_replace", lambda self, promised: self >= promised)
 
 
 def token_not_bumped(patch: pytest.MonkeyPatch) -> None:
     """A new holder takes the token that it has heard of."""
-    sound = Proposer.heard
+    sound = Proposer.receive
 
     def heard(self: Proposer, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        before = self.holding
+        before = self.lease
         outs = sound(self, now, sender, message)
-        if self.holding is not None and before is None:
-            self.holding.token = 1
+        if self.lease is not None and before is None:
+            self.lease.token = 1
         return outs
 
-    patch.setattr(Proposer, "heard", heard)
+    patch.setattr(Proposer, "receive", heard)
 
 
 RESTART, RACE, LATE = "one holds, a voter restarts", "two proposals race", "an answer comes late"
@@ -154,7 +154,7 @@
                     system.deliver(row, False)
             while rows := [row for row in system.net if row[0] != "v2" and row[1] != "v2"]:
                 system.deliver(rows[0], False)
-        first = system.seekers["a"].highest
+        first = system.seekers["a"].highest_number
         system.restart("v1")
         system.net.clear()
         for _ in range(5):
@@ -166,7 +166,7 @@
             if system.holding() == ["b"]:
                 break
         assert system.holding() == ["b"]
-        holding = system.seekers["b"].holding
+        holding = system.seekers["b"].lease
         assert holding is not None
         return first, holding.token
 
@@ -181,34 +181,34 @@
     system = held()
     seeker = system.seekers["a"]
     now = system.clock("a")
-    assert seeker.guard(now, 1.0) is not None
-    assert seeker.guard(now, LONGEST) is None  # it would outlast the lease
-    assert seeker.guard(now + 60.0, 0.0) is None and not seeker.holds(now + 60.0)  # after a stop
+    assert seeker.fencing_token(now, 1.0) is not None
+    assert seeker.fencing_token(now, LONGEST) is None  # it would outlast the lease
+    assert seeker.fencing_token(now + 60.0, 0.0) is None and not seeker.is_holder(now + 60.0)  # after a stop
 
 
 def test_all_voters_lost_begin_anew_and_one_beside_a_dead_one_waits() -> None:
-    voters = {name: Acceptor(name, TERMS, 0.0) for name in TERMS.voters}
+    voters = {name: Acceptor(name, TERMS, 0.0) for name in TERMS.acceptors}
 
     def exchange(now: float, among: tuple[str, ...]) -> None:
         for name in among:
             for out in voters[name].tick(now):
                 if out.to in among:
-                    for back in voters[out.to].heard(now, name, out.message):
-                        voters[name].heard(now, out.to, back.message)
+                    for back in voters[out.to].receive(now, name, out.message):
+                        voters[name].receive(now, out.to, back.message)
 
     exchange(1.0, ("v0", "v1"))
-    assert not any(voter.ready for voter in voters.values())  # silent for the longest lease
-    for now in (TERMS.silence, TERMS.silence + 1.0):
+    assert not any(voter.has_recovered for voter in voters.values())  # silent for the longest lease
+    for now in (TERMS.startup_silence_s, TERMS.startup_silence_s + 1.0):
         exchange(now, ("v0", "v1"))
-    assert voters["v0"].ready and voters["v0"].anew and voters["v1"].ready
+    assert voters["v0"].has_recovered and voters["v0"].has_lost_history and voters["v1"].has_recovered
     voters["v1"] = Acceptor("v1", TERMS, 20.0)
     for now in (40.0, 41.0):
         exchange(now, ("v0", "v1"))
-    assert not voters["v1"].ready  # v2 may know more than v0, and does not answer
+    assert not voters["v1"].has_recovered  # v2 may know more than v0, and does not answer
     voters["v2"] = Acceptor("v2", TERMS, 20.0)
     for now in (50.0, 51.0):
         exchange(now, ("v0", "v1", "v2"))
-    assert voters["v1"].ready
+    assert voters["v1"].has_recovered
 
 
 @pytest.mark.parametrize(
@@ -232,14 +232,14 @@
         calm = swarm.now
         swarm.run(20.0)
         assert len(swarm.acts) > 100 and overlaps(swarm.acts) == [], seed
-        most = 2.0 * swarm.terms.silence + 2.0
+        most = 2.0 * swarm.terms.startup_silence_s + 2.0
         assert max(longest_gap(swarm.acts, task, calm, swarm.now) for task in swarm.tasks) < most, seed
 
 
 def gives_back_at_once(patch: pytest.MonkeyPatch) -> None:
     """An effect that is under way does not keep the lease."""
     patch.setattr(
-        TaskCandidate, "acting_until", property(lambda self: -1e9, lambda self, at: None), raising=False
+        TaskCandidate, "effects_until", property(lambda self: -1e9, lambda self, at: None), raising=False
     )
 
 
@@ -261,7 +261,9 @@
 
 def checked_too_early(patch: pytest.MonkeyPatch) -> None:
     """The time left is held against nothing: an effect may outlast the lease."""
-    patch.setattr(TaskCandidate, "guard", lambda self, now, longest_s: self.seeker.guard(now, 0.0))
+    patch.setattr(
+        TaskCandidate, "fencing_token", lambda self, now, longest_s: self.proposer.fencing_token(now, 0.0)
+    )
 
 
 @pytest.mark.parametrize("bug", [gives_back_at_once, clock_that_stands, checked_too_early, no_silence, half])
@@ -311,13 +313,15 @@
     assert sent[500] < 1.5 * sent[20] + 20.0 and len(holders) >= 15
     # All candidates of a task die at once: others take their places as soon as members tell.
     task = swarm.tasks[0]
-    for keeper in [p.keepers[task] for p in swarm.processes.values() if p.keepers[task].candidate]:
-        if keeper.seeker.name not in swarm.terms.voters:
-            swarm.kill(keeper.seeker.name)
+    for keeper in [p.keepers[task] for p in swarm.processes.values() if p.keepers[task].is_candidate]:
+        if keeper.proposer.name not in swarm.terms.acceptors:
+            swarm.kill(keeper.proposer.name)
     died = swarm.now
     swarm.run(8.0)
     assert sum(act.began > died + 5.0 for act in swarm.acts if act.task == task) > 5
-    assert sum(process.keepers[task].candidate for process in swarm.processes.values()) >= CANDIDATES_PER_TASK
+    assert (
+        sum(process.keepers[task].is_candidate for process in swarm.processes.values()) >= CANDIDATES_PER_TASK
+    )
 
 
 def test_a_release_hands_over_within_a_tenth_of_a_second() -> None:
@@ -339,13 +343,13 @@
 def test_a_task_is_parked_after_holdings_that_failed_in_a_row(steps: str, parked: bool) -> None:
     record = TaskRecord()
     for token, step in enumerate(steps.split(), 1):
-        marked = record.took(token).step(False)  # before it runs
+        marked = record.taken_over_by(token).after_step(False)  # before it runs
         assert marked.version() > record.version()
-        record = TaskRecord.of(
+        record = TaskRecord.from_row(
             marked.version(), float(marked.failures)
         )  # told on, and read by the next holder
-        record = record.step(True) if step == "ok" else record
-    assert record.parked is parked and not record.unparked().parked
+        record = record.after_step(True) if step == "ok" else record
+    assert record.is_parked is parked and not record.unparked().is_parked
 
 
 FILE = """\
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -48,7 +48,7 @@
 
 
 def test_without_its_patience_a_stop_is_a_burial(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(MemberList, "suspicion", lambda self, member: 0.0)
+    monkeypatch.setattr(MemberList, "suspicion_timeout_s", lambda self, member: 0.0)
     net = Net(20, 0)
     net.run(5.0)
     net.stopped.add("g3")
@@ -88,7 +88,7 @@
     net = Net(8, 7)
     net.run(4.0)
     net.nodes["g2"].incarnation = 7  # as one that had to deny often
-    net.nodes["g2"].tell("g2")
+    net.nodes["g2"].queue_update("g2")
     net.run(3.0)
     old = net.nodes["g2"].boot
     net.restart("g2")
@@ -109,13 +109,13 @@
         net.now += TICK
         for to in net.names:
             if to != "g2":
-                ping = SwimMessage(SwimMessageKind.PING, 1, "", (twin.update("g2"),))
-                net.post(to, net.nodes[to].heard(net.now, "g2", twin.boot, ping))
-        twin.word(net.now, "g0", net.nodes["g0"].update("g2"))
+                ping = SwimMessage(SwimMessageKind.PING, 1, "", (twin.update_for("g2"),))
+                net.post(to, net.nodes[to].receive(net.now, "g2", twin.boot, ping))
+        twin.apply_update(net.now, "g0", net.nodes["g0"].update_for("g2"))
         net.now -= TICK
         net.run(TICK)
-    assert sum(net.nodes[n].conflicts.get("g2", 0) for n in net.names) > 0
-    assert net.nodes["g2"].incarnation - before <= 100 * TICK / SwimSettings().period + 2
+    assert sum(net.nodes[n].name_conflicts.get("g2", 0) for n in net.names) > 0
+    assert net.nodes["g2"].incarnation - before <= 100 * TICK / SwimSettings().period_s + 2
 
 
 def test_a_leave_is_told_and_no_suspicion() -> None:
@@ -142,8 +142,8 @@
 def test_one_that_is_not_listed_or_speaks_of_one_is_not_taken_in() -> None:
     node = MemberList("g0", 1, ["g0", "g1"], SwimSettings(), random.Random(1))
     words = (MemberUpdate("g1", MemberState.ALIVE, 0, 5), MemberUpdate("stranger", MemberState.ALIVE, 9, 9))
-    assert node.heard(0.1, "stranger", 9, SwimMessage(SwimMessageKind.PING, 1, "", words)) == []
-    assert node.heard(0.1, "g1", 5, SwimMessage(SwimMessageKind.PING, 1, "", words))
+    assert node.receive(0.1, "stranger", 9, SwimMessage(SwimMessageKind.PING, 1, "", words)) == []
+    assert node.receive(0.1, "g1", 5, SwimMessage(SwimMessageKind.PING, 1, "", words))
     assert set(node.members) == {"g1"} and node.members["g1"].state is MemberState.ALIVE
 
 
@@ -155,5 +155,5 @@
     net.stopped.discard("g0")
     net.now += 4.0  # all others went on in no time: the worst case
     net.nodes["g0"].tick(net.now)
-    assert net.nodes["g0"].health > 0
+    assert net.nodes["g0"].local_health > 0
     assert all(m.state is not MemberState.DEAD for m in net.nodes["g0"].members.values())
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -69,7 +69,7 @@
 def joined(rows: list[Row]) -> Replica:
     replica = Replica()
     for row in rows:
-        replica.put(0.0, row)
+        replica.merge(0.0, row)
     return replica
 
 
@@ -83,7 +83,7 @@
     cut = len(rows) // 2
     halves = [*rows_of(joined(rows[:cut])), *rows_of(joined(rows[cut:]))]
     assert rows_of(joined(halves)) == rows_of(once)
-    assert joined(shuffled).children(0.0, None) == once.children(0.0, None)
+    assert joined(shuffled).child_hashes(0.0, None) == once.child_hashes(0.0, None)
 
 
 def test_two_copies_of_one_version_are_a_conflict_that_the_safe_one_wins() -> None:
@@ -92,7 +92,7 @@
     ):
         replica = joined(list(rows) * 2)
         assert rows_of(replica) == {Row(RowKind.USE, "a/0", "g1#1", 4, 8.0)}
-        assert replica.conflicted >= 2 and all(c.kept.value > c.other.value for c in replica.conflicts)
+        assert replica.conflict_count >= 2 and all(c.kept.value > c.other.value for c in replica.conflicts)
     drains = joined([Row(RowKind.SERVER, "s1", "", 9, 1.0), Row(RowKind.SERVER, "s1", "", 9, 2.0)])
     assert rows_of(drains) == {Row(RowKind.SERVER, "s1", "", 9, 2.0)}
 
@@ -112,22 +112,26 @@
 )
 def test_rows_that_are_not_sound_are_counted_and_not_taken(row: Row) -> None:
     replica = joined([row])
-    assert not replica.rows and replica.refused == 1
+    assert not replica.rows and replica.rejected_count == 1
 
 
 def test_a_full_store_drops_what_changed_longest_ago_and_old_rows_do_not_come_back() -> None:
     replica = Replica({RowKind.USE: KindRules(10.0, 3), RowKind.SERVER: DEFAULT_KIND_RULES[RowKind.SERVER]})
     for number in range(5):
-        replica.put(float(number), Row(RowKind.USE, f"k{number}", "w", 1, 1.0))
-    assert {row.key for row in rows_of(replica)} == {"k2", "k3", "k4"} and replica.evicted[RowKind.USE] == 2
+        replica.merge(float(number), Row(RowKind.USE, f"k{number}", "w", 1, 1.0))
+    assert {row.key for row in rows_of(replica)} == {"k2", "k3", "k4"} and replica.evicted_counts[
+        RowKind.USE
+    ] == 2
     assert sum(map(len, replica.leaves.values())) == 3
     for version in range(2, 9000):  # what is kept of versions that have gone is bounded
-        replica.put(5.0, Row(RowKind.USE, "k4", "w", version, 1.0))
-    assert len(replica.aging) < 2000
-    assert replica.children(5.0, None) != replica.children(13.5, None) == (0,) * 64  # too old to be compared
+        replica.merge(5.0, Row(RowKind.USE, "k4", "w", version, 1.0))
+    assert len(replica.comparison_deadlines) < 2000
+    assert (
+        replica.child_hashes(5.0, None) != replica.child_hashes(13.5, None) == (0,) * 64
+    )  # too old to be compared
     replica.expire(20.0)
-    assert not replica.rows and not replica.leaves and not replica.order[RowKind.USE]
-    assert not replica.put(20.0, Row(RowKind.USE, "k", "w", 1, 1.0), age_s=10.0)
+    assert not replica.rows and not replica.leaves and not replica.keys_by_age[RowKind.USE]
+    assert not replica.merge(20.0, Row(RowKind.USE, "k", "w", 1, 1.0), age_s=10.0)
 
 
 @pytest.mark.parametrize(("count", "lose"), [(2, 0.0), (5, 0.3), (40, 0.1)])
@@ -155,9 +159,9 @@
     mesh.run(2.0)
     mesh.restart("g0")
     mesh.run(0.3)
-    assert 0 < len(mesh.nodes["g0"].replica.rows) < 2000 and not mesh.nodes["g0"].known
+    assert 0 < len(mesh.nodes["g0"].replica.rows) < 2000 and not mesh.nodes["g0"].is_complete
     mesh.alive["g1"] = mesh.alive["g2"] = False
-    assert mesh.run(15.0, lambda: mesh.nodes["g0"].known) < 15.0
+    assert mesh.run(15.0, lambda: mesh.nodes["g0"].is_complete) < 15.0
     assert len(mesh.nodes["g0"].replica.rows) == 2000
 
 
@@ -173,14 +177,14 @@
     spent = mesh.now - 3.0
     for name in stayed:
         node = mesh.nodes[name]
-        assert node.sent_bytes - before[name] <= node.pace.budget * (spent + 0.25) + 4096
+        assert node.sent_bytes - before[name] <= node.settings.budget_bytes_per_s * (spent + 0.25) + 4096
 
 
 def test_what_restrains_comes_through_though_digests_agree_by_chance(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Replica, "differing", lambda self, now, bucket, theirs: [])
+    monkeypatch.setattr(Replica, "differing_children", lambda self, now, bucket, theirs: [])
     mesh = Mesh(3, 7)
-    mesh.nodes["g0"].replica.put(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
-    mesh.nodes["g0"].replica.put(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
+    mesh.nodes["g0"].replica.merge(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
+    mesh.nodes["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
     mesh.run(4.0)
     assert all(node.replica.get(RowKind.SERVER, "s1") for node in mesh.nodes.values())
     assert mesh.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None  # the others wait for a change
@@ -190,7 +194,7 @@
     held = self.rows.get((row.kind, row.key, row.writer))
     if held is not None and row.version == held.row.version and row.value != held.row.value:
         self.rows.pop((row.kind, row.key, row.writer))
-        del self.order[row.kind][row.kind, row.key, row.writer]
+        del self.keys_by_age[row.kind][row.kind, row.key, row.writer]
     return SOUND(self, now, row, age_s, seen_from)
 
 
@@ -198,16 +202,16 @@
     at = (row.kind, row.key, row.writer)
     if at in self.rows:
         self.rows.pop(at)
-        del self.order[row.kind][at]
+        del self.keys_by_age[row.kind][at]
     return SOUND(self, now, row, age_s, seen_from)
 
 
-SOUND = Replica.put
+SOUND = Replica.merge
 
 
 @pytest.mark.parametrize("bug", [bug_lower_wins, bug_last_wins])
 def test_a_bug_in_the_join_is_found(bug: object, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Replica, "put", bug)
+    monkeypatch.setattr(Replica, "merge", bug)
     with pytest.raises(AssertionError):
         test_joining_is_commutative_associative_and_idempotent()
 
@@ -278,7 +282,7 @@
             ),
             "body",
         ),
-        (encode("lab", "g1", 1, LeaseMessage(Asks.PROPOSE, "t", Ballot(7, "g", 9), span=math.nan)), "body"),
+        (encode("lab", "g1", 1, LeaseMessage(Asks.PROPOSE, "t", Ballot(7, "g", 9), span_s=math.nan)), "body"),
         (
             encode(
                 "lab",
@@ -304,9 +308,9 @@
     for row in (Row(RowKind.USE, "a/0", "g1#1", 1, 3.0), Row(RowKind.USE, "a/0", "g1#1", 2, 5.0),
                 Row(RowKind.USE, "a/0", "g0#1", 4, 2.0), Row(RowKind.USE, "a/9", "g1#1", 1, 50.0),
                 Row(RowKind.USE, "a/0", "g0#2", 1, 99.0)):  # fmt: skip
-        use.heard(row)
-    assert use.by_others("a", 0.0) == 7.0
-    assert [use.let_in("a", 0.0, 1.5) for _ in range(2)][-1] == Row(RowKind.USE, "a/0", "g0#2", 2, 3.0)
+        use.receive(row)
+    assert use.admitted_by_peers("a", 0.0) == 7.0
+    assert [use.add_admitted("a", 0.0, 1.5) for _ in range(2)][-1] == Row(RowKind.USE, "a/0", "g0#2", 2, 3.0)
 
 
 @pytest.mark.parametrize(
