--- a/glenchute/policy/membership/members.py
+++ b/glenchute/policy/membership/members.py
@@ -1,19 +1,19 @@
-"""Who of the listed gateways is there: SWIM with Lifeguard's extensions, as a state machine without I/O.
+"""Membership and failure detection: SWIM with Lifeguard, as a state machine without I/O.
 
 Sources: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (2002): probes in a shuffled round, indirect probes, suspicion, incarnations, updates on the back of
-messages. Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection"
-(2018): a probe that gets no answer makes its sender doubt itself first (`health`); a suspicion's time shrinks
-with independent confirmations; a suspect is told so by the next message to it.
-
-Times are seconds of one clock of this process that never goes back; no message carries a time. Only listed
-names are taken in, so nothing here grows past the list. Guarantees, each with a test:
-
-- A member that answers within `patience` is not buried, however many messages are lost.
-- A process that starts under a known name is told from the one before by its `boot`, and takes the name over
-  by an incarnation above that of its predecessor.
-- What a message holds besides is bounded by `PIGGYBACK`; what a member sends in a period does not depend on
-  how many members are well, gone or in doubt.
+Protocol" (2002): probes in a shuffled round, indirect probes, suspicion, incarnations, piggybacked updates.
+Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (2018): the
+local health multiplier slows down the probes of a process that misses answers itself; a suspicion's timeout
+shrinks with independent confirmations; a suspect is notified by the next message to it.
+
+Times are seconds of a monotonic clock of this process; no message carries a time. Only configured members
+are accepted, so all tables are bounded by the configuration. Guarantees, each with a test:
+
+- A member that answers within `min_suspicion_s` is not declared dead, however many messages are lost.
+- A restarted process differs from its predecessor by its `boot` (a random number per process), and takes the
+  name over with an incarnation above the predecessor's.
+- A message carries at most `MAX_PIGGYBACKED_UPDATES` updates, and what a member sends per period does not
+  depend on how many members are alive, dead or suspected.
 """
 
 from __future__ import annotations
@@ -27,37 +27,44 @@
 
 from .outgoing import Outgoing
 
-MAX_PIGGYBACKED_UPDATES = 16  # updates in a message
-INDIRECT_PROBES = 3  # members asked to probe in one's place
-RETRANSMIT_FACTOR = (
-    3.0  # an update is sent so many times the natural logarithm of the fleet's size: e^-3 ln n miss it
-)
+MAX_PIGGYBACKED_UPDATES = 16  # per message
+INDIRECT_PROBES = 3  # members asked for an indirect probe
+RETRANSMIT_FACTOR = 3.0  # an update is sent this many times ln(members): a share of e^-3 ln n misses it
 MAX_LOCAL_HEALTH = 8
-MAX_CONFIRMATIONS = 3  # after which a suspicion's time is at its least
-DEAD_MEMBER_PROBE_PERIODS = 8  # each so many periods one that is gone is probed as well: a cut may have ended
+MAX_CONFIRMATIONS = 3  # at so many a suspicion's timeout is at its minimum
+UNKNOWN_MEMBER_PROBE_PERIODS = 2
+DEAD_MEMBER_PROBE_PERIODS = 8  # a dead member is probed once in so many periods: a partition may have ended
+INDIRECT_PROBE_PERIODS = 0.4  # time without an answer after which indirect probes are sent
+RELAY_PERIODS = 4.0  # time for which an indirect probe for another member is remembered
+REFUTATION_PERIODS = 5.0  # times log10(members): time in which a refutation reaches all
+NAME_CONFLICT_S = 1.0  # two processes that send under one name within this time are both running
 
 
 class MemberState(IntEnum):
-    """What is thought of a member; of two words of one incarnation the higher holds."""
+    """A member's state; of two updates of one incarnation the higher state wins."""
 
-    UNKNOWN = 0  # listed, and never heard
+    UNKNOWN = 0  # configured, no message yet
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
-    LEFT = 4  # it said so
+    LEFT = 4  # announced by the member itself
+
+
+GONE_STATES = (MemberState.DEAD, MemberState.LEFT, MemberState.UNKNOWN)
 
 
 class SwimMessageKind(IntEnum):
-    """What a message asks or tells."""
+    """What a message asks for or reports; the numbers are part of the datagram format."""
 
     PING = 0
     ACK = 1
-    PING_REQ = 2  # probe `about` for me
-    NACK = 3  # I was asked to, and it does not answer me either
+    PING_REQ = 2  # asks the receiver to probe `target`
+    NACK = 3  # the answer to PING_REQ until the target has answered
 
 
 class MemberUpdate(NamedTuple):
-    """A word on a member. `boot` names the process, `incarnation` its latest word on itself."""
+    """A member's state as one member knows it. `boot` identifies the process, `incarnation` counts the
+    updates that it issued about itself."""
 
     name: str
     state: MemberState
@@ -66,7 +73,8 @@
 
 
 class SwimMessage(NamedTuple):
-    """One message; `serial` pairs answers with probes, `about` names the member to be probed."""
+    """One message. `serial` pairs an answer with its probe; `target` is the member that an indirect probe is
+    about, else empty; `updates` are piggybacked."""
 
     kind: SwimMessageKind
     serial: int
@@ -75,7 +83,8 @@
 
 
 class MemberChange(NamedTuple):
-    """A member's state has changed here; `conflict`: another process claims the name at the same time."""
+    """A member's state has changed in this process' view. `is_name_conflict`: two processes run under the
+    name at the same time."""
 
     name: str
     before: MemberState
@@ -83,31 +92,45 @@
     is_name_conflict: bool = False
 
 
+class RelayedProbe(NamedTuple):
+    """An indirect probe that this process makes for another member."""
+
+    requester: str
+    requester_serial: int
+    target: str
+    started_at: float
+
+
 @dataclass(slots=True)
 class SwimSettings:
-    """Times in seconds."""
+    """Timing of the failure detector."""
 
-    period_s: float = 0.2  # between two probes of this member
-    min_suspicion_s: float = 2.5  # a suspicion lasts at least so long
-    max_suspicion_factor: float = 4.0  # a suspicion that nobody confirms lasts so many times as long
+    period_s: float = 0.2  # protocol period: one probe each
+    min_suspicion_s: float = 2.5  # a suspicion lasts at least this long
+    max_suspicion_factor: float = 4.0  # timeout of an unconfirmed suspicion, in multiples of the minimum
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one."""
+    """What this process knows of one member."""
 
     name: str
     state: MemberState = MemberState.UNKNOWN
     incarnation: int = -1
     boot: int = 0
-    state_since: float = 0.0  # of the state
-    last_message_at: float = -math.inf  # its own last message
+    state_since: float = 0.0
+    last_message_at: float = -math.inf  # of its present process, received directly
     suspected_by: set[str] = field(default_factory=set)
 
+    @property
+    def is_participating(self) -> bool:
+        """Alive, or suspected."""
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
+
 
 @dataclass(slots=True)
 class Probe:
-    """The probe under way."""
+    """The probe of the current period."""
 
     target: str
     serial: int
@@ -118,41 +141,35 @@
 
 
 class MemberList:
-    """The view of one process."""
+    """The members as one process sees them."""
 
     def __init__(
-        self,
-        name: str,
-        boot: int,
-        listed: Sequence[str],
-        rules: SwimSettings,
-        rng: random.Random,
+        self, name: str, boot: int, listed: Sequence[str], settings: SwimSettings, rng: random.Random,
         now: float = 0.0,
-    ) -> None:
-        self.name, self.boot, self.settings, self.rng = name, boot, rules, rng
+    ) -> None:  # fmt: skip
+        """`name` and `boot` identify this process; `listed` are the configured members."""
+        self.name, self.boot, self.settings, self.rng = name, boot, settings, rng
         self.members = {other: Member(other, state_since=now) for other in listed if other != name}
         self.incarnation = 0
         self.is_leaving = False
-        self.local_health = 0  # 0: well; how far this process doubts itself
+        self.local_health = 0  # Lifeguard's local health multiplier less one; 0 is healthy
         self.last_serial = 0
         self.current_probe: Probe | None = None
         self.next_probe_at = now
         self.period_count = 0
         self.probe_round: list[str] = []
-        self.relayed_probes: dict[
-            int, tuple[str, int, str, float]
-        ] = {}  # serial: for whom, theirs, about, when
-        self.piggyback_counts: dict[str, int] = {}  # name: how often its word was sent
+        self.relayed_probes: dict[int, RelayedProbe] = {}  # by serial
+        self.piggyback_counts: dict[str, int] = {}  # by member: how often its queued update was sent
         self.refuted_at = -math.inf
         self.name_conflicts: dict[str, int] = {}
         self.pending_changes: list[MemberChange] = []
         self.queue_update(name)
 
-    # --- what others read --------------------------------------------------------------------------------
+    # --- queries -----------------------------------------------------------------------------------------
 
     def alive_names(self) -> list[str]:
-        """Those that take part, suspects too, without this process."""
-        return [m.name for m in self.members.values() if m.state in (MemberState.ALIVE, MemberState.SUSPECT)]
+        """Members that take part, suspects included, without this process."""
+        return [member.name for member in self.members.values() if member.is_participating]
 
     def take_changes(self) -> list[MemberChange]:
         """The changes since the last call."""
@@ -160,55 +177,27 @@
         return changes
 
     def own_state(self) -> MemberState:
-        """What this process says of itself."""
+        """The state that this process announces for itself."""
         return MemberState.LEFT if self.is_leaving else MemberState.ALIVE
 
-    # --- time --------------------------------------------------------------------------------------------
+    # --- timer -------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Outgoing[SwimMessage]]:
-        """Ends what is overdue and probes the next one; call it some times a period."""
-        out: list[Outgoing[SwimMessage]] = []
-        for member in self.members.values():
-            if member.state is not MemberState.SUSPECT or now - member.state_since < self.suspicion_timeout_s(
-                member
-            ):
-                continue
-            if now - member.last_message_at < self.settings.min_suspicion_s:
-                member.state_since = (
-                    member.last_message_at
-                )  # it spoke to this process since: its denial has been lost
-            else:
-                self.set_state(now, member, MemberState.DEAD, member.incarnation, member.boot)
-        probe = self.current_probe
-        scale = 1 + self.local_health
-        if (
-            probe is not None
-            and not probe.is_indirect
-            and now - probe.started_at >= 0.4 * self.settings.period_s * scale
-        ):
-            probe.is_indirect = True
-            others = [name for name in self.alive_names() if name != probe.target]
-            for name in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
-                probe.relay_count += 1
-                out.append(self.compose(name, SwimMessageKind.PING_REQ, probe.serial, probe.target))
+        """Ends expired suspicions and starts the probes that are due. To be called several times a period."""
+        self.expire_suspicions(now)
+        health_factor = 1 + self.local_health
+        out = self.indirect_probes(now, health_factor)
         if now < self.next_probe_at:
             return out
         if now - self.next_probe_at > self.settings.min_suspicion_s:
-            # This process stood still, or was starved: what it did not hear meanwhile is its own doing.
-            self.local_health = MAX_LOCAL_HEALTH
-            self.current_probe = None
-            for member in self.members.values():
-                member.state_since = (
-                    max(member.state_since, now)
-                    if member.state is MemberState.SUSPECT
-                    else member.state_since
-                )
+            self.recover_from_pause(now)
         elif self.current_probe is not None:
             self.probe_failed(now, self.current_probe)
-        self.next_probe_at = now + self.settings.period_s * scale
+        self.next_probe_at = now + self.settings.period_s * health_factor
         self.period_count += 1
+        relay_s = RELAY_PERIODS * self.settings.period_s
         self.relayed_probes = {
-            k: row for k, row in self.relayed_probes.items() if now - row[3] < 4.0 * self.settings.period_s
+            serial: relay for serial, relay in self.relayed_probes.items() if now - relay.started_at < relay_s
         }
         if not self.is_leaving and (target := self.next_target()) is not None:
             self.last_serial += 1
@@ -216,54 +205,87 @@
             out.append(self.compose(target, SwimMessageKind.PING, self.last_serial))
         return out
 
+    def expire_suspicions(self, now: float) -> None:
+        """Declares suspects dead whose timeout has passed."""
+        for member in self.members.values():
+            if member.state is not MemberState.SUSPECT:
+                continue
+            if now - member.state_since < self.suspicion_timeout_s(member):
+                continue
+            if now - member.last_message_at < self.settings.min_suspicion_s:
+                # It has sent to this process since: its refutation was lost, so the suspicion starts anew.
+                member.state_since = member.last_message_at
+            else:
+                self.set_state(now, member, MemberState.DEAD, member.incarnation, member.boot)
+
+    def indirect_probes(self, now: float, health_factor: int) -> list[Outgoing[SwimMessage]]:
+        """Asks other members to probe the current target, once, where it has not answered in time."""
+        out: list[Outgoing[SwimMessage]] = []
+        probe = self.current_probe
+        if probe is None or probe.is_indirect:
+            return out
+        if now - probe.started_at < INDIRECT_PROBE_PERIODS * self.settings.period_s * health_factor:
+            return out
+        probe.is_indirect = True
+        others = [name for name in self.alive_names() if name != probe.target]
+        for name in self.rng.sample(others, min(INDIRECT_PROBES, len(others))):
+            probe.relay_count += 1
+            out.append(self.compose(name, SwimMessageKind.PING_REQ, probe.serial, probe.target))
+        return out
+
+    def recover_from_pause(self, now: float) -> None:
+        """This process was stopped or starved: answers that it missed are its own fault, so the current probe
+        does not count and all suspicions start anew."""
+        self.local_health = MAX_LOCAL_HEALTH
+        self.current_probe = None
+        for member in self.members.values():
+            if member.state is MemberState.SUSPECT:
+                member.state_since = max(member.state_since, now)
+
     def next_target(self) -> str | None:
-        """The next to be probed: each once a round, in an order drawn anew; now and then one that is gone."""
-        gone = [
-            m.name
-            for m in self.members.values()
-            if m.state in (MemberState.DEAD, MemberState.LEFT, MemberState.UNKNOWN)
-        ]
-        here = self.alive_names()
-        fresh = [name for name in gone if self.members[name].state is MemberState.UNKNOWN]
-        if gone and (not here or self.period_count % (2 if fresh else DEAD_MEMBER_PROBE_PERIODS) == 0):
-            return self.rng.choice(fresh or gone)
-        known = set(here)
+        """The next member to probe: each participating one once a round, in a shuffled order; every few
+        periods one that is dead, has left or was never reached."""
+        gone = [member.name for member in self.members.values() if member.state in GONE_STATES]
+        alive = self.alive_names()
+        unknown = [name for name in gone if self.members[name].state is MemberState.UNKNOWN]
+        gone_periods = UNKNOWN_MEMBER_PROBE_PERIODS if unknown else DEAD_MEMBER_PROBE_PERIODS
+        if gone and (not alive or self.period_count % gone_periods == 0):
+            return self.rng.choice(unknown or gone)
+        known = set(alive)
         while self.probe_round and self.probe_round[-1] not in known:
             self.probe_round.pop()
         if not self.probe_round:
-            self.probe_round = here
+            self.probe_round = alive
             self.rng.shuffle(self.probe_round)
         return self.probe_round.pop() if self.probe_round else None
 
     def probe_failed(self, now: float, probe: Probe) -> None:
-        """The last probe has had no answer in its period."""
+        """The probe got no answer, direct or indirect, within its period."""
         self.current_probe = None
         member = self.members[probe.target]
-        if member.state not in (MemberState.ALIVE, MemberState.SUSPECT):
+        if not member.is_participating:
             return
-        # Relays that did not even say that they got no answer cast doubt on this process' own links.
-        self.local_health = min(
-            MAX_LOCAL_HEALTH,
-            self.local_health + max(0, probe.relay_count - probe.nack_count) + (not probe.relay_count),
-        )
+        # Relays that did not even send a NACK indicate that this process' own links are at fault.
+        missing_nacks = max(0, probe.relay_count - probe.nack_count) + (not probe.relay_count)
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + missing_nacks)
         self.suspect(now, member, self.name)
 
     def suspicion_timeout_s(self, member: Member) -> float:
-        """How long a suspicion lasts, by how many confirm it."""
+        """How long a suspicion lasts: it falls with the logarithm of the number of its confirmations."""
         size = len(self.members) + 1
-        spread = 5.0 * math.log10(max(10, size)) * self.settings.period_s  # in which a denial reaches all
-        least = self.settings.min_suspicion_s + spread
-        share = math.log(1 + len(member.suspected_by)) / math.log(1 + MAX_CONFIRMATIONS)
-        return least * max(
-            1.0, self.settings.max_suspicion_factor - (self.settings.max_suspicion_factor - 1.0) * share
-        )
+        refutation_s = REFUTATION_PERIODS * math.log10(max(10, size)) * self.settings.period_s
+        shortest_s = self.settings.min_suspicion_s + refutation_s
+        confirmed_share = math.log(1 + len(member.suspected_by)) / math.log(1 + MAX_CONFIRMATIONS)
+        factor = self.settings.max_suspicion_factor
+        return shortest_s * max(1.0, factor - (factor - 1.0) * confirmed_share)
 
     # --- messages ----------------------------------------------------------------------------------------
 
     def receive(
         self, now: float, sender: str, boot: int, message: SwimMessage
     ) -> list[Outgoing[SwimMessage]]:
-        """A message of a listed member's process. One that is not listed is not heard."""
+        """A message from the process `boot` of member `sender`, and the answers to it. Senders that are not
+        configured are ignored."""
         member = self.members.get(sender)
         if member is None:
             return []
@@ -271,26 +293,34 @@
         for update in message.updates:
             self.apply_update(now, sender, update)
         if any((update.incarnation, boot) < (member.incarnation, member.boot) for update in own):
-            # A process under a name whose last one was heard of later: it has to know, or nobody hears it.
+            # A restarted process has to learn its predecessor's incarnation to be accepted.
             self.queue_update(sender)
         if member.boot == boot:
             member.last_message_at = now
         if message.kind is SwimMessageKind.PING:
             return [self.compose(sender, SwimMessageKind.ACK, message.serial)]
         if message.kind is SwimMessageKind.PING_REQ:
-            if message.target not in self.members:
-                return []
-            self.last_serial += 1
-            self.relayed_probes[self.last_serial] = sender, message.serial, message.target, now
-            nack = self.compose(sender, SwimMessageKind.NACK, message.serial, message.target)
-            return [self.compose(message.target, SwimMessageKind.PING, self.last_serial), nack]
+            return self.relay_probe(now, sender, message)
         if message.kind is SwimMessageKind.NACK:
             if self.current_probe is not None and message.serial == self.current_probe.serial:
                 self.current_probe.nack_count += 1
             return []
+        return self.receive_ack(sender, message)
+
+    def relay_probe(self, now: float, sender: str, message: SwimMessage) -> list[Outgoing[SwimMessage]]:
+        """Probes a member for another one, which gets a NACK at once and an ACK when there is an answer."""
+        if message.target not in self.members:
+            return []
+        self.last_serial += 1
+        self.relayed_probes[self.last_serial] = RelayedProbe(sender, message.serial, message.target, now)
+        nack = self.compose(sender, SwimMessageKind.NACK, message.serial, message.target)
+        return [self.compose(message.target, SwimMessageKind.PING, self.last_serial), nack]
+
+    def receive_ack(self, sender: str, message: SwimMessage) -> list[Outgoing[SwimMessage]]:
+        """An answer to a relayed probe, which is passed on, or to this process' own probe."""
         relay = self.relayed_probes.pop(message.serial, None)
-        if relay is not None and relay[2] == sender:
-            return [self.compose(relay[0], SwimMessageKind.ACK, relay[1], sender)]
+        if relay is not None and relay.target == sender:
+            return [self.compose(relay.requester, SwimMessageKind.ACK, relay.requester_serial, sender)]
         probe = self.current_probe
         if probe is not None and message.serial == probe.serial and probe.target in (sender, message.target):
             self.current_probe = None
@@ -298,7 +328,7 @@
         return []
 
     def apply_update(self, now: float, sender: str, update: MemberUpdate) -> None:
-        """One word on a member, or on this process."""
+        """One piggybacked update. Higher incarnations win, then higher boots, then higher states."""
         if update.name == self.name:
             self.apply_update_on_self(now, update)
             return
@@ -310,64 +340,58 @@
         if update.state is MemberState.SUSPECT and rank == known and member.state is MemberState.SUSPECT:
             if sender not in member.suspected_by and len(member.suspected_by) < MAX_CONFIRMATIONS:
                 member.suspected_by.add(sender)
-                self.piggyback_counts.setdefault(
-                    member.name, 0
-                )  # told on, but not as often again: that would add up
+                # Passed on, but its count of transmissions does not start anew.
+                self.piggyback_counts.setdefault(member.name, 0)
         elif update.state is MemberState.SUSPECT and rank >= known:
             member.incarnation, member.boot = rank
             self.suspect(now, member, sender)
         elif rank > known or (rank == known and update.state > member.state):
-            if (
-                member.boot not in (0, update.boot)
-                and update.name == sender
-                and now - member.last_message_at < 1.0
-            ):
+            is_other_process = member.boot not in (0, update.boot) and update.name == sender
+            if is_other_process and now - member.last_message_at < NAME_CONFLICT_S:
                 self.name_conflicts[update.name] = self.name_conflicts.get(update.name, 0) + 1
                 self.pending_changes.append(MemberChange(update.name, member.state, update.state, True))
             self.set_state(now, member, update.state, *rank)
 
     def apply_update_on_self(self, now: float, update: MemberUpdate) -> None:
-        """What others think of this process, or of another one under its name; denied where it is wrong, a
-        period apart, so that two processes under one name cost a message a period and no more."""
-        same = update.boot == self.boot
-        if same and (
-            update.state in (MemberState.UNKNOWN, self.own_state()) or update.incarnation < self.incarnation
-        ):
-            return
-        if not same and (update.incarnation, update.boot) < (self.incarnation, self.boot):
+        """What others believe of this process, or of another one under its name. It is refuted where it is
+        wrong, once a period at most, so that two processes under one name cost one message a period."""
+        is_same_process = update.boot == self.boot
+        if is_same_process:
+            is_expected = update.state in (MemberState.UNKNOWN, self.own_state())
+            if is_expected or update.incarnation < self.incarnation:
+                return
+        elif (update.incarnation, update.boot) < (self.incarnation, self.boot):
             self.queue_update(self.name)
             return
-        if not same:
+        else:
             self.name_conflicts[self.name] = self.name_conflicts.get(self.name, 0) + 1
         if now - self.refuted_at >= self.settings.period_s:
             self.refuted_at = now
             self.incarnation = max(self.incarnation, update.incarnation) + 1
-            if same:
+            if is_same_process:
                 self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
             self.queue_update(self.name)
 
     def leave(self, now: float) -> list[Outgoing[SwimMessage]]:
-        """This process goes: told at once to some, by whom it spreads."""
+        """Graceful leave: announced to a few members at once, and piggybacked from there."""
         self.is_leaving = True
         self.incarnation += 1
         self.queue_update(self.name)
-        here = self.alive_names()
-        return [
-            self.compose(name, SwimMessageKind.PING, 0)
-            for name in self.rng.sample(here, min(2 * INDIRECT_PROBES, len(here)))
-        ]
+        alive = self.alive_names()
+        receivers = self.rng.sample(alive, min(2 * INDIRECT_PROBES, len(alive)))
+        return [self.compose(name, SwimMessageKind.PING, 0) for name in receivers]
 
     # --- state -------------------------------------------------------------------------------------------
 
     def suspect(self, now: float, member: Member, accuser: str) -> None:
-        """It may be gone."""
+        """`accuser` got no answer from the member."""
         if member.state is not MemberState.SUSPECT:
             self.set_state(now, member, MemberState.SUSPECT, member.incarnation, member.boot)
             member.suspected_by = set()
         member.suspected_by.add(accuser)
 
     def set_state(self, now: float, member: Member, state: MemberState, incarnation: int, boot: int) -> None:
-        """Takes a word over, and tells on."""
+        """Adopts an update and queues it for the others."""
         if state is not member.state:
             self.pending_changes.append(MemberChange(member.name, member.state, state))
             member.state_since = now
@@ -377,35 +401,37 @@
         self.queue_update(member.name)
 
     def queue_update(self, name: str) -> None:
-        """A word on this one is to be spread."""
+        """The member's state is to be piggybacked from now on, with a fresh count of transmissions."""
         self.piggyback_counts[name] = 0
 
     def update_for(self, name: str) -> MemberUpdate:
-        """The word on one."""
+        """A member's state as an update; also of this process."""
         if name == self.name:
             return MemberUpdate(name, self.own_state(), self.incarnation, self.boot)
         member = self.members[name]
         return MemberUpdate(name, member.state, member.incarnation, member.boot)
 
     def piggyback_order(self, name: str) -> tuple[bool, int]:
-        """Doubts, denials and ends go before what is only new: where many join at once a denial would come
-        behind all of them, and too late."""
+        """Sort key: suspicions, refutations and deaths before first announcements, then the least sent. Where
+        many members join at once a refutation would else be queued behind all of them."""
         update = self.update_for(name)
-        return update.state is MemberState.ALIVE and update.incarnation <= 0, self.piggyback_counts[name]
+        is_announcement = update.state is MemberState.ALIVE and update.incarnation <= 0
+        return is_announcement, self.piggyback_counts[name]
 
-    def compose(self, to: str, kind: SwimMessageKind, serial: int, about: str = "") -> Outgoing[SwimMessage]:
-        """A message with the news that have been sent least; one that is in doubt or unknown to the receiver
-        is told so first."""
+    def compose(self, to: str, kind: SwimMessageKind, serial: int, target: str = "") -> Outgoing[SwimMessage]:
+        """A message with piggybacked updates: this process' own, the receiver's where it is suspected or
+        gone, then the queue in its order."""
         names = [self.name]
         if self.members[to].state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
             names.append(to)
-        most = max(1, math.ceil(RETRANSMIT_FACTOR * math.log(len(self.members) + 2)))
+        max_transmissions = max(1, math.ceil(RETRANSMIT_FACTOR * math.log(len(self.members) + 2)))
         for name in sorted(self.piggyback_counts, key=self.piggyback_order):
             if len(names) >= MAX_PIGGYBACKED_UPDATES:
                 break
             if name not in names:
                 names.append(name)
             self.piggyback_counts[name] += 1
-            if self.piggyback_counts[name] >= most:
+            if self.piggyback_counts[name] >= max_transmissions:
                 del self.piggyback_counts[name]
-        return Outgoing(to, SwimMessage(kind, serial, about, tuple(self.update_for(name) for name in names)))
+        updates = tuple(self.update_for(name) for name in names)
+        return Outgoing(to, SwimMessage(kind, serial, target, updates))
