--- a/glenchute/policy/membership/leases.py
+++ b/glenchute/policy/membership/leases.py
@@ -1,30 +1,32 @@
-"""Leases by a majority of configured voters, without lasting storage and without clocks in common. No I/O.
+"""PaxosLease: leases granted by a majority of configured acceptors, diskless and without synchronized clocks.
+No I/O.
 
-Source: Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2012): Paxos in which the
-value decided is "who holds this for how long", and what was accepted is forgotten when its time is over.
-Added here: a bound on the drift of clocks, tokens that only grow, recovery of a voter's promises from the
-others.
+Source: Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2012): Paxos in which the value
+decided is "who holds this lease for how long", and an accepted proposal is forgotten when its lease expires.
+Added here: a bound on clock drift, fencing tokens that only grow, and recovery of an acceptor's promises from
+the other acceptors.
 
-Assumed: each clock runs at 1 - drift to 1 + drift times real time and never goes back; offsets do not
-matter, nor does the wall clock. Messages may be lost, repeated, late and out of order, for ever. A
-process that stops and goes on reads its clock before it acts, and that clock has run meanwhile. A voter
+Assumptions: each clock runs at 1 - drift to 1 + drift times real time and never goes back; clock offsets and
+the wall clock do not matter. Messages may be lost, duplicated, delayed and reordered without bound. A process
+that is stopped and resumed reads its clock before it acts, and that clock has advanced meanwhile. An acceptor
 that starts (it can't know whether for the first time) answers nothing for the longest lease, and until a
-majority of the others have told what they promised.
+majority of the others have reported what they promised.
 
 Then, for each task:
 
-- At no moment of real time do two seekers have `holds` true. The holder's time begins before its proposal
-  leaves and is shorter by the drift than the voters', who promise nothing else meanwhile; two majorities
-  share a voter.
-- Tokens of later holdings are higher, as long as no majority of the voters restarts within one recovery:
-  a new ballot has to pass a voter of each majority before it, or one that has recovered from such a
-  voter. Where all voters have lost everything they begin anew (`anew`): tokens may fall, and a holder
-  waits the longest effect out.
-- While a majority answers and one seeker asks alone, it holds after two exchanges.
+- At no moment of real time is `is_holder` true for two proposers. The holder's lease starts before its
+  proposal is sent and is shorter by the drift than the acceptors' copy, during which they promise nothing to
+  others; any two majorities share an acceptor.
+- Tokens of later leases are higher, as long as no majority of the acceptors restarts within one recovery: a
+  new ballot has to pass an acceptor of each majority before it, or one that has recovered from such an
+  acceptor. Where all acceptors have lost their state they start anew (`has_lost_history`): tokens may fall,
+  and a new holder waits until the longest effect is over.
+- While a majority answers and one proposer asks alone, it holds the lease after two round trips.
 """
 
 from __future__ import annotations
 
+import math
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -32,57 +34,57 @@
 
 from .outgoing import Outgoing
 
+MIN_ACCEPTORS, MAX_ACCEPTORS = 3, 9
+
 
 class Ballot(NamedTuple):
-    """The number of a try: higher than any that its seeker has heard of, and of this process alone."""
+    """The number of a round: higher than any that its proposer has seen, and unique to its process."""
 
     number: int
     proposer: str
     boot: int
 
     def may_replace(self, promised: Ballot) -> bool:
-        """Whether a voter that has promised another may take this one. The number alone has to be higher, as
-        it is the token: of two seekers with one number the second would hold with the first one's token."""
+        """Whether an acceptor that has promised `promised` may promise this ballot. The number alone has to
+        be higher, as it is the fencing token: of two proposers with one number the second would else hold
+        the lease with the first one's token."""
         return self == promised or self.number > promised.number
 
-    def releases(self, held: Ballot) -> bool:
-        """Whether giving this one back gives that one back, too: it is of the same process, and no later."""
-        return (self.proposer, self.boot) == (held.proposer, held.boot) and self.number >= held.number
+    def releases(self, accepted: Ballot) -> bool:
+        """Whether a release of this ballot ends `accepted` too: it is of the same process, and no older."""
+        is_same_process = (self.proposer, self.boot) == (accepted.proposer, accepted.boot)
+        return is_same_process and self.number >= accepted.number
 
 
 NO_BALLOT = Ballot(0, "", 0)
 
 
 class LeaseMessageKind(IntEnum):
-    """What a message asks or tells."""
+    """What a message asks for or reports; the numbers are part of the datagram format."""
 
     PREPARE = 0
-    PROMISE = 1  # `ballot` is promised; `holder` is the ballot that holds now, if one does, for `span` more
-    PROPOSE = 2  # for `span` seconds
+    PROMISE = 1  # `known_ballot` is the accepted ballot, if there is one, for `span_s` more
+    PROPOSE = 2  # asks for a lease of `span_s`
     ACCEPTED = 3
-    REJECTED = 4  # `holder` has been promised, which is higher
+    REJECTED = 4  # `known_ballot` has been promised, which is higher
     RELEASE = 5
-    RECOVERY_REQUEST = 6  # a voter that has started asks what was promised
-    RECOVERY_REPLY = (
-        7  # `holder` is the highest promise for any task; `ready`: by one that has recovered itself
-    )
-    RELEASED = 8  # to other seekers: `ballot` has just been given back
+    RECOVERY_REQUEST = 6  # an acceptor that has started asks what the others promised
+    RECOVERY_REPLY = 7  # `known_ballot` is the highest promise for any task
+    RELEASED = 8  # to other proposers: the lease of `ballot` has just been released
 
 
 # What an acceptor receives; all other kinds go to a proposer.
-ACCEPTOR_MESSAGE_KINDS = frozenset(
-    {
-        LeaseMessageKind.PREPARE,
-        LeaseMessageKind.PROPOSE,
-        LeaseMessageKind.RELEASE,
-        LeaseMessageKind.RECOVERY_REQUEST,
-        LeaseMessageKind.RECOVERY_REPLY,
-    }
-)
+ACCEPTOR_MESSAGE_KINDS = frozenset({
+    LeaseMessageKind.PREPARE,
+    LeaseMessageKind.PROPOSE,
+    LeaseMessageKind.RELEASE,
+    LeaseMessageKind.RECOVERY_REQUEST,
+    LeaseMessageKind.RECOVERY_REPLY,
+})  # fmt: skip
 
 
 class LeaseMessage(NamedTuple):
-    """One message about one task."""
+    """One message about one task's lease. `has_recovered`: the sender, an acceptor, is past its recovery."""
 
     kind: LeaseMessageKind
     task: str
@@ -94,123 +96,124 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """What all voters and seekers have to be configured with alike. Seconds by any clock within the drift."""
+    """What all acceptors and proposers have to be configured with alike. Spans are seconds by any clock that
+    keeps within the drift."""
 
     acceptors: tuple[str, ...]
     max_span_s: float = 10.0  # no lease is proposed or accepted for longer
-    max_clock_drift: float = 0.01
+    max_clock_drift: float = 0.01  # share of real time
 
     @property
     def majority(self) -> int:
-        """Voters that decide."""
+        """Acceptors that decide."""
         return len(self.acceptors) // 2 + 1
 
     @property
     def startup_silence_s(self) -> float:
-        """How long a voter that has started answers nothing: all it may have accepted is over by then."""
+        """How long an acceptor that has started answers nothing: all that it had accepted expires in it."""
         return self.max_span_s * (1.0 + self.max_clock_drift)
 
-    def usable_span_s(self, span: float) -> float:
-        """How long, by the holder's clock, a lease of a span by the voters' clocks may be used."""
-        return span * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)
+    def usable_span_s(self, span_s: float) -> float:
+        """How long, by the holder's clock, a lease of `span_s` by the acceptors' clocks may be used."""
+        return span_s * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)
 
 
 class AcceptedLease(NamedTuple):
-    """A lease as a voter holds it, by its own clock."""
+    """A lease that an acceptor has accepted, by its own clock."""
 
     ballot: Ballot
     expires_at: float
 
 
 class Acceptor:
-    """One voter's promises."""
+    """The promises of one acceptor, for all tasks."""
 
     def __init__(self, name: str, terms: LeaseTerms, now: float) -> None:
         self.name, self.terms = name, terms
         self.silent_until = now + terms.startup_silence_s
-        self.recovery_replies: dict[
-            str, bool
-        ] = {}  # voters that told what they promised; whether they had recovered
+        self.recovery_replies: dict[str, bool] = {}  # by acceptor: whether it has recovered itself
         self.has_recovered = False
-        self.has_lost_history = False  # all voters had lost everything
-        self.promise_floor = (
-            NO_BALLOT  # promised for every task: the highest that the others had promised for any
-        )
+        self.has_lost_history = False  # no acceptor remembers its promises
+        self.promise_floor = NO_BALLOT  # promised for every task: the highest that the others had promised
         self.promised: dict[str, Ballot] = {}
         self.accepted: dict[str, AcceptedLease] = {}
 
     def tick(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Asks the others what was promised, until enough have said; call it some times a second."""
-        for task in [task for task, held in self.accepted.items() if held.expires_at <= now]:
+        """Forgets expired leases and, while recovering, asks the others for their promises. To be called
+        several times a second."""
+        for task in [task for task, lease in self.accepted.items() if lease.expires_at <= now]:
             del self.accepted[task]
         if self.has_recovered:
             return []
-        others = [voter for voter in self.terms.acceptors if voter != self.name]
-        known, told = sum(self.recovery_replies.values()), len(self.recovery_replies)
-        lost = told - known + 1  # voters that remember nothing, this one included
-        most = self.terms.majority
-        if now >= self.silent_until and (known >= most or told == len(others) or lost >= most):
-            self.has_recovered, self.has_lost_history = True, lost >= most
+        others = [acceptor for acceptor in self.terms.acceptors if acceptor != self.name]
+        remembering, replied = sum(self.recovery_replies.values()), len(self.recovery_replies)
+        forgetful = replied - remembering + 1  # this one included
+        majority = self.terms.majority
+        is_answered = remembering >= majority or replied == len(others) or forgetful >= majority
+        if now >= self.silent_until and is_answered:
+            self.has_recovered, self.has_lost_history = True, forgetful >= majority
             return []
-        return [
-            Outgoing(other, LeaseMessage(LeaseMessageKind.RECOVERY_REQUEST, "", NO_BALLOT))
-            for other in others
-        ]
+        request = LeaseMessage(LeaseMessageKind.RECOVERY_REQUEST, "", NO_BALLOT)
+        return [Outgoing(other, request) for other in others]
 
     def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """A message. A voter that has not recovered answers seekers nothing."""
-        kind, task, ballot = message.kind, message.task, message.ballot
-        if kind is LeaseMessageKind.RECOVERY_REQUEST:
-            highest = max([self.promise_floor, *self.promised.values()])
-            return [
-                Outgoing(
-                    sender,
-                    LeaseMessage(
-                        LeaseMessageKind.RECOVERY_REPLY,
-                        "",
-                        NO_BALLOT,
-                        highest,
-                        has_recovered=self.has_recovered,
-                    ),
-                )
-            ]
-        if kind is LeaseMessageKind.RECOVERY_REPLY:
+        """A message, and the answer to it. Until an acceptor has recovered it answers proposers nothing."""
+        if message.kind is LeaseMessageKind.RECOVERY_REQUEST:
+            return [Outgoing(sender, self.recovery_reply())]
+        if message.kind is LeaseMessageKind.RECOVERY_REPLY:
             if not self.has_recovered and sender in self.terms.acceptors:
                 self.recovery_replies[sender] = message.has_recovered
                 self.promise_floor = max(self.promise_floor, message.known_ballot)
             return []
         if not self.has_recovered:
             return []
-        promised = self.promised.get(task, self.promise_floor)
-        held = self.accepted.get(task)
-        if held is not None and held.expires_at <= now:
-            held = None
-        if kind is LeaseMessageKind.PREPARE:
-            if not ballot.may_replace(promised):
-                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised))]
-            self.promised[task] = ballot
-            if held is None:
-                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.PROMISE, task, ballot))]
-            return [
-                Outgoing(
-                    sender,
-                    LeaseMessage(LeaseMessageKind.PROMISE, task, ballot, held.ballot, held.expires_at - now),
-                )
-            ]
-        if kind is LeaseMessageKind.PROPOSE:
-            if not ballot.may_replace(promised) or message.span_s > self.terms.max_span_s:
-                return [Outgoing(sender, LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised))]
-            self.promised[task] = ballot
-            self.accepted[task] = AcceptedLease(ballot, now + message.span_s)
-            return [Outgoing(sender, LeaseMessage(LeaseMessageKind.ACCEPTED, task, ballot))]
-        if kind is LeaseMessageKind.RELEASE and held is not None and ballot.releases(held.ballot):
-            del self.accepted[task]
+        if message.kind is LeaseMessageKind.PREPARE:
+            return [Outgoing(sender, self.prepare(now, message.task, message.ballot))]
+        if message.kind is LeaseMessageKind.PROPOSE:
+            return [Outgoing(sender, self.propose(now, message.task, message.ballot, message.span_s))]
+        accepted = self.current_lease(now, message.task)
+        is_release = message.kind is LeaseMessageKind.RELEASE
+        if is_release and accepted is not None and message.ballot.releases(accepted.ballot):
+            del self.accepted[message.task]
         return []
 
+    def current_lease(self, now: float, task: str) -> AcceptedLease | None:
+        """The task's accepted lease, unless it has expired."""
+        accepted = self.accepted.get(task)
+        return accepted if accepted is not None and accepted.expires_at > now else None
+
+    def recovery_reply(self) -> LeaseMessage:
+        """The highest promise of this acceptor, for one that recovers."""
+        highest = max([self.promise_floor, *self.promised.values()])
+        return LeaseMessage(
+            LeaseMessageKind.RECOVERY_REPLY, "", NO_BALLOT, highest, has_recovered=self.has_recovered
+        )
+
+    def prepare(self, now: float, task: str, ballot: Ballot) -> LeaseMessage:
+        """Promises the ballot, and reports the accepted lease; or rejects it."""
+        promised = self.promised.get(task, self.promise_floor)
+        if not ballot.may_replace(promised):
+            return LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised)
+        self.promised[task] = ballot
+        accepted = self.current_lease(now, task)
+        if accepted is None:
+            return LeaseMessage(LeaseMessageKind.PROMISE, task, ballot)
+        remaining_s = accepted.expires_at - now
+        return LeaseMessage(LeaseMessageKind.PROMISE, task, ballot, accepted.ballot, remaining_s)
+
+    def propose(self, now: float, task: str, ballot: Ballot, span_s: float) -> LeaseMessage:
+        """Accepts the lease for its span, or rejects it."""
+        promised = self.promised.get(task, self.promise_floor)
+        if not ballot.may_replace(promised) or span_s > self.terms.max_span_s:
+            return LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised)
+        self.promised[task] = ballot
+        self.accepted[task] = AcceptedLease(ballot, now + span_s)
+        return LeaseMessage(LeaseMessageKind.ACCEPTED, task, ballot)
+
 
 @dataclass(slots=True)
 class OwnLease:
-    """A lease that is held, by this process' clock."""
+    """The lease that this process holds, by its own clock."""
 
     token: int
     expires_at: float
@@ -219,42 +222,43 @@
 
 @dataclass(slots=True)
 class BallotRound:
-    """A try under way."""
+    """A round in progress: prepare, then propose."""
 
     ballot: Ballot
     promised_by: set[str] = field(default_factory=set)
-    rejected_by: set[str] = field(default_factory=set)  # voters that have promised more, or hold another's
+    rejected_by: set[str] = field(default_factory=set)  # promised a higher ballot, or accepted another holder
     accepted_by: set[str] = field(default_factory=set)
-    lease_expires_at: float | None = None  # set when the proposal leaves
+    lease_expires_at: float | None = None  # set when the proposal is sent
 
 
 class Proposer:
-    """One process that would hold a task's lease."""
+    """One process that acquires, renews and releases one task's lease."""
 
-    def __init__(self, name: str, boot: int, task: str, terms: LeaseTerms, span: float) -> None:
-        if span > terms.max_span_s:
+    def __init__(self, name: str, boot: int, task: str, terms: LeaseTerms, span_s: float) -> None:
+        """ValueError where `span_s` is over the longest lease of the terms."""
+        if span_s > terms.max_span_s:
             raise ValueError("a lease must not be longer than the longest")
-        self.name, self.boot, self.task, self.terms, self.span_s = name, boot, task, terms, span
-        self.highest_number = 0  # number of the highest ballot heard of
+        self.name, self.boot, self.task, self.terms, self.span_s = name, boot, task, terms, span_s
+        self.highest_number = 0  # of the ballots seen
         self.current_round: BallotRound | None = None
         self.lease: OwnLease | None = None
-        self.released_ballot = NO_BALLOT  # another's that was given back, by its own word
-        self.other_holder: Ballot = NO_BALLOT  # who was found to hold it ...
-        self.other_holder_until = -1e9  # ... and until when it does at most, if it does not renew
+        self.released_ballot = NO_BALLOT  # of another holder, which announced the release
+        self.other_holder: Ballot = NO_BALLOT
+        self.other_holder_until = -math.inf  # when its lease expires at the latest, unless renewed
 
     def is_holder(self, now: float) -> bool:
-        """Whether this process may act at this very moment."""
+        """Whether this process holds the lease at this moment."""
         return self.lease is not None and now < self.lease.expires_at
 
     def fencing_token(self, now: float, longest_s: float) -> int | None:
-        """The token, if an effect of this length that begins now ends while the lease is held; else None. Ask
-        just before the effect: a stop between this and the effect's start is covered only where whoever
-        carries it out refuses older tokens."""
+        """The token for an effect that starts now and takes at most `longest_s`; None where it might outlast
+        the lease. To be called just before the effect: a pause of the process between this and the effect is
+        covered only where the effect's target refuses tokens lower than it has seen."""
         end = now + longest_s * (1.0 + self.terms.max_clock_drift)
         return self.lease.token if self.lease is not None and end < self.lease.expires_at else None
 
     def start_round(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Begins a try, or a renewal where this process holds the lease."""
+        """Begins a round to acquire the lease, or to renew it where this process holds it."""
         if not self.is_holder(now):
             self.lease = None
         self.highest_number += 1
@@ -262,93 +266,110 @@
         return self.broadcast(LeaseMessage(LeaseMessageKind.PREPARE, self.task, self.current_round.ballot))
 
     def release(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Gives the lease back: not held from this moment on, whatever becomes of the messages. A renewal
-        that is under way goes back as well."""
-        holding, trying, self.lease, self.current_round = self.lease, self.current_round, None, None
-        if holding is None:
+        """Releases the lease: not held from now on, whether or not the messages arrive. A renewal in progress
+        is released with it."""
+        lease, current_round, self.lease, self.current_round = self.lease, self.current_round, None, None
+        if lease is None:
             return []
-        last = trying.ballot if trying is not None else holding.ballot
-        return self.broadcast(LeaseMessage(LeaseMessageKind.RELEASE, self.task, last))
+        ballot = current_round.ballot if current_round is not None else lease.ballot
+        return self.broadcast(LeaseMessage(LeaseMessageKind.RELEASE, self.task, ballot))
 
     def retransmit(self) -> list[Outgoing[LeaseMessage]]:
-        """The messages of the try under way to voters that have not answered, once more: what a voter hears
-        twice it answers twice, and takes once."""
-        trying = self.current_round
-        if trying is None:
+        """The message of the current round again, to acceptors that have not answered. Acceptors answer a
+        duplicate and apply it once."""
+        current = self.current_round
+        if current is None:
             return []
-        if trying.lease_expires_at is None:
-            message = LeaseMessage(LeaseMessageKind.PREPARE, self.task, trying.ballot)
-            answered = trying.promised_by | trying.rejected_by
+        if current.lease_expires_at is None:
+            message = LeaseMessage(LeaseMessageKind.PREPARE, self.task, current.ballot)
+            answered = current.promised_by | current.rejected_by
         else:
-            message = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span_s=self.span_s)
-            answered = trying.accepted_by
-        return [Outgoing(voter, message) for voter in self.terms.acceptors if voter not in answered]
+            message = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, current.ballot, span_s=self.span_s)
+            answered = current.accepted_by
+        return [Outgoing(acceptor, message) for acceptor in self.terms.acceptors if acceptor not in answered]
 
     def note_release(self, ballot: Ballot) -> None:
-        """Its holder says that it holds it no more: what voters still tell of it counts for nothing."""
+        """The holder of `ballot` announced that it released the lease: what acceptors still report of it does
+        not count."""
         self.released_ballot = ballot
         self.highest_number = max(self.highest_number, ballot.number)
 
     def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """A voter's answer. One to an older try is only learned from."""
+        """An acceptor's answer, and what follows from it. An answer to an older round only raises the number
+        of the next ballot."""
         self.highest_number = max(self.highest_number, message.known_ballot.number)
-        trying = self.current_round
-        if message.task != self.task or trying is None or message.ballot != trying.ballot:
+        current = self.current_round
+        if message.task != self.task or current is None or message.ballot != current.ballot:
             return []
         if sender not in self.terms.acceptors:
             return []
+        is_proposed = current.lease_expires_at is not None
         if message.kind is LeaseMessageKind.REJECTED:
-            self.note_rejection(trying, sender)  # the next try has a higher number
-        elif message.kind is LeaseMessageKind.PROMISE and trying.lease_expires_at is None:
-            if not self.is_available(message.known_ballot):
-                # A try that reached few voters leaves its mark at them; only a majority's tells of a holder.
-                self.other_holder = message.known_ballot
-                self.other_holder_until = now + message.span_s * (1.0 + 2.0 * self.terms.max_clock_drift)
-                self.note_rejection(trying, sender)
-                return []
-            trying.promised_by.add(sender)
-            if len(trying.promised_by) >= self.terms.majority:
-                trying.lease_expires_at = now + self.terms.usable_span_s(
-                    self.span_s
-                )  # begins before the proposal leaves
-                return self.broadcast(
-                    LeaseMessage(LeaseMessageKind.PROPOSE, self.task, trying.ballot, span_s=self.span_s)
-                )
-        elif message.kind is LeaseMessageKind.ACCEPTED and trying.lease_expires_at is not None:
-            trying.accepted_by.add(sender)
-            if len(trying.accepted_by) >= self.terms.majority:
-                self.current_round = None
-                if now < trying.lease_expires_at:
-                    token = self.lease.token if self.is_holder(now) and self.lease else trying.ballot.number
-                    self.lease = OwnLease(token, trying.lease_expires_at, trying.ballot)
+            self.note_rejection(current, sender)
+        elif message.kind is LeaseMessageKind.PROMISE and not is_proposed:
+            return self.receive_promise(now, current, sender, message)
+        elif message.kind is LeaseMessageKind.ACCEPTED and is_proposed:
+            self.receive_acceptance(now, current, sender)
         return []
 
-    def note_rejection(self, trying: BallotRound, voter: str) -> None:
-        """One voter stands against a try; it ends when the others are no majority."""
-        trying.rejected_by.add(voter)
-        if len(trying.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
+    def receive_promise(
+        self, now: float, current: BallotRound, sender: str, message: LeaseMessage
+    ) -> list[Outgoing[LeaseMessage]]:
+        """A promise; with a majority of them the lease is proposed."""
+        if not self.is_available(message.known_ballot):
+            # A round that reached a minority is accepted there, too: only a majority's reports name a holder.
+            self.other_holder = message.known_ballot
+            self.other_holder_until = now + message.span_s * (1.0 + 2.0 * self.terms.max_clock_drift)
+            self.note_rejection(current, sender)
+            return []
+        current.promised_by.add(sender)
+        if len(current.promised_by) < self.terms.majority:
+            return []
+        # The lease starts before the proposal is sent, so it ends before any acceptor's copy.
+        current.lease_expires_at = now + self.terms.usable_span_s(self.span_s)
+        proposal = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, current.ballot, span_s=self.span_s)
+        return self.broadcast(proposal)
+
+    def receive_acceptance(self, now: float, current: BallotRound, sender: str) -> None:
+        """An acceptance; with a majority of them the lease is held. A renewal keeps the token."""
+        current.accepted_by.add(sender)
+        if len(current.accepted_by) < self.terms.majority:
+            return
+        self.current_round = None
+        expires_at = current.lease_expires_at
+        if expires_at is not None and now < expires_at:
+            token = self.lease.token if self.is_holder(now) and self.lease else current.ballot.number
+            self.lease = OwnLease(token, expires_at, current.ballot)
+
+    def note_rejection(self, current: BallotRound, acceptor: str) -> None:
+        """An acceptor rejects the round; it ends once the others are no majority."""
+        current.rejected_by.add(acceptor)
+        if len(current.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
             self.current_round = None
 
-    def is_available(self, holder: Ballot) -> bool:
-        """Whether nobody else holds it: nobody does, or this very process, or one that gave it back."""
-        own = (holder.proposer, holder.boot) == (self.name, self.boot)
-        return holder == NO_BALLOT or own or self.released_ballot.releases(holder)
+    def is_available(self, accepted: Ballot) -> bool:
+        """Whether a reported accepted ballot leaves the lease to this process: there is none, it is this
+        process' own, or its holder released it."""
+        is_own = (accepted.proposer, accepted.boot) == (self.name, self.boot)
+        return accepted == NO_BALLOT or is_own or self.released_ballot.releases(accepted)
 
     def broadcast(self, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """The same to each voter."""
-        return [Outgoing(voter, message) for voter in self.terms.acceptors]
+        """The same message to each acceptor."""
+        return [Outgoing(acceptor, message) for acceptor in self.terms.acceptors]
 
 
-def acceptor_set_problem(voters: Sequence[str], listed: Sequence[str], changing: bool = False) -> str:
-    """What is wrong with a set of voters, in a sentence; empty where nothing is. `changing`: it is one
-    between two others. Majorities of two sets have a voter in common if one was added or one taken away, and
-    not if one was put in another's place; so a replacement goes by way of an even set."""
-    if len(set(voters)) != len(voters):
+def acceptor_set_problem(acceptors: Sequence[str], listed: Sequence[str], changing: bool = False) -> str:
+    """What is wrong with a set of acceptors (`voters` in the operator's file), in a sentence; empty where
+    nothing is. `listed`: all members. `changing`: the set is one step of a replacement. Majorities of two
+    sets share an acceptor if one was added or one removed, and not if one was replaced; so a replacement goes
+    by way of an even set."""
+    if len(set(acceptors)) != len(acceptors):
         return "names a voter twice"
-    if not 3 <= len(voters) <= 9:
-        return f"has {len(voters)} voters; 3 to 9 decide"
-    if len(voters) % 2 == 0 and not changing:
-        why = f"has {len(voters)} voters, and may lose no more than {len(voters) - 1} may; take an odd one"
+    count = len(acceptors)
+    if not MIN_ACCEPTORS <= count <= MAX_ACCEPTORS:
+        return f"has {count} voters; 3 to 9 decide"
+    if count % 2 == 0 and not changing:
+        why = f"has {count} voters, and may lose no more than {count - 1} may; take an odd one"
         return f"{why}, or say changing = true while voters are replaced"
-    missing = [voter for voter in voters if voter not in listed]
+    missing = [acceptor for acceptor in acceptors if acceptor not in listed]
     return f"names {missing[0]}, which is no member" if missing else ""
