--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -17,6 +17,7 @@
 import hiredis
 import pytest
 
+from glenchute.config.policy_settings import policy_settings
 from glenchute.listeners.resp2 import clients
 from glenchute.listeners.resp2.clients import (
     BUFFERED,
@@ -29,14 +30,13 @@
 )
 from glenchute.listeners.resp2.clients import Client as Connection
 from glenchute.policy.actions import Action, StartAttempt
-from glenchute.policy.connections import client_slots as places
-from glenchute.policy.connections.client_slots import Reason
+from glenchute.policy.connections import client_slots
+from glenchute.policy.connections.client_slots import CloseReason
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.policy.lifecycle import draining as lifecycle
 from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
 from glenchute.protocol import resp2 as resp
-from glenchute.simulator import settings
 from glenchute.upstreams.connection_pool import SETTLE_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
@@ -307,10 +307,10 @@
             end(client, how)
             await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MOST_PENDING))
             assert len(script.of(Request)) == min(pending, MOST_PENDING)
-            assert not one.program.gateway.live and not one.program.listener.open_ids
+            assert not one.program.gateway.active_requests and not one.program.listener.open_ids
             again = await one.client()  # its ids may be used again at once
             again.send(*READ, b"0", GET)
-            await until(lambda: len(one.program.gateway.live) == 1)
+            await until(lambda: len(one.program.gateway.active_requests) == 1)
 
     play(scenario())
 
@@ -332,7 +332,7 @@
             taken = len(script.of(Request))
             end(client, how)
             await until(lambda: not one.program.listener.clients)
-            assert len(script.of(Request)) == taken and not one.program.gateway.live
+            assert len(script.of(Request)) == taken and not one.program.gateway.active_requests
 
     play(scenario())
 
@@ -363,7 +363,7 @@
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with deaf() as port, site(always(SERVED), decisions=script) as one:
-            one.program.servers.listed("s0", ("127.0.0.1", port), False)
+            one.program.servers.activate_server("s0", ("127.0.0.1", port), False)
             client = await one.client()
             client.send(*READ, b"1", GET)
             await until(lambda: len(one.program.servers.coming) == 1)
@@ -392,9 +392,9 @@
             calls = [server.calls for server in one.servers]
             await until(lambda: sum(len(c()) for c in calls) == 1)
             end(client, how)
-            await until(lambda: not one.program.gateway.live)
+            await until(lambda: not one.program.gateway.active_requests)
             release.set()
-            await until(lambda: not one.program.gateway.out)
+            await until(lambda: not one.program.gateway.attempts_in_flight)
             assert sum(len(c()) for c in calls) == 1
 
     play(scenario())
@@ -411,16 +411,20 @@
                 crowd = [await one.client() for _ in range(count)]
                 for number, client in enumerate(crowd):
                     client.send(*READ, b"%d.%d" % (round_, number), GET)
-                await until(lambda: len(one.program.gateway.live) == count)
+                await until(lambda: len(one.program.gateway.active_requests) == count)
                 script.decide = send_to("s0")
                 steady = await one.client()
                 for client in crowd:
                     end(client, "reset")
                 assert await steady.ask(*READ, b"steady", GET) == b"value"
                 steady.writer.close()
-                await until(lambda: not listener.clients and not one.program.gateway.live)
+                await until(lambda: not listener.clients and not one.program.gateway.active_requests)
                 script.decide = lambda event: []
-            assert not listener.open_ids and not one.program.gateway.out and not listener.left_unread
+            assert (
+                not listener.open_ids
+                and not one.program.gateway.attempts_in_flight
+                and not listener.left_unread
+            )
 
     play(scenario())
 
@@ -443,7 +447,7 @@
 def test_replies_in_our_buffer_are_not_cut_off_by_the_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
     """A slow reader asks for its connection's end behind replies that wait in our buffer: the time in which a
     client has to close runs for those that have got all."""
-    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_S", 0.05)
+    monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         value = b"v" * 60000
@@ -562,7 +566,7 @@
             await then(writer)
             return None
 
-        heard = Heard(Policy(settings(SETTINGS), 1))
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             client = await one.client()
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
@@ -740,14 +744,16 @@
                 return b""
             return SERVED
 
-        heard = Heard(Policy(settings(SETTINGS), 1))
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await rested(one, 12)
             await asyncio.sleep(2.0 * SETTLE_S)  # before that they are not used again
             heard.endings.clear()
             socks.append(raw_client(one, *reads(1)))
             await until(lambda: not socks)
-            await until(lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.out)
+            await until(
+                lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.attempts_in_flight
+            )
             assert await steady.ask(*READ, b"0", GET) == b"value"
             assert sum(len(server.calls()) for server in one.servers) == 12 + 2
             assert heard.endings[0] is Outcome.REJECTED and heard.endings[-1] is Outcome.OK
@@ -775,11 +781,13 @@
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
-            out = one.program.gateway.out.values()
-            written = len(script.of(AttemptEnded)) + sum(attempt.written for attempt in out)
+            out = one.program.gateway.attempts_in_flight.values()
+            written = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in out)
             end_raw(sock, how)
             time.sleep(BUSY_S)
-            await until(lambda: not one.program.listener.clients and not one.program.gateway.out)
+            await until(
+                lambda: not one.program.listener.clients and not one.program.gateway.attempts_in_flight
+            )
             assert await (await one.client()).ask(*READ, b"again", GET) == b"value"
             assert len(one.servers[0].calls()) <= written + 1
             sock.close()
@@ -885,11 +893,11 @@
     """... and with a request that waits for its decision: over at once, though the transport is not."""
     script.decide = lambda event: []
     sock.send(packed(*READ, b"open", GET))
-    await until(lambda: one.program.gateway.live)
+    await until(lambda: one.program.gateway.active_requests)
     sock.shutdown(socket.SHUT_WR)
     await until(lambda: script.of(ClientDisconnected))
     assert held.transport is not None and held.transport.is_closing()
-    assert not one.program.gateway.live and not one.program.listener.open_ids
+    assert not one.program.gateway.active_requests and not one.program.listener.open_ids
 
 
 async def left_full_then_read_in_part(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
@@ -901,7 +909,7 @@
         sock.send(packed(*READ, b"%d" % number, GET))
         await until(lambda: one.program.listener.taken == taken + 1 and not held.slots)  # noqa: B023
     assert held.full
-    held.finish()
+    held.close_when_answered()
     assert held.leaving and held.transport.is_closing()
     while held.full:
         try:
@@ -918,7 +926,7 @@
 ) -> None:
     """The transport waits for its buffer to empty, and the peer never reads: the place is given up all the
     same, and the descriptor with it."""
-    for name in ("IDLE_S", "STUCK_S"):
+    for name in ("MAX_IDLE_S", "WRITE_BLOCKED_TIMEOUT_S"):
         monkeypatch.setattr(f"glenchute.policy.connections.client_slots.{name}", 0.2)
 
     async def scenario() -> None:
@@ -941,7 +949,7 @@
             await scene(one, script, sock, held)
             async with asyncio.timeout(20.0):
                 await until(lambda: not one.program.listener.clients and held.transport is None)
-            assert one.program.listener.places.closed[Reason.STUCK] == 1
+            assert one.program.listener.places.closed_counts[CloseReason.WRITE_BLOCKED] == 1
             sock.close()
 
     play(scenario())
@@ -1150,9 +1158,9 @@
 
 def test_a_command_that_waits_for_its_turn_keeps_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """However long the others' turns take: it has come whole, and its client is not late."""
-    for name in ("FIRST_COMMAND_S", "SILENT_S", "PARTIAL_S", "IDLE_S"):
-        monkeypatch.setattr(places, name, 0.01)
-    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[Reason]()
+    for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
+        monkeypatch.setattr(client_slots, name, 0.01)
+    turn, end, held, reasons = clients.Listener.turn, Connection.end, True, list[CloseReason]()
 
     def later(self: clients.Listener) -> None:
         if held:
@@ -1160,7 +1168,7 @@
         else:
             turn(self)
 
-    def told(self: Connection, reason: Reason) -> bool:
+    def told(self: Connection, reason: CloseReason) -> bool:
         reasons.append(reason)
         return end(self, reason)
 
