--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -326,7 +326,7 @@
             own_name = self.usage.writer.rpartition("#")[0]
             writer = f"{own_name}#{word.boot:x}" if word.boot else f"{sender}#{boot:x}"
             row = Row(RowKind.USE, word.key, writer, word.version, word.units)
-            if writer != self.usage.writer and self.replica.merge(now, row, seen_from=sender):
+            if writer != self.usage.writer and self.replica.merge(now, row, sender=sender):
                 self.usage.receive(row)
                 if word.key not in self.reported_windows and self.usage.must_report(word.key):
                     self.report(now, self.usage.row_for(word.key, self.usage.own[word.key]))
--- a/glenchute/policy/membership/gossip.py
+++ b/glenchute/policy/membership/gossip.py
@@ -1,15 +1,16 @@
-"""Who is sent which rows, and when: pushes of what is new, comparison of copies, catch-up. No I/O.
-
-What is new is passed on a few times by each that it is new to (one in 150 hears nothing of it so, however
-many there are, and finds it in a comparison), most urgent kind first, to members drawn at random (rumor
-mongering: Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987). Each `compare`
-seconds the roots of the hash trees are compared with one member; where they differ, leaves are, and only
-rows of leaves that differ are sent. All of it stands under one budget of bytes a second, in good times
-and bad, and no message needs one before it: what is lost is found at the next comparison, from any
-member, so that a catch-up goes on after a cut or the giver's death wherever it stands.
-
-`known` tells whether this copy can be taken for whole: each bucket of the tree was found to agree with that
-of a member whose copy is whole, or of all that are there; or this process is older than a row can get.
+"""Dissemination of replicated rows: rumor mongering for new rows, anti-entropy for the rest. No I/O.
+
+A new row is pushed a few times by each member that it is new to (one in 150 misses it so, however many there
+are, and finds it by anti-entropy), most urgent kind first, to members drawn at random (Demers et al.,
+"Epidemic Algorithms for Replicated Database Maintenance", 1987). Each `compare_interval_s` the digest of the
+hash tree's buckets is compared with that of one member; where buckets differ, their leaves are compared, and
+only rows of differing leaves are sent. All of it shares one budget of bytes per second, with or without
+faults, and no message depends on one before it: what is lost is found by the next comparison, with any
+member, so that a catch-up goes on after a partition or the death of its source.
+
+`is_complete` tells whether this replica has every row that is required: each bucket of the tree was found to
+match that of a member whose replica is complete, or of all members that are alive; or this process is older
+than a row can get.
 """
 
 from __future__ import annotations
@@ -21,15 +22,19 @@
 from typing import NamedTuple
 
 from .outgoing import Outgoing
-from .replica import BUCKETS, Replica, Row, RowKind, leaf_of
-
-ROW_BYTES = 64  # what a row is reckoned at in the budget
-MAX_TRANSMISSIONS = 5
-MAX_ROW_HASHES = 600  # rows whose hashes go into one datagram, cut to 32 bits
-MAX_ROWS_PER_MESSAGE = 16  # in a message, which thus stays under a datagram's size
-SHORT_HASH_MASK = 0xFFFFFFFF
+from .replica import BUCKETS, Leaf, Replica, Row, RowKey, RowKind, leaf_of
+
+MESSAGE_BYTES, ROW_BYTES = 24, 64  # what a message and a row cost in the budget
+ROW_HASH_BYTES, TREE_HASH_BYTES = 5, 8
+MAX_TRANSMISSIONS = 5  # of a new row, by one member
+MAX_ROW_HASHES = 600  # per message; replicas with no more rows are compared row by row
+MAX_ROWS_PER_MESSAGE = 16  # keeps a message within a datagram
+SHORT_HASH_MASK = 0xFFFFFFFF  # of a row's hash 32 bits are sent
 MAX_DIVERGED_MEMBERS = 1_000
-MAX_QUEUED_ROWS = 20_000  # rows waiting to be passed on; past this the comparison has to bring them
+MAX_QUEUED_ROWS = 20_000  # past this new rows are left to anti-entropy
+ALLOWANCE_SHARE = 4.0  # the budget of 1/4 s may be saved up
+REPEATED_DRAINS = 2  # rows of drains pushed where nothing is new
+ALL_BUCKETS = -1  # `Digest.bucket` of a digest of the buckets themselves
 
 
 class Delta(NamedTuple):
@@ -39,8 +44,8 @@
 
 
 class Digest(NamedTuple):
-    """Hashes of a level of the tree: the buckets (`bucket` -1), or a bucket's leaves. `known`: the sender's
-    copy is whole."""
+    """Hashes of one level of the tree: of all buckets (`bucket` is `ALL_BUCKETS`), or of a bucket's leaves.
+    `is_complete`: the sender's replica is."""
 
     bucket: int
     hashes: tuple[int, ...]
@@ -48,41 +53,50 @@
 
 
 class RowHashes(NamedTuple):
-    """Hashes of all rows that are compared, where they are few. `answer`: the sender wants the receiver's."""
+    """Short hashes of all compared rows, where they are few. `wants_reply`: the sender asks for the
+    receiver's."""
 
     hashes: tuple[int, ...]
     wants_reply: bool
 
 
 class LeafRequest(NamedTuple):
-    """Leaves of a bucket whose rows the sender asks for."""
+    """The sender asks for the rows of these leaves of a bucket."""
 
     bucket: int
     leaves: tuple[int, ...]
 
 
 class MatchingBuckets(NamedTuple):
-    """In these buckets the receiver's copy does not differ from the sender's: the answer to a comparison by
-    one whose copy is not whole. What was sent meanwhile may be lost, so only a comparison tells."""
+    """Buckets in which the receiver's replica matches the sender's: the answer to a digest from a member
+    whose replica is incomplete. Rows sent meanwhile may be lost, so only a comparison proves it."""
 
     buckets: tuple[int, ...]
     is_complete: bool
 
 
 GossipMessage = Delta | Digest | RowHashes | LeafRequest | MatchingBuckets
+Outbox = list[Outgoing[GossipMessage]]
 
 
 class ReceivedRow(NamedTuple):
-    """A row that came from others, how old it was then, and who passed it on."""
+    """A row that was new here, its age when it was received, and the member that sent it."""
 
     row: Row
     age_s: float
     sender: str
 
 
+class Divergence(NamedTuple):
+    """A member whose replica differed at the last comparison: since when, and in how many buckets."""
+
+    since: float
+    bucket_count: int
+
+
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """Seconds, and bytes a second."""
+    """Intervals and the budget for everything that gossip sends."""
 
     push_interval_s: float = 0.05
     compare_interval_s: float = 0.5
@@ -90,73 +104,60 @@
 
 
 class Gossip:
-    """The exchange of one process."""
+    """The gossip of one process."""
 
-    def __init__(self, replica: Replica, pace: GossipSettings, rng: random.Random, now: float = 0.0) -> None:
-        self.replica, self.settings, self.rng = replica, pace, rng
+    def __init__(
+        self, replica: Replica, settings: GossipSettings, rng: random.Random, now: float = 0.0
+    ) -> None:
+        self.replica, self.settings, self.rng = replica, settings, rng
         self.started_at = now
         self.is_complete = False
-        self.transmissions_left: dict[
-            tuple[RowKind, str, str], int
-        ] = {}  # row: how often it is still to be passed on
-        self.pending_leaves: dict[
-            str, dict[tuple[int, int], None]
-        ] = {}  # member: leaves to be sent, in order
-        # While this copy is not whole: with whom each bucket was found to agree.
+        self.transmissions_left: dict[RowKey, int] = {}
+        self.pending_leaves: dict[str, dict[Leaf, None]] = {}  # to be sent, by member, in order
+        # Until this replica is complete: by bucket, the members that it was found to match.
         self.matching_members: list[set[str]] = [set() for _ in range(BUCKETS)]
-        self.complete_members: set[str] = set()  # members whose copy is whole, by their word
+        self.complete_members: set[str] = set()  # members that reported a complete replica
         self.push_at = self.compare_at = now
         self.byte_allowance = 0.0
         self.allowance_at = now
         self.sent_bytes = self.rows_sent = self.rows_merged = 0
         self.max_lifetime_s = max(rules.lifetime_s for rules in replica.rules.values() if rules.is_required)
-        # Members whose copy differed at the last comparison: since when, and in how many buckets.
-        self.diverged: dict[str, tuple[float, int]] = {}
+        self.diverged: dict[str, Divergence] = {}
         self.received_rows: list[ReceivedRow] = []
 
     def publish(self, now: float, row: Row, size: int) -> None:
-        """A word of this process' own."""
+        """A row written by this process. `size`: the number of members."""
         if self.replica.merge(now, row):
             self.queue_row(row, size)
 
     def queue_row(self, row: Row, size: int) -> None:
-        """A row is new here, and is passed on."""
+        """A row that is new here is to be pushed."""
         if len(self.transmissions_left) < MAX_QUEUED_ROWS:
-            passes = min(MAX_TRANSMISSIONS, 1 + math.ceil(math.log2(size + 1)))
-            self.transmissions_left[row.kind, row.key, row.writer] = passes
+            transmissions = min(MAX_TRANSMISSIONS, 1 + math.ceil(math.log2(size + 1)))
+            self.transmissions_left[row.kind, row.key, row.writer] = transmissions
 
     def take_received(self) -> list[ReceivedRow]:
-        """The rows that came from others since the last call."""
-        changed, self.received_rows = self.received_rows, []
-        return changed
+        """The rows received from members since the last call."""
+        received, self.received_rows = self.received_rows, []
+        return received
 
-    # --- time --------------------------------------------------------------------------------------------
+    # --- timer -------------------------------------------------------------------------------------------
 
-    def tick(self, now: float, alive: Sequence[str]) -> list[Outgoing[GossipMessage]]:
-        """What is due now, within the budget; call it each `push` seconds."""
-        fresh = self.settings.budget_bytes_per_s * (now - self.allowance_at)
-        self.byte_allowance = min(self.settings.budget_bytes_per_s / 4.0, self.byte_allowance + fresh)
-        self.allowance_at = now
-        if not self.is_complete and (
-            now - self.started_at >= self.max_lifetime_s or self.has_matched_all(alive)
-        ):
-            self.is_complete = True
+    def tick(self, now: float, alive: Sequence[str]) -> Outbox:
+        """What is due now, within the budget; to be called each `push_interval_s`."""
+        self.refill_allowance(now)
+        self.update_completeness(now, alive)
         self.pending_leaves = {
             name: leaves for name, leaves in self.pending_leaves.items() if leaves and name in alive
         }
         if not alive:
             return []
-        out: list[Outgoing[GossipMessage]] = []
+        out: Outbox = []
         if now >= self.compare_at:
-            # One that has to catch up asks as often as it pushes, of another member each time.
-            pause = (
-                self.settings.compare_interval_s * self.rng.uniform(0.8, 1.2)
-                if self.is_complete
-                else self.settings.push_interval_s
-            )
-            self.compare_at = now + pause
-            marks = self.replica.child_hashes(now, None)
-            self.send(out, Outgoing(self.comparison_peer(alive), Digest(-1, marks, self.is_complete)))
+            self.compare_at = now + self.next_comparison_s()
+            hashes = self.replica.child_hashes(now, None)
+            digest = Digest(ALL_BUCKETS, hashes, self.is_complete)
+            self.send(out, Outgoing(self.comparison_peer(alive), digest))
         if now >= self.push_at:
             self.push_at = now + self.settings.push_interval_s
             self.push(now, out, alive)
@@ -165,121 +166,146 @@
                 self.send_pending(now, out, name)
         return out
 
-    def push(self, now: float, out: list[Outgoing[GossipMessage]], alive: Sequence[str]) -> None:
-        """Passes news on to one member. What restrains is passed on even if nothing seems new, a few rows at
-        a time, as a digest that agrees by chance must not hide it."""
-        waiting = sorted(self.transmissions_left, key=lambda at: self.replica.rules[at[0]].urgency)
-        if not waiting and (drains := list(self.replica.keys_by_age[RowKind.SERVER])):
-            waiting = self.rng.sample(drains, min(2, len(drains)))
+    def refill_allowance(self, now: float) -> None:
+        """Adds the budget of the time since the last call, up to a bound."""
+        budget = self.settings.budget_bytes_per_s
+        refill = budget * (now - self.allowance_at)
+        self.byte_allowance = min(budget / ALLOWANCE_SHARE, self.byte_allowance + refill)
+        self.allowance_at = now
+
+    def update_completeness(self, now: float, alive: Sequence[str]) -> None:
+        """Complete from now on, if it was proven by comparisons, or no older row can exist."""
+        if self.is_complete:
+            return
+        is_older_than_rows = now - self.started_at >= self.max_lifetime_s
+        if is_older_than_rows or self.has_matched_all(alive):
+            self.is_complete = True
+
+    def next_comparison_s(self) -> float:
+        """The time to the next comparison. A replica that has to catch up compares as often as it pushes."""
+        if not self.is_complete:
+            return self.settings.push_interval_s
+        return self.settings.compare_interval_s * self.rng.uniform(0.8, 1.2)
+
+    def push(self, now: float, out: Outbox, alive: Sequence[str]) -> None:
+        """Pushes new rows to one member. Where nothing is new a few drains are repeated, as a digest that
+        matches by chance must not hide one."""
+        queue = sorted(self.transmissions_left, key=lambda key: self.replica.rules[key[0]].urgency)
+        if not queue and (drains := list(self.replica.keys_by_age[RowKind.SERVER])):
+            queue = self.rng.sample(drains, min(REPEATED_DRAINS, len(drains)))
         to = self.rng.choice(alive)
-        while waiting and self.byte_allowance > 0.0:
-            batch, waiting = waiting[:MAX_ROWS_PER_MESSAGE], waiting[MAX_ROWS_PER_MESSAGE:]
+        while queue and self.byte_allowance > 0.0:
+            batch, queue = queue[:MAX_ROWS_PER_MESSAGE], queue[MAX_ROWS_PER_MESSAGE:]
             self.send_rows(now, out, to, batch)
-            for at in batch:
-                if at in self.transmissions_left:
-                    self.transmissions_left[at] -= 1
-                    if self.transmissions_left[at] <= 0:
-                        del self.transmissions_left[at]
-
-    def send_pending(self, now: float, out: list[Outgoing[GossipMessage]], name: str) -> None:
-        """Sends a member some of what it is owed; then the next one is first."""
+            for key in batch:
+                if key in self.transmissions_left:
+                    self.transmissions_left[key] -= 1
+                    if self.transmissions_left[key] <= 0:
+                        del self.transmissions_left[key]
+
+    def send_pending(self, now: float, out: Outbox, name: str) -> None:
+        """Sends a member the rows of some of its pending leaves, and puts it last in the queue."""
         leaves = self.pending_leaves.pop(name)
-        batch: list[tuple[RowKind, str, str]] = []
+        batch: list[RowKey] = []
         while leaves and len(batch) < MAX_ROWS_PER_MESSAGE:
             leaf = next(iter(leaves))
             del leaves[leaf]
-            batch += [(h.row.kind, h.row.key, h.row.writer) for h in self.replica.compared_rows(now, leaf)]
+            stored_rows = self.replica.compared_rows(now, leaf)
+            batch += [(stored.row.kind, stored.row.key, stored.row.writer) for stored in stored_rows]
         for first in range(0, len(batch), MAX_ROWS_PER_MESSAGE):
             self.send_rows(now, out, name, batch[first : first + MAX_ROWS_PER_MESSAGE])
         if leaves:
             self.pending_leaves[name] = leaves
 
-    def send_rows(
-        self,
-        now: float,
-        out: list[Outgoing[GossipMessage]],
-        to: str,
-        places: Sequence[tuple[RowKind, str, str]],
-    ) -> None:
-        """A message with these rows, as far as they are still held."""
-        held = [self.replica.rows[at] for at in places if at in self.replica.rows]
-        if held:
-            self.rows_sent += len(held)
-            self.send(
-                out, Outgoing(to, Delta(tuple((h.row, round(1000.0 * (now - h.created_at))) for h in held)))
-            )
-
-    def send(self, out: list[Outgoing[GossipMessage]], outgoing: Outgoing[GossipMessage]) -> None:
-        """Books a message's bytes, roughly, and sends it."""
-        body = outgoing.message
-        cost = 24 + (ROW_BYTES * len(body.rows) if isinstance(body, Delta) else 0)
-        cost += 5 * len(body.hashes) if isinstance(body, RowHashes) else 0
-        cost += BUCKETS + 8 * (BUCKETS - body.hashes.count(0)) if isinstance(body, Digest) else 0
+    def send_rows(self, now: float, out: Outbox, to: str, keys: Sequence[RowKey]) -> None:
+        """Sends these rows, as far as they are still stored."""
+        stored_rows = [self.replica.rows[key] for key in keys if key in self.replica.rows]
+        if stored_rows:
+            self.rows_sent += len(stored_rows)
+            rows = tuple((stored.row, round(1000.0 * (now - stored.created_at))) for stored in stored_rows)
+            self.send(out, Outgoing(to, Delta(rows)))
+
+    def send(self, out: Outbox, outgoing: Outgoing[GossipMessage]) -> None:
+        """Sends a message, and takes its approximate size from the allowance."""
+        message, cost = outgoing.message, MESSAGE_BYTES
+        if isinstance(message, Delta):
+            cost += ROW_BYTES * len(message.rows)
+        elif isinstance(message, RowHashes):
+            cost += ROW_HASH_BYTES * len(message.hashes)
+        elif isinstance(message, Digest):
+            cost += BUCKETS + TREE_HASH_BYTES * (BUCKETS - message.hashes.count(0))
         self.byte_allowance -= cost
         self.sent_bytes += cost
         out.append(outgoing)
 
     # --- messages ----------------------------------------------------------------------------------------
 
-    def receive(
-        self, now: float, sender: str, body: GossipMessage, size: int
-    ) -> list[Outgoing[GossipMessage]]:
-        """A member's message, and what is answered at once. Answers that the budget does not allow are left
-        out: the member asks again, perhaps another one."""
-        out: list[Outgoing[GossipMessage]] = []
-        if isinstance(body, Delta):
-            for row, age_ms in body.rows[:MAX_ROWS_PER_MESSAGE]:
-                if not self.replica.rules[row.kind].is_replicated:
-                    self.replica.rejected_count += 1  # its writer alone tells it
-                elif self.replica.merge(now, row, age_ms / 1000.0, sender):
-                    self.rows_merged += 1
-                    self.received_rows.append(ReceivedRow(row, age_ms / 1000.0, sender))
-                    self.queue_row(row, size)
-        elif isinstance(body, LeafRequest):
-            if 0 <= body.bucket < BUCKETS:
-                self.queue_leaves(sender, body.bucket, body.leaves)
-        elif isinstance(body, MatchingBuckets):
-            self.note_matching(sender, body.buckets[:BUCKETS], body.is_complete)
-        elif isinstance(body, RowHashes):
-            self.queue_missing_rows(now, sender, body, out)
-        elif body.bucket == -1:
-            differing = self.replica.differing_children(now, None, body.hashes)
-            same = tuple(set(range(BUCKETS)) - set(differing))
-            if not differing:
-                self.diverged.pop(sender, None)
-            elif len(self.diverged) < MAX_DIVERGED_MEMBERS:
-                self.diverged[sender] = self.diverged.get(sender, (now, 0))[0], len(differing)
-            self.note_matching(sender, same, body.is_complete)
-            if not body.is_complete:
-                self.send(out, Outgoing(sender, MatchingBuckets(same, self.is_complete)))
-            if differing and len(self.replica.compared_hashes) <= MAX_ROW_HASHES:
-                # So few rows are named one by one for less than the hashes of the buckets that differ.
-                if self.byte_allowance > 0.0:
-                    self.send(out, Outgoing(sender, RowHashes(self.row_hashes(), True)))
-                return out
-            for bucket in self.rng.sample(differing, len(differing)):
-                if self.byte_allowance <= 0.0:
-                    break
-                self.send(
-                    out,
-                    Outgoing(
-                        sender, Digest(bucket, self.replica.child_hashes(now, bucket), self.is_complete)
-                    ),
-                )
-        elif 0 <= body.bucket < BUCKETS:
-            leaves = self.replica.differing_children(now, body.bucket, body.hashes)
-            if leaves:
-                self.queue_leaves(sender, body.bucket, leaves)
-                self.send(out, Outgoing(sender, LeafRequest(body.bucket, tuple(leaves))))
-            elif not body.is_complete:
-                self.send(out, Outgoing(sender, MatchingBuckets((body.bucket,), self.is_complete)))
+    def receive(self, now: float, sender: str, message: GossipMessage, size: int) -> Outbox:
+        """A member's message, and the answers to it. `size`: the number of members. Answers beyond the budget
+        are left out: the member asks again, perhaps another one."""
+        out: Outbox = []
+        if isinstance(message, Delta):
+            self.receive_delta(now, sender, message, size)
+        elif isinstance(message, LeafRequest):
+            if 0 <= message.bucket < BUCKETS:
+                self.queue_leaves(sender, message.bucket, message.leaves)
+        elif isinstance(message, MatchingBuckets):
+            self.note_matching(sender, message.buckets[:BUCKETS], message.is_complete)
+        elif isinstance(message, RowHashes):
+            self.queue_missing_rows(sender, message, out)
+        elif message.bucket == ALL_BUCKETS:
+            self.receive_bucket_digest(now, sender, message, out)
+        elif 0 <= message.bucket < BUCKETS:
+            self.receive_leaf_digest(now, sender, message, out)
         return out
 
-    # --- whether this copy is whole ----------------------------------------------------------------------
+    def receive_delta(self, now: float, sender: str, delta: Delta, size: int) -> None:
+        """Merges rows; those that are new here are pushed on."""
+        for row, age_ms in delta.rows[:MAX_ROWS_PER_MESSAGE]:
+            if not self.replica.rules[row.kind].is_replicated:
+                self.replica.rejected_count += 1  # only its writer may send it
+            elif self.replica.merge(now, row, age_ms / 1000.0, sender):
+                self.rows_merged += 1
+                self.received_rows.append(ReceivedRow(row, age_ms / 1000.0, sender))
+                self.queue_row(row, size)
+
+    def receive_bucket_digest(self, now: float, sender: str, digest: Digest, out: Outbox) -> None:
+        """Compares all buckets; the ones that differ are compared further."""
+        differing = self.replica.differing_children(now, None, digest.hashes)
+        matching = tuple(set(range(BUCKETS)) - set(differing))
+        if not differing:
+            self.diverged.pop(sender, None)
+        elif len(self.diverged) < MAX_DIVERGED_MEMBERS:
+            before = self.diverged.get(sender)
+            self.diverged[sender] = Divergence(before.since if before else now, len(differing))
+        self.note_matching(sender, matching, digest.is_complete)
+        if not digest.is_complete:
+            self.send(out, Outgoing(sender, MatchingBuckets(matching, self.is_complete)))
+        if differing and len(self.replica.compared_hashes) <= MAX_ROW_HASHES:
+            # Few rows are cheaper to compare one by one than by the hashes of differing buckets.
+            if self.byte_allowance > 0.0:
+                self.send(out, Outgoing(sender, RowHashes(self.row_hashes(), True)))
+            return
+        for bucket in self.rng.sample(differing, len(differing)):
+            if self.byte_allowance <= 0.0:
+                break
+            leaf_digest = Digest(bucket, self.replica.child_hashes(now, bucket), self.is_complete)
+            self.send(out, Outgoing(sender, leaf_digest))
+
+    def receive_leaf_digest(self, now: float, sender: str, digest: Digest, out: Outbox) -> None:
+        """Compares one bucket's leaves; rows of those that differ are exchanged."""
+        leaves = self.replica.differing_children(now, digest.bucket, digest.hashes)
+        if leaves:
+            self.queue_leaves(sender, digest.bucket, leaves)
+            self.send(out, Outgoing(sender, LeafRequest(digest.bucket, tuple(leaves))))
+        elif not digest.is_complete:
+            self.send(out, Outgoing(sender, MatchingBuckets((digest.bucket,), self.is_complete)))
+
+    # --- completeness ------------------------------------------------------------------------------------
 
-    def note_matching(self, sender: str, buckets: Sequence[int], known: bool) -> None:
-        """A member's copy agrees with this one in these buckets."""
-        if known:
+    def note_matching(self, sender: str, buckets: Sequence[int], is_complete: bool) -> None:
+        """A member's replica, which is complete or not, matches this one in these buckets."""
+        if is_complete:
             self.complete_members.add(sender)
         else:
             self.complete_members.discard(sender)
@@ -289,45 +315,43 @@
                     self.matching_members[bucket].add(sender)
 
     def has_matched_all(self, alive: Sequence[str]) -> bool:
-        """Whether each bucket was found to agree with one of a whole copy, or with all that there are: what
-        none of them has died with its writers."""
+        """Whether each bucket was found to match a complete replica, or those of all members that are alive:
+        a row that none of them has died with its writers."""
         everyone = set(alive)
         return bool(alive) and all(
-            have & self.complete_members or have >= everyone for have in self.matching_members
+            matching & self.complete_members or matching >= everyone for matching in self.matching_members
         )
 
     def comparison_peer(self, alive: Sequence[str]) -> str:
-        """Whom to compare with: anybody; while this copy is not whole, one whose copy is, or a new one."""
+        """The member to compare with: any; while incomplete, one that is complete, or else one whose buckets
+        were not all found to match."""
         if not self.is_complete:
-            better = [name for name in alive if name in self.complete_members]
-            lacking = [name for name in alive if any(name not in have for have in self.matching_members)]
-            alive = better or lacking or alive
+            complete = [name for name in alive if name in self.complete_members]
+            unmatched = [
+                name for name in alive if any(name not in matching for matching in self.matching_members)
+            ]
+            alive = complete or unmatched or alive
         return self.rng.choice(alive)
 
     def row_hashes(self) -> tuple[int, ...]:
-        """The hashes of all rows that are compared."""
-        return tuple(mark & SHORT_HASH_MASK for mark in self.replica.compared_hashes.values())
-
-    def queue_missing_rows(
-        self, now: float, sender: str, body: RowHashes, out: list[Outgoing[GossipMessage]]
-    ) -> None:
-        """Owes a member the rows that it does not name. Two rows whose cut hashes are the same are taken for
-        one, once in 2^32 pairs: the comparison of buckets goes by the whole ones."""
-        if (
-            body.wants_reply
-            and self.byte_allowance > 0.0
-            and len(self.replica.compared_hashes) <= MAX_ROW_HASHES
-        ):
+        """The short hashes of all compared rows."""
+        return tuple(row_hash & SHORT_HASH_MASK for row_hash in self.replica.compared_hashes.values())
+
+    def queue_missing_rows(self, sender: str, message: RowHashes, out: Outbox) -> None:
+        """Queues the rows that a member's hashes lack. Short hashes collide once in 2^32 pairs; the
+        comparison of buckets, which uses full hashes, finds such a row."""
+        has_few_rows = len(self.replica.compared_hashes) <= MAX_ROW_HASHES
+        if message.wants_reply and self.byte_allowance > 0.0 and has_few_rows:
             self.send(out, Outgoing(sender, RowHashes(self.row_hashes(), False)))
-        theirs = set(body.hashes)
-        for at, mark in self.replica.compared_hashes.items():
-            if mark & SHORT_HASH_MASK not in theirs:
-                bucket, leaf = leaf_of(*at)
+        theirs = set(message.hashes)
+        for key, row_hash in self.replica.compared_hashes.items():
+            if row_hash & SHORT_HASH_MASK not in theirs:
+                bucket, leaf = leaf_of(*key)
                 self.queue_leaves(sender, bucket, (leaf,))
 
     def queue_leaves(self, name: str, bucket: int, leaves: Sequence[int]) -> None:
-        """Leaves that a member is to be sent; each once, so no more than the tree has."""
-        mine = self.pending_leaves.setdefault(name, {})
+        """Leaves whose rows a member is to be sent; each once, so the queue is bounded by the tree."""
+        pending = self.pending_leaves.setdefault(name, {})
         for leaf in leaves[:BUCKETS]:
             if 0 <= leaf < BUCKETS:
-                mine[bucket, leaf] = None
+                pending[bucket, leaf] = None
--- a/glenchute/policy/membership/replica.py
+++ b/glenchute/policy/membership/replica.py
@@ -1,14 +1,14 @@
-"""Copies of what the gateways know, joined without a leader: a delta-state CRDT store, without I/O.
+"""Replicated state without a leader: a delta-state CRDT store. No I/O.
 
-Source: Almeida, Shoker, Baquero, "Delta State Replicated Data Types" (2018); the comparison of copies by a
-tree of hashes is Dynamo's anti-entropy (DeCandia et al., 2007). A row is one writer's latest word on one key.
-Joining two rows takes the later version; two rows of one version that differ are a conflict, which is
-counted, and of which the copy wins that is safe for its kind. Both are a maximum of a total order, so joining
-is commutative, associative and idempotent whatever is lost, repeated or comes late.
+Source: Almeida, Shoker, Baquero, "Delta State Replicated Data Types" (2018); replicas are compared by a hash
+tree, as in Dynamo's anti-entropy (DeCandia et al., 2007). A row is the latest value of one key by one writer.
+Merging two rows keeps the later version; two rows of one version with different values are a conflict, which
+is counted, and of which the safe value of the row's kind is kept. Both are a maximum of a total order, so
+merging is commutative, associative and idempotent whatever is lost, duplicated or delayed.
 
-Nobody's clock is trusted: a row carries its age, and each holder counts on by its own clock. A row older than
-its kind's life is dropped, and is no longer compared some time before, so that copies which drop it at
-different moments do not bring it back to each other.
+Clocks of other processes are not trusted: a row carries its age, and each replica counts on by its own clock.
+A row older than its kind's lifetime is removed, and is excluded from comparison some time before that, so
+that replicas which remove it at different moments do not send it back to each other.
 """
 
 from __future__ import annotations
@@ -20,26 +20,31 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-BUCKETS = 64  # children of each of the two levels of the tree
-COMPARED_LIFETIME_SHARE = 0.8  # of its life a row is compared
+BUCKETS = 64  # children of each node of the two-level hash tree
+COMPARED_LIFETIME_SHARE = 0.8  # share of its lifetime for which a row is compared
 MAX_KEY_LENGTH = 80  # characters
-MAX_RECENT_CONFLICTS = 100  # kept to be shown
+MAX_VALUE = 1e12
+MAX_RECENT_CONFLICTS = 100
 
 
 class RowKind(IntEnum):
-    """What a row tells; the numbers stand in datagrams."""
+    """What a row reports; the numbers are part of the datagram format."""
 
-    SERVER = 0  # a server drains or is gone; version: discovery's. Safe: what asks for more restraint
-    USE = 1  # units let in for an account in a window, by one process. Safe: the larger; not copied to all
-    TASK = 2  # what a task's holders did; version: token and serial. Safe: more failures
-    HEALTH = 3  # milliseconds for which a process leaves a server that it could not reach. Safe: the longer
+    SERVER = 0  # an endpoint drains or is removed; version: discovery's. Safe: the more restrictive state
+    USE = (
+        1  # units admitted for an account in a window, by one process. Safe: more; sent to some members only
+    )
+    TASK = 2  # the outcome of a task's steps; version: token and serial. Safe: more failures
+    HEALTH = 3  # milliseconds for which a process avoids an endpoint that it could not reach. Safe: longer
 
 
-PER_PROCESS_KINDS = (RowKind.USE, RowKind.HEALTH)  # kinds whose rows have one process for a writer
+PER_PROCESS_KINDS = (RowKind.USE, RowKind.HEALTH)  # a row has one process as its writer
+RowKey = tuple[RowKind, str, str]  # kind, key, writer
+Leaf = tuple[int, int]  # of the hash tree: bucket, and position in the bucket
 
 
 class Row(NamedTuple):
-    """One word. `writer` is a process (name and boot); a kind that all may tell has none."""
+    """One value. `writer` is a process (`name#boot`), empty for kinds that any member may write."""
 
     kind: RowKind
     key: str
@@ -50,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KindRules:
-    """How long a kind's rows live and how many are held; past that, those go that changed longest ago."""
+    """How long rows of a kind live, and how many are stored; past that the longest unchanged are evicted."""
 
     lifetime_s: float
     max_rows: int
-    is_required: bool = True  # a copy that lacks some is not whole
-    is_replicated: bool = True  # all members have it, and compare; else it goes to some alone (`directmail`)
-    urgency: int = 0  # the lowest is passed on first
+    is_required: bool = True  # a replica that lacks some of them is incomplete
+    is_replicated: bool = True  # on all members, and compared; else sent to some only (`direct_messages`)
+    urgency: int = 0  # the lowest is pushed first
 
 
 DEFAULT_KIND_RULES = {
@@ -68,7 +73,7 @@
 
 
 class Conflict(NamedTuple):
-    """Two copies of one version that differ, and which one stays."""
+    """Two rows of one version that differ; `sender` delivered the second one."""
 
     kept: Row
     other: Row
@@ -76,162 +81,181 @@
 
 
 class StoredRow(NamedTuple):
-    """A row as it is held: when it was made, by this process' clock, and its hash."""
+    """A row with its time of creation, by this process' clock, and its hash (0 where not replicated)."""
 
     row: Row
     created_at: float
     row_hash: int
 
 
+class ComparisonDeadline(NamedTuple):
+    """When a row is no longer compared; `row_hash` tells whether it is still that version."""
+
+    at: float
+    key: RowKey
+    row_hash: int
+
+
 def row_hash(row: Row) -> int:
-    """64 bits that two rows have in common only if they are the same."""
+    """A 64-bit hash over all fields of a row."""
     text = f"{int(row.kind)}|{row.key}|{row.writer}|{row.version}|{row.value!r}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def leaf_of(kind: RowKind, key: str, writer: str) -> tuple[int, int]:
-    """The leaf of the tree in which a row lies, whatever its version."""
+def leaf_of(kind: RowKind, key: str, writer: str) -> Leaf:
+    """The leaf of the hash tree that a row belongs to, whatever its version."""
     raw = hashlib.blake2b(f"{int(kind)}|{key}|{writer}".encode(), digest_size=2).digest()
     return raw[0] % BUCKETS, raw[1] % BUCKETS
 
 
 def is_valid(row: Row) -> bool:
-    """Whether a row from outside may be taken in: bounded, finite, of a kind's form."""
-    words = 0 < len(row.key) <= MAX_KEY_LENGTH and len(row.writer) <= MAX_KEY_LENGTH
-    by = bool(row.writer) == (row.kind in PER_PROCESS_KINDS)
-    return words and by and row.version >= 0 and 0 <= row.value < 1e12
+    """Whether a received row is bounded, finite, and has a writer exactly where its kind needs one."""
+    is_bounded = 0 < len(row.key) <= MAX_KEY_LENGTH and len(row.writer) <= MAX_KEY_LENGTH
+    has_right_writer = bool(row.writer) == (row.kind in PER_PROCESS_KINDS)
+    return is_bounded and has_right_writer and row.version >= 0 and 0 <= row.value < MAX_VALUE
 
 
 class Replica:
-    """One process' copy."""
+    """One process' copy of the replicated rows."""
 
     def __init__(self, rules: dict[RowKind, KindRules] | None = None) -> None:
         self.rules = rules or DEFAULT_KIND_RULES
-        self.rows: dict[tuple[RowKind, str, str], StoredRow] = {}
-        # By kind, what changed longest ago first.
-        self.keys_by_age: dict[RowKind, dict[tuple[RowKind, str, str], None]] = {kind: {} for kind in RowKind}
+        self.rows: dict[RowKey, StoredRow] = {}
+        # By kind, the longest unchanged first.
+        self.keys_by_age: dict[RowKind, dict[RowKey, None]] = {kind: {} for kind in RowKind}
         self.evicted_counts = dict.fromkeys(RowKind, 0)
-        self.leaves: dict[tuple[int, int], set[tuple[RowKind, str, str]]] = {}
-        # Hashes of what is young enough to be compared, kept up at each change: as sets, by exclusive or.
-        self.leaf_hashes: dict[tuple[int, int], int] = {}
+        self.leaves: dict[Leaf, set[RowKey]] = {}
+        # Hashes of the rows that are compared, kept up at each change: a node's is the XOR of its rows'.
+        self.leaf_hashes: dict[Leaf, int] = {}
         self.bucket_hashes = [0] * BUCKETS
-        self.compared_hashes: dict[tuple[RowKind, str, str], int] = {}
-        self.comparison_deadlines: list[
-            tuple[float, tuple[RowKind, str, str], int]
-        ] = []  # when each is no longer compared
+        self.compared_hashes: dict[RowKey, int] = {}
+        self.comparison_deadlines: list[ComparisonDeadline] = []  # a heap
         self.conflicts: list[Conflict] = []
         self.conflict_count = 0
-        self.rejected_count = 0  # rows that were not sound
+        self.rejected_count = 0  # received rows that were not valid
 
-    def merge(self, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
-        """Joins a row; True where this copy has changed."""
+    def merge(self, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
+        """Merges a row that was created `age_s` ago; whether this replica has changed."""
         if not is_valid(row):
             self.rejected_count += 1
             return False
-        if age_s < 0.0 or age_s >= self.rules[row.kind].lifetime_s:
+        rules = self.rules[row.kind]
+        if age_s < 0.0 or age_s >= rules.lifetime_s:
             return False
-        at = (row.kind, row.key, row.writer)
-        held = self.rows.get(at)
-        if held is not None:
-            known = held.row
+        key = (row.kind, row.key, row.writer)
+        stored = self.rows.get(key)
+        if stored is not None:
+            known = stored.row
             if row.version == known.version and row.value != known.value:
                 kept, other = (known, row) if known.value >= row.value else (row, known)
-                self.record_conflict(Conflict(kept, other, seen_from))
+                self.record_conflict(Conflict(kept, other, sender))
             if (row.version, row.value) <= (known.version, known.value):
                 return False
         else:
-            if len(self.keys_by_age[row.kind]) >= self.rules[row.kind].max_rows:
+            if len(self.keys_by_age[row.kind]) >= rules.max_rows:
                 self.remove(next(iter(self.keys_by_age[row.kind])))
                 self.evicted_counts[row.kind] += 1
-            if self.rules[row.kind].is_replicated:
-                self.leaves.setdefault(leaf_of(*at), set()).add(at)
-        copied, made = self.rules[row.kind].is_replicated, now - age_s
-        mark = row_hash(row) if copied else 0
-        self.rows[at] = StoredRow(row, made, mark)
-        self.stop_comparing(at)
-        young = COMPARED_LIFETIME_SHARE * self.rules[row.kind].lifetime_s
-        if copied and age_s < young:
-            self.compared_hashes[at] = mark
-            self.toggle_hash(at, mark)
-            heapq.heappush(self.comparison_deadlines, (made + young, at, mark))
-            if (
-                len(self.comparison_deadlines) > 4 * len(self.rows) + 1000
-            ):  # most are of versions that have gone
-                self.comparison_deadlines = [
-                    row for row in self.comparison_deadlines if self.compared_hashes.get(row[1]) == row[2]
-                ]
-                heapq.heapify(self.comparison_deadlines)
-        self.keys_by_age[row.kind].pop(at, None)
-        self.keys_by_age[row.kind][at] = None
+            if rules.is_replicated:
+                self.leaves.setdefault(leaf_of(*key), set()).add(key)
+        self.store(key, row, now, age_s)
         return True
 
+    def store(self, key: RowKey, row: Row, now: float, age_s: float) -> None:
+        """Puts a row in the place of the one before it, and into the hash tree where it is young enough."""
+        rules = self.rules[row.kind]
+        created_at = now - age_s
+        new_hash = row_hash(row) if rules.is_replicated else 0
+        self.rows[key] = StoredRow(row, created_at, new_hash)
+        self.stop_comparing(key)
+        compared_s = COMPARED_LIFETIME_SHARE * rules.lifetime_s
+        if rules.is_replicated and age_s < compared_s:
+            self.compared_hashes[key] = new_hash
+            self.toggle_hash(key, new_hash)
+            deadline = ComparisonDeadline(created_at + compared_s, key, new_hash)
+            heapq.heappush(self.comparison_deadlines, deadline)
+            self.compact_deadlines()
+        self.keys_by_age[row.kind].pop(key, None)
+        self.keys_by_age[row.kind][key] = None
+
+    def compact_deadlines(self) -> None:
+        """Drops the deadlines of versions that were replaced, once they are most of the heap."""
+        if len(self.comparison_deadlines) <= 4 * len(self.rows) + 1000:
+            return
+        self.comparison_deadlines = [
+            deadline
+            for deadline in self.comparison_deadlines
+            if self.compared_hashes.get(deadline.key) == deadline.row_hash
+        ]
+        heapq.heapify(self.comparison_deadlines)
+
     def record_conflict(self, conflict: Conflict) -> None:
-        """Counts a conflict; each pair is shown once."""
-        if any(c.kept == conflict.kept and c.other == conflict.other for c in self.conflicts):
+        """Counts a conflict, and keeps it for operators; each pair once."""
+        if any(known.kept == conflict.kept and known.other == conflict.other for known in self.conflicts):
             return
         self.conflict_count += 1
         self.conflicts = [*self.conflicts[1 - MAX_RECENT_CONFLICTS :], conflict]
 
-    def toggle_hash(self, at: tuple[RowKind, str, str], mark: int) -> None:
-        """Takes a row into the hashes, or out of them."""
-        leaf = leaf_of(*at)
-        self.leaf_hashes[leaf] = self.leaf_hashes.get(leaf, 0) ^ mark
-        self.bucket_hashes[leaf[0]] ^= mark
+    def toggle_hash(self, key: RowKey, hash_value: int) -> None:
+        """Adds a row to the hashes of its leaf and bucket, or takes it out of them."""
+        leaf = leaf_of(*key)
+        self.leaf_hashes[leaf] = self.leaf_hashes.get(leaf, 0) ^ hash_value
+        self.bucket_hashes[leaf[0]] ^= hash_value
         if not self.leaf_hashes[leaf]:
             del self.leaf_hashes[leaf]
 
-    def stop_comparing(self, at: tuple[RowKind, str, str]) -> None:
-        """A row is no longer compared."""
-        mark = self.compared_hashes.pop(at, None)
-        if mark is not None:
-            self.toggle_hash(at, mark)
-
-    def remove(self, at: tuple[RowKind, str, str]) -> None:
-        """Forgets a row."""
-        self.stop_comparing(at)
-        del self.rows[at]
-        del self.keys_by_age[at[0]][at]
-        if not self.rules[at[0]].is_replicated:
+    def stop_comparing(self, key: RowKey) -> None:
+        """Takes a row out of the hash tree, if it is in it."""
+        hash_value = self.compared_hashes.pop(key, None)
+        if hash_value is not None:
+            self.toggle_hash(key, hash_value)
+
+    def remove(self, key: RowKey) -> None:
+        """Removes a row."""
+        self.stop_comparing(key)
+        kind = key[0]
+        del self.rows[key]
+        del self.keys_by_age[kind][key]
+        if not self.rules[kind].is_replicated:
             return
-        leaf = leaf_of(*at)
-        self.leaves[leaf].discard(at)
+        leaf = leaf_of(*key)
+        self.leaves[leaf].discard(key)
         if not self.leaves[leaf]:
             del self.leaves[leaf]
 
     def expire(self, now: float) -> None:
-        """Forgets what has outlived its kind. Rows come here aged, so a few may lie behind younger ones:
-        those go when these do."""
-        for kind, order in self.keys_by_age.items():
-            while order and now - self.rows[next(iter(order))].created_at >= self.rules[kind].lifetime_s:
-                self.remove(next(iter(order)))
+        """Removes rows past their lifetime. Rows are received with an age, so a few may be stored behind
+        younger ones: those are removed together with these."""
+        for kind, keys in self.keys_by_age.items():
+            while keys and now - self.rows[next(iter(keys))].created_at >= self.rules[kind].lifetime_s:
+                self.remove(next(iter(keys)))
 
     def get(self, kind: RowKind, key: str, writer: str = "") -> Row | None:
-        """A row, if it is held."""
-        held = self.rows.get((kind, key, writer))
-        return held.row if held is not None else None
+        """A row; None where there is none."""
+        stored = self.rows.get((kind, key, writer))
+        return stored.row if stored is not None else None
 
-    # --- comparing copies --------------------------------------------------------------------------------
+    # --- anti-entropy ------------------------------------------------------------------------------------
 
-    def compared_rows(self, now: float, leaf: tuple[int, int]) -> Iterable[StoredRow]:
+    def compared_rows(self, now: float, leaf: Leaf) -> Iterable[StoredRow]:
         """The rows of a leaf that are young enough to be compared."""
-        for at in self.leaves.get(leaf, ()):
-            held = self.rows[at]
-            if now - held.created_at < COMPARED_LIFETIME_SHARE * self.rules[at[0]].lifetime_s:
-                yield held
+        for key in self.leaves.get(leaf, ()):
+            stored = self.rows[key]
+            if now - stored.created_at < COMPARED_LIFETIME_SHARE * self.rules[key[0]].lifetime_s:
+                yield stored
 
     def child_hashes(self, now: float, bucket: int | None) -> tuple[int, ...]:
-        """The hashes of all buckets, or of one bucket's leaves."""
-        while self.comparison_deadlines and self.comparison_deadlines[0][0] <= now:
-            _, at, mark = heapq.heappop(self.comparison_deadlines)
-            if self.compared_hashes.get(at) == mark:
-                self.stop_comparing(at)
+        """The hashes of all buckets (`bucket` None), or of one bucket's leaves."""
+        while self.comparison_deadlines and self.comparison_deadlines[0].at <= now:
+            deadline = heapq.heappop(self.comparison_deadlines)
+            if self.compared_hashes.get(deadline.key) == deadline.row_hash:
+                self.stop_comparing(deadline.key)
         if bucket is not None:
             return tuple(self.leaf_hashes.get((bucket, leaf), 0) for leaf in range(BUCKETS))
         return tuple(self.bucket_hashes)
 
     def differing_children(self, now: float, bucket: int | None, theirs: tuple[int, ...]) -> list[int]:
-        """Which of them are not the same at a peer."""
+        """The children whose hashes differ from a peer's."""
         if len(theirs) != BUCKETS:
             return []
         ours = self.child_hashes(now, bucket)
-        return [at for at in range(BUCKETS) if ours[at] != theirs[at]]
+        return [child for child in range(BUCKETS) if ours[child] != theirs[child]]
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -190,20 +190,20 @@
     assert mesh.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None  # the others wait for a change
 
 
-def bug_lower_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
+def bug_lower_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
     held = self.rows.get((row.kind, row.key, row.writer))
     if held is not None and row.version == held.row.version and row.value != held.row.value:
         self.rows.pop((row.kind, row.key, row.writer))
         del self.keys_by_age[row.kind][row.kind, row.key, row.writer]
-    return SOUND(self, now, row, age_s, seen_from)
+    return SOUND(self, now, row, age_s, sender)
 
 
-def bug_last_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, seen_from: str = "") -> bool:
+def bug_last_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
     at = (row.kind, row.key, row.writer)
     if at in self.rows:
         self.rows.pop(at)
         del self.keys_by_age[row.kind][at]
-    return SOUND(self, now, row, age_s, seen_from)
+    return SOUND(self, now, row, age_s, sender)
 
 
 SOUND = Replica.merge
