--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -98,7 +98,7 @@
 
     def apply_limit_share(self, share: float) -> None:
         """Restricts this process to a share of the gateway's descriptors, 0 to 1."""
-        self.listener.share(share)
+        self.listener.set_share(share)
         self.servers.share(share)
 
     def close(self) -> None:
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -121,7 +121,7 @@
             transport.abort()  # type: ignore[attr-defined]  # retired while it was connecting
             return
         self.parser = resp.Parser()
-        self.write(resp.command(b"PING"), CounterCall(None, self.loop.time()))
+        self.write(resp.encode_command(b"PING"), CounterCall(None, self.loop.time()))
 
     def write(self, data: bytes, call: CounterCall) -> None:
         """Sends a command; its reply completes the call."""
@@ -136,7 +136,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed(data)
-            while (reply := self.parser.next()) is not False:
+            while (reply := self.parser.next_message()) is not False:
                 self._handle_reply(reply)
         except (resp.ProtocolError, IndexError):
             if self.transport is not None:
@@ -181,7 +181,7 @@
                 self.transport.abort()
         elif now - self.last_used_at > PING_INTERVAL_S:
             self.last_used_at = now
-            self.write(resp.command(b"PING"), CounterCall(None, now))
+            self.write(resp.encode_command(b"PING"), CounterCall(None, now))
 
     def retire(self) -> None:
         """Takes no new calls, and closes once those in flight have ended, be it by `REPLY_TIMEOUT_S`."""
@@ -253,7 +253,7 @@
         connection.last_used_at = now
         ttl = max(MIN_TTL_MS, min(MAX_TTL_MS, round(ttl_ms)))
         # Gateways agree on keys in decimal; the decision engine rounds amounts to three places.
-        connection.write(resp.command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
+        connection.write(resp.encode_command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
 
     def _abandon_retiring(self, key: int) -> None:
         for connection in self.retiring:
@@ -264,7 +264,7 @@
         """A call has timed out. It stays among the calls of its connection, as its reply still comes, unless
         an incomplete one is in the way: then the connection is aborted."""
         call.complete(self.loop.time(), Outcome.TIMEOUT)
-        if connection.parser.rest() and connection.transport is not None:
+        if connection.parser.has_unparsed() and connection.transport is not None:
             connection.transport.abort()
 
     def close(self) -> None:
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -319,9 +319,9 @@
     """When a gateway that delegates polling has a change in force that no member reports. `confirmations`:
     when each arrives, and until when it confirms the list in force, a moment before the change."""
     shared_list = SharedEndpointList("m9", 0.0, random.Random(1))
-    shared_list.version, shared_list.confirmed = 5, 0.0
-    shared_list.leased = False  # other members poll
-    one = EndpointWatch(PollScheduler(terms, random.Random(1)), lambda: shared_list.waits(now, ["m0"]))
+    shared_list.version, shared_list.confirmed_at = 5, 0.0
+    shared_list.is_lease_holder = False  # other members poll
+    one = EndpointWatch(PollScheduler(terms, random.Random(1)), lambda: shared_list.poll_delay_s(now, ["m0"]))
     now, answers, confirmations = 0.0, dict[int, float](), sorted(confirmations, reverse=True)
     one.start(0.0, 0.0, False)
     while True:
@@ -329,7 +329,7 @@
         confirmed_at = confirmations[-1][0] if confirmations else math.inf
         now = max(now, min(at, one.next_poll_at, confirmed_at))
         if confirmed_at <= now:
-            shared_list.confirmed = max(shared_list.confirmed, confirmations.pop()[1])
+            shared_list.confirmed_at = max(shared_list.confirmed_at, confirmations.pop()[1])
         elif one.next_poll_at <= now:
             for command in one.tick(now, True):
                 if isinstance(command, CloseConnection):
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -191,9 +191,9 @@
         """Whether a window that begins from now on is marked."""
         rig.advance(20_000.0)
         rig.ask("read", "hard", "c", spread=1)
-        word = rig.gateway.quota.customers["c"].word
-        assert word is not None
-        return word.may_mark
+        window_counter = rig.gateway.quota.tenants.by_id["c"].window_counter
+        assert window_counter is not None
+        return window_counter.may_add_marker
 
     assert not may_mark(old)
     assert may_mark(new)
@@ -204,13 +204,13 @@
 def test_local_shares_are_halved_during_the_overlap_and_restored_after_it() -> None:
     old = gateway_with_use("c", "hard", 2)
     quota = old.gateway.quota
-    before = quota.customers["c"].spread
+    before = quota.tenants.by_id["c"].gateway_spread
     old.feed(SuccessorStarted())
-    assert quota.customers["c"].spread == 2 * before
+    assert quota.tenants.by_id["c"].gateway_spread == 2 * before
     old.ask("read", "hard", "c", spread=1)
-    assert quota.customers["c"].spread == 2
+    assert quota.tenants.by_id["c"].gateway_spread == 2
     old.feed(OtherProcessEnded())
-    assert quota.customers["c"].spread == before == 1
+    assert quota.tenants.by_id["c"].gateway_spread == before == 1
 
 
 def test_use_of_the_predecessor_is_not_deducted_twice() -> None:
@@ -222,9 +222,9 @@
     old.advance(300.0)
     old.answer_calls()
     new = replaced(old)
-    left = new.gateway.quota.customers["c"].store
+    left = new.gateway.quota.tenants.by_id["c"].bucket_units
     new._totals = dict(old._totals)
-    name = new.gateway.quota.customers["c"].name
+    name = new.gateway.quota.tenants.by_id["c"].counter_key
     new.ask("read", "rate", "c", spread=1)
     calls = [action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name]
     if not calls:
@@ -235,7 +235,7 @@
     assert calls
     total = old._totals.get(name, 0.0) + calls[0].amount
     new.feed(CounterReply(name, total, Outcome.OK))
-    after = new.gateway.quota.customers["c"].store
+    after = new.gateway.quota.tenants.by_id["c"].bucket_units
     assert after >= left - 1.0 - 0.5, (left, after)
 
 
