--- /dev/null
+++ b/tests/cli/test_process.py
@@ -0,0 +1,161 @@
+"""The gateway as a process of its own: configuration and signals."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import sys
+from pathlib import Path
+
+import pytest
+
+from glenchute.clients import counter
+from tests.loopback import (
+    CUSTOMER,
+    GET,
+    ORDER,
+    SERVED,
+    Client,
+    DiscoveryPeer,
+    RespPeer,
+    always,
+    listing,
+    play,
+    raw_config,
+    row,
+    until,
+)
+
+ROOT = Path(__file__).resolve().parents[2]
+
+
+async def start(path: Path, **environ: str) -> asyncio.subprocess.Process:
+    """The program as a process of its own."""
+    return await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "glenchute", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        env={**os.environ, "EDGE_CONFIG": str(path), **environ},
+    )  # fmt: skip
+
+
+@pytest.mark.parametrize(
+    "text", ["", "{", "[]", "{}", '{"settings":{}}', '{"settings":5}', None, "bad listen"]
+)
+def test_an_invalid_configuration_ends_with_one_line(tmp_path: Path, text: str | None) -> None:
+    async def scenario() -> None:
+        path = tmp_path / "config.json"
+        if text == "bad listen":
+            path.write_text(json.dumps(raw_config(1, 1, []) | {"listen": "nowhere"}))
+        elif text is not None:
+            path.write_text(text)
+        process = await start(path)
+        _, err = await process.communicate()
+        assert process.returncode == 2
+        assert err.startswith(b"glenchute: ") and err.count(b"\n") == 1
+
+    play(scenario())
+
+
+def test_sigterm_finishes_open_requests_and_exits_cleanly(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        release = asyncio.Event()
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            await release.wait()
+            return SERVED
+
+        server, counts, discovery = RespPeer(reply), RespPeer(always(b"+PONG\r\n")), DiscoveryPeer()
+        for peer in (server, counts, discovery):
+            await peer.start()
+        rows = [row("s0", server.port)]
+        discovery.answers.append(listing(1, rows))
+        port_holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        listen = int(port_holder.sockets[0].getsockname()[1])
+        port_holder.close()
+        await port_holder.wait_closed()
+        path = tmp_path / "config.json"
+        path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
+        process = await start(path)
+        open_client = await connect_when_ready(listen)
+        idle = await Client.connect(listen)
+        assert await idle.ask(b"PING") == b"PONG"
+        open_client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+        await until(lambda: len(server.calls()) == 1)
+        process.send_signal(signal.SIGTERM)
+        late = await Client.connect(listen)
+        late.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
+        await until(lambda: len(server.calls()) == 2)
+        assert await idle.ended()  # between requests: closed once new connections no longer come
+        release.set()
+        assert [await open_client.reply(), await late.reply()] == [b"value", b"value"]
+        assert await open_client.reply() is None
+        assert await process.wait() == 0
+        for peer in (server, counts, discovery):
+            await peer.stop()
+
+    play(scenario())
+
+
+def test_sighup_follows_the_addresses_of_the_file(tmp_path: Path) -> None:
+    """Also several in a row; a file that cannot be read changes nothing."""
+
+    async def scenario() -> None:
+        server = RespPeer(always(SERVED))
+        await server.start()
+        rows = [row("s0", server.port)]
+
+        async def two(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n2\r\n"
+
+        addresses = [(DiscoveryPeer(listing(version, rows)), RespPeer(two)) for version in (9, 5, 3)]
+        for discovery, counts in addresses:
+            await discovery.start()
+            await counts.start()
+        port_holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        listen = int(port_holder.sockets[0].getsockname()[1])
+        port_holder.close()
+        await port_holder.wait_closed()
+        path = tmp_path / "config.json"
+
+        def write(index: int) -> None:
+            discovery, counts = addresses[index]
+            path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
+
+        write(0)
+        process = await start(path)
+        assert process.stderr is not None
+        client = await connect_when_ready(listen)
+        assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+        path.write_text("{")
+        process.send_signal(signal.SIGHUP)
+        while b"stays" not in await process.stderr.readline():
+            pass
+        assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+        for index in (1, 2):
+            write(index)
+            process.send_signal(signal.SIGHUP)
+            while b"read again" not in await process.stderr.readline():
+                pass
+        discovery, counts = addresses[2]
+        await until(lambda: len(discovery.targets) > 1 and len(counts.writers) == counter.DEFAULT_CONNECTIONS)
+        assert discovery.targets[0] == "/v1/servers" and "since=3&" in discovery.targets[1]
+        ids = (b"%016x" % number for number in range(100, 10_000))
+        while not counts.calls():
+            assert await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) == b"value"
+            await asyncio.sleep(0.01)
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
+        for peer in (server, *(peer for index in addresses for peer in index)):
+            await peer.stop()
+
+    play(scenario())
+
+
+async def connect_when_ready(port: int) -> Client:
+    """A connection to a process that is starting."""
+    while True:
+        try:
+            return await Client.connect(port)
+        except ConnectionRefusedError:
+            await asyncio.sleep(0.01)
--- /dev/null
+++ b/tests/clients/test_discovery.py
@@ -0,0 +1,151 @@
+"""The discovery client over loopback sockets: versions, errors, addresses."""
+
+from __future__ import annotations
+
+import socket
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from glenchute.policy.endpoints import polling
+from glenchute.policy.events import EndpointList, EndpointListKind
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list
+from tests.loopback import (
+    CUSTOMER,
+    GET,
+    SERVED,
+    DiscoveryPeer,
+    Script,
+    always,
+    http,
+    listing,
+    play,
+    row,
+    site,
+    until,
+)
+
+ROOT = Path(__file__).resolve().parents[2]
+
+
+def test_the_watch_survives_errors_and_continues_from_the_version_in_force() -> None:
+    async def scenario() -> None:
+        rows = [row("a", 80), row("b", 81)]
+        discovery = DiscoveryPeer(
+            http(b"oops", "503 Service Unavailable"),
+            http(b"{not json"),
+            http(b'{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}'),
+            http(b"[]"),
+            listing(5, rows),
+            listing(5, [], full=False),
+            listing(9, [row("a", 80, "Terminating")], full=False),
+            http(b"", "500 Internal Server Error"),
+            listing(3, rows[:1]),
+            listing(4, [row("c", 82, started_ms=5.0)], full=False),
+        )
+        script = Script(lambda event: [])
+        async with site(decisions=script, discovery=discovery):
+            await until(lambda: len(discovery.targets) == 11)
+            received = [
+                (event.kind, [endpoint.address for endpoint in event.endpoints])
+                for event in script.of(EndpointList)
+            ]
+            assert received == [
+                (EndpointListKind.CACHED, []),
+                (EndpointListKind.FULL, ["a", "b"]),
+                (EndpointListKind.CHANGES, ["a"]),
+                (EndpointListKind.FULL, ["a"]),
+                (EndpointListKind.CHANGES, ["c"]),
+            ]
+            since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
+            assert since == ["1", "1", "1", "1", "1", "5", "5", "9", "9", "3", "4"]
+
+    play(scenario())
+
+
+def test_an_older_version_than_the_one_in_force_requests_the_complete_list() -> None:
+    """Discovery has reset its versions: the changes in between are not known."""
+
+    async def scenario() -> None:
+        rows = [row("a", 80), row("b", 81)]
+        discovery = DiscoveryPeer(
+            listing(9, rows), listing(2, [], full=False), listing(2, rows[:1]), listing(3, [], full=False)
+        )
+        script = Script(lambda event: [])
+        async with site(decisions=script, discovery=discovery):
+            await until(lambda: len(discovery.targets) == 5)
+            since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
+            assert since == ["1", "9", "", "2", "3"]
+
+    play(scenario())
+
+
+def test_an_address_that_refuses_connections_after_a_503_is_polled_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Discovery moves to an address that refuses connections while the delay after a 503 runs."""
+
+    async def scenario() -> None:
+        overloaded = DiscoveryPeer(http(b"", "503 Service Unavailable"))
+        with socket.socket() as taken:
+            taken.bind(("127.0.0.1", 0))  # nothing listens there, and nothing else can
+            async with site(discovery=overloaded) as one:
+                await until(lambda: one.program.discovery.failed_polls == 1)
+                one.program.discovery.change_address(taken.getsockname())
+                await until(lambda: one.program.discovery.failed_polls > 3)
+
+    monkeypatch.setattr(polling, "RATE_DECREASE_FACTOR", 1e6)  # the delay lasts for seconds
+    play(scenario())
+
+
+def test_a_start_requests_only_changes_to_the_saved_list() -> None:
+    async def scenario() -> None:
+        discovery = DiscoveryPeer(listing(8, [row("b", 81)], full=False))
+        saved = decode_list({"version": 7, "full": True, "servers": []}, saved=True)
+        async with site(discovery=discovery, cached_endpoints=saved) as one:
+            await until(lambda: len(discovery.targets) == 2)
+            assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
+            # A start must not wait for a change that may not come.
+            assert discovery.targets[0].endswith("timeout_ms=1")
+            assert not discovery.targets[1].endswith("timeout_ms=1")
+            assert one.program.servers.server_ids() == ["b"]
+
+    play(scenario())
+
+
+def test_a_gateway_serves_while_discovery_is_unavailable() -> None:
+    async def scenario() -> None:
+        discovery = DiscoveryPeer(listing(1, []))
+        discovery.answers.clear()
+        async with site(always(SERVED), discovery=discovery) as one:
+            client = await one.client()
+            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("addr", ["x", "x:", ":5", "h:0", "h:99999", "h:p", None])
+def test_lists_with_invalid_addresses_are_rejected(addr: Any) -> None:
+    unreadable = {"version": 1, "full": True, "servers": [row("a", 1) | {"addr": addr}]}
+    with pytest.raises(EndpointListError):
+        decode_list(unreadable)
+
+
+def test_answers_from_a_former_address_are_dropped() -> None:
+    async def scenario() -> None:
+        old, new = DiscoveryPeer(listing(9, [row("a", 80)])), DiscoveryPeer()
+        await new.start()
+        script = Script(lambda event: [])
+        async with site(decisions=script, discovery=old) as one:
+            await until(lambda: len(old.targets) == 2)
+            one.program.discovery.change_address(("127.0.0.1", new.port))
+            old.answers.append(listing(10, [], full=True))
+            await until(lambda: new.targets)
+            assert list(one.program.servers.pools) == ["a"]  # the list in force stays until the new one comes
+            new.answers.append(listing(2, [row("b", 81)]))
+            await until(lambda: list(one.program.servers.pools) == ["b"])
+            assert new.targets[0] == "/v1/servers"
+        await new.stop()
+
+    play(scenario())
--- /dev/null
+++ b/tests/listeners/resp2/test_client_connections.py
@@ -0,0 +1,333 @@
+"""Client connections of the RESP2 listener over loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from glenchute.listeners.resp2 import clients as clients_module
+from glenchute.listeners.resp2.clients import MAX_PENDING_COMMANDS
+from glenchute.policy.connections import client_slots
+from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
+from glenchute.policy.events import Request
+from lab.ports import outgoing_ports
+from tests.loopback import (
+    CHARGE,
+    CUSTOMER,
+    GET,
+    SERVED,
+    DiscoveryPeer,
+    Script,
+    always,
+    listing,
+    play,
+    send_to,
+    site,
+    until,
+)
+
+ROOT = Path(__file__).resolve().parents[2]
+
+
+ID = b"9b1f03aa5c7e2d41"
+BAD = [
+    ([b"NOPE"], "unknown command 'NOPE'"),
+    ([b"HELLO", b"3"], "unknown command 'HELLO'"),
+    ([b"PING", b"a", b"b"], "wrong number of arguments"),
+    ([b"CALL.GET"], "wrong number of arguments"),
+    ([b"CALL.GET", CUSTOMER, ID, GET, b"body", b"more"], "wrong number of arguments"),
+    *[
+        ([b"CALL.GET", bad, ID, GET], "bad customer")
+        for bad in (b"xyz", b"-1", b"0x1f", b"", b"1f", b"00000000b4d6552g", b"0000000200000000", b"+" * 16)
+    ],
+    *[([b"CALL.GET", CUSTOMER, bad, GET], "bad request id") for bad in (b"", b"a b", b"\n", b"x" * 65)],
+    ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=basic"], "no time left"),
+    ([b"CALL.GET", CUSTOMER, ID, b"c=read,,t=basic,d=9"], "bad fields"),
+    ([b"CALL.GET", CUSTOMER, ID, b"c=read,c=read,t=basic,d=9"], "bad fields"),
+    ([b"CALL.GET", CUSTOMER, ID, GET + b",x=" + b"1" * 600], "bad fields"),
+    ([b"CALL.GET", CUSTOMER, ID, b"c=other,t=basic,d=9"], "unknown class"),
+    ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=other,d=9"], "unknown plan"),
+    ([b"CALL.GET", CUSTOMER, ID, b"t=basic,d=9"], "unknown class"),
+    ([b"CALL.POST", CUSTOMER, ID, GET, b""], "other command"),
+    ([b"CALL.GET", CUSTOMER, ID, CHARGE], "other command"),
+    ([b"CALL.POST", CUSTOMER, ID, b"c=order,t=basic,d=9", b""], "no idempotency key"),
+    ([b"CALL.POST", CUSTOMER, ID, b"c=order,t=basic,d=9,k=", b""], "no idempotency key"),
+    *[
+        ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=basic,d=%b" % bad], "bad number for d")
+        for bad in (b"", b"nan", b"inf", b"-1", b"1_0", b"0", b"9" * 400, b" 5", b"x", b"1e3")
+    ],
+    *[
+        ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=basic,d=9,units=%b" % bad], "bad number for units")
+        for bad in (b"-2", b"0", b"nan", b"7", b"1e1", b"")
+    ],
+    *[
+        ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=basic,d=9,spread=%b" % bad], "bad number for spread")
+        for bad in (b"0", b"3", b"-1", b"1.5", b"x")
+    ],
+    *[
+        ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=basic,d=9,first=%b" % bad], "bad number for first")
+        for bad in (b"2", b"-1", b"x")
+    ],
+]
+
+
+def test_bad_commands_are_told_and_reach_neither_quota_nor_server(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        script = Script(send_to("s0"))
+        async with site(always(SERVED), decisions=script) as one:
+            client = await one.client()
+            for words, text in BAD:
+                assert text in str(await client.ask(*words)), words
+            assert script.of(Request) == []
+            assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
+            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+            assert len(one.servers[0].calls()) == 1
+
+    monkeypatch.setattr(clients_module, "MAX_COMMAND_ERRORS", 1000)
+    play(scenario())
+
+
+def test_a_client_with_many_errors_is_told_each_and_closed() -> None:
+    async def scenario() -> None:
+        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+            client, other = await one.client(), await one.client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", GET)
+            for _ in range(500):
+                client.send(b"NOPE")
+            assert await client.reply() == b"value"
+            for _ in range(clients_module.MAX_COMMAND_ERRORS):
+                assert "unknown command" in str(await client.reply())
+            assert await client.reply() is None  # and no reset, which could have cost the errors
+            assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+
+    play(scenario())
+
+
+def test_one_turn_of_the_loop_takes_a_bounded_number_of_commands() -> None:
+    async def scenario() -> None:
+        async with site(always(SERVED)) as one:
+            client = await one.client()
+            await until(lambda: one.program.listener.clients)
+            (held,) = one.program.listener.clients
+            taken: list[int] = []
+            held.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
+            held.process_commands()
+            taken.append(len(held.parser._raw) - held.parser._at)
+            assert taken == [14 * (50 - clients_module.MAX_COMMANDS_PER_TURN)]
+            assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
+
+    play(scenario())
+
+
+def test_an_id_that_is_open_is_refused_elsewhere_until_it_is_over() -> None:
+    async def scenario() -> None:
+        release = asyncio.Event()
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            await release.wait()
+            return SERVED
+
+        async with site(reply, decisions=Script(send_to("s0"))) as one:
+            usual, bad = await one.client(), await one.client()
+            usual.send(b"CALL.GET", CUSTOMER, ID, GET)
+            await until(lambda: len(one.servers[0].calls()) == 1)
+            assert "in use" in str(await bad.ask(b"CALL.GET", CUSTOMER, ID, GET))
+            release.set()
+            assert await usual.reply() == b"value"
+            assert await bad.ask(b"CALL.GET", CUSTOMER, ID, GET) == b"value"
+            assert not one.program.listener.open_ids
+            release.clear()
+            usual.send(b"CALL.GET", CUSTOMER, ID, GET)
+            await until(lambda: one.program.listener.open_ids)
+            usual.writer.close()
+            await until(lambda: not one.program.listener.open_ids)  # the client left
+            release.set()
+
+    play(scenario())
+
+
+def test_a_long_deadline_is_served_as_the_longest_of_the_settings() -> None:
+    async def scenario() -> None:
+        script = Script(send_to("s0"))
+        async with site(always(SERVED), decisions=script) as one:
+            client = await one.client()
+            fields = b"c=read,t=basic,d=999999999"
+            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
+            assert [event.time_left_ms for event in script.of(Request)] == [20_000.0]
+
+    play(scenario())
+
+
+def test_who_says_nothing_or_half_a_command_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        async with site(always(None), decisions=Script(send_to("s0"))) as one:
+            silent, half, idle, busy = [await one.client() for _ in range(4)]
+            half.writer.write(b"*2\r\n$4\r\nPI")
+            assert await idle.ask(b"PING") == b"PONG"
+            busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
+            assert await silent.ended()
+            assert "did not come" in str(await half.reply())
+            assert await half.reply() is None
+            assert await idle.ended()
+            assert len(one.program.gateway.active_requests) == 1  # whose client is still there
+
+    for name in ("MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
+        monkeypatch.setattr(client_slots, name, 0.2)
+    play(scenario())
+
+
+def test_past_the_limit_those_that_never_asked_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_slots, "MAX_IDLE_S", 1000.0)  # room is made at need only ...
+    for name in ("SWEEP_INTERVAL_S", "PRESSURED_SWEEP_INTERVAL_S"):
+        monkeypatch.setattr(client_slots, name, 1000.0)  # ... and by no sweep before that
+
+    async def scenario() -> None:
+        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+            one.program.listener.connection_slots.max_connections = 2
+            asked = await one.client()
+            assert await asked.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+            silent = await one.client()
+            await until(lambda: len(one.program.listener.clients) == 2)
+            await asyncio.sleep(2.0 * MIN_FIRST_COMMAND_S)  # clearly past: the loop's clock is coarse
+            pinging = await one.client()
+            assert await pinging.ask(b"PING") == b"PONG"
+            assert await silent.ended()
+            last = await one.client()
+            assert await last.ask(b"PING") == b"PONG"
+            assert await pinging.ended()
+            assert await asked.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+
+    play(scenario())
+
+
+BROKEN = [
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"*1\r\n:5\r\n",
+    b"+OK\r\n",
+    b"*0\r\n",
+    b"*-1\r\n",
+    b"*1\r\n$-1\r\n",
+    b"*500000000\r\n",
+    b"*1\r\n$99999999999999999999\r\n",
+    b"*2\r\n$4\r\nPING\r\n*1\r\n$1\r\na\r\n",
+    b"*1\r\n$900000000\r\n" + b"x" * 400_000,
+    b"*1\r\n$65537\r\n",
+    b"*1\r\n$04\r\nPING\r\n",
+    b"*1\r\n$4\r\nPINGxx",
+    b"*1\r\n$3\r\nPING\r\n",
+    b"*1\r\n*1\r\n*1\r\n",
+    b"*" + b"1" * 100,
+    b"+" + b"x" * 2000,
+]
+
+
+@pytest.mark.parametrize("data", BROKEN)
+def test_what_is_not_resp_is_told_and_closes(data: bytes) -> None:
+    async def scenario() -> None:
+        async with site(always(SERVED)) as one:
+            client = await one.client()
+            client.writer.write(data)
+            try:
+                assert "Protocol error" in str(await client.reply())
+                assert await client.reply() is None
+            except ConnectionResetError:
+                pass  # bytes were left unread: the end of the connection is told as a reset
+            await until(lambda: not one.program.listener.clients)
+            other = await one.client()
+            assert await other.ask(b"PING") == b"PONG"
+
+    play(scenario())
+
+
+def test_a_site_listens_where_no_peer_of_another_run_is_called() -> None:
+    """A gateway that has lost its counter goes on calling its port: whoever is given that port next has its
+    dozen connections, and never sees an empty table."""
+
+    async def scenario() -> None:
+        low, high = outgoing_ports()
+        discovery = DiscoveryPeer(listing(1, []))
+        async with site(always(SERVED), discovery=discovery) as one:
+            ports = [one.port, one.servers[0].port, one.counter.port, discovery.port]
+            assert [port for port in ports if low <= port <= high] == []
+
+    play(scenario())
+
+
+def test_commands_behind_a_full_line_wait_their_turn() -> None:
+    """A client that writes without end is left unread at a point, and loses nothing by it."""
+
+    async def scenario() -> None:
+        release = asyncio.Event()
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            await release.wait()
+            return SERVED
+
+        script = Script(send_to("s0"))
+        async with site(reply, decisions=script) as one:
+            client = await one.client()
+            for number in range(3 * MAX_PENDING_COMMANDS):
+                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
+            await until(lambda: len(script.of(Request)) >= MAX_PENDING_COMMANDS)
+            assert len(one.program.gateway.active_requests) == MAX_PENDING_COMMANDS
+            release.set()
+            assert {await client.reply() for _ in range(3 * MAX_PENDING_COMMANDS)} == {b"value"}
+
+    play(scenario())
+
+
+def test_a_client_that_does_not_read_is_not_read_from() -> None:
+    async def scenario() -> None:
+        async with site(always(SERVED)) as one:
+            client = await one.client()
+            client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            await until(lambda: one.program.listener.clients)
+            (held,) = one.program.listener.clients
+            word = b"x" * 60_000
+            while not held.is_write_blocked:
+                client.send(b"PING", word)
+                await asyncio.sleep(0)
+            assert held.is_reading_paused and held.transport is not None
+            assert held.transport.get_write_buffer_size() < 8_000_000
+            client.writer.transport.resume_reading()  # type: ignore[attr-defined]
+            while (
+                held.is_write_blocked
+            ):  # all of it, or the client itself would stop reading at its own bound
+                assert await client.reply() == word
+
+    play(scenario())
+
+
+def test_past_the_limit_an_idle_connection_makes_room() -> None:
+    async def scenario() -> None:
+        async with site(always(None), sockets=64) as one:
+            one.program.listener.connection_slots.max_connections = 2
+            busy, idle = await one.client(), await one.client()
+            assert await idle.ask(b"PING") == b"PONG"
+            busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
+            await until(lambda: one.program.gateway.active_requests)
+            third = await one.client()
+            assert await third.ask(b"PING") == b"PONG"
+            assert await idle.ended()
+            third.send(b"CALL.GET", CUSTOMER, b"2", GET)
+            await until(lambda: len(one.program.gateway.active_requests) == 2)
+            fourth = await one.client()
+            assert "too many connections" in str(await fourth.reply())
+
+    play(scenario())
+
+
+def test_a_fault_at_a_command_costs_neither_the_answer_nor_the_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario() -> None:
+        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+            client = await one.client()
+            with monkeypatch.context() as patch:
+                patch.setattr(one.program.gateway, "accept", None)
+                assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
+            assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+
+    play(scenario())
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -45,8 +45,8 @@
 from glenchute.upstreams.connection_pool import SETTLE_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
+from tests.cli.test_process import connect_when_ready, start
 from tests.clients.manual_discovery import ManualDiscovery
-from tests.clients.test_peers import patient, start
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -132,7 +132,7 @@
 async def queued_while_it_stood(one: Whole) -> None:
     """A connection and its request wait to be accepted while the process stands still past the accept time:
     the machine has taken them, and closing the listening socket would reset them."""
-    asker = await patient(one.listen)
+    asker = await connect_when_ready(one.listen)
     one.signal(signal.SIGTERM)
     await one.leaving(asker)
     one.signal(signal.SIGSTOP)
@@ -146,7 +146,7 @@
 
 async def twice(one: Whole) -> None:
     """The second signal neither ends it sooner nor begins the end anew."""
-    held = await patient(one.listen)
+    held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -159,7 +159,7 @@
 
 async def half_a_command(one: Whole) -> None:
     """Its end comes after the signal: it is taken and answered."""
-    half = await patient(one.listen)
+    half = await connect_when_ready(one.listen)
     data = packed(b"CALL.POST", CUSTOMER, b"1", ORDER)
     half.writer.write(data[:-9])
     await asyncio.sleep(0.05)
@@ -173,7 +173,7 @@
 
 async def pipelined_behind_the_last(one: Whole) -> None:
     """A second command waits behind one that is open at the signal: both are answered before the end."""
-    both = await patient(one.listen)
+    both = await connect_when_ready(one.listen)
     both.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -187,7 +187,7 @@
 
 async def hanging_server(one: Whole) -> None:
     """Nothing answers: what is held gets its final answer before the kill."""
-    held = await patient(one.listen)
+    held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -237,7 +237,7 @@
 
             task = asyncio.create_task(fifth())
             async with asyncio.timeout(10.0):
-                asker = await patient(one.listen)
+                asker = await connect_when_ready(one.listen)
                 assert await asker.ask(b"PING") == b"PONG"
             task.cancel()
             one.signal(signal.SIGCONT)
@@ -265,7 +265,7 @@
 
     async def scenario() -> None:
         async with whole(tmp_path, longest_ms=200.0) as one:
-            held, idle = await patient(one.listen), await Client.connect(one.listen)
+            held, idle = await connect_when_ready(one.listen), await Client.connect(one.listen)
             assert await idle.ask(b"PING") == b"PONG"
             held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
             await until(lambda: one.server.calls())
