--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -118,19 +118,25 @@
         self.extproc: ExtProc | None = None
         if operator is not None and operator.fronts and "extproc" in operator.fronts:
             self.extproc = self.processing(operator.fronts["extproc"])
-        self.succession = self.succeeding() if self.passed is not None else None
+        self.handover = self.make_handover() if self.passed is not None else None
         self.operations = self.operating() if config.operations_address is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
-        self.doubt = ListConfirmation() if asked.get("doubt") else None
+        self.list_confirmation = ListConfirmation() if asked.get("doubt") else None
         self.discovery = DiscoveryClient(
-            loop, config.discovery, self.listed, self.terms(asked), config.seed, self.doubt, self.serving
+            loop,
+            config.discovery,
+            self.listed,
+            self.terms(asked),
+            config.seed,
+            self.list_confirmation,
+            self.serving,
         )
         self.discovery.on_restriction = self.gateway.update_endpoints
         if self.fleet is not None:
             self.fleet.follow, self.fleet.counter = self.gateway.update_endpoints, self.counter
         # What of the operator's file holds until a restart.
         self.begun = started(operator) if operator is not None else None
-        self.aside: BackgroundReload[ReloadedFile] | None = None  # the reading of that file again
+        self.background_reload: BackgroundReload[ReloadedFile] | None = None  # the reading of that file again
         self.stopping = asyncio.Event()
 
     def terms(self, asked: dict[str, Any]) -> PollingTerms:
@@ -252,7 +258,7 @@
             {"/_ready": {"GET": ready}, "/_lameduck/on": {"PUT": on}, "/_lameduck/off": {"PUT": off}},
         )
 
-    def succeeding(self) -> ProcessHandover | None:
+    def make_handover(self) -> ProcessHandover | None:
         """The way to the processes before and after; imported only where the platform replaces them."""
         from .handover import ProcessHandover
 
@@ -296,16 +302,17 @@
             await self.operations.start(*self.config.operations_address)
         if self.config.cached_endpoints is not None:
             self.gateway.update_endpoints(self.config.cached_endpoints)
-            if self.doubt is not None:
-                self.doubt.apply(self.config.cached_endpoints.version, self.config.cached_endpoints.event)
+            if self.list_confirmation is not None:
+                saved = self.config.cached_endpoints
+                self.list_confirmation.apply(saved.version, saved.event)
         asks = self.fleet is not None and self.fleet.begin(self.config.cached_endpoints, self.discovery)
         awaited = self.discovery.start(self.config.cached_endpoints, LIST_WAIT_S, asks)
         if self.fleet is not None:
             await self.fleet.start()
         if self.control is not None:
             await self.control.start()
-        if self.succession is not None:
-            await self.succession.request_state()
+        if self.handover is not None:
+            await self.handover.request_state()
         # The saved list may be old: a moment is given for today's, but no start hangs on discovery. Where the
         # turn to ask comes later than that, the saved list serves until then.
         if awaited:
@@ -315,8 +322,8 @@
         if self.stopping.is_set():
             return
         await self.listener.start(*self.config.listen, self.passed)
-        if self.succession is not None:
-            await self.succession.start_serving()
+        if self.handover is not None:
+            await self.handover.start_serving()
         if self.extproc is not None:
             await self.extproc.start()
 
@@ -350,9 +357,9 @@
         Asked for again meanwhile, it is read once more afterwards."""
         from .background_reload import BackgroundReload
 
-        if self.aside is None:
-            self.aside = BackgroundReload(self.loop, self.follow)
-        self.aside.submit(partial(read_again, path, config))
+        if self.background_reload is None:
+            self.background_reload = BackgroundReload(self.loop, self.follow)
+        self.background_reload.submit(partial(read_again, path, config))
 
     def follow(self, found: ReloadedFile | Exception) -> None:
         """A sound file's routes hold for requests from now on; a wrong one changes nothing. Each is told."""
@@ -407,8 +414,8 @@
         self.listener.close()
         if self.operations is not None:
             self.operations.close()
-        if self.succession is not None:
-            self.succession.close()
+        if self.handover is not None:
+            self.handover.close()
         if self.extproc is not None:
             await self.extproc.stop(0.0)
         if self.fleet is not None:
--- a/glenchute/listeners/operations/__init__.py
+++ b/glenchute/listeners/operations/__init__.py
@@ -1,5 +1,7 @@
-"""The second address: staff ask whether the process takes clients, and have it drain. (`GLENCHUTE_OPERATOR`
-names another thing, the operator's file.)"""
+"""The operations address: staff ask whether the process is ready, and start or cancel a drain.
+
+`GLENCHUTE_OPERATOR` is unrelated: it names the operator's file.
+"""
 
 from .server import OperationsServer
 
--- a/glenchute/listeners/operations/server.py
+++ b/glenchute/listeners/operations/server.py
@@ -1,5 +1,7 @@
-"""HTTP/1.1 at the second address, one call to a connection. What a call does is `actions` of whoever starts
-it. It runs in the gateway's loop, each turn of which is bounded.
+"""HTTP/1.1 server of the operations address, with one request per connection.
+
+What a request does is given by the `Routes` of whoever starts the server. It runs in the gateway's event
+loop, so every limit here bounds one turn of it.
 """
 
 from __future__ import annotations
@@ -15,38 +17,39 @@
 
 log = logging.getLogger("glenchute")
 
-MAX_CONNECTIONS = 8  # connections at once
-MAX_HEAD_BYTES = 4096  # bytes of a call's head
-MAX_BODY_BYTES = 4096  # bytes that may follow it; none is needed
-REQUEST_TIMEOUT_S = 5.0  # a call that is not finished by then is ended
+MAX_CONNECTIONS = 8
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 4096  # no request needs a body; a small one is ignored
+REQUEST_TIMEOUT_S = 5.0  # from the connection to the end of the request
 SWEEP_INTERVAL_S = 0.5
+LISTEN_BACKLOG = 64
 
-Action = Callable[[], tuple[int, str]]  # what a call does: the status, and a line for people
-Actions = Mapping[str, Mapping[str, Action]]  # by path, then by method
+Handler = Callable[[], tuple[int, str]]  # executes a request; the status, and a line of text for people
+Routes = Mapping[str, Mapping[str, Handler]]  # by path, then by method
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One answer."""
+    """One response."""
 
     status: int
     text: str
-    allow: str = ""
+    allow: str = ""  # the Allow header; empty: none
 
 
-def respond(actions: Actions, method: str, target: str) -> Response:
-    """The answer to a call, which is carried out with it."""
-    methods = actions.get(target.partition("?")[0])
-    if methods is None:
+def respond(routes: Routes, method: str, target: str) -> Response:
+    """Executes a request and returns its response."""
+    handlers = routes.get(target.partition("?")[0])
+    if handlers is None:
         return Response(404, "no such call")
-    action = methods.get(method)
-    if action is None:
-        return Response(405, "not by this method", ", ".join(sorted(methods)))
-    return Response(*action())
+    handler = handlers.get(method)
+    if handler is None:
+        return Response(405, "not by this method", ", ".join(sorted(handlers)))
+    return Response(*handler())
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One connection: a call, its answer, the end."""
+    """One connection: a request, its response, the end."""
 
     def __init__(self, server: OperationsServer) -> None:
         self.server = server
@@ -58,8 +61,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        for other in self.server.slots.add(self.server.loop.time(), self):
-            other.abort()
+        for evicted in self.server.slots.add(self.server.loop.time(), self):
+            evicted.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -67,103 +70,103 @@
 
     def data_received(self, data: bytes) -> None:
         if self.is_answered:
-            return  # one call to a connection: what follows is thrown away until the caller closes
+            return  # whatever follows the one request is discarded until the client closes
         try:
             self.http.receive_data(data)
-            self.process_events()
+            self._process_events()
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint
-            self.send_response(Response(status if 400 <= status < 500 else 400, "not a call"))
+            self._send_response(Response(status if 400 <= status < 500 else 400, "not a call"))
 
     def eof_received(self) -> bool:
-        return self.is_answered  # a caller that has shut its side may still wait for its answer
+        return self.is_answered  # a client that has shut down its side may still read its response
 
-    def process_events(self) -> None:
-        """Goes on with what has come."""
+    def _process_events(self) -> None:
+        """Parses what has been received, until more is needed or the request is answered."""
         while not self.is_answered:
             event = self.http.next_event()
             if isinstance(event, h11.Request):
                 self.request = event
                 if self.http.they_are_waiting_for_100_continue:
-                    self.send(h11.InformationalResponse(status_code=100, headers=[]))
+                    self._send(h11.InformationalResponse(status_code=100, headers=[]))
             elif isinstance(event, h11.Data):
                 self.body_bytes += len(event.data)
                 if self.body_bytes > MAX_BODY_BYTES:
-                    self.send_response(Response(413, "no body is needed"))
+                    self._send_response(Response(413, "no body is needed"))
             elif isinstance(event, h11.EndOfMessage) and self.request is not None:
                 method = self.request.method.decode("ascii", "replace")
-                self.send_response(
-                    self.server.respond(method, self.request.target.decode("ascii", "replace"))
-                )
+                target = self.request.target.decode("ascii", "replace")
+                self._send_response(self.server.respond(method, target))
             else:
                 return
 
-    def send_response(self, reply: Response) -> None:
-        """The one answer; then the own side is shut, and the other end closes."""
+    def _send_response(self, response: Response) -> None:
+        """Sends the one response and shuts down this side; the client closes the connection."""
         self.is_answered = True
-        text = f"{reply.text}\n".encode("ascii", "replace")
+        text = f"{response.text}\n".encode("ascii", "replace")
         headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(text)))]
         headers.append(("Connection", "close"))
-        if reply.allow:
-            headers.append(("Allow", reply.allow))
-        self.send(h11.Response(status_code=reply.status, headers=headers))
-        self.send(h11.Data(data=text))
-        self.send(h11.EndOfMessage())
+        if response.allow:
+            headers.append(("Allow", response.allow))
+        self._send(h11.Response(status_code=response.status, headers=headers))
+        self._send(h11.Data(data=text))
+        self._send(h11.EndOfMessage())
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write_eof()
 
-    def send(self, event: h11.Event) -> None:
-        """Sends one part of an answer."""
+    def _send(self, event: h11.Event) -> None:
         data = self.http.send(event)
         if data and self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Ends the connection, whatever has come."""
+        """Closes the connection, answered or not."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class OperationsServer:
-    """The listener at the second address."""
+    """The listener at the operations address."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, actions: Actions) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, routes: Routes) -> None:
         self.loop = loop
-        self.actions = actions
+        self.routes = routes
         self.slots: OperatorSlots[OperatorConnection] = OperatorSlots(MAX_CONNECTIONS, REQUEST_TIMEOUT_S)
         self.server: asyncio.Server | None = None
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listens on this address only; OSError where that can't be."""
-        self.server = await self.loop.create_server(lambda: OperatorConnection(self), host, port, backlog=64)
-        self.sweep()
+        """Listens on this address; OSError if that fails."""
+        self.server = await self.loop.create_server(
+            lambda: OperatorConnection(self), host, port, backlog=LISTEN_BACKLOG
+        )
+        self._sweep()
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens on."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
     def respond(self, method: str, target: str) -> Response:
-        """The answer to a call. A fault of ours is logged and answered."""
+        """Executes a request. An exception of its handler is logged and answered with 500."""
         try:
-            return respond(self.actions, method, target)
+            return respond(self.routes, method, target)
         except Exception:
             log.exception("a call at the second address failed")
             return Response(500, "failed")
 
-    def sweep(self) -> None:
-        """Ends callers whose time is up."""
-        for caller in self.slots.remove_expired(self.loop.time()):
-            caller.abort()
-        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+    def _sweep(self) -> None:
+        """Closes connections whose time is up, again and again."""
+        for connection in self.slots.remove_expired(self.loop.time()):
+            connection.abort()
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
         """The end of the process."""
         if self.server is not None:
             self.server.close()
-        if self.sweeper is not None:
-            self.sweeper.cancel()
-        for caller in list(self.slots.opened_at):
-            caller.abort()
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
+        for connection in list(self.slots.opened_at):
+            connection.abort()
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -1,4 +1,5 @@
-"""The operator's file read again, beside the loop: what is served meanwhile, which file wins, how it ends."""
+"""The operator's file read again in the background: what is served meanwhile, which file wins, how it
+ends."""
 
 from __future__ import annotations
 
@@ -19,6 +20,7 @@
 from glenchute.cli.background_reload import (
     SLEEP_S,
     SWITCH_INTERVAL_S,
+    THREAD_NAME,
     WORK_SLICE_S,
     BackgroundReload,
     TimeSlices,
@@ -32,29 +34,29 @@
 from tests.loopback import CUSTOMER, GET, SERVED, Site, always, play, site, until
 
 ROOT = Path(__file__).resolve().parents[2]
-STAYS = "the operator's file in force stays"
-AGAIN = "the operator's file was read again"
+REJECTED = "the operator's file in force stays"
+READ_AGAIN = "the operator's file was read again"
 
 
 def reads(name: str, attempts: int = 2) -> str:
     return f"[[route]]\nname = '{name}'\nmatch = {{ class = 'read' }}\nattempts = {attempts}\n"
 
 
-class Held:
-    """Stands before `read`: each reading waits until the test lets it go, once it has the file's text."""
+class BlockedRead:
+    """Replaces `read`: each call blocks, once it has the file's text, until the test releases it."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.real = operators.read
-        self.begun, self.waited = 0, True
-        self.go = threading.Event()
+        self.started, self.was_released = 0, True
+        self.released = threading.Event()
         patch.setattr(operators, "read", self.read)
 
     def read(
         self, path: str, facts: PlatformFacts | None, rest: Callable[[], None] | None = None
     ) -> ReadResult:
         reading = self.real(path, facts, rest)
-        self.begun += 1
-        self.waited &= self.go.wait(20.0)  # False: nobody could let it go, as on the loop
+        self.started += 1
+        self.was_released &= self.released.wait(20.0)  # False: it was not released, as on the loop
         return reading
 
 
@@ -73,33 +75,36 @@
     async def scenario() -> None:
         async with site(always(SERVED), operator=reads("first")) as one:
             program = one.program
-            held = Held(monkeypatch)
+            blocked = BlockedRead(monkeypatch)
 
             def reread(text: str) -> None:
                 file.write_text(text)
                 program.reread(str(file), program.config)
 
             reread(reads("second"))
-            await until(lambda: held.begun == 1)
+            await until(lambda: blocked.started == 1)
             assert sys.getswitchinterval() == pytest.approx(SWITCH_INTERVAL_S) and not gc.isenabled()
             reread(reads("third"))
             reread(reads("fourth"))
             client = await one.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            assert bound(one) == "first" and held.begun == 1
-            held.go.set()
+            assert bound(one) == "first" and blocked.started == 1
+            blocked.released.set()
             await until(lambda: bound(one) == "fourth")
-            assert held.begun == 2 and held.waited  # the third was overtaken, none is read twice
-            await until(lambda: program.aside is not None and not program.aside.is_busy)
+            assert (
+                blocked.started == 2 and blocked.was_released
+            )  # the third was superseded, none is read twice
+            reload = program.background_reload
+            await until(lambda: reload is not None and not reload.is_busy)
             assert sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
 
     play(scenario())
 
 
-def test_a_wrong_file_changes_nothing_and_is_told_whole(
+def test_an_invalid_file_changes_nothing_and_all_errors_are_logged(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Also where the reading itself breaks, or no thread can be had; the next file is followed."""
+    """Also where reading raises, or no thread can be started; the next file is applied."""
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
 
@@ -107,47 +112,45 @@
         async with site(always(SERVED), operator=reads("first")) as one:
             program = one.program
 
-            def told() -> list[str]:
-                return [record.getMessage() for record in caplog.records if STAYS in record.getMessage()]
+            def reported() -> list[str]:
+                return [record.getMessage() for record in caplog.records if REJECTED in record.getMessage()]
 
-            async def refused(text: str) -> str:
-                before = len(told())
+            async def rejected(text: str) -> str:
+                before = len(reported())
                 file.write_text(text)
                 program.reread(str(file), program.config)
-                await until(lambda: len(told()) > before)
+                await until(lambda: len(reported()) > before)
                 assert (
                     bound(one) == "first" and sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
                 )
-                return told()[-1]
+                return reported()[-1]
 
             wrong = "".join(reads(f"r{n}", attempts=7) for n in range(300))
-            lines = (await refused(wrong)).splitlines()
+            lines = (await rejected(wrong)).splitlines()
             assert sum("error equal-rank" in line for line in lines) == 299
             assert any("error attempts-over-cap: route[0].attempts" in line for line in lines)
-            assert "error not-toml" in await refused("[[route]\n")
+            assert "error not-toml" in await rejected("[[route]\n")
             with monkeypatch.context() as patch:
 
                 def broken(*_: object) -> ReadResult:
                     raise MemoryError("no more")
 
                 patch.setattr(operators, "read", broken)
-                assert "no more" in await refused(reads("second"))
+                assert "no more" in await rejected(reads("second"))
             with monkeypatch.context() as patch:
 
                 def none(*_: object, **__: object) -> None:
                     raise RuntimeError("can't start new thread")
 
                 patch.setattr(threading.Thread, "start", none)
-                assert "can't start new thread" in await refused(reads("second"))
+                assert "can't start new thread" in await rejected(reads("second"))
             program.reread(str(file), program.config)
             await until(lambda: bound(one) == "second")
 
     play(scenario())
 
 
-def test_a_warning_for_each_route_is_told_some_lines_a_turn(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_warnings_are_logged_some_lines_per_turn(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
     count = 2 * LINES_A_TURN + 20
@@ -157,7 +160,7 @@
         async with site(always(SERVED), operator=reads("first")) as one:
             program = one.program
             program.reread(str(file), program.config)
-            await until(lambda: any(AGAIN in record.getMessage() for record in caplog.records))
+            await until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
             (line,) = [r.getMessage() for r in caplog.records if "warning" in r.getMessage()]
             assert "backoff-unused: route[0].backoff" in line
             caplog.clear()
@@ -166,13 +169,13 @@
             program.follow(found)
             assert len(caplog.records) == LINES_A_TURN and bound(one) == "r0"
             await until(lambda: len(caplog.records) > count)
-            assert [r.getMessage() for r in caplog.records] == [*found.warnings, AGAIN]
+            assert [r.getMessage() for r in caplog.records] == [*found.warnings, READ_AGAIN]
 
     play(scenario())
 
 
-def test_the_loop_turns_while_thousands_of_routes_are_read(tmp_path: Path) -> None:
-    """Turns that began while the file was being read; on the loop there would be none."""
+def test_the_loop_runs_while_thousands_of_routes_are_read(tmp_path: Path) -> None:
+    """Turns of the loop while the file is being read; read on the loop there would be none."""
     file = tmp_path / "operator.toml"
     file.write_text("".join(reads(f"r{n}") for n in range(2_700)))
 
@@ -180,7 +183,7 @@
         async with site(always(SERVED), operator=reads("first")) as one:
             program, turns = one.program, 0
             program.reread(str(file), program.config)
-            while program.aside is not None and program.aside.is_busy:
+            while program.background_reload is not None and program.background_reload.is_busy:
                 turns += 1
                 await asyncio.sleep(0)
             assert turns > 20 and bound(one) == "first"
@@ -188,37 +191,37 @@
     play(scenario())
 
 
-def test_nothing_is_told_to_a_loop_that_has_closed() -> None:
-    told: list[bool | Exception] = []
+def test_no_result_is_reported_to_a_closed_loop() -> None:
+    reported: list[bool | Exception] = []
     loop, go = asyncio.new_event_loop(), threading.Event()
-    one: BackgroundReload[bool] = BackgroundReload(loop, told.append)
+    one: BackgroundReload[bool] = BackgroundReload(loop, reported.append)
     one.submit(lambda: go.wait(20.0))
     loop.close()
     go.set()
-    for thread in [t for t in threading.enumerate() if t.name == "aside"]:
+    for thread in [t for t in threading.enumerate() if t.name == THREAD_NAME]:
         thread.join(20.0)
         assert not thread.is_alive()
     background_reload.interpreter_settings.end()
-    assert told == [] and sys.getswitchinterval() > SWITCH_INTERVAL_S
+    assert reported == [] and sys.getswitchinterval() > SWITCH_INTERVAL_S
 
 
-def test_work_in_parts_rests_when_its_slice_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    now, slept = 5.0, list[float]()
+def test_work_in_parts_sleeps_when_its_slice_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
+    now, sleeps = 5.0, list[float]()
 
     def sleep(seconds: float) -> None:
         nonlocal now
-        slept.append(seconds)
+        sleeps.append(seconds)
         now += seconds
 
     monkeypatch.setattr(background_reload, "time", SimpleNamespace(perf_counter=lambda: now, sleep=sleep))
-    pace = TimeSlices()
+    slices = TimeSlices()
     for _ in range(100):
         now += WORK_SLICE_S / 4.0
-        pace.yield_if_over()
-    assert 20 <= len(slept) <= 25 and set(slept) == {SLEEP_S}
+        slices.yield_if_over()
+    assert 20 <= len(sleeps) <= 25 and set(sleeps) == {SLEEP_S}
 
 
-HOLD = """\
+BLOCK_SECOND_READ = """\
 import sys, threading
 import glenchute.config.operator as operators
 real, count = operators.read, 0
@@ -233,8 +236,8 @@
 """
 
 
-def test_a_stop_in_the_middle_of_a_reading_ends_well(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    (tmp_path / "sitecustomize.py").write_text(HOLD)
+def test_a_stop_while_a_file_is_read_exits_cleanly(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    (tmp_path / "sitecustomize.py").write_text(BLOCK_SECOND_READ)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
     quiet = [Node("n0", Trade({"report-read": 1.0}), Script([Fault(Kind.VANISH, 0.0, 1e9)]))]
 
--- a/tests/clients/test_handover_socket.py
+++ b/tests/clients/test_handover_socket.py
@@ -108,7 +108,7 @@
 
     async def scenario() -> None:
         async with site(always(b"")) as one:
-            assert one.program.succession is None and one.program.operations is None
+            assert one.program.handover is None and one.program.operations is None
             assert not list(tmp_path.iterdir())
 
     play(scenario())
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -1,4 +1,4 @@
-"""The second address and the drain, over loopback sockets."""
+"""The operations address and the drain, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
     until,
 )
 
-ANYWHERE: dict[str, Any] = {"operations_address": ("127.0.0.1", 0)}
+ANY_PORT: dict[str, Any] = {"operations_address": ("127.0.0.1", 0)}
 
 
-async def raw(port: int, data: bytes, patience_s: float = 5.0) -> bytes:
-    """Sends bytes to the second address and reads to the end."""
+async def raw(port: int, data: bytes, timeout_s: float = 5.0) -> bytes:
+    """Sends bytes to the operations address and reads to the end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
-        return await asyncio.wait_for(reader.read(), patience_s)
+        return await asyncio.wait_for(reader.read(), timeout_s)
     finally:
         writer.close()
 
 
-async def call(port: int, method: str, target: str) -> int:
-    """One call; its status."""
+async def request(port: int, method: str, target: str) -> int:
+    """One request; the status of its response."""
     answer = await raw(port, f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     return int(answer.split(b" ")[1])
 
@@ -56,22 +56,22 @@
     return one.program.operations.port
 
 
-def served() -> Any:
-    return site(always(SERVED), decisions=Script(send_to("s0")), **ANYWHERE)
+def serving_site() -> Any:
+    return site(always(SERVED), decisions=Script(send_to("s0")), **ANY_PORT)
 
 
-async def read(client: Client, serial: int) -> Any:
+async def read_value(client: Client, serial: int) -> Any:
     return await client.ask(b"CALL.GET", CUSTOMER, b"%016x" % serial, GET)
 
 
-def test_calls_are_answered_and_repeating_one_is_harmless() -> None:
+def test_requests_are_idempotent() -> None:
     async def scenario() -> None:
-        async with served() as one:
+        async with serving_site() as one:
             port = port_of(one)
-            assert await call(port, "GET", "/_ready") == 200
+            assert await request(port, "GET", "/_ready") == 200
             for target, status in (("on", 503), ("on", 503), ("off", 200), ("off", 200)):
-                assert await call(port, "PUT", f"/_lameduck/{target}") == 200
-                assert await call(port, "GET", "/_ready") == status
+                assert await request(port, "PUT", f"/_lameduck/{target}") == 200
+                assert await request(port, "GET", "/_ready") == status
 
     play(scenario())
 
@@ -88,9 +88,9 @@
         (b"PUT /_lameduck/on HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n" + b"b" * 9999, b"413"),
     ],
 )
-def test_what_is_no_call_is_told_so_and_changes_nothing(data: bytes, status: bytes) -> None:
+def test_an_invalid_request_is_rejected_and_changes_nothing(data: bytes, status: bytes) -> None:
     async def scenario() -> None:
-        async with served() as one:
+        async with serving_site() as one:
             answer = await raw(port_of(one), data)
             assert answer.split(b" ")[1] == status
             assert (b"Allow: " in answer) == (status == b"405")
@@ -99,9 +99,9 @@
     play(scenario())
 
 
-def test_one_call_to_a_connection_and_bodies_in_pieces() -> None:
+def test_one_request_per_connection_and_bodies_in_pieces() -> None:
     async def scenario() -> None:
-        async with served() as one:
+        async with serving_site() as one:
             twice = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2
             assert (await raw(port_of(one), twice)).count(b"HTTP/1.1 200") == 1
             reader, writer = await asyncio.open_connection("127.0.0.1", port_of(one))
@@ -115,56 +115,59 @@
     play(scenario())
 
 
-def test_callers_that_finish_nothing_neither_stay_nor_keep_others_out(
+def test_unfinished_requests_time_out_and_do_not_block_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(operations_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def scenario() -> None:
-        async with served() as one:
+        async with serving_site() as one:
             port = port_of(one)
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(20)]
             for _, writer in idle[::2]:
                 writer.write(b"GET /_rea")
-            assert await call(port, "GET", "/_ready") == 200
-            held = one.program.operations
-            assert held is not None and len(held.slots.opened_at) <= operations_server.MAX_CONNECTIONS
-            await until(lambda: not held.slots.opened_at)  # and each one's wait ends
+            assert await request(port, "GET", "/_ready") == 200
+            operations = one.program.operations
+            assert (
+                operations is not None
+                and len(operations.slots.opened_at) <= operations_server.MAX_CONNECTIONS
+            )
+            await until(lambda: not operations.slots.opened_at)  # and each one times out
             for _, writer in idle:
                 writer.close()
 
     play(scenario())
 
 
-def test_a_drain_says_no_and_ends_idle_connections_and_those_in_use_behind_a_reply() -> None:
+def test_a_drain_closes_idle_connections_and_those_in_use_after_a_response() -> None:
     async def scenario() -> None:
-        async with served() as one:
+        async with serving_site() as one:
             idle, used, fresh = [await one.client() for _ in range(3)]
-            assert await read(idle, 1) == await read(used, 2) == b"value"
-            await call(port_of(one), "PUT", "/_lameduck/on")
+            assert await read_value(idle, 1) == await read_value(used, 2) == b"value"
+            await request(port_of(one), "PUT", "/_lameduck/on")
             probe = await one.client()
             assert str(await probe.ask(b"PING")) == "ERR lame duck"
             serial = 10
-            while (answer := await read(used, serial)) is not None:  # in use without a pause
+            while (answer := await read_value(used, serial)) is not None:  # in use without a pause
                 assert answer == b"value"
                 serial += 1
-            # Each of them ended between requests: nothing that was taken is without an answer.
+            # Each of them ended between requests: no admitted request is without a response.
             for client in (idle, probe, fresh):
                 assert await client.ended()
             assert one.program.listener.request_count == serial - 8
-            last = await one.client()  # who comes nevertheless is served, and the connection goes
+            last = await one.client()  # a late client is served, and its connection closed
             if one.program.listener.lifecycle.admits_requests(one.program.loop.time()):
-                assert await read(last, serial + 1) == b"value"
+                assert await read_value(last, serial + 1) == b"value"
                 assert await last.ended()
-            await call(port_of(one), "PUT", "/_lameduck/off")
+            await request(port_of(one), "PUT", "/_lameduck/off")
             again = await one.client()
-            assert await again.ask(b"PING") == b"PONG" and await read(again, serial + 2) == b"value"
-            assert await read(again, serial + 3) == b"value"  # and it stays
+            assert await again.ask(b"PING") == b"PONG" and await read_value(again, serial + 2) == b"value"
+            assert await read_value(again, serial + 3) == b"value"  # and it stays open
 
     play(scenario())
 
 
-def test_what_is_open_at_a_drain_gets_its_answer_and_late_requests_are_turned_away() -> None:
+def test_open_requests_are_answered_in_a_drain_and_late_ones_rejected() -> None:
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -172,41 +175,41 @@
             await go.wait()
             return SERVED
 
-        async with site(late, decisions=Script(send_to("s0")), **ANYWHERE) as one:
+        async with site(late, decisions=Script(send_to("s0")), **ANY_PORT) as one:
             client = await one.client()
             ids = numbered()
-            for _ in range(3):  # written behind one another
+            for _ in range(3):  # pipelined
                 client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
             await until(lambda: one.program.listener.request_count == 3)
             one.program.listener.start_drain()
-            life = one.program.listener.lifecycle
-            life.phase_started_at -= 10.0  # the drain has gone on for long
+            lifecycle = one.program.listener.lifecycle
+            lifecycle.phase_started_at -= 10.0  # the drain began long ago
             one.program.listener.close_idle()
             client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
             go.set()
             assert [await client.reply() for _ in range(3)] == [b"value"] * 3
-            assert str(await client.reply()) == "BUSY"  # at once, and promising that nothing ran
+            assert str(await client.reply()) == "BUSY"  # at once, and no attempt ran
             assert await client.ended()
 
     play(scenario())
 
 
-def test_on_then_off_keeps_what_had_not_been_closed() -> None:
+def test_a_cancelled_drain_keeps_open_connections() -> None:
     async def scenario() -> None:
-        async with served() as one:
+        async with serving_site() as one:
             client = await one.client()
-            assert await read(client, 1) == b"value"
+            assert await read_value(client, 1) == b"value"
             for target in ("on", "off"):
-                await call(port_of(one), "PUT", f"/_lameduck/{target}")
+                await request(port_of(one), "PUT", f"/_lameduck/{target}")
             one.program.listener.lifecycle.phase_started_at -= 10.0
             one.program.listener.close_idle()
-            assert await read(client, 2) == b"value"
-            assert await read(client, 3) == b"value"
+            assert await read_value(client, 2) == b"value"
+            assert await read_value(client, 3) == b"value"
 
     play(scenario())
 
 
-def test_sigterm_in_a_drain_ends_the_process_with_all_answers(tmp_path: Path) -> None:
+def test_sigterm_in_a_drain_answers_all_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with LabSite([Node("s0", Trade({"report-read": 40.0}))]) as lab:
             platform = lab.platform()
@@ -218,9 +221,9 @@
             client = await Client.connect(gateway.port)
             fields = b"c=report-read,t=korporativni,d=2000"
             client.send(b"CALL.GET", CUSTOMER, b"a", fields)
-            assert await call(port, "PUT", "/_lameduck/on") == 200
-            gateway.signal(signal.SIGHUP)  # changes nothing of it
-            assert await call(port, "GET", "/_ready") == 503
+            assert await request(port, "PUT", "/_lameduck/on") == 200
+            gateway.signal(signal.SIGHUP)  # does not affect it
+            assert await request(port, "GET", "/_ready") == 503
             ending = asyncio.create_task(gateway.stop())
             assert await client.reply() is not None
             assert await client.ended()
@@ -230,7 +233,7 @@
     play(scenario())
 
 
-def test_a_second_address_that_is_wrong_or_taken_ends_the_start(tmp_path: Path) -> None:
+def test_an_invalid_or_used_operations_address_fails_the_start(tmp_path: Path) -> None:
     raw_ = raw_config(1, 1, [])
     assert build(raw_, {}).operations_address is None
     assert build(raw_, {"EDGE_OPERATOR": "127.0.0.1:7"}).operations_address == ("127.0.0.1", 7)
@@ -252,7 +255,7 @@
     play(scenario())
 
 
-def test_without_a_second_address_nothing_listens_there() -> None:
+def test_without_an_operations_address_there_is_no_server() -> None:
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             assert one.program.operations is None
