--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -1,4 +1,4 @@
-"""Long lists are read in parts, between which requests have their turn; in force whole or not at all."""
+"""Long lists are decoded in parts with requests served in between; in force as a whole or not at all."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import EndpointList, EndpointListKind
-from glenchute.protocol import endpoint_list as discoveries
+from glenchute.protocol import endpoint_list
 from glenchute.protocol.endpoint_list import ROWS_PER_PART, CurrentList, decode_list, decode_list_in_parts
 from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
@@ -28,26 +28,26 @@
 MANY = [row(f"n{n}", 9) for n in range(1_000)]  # some 100 KB
 
 
-def whole(body: bytes, held: CurrentList | None) -> EndpointUpdate:
-    return decode_list(json.loads(body), current=held)
+def decode_at_once(body: bytes, current: CurrentList | None) -> EndpointUpdate:
+    return decode_list(json.loads(body), current=current)
 
 
-def parted(body: bytes, held: CurrentList | None) -> EndpointUpdate:
-    parts = decode_list_in_parts(body, held)
+def decode_in_parts(body: bytes, current: CurrentList | None) -> EndpointUpdate:
+    parts = decode_list_in_parts(body, current)
     while True:
         try:
             next(parts)
         except StopIteration as end:
-            news: EndpointUpdate = end.value
-            return news
+            update: EndpointUpdate = end.value
+            return update
 
 
 def outcome(
-    read: Callable[[bytes, CurrentList | None], EndpointUpdate], body: bytes, held: CurrentList | None
+    read: Callable[[bytes, CurrentList | None], EndpointUpdate], body: bytes, current: CurrentList | None
 ) -> Any:
-    """The list, or that there is none."""
+    """The update; None if the list is invalid."""
     try:
-        return read(body, held)
+        return read(body, current)
     except (ValueError, RecursionError):
         return None
 
@@ -77,11 +77,11 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("held", [None, CurrentList()])
+@pytest.mark.parametrize("current", [None, CurrentList()])
 @pytest.mark.parametrize("number", range(len(BODIES)))
-def test_the_same_lists_are_read_and_the_same_refused(number: int, held: CurrentList | None) -> None:
+def test_parts_decode_and_reject_the_same_lists(number: int, current: CurrentList | None) -> None:
     body = BODIES[number].encode("utf-8", "surrogatepass")
-    assert outcome(parted, body, held) == outcome(whole, body, held)
+    assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, current)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -89,10 +89,10 @@
     st.sampled_from(BODIES[:4]), st.integers(0, 400), st.integers(0, 3),
     st.text('{}[],:"0 \n', max_size=3), st.booleans(),
 )  # fmt: skip
-def test_what_was_spoilt_is_read_alike(text: str, at: int, cut: int, put: str, hold: bool) -> None:
+def test_parts_decode_corrupted_lists_alike(text: str, at: int, cut: int, put: str, hold: bool) -> None:
     body = (text[:at] + put + text[at + cut :]).encode()
-    held = CurrentList() if hold else None
-    assert outcome(parted, body, held) == outcome(whole, body, held)
+    current = CurrentList() if hold else None
+    assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, current)
 
 
 LONG = json.dumps({"version": 3, "full": True, "servers": [row(f"n{n}", 9) for n in range(WHOLE + 9)]})
@@ -103,85 +103,85 @@
     st.integers(0, len(LONG)), st.integers(0, 40), st.text('{}[],:"09 \n', max_size=3),
     st.sampled_from([", ", ",", " , \n"]),
 )  # fmt: skip
-def test_a_row_whose_text_was_read_before_is_read_alike(at: int, cut: int, put: str, comma: str) -> None:
-    """After a long list, of which the texts are kept: the same list spoilt somewhere or written otherwise."""
-    held, other = CurrentList(), CurrentList()
-    held.apply(parted(LONG.encode(), held))
-    other.rows = dict(held.rows)
-    assert len(held.rows_by_text) == WHOLE + 9
+def test_rows_known_by_their_text_are_decoded_alike(at: int, cut: int, put: str, comma: str) -> None:
+    """After a long list whose texts are kept: the same list, corrupted somewhere or formatted differently."""
+    current, other = CurrentList(), CurrentList()
+    current.apply(decode_in_parts(LONG.encode(), current))
+    other.rows = dict(current.rows)
+    assert len(current.rows_by_text) == WHOLE + 9
     body = (LONG[:at] + put + LONG[at + cut :]).replace("}, {", "}" + comma + "{").encode()
-    assert outcome(parted, body, held) == outcome(whole, body, other)
+    assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, other)
 
 
-def test_a_row_that_is_known_is_not_read_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of a whole list read anew only the rows that differ are; no more texts are kept than it has rows."""
+def test_known_rows_are_not_decoded_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Of a complete list only the rows that differ are decoded; no more texts are kept than it has rows."""
     read: list[str] = []
-    sound = discoveries.decode_row
-    held, rows = CurrentList(), [row(f"n{n}", 9) for n in range(1_000)]
+    decode_row = endpoint_list.decode_row
+    current, rows = CurrentList(), [row(f"n{n}", 9) for n in range(1_000)]
 
-    def read_row(one: Any) -> Any:
+    def counting_decode_row(one: Any) -> Any:
         read.append(one["id"])
-        return sound(one)
+        return decode_row(one)
 
-    monkeypatch.setattr(discoveries, "decode_row", read_row)
+    monkeypatch.setattr(endpoint_list, "decode_row", counting_decode_row)
     for changed, expected in (([], 1_000), ([], 0), ([3, 999], 2), (list(range(1_000)), 1_000)):
         read.clear()
         for n in changed:
             rows[n] = {**rows[n], "weight": 1.5 + len(changed)}
-        news = parted(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), held)
-        assert len(read) == expected and [entry.address for entry in news.event.endpoints][3] == "n3"
-        assert [entry.weight for entry in news.event.endpoints] == [one.get("weight", 1.0) for one in rows]
-        assert len(held.rows_by_text) == len(rows)
+        update = decode_in_parts(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), current)
+        assert len(read) == expected and [entry.address for entry in update.event.endpoints][3] == "n3"
+        assert [entry.weight for entry in update.event.endpoints] == [one.get("weight", 1.0) for one in rows]
+        assert len(current.rows_by_text) == len(rows)
 
 
-class Parts:
-    """Holds the reading of a list between two parts until the test lets it go on."""
+class PausedDecoding:
+    """Pauses decoding between two parts until the test resumes it."""
 
     def __init__(self, patch: pytest.MonkeyPatch, one: Site) -> None:
-        self.held: list[Any] = []
+        self.paused: list[Any] = []
         self.one = one
-        patch.setattr(one.program.discovery, "decode_next_part", self.read_on)
+        patch.setattr(one.program.discovery, "decode_next_part", self.pause)
 
-    def read_on(self, reading: Any) -> None:
-        self.held.append(reading)
+    def pause(self, reading: Any) -> None:
+        self.paused.append(reading)
 
-    async def go_on(self, parts: int) -> None:
-        """So many parts; what comes after them waits again."""
+    async def resume(self, parts: int) -> None:
+        """Decodes so many parts, then pauses again."""
         discovery = self.one.program.discovery
         for _ in range(parts):
-            await until(lambda: self.held or discovery.partial_decode is None)
-            waiting, self.held = self.held, []
+            await until(lambda: self.paused or discovery.partial_decode is None)
+            waiting, self.paused = self.paused, []
             for reading in waiting:
                 type(discovery).decode_next_part(discovery, reading)
 
 
-def lists(module: Script) -> list[EndpointList]:
-    return module.of(EndpointList)
+def lists(script: Script) -> list[EndpointList]:
+    return script.of(EndpointList)
 
 
 @pytest.mark.parametrize("end", ["stays", "closes", "moves", "ends", "another"])
-def test_what_happens_between_two_parts(end: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The list comes into force whole once it is read, also where its connection has ended meanwhile; where
-    the gateway follows another address, ends, or has taken another answer, it never does. Requests have their
-    turn."""
-    module = Script(lambda event: [])
+def test_events_between_two_parts(end: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The list comes into force once it is decoded, even if its connection has ended meanwhile; if the
+    address changes, the process ends, or another answer is accepted, it never does. Requests are served in
+    between."""
+    script = Script(lambda event: [])
 
     async def scenario() -> None:
         first = listing(2, [row("s0", 9)])
         answers = DiscoveryPeer(first)
         other = DiscoveryPeer(listing(9, [row("s1", 9)]))
         await other.start()
-        async with site(decisions=module, discovery=answers) as one:
+        async with site(decisions=script, discovery=answers) as one:
             discovery = one.program.discovery
             await until(lambda: discovery.version == 2)
-            parts = Parts(monkeypatch, one)
+            parts = PausedDecoding(monkeypatch, one)
             body = json.dumps({"version": 3, "full": True, "servers": MANY}).encode()
             answers.answers.append(http(body))
-            await until(lambda: parts.held)
-            await parts.go_on(3)
-            before = len(lists(module))
+            await until(lambda: parts.paused)
+            await parts.resume(3)
+            before = len(lists(script))
             client = await one.client()
-            assert await client.ask(b"PING") == b"PONG" and parts.held and len(lists(module)) == before
+            assert await client.ask(b"PING") == b"PONG" and parts.paused and len(lists(script)) == before
             if end == "closes":
                 line = discovery.partial_decode.connection_id  # type: ignore[union-attr]
                 answers.writers[-1].close()
@@ -195,51 +195,51 @@
                 discovery.close()
             elif end == "another":
                 discovery.watch.next_poll_at = asyncio.get_running_loop().time()
-                discovery.on_timer()  # a call beside the one whose answer is being read
+                discovery.on_timer()  # hedges the poll whose answer is being decoded
                 answers.answers.append(listing(4, [row("s0", 9, "Terminating")], full=False))
                 await until(lambda: discovery.version == 4)
-            await parts.go_on(40)
-            told = [event for event in lists(module)[before:] if len(event.endpoints) > 100]
+            await parts.resume(40)
+            received = [event for event in lists(script)[before:] if len(event.endpoints) > 100]
             if end in ("stays", "closes"):
                 assert discovery.version == 3 and discovery.partial_decode is None
-                assert [event.kind for event in told] == [EndpointListKind.FULL]
+                assert [event.kind for event in received] == [EndpointListKind.FULL]
                 answers.answers.append(listing(5, [row("n0", 9, "Terminating")], full=False))
                 await until(lambda: discovery.version == 5)  # the watch goes on
             else:
-                assert discovery.version != 3 and not told and not parts.held
+                assert discovery.version != 3 and not received and not parts.paused
         await other.stop()
 
     play(scenario())
 
 
 def test_drains_in_an_ordinary_answer_are_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Changes of 300 rows, a drain last: read in the turn in which they come."""
-    module = Script(lambda event: [])
+    """Changes of 300 rows, a drain last: decoded in the turn in which they arrive."""
+    script = Script(lambda event: [])
 
     async def scenario() -> None:
         answers = DiscoveryPeer(listing(2, [row("s0", 9)]))
-        async with site(decisions=module, discovery=answers) as one:
+        async with site(decisions=script, discovery=answers) as one:
             await until(lambda: one.program.discovery.version == 2)
-            parts = Parts(monkeypatch, one)
+            parts = PausedDecoding(monkeypatch, one)
             rows = [*MANY[:300], row("s0", 9, "Terminating")]
             answers.answers.append(listing(3, rows, full=False))
             await until(lambda: one.program.discovery.version == 3)
-            assert not parts.held and one.program.servers.pools["s0"].stop_at is not None
+            assert not parts.paused and one.program.servers.pools["s0"].stop_at is not None
 
     play(scenario())
 
 
-def test_a_part_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No part reads more rows than `PART_ROWS`, be they readable or not."""
+def test_the_rows_of_a_part_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """No part decodes more rows than `ROWS_PER_PART`, readable or not."""
     read, most = 0, 0
-    sound = discoveries.decode_row
+    decode_row = endpoint_list.decode_row
 
-    def read_row(one: Any) -> Any:
+    def counting_decode_row(one: Any) -> Any:
         nonlocal read
         read += 1
-        return sound(one)
+        return decode_row(one)
 
-    monkeypatch.setattr(discoveries, "decode_row", read_row)
+    monkeypatch.setattr(endpoint_list, "decode_row", counting_decode_row)
     rows = [one if n % 3 else {"id": n} for n, one in enumerate(MANY)]
     for _ in decode_list_in_parts(
         json.dumps({"version": 3, "full": True, "servers": rows}).encode(), CurrentList()
@@ -248,7 +248,7 @@
     assert 0 < most <= ROWS_PER_PART
 
 
-# --- what a list costs in one turn -----------------------------------------------------------------------
+# --- the cost of a list per turn -----------------------------------------------------------------------
 
 
 @pytest.fixture
@@ -259,8 +259,8 @@
 
 
 @contextmanager
-def calls() -> Iterator[list[int]]:
-    """Counts the calls made meanwhile, of Python's functions and built-in ones alike."""
+def counted_calls() -> Iterator[list[int]]:
+    """Counts calls of Python and built-in functions within the context."""
     count = [0]
 
     def one(frame: Any, event: str, arg: Any) -> None:
@@ -273,24 +273,24 @@
         sys.setprofile(None)
 
 
-def longest(chain: Chain, rows: list[dict[str, Any]], full: bool = True) -> int:
-    """The calls made in the turn that makes most."""
+def most_calls_in_a_turn(chain: Chain, rows: list[dict[str, Any]], full: bool = True) -> int:
+    """The calls in the turn with the most."""
     most, turns, ended = 0, chain.turns(rows, full), False
     while not ended:
-        with calls() as count:
+        with counted_calls() as count:
             ended = next(turns, True) is True
         most = max(most, count[0])
     return most
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_no_turn_of_a_long_list_walks_all_of_it(name: str, chain: Chain) -> None:
-    """From one list to another: calls in the longest turn, some 2,300 of which read `PART_ROWS` rows, where
-    5,700 rows are 20,000 and more if each has its own. What drains has some, and rows that leave rings or
-    come on them by changes."""
+def test_no_turn_visits_all_rows_of_a_long_list(name: str, chain: Chain) -> None:
+    """From one list to another: calls in the longest turn. Some 2,300 decode `ROWS_PER_PART` rows; one call
+    or more for each of 5,700 rows would be 20,000. Draining rows have some each, as have those that enter or
+    leave rings by changes."""
     before, after, full = LISTS[name]
     chain.tell(before)
-    most = longest(chain, after, full)
+    most = most_calls_in_a_turn(chain, after, full)
     more = {"half of it drains": 4 * 2_850, "a zone gone": 10_000, "a zone back": 10_000}
     assert most <= 3_000 + more.get(name, 0)
     listed = {one["id"] for one in after if one["state"] == "Ready"}
@@ -299,9 +299,9 @@
     assert chain.used()
 
 
-def test_nothing_of_a_list_is_in_force_before_all_of_it(chain: Chain) -> None:
-    """Whole lists and changes: between two turns all is as before, to requests as to the next list; after the
-    last all is as told, drains among it."""
+def test_no_row_is_in_force_before_the_list_is_complete(chain: Chain) -> None:
+    """Complete lists and changes: between two turns everything is as before, to requests and to the next
+    list; after the last one all rows are in force, drains included."""
     chain.tell(zoned(0, 5_700))
     used = chain.used()
     drained = sorted(used)[:10]
@@ -317,9 +317,9 @@
         drained = sorted(chain.used())[:10]
 
 
-def test_a_list_given_up_half_way_leaves_nothing(chain: Chain) -> None:
-    """As where its line is closed, another answer is taken, or the process ends: the next list is taken in
-    full, also one of the same rows."""
+def test_an_abandoned_list_leaves_no_state(chain: Chain) -> None:
+    """As when its connection is closed, another answer is accepted, or the process ends. The next list takes
+    full effect, even with the same rows."""
     chain.tell(zoned(0, 600))
     state = chain.state()
     for stop in (1, 30, 90):
@@ -333,19 +333,19 @@
     assert all(entry.endpoint.weight == 2.0 for entry in chain.policy.pool.servers.values())
 
 
-def test_a_name_that_is_no_text_hides_nothing_of_a_long_list(chain: Chain) -> None:
-    """Half of a surrogate pair, as JSON can have it: the list is in force, that server like the others."""
-    odd = {**row("x\ud83d", 9), "zone": "z"}
-    chain.tell([*zoned(0, 600), odd])
-    assert len(chain.servers.server_ids()) == 601 and len(chain.used()) >= 48 and odd["id"] in chain.used()
-    chain.tell([{**odd, "state": "Gone"}], False)
-    assert odd["id"] not in chain.servers.server_ids() and odd["id"] not in chain.used()
+def test_a_name_with_a_lone_surrogate_does_not_affect_other_rows(chain: Chain) -> None:
+    """Half of a surrogate pair, as JSON allows: the list is in force, that server included."""
+    unusual = {**row("x\ud83d", 9), "zone": "z"}
+    chain.tell([*zoned(0, 600), unusual])
+    assert (
+        len(chain.servers.server_ids()) == 601 and len(chain.used()) >= 48 and unusual["id"] in chain.used()
+    )
+    chain.tell([{**unusual, "state": "Gone"}], False)
+    assert unusual["id"] not in chain.servers.server_ids() and unusual["id"] not in chain.used()
 
 
-def test_connections_to_processes_that_ended_are_closed(
-    chain: Chain, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """By a whole list as by changes: those of the servers started anew, and no others."""
+def test_connections_to_restarted_servers_are_closed(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
+    """By a complete list and by changes: those of the restarted servers, and no others."""
     chain.tell(zoned(0, 5_700))
     opened = sorted(chain.used())[:20]
     assert all(chain.servers.open_pool(name) is not None for name in opened)
@@ -361,9 +361,9 @@
         closed.clear()
 
 
-def test_servers_without_pools_drain_as_others_do(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing new by the list's word; attempts that were sent before may start until the grace is over, which
-    runs from the first word; and one that comes back takes work."""
+def test_servers_without_pools_drain_like_others(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Nothing new is sent to them; attempts decided before may start until the grace period is over, which
+    counts from the first list with the drain; and a server that returns is used again."""
     chain.tell(zoned(0, 5_700))
     now = 100.0
     monkeypatch.setattr(Chain, "time", lambda self: now, raising=False)
@@ -387,8 +387,8 @@
     assert len(chain.servers.server_ids()) == 5_400 and chain.servers.open_pool("n700") is None
 
 
-def drawn(rng: random.Random, names: int) -> list[dict[str, Any]]:
-    """Rows of all kinds, also of such as no service should send."""
+def random_rows(rng: random.Random, names: int) -> list[dict[str, Any]]:
+    """Rows of all kinds, including invalid ones."""
     rows: list[Any] = []
     for n in rng.sample(range(names), rng.randint(names // 3, names)):
         one = {**row(f"n{n}", 9 + rng.randint(0, 9) // 9), "zone": rng.choice("aaab")}
@@ -404,14 +404,14 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_parts_and_tables_made_ahead_change_nothing(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lists and changes of all lengths, one after another: read in parts, with what follows from them worked
-    out ahead, they leave what they leave read at once and brought into force row by row."""
+def test_parts_and_prebuilt_tables_give_the_same_state(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lists and changes of all lengths, in sequence: decoded in parts with prebuilt tables they leave the
+    same state as decoded at once and applied row by row."""
     rng = random.Random(seed)
     new, old = Chain(), Chain(parted=False)
     for step in range(25):
         names = rng.choice([60, 600, 900])
-        rows, full = drawn(rng, names), step == 0 or rng.random() < 0.5
+        rows, full = random_rows(rng, names), step == 0 or rng.random() < 0.5
         new.tell(rows, full)
         with monkeypatch.context() as patch:
             patch.setattr(gateways, "MANY_ROWS", 10**9)
