--- a/tests/system/test_readiness.py
+++ b/tests/system/test_readiness.py
@@ -1,4 +1,5 @@
-"""A start hangs on nobody: ready with discovery silent, the counter mute, the saved list empty or missing."""
+"""A start depends on no other service: ready with discovery and the counter silent, the saved list empty or
+missing."""
 
 from __future__ import annotations
 
@@ -28,12 +29,12 @@
 )
 
 READY_S = 10.0  # nine in ten restarted processes are ready by then
-PROCESSES = 4  # that start in one moment
+PROCESSES = 4  # started at one moment
 
 
 @contextmanager
 def unreachable() -> Iterator[int]:
-    """A port where no connection comes up, nor is refused: those that wait to be accepted are too many."""
+    """A port where connections are neither accepted nor refused, as its backlog is full."""
     with socket.socket() as full:
         full.bind(("127.0.0.1", free_port()))
         full.listen(0)
@@ -49,25 +50,29 @@
 
 
 @pytest.mark.parametrize(
-    ("saved", "reached"), [("a list", True), ("an empty list", True), ("none", True), ("a list", False)]
+    ("saved", "connects"), [("a list", True), ("an empty list", True), ("none", True), ("a list", False)]
 )
-def test_a_start_is_ready_with_discovery_silent_and_the_counter_mute(
-    tmp_path: Path, saved: str, reached: bool
+def test_a_start_is_ready_with_discovery_and_counter_silent(
+    tmp_path: Path, saved: str, connects: bool
 ) -> None:
-    """It then serves by the saved list; without one it refuses, until discovery answers, and serves. Not
-    `reached`: no connection to discovery comes up."""
+    """It then serves by the saved list; without one it rejects requests until discovery answers. Not
+    `connects`: no connection to discovery is accepted."""
 
-    async def scenario(full: int) -> None:
-        silent, mute, server = DiscoveryPeer(), RespPeer(always(None)), RespPeer(always(SERVED))
-        for peer in (silent, mute, server):
+    async def scenario(unreachable_port: int) -> None:
+        discovery_peer, silent_counter, server = (
+            DiscoveryPeer(),
+            RespPeer(always(None)),
+            RespPeer(always(SERVED)),
+        )
+        for peer in (discovery_peer, silent_counter, server):
             await peer.start()
         rows, ids = [row("s0", server.port)], numbered()
-        discovery = silent.port if reached else full
+        discovery = discovery_peer.port if connects else unreachable_port
         gateways = []
         for number in range(PROCESSES):
             folder = tmp_path / f"g{number}"
             folder.mkdir()
-            raw = raw_config(discovery, mute.port, rows if saved == "a list" else [], free_port())
+            raw = raw_config(discovery, silent_counter.port, rows if saved == "a list" else [], free_port())
             if saved == "none":
                 del raw["known"]
             gateways.append(GatewayProcess(folder, raw))
@@ -81,8 +86,8 @@
                 assert reply == b"value"
             else:
                 assert str(reply).startswith("BUSY")
-            if saved != "a list" and reached:
-                silent.answers += [listing(2, rows)] * 100
+            if saved != "a list" and connects:
+                discovery_peer.answers += [listing(2, rows)] * 100
                 while await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) != b"value":
                     await asyncio.sleep(0.02)
         finally:
@@ -90,8 +95,8 @@
                 gateway.signal(signal.SIGKILL)
                 if gateway.process is not None:
                     gateway.process.wait()
-            for peer in (silent, mute, server):
+            for peer in (discovery_peer, silent_counter, server):
                 await peer.stop()
 
-    with unreachable() as full:
-        play(scenario(full))
+    with unreachable() as unreachable_port:
+        play(scenario(unreachable_port))
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -21,42 +21,42 @@
 FIELDS = b"c=report-read,t=korporativni,d=2000"
 
 
-class Replaced:
+class ReplacementSite:
     """A site whose platform holds the clients' socket, and the processes started on it."""
 
     def __init__(self, lab: LabSite, folder: Path) -> None:
         self.lab, self.folder = lab, folder
-        self.door = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.port = int(self.door.getsockname()[1])
-        self.started: list[GatewayProcess] = []
+        self.listening_socket = socket.create_server(("127.0.0.1", 0), backlog=512)
+        self.port = int(self.listening_socket.getsockname()[1])
+        self.processes: list[GatewayProcess] = []
         self.ids = numbered()
-        self.asked = self.answered = self.crossed = self.refused = 0
+        self.sent = self.answered = self.repeated = self.rejected = 0
 
     async def start(self) -> GatewayProcess:
-        """One more process beside those that run; waits for its yes."""
-        folder = self.folder / str(len(self.started))
+        """Starts another process beside those that run, and waits until it is ready."""
+        folder = self.folder / str(len(self.processes))
         folder.mkdir()
         platform = self.lab.platform()
-        second = free_port()
-        platform.update(listen=f"127.0.0.1:{self.port}", operator=f"127.0.0.1:{second}")
+        operations_port = free_port()
+        platform.update(listen=f"127.0.0.1:{self.port}", operator=f"127.0.0.1:{operations_port}")
         one = GatewayProcess(folder, platform)
-        one.passed, one.shared = self.door, self.folder
+        one.passed, one.shared = self.listening_socket, self.folder
         one.start()
-        self.started.append(one)
+        self.processes.append(one)
         async with asyncio.timeout(15.0):
-            while not await says_yes(second):
+            while not await is_ready(operations_port):
                 await asyncio.sleep(0.01)
         return one
 
-    async def client(self, until_: asyncio.Event) -> None:
-        """Asks without a pause, keeps its connection, and opens another where that was closed: a request that
-        met a closed connection is sent once more, as PROTOCOL's clients do."""
+    async def client(self, stopped: asyncio.Event) -> None:
+        """Sends requests without a pause on one connection, and opens another if that was closed: a request
+        on a closed connection is sent once more, as PROTOCOL's clients do."""
         client = await Client.connect(self.port)
-        while not until_.is_set():
-            self.asked += 1
+        while not stopped.is_set():
+            self.sent += 1
             answer = await self.ask(client)
             if answer is None:
-                self.crossed += 1
+                self.repeated += 1
                 client.writer.close()
                 client = await Client.connect(self.port)
                 answer = await self.ask(client)
@@ -65,7 +65,7 @@
                 self.answered += 1
             else:
                 assert str(answer).startswith("BUSY"), answer
-                self.refused += 1
+                self.rejected += 1
             await asyncio.sleep(0.002)
             if client.reader.at_eof():
                 client.writer.close()
@@ -79,7 +79,7 @@
             return None
 
 
-async def says_yes(port: int) -> bool:
+async def is_ready(port: int) -> bool:
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except ConnectionError:
@@ -91,50 +91,50 @@
 
 
 @asynccontextmanager
-async def replaced(folder: Path) -> AsyncIterator[Replaced]:
+async def replacement_site(folder: Path) -> AsyncIterator[ReplacementSite]:
     async with LabSite([Node(f"s{i}", Trade({"report-read": 8.0})) for i in range(2)]) as lab:
-        one = Replaced(lab, folder)
+        one = ReplacementSite(lab, folder)
         try:
             yield one
         finally:
-            for process in one.started:
+            for process in one.processes:
                 process.signal(signal.SIGKILL)
-            one.door.close()
+            one.listening_socket.close()
 
 
 def test_two_replacements_in_a_row_under_load(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with replaced(tmp_path) as one:
+        async with replacement_site(tmp_path) as one:
             old = await one.start()
-            over = asyncio.Event()
-            clients = [asyncio.create_task(one.client(over)) for _ in range(8)]
+            stopped = asyncio.Event()
+            clients = [asyncio.create_task(one.client(stopped)) for _ in range(8)]
             for _ in range(2):
                 new = await one.start()
-                before = one.asked
+                before = one.sent
                 assert await old.stop() == 0
-                assert one.asked > before
+                assert one.sent > before
                 old = new
-            over.set()
+            stopped.set()
             await asyncio.gather(*clients)
-            assert one.asked == one.answered + one.refused and one.answered > 0
-            # How many requests cross a close hangs on the machine's load, so no number is asserted: each of
-            # them was answered on its second connection, or `client` would have called it lost.
+            assert one.sent == one.answered + one.rejected and one.answered > 0
+            # How many requests cross a close depends on the machine's load, so no number is asserted: each of
+            # them was answered on its second connection, or `client` would have reported it as lost.
             assert await old.stop() == 0
-            for process in one.started:
+            for process in one.processes:
                 assert "Traceback" not in process.log.read_text()
 
     play(scenario())
 
 
-@pytest.mark.parametrize("after_yes", [False, True])
-def test_a_new_process_that_dies_leaves_the_old_one_serving(tmp_path: Path, after_yes: bool) -> None:
+@pytest.mark.parametrize("after_ready", [False, True])
+def test_a_successor_that_dies_leaves_the_predecessor_serving(tmp_path: Path, after_ready: bool) -> None:
     async def scenario() -> None:
-        async with replaced(tmp_path) as one:
+        async with replacement_site(tmp_path) as one:
             old = await one.start()
-            over = asyncio.Event()
-            if after_yes:
+            stopped = asyncio.Event()
+            if after_ready:
                 new = await one.start()
-                new.signal(signal.SIGKILL)  # nothing was asked yet: nothing it had accepted is lost
+                new.signal(signal.SIGKILL)  # no request was sent yet, so none is lost
                 assert new.process is not None
                 new.process.wait()
             else:
@@ -143,42 +143,45 @@
                 folder = tmp_path / "dies"
                 folder.mkdir()
                 new = GatewayProcess(folder, platform)
-                new.passed, new.shared = one.door, tmp_path
+                new.passed, new.shared = one.listening_socket, tmp_path
                 new.start()
                 new.signal(signal.SIGKILL)
-            clients = [asyncio.create_task(one.client(over)) for _ in range(4)]
+            clients = [asyncio.create_task(one.client(stopped)) for _ in range(4)]
             while one.answered < 50:
                 await asyncio.sleep(0.01)
-            over.set()
+            stopped.set()
             await asyncio.gather(*clients)
-            assert one.crossed == 0
+            assert one.repeated == 0
             assert await old.stop() == 0
 
     play(scenario())
 
 
-def test_only_a_listening_socket_at_the_address_is_taken() -> None:
+def test_only_a_listening_socket_at_the_address_is_accepted() -> None:
     with (
-        socket.create_server(("127.0.0.1", 0)) as door,
-        socket.socket() as deaf,
-        socket.socket(type=socket.SOCK_DGRAM) as other,
+        socket.create_server(("127.0.0.1", 0)) as listener,
+        socket.socket() as not_listening,
+        socket.socket(type=socket.SOCK_DGRAM) as datagram,
         open(os.devnull) as file,
     ):
-        deaf.bind(("127.0.0.1", 0))
-        good = replace(config(1, 1, []), passed_descriptor=door.fileno(), listen=door.getsockname())
-        found = passed_socket(good)
-        assert found is not None and found.detach() == door.fileno()
-        assert passed_socket(replace(good, passed_descriptor=None)) is None
-        for wrong, why in (
-            (replace(good, passed_descriptor=deaf.fileno(), listen=deaf.getsockname()), "does not listen"),
-            (replace(good, passed_descriptor=other.fileno()), "no TCP socket"),
-            (replace(good, passed_descriptor=file.fileno()), "no socket"),
-            (replace(good, passed_descriptor=99_999), "no socket"),
-            (replace(good, listen=("127.0.0.1", 1)), "not at `listen`"),
+        not_listening.bind(("127.0.0.1", 0))
+        valid = replace(config(1, 1, []), passed_descriptor=listener.fileno(), listen=listener.getsockname())
+        found = passed_socket(valid)
+        assert found is not None and found.detach() == listener.fileno()
+        assert passed_socket(replace(valid, passed_descriptor=None)) is None
+        for invalid, reason in (
+            (
+                replace(valid, passed_descriptor=not_listening.fileno(), listen=not_listening.getsockname()),
+                "does not listen",
+            ),
+            (replace(valid, passed_descriptor=datagram.fileno()), "no TCP socket"),
+            (replace(valid, passed_descriptor=file.fileno()), "no socket"),
+            (replace(valid, passed_descriptor=99_999), "no socket"),
+            (replace(valid, listen=("127.0.0.1", 1)), "not at `listen`"),
         ):
-            with pytest.raises(ConfigError, match=why):
-                passed_socket(wrong)
-        assert door.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # and it was not closed
+            with pytest.raises(ConfigError, match=reason):
+                passed_socket(invalid)
+        assert listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # and it was not closed
     for text in ("-1", "x", "4 ", "٤"):
         with pytest.raises(ValueError):
             build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": text})
@@ -186,10 +189,10 @@
     assert build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": "4"}).passed_descriptor == 4
 
 
-def test_a_wrong_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as door:
+def test_an_invalid_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
         one = GatewayProcess(tmp_path, raw_config(1, 1, [], listen=1))
-        one.passed = door
+        one.passed = listener
         one.start()
         assert one.process is not None and one.process.wait(15) == 2
         lines = one.log.read_text().splitlines()
