--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -618,7 +618,7 @@
             assert (await ask(question("00000000000003ea", domain="other"))).overall_code == ok
             assert (await ask(question("not an account"))).overall_code == ok
             module: Any = one.programs[-1].gateway.decisions
-            await until(lambda: not module.requests and not module.execution.attempts)
+            await until(lambda: not module.execution.requests and not module.execution.attempts)
             assert all(tenant.attempts_in_flight == 0 for tenant in module.quota.tenants.by_id.values())
             await proxy.stop()
 
