--- a/glenchute/policy/balancing/endpoint_choice.py
+++ b/glenchute/policy/balancing/endpoint_choice.py
@@ -25,7 +25,7 @@
 ATTEMPTED_PENALTY = 10.0  # mean response times
 BACKED_OFF_PENALTY = 1_000.0  # more than any other delay: such a server is the last resort
 CROSS_ZONE_FACTOR = 10.0  # for each unit of the price of traffic between zones
-JITTER = (0.9, 1.1)  # gateways that know the same must not choose the same server
+LEAST_JITTER, MOST_JITTER = 0.9, 1.1  # gateways that know the same must not choose the same server
 MOST_WARMING_UP = 2  # own attempts in flight at a server that warms up
 
 
@@ -50,26 +50,29 @@
         pinned = pinned_endpoint(pending)
         is_cell_pinned = request_class.idempotency_scope is IdempotencyScope.CELL
         mean_ms = self.pool.latency.expected_ms(request_class, pending.request.units)
-        slow_start = self.slow_start
+        weight_of, has_token = self.slow_start.weight, self.slow_start.has_token
+        delay_of, uniform = self.expected_delay, self.rng.uniform
+        attempted, own_zone = pending.attempted_addresses, self.settings.zone
+        cross_zone_factor = 1.0 + CROSS_ZONE_FACTOR * self.settings.cross_zone_price
         best: Server | None = None
         least = math.inf
         for server in self.pool.servers.values():
             endpoint = server.endpoint
             if pinned and (endpoint.zone != pinned.zone or (is_cell_pinned and endpoint.cell != pinned.cell)):
                 continue
-            weight = slow_start.weight(server, now_ms)
+            weight = weight_of(server, now_ms)
             if weight < 1.0 and (
-                server.in_flight >= MOST_WARMING_UP or not slow_start.has_token(server, now_ms, weight)
+                server.in_flight >= MOST_WARMING_UP or not has_token(server, now_ms, weight)
             ):
                 continue
-            cost = self.expected_delay(server, now_ms, mean_ms, weight) / weight
-            if endpoint.address in pending.attempted_addresses:
+            cost = delay_of(server, now_ms, mean_ms, weight) / weight
+            if endpoint.address in attempted:
                 cost += ATTEMPTED_PENALTY
             if now_ms < max(server.next_probe_ms, server.avoid_until_ms):
                 cost += BACKED_OFF_PENALTY
-            if endpoint.zone != self.settings.zone:
-                cost *= 1.0 + CROSS_ZONE_FACTOR * self.settings.cross_zone_price
-            cost *= self.rng.uniform(*JITTER)
+            if endpoint.zone != own_zone:
+                cost *= cross_zone_factor
+            cost *= uniform(LEAST_JITTER, MOST_JITTER)
             if cost < least:
                 best, least = server, cost
         return best
