--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -46,10 +46,16 @@
 def probe() -> None:
     """In the gateway's process, before it starts: notes moments, written out at its end."""
     from glenchute.core.gateway import Gateway
-    from glenchute.upstreams.connection_pool import Attempt, Connection
+    from glenchute.upstreams.connection import Connection
+    from glenchute.upstreams.exclusive_attempt import ExclusiveAttempt
 
     moments: Moments = {}
-    take, write, answered, answer = Gateway.take, Attempt.write, Connection.answered, Gateway.answer
+    take, write, answered, answer = (
+        Gateway.take,
+        ExclusiveAttempt.write,
+        Connection.complete_response,
+        Gateway.answer,
+    )
 
     def note(call: Any, name: str) -> None:
         moments.setdefault(call.request_id.decode(), {})[name] = time.monotonic()
@@ -73,10 +79,10 @@
             note(live.call, "told")
 
     core: Any = Gateway
-    attempt: Any = Attempt
+    attempt: Any = ExclusiveAttempt
     connection: Any = Connection
     core.take, core.answer = noted_take, noted_answer
-    attempt.write, connection.answered = noted_write, noted_answered
+    attempt.write, connection.complete_response = noted_write, noted_answered
     atexit.register(lambda: Path(os.environ["ADDED_PROBE"]).write_text(json.dumps(moments)))
 
 
--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -20,7 +20,7 @@
 
 from benchmarks.machine import machine
 from glenchute.simulator import settings as read
-from glenchute.upstreams.connection_pool import Limits
+from glenchute.upstreams.limits import UpstreamLimits
 from lab.peers import Client, numbered
 from tests.loopback import CUSTOMER, SERVED, SETTINGS, site
 
@@ -70,7 +70,9 @@
         "profiles": [{"name": "read", "repeat": "read_like", "aim_ms": 90.0, "hard_limit_ms": DEADLINE_MS}],
     }
     ends: Counter[str] = Counter()
-    async with site(*[reply] * 9, settings=read(settings), limits=Limits(0.25, 13.0, 0.25, 300)) as one:
+    async with site(
+        *[reply] * 9, settings=read(settings), limits=UpstreamLimits(0.25, 13.0, 0.25, 300)
+    ) as one:
         loop.rng, loop.share, loop.connects = random.Random(seed), share, 0
         loop.held_ports = {peer.port for peer in one.servers}
         clients: list[Client] = []
@@ -98,7 +100,7 @@
         asked = len(tasks)
         calls = sum(len(peer.calls()) for peer in one.servers)
         shares = [ends[told] / asked for told in ("served", "refused", "failed", "late")]
-        shares += [loop.connects / asked, one.program.servers.beside / asked, calls / asked]
+        shares += [loop.connects / asked, one.program.servers.hedged_connects / asked, calls / asked]
         row = f"{share:5.2f} {seed:4} {asked:5}" + "".join(f"{each:10.3f}" for each in shares)
         loop.held_ports = set()
     return row
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -25,7 +25,8 @@
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.settings import Settings, SlowStart
-from glenchute.upstreams.connection_pool import Limits, Servers
+from glenchute.upstreams.limits import UpstreamLimits
+from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import row
 
 GATEWAYS, PLAYS = 520, 9
@@ -37,7 +38,7 @@
     def __init__(self, parted: bool = True) -> None:
         self.loop = asyncio.new_event_loop()
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
-        self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
+        self.servers = ServerPools(self.loop, UpstreamLimits(0.5, 9.0, 0.25, 500))
         self.gateway = Gateway(self.loop, self.policy, self.servers, None)
         self.gateway.most_listed, self.gateway.narrow = WHOLE, self.narrow
         self.held, self.parted = Held(), parted
--- a/glenchute/cli/pipeline.py
+++ b/glenchute/cli/pipeline.py
@@ -10,7 +10,7 @@
 from glenchute.policy.connections.class_compatibility import DESCRIPTIONS
 
 from .files import operator_file, platform, sound_operator
-from .lines import rules, sharing
+from .pipelined_upstream import class_compatibility, pipeline_rules
 
 
 def command(args: argparse.Namespace) -> int:
@@ -26,24 +26,24 @@
     if operator.pipeline is None:
         print("no [pipeline]: each attempt has a connection to itself")
         return 0
-    for line in story(operator.pipeline, config):
+    for line in table(operator.pipeline, config):
         print(line)
     return 0
 
 
-def story(raw: dict[str, object], config: Config) -> Iterator[str]:
-    """The lines."""
-    shared, made = sharing(raw, config), rules(raw, config)
-    width = max(len(name) for name in shared.classes)
+def table(raw: dict[str, object], config: Config) -> Iterator[str]:
+    """The lines of the table and of the rules."""
+    compatibility, rules = class_compatibility(raw, config), pipeline_rules(raw, config)
+    width = max(len(name) for name in compatibility.classes)
     yield f"{'behind':>{width}}  {'ahead':<{width}}  may stand there"
-    for row in shared.rows():
+    for row in compatibility.rows():
         yield f"{row.behind:>{width}}  {row.ahead:<{width}}  {row.compatibility.value}"
-    for compatibility, why in DESCRIPTIONS.items():
-        yield f"  {compatibility.value}: {why}"
-    queued = made.max_queued_per_server
-    yield f"  {made.max_depth} attempts a connection at most, {queued} behind others a node"
-    yield (f"  a head is stalled after {made.stall_factor:g} times its class's {made.stall_quantile:g} "
-           f"quantile, {made.min_stall_ms:g} ms at least")  # fmt: skip
-    moved = "get a second copy elsewhere" if made.may_hedge else "are cut with it and go again"
-    wait_ms = made.max_wait_ms
+    for kind, description in DESCRIPTIONS.items():
+        yield f"  {kind.value}: {description}"
+    queued = rules.max_queued_per_server
+    yield f"  {rules.max_depth} attempts a connection at most, {queued} behind others a node"
+    yield (f"  a head is stalled after {rules.stall_factor:g} times its class's {rules.stall_quantile:g} "
+           f"quantile, {rules.min_stall_ms:g} ms at least")  # fmt: skip
+    moved = "get a second copy elsewhere" if rules.may_hedge else "are cut with it and go again"
+    wait_ms = rules.max_wait_ms
     yield f"  those behind a stalled head {moved}; a wait for a connection takes {wait_ms:g} ms at most"
--- /dev/null
+++ b/glenchute/cli/pipelined_upstream.py
@@ -0,0 +1,44 @@
+"""Builds the pipelined upstream from the operator's `[pipeline]`. Imported only for a file that has the
+table."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping
+from typing import Any
+
+from glenchute.config.pipeline import rules_of
+from glenchute.config.platform import Config
+from glenchute.policy.connections.class_compatibility import ClassCompatibility
+from glenchute.policy.connections.pipeline_types import PipelineRules
+from glenchute.upstreams.pipeline_runtime import WriteLimits
+from glenchute.upstreams.pipelined_servers import PipelinedServers
+
+
+def pipeline_rules(raw: Mapping[str, Any], config: Config) -> PipelineRules:
+    """The rules that a checked table makes on this platform."""
+    max_idle_ms = 1000.0 * config.limits.max_idle_s
+    return rules_of(raw)._replace(max_idle_ms=max_idle_ms, may_hedge=config.settings.allows_hedging)
+
+
+def class_compatibility(raw: Mapping[str, Any], config: Config) -> ClassCompatibility:
+    """Which classes may share a connection."""
+    return ClassCompatibility(config.settings.classes, raw["classes"], raw.get("behind_unsafe", False))
+
+
+def pipelined_upstream(
+    raw: Mapping[str, Any], config: Config, loop: asyncio.AbstractEventLoop
+) -> PipelinedServers:
+    """The upstream that a checked table describes."""
+    default = WriteLimits()
+    write_limits = WriteLimits(
+        raw.get("gather", default.max_commands), raw.get("gather_bytes", default.max_bytes)
+    )
+    return PipelinedServers(
+        loop,
+        config.limits,
+        config.settings.classes,
+        pipeline_rules(raw, config),
+        class_compatibility(raw, config),
+        write_limits,
+    )
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -25,7 +25,7 @@
 from glenchute.policy.endpoints.polling import Doubt, Terms
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import ACCEPT_S
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -141,14 +141,14 @@
         """Whether servers answer, as far as anybody has asked them."""
         return self.gateway.failed_at - self.gateway.served_at < SERVING_S
 
-    def backend(self, shared: dict[str, Any] | None) -> Servers:
+    def backend(self, shared: dict[str, Any] | None) -> ServerPools:
         """The connections to the servers: one for each attempt, or shared where the operator's file says
         so."""
         if shared is None:
-            return Servers(self.loop, self.config.limits)
-        from .lines import backend
+            return ServerPools(self.loop, self.config.limits)
+        from .pipelined_upstream import pipelined_upstream
 
-        return backend(shared, self.config, self.loop)
+        return pipelined_upstream(shared, self.config, self.loop)
 
     def narrowed(
         self, decisions: Decisions, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -12,7 +12,7 @@
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import keeps, message
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 
 log = logging.getLogger("glenchute")
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self, path: Path, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
-        listener: Listener, servers: Servers,
+        listener: Listener, servers: ServerPools,
     ) -> None:  # fmt: skip
         self.path, self.config, self.loop = path, config, loop
         self.gateway, self.listener, self.servers = gateway, listener, servers
@@ -35,7 +35,7 @@
     @classmethod
     def of(
         cls, folder: str | None, config: Config, loop: asyncio.AbstractEventLoop, gateway: Gateway,
-        listener: Listener, servers: Servers,
+        listener: Listener, servers: ServerPools,
     ) -> Succession | None:  # fmt: skip
         """None where the processes have no place to meet."""
         path = path_in(folder, config.name, config.listen) if folder else None
@@ -63,7 +63,7 @@
     def tell(self) -> bytes:
         """The next process asks."""
         whole = self.config.sockets
-        share = keeps(2 * max(len(self.listener.clients), self.servers.count()), whole)
+        share = keeps(2 * max(len(self.listener.clients), self.servers.connection_count()), whole)
         self.shares(share)
         self.stocks = ()
         self.gateway.post(SuccessorStarted())
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -13,7 +13,7 @@
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
 from glenchute.simulator import SCOPES, num, settings
-from glenchute.upstreams.connection_pool import Limits
+from glenchute.upstreams.limits import UpstreamLimits
 
 from .facts import ClassFacts, Facts
 
@@ -46,7 +46,7 @@
     settings: Settings
     number: int | None  # of this gateway among `settings.gateways`; None where the platform does not say
     place: int | None  # the number that the platform gave, though it may not be one of `settings.gateways`
-    limits: Limits
+    limits: UpstreamLimits
     bounds: Bounds
     facts: Facts
 
@@ -101,12 +101,12 @@
         settings=made,
         number=own_number(raw["settings"].get("me"), made.gateway_count),
         place=own_number(raw["settings"].get("me"), MOST_GATEWAYS),
-        limits=Limits(
-            connect_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
-            idle_s=max(0.5, num(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
-            grace_s=num(safety.get("drain_grace_ms"), 250.0) / 1000.0,
-            connections=parts.server_connections,
-            long_values=max(4, int(memory_mb * 1e6 * LONG_SHARE / LONG_COST)),
+        limits=UpstreamLimits(
+            connect_timeout_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
+            max_idle_s=max(0.5, num(limits.get("conn_idle_ms"), 15_000.0) / 1000.0 - 2.0),
+            drain_grace_s=num(safety.get("drain_grace_ms"), 250.0) / 1000.0,
+            max_connections=parts.server_connections,
+            max_streams=max(4, int(memory_mb * 1e6 * LONG_SHARE / LONG_COST)),
         ),
         bounds=bounds(raw["settings"]),
         facts=facts(made, raw["settings"]),
--- a/glenchute/upstreams/__init__.py
+++ b/glenchute/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Where attempts go out."""
+"""Connections to the servers, and the attempts on them."""
--- /dev/null
+++ b/glenchute/upstreams/connection.py
@@ -0,0 +1,132 @@
+"""A connection to a server that carries one attempt at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Protocol
+
+from glenchute.core.types import Result
+from glenchute.policy.events import Outcome
+from glenchute.protocol import resp2
+from glenchute.protocol.streamed_reply import LongReply
+
+from .attempt import CarriedAttempt
+from .connection_tracker import ConnectionTracker
+from .responses import RESPONSE_STALL_S, result_of
+
+if TYPE_CHECKING:
+    from .streamed_value import StreamedValue
+
+
+class ConnectionOwner(Protocol):
+    """The pool of a connection, as far as the connection needs it."""
+
+    @property
+    def tracker(self) -> ConnectionTracker: ...
+
+    def on_connected(self, conn: Connection) -> None: ...
+
+    def give_back(self, conn: Connection) -> None: ...
+
+    def forget(self, conn: Connection) -> None: ...
+
+
+class Connection(asyncio.Protocol):
+    """One connection; `attempt` is the one whose command was written last and has no response yet."""
+
+    __slots__ = ("attempt", "idle_since", "parser", "pool", "stall_timer", "streamed", "transport")
+
+    def __init__(self, pool: ConnectionOwner) -> None:
+        self.pool = pool
+        self.parser = resp2.Parser()
+        self.attempt: CarriedAttempt | None = None
+        self.streamed: StreamedValue | None = None  # the response that is being relayed
+        self.transport: asyncio.Transport | None = None
+        self.idle_since = 0.0
+        self.stall_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = transport  # type: ignore[assignment]
+        self.pool.on_connected(self)
+
+    def data_received(self, data: bytes) -> None:
+        attempt = self.attempt
+        if attempt is None or attempt.result is not None:
+            self.abort()  # a surplus reply: replies can't be matched to commands any more
+            return
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
+        try:
+            if self.streamed is not None:
+                self.streamed.feed(data)
+                return
+            self.parser.feed(data)
+            reply = self.parser.next()
+        except resp2.TooLongError:
+            self._start_stream(attempt)
+            return
+        except resp2.ProtocolError:
+            self.fail_response()
+            return
+        if reply is False:
+            # A wrong length leaves a response without an end, on a connection that stays open.
+            loop = self.pool.tracker.loop
+            self.stall_timer = loop.call_later(RESPONSE_STALL_S, self.fail_response)
+            return
+        self.complete_response(attempt, result_of(reply), self.parser.rest())
+
+    def complete_response(self, attempt: CarriedAttempt, result: Result, has_surplus: bool) -> None:
+        """The response is complete; `has_surplus`: more bytes came behind it."""
+        is_reusable = result.sound and not has_surplus
+        if not is_reusable and result.ending is not Outcome.OK:
+            self.fail_response()
+            return
+        self.attempt = None
+        if is_reusable:
+            self.pool.give_back(self)
+        else:
+            self.abort()  # a value with surplus behind it is served, but the connection is not used again
+        attempt.finish(result)
+
+    def _start_stream(self, attempt: CarriedAttempt) -> None:
+        """Begins to relay a value that is too long to be buffered."""
+        found = LongReply.of(self.parser.take())
+        if found is None or attempt.began is None:
+            self.fail_response()
+            return
+        from .streamed_value import StreamedValue  # not needed by most processes
+
+        reply, first_bytes = found
+        tracker = self.pool.tracker
+        try:
+            self.streamed = StreamedValue(self, attempt, reply, tracker.loop, tracker.read_permits)
+            self.streamed.feed(first_bytes)
+        except resp2.ProtocolError:
+            self.fail_response()
+
+    def fail_response(self) -> None:
+        """The response is invalid or incomplete: the attempt ends as an error, as the request may have
+        run."""
+        if self.attempt is not None and self.attempt.result is None:
+            self.attempt.result = Result(Outcome.ERROR)
+        self.abort()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+        self.pool.forget(self)
+        if self.streamed is not None:
+            self.streamed.on_connection_lost()
+        attempt, self.attempt = self.attempt, None
+        if attempt is not None:
+            # The command may have been sent, so the outcome is never "did not run". uvloop closes the socket
+            # only after this call, and a retry must not reach a server while this attempt is open: hence
+            # `call_soon`.
+            result = attempt.result or Result(Outcome.RESET)
+            self.pool.tracker.loop.call_soon(attempt.finish, result)
+
+    def abort(self) -> None:
+        """Closes the connection now; its attempt ends in `connection_lost`."""
+        if self.transport is not None:
+            self.transport.abort()
--- /dev/null
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -0,0 +1,203 @@
+"""An attempt on a connection that it may share with others."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+
+from glenchute.core.types import About, Result
+from glenchute.policy.connections.pipeline_types import (
+    UNLIMITED_DEPTH,
+    AbortReason,
+    Placement,
+    PlacementKind,
+    PlacementRequest,
+    placement_request,
+)
+from glenchute.policy.connections.pipelined_connection import PipelinedCommand
+from glenchute.policy.events import Outcome
+
+from .attempt import UpstreamAttempt
+from .pipelined_connection import PipelinedConnection, PipelinedItem
+from .pipelined_pool import PipelinedPool
+
+MAX_WAITING = 1024  # attempts that wait for a connection to one server
+WAIT_MARGIN_S = 0.001  # a timer may fire a little early
+ABORT_TEXTS = {
+    AbortReason.STALL: "its head is stalled",
+    AbortReason.HOLD_BOUND: "those behind its head can't wait longer",
+}
+
+
+class PipelinedAttempt(UpstreamAttempt):
+    """One request, placed on a connection by the scheduler. `about`: None where nothing is known of it."""
+
+    __slots__ = ("about", "attempt_id", "command", "conn", "pool", "wait_timer", "wait_until")
+
+    def __init__(
+        self,
+        pool: PipelinedPool,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[Result], None],
+        write_by: float,
+        about: About | None,
+    ) -> None:
+        super().__init__(pool.tracker.loop, payload, timeout_s, done, write_by)
+        self.attempt_id = pool.runtime.new_attempt_id()
+        self.pool, self.about = pool, about
+        self.conn: PipelinedConnection | None = None
+        self.command: PipelinedCommand[PipelinedItem] | None = None
+        self.wait_timer: asyncio.TimerHandle | None = None
+        self.wait_until = math.inf  # the end of its only wait, however often it is placed meanwhile
+
+    def start(self) -> None:
+        """Chooses a connection."""
+        self.timer = self.pool.tracker.loop.call_at(self.expires_at, self.stop, Outcome.TIMEOUT)
+        self._place()
+
+    # --- placement ---------------------------------------------------------------------------------------
+
+    def place_again(self) -> None:
+        """A connection may have become available."""
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
+        self._place()
+
+    def _place(self) -> None:
+        """Chooses a connection, again where the chosen one is closing."""
+        self.wait_timer = None
+        if self.is_finished:
+            return
+        self.pool.waiting.pop(self.attempt_id, None)
+        while not self._try_place():
+            pass
+
+    def _try_place(self) -> bool:
+        """Asks the scheduler once and acts on it; False where its connection is closing."""
+        pool, scheduler = self.pool, self.pool.runtime.scheduler
+        now = pool.tracker.loop.time()
+        if now > self.write_by or (pool.stop_at is not None and now > pool.stop_at):
+            self.finish(Result(Outcome.UNREACHABLE))
+            return True
+        placement = self._ask_scheduler(now)
+        if placement.kind is PlacementKind.NONE:
+            self.finish(Result(Outcome.UNREACHABLE))
+            return True
+        if placement.kind is PlacementKind.WAIT:
+            self._wait(now, placement)
+            return True
+        connection_id = placement.connection_id
+        if placement.kind is PlacementKind.OPEN:
+            conn = pool.open_connection(connection_id)
+            if conn is None:
+                scheduler.on_closed(connection_id)
+                self.finish(Result(Outcome.UNREACHABLE))
+                return True
+        else:
+            conn = pool.by_id.get(connection_id)
+            if conn is None or not conn.is_usable():
+                scheduler.on_closed(connection_id)
+                return False
+        self.conn = conn
+        if self.about is not None and self.about.placed is not None:
+            self.about.placed(f"{pool.server}: {placement.describe(pool.runtime.now_ms())}")
+        self.command = conn.join(self)
+        return True
+
+    def _ask_scheduler(self, now: float) -> Placement:
+        """The scheduler's placement."""
+        pool, runtime = self.pool, self.pool.runtime
+        now_ms = 1000.0 * now
+        request = self._placement_request(now_ms)
+        has_waited = now >= self.wait_until
+        placement = runtime.scheduler.place(
+            now_ms, pool.server, self.attempt_id, request, pool.tracker.may_open, has_waited
+        )
+        if placement.kind is PlacementKind.JOIN:
+            runtime.schedule_check()
+        return placement
+
+    def _placement_request(self, now_ms: float) -> PlacementRequest:
+        """What the scheduler has to know. An attempt of an unknown class shares no connection."""
+        runtime, about = self.pool.runtime, self.about
+        request_class = runtime.classes.get(about.class_name) if about is not None else None
+        expires_at_ms = 1000.0 * self.expires_at
+        if about is None or request_class is None:
+            return PlacementRequest("", expires_at_ms, math.inf, -math.inf, max_depth=1)
+        return placement_request(
+            request_class,
+            mean_ms=runtime.scheduler.times.mean(request_class.name, self.pool.server),
+            started_at_ms=now_ms,
+            expires_at_ms=expires_at_ms,
+            received_at_ms=1000.0 * about.came,
+            deadline_ms=1000.0 * about.deadline,
+            write_by_ms=1000.0 * self.write_by,
+            may_retry=about.again,
+            max_depth=about.depth or UNLIMITED_DEPTH,
+        )
+
+    def _wait(self, now: float, placement: Placement) -> None:
+        """Waits for a connection, if not too many do."""
+        pool = self.pool
+        if len(pool.waiting) >= MAX_WAITING:
+            self.finish(Result(Outcome.UNREACHABLE))
+            return
+        pool.waiting[self.attempt_id] = self
+        if self.wait_until == math.inf:
+            self.wait_until = now + pool.runtime.scheduler.rules.max_wait_ms / 1000.0
+        until = min(self.wait_until, placement.until_ms / 1000.0)
+        wait_s = max(0.0, until - now) + WAIT_MARGIN_S
+        self.wait_timer = pool.tracker.loop.call_later(wait_s, self._place)
+
+    # --- actions of the scheduler ------------------------------------------------------------------------
+
+    def on_blocked(self) -> None:
+        """It is queued behind a stalled head: the core may hedge it."""
+        if self.about is not None:
+            self.about.held()
+
+    def abort_connection(self, connection_id: int, reason: AbortReason) -> None:
+        """Its connection is aborted for those queued behind it."""
+        if self.conn is not None and self.conn.connection_id == connection_id:
+            self.conn.close_with(self.command, Outcome.RESET, ABORT_TEXTS[reason])
+
+    # --- the end -----------------------------------------------------------------------------------------
+
+    def stop_unless_written(self) -> None:
+        """Its server drains: it ends, unless it was written meanwhile."""
+        if not self.is_finished and not self.written:
+            self.stop(Outcome.CANCELLED)
+
+    def stop(self, ending: Outcome) -> None:
+        """A timeout or a cancellation. The result is reported once the connection is closed.
+
+        An attempt that is cancelled while others are on its connection only loses its response: it counts as
+        in flight until that comes, and its request gets no other attempt before.
+        """
+        if self.is_finished:
+            return
+        conn, command = self.conn, self.command
+        if conn is None or command is None or conn.withdraw(command):
+            if conn is not None:
+                conn.give_back_if_idle()
+            # Nothing was written, so it did not run. A cancellation says nothing of the server either.
+            self.finish(Result(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE))
+        elif ending is Outcome.CANCELLED and len(conn.pipeline) > 1:
+            command.is_cancelled = True
+        else:
+            if ending is Outcome.TIMEOUT:
+                # As in `ExclusiveAttempt.stop`: a machine that vanished resets what it finds open later.
+                self.pool.close_idle(self.started)
+            reason = "its time is up" if ending is Outcome.TIMEOUT else "called off"
+            conn.close_with(command, ending, reason)
+
+    def release(self) -> None:
+        super().release()
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
+            self.wait_timer = None
+        self.pool.waiting.pop(self.attempt_id, None)
+        self.pool.runtime.attempts.pop(self.attempt_id, None)
+        self.conn = self.command = None
--- /dev/null
+++ b/glenchute/upstreams/pipelined_servers.py
@@ -0,0 +1,111 @@
+"""The upstream whose attempts share connections, with one scheduler for all servers.
+
+Which attempt joins which connection, and when a connection is aborted for those queued on it, is decided in
+`policy/connections/pipelining.py`; which bytes belong to which attempt, and how each ends when its connection
+does, in `policy/connections/pipelined_connection.py`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections.abc import Callable, Iterable
+
+from glenchute.core.types import About, Address, Result
+from glenchute.policy.connections.class_compatibility import ClassCompatibility
+from glenchute.policy.connections.pipeline_types import PipelineRules
+from glenchute.policy.connections.pipelining import PipelineScheduler
+from glenchute.policy.settings import RequestClass
+
+from .connection_pool import ConnectionPool
+from .limits import UpstreamLimits
+from .pipeline_runtime import PipelineRuntime, WriteLimits
+from .pipelined_attempt import PipelinedAttempt
+from .pipelined_pool import PipelinedPool
+from .server_pools import ServerPools
+
+log = logging.getLogger("glenchute")
+
+REPORT_INTERVAL_S = 10.0
+
+
+class PipelinedServers(ServerPools):
+    """The pipelined connection pools of all servers."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        limits: UpstreamLimits,
+        classes: Iterable[RequestClass],
+        rules: PipelineRules,
+        compatibility: ClassCompatibility,
+        write_limits: WriteLimits,
+    ) -> None:
+        super().__init__(loop, limits)
+        scheduler = PipelineScheduler(rules, compatibility)
+        self.runtime = PipelineRuntime(loop, scheduler, classes, write_limits)
+        self.scheduler = scheduler
+        self.last_report = ""
+        self.last_report_at = loop.time()
+
+    def new_pool(self, server: str, address: Address) -> ConnectionPool:
+        """A pool for a server that was not listed at this address before."""
+        return PipelinedPool(self, self.runtime, server, address)
+
+    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+        """A server takes work; `started_anew`: with a new process."""
+        before = self.pools.get(server)
+        super().listed(server, address, started_anew)
+        if started_anew or self.pools[server] is not before:
+            self.scheduler.on_server_started(server)
+
+    def stopped(self, server: str) -> None:
+        """A server drains: it gets nothing new, attempts in flight may finish."""
+        self.scheduler.on_server_draining(server)
+        super().stopped(server)
+
+    def gone(self, server: str) -> None:
+        """A server was removed from the endpoint list."""
+        self.scheduler.on_server_draining(server)
+        super().gone(server)
+        self.scheduler.on_server_removed(server)
+
+    def attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[Result], None],
+        write_by: float = math.inf,
+        about: About | None = None,
+    ) -> PipelinedAttempt | None:
+        """Creates an attempt, not started yet; None if the server gets nothing (any more)."""
+        pool = self.open_pool(server)
+        if pool is None:
+            return None
+        assert isinstance(pool, PipelinedPool)
+        attempt = PipelinedAttempt(pool, payload, timeout_s, done, write_by, about)
+        self.runtime.attempts[attempt.attempt_id] = attempt
+        return attempt
+
+    def sweep(self) -> None:
+        """As `ServerPools.sweep`, with a report in the log now and then."""
+        super().sweep()
+        now = self.loop.time()
+        if now - self.last_report_at >= REPORT_INTERVAL_S:
+            counts = {**self.scheduler.counts, **self.runtime.counts}
+            report = " ".join(f"{name}={count}" for name, count in sorted(counts.items()))
+            if report != self.last_report:
+                log.info("lines: %s", report)
+            self.last_report, self.last_report_at = report, now
+
+    def close(self) -> None:
+        """Closes everything, at the end of the process."""
+        self.runtime.close()
+        for pool in [*self.pools.values(), *self.removed]:
+            if isinstance(pool, PipelinedPool):
+                for conn in list(pool.by_id.values()):
+                    if not conn.is_up:
+                        conn.on_connect_failed()
+        super().close()
--- /dev/null
+++ b/glenchute/upstreams/responses.py
@@ -0,0 +1,40 @@
+"""What a server's RESP2 reply says of its attempt."""
+
+from __future__ import annotations
+
+import re
+from typing import Any
+
+from glenchute.core.types import Result
+from glenchute.policy.events import Outcome
+from glenchute.protocol import resp2
+
+RESPONSE_STALL_S = 0.25  # a response that has begun and stops for so long is taken as broken off
+VALUE_REPLY_LENGTH = 3  # value, unused, load report
+REJECTED_TEXT = "BUSY"
+FAILED_TEXT = "ERR failed"
+LOAD_REPORT = re.compile(r"[a-z_0-9]+=[0-9.]+(,[a-z_0-9]+=[0-9.]+)*")
+
+
+def result_of(reply: Any) -> Result:
+    """The result that a complete reply stands for, by the platform's protocol.
+
+    Only the exact forms count: a reply that was damaged on its way belongs to a request that has run, so it
+    must neither be served nor taken for a rejection.
+    """
+    if isinstance(reply, list) and len(reply) == VALUE_REPLY_LENGTH and isinstance(reply[0], bytes):
+        return Result(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
+    if isinstance(reply, resp2.ReplyError):
+        return _error_result(str(reply))
+    return Result(Outcome.ERROR)
+
+
+def _error_result(message: str) -> Result:
+    """The result of an error reply, whose last word may be a load report."""
+    text, _, last_word = message.rpartition(" ")
+    report = last_word.encode() if LOAD_REPORT.fullmatch(last_word) else None
+    if report is None:
+        text = message
+    if text == REJECTED_TEXT:
+        return Result(Outcome.REJECTED, None, report, True)
+    return Result(Outcome.ERROR, None, report, text == FAILED_TEXT)
--- /dev/null
+++ b/glenchute/upstreams/server_pools.py
@@ -0,0 +1,152 @@
+"""The connection pools of all servers, by the servers' ids."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable, Collection
+
+from glenchute.core.types import About, Address, Result
+
+from .attempt import UpstreamAttempt
+from .connection_pool import GRACE_MARGIN_S, ConnectionPool
+from .connection_tracker import ConnectionTracker
+from .exclusive_attempt import ExclusiveAttempt
+from .limits import UpstreamLimits
+
+SWEEP_INTERVAL_S = 1.0
+
+
+class ServerPools(ConnectionTracker):
+    """The upstream: knows which servers take work, and makes attempts on connections to them.
+
+    A server of a long endpoint list gets its pool when it is first used, as most never are.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, limits: UpstreamLimits) -> None:
+        super().__init__(loop, limits)
+        self.pools: dict[str, ConnectionPool] = {}
+        self.unopened: dict[str, Address] = {}  # servers without a pool
+        self.stopping: dict[str, float] = {}  # of these, draining ones: nothing is written after this time
+        self.removed: set[ConnectionPool] = set()  # of servers that are not listed any more
+        self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+
+    def new_pool(self, server: str, address: Address) -> ConnectionPool:
+        """A pool for a server that was not listed at this address before."""
+        return ConnectionPool(self, address)
+
+    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+        """A server takes work; `started_anew`: with a new process."""
+        if self.unopened.pop(server, None) is not None:
+            self.stopping.pop(server, None)
+            self.pools[server] = self.new_pool(server, address)
+            return
+        pool = self.pools.get(server)
+        if pool is None or pool.stop_at is not None or pool.address != address:
+            if pool is not None:
+                self.removed.add(pool)
+                pool.stop()
+            self.pools[server] = self.new_pool(server, address)
+        elif started_anew:
+            pool.close_idle()  # they lead to the process that ended
+
+    def relisted(
+        self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
+    ) -> None:
+        """Many servers take work; `anew`: whether one has a new process. Of the others all stay as they are,
+        or, unless it is None, those in `stay`, and the rest is removed."""
+        for server in list(self.pools):
+            if server in addresses:
+                self.listed(server, addresses[server], anew(server))
+            elif stay is not None and server not in stay:
+                self.gone(server)
+        stopping = self.stopping.items()
+        self.stopping = {
+            name: at for name, at in stopping if name not in addresses and (stay is None or name in stay)
+        }
+        if stay is not None:
+            self.unopened = {name: self.unopened[name] for name in self.stopping}
+        self.unopened |= addresses
+        for server in self.pools:
+            self.unopened.pop(server, None)
+
+    def stopped(self, server: str) -> None:
+        """A server drains: it gets nothing new, attempts in flight may finish."""
+        if server in self.unopened:
+            stop_at = self.loop.time() + self.limits.drain_grace_s - GRACE_MARGIN_S
+            self.stopping.setdefault(server, stop_at)
+            return
+        pool = self.pools.get(server)
+        if pool is not None:
+            pool.stop()
+
+    def gone(self, server: str) -> None:
+        """A server was removed from the endpoint list."""
+        self.unopened.pop(server, None)
+        self.stopping.pop(server, None)
+        pool = self.pools.pop(server, None)
+        if pool is not None:
+            pool.stop()
+            self.removed.add(pool)
+
+    def stops(self, server: str) -> bool:
+        """Whether a server drains or is unknown."""
+        pool = self.pools.get(server)
+        if pool is None:
+            return server not in self.unopened or server in self.stopping
+        return pool.stop_at is not None
+
+    def known(self) -> list[str]:
+        """All servers that are listed or drain."""
+        return [*self.pools, *self.unopened]
+
+    def open_pool(self, server: str) -> ConnectionPool | None:
+        """The pool of a server that takes work, or that drains and is within its grace period."""
+        if server in self.stopping:
+            pool = self.pools[server] = self.new_pool(server, self.unopened.pop(server))
+            pool.stop_at = self.stopping.pop(server)
+        elif server in self.unopened:
+            self.listed(server, self.unopened[server], False)
+        found = self.pools.get(server)
+        if found is None or (found.stop_at is not None and self.loop.time() > found.stop_at):
+            return None
+        return found
+
+    def address(self, server: str) -> Address | None:
+        """The address of a server; None if it gets nothing (any more)."""
+        pool = self.open_pool(server)
+        return pool.address if pool is not None else None
+
+    def attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[Result], None],
+        write_by: float = math.inf,
+        about: About | None = None,
+    ) -> UpstreamAttempt | None:
+        """Creates an attempt, not started yet; None if the server gets nothing (any more).
+
+        `about` is for attempts that share connections, and not used here.
+        """
+        pool = self.open_pool(server)
+        if pool is None:
+            return None
+        return ExclusiveAttempt(pool, payload, timeout_s, done, write_by)
+
+    def sweep(self) -> None:
+        """Closes connections before the server would for being idle, and forgets removed pools without
+        any."""
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
+        before = self.loop.time() - self.limits.max_idle_s
+        for pool in [pool for pool in self.active_pools if pool.idle]:
+            pool.close_idle(before)
+        self.removed = {pool for pool in self.removed if pool.open}
+
+    def close(self) -> None:
+        """Closes everything, at the end of the process."""
+        self.sweeper.cancel()
+        for pool in [*self.pools.values(), *self.removed]:
+            for conn in list(pool.open):
+                conn.abort()
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -1,10 +1,12 @@
-"""A long value on its way from a server's connection to a client, at the slower one's pace.
+"""A value that is too long to be buffered, relayed from a server's connection to a client as it comes.
 
-The core hears of it when the first bytes have come (`Attempt.began`); the front takes it when the client's
-turn has come (`to`). Until then, while the client does not read, and while others have their turn, the
-server's connection is not read from. Every wait has an end: a server that gives nothing although it is read
-from, and a value that takes too long in all, are cut off; a client that does not read is the front's to cut
-off.
+The core is notified when the first bytes have come (`began`), and the listener attaches its sink when the
+client's reply is next in order (`to`). Until then, while the client does not read, and while other streams
+have the read permits, the server's connection is not read from: backpressure reaches the server through TCP.
+
+Each wait is bounded: a server that sends nothing although it is read from, and a value that takes too long,
+are aborted here; a client that does not read is the listener's to close, or is given up here for waiting
+streams.
 """
 
 from __future__ import annotations
@@ -13,200 +15,217 @@
 import contextlib
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from glenchute.core.types import Sink
+from glenchute.core.types import Result, Sink
 from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import Outcome
 from glenchute.protocol.streamed_reply import LongReply
 
-from .connection_pool import STALL_S, classify
+from .attempt import CarriedAttempt
+from .responses import RESPONSE_STALL_S, result_of
+
+MIN_FIRST_BYTES = 1024  # fewer are held back for `RESPONSE_STALL_S`, as the stated length may be wrong
+SERVER_SILENCE_TIMEOUT_S = 10.0
+CLIENT_BLOCKED_TIMEOUT_S = 5.0  # while other streams wait for a permit
+MAX_DURATION_S = 120.0
+RECEIVE_BUFFER_BYTES = 32 * 1024  # bounds one read, to twice this
+
 
-if TYPE_CHECKING:
-    from .connection_pool import Attempt, Connection
+class StreamConnection(Protocol):
+    """The connection that a streamed value comes on."""
 
-FIRST = 1024  # bytes of a value that show that it goes on
-SILENT_S = 10.0  # a server that is read from gives nothing for so long: it has stopped
-STUCK_S = 5.0  # a client that reads nothing for so long is cut off if others wait for their turn
-MOST_S = 120.0  # a value is over by then
-RECEIVE = 32 * 1024  # asked of the machine as a receive buffer: one read brings twice this at most
+    transport: asyncio.Transport | None
+    streamed: StreamedValue | None
 
+    def complete_response(self, attempt: CarriedAttempt, result: Result, has_surplus: bool) -> None: ...
 
-class LongAnswer:
-    """One long value. `failed`: ended before any of it was taken."""
+    def fail_response(self) -> None: ...
 
-    def __init__(self, conn: Connection, attempt: Attempt, reply: LongReply) -> None:
+
+class StreamedValue:
+    """One streamed value, the core's `Source`; `failed`: it ended before the client got any of it."""
+
+    def __init__(
+        self,
+        conn: StreamConnection,
+        attempt: CarriedAttempt,
+        reply: LongReply,
+        loop: asyncio.AbstractEventLoop,
+        permits: StreamReadPermits[StreamedValue],
+    ) -> None:
         self.conn, self.attempt, self.reply = conn, attempt, reply
+        self.loop, self.permits = loop, permits
         self.length = reply.length
-        self.turns: StreamReadPermits[LongAnswer] = conn.pool.servers.turns
         self.sink: Sink | None = None
-        self.held: list[bytes] = []  # until the client's turn
-        self.begun = self.failed = self.dropped = self.over = False
-        self.full = False  # the client does not read
-        self.reads = True
-        self.timer: asyncio.TimerHandle | None = None
-        self.end: asyncio.TimerHandle | None = None
+        self.buffered: list[bytes] = []  # until there is a sink
+        self.has_begun = False  # the core was notified
+        self.failed = False
+        self.is_dropped = False
+        self.has_ended = False
+        self.is_paused = False  # the client does not read
+        self.is_reading = True  # the server's connection is read from
+        self.timer: asyncio.TimerHandle | None = None  # bounds the present wait
+        self.duration_timer: asyncio.TimerHandle | None = None
         sock = conn.transport.get_extra_info("socket") if conn.transport is not None else None
         if sock is not None:
-            with contextlib.suppress(OSError):  # a bound on one read only; the rest holds without
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+            with contextlib.suppress(OSError):  # all other bounds hold without this one
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
-    # --- from the server ---------------------------------------------------------------------------------
+    # --- the server's side -------------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """Bytes of the answer; ProtocolError where they can't be any."""
+        """Bytes of the response. Raises `resp2.ProtocolError` where they can't belong to it."""
         value = self.reply.feed(data)
         if value:
             if self.sink is not None:
                 self.sink.piece(value)
             else:
-                self.held.append(value)
-        if not self.begun:
-            if sum(map(len, self.held)) >= FIRST:
-                self.begin()
-            else:
-                self.wait(STALL_S, self.begin)
+                self.buffered.append(value)
+        if not self.has_begun:
+            if sum(map(len, self.buffered)) < MIN_FIRST_BYTES:
+                self._set_timer(RESPONSE_STALL_S, self._begin)
                 return
-        if self.dropped or self.over:
+            self._begin()
+        if self.is_dropped or self.has_ended:
             return
         if self.reply.done:
-            self.finish()
+            self._finish()
             return
-        if self.full or self.sink is None:
+        if self.is_paused or self.sink is None:
             return
-        if self.turns.rotate_after_chunk(self):
-            self.wait(SILENT_S, self.conn.spoilt)
+        if self.permits.rotate_after_chunk(self):
+            self._set_timer(SERVER_SILENCE_TIMEOUT_S, self.conn.fail_response)
         else:
-            self.hush()
-            self.wake()
+            self._pause_reading()
+            self._grant_permits()
 
-    def begin(self) -> None:
-        """Enough has come, or a while has passed since some did: it is the request's answer."""
-        if self.begun or self.over or (not self.held and not self.reply.done):
+    def _begin(self) -> None:
+        """Notifies the core: enough bytes have come, or no more for a while."""
+        if self.has_begun or self.has_ended or (not self.buffered and not self.reply.done):
             return
-        self.begun = True
-        self.rest()
-        loop = self.conn.pool.servers.loop
+        self.has_begun = True
+        self._cancel_timer()
         if self.attempt.timer is not None:
-            self.attempt.timer.cancel()  # the first bytes are in time; the rest has limits of its own
-        self.end = loop.call_later(MOST_S, self.conn.spoilt)
+            self.attempt.timer.cancel()  # the first bytes were in time; the rest has its own limits
+        self.duration_timer = self.loop.call_later(MAX_DURATION_S, self.conn.fail_response)
         assert self.attempt.began is not None
         self.attempt.began(self)
-        if self.sink is None and not self.dropped:
-            self.hush()  # it waits for its turn
-
-    def finish(self) -> None:
-        """The answer has come whole."""
-        self.over = True
-        self.conn.long = None
-        self.let_go()
-        self.listen()
+        if self.sink is None and not self.is_dropped:
+            self._pause_reading()
+
+    def _finish(self) -> None:
+        """The response is complete."""
+        self.has_ended = True
+        self.conn.streamed = None
+        self._release()
+        self._resume_reading()
         reply = [b"", *self.reply.reply]
-        result = classify(reply)
-        result.value = None  # it is not ours to give again
+        result = result_of(reply)
+        result.value = None  # the client has got it already
         if self.sink is not None:
             self.sink.whole()
-        self.conn.answered(self.attempt, result, self.reply.surplus)
-
-    def lost(self) -> None:
-        """The connection has ended."""
-        self.over = True
-        self.conn.long = None
-        self.let_go()
-        if self.dropped:
+        self.conn.complete_response(self.attempt, result, self.reply.surplus)
+
+    def on_connection_lost(self) -> None:
+        """The server's connection is closed before the response was complete."""
+        self.has_ended = True
+        self.conn.streamed = None
+        self._release()
+        if self.is_dropped:
             return
         if self.sink is not None:
             self.sink.cut_short()
         else:
-            self.failed, self.held = True, []
+            self.failed, self.buffered = True, []
 
-    # --- from the client's side --------------------------------------------------------------------------
+    # --- the client's side -------------------------------------------------------------------------------
 
     def to(self, sink: Sink) -> None:
-        """The client's turn: what is held goes out, and the server is read from."""
+        """The client's reply is next in order: passes on what is buffered, and reads from the server."""
         self.sink = sink
-        held, self.held = self.held, []
-        for value in held:
+        buffered, self.buffered = self.buffered, []
+        for value in buffered:
             sink.piece(value)
-        if self.over:
+        if self.has_ended:
             sink.whole()
-        elif not self.full:
-            self.ask()
+        elif not self.is_paused:
+            self.request_read()
 
     def pause(self) -> None:
         """The client does not read."""
-        self.full = True
-        if not self.over:
-            self.hush()
-            self.wait(STUCK_S, self.stuck)
+        self.is_paused = True
+        if not self.has_ended:
+            self._pause_reading()
+            self._set_timer(CLIENT_BLOCKED_TIMEOUT_S, self._on_client_blocked)
 
     def resume(self) -> None:
-        """It does again."""
-        self.full = False
-        if not self.over and self.sink is not None:
-            self.ask()
-
-    def stuck(self) -> None:
-        """The client has read nothing for a while: it makes room if others wait for what it holds."""
-        if self.turns.waiters:
-            self.conn.spoilt()
+        """The client reads again."""
+        self.is_paused = False
+        if not self.has_ended and self.sink is not None:
+            self.request_read()
+
+    def _on_client_blocked(self) -> None:
+        """The client has read nothing for a while: gives the stream up if others wait for a permit."""
+        if self.permits.waiters:
+            self.conn.fail_response()
         else:
-            self.wait(STUCK_S, self.stuck)
+            self._set_timer(CLIENT_BLOCKED_TIMEOUT_S, self._on_client_blocked)
 
     def drop(self) -> None:
-        """Nobody wants it: the attempt ends with its connection."""
-        self.dropped, self.sink, self.held = True, None, []
-        if not self.over:
+        """The client is gone: the attempt ends with its connection."""
+        self.is_dropped, self.sink, self.buffered = True, None, []
+        if not self.has_ended:
             self.attempt.stop(Outcome.CANCELLED)
 
-    # --- whose turn it is --------------------------------------------------------------------------------
+    # --- permits and backpressure ------------------------------------------------------------------------
 
-    def ask(self) -> None:
-        """Reads on, as soon as it may."""
-        if self.turns.acquire(self):
-            self.listen()
-            self.wait(SILENT_S, self.conn.spoilt)
+    def request_read(self) -> None:
+        """Reads on from the server if there is a permit, otherwise once there is."""
+        if self.permits.acquire(self):
+            self._resume_reading()
+            self._set_timer(SERVER_SILENCE_TIMEOUT_S, self.conn.fail_response)
         else:
-            self.hush()
+            self._pause_reading()
 
-    def wake(self) -> None:
-        """Whoever has the next turn reads on."""
-        while (other := self.turns.grant_next()) is not None:
-            other.ask()
+    def _grant_permits(self) -> None:
+        """Lets waiting streams read, as far as permits are free."""
+        while (stream := self.permits.grant_next()) is not None:
+            stream.request_read()
 
-    def hush(self) -> None:
-        """Reads nothing for now: the machine holds what comes, and the server waits."""
-        self.rest()
+    def _pause_reading(self) -> None:
+        """Stops reading from the server."""
+        self._cancel_timer()
         transport = self.conn.transport
-        if self.reads and transport is not None and not transport.is_closing():
-            self.reads = False
+        if self.is_reading and transport is not None and not transport.is_closing():
+            self.is_reading = False
             transport.pause_reading()
 
-    def listen(self) -> None:
-        """Reads again."""
+    def _resume_reading(self) -> None:
+        """Reads from the server again."""
         transport = self.conn.transport
-        if not self.reads and transport is not None and not transport.is_closing():
-            self.reads = True
+        if not self.is_reading and transport is not None and not transport.is_closing():
+            self.is_reading = True
             transport.resume_reading()
 
     # --- timers ------------------------------------------------------------------------------------------
 
-    def wait(self, seconds: float, then: Callable[[], None]) -> None:
-        """Waits for the other side, but not for ever."""
-        self.rest()
-        self.timer = self.conn.pool.servers.loop.call_later(seconds, then)
+    def _set_timer(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Replaces the bound on the present wait."""
+        self._cancel_timer()
+        self.timer = self.loop.call_later(seconds, callback)
 
-    def rest(self) -> None:
-        """Waits no more."""
+    def _cancel_timer(self) -> None:
+        """Nothing is waited for."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def let_go(self) -> None:
-        """The end: drops timers and its turn."""
-        self.rest()
-        if self.end is not None:
-            self.end.cancel()
-            self.end = None
-        self.turns.release(self)
-        self.wake()
+    def _release(self) -> None:
+        """The end: cancels the timers and hands the permit on."""
+        self._cancel_timer()
+        if self.duration_timer is not None:
+            self.duration_timer.cancel()
+            self.duration_timer = None
+        self.permits.release(self)
+        self._grant_permits()
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -29,7 +29,7 @@
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import EndpointList, EndpointListKind, Event, Outcome
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 from lab.load import Account, Kind
 from lab.scale.site import Arrival, Draw, Site, arrivals, sets
 from lab.scale.stand_ins import Timeline
@@ -194,7 +194,7 @@
         self.part = Part(Policy(config.settings, config.seed), config.number or 0, site.most_known)
         super().__init__(config, loop, self.part, operator=operator)
 
-    def backend(self, shared: dict[str, Any] | None) -> Servers:
+    def backend(self, shared: dict[str, Any] | None) -> ServerPools:
         hollow = Hollows(self.loop, self.rng, self.site.service_ms / 1000.0, self.away)
         return hollow  # type: ignore[return-value]
 
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -21,7 +21,7 @@
 from glenchute.core.types import News
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import EndpointList, EndpointListKind
-from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
+from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, ConnectionPool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
 from tests.loopback import Script, Site, site
 
@@ -345,7 +345,9 @@
     assert all(chain.servers.open_pool(name) is not None for name in opened)
     where = {id(pool): name for name, pool in chain.servers.pools.items()}
     closed: list[str] = []
-    monkeypatch.setattr(Pool, "close_idle", lambda self, before=None: closed.append(where[id(self)]))
+    monkeypatch.setattr(
+        ConnectionPool, "close_idle", lambda self, before=None: closed.append(where[id(self)])
+    )
     for step, full in ((1, True), (2, False)):
         anew = set(opened[:step])
         rows = [{**one, "started_ms": float(step)} if one["id"] in anew else one for one in zoned(0, 5_700)]
@@ -367,7 +369,7 @@
         chain.tell([*zoned(0, 300), *drain, *zoned(900, 4_800)] if full else drain, full)
         assert all(chain.servers.stops(one["id"]) for one in drain)
         now += 0.1
-    grace_s = chain.servers.limits.grace_s - GRACE_MARGIN_S
+    grace_s = chain.servers.limits.drain_grace_s - GRACE_MARGIN_S
     now = 100.0 + grace_s
     pool = chain.servers.open_pool("n300")
     assert pool is not None and pool.stop_at == now and chain.servers.stops("n300")
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -24,7 +24,7 @@
 from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Event, Outcome, Request
-from glenchute.upstreams import connection_pool as servers_module
+from glenchute.upstreams import connection_pool
 from lab.ports import outgoing_ports
 from tests.loopback import (
     CHARGE,
@@ -366,7 +366,7 @@
             assert len(pool.idle) == 2
             last = pool.idle[-1]
             for conn in pool.idle:
-                conn.idle_since -= 2 * servers_module.SETTLE_S
+                conn.idle_since -= 2 * connection_pool.REUSE_DELAY_S
             assert await client.ask(b"CALL.GET", CUSTOMER, b"3", GET) == b"value"
             assert pool.idle[-1] is last and len(one.servers[0].writers) == 2
 
@@ -391,7 +391,7 @@
                 assert value == b"%04d" % number
             assert len(one.servers[0].writers) == 8
 
-    monkeypatch.setattr(servers_module, "SETTLE_S", 30.0)  # however slow the machine
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 30.0)  # however slow the machine
     play(scenario())
 
 
@@ -500,13 +500,13 @@
         script = Script(send_to("s0"))
         async with site(always(None), decisions=script) as one:
             servers = one.program.servers
-            servers.limits = replace(servers.limits, connections=5)
+            servers.limits = replace(servers.limits, max_connections=5)
             client = await one.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             await until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
             assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.UNREACHABLE}
-            assert servers.count() == 5
+            assert servers.connection_count() == 5
 
     play(scenario())
 
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -131,8 +131,9 @@
 def test_a_file_without_the_table_imports_none_of_it(platform: str) -> None:
     """Whoever does not share connections pays nothing for it."""
     unused = (
-        "glenchute.cli.lines",
-        "glenchute.upstreams.pipelined",
+        "glenchute.cli.pipelined_upstream",
+        "glenchute.upstreams.pipeline_runtime",
+        "glenchute.upstreams.pipelined_servers",
         "glenchute.policy.connections.pipelining",
         "glenchute.policy.connections.pipeline_types",
         "glenchute.policy.connections.service_times",
@@ -168,7 +169,7 @@
                 await asyncio.sleep(0.05)
             stuck.sound = True
             assert {await client.reply() for _ in range(3)} == {b"a", b"b", b"c"}
-            assert lines.pipeline.counts["condemned"] == 1
+            assert lines.scheduler.counts["condemned"] == 1
 
     play(scenario())
     events = captured(tmp_path)
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -39,7 +39,10 @@
     TimerFired,
 )
 from glenchute.policy.settings import Settings, SlowStart
-from glenchute.upstreams.connection_pool import Connection, Limits, Pool, Servers
+from glenchute.upstreams.connection import Connection
+from glenchute.upstreams.connection_pool import ConnectionPool
+from glenchute.upstreams.limits import UpstreamLimits
+from glenchute.upstreams.server_pools import ServerPools
 from lab.coldstart import Herd
 from lab.load import Account, Kind, Load
 from lab.load import Outcome as LoadOutcome
@@ -615,29 +618,29 @@
         def is_closing(self) -> bool:
             return False
 
-    class Counted(Pool):
+    class Counted(ConnectionPool):
         def close_idle(self, before: float | None = None) -> None:
             nonlocal walked
             walked += 1
             super().close_idle(before)
 
     async def scenario() -> None:
-        servers = Servers(asyncio.get_running_loop(), Limits(0.25, 13.0, 0.25, 3))
-        monkeypatch.setattr(servers, "pool", lambda server, address: Counted(servers, address))
+        servers = ServerPools(asyncio.get_running_loop(), UpstreamLimits(0.25, 13.0, 0.25, 3))
+        monkeypatch.setattr(servers, "new_pool", lambda server, address: Counted(servers, address))
         for n in range(5_700):
             servers.listed(f"n{n}", ("127.0.0.1", 9), False)
         conns = []
         for n in (5, 7, 7):
             conns.append(Connection(servers.pools[f"n{n}"]))
             conns[-1].connection_made(Ends(conns[-1]))
-        assert servers.count() == 3 and not servers.has_room() and not servers.make_room()
+        assert servers.connection_count() == 3 and not servers.may_open() and not servers.make_room()
         servers.pools["n7"].give_back(conns[1])
-        assert servers.has_room() and servers.make_room() and servers.count() == 2
+        assert servers.may_open() and servers.make_room() and servers.connection_count() == 2
         servers.gone("n5")
         servers.sweep()
-        assert walked <= 3 and servers.count() == 2 and len(servers.used) == 2
+        assert walked <= 3 and servers.connection_count() == 2 and len(servers.active_pools) == 2
         servers.close()
-        assert servers.count() == 0 and not servers.used
+        assert servers.connection_count() == 0 and not servers.active_pools
 
     play(scenario())
 
--- a/tests/policy/connections/test_connecting.py
+++ b/tests/policy/connections/test_connecting.py
@@ -24,7 +24,10 @@
     HedgeBudget,
 )
 from glenchute.policy.events import Outcome
-from glenchute.upstreams.connection_pool import Connection, Limits, Pool, Servers
+from glenchute.upstreams.connection import Connection
+from glenchute.upstreams.connection_pool import ConnectionPool
+from glenchute.upstreams.limits import UpstreamLimits
+from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import RespPeer, always, play, until
 from tests.loopback import CUSTOMER, GET, SERVED, Script, send_to, site
 from tests.system.test_crossings import packed
@@ -112,13 +115,13 @@
 
     def __init__(self, loop: HeldLoop, server: RespPeer, connections: int) -> None:
         self.loop, self.server = loop, server
-        self.servers = Servers(loop, Limits(CONNECT_S, 15.0, 0.25, connections))
+        self.servers = ServerPools(loop, UpstreamLimits(CONNECT_S, 15.0, 0.25, connections))
         self.servers.listed("s0", ("127.0.0.1", server.port), False)
         self.results: list[Result] = []
         self.attempt = self.begin()
 
     @property
-    def pool(self) -> Pool:
+    def pool(self) -> ConnectionPool:
         return self.servers.pools["s0"]
 
     def begin(self, timeout_s: float = 60.0) -> Any:
@@ -139,8 +142,8 @@
     async def ended(self, ending: Outcome, calls: int) -> None:
         """One ending, so many commands at the server, nothing left behind."""
         await until(lambda: self.results)
-        await until(lambda: not self.servers.coming)
-        await until(lambda: self.servers.count() == len(self.pool.idle))
+        await until(lambda: not self.servers.connecting)
+        await until(lambda: self.servers.connection_count() == len(self.pool.idle))
         assert [result.ending for result in self.results] == [ending]
         assert len(self.server.calls()) == calls
 
@@ -173,7 +176,7 @@
 async def first_fails(scene: Scene) -> None:
     """The other may yet carry the request."""
     scene.fail(0)
-    await until(lambda: len(scene.servers.coming) == 1)
+    await until(lambda: len(scene.servers.connecting) == 1)
     assert not scene.results
     scene.go_on(1)
     await scene.ended(Outcome.OK, 1)
@@ -182,7 +185,7 @@
 async def second_fails(scene: Scene) -> None:
     """The same the other way round."""
     scene.fail(1)
-    await until(lambda: len(scene.servers.coming) == 1)
+    await until(lambda: len(scene.servers.connecting) == 1)
     assert not scene.results
     scene.go_on(0)
     await scene.ended(Outcome.OK, 1)
@@ -277,8 +280,8 @@
     """The descriptors are used up: the attempt waits on alone."""
 
     async def act(made: Scene) -> None:
-        await until(lambda: made.attempt.late_timer is None)
-        assert len(made.loop.gates) == 1 and made.servers.count() == 1
+        await until(lambda: made.attempt.hedge_timer is None)
+        assert len(made.loop.gates) == 1 and made.servers.connection_count() == 1
         made.go_on(0)
         await made.ended(Outcome.OK, 1)
 
@@ -297,7 +300,7 @@
             made.attempt = made.begin()
             await until(lambda: made.results)
             assert len(made.loop.gates) == asked + 1
-        assert made.servers.beside == 1
+        assert made.servers.hedged_connects == 1
 
     played(act)
 
@@ -308,7 +311,7 @@
     async def act(made: Scene) -> None:
         made.pool.stop()
         made.pool.stop_at = math.inf
-        await until(lambda: made.attempt.late_timer is None)
+        await until(lambda: made.attempt.hedge_timer is None)
         assert len(made.loop.gates) == 1
         made.go_on(0)
         await made.ended(Outcome.OK, 1)
@@ -324,7 +327,7 @@
         await uvloop.Loop.create_connection(made.loop, lambda: conn, *made.pool.address)
         made.pool.give_back(conn)
         await made.ended(Outcome.OK, 1)
-        assert len(made.loop.gates) == 1 and made.servers.beside == 0
+        assert len(made.loop.gates) == 1 and made.servers.hedged_connects == 0
 
     played(act)
 
@@ -337,7 +340,7 @@
         await until(lambda: made.loop.gates)
         made.go_on(0)
         await until(lambda: len(made.results) == 2)
-        await until(lambda: not made.servers.coming)
+        await until(lambda: not made.servers.connecting)
 
     played(act)
 
@@ -348,7 +351,7 @@
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             servers = one.program.servers
-            for number in range(int(1.5 * servers.most())):
+            for number in range(int(1.5 * servers.max_connections())):
                 with socket.create_connection(("127.0.0.1", one.port)) as client:
                     client.sendall(packed(b"CALL.GET", CUSTOMER, b"%d" % number, GET))
                 if number % 20 == 0:
@@ -356,6 +359,8 @@
             await until(lambda: not one.program.listener.clients and not one.program.gateway.live)
             asker = await one.client()
             assert await asker.ask(b"CALL.GET", CUSTOMER, b"last", GET) == b"value"
-            await until(lambda: servers.count() == sum(len(pool.idle) for pool in servers.pools.values()))
+            await until(
+                lambda: servers.connection_count() == sum(len(pool.idle) for pool in servers.pools.values())
+            )
 
     play(scenario())
--- a/tests/policy/connections/test_descriptors.py
+++ b/tests/policy/connections/test_descriptors.py
@@ -22,7 +22,7 @@
 )
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import Outcome
-from glenchute.upstreams import connection_pool as resp2
+from glenchute.upstreams.connection import Connection
 from lab.services import CounterService
 from lab.site import GatewayProcess, free_port
 from tests.loopback import (
@@ -92,7 +92,7 @@
         made = build(raw | more, {})
         assert (
             made.budget == divide_descriptors(96, bool(more))
-            and made.limits.connections == made.budget.server_connections
+            and made.limits.max_connections == made.budget.server_connections
         )
     parts = DescriptorBudget(
         client_connections=7,
@@ -118,13 +118,13 @@
     """In the turn in which it is made it does not take a second place, for which an attempt would be turned
     away as if the servers were at fault."""
     counts: list[int] = []
-    made = resp2.Connection.connection_made
+    made = Connection.connection_made
 
-    def counted(self: resp2.Connection, transport: asyncio.BaseTransport) -> None:
+    def counted(self: Connection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
-        counts.append(self.pool.servers.count())
+        counts.append(self.pool.tracker.connection_count())
 
-    monkeypatch.setattr(resp2.Connection, "connection_made", counted)
+    monkeypatch.setattr(Connection, "connection_made", counted)
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
@@ -145,7 +145,7 @@
             attempt.start()
             attempt.stop(Outcome.NOT_SENT)
             assert [result.ending for result in ends] == [Outcome.NOT_SENT]
-            await until(lambda: servers.count() == 0)
+            await until(lambda: servers.connection_count() == 0)
 
     play(scenario())
 
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -37,7 +37,7 @@
 from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
 from glenchute.protocol import resp2 as resp
 from glenchute.simulator import settings
-from glenchute.upstreams.connection_pool import SETTLE_S
+from glenchute.upstreams.connection_pool import REUSE_DELAY_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
 from tests.clients.test_peers import patient, start
@@ -366,11 +366,11 @@
             one.program.servers.listed("s0", ("127.0.0.1", port), False)
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.coming) == 1)
+            await until(lambda: len(one.program.servers.connecting) == 1)
             end(client, how)
             await until(lambda: script.of(AttemptEnded))
             assert [(e.outcome, e.is_final) for e in script.of(AttemptEnded)] == [(Outcome.NOT_SENT, True)]
-            await until(lambda: not one.program.servers.coming)
+            await until(lambda: not one.program.servers.connecting)
 
     play(scenario())
 
@@ -591,7 +591,7 @@
             await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.coming) == 1)
+            await until(lambda: len(one.program.servers.connecting) == 1)
             await agent.answer(2, listing(4, [row("s0", port, "Terminating")], full=False))
             await agent.answer(3, listing(5, [row("s0", port, "Gone")], full=False))
             await agent.answer(4, listing(6, [row("s0", new.port, started_ms=5.0)], full=False))
@@ -743,7 +743,7 @@
         heard = Heard(Policy(settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await rested(one, 12)
-            await asyncio.sleep(2.0 * SETTLE_S)  # before that they are not used again
+            await asyncio.sleep(2.0 * REUSE_DELAY_S)  # before that they are not used again
             heard.endings.clear()
             socks.append(raw_client(one, *reads(1)))
             await until(lambda: not socks)
@@ -771,7 +771,7 @@
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script, operator=operator) as one:
             sock = raw_client(one, *reads(MOST_PENDING))
-            while not one.program.servers.coming:
+            while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
@@ -837,7 +837,7 @@
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             client = await one.client()
             client.send(*READ, b"1", GET)
-            while not one.program.servers.coming:
+            while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             time.sleep(BUSY_S)
             assert await client.reply() == b"value"
--- a/tests/upstreams/test_lines_loopback.py
+++ b/tests/upstreams/test_lines_loopback.py
@@ -23,7 +23,8 @@
     EndpointState,
     Outcome,
 )
-from glenchute.upstreams.pipelined import LinePool, Lines
+from glenchute.upstreams.pipelined_pool import PipelinedPool
+from glenchute.upstreams.pipelined_servers import PipelinedServers
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -91,23 +92,23 @@
     return b"*3\r\n$%d\r\n%b\r\n*-1\r\n*-1\r\n" % (len(text), text)
 
 
-def teach(program: Any, connect_ms: float = 2000.0) -> Lines:
+def teach(program: Any, connect_ms: float = 2000.0) -> PipelinedServers:
     """A decider that knows its classes, and finds a new connection dear: so it shares."""
     lines = program.servers
-    assert isinstance(lines, Lines)
+    assert isinstance(lines, PipelinedServers)
     now = 1000.0 * asyncio.get_running_loop().time()
     for name in ("read", "order"):
         for share in range(60):
-            lines.pipeline.times.add(now, name, "s0", 20.0 + share / 3.0, False)
+            lines.scheduler.times.add(now, name, "s0", 20.0 + share / 3.0, False)
     for server in lines.pools:
-        lines.pipeline.server(server).depth_limit.limit = 8.0
-        lines.pipeline.server(server).connect_ms = connect_ms
+        lines.scheduler.server(server).depth_limit.limit = 8.0
+        lines.scheduler.server(server).connect_ms = connect_ms
     return lines
 
 
-def change_rules(lines: Lines, **changes: Any) -> None:
+def change_rules(lines: PipelinedServers, **changes: Any) -> None:
     """Other rules than those of the operator's file, for all parts of the scheduler."""
-    scheduler = lines.pipeline
+    scheduler = lines.scheduler
     rules = scheduler.rules._replace(**changes)
     scheduler.rules = scheduler.chooser.rules = scheduler.stalls.rules = rules
 
@@ -115,7 +116,7 @@
 @asynccontextmanager
 async def sharing(
     *books: Book, decisions: Decisions | None = None, operator: str = SHARED, **changes: Any
-) -> AsyncIterator[tuple[Site, Lines]]:
+) -> AsyncIterator[tuple[Site, PipelinedServers]]:
     """A gateway in front of these nodes that shares connections."""
 
     async def unused(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -157,9 +158,13 @@
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
-            assert len(book.writers) == 1 and lines.counts["writes"] == 1 and lines.counts["commands"] == 5
+            assert (
+                len(book.writers) == 1
+                and lines.runtime.counts["writes"] == 1
+                and lines.runtime.counts["commands"] == 5
+            )
             assert book.ids() == [b"a", b"b", b"c", b"d", b"e"]
-            assert not lines.attempts and not one.program.gateway.out
+            assert not lines.runtime.attempts and not one.program.gateway.out
             await burst(client, *reads([b"f"]))
             assert await client.reply() == b"f" and len(book.writers) == 1  # on the same, idle again
 
@@ -205,7 +210,7 @@
             if data not in (ok + ok + ok, ok + busy + ok, failed + ok + busy):
                 await until(lambda: not lines.pools["s0"].open)
                 await until(lambda: 0 in book.ended)
-            assert not lines.attempts
+            assert not lines.runtime.attempts
 
     async def scenario() -> None:
         await asyncio.gather(*[row(*each) for each in table])
@@ -226,7 +231,7 @@
 
             async def five(cuts: list[int]) -> dict[bytes, Any]:
                 ids = [next(names) for _ in range(5)]
-                await until(lambda: not lines.attempts)
+                await until(lambda: not lines.runtime.attempts)
                 for pool in lines.pools.values():
                     pool.close_idle()
                 await until(lambda: not any(pool.open for pool in lines.pools.values()))
@@ -255,7 +260,7 @@
                     elif str(reply).startswith("BUSY"):
                         assert ran[name] == 0, offset
             assert served > 3 * whole  # most go again and are served
-            assert lines.counts["commands"] > lines.counts["writes"]
+            assert lines.runtime.counts["commands"] > lines.runtime.counts["writes"]
             assert not one.program.gateway.live and not one.program.gateway.out
 
     play(scenario())
@@ -278,7 +283,7 @@
             one.program.gateway.news(_news(one, "s1", EndpointState.ACTIVE, sound.port))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert loop.time() - began < 2.0  # of 20 s that they would wait
-            assert lines.pipeline.counts["cut at a stall"] == 1
+            assert lines.scheduler.counts["cut at a stall"] == 1
             assert sorted(sound.ids()) == [b"a", b"b", b"c", b"d", b"e"] and 0 in stuck.ended
 
     play(scenario())
@@ -323,7 +328,7 @@
             book.send(b"".join(value(name) for name in (b"a", b"b", b"c", b"d", b"e")))
             assert [await stays.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
             assert all(ending is Outcome.OK for ending in endings(script).values())
-            assert len(lines.pools["s0"].idle) == 1 and not lines.attempts
+            assert len(lines.pools["s0"].idle) == 1 and not lines.runtime.attempts
 
     play(scenario())
 
@@ -377,18 +382,18 @@
         async with sharing(book, decisions=script, operator=operator) as (one, lines):
             clients = [await one.client() for _ in range(8)]
             change_rules(lines, max_depth=200, max_queued_per_server=200)
-            lines.pipeline.server("s0").depth_limit.max_depth = 200
-            lines.pipeline.server("s0").depth_limit.limit = 200.0
+            lines.scheduler.server("s0").depth_limit.max_depth = 200
+            lines.scheduler.server("s0").depth_limit.limit = 200.0
             body = b"y" * 60_000
             for number, client in enumerate(clients):
                 words = [(b"CALL.GET", CUSTOMER, b"%d-%d" % (number, n), GET, body) for n in range(20)]
                 await burst(client, *words)
             pool = lines.pools["s0"]
-            assert isinstance(pool, LinePool)
-            await until(lambda: len(lines.attempts) == 160)
-            await until(lambda: any(conn.full for conn in pool.by_line.values()))
-            conn = next(iter(pool.by_line.values()))
-            held = len(conn.line.pending)
+            assert isinstance(pool, PipelinedPool)
+            await until(lambda: len(lines.runtime.attempts) == 160)
+            await until(lambda: any(conn.is_buffer_full for conn in pool.by_id.values()))
+            conn = next(iter(pool.by_id.values()))
+            held = len(conn.pipeline.pending)
             assert held > 0
             named = {ref: live.call.request_id for ref, live in one.program.gateway.live.items()}
             loop = asyncio.get_running_loop()
@@ -423,17 +428,17 @@
                 replies = []
                 for _ in mine:
                     replies.append(await client.reply())
-                    peak = max(peak, lines.count())
+                    peak = max(peak, lines.connection_count())
                 odd = [(reply, name) for reply, name in zip(replies, mine, strict=True)
                        if reply != name and not isinstance(reply, hiredis.ReplyError)]  # fmt: skip
                 assert not odd  # refused, or failed on a busy machine; never another's value
             ran = Counter(books[0].ids() + books[1].ids())
             # A stall of this very machine is one of the server's, too: reads then go again.
             assert max(ran.values()) <= one.program.gateway.most_attempts and len(ran) > 100
-            assert not lines.attempts and not one.program.gateway.live
+            assert not lines.runtime.attempts and not one.program.gateway.live
             # An idle one at one server may be closed to make room for one at the other: what is open counts.
-            assert peak <= lines.limits.connections
-            assert sum(len(book.writers) - len(book.ended) for book in books) <= lines.limits.connections
+            assert peak <= lines.limits.max_connections
+            assert sum(len(book.writers) - len(book.ended) for book in books) <= lines.limits.max_connections
 
     play(scenario())
 
@@ -491,7 +496,7 @@
             replies = [str(await client.reply()) for _ in range(3)]
             assert all(reply.startswith("ERR") for reply in replies)
             assert set(endings(script).values()) == {Outcome.UNREACHABLE}
-            assert not lines.coming and not lines.pipeline.connections
+            assert not lines.connecting and not lines.scheduler.connections
 
     play(scenario())
 
@@ -504,7 +509,7 @@
             charge = (b"CALL.POST", CUSTOMER, b"x", CHARGE, b"body")
             await burst(client, *reads([b"a"]), charge, (*charge[:2], b"y", *charge[3:]), *reads([b"b"]))
             await until(lambda: len(book.ran) == 4)
-            by_line = [set(book.ids(number)) for number in range(len(book.writers))]
-            assert {b"x"} in by_line and {b"y"} in by_line
+            by_id = [set(book.ids(number)) for number in range(len(book.writers))]
+            assert {b"x"} in by_id and {b"y"} in by_id
 
     play(scenario())
--- a/tests/upstreams/test_long_values.py
+++ b/tests/upstreams/test_long_values.py
@@ -21,7 +21,7 @@
 from glenchute.policy.events import AttemptEnded, Event, Outcome, Request, ResponseStarted
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.streamed_reply import MAX_LONG, LongReply
-from glenchute.upstreams import streamed_value as long_module
+from glenchute.upstreams import streamed_value
 from tests.loopback import (
     CUSTOMER,
     GET,
@@ -315,7 +315,7 @@
 
 
 def test_a_server_that_stops_is_cut_off_and_the_client_can_tell(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(long_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(streamed_value, "SERVER_SILENCE_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
@@ -416,7 +416,7 @@
 def test_with_one_place_all_values_move_and_a_reader_that_stops_makes_room(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(long_module, "STUCK_S", 0.1)
+    monkeypatch.setattr(streamed_value, "CLIENT_BLOCKED_TIMEOUT_S", 0.1)
     size = MAX_LONG
 
     async def scenario() -> None:
@@ -426,7 +426,7 @@
             return head(size) + value + TAIL
 
         async with serving(answer) as (one, script):
-            one.program.servers.turns.max_readers = 1
+            one.program.servers.read_permits.max_readers = 1
             ids = numbered()
             narrow = socket.socket()
             narrow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # or the machine takes it all
