--- a/glenchute/cli/pipeline.py
+++ b/glenchute/cli/pipeline.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Iterator
 
-from glenchute.config.platform import Config, ConfigError
+from glenchute.config.platform import ConfigError, PlatformConfig
 from glenchute.policy.connections.class_compatibility import DESCRIPTIONS
 
 from .files import operator_file, platform, sound_operator
@@ -31,7 +31,7 @@
     return 0
 
 
-def table(raw: dict[str, object], config: Config) -> Iterator[str]:
+def table(raw: dict[str, object], config: PlatformConfig) -> Iterator[str]:
     """The lines of the table and of the rules."""
     compatibility, rules = class_compatibility(raw, config), pipeline_rules(raw, config)
     width = max(len(name) for name in compatibility.classes)
