--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -18,7 +18,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, cast
 
-from glenchute.core.types import Address, Counting, Decisions, News
+from glenchute.core.types import Address, DecisionHandler, EndpointUpdate, SharedCounter
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import members as membership
@@ -63,7 +63,7 @@
     """This process among the members."""
 
     def __init__(
-        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: Decisions, made: Settings,
+        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: DecisionHandler, made: Settings,
         seed: int, number: int | None = None,
     ) -> None:  # fmt: skip
         """`number`: this gateway's, where the platform tells it: members' numbers count only if its own is
@@ -98,10 +98,10 @@
         self.telling = UsageReporter(module, made, self.use, health, self.told, self.share, loop.time)
         self.lists = SharedEndpointList(self.name, now, rng) if raw.get("share_list") else None
         self.use_audit = UsageAudit()
-        self.counter: Counting | None = None
+        self.counter: SharedCounter | None = None
         self.runner = self.running(raw["leases"], rng) if "leases" in raw else None
         self.discovery: Discovery | None = None
-        self.follow: Callable[[News], None] | None = None  # takes what others heard of servers
+        self.follow: Callable[[EndpointUpdate], None] | None = None  # takes what others heard of servers
         self.places: dict[str, Address] = {}  # servers' addresses, as discovery told them here
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -169,7 +169,7 @@
             if not told.done():
                 told.set_result(total if ending is Outcome.OK else None)
 
-        self.counter.call(look.name, 0.0, 1000.0, done, lambda *late: None)
+        self.counter.increment(look.name, 0.0, 1000.0, done, lambda *late: None)
         return await told
 
     async def start(self) -> None:
@@ -249,7 +249,7 @@
             return
         self.gossip.tell(self.loop.time(), row, len(self.members.members))
 
-    def begin(self, known: News | None, discovery: Discovery) -> bool:
+    def begin(self, known: EndpointUpdate | None, discovery: Discovery) -> bool:
         """Before discovery is asked, with the saved list. Whether this gateway asks for all, and does so at
         once."""
         discovery.confirmed = self.confirmed
@@ -297,9 +297,11 @@
         self.discovery.since = self.lists.version
         self.restraint.listed(self.lists.version, False, entries)
         self.places |= addresses
-        self.follow(News(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
+        self.follow(
+            EndpointUpdate(self.lists.version, EndpointList(EndpointListKind.CHANGES, entries), addresses)
+        )
 
-    def news(self, news: News) -> None:
+    def news(self, news: EndpointUpdate) -> None:
         """Discovery's word, before the core has it: restraint that it asks for is told on."""
         self.learn(news)
         if self.lists is not None:
@@ -311,7 +313,7 @@
                 rank = float(coldstart.STATE_RANKS[entry.state])
                 self.told(Row(RowKind.SERVER, entry.address, "", news.version, rank))
 
-    def learn(self, news: News) -> None:
+    def learn(self, news: EndpointUpdate) -> None:
         """What discovery has told here."""
         full = news.event.kind is not EndpointListKind.CHANGES
         self.restraint.listed(news.version, full, news.event.endpoints)
@@ -341,7 +343,7 @@
         """Changes of the list that are not discovery's news."""
         if entries and self.follow is not None:
             news = EndpointList(EndpointListKind.CHANGES, tuple(entries))
-            self.follow(News(self.restraint.version, news, self.places))
+            self.follow(EndpointUpdate(self.restraint.version, news, self.places))
 
     # --- socket and clock --------------------------------------------------------------------------------
 
@@ -498,7 +500,7 @@
         return [{"digest": f"{mark:016x}", "rows": len(self.replica.rows)}]
 
 
-def servers_of(news: News) -> list[coldstart.SharedEndpoint]:
+def servers_of(news: EndpointUpdate) -> list[coldstart.SharedEndpoint]:
     """An answer of discovery, as members tell of it."""
     rows = []
     for entry in news.event.endpoints:
--- a/glenchute/upstreams/attempt.py
+++ b/glenchute/upstreams/attempt.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from glenchute.core.types import Result, Source
+from glenchute.core.types import AttemptResult, ResponseSource
 from glenchute.policy.events import Outcome
 
 
@@ -16,37 +16,37 @@
     `result` is set while the connection closes for it.
     """
 
-    result: Result | None
+    result: AttemptResult | None
     timer: asyncio.TimerHandle | None
 
     @property
-    def began(self) -> Callable[[Source], None] | None: ...
+    def on_response_started(self) -> Callable[[ResponseSource], None] | None: ...
 
     def stop(self, ending: Outcome) -> None: ...
 
-    def finish(self, result: Result) -> None: ...
+    def finish(self, result: AttemptResult) -> None: ...
 
 
-class UpstreamAttempt:
+class BaseAttempt:
     """What attempts have in common, whatever kind of connection carries them.
 
     `payload` makes the command, given the milliseconds that are left. `done` is called once, with the result.
-    Not a byte is written after `write_by`. `began` is called, before `done`, for a response that is too long
-    to be buffered. `wanted` is called right before the command is written; where it returns False it has
-    ended the attempt. Times are the loop's, in seconds.
+    Not a byte is written after `write_by`. `on_response_started` is called, before `done`, for a response
+    that is too long to be buffered. `is_wanted` is called right before the command is written; where it
+    returns False it has ended the attempt. Times are the loop's, in seconds.
     """
 
     __slots__ = (
-        "began",
         "done",
         "expires_at",
         "is_finished",
+        "is_wanted",
+        "is_written",
+        "on_response_started",
         "payload",
-        "started",
+        "started_at",
         "timer",
-        "wanted",
         "write_by",
-        "written",
     )
 
     def __init__(
@@ -54,18 +54,18 @@
         loop: asyncio.AbstractEventLoop,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
         self.payload = payload
         self.done = done
-        self.began: Callable[[Source], None] | None = None
-        self.wanted: Callable[[], bool] | None = None
-        self.started = loop.time()
-        self.expires_at = self.started + timeout_s
+        self.on_response_started: Callable[[ResponseSource], None] | None = None
+        self.is_wanted: Callable[[], bool] | None = None
+        self.started_at = loop.time()
+        self.expires_at = self.started_at + timeout_s
         self.write_by = write_by
         self.is_finished = False
-        self.written = False  # a byte may have been sent
+        self.is_written = False  # a byte may have been sent
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -82,7 +82,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def finish(self, result: Result) -> None:
+    def finish(self, result: AttemptResult) -> None:
         """Reports the result; further ones are ignored."""
         if self.is_finished:
             return
--- a/glenchute/upstreams/connection.py
+++ b/glenchute/upstreams/connection.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Protocol
 
-from glenchute.core.types import Result
+from glenchute.core.types import AttemptResult
 from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2
 from glenchute.protocol.streamed_reply import LongReply
@@ -76,10 +76,10 @@
             return
         self.complete_response(attempt, result_of(reply), self.parser.rest())
 
-    def complete_response(self, attempt: CarriedAttempt, result: Result, has_surplus: bool) -> None:
+    def complete_response(self, attempt: CarriedAttempt, result: AttemptResult, has_surplus: bool) -> None:
         """The response is complete; `has_surplus`: more bytes came behind it."""
-        is_reusable = result.sound and not has_surplus
-        if not is_reusable and result.ending is not Outcome.OK:
+        is_reusable = result.is_connection_reusable and not has_surplus
+        if not is_reusable and result.outcome is not Outcome.OK:
             self.fail_response()
             return
         self.attempt = None
@@ -92,7 +92,7 @@
     def _start_stream(self, attempt: CarriedAttempt) -> None:
         """Begins to relay a value that is too long to be buffered."""
         found = LongReply.of(self.parser.take())
-        if found is None or attempt.began is None:
+        if found is None or attempt.on_response_started is None:
             self.fail_response()
             return
         from .streamed_value import StreamedValue  # not needed by most processes
@@ -109,7 +109,7 @@
         """The response is invalid or incomplete: the attempt ends as an error, as the request may have
         run."""
         if self.attempt is not None and self.attempt.result is None:
-            self.attempt.result = Result(Outcome.ERROR)
+            self.attempt.result = AttemptResult(Outcome.ERROR)
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -123,7 +123,7 @@
             # The command may have been sent, so the outcome is never "did not run". uvloop closes the socket
             # only after this call, and a retry must not reach a server while this attempt is open: hence
             # `call_soon`.
-            result = attempt.result or Result(Outcome.RESET)
+            result = attempt.result or AttemptResult(Outcome.RESET)
             self.pool.tracker.loop.call_soon(attempt.finish, result)
 
     def abort(self) -> None:
--- a/glenchute/upstreams/exclusive_attempt.py
+++ b/glenchute/upstreams/exclusive_attempt.py
@@ -5,15 +5,15 @@
 import asyncio
 from collections.abc import Callable
 
-from glenchute.core.types import Result
+from glenchute.core.types import AttemptResult
 from glenchute.policy.events import Outcome
 
-from .attempt import UpstreamAttempt
+from .attempt import BaseAttempt
 from .connection import Connection
 from .connection_pool import ConnectionPool
 
 
-class ExclusiveAttempt(UpstreamAttempt):
+class ExclusiveAttempt(BaseAttempt):
     """One request on a connection without other attempts."""
 
     __slots__ = ("conn", "connect_timer", "connects", "hedge_timer", "pool", "result")
@@ -23,12 +23,12 @@
         pool: ConnectionPool,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
         super().__init__(pool.tracker.loop, payload, timeout_s, done, write_by)
         self.pool = pool
-        self.result: Result | None = None  # set while the connection closes for a reason of ours
+        self.result: AttemptResult | None = None  # set while the connection closes for a reason of ours
         self.conn: Connection | None = None
         self.connects: set[asyncio.Task[None]] = set()  # one, or two if it was hedged
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -42,12 +42,12 @@
         if conn is not None:
             self.write(conn)
         elif not tracker.make_room():
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
         else:
             self._open()
             connect_timeout_s = tracker.limits.connect_timeout_s
             self.connect_timer = tracker.loop.call_later(connect_timeout_s, self._on_connect_failed)
-            available_s = min(connect_timeout_s, self.expires_at - self.started)
+            available_s = min(connect_timeout_s, self.expires_at - self.started_at)
             hedge_delay_s = tracker.connect_times.hedge_delay_s(available_s)
             if hedge_delay_s is not None:
                 self.hedge_timer = tracker.loop.call_later(hedge_delay_s, self._on_connect_late)
@@ -83,7 +83,7 @@
             await tracker.loop.create_connection(lambda: conn, host, port)
         except OSError:
             self.connects.discard(task)
-            if not self.connects and not self.written:
+            if not self.connects and not self.is_written:
                 self._on_connect_failed()
             return
         except asyncio.CancelledError:
@@ -95,29 +95,29 @@
         pool.hedge_budget.deposit()
         if pool.stop_at is not None and tracker.loop.time() > pool.stop_at:
             conn.abort()  # the grace period ended while this connection came up
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
         else:
             self.write(conn)
 
     def write(self, conn: Connection) -> None:
         """Writes the command; from here on the request may have run."""
         self._cancel_connects()
-        if self.wanted is not None and not self.wanted():
+        if self.is_wanted is not None and not self.is_wanted():
             conn.abort()
             return
         now = self.pool.tracker.loop.time()
         left_ms = int(1000.0 * (self.expires_at - now))
         if left_ms < 1 or now > self.write_by or conn.transport is None or conn.transport.is_closing():
             conn.abort()
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
             return
-        self.conn, self.written = conn, True
+        self.conn, self.is_written = conn, True
         conn.attempt = self
         conn.transport.write(self.payload(left_ms))
 
     def _on_connect_failed(self) -> None:
         """No connection came up, or none in time."""
-        self.finish(Result(Outcome.UNREACHABLE))
+        self.finish(AttemptResult(Outcome.UNREACHABLE))
 
     def _cancel_connects(self) -> None:
         """Cancels all connects that have not come up."""
@@ -135,13 +135,13 @@
             return
         if self.conn is None:
             # Nothing was written, so it did not run. A cancellation says nothing of the server either.
-            self.finish(Result(Outcome.UNREACHABLE if ending is Outcome.TIMEOUT else Outcome.NOT_SENT))
+            self.finish(AttemptResult(Outcome.UNREACHABLE if ending is Outcome.TIMEOUT else Outcome.NOT_SENT))
         else:
             if ending is Outcome.TIMEOUT:
                 # The server's machine may have vanished, and reset what it finds open once it is back.
                 # Requests on its other idle connections would then end as reset though they never ran.
-                self.pool.close_idle(self.started)
-            self.result = Result(ending)
+                self.pool.close_idle(self.started_at)
+            self.result = AttemptResult(ending)
             self.conn.abort()
 
     def release(self) -> None:
--- a/glenchute/upstreams/pipelined_attempt.py
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -6,7 +6,7 @@
 import math
 from collections.abc import Callable
 
-from glenchute.core.types import About, Result
+from glenchute.core.types import AttemptContext, AttemptResult
 from glenchute.policy.connections.pipeline_types import (
     UNLIMITED_DEPTH,
     AbortReason,
@@ -18,7 +18,7 @@
 from glenchute.policy.connections.pipelined_connection import PipelinedCommand
 from glenchute.policy.events import Outcome
 
-from .attempt import UpstreamAttempt
+from .attempt import BaseAttempt
 from .pipelined_connection import PipelinedConnection, PipelinedItem
 from .pipelined_pool import PipelinedPool
 
@@ -30,7 +30,7 @@
 }
 
 
-class PipelinedAttempt(UpstreamAttempt):
+class PipelinedAttempt(BaseAttempt):
     """One request, placed on a connection by the scheduler. `about`: None where nothing is known of it."""
 
     __slots__ = ("about", "attempt_id", "command", "conn", "pool", "wait_timer", "wait_until")
@@ -40,9 +40,9 @@
         pool: PipelinedPool,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float,
-        about: About | None,
+        about: AttemptContext | None,
     ) -> None:
         super().__init__(pool.tracker.loop, payload, timeout_s, done, write_by)
         self.attempt_id = pool.runtime.new_attempt_id()
@@ -79,11 +79,11 @@
         pool, scheduler = self.pool, self.pool.runtime.scheduler
         now = pool.tracker.loop.time()
         if now > self.write_by or (pool.stop_at is not None and now > pool.stop_at):
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
             return True
         placement = self._ask_scheduler(now)
         if placement.kind is PlacementKind.NONE:
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
             return True
         if placement.kind is PlacementKind.WAIT:
             self._wait(now, placement)
@@ -93,7 +93,7 @@
             conn = pool.open_connection(connection_id)
             if conn is None:
                 scheduler.on_closed(connection_id)
-                self.finish(Result(Outcome.UNREACHABLE))
+                self.finish(AttemptResult(Outcome.UNREACHABLE))
                 return True
         else:
             conn = pool.by_id.get(connection_id)
@@ -101,8 +101,8 @@
                 scheduler.on_closed(connection_id)
                 return False
         self.conn = conn
-        if self.about is not None and self.about.placed is not None:
-            self.about.placed(f"{pool.server}: {placement.describe(pool.runtime.now_ms())}")
+        if self.about is not None and self.about.on_assigned is not None:
+            self.about.on_assigned(f"{pool.server}: {placement.describe(pool.runtime.now_ms())}")
         self.command = conn.join(self)
         return True
 
@@ -131,18 +131,18 @@
             mean_ms=runtime.scheduler.times.mean(request_class.name, self.pool.server),
             started_at_ms=now_ms,
             expires_at_ms=expires_at_ms,
-            received_at_ms=1000.0 * about.came,
+            received_at_ms=1000.0 * about.received_at,
             deadline_ms=1000.0 * about.deadline,
             write_by_ms=1000.0 * self.write_by,
-            may_retry=about.again,
-            max_depth=about.depth or UNLIMITED_DEPTH,
+            may_retry=about.may_retry,
+            max_depth=about.max_depth or UNLIMITED_DEPTH,
         )
 
     def _wait(self, now: float, placement: Placement) -> None:
         """Waits for a connection, if not too many do."""
         pool = self.pool
         if len(pool.waiting) >= MAX_WAITING:
-            self.finish(Result(Outcome.UNREACHABLE))
+            self.finish(AttemptResult(Outcome.UNREACHABLE))
             return
         pool.waiting[self.attempt_id] = self
         if self.wait_until == math.inf:
@@ -156,7 +156,7 @@
     def on_blocked(self) -> None:
         """It is queued behind a stalled head: the core may hedge it."""
         if self.about is not None:
-            self.about.held()
+            self.about.on_stalled()
 
     def abort_connection(self, connection_id: int, reason: AbortReason) -> None:
         """Its connection is aborted for those queued behind it."""
@@ -167,7 +167,7 @@
 
     def stop_unless_written(self) -> None:
         """Its server drains: it ends, unless it was written meanwhile."""
-        if not self.is_finished and not self.written:
+        if not self.is_finished and not self.is_written:
             self.stop(Outcome.CANCELLED)
 
     def stop(self, ending: Outcome) -> None:
@@ -183,13 +183,15 @@
             if conn is not None:
                 conn.give_back_if_idle()
             # Nothing was written, so it did not run. A cancellation says nothing of the server either.
-            self.finish(Result(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE))
+            self.finish(
+                AttemptResult(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE)
+            )
         elif ending is Outcome.CANCELLED and len(conn.pipeline) > 1:
             command.is_cancelled = True
         else:
             if ending is Outcome.TIMEOUT:
                 # As in `ExclusiveAttempt.stop`: a machine that vanished resets what it finds open later.
-                self.pool.close_idle(self.started)
+                self.pool.close_idle(self.started_at)
             reason = "its time is up" if ending is Outcome.TIMEOUT else "called off"
             conn.close_with(command, ending, reason)
 
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from glenchute.core.types import Address, Result
+from glenchute.core.types import Address, AttemptResult
 from glenchute.policy.connections.pipelined_connection import (
     NETWORK_DELAY_MS,
     CommandPipeline,
@@ -34,7 +34,7 @@
 class PipelinedItem(Protocol):
     """An attempt, as its connection needs it."""
 
-    written: bool
+    is_written: bool
 
     @property
     def attempt_id(self) -> int: ...
@@ -43,7 +43,7 @@
     def payload(self) -> Callable[[int], bytes]: ...
 
     @property
-    def wanted(self) -> Callable[[], bool] | None: ...
+    def is_wanted(self) -> Callable[[], bool] | None: ...
 
     @property
     def is_finished(self) -> bool: ...
@@ -56,7 +56,7 @@
 
     def stop_unless_written(self) -> None: ...
 
-    def finish(self, result: Result) -> None: ...
+    def finish(self, result: AttemptResult) -> None: ...
 
 
 class PipelinedOwner(ConnectionOwner, Protocol):
@@ -78,11 +78,11 @@
     def place_next_waiting(self) -> None: ...
 
 
-class AttemptResult(NamedTuple):
+class FinishedAttempt(NamedTuple):
     """The result of one attempt, to be reported."""
 
     attempt: PipelinedItem
-    result: Result
+    result: AttemptResult
 
 
 class PipelinedConnection(Connection):
@@ -108,7 +108,7 @@
         settle_ms = pool.runtime.scheduler.rules.settle_ms
         self.pipeline: CommandPipeline[PipelinedItem] = CommandPipeline(NETWORK_DELAY_MS, settle_ms)
         # Set when the gateway closes the connection; reported when it is closed.
-        self.final_results: list[AttemptResult] | None = None
+        self.final_results: list[FinishedAttempt] | None = None
         self.is_up = False
         self.is_buffer_full = False  # some written bytes have not been sent
         self.is_flush_scheduled = False
@@ -170,7 +170,7 @@
         self.final_results = []
         self._retire(has_failed=False)
         for attempt, outcome in outcomes:
-            attempt.finish(Result(outcome))
+            attempt.finish(AttemptResult(outcome))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -201,15 +201,15 @@
         if transport is None or transport.is_closing():
             return
         for command in list(self.pipeline.pending):
-            if command.item.wanted is not None and not command.item.is_finished:
-                command.item.wanted()  # withdraws it where it is not
+            if command.item.is_wanted is not None and not command.item.is_finished:
+                command.item.is_wanted()  # withdraws it where it is not
         now = self.loop.time()
         expired = self._encode_pending(now)
         limits = self.runtime.write_limits
         batch, data = self.pipeline.next_batch(1000.0 * now, limits.max_commands, limits.max_bytes)
         if batch:
             for command in batch:
-                command.item.written = True
+                command.item.is_written = True
             self.runtime.counts[WRITE_COUNT] += 1
             self.runtime.counts[COMMAND_COUNT] += len(batch)
             transport.write(data)
@@ -217,7 +217,7 @@
             if self.pipeline.pending:
                 self._schedule_flush()
         for attempt in expired:
-            attempt.finish(Result(Outcome.UNREACHABLE))
+            attempt.finish(AttemptResult(Outcome.UNREACHABLE))
         if expired:
             self.give_back_if_idle()
 
@@ -295,14 +295,14 @@
             self.stall_timer.cancel()
             self.stall_timer = None
         self._update_sent()
-        results: list[AttemptResult] = []
+        results: list[FinishedAttempt] = []
         fault = self._read_replies(self.runtime.now_ms(), data, results)
         if fault:
             self.close_with(None, Outcome.RESET, fault)
             # An attempt that failed may be retried: that too must wait until the connection is closed.
             assert self.final_results is not None
-            self.final_results[:0] = [one for one in results if one.result.ending is not Outcome.OK]
-            results = [one for one in results if one.result.ending is Outcome.OK]
+            self.final_results[:0] = [one for one in results if one.result.outcome is not Outcome.OK]
+            results = [one for one in results if one.result.outcome is Outcome.OK]
         elif results:
             self.give_back_if_idle()
         for attempt, result in results:
@@ -311,7 +311,7 @@
             self.pool.place_next_waiting()
         self.runtime.schedule_check()
 
-    def _read_replies(self, now_ms: float, data: bytes, results: list[AttemptResult]) -> str:
+    def _read_replies(self, now_ms: float, data: bytes, results: list[FinishedAttempt]) -> str:
         """Parses replies and appends their results; why the connection can't go on, or an empty text."""
         fault = ""
         try:
@@ -329,37 +329,37 @@
             self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.fail_response)
         return fault
 
-    def _on_reply(self, now_ms: float, reply: object, results: list[AttemptResult]) -> str:
+    def _on_reply(self, now_ms: float, reply: object, results: list[FinishedAttempt]) -> str:
         """A complete reply; why the connection can't go on after it, or an empty text."""
         matched = self.pipeline.match_reply(now_ms)
         if matched is None:
             return "a reply too many"
         result = result_of(reply)
         if not matched.is_trusted:
-            result = Result(Outcome.ERROR)
-        is_ok = result.ending is Outcome.OK
+            result = AttemptResult(Outcome.ERROR)
+        is_ok = result.outcome is Outcome.OK
         self.runtime.scheduler.on_reply(now_ms, self.connection_id, is_ok)
         if matched.command.is_cancelled:
-            result = Result(Outcome.CANCELLED, sound=result.sound)
-        results.append(AttemptResult(matched.command.item, result))
+            result = AttemptResult(Outcome.CANCELLED, is_connection_reusable=result.is_connection_reusable)
+        results.append(FinishedAttempt(matched.command.item, result))
         if not matched.is_trusted:
             return "a reply that may be another's"
-        return "" if result.sound else "a reply of no known form"
+        return "" if result.is_connection_reusable else "a reply of no known form"
 
-    def _fail_head(self, now_ms: float, results: list[AttemptResult]) -> None:
+    def _fail_head(self, now_ms: float, results: list[FinishedAttempt]) -> None:
         """The reply to the head is invalid, but the request may have run."""
         command = self.pipeline.in_flight[0]
         if self.pipeline.may_be_sent(command):
             self.pipeline.in_flight.popleft()
             self.runtime.scheduler.on_reply(now_ms, self.connection_id, is_ok=False)
             outcome = Outcome.CANCELLED if command.is_cancelled else Outcome.ERROR
-            results.append(AttemptResult(command.item, Result(outcome)))
+            results.append(FinishedAttempt(command.item, AttemptResult(outcome)))
 
     def fail_response(self) -> None:
         """A reply has begun and does not go on."""
         self.stall_timer = None
         if self.final_results is None:
-            results: list[AttemptResult] = []
+            results: list[FinishedAttempt] = []
             self._update_sent()
             if self.pipeline.in_flight:
                 self._fail_head(self.runtime.now_ms(), results)
@@ -380,7 +380,7 @@
             return
         self._update_sent()
         outcomes = self.pipeline.close(cause, outcome)
-        self.final_results = [AttemptResult(item, Result(found)) for item, found in outcomes]
+        self.final_results = [FinishedAttempt(item, AttemptResult(found)) for item, found in outcomes]
         if len(outcomes) > 1:
             log.info(
                 "line %d to %s with %d attempts is cut: %s",
@@ -409,7 +409,7 @@
             # The operating system does not say how much it had sent: all that was written may have been.
             self.pipeline.update_sent(0)
             outcomes = self.pipeline.close()
-            self.final_results = [AttemptResult(item, Result(found)) for item, found in outcomes]
+            self.final_results = [FinishedAttempt(item, AttemptResult(found)) for item, found in outcomes]
             self._retire(has_failed=bool(outcomes))
         # uvloop closes the socket only after this call; see `Connection.connection_lost`.
         self.loop.call_soon(self._report_results)
--- a/glenchute/upstreams/pipelined_servers.py
+++ b/glenchute/upstreams/pipelined_servers.py
@@ -12,7 +12,7 @@
 import math
 from collections.abc import Callable, Iterable
 
-from glenchute.core.types import About, Address, Result
+from glenchute.core.types import Address, AttemptContext, AttemptResult
 from glenchute.policy.connections.class_compatibility import ClassCompatibility
 from glenchute.policy.connections.pipeline_types import PipelineRules
 from glenchute.policy.connections.pipelining import PipelineScheduler
@@ -53,32 +53,32 @@
         """A pool for a server that was not listed at this address before."""
         return PipelinedPool(self, self.runtime, server, address)
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server takes work; `started_anew`: with a new process."""
         before = self.pools.get(server)
-        super().listed(server, address, started_anew)
+        super().activate_server(server, address, started_anew)
         if started_anew or self.pools[server] is not before:
             self.scheduler.on_server_started(server)
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """A server drains: it gets nothing new, attempts in flight may finish."""
         self.scheduler.on_server_draining(server)
-        super().stopped(server)
+        super().drain_server(server)
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """A server was removed from the endpoint list."""
         self.scheduler.on_server_draining(server)
-        super().gone(server)
+        super().remove_server(server)
         self.scheduler.on_server_removed(server)
 
-    def attempt(
+    def create_attempt(
         self,
         server: str,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float = math.inf,
-        about: About | None = None,
+        about: AttemptContext | None = None,
     ) -> PipelinedAttempt | None:
         """Creates an attempt, not started yet; None if the server gets nothing (any more)."""
         pool = self.open_pool(server)
--- a/glenchute/upstreams/responses.py
+++ b/glenchute/upstreams/responses.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-from glenchute.core.types import Result
+from glenchute.core.types import AttemptResult
 from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2
 
@@ -16,25 +16,25 @@
 LOAD_REPORT = re.compile(r"[a-z_0-9]+=[0-9.]+(,[a-z_0-9]+=[0-9.]+)*")
 
 
-def result_of(reply: Any) -> Result:
+def result_of(reply: Any) -> AttemptResult:
     """The result that a complete reply stands for, by the platform's protocol.
 
     Only the exact forms count: a reply that was damaged on its way belongs to a request that has run, so it
     must neither be served nor taken for a rejection.
     """
     if isinstance(reply, list) and len(reply) == VALUE_REPLY_LENGTH and isinstance(reply[0], bytes):
-        return Result(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
+        return AttemptResult(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
     if isinstance(reply, resp2.ReplyError):
         return _error_result(str(reply))
-    return Result(Outcome.ERROR)
+    return AttemptResult(Outcome.ERROR)
 
 
-def _error_result(message: str) -> Result:
+def _error_result(message: str) -> AttemptResult:
     """The result of an error reply, whose last word may be a load report."""
     text, _, last_word = message.rpartition(" ")
     report = last_word.encode() if LOAD_REPORT.fullmatch(last_word) else None
     if report is None:
         text = message
     if text == REJECTED_TEXT:
-        return Result(Outcome.REJECTED, None, report, True)
-    return Result(Outcome.ERROR, None, report, text == FAILED_TEXT)
+        return AttemptResult(Outcome.REJECTED, None, report, True)
+    return AttemptResult(Outcome.ERROR, None, report, text == FAILED_TEXT)
--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -6,9 +6,9 @@
 import math
 from collections.abc import Callable, Collection
 
-from glenchute.core.types import About, Address, Result
+from glenchute.core.types import Address, AttemptContext, AttemptResult
 
-from .attempt import UpstreamAttempt
+from .attempt import BaseAttempt
 from .connection_pool import GRACE_MARGIN_S, ConnectionPool
 from .connection_tracker import ConnectionTracker
 from .exclusive_attempt import ExclusiveAttempt
@@ -35,7 +35,7 @@
         """A pool for a server that was not listed at this address before."""
         return ConnectionPool(self, address)
 
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server takes work; `started_anew`: with a new process."""
         if self.unopened.pop(server, None) is not None:
             self.stopping.pop(server, None)
@@ -50,16 +50,16 @@
         elif started_anew:
             pool.close_idle()  # they lead to the process that ended
 
-    def relisted(
+    def activate_servers(
         self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
     ) -> None:
         """Many servers take work; `anew`: whether one has a new process. Of the others all stay as they are,
         or, unless it is None, those in `stay`, and the rest is removed."""
         for server in list(self.pools):
             if server in addresses:
-                self.listed(server, addresses[server], anew(server))
+                self.activate_server(server, addresses[server], anew(server))
             elif stay is not None and server not in stay:
-                self.gone(server)
+                self.remove_server(server)
         stopping = self.stopping.items()
         self.stopping = {
             name: at for name, at in stopping if name not in addresses and (stay is None or name in stay)
@@ -70,7 +70,7 @@
         for server in self.pools:
             self.unopened.pop(server, None)
 
-    def stopped(self, server: str) -> None:
+    def drain_server(self, server: str) -> None:
         """A server drains: it gets nothing new, attempts in flight may finish."""
         if server in self.unopened:
             stop_at = self.loop.time() + self.limits.drain_grace_s - GRACE_MARGIN_S
@@ -80,7 +80,7 @@
         if pool is not None:
             pool.stop()
 
-    def gone(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """A server was removed from the endpoint list."""
         self.unopened.pop(server, None)
         self.stopping.pop(server, None)
@@ -96,7 +96,7 @@
             return server not in self.unopened or server in self.stopping
         return pool.stop_at is not None
 
-    def known(self) -> list[str]:
+    def server_ids(self) -> list[str]:
         """All servers that are listed or drain."""
         return [*self.pools, *self.unopened]
 
@@ -106,7 +106,7 @@
             pool = self.pools[server] = self.new_pool(server, self.unopened.pop(server))
             pool.stop_at = self.stopping.pop(server)
         elif server in self.unopened:
-            self.listed(server, self.unopened[server], False)
+            self.activate_server(server, self.unopened[server], False)
         found = self.pools.get(server)
         if found is None or (found.stop_at is not None and self.loop.time() > found.stop_at):
             return None
@@ -117,15 +117,15 @@
         pool = self.open_pool(server)
         return pool.address if pool is not None else None
 
-    def attempt(
+    def create_attempt(
         self,
         server: str,
         payload: Callable[[int], bytes],
         timeout_s: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
         write_by: float = math.inf,
-        about: About | None = None,
-    ) -> UpstreamAttempt | None:
+        about: AttemptContext | None = None,
+    ) -> BaseAttempt | None:
         """Creates an attempt, not started yet; None if the server gets nothing (any more).
 
         `about` is for attempts that share connections, and not used here.
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -1,8 +1,9 @@
 """A value that is too long to be buffered, relayed from a server's connection to a client as it comes.
 
-The core is notified when the first bytes have come (`began`), and the listener attaches its sink when the
-client's reply is next in order (`to`). Until then, while the client does not read, and while other streams
-have the read permits, the server's connection is not read from: backpressure reaches the server through TCP.
+The core is notified when the first bytes have come (`on_response_started`), and the listener attaches its
+sink when the client's reply is next in order (`start`). Until then, while the client does not read, and while
+other streams have the read permits, the server's connection is not read from: backpressure reaches the server
+through TCP.
 
 Each wait is bounded: a server that sends nothing although it is read from, and a value that takes too long,
 are aborted here; a client that does not read is the listener's to close, or is given up here for waiting
@@ -17,7 +18,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from glenchute.core.types import Result, Sink
+from glenchute.core.types import AttemptResult, ResponseSink
 from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import Outcome
 from glenchute.protocol.streamed_reply import LongReply
@@ -38,13 +39,16 @@
     transport: asyncio.Transport | None
     streamed: StreamedValue | None
 
-    def complete_response(self, attempt: CarriedAttempt, result: Result, has_surplus: bool) -> None: ...
+    def complete_response(
+        self, attempt: CarriedAttempt, result: AttemptResult, has_surplus: bool
+    ) -> None: ...
 
     def fail_response(self) -> None: ...
 
 
 class StreamedValue:
-    """One streamed value, the core's `Source`; `failed`: it ended before the client got any of it."""
+    """One streamed value, the core's `ResponseSource`; `has_failed`: it ended before the client got any of
+    it."""
 
     def __init__(
         self,
@@ -56,11 +60,11 @@
     ) -> None:
         self.conn, self.attempt, self.reply = conn, attempt, reply
         self.loop, self.permits = loop, permits
-        self.length = reply.length
-        self.sink: Sink | None = None
+        self.length_bytes = reply.length
+        self.sink: ResponseSink | None = None
         self.buffered: list[bytes] = []  # until there is a sink
         self.has_begun = False  # the core was notified
-        self.failed = False
+        self.has_failed = False
         self.is_dropped = False
         self.has_ended = False
         self.is_paused = False  # the client does not read
@@ -79,7 +83,7 @@
         value = self.reply.feed(data)
         if value:
             if self.sink is not None:
-                self.sink.piece(value)
+                self.sink.write_chunk(value)
             else:
                 self.buffered.append(value)
         if not self.has_begun:
@@ -109,8 +113,8 @@
         if self.attempt.timer is not None:
             self.attempt.timer.cancel()  # the first bytes were in time; the rest has its own limits
         self.duration_timer = self.loop.call_later(MAX_DURATION_S, self.conn.fail_response)
-        assert self.attempt.began is not None
-        self.attempt.began(self)
+        assert self.attempt.on_response_started is not None
+        self.attempt.on_response_started(self)
         if self.sink is None and not self.is_dropped:
             self._pause_reading()
 
@@ -124,7 +128,7 @@
         result = result_of(reply)
         result.value = None  # the client has got it already
         if self.sink is not None:
-            self.sink.whole()
+            self.sink.finish()
         self.conn.complete_response(self.attempt, result, self.reply.surplus)
 
     def on_connection_lost(self) -> None:
@@ -135,20 +139,20 @@
         if self.is_dropped:
             return
         if self.sink is not None:
-            self.sink.cut_short()
+            self.sink.abort()
         else:
-            self.failed, self.buffered = True, []
+            self.has_failed, self.buffered = True, []
 
     # --- the client's side -------------------------------------------------------------------------------
 
-    def to(self, sink: Sink) -> None:
+    def start(self, sink: ResponseSink) -> None:
         """The client's reply is next in order: passes on what is buffered, and reads from the server."""
         self.sink = sink
         buffered, self.buffered = self.buffered, []
         for value in buffered:
-            sink.piece(value)
+            sink.write_chunk(value)
         if self.has_ended:
-            sink.whole()
+            sink.finish()
         elif not self.is_paused:
             self.request_read()
 
@@ -172,7 +176,7 @@
         else:
             self._set_timer(CLIENT_BLOCKED_TIMEOUT_S, self._on_client_blocked)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """The client is gone: the attempt ends with its connection."""
         self.is_dropped, self.sink, self.buffered = True, None, []
         if not self.has_ended:
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -32,7 +32,7 @@
     until,
 )
 
-ANYWHERE: dict[str, Any] = {"operations": ("127.0.0.1", 0)}
+ANYWHERE: dict[str, Any] = {"operations_address": ("127.0.0.1", 0)}
 
 
 async def raw(port: int, data: bytes, patience_s: float = 5.0) -> bytes:
@@ -243,7 +243,7 @@
 
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
-            made = config(1, 1, [], operations=("127.0.0.1", taken.getsockname()[1]))
+            made = config(1, 1, [], operations_address=("127.0.0.1", taken.getsockname()[1]))
             program = Program(made, asyncio.get_running_loop())
             with pytest.raises(OSError):
                 await program.start()
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -628,7 +628,7 @@
         servers = ServerPools(asyncio.get_running_loop(), UpstreamLimits(0.25, 13.0, 0.25, 3))
         monkeypatch.setattr(servers, "new_pool", lambda server, address: Counted(servers, address))
         for n in range(5_700):
-            servers.listed(f"n{n}", ("127.0.0.1", 9), False)
+            servers.activate_server(f"n{n}", ("127.0.0.1", 9), False)
         conns = []
         for n in (5, 7, 7):
             conns.append(Connection(servers.pools[f"n{n}"]))
@@ -636,7 +636,7 @@
         assert servers.connection_count() == 3 and not servers.may_open() and not servers.make_room()
         servers.pools["n7"].give_back(conns[1])
         assert servers.may_open() and servers.make_room() and servers.connection_count() == 2
-        servers.gone("n5")
+        servers.remove_server("n5")
         servers.sweep()
         assert walked <= 3 and servers.connection_count() == 2 and len(servers.active_pools) == 2
         servers.close()
