--- a/glenchute/upstreams/connection.py
+++ b/glenchute/upstreams/connection.py
@@ -8,7 +8,7 @@
 from glenchute.core.types import AttemptResult
 from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2
-from glenchute.protocol.streamed_reply import LongReply
+from glenchute.protocol.streamed_reply import StreamedReply
 
 from .attempt import CarriedAttempt
 from .connection_tracker import ConnectionTracker
@@ -62,8 +62,8 @@
                 self.streamed.feed(data)
                 return
             self.parser.feed(data)
-            reply = self.parser.next()
-        except resp2.TooLongError:
+            reply = self.parser.next_message()
+        except resp2.ValueTooLongError:
             self._start_stream(attempt)
             return
         except resp2.ProtocolError:
@@ -74,7 +74,7 @@
             loop = self.pool.tracker.loop
             self.stall_timer = loop.call_later(RESPONSE_STALL_S, self.fail_response)
             return
-        self.complete_response(attempt, result_of(reply), self.parser.rest())
+        self.complete_response(attempt, result_of(reply), self.parser.has_unparsed())
 
     def complete_response(self, attempt: CarriedAttempt, result: AttemptResult, has_surplus: bool) -> None:
         """The response is complete; `has_surplus`: more bytes came behind it."""
@@ -91,7 +91,7 @@
 
     def _start_stream(self, attempt: CarriedAttempt) -> None:
         """Begins to relay a value that is too long to be buffered."""
-        found = LongReply.of(self.parser.take())
+        found = StreamedReply.parse_head(self.parser.take_unparsed())
         if found is None or attempt.on_response_started is None:
             self.fail_response()
             return
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -316,13 +316,13 @@
         fault = ""
         try:
             self.parser.feed(data)
-            while not fault and (reply := self.parser.next()) is not False:
+            while not fault and (reply := self.parser.next_message()) is not False:
                 fault = self._on_reply(now_ms, reply, results)
         except resp2.ProtocolError:
             fault = "a reply that can't be read"
             if self.pipeline.in_flight:
                 self._fail_head(now_ms, results)
-        if not fault and self.parser.rest():
+        if not fault and self.parser.has_unparsed():
             if not self.pipeline.in_flight:
                 return "more than was asked for"
             # A wrong length leaves a reply without an end, on a connection that stays open.
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -21,7 +21,7 @@
 from glenchute.core.types import AttemptResult, ResponseSink
 from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 from glenchute.policy.events import Outcome
-from glenchute.protocol.streamed_reply import LongReply
+from glenchute.protocol.streamed_reply import StreamedReply
 
 from .attempt import CarriedAttempt
 from .responses import RESPONSE_STALL_S, result_of
@@ -54,13 +54,13 @@
         self,
         conn: StreamConnection,
         attempt: CarriedAttempt,
-        reply: LongReply,
+        reply: StreamedReply,
         loop: asyncio.AbstractEventLoop,
         permits: StreamReadPermits[StreamedValue],
     ) -> None:
         self.conn, self.attempt, self.reply = conn, attempt, reply
         self.loop, self.permits = loop, permits
-        self.length_bytes = reply.length
+        self.length_bytes = reply.length_bytes
         self.sink: ResponseSink | None = None
         self.buffered: list[bytes] = []  # until there is a sink
         self.has_begun = False  # the core was notified
@@ -93,7 +93,7 @@
             self._begin()
         if self.is_dropped or self.has_ended:
             return
-        if self.reply.done:
+        if self.reply.is_complete:
             self._finish()
             return
         if self.is_paused or self.sink is None:
@@ -106,7 +106,7 @@
 
     def _begin(self) -> None:
         """Notifies the core: enough bytes have come, or no more for a while."""
-        if self.has_begun or self.has_ended or (not self.buffered and not self.reply.done):
+        if self.has_begun or self.has_ended or (not self.buffered and not self.reply.is_complete):
             return
         self.has_begun = True
         self._cancel_timer()
@@ -124,12 +124,12 @@
         self.conn.streamed = None
         self._release()
         self._resume_reading()
-        reply = [b"", *self.reply.reply]
+        reply = [b"", *self.reply.trailer]
         result = result_of(reply)
         result.value = None  # the client has got it already
         if self.sink is not None:
             self.sink.finish()
-        self.conn.complete_response(self.attempt, result, self.reply.surplus)
+        self.conn.complete_response(self.attempt, result, self.reply.has_surplus)
 
     def on_connection_lost(self) -> None:
         """The server's connection is closed before the response was complete."""
