--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -12,7 +12,7 @@
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import encode_handover, retained_limit_share
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 
 log = logging.getLogger("glenchute")
 
@@ -29,7 +29,7 @@
         loop: asyncio.AbstractEventLoop,
         gateway: RequestExecutor,
         listener: Listener,
-        servers: Servers,
+        servers: ServerPools,
     ) -> None:
         self.path, self.config, self.loop = path, config, loop
         self.gateway, self.listener, self.servers = gateway, listener, servers
@@ -47,7 +47,7 @@
         loop: asyncio.AbstractEventLoop,
         gateway: RequestExecutor,
         listener: Listener,
-        servers: Servers,
+        servers: ServerPools,
     ) -> ProcessHandover | None:
         """None, with a warning, where there is no usable folder for the socket."""
         path = socket_path(folder, config.name, config.listen) if folder else None
