--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -45,7 +45,7 @@
 
 def probe() -> None:
     """In the gateway's process, before it starts: notes moments, written out at its end."""
-    from glenchute.core.gateway import RequestExecutor
+    from glenchute.core.executor import RequestExecutor
     from glenchute.upstreams.connection_pool import Attempt, Connection
 
     moments: Moments = {}
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -19,7 +19,7 @@
 
 from benchmarks.machine import machine
 from glenchute.clients.discovery import Held, read_in_parts, read_list
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.balancing.subset_size import WHOLE
@@ -39,7 +39,10 @@
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
         self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
         self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
-        self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+        self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
+            WHOLE,
+            self.narrow,
+        )
         self.held, self.parted = Held(), parted
         self.version = 0
 
@@ -80,7 +83,7 @@
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
             names, [servers.stops(name) for name in names], where,
-            self.gateway.server_started_ms, self.held.rows, self.used(), self.policy.fleet.of,
+            self.gateway.endpoints.started_ms, self.held.rows, self.used(), self.policy.fleet.of,
             subset and (subset.listed, subset.rings, list(subset.held)),
         )  # fmt: skip
 
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -17,7 +17,7 @@
 from glenchute.clients.counter import Counter
 from glenchute.clients.discovery import Discovery
 from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler, EndpointUpdate
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import CommandParser
@@ -103,7 +103,10 @@
         self.gateway = RequestExecutor(loop, decisions, self.servers, self.counter)
         self.gateway.allows_concurrent_attempts = made.allows_hedging
         if raw is None:
-            self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+            self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
+                WHOLE,
+                self.narrow,
+            )
         if operator is not None:
             self.bind(operator)
         catalogue = CommandParser(made, config.request_bounds)
--- /dev/null
+++ b/glenchute/core/executor.py
@@ -0,0 +1,427 @@
+"""Executes the decision engine's actions and reports events to it: one request's life, whatever the protocol.
+
+Executing an action never calls the engine: outcomes, counter replies and timers are queued and dispatched
+one by one, each after the actions of the event before it. Whatever the engine does, each request gets
+exactly one final response, in time.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from collections import deque
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from glenchute.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogMessage,
+    Reject,
+    SendState,
+    SetTimer,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from glenchute.policy.events import (
+    DID_NOT_RUN,
+    AttemptAssigned,
+    AttemptEnded,
+    AttemptStalled,
+    ClientDisconnected,
+    CounterReply,
+    Event,
+    Outcome,
+    QuotaSnapshot,
+    Request,
+    ResponseStarted,
+    TimerFired,
+)
+
+from .active_request import ActiveRequest
+from .clock import Clock
+from .endpoint_updates import EndpointUpdater
+from .load_report import parse_load_report
+from .types import (
+    AttemptContext,
+    AttemptResult,
+    Call,
+    DecisionHandler,
+    EndpointUpdate,
+    Failed,
+    FinalResponse,
+    Rejected,
+    ResponseSource,
+    Served,
+    SharedCounter,
+    Streamed,
+    UpstreamAttempt,
+    UpstreamServers,
+)
+
+if TYPE_CHECKING:  # only an operator's file brings routes in
+    from glenchute.policy.retries.route_limits import RouteTable
+
+log = logging.getLogger("glenchute")
+
+RESPONSE_MARGIN_S = (
+    0.01  # attempts end this long before the client's deadline, to leave time for the response
+)
+ENGINE_RETRY_MS = 250.0  # after a fault in the engine's timer, which it would else never set again
+MIN_TIMER_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
+
+
+class RequestExecutor:
+    """Connects listeners and upstreams to the decision engine.
+
+    Requests and attempts are named by an id of this class: an attempt may outlive its request, whose own id
+    a client may then use again. Times whose names have no unit are seconds of the event loop's clock.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        decisions: DecisionHandler,
+        upstream: UpstreamServers,
+        counter: SharedCounter | None,
+    ) -> None:
+        self.loop = loop
+        self.clock = Clock()
+        self.decisions = decisions
+        self.upstream = upstream
+        self.counter = counter
+        self.endpoints = EndpointUpdater(upstream)
+        self.active_requests: dict[str, ActiveRequest] = {}
+        self.attempts_in_flight: dict[tuple[str, int], UpstreamAttempt] = {}
+        self.last_request_number = 0
+        self.routes: RouteTable | None = None
+        self.send_state: Callable[[tuple[QuotaSnapshot, ...]], None] | None = None  # to the next process
+        self.last_response_at = loop.time()  # of any server; at first the start of this process
+        self.last_failure_at = -math.inf  # when an attempt last failed
+        self.allows_concurrent_attempts = False  # hedged requests are enabled
+        self.max_attempts = 0  # of a request; 0 unless attempts share connections
+        self.reports_assignments = False  # captures keep on which connection an attempt was written
+        self.pending_events: deque[Event] = deque()
+        self.is_dispatching = False
+
+    # --- events in ---------------------------------------------------------------------------------------
+
+    def post(self, event: Event) -> None:
+        """Queues an event, and dispatches it unless another event is being handled."""
+        self.pending_events.append(event)
+        if self.is_dispatching:
+            return
+        self.is_dispatching = True
+        try:
+            while self.pending_events:
+                self.dispatch(self.pending_events.popleft())
+        finally:
+            self.is_dispatching = False
+
+    def dispatch(self, event: Event) -> None:
+        """Handles one event and executes its actions. A fault in either is logged, and the request that it
+        concerns still gets its final response."""
+        try:
+            actions = self.decisions.handle(self.clock.now_ms(), event)
+        except Exception:
+            log.exception("the decisions failed on %s", type(event).__name__)
+            if isinstance(event, Request | AttemptEnded):
+                self.abort_request(event.request_id)
+            elif isinstance(event, TimerFired):
+                self.set_timer(event.token, self.clock.now_ms() + ENGINE_RETRY_MS)
+            return
+        for action in actions:
+            try:
+                self.execute(action)
+            except Exception:
+                log.exception("carrying out %s failed", type(action).__name__)
+                if isinstance(action, StartAttempt | Reject | Fail):
+                    self.abort_request(action.request_id)
+
+    def accept(
+        self,
+        call: Call,
+        on_final_response: Callable[[FinalResponse], None],
+        has_client_left: Callable[[], bool] | None = None,
+    ) -> ActiveRequest:
+        """Takes over a request that has been received completely.
+
+        `on_final_response` is called exactly once, perhaps within this call. `has_client_left` is asked
+        right before each attempt whether the client has closed its connection.
+        """
+        self.last_request_number += 1
+        request_id = str(self.last_request_number)
+        deadline = self.loop.time() + call.time_left_ms / 1000.0
+        request = ActiveRequest(request_id, call, deadline, on_final_response, has_client_left)
+        self.active_requests[request_id] = request
+        request.deadline_timer = self.loop.call_at(deadline, self.deadline_expired, request_id)
+        attempt_timeout_ms = hedge_after_ms = 0.0
+        if self.routes is not None:
+            request.retries = self.routes.start_request(self.clock.now_ms(), call.class_name, call.plan)
+            if request.retries is not None:
+                limits = request.retries.limits
+                attempt_timeout_ms, hedge_after_ms = limits.attempt_timeout_ms, limits.hedge_after_ms
+        self.post(
+            Request(
+                request_id,
+                call.class_name,
+                call.plan,
+                call.tenant,
+                call.time_left_ms,
+                call.units,
+                call.gateway_spread,
+                attempt_timeout_ms,
+                hedge_after_ms,
+            )
+        )
+        return request
+
+    def client_disconnected(self, request: ActiveRequest) -> None:
+        """No response is owed any more: attempts of which nothing is written are ended."""
+        if self.release(request):
+            self.post(ClientDisconnected(request.request_id))
+            if request.call.transport is None:
+                for attempt in [one for one in request.attempts_in_flight if not one.is_written]:
+                    attempt.stop(Outcome.NOT_SENT)
+
+    def is_client_connected(self, request: ActiveRequest) -> bool:
+        """Whether the client is still connected. If it is not, though its listener has yet to read that, the
+        request ends here."""
+        if request.has_client_left is None or not request.has_client_left():
+            return True
+        self.client_disconnected(request)
+        return False
+
+    def deadline_expired(self, request_id: str) -> None:
+        """The client's deadline has come without a final response from the engine."""
+        self.abort_request(request_id)
+
+    def update_endpoints(self, update: EndpointUpdate) -> None:
+        """The endpoint list changed. The upstream is updated first, so that nothing is sent to a server that
+        takes nothing any more."""
+        self.endpoints.apply(update)
+        self.post(update.event)
+
+    # --- actions out -------------------------------------------------------------------------------------
+
+    def execute(self, action: Action) -> None:
+        """Executes one action."""
+        match action:
+            case StartAttempt():
+                self.start_attempt(action)
+            case Reject(request_id, retry_after_ms):
+                self.reject(request_id, retry_after_ms)
+            case Fail(request_id):
+                self.respond(request_id, Failed())
+            case CancelAttempt(request_id, number):
+                attempt = self.attempts_in_flight.get((request_id, number))
+                if attempt is not None:
+                    attempt.stop(Outcome.CANCELLED)
+            case SetTimer(token, at_ms):
+                self.set_timer(token, at_ms)
+            case IncrementCounter(name, amount, ttl_ms):
+                self.increment_counter(name, amount, ttl_ms)
+            case SubscribeToEndpoints():
+                pass  # the discovery client does so from the start
+            case LogMessage(message):
+                log.info("%s", message)
+            case SendState(quotas):
+                if self.send_state is not None:
+                    self.send_state(quotas)
+
+    def set_timer(self, token: int, at_ms: float) -> None:
+        """Posts `TimerFired` at `at_ms` or after."""
+        delay = max(0.0, at_ms - self.clock.now_ms()) / 1000.0
+        self.loop.call_later(delay + MIN_TIMER_S, self.post, TimerFired(token))
+
+    def increment_counter(self, key: int, amount: float, ttl_ms: float) -> None:
+        """Calls the shared counter; without one the call ends as unreachable."""
+
+        def on_reply(total: float, outcome: Outcome, duration_ms: float) -> None:
+            self.post(CounterReply(key, total, outcome, duration_ms))
+
+        def on_late_reply(total: float, outcome: Outcome, duration_ms: float) -> None:
+            self.post(CounterReply(key, total, outcome, duration_ms, True))
+
+        if self.counter is None:
+            on_reply(0.0, Outcome.UNREACHABLE, 0.0)
+        else:
+            self.counter.increment(key, amount, ttl_ms, on_reply, on_late_reply)
+
+    # --- attempts ----------------------------------------------------------------------------------------
+
+    def start_attempt(self, action: StartAttempt) -> None:
+        """Starts an attempt, or ends it unsent where it must not run."""
+        request_id, server = action.request_id, action.address
+        request = self.active_requests.get(request_id)
+        number = request.attempt_count if request is not None else 0
+        if request is not None:
+            request.attempt_count += 1
+            if not self.is_client_connected(request):
+                request = None
+        if request is None or not self.may_start(request):
+            self.post(AttemptEnded(request_id, number, server, Outcome.NOT_SENT, 0.0, request is None))
+            return
+        left_s = request.deadline - RESPONSE_MARGIN_S - self.loop.time()
+        timeout_s = min(left_s, action.timeout_ms / 1000.0) if action.timeout_ms > 0 else left_s
+        attempt = self.create_attempt(request, number, action, timeout_s) if timeout_s > 0 else None
+        if attempt is None:
+            outcome = Outcome.UNREACHABLE if timeout_s > 0 else Outcome.NOT_SENT
+            delay_ms = self.retry_delay_ms(request, outcome)
+            self.post(AttemptEnded(request_id, number, server, outcome, 0.0, False, retry_delay_ms=delay_ms))
+            return
+        self.attempts_in_flight[request_id, number] = attempt
+        request.attempts_in_flight.append(attempt)
+        if request.call.transport is None:
+            attempt.on_response_started = lambda source: self.response_started(request, number, source)
+            attempt.is_wanted = lambda: self.is_client_connected(request)
+        attempt.start()
+
+    def create_attempt(
+        self, request: ActiveRequest, number: int, action: StartAttempt, timeout_s: float
+    ) -> UpstreamAttempt | None:
+        """Has the request's transport, or else the upstream, make an attempt; None if the server takes
+        nothing (any more)."""
+
+        def on_ended(result: AttemptResult) -> None:
+            self.attempt_ended(request, number, action.address, result)
+
+        write_by = math.inf
+        if action.write_by_ms > 0:
+            write_by = self.loop.time() + (action.write_by_ms - self.clock.now_ms()) / 1000.0
+        transport, encode = request.call.transport, request.call.encode
+        if transport is None and self.max_attempts:
+            context = self.attempt_context(request, number)
+            return self.upstream.create_attempt(
+                action.address, encode, timeout_s, on_ended, write_by, context
+            )
+        transport = transport or self.upstream
+        return transport.create_attempt(action.address, encode, timeout_s, on_ended, write_by)
+
+    def attempt_context(self, request: ActiveRequest, number: int) -> AttemptContext:
+        """What the upstream needs to place an attempt on a connection that others share."""
+        call, retries = request.call, request.retries
+        may_retry = request.attempt_count < self.max_attempts and (
+            retries is None or retries.may_retry_after(Outcome.RESET)
+        )
+
+        def on_stalled() -> None:
+            self.post(AttemptStalled(request.request_id, number))
+
+        def on_assigned(reason: str) -> None:
+            self.post(AttemptAssigned(request.request_id, number, reason))
+
+        return AttemptContext(
+            call.class_name,
+            request.deadline - call.time_left_ms / 1000.0,
+            request.deadline - RESPONSE_MARGIN_S,
+            may_retry,
+            retries.limits.max_pipeline_depth if retries is not None else 0,
+            on_stalled,
+            on_assigned if self.reports_assignments else None,
+        )
+
+    def may_start(self, request: ActiveRequest) -> bool:
+        """Whether an attempt may start now, given those in flight and the request's route."""
+        if request.attempts_in_flight and not self.allows_concurrent_attempts:
+            return False
+        return request.retries is None or request.retries.try_start_attempt(
+            self.clock.now_ms(), bool(request.attempts_in_flight)
+        )
+
+    def retry_delay_ms(self, request: ActiveRequest, outcome: Outcome) -> float:
+        """The backoff of the request's route after this outcome; inf: no retry."""
+        if request.retries is None or request.attempts_in_flight:
+            return 0.0
+        return request.retries.retry_delay_ms(self.clock.now_ms(), outcome)
+
+    def response_started(self, request: ActiveRequest, number: int, source: ResponseSource) -> None:
+        """A streamed response has begun. It is the final response, however it ends: after its first byte
+        nothing else can be written to the client."""
+        if request.request_id not in self.active_requests:
+            source.discard()  # the deadline has expired, or another attempt was first
+            return
+        attempt = self.attempts_in_flight[request.request_id, number]
+        request.time_to_first_byte_ms = 1000.0 * (self.loop.time() - attempt.started_at)
+        self.respond(request.request_id, Streamed(source))
+        for other in [one for one in request.attempts_in_flight if one is not attempt]:
+            other.stop(Outcome.CANCELLED)
+        self.post(ResponseStarted(request.request_id, number))
+
+    def attempt_ended(self, request: ActiveRequest, number: int, server: str, result: AttemptResult) -> None:
+        """An attempt's one outcome. A value is sent to the client before the engine hears of it."""
+        attempt = self.attempts_in_flight.pop((request.request_id, number))
+        request.attempts_in_flight.remove(attempt)
+        if result.outcome not in DID_NOT_RUN:
+            request.may_have_run = True
+        # Of a streamed response only the time to the first byte tells of the server's load.
+        duration_ms = request.time_to_first_byte_ms
+        if duration_ms is None:
+            duration_ms = 1000.0 * (self.loop.time() - attempt.started_at)
+        if result.outcome is Outcome.OK and result.value is not None:
+            self.last_response_at = self.loop.time()
+            self.respond(request.request_id, Served(result.value))
+        else:
+            self.last_failure_at = self.loop.time()
+        queued, active = parse_load_report(result.load_report)
+        is_final = request.request_id not in self.active_requests
+        if result.is_last_attempt:
+            delay_ms = math.inf
+        else:
+            delay_ms = 0.0 if is_final else self.retry_delay_ms(request, result.outcome)
+        self.post(
+            AttemptEnded(
+                request.request_id,
+                number,
+                server,
+                result.outcome,
+                duration_ms,
+                is_final,
+                queued,
+                active,
+                delay_ms,
+            )
+        )
+
+    # --- the one final response --------------------------------------------------------------------------
+
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
+        """Rejects a request. A rejection promises that no attempt ran: where one may have, the final response
+        is a failure, whoever asked for the rejection."""
+        request = self.active_requests.get(request_id)
+        if request is not None:
+            self.respond(request_id, Failed() if request.may_have_executed() else Rejected(retry_after_ms))
+
+    def respond(self, request_id: str, response: FinalResponse) -> None:
+        """Gives the final response; later ones for the same request are dropped."""
+        request = self.active_requests.get(request_id)
+        if request is not None and self.release(request):
+            request.on_final_response(response)
+
+    def abort_request(self, request_id: str) -> None:
+        """Ends a request that the engine has not answered, and tells the engine that it is over."""
+        request = self.active_requests.get(request_id)
+        if request is not None:
+            self.reject(request_id, 0.0)
+            for attempt in list(request.attempts_in_flight):
+                attempt.stop(Outcome.CANCELLED)
+            self.post(ClientDisconnected(request_id))
+
+    def release(self, request: ActiveRequest) -> bool:
+        """Removes a request and its timer; False if it was removed before."""
+        if self.active_requests.pop(request.request_id, None) is None:
+            return False
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+            request.deadline_timer = None
+        if request.retries is not None:
+            request.retries.release()
+        return True
+
+    def close_all(self) -> None:
+        """Answers all open requests, at the end of the process."""
+        for request_id in list(self.active_requests):
+            self.abort_request(request_id)
--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -1,4 +1,4 @@
-"""What passes between fronts, core, backends and peers. No sockets, no wire."""
+"""The types that pass between listeners, core, upstreams and clients. No sockets, no protocol."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @record(slots=True)
 class Call:
-    """A client's request as the core needs it; each front adds what its backend is to be sent."""
+    """A client's request as the core needs it; each listener adds what its upstream is to be sent."""
 
     request_id: bytes
     class_name: str
@@ -26,70 +26,72 @@
     gateway_spread: int
 
     def encode(self, left_ms: int) -> bytes:
-        """The bytes for a server, told that the gateway will wait so long."""
+        """The bytes for a server, which is told that the gateway waits `left_ms` for the response."""
         raise NotImplementedError
 
     @property
     def transport(self) -> AttemptTransport | None:
-        """Who makes this request's attempts in place of the gateway's own backend: the proxy it came from."""
+        """What makes this request's attempts instead of the gateway's own upstream, as the proxy that it came
+        from; None for the upstream."""
         return None
 
 
 @record(frozen=True, slots=True)
 class Served:
-    """Final answer: the value as a server gave it for this request."""
+    """Final response: the value as a server gave it for this request."""
 
     value: bytes
 
 
 @record(frozen=True, slots=True)
 class Rejected:
-    """Final answer: no try ran; come again after this time, 0 for no advice."""
+    """Final response: no attempt ran. The client may retry after `retry_after_ms`; 0: no advice."""
 
     retry_after_ms: float
 
 
 @record(frozen=True, slots=True)
 class Failed:
-    """Final answer: no promise about the effect."""
+    """Final response: no promise about the effect."""
 
 
 class ResponseSink(Protocol):
-    """Where a long value goes: a client whose turn it is. None of these is called from within a call to the
-    source, but for `ResponseSource.start`."""
+    """A client connection that receives a streamed value. None of these methods is called from within a call
+    to the source, except from `ResponseSource.start`."""
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes."""
+        """Writes the next bytes."""
 
     def finish(self) -> None:
-        """All bytes have been given."""
+        """All bytes have been written."""
 
     def abort(self) -> None:
-        """No more come, and the client has to be able to tell."""
+        """The value ends early, and the client must be able to tell."""
 
 
 class ResponseSource(Protocol):
-    """A long value on its way, `length` bytes in all. One that has `failed` gave nothing on, and won't."""
+    """A streamed value of `length_bytes`. One that `has_failed` has written nothing and never will."""
 
     length_bytes: int
     has_failed: bool
 
     def start(self, sink: ResponseSink) -> None:
-        """The client's turn has come: gives all on that comes from now on, at the client's pace. Once."""
+        """The reply is next in the connection's order: writes everything to the sink, as fast as the client
+        reads. To be called once."""
 
     def pause(self) -> None:
-        """The client does not read: no more, for now."""
+        """The client does not read: writes nothing until `resume`."""
 
     def resume(self) -> None:
-        """It does again."""
+        """The client reads again."""
 
     def discard(self) -> None:
-        """Nobody wants it any more. No call to the sink follows."""
+        """Nobody wants the value any more. The sink is not called after this."""
 
 
 @record(frozen=True, slots=True)
 class Streamed:
-    """Final answer: a value too long to be held, as a server gives it for this request."""
+    """Final response: a value too long to be buffered, as a server sends it for this request."""
 
     source: ResponseSource
 
@@ -99,8 +101,7 @@
 
 @record(slots=True)
 class AttemptResult:
-    """How an attempt ended; `sound` where the connection can be used again, `last` where whoever carries the
-    attempts makes no further one."""
+    """How an attempt ended. `is_last_attempt`: its transport makes no further one for this request."""
 
     outcome: Outcome
     value: bytes | None = None
@@ -111,7 +112,7 @@
 
 @record(slots=True)
 class EndpointUpdate:
-    """A list or changes to it, with the addresses, which only the transport needs."""
+    """An endpoint list or changes to it. The addresses are for the upstream only."""
 
     version: int
     event: EndpointList
@@ -119,39 +120,37 @@
 
 
 class DecisionHandler(Protocol):
-    """The decision module, as far as the core needs it."""
+    """The decision engine, or what stands before it, as far as the core needs it."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]: ...
 
 
 class UpstreamAttempt(Protocol):
-    """One request on its way to one server. `done` was handed over at the making and is called once."""
+    """One attempt at one server. Whoever creates it passes a callback; it is called once."""
 
-    started_at: float  # the loop's time
-    is_written: bool  # a byte may have left: it may have run
-    on_response_started: (
-        Callable[[ResponseSource], None] | None
-    )  # told of an answer too long to be held, before `done`
-    is_wanted: Callable[[], bool] | None  # asked right before it is written; False: it has ended, unsent
+    started_at: float  # seconds of the loop's clock
+    is_written: bool  # a byte may have been sent: it may have run
+    on_response_started: Callable[[ResponseSource], None] | None  # called before the result, for long values
+    is_wanted: Callable[[], bool] | None  # asked right before it is written; if False, it has ended unsent
 
     def start(self) -> None:
         """Sends it, or begins to."""
 
-    def stop(self, ending: Outcome) -> None:
-        """Ends it early. `done` is called once the connection is closed."""
+    def stop(self, outcome: Outcome) -> None:
+        """Ends it early. The result is reported once its connection is closed."""
 
 
 class AttemptContext(NamedTuple):
-    """What a carrier that places attempts on shared connections needs to know of one. Times are the loop's,
-    in seconds."""
+    """What an upstream needs to place an attempt on a shared connection. Times are seconds of the loop's
+    clock."""
 
     class_name: str
-    received_at: float  # when its request came
+    received_at: float  # when the request was received
     deadline: float  # attempts end by then
-    may_retry: bool  # its request may have a further attempt after a reset, as far as numbers and routes go
-    max_depth: int  # most attempts on its connection, by its route; 0: none said
-    on_stalled: Callable[[], None]  # to be told that it waits behind a stalled one
-    on_assigned: Callable[[str], None] | None  # to be told where it went and why, if anybody wants to know
+    may_retry: bool  # after a reset, as far as the number of attempts and the route allow
+    max_depth: int  # most attempts in flight on its connection, by its route; 0: not limited by it
+    on_stalled: Callable[[], None]  # it waits behind a response that does not come
+    on_assigned: Callable[[str], None] | None  # gets the connection and the reason, for captures
 
 
 class AttemptTransport(Protocol):
@@ -166,37 +165,40 @@
         write_by: float,
         about: AttemptContext | None = None,
     ) -> UpstreamAttempt | None:
-        """Makes an attempt, not started yet; None if the server takes nothing (any more). Not a byte of it
-        leaves after `write_by`, the loop's time: it then ends as "could not connect"."""
+        """Creates an attempt, not started yet; None if the server takes nothing (any more).
+
+        `payload` makes the bytes, given the milliseconds that the gateway waits. `done` is called once. Not a
+        byte is sent after `write_by` (loop time): the attempt then ends as UNREACHABLE.
+        """
 
 
 class UpstreamServers(AttemptTransport, Protocol):
     """The servers, by their ids."""
 
     def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
-        """A server that takes work."""
+        """A server is active. `started_anew`: its process is not the one that was known."""
 
     def activate_servers(
         self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
     ) -> None:
-        """Many servers that take work; `anew` tells of one whether it was started anew. Of the others all
-        `stay` as they are, or those named, the rest having left the list."""
+        """Many servers are active; `anew` tells of each whether it was started anew. Of all others those in
+        `stay` remain as they are and the rest is removed; None: all remain."""
 
     def drain_server(self, server: str) -> None:
-        """A server that drains: nothing new, what is out may finish."""
+        """A server is draining: no new attempts, those in flight may finish."""
 
     def remove_server(self, server: str) -> None:
-        """A server that left the list."""
+        """A server has left the endpoint list."""
 
     def server_ids(self) -> list[str]:
-        """All that are listed or drain."""
+        """All servers that are active or draining."""
 
     def address(self, server: str) -> Address | None:
-        """Where it listens; None if it takes nothing (any more)."""
+        """Where the server listens; None if it takes nothing (any more)."""
 
 
 class SharedCounter(Protocol):
-    """The shared counter."""
+    """The counter that all gateways share."""
 
     def increment(
         self,
@@ -206,6 +208,9 @@
         done: Callable[[float, Outcome, float], None],
         late: Callable[[float, Outcome, float], None],
     ) -> None:
-        """Adds an amount; `done` gets total, ending and milliseconds, once, within the time-out. After a
-        time-out `late` gets what became of the call, once, within a bounded time; a time-out again where
-        that stays unknown."""
+        """Adds an amount to the key `name`, which expires `ttl_ms` after its first call.
+
+        `done` gets total, outcome and duration in milliseconds, once, within the timeout. After a timeout
+        `late` gets what became of the call, once, within a bounded time; a timeout again where that stays
+        unknown.
+        """
--- a/glenchute/listeners/extproc/calls.py
+++ b/glenchute/listeners/extproc/calls.py
@@ -14,7 +14,8 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from glenchute.core.gateway import ActiveRequest, RequestExecutor
+from glenchute.core.active_request import ActiveRequest
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import (
     Address,
     AttemptContext,
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -12,7 +12,8 @@
 
 from envoy.service.ratelimit.v3 import rls_pb2
 
-from glenchute.core.gateway import ActiveRequest, RequestExecutor
+from glenchute.core.active_request import ActiveRequest
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import (
     AttemptContext,
     AttemptResult,
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -8,7 +8,7 @@
 from glenchute.config.extproc import rules
 from glenchute.config.files import read_file, secret_key
 from glenchute.config.platform import PlatformConfig
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 
 from .calls import ExtProcSettings, RequestTable
 from .ratelimit import RateLimiter
--- a/glenchute/listeners/resp2/clients.py
+++ b/glenchute/listeners/resp2/clients.py
@@ -17,7 +17,8 @@
 from collections.abc import KeysView
 from typing import Any
 
-from glenchute.core.gateway import ActiveRequest, RequestExecutor
+from glenchute.core.active_request import ActiveRequest
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import FinalResponse, Rejected, ResponseSource, Served, Streamed
 from glenchute.policy.connections.client_slots import (
     ABORT_REASONS,
--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -22,6 +22,7 @@
     SubscribeToEndpoints,
 )
 from .events import (
+    DID_NOT_RUN,
     AttemptEnded,
     AttemptStalled,
     AvoidEndpoint,
@@ -55,7 +56,6 @@
 FEW = 4.0  # attempts out below which they tell nothing of the fleet
 TALLY_MS = 5_000.0  # a line this often tells how requests, attempts and calls to the counter ended
 STOOD_MS = 1000.0  # a tick that comes so late tells that this process stood still
-DID_NOT_RUN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class DecisionEngine:
--- a/glenchute/policy/events.py
+++ b/glenchute/policy/events.py
@@ -32,6 +32,9 @@
     NOT_SENT = "unsent"  # not a byte was written; did not run
 
 
+DID_NOT_RUN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
+
+
 class EndpointState(Enum):
     """What the endpoint list says of a server."""
 
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -17,7 +17,7 @@
 from benchmarks.list_turns import LISTS, Chain, zoned
 from glenchute.clients import discovery as discoveries
 from glenchute.clients.discovery import PART_ROWS, Held, read_in_parts, read_list
-from glenchute.core import gateway as gateways
+from glenchute.core import endpoint_updates
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import EndpointList, EndpointListKind
@@ -408,7 +408,7 @@
         rows, full = drawn(rng, names), step == 0 or rng.random() < 0.5
         new.tell(rows, full)
         with monkeypatch.context() as patch:
-            patch.setattr(gateways, "MANY_ROWS", 10**9)
+            patch.setattr(endpoint_updates, "BULK_ROWS", 10**9)
             old.tell(rows, full)
         for name in rng.sample(sorted(new.used()), len(new.used()) // 3):  # pools that are made by use
             assert new.servers.open_pool(name) is not None
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -464,7 +464,7 @@
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
             assert (
-                not one.program.gateway.server_started_ms and not one.program.servers.pools
+                not one.program.gateway.endpoints.started_ms and not one.program.servers.pools
             )  # ids are ever new
 
     play(scenario())
--- a/tests/core/test_gateway.py
+++ b/tests/core/test_executor.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from glenchute.core.gateway import Clock, report
+from glenchute.core.clock import Clock
+from glenchute.core.load_report import parse_load_report
 from glenchute.policy.actions import Action, CancelAttempt, Fail, Reject, SetTimer, StartAttempt
 from glenchute.policy.events import (
     AttemptEnded,
@@ -292,7 +293,7 @@
 
 
 def test_load_reports_are_read_by_name() -> None:
-    assert report(b"inflight=7,queue=2,util=0.61") == (2.0, 7.0)
-    assert report(b"waiting=1,active=4") == (1.0, 4.0)
-    assert report(b"queue=x,inflight,=,active=3") == (None, 3.0)
-    assert report(None) == (None, None)
+    assert parse_load_report(b"inflight=7,queue=2,util=0.61") == (2.0, 7.0)
+    assert parse_load_report(b"waiting=1,active=4") == (1.0, 4.0)
+    assert parse_load_report(b"queue=x,inflight,=,active=3") == (None, 3.0)
+    assert parse_load_report(None) == (None, None)
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import (
     Address,
     AttemptContext,
