--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -91,8 +91,8 @@
     assert not calls.requests_by_number and not calls.requests_by_id
     assert not gateway.active_requests and not gateway.attempts_in_flight
     module: Any = gateway.decisions
-    assert not module.requests and not module.attempts
-    assert all(customer.open == 0 for customer in module.quota.customers.values())
+    assert not module.execution.requests and not module.execution.attempts
+    assert all(tenant.attempts_in_flight == 0 for tenant in module.quota.tenants.by_id.values())
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -327,7 +327,7 @@
     proxy = Proxy(site)
     askers = [proxy.ask("check-charge", 5000.0) for _ in range(20)]
     module: Any = site.gateway.decisions
-    assert sum(customer.open for customer in module.quota.customers.values()) == 20
+    assert sum(tenant.attempts_in_flight for tenant in module.quota.tenants.by_id.values()) == 20
     for asker in askers:
         asker.leave()
     site.loop.run(site.loop.now + 1.0)
