--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -19,8 +19,8 @@
 from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
 from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler, EndpointUpdate
-from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import CommandParser
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.polling import Doubt, Terms
 from glenchute.policy.engine import DecisionEngine as Policy
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -9,7 +9,7 @@
 from glenchute.clients.handover import Door, Predecessor, ask, path_in
 from glenchute.config.platform import PlatformConfig
 from glenchute.core.executor import RequestExecutor
-from glenchute.listeners.resp2.clients import Listener
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import keeps, message
 from glenchute.upstreams.connection_pool import Servers
--- /dev/null
+++ b/glenchute/listeners/resp2/connection.py
@@ -0,0 +1,449 @@
+"""One client connection: commands in, replies in the order of their commands.
+
+What a client may make the gateway buffer is bounded: the bytes of a message, the commands of a connection,
+the replies it does not read, the work of one iteration of the event loop. How many connections there are and
+how long each may wait is decided in `policy/connections/client_slots.py`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import select
+from collections import deque
+from typing import TYPE_CHECKING, Any
+
+from glenchute.core.types import ResponseSource
+from glenchute.policy.connections.client_slots import ABORT_REASONS, CloseReason, ConnectionState
+from glenchute.protocol import resp2 as resp
+
+from .closed_peers import has_socket_event
+from .commands import CommandError
+from .reply_slot import ReplySlot
+
+if TYPE_CHECKING:
+    from .listener import Listener
+
+log = logging.getLogger("glenchute")
+
+MAX_PENDING_COMMANDS = 64  # commands of one connection without a reply; more are left unread
+MAX_COMMANDS_PER_TURN = 16  # of one connection, before others get their turn
+MAX_COMMAND_ERRORS = 8  # commands that can't be served, after which a connection is closed
+MAX_LINGER_BYTES = 4 * 1024 * 1024  # input that is discarded while the last replies leave
+STREAM_BUFFER_BYTES = 64 * 1024  # of a streamed value, before its source is paused
+WRITE_BUFFER_BYTES = 256 * 1024  # replies that may wait for a slow reader before its commands are left unread
+# The transport writes at the end of an iteration of the loop: after so many bytes that is awaited.
+MAX_QUEUED_REPLY_BYTES = 64 * 1024
+MAX_TURN_REPLY_BYTES = 16 * MAX_QUEUED_REPLY_BYTES  # of all connections, in one iteration of the loop
+
+
+class ClientConnection(asyncio.Protocol):
+    """One client connection. Streamed values are written to it as to a `ResponseSink`."""
+
+    __slots__ = (
+        "descriptor",
+        "discarded_bytes",
+        "error_count",
+        "has_partial_command",
+        "has_sent_command",
+        "is_closed_by_peer",
+        "is_closing",
+        "is_parsing",
+        "is_reading_paused",
+        "is_turn_scheduled",
+        "is_write_blocked",
+        "is_write_shut",
+        "listener",
+        "parser",
+        "queued_reply_bytes",
+        "slots",
+        "streaming",
+        "transport",
+    )
+
+    def __init__(self, listener: Listener) -> None:
+        self.listener = listener
+        self.parser = resp.Parser()
+        self.slots: deque[ReplySlot] = deque()
+        self.transport: asyncio.Transport | None = None
+        self.is_closing = False  # no more commands; closes when all replies are out
+        self.is_write_shut = False  # all is written and the own side is shut
+        self.discarded_bytes = 0  # bytes that came since then
+        self.is_write_blocked = False  # the client does not read its replies
+        self.is_closed_by_peer = False  # it has closed, though bytes of it may still wait to be read
+        self.queued_reply_bytes = (
+            0  # bytes of replies since the transport could last tell whether the client reads
+        )
+        self.descriptor = -1  # the connection's descriptor
+        self.is_reading_paused = False
+        self.is_parsing = False
+        self.is_turn_scheduled = False  # a turn of the loop is booked for commands that are left
+        self.has_sent_command = False  # a whole command has come
+        self.error_count = 0
+        self.has_partial_command = False  # the end of a command that has begun is awaited
+        self.streaming: ResponseSource | None = None  # the long value whose turn it is
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = transport  # type: ignore[assignment]
+        assert self.transport is not None
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
+        self.listener.closed_peers.add(self, self.transport.get_extra_info("socket"))
+        self.listener.on_connected(self)
+
+    def has_left(self) -> bool:
+        """Whether the client has closed the connection."""
+        return self.is_closed_by_peer or self.listener.closed_peers.has_closed(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self.listener.closed_peers.remove(self)
+        self.transport, self.is_closing = None, True
+        look = self.listener.release_timers.pop(self, None)
+        if look is not None:
+            look.cancel()
+        self.listener.connection_slots.remove(self)
+        self.listener.paused_clients.discard(self)
+        self.abandon_replies()
+
+    def eof_received(self) -> None:
+        """The client has closed its side. The transport closes once everything is written, for which it has a
+        limited time: a client that reads nothing would otherwise keep its slot, and its requests would be
+        forwarded."""
+        self.is_closing = True
+        self.abandon_replies()
+        self.set_state(ConnectionState.WRITE_BLOCKED)
+
+    def abandon_replies(self) -> None:
+        """The client does not wait for the pending replies any more."""
+        slots, self.slots = self.slots, deque()
+        for slot in slots:
+            slot.release()
+            live, slot.active_request = slot.active_request, None
+            if live is not None:
+                self.listener.gateway.client_disconnected(live)
+            if slot.source is not None:
+                slot.source.discard()
+        self.streaming = None
+
+    def data_received(self, data: bytes) -> None:
+        if self.is_closing:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_LINGER_BYTES and not self.slots and self.transport is not None:
+                self.transport.abort()
+            return
+        self.parser.feed(data)
+        if self.is_turn_scheduled:
+            return
+        if len(data) > MAX_QUEUED_REPLY_BYTES and self.listener.queued_reply_bytes > MAX_TURN_REPLY_BYTES:
+            self.schedule_turn()  # others' turns have the rest of this one; small commands wait for none
+            self.update_reading()
+        else:
+            self.process_commands()
+
+    def process_commands(self) -> None:
+        """Handles the complete commands for whose replies there is room, a limited number in one turn."""
+        if self.is_parsing:
+            return
+        self.is_parsing, self.is_turn_scheduled = True, False
+        left = MAX_COMMANDS_PER_TURN
+        try:
+            while (
+                left
+                and not self.is_closing
+                and not self.is_write_blocked
+                and len(self.slots) < MAX_PENDING_COMMANDS
+            ):
+                if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
+                    break
+                words = self.parser.next_message()
+                if words is False:
+                    break
+                left -= 1
+                self.has_sent_command = True
+                if self.has_partial_command:
+                    self.set_state(
+                        ConnectionState.ACTIVE
+                    )  # that command has ended; the next has its own time
+                self.handle_command(words)
+        except resp.ProtocolError as error:
+            self.close_on_protocol_error(error)
+        finally:
+            self.is_parsing = False
+        if not self.is_closing and self.parser.has_unparsed() and not left:
+            self.schedule_turn()
+        self.flush()
+
+    def schedule_turn(self) -> None:
+        """Has the listener go on with the remaining input later. Nothing is read before that: one iteration
+        of the loop may read megabytes, in many calls."""
+        if not self.is_turn_scheduled:
+            self.is_turn_scheduled = True
+            self.listener.schedule_turn(self)
+
+    def run_turn(self) -> None:
+        """Goes on with the remaining input; what was written before has been sent, or the transport has said
+        that it can't."""
+        self.queued_reply_bytes = 0
+        self.process_commands()
+
+    def handle_command(self, words: Any) -> None:
+        """Handles one command. Errors are replied to the client; only what breaks RESP closes the
+        connection."""
+        if not isinstance(words, list) or not words or not all(type(word) is bytes for word in words):
+            raise resp.ProtocolError("expected an array of bulk strings")
+        slot = ReplySlot(self)
+        self.slots.append(slot)
+        try:
+            self.execute_command(slot, words)
+        except CommandError as error:
+            slot.reply = resp.encode_error(str(error))
+            self.error_count += 1
+            if self.error_count >= MAX_COMMAND_ERRORS:
+                self.is_closing = True  # it goes on as before at full speed, at the others' cost
+        except Exception:
+            # A fault of ours would else end the connection with all that is held on it.
+            log.exception("a command failed")
+            slot.reply = slot.reply or resp.FAILED
+        self.count_reply_bytes(slot.reply or b"")
+
+    def count_reply_bytes(self, reply: bytes) -> None:
+        """A reply is buffered here until it is next in order, and written at the end of an iteration."""
+        self.queued_reply_bytes += len(reply)
+        self.listener.queued_reply_bytes += len(reply)
+
+    def execute_command(self, slot: ReplySlot, words: list[bytes]) -> None:
+        """Accepts a request, or replies to a command of the connection itself."""
+        verb = words[0].upper()
+        if verb not in (b"CALL.GET", b"CALL.POST"):
+            slot.reply = self.execute_connection_command(verb, words)
+            return
+        call = self.listener.catalogue.parse(words)
+        if call.request_id in self.listener.open_ids:
+            # On the servers two requests of one id would be taken for one, and both might be spoilt.
+            raise CommandError("this request id is in use")
+        now = self.listener.loop.time()
+        if not self.listener.lifecycle.takes(now):
+            slot.reply = resp.encode_busy(0.0)
+            return
+        self.listener.connection_slots.on_request(now, self)
+        self.listener.open_ids.add(call.request_id)
+        slot.request_id = call.request_id
+        self.listener.request_count += 1
+        try:
+            live = self.listener.gateway.accept(call, slot.complete, self.has_left)
+        except Exception:
+            slot.release()
+            raise
+        slot.deadline = live.deadline
+        if slot.reply is None:
+            slot.active_request = live
+
+    def execute_connection_command(self, verb: bytes, words: list[bytes]) -> bytes:
+        """The reply to a command of the connection itself."""
+        if verb == b"PING":
+            if len(words) > 2:
+                raise CommandError("wrong number of arguments for 'ping'")
+            if self.listener.lifecycle.parting:
+                return resp.encode_error(self.listener.lifecycle.phase.value)
+            return resp.encode_bulk(words[1]) if len(words) == 2 else resp.PONG
+        if verb in (b"CLIENT", b"SELECT"):
+            return resp.OK
+        if verb == b"QUIT":
+            self.is_closing = True
+            return resp.OK
+        raise CommandError(f"unknown command '{verb[:64].decode('ascii', 'replace')}'")
+
+    def close_on_protocol_error(self, error: Exception) -> None:
+        """Replies an error after the pending replies, and closes."""
+        slot = ReplySlot(self)
+        slot.reply = resp.encode_error(f"Protocol error: {error}")
+        self.slots.append(slot)
+        self.is_closing = True
+        self.flush()
+
+    def flush(self) -> None:
+        """Writes the replies that are next in order, and resumes or pauses reading."""
+        if self.transport is None or self.is_parsing:
+            return  # while commands are being taken, their replies go out together afterwards
+        if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
+            self.schedule_turn()
+        ready: list[bytes] = []
+        while self.slots and self.next_reply(self.slots[0]):
+            ready.append(self.slots.popleft().reply or b"")
+        if ready:
+            self.transport.write(b"".join(ready))
+            if (
+                not self.slots
+                and self.listener.closes_after_reply()
+                and not self.parser.has_unparsed()
+                and not self.has_unread_input()
+            ):
+                self.is_closing = True  # the process leaves or drains, and nothing is known to follow
+        if self.is_closing and not self.slots:
+            self.shut_write_side()
+            return
+        if self.slots and self.slots[0].source is not None and self.streaming is None:
+            self.start_streaming(self.slots[0].source)
+            return  # it may be over already, and this have been done again
+        if self.listener.may_release_replies and self.slots and not self.is_write_blocked:
+            self.listener.release_blocked_replies(self)
+        if ready and self.parser.has_unparsed() and not self.is_write_blocked and not self.is_closing:
+            self.schedule_turn()
+        self.update_state()
+        self.update_reading()
+
+    @staticmethod
+    def next_reply(slot: ReplySlot) -> bool:
+        """Whether the reply that is next in order can be written completely."""
+        if slot.reply is None and slot.source is not None and slot.source.has_failed:
+            slot.release()
+            slot.reply, slot.source = resp.FAILED, None  # it ended while it waited: nothing of it has left
+        return slot.reply is not None
+
+    def start_streaming(self, source: ResponseSource) -> None:
+        """A streamed value is next in order: writes its bytes as they come."""
+        assert self.transport is not None
+        self.streaming = source
+        self.transport.set_write_buffer_limits(high=STREAM_BUFFER_BYTES)
+        self.transport.write(b"$%d\r\n" % source.length_bytes)
+        self.update_state()
+        self.update_reading()
+        if self.is_write_blocked:
+            source.pause()  # of replies before it
+        source.start(self)
+
+    def write_chunk(self, data: bytes) -> None:
+        if self.transport is not None:
+            self.transport.write(data)
+
+    def finish(self) -> None:
+        if self.transport is not None and self.streaming is not None:
+            self.streaming = None
+            self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
+            slot = self.slots[0]
+            slot.release()
+            slot.reply, slot.source = b"\r\n", None
+            self.flush()
+
+    def abort(self) -> None:
+        """The value ends before its announced length, and so does the connection, which shows the client. The
+        replies before it have been written, and are sent."""
+        self.streaming = None
+        self.is_closing = True
+        self.slots[0].source = None
+        if self.transport is not None and not self.transport.is_closing():
+            self.set_state(ConnectionState.WRITE_BLOCKED)  # its time, should the client not read them
+            self.transport.close()
+
+    def update_state(self) -> None:
+        """Reports the state of the connection to its slot."""
+        if self.is_write_blocked or (
+            self.is_closing and self.transport is not None and self.transport.is_closing()
+        ):
+            self.set_state(
+                ConnectionState.WRITE_BLOCKED
+            )  # also when some has been read: the rest has no other time
+        elif self.slots or self.is_closing:
+            self.set_state(ConnectionState.ACTIVE)
+        elif self.parser.has_unparsed():
+            self.set_state(ConnectionState.PARTIAL_COMMAND)
+        else:
+            self.set_state(
+                ConnectionState.IDLE_UNUSED if self.has_sent_command else ConnectionState.AWAITING_COMMAND
+            )
+
+    def set_state(self, state: ConnectionState) -> None:
+        """Reports this state to the connection's slot."""
+        self.has_partial_command = state is ConnectionState.PARTIAL_COMMAND
+        self.listener.connection_slots.set_state(self.listener.loop.time(), self, state)
+
+    def shut_write_side(self) -> None:
+        """Everything is written. Closing with unread or arriving bytes would reset the connection: what was
+        just written might be lost, or a command that crosses the close. So only the own side is shut and
+        further input is discarded. The client finds its command unanswered at the end of the connection and
+        may send it again, as nothing of it was looked at."""
+        if self.transport is None or self.is_write_shut or self.transport.is_closing():
+            return
+        self.is_write_shut = True
+        self.parser = resp.Parser()
+        if self.is_write_blocked:
+            self.set_state(ConnectionState.WRITE_BLOCKED)
+            self.transport.close()
+        elif self.transport.get_write_buffer_size():
+            # The time to close runs for those that have got their replies.
+            self.set_state(ConnectionState.WRITE_BLOCKED)
+            self.update_reading()
+            self.transport.write_eof()
+        else:
+            self.set_state(ConnectionState.LINGERING)
+            self.update_reading()
+            self.transport.write_eof()
+
+    def update_reading(self) -> None:
+        """Backpressure: a client that does not read, or has too many commands pending, is not read from."""
+        stop = not self.is_closing and (
+            self.is_write_blocked or self.is_turn_scheduled or len(self.slots) >= MAX_PENDING_COMMANDS
+        )
+        if self.transport is None or self.transport.is_closing() or stop == self.is_reading_paused:
+            return
+        self.is_reading_paused = stop
+        if stop:
+            self.transport.pause_reading()
+            self.listener.watch_paused(self)
+        else:
+            self.transport.resume_reading()
+            self.listener.paused_clients.discard(self)
+
+    def pause_writing(self) -> None:
+        self.is_write_blocked = True
+        if self.streaming is not None:
+            self.streaming.pause()
+        self.update_state()
+        self.update_reading()
+
+    def resume_writing(self) -> None:
+        self.is_write_blocked = False
+        if self.streaming is not None:
+            self.streaming.resume()
+        self.update_state()
+        self.schedule_turn()
+        self.update_reading()
+
+    def has_unread_input(self) -> bool:
+        """Whether bytes, or the end of the connection, wait in the kernel."""
+        return self.transport is not None and has_socket_event(
+            self.transport.get_extra_info("socket"), select.POLLIN
+        )
+
+    def close_when_answered(self) -> None:
+        """Closes once all accepted commands are answered."""
+        self.is_closing = True
+        self.flush()
+
+    def close_for(self, reason: CloseReason) -> bool:
+        """Closes as `ConnectionSlots` decided; False where input has come that may be a command, or a command
+        waits for its turn."""
+        if self.transport is None:
+            return True
+        if reason in ABORT_REASONS:
+            self.transport.abort()
+        elif reason is CloseReason.NO_SLOT:
+            self.close_on_protocol_error(resp.ProtocolError("too many connections"))
+        elif self.is_turn_scheduled or (
+            reason is not CloseReason.PARTIAL_COMMAND and self.has_unread_input()
+        ):
+            self.listener.connection_slots.revive(self.listener.loop.time(), self)
+            return False
+        elif reason is CloseReason.PARTIAL_COMMAND:
+            self.close_on_protocol_error(resp.ProtocolError("the end of a command did not come"))
+        else:
+            self.close_when_answered()
+        return True
+
+    def close_if_idle(self, since: float) -> None:
+        """Closes if the connection has been idle since `since` (loop time) or longer, unless a command is
+        arriving."""
+        place = self.listener.connection_slots.slots.get(self)
+        if place is None or self.slots or self.is_closing or self.parser.has_unparsed():
+            return
+        if place.state_entered_s <= since and not self.has_unread_input():
+            self.close_when_answered()
--- /dev/null
+++ b/glenchute/listeners/resp2/reply_slot.py
@@ -0,0 +1,53 @@
+"""Reply slots: RESP2 replies are written in the order of their commands."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+from glenchute.core.active_request import ActiveRequest
+from glenchute.core.types import FinalResponse, Rejected, ResponseSource, Served, Streamed
+from glenchute.protocol import resp2 as resp
+
+if TYPE_CHECKING:
+    from .connection import ClientConnection
+
+
+def encode_response(answer: FinalResponse) -> bytes:
+    """A final response in RESP2. Streamed ones are not encoded here."""
+    if isinstance(answer, Served):
+        return resp.encode_bulk(answer.value)
+    if isinstance(answer, Rejected):
+        return resp.encode_busy(answer.retry_after_ms)
+    return resp.FAILED
+
+
+class ReplySlot:
+    """The reply of one command, in the order of its connection."""
+
+    __slots__ = ("active_request", "client", "deadline", "reply", "request_id", "source")
+
+    def __init__(self, client: ClientConnection) -> None:
+        self.client = client
+        self.deadline = math.inf  # the client waits until then, by the loop's clock
+        self.active_request: ActiveRequest | None = None
+        self.reply: bytes | None = None
+        self.source: ResponseSource | None = None  # of a reply that is too long to be held
+        self.request_id: bytes | None = None  # while the request is open
+
+    def release(self) -> None:
+        """The request is over: its id may be used again."""
+        if self.request_id is not None:
+            self.client.listener.open_ids.discard(self.request_id)
+            self.request_id = None
+
+    def complete(self, answer: FinalResponse) -> None:
+        """Takes the final response, which is written once those before it have been."""
+        self.active_request = None
+        if isinstance(answer, Streamed):
+            self.source = answer.source  # its id stays in use until the value has passed
+        else:
+            self.release()
+            self.reply = encode_response(answer)
+            self.client.count_reply_bytes(self.reply)
+        self.client.flush()
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -17,8 +17,8 @@
 from glenchute.clients import counter as counter_module
 from glenchute.clients.counter import Counter
 from glenchute.clients.discovery import ListError, read_list
-from glenchute.listeners.resp2 import clients as clients_module
-from glenchute.listeners.resp2.clients import MAX_PENDING_COMMANDS
+from glenchute.listeners.resp2 import connection as connection_module
+from glenchute.listeners.resp2.connection import MAX_PENDING_COMMANDS
 from glenchute.policy.actions import Action
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
@@ -106,7 +106,7 @@
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
 
-    monkeypatch.setattr(clients_module, "MAX_COMMAND_ERRORS", 1000)
+    monkeypatch.setattr(connection_module, "MAX_COMMAND_ERRORS", 1000)
     play(scenario())
 
 
@@ -118,7 +118,7 @@
             for _ in range(500):
                 client.send(b"NOPE")
             assert await client.reply() == b"value"
-            for _ in range(clients_module.MAX_COMMAND_ERRORS):
+            for _ in range(connection_module.MAX_COMMAND_ERRORS):
                 assert "unknown command" in str(await client.reply())
             assert await client.reply() is None  # and no reset, which could have cost the errors
             assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
@@ -136,7 +136,7 @@
             held.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
             held.process_commands()
             taken.append(len(held.parser._raw) - held.parser._at)
-            assert taken == [14 * (50 - clients_module.MAX_COMMANDS_PER_TURN)]
+            assert taken == [14 * (50 - connection_module.MAX_COMMANDS_PER_TURN)]
             assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
 
     play(scenario())
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from glenchute.listeners.resp2 import clients
+from glenchute.listeners.resp2.connection import ClientConnection
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import MAX_IDLE_S, CloseReason
 from glenchute.policy.events import Request
@@ -254,7 +254,7 @@
 def test_a_fault_in_ending_one_connection_keeps_none_of_the_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two are silent past their time, and ending the first fails: it is cut off, the other is told the end in
     order, and the next to come is ended in its time too."""
-    sound = clients.ClientConnection.close_for
+    sound = ClientConnection.close_for
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
@@ -263,12 +263,12 @@
             await until(lambda: len(listener.clients) == 2)
             first = next(iter(listener.clients))
 
-            def end(client: clients.ClientConnection, reason: CloseReason) -> bool:
+            def end(client: ClientConnection, reason: CloseReason) -> bool:
                 if client is first:
                     raise RuntimeError("a fault")
                 return sound(client, reason)
 
-            monkeypatch.setattr(clients.ClientConnection, "close_for", end)
+            monkeypatch.setattr(ClientConnection, "close_for", end)
             monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             assert all([await client.ended() for client in silent])
--- a/tests/policy/connections/test_release.py
+++ b/tests/policy/connections/test_release.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.listeners.resp2 import clients
+from glenchute.listeners.resp2 import listener as listener_module
 from glenchute.policy.connections.response_order import PendingReply, ReleaseDecision, decide_release
 from tests.loopback import CHARGE, CUSTOMER, Script, play, send_to, until
 from tests.upstreams.test_lines_loopback import Book, burst, change_rules, sharing, value
@@ -93,7 +93,7 @@
             await until(lambda: sum(slot.reply is not None for slot in held.slots) == 62)
             due = min(slot.deadline for slot in held.slots if slot.reply is not None)
             look = loop.time() + AHEAD_S
-            monkeypatch.setattr(clients, "RELEASE_MARGIN_S", due - look)
+            monkeypatch.setattr(listener_module, "RELEASE_MARGIN_S", due - look)
             book.send(value(b"v63"), where[b"63"])
             await until(lambda: not held.slots or held.slots[-1].reply is not None)
 
@@ -136,7 +136,9 @@
             await until(lambda: len(book.ran) == 4)
             (held,) = one.program.listener.clients
             look = loop.time() + AHEAD_S
-            monkeypatch.setattr(clients, "RELEASE_MARGIN_S", min(slot.deadline for slot in held.slots) - look)
+            monkeypatch.setattr(
+                listener_module, "RELEASE_MARGIN_S", min(slot.deadline for slot in held.slots) - look
+            )
             where = {ran[2]: number for number, ran in book.ran}
             for number, ran in book.ran:
                 if ran[2] != b"x":
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -18,17 +18,17 @@
 import pytest
 
 from glenchute.config.policy_settings import policy_settings
-from glenchute.listeners.resp2 import clients
-from glenchute.listeners.resp2.clients import (
-    MAX_CLOSE_DETECTION_S,
-    MAX_CLOSES_PER_POLL,
+from glenchute.listeners.resp2 import listener as listener_module
+from glenchute.listeners.resp2.closed_peers import MAX_CLOSES_PER_POLL, MAX_DETECTION_S
+from glenchute.listeners.resp2.connection import (
     MAX_COMMANDS_PER_TURN,
     MAX_PENDING_COMMANDS,
     MAX_QUEUED_REPLY_BYTES,
     MAX_TURN_REPLY_BYTES,
     WRITE_BUFFER_BYTES,
 )
-from glenchute.listeners.resp2.clients import ClientConnection as Connection
+from glenchute.listeners.resp2.connection import ClientConnection as Connection
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import CloseReason
@@ -610,9 +610,7 @@
 
 # --- clients that leave while the gateway is busy ---------------------------------------------------------
 
-BUSY_S = (
-    1.5 * MAX_CLOSE_DETECTION_S
-)  # the loop stands still for longer than an attempt may follow its client's end
+BUSY_S = 1.5 * MAX_DETECTION_S  # the loop stands still for longer than an attempt may follow its client's end
 
 
 def raw_client(one: Site, *commands: bytes) -> socket.socket:
@@ -1094,7 +1092,7 @@
 
 def test_what_is_left_of_all_connections_has_a_time_in_each_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """With no time at all one connection goes on in each turn of the loop, and all come to their end."""
-    monkeypatch.setattr(clients, "MAX_TURN_S", 0.0)
+    monkeypatch.setattr(listener_module, "MAX_TURN_S", 0.0)
     gone_on, most = turns_of(monkeypatch), 0
 
     async def scenario() -> None:
@@ -1146,7 +1144,7 @@
 
 def test_turns_are_short_while_connections_wait_to_be_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     """The loop accepts one in a turn: behind a crowd's large turns a newcomer would wait for all of them."""
-    monkeypatch.setattr(clients, "MAX_TURN_S", 60.0)
+    monkeypatch.setattr(listener_module, "MAX_TURN_S", 60.0)
     gone_on = turns_of(monkeypatch)
 
     async def scenario() -> None:
@@ -1172,9 +1170,9 @@
     """However long the others' turns take: it has come whole, and its client is not late."""
     for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.01)
-    turn, end, held, reasons = clients.Listener.run_turns, Connection.close_for, True, list[CloseReason]()
+    turn, end, held, reasons = Listener.run_turns, Connection.close_for, True, list[CloseReason]()
 
-    def later(self: clients.Listener) -> None:
+    def later(self: Listener) -> None:
         if held:
             self.loop.call_later(0.005, self.run_turns)
         else:
@@ -1184,7 +1182,7 @@
         reasons.append(reason)
         return end(self, reason)
 
-    monkeypatch.setattr(clients.Listener, "run_turns", later)
+    monkeypatch.setattr(Listener, "run_turns", later)
     monkeypatch.setattr(Connection, "close_for", told)
     word = b"x" * 60_000
 
