--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.machine import machine
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.balancing.subset_size import WHOLE
@@ -40,7 +40,10 @@
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
         self.servers = ServerPools(self.loop, UpstreamLimits(0.5, 9.0, 0.25, 500))
         self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
-        self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+        self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
+            WHOLE,
+            self.narrow,
+        )
         self.held, self.parted = CurrentList(), parted
         self.version = 0
 
@@ -81,7 +84,7 @@
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
             names, [servers.stops(name) for name in names], where,
-            self.gateway.server_started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
+            self.gateway.endpoints.started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
             subset and (subset.listed, subset.rings, list(subset.held)),
         )  # fmt: skip
 
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -17,10 +17,10 @@
 from glenchute.clients.counter import CounterClient
 from glenchute.clients.discovery import DiscoveryClient
 from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler, EndpointUpdate
-from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import CommandParser
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms
@@ -106,7 +106,10 @@
         self.gateway = RequestExecutor(loop, decisions, self.servers, self.counter)
         self.gateway.allows_concurrent_attempts = made.allows_hedging
         if raw is None:
-            self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+            self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
+                WHOLE,
+                self.narrow,
+            )
         if operator is not None:
             self.bind(operator)
         catalogue = CommandParser(made, config.request_bounds)
