--- a/glenchute/policy/membership/endpoint_health.py
+++ b/glenchute/policy/membership/endpoint_health.py
@@ -1,30 +1,34 @@
-"""Servers that could not be reached, told among members: one gateway's look is all gateways' look. No I/O;
-seconds by one clock of this process.
-
-Without it N gateways each find each of M servers that are gone, and each looks again by itself. Here whoever
-could not connect tells for how long it stays away, and the others stay away up to `STRETCH` times as long,
-each a drawn part of it: so the first look after a pause is the teller's, or one other's, and its word, "still
-gone" with a longer pause, or "back", reaches all before most have looked. It is soft state: a row lives a
-short time, has one writer, and a copy that lacks some is whole all the same.
-
-What holds, whatever is said:
-
-- A server that answered this process within `FRESH_S` is in no pause here: own evidence goes before words.
-- A pause leaves a server as the last choice, never out: with all servers in pause the choice is as without.
-- What one writer alone says counts for `ALONE` of the servers at most; beyond that a second one has to say
-  it too. A member that is cut off from a zone, or lies, does not empty the others' choice.
-- A word lasts `MOST_S` times `STRETCH` at most after it was made, however often it is passed on.
+"""Unreachable endpoints shared among members: one gateway's failed connection spares all others theirs. No
+I/O; seconds of this process' clock.
+
+Without it N gateways each find each of M unreachable endpoints, and each retries by itself. Here a gateway
+that could not connect reports for how long it avoids the endpoint, and the others avoid it up to
+`MAX_STRETCH` times as long, each a random part of it: so the first retry is the reporter's, or one other's,
+and its report, "still unreachable" with a longer avoidance or "reachable", reaches all before most have
+retried. It is soft
+state: a row lives a short time and has one writer, and a replica that lacks some counts as complete.
+
+Whatever is reported:
+
+- An endpoint that answered this process within `OWN_EVIDENCE_S` is not avoided here.
+- An avoided endpoint is the last choice, never excluded: with all endpoints avoided the choice is as without.
+- The reports of one writer alone count for `SINGLE_REPORTER_SHARE` of the endpoints at most; beyond that a
+  second writer has to report the endpoint too. A member that is partitioned from a zone, or reports falsely,
+  does not empty the others' choice.
+- A report is in force for `MAX_AVOIDANCE_S` times `MAX_STRETCH` at most after it was created, however often
+  it is passed on.
 """
 
 from __future__ import annotations
 
+import math
 import random
 from typing import NamedTuple
 
 from ..events import AvoidEndpoint, Outcome
 from .replica import Row, RowKind
 
-MIN_AVOIDANCE_S, MAX_AVOIDANCE_S = 1.0, 2.0  # pauses that are told, doubled at each look that fails
+MIN_AVOIDANCE_S, MAX_AVOIDANCE_S = 1.0, 2.0  # doubled with each failed retry
 MAX_STRETCH = 2.0
 OWN_EVIDENCE_S = 1.0
 SINGLE_REPORTER_SHARE = 1.0 / 3.0
@@ -32,69 +36,74 @@
 
 
 class PeerReport(NamedTuple):
-    """A writer's last word on a server, by this process' clock."""
+    """A writer's last report on an endpoint, by this process' clock."""
 
     version: int
-    avoid_until: float  # when its pause ends; this process' own pause reaches a drawn part beyond that
-    own_avoid_until: float  # ... which is then
+    avoid_until: float  # the end of the longest avoidance by this report
+    own_avoid_until: float  # the end of this process' own, a random part of it
 
 
 class OwnReport(NamedTuple):
-    """What this process told last of a server."""
+    """What this process reported last of an endpoint."""
 
     avoidance_s: float
     avoid_until: float
 
 
 class EndpointHealth:
-    """The words of this process and of the others."""
+    """The reports of this process and of the other members."""
 
     def __init__(self, writer: str, rng: random.Random) -> None:
+        """`writer`: this process, as `name#boot`."""
         self.writer, self.rng = writer, rng
         self.last_version = 0
         self.own_reports: dict[str, OwnReport] = {}
-        self.last_answer_at: dict[str, float] = {}  # when each server last answered here
-        self.peer_reports: dict[str, dict[str, PeerReport]] = {}  # by server, by writer
-        self.avoided_by_writer: dict[str, set[str]] = {}  # by writer, the servers that it has in pause
-        self.changed_endpoints: dict[str, None] = {}  # servers of which the module is to be told
-        self.ignored_count = 0  # words that own evidence or a lone writer's bound kept out
-
-    # --- this process' own tries -------------------------------------------------------------------------
-
-    def attempt_ended(self, now: float, server: str, ending: Outcome) -> Row | None:
-        """An attempt's ending here; the row to be told on, if it is news to the others."""
-        if ending is Outcome.UNREACHABLE:
-            own = self.own_reports.get(server)
-            if own is not None and now < own.avoid_until:
-                return None  # of the same look
-            pause = MIN_AVOIDANCE_S if own is None else min(MAX_AVOIDANCE_S, 2.0 * own.avoidance_s)
-            if own is None and len(self.own_reports) >= MAX_ENDPOINTS:
-                del self.own_reports[next(iter(self.own_reports))]
-            self.own_reports[server] = OwnReport(pause, now + pause)
-            self.last_answer_at.pop(server, None)
-            return self.report_row(server, pause)
-        if ending in (Outcome.TIMEOUT, Outcome.NOT_SENT, Outcome.CANCELLED):
-            return None  # tells nothing of whether it can be reached
-        self.last_answer_at.pop(server, None)
-        self.last_answer_at[server] = now
+        self.last_answer_at: dict[str, float] = {}  # by endpoint, to this process
+        self.peer_reports: dict[str, dict[str, PeerReport]] = {}  # by endpoint, by writer
+        self.avoided_by_writer: dict[str, set[str]] = {}
+        self.changed_endpoints: dict[str, None] = {}  # of which the decision engine is to be notified
+        self.ignored_count = 0  # reports overruled by own evidence, or beyond a single writer's share
+
+    # --- this process' own attempts ----------------------------------------------------------------------
+
+    def attempt_ended(self, now: float, endpoint: str, outcome: Outcome) -> Row | None:
+        """An attempt of this process has ended; the row to publish, if it is news to the others."""
+        if outcome is Outcome.UNREACHABLE:
+            return self.report_unreachable(now, endpoint)
+        if outcome in (Outcome.TIMEOUT, Outcome.NOT_SENT, Outcome.CANCELLED):
+            return None  # says nothing of whether the endpoint can be reached
+        self.last_answer_at.pop(endpoint, None)
+        self.last_answer_at[endpoint] = now
         if len(self.last_answer_at) > MAX_ENDPOINTS:
             del self.last_answer_at[next(iter(self.last_answer_at))]
-        told = self.own_reports.pop(server, None) is not None
-        others = server in self.peer_reports
-        if others:
-            self.forget_endpoint(server)
-            self.changed_endpoints[server] = None
-        return self.report_row(server, 0.0) if told or others else None
-
-    def report_row(self, server: str, pause: float) -> Row:
-        """This process' next word."""
+        was_reported = self.own_reports.pop(endpoint, None) is not None
+        is_avoided_by_peers = endpoint in self.peer_reports
+        if is_avoided_by_peers:
+            self.forget_endpoint(endpoint)
+            self.changed_endpoints[endpoint] = None
+        return self.report_row(endpoint, 0.0) if was_reported or is_avoided_by_peers else None
+
+    def report_unreachable(self, now: float, endpoint: str) -> Row | None:
+        """A connection failed; None where the current avoidance already covers it."""
+        own = self.own_reports.get(endpoint)
+        if own is not None and now < own.avoid_until:
+            return None
+        avoidance_s = MIN_AVOIDANCE_S if own is None else min(MAX_AVOIDANCE_S, 2.0 * own.avoidance_s)
+        if own is None and len(self.own_reports) >= MAX_ENDPOINTS:
+            del self.own_reports[next(iter(self.own_reports))]
+        self.own_reports[endpoint] = OwnReport(avoidance_s, now + avoidance_s)
+        self.last_answer_at.pop(endpoint, None)
+        return self.report_row(endpoint, avoidance_s)
+
+    def report_row(self, endpoint: str, avoidance_s: float) -> Row:
+        """This process' next row on the endpoint; an avoidance of 0 reports that it is reachable."""
         self.last_version += 1
-        return Row(RowKind.HEALTH, server, self.writer, self.last_version, round(1000.0 * pause))
+        return Row(RowKind.HEALTH, endpoint, self.writer, self.last_version, round(1000.0 * avoidance_s))
 
-    # --- the others' -------------------------------------------------------------------------------------
+    # --- reports of other members ------------------------------------------------------------------------
 
     def receive(self, now: float, row: Row, age_s: float) -> None:
-        """A member's word. "Back" ends all older words on that server, whoever said them."""
+        """A member's row, created `age_s` ago. "Reachable" ends all reports on the endpoint."""
         if row.writer == self.writer:
             return
         known = self.peer_reports.get(row.key, {}).get(row.writer)
@@ -105,62 +114,65 @@
                 self.forget_endpoint(row.key)
                 self.changed_endpoints[row.key] = None
             return
-        pause = min(MAX_AVOIDANCE_S, row.value / 1000.0)
-        made = now - age_s
-        until = made + pause * MAX_STRETCH
-        if until <= now:
+        avoidance_s = min(MAX_AVOIDANCE_S, row.value / 1000.0)
+        created_at = now - age_s
+        avoid_until = created_at + avoidance_s * MAX_STRETCH
+        if avoid_until <= now:
             return
         if row.key not in self.peer_reports and len(self.peer_reports) >= MAX_ENDPOINTS:
             self.forget_endpoint(next(iter(self.peer_reports)))
-        stays = made + pause * self.rng.uniform(1.0, MAX_STRETCH)
-        self.peer_reports.setdefault(row.key, {})[row.writer] = PeerReport(row.version, until, stays)
+        own_avoid_until = created_at + avoidance_s * self.rng.uniform(1.0, MAX_STRETCH)
+        report = PeerReport(row.version, avoid_until, own_avoid_until)
+        self.peer_reports.setdefault(row.key, {})[row.writer] = report
         self.avoided_by_writer.setdefault(row.writer, set()).add(row.key)
         self.changed_endpoints[row.key] = None
 
-    def forget_endpoint(self, server: str) -> None:
-        """All words on a server."""
-        for writer in self.peer_reports.pop(server, {}):
-            self.forget_report(writer, server)
-
-    def forget_report(self, writer: str, server: str) -> None:
-        """One writer no longer has this server in pause."""
-        told = self.avoided_by_writer.get(writer)
-        if told is not None:
-            told.discard(server)
-            if not told:
+    def forget_endpoint(self, endpoint: str) -> None:
+        """Drops all reports on an endpoint."""
+        for writer in self.peer_reports.pop(endpoint, {}):
+            self.forget_report(writer, endpoint)
+
+    def forget_report(self, writer: str, endpoint: str) -> None:
+        """The writer no longer avoids the endpoint."""
+        avoided = self.avoided_by_writer.get(writer)
+        if avoided is not None:
+            avoided.discard(endpoint)
+            if not avoided:
                 del self.avoided_by_writer[writer]
 
     def expire(self, now: float) -> None:
-        """Forgets words that are over; call it now and then."""
-        for server in list(self.peer_reports):
-            words = self.peer_reports[server]
-            for writer in [writer for writer, word in words.items() if word.avoid_until <= now]:
-                del words[writer]
-                self.forget_report(writer, server)
-            if not words:
-                del self.peer_reports[server]
-
-    def avoidance_s(self, now: float, server: str, servers: int) -> float:
-        """For how long a server is left for last by the others' words. `servers`: how many are listed."""
-        if now - self.last_answer_at.get(server, -1e9) <= OWN_EVIDENCE_S:
-            self.ignored_count += server in self.peer_reports
+        """Drops reports that are over; to be called now and then."""
+        for endpoint in list(self.peer_reports):
+            reports = self.peer_reports[endpoint]
+            for writer in [writer for writer, report in reports.items() if report.avoid_until <= now]:
+                del reports[writer]
+                self.forget_report(writer, endpoint)
+            if not reports:
+                del self.peer_reports[endpoint]
+
+    def avoidance_s(self, now: float, endpoint: str, endpoint_count: int) -> float:
+        """For how long the endpoint is avoided because of the others' reports. `endpoint_count`: listed."""
+        if now - self.last_answer_at.get(endpoint, -math.inf) <= OWN_EVIDENCE_S:
+            self.ignored_count += endpoint in self.peer_reports
             return 0.0
-        words = {
-            w: word for w, word in self.peer_reports.get(server, {}).items() if word.own_avoid_until > now
+        reports = {
+            writer: report
+            for writer, report in self.peer_reports.get(endpoint, {}).items()
+            if report.own_avoid_until > now
         }
-        loud = [
-            writer
-            for writer in words
-            if len(self.avoided_by_writer.get(writer, ())) > SINGLE_REPORTER_SHARE * servers
-        ]
-        if not words or (len(words) == 1 and loud):
-            self.ignored_count += bool(words)
+        limit = SINGLE_REPORTER_SHARE * endpoint_count
+        over_limit = [writer for writer in reports if len(self.avoided_by_writer.get(writer, ())) > limit]
+        if not reports or (len(reports) == 1 and over_limit):
+            self.ignored_count += bool(reports)
             return 0.0
-        return max(word.own_avoid_until for word in words.values()) - now
+        return max(report.own_avoid_until for report in reports.values()) - now
 
-    def take_changes(self, now: float, servers: int) -> list[AvoidEndpoint]:
-        """What the module is to be told since the last call."""
+    def take_changes(self, now: float, endpoint_count: int) -> list[AvoidEndpoint]:
+        """The events for the decision engine since the last call."""
         if not self.changed_endpoints:
-            return []  # as before nearly every request
-        due, self.changed_endpoints = self.changed_endpoints, {}
-        return [AvoidEndpoint(server, 1000.0 * self.avoidance_s(now, server, servers)) for server in due]
+            return []  # the common case, before nearly every request
+        changed, self.changed_endpoints = self.changed_endpoints, {}
+        return [
+            AvoidEndpoint(endpoint, 1000.0 * self.avoidance_s(now, endpoint, endpoint_count))
+            for endpoint in changed
+        ]
--- a/glenchute/policy/membership/task_candidates.py
+++ b/glenchute/policy/membership/task_candidates.py
@@ -1,16 +1,17 @@
-"""Who seeks a task's lease and when, and whether a task that fails goes on. No I/O; seconds by one clock that
-runs on while the process, or the machine, stands still.
-
-Of hundreds of members `CANDIDATES` seek each task, by rendezvous rank over the task's and the members' names,
-so that tasks are spread and all others send nothing. Where one that ranks higher has come back, the holder
-keeps the lease for as long as it renews it. A try that fails, or finds another holding, is followed by one
-after a pause that doubles and is drawn, so that candidates do not block each other for ever. A lease is given
-back only when the longest of the effects that have begun must be over.
+"""Which members compete for a task's lease and when, and whether a failing task goes on. No I/O; seconds of a
+clock that runs on while the process, or the machine, is suspended.
+
+Of hundreds of members `CANDIDATES_PER_TASK` compete for each task, chosen by rendezvous hashing of the task's
+and the members' names, so that tasks are spread and all other members send nothing. A holder keeps the lease
+while it renews it, also where a member that ranks higher has returned. A round that fails, or finds another
+holder, is followed by the next one after a randomized exponential backoff, so that candidates do not block
+each other forever. A lease is released only when the longest of the effects that were started must be over.
 """
 
 from __future__ import annotations
 
 import functools
+import math
 import random
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -19,171 +20,183 @@
 from .outgoing import Outgoing
 
 CANDIDATES_PER_TASK = 3
-RENEW_AFTER_SHARE = 0.5  # of the time that a holding lasts; from then on it is renewed
-TRY_S = (0.1, 2.0)  # pauses between tries
-RETRANSMIT_S = 0.15  # what voters have not answered in a try goes out once more after this ...
-MAX_RETRANSMITS = 6  # ... so often
-RANK_DELAY_S = 0.06  # a candidate of the next rank comes so much later
-RENEWAL_ATTEMPTS = 8  # of a renewal, in the time that is left
-MAX_FAILED_HOLDERS = 3  # holdings in a row that ended by a step's failure; the next holder parks the task
+RENEW_AFTER_SHARE = 0.5  # of the lease's usable time, after which it is renewed
+RENEWAL_ATTEMPTS = 8  # in the usable time that is left then
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # between rounds
+RETRANSMIT_S = 0.15
+MAX_RETRANSMITS = 6  # in a round
+RANK_DELAY_S = 0.06  # a candidate's delay behind the one that ranks before it
+MAX_FAILED_HOLDERS = 3  # in a row; after the next one the task is parked
 MAX_FAILURES = 1_000_000
+SERIAL_BITS = 20  # of a task row's version; the token is above them
+MAX_SERIAL = (1 << SERIAL_BITS) - 1
 
 
 @functools.lru_cache(maxsize=65_536)
 def candidate_rank(task: str, name: str) -> bytes:
-    """Where a member stands among a task's candidates."""
+    """The rendezvous hash by which members are ordered for a task; the lowest is first."""
     return blake2b(f"{task}|{name}".encode(), digest_size=8).digest()
 
 
 class TaskCandidate:
-    """One process and one task's lease."""
+    """One process' competition for one task's lease: when to start, repeat and renew a round, and when the
+    lease may be released."""
 
-    def __init__(self, seeker: Proposer, rng: random.Random, now: float) -> None:
-        self.proposer, self.rng = seeker, rng
+    def __init__(self, proposer: Proposer, rng: random.Random, now: float) -> None:
+        self.proposer, self.rng = proposer, rng
         self.next_round_at = now
-        self.backoff = TRY_S[0]
-        self.other_candidates: list[str] = []  # the other candidates
-        self.rank = CANDIDATES_PER_TASK  # among the members by rank; not one of the first before it is placed
-        self.is_paused = False  # it is not to seek, for a reason of this process or of the task
-        self.effects_until = -1e9  # an effect that has begun is over by then
-        self.retransmit_at = -1e9
+        self.backoff_s = MIN_BACKOFF_S
+        self.other_candidates: list[str] = []
+        self.rank = CANDIDATES_PER_TASK  # among the members; no candidate until members are known
+        self.is_paused = False  # by the caller: this process drains, or the task is parked
+        self.effects_until = -math.inf  # when the effects that were started are over at the latest
+        self.retransmit_at = -math.inf
         self.retransmits_left = 0
-        self.is_releasing = False  # the lease goes back as soon as that is so
+        self.is_releasing = False  # the lease is released as soon as the effects are over
 
     @property
     def is_candidate(self) -> bool:
-        """Whether this process seeks the lease."""
+        """Whether this process competes for the lease."""
         return self.rank < CANDIDATES_PER_TASK and not self.is_paused
 
-    def update_members(self, there: Iterable[str]) -> None:
-        """Which members there are, this one left out."""
-        task, name = self.proposer.task, self.proposer.name
-        order = sorted([*there, name], key=lambda one: candidate_rank(task, one))
-        self.rank = order.index(name)
-        self.other_candidates = [one for one in order[:CANDIDATES_PER_TASK] if one != name]
+    def update_members(self, others: Iterable[str]) -> None:
+        """The members that are present, without this process."""
+        task, own_name = self.proposer.task, self.proposer.name
+        order = sorted([*others, own_name], key=lambda name: candidate_rank(task, name))
+        self.rank = order.index(own_name)
+        self.other_candidates = [name for name in order[:CANDIDATES_PER_TASK] if name != own_name]
 
     def tick(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """What is due; call it some twenty times a second."""
-        seeker = self.proposer
-        if seeker.lease is not None and not seeker.is_holder(now):
-            seeker.lease = None
+        """What is due; to be called some twenty times a second."""
+        proposer = self.proposer
+        if proposer.lease is not None and not proposer.is_holder(now):
+            proposer.lease = None
             self.next_round_at = now + self.next_backoff_s()
         if self.is_releasing:
             return self.finish_release(now)
-        if seeker.current_round is not None and self.retransmits_left and now >= self.retransmit_at:
+        may_retransmit = proposer.current_round is not None and self.retransmits_left > 0
+        if may_retransmit and now >= self.retransmit_at:
             self.retransmit_at, self.retransmits_left = now + RETRANSMIT_S, self.retransmits_left - 1
-            return seeker.retransmit()
-        if now < self.next_round_at or (seeker.current_round is not None and self.retransmits_left):
+            return proposer.retransmit()
+        if now < self.next_round_at or may_retransmit:
             return []
-        if seeker.lease is not None:
-            left = seeker.lease.expires_at - now
-            lasts = seeker.terms.usable_span_s(seeker.span_s)
-            if left > (1.0 - RENEW_AFTER_SHARE) * lasts:
-                return []
-            self.next_round_at = now + (1.0 - RENEW_AFTER_SHARE) * lasts / RENEWAL_ATTEMPTS
-            return self.start_round(now)
+        if proposer.lease is not None:
+            return self.renew(now, proposer.lease.expires_at - now)
         if not self.is_candidate:
             return []
         self.next_round_at = now + self.next_backoff_s()
         return self.start_round(now)
 
+    def renew(self, now: float, remaining_s: float) -> list[Outgoing[LeaseMessage]]:
+        """Starts a renewal where half of the lease's usable time has passed."""
+        usable_s = self.proposer.terms.usable_span_s(self.proposer.span_s)
+        if remaining_s > (1.0 - RENEW_AFTER_SHARE) * usable_s:
+            return []
+        self.next_round_at = now + (1.0 - RENEW_AFTER_SHARE) * usable_s / RENEWAL_ATTEMPTS
+        return self.start_round(now)
+
     def start_round(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Begins a try."""
+        """Starts a round, with all its retransmissions."""
         self.retransmit_at, self.retransmits_left = now + RETRANSMIT_S, MAX_RETRANSMITS
         return self.proposer.start_round(now)
 
     def next_backoff_s(self) -> float:
-        """The time to another try: longer after each, drawn, and later for those that rank lower."""
-        pause, self.backoff = self.backoff, min(TRY_S[1], 2.0 * self.backoff)
-        return pause * self.rng.uniform(0.5, 1.5) + RANK_DELAY_S * min(self.rank, CANDIDATES_PER_TASK)
+        """The time to the next round: doubled each time, randomized, longer for candidates of lower rank."""
+        backoff_s, self.backoff_s = self.backoff_s, min(MAX_BACKOFF_S, 2.0 * self.backoff_s)
+        return backoff_s * self.rng.uniform(0.5, 1.5) + RANK_DELAY_S * min(self.rank, CANDIDATES_PER_TASK)
 
     def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """A voter's answer, or the word of a holder that gives its lease back."""
-        seeker = self.proposer
+        """An acceptor's answer, or a holder's announcement that it released the lease."""
+        proposer = self.proposer
         if message.kind is LeaseMessageKind.RELEASED:
-            seeker.note_release(message.ballot)
-            if self.is_candidate and seeker.lease is None:
+            proposer.note_release(message.ballot)
+            if self.is_candidate and proposer.lease is None:
                 self.next_round_at = now + RANK_DELAY_S * self.rank
-                self.backoff = TRY_S[0]
+                self.backoff_s = MIN_BACKOFF_S
             return []
-        before = seeker.lease
-        trying = seeker.current_round
-        outs = seeker.receive(now, sender, message)
-        if before is None and seeker.lease is not None:
-            self.backoff = TRY_S[0]
-        elif before is None and trying is not None and seeker.current_round is None:
-            if seeker.other_holder_until > now:  # held by another: it is left alone until it would end
-                self.next_round_at = (
-                    seeker.other_holder_until + self.rng.random() * TRY_S[0] + RANK_DELAY_S * self.rank
-                )
-            elif message.kind is LeaseMessageKind.REJECTED:
-                self.next_round_at = now + self.rng.random() * self.backoff
-        return outs
+        had_lease = proposer.lease is not None
+        had_round = proposer.current_round is not None
+        out = proposer.receive(now, sender, message)
+        if had_lease:
+            return out
+        if proposer.lease is not None:
+            self.backoff_s = MIN_BACKOFF_S
+        elif had_round and proposer.current_round is None:
+            self.schedule_next_round(now, message)
+        return out
+
+    def schedule_next_round(self, now: float, message: LeaseMessage) -> None:
+        """After a round that failed: when the other holder's lease would expire, or after a random part of
+        the backoff where only the ballot was too low."""
+        other_holder_until = self.proposer.other_holder_until
+        if other_holder_until > now:
+            jitter_s = self.rng.random() * MIN_BACKOFF_S
+            self.next_round_at = other_holder_until + jitter_s + RANK_DELAY_S * self.rank
+        elif message.kind is LeaseMessageKind.REJECTED:
+            self.next_round_at = now + self.rng.random() * self.backoff_s
 
     def fencing_token(self, now: float, longest_s: float) -> int | None:
-        """The token, if an effect of this length may begin at this very moment; else None. Ask just before
-        the effect; see `Seeker.guard` for what it does not cover."""
+        """The token for an effect that starts now and takes at most `longest_s`; None where it may not start.
+        To be called just before the effect; see `Proposer.fencing_token` for what it does not cover."""
         token = None if self.is_releasing else self.proposer.fencing_token(now, longest_s)
         if token is not None:
-            self.effects_until = max(
-                self.effects_until, now + longest_s * (1.0 + self.proposer.terms.max_clock_drift)
-            )
+            end = now + longest_s * (1.0 + self.proposer.terms.max_clock_drift)
+            self.effects_until = max(self.effects_until, end)
         return token
 
     def note_effects_ended(self, now: float) -> None:
-        """What had begun is known to be over."""
+        """All effects that were started are known to be over."""
         self.effects_until = now
 
     def release(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """No effect begins from now on, and the lease goes back when those that have begun are over."""
+        """No effect may start from now on; the lease is released when those that were started are over."""
         self.is_releasing = self.proposer.lease is not None
         return self.finish_release(now)
 
     def finish_release(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Gives the lease back, if that may be, and says so to the other candidates."""
+        """Releases the lease, unless an effect may still run, and announces it to the other candidates."""
         if self.proposer.lease is not None and now < self.effects_until:
             return []
         self.is_releasing = False
-        outs = self.proposer.release(now)
-        if outs:
-            free = LeaseMessage(
-                LeaseMessageKind.RELEASED, self.proposer.task, outs[0].message.ballot, NO_BALLOT
-            )
-            outs += [Outgoing(other, free) for other in self.other_candidates]
-            self.next_round_at = now + TRY_S[1]
-        return outs
+        out = self.proposer.release(now)
+        if out:
+            ballot = out[0].message.ballot
+            released = LeaseMessage(LeaseMessageKind.RELEASED, self.proposer.task, ballot, NO_BALLOT)
+            out += [Outgoing(other, released) for other in self.other_candidates]
+            self.next_round_at = now + MAX_BACKOFF_S
+        return out
 
 
 class TaskRecord:
-    """What all holders know of a task together, as one number that only grows within a token: steps done, and
-    holdings in a row that ended by a failure. Told on as a row of replicated state, merged by token."""
+    """What all holders report of a task, replicated as one row per task: the version orders records by token,
+    then by the steps that this holder reported; the value counts holders in a row that failed."""
 
     def __init__(self, token: int = 0, serial: int = 0, failures: int = 0) -> None:
         self.token, self.serial, self.failures = token, serial, failures
 
     @property
     def is_parked(self) -> bool:
-        """Whether no holder is to try it again until somebody says so."""
+        """Whether no holder may try the task until an operator unparks it."""
         return self.failures > MAX_FAILED_HOLDERS
 
     def version(self) -> int:
-        """Of the row: by token, then by what this holder has told."""
-        return (self.token << 20) | min(self.serial, (1 << 20) - 1)
+        """The version of the task's row."""
+        return (self.token << SERIAL_BITS) | min(self.serial, MAX_SERIAL)
 
     @classmethod
     def from_row(cls, version: int, value: float) -> TaskRecord:
-        """From a row."""
-        return cls(version >> 20, version & ((1 << 20) - 1), int(value))
+        """The record that a row's version and value hold."""
+        return cls(version >> SERIAL_BITS, version & MAX_SERIAL, int(value))
 
     def taken_over_by(self, token: int) -> TaskRecord:
-        """A new holder's, who has read this one."""
+        """The first record of a new holder, which has read this one."""
         return TaskRecord(token, 0, self.failures)
 
-    def after_step(self, well: bool) -> TaskRecord:
-        """After a step."""
-        failures = 0 if well else min(MAX_FAILURES, self.failures + 1)
+    def after_step(self, succeeded: bool) -> TaskRecord:
+        """The record after a step."""
+        failures = 0 if succeeded else min(MAX_FAILURES, self.failures + 1)
         return TaskRecord(self.token, self.serial + 1, failures)
 
     def unparked(self) -> TaskRecord:
-        """Somebody has looked at it."""
+        """The record after an operator has unparked the task."""
         return TaskRecord(self.token, self.serial + 1, 0)
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -1,14 +1,15 @@
-"""Use by account, as members' copies have it, against the shared counter's totals. No I/O; wall milliseconds
-are the names of windows only.
-
-Both tell of the same units by ways that have nothing in common, so where they differ for a window that is
-over and whose words have come, one of them has lost something: a counter that forgot, was split or replaced
-holds less than members let in; members that are not heard let in what only the counter knows. One process
-looks for all, as each look is a call to the counter; at the windows with the most use first, each once.
-
-What differs for good reasons is left out or allowed for: units of requests that were refused after asking
-stay in totals of plans with a ceiling (`Quota.call`), so there only "less" is judged; calls that had no
-answer in time may have been added or not, `SLACK` and `SHARE` are for those.
+"""Audit of usage: the members' reports against the shared counter's totals. No I/O; wall-clock milliseconds
+only name windows.
+
+Both count the same units by independent ways, so where they differ for a window that is over and whose
+reports have arrived, one of them has lost something: a counter that was reset, partitioned or replaced has
+less than members admitted; members whose reports do not arrive admitted what only the counter knows. One
+process audits for all, as each comparison is a call to the counter; windows with the most units come first,
+each once.
+
+Expected differences are left out or allowed for: units of requests that were rejected after the counter was
+asked stay in totals of plans with a ceiling (`QuotaAccounting.call`), so there only "lower" is judged; calls
+that got no answer in time may have been added or not, which the tolerances cover.
 """
 
 from __future__ import annotations
@@ -21,59 +22,75 @@
 from ..settings import Plan
 from .replica import Row, RowKind
 
-SETTLED_S = 3.0  # after a window's end all words of it have come, to the counter too
-RETAINED_S = 12.0  # ... and members' rows of it are still held
-MAX_QUERIES_PER_STEP = 16  # at most in a step
-TOLERANCE_UNITS, TOLERANCE_SHARE = 2.0, 0.1  # units, and share of the larger side, by which they may differ
-# Windows of an account in a row that have to differ alike before it is told of. They have to begin further
-# apart than what a counter that forgot has lost of windows that were over and not yet looked at.
+SETTLED_S = 3.0  # after a window's end all reports of it have arrived, at the counter too ...
+RETAINED_S = 12.0  # ... and members' rows of it are still stored
+MAX_QUERIES_PER_STEP = 16
+TOLERANCE_UNITS, TOLERANCE_SHARE = 2.0, 0.1  # the share is of the larger side
+# Windows of an account in a row that have to differ alike before it is reported. They have to begin further
+# apart than what a counter that was reset has lost of windows that were over and not yet audited.
 MIN_MISMATCHED_WINDOWS = 3
 MAX_ACCOUNTS = 5_000
 MAX_CHECKED_WINDOWS = 20_000
 
+Window = tuple[str, int]  # account, and begin in milliseconds
+
 
 class CounterQuery(NamedTuple):
-    """One total to be asked for."""
+    """One total to be read from the counter. `reported_units`: what members admitted."""
 
     account: str
     plan: Plan
-    window_start_ms: int  # the window, milliseconds
-    counter_name: int  # on the counter
-    reported_units: float  # units that members let in
+    window_start_ms: int
+    counter_name: int
+    reported_units: float
     epoch_marker: float
 
 
 class UsageMismatch(NamedTuple):
-    """An account of which both sides tell otherwise, now, or no longer."""
+    """An account of which the counter has less, or more, than the members reported."""
 
     account: str
-    is_counter_lower: bool  # the counter holds less than members let in; else more
+    is_counter_lower: bool
     member_units: float
     counter_units: float
 
 
+class MismatchRun(NamedTuple):
+    """Windows of an account in a row that differ alike."""
+
+    is_counter_lower: bool
+    window_count: int
+    first_window_ms: int
+
+
 class UsageAudit:
-    """What one process knows for it."""
+    """The state of the audit in one process."""
 
     def __init__(self) -> None:
         self.plans: dict[str, Plan] = {}  # of accounts that this process has seen
-        self.checked_windows: dict[tuple[str, int], None] = {}  # windows, each once
-        # Accounts: how they differ, in how many windows in a row, and when the first of these began.
-        self.mismatch_runs: dict[str, tuple[bool, int, int]] = {}
-        self.mismatches: dict[str, UsageMismatch] = {}
+        self.checked_windows: dict[Window, None] = {}
+        self.mismatch_runs: dict[str, MismatchRun] = {}  # by account
+        self.mismatches: dict[str, UsageMismatch] = {}  # by account
         self.compared_count = self.unanswered_count = 0
 
     def note_account(self, account: str, plan: Plan) -> None:
-        """A request of this account; only of such is the plan known, and with it where windows end."""
+        """A request of this account has come: only then its plan, and thus the ends of its windows, are
+        known."""
         if plan.rate_per_s and account not in self.plans:
             if len(self.plans) >= MAX_ACCOUNTS:
                 del self.plans[next(iter(self.plans))]
             self.plans[account] = plan
 
     def due_queries(self, now_ms: float, rows: Iterable[Row]) -> list[CounterQuery]:
-        """Totals that are worth a look now; `rows` as this process holds them, `now_ms` by the clock that
-        windows are named by."""
-        told: dict[tuple[str, int], float] = {}
+        """The totals to be read now. `rows`: as this process has them; `now_ms`: by the clock that names
+        windows."""
+        reported = self.reported_units(now_ms, rows)
+        largest = sorted(reported, key=lambda window: (-reported[window], window))[:MAX_QUERIES_PER_STEP]
+        return [self.query(window, reported[window]) for window in largest]
+
+    def reported_units(self, now_ms: float, rows: Iterable[Row]) -> dict[Window, float]:
+        """The units that members reported, for windows that can be audited now and were not yet."""
+        reported: dict[Window, float] = {}
         for row in rows:
             account, _, start = row.key.rpartition("/")
             plan = self.plans.get(account)
@@ -81,65 +98,65 @@
                 continue
             age_s = (now_ms - int(start) - span_of(plan)) / 1000.0
             window = account, int(start)
-            if (
-                SETTLED_S <= age_s <= RETAINED_S
-                and window not in self.checked_windows
-                and self.is_window(window, plan)
-            ):
-                told[window] = told.get(window, 0.0) + row.value
-        chosen = sorted(told, key=lambda window: (-told[window], window))[:MAX_QUERIES_PER_STEP]
-        looks = []
-        for account, begins in chosen:
-            self.checked_windows[account, begins] = None
-            if len(self.checked_windows) > MAX_CHECKED_WINDOWS:
-                del self.checked_windows[next(iter(self.checked_windows))]
-            plan = self.plans[account]
-            mark = marker_value(
-                plan.burst_units, plan.rate_per_s, span_of(plan) / 1000.0, plan.ceiling_burst_units
-            )
-            name = stable(f"{account}/{begins}")
-            looks.append(CounterQuery(account, plan, begins, name, told[account, begins], mark))
-        return looks
+            is_due = SETTLED_S <= age_s <= RETAINED_S and window not in self.checked_windows
+            if is_due and self.is_window(window, plan):
+                reported[window] = reported.get(window, 0.0) + row.value
+        return reported
+
+    def query(self, window: Window, reported_units: float) -> CounterQuery:
+        """The query for a window, which is not audited again."""
+        account, start_ms = window
+        self.checked_windows[window] = None
+        if len(self.checked_windows) > MAX_CHECKED_WINDOWS:
+            del self.checked_windows[next(iter(self.checked_windows))]
+        plan = self.plans[account]
+        marker = marker_value(
+            plan.burst_units, plan.rate_per_s, span_of(plan) / 1000.0, plan.ceiling_burst_units
+        )
+        counter_name = stable(f"{account}/{start_ms}")
+        return CounterQuery(account, plan, start_ms, counter_name, reported_units, marker)
 
     @staticmethod
-    def is_window(window: tuple[str, int], plan: Plan) -> bool:
-        """Whether such a window there is: a row may say anything."""
-        account, begins = window
-        return abs(window_start(begins + 0.5 * span_of(plan), account, plan) - begins) <= 1.0
-
-    def receive_total(self, look: CounterQuery, total: float | None) -> UsageMismatch | None:
-        """The total of a look, None where none came. What is to be told of now: an account that has come to
-        differ, once, until it agrees again."""
+    def is_window(window: Window, plan: Plan) -> bool:
+        """Whether the plan has such a window: a received row may name any."""
+        account, start_ms = window
+        return abs(window_start(start_ms + 0.5 * span_of(plan), account, plan) - start_ms) <= 1.0
+
+    def receive_total(self, query: CounterQuery, total: float | None) -> UsageMismatch | None:
+        """The counter's total, None where it did not answer. A mismatch to be reported now: once an account,
+        until it agrees again."""
         if total is None:
             self.unanswered_count += 1
             return None
         self.compared_count += 1
-        units = total - round(total / look.epoch_marker) * look.epoch_marker
-        most = TOLERANCE_UNITS + TOLERANCE_SHARE * max(look.reported_units, units)
-        less, more = (
-            units < look.reported_units - most,
-            units > look.reported_units + most and not look.plan.ceiling_rate_per_s,
-        )
-        if not less and not more:
-            self.mismatch_runs.pop(look.account, None)
-            self.mismatches.pop(look.account, None)
+        units = total - round(total / query.epoch_marker) * query.epoch_marker
+        tolerance = TOLERANCE_UNITS + TOLERANCE_SHARE * max(query.reported_units, units)
+        is_lower = units < query.reported_units - tolerance
+        is_higher = units > query.reported_units + tolerance and not query.plan.ceiling_rate_per_s
+        if not is_lower and not is_higher:
+            self.mismatch_runs.pop(query.account, None)
+            self.mismatches.pop(query.account, None)
             return None
-        before, count, first = self.mismatch_runs.get(look.account, (less, 0, look.window_start_ms))
-        if before is not less:
-            count, first = 0, look.window_start_ms
-        count += 1
-        if look.account not in self.mismatch_runs and len(self.mismatch_runs) >= MAX_ACCOUNTS:
-            del self.mismatch_runs[next(iter(self.mismatch_runs))]
-        self.mismatch_runs[look.account] = less, count, first
-        if count < MIN_MISMATCHED_WINDOWS or look.window_start_ms - first < 1000.0 * SETTLED_S + span_of(
-            look.plan
-        ):
+        run = self.extend_run(query, is_lower)
+        min_distance_ms = 1000.0 * SETTLED_S + span_of(query.plan)
+        is_short = run.window_count < MIN_MISMATCHED_WINDOWS
+        if is_short or query.window_start_ms - run.first_window_ms < min_distance_ms:
             return None
-        known, found = (
-            self.mismatches.get(look.account),
-            UsageMismatch(look.account, less, look.reported_units, units),
-        )
-        self.mismatches[look.account] = found
+        known = self.mismatches.get(query.account)
+        found = UsageMismatch(query.account, is_lower, query.reported_units, units)
+        self.mismatches[query.account] = found
         if len(self.mismatches) > MAX_ACCOUNTS:
             del self.mismatches[next(iter(self.mismatches))]
-        return found if known is None or known.is_counter_lower is not less else None
+        return found if known is None or known.is_counter_lower is not is_lower else None
+
+    def extend_run(self, query: CounterQuery, is_lower: bool) -> MismatchRun:
+        """The account's run of mismatches with this window; a new one where the last differed otherwise."""
+        run = self.mismatch_runs.get(query.account)
+        if run is None or run.is_counter_lower is not is_lower:
+            extended = MismatchRun(is_lower, 1, query.window_start_ms)
+        else:
+            extended = MismatchRun(is_lower, run.window_count + 1, run.first_window_ms)
+        if run is None and len(self.mismatch_runs) >= MAX_ACCOUNTS:
+            del self.mismatch_runs[next(iter(self.mismatch_runs))]
+        self.mismatch_runs[query.account] = extended
+        return extended
