--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -11,7 +11,8 @@
 from benchmarks.capacity_gateway import GATEWAYS
 from benchmarks.slopes import cpu_ms, kib
 from glenchute.policy.admission.windows import window_start
-from glenchute.policy.membership.direct_messages import DirectMessenger, GatewayRing, gateway_numbers
+from glenchute.policy.membership.direct_messages import DirectMessenger
+from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.members import MemberList, MemberState, SwimMessage, SwimSettings
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.replica import Replica, Row, RowKind
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -22,15 +22,10 @@
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import members as membership
-from glenchute.policy.membership.direct_messages import (
-    DirectMessenger,
-    GatewayRing,
-    UsageMessage,
-    UsageRequest,
-    gateway_numbers,
-)
+from glenchute.policy.membership.direct_messages import DirectMessenger, UsageMessage, UsageRequest
 from glenchute.policy.membership.endpoint_health import EndpointHealth
 from glenchute.policy.membership.endpoint_sharing import POLLER_WATCH_S, SharedEndpointList
+from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings, ReceivedRow
 from glenchute.policy.membership.gossiped_drains import GossipedDrains
 from glenchute.policy.membership.leases import LeaseMessage, LeaseTerms
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -8,13 +8,8 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from glenchute.policy.membership.direct_messages import (
-    DirectMessenger,
-    GatewayRing,
-    UsageMessage,
-    UsageRequest,
-    gateway_numbers,
-)
+from glenchute.policy.membership.direct_messages import DirectMessenger, UsageMessage, UsageRequest
+from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.replica import Replica
 from glenchute.policy.membership.usage import AccountUsage
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -13,14 +13,9 @@
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event
-from glenchute.policy.membership.direct_messages import (
-    DirectMessenger,
-    GatewayRing,
-    UsageMessage,
-    UsageRequest,
-    gateway_numbers,
-)
+from glenchute.policy.membership.direct_messages import DirectMessenger, UsageMessage, UsageRequest
 from glenchute.policy.membership.endpoint_health import EndpointHealth
+from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings
 from glenchute.policy.membership.members import MemberList, MemberState, SwimMessage, SwimSettings
 from glenchute.policy.membership.replica import Replica, RowKind
--- a/tests/policy/membership/test_directmail.py
+++ b/tests/policy/membership/test_directmail.py
@@ -17,11 +17,10 @@
     MAX_ENTRIES_PER_MESSAGE,
     MAX_REQUESTS_PER_S,
     DirectMessenger,
-    GatewayRing,
     UsageEntry,
     UsageMessage,
-    gateway_numbers,
 )
+from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings
 from glenchute.policy.membership.members import MemberList, MemberState, MemberUpdate, SwimMessage
 from glenchute.policy.membership.members import SwimMessageKind as Probes
