--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -14,8 +14,8 @@
   removed here, nor lets one warm up faster: only discovery does.
 - A list never counts as newer than what discovery answered to somebody: versions come from its answers,
   changes are applied completely and without a gap, and ages add up on the way.
-- Without a message of a poller this gateway has polled by itself `FRESH_S` and `notification.left_alone` later at
-  most.
+- Without a message of a poller this gateway has polled by itself `FRESH_S` and `notification.left_alone`
+  later at most.
 
 Not covered: a configured member that invents versions and ages. What it withholds is found when another
 poller reports a newer version, or when it falls silent.
