--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -191,9 +191,9 @@
         """Whether a window that begins from now on is marked."""
         rig.advance(20_000.0)
         rig.ask("read", "hard", "c", spread=1)
-        word = rig.gateway.quota.tenants.by_id["c"].window_counter
-        assert word is not None
-        return word.may_add_marker
+        window_counter = rig.gateway.quota.tenants.by_id["c"].window_counter
+        assert window_counter is not None
+        return window_counter.may_add_marker
 
     assert not may_mark(old)
     assert may_mark(new)
