--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -8,8 +8,8 @@
 
 from glenchute.clients.handover import HandoverServer, PredecessorConnection, request_handover, socket_path
 from glenchute.config.platform import PlatformConfig
-from glenchute.core.gateway import RequestExecutor
-from glenchute.listeners.resp2.clients import Listener
+from glenchute.core.executor import RequestExecutor
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import encode_handover, retained_limit_share
 from glenchute.upstreams.server_pools import ServerPools
@@ -74,7 +74,7 @@
 
     def make_message(self) -> bytes:
         """A successor has connected: reduces the limits of this process, and returns the message to it."""
-        in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.count())
+        in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.connection_count())
         share = retained_limit_share(in_use, self.config.max_descriptors)
         self.apply_limit_share(share)
         self.quotas = ()
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -137,7 +137,7 @@
         try:
             self.parser.feed(data)
             while (reply := self.parser.next_message()) is not False:
-                self.handle_reply(reply)
+                self._handle_reply(reply)
         except (resp.ProtocolError, IndexError):
             if self.transport is not None:
                 self.transport.abort()  # replies no longer match calls
@@ -264,13 +264,8 @@
         """A call has timed out. It stays among the calls of its connection, as its reply still comes, unless
         an incomplete one is in the way: then the connection is aborted."""
         call.complete(self.loop.time(), Outcome.TIMEOUT)
-        call.end(self.loop.time(), Outcome.TIMEOUT)
-        if link.parser.has_unparsed() and link.transport.abort()
-            link.transport.abort()
-=======
         if connection.parser.has_unparsed() and connection.transport is not None:
             connection.transport.abort()
->>>>>>> part-endpoints
 
     def close(self) -> None:
         """The end of the process."""
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -221,7 +221,7 @@
             # On the servers two requests of one id would be taken for one, and both might be spoilt.
             raise CommandError("this request id is in use")
         now = self.listener.loop.time()
-        if not self.listener.lifecycle.takes(now):
+        if not self.listener.lifecycle.admits_requests(now):
             slot.reply = resp.encode_busy(0.0)
             return
         self.listener.connection_slots.on_request(now, self)
@@ -242,7 +242,7 @@
         if verb == b"PING":
             if len(words) > 2:
                 raise CommandError("wrong number of arguments for 'ping'")
-            if self.listener.lifecycle.parting:
+            if self.listener.lifecycle.is_closing_connections:
                 return resp.encode_error(self.listener.lifecycle.phase.value)
             return resp.encode_bulk(words[1]) if len(words) == 2 else resp.PONG
         if verb in (b"CLIENT", b"SELECT"):
--- a/glenchute/listeners/resp2/listener.py
+++ b/glenchute/listeners/resp2/listener.py
@@ -15,7 +15,7 @@
 from glenchute.core.executor import RequestExecutor
 from glenchute.policy.connections.client_slots import CloseConnection, ConnectionSlots
 from glenchute.policy.connections.descriptor_budget import DescriptorBudget
-from glenchute.policy.lifecycle.draining import Lifecycle
+from glenchute.policy.lifecycle.draining import ProcessLifecycle
 
 from .closed_peers import PAUSED_POLL_INTERVAL_S, ClosedPeerDetector, has_socket_event
 from .commands import CommandParser
@@ -65,7 +65,7 @@
         self.last_report = "", loop.time()  # the last line for the operators, and when
         self.paused_clients: set[ClientConnection] = set()
         self.closed_check_timer: asyncio.TimerHandle | None = None
-        self.lifecycle = Lifecycle(catalogue.bounds.max_deadline_ms / 1000.0)
+        self.lifecycle = ProcessLifecycle(catalogue.bounds.max_deadline_ms / 1000.0)
         self.idle_close_timer: asyncio.TimerHandle | None = None
         self.sweep_timer = loop.call_later(self.connection_slots.next_sweep_s(), self.sweep)
 
@@ -163,7 +163,7 @@
             self.server = await self.loop.create_server(
                 lambda: ClientConnection(self), host, port, backlog=ACCEPT_BACKLOG
             )
-        self.lifecycle.serving(self.loop.time())
+        self.lifecycle.begin_serving(self.loop.time())
 
     def on_connected(self, client: ClientConnection) -> None:
         """A connection was accepted."""
@@ -218,11 +218,13 @@
 
     def closes_after_reply(self) -> bool:
         """Whether connections close after their last reply."""
-        return self.lifecycle.parting and self.lifecycle.closes(self.loop.time())
+        return self.lifecycle.is_closing_connections and self.lifecycle.closes_after_response(
+            self.loop.time()
+        )
 
     def start_drain(self) -> bool:
         """Starts draining; False where that changes nothing."""
-        changed = self.lifecycle.lame_duck(self.loop.time())
+        changed = self.lifecycle.begin_drain(self.loop.time())
         if changed:
             log.info("drain: on, %d connections held", len(self.clients))
             self.close_idle()
@@ -230,14 +232,14 @@
 
     def end_drain(self) -> bool:
         """Ends the drain; False where none is on."""
-        changed = self.lifecycle.back(self.loop.time())
+        changed = self.lifecycle.cancel_drain(self.loop.time())
         if changed:
             log.info("drain: off")
         return changed
 
     def start_shutdown(self, replaced: bool = False) -> None:
         """Starts the graceful shutdown. `replaced`: another process accepts from the same socket."""
-        self.lifecycle.leave(self.loop.time(), replaced)
+        self.lifecycle.begin_shutdown(self.loop.time(), replaced)
         self.close_idle()
 
     def close_idle(self) -> None:
@@ -245,10 +247,10 @@
         if self.idle_close_timer is not None:
             self.idle_close_timer.cancel()
             self.idle_close_timer = None
-        if not self.lifecycle.parting:
+        if not self.lifecycle.is_closing_connections:
             return
         now = self.loop.time()
-        borne = self.lifecycle.borne(now)
+        borne = self.lifecycle.idle_limit_s(now)
         if borne < math.inf:
             for client in list(self.clients):
                 client.close_if_idle(now - borne)
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -138,7 +138,7 @@
             self.mismatches.pop(query.account, None)
             return None
         run = self.extend_run(query, is_lower)
-        min_distance_ms = 1000.0 * SETTLED_S + window_length_ms(look.plan)
+        min_distance_ms = 1000.0 * SETTLED_S + window_length_ms(query.plan)
         is_short = run.window_count < MIN_MISMATCHED_WINDOWS
         if is_short or query.window_start_ms - run.first_window_ms < min_distance_ms:
             return None
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -155,14 +155,9 @@
             for client in (idle, probe, fresh):
                 assert await client.ended()
             assert one.program.listener.request_count == serial - 8
-            if one.program.listener.lifecycle.admits_requests(one.program.loop.time()):
-                assert await read(last, serial + 1) >> b"value"
-                assert await read(last, serial + 1) == b"value"
-=======
             last = await one.client()  # a late client is served, and its connection closed
             if one.program.listener.lifecycle.admits_requests(one.program.loop.time()):
                 assert await read_value(last, serial + 1) == b"value"
->>>>>>> part-endpoints
                 assert await last.ended()
             await request(port_of(one), "PUT", "/_lameduck/off")
             again = await one.client()
@@ -205,8 +200,6 @@
             client = await one.client()
             assert await read_value(client, 1) == b"value"
             for target in ("on", "off"):
-            one.program.listener.lifecycle.since -= 10.0
-=======
                 await request(port_of(one), "PUT", f"/_lameduck/{target}")
             one.program.listener.lifecycle.phase_started_at -= 10.0
             one.program.listener.close_idle()
--- a/tests/listeners/resp2/test_client_connections.py
+++ b/tests/listeners/resp2/test_client_connections.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from glenchute.listeners.resp2 import clients as clients_module
-from glenchute.listeners.resp2.clients import MAX_PENDING_COMMANDS
+from glenchute.listeners.resp2 import connection as clients_module
+from glenchute.listeners.resp2.connection import MAX_PENDING_COMMANDS
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
 from glenchute.policy.events import Request
--- a/tests/upstreams/test_connection_pool.py
+++ b/tests/upstreams/test_connection_pool.py
@@ -40,7 +40,7 @@
             assert len(pool.idle) == 2
             last = pool.idle[-1]
             for conn in pool.idle:
-                conn.idle_since -= 2 * servers_module.SETTLE_S
+                conn.idle_since -= 2 * servers_module.REUSE_DELAY_S
             assert await client.ask(b"CALL.GET", CUSTOMER, b"3", GET) == b"value"
             assert pool.idle[-1] is last and len(one.servers[0].writers) == 2
 
@@ -65,7 +65,7 @@
                 assert value == b"%04d" % number
             assert len(one.servers[0].writers) == 8
 
-    monkeypatch.setattr(servers_module, "SETTLE_S", 30.0)  # however slow the machine
+    monkeypatch.setattr(servers_module, "REUSE_DELAY_S", 30.0)  # however slow the machine
     play(scenario())
 
 
@@ -136,7 +136,7 @@
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
             assert (
-                not one.program.gateway.server_started_ms and not one.program.servers.pools
+                not one.program.gateway.endpoints.started_ms and not one.program.servers.pools
             )  # ids are ever new
 
     play(scenario())
@@ -176,12 +176,12 @@
         script = Script(send_to("s0"))
         async with site(always(None), decisions=script) as one:
             servers = one.program.servers
-            servers.limits = replace(servers.limits, connections=5)
+            servers.limits = replace(servers.limits, max_connections=5)
             client = await one.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             await until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
             assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.UNREACHABLE}
-            assert servers.count() == 5
+            assert servers.connection_count() == 5
 
     play(scenario())
