--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -18,14 +18,15 @@
 from typing import Any
 
 from benchmarks.machine import machine
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset import Aperture, Terms
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.settings import Settings, SlowStart
 from glenchute.protocol.endpoint_list import CurrentList, decode_list, decode_list_in_parts
-from glenchute.upstreams.connection_pool import Limits, Servers
+from glenchute.upstreams.limits import UpstreamLimits
+from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import row
 
 GATEWAYS, PLAYS = 520, 9
@@ -37,9 +38,12 @@
     def __init__(self, parted: bool = True) -> None:
         self.loop = asyncio.new_event_loop()
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
-        self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
+        self.servers = ServerPools(self.loop, UpstreamLimits(0.5, 9.0, 0.25, 500))
         self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
-        self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+        self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
+            WHOLE,
+            self.narrow,
+        )
         self.held, self.parted = CurrentList(), parted
         self.version = 0
 
@@ -80,7 +84,7 @@
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
             names, [servers.stops(name) for name in names], where,
-            self.gateway.server_started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
+            self.gateway.endpoints.started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
             subset and (subset.listed, subset.rings, list(subset.held)),
         )  # fmt: skip
 
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -17,16 +17,16 @@
 from glenchute.clients.counter import CounterClient
 from glenchute.clients.discovery import DiscoveryClient
 from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
-from glenchute.core.gateway import RequestExecutor
+from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler, EndpointUpdate
-from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import CommandParser
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -106,7 +106,10 @@
         self.gateway = RequestExecutor(loop, decisions, self.servers, self.counter)
         self.gateway.allows_concurrent_attempts = made.allows_hedging
         if raw is None:
-            self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+            self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
+                WHOLE,
+                self.narrow,
+            )
         if operator is not None:
             self.bind(operator)
         catalogue = CommandParser(made, config.request_bounds)
@@ -152,14 +155,14 @@
         """Whether servers answer, as far as anybody has asked them."""
         return self.gateway.last_failure_at - self.gateway.last_response_at < SERVING_S
 
-    def backend(self, shared: dict[str, Any] | None) -> Servers:
+    def backend(self, shared: dict[str, Any] | None) -> ServerPools:
         """The connections to the servers: one for each attempt, or shared where the operator's file says
         so."""
         if shared is None:
-            return Servers(self.loop, self.config.limits)
-        from .lines import backend
+            return ServerPools(self.loop, self.config.limits)
+        from .pipelined_upstream import pipelined_upstream
 
-        return backend(shared, self.config, self.loop)
+        return pipelined_upstream(shared, self.config, self.loop)
 
     def narrowed(
         self, decisions: DecisionHandler, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -15,7 +15,7 @@
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
 from glenchute.protocol.endpoint_list import EndpointListError, decode_list, parse_address
-from glenchute.upstreams.connection_pool import Limits
+from glenchute.upstreams.limits import UpstreamLimits
 
 from .facts import ClassFacts, PlatformFacts
 from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
@@ -65,7 +65,7 @@
     settings: Settings
     gateway_number: int | None
     stated_number: int | None
-    limits: Limits
+    limits: UpstreamLimits
     request_bounds: RequestBounds
     facts: PlatformFacts
 
@@ -119,18 +119,18 @@
     )
 
 
-def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> Limits:
+def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> UpstreamLimits:
     """The limits of connections to servers."""
     limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
     memory_mb = number(table(raw, "limits").get("memory_mb"), DEFAULT_MEMORY_MB)
     streamed_values = int(memory_mb * 1e6 * STREAMING_MEMORY_FRACTION / STREAM_BYTES)
     server_idle_s = number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS) / 1000.0
-    return Limits(
-        connect_s=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS) / 1000.0,
-        idle_s=max(MIN_IDLE_S, server_idle_s - IDLE_MARGIN_S),
-        grace_s=number(safety.get("drain_grace_ms"), DEFAULT_DRAIN_GRACE_MS) / 1000.0,
-        connections=budget.server_connections,
-        long_values=max(MIN_STREAMED_VALUES, streamed_values),
+    return UpstreamLimits(
+        connect_timeout_s=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS) / 1000.0,
+        max_idle_s=max(MIN_IDLE_S, server_idle_s - IDLE_MARGIN_S),
+        drain_grace_s=number(safety.get("drain_grace_ms"), DEFAULT_DRAIN_GRACE_MS) / 1000.0,
+        max_connections=budget.server_connections,
+        max_streams=max(MIN_STREAMED_VALUES, streamed_values),
     )
 
 
--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -12,7 +12,7 @@
 from .balancing.endpoint_choice import EndpointChooser
 from .balancing.pool import ServerPool
 from .balancing.server import Server
-from .events import AttemptEnded, Outcome
+from .events import DID_NOT_RUN, AttemptEnded, Outcome
 from .reports import Reports
 from .requests import Attempt, PendingRequest, ScheduledAttempt
 from .retries import hedging
@@ -23,7 +23,6 @@
 
 TICK_TOKEN = 0  # of the engine's own timer; attempts that are scheduled have higher ones
 MOST_WAIT_FRACTION = 0.3  # of the latency objective that a request may wait for a server
-DID_NOT_RUN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT)
 
 
 class RequestExecution:
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -15,13 +15,13 @@
 from hypothesis import strategies as st
 
 from benchmarks.list_turns import LISTS, Chain, zoned
-from glenchute.core import gateway as gateways
+from glenchute.core import endpoint_updates
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset_size import WHOLE
 from glenchute.policy.events import EndpointList, EndpointListKind
 from glenchute.protocol import endpoint_list
 from glenchute.protocol.endpoint_list import ROWS_PER_PART, CurrentList, decode_list, decode_list_in_parts
-from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
+from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, ConnectionPool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
 from tests.loopback import Script, Site, site
 
@@ -351,7 +351,9 @@
     assert all(chain.servers.open_pool(name) is not None for name in opened)
     where = {id(pool): name for name, pool in chain.servers.pools.items()}
     closed: list[str] = []
-    monkeypatch.setattr(Pool, "close_idle", lambda self, before=None: closed.append(where[id(self)]))
+    monkeypatch.setattr(
+        ConnectionPool, "close_idle", lambda self, before=None: closed.append(where[id(self)])
+    )
     for step, full in ((1, True), (2, False)):
         anew = set(opened[:step])
         rows = [{**one, "started_ms": float(step)} if one["id"] in anew else one for one in zoned(0, 5_700)]
@@ -373,7 +375,7 @@
         chain.tell([*zoned(0, 300), *drain, *zoned(900, 4_800)] if full else drain, full)
         assert all(chain.servers.stops(one["id"]) for one in drain)
         now += 0.1
-    grace_s = chain.servers.limits.grace_s - GRACE_MARGIN_S
+    grace_s = chain.servers.limits.drain_grace_s - GRACE_MARGIN_S
     now = 100.0 + grace_s
     pool = chain.servers.open_pool("n300")
     assert pool is not None and pool.stop_at == now and chain.servers.stops("n300")
@@ -414,7 +416,7 @@
         rows, full = random_rows(rng, names), step == 0 or rng.random() < 0.5
         new.tell(rows, full)
         with monkeypatch.context() as patch:
-            patch.setattr(gateways, "MANY_ROWS", 10**9)
+            patch.setattr(endpoint_updates, "BULK_ROWS", 10**9)
             old.tell(rows, full)
         for name in rng.sample(sorted(new.used()), len(new.used()) // 3):  # pools that are made by use
             assert new.servers.open_pool(name) is not None
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -18,17 +18,17 @@
 import pytest
 
 from glenchute.config.policy_settings import policy_settings
-from glenchute.listeners.resp2 import clients
-from glenchute.listeners.resp2.clients import (
-    MAX_CLOSE_DETECTION_S,
-    MAX_CLOSES_PER_POLL,
+from glenchute.listeners.resp2 import listener as listener_module
+from glenchute.listeners.resp2.closed_peers import MAX_CLOSES_PER_POLL, MAX_DETECTION_S
+from glenchute.listeners.resp2.connection import (
     MAX_COMMANDS_PER_TURN,
     MAX_PENDING_COMMANDS,
     MAX_QUEUED_REPLY_BYTES,
     MAX_TURN_REPLY_BYTES,
     WRITE_BUFFER_BYTES,
 )
-from glenchute.listeners.resp2.clients import ClientConnection as Connection
+from glenchute.listeners.resp2.connection import ClientConnection as Connection
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import CloseReason
@@ -42,7 +42,7 @@
     ProcessLifecycle,
 )
 from glenchute.protocol import resp2 as resp
-from glenchute.upstreams.connection_pool import SETTLE_S
+from glenchute.upstreams.connection_pool import REUSE_DELAY_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
 from tests.cli.test_process import connect_when_ready, start
@@ -373,11 +373,11 @@
             one.program.servers.activate_server("s0", ("127.0.0.1", port), False)
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.coming) == 1)
+            await until(lambda: len(one.program.servers.connecting) == 1)
             end(client, how)
             await until(lambda: script.of(AttemptEnded))
             assert [(e.outcome, e.is_final) for e in script.of(AttemptEnded)] == [(Outcome.NOT_SENT, True)]
-            await until(lambda: not one.program.servers.coming)
+            await until(lambda: not one.program.servers.connecting)
 
     play(scenario())
 
@@ -602,7 +602,7 @@
             await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.coming) == 1)
+            await until(lambda: len(one.program.servers.connecting) == 1)
             await agent.answer(2, listing(4, [row("s0", port, "Terminating")], full=False))
             await agent.answer(3, listing(5, [row("s0", port, "Gone")], full=False))
             await agent.answer(4, listing(6, [row("s0", new.port, started_ms=5.0)], full=False))
@@ -617,9 +617,7 @@
 
 # --- clients that leave while the gateway is busy ---------------------------------------------------------
 
-BUSY_S = (
-    1.5 * MAX_CLOSE_DETECTION_S
-)  # the loop stands still for longer than an attempt may follow its client's end
+BUSY_S = 1.5 * MAX_DETECTION_S  # the loop stands still for longer than an attempt may follow its client's end
 
 
 def raw_client(one: Site, *commands: bytes) -> socket.socket:
@@ -756,7 +754,7 @@
         heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await rested(one, 12)
-            await asyncio.sleep(2.0 * SETTLE_S)  # before that they are not used again
+            await asyncio.sleep(2.0 * REUSE_DELAY_S)  # before that they are not used again
             heard.endings.clear()
             socks.append(raw_client(one, *reads(1)))
             await until(lambda: not socks)
@@ -786,7 +784,7 @@
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script, operator=operator) as one:
             sock = raw_client(one, *reads(MAX_PENDING_COMMANDS))
-            while not one.program.servers.coming:
+            while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
@@ -854,7 +852,7 @@
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             client = await one.client()
             client.send(*READ, b"1", GET)
-            while not one.program.servers.coming:
+            while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             time.sleep(BUSY_S)
             assert await client.reply() == b"value"
@@ -1101,7 +1099,7 @@
 
 def test_what_is_left_of_all_connections_has_a_time_in_each_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """With no time at all one connection goes on in each turn of the loop, and all come to their end."""
-    monkeypatch.setattr(clients, "MAX_TURN_S", 0.0)
+    monkeypatch.setattr(listener_module, "MAX_TURN_S", 0.0)
     gone_on, most = turns_of(monkeypatch), 0
 
     async def scenario() -> None:
@@ -1153,7 +1151,7 @@
 
 def test_turns_are_short_while_connections_wait_to_be_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     """The loop accepts one in a turn: behind a crowd's large turns a newcomer would wait for all of them."""
-    monkeypatch.setattr(clients, "MAX_TURN_S", 60.0)
+    monkeypatch.setattr(listener_module, "MAX_TURN_S", 60.0)
     gone_on = turns_of(monkeypatch)
 
     async def scenario() -> None:
@@ -1179,9 +1177,9 @@
     """However long the others' turns take: it has come whole, and its client is not late."""
     for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.01)
-    turn, end, held, reasons = clients.Listener.run_turns, Connection.close_for, True, list[CloseReason]()
+    turn, end, held, reasons = Listener.run_turns, Connection.close_for, True, list[CloseReason]()
 
-    def later(self: clients.Listener) -> None:
+    def later(self: Listener) -> None:
         if held:
             self.loop.call_later(0.005, self.run_turns)
         else:
@@ -1191,7 +1189,7 @@
         reasons.append(reason)
         return end(self, reason)
 
-    monkeypatch.setattr(clients.Listener, "run_turns", later)
+    monkeypatch.setattr(Listener, "run_turns", later)
     monkeypatch.setattr(Connection, "close_for", told)
     word = b"x" * 60_000
 
