--- a/glenchute/clients/__init__.py
+++ b/glenchute/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The services that gateways ask: counter, discovery."""
+"""Clients of the services that gateways use: the counter, discovery, other members, and the other process."""
--- a/glenchute/policy/lifecycle/draining.py
+++ b/glenchute/policy/lifecycle/draining.py
@@ -41,7 +41,7 @@
 
     STARTING = "starting"  # the listener is not up
     SERVING = "serving"
-    DRAINING = "lame duck"  # in service, but told to drain; the drain may be cancelled
+    DRAINING = "lame duck"  # still serving; may return to service
     SHUTTING_DOWN = "leaving"
 
 
--- a/tests/cli/test_process.py
+++ b/tests/cli/test_process.py
@@ -40,12 +40,12 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["", "{", "[]", "{}", '{"settings":{}}', '{"settings":5}', None, "bad listen"]
+    "text", ["", "{", "[]", "{}", '{"settings":{}}', '{"settings":5}', None, "invalid listen"]
 )
 def test_an_invalid_configuration_ends_with_one_line(tmp_path: Path, text: str | None) -> None:
     async def scenario() -> None:
         path = tmp_path / "config.json"
-        if text == "bad listen":
+        if text == "invalid listen":
             path.write_text(json.dumps(raw_config(1, 1, []) | {"listen": "nowhere"}))
         elif text is not None:
             path.write_text(text)
@@ -61,7 +61,7 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
             return SERVED
 
@@ -105,10 +105,10 @@
         await server.start()
         rows = [row("s0", server.port)]
 
-        async def two(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n2\r\n"
+        async def reply_two(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if command[0] == b"PING" else b"$1\r\n2\r\n"
 
-        addresses = [(DiscoveryPeer(listing(version, rows)), RespPeer(two)) for version in (9, 5, 3)]
+        addresses = [(DiscoveryPeer(listing(version, rows)), RespPeer(reply_two)) for version in (9, 5, 3)]
         for discovery, counts in addresses:
             await discovery.start()
             await counts.start()
--- a/tests/clients/test_counter.py
+++ b/tests/clients/test_counter.py
@@ -24,12 +24,12 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            if words[0] == b"PING":
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            if command[0] == b"PING":
                 return b"+PONG\r\n"
-            if words[1] == b"2":
+            if command[1] == b"2":
                 await release.wait()
-            return b"-BUSY\r\n" if words[1] == b"6" else b"$1\r\n%b\r\n" % words[1]
+            return b"-BUSY\r\n" if command[1] == b"6" else b"$1\r\n%b\r\n" % command[1]
 
         peer = RespPeer(reply)
         await peer.start()
@@ -64,9 +64,9 @@
     async def scenario() -> None:
         has_hung_up = False
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             nonlocal has_hung_up
-            if words[0] == b"PING":
+            if command[0] == b"PING":
                 return b"+PONG\r\n"
             if not has_hung_up:
                 has_hung_up = True
@@ -111,8 +111,8 @@
     async def scenario() -> None:
         answers = [invalid_reply, b"$3\r\n4.5\r\n"]
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            return b"+PONG\r\n" if words[0] == b"PING" else answers.pop(0)
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if command[0] == b"PING" else answers.pop(0)
 
         peer = RespPeer(reply)
         await peer.start()
@@ -135,10 +135,10 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            if words[0] == b"PING":
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            if command[0] == b"PING":
                 return b"+PONG\r\n"
-            if words[1] == b"0":
+            if command[1] == b"0":
                 await release.wait()
             return b"$1\r\n1\r\n"
 
@@ -180,18 +180,18 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-            if words[0] == b"INCRTTL":
+        async def delayed_reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+            if command[0] == b"INCRTTL":
                 await release.wait()
-            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n7\r\n"
+            return b"+PONG\r\n" if command[0] == b"PING" else b"$1\r\n7\r\n"
 
-        async def three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
+        async def reply_three(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if command[0] == b"PING" else b"$1\r\n3\r\n"
 
-        old, new = RespPeer(late), RespPeer(three)
-        await old.start()
-        await new.start()
-        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
+        former_peer, new_peer = RespPeer(delayed_reply), RespPeer(reply_three)
+        await former_peer.start()
+        await new_peer.start()
+        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", former_peer.port), 30.0)
         results: list[tuple[int, float, Outcome]] = []
 
         def call(key: int) -> None:
@@ -202,18 +202,20 @@
         await until(lambda: all(connection.is_ready() for connection in client.connections))
         call(2)
         call(4)
-        await until(lambda: len(old.calls()) == 2)
-        client.change_address(("127.0.0.1", new.port))
+        await until(lambda: len(former_peer.calls()) == 2)
+        client.change_address(("127.0.0.1", new_peer.port))
         await until(lambda: all(connection.is_ready() for connection in client.connections))
         call(4)  # its call on the former connection ends now: replies for one key keep their order
         await until(lambda: len(results) == 2)
         assert results == [(4, 0.0, Outcome.TIMEOUT), (4, 3.0, Outcome.OK)]
         release.set()
         await until(lambda: len(results) == 3)
-        await until(lambda: [what for what, *_ in old.log].count("closed") == counter.DEFAULT_CONNECTIONS)
-        assert results[2] == (2, 7.0, Outcome.OK) and len(new.calls()) == 1
+        await until(
+            lambda: [what for what, *_ in former_peer.log].count("closed") == counter.DEFAULT_CONNECTIONS
+        )
+        assert results[2] == (2, 7.0, Outcome.OK) and len(new_peer.calls()) == 1
         client.close()
-        await old.stop()
-        await new.stop()
+        await former_peer.stop()
+        await new_peer.stop()
 
     play(scenario())
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -183,10 +183,13 @@
             client = await one.client()
             assert await client.ask(b"PING") == b"PONG" and parts.paused and len(lists(script)) == before
             if end == "closes":
-                line = discovery.partial_decode.connection_id  # type: ignore[union-attr]
+                connection_id = discovery.partial_decode.connection_id  # type: ignore[union-attr]
                 answers.writers[-1].close()
                 await until(
-                    lambda: line not in discovery.connections or discovery.connections[line].transport is None
+                    lambda: (
+                        connection_id not in discovery.connections
+                        or discovery.connections[connection_id].transport is None
+                    )
                 )
             elif end == "moves":
                 discovery.change_address(("127.0.0.1", other.port))
@@ -263,10 +266,10 @@
     """Counts calls of Python and built-in functions within the context."""
     count = [0]
 
-    def one(frame: Any, event: str, arg: Any) -> None:
+    def count_call(frame: Any, event: str, arg: Any) -> None:
         count[0] += event in ("call", "c_call")
 
-    sys.setprofile(one)
+    sys.setprofile(count_call)
     try:
         yield count
     finally:
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -1,4 +1,4 @@
-"""Unconfirmed endpoint lists in a whole gateway: their drains hold before the confirming answer has come."""
+"""Unconfirmed endpoint lists in a gateway process: their drains hold before the confirming answer."""
 
 from __future__ import annotations
 
@@ -79,10 +79,10 @@
     monkeypatch.setattr(notification, "NOTIFIED_AFTER_S", 1000.0)
     case, versions_for_members, listed = CONFIRMATION_CASES[name], list[int](), Program.listed
 
-    def recorded(self: Program, news: EndpointUpdate) -> None:
+    def recorded(self: Program, update: EndpointUpdate) -> None:
         """Lists that members are sent pass here."""
-        versions_for_members.append(news.version)
-        listed(self, news)
+        versions_for_members.append(update.version)
+        listed(self, update)
 
     monkeypatch.setattr(Program, "listed", recorded)
 
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -169,13 +169,13 @@
 
 def test_open_requests_are_answered_in_a_drain_and_late_ones_rejected() -> None:
     async def scenario() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
-        async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            await go.wait()
+        async def delayed_reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            await released.wait()
             return SERVED
 
-        async with site(late, decisions=Script(send_to("s0")), **ANY_PORT) as one:
+        async with site(delayed_reply, decisions=Script(send_to("s0")), **ANY_PORT) as one:
             client = await one.client()
             ids = numbered()
             for _ in range(3):  # pipelined
@@ -186,7 +186,7 @@
             lifecycle.phase_started_at -= 10.0  # the drain began long ago
             one.program.listener.close_idle()
             client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
-            go.set()
+            released.set()
             assert [await client.reply() for _ in range(3)] == [b"value"] * 3
             assert str(await client.reply()) == "BUSY"  # at once, and no attempt ran
             assert await client.ended()
--- a/tests/policy/endpoints/test_list_confirmation.py
+++ b/tests/policy/endpoints/test_list_confirmation.py
@@ -101,15 +101,19 @@
 
 def test_a_service_that_answers_differently_each_time_gets_two_polls_per_delay() -> None:
     scheduler = PollScheduler(PollingTerms(200, 199, 15.0, 30.0), random.Random(1))
-    one, calls, now = EndpointWatch(scheduler, answers_needed=ListConfirmation.ANSWERS_NEEDED), 0, 0.0
-    one.start(0.0, 0.0, True)
-    while (now := one.next_poll_at) < 60.0:
-        for command in one.tick(now, False):
-            calls += 1
+    endpoint_watch, polls, now = (
+        EndpointWatch(scheduler, answers_needed=ListConfirmation.ANSWERS_NEEDED),
+        0,
+        0.0,
+    )
+    endpoint_watch.start(0.0, 0.0, True)
+    while (now := endpoint_watch.next_poll_at) < 60.0:
+        for command in endpoint_watch.tick(now, False):
+            polls += 1
             now += 0.01
-            one.record_unconfirmed(now, command.connection_id, scheduler.record_failure())
+            endpoint_watch.record_unconfirmed(now, command.connection_id, scheduler.record_failure())
     min_delay_s = polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
-    assert 60.0 / notification.NOTIFIED_AFTER_S <= calls <= 2 * 60.0 / min_delay_s + 4
+    assert 60.0 / notification.NOTIFIED_AFTER_S <= polls <= 2 * 60.0 / min_delay_s + 4
 
 
 # --- in force by the deadline -----------------------------------------------------------------------------
@@ -176,7 +180,7 @@
         self.watch.start(0.0, 0.0, self.first_answer_at is not None)
         for _ in range(100_000):
             connection_id, (at, how) = min(
-                self.results.items(), key=lambda one: one[1], default=(0, (float("inf"), ""))
+                self.results.items(), key=lambda item: item[1], default=(0, (float("inf"), ""))
             )
             self.now = max(self.now, min(at, self.watch.next_poll_at))
             if self.watch.next_poll_at < at:
@@ -224,16 +228,18 @@
     the recovery budget: a third of the least of it. With no `first_answer_at` that poll is a watch, silent
     from its beginning, with a wait of its own."""
     timeout_s = notification.NOTIFIED_AFTER_WAIT_S / 3.0
-    one = UnreliableService(
+    service = UnreliableService(
         PollingTerms(gateways, 0, rate, age),
         random.Random(seed),
         outage_end,
         share * timeout_s,
         first_answer_at,
     )
-    received = one.received_at()
+    received = service.received_at()
     assert (
         received
-        <= max(outage_end + notification.NOTIFIED_AFTER_S, one.wait_s + notification.NOTIFIED_AFTER_WAIT_S)
+        <= max(
+            outage_end + notification.NOTIFIED_AFTER_S, service.wait_s + notification.NOTIFIED_AFTER_WAIT_S
+        )
         + 1e-6
     )
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -50,7 +50,7 @@
         """When the change that the silence hid is in force."""
         self.watch.start(0.0, 0.0, False)
         for _ in range(10_000):
-            connection_id, at = min(self.answers.items(), key=lambda one: one[1], default=(0, float("inf")))
+            connection_id, at = min(self.answers.items(), key=lambda item: item[1], default=(0, float("inf")))
             self.now = max(self.now, min(at, self.watch.next_poll_at))
             if at <= self.watch.next_poll_at:
                 del self.answers[connection_id]
@@ -87,9 +87,9 @@
 @settings(max_examples=600, deadline=None)
 @given(silences())
 def test_a_change_missed_by_a_silent_watch_is_in_force_by_its_deadline(
-    made: tuple[SilentService, float],
+    case: tuple[SilentService, float],
 ) -> None:
-    service, timeout_s = made
+    service, timeout_s = case
     for wait_s in (0.0, 2.25, 3.0) if service.scheduler.terms.is_pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0):
         assert service.watch.answer_timeout_s(wait_s) >= timeout_s  # as the docstring of the watch promises
     received = service.received_at()
@@ -111,7 +111,7 @@
 def test_a_service_that_answers_within_a_second_gets_no_hedged_polls() -> None:
     """What hedging costs a fleet of 200: nothing at a service that takes up to a second for an answer, one
     poll for each that takes longer, and a bounded rate when nothing is answered at all."""
-    made = {}
+    polls_per_s = {}
     for late in (0.0, 0.9, 1.9, 1e9):
         polls = 0
         for number in range(200):
@@ -119,7 +119,7 @@
             now, answers = 0.0, dict[int, float]()
             service.start(0.0, number * 0.1, False)
             while now < 120.0:
-                connection_id, at = min(answers.items(), key=lambda one: one[1], default=(0, 1e18))
+                connection_id, at = min(answers.items(), key=lambda item: item[1], default=(0, 1e18))
                 now = min(at, service.next_poll_at)
                 if at <= service.next_poll_at:
                     answers.clear()
@@ -131,9 +131,9 @@
                         answers[command.connection_id] = now + command.wait_s + late
                     else:
                         answers.pop(command.connection_id, None)
-        made[late] = polls / 120.0
-    assert made[0.9] <= made[0.0] <= 12.5 and made[1.9] <= 2.0 * made[0.0]
-    assert made[1e9] <= 200 / 1.5  # each polls again at a bounded rate
+        polls_per_s[late] = polls / 120.0
+    assert polls_per_s[0.9] <= polls_per_s[0.0] <= 12.5 and polls_per_s[1.9] <= 2.0 * polls_per_s[0.0]
+    assert polls_per_s[1e9] <= 200 / 1.5  # each polls again at a bounded rate
 
 
 @pytest.mark.parametrize("wait_s", [0.0, 3.0, 4.0, 20.0, 55.0])
@@ -221,7 +221,7 @@
         self.watch.start(0.0, 0.0, is_start_waiting)
         for _ in range(100_000):
             connection_id, (at, how) = min(
-                self.results.items(), key=lambda one: one[1], default=(0, (float("inf"), ""))
+                self.results.items(), key=lambda item: item[1], default=(0, (float("inf"), ""))
             )
             self.now = max(self.now, min(at, self.watch.next_poll_at))
             if self.watch.next_poll_at < at:
@@ -261,13 +261,14 @@
     after."""
     timeout_s = 0.75 if is_pushed else 1.0
     terms = PollingTerms(gateways, 0, rate, None if is_pushed else age, is_pushed)  # an agent has no list age
-    one = UnavailableService(
+    service = UnavailableService(
         terms, random.Random(seed), outage_start, outage_start + outage_s, share * timeout_s
     )
-    received = one.received_at(is_start_waiting, retry_after_s)
-    made, wait_s = one.last_served
+    received = service.received_at(is_start_waiting, retry_after_s)
+    sent_at, wait_s = service.last_served
     deadline = max(
-        one.outage_end + notification.NOTIFIED_AFTER_S, made + wait_s + notification.NOTIFIED_AFTER_WAIT_S
+        service.outage_end + notification.NOTIFIED_AFTER_S,
+        sent_at + wait_s + notification.NOTIFIED_AFTER_WAIT_S,
     )
     assert received <= deadline + 1e-6
 
@@ -278,15 +279,15 @@
     how: str, reported_after_s: float
 ) -> None:
     """The service may have recovered right after the poll was sent."""
-    one = EndpointWatch(PollScheduler(PollingTerms(200, 199, 13.0, 30.0), random.Random(1)))
-    one.start(0.0, 0.0, True)
-    one.tick(0.0, True)
+    endpoint_watch = EndpointWatch(PollScheduler(PollingTerms(200, 199, 13.0, 30.0), random.Random(1)))
+    endpoint_watch.start(0.0, 0.0, True)
+    endpoint_watch.tick(0.0, True)
     _ = (
-        one.record_failure(reported_after_s, 1, 4.0)
+        endpoint_watch.record_failure(reported_after_s, 1, 4.0)
         if how == "failed"
-        else one.record_connection_lost(reported_after_s, 1)
+        else endpoint_watch.record_connection_lost(reported_after_s, 1)
     )
-    assert one.next_poll_at <= max(
+    assert endpoint_watch.next_poll_at <= max(
         reported_after_s, notification.NOTIFIED_AFTER_S - notification.ANSWER_ALLOWANCE_S
     )
 
@@ -297,17 +298,17 @@
     polls: list[float] = []
     for number in range(count):
         terms = PollingTerms(count, number, count / 15.0, 30.0)
-        one = UnavailableService(terms, random.Random(number), 0.0, 1e9, 0.0)
-        one.rng = random.Random(0)
-        one.watch.start(0.0, number * 4.0 / count, True)
-        while one.now < 60.0:
-            one.now = one.watch.next_poll_at
-            commands = one.watch.tick(one.now, True)
+        service = UnavailableService(terms, random.Random(number), 0.0, 1e9, 0.0)
+        service.rng = random.Random(0)
+        service.watch.start(0.0, number * 4.0 / count, True)
+        while service.now < 60.0:
+            service.now = service.watch.next_poll_at
+            commands = service.watch.tick(service.now, True)
             for command in commands:
                 if not isinstance(command, CloseConnection):
-                    polls.append(one.now)
-                    one.watch.record_failure(
-                        one.now, command.connection_id, one.scheduler.record_rejection(30.0, True)
+                    polls.append(service.now)
+                    service.watch.record_failure(
+                        service.now, command.connection_id, service.scheduler.record_rejection(30.0, True)
                     )
     seconds = [sum(s <= at < s + 1.0 for at in polls) for s in range(10, 60)]
     assert sum(seconds) / 50.0 <= count / 3.5 and max(seconds) <= 1.5 * count / 3.5
@@ -321,17 +322,19 @@
     shared_list = SharedEndpointList("m9", 0.0, random.Random(1))
     shared_list.version, shared_list.confirmed_at = 5, 0.0
     shared_list.is_lease_holder = False  # other members poll
-    one = EndpointWatch(PollScheduler(terms, random.Random(1)), lambda: shared_list.poll_delay_s(now, ["m0"]))
+    endpoint_watch = EndpointWatch(
+        PollScheduler(terms, random.Random(1)), lambda: shared_list.poll_delay_s(now, ["m0"])
+    )
     now, answers, confirmations = 0.0, dict[int, float](), sorted(confirmations, reverse=True)
-    one.start(0.0, 0.0, False)
+    endpoint_watch.start(0.0, 0.0, False)
     while True:
         connection_id, at = min(answers.items(), key=lambda pair: pair[1], default=(0, math.inf))
         confirmed_at = confirmations[-1][0] if confirmations else math.inf
-        now = max(now, min(at, one.next_poll_at, confirmed_at))
+        now = max(now, min(at, endpoint_watch.next_poll_at, confirmed_at))
         if confirmed_at <= now:
             shared_list.confirmed_at = max(shared_list.confirmed_at, confirmations.pop()[1])
-        elif one.next_poll_at <= now:
-            for command in one.tick(now, True):
+        elif endpoint_watch.next_poll_at <= now:
+            for command in endpoint_watch.tick(now, True):
                 if isinstance(command, CloseConnection):
                     answers.pop(command.connection_id, None)
                 else:
@@ -339,7 +342,7 @@
         elif now >= change:
             return now
         else:
-            one.record_answer(now, connection_id, 0.0)
+            endpoint_watch.record_answer(now, connection_id, 0.0)
             answers.clear()
 
 
