--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -22,7 +22,6 @@
 from glenchute.listeners.resp2.commands import CommandParser
 from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.balancing.subset_size import WHOLE
-from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
@@ -37,6 +36,7 @@
     from glenchute.control.server import ControlServer
     from glenchute.listeners.extproc.server import ExtProcServer as ExtProc
     from glenchute.listeners.operations import OperationsServer
+    from glenchute.policy.endpoints.list_confirmation import ListConfirmation
     from glenchute.policy.events import Endpoint
 
     from .background_reload import BackgroundReload, ReloadedFile
@@ -124,7 +124,7 @@
         self.handover = self.make_handover() if self.passed is not None else None
         self.operations = self.operating() if config.operations_address is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
-        self.list_confirmation = ListConfirmation() if asked.get("doubt") else None
+        self.list_confirmation = self.make_list_confirmation() if asked.get("doubt") else None
         self.discovery = DiscoveryClient(
             loop,
             config.discovery,
@@ -270,6 +270,12 @@
             folder, self.config, self.loop, self.gateway, self.listener, self.servers
         )
 
+    def make_list_confirmation(self) -> ListConfirmation:
+        """Confirms unusual endpoint lists; imported only where the operator's file asks for it."""
+        from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+
+        return ListConfirmation()
+
     def bind(self, operator: OperatorConfig) -> None:
         """The operator's routes hold for requests from the start on."""
         from glenchute.policy.retries.route_limits import RouteTable
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -14,9 +14,9 @@
 import logging
 import random
 from collections.abc import Callable, Generator
+from typing import TYPE_CHECKING
 
 from glenchute.core.types import Address, EndpointUpdate
-from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll, WatchCommand
 from glenchute.policy.events import EndpointList, EndpointListKind
@@ -29,6 +29,9 @@
 
 from .http_exchange import HttpExchange, HttpResponse
 
+if TYPE_CHECKING:  # imported by whoever makes one: most processes need no confirmations
+    from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+
 log = logging.getLogger("glenchute")
 
 LIST_TARGET = "/v1/servers"
@@ -82,7 +85,7 @@
         self.watch = EndpointWatch(
             self.scheduler,
             lambda: self.delegated_for_s(),
-            1 if confirmation is None else ListConfirmation.ANSWERS_NEEDED,
+            1 if confirmation is None else confirmation.ANSWERS_NEEDED,
         )
         self.confirmation, self.is_serving = confirmation, is_serving
         # Receives what an unconfirmed list withdraws. Members are not sent such lists, so it may differ.
--- a/glenchute/clients/http_exchange.py
+++ b/glenchute/clients/http_exchange.py
@@ -4,13 +4,15 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import NamedTuple
+
+from glenchute.policy.record import record
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 MAX_RETRY_AFTER_DIGITS = 5
 
 
-class HttpResponse(NamedTuple):
+@record(frozen=True, slots=True)
+class HttpResponse:
     """A complete response."""
 
     status: int
