--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -11,7 +11,8 @@
 from benchmarks.slopes import REFERENCE_MS, Measure, cpu_ms, kib, reference_ms
 from glenchute.clients.discovery import Held, read_in_parts, read_list
 from glenchute.policy.actions import Action, IncrementCounter, StartAttempt
-from glenchute.policy.balancing.subset import Aperture, Terms
+from glenchute.policy.balancing.subset import SubsetTerms
+from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import (
     AttemptEnded,
@@ -51,17 +52,17 @@
     return read_list(json.loads(list_text(count))).event.endpoints
 
 
-def module(listed: int, seed: int, all_used: bool = False) -> DecisionEngine | Aperture:
+def module(listed: int, seed: int, all_used: bool = False) -> DecisionEngine | SubsettingEngine:
     """A module that has heard the list, as plain `run` has it; or one that is told of all servers."""
     made = settings()
-    gateway: DecisionEngine | Aperture = DecisionEngine(made, seed)
+    gateway: DecisionEngine | SubsettingEngine = DecisionEngine(made, seed)
     if not all_used:
-        gateway = Aperture(gateway, made, Terms(GATEWAYS, seed * 37 % GATEWAYS))
+        gateway = SubsettingEngine(gateway, made, SubsetTerms(GATEWAYS, seed * 37 % GATEWAYS))
     gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(listed)))
     return gateway
 
 
-def served(gateway: DecisionEngine | Aperture, count: int, first: int = 0) -> None:
+def served(gateway: DecisionEngine | SubsettingEngine, count: int, first: int = 0) -> None:
     """So many requests at one gateway's share of the peak, each answered before the next comes."""
     for number in range(first, first + count):
         now, name = 1000.0 + number * 1000.0 / RATE, str(number)
@@ -96,7 +97,7 @@
 
     def measure(listed: int, seed: int) -> float:
         made, gateway = settings(), module(listed, seed, all_used)
-        inner: Any = gateway.module if isinstance(gateway, Aperture) else gateway
+        inner: Any = gateway.engine if isinstance(gateway, SubsettingEngine) else gateway
         server = next(iter(inner.pool.servers))
         event = AttemptEnded("1", 0, server, Outcome.UNREACHABLE, 1.0, False)
         return 1e3 * cpu_ms(lambda: inner.pool.record_end(1.0, event, made.classes[0], 1.0), 400)
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -21,8 +21,9 @@
 from glenchute.clients.discovery import Held, read_in_parts, read_list
 from glenchute.core.gateway import RequestExecutor
 from glenchute.core.types import EndpointUpdate
-from glenchute.policy.balancing.subset import Aperture, Terms
-from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.balancing.subset import SubsetTerms
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
+from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.settings import Settings, SlowStart
 from glenchute.upstreams.connection_pool import Limits, Servers
@@ -39,14 +40,16 @@
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
         self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
         self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
-        self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+        self.gateway.server_limit, self.gateway.on_server_limit_exceeded = MAX_SUBSET_SIZE, self.narrow
         self.held, self.parted = Held(), parted
         self.version = 0
 
     def narrow(self) -> None:
         rows, servers = self.held.rows, self.servers
         listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
-        self.gateway.decisions = Aperture(self.policy, self.policy.settings, Terms(GATEWAYS, 3), listed)
+        self.gateway.decisions = SubsettingEngine(
+            self.policy, self.policy.settings, SubsetTerms(GATEWAYS, 3), listed
+        )
 
     def body(self, rows: list[dict[str, Any]], full: bool) -> bytes:
         self.version += 1
@@ -76,12 +79,12 @@
     def state(self) -> Any:
         """All that a later request or list could find different."""
         names, servers, decisions = sorted(self.servers.server_ids()), self.servers, self.gateway.decisions
-        subset = decisions.subset if isinstance(decisions, Aperture) else None
+        subset = decisions.subset if isinstance(decisions, SubsettingEngine) else None
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
             names, [servers.stops(name) for name in names], where,
             self.gateway.server_started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
-            subset and (subset.listed, subset.rings, list(subset.held)),
+            subset and (subset.listed, subset.rings, list(subset.in_use)),
         )  # fmt: skip
 
     def close(self) -> None:
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 
 from benchmarks.machine import machine
-from glenchute.policy.balancing.hash_ring import spot
-from glenchute.policy.balancing.subset import DRIFT_MS, Subset, Terms, walk
+from glenchute.policy.balancing.hash_ring import ring_position
+from glenchute.policy.balancing.subset import DRIFT_MS, Subset, SubsetTerms, walk_ring
 from glenchute.policy.events import Endpoint, EndpointState
 from glenchute.policy.settings import SlowStart
 from lab.coldstart import Herd
@@ -32,22 +32,22 @@
 def kept(gateways: int, servers: list[str], used: int, before: Chosen | None) -> Chosen:
     chosen = []
     for number in range(gateways):
-        subset = Subset(Terms(gateways, number, used), SlowStart())
-        subset.whole([Endpoint(server, "a") for server in servers])
-        subset.held = dict.fromkeys(sorted(before[number]) if before is not None else ())
+        subset = Subset(SubsetTerms(gateways, number, used), SlowStart())
+        subset.replace_list([Endpoint(server, "a") for server in servers])
+        subset.in_use = dict.fromkeys(sorted(before[number]) if before is not None else ())
         subset.settle(0.0)
-        chosen.append(set(subset.held))
+        chosen.append(set(subset.in_use))
     return chosen
 
 
 def alone(gateways: int, servers: list[str], used: int, before: Chosen | None) -> Chosen:
-    row = sorted(map(spot, servers))
-    return [set(islice(walk(row, number), used)) for number in range(gateways)]
+    row = sorted(map(ring_position, servers))
+    return [set(islice(walk_ring(row, number), used)) for number in range(gateways)]
 
 
 def by_part(gateways: int, servers: list[str], used: int, before: Chosen | None) -> Chosen:
     """Gateway i of N begins at the part i / N of the ring, as it did until the number alone decided."""
-    row = [server for _, server in sorted(map(spot, servers))]
+    row = [server for _, server in sorted(map(ring_position, servers))]
     chosen = []
     for number in range(gateways):
         first = number * len(row) // gateways
@@ -108,21 +108,21 @@
     now = row[:servers]
     subsets = []
     for number in range(gateways):
-        subset = Subset(Terms(gateways, number, used), SlowStart())
-        subset.whole([Endpoint(server, "a") for server in now])
+        subset = Subset(SubsetTerms(gateways, number, used), SlowStart())
+        subset.replace_list([Endpoint(server, "a") for server in now])
         subset.settle(0.0)
         subsets.append(subset)
     for at in range(servers * 6 // 10):
         gone, new = row[at], row[servers + at]
         for subset in subsets:
-            subset.change((Endpoint(gone, "a", state=EndpointState.REMOVED), Endpoint(new, "a")))
+            subset.apply_changes((Endpoint(gone, "a", state=EndpointState.REMOVED), Endpoint(new, "a")))
             subset.settle(0.0)
     found = []
     for hour in (0, 1):
         for tick in range(360 * hour):
             for subset in subsets:
                 subset.drift((tick + 1.0) * DRIFT_MS)
-        met = Counter(server for subset in subsets for server in subset.held)
+        met = Counter(server for subset in subsets for server in subset.in_use)
         found.append(max(met.values()) * servers / sum(met.values()))
     return found[0], found[1]
 
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -21,7 +21,7 @@
 from glenchute.core.types import DecisionHandler, EndpointUpdate
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.listeners.resp2.commands import Catalogue
-from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.endpoints.polling import Doubt, Terms
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import ACCEPT_S
@@ -45,6 +45,7 @@
 CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
 SERVING_S = 5.0  # attempts that fail so long after the last answer tell that no server answers
 LINGER_S = 0.05
+SUBSET_KEYS = {"servers": "min_servers", "busy": "busy_attempts", "calm": "calm_attempts"}  # of [subset]
 LOG_LINES_S = 20
 LINES_A_TURN = 50  # of warnings, whether the limit lets them through or not
 
@@ -103,7 +104,7 @@
         self.gateway = RequestExecutor(loop, decisions, self.servers, self.counter)
         self.gateway.allows_concurrent_attempts = made.allows_hedging
         if raw is None:
-            self.gateway.server_limit, self.gateway.on_server_limit_exceeded = WHOLE, self.narrow
+            self.gateway.server_limit, self.gateway.on_server_limit_exceeded = MAX_SUBSET_SIZE, self.narrow
         if operator is not None:
             self.bind(operator)
         catalogue = Catalogue(made, config.request_bounds)
@@ -156,11 +157,14 @@
         """The module that is told of some of the servers only; imported only where the operator's file says
         so, or a list is that long. A gateway that does not know its number takes one by its seed: balanced by
         chance alone."""
-        from glenchute.policy.balancing.subset import Aperture, Terms
+        from glenchute.policy.balancing.subset import SubsetTerms
+        from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 
         made, number = self.config.settings, self.config.stated_number
         number = number if number is not None else self.config.seed
-        return Aperture(decisions, made, Terms(gateways=made.gateway_count, number=number, **raw), listed)
+        chosen = {SUBSET_KEYS[key]: value for key, value in raw.items()}
+        terms = SubsetTerms(made.gateway_count, number, **chosen)
+        return SubsettingEngine(decisions, made, terms, listed)
 
     def narrow(self) -> None:
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
@@ -171,7 +175,7 @@
             self.fleet.telling.module = self.narrowed(self.fleet.telling.module, {}, listed)
         else:
             self.gateway.decisions = self.narrowed(self.gateway.decisions, {}, listed)
-        log.info("more than %d servers are listed: from now on a part of them is used", WHOLE)
+        log.info("more than %d servers are listed: from now on a part of them is used", MAX_SUBSET_SIZE)
 
     def recording(self, decisions: DecisionHandler, raw: dict[str, Any]) -> Recorder:
         """The module behind a recorder; imported only where the operator's file asks for one."""
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -18,13 +18,13 @@
 from typing import TYPE_CHECKING, Any
 
 from glenchute.core.types import Address, EndpointUpdate
-from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.endpoints.polling import Doubt, Pacing, Terms
 from glenchute.policy.endpoints.watch import Action, Ask, Close, Open, Watch
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
 if TYPE_CHECKING:  # most processes never meet a list so long
-    from glenchute.policy.balancing.hash_ring import Placed, Placing
+    from glenchute.policy.balancing.hash_ring import RingBuilder, RingedEndpoints
 
 log = logging.getLogger("glenchute")
 
@@ -81,12 +81,12 @@
 
     def follow(self, news: EndpointUpdate) -> None:
         """This is in force now."""
-        placed: Placed | None = getattr(news.event.endpoints, "placed", None)
+        placed: RingedEndpoints | None = getattr(news.event.endpoints, "as_ringed", None)
         if placed is not None and news.event.kind is not EndpointListKind.CHANGES:
-            self.rows = placed.pairs  # made while the list was read
+            self.rows = placed.listed_servers  # made while the list was read
             return
-        if placed is not None and len(placed.pairs) == len(placed):
-            self.rows.update(placed.pairs)
+        if placed is not None and len(placed.listed_servers) == len(placed):
+            self.rows.update(placed.listed_servers)
             return
         if news.event.kind is not EndpointListKind.CHANGES:
             self.rows = {}
@@ -118,7 +118,7 @@
     """The rows of a list, read one by one. A row that can't be read is a ListError where no list is `held`;
     else its server stays as it was, so that a bad row hides nothing of the others."""
 
-    def __init__(self, held: Held | None, placing: Placing | None = None) -> None:
+    def __init__(self, held: Held | None, placing: RingBuilder | None = None) -> None:
         """With `placing`, what follows from a whole list is worked out row by row."""
         self.held, self.placing = held, placing
         self.read: list[tuple[Endpoint, Address | None]] = []
@@ -143,7 +143,7 @@
         if pair[1] is not None:
             self.addresses[pair[0].address] = pair[1]
         if self.placing is not None:
-            self.placing.take(pair)
+            self.placing.add(pair)
 
     def news(self, raw: Any, saved: bool = False) -> EndpointUpdate:
         """The list that they make, with what else its text says."""
@@ -163,8 +163,8 @@
             if kind is EndpointListKind.FULL:
                 for pair in self.held.instead({one.address for one, _ in read}, unreadable):
                     self.add(pair)
-        placing = self.placing if len(read) > WHOLE else None
-        entries = placing.done() if placing is not None else tuple(one for one, _ in read)
+        placing = self.placing if len(read) > MAX_SUBSET_SIZE else None
+        entries = placing.build() if placing is not None else tuple(one for one, _ in read)
         return EndpointUpdate(version, EndpointList(kind, entries), self.addresses)
 
 
@@ -185,15 +185,15 @@
 def read_in_parts(body: bytes, held: Held | None) -> Generator[None, None, EndpointUpdate]:
     """What `read_list` makes of an answer's body, `PART_ROWS` at a time: to read thousands of rows at once
     would hold up all requests. The rows are taken out of the text one by one; what is left is read whole.
-    What follows from a whole list is worked out on the way (`Placing`). A row whose text the list before had
-    as well is not read again: a text that was one whole object is one wherever it stands."""
-    from glenchute.policy.balancing.hash_ring import Placing
+    What follows from a whole list is worked out on the way (`RingBuilder`). A row whose text the list before
+    had as well is not read again: a text that was one whole object is one wherever it stands."""
+    from glenchute.policy.balancing.hash_ring import RingBuilder
 
     text = body.decode(json.detect_encoding(body), "surrogatepass")
     head = HEAD.match(text)
     if head is None:
         return read_list(json.loads(text), held=held)
-    placing = Placing(held.spots if held is not None else {})
+    placing = RingBuilder(held.spots if held is not None else {})
     rows, at = Rows(held, placing), skipped(text, head.end())
     more = not text.startswith("]", at)
     before = held.texts if held is not None else {}
@@ -221,8 +221,8 @@
                 yield
         yield from placing.sort()
         raw = json.loads(text[: head.end()] + text[at:])
-        if held is not None and raw.get("full") and len(texts) > WHOLE:
-            held.texts, held.spots = texts, placing.spots
+        if held is not None and raw.get("full") and len(texts) > MAX_SUBSET_SIZE:
+            held.texts, held.spots = texts, placing.positions
         before = texts = {}
         yield  # what the list before left behind is not let go in the turn in which this one comes into force
         return rows.news(raw) if not raw["servers"] else read_list(json.loads(text), held=held)
--- a/glenchute/core/gateway.py
+++ b/glenchute/core/gateway.py
@@ -62,7 +62,7 @@
 )
 
 if TYPE_CHECKING:  # only an operator's file brings routes in
-    from glenchute.policy.balancing.hash_ring import Placed
+    from glenchute.policy.balancing.hash_ring import RingedEndpoints
     from glenchute.policy.retries.route_limits import Course, Routes
 
 log = logging.getLogger("glenchute")
@@ -296,11 +296,11 @@
         """The list changed in many rows. What drains or is gone first; the rest costs by the pools that there
         are, and by what of it was not worked out on its way here. Not taken where a server has several."""
         event, before, addresses = news.event, self.server_started_ms, news.addresses
-        placed: Placed | None = getattr(event.endpoints, "placed", None)
+        placed: RingedEndpoints | None = getattr(event.endpoints, "as_ringed", None)
         entries, active, drains = event.endpoints, EndpointState.ACTIVE, EndpointState.DRAINING
         if placed is not None:
-            rows: Collection[str] = placed.pairs
-            started = placed.started
+            rows: Collection[str] = placed.listed_servers
+            started = placed.started_ms
         else:
             rows = {entry.address for entry in entries}
             if len(rows) < len(entries):
--- a/glenchute/policy/balancing/hash_ring.py
+++ b/glenchute/policy/balancing/hash_ring.py
@@ -1,11 +1,9 @@
-"""Rings on which the servers of a zone stand in the order of their hashed names, and a whole list that has
-been put on them before it comes into force. No I/O.
-
-What follows from a list of thousands of rows (who is in service, who stands where) costs most of bringing it
-into force, and hangs on the list alone, not on what is in force. So it is worked out row by row while the
-list is read, between requests; what is left for the one moment at which the list comes into force is to take
-it in place of what was there, and to walk what is in use. Nothing of a list counts before that moment, and
-all of it from then on: there is no state in between that anybody could see.
+"""Hash rings: the servers of a zone in the order of their hashed names, prepared while a list is read.
+
+What follows from a list of thousands of rows (which servers are active, and their ring positions) costs most
+of applying it, and depends on the list alone. So it is worked out row by row while the list is read, between
+requests. At the one moment at which the list comes into force, its tables replace the former ones; nothing of
+it counts before that moment, and all of it from then on.
 """
 
 from __future__ import annotations
@@ -14,81 +12,82 @@
 from hashlib import blake2b
 
 from ..events import Endpoint, EndpointState
-from .subset_size import WHOLE
+from .subset_size import MAX_SUBSET_SIZE
 
-SORTED = 512  # rows of rings put in order in one step
+ROWS_PER_STEP = 512  # of rings, sorted in one step
 
-Spot = tuple[bytes, str]  # a server's place on its ring
-Pair = tuple[Endpoint, tuple[str, int] | None]  # a server and where it listens
+RingPosition = tuple[bytes, str]  # hash and name of a server
+ListedServer = tuple[Endpoint, tuple[str, int] | None]  # a server, and the host and port where it listens
 
 
-def spot(server: str) -> Spot:
-    """Where a server stands on its ring. Any name that JSON can hold has a place."""
+def ring_position(server: str) -> RingPosition:
+    """A server's position on its ring. Any name that JSON can hold has one."""
     return blake2b(server.encode(errors="surrogatepass"), digest_size=8).digest(), server
 
 
-class Placed(tuple[Endpoint, ...]):
-    """The entries of a list or of changes, each server once; to whoever does not know it, a tuple of them.
-    Whoever takes one of the tables of a whole list owns it from then on."""
+class RingedEndpoints(tuple[Endpoint, ...]):
+    """The endpoints of a list or of changes, each server once, with the tables that follow from them. To code
+    that does not know it, a tuple. Whoever takes a table of a full list owns it from then on."""
 
-    listed: dict[str, Endpoint]  # those in service
-    rings: dict[str, list[Spot]]  # of these, by zone, in order
-    started: dict[str, float]  # and when, Unix ms
-    pairs: dict[str, Pair]  # all that are not gone
+    active: dict[str, Endpoint]
+    rings: dict[str, list[RingPosition]]  # of the active ones, by zone, sorted
+    started_ms: dict[str, float]  # of the active ones, Unix time
+    listed_servers: dict[str, ListedServer]  # all but the removed ones
 
     @property
-    def placed(self) -> Placed:
-        """By this a list is known for one that has been worked out."""
+    def as_ringed(self) -> RingedEndpoints:
+        """Tells this class from a plain tuple without an import of it."""
         return self
 
 
-class Placing:
-    """A list on its way to `Placed`, row by row."""
-
-    def __init__(self, before: Mapping[str, Spot]) -> None:
-        """`before`: servers' places that are known."""
-        self.before = before
-        self.spots: dict[str, Spot] = {}  # of those in service
-        self.entries: list[Endpoint] = []
-        self.listed: dict[str, Endpoint] = {}
-        self.rings: dict[str, list[Spot]] = {}
-        self.started: dict[str, float] = {}
-        self.pairs: dict[str, Pair] = {}
-
-    def take(self, pair: Pair) -> None:
-        """One more row."""
-        entry = pair[0]
-        server = entry.address
-        self.entries.append(entry)
-        self.pairs[server] = pair
-        if entry.state is EndpointState.ACTIVE:
-            at = self.spots[server] = self.before.get(server) or spot(server)
-            self.listed[server] = entry
-            self.started[server] = entry.started_ms
-            self.rings.setdefault(entry.zone, []).append(at)
+class RingBuilder:
+    """Builds `RingedEndpoints` row by row."""
+
+    def __init__(self, known_positions: Mapping[str, RingPosition]) -> None:
+        """`known_positions`: those of servers that need no hashing."""
+        self.known_positions = known_positions
+        self.positions: dict[str, RingPosition] = {}  # of the active servers
+        self.endpoints: list[Endpoint] = []
+        self.active: dict[str, Endpoint] = {}
+        self.rings: dict[str, list[RingPosition]] = {}
+        self.started_ms: dict[str, float] = {}
+        self.listed_servers: dict[str, ListedServer] = {}
+
+    def add(self, listed_server: ListedServer) -> None:
+        """Adds a row."""
+        endpoint = listed_server[0]
+        server = endpoint.address
+        self.endpoints.append(endpoint)
+        self.listed_servers[server] = listed_server
+        if endpoint.state is EndpointState.ACTIVE:
+            position = self.positions[server] = self.known_positions.get(server) or ring_position(server)
+            self.active[server] = endpoint
+            self.started_ms[server] = endpoint.started_ms
+            self.rings.setdefault(endpoint.zone, []).append(position)
 
     def sort(self) -> Iterator[None]:
-        """Puts the rings in order, some `SORTED` rows a step, or a ring that has more. All rows have been
-        taken, or nearly all."""
+        """Sorts the rings, some `ROWS_PER_STEP` rows a step, or one ring that has more. To be called when all
+        rows have been added, or nearly all."""
         rows = 0
         for ring in self.rings.values():
             ring.sort()
             rows += len(ring)
-            if rows >= SORTED:
+            if rows >= ROWS_PER_STEP:
                 yield
                 rows = 0
 
-    def done(self) -> tuple[Endpoint, ...]:
-        """The list; as plain entries where a server is in it more than once, of which the last counts, and
-        where few are in service, so that who is told of all is told of a tuple."""
-        if len(self.pairs) < len(self.entries) or len(self.listed) <= WHOLE:
-            return tuple(self.entries)
+    def build(self) -> tuple[Endpoint, ...]:
+        """The list. A plain tuple where a server is in it more than once, of which the last row counts, and
+        where it is short enough to be used whole."""
+        if len(self.listed_servers) < len(self.endpoints) or len(self.active) <= MAX_SUBSET_SIZE:
+            return tuple(self.endpoints)
         for _ in self.sort():
-            pass  # the rows that came last; next to nothing where they are in order
-        made = Placed(self.entries)
-        made.listed, made.rings, made.started, made.pairs = self.listed, self.rings, self.started, self.pairs
-        if len(self.listed) < len(self.entries):
-            for entry in self.entries:
-                if entry.state is EndpointState.REMOVED:
-                    del self.pairs[entry.address]
-        return made
+            pass  # the rows that came last; next to nothing where they are sorted
+        built = RingedEndpoints(self.endpoints)
+        built.active, built.rings = self.active, self.rings
+        built.started_ms, built.listed_servers = self.started_ms, self.listed_servers
+        if len(self.active) < len(self.endpoints):
+            for endpoint in self.endpoints:
+                if endpoint.state is EndpointState.REMOVED:
+                    del self.listed_servers[endpoint.address]
+        return built
--- a/glenchute/policy/balancing/subset_size.py
+++ b/glenchute/policy/balancing/subset_size.py
@@ -1,17 +1,20 @@
-"""How many of the listed servers one gateway uses, from the settings alone. Each start reads this, so it
-holds no more."""
+"""How many of the listed servers one gateway uses, from the settings alone. Each start imports this module,
+so it holds no more."""
 
 from __future__ import annotations
 
-LEAST = 48  # in use at least: fewer cost hardly less to look at, and each bears more of a gateway's surge
-WHOLE = 256  # a list up to so long is used whole, and so many are in use at most, before load asks for more
-AGAIN = 192  # a list that was longer is used whole again from here down
-MET_BY = 4  # gateways that meet each server, where that takes more than LEAST
+MIN_SUBSET_SIZE = 48  # fewer cost hardly less to choose from, and each takes more of a gateway's surge
+MAX_SUBSET_SIZE = 256  # before load asks for more; a list up to this long is used whole
+WHOLE_LIST_AGAIN_BELOW = 192  # a list that was longer is used whole again from here down
+GATEWAYS_PER_SERVER = 4  # that use each server, where that takes more than MIN_SUBSET_SIZE
 
 
-def size(listed: int, gateways: int) -> int:
-    """How many of so many servers each of so many gateways uses, where the list is longer than WHOLE. The
-    bounds hold where the settings have the number of gateways wrong: one far too large gives LEAST, one far
-    too small WHOLE. Where gateways x WHOLE is less than the list, some servers are met by none until load
-    asks for more."""
-    return min(WHOLE, max(LEAST, -(-MET_BY * listed // max(1, gateways))))
+def subset_size(listed_count: int, gateway_count: int) -> int:
+    """How many servers each gateway uses of a list longer than `MAX_SUBSET_SIZE`.
+
+    The bounds hold where the settings have the number of gateways wrong: one far too large gives
+    `MIN_SUBSET_SIZE`, one far too small `MAX_SUBSET_SIZE`. Where the list is longer than `gateway_count`
+    times that, some servers are used by no gateway until load asks for more.
+    """
+    wanted = -(-GATEWAYS_PER_SERVER * listed_count // max(1, gateway_count))
+    return min(MAX_SUBSET_SIZE, max(MIN_SUBSET_SIZE, wanted))
--- /dev/null
+++ b/glenchute/policy/balancing/subsetting_engine.py
@@ -0,0 +1,194 @@
+"""The decision engine behind a subset: it knows the servers in use only, and decides among these as ever.
+
+A list that one gateway can use whole is passed on as it comes. What holds: the engine is told of no server
+that the list does not have as active, and of each drain and removal at the moment that it comes; no zone that
+has servers is without one in use; with none to send to, or all in use busy, more come into use within
+`STEP_MS`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import replace
+from typing import Protocol
+
+from ..actions import Action, StartAttempt
+from ..events import AttemptEnded, Endpoint, EndpointList, EndpointListKind, EndpointState, Event, Outcome
+from ..settings import Settings
+from .hash_ring import RingedEndpoints
+from .subset import MAX_UNREACHABLE, STEP_MS, UNREACHABLE_MS, Subset, SubsetTerms
+from .subset_size import MAX_SUBSET_SIZE, WHOLE_LIST_AGAIN_BELOW
+
+
+class Engine(Protocol):
+    """What takes events: the decision engine, or what stands before it."""
+
+    def handle(self, now_ms: float, event: Event) -> list[Action]: ...
+
+
+class SubsettingEngine:
+    """Takes all events for an engine, and passes on what concerns the servers in use."""
+
+    def __init__(
+        self, engine: Engine, settings: Settings, terms: SubsetTerms, listed: Iterable[Endpoint] = ()
+    ) -> None:
+        """`listed`: the servers that the engine knows already."""
+        self.engine, self.subset = engine, Subset(terms, settings.slow_start)
+        self.is_subsetting = terms.min_servers > 0  # else all that are listed are in use
+        self.subset.listed = {endpoint.address: endpoint for endpoint in listed}
+        self.in_flight: dict[str, int] = {}  # attempts, by server
+        self.reviewed_ms = -1e12
+        self.reported_total = 0  # `total_endpoints` as the engine knows it; 0: it knows them all
+
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        """One event for the engine; returns its actions."""
+        if isinstance(event, EndpointList):
+            return self.update_list(now_ms, event)
+        if not self.is_subsetting:
+            return self.engine.handle(now_ms, event)
+        if isinstance(event, AttemptEnded):
+            self.record_end(now_ms, event)
+        actions = self.pass_on(now_ms, event)
+        if now_ms - self.reviewed_ms >= STEP_MS:
+            self.reviewed_ms = now_ms
+            actions += self.review(now_ms)
+        return actions
+
+    def record_end(self, now_ms: float, event: AttemptEnded) -> None:
+        """An attempt has ended; an unreachable server does not count as in use for a while."""
+        left = self.in_flight.get(event.address, 0) - 1
+        if left > 0:
+            self.in_flight[event.address] = left
+        else:
+            self.in_flight.pop(event.address, None)
+        unreachable = self.subset.unreachable_until_ms
+        if event.outcome is Outcome.UNREACHABLE and len(unreachable) < MAX_UNREACHABLE:
+            unreachable[event.address] = now_ms + UNREACHABLE_MS
+            self.subset.is_stale = True
+
+    def pass_on(self, now_ms: float, event: Event) -> list[Action]:
+        """Passes an event to the engine, and counts the attempts that it starts."""
+        actions: list[Action] = list(self.engine.handle(now_ms, event))
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                self.in_flight[action.address] = self.in_flight.get(action.address, 0) + 1
+        return actions
+
+    def review(self, now_ms: float) -> list[Action]:
+        """Adapts the subset to load and time."""
+        subset = self.subset
+        subset.unreachable_until_ms = {
+            server: until_ms for server, until_ms in subset.unreachable_until_ms.items() if until_ms > now_ms
+        }
+        subset.adjust_size(now_ms, sum(self.in_flight.get(server, 0) for server in subset.in_use))
+        added, removed = subset.settle(now_ms) if subset.is_stale else ([], [])
+        if not added and not removed:
+            added, removed = subset.drift(now_ms)
+        return self.pass_changes(now_ms, added, removed, ())
+
+    # --- the list -----------------------------------------------------------------------------------------
+
+    def update_list(self, now_ms: float, event: EndpointList) -> list[Action]:
+        """An endpoint list: decides whether a subset of it is used, and tells the engine what concerns it."""
+        if event.kind is EndpointListKind.FAILED:
+            return self.pass_on(now_ms, event)
+        subset, was_subsetting = self.subset, self.is_subsetting
+        is_full = event.kind is not EndpointListKind.CHANGES
+        known: Iterable[str] = ()  # servers that the engine may know
+        if not was_subsetting and not is_full and len(subset.listed) + len(event.endpoints) > MAX_SUBSET_SIZE:
+            known = {*subset.listed, *(endpoint.address for endpoint in event.endpoints)}
+        self.track_list(event, is_full)
+        length = len(subset.listed)
+        limit = WHOLE_LIST_AGAIN_BELOW if was_subsetting else MAX_SUBSET_SIZE
+        self.is_subsetting = subset.terms.min_servers > 0 or length > limit
+        if not self.is_subsetting:
+            return self.pass_whole_list(now_ms, event, is_full or not was_subsetting)
+        if not was_subsetting and not (is_full and isinstance(event.endpoints, RingedEndpoints)):
+            subset.rings = {}
+            subset.update_rings(subset.listed.values(), ())
+        if is_full:
+            subset.settle(now_ms)
+            self.reported_total = length
+            in_use = tuple(subset.listed[server] for server in subset.in_use)
+            return self.pass_on(now_ms, EndpointList(event.kind, in_use, length))
+        if not was_subsetting:
+            return self.begin_subsetting(now_ms, event, known)
+        return self.update_subset(now_ms, event)
+
+    def begin_subsetting(self, now_ms: float, event: EndpointList, known: Iterable[str]) -> list[Action]:
+        """By these changes the list has become too long to be used whole."""
+        subset = self.subset
+        subset.settle(now_ms)
+        removed = [server for server in known if server not in subset.in_use and server in subset.listed]
+        inactive = [endpoint for endpoint in event.endpoints if endpoint.state is not EndpointState.ACTIVE]
+        return self.pass_changes(now_ms, list(subset.in_use), removed, tuple(inactive))
+
+    def update_subset(self, now_ms: float, event: EndpointList) -> list[Action]:
+        """Passes on the changes of servers in use, and others in place of those that are lost. What else the
+        changes bring has time until the next review."""
+        subset = self.subset
+        changed = [endpoint for endpoint in event.endpoints if endpoint.address in subset.in_use]
+        is_short = len(subset.in_use) < min(subset.min_servers, len(subset.listed))
+        has_lost = any(endpoint.state is not EndpointState.ACTIVE for endpoint in changed)
+        added, removed = list[str](), list[str]()
+        if is_short or has_lost or self.may_lack_zone(event):
+            added, removed = subset.settle(now_ms)
+        named = {endpoint.address for endpoint in changed}
+        unnamed = [server for server in removed if server not in named]
+        return self.pass_changes(now_ms, added, unnamed, tuple(changed))
+
+    def track_list(self, event: EndpointList, is_full: bool) -> None:
+        """Follows the list; on rings only where a subset is in use."""
+        subset = self.subset
+        if is_full:
+            active: Iterable[Endpoint] = event.endpoints
+            if not isinstance(active, RingedEndpoints):
+                active = [endpoint for endpoint in active if endpoint.state is EndpointState.ACTIVE]
+            if self.is_subsetting or isinstance(active, RingedEndpoints):
+                subset.replace_list(active)
+            else:
+                subset.listed = {endpoint.address: endpoint for endpoint in active}
+        elif self.is_subsetting:
+            subset.apply_changes(event.endpoints)
+        else:
+            for endpoint in event.endpoints:
+                subset.listed.pop(endpoint.address, None)
+                if endpoint.state is EndpointState.ACTIVE:
+                    subset.listed[endpoint.address] = endpoint
+
+    def may_lack_zone(self, event: EndpointList) -> bool:
+        """Whether a zone that this list names may be without a server in use."""
+        zones = {endpoint.zone for endpoint in event.endpoints}
+        for server in self.subset.in_use:
+            endpoint = self.subset.listed.get(server)
+            if endpoint is not None:
+                zones.discard(endpoint.zone)
+                if not zones:
+                    return False
+        return True
+
+    def pass_whole_list(self, now_ms: float, event: EndpointList, is_enough: bool) -> list[Action]:
+        """All servers are in use. `is_enough`: the event tells the engine of all that it does not know."""
+        subset, in_use = self.subset, self.subset.in_use
+        if not is_enough:
+            named = {endpoint.address for endpoint in event.endpoints}
+            rest = [e for e in subset.listed.values() if e.address not in in_use and e.address not in named]
+            event = replace(event, endpoints=(*event.endpoints, *rest))
+        subset.in_use, subset.rings, subset.unreachable_until_ms, subset.extra_servers = {}, {}, {}, 0
+        self.in_flight.clear()
+        if self.reported_total:  # once told of more than it knows, the engine has to be told of each length
+            self.reported_total = len(subset.listed)
+            event = replace(event, total_endpoints=self.reported_total)
+        return self.engine.handle(now_ms, event)
+
+    def pass_changes(
+        self, now_ms: float, added: list[str], removed: list[str], changed: tuple[Endpoint, ...]
+    ) -> list[Action]:
+        """Tells the engine which servers have come into use and gone out of it, and which have changed."""
+        endpoints = [*changed, *(self.subset.listed[server] for server in added)]
+        endpoints += [Endpoint(server, "", state=EndpointState.REMOVED) for server in removed]
+        total = len(self.subset.listed)
+        if not endpoints and total == self.reported_total:
+            return []
+        self.reported_total = total
+        return self.pass_on(now_ms, EndpointList(EndpointListKind.CHANGES, tuple(endpoints), total))
--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -147,7 +147,7 @@
     free_at: dict[str, float] = field(default_factory=dict)  # by server
     by_server: dict[str, Outcome] = field(default_factory=dict)  # servers whose attempts all end so
     kinds: tuple[tuple[str, str], ...] = KINDS
-    placements: bool = False  # each attempt is followed by an AttemptPlaced
+    placements: bool = False  # each attempt is followed by an AttemptAssigned
     active: bool = False  # load reports tell of active requests, too
 
     def count(self, call: IncrementCounter) -> None:
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -19,7 +19,7 @@
 from glenchute.clients.discovery import PART_ROWS, Held, read_in_parts, read_list
 from glenchute.core import gateway as gateways
 from glenchute.core.types import EndpointUpdate
-from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.events import EndpointList, EndpointListKind
 from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, Pool
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
@@ -93,7 +93,9 @@
     assert outcome(parted, body, held) == outcome(whole, body, held)
 
 
-LONG = json.dumps({"version": 3, "full": True, "servers": [row(f"n{n}", 9) for n in range(WHOLE + 9)]})
+LONG = json.dumps(
+    {"version": 3, "full": True, "servers": [row(f"n{n}", 9) for n in range(MAX_SUBSET_SIZE + 9)]}
+)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -106,7 +108,7 @@
     held, other = Held(), Held()
     held.follow(parted(LONG.encode(), held))
     other.rows = dict(held.rows)
-    assert len(held.texts) == WHOLE + 9
+    assert len(held.texts) == MAX_SUBSET_SIZE + 9
     body = (LONG[:at] + put + LONG[at + cut :]).replace("}, {", "}" + comma + "{").encode()
     assert outcome(parted, body, held) == outcome(whole, body, other)
 
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -22,8 +22,21 @@
 from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.balancing import subset as subsets
 from glenchute.policy.balancing.endpoint_choice import EndpointChooser
-from glenchute.policy.balancing.subset import FAINT, LOST_MS, STEP_MS, Aperture, Subset, Terms, position
-from glenchute.policy.balancing.subset_size import AGAIN, LEAST, WHOLE, size
+from glenchute.policy.balancing.subset import (
+    MIN_WEIGHT,
+    STEP_MS,
+    UNREACHABLE_MS,
+    Subset,
+    SubsetTerms,
+    first_position,
+)
+from glenchute.policy.balancing.subset_size import (
+    MAX_SUBSET_SIZE,
+    MIN_SUBSET_SIZE,
+    WHOLE_LIST_AGAIN_BELOW,
+    subset_size,
+)
+from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import (
     AttemptEnded,
@@ -60,7 +73,7 @@
 
 
 class Module:
-    """Follows the list as the decision module does, and sends each request to all that it knows in turn."""
+    """Follows the list as the decision engine does, and sends each request to all that it knows in turn."""
 
     def __init__(self) -> None:
         self.known: dict[str, Endpoint] = {}
@@ -82,9 +95,9 @@
         return []
 
 
-def narrow(gateways: int = 10, number: int = 3, servers: int = 4) -> tuple[Aperture, Module]:
+def narrow(gateways: int = 10, number: int = 3, servers: int = 4) -> tuple[SubsettingEngine, Module]:
     module = Module()
-    return Aperture(module, SETTINGS, Terms(gateways, number, servers)), module
+    return SubsettingEngine(module, SETTINGS, SubsetTerms(gateways, number, servers)), module
 
 
 class Lives(RuleBasedStateMachine):
@@ -92,13 +105,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.aperture, self.module = narrow()
+        self.subsetting, self.module = narrow()
         self.now, self.serial, self.out = 1e6, 0, []  # type: ignore[var-annotated]
         self.serving = {f"s{n}" for n in range(12)}
         self.told(listed(sorted(self.serving)))
 
     def told(self, event: Event) -> None:
-        for action in self.aperture.handle(self.now, event):
+        for action in self.subsetting.handle(self.now, event):
             if isinstance(action, StartAttempt):
                 assert action.address in self.serving
                 self.out.append(action)
@@ -133,12 +146,12 @@
 
     @invariant()
     def known_is_in_service_and_enough(self) -> None:
-        known, subset = set(self.module.known), self.aperture.subset
-        assert known == set(subset.held) <= self.serving
+        known, subset = set(self.module.known), self.subsetting.subset
+        assert known == set(subset.in_use) <= self.serving
         assert len(known) >= min(4, len(self.serving))
         assert {int(name[1:]) % 2 for name in known} == {int(name[1:]) % 2 for name in self.serving}
         assert self.module.of == len(self.serving) or not self.serving
-        assert sum(self.aperture.out.values()) == len(self.out)
+        assert sum(self.subsetting.in_flight.values()) == len(self.out)
 
 
 TestLives = Lives.TestCase
@@ -156,42 +169,42 @@
 
 
 def test_load_widens_within_a_step_and_calm_narrows() -> None:
-    aperture, module = narrow()
+    subsetting, module = narrow()
     names = [f"s{n}" for n in range(40)]
-    aperture.handle(0.0, listed(names))
+    subsetting.handle(0.0, listed(names))
     first, now = len(module.known), 0.0
     for number in range(8 * first):
-        aperture.handle(now, Request(f"r{number}", "read", "wide", "c", 900.0))
+        subsetting.handle(now, Request(f"r{number}", "read", "wide", "c", 900.0))
     for _ in range(12):
-        aperture.handle(now := now + STEP_MS, TimerFired(0))
+        subsetting.handle(now := now + STEP_MS, TimerFired(0))
     wide = len(module.known)
     assert wide >= 2 * first
     for number in range(8 * first):
-        aperture.handle(now, AttemptEnded(f"r{number}", 0, "s0", Outcome.OK, 5.0, True))
-    aperture.out.clear()
+        subsetting.handle(now, AttemptEnded(f"r{number}", 0, "s0", Outcome.OK, 5.0, True))
+    subsetting.in_flight.clear()
     for _ in range(200):
-        aperture.handle(now := now + 2_000.0, TimerFired(0))
+        subsetting.handle(now := now + 2_000.0, TimerFired(0))
     assert len(module.known) <= first + 1
 
 
 @pytest.mark.parametrize("trouble", ["unreachable", "cold"])
 def test_servers_that_can_not_serve_are_not_counted(trouble: str) -> None:
     """Those that can't be reached are made up for at once, and cold ones by their warmth."""
-    aperture, module = narrow(servers=4)
+    subsetting, module = narrow(servers=4)
     names = [f"s{n}" for n in range(20)]
     if trouble == "cold":
         entries = tuple(Endpoint(name, "a", started_ms=1e6) for name in names)
-        aperture.handle(1e6, EndpointList(EndpointListKind.FULL, entries))
+        subsetting.handle(1e6, EndpointList(EndpointListKind.FULL, entries))
         assert len(module.known) == 16  # at a quarter each
         return
-    aperture.handle(1e6, listed(names))
+    subsetting.handle(1e6, listed(names))
     before = set(module.known)
     for number, server in enumerate(sorted(before)):
-        aperture.handle(1e6 + 10.0, AttemptEnded(f"r{number}", 0, server, Outcome.UNREACHABLE, 1.0, False))
-    aperture.handle(1e6 + 10.0 + STEP_MS, TimerFired(0))
+        subsetting.handle(1e6 + 10.0, AttemptEnded(f"r{number}", 0, server, Outcome.UNREACHABLE, 1.0, False))
+    subsetting.handle(1e6 + 10.0 + STEP_MS, TimerFired(0))
     assert len(set(module.known) - before) >= 4
     for step in range(100):
-        aperture.handle(1e6 + LOST_MS + 2_000.0 * step, TimerFired(0))
+        subsetting.handle(1e6 + UNREACHABLE_MS + 2_000.0 * step, TimerFired(0))
     assert len(module.known) <= len(before) + 1
 
 
@@ -214,7 +227,7 @@
 
         def make(made: Settings, given: int, numbers: object = numbers) -> object:
             number = next(numbers) % made.gateway_count  # type: ignore[call-overload]
-            return _Behind(DecisionEngine(made, given), made, Terms(made.gateway_count, number, 3))
+            return _Behind(DecisionEngine(made, given), made, SubsetTerms(made.gateway_count, number, 3))
 
         world = World(seed, 6, 9, make)
         world.load(20_000.0, 60.0)
@@ -231,13 +244,13 @@
 
 
 class _Behind:
-    """An aperture with the module's own books in sight, as the site checks these."""
+    """An subsetting with the module's own books in sight, as the site checks these."""
 
-    def __init__(self, inner: DecisionEngine, made: Settings, terms: Terms) -> None:
-        self.inner, self.aperture = inner, Aperture(inner, made, terms)
+    def __init__(self, inner: DecisionEngine, made: Settings, terms: SubsetTerms) -> None:
+        self.inner, self.subsetting = inner, SubsettingEngine(inner, made, terms)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        return self.aperture.handle(now_ms, event)
+        return self.subsetting.handle(now_ms, event)
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.inner, name)
@@ -305,9 +318,11 @@
     ]
 
 
-def by_itself(gateways: int = 520, number: int = 7) -> tuple[Aperture, Module]:
+def by_itself(gateways: int = 520, number: int = 7) -> tuple[SubsettingEngine, Module]:
     module = Module()
-    return Aperture(module, replace(SETTINGS, gateway_count=gateways), Terms(gateways, number)), module
+    return SubsettingEngine(
+        module, replace(SETTINGS, gateway_count=gateways), SubsetTerms(gateways, number)
+    ), module
 
 
 def news(entries: Sequence[Endpoint], kind: EndpointListKind = EndpointListKind.CHANGES) -> EndpointList:
@@ -323,7 +338,7 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.count = 0
-        for name in ("weight", "spot"):
+        for name in ("weight", "ring_position"):
             owner: Any = subsets.Subset if name == "weight" else subsets
             patch.setattr(owner, name, self.counted(getattr(owner, name)))
 
@@ -335,7 +350,7 @@
         return one
 
 
-@pytest.mark.parametrize("count", [0, 1, 20, 200, WHOLE])
+@pytest.mark.parametrize("count", [0, 1, 20, 200, MAX_SUBSET_SIZE])
 def test_a_list_that_a_gateway_can_use_whole_is_passed_on_event_by_event(count: int) -> None:
     told: list[Event] = []
 
@@ -344,7 +359,7 @@
             told.append(event)
             return super().handle(now_ms, event)
 
-    aperture = Aperture(Told(), SETTINGS, Terms(2, 1))
+    subsetting = SubsettingEngine(Told(), SETTINGS, SubsetTerms(2, 1))
     fleet = fleet_of(count)
     events: list[Event] = [news(fleet, EndpointListKind.CACHED), news(fleet, EndpointListKind.FULL)]
     events += [Request(f"r{n}", "read", "wide", "c", 900.0) for n in range(20)]
@@ -353,21 +368,21 @@
     events += [AttemptEnded(f"r{n}", 0, "n5", Outcome.UNREACHABLE, 5.0, False) for n in range(20)]
     events += [news(fleet[:2]), TimerFired(0), SuccessorStarted(), ClientDisconnected("r1")]
     for at, event in enumerate(events):
-        aperture.handle(1e6 + 300.0 * at, event)
+        subsetting.handle(1e6 + 300.0 * at, event)
     assert len(told) == len(events) and all(one is other for one, other in zip(told, events, strict=True))
 
 
 SIZES = [
     # listed, gateways: how many are used, and how many gateways then meet a server at least and at most
-    (257, 520, LEAST, 94, 99),
-    (570, 520, LEAST, 41, 46),
-    (5_700, 520, LEAST, 3, 6),
+    (257, 520, MIN_SUBSET_SIZE, 94, 99),
+    (570, 520, MIN_SUBSET_SIZE, 41, 46),
+    (5_700, 520, MIN_SUBSET_SIZE, 3, 6),
     (5_700, 384, 60, 3, 6),
     (5_700, 200, 114, 3, 6),
-    (5_700, 40, WHOLE, 1, 3),
-    (5_700, 3, WHOLE, 0, 1),
-    (5_700, 0, WHOLE, 0, 0),
-    (5_700, 10**9, LEAST, 0, 0),
+    (5_700, 40, MAX_SUBSET_SIZE, 1, 3),
+    (5_700, 3, MAX_SUBSET_SIZE, 0, 1),
+    (5_700, 0, MAX_SUBSET_SIZE, 0, 0),
+    (5_700, 10**9, MIN_SUBSET_SIZE, 0, 0),
 ]
 
 
@@ -376,16 +391,16 @@
     listed: int, gateways: int, used: int, least: int, most: int
 ) -> None:
     """And that all are met alike: over all zones, whatever the number of gateways."""
-    assert size(listed, gateways) == used
-    first = Subset(Terms(gateways, 0), SlowStart())
-    first.whole(fleet := fleet_of(listed))
+    assert subset_size(listed, gateways) == used
+    first = Subset(SubsetTerms(gateways, 0), SlowStart())
+    first.replace_list(fleet := fleet_of(listed))
     met: Counter[str] = Counter()
     for number in range(gateways if most else 0):
-        one = Subset(Terms(gateways, number), SlowStart())
+        one = Subset(SubsetTerms(gateways, number), SlowStart())
         one.listed, one.rings = first.listed, first.rings
         one.settle(0.0)
-        assert len(one.held) == used
-        met.update(one.held.keys())
+        assert len(one.in_use) == used
+        met.update(one.in_use.keys())
     assert {met[entry.address] for entry in fleet} <= set(range(least, most + 1))
 
 
@@ -393,10 +408,10 @@
 def test_places_on_the_ring_are_spread_evenly_by_the_number_alone(gateways: int) -> None:
     """No gap between neighbours is over twice the even one, nor under half of it; numbers too large for the
     fleet, as of a seed, have a place as well."""
-    at = sorted(position(number) for number in range(gateways))
+    at = sorted(first_position(number) for number in range(gateways))
     gaps = [b - a for a, b in zip(at, [*at[1:], 1.0 + at[0]], strict=True)]
     assert 0.5 / gateways <= min(gaps) and max(gaps) <= 2.0 / gateways
-    assert all(0.0 <= position(number) < 1.0 for number in (0x8C1F30D27A5BE964, 10**40, 2**64 - 1))
+    assert all(0.0 <= first_position(number) < 1.0 for number in (0x8C1F30D27A5BE964, 10**40, 2**64 - 1))
 
 
 @pytest.mark.parametrize("number", [0, 7, 519, 520, 99_999, 2**63])
@@ -404,9 +419,9 @@
 def test_a_wrong_number_or_fleet_size_leaves_a_gateway_with_servers_of_each_zone(
     number: int, gateways: int
 ) -> None:
-    aperture, module = by_itself(gateways, number)
-    aperture.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
-    assert LEAST <= len(module.known) <= WHOLE
+    subsetting, module = by_itself(gateways, number)
+    subsetting.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
+    assert MIN_SUBSET_SIZE <= len(module.known) <= MAX_SUBSET_SIZE
     assert {entry.zone for entry in module.known.values()} == set("abcdefg")
 
 
@@ -414,96 +429,98 @@
 def test_a_list_that_grows_and_shrinks_in_one_answer(kind: EndpointListKind) -> None:
     """20, 5,700, 20 and 5,700 others: the module knows each time what it may use, in one event, and how many
     there are."""
-    aperture, module = by_itself()
+    subsetting, module = by_itself()
     few, many, others = fleet_of(20), fleet_of(5_700), fleet_of(5_700, first=10_000)
-    aperture.handle(1e6, news(few, EndpointListKind.FULL))
+    subsetting.handle(1e6, news(few, EndpointListKind.FULL))
     assert module.known == {entry.address: entry for entry in few} and module.of == 0
     now = 1e6
-    turns = ((few, many, LEAST), (many, few, 20), (few, others, LEAST), (others, few, 20))
+    turns = ((few, many, MIN_SUBSET_SIZE), (many, few, 20), (few, others, MIN_SUBSET_SIZE), (others, few, 20))
     for before, after, count in turns:
         names = {entry.address for entry in after}
         change = [*(entry for entry in out_of(before) if entry.address not in names), *after]
-        aperture.handle(now := now + 10.0, news(after if kind is EndpointListKind.FULL else change, kind))
+        subsetting.handle(now := now + 10.0, news(after if kind is EndpointListKind.FULL else change, kind))
         assert len(module.known) == count and module.known.keys() <= names
         assert module.of == len(after)
-    aperture.handle(now + 10.0, news(out_of(few[:1])))
+    subsetting.handle(now + 10.0, news(out_of(few[:1])))
     assert module.of == len(module.known) == 19
 
 
 def test_a_list_round_the_limit_changes_sides_once() -> None:
-    aperture, module = by_itself()
-    fleet = fleet_of(WHOLE + 10)
-    aperture.handle(1e6, news(fleet[:WHOLE], EndpointListKind.FULL))
+    subsetting, module = by_itself()
+    fleet = fleet_of(MAX_SUBSET_SIZE + 10)
+    subsetting.handle(1e6, news(fleet[:MAX_SUBSET_SIZE], EndpointListKind.FULL))
     sides = []
     for step in range(20):
-        change = fleet[WHOLE:] if step % 2 == 0 else out_of(fleet[AGAIN + 4 :])
-        aperture.handle(1e6 + 1000.0 * step, news(change))
-        sides.append(aperture.narrow)
-    assert all(sides) and len(module.known) < AGAIN
-    aperture.handle(2e6, news(out_of(fleet[AGAIN - 4 :])))
-    assert not aperture.narrow and len(module.known) == AGAIN - 4
+        change = fleet[MAX_SUBSET_SIZE:] if step % 2 == 0 else out_of(fleet[WHOLE_LIST_AGAIN_BELOW + 4 :])
+        subsetting.handle(1e6 + 1000.0 * step, news(change))
+        sides.append(subsetting.is_subsetting)
+    assert all(sides) and len(module.known) < WHOLE_LIST_AGAIN_BELOW
+    subsetting.handle(2e6, news(out_of(fleet[WHOLE_LIST_AGAIN_BELOW - 4 :])))
+    assert not subsetting.is_subsetting and len(module.known) == WHOLE_LIST_AGAIN_BELOW - 4
 
 
 def test_all_names_new() -> None:
     """As after a restart of the list service: none of the old is known from this event on."""
-    aperture, module = by_itself()
-    aperture.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
-    aperture.handle(2e6, news(fresh := fleet_of(5_700, first=6_000), EndpointListKind.FULL))
-    assert len(module.known) == LEAST and module.known.keys() <= {entry.address for entry in fresh}
+    subsetting, module = by_itself()
+    subsetting.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
+    subsetting.handle(2e6, news(fresh := fleet_of(5_700, first=6_000), EndpointListKind.FULL))
+    assert len(module.known) == MIN_SUBSET_SIZE and module.known.keys() <= {entry.address for entry in fresh}
 
 
 def test_most_of_the_subset_drains_together() -> None:
     """One answer takes all but one of those in use: as many others are in use with the same event."""
-    aperture, module = by_itself()
-    aperture.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
+    subsetting, module = by_itself()
+    subsetting.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
     used = list(module.known.values())
-    aperture.handle(2e6, news(out_of(used[1:], EndpointState.DRAINING)))
-    assert len(module.known) == LEAST and module.known.keys().isdisjoint(entry.address for entry in used[1:])
+    subsetting.handle(2e6, news(out_of(used[1:], EndpointState.DRAINING)))
+    assert len(module.known) == MIN_SUBSET_SIZE and module.known.keys().isdisjoint(
+        entry.address for entry in used[1:]
+    )
 
 
 def test_a_zone_goes_at_once_and_comes_back_cold() -> None:
     """With some of its servers listed the zone is never without one in use, and its cold ones are as many as
     their warmth asks for, with a bound; warm again, they are no more than before."""
-    aperture, module = by_itself()
+    subsetting, module = by_itself()
     rest, zone = fleet_of(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
-    aperture.handle(1e6, news([*rest, *zone], EndpointListKind.FULL))
+    subsetting.handle(1e6, news([*rest, *zone], EndpointListKind.FULL))
 
     def used() -> int:
         return sum(entry.zone == "z" for entry in module.known.values())
 
     before = used()
     assert before in (6, 7)
-    aperture.handle(2e6, news(out_of(zone)))
-    assert used() == 0 and len(module.known) >= LEAST - before
-    aperture.handle(2e6 + STEP_MS, TimerFired(0))
-    assert len(module.known) >= LEAST
+    subsetting.handle(2e6, news(out_of(zone)))
+    assert used() == 0 and len(module.known) >= MIN_SUBSET_SIZE - before
+    subsetting.handle(2e6 + STEP_MS, TimerFired(0))
+    assert len(module.known) >= MIN_SUBSET_SIZE
     cold = [replace(entry, started_ms=3e6) for entry in zone]
     for entry in cold[:5]:
-        aperture.handle(3e6, news([entry]))
+        subsetting.handle(3e6, news([entry]))
         assert used() >= 1
-    aperture.handle(3e6, news(cold[5:]))
-    aperture.handle(3e6 + STEP_MS, TimerFired(0))
+    subsetting.handle(3e6, news(cold[5:]))
+    subsetting.handle(3e6 + STEP_MS, TimerFired(0))
     assert before < used() <= (before + 1) / SETTINGS.slow_start.initial_fraction
     for step in range(200):
-        aperture.handle(3e6 + 20_000.0 * step, TimerFired(0))
-    assert used() <= before + 1 and len(module.known) <= LEAST + 1
+        subsetting.handle(3e6 + 20_000.0 * step, TimerFired(0))
+    assert used() <= before + 1 and len(module.known) <= MIN_SUBSET_SIZE + 1
 
 
 def test_a_changed_row_costs_by_what_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
     """2,000 rows in one second, each an answer of its own, at 5,700 listed: so many steps a row, the looks of
     that second among them. All rows in one answer cost a few steps each."""
-    aperture, module = by_itself()
+    subsetting, module = by_itself()
     fleet = fleet_of(5_700)
-    aperture.handle(1e6, news(fleet, EndpointListKind.FULL))
+    subsetting.handle(1e6, news(fleet, EndpointListKind.FULL))
     rng, steps = random.Random(1), Steps(monkeypatch)
     rows = [replace(one, weight=2.0, started_ms=rng.choice((0.0, 9e5))) for one in rng.sample(fleet, 2_000)]
     for at, entry in enumerate(rows):
-        aperture.handle(1e6 + 0.5 * at, news([replace(entry, zone=rng.choice("abcdefg"))]))
-        aperture.handle(1e6 + 0.5 * at, TimerFired(0))
+        subsetting.handle(1e6 + 0.5 * at, news([replace(entry, zone=rng.choice("abcdefg"))]))
+        subsetting.handle(1e6 + 0.5 * at, TimerFired(0))
     assert steps.count <= 12 * len(rows)
-    assert module.known.keys() == aperture.subset.held.keys()
+    assert module.known.keys() == subsetting.subset.in_use.keys()
     steps.count = 0
-    aperture.handle(2e6, news(rows))
+    subsetting.handle(2e6, news(rows))
     assert steps.count <= 3 * len(rows)
 
 
@@ -512,21 +529,23 @@
     counts = []
     for listed in (2_000, 5_700):
         with monkeypatch.context() as patch:
-            aperture, module = by_itself()
-            aperture.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
+            subsetting, module = by_itself()
+            subsetting.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
             steps = Steps(patch)
             for at in range(400):
                 now = 1e6 + at * STEP_MS
                 for server in list(module.known) if at > 200 else ():
-                    aperture.handle(now, AttemptEnded("r", 0, server, Outcome.UNREACHABLE, 1.0, False))
-                aperture.handle(now, TimerFired(0))
+                    subsetting.handle(now, AttemptEnded("r", 0, server, Outcome.UNREACHABLE, 1.0, False))
+                subsetting.handle(now, TimerFired(0))
             counts.append(steps.count)
-            assert len(module.known) <= 2 * LEAST / FAINT + 7  # one more a zone, as weights add up
+            assert (
+                len(module.known) <= 2 * MIN_SUBSET_SIZE / MIN_WEIGHT + 7
+            )  # one more a zone, as weights add up
     assert counts[1] <= 1.1 * counts[0]
 
 
 def test_a_pick_looks_at_as_many_servers_at_5700_as_at_100(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decision module itself behind the subset, counted by its looks at a server."""
+    """The decision engine itself behind the subset, counted by its looks at a server."""
     looks = 0
     sound = EndpointChooser.expected_delay
 
@@ -539,19 +558,19 @@
     found = {}
     for listed in (20, 5_700):
         made = replace(SETTINGS, gateway_count=520)
-        aperture = Aperture(DecisionEngine(made, 1), made, Terms(520, 7))
-        aperture.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
+        subsetting = SubsettingEngine(DecisionEngine(made, 1), made, SubsetTerms(520, 7))
+        subsetting.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
         looks = sent = 0
         for n in range(500):
-            for action in aperture.handle(1e6 + 6.0 * n, Request(f"r{n}", "read", "wide", "c", 900.0)):
+            for action in subsetting.handle(1e6 + 6.0 * n, Request(f"r{n}", "read", "wide", "c", 900.0)):
                 if isinstance(action, StartAttempt):
                     sent += 1
                     ended = AttemptEnded(
                         f"r{n}", 0, action.address, Outcome.OK, 5.0, True, active_requests=1.0
                     )
-                    aperture.handle(1e6 + 6.0 * n + 5.0, ended)
+                    subsetting.handle(1e6 + 6.0 * n + 5.0, ended)
         found[listed] = looks / sent
-    assert found[20] == 20 and found[5_700] <= LEAST
+    assert found[20] == 20 and found[5_700] <= MIN_SUBSET_SIZE
 
 
 def test_the_rules_hold_in_swarm_runs_with_many_servers() -> None:
@@ -560,17 +579,17 @@
     parts: list[_Behind] = []
 
     def make(made: Settings, given: int) -> _Behind:
-        parts.append(_Behind(DecisionEngine(made, given), made, Terms(520, len(parts))))
+        parts.append(_Behind(DecisionEngine(made, given), made, SubsetTerms(520, len(parts))))
         return parts[-1]
 
     def large(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
-        return World(seed, gateways, WHOLE + 44, make, watch)
+        return World(seed, gateways, MAX_SUBSET_SIZE + 44, make, watch)
 
     for seed in range(6):
         failure = tried(drawn(seed), make, large)
         assert failure is None, failure
     used = [len(part.inner.pool.servers) for part in parts]
-    assert all(part.aperture.narrow for part in parts) and max(used) < WHOLE
+    assert all(part.subsetting.is_subsetting for part in parts) and max(used) < MAX_SUBSET_SIZE
 
 
 def test_a_gateway_without_a_file_uses_a_part_of_a_long_list() -> None:
@@ -579,20 +598,20 @@
     module = Script(lambda event: [])
 
     async def scenario() -> None:
-        rows = [{**row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(WHOLE + 40)]
+        rows = [{**row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(MAX_SUBSET_SIZE + 40)]
         answers = DiscoveryPeer(listing(2, rows[:20]), listing(3, rows[20:], full=False))
         async with site(decisions=module, discovery=answers) as one:
             await until(lambda: one.program.discovery.since == 3)
             lists = module.of(EndpointList)
-            assert [event.total_endpoints for event in lists] == [0, 0, WHOLE + 40]
+            assert [event.total_endpoints for event in lists] == [0, 0, MAX_SUBSET_SIZE + 40]
             assert len(lists[1].endpoints) == 20
-            aperture: Any = one.program.gateway.decisions
-            used = aperture.subset.held
-            assert len(used) == size(WHOLE + 40, SETTINGS.gateway_count)
+            subsetting: Any = one.program.gateway.decisions
+            used = subsetting.subset.in_use
+            assert len(used) == subset_size(MAX_SUBSET_SIZE + 40, SETTINGS.gateway_count)
             gone = next(iter(used))
             answers.answers.append(listing(4, [row(gone, 9, "Terminating")], full=False))
             await until(lambda: one.program.discovery.since == 4)
-            assert gone not in used and len(used) == WHOLE
+            assert gone not in used and len(used) == MAX_SUBSET_SIZE
             assert gone in {entry.address for entry in module.of(EndpointList)[-1].endpoints}
 
     play(scenario())
@@ -648,10 +667,10 @@
 
 
 def test_without_its_parts_the_checks_fail(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(subsets, "GROWTH", 0.0)
-    monkeypatch.setattr(subsets.Subset, "judge", lambda self, now, out: None)
+    monkeypatch.setattr(subsets, "GROWTH_FRACTION", 0.0)
+    monkeypatch.setattr(subsets.Subset, "adjust_size", lambda self, now_ms, in_flight: None)
     with pytest.raises(AssertionError):
         test_load_widens_within_a_step_and_calm_narrows()
-    monkeypatch.setattr(subsets.Subset, "weight", lambda self, now, server: 1.0)
+    monkeypatch.setattr(subsets.Subset, "weight", lambda self, now_ms, server: 1.0)
     with pytest.raises(AssertionError):
         test_servers_that_can_not_serve_are_not_counted("unreachable")
