--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -46,11 +46,12 @@
 def probe() -> None:
     """In the gateway's process, before it starts: notes moments, written out at its end."""
     from glenchute.core.gateway import RequestExecutor
-    from glenchute.upstreams.connection_pool import Attempt, Connection
+    from glenchute.upstreams.connection import Connection
+    from glenchute.upstreams.exclusive_attempt import ExclusiveAttempt
 
     moments: Moments = {}
     accept, respond = RequestExecutor.accept, RequestExecutor.respond
-    write, answered = Attempt.write, Connection.answered
+    write, answered = ExclusiveAttempt.write, Connection.complete_response
 
     def note(call: Any, name: str) -> None:
         moments.setdefault(call.request_id.decode(), {})[name] = time.monotonic()
@@ -74,10 +75,10 @@
             note(live.call, "told")
 
     core: Any = RequestExecutor
-    attempt: Any = Attempt
+    attempt: Any = ExclusiveAttempt
     connection: Any = Connection
     core.accept, core.respond = noted_accept, noted_respond
-    attempt.write, connection.answered = noted_write, noted_answered
+    attempt.write, connection.complete_response = noted_write, noted_answered
     atexit.register(lambda: Path(os.environ["ADDED_PROBE"]).write_text(json.dumps(moments)))
 
 
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -18,7 +18,6 @@
 from typing import Any
 
 from benchmarks.machine import machine
-from glenchute.clients.discovery import Held, read_in_parts, read_list
 from glenchute.core.gateway import RequestExecutor
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset import SubsetTerms
@@ -26,7 +25,9 @@
 from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.settings import Settings, SlowStart
-from glenchute.upstreams.connection_pool import Limits, Servers
+from glenchute.protocol.endpoint_list import CurrentList, decode_list, decode_list_in_parts
+from glenchute.upstreams.limits import UpstreamLimits
+from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import row
 
 GATEWAYS, PLAYS = 520, 9
@@ -38,10 +39,10 @@
     def __init__(self, parted: bool = True) -> None:
         self.loop = asyncio.new_event_loop()
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
-        self.servers = Servers(self.loop, Limits(0.5, 9.0, 0.25, 500))
+        self.servers = ServerPools(self.loop, UpstreamLimits(0.5, 9.0, 0.25, 500))
         self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
         self.gateway.server_limit, self.gateway.on_server_limit_exceeded = MAX_SUBSET_SIZE, self.narrow
-        self.held, self.parted = Held(), parted
+        self.held, self.parted = CurrentList(), parted
         self.version = 0
 
     def narrow(self) -> None:
@@ -63,10 +64,10 @@
         """An answer's body, turn by turn."""
         news: EndpointUpdate
         if self.parted:
-            news = yield from read_in_parts(body, self.held)
+            news = yield from decode_list_in_parts(body, self.held)
         else:
-            news = read_list(json.loads(body), held=self.held)
-        self.held.follow(news)
+            news = decode_list(json.loads(body), held=self.held)
+        self.held.apply(news)
         self.gateway.update_endpoints(news)
 
     def tell(self, rows: list[dict[str, Any]], full: bool = True) -> None:
--- /dev/null
+++ b/glenchute/cli/handover.py
@@ -0,0 +1,109 @@
+"""One process's part in a replacement: connects the handover to the decision engine and to the limits."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from pathlib import Path
+
+from glenchute.clients.handover import HandoverServer, PredecessorConnection, request_handover, socket_path
+from glenchute.config.platform import PlatformConfig
+from glenchute.core.gateway import RequestExecutor
+from glenchute.listeners.resp2.clients import Listener
+from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
+from glenchute.policy.lifecycle.handover import encode_handover, retained_limit_share
+from glenchute.upstreams.connection_pool import Servers
+
+log = logging.getLogger("glenchute")
+
+DESCRIPTORS_PER_CLIENT = 2  # its connection, and one to a server
+
+
+class ProcessHandover:
+    """The handover from the predecessor of this process, and to its successor."""
+
+    def __init__(
+        self,
+        path: Path,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        gateway: RequestExecutor,
+        listener: Listener,
+        servers: Servers,
+    ) -> None:
+        self.path, self.config, self.loop = path, config, loop
+        self.gateway, self.listener, self.servers = gateway, listener, servers
+        self.predecessor: PredecessorConnection | None = None
+        self.server = HandoverServer(loop, self.make_message, self.on_other_ended)
+        self.quotas: tuple[QuotaSnapshot, ...] = ()
+        self.is_closed = False
+        gateway.send_state = self.set_quotas
+
+    @classmethod
+    def create(
+        cls,
+        folder: str | None,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        gateway: RequestExecutor,
+        listener: Listener,
+        servers: Servers,
+    ) -> ProcessHandover | None:
+        """None, with a warning, where there is no usable folder for the socket."""
+        path = socket_path(folder, config.name, config.listen) if folder else None
+        if path is None:
+            log.warning("nothing is handed over: TMPDIR is not set, or its name is too long")
+            return None
+        return cls(path, config, loop, gateway, listener, servers)
+
+    async def request_state(self) -> None:
+        """Applies the state of the predecessor, if there is one. Called before clients are accepted."""
+        self.predecessor = await request_handover(self.loop, self.path, self.config.name, self.on_other_ended)
+        if self.predecessor is None or self.predecessor.state is None:
+            return
+        state = self.predecessor.state
+        log.info("takes over beside the process before: %d customers", len(state.quotas))
+        self.apply_limit_share(state.limit_share)
+        self.gateway.post(StateReceived(state.quotas))
+        if self.predecessor.transport is None:
+            self.on_other_ended()  # it ended meanwhile
+
+    async def start_serving(self) -> None:
+        """Accepts a successor from now on."""
+        await self.server.start(self.path)
+
+    def make_message(self) -> bytes:
+        """A successor has connected: reduces the limits of this process, and returns the message to it."""
+        in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.count())
+        share = retained_limit_share(in_use, self.config.max_descriptors)
+        self.apply_limit_share(share)
+        self.quotas = ()
+        self.gateway.post(SuccessorStarted())  # answered by `set_quotas` before it returns
+        log.info("the next process is up beside this one: %d customers handed over", len(self.quotas))
+        return encode_handover(self.config.name, 1.0 - share, self.quotas)
+
+    def set_quotas(self, quotas: tuple[QuotaSnapshot, ...]) -> None:
+        """The decision engine's part of the message."""
+        self.quotas = quotas
+
+    def on_other_ended(self) -> None:
+        """A process that overlapped has ended; if it was the last, this one has all limits again."""
+        if self.is_closed:
+            return
+        has_predecessor = self.predecessor is not None and self.predecessor.transport is not None
+        if self.server.successor is None and not has_predecessor:
+            log.info("the other process has gone")
+            self.apply_limit_share(1.0)
+            self.gateway.post(OtherProcessEnded())
+
+    def apply_limit_share(self, share: float) -> None:
+        """Restricts this process to a share of the gateway's descriptors, 0 to 1."""
+        self.listener.set_share(share)
+        self.servers.share(share)
+
+    def close(self) -> None:
+        """The end of the process."""
+        self.is_closed = True
+        self.server.close()
+        if self.predecessor is not None:
+            self.predecessor.close()
--- a/glenchute/cli/succession.py
+++ b/glenchute/cli/succession.py
@@ -12,7 +12,7 @@
 from glenchute.listeners.resp2.clients import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import keeps, message
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 
 log = logging.getLogger("glenchute")
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self, path: Path, config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor,
-        listener: Listener, servers: Servers,
+        listener: Listener, servers: ServerPools,
     ) -> None:  # fmt: skip
         self.path, self.config, self.loop = path, config, loop
         self.gateway, self.listener, self.servers = gateway, listener, servers
@@ -40,7 +40,7 @@
         loop: asyncio.AbstractEventLoop,
         gateway: RequestExecutor,
         listener: Listener,
-        servers: Servers,
+        servers: ServerPools,
     ) -> Succession | None:
         """None where the processes have no place to meet."""
         path = path_in(folder, config.name, config.listen) if folder else None
@@ -68,7 +68,7 @@
     def tell(self) -> bytes:
         """The next process asks."""
         whole = self.config.max_descriptors
-        share = keeps(2 * max(len(self.listener.clients), self.servers.count()), whole)
+        share = keeps(2 * max(len(self.listener.clients), self.servers.connection_count()), whole)
         self.shares(share)
         self.stocks = ()
         self.gateway.post(SuccessorStarted())
@@ -90,7 +90,7 @@
 
     def shares(self, share: float) -> None:
         """This process keeps to so much of the gateway's limits."""
-        self.listener.share(share)
+        self.listener.set_share(share)
         self.servers.share(share)
 
     def close(self) -> None:
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -9,13 +9,13 @@
 import socket
 from typing import Any
 
-from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import EndpointUpdate
-from glenchute.listeners.resp2.commands import Bounds, bounds
+from glenchute.listeners.resp2.commands import RequestBounds, read_request_bounds
 from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
-from glenchute.upstreams.connection_pool import Limits
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list, parse_address
+from glenchute.upstreams.limits import UpstreamLimits
 
 from .facts import ClassFacts, PlatformFacts
 from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
@@ -65,8 +65,8 @@
     settings: Settings
     gateway_number: int | None
     stated_number: int | None
-    limits: Limits
-    request_bounds: Bounds
+    limits: UpstreamLimits
+    request_bounds: RequestBounds
     facts: PlatformFacts
 
 
@@ -93,44 +93,44 @@
     wrong."""
     settings = policy_settings(raw["settings"])
     if not settings.classes or not settings.plans:
-        raise ListError("the settings name no classes or no plans")
+        raise EndpointListError("the settings name no classes or no plans")
     descriptors = int(number(table(raw, "limits").get("sockets"), DEFAULT_DESCRIPTORS))
     if descriptors < MIN_DESCRIPTORS:
-        raise ListError(f"{descriptors} sockets are too few")
+        raise EndpointListError(f"{descriptors} sockets are too few")
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     budget = divide_descriptors(descriptors, bool(operations))
     return PlatformConfig(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
-        listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
-        operations_address=address(operations) if operations else None,
-        discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and settings.has_counter else None,
+        listen=parse_address(raw.get("listen") or environ.get("EDGE_LISTEN")),
+        operations_address=parse_address(operations) if operations else None,
+        discovery=parse_address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
+        counter=parse_address(raw["counter"]) if raw.get("counter") and settings.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
         max_descriptors=descriptors,
         budget=budget,
-        cached_endpoints=read_list(raw["known"], saved=True) if raw.get("known") else None,
+        cached_endpoints=decode_list(raw["known"], saved=True) if raw.get("known") else None,
         passed_descriptor=descriptor(environ.get("EDGE_PASSED_SOCKET")),
         settings=settings,
         gateway_number=gateway_number(raw["settings"].get("me"), settings.gateway_count),
         stated_number=gateway_number(raw["settings"].get("me"), MAX_GATEWAYS),
         limits=connection_limits(raw, budget),
-        request_bounds=bounds(raw["settings"]),
+        request_bounds=read_request_bounds(raw["settings"]),
         facts=platform_facts(settings, raw["settings"]),
     )
 
 
-def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> Limits:
+def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> UpstreamLimits:
     """The limits of connections to servers."""
     limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
     memory_mb = number(table(raw, "limits").get("memory_mb"), DEFAULT_MEMORY_MB)
     streamed_values = int(memory_mb * 1e6 * STREAMING_MEMORY_FRACTION / STREAM_BYTES)
     server_idle_s = number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS) / 1000.0
-    return Limits(
-        connect_s=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS) / 1000.0,
-        idle_s=max(MIN_IDLE_S, server_idle_s - IDLE_MARGIN_S),
-        grace_s=number(safety.get("drain_grace_ms"), DEFAULT_DRAIN_GRACE_MS) / 1000.0,
-        connections=budget.server_connections,
-        long_values=max(MIN_STREAMED_VALUES, streamed_values),
+    return UpstreamLimits(
+        connect_timeout_s=number(limits.get("connect_timeout_ms"), DEFAULT_CONNECT_TIMEOUT_MS) / 1000.0,
+        max_idle_s=max(MIN_IDLE_S, server_idle_s - IDLE_MARGIN_S),
+        drain_grace_s=number(safety.get("drain_grace_ms"), DEFAULT_DRAIN_GRACE_MS) / 1000.0,
+        max_connections=budget.server_connections,
+        max_streams=max(MIN_STREAMED_VALUES, streamed_values),
     )
 
 
--- a/glenchute/policy/lifecycle/handover.py
+++ b/glenchute/policy/lifecycle/handover.py
@@ -1,10 +1,12 @@
-"""What passes from one process of a gateway to the next, and how the two share the gateway's limits.
+"""State handed over from one process of a gateway to its successor, and how the two share the gateway's
+limits while they overlap. No I/O, no clock.
 
-The message is one JSON object. Whatever of it is not as it should be makes it void as a whole: the next
-process then begins as after a kill, on the safe side, and its log names the reason. No I/O, no clock.
+The message is one line of JSON. It is rejected as a whole unless every part is valid; the successor then
+starts as after a kill, on the safe side, and logs the reason.
 
-A property test holds that both shares are at least a quarter, that they sum to the whole at most, and that no
-bytes whatever make `parse` raise anything but `SuccessionError` or give a figure out of its range.
+Property tests hold that both shares are at least `MIN_LIMIT_SHARE`, that they sum to 1 at most, and that
+`decode_handover` raises nothing but `HandoverError` and returns no figure out of its range, whatever its
+input.
 """
 
 from __future__ import annotations
@@ -17,11 +19,15 @@
 from ..events import QuotaSnapshot
 
 FORMAT = 1
-MOST_STOCKS = 10_000  # customers that are handed over, those seen last first
-MOST_BYTES = 4 * 1024 * 1024
-MOST_UNITS = 1e12
-LEAST_SHARE = 0.25  # of the gateway's descriptors, for either process
-# The names of the columns between processes of any version, in the order of `QuotaSnapshot`'s fields.
+MAX_QUOTAS = 10_000  # tenants that are handed over, the most recently seen first
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+MAX_TENANT_LENGTH = 64
+MAX_GATEWAY_SPREAD = 1_000_000
+MAX_UNITS = 1e12
+MAX_WINDOW_MS = 1e15
+MIN_LIMIT_SHARE = 0.25  # of the gateway's descriptors, for either process
+RESERVE_SHARE = 1 / 8  # of the descriptors, retained beyond those in use
+# The columns of the message, for processes of any version, in the order of `QuotaSnapshot`'s fields.
 FIELDS = (
     "customer",
     "plan",
@@ -37,85 +43,89 @@
 )
 
 
-class SuccessionError(ValueError):
-    """A message that can't be used, and why."""
+class HandoverError(ValueError):
+    """A handover message is invalid; the text is the reason, as the log names it."""
 
 
-class Told(NamedTuple):
-    """What the process before told."""
+class HandoverState(NamedTuple):
+    """What the predecessor hands over."""
 
-    share: float  # of the gateway's descriptors that it leaves to the next one
-    stocks: tuple[QuotaSnapshot, ...]
+    limit_share: float  # of the gateway's descriptors, for the successor
+    quotas: tuple[QuotaSnapshot, ...]
 
 
-def keeps(held: int, whole: int) -> float:
-    """The share of the gateway's descriptors that a process keeps to when another comes up beside it: a half,
-    or what it holds and an eighth more, so that nobody is closed for it. The rest is the other's."""
-    return min(1.0 - LEAST_SHARE, max(0.5, (held + whole / 8) / whole))
+def retained_limit_share(in_use: int, limit: int) -> float:
+    """The share of the gateway's descriptors that a process retains when its successor starts: half, or those
+    in use and `RESERVE_SHARE` more, so that no connection is closed for it. The rest is the successor's."""
+    return min(1.0 - MIN_LIMIT_SHARE, max(0.5, (in_use + RESERVE_SHARE * limit) / limit))
 
 
-def message(gateway: str, share: float, stocks: Sequence[QuotaSnapshot]) -> bytes:
-    """What a process tells the next one, of the gateway of this name."""
-    rows = [[getattr(stock, name) for name in QuotaSnapshot.__match_args__] for stock in stocks[:MOST_STOCKS]]
+def encode_handover(gateway: str, limit_share: float, quotas: Sequence[QuotaSnapshot]) -> bytes:
+    """The message to the successor of the gateway with this name. Quotas beyond `MAX_QUOTAS` are left out."""
+    rows = [[getattr(quota, name) for name in QuotaSnapshot.__match_args__] for quota in quotas[:MAX_QUOTAS]]
     for row in rows:
-        row[:] = [None if value == math.inf else value for value in row]
-    told = {"format": FORMAT, "gateway": gateway, "share": share, "fields": FIELDS, "stocks": rows}
-    return json.dumps(told, allow_nan=False, separators=(",", ":")).encode() + b"\n"
+        row[:] = [None if value == math.inf else value for value in row]  # JSON has no infinity
+    message = {"format": FORMAT, "gateway": gateway, "share": limit_share, "fields": FIELDS, "stocks": rows}
+    return json.dumps(message, allow_nan=False, separators=(",", ":")).encode() + b"\n"
 
 
-def parse(gateway: str, raw: bytes) -> Told:
-    """Reads a message for the gateway of this name; SuccessionError with the reason where it is void."""
+def decode_handover(gateway: str, raw: bytes) -> HandoverState:
+    """Decodes a message to the gateway with this name; HandoverError if it is invalid."""
     if not raw.endswith(b"\n"):
-        raise SuccessionError("torn")
+        raise HandoverError("torn")
     try:
-        told = json.loads(raw, parse_constant=refuse)
+        message = json.loads(raw, parse_constant=reject_constant)
     except (ValueError, RecursionError):
-        raise SuccessionError("no JSON") from None
-    if not isinstance(told, dict) or told.get("format") != FORMAT:
-        raise SuccessionError(f"not of format {FORMAT}")
-    if told.get("gateway") != gateway:
-        raise SuccessionError("another gateway's")
-    if told.get("fields") != list(FIELDS):
-        raise SuccessionError("other fields than this version's")
-    rows = told.get("stocks")
-    if not isinstance(rows, list) or len(rows) > MOST_STOCKS:
-        raise SuccessionError("too many customers, or no list of them")
-    share = number(told.get("share"), LEAST_SHARE, 1.0 - LEAST_SHARE)
-    return Told(share, tuple([stock(row) for row in rows]))
-
-
-def stock(row: Any) -> QuotaSnapshot:
-    """One customer's."""
+        raise HandoverError("no JSON") from None
+    if not isinstance(message, dict) or message.get("format") != FORMAT:
+        raise HandoverError(f"not of format {FORMAT}")
+    if message.get("gateway") != gateway:
+        raise HandoverError("another gateway's")
+    if message.get("fields") != list(FIELDS):
+        raise HandoverError("other fields than this version's")
+    rows = message.get("stocks")
+    if not isinstance(rows, list) or len(rows) > MAX_QUOTAS:
+        raise HandoverError("too many customers, or no list of them")
+    limit_share = decode_number(message.get("share"), MIN_LIMIT_SHARE, 1.0 - MIN_LIMIT_SHARE)
+    return HandoverState(limit_share, tuple([decode_quota(row) for row in rows]))
+
+
+def decode_quota(row: Any) -> QuotaSnapshot:
+    """Decodes the quota of one tenant; HandoverError if it is invalid."""
     if not isinstance(row, list) or len(row) != len(FIELDS):
-        raise SuccessionError("a customer's row is not whole")
-    customer, plan, spread, *plain, window, total = row
-    if not isinstance(customer, str) or not isinstance(plan, str) or not 0 < len(customer) <= 64:
-        raise SuccessionError("a customer without a name")
-    if type(spread) is not int or not 1 <= spread <= 1_000_000:
-        raise SuccessionError("a spread out of range")
-    store, guard, own, others, told_own, told_all = [number(v, -MOST_UNITS, MOST_UNITS) for v in plain]
+        raise HandoverError("a customer's row is not whole")
+    tenant, plan, gateway_spread, *figures, window_start, window_total = row
+    if not isinstance(tenant, str) or not isinstance(plan, str) or not 0 < len(tenant) <= MAX_TENANT_LENGTH:
+        raise HandoverError("a customer without a name")
+    if type(gateway_spread) is not int or not 1 <= gateway_spread <= MAX_GATEWAY_SPREAD:
+        raise HandoverError("a spread out of range")
+    bucket, guard, own_demand, others_demand, reported_own, reported = [
+        decode_number(figure, -MAX_UNITS, MAX_UNITS) for figure in figures
+    ]
     return QuotaSnapshot(
-        tenant=customer,
+        tenant=tenant,
         plan=plan,
-        gateway_spread=spread,
-        bucket_units=store,
+        gateway_spread=gateway_spread,
+        bucket_units=bucket,
         ceiling_guard_units=guard,
-        own_demand_per_s=own,
-        others_demand_per_s=others,
-        reported_own_units=told_own,
-        reported_units=told_all,
-        window_start_ms=number(window, -1e15, 1e15),
-        window_total_units=math.inf if total is None else number(total, -MOST_UNITS, MOST_UNITS),
+        own_demand_per_s=own_demand,
+        others_demand_per_s=others_demand,
+        reported_own_units=reported_own,
+        reported_units=reported,
+        window_start_ms=decode_number(window_start, -MAX_WINDOW_MS, MAX_WINDOW_MS),
+        window_total_units=(
+            math.inf if window_total is None else decode_number(window_total, -MAX_UNITS, MAX_UNITS)
+        ),
     )
 
 
-def number(value: Any, least: float, most: float) -> float:
-    """A figure in its range."""
+def decode_number(value: Any, least: float, most: float) -> float:
+    """A number within its range, as a float; HandoverError otherwise."""
     if type(value) not in (int, float) or not least <= value <= most:
-        raise SuccessionError("a figure out of range")
+        raise HandoverError("a figure out of range")
     return float(value)
 
 
-def refuse(name: str) -> float:
-    """NaN and the like are no figures."""
+def reject_constant(name: str) -> float:
+    """ValueError for NaN and the infinities, which are not JSON."""
     raise ValueError(name)
--- a/tests/clients/test_peers.py
+++ b/tests/clients/test_peers.py
@@ -15,16 +15,16 @@
 import pytest
 
 from glenchute.clients import counter as counter_module
-from glenchute.clients.counter import Counter
-from glenchute.clients.discovery import ListError, read_list
+from glenchute.clients.counter import CounterClient
 from glenchute.listeners.resp2 import clients as clients_module
-from glenchute.listeners.resp2.clients import MOST_PENDING
+from glenchute.listeners.resp2.clients import MAX_PENDING_COMMANDS
 from glenchute.policy.actions import Action
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
 from glenchute.policy.endpoints import polling as pacing
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Event, Outcome, Request
-from glenchute.upstreams import connection_pool as servers_module
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list
+from glenchute.upstreams import connection_pool
 from lab.ports import outgoing_ports
 from tests.loopback import (
     CHARGE,
@@ -106,7 +106,7 @@
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
 
-    monkeypatch.setattr(clients_module, "MOST_ERRORS", 1000)
+    monkeypatch.setattr(clients_module, "MAX_COMMAND_ERRORS", 1000)
     play(scenario())
 
 
@@ -118,7 +118,7 @@
             for _ in range(500):
                 client.send(b"NOPE")
             assert await client.reply() == b"value"
-            for _ in range(clients_module.MOST_ERRORS):
+            for _ in range(clients_module.MAX_COMMAND_ERRORS):
                 assert "unknown command" in str(await client.reply())
             assert await client.reply() is None  # and no reset, which could have cost the errors
             assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
@@ -134,9 +134,9 @@
             (held,) = one.program.listener.clients
             taken: list[int] = []
             held.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
-            held.work()
+            held.process_commands()
             taken.append(len(held.parser._raw) - held.parser._at)
-            assert taken == [14 * (50 - clients_module.TURN)]
+            assert taken == [14 * (50 - clients_module.MAX_COMMANDS_PER_TURN)]
             assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
 
     play(scenario())
@@ -206,7 +206,7 @@
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
-            one.program.listener.places.max_connections = 2
+            one.program.listener.connection_slots.max_connections = 2
             asked = await one.client()
             assert await asked.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             silent = await one.client()
@@ -289,12 +289,12 @@
         script = Script(send_to("s0"))
         async with site(reply, decisions=script) as one:
             client = await one.client()
-            for number in range(3 * MOST_PENDING):
+            for number in range(3 * MAX_PENDING_COMMANDS):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(Request)) >= MOST_PENDING)
-            assert len(one.program.gateway.active_requests) == MOST_PENDING
+            await until(lambda: len(script.of(Request)) >= MAX_PENDING_COMMANDS)
+            assert len(one.program.gateway.active_requests) == MAX_PENDING_COMMANDS
             release.set()
-            assert {await client.reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
+            assert {await client.reply() for _ in range(3 * MAX_PENDING_COMMANDS)} == {b"value"}
 
     play(scenario())
 
@@ -307,13 +307,15 @@
             await until(lambda: one.program.listener.clients)
             (held,) = one.program.listener.clients
             word = b"x" * 60_000
-            while not held.full:
+            while not held.is_write_blocked:
                 client.send(b"PING", word)
                 await asyncio.sleep(0)
-            assert held.paused and held.transport is not None
+            assert held.is_reading_paused and held.transport is not None
             assert held.transport.get_write_buffer_size() < 8_000_000
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            while held.full:  # all of it, or the client itself would stop reading at its own bound
+            while (
+                held.is_write_blocked
+            ):  # all of it, or the client itself would stop reading at its own bound
                 assert await client.reply() == word
 
     play(scenario())
@@ -322,7 +324,7 @@
 def test_past_the_limit_an_idle_connection_makes_room() -> None:
     async def scenario() -> None:
         async with site(always(None), sockets=64) as one:
-            one.program.listener.places.max_connections = 2
+            one.program.listener.connection_slots.max_connections = 2
             busy, idle = await one.client(), await one.client()
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
@@ -366,7 +368,7 @@
             assert len(pool.idle) == 2
             last = pool.idle[-1]
             for conn in pool.idle:
-                conn.idle_since -= 2 * servers_module.SETTLE_S
+                conn.idle_since -= 2 * connection_pool.REUSE_DELAY_S
             assert await client.ask(b"CALL.GET", CUSTOMER, b"3", GET) == b"value"
             assert pool.idle[-1] is last and len(one.servers[0].writers) == 2
 
@@ -391,7 +393,7 @@
                 assert value == b"%04d" % number
             assert len(one.servers[0].writers) == 8
 
-    monkeypatch.setattr(servers_module, "SETTLE_S", 30.0)  # however slow the machine
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 30.0)  # however slow the machine
     play(scenario())
 
 
@@ -502,13 +504,13 @@
         script = Script(send_to("s0"))
         async with site(always(None), decisions=script) as one:
             servers = one.program.servers
-            servers.limits = replace(servers.limits, connections=5)
+            servers.limits = replace(servers.limits, max_connections=5)
             client = await one.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             await until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
             assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.UNREACHABLE}
-            assert servers.count() == 5
+            assert servers.connection_count() == 5
 
     play(scenario())
 
@@ -530,7 +532,7 @@
         peer = RespPeer(reply)
         await peer.start()
         loop = asyncio.get_running_loop()
-        made = Counter(loop, ("127.0.0.1", peer.port), 0.05)
+        made = CounterClient(loop, ("127.0.0.1", peer.port), 0.05)
         ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
@@ -538,7 +540,7 @@
 
         call(2)
         assert ends == [(2, 0.0, Outcome.UNREACHABLE)]  # not connected yet: nothing was added
-        await until(lambda: all(link.ready() for link in made.links))
+        await until(lambda: all(link.is_ready() for link in made.connections))
         call(2)
         await until(lambda: len(ends) == 2)
         made.timeout_s = 30.0
@@ -570,10 +572,10 @@
 
         peer = RespPeer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
         ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
-            await until(lambda: all(link.ready() for link in made.links))
+            await until(lambda: all(link.is_ready() for link in made.connections))
             made.increment(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
@@ -599,15 +601,15 @@
 
         peer = RespPeer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
         ends: list[tuple[float, Outcome]] = []
         for _ in range(2):
-            await until(lambda: all(link.ready() for link in made.links))
+            await until(lambda: all(link.is_ready() for link in made.connections))
             made.increment(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
         assert ends == [(0.0, Outcome.TIMEOUT), (4.5, Outcome.OK)]
-        assert len(peer.writers) == counter_module.LINKS + 1
+        assert len(peer.writers) == counter_module.DEFAULT_CONNECTIONS + 1
         made.close()
         await peer.stop()
 
@@ -627,8 +629,8 @@
 
         peer = RespPeer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        await until(lambda: all(link.ready() for link in made.links))
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        await until(lambda: all(link.is_ready() for link in made.connections))
         ends: list[int] = []
 
         def call(name: int) -> None:
@@ -649,13 +651,13 @@
     async def scenario() -> None:
         peer = RespPeer(always(None))
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
-        await until(lambda: len(peer.writers) > 2 * counter_module.LINKS)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
+        await until(lambda: len(peer.writers) > 2 * counter_module.DEFAULT_CONNECTIONS)
         made.close()
         await peer.stop()
 
-    monkeypatch.setattr(counter_module, "SILENT_S", 0.0)
-    monkeypatch.setattr(counter_module, "PING_S", 0.01)
+    monkeypatch.setattr(counter_module, "REPLY_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(counter_module, "PING_INTERVAL_S", 0.01)
     play(scenario())
 
 
@@ -720,18 +722,18 @@
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))  # nobody listens there, and nobody else can
             async with site(discovery=busy) as one:
-                await until(lambda: one.program.discovery.failed == 1)
-                one.program.discovery.move(taken.getsockname())
-                await until(lambda: one.program.discovery.failed > 3)
+                await until(lambda: one.program.discovery.failed_polls == 1)
+                one.program.discovery.change_address(taken.getsockname())
+                await until(lambda: one.program.discovery.failed_polls > 3)
 
-    monkeypatch.setattr(pacing, "DECREASE", 1e6)  # the pause lasts for seconds
+    monkeypatch.setattr(pacing, "RATE_DECREASE_FACTOR", 1e6)  # the pause lasts for seconds
     play(scenario())
 
 
 def test_after_a_start_only_what_changed_since_the_saved_list_is_asked_for() -> None:
     async def scenario() -> None:
         discovery = DiscoveryPeer(listing(8, [row("b", 81)], full=False))
-        known = read_list({"version": 7, "full": True, "servers": []}, saved=True)
+        known = decode_list({"version": 7, "full": True, "servers": []}, saved=True)
         async with site(discovery=discovery, cached_endpoints=known) as one:
             await until(lambda: len(discovery.targets) == 2)
             assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
@@ -757,8 +759,8 @@
 @pytest.mark.parametrize("addr", ["x", "x:", ":5", "h:0", "h:99999", "h:p", None])
 def test_lists_with_bad_addresses_are_turned_down(addr: Any) -> None:
     bad = {"version": 1, "full": True, "servers": [row("a", 1) | {"addr": addr}]}
-    with pytest.raises(ListError):
-        read_list(bad)
+    with pytest.raises(EndpointListError):
+        decode_list(bad)
 
 
 # --- the program -----------------------------------------------------------------------------------------
@@ -871,7 +873,9 @@
             while b"read again" not in await process.stderr.readline():
                 pass
         discovery, counts = places[2]
-        await until(lambda: len(discovery.targets) > 1 and len(counts.writers) == counter_module.LINKS)
+        await until(
+            lambda: len(discovery.targets) > 1 and len(counts.writers) == counter_module.DEFAULT_CONNECTIONS
+        )
         assert discovery.targets[0] == "/v1/servers" and "since=3&" in discovery.targets[1]
         ids = (b"%016x" % number for number in range(100, 10_000))
         while not counts.calls():
@@ -900,24 +904,26 @@
         old, new = RespPeer(late), RespPeer(three)
         await old.start()
         await new.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
+        made = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
         ends: list[tuple[int, float, Outcome]] = []
 
         def call(name: int) -> None:
             made.increment(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
 
-        await until(lambda: all(link.ready() for link in made.links))
+        await until(lambda: all(link.is_ready() for link in made.connections))
         call(2)
         call(4)
         await until(lambda: len(old.calls()) == 2)
-        made.move(("127.0.0.1", new.port))
-        await until(lambda: all(link.ready() for link in made.links))
+        made.change_address(("127.0.0.1", new.port))
+        await until(lambda: all(link.is_ready() for link in made.connections))
         call(4)  # its old call ends now: answers for one name keep their order
         await until(lambda: len(ends) == 2)
         assert ends == [(4, 0.0, Outcome.TIMEOUT), (4, 3.0, Outcome.OK)]
         release.set()
         await until(lambda: len(ends) == 3)
-        await until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
+        await until(
+            lambda: [what for what, *_ in old.log].count("closed") == counter_module.DEFAULT_CONNECTIONS
+        )
         assert ends[2] == (2, 7.0, Outcome.OK) and len(new.calls()) == 1
         made.close()
         await old.stop()
@@ -933,7 +939,7 @@
         script = Script(lambda event: [])
         async with site(decisions=script, discovery=old) as one:
             await until(lambda: len(old.targets) == 2)
-            one.program.discovery.move(("127.0.0.1", new.port))
+            one.program.discovery.change_address(("127.0.0.1", new.port))
             old.answers.append(listing(10, [], full=True))
             await until(lambda: new.targets)
             assert list(one.program.servers.pools) == ["a"]  # the list held stays until the new one comes
