--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -8,11 +8,11 @@
 
 from glenchute.clients.handover import HandoverServer, PredecessorConnection, request_handover, socket_path
 from glenchute.config.platform import PlatformConfig
-from glenchute.core.gateway import RequestExecutor
-from glenchute.listeners.resp2.clients import Listener
+from glenchute.core.executor import RequestExecutor
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.events import OtherProcessEnded, QuotaSnapshot, StateReceived, SuccessorStarted
 from glenchute.policy.lifecycle.handover import encode_handover, retained_limit_share
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.upstreams.server_pools import ServerPools
 
 log = logging.getLogger("glenchute")
 
@@ -29,7 +29,7 @@
         loop: asyncio.AbstractEventLoop,
         gateway: RequestExecutor,
         listener: Listener,
-        servers: Servers,
+        servers: ServerPools,
     ) -> None:
         self.path, self.config, self.loop = path, config, loop
         self.gateway, self.listener, self.servers = gateway, listener, servers
@@ -47,7 +47,7 @@
         loop: asyncio.AbstractEventLoop,
         gateway: RequestExecutor,
         listener: Listener,
-        servers: Servers,
+        servers: ServerPools,
     ) -> ProcessHandover | None:
         """None, with a warning, where there is no usable folder for the socket."""
         path = socket_path(folder, config.name, config.listen) if folder else None
@@ -74,7 +74,7 @@
 
     def make_message(self) -> bytes:
         """A successor has connected: reduces the limits of this process, and returns the message to it."""
-        in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.count())
+        in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.connection_count())
         share = retained_limit_share(in_use, self.config.max_descriptors)
         self.apply_limit_share(share)
         self.quotas = ()
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -18,17 +18,17 @@
 import pytest
 
 from glenchute.config.policy_settings import policy_settings
-from glenchute.listeners.resp2 import clients
-from glenchute.listeners.resp2.clients import (
-    MAX_CLOSE_DETECTION_S,
-    MAX_CLOSES_PER_POLL,
+from glenchute.listeners.resp2 import listener as listener_module
+from glenchute.listeners.resp2.closed_peers import MAX_CLOSES_PER_POLL, MAX_DETECTION_S
+from glenchute.listeners.resp2.connection import (
     MAX_COMMANDS_PER_TURN,
     MAX_PENDING_COMMANDS,
     MAX_QUEUED_REPLY_BYTES,
     MAX_TURN_REPLY_BYTES,
     WRITE_BUFFER_BYTES,
 )
-from glenchute.listeners.resp2.clients import ClientConnection as Connection
+from glenchute.listeners.resp2.connection import ClientConnection as Connection
+from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import CloseReason
@@ -45,8 +45,8 @@
 from glenchute.upstreams.connection_pool import REUSE_DELAY_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
+from tests.cli.test_process import connect_when_ready, start
 from tests.clients.manual_discovery import ManualDiscovery
-from tests.clients.test_peers import patient, start
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -132,7 +132,7 @@
 async def queued_while_it_stood(one: Whole) -> None:
     """A connection and its request wait to be accepted while the process stands still past the accept time:
     the machine has taken them, and closing the listening socket would reset them."""
-    asker = await patient(one.listen)
+    asker = await connect_when_ready(one.listen)
     one.signal(signal.SIGTERM)
     await one.leaving(asker)
     one.signal(signal.SIGSTOP)
@@ -146,7 +146,7 @@
 
 async def twice(one: Whole) -> None:
     """The second signal neither ends it sooner nor begins the end anew."""
-    held = await patient(one.listen)
+    held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -159,7 +159,7 @@
 
 async def half_a_command(one: Whole) -> None:
     """Its end comes after the signal: it is taken and answered."""
-    half = await patient(one.listen)
+    half = await connect_when_ready(one.listen)
     data = packed(b"CALL.POST", CUSTOMER, b"1", ORDER)
     half.writer.write(data[:-9])
     await asyncio.sleep(0.05)
@@ -173,7 +173,7 @@
 
 async def pipelined_behind_the_last(one: Whole) -> None:
     """A second command waits behind one that is open at the signal: both are answered before the end."""
-    both = await patient(one.listen)
+    both = await connect_when_ready(one.listen)
     both.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -187,7 +187,7 @@
 
 async def hanging_server(one: Whole) -> None:
     """Nothing answers: what is held gets its final answer before the kill."""
-    held = await patient(one.listen)
+    held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -237,7 +237,7 @@
 
             task = asyncio.create_task(fifth())
             async with asyncio.timeout(10.0):
-                asker = await patient(one.listen)
+                asker = await connect_when_ready(one.listen)
                 assert await asker.ask(b"PING") == b"PONG"
             task.cancel()
             one.signal(signal.SIGCONT)
@@ -265,7 +265,7 @@
 
     async def scenario() -> None:
         async with whole(tmp_path, longest_ms=200.0) as one:
-            held, idle = await patient(one.listen), await Client.connect(one.listen)
+            held, idle = await connect_when_ready(one.listen), await Client.connect(one.listen)
             assert await idle.ask(b"PING") == b"PONG"
             held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
             await until(lambda: one.server.calls())
@@ -617,9 +617,7 @@
 
 # --- clients that leave while the gateway is busy ---------------------------------------------------------
 
-BUSY_S = (
-    1.5 * MAX_CLOSE_DETECTION_S
-)  # the loop stands still for longer than an attempt may follow its client's end
+BUSY_S = 1.5 * MAX_DETECTION_S  # the loop stands still for longer than an attempt may follow its client's end
 
 
 def raw_client(one: Site, *commands: bytes) -> socket.socket:
@@ -1101,7 +1099,7 @@
 
 def test_what_is_left_of_all_connections_has_a_time_in_each_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     """With no time at all one connection goes on in each turn of the loop, and all come to their end."""
-    monkeypatch.setattr(clients, "MAX_TURN_S", 0.0)
+    monkeypatch.setattr(listener_module, "MAX_TURN_S", 0.0)
     gone_on, most = turns_of(monkeypatch), 0
 
     async def scenario() -> None:
@@ -1153,7 +1151,7 @@
 
 def test_turns_are_short_while_connections_wait_to_be_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     """The loop accepts one in a turn: behind a crowd's large turns a newcomer would wait for all of them."""
-    monkeypatch.setattr(clients, "MAX_TURN_S", 60.0)
+    monkeypatch.setattr(listener_module, "MAX_TURN_S", 60.0)
     gone_on = turns_of(monkeypatch)
 
     async def scenario() -> None:
@@ -1179,9 +1177,9 @@
     """However long the others' turns take: it has come whole, and its client is not late."""
     for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.01)
-    turn, end, held, reasons = clients.Listener.run_turns, Connection.close_for, True, list[CloseReason]()
+    turn, end, held, reasons = Listener.run_turns, Connection.close_for, True, list[CloseReason]()
 
-    def later(self: clients.Listener) -> None:
+    def later(self: Listener) -> None:
         if held:
             self.loop.call_later(0.005, self.run_turns)
         else:
@@ -1191,7 +1189,7 @@
         reasons.append(reason)
         return end(self, reason)
 
-    monkeypatch.setattr(clients.Listener, "run_turns", later)
+    monkeypatch.setattr(Listener, "run_turns", later)
     monkeypatch.setattr(Connection, "close_for", told)
     word = b"x" * 60_000
 
