--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -16,7 +16,7 @@
 from benchmarks.machine import machine
 from benchmarks.routes import RATE, ROUNDS, cost
 from glenchute.capture.codec import EVENTS
-from glenchute.capture.replay import read, replay, runs
+from glenchute.capture.replay import find_runs, read_segment, replay
 from glenchute.policy.events import Request
 
 
@@ -41,9 +41,9 @@
             print(f"{mode:5}{median:8.1f} ({min(values):.1f} to {max(values):.1f})  {more:+.1f} %")
         size = requests = records = 0
         span_ms = took = 0.0
-        for files in runs(Path(folder)).values():
+        for files in find_runs(Path(folder)).values():
             for file in files:
-                segment = read(file)
+                segment = read_segment(file)
                 size += file.stat().st_size
                 records += len(segment.records)
                 requests += sum(1 for record in segment.records if EVENTS[record[1]] is Request)
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from benchmarks.machine import machine
-from glenchute.capture.replay import other_module, replay, runs
+from glenchute.capture.replay import find_runs, load_other_engine, replay
 
 WORKERS = 4
 ROOT = Path(__file__).resolve().parent.parent
@@ -109,8 +109,10 @@
         shutil.copytree(ROOT / "glenchute" / "policy", copy, ignore=shutil.ignore_patterns("__pycache__"))
         (copy / mutant.file).write_text(mutant.text)
         try:
-            make = other_module(copy)
-            return any(replay(files, make, revived=False).differences for files in runs(CAPTURES).values())
+            make = load_other_engine(copy)
+            return any(
+                replay(files, make, use_snapshots=False).differences for files in find_runs(CAPTURES).values()
+            )
         except Exception:  # a module that fails is told as well
             return True
 
--- a/glenchute/capture/__init__.py
+++ b/glenchute/capture/__init__.py
@@ -1,1 +1,2 @@
-"""Capture and replay: what the decision module was told and what it answered, to the bit."""
+"""Capture and replay: the events that the decision engine took and the actions it returned, replayed to the
+bit."""
--- a/glenchute/capture/codec.py
+++ b/glenchute/capture/codec.py
@@ -1,11 +1,11 @@
 """The form of a capture: records, batches of them, frames, segments. Sans I/O.
 
 A segment is a sequence of frames; a frame is its payload's length and CRC-32 (both little-endian, 32 bits)
-and the payload, MessagePack. The first frame of a segment is its `Head`; the others are batches of records. A
-segment can be replayed alone: its head holds the settings and the seed, and, unless the module was new, a
-snapshot of the module's state.
+and the payload, MessagePack. The first frame of a segment is its `SegmentHeader`; the others are batches of
+records. A segment can be replayed alone: its header holds the settings and the seed, and, unless the engine
+was new, a snapshot of the engine's state.
 
-A record is ``[now_ms, kind, fields, actions]``; actions are ``[kind, fields]`` each, None where the module
+A record is ``[now_ms, kind, fields, actions]``; actions are ``[kind, fields]`` each, None where the engine
 failed. Times are whole floats, not differences: a rounded clock would not replay to the bit.
 """
 
@@ -66,7 +66,7 @@
 MAGIC = "glenchute-capture"
 ENGINE_SOURCES = ("*.py", "admission/*.py", "balancing/*.py", "retries/*.py")  # below `glenchute/policy`
 FRAME = struct.Struct("<II")
-MOST_FRAME = 64 * 1024 * 1024  # a longer one is damage
+MAX_FRAME_BYTES = 64 * 1024 * 1024  # a longer one is damage
 
 EVENTS: tuple[type[Any], ...] = (
     EndpointList,
@@ -95,14 +95,14 @@
     LogMessage,
     SendState,
 )
-HAND_OVER = ACTIONS.index(SendState)
+SEND_STATE = ACTIONS.index(SendState)
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder()
 
 Record = list[Any]
 
 
-def getter(kind: type[Any]) -> Any:
+def field_getter(kind: type[Any]) -> Any:
     """Takes all fields of an object at once, always as a tuple."""
     names = [field.name for field in fields_of(kind)]
     if not names:
@@ -113,28 +113,26 @@
     return attrgetter(*names)
 
 
-EVENT_OF = {kind: (number, getter(kind)) for number, kind in enumerate(EVENTS)}
-ENDING_AT = {
+EVENT_ENCODERS = {kind: (number, field_getter(kind)) for number, kind in enumerate(EVENTS)}
+OUTCOME_INDEX = {
     kind: [field.name for field in fields_of(kind)].index("outcome") for kind in (AttemptEnded, CounterReply)
 }
-ACTION_OF = {kind: (number, getter(kind)) for number, kind in enumerate(ACTIONS)}
+ACTION_ENCODERS = {kind: (number, field_getter(kind)) for number, kind in enumerate(ACTIONS)}
 
 
-def taken_apart(actions: Sequence[Action]) -> list[tuple[int, Any]]:
+def encode_actions(actions: Sequence[Action]) -> list[tuple[int, Any]]:
     """The number of each action's kind, and its fields."""
-    return [(number, take(action)) for action in actions for number, take in (ACTION_OF[type(action)],)]
+    return [(number, take(action)) for action in actions for number, take in (ACTION_ENCODERS[type(action)],)]
 
 
-def note(now_ms: float, event: Event, actions: Sequence[Action] | None) -> tuple[Any, ...]:
-    """A record, not encoded yet; cheap, as it is made for every event."""
-    number, take = EVENT_OF[type(event)]
-    told = None
-    if actions is not None:
-        told = taken_apart(actions)
-    return now_ms, number, take(event), told
+def encode_record(now_ms: float, event: Event, actions: Sequence[Action] | None) -> tuple[Any, ...]:
+    """A record as a plain tuple; cheap, as it is made for every event. `actions`: None where the engine
+    failed."""
+    number, fields = EVENT_ENCODERS[type(event)]
+    return now_ms, number, fields(event), None if actions is None else encode_actions(actions)
 
 
-def event_of(record: Record) -> Event:
+def decode_event(record: Record) -> Event:
     """The event of a record that was read."""
     kind, values = EVENTS[record[1]], record[2]
     if kind is UsageUpdate:
@@ -145,23 +143,23 @@
         return EndpointList(EndpointListKind(values[0]), entries, *values[2:])
     if kind is StateReceived:
         return StateReceived(tuple(QuotaSnapshot(**row) for row in values[0]))
-    at = ENDING_AT.get(kind)
+    at = OUTCOME_INDEX.get(kind)
     if at is not None:
         values = [*values[:at], Outcome(values[at]), *values[at + 1 :]]
     event: Event = kind(*values)
     return event
 
 
-def told(actions: Sequence[Action]) -> list[Any]:
+def stored_actions(actions: Sequence[Action]) -> list[Any]:
     """Actions in the form of a record that was read, to be compared with one."""
-    apart = [[number, list(values)] for number, values in taken_apart(actions)]
-    for row in apart:
-        if row[0] == HAND_OVER:  # the one action with rows inside
+    stored = [[number, list(values)] for number, values in encode_actions(actions)]
+    for row in stored:
+        if row[0] == SEND_STATE:  # the one action with rows inside
             row[1] = DECODER.decode(ENCODER.encode(row[1]))
-    return apart
+    return stored
 
 
-def readable(action: list[Any]) -> str:
+def describe_action(action: list[Any]) -> str:
     """An action of a record for a person."""
     number, values = action
     names = [field.name for field in fields_of(ACTIONS[number])]
@@ -169,37 +167,37 @@
     return f"{ACTIONS[number].__name__}({inside})"
 
 
-def frame(payload: bytes) -> bytes:
-    """With length and checksum."""
+def encode_frame(payload: bytes) -> bytes:
+    """A payload with its length and checksum."""
     return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def batch(records: Sequence[tuple[Any, ...]]) -> bytes:
+def encode_batch(records: Sequence[tuple[Any, ...]]) -> bytes:
     """A frame of records."""
-    return frame(ENCODER.encode(records))
+    return encode_frame(ENCODER.encode(records))
 
 
-class Head(NamedTuple):
-    """What a segment begins with. `at` counts the records of the run before it."""
+class SegmentHeader(NamedTuple):
+    """What a segment begins with. The names of its fields are stored."""
 
     run: str
-    number: int
-    at: int
+    number: int  # of the segment in its run
+    at: int  # records of the run before this segment
     began_ms: float
-    module: str
+    module: str  # `engine_digest` of the engine that was captured
     settings: Settings
     seed: int
-    snapshot: bytes | None
+    snapshot: bytes | None  # None: the engine was new
     format: int = FORMAT
 
     def encode(self) -> bytes:
-        """The head's frame."""
+        """The header's frame."""
         about = {"magic": MAGIC, "settings": self.settings}
-        return frame(ENCODER.encode({**self._asdict(), **about}))
+        return encode_frame(ENCODER.encode({**self._asdict(), **about}))
 
 
-def head_of(raw: Any) -> Head:
-    """A head that was read."""
+def decode_header(raw: Any) -> SegmentHeader:
+    """A header that was read. CaptureError where it is none."""
     if not isinstance(raw, dict) or raw.get("magic") != MAGIC:
         raise CaptureError("not a capture")
     if raw.get("format") not in (FORMAT, format_1.FORMAT):
@@ -208,48 +206,48 @@
         settings = raw["settings"]
         if raw["format"] == format_1.FORMAT:
             settings = format_1.settings(settings)
-        given = {name: raw[name] for name in Head._fields if name != "settings"}
-        return Head(settings=msgspec.convert(settings, Settings), **given)
+        given = {name: raw[name] for name in SegmentHeader._fields if name != "settings"}
+        return SegmentHeader(settings=msgspec.convert(settings, Settings), **given)
     except (AttributeError, KeyError, TypeError, msgspec.ValidationError) as error:
         raise CaptureError(f"a head that can't be read ({error})") from None
 
 
-class Cut(NamedTuple):
+class Truncation(NamedTuple):
     """Where reading had to stop, and why."""
 
     offset: int
-    why: str
+    reason: str
 
 
-def payloads(data: bytes) -> Iterator[Any | Cut]:
-    """The payloads of a segment's bytes, as far as they are sure; a `Cut` at the end where that is not
+def decode_frames(data: bytes) -> Iterator[Any | Truncation]:
+    """The payloads of a segment, as far as they are intact; a `Truncation` at the end where that is not
     all."""
     at = 0
     while at < len(data):
         if len(data) - at < FRAME.size:
-            yield Cut(at, "torn in a frame's head")
+            yield Truncation(at, "torn in a frame's head")
             return
         length, crc = FRAME.unpack_from(data, at)
         body = data[at + FRAME.size : at + FRAME.size + length]
-        if length > MOST_FRAME or not length:
-            yield Cut(at, "a frame's length is damaged")
+        if length > MAX_FRAME_BYTES or not length:
+            yield Truncation(at, "a frame's length is damaged")
             return
         if len(body) < length:
-            yield Cut(at, "torn in a frame")
+            yield Truncation(at, "torn in a frame")
             return
         if zlib.crc32(body) != crc:
-            yield Cut(at, "a frame's checksum is wrong")
+            yield Truncation(at, "a frame's checksum is wrong")
             return
         try:
             yield DECODER.decode(body)
         except msgspec.DecodeError:
-            yield Cut(at, "a frame that can't be decoded")
+            yield Truncation(at, "a frame that can't be decoded")
             return
         at += FRAME.size + length
 
 
-def module_digest(folder: Path | None = None) -> str:
-    """The version of the module: a digest of its sources."""
+def engine_digest(folder: Path | None = None) -> str:
+    """The version of the engine: a digest of its sources. `folder`: another `glenchute/policy`."""
     folder = folder or Path(str(policy.__file__)).parent
     digest = hashlib.blake2b(digest_size=8)
     for pattern in ENGINE_SOURCES:
--- a/glenchute/capture/format_1.py
+++ b/glenchute/capture/format_1.py
@@ -536,7 +536,7 @@
         return value
 
     def remember(self, old: Any, new: Any) -> Any:
-        """Notes what an old object has become, before its parts are converted."""
+        """Records what an old object becomes, before its parts are converted."""
         self.seen.append(old)
         self.made[id(old)] = new
         return new
--- a/glenchute/capture/replay.py
+++ b/glenchute/capture/replay.py
@@ -21,27 +21,36 @@
 from glenchute.policy.settings import Settings
 
 from . import format_1, snapshot
-from .codec import ACTIONS, Cut, Head, Record, event_of, head_of, payloads, told
+from .codec import (
+    ACTIONS,
+    Record,
+    SegmentHeader,
+    Truncation,
+    decode_event,
+    decode_frames,
+    decode_header,
+    stored_actions,
+)
 from .errors import CaptureError
 
-FINAL_KINDS = {actions.StartAttempt: "send", actions.Reject: "refuse", actions.Fail: "fail"}
-OTHERS = itertools.count()
-Make = Callable[[Settings, int], Any]
+FINAL_ACTIONS = {actions.StartAttempt: "send", actions.Reject: "refuse", actions.Fail: "fail"}
+OTHER_ENGINES = itertools.count()
+EngineFactory = Callable[[Settings, int], Any]
 
 
 class Segment(NamedTuple):
     """One file, read. `cut`: why its end is not sure."""
 
     file: Path
-    head: Head
+    header: SegmentHeader
     records: list[Record]
-    cut: Cut | None
+    truncation: Truncation | None
 
 
 class Difference(NamedTuple):
     """A decision that came out otherwise."""
 
-    at: int  # records of the run before it
+    record_index: int  # records of the run before it
     now_ms: float
     event: Event
     captured: list[Any]
@@ -53,31 +62,32 @@
 
     records: int
     differences: list[Difference]
-    faults: int  # records at which the module had failed, and failed again
+    fault_count: int  # records at which the engine had failed, and failed again
     notes: list[str]  # what is not sure
 
 
-def read(file: Path) -> Segment:
-    """A segment, as far as it is sure. CaptureError where not even its head is."""
-    found = payloads(file.read_bytes())
+def read_segment(file: Path) -> Segment:
+    """A segment, as far as it is intact. CaptureError where not even its header is."""
+    found = decode_frames(file.read_bytes())
     first = next(found, None)
-    if first is None or isinstance(first, Cut):
-        raise CaptureError(f"{file.name}: {first.why if first else 'empty'}")
-    head = head_of(first)
+    if first is None or isinstance(first, Truncation):
+        raise CaptureError(f"{file.name}: {first.reason if first else 'empty'}")
+    header = decode_header(first)
     records: list[Record] = []
-    cut = None
+    truncation = None
     for payload in found:
-        if isinstance(payload, Cut):
-            cut = payload
-        elif head.format == format_1.FORMAT:
+        if isinstance(payload, Truncation):
+            truncation = payload
+        elif header.format == format_1.FORMAT:
             records += [format_1.record(row) for row in payload]
         else:
             records += payload
-    return Segment(file, head, records, cut)
+    return Segment(file, header, records, truncation)
 
 
-def runs(path: Path) -> dict[str, list[Path]]:
-    """The segments in a file or a folder, by run and in order. Names tell both; heads are checked later."""
+def find_runs(path: Path) -> dict[str, list[Path]]:
+    """The segments in a file or a folder, by run and in order. File names tell both; headers are checked
+    later."""
     files = sorted(path.glob("*.glcap")) if path.is_dir() else [path]
     if not files or not all(file.is_file() for file in files):
         raise CaptureError(f"no capture at {path}")
@@ -87,76 +97,110 @@
     return found
 
 
-def segments(files: Sequence[Path], notes: list[str]) -> Iterator[Segment]:
-    """One run's, one at a time; what can't be read is noted and left out."""
+def read_segments(files: Sequence[Path], notes: list[str]) -> Iterator[Segment]:
+    """The segments of one run, one at a time; what can't be read is noted and left out."""
     expected: int | None = None
     for file in files:
         try:
-            segment = read(file)
+            segment = read_segment(file)
         except CaptureError as error:
             notes.append(str(error))
             continue
-        if expected is not None and segment.head.at != expected:
-            notes.append(f"records {expected} to {segment.head.at} are missing before {file.name}")
-        if segment.cut is not None:
-            notes.append(f"{file.name} is sure up to byte {segment.cut.offset}: {segment.cut.why}")
-        expected = segment.head.at + len(segment.records)
+        if expected is not None and segment.header.at != expected:
+            notes.append(f"records {expected} to {segment.header.at} are missing before {file.name}")
+        if segment.truncation is not None:
+            notes.append(
+                f"{file.name} is sure up to byte {segment.truncation.offset}: {segment.truncation.reason}"
+            )
+        expected = segment.header.at + len(segment.records)
         yield segment
 
 
+class Replayer:
+    """Feeds the segments of one run to an engine, and compares its actions with the captured ones."""
+
+    def __init__(
+        self,
+        make_engine: EngineFactory,
+        since_ms: float,
+        until_ms: float,
+        max_differences: int,
+        use_snapshots: bool,
+        observe: Callable[[Any, Record], None] | None,
+    ) -> None:
+        self.make_engine, self.since_ms, self.until_ms = make_engine, since_ms, until_ms
+        self.max_differences, self.use_snapshots, self.observe = max_differences, use_snapshots, observe
+        self.engine: Any = None
+        self.report = Report(0, [], 0, [])
+        self.next_index = -1  # of the record that follows, counted from the run's beginning
+
+    def begin(self, segment: Segment) -> bool:
+        """An engine in the state before a segment; False where there is none."""
+        header = segment.header
+        is_continued = self.engine is not None and self.next_index == header.at
+        if header.snapshot is None:
+            self.engine = self.make_engine(header.settings, header.seed)
+        elif self.use_snapshots and (not is_continued or self.report.fault_count):
+            self.engine = snapshot.load(header.snapshot, header.format)
+        elif not is_continued:
+            note = f"{segment.file.name} begins mid-life and can't be replayed by another version"
+            self.report.notes.append(note)
+            return False
+        self.next_index = header.at
+        return True
+
+    def feed(self, segment: Segment) -> bool:
+        """The records of a segment; False where the replay is over."""
+        for record in segment.records:
+            if record[0] > self.until_ms or not self.feed_record(record):
+                return False
+        return True
+
+    def feed_record(self, record: Record) -> bool:
+        """One event; False after the last difference that is wanted. A record without actions is one at which
+        the captured engine failed."""
+        event, report = decode_event(record), self.report
+        if self.observe is not None:
+            self.observe(self.engine, record)
+        self.next_index += 1
+        try:
+            found = stored_actions(self.engine.handle(record[0], event))
+        except Exception:
+            if record[3] is not None:
+                raise
+            self.report = report._replace(fault_count=report.fault_count + 1)
+            return True
+        self.report = report = report._replace(records=report.records + 1)
+        if found != record[3] and record[0] >= self.since_ms:
+            index = self.next_index - 1
+            report.differences.append(Difference(index, record[0], event, record[3] or [], found))
+        return len(report.differences) < self.max_differences
+
+
 def replay(
     files: Sequence[Path],
-    make: Make = DecisionEngine,
+    make_engine: EngineFactory = DecisionEngine,
     since_ms: float = 0.0,
     until_ms: float = float("inf"),
-    most: int = 1,
-    revived: bool = True,
-    seen: Callable[[Any, Record], None] | None = None,
+    max_differences: int = 1,
+    use_snapshots: bool = True,
+    observe: Callable[[Any, Record], None] | None = None,
 ) -> Report:
-    """Feeds a module and compares. Ends after `most` differences. `revived`: snapshots are used, as the
-    module is of the version that was captured; else only a run's cold beginning can be replayed. `seen` is
-    called with the module's state before each event."""
-    notes: list[str] = []
-    differences: list[Difference] = []
-    module: Any = None
-    fed = faults = 0
-    expected = -1
-    for segment in segments(files, notes):
-        head = segment.head
-        if head.snapshot is None:
-            module = make(head.settings, head.seed)
-        elif revived and (module is None or expected != head.at or faults):
-            module = snapshot.load(head.snapshot, head.format)
-        elif module is None or expected != head.at:
-            notes.append(f"{segment.file.name} begins mid-life and can't be replayed by another version")
-            return Report(fed, differences, faults, notes)
-        expected = head.at
-        for record in segment.records:
-            if record[0] > until_ms:
-                return Report(fed, differences, faults, notes)
-            event = event_of(record)
-            if seen is not None:
-                seen(module, record)
-            try:
-                actions = told(module.handle(record[0], event))
-            except Exception:
-                if record[3] is not None:
-                    raise
-                faults += 1
-                expected += 1
-                continue
-            fed += 1
-            if actions != record[3] and record[0] >= since_ms:
-                differences.append(Difference(expected, record[0], event, record[3] or [], actions))
-                if len(differences) >= most:
-                    return Report(fed, differences, faults, notes)
-            expected += 1
-    return Report(fed, differences, faults, notes)
-
-
-def other_module(folder: Path) -> Make:
-    """The module of another tree: a folder like `glenchute/policy`."""
-    name = f"other_policy_{next(OTHERS)}"  # never one that was loaded before from the same place
+    """Replays the segments of one run, up to `max_differences` differences.
+
+    `use_snapshots`: the engine is of the version that was captured; else only a run's beginning can be
+    replayed. `observe` is called with the engine and the record before each event.
+    """
+    replayer = Replayer(make_engine, since_ms, until_ms, max_differences, use_snapshots, observe)
+    for segment in read_segments(files, replayer.report.notes):
+        if not replayer.begin(segment) or not replayer.feed(segment):
+            break
+    return replayer.report
+
+
+def load_other_engine(folder: Path) -> EngineFactory:
+    """The engine of another tree: a folder like `glenchute/policy`."""
+    name = f"other_policy_{next(OTHER_ENGINES)}"  # never one that was loaded before from the same place
     spec = importlib.util.spec_from_file_location(
         name, folder / "__init__.py", submodule_search_locations=[str(folder)]
     )
@@ -164,15 +208,15 @@
         raise CaptureError(f"no decision module in {folder}")
     package = importlib.util.module_from_spec(spec)
     sys.modules[name] = package
-    # The other version must know this program's events: they are what it is told.
+    # The other version must know this program's events: they are what it gets.
     for shared in (actions, events, policy_settings):
         sys.modules[f"{name}.{shared.__name__.rpartition('.')[2]}"] = shared
     spec.loader.exec_module(package)
-    made: Make = importlib.import_module(f"{name}.engine").DecisionEngine
+    made: EngineFactory = importlib.import_module(f"{name}.engine").DecisionEngine
     return made
 
 
-def kinds(actions: Sequence[list[Any]]) -> str:
-    """What actions decide, in a word: `send`, `refuse`, `fail`, or what else."""
+def summarize(actions: Sequence[list[Any]]) -> str:
+    """What actions decide, in a word: `send`, `refuse`, `fail`, or nothing final."""
     found = {ACTIONS[number] for number, _ in actions}
-    return next((word for kind, word in FINAL_KINDS.items() if kind in found), "nothing final")
+    return next((word for kind, word in FINAL_ACTIONS.items() if kind in found), "nothing final")
--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -1,4 +1,4 @@
-"""``glenchute replay``: a capture through the module, equal or not, and why a request went as it did."""
+"""``glenchute replay``: a capture through the engine, equal or not, and why a request went as it did."""
 
 from __future__ import annotations
 
@@ -9,35 +9,49 @@
 from pathlib import Path
 from typing import Any
 
-from glenchute.capture.codec import Record, event_of, module_digest, readable
+from glenchute.capture.codec import Record, decode_event, describe_action, engine_digest
 from glenchute.capture.errors import CaptureError
-from glenchute.capture.refusals import CAUSES, Refusals
-from glenchute.capture.replay import Difference, Report, kinds, other_module, read, replay, runs
+from glenchute.capture.rejections import CAUSE_TEXTS, RejectionCauses
+from glenchute.capture.replay import (
+    Difference,
+    Report,
+    find_runs,
+    load_other_engine,
+    read_segment,
+    replay,
+    summarize,
+)
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import AttemptAssigned, Request
 
-MOST_SHOWN = 20
-MOST_COMPARED = 1_000_000
+MAX_SHOWN = 20
+MAX_COMPARED = 1_000_000
 
 
 def command(args: argparse.Namespace) -> int:
     """0 where every decision is equal, 1 where one is not, 2 where the capture can't be used."""
     try:
-        found = runs(Path(args.path))
-        make = other_module(Path(args.against)) if args.against else DecisionEngine
+        found = find_runs(Path(args.path))
+        make = load_other_engine(Path(args.against)) if args.against else DecisionEngine
         equal = True
         for run, files in found.items():
-            causes = Refusals() if args.refusals else None
-            seen = Story(args.explain) if args.explain else causes
-            most = MOST_COMPARED if args.against or args.diff else 1
-            version = version_of(files)
-            own = args.against is None and version == module_digest()
-            if args.against is None and version not in ("", module_digest()):
-                print(f"{run}: captured by module {version}, replayed by {module_digest()}")
-            report = replay(files, make, args.since, args.until, most, own, seen)
+            causes = RejectionCauses() if args.refusals else None
+            observer = RequestStory(args.explain) if args.explain else causes
+            most = MAX_COMPARED if args.against or args.diff else 1
+            version = captured_version(files)
+            own = args.against is None and version == engine_digest()
+            if args.against is None and version not in ("", engine_digest()):
+                print(f"{run}: captured by module {version}, replayed by {engine_digest()}")
+            report = replay(files, make, args.since, args.until, most, own, observer)
             equal = equal and not report.differences
-            lines = seen.lines if isinstance(seen, Story) else causes_told(causes) if causes else ()
-            for line in [*lines, *told(run, report, bool(args.against))]:
+            lines = (
+                observer.lines
+                if isinstance(observer, RequestStory)
+                else describe_causes(causes)
+                if causes
+                else ()
+            )
+            for line in [*lines, *describe_report(run, report, bool(args.against))]:
                 print(line)
     except CaptureError as error:
         print(f"glenchute: {error}", file=sys.stderr)
@@ -45,47 +59,48 @@
     return 0 if equal else 1
 
 
-def causes_told(found: Refusals) -> Iterator[str]:
-    """Refusals by cause."""
+def describe_causes(found: RejectionCauses) -> Iterator[str]:
+    """Rejections by cause."""
     rows = found.rows()
-    yield f"{found.requests} requests, {sum(row.refusals for row in rows)} refused"
+    yield f"{found.request_count} requests, {sum(row.rejections for row in rows)} refused"
     for row in rows:
-        left = f"{row.store_left:.1f} units left in the store" if row.units else ""
-        yield f"  {row.cause:12} {row.refusals:7} {row.units:9.0f} units  {left:32} {CAUSES[row.cause]}"
+        left = f"{row.bucket_left_units:.1f} units left in the store" if row.units else ""
+        text = CAUSE_TEXTS[row.cause]
+        yield f"  {row.cause:12} {row.rejections:7} {row.units:9.0f} units  {left:32} {text}"
 
 
-def version_of(files: list[Path]) -> str:
-    """The module's version by the first segment that can be read."""
+def captured_version(files: list[Path]) -> str:
+    """The engine's version by the first segment that can be read."""
     for file in files:
         try:
-            return read(file).head.module
+            return read_segment(file).header.module
         except CaptureError:
             continue
     return ""
 
 
-def told(run: str, report: Report, against: bool) -> Iterator[str]:
+def describe_report(run: str, report: Report, against: bool) -> Iterator[str]:
     """The result in lines."""
     for note in report.notes:
         yield f"{run}: {note}"
     if against:
-        yield from table(report.differences)
+        yield from describe_changes(report.differences)
     else:
-        for difference in report.differences[:MOST_SHOWN]:
-            yield f"record {difference.at} at {difference.now_ms:.3f}: {difference.event}"
-            yield f"  captured: {'; '.join(map(readable, difference.captured)) or 'nothing'}"
-            yield f"  replayed: {'; '.join(map(readable, difference.replayed)) or 'nothing'}"
+        for difference in report.differences[:MAX_SHOWN]:
+            yield f"record {difference.record_index} at {difference.now_ms:.3f}: {difference.event}"
+            yield f"  captured: {'; '.join(map(describe_action, difference.captured)) or 'nothing'}"
+            yield f"  replayed: {'; '.join(map(describe_action, difference.replayed)) or 'nothing'}"
     verdict = "all decisions are equal" if not report.differences else f"{len(report.differences)} differ"
-    yield f"{run}: {report.records} records, {report.faults} faults: {verdict}"
+    yield f"{run}: {report.records} records, {report.fault_count} faults: {verdict}"
 
 
-def table(differences: list[Difference]) -> Iterator[str]:
-    """Which decisions changed into which, how often, for how many units. After the first the two versions
-    have lived through different pasts, so later ones are consequences as well."""
+def describe_changes(differences: list[Difference]) -> Iterator[str]:
+    """Which decisions changed into which, how often, for how many units. After the first the two versions are
+    in different states, so later ones are consequences as well."""
     changed: Counter[tuple[str, str]] = Counter()
     units: Counter[tuple[str, str]] = Counter()
     for difference in differences:
-        pair = kinds(difference.captured), kinds(difference.replayed)
+        pair = summarize(difference.captured), summarize(difference.replayed)
         changed[pair] += 1
         if isinstance(difference.event, Request):
             units[pair] += round(difference.event.units)
@@ -93,34 +108,34 @@
         yield f"  {was:14} -> {now:14} {count:7} times, {units[was, now]} units of new requests"
 
 
-class Story:
-    """Collects all that befell one request, with the state that each decision was made in."""
+class RequestStory:
+    """An observer for `replay`: all events of one request, with the state that each decision was made in."""
 
     def __init__(self, request: str) -> None:
         self.request = request
         self.lines: list[str] = []
-        self.customer = ""
+        self.tenant_id = ""
 
-    def __call__(self, module: Any, record: Record) -> None:
-        event = event_of(record)
-        mine = getattr(event, "request_id", None) == self.request
+    def __call__(self, engine: Any, record: Record) -> None:
+        event = decode_event(record)
+        is_own = getattr(event, "request_id", None) == self.request
         actions = [action for action in record[3] or () if action[1] and action[1][0] == self.request]
-        if not mine and not actions:
+        if not is_own and not actions:
             return
-        if isinstance(event, AttemptAssigned):  # decides nothing: the state is the one told just before
+        if isinstance(event, AttemptAssigned):  # decides nothing: its state is shown with the event before
             self.lines.append(f"{record[0]:.3f}  attempt {event.attempt} to {event.reason}")
             return
         self.lines.append(f"{record[0]:.3f}  {event}")
         if isinstance(event, Request):
-            self.customer = event.tenant
-        self.lines += [f"    {line}" for line in state(module, self.customer)]
-        shown = record[3] if mine else actions
-        self.lines += [f"  => {readable(action)}" for action in shown or ()]
+            self.tenant_id = event.tenant
+        self.lines += [f"    {line}" for line in describe_state(engine, self.tenant_id)]
+        shown = record[3] if is_own else actions
+        self.lines += [f"  => {describe_action(action)}" for action in shown or ()]
 
 
-def state(module: Any, tenant_id: str) -> Iterator[str]:
+def describe_state(engine: Any, tenant_id: str) -> Iterator[str]:
     """What the engine believed of a tenant, the counter and the servers."""
-    quota, pacing = module.quota, module.quota.counter.pacing
+    quota, pacing = engine.quota, engine.quota.counter.pacing
     tenant = quota.tenants.by_id.get(tenant_id)
     if tenant is not None:
         yield (
@@ -141,10 +156,10 @@
         else f"share of calls {pacing.call_fraction:.2f}, missed {pacing.consecutive_failures}"
     )
     yield f"counter as a whole: {counter}"
-    capacity, backlog = module.shedder.capacity, module.shedder.backlog
+    capacity, backlog = engine.shedder.capacity, engine.shedder.backlog
     yield f"V: {capacity.capacity_per_s:.1f} units/s, backlog {backlog.in_flight_ms:.0f} ms"
-    yield f"further attempts in store: {module.execution.retry_budget.tokens:.1f}"
-    for name, server in module.pool.servers.items():
+    yield f"further attempts in store: {engine.execution.retry_budget.tokens:.1f}"
+    for name, server in engine.pool.servers.items():
         yield (
             f"server {name}: out {server.in_flight}, pace {server.relative_latency:.2f}, "
             f"fails {server.failure_rate:.2f}"
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -193,11 +193,11 @@
 
     def recording(self, decisions: DecisionHandler, raw: dict[str, Any]) -> Recorder:
         """The module behind a recorder; imported only where the operator's file asks for one."""
-        from glenchute.capture.recorder import Recorder, Rule
+        from glenchute.capture.recorder import CaptureRule, Recorder
         from glenchute.config.files import secret_key
 
         named = raw.get("account_key_file")
-        rule = Rule(
+        rule = CaptureRule(
             folder=raw["folder"],
             ring=raw.get("mode", "ring") == "ring",
             segment_s=raw.get("segment_s", 10.0),
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -228,7 +228,7 @@
 
 def captured(script: Script, folder: Path) -> list[Path]:
     """A run as capture files, one for each life of a gateway, for ``glenchute replay``."""
-    from glenchute.capture.codec import Head, batch, module_digest, note
+    from glenchute.capture.codec import SegmentHeader, encode_batch, encode_record, engine_digest
 
     lives: list[tuple[Settings, int, list[Any]]] = []
     current: dict[int, int] = {}
@@ -242,7 +242,7 @@
     def watch(number: int, now: float, event: Event, actions: list[Action]) -> None:
         if isinstance(event, EndpointList) and event.kind is EndpointListKind.CACHED:
             current[number] = len(lives) - 1
-        lives[current[number]][2].append(note(now, event, actions))
+        lives[current[number]][2].append(encode_record(now, event, actions))
 
     try:
         play(script, make, watch)
@@ -251,9 +251,9 @@
     files = []
     for life, (settings, seed, notes) in enumerate(lives):
         run = f"seed{script.seed}-life{life}"
-        head = Head(run, 0, 0, notes[0][0] if notes else 0.0, module_digest(), settings, seed, None)
+        head = SegmentHeader(run, 0, 0, notes[0][0] if notes else 0.0, engine_digest(), settings, seed, None)
         files.append(folder / f"{run}-000000.glcap")
-        files[-1].write_bytes(head.encode() + (batch(notes) if notes else b""))
+        files[-1].write_bytes(head.encode() + (encode_batch(notes) if notes else b""))
     return files
 
 
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -22,19 +22,19 @@
     FORMAT,
     FRAME,
     MAGIC,
-    Cut,
-    batch,
-    event_of,
-    frame,
-    head_of,
-    module_digest,
-    note,
-    payloads,
+    Truncation,
+    decode_event,
+    decode_frames,
+    decode_header,
+    encode_batch,
+    encode_frame,
+    encode_record,
+    engine_digest,
 )
 from glenchute.capture.errors import CaptureError
-from glenchute.capture.recorder import Recorder, Rule, hashed
-from glenchute.capture.refusals import CAUSES, Refusals
-from glenchute.capture.replay import other_module, read, replay, runs
+from glenchute.capture.recorder import CaptureRule, Recorder, tenant_pseudonym
+from glenchute.capture.rejections import CAUSE_TEXTS, RejectionCauses
+from glenchute.capture.replay import find_runs, load_other_engine, read_segment, replay
 from glenchute.cli.main import main
 from glenchute.policy.actions import Reject
 from glenchute.policy.engine import DecisionEngine
@@ -67,7 +67,7 @@
     fleets: list[Fleet] = []
 
     def make(made: Settings, module_seed: int) -> Recorder:
-        kept = Rule(str(folder), ring=False, segment_s=0.7, **rule)
+        kept = CaptureRule(str(folder), ring=False, segment_s=0.7, **rule)
 
         def clock() -> float:
             return fleets[0].now / 1000.0 if fleets else 0.0
@@ -96,7 +96,7 @@
     accounts = {
         event.tenant
         for file in only_run(plain)
-        for event in map(event_of, read(file).records)
+        for event in map(decode_event, read_segment(file).records)
         if isinstance(event, Request)
     }
     assert len(accounts) >= 2 and len(only_run(hidden)) > 2
@@ -105,8 +105,8 @@
     assert all(account.encode() in found for account in accounts for found in bare)
     for account in accounts:
         assert account.encode() not in written
-        assert hashed(account, b"k" * 32).encode() in written
-        assert hashed(account, b"q" * 32) != hashed(account, b"k" * 32)
+        assert tenant_pseudonym(account, b"k" * 32).encode() in written
+        assert tenant_pseudonym(account, b"q" * 32) != tenant_pseudonym(account, b"k" * 32)
     report = replay(only_run(hidden))
     assert report.records > 100 and not report.differences and not report.notes
 
@@ -119,7 +119,7 @@
 
 
 def only_run(folder: Path) -> list[Path]:
-    ((_, files),) = runs(folder).items()
+    ((_, files),) = find_runs(folder).items()
     return files
 
 
@@ -186,20 +186,22 @@
     for wait, event in events:
         now += wait
         states.append(snapshot.dump(module))
-        notes.append(note(now, event, module.handle(now, event)))
-    records: Any = next(payloads(batch(notes))) if notes else []
+        notes.append(encode_record(now, event, module.handle(now, event)))
+    records: Any = next(decode_frames(encode_batch(notes))) if notes else []
     for start in {0, len(records) // 2, max(0, len(records) - 1)}:
         again: Any = snapshot.load(states[start], FORMAT) if records else None
         for record in records[start:]:
-            event = event_of(record)
-            (back,) = payloads(batch([note(record[0], event, again.handle(record[0], event))]))
+            event = decode_event(record)
+            (back,) = decode_frames(
+                encode_batch([encode_record(record[0], event, again.handle(record[0], event))])
+            )
             assert back == [record]
 
 
 def test_a_cut_at_any_byte_leaves_what_is_before_it_sure(capture: Path, tmp_path: Path) -> None:
     file = only_run(capture)[0]
     data = file.read_bytes()
-    whole = len(read(file).records)
+    whole = len(read_segment(file).records)
     ends, at = [], 0
     while at < len(data):
         at += FRAME.size + FRAME.unpack_from(data, at)[0]
@@ -207,11 +209,11 @@
     assert len(ends) >= 2
     cuts = sorted({*range(0, len(data), 97), *(end + d for end in ends for d in (-1, 0, 1, 7, 8, 9))})
     for cut in cuts:
-        found = list(payloads(data[:cut]))
+        found = list(decode_frames(data[:cut]))
         whole_frames = sum(1 for end in ends if end <= cut)
-        sure = [payload for payload in found if not isinstance(payload, Cut)]
+        sure = [payload for payload in found if not isinstance(payload, Truncation)]
         assert len(sure) == whole_frames
-        told = any(isinstance(payload, Cut) for payload in found)
+        told = any(isinstance(payload, Truncation) for payload in found)
         assert told is (cut not in (0, *ends) and cut < len(data))
     torn = tmp_path / file.name
     torn.write_bytes(data[:-5])
@@ -231,14 +233,14 @@
     assert not report.differences
     assert any("checksum" in line for line in report.notes)
     assert any("missing" in line for line in report.notes)
-    total = sum(len(read(file).records) for file in only_run(capture))
+    total = sum(len(read_segment(file).records) for file in only_run(capture))
     assert 0 < report.records < total
 
 
 def test_two_runs_in_a_folder_are_kept_apart(tmp_path: Path) -> None:
     recorded(tmp_path, 1)
     recorded(tmp_path, 2)
-    found = runs(tmp_path)
+    found = find_runs(tmp_path)
     assert len(found) == 2 and all(not replay(files).differences for files in found.values())
 
 
@@ -248,16 +250,16 @@
     for data, word in (
         (b"", "empty"),
         (b"nonsense that is long", "damaged"),
-        (frame(b"\x01"), "not a capture"),
-        (frame(b"\xc1"), "decoded"),
+        (encode_frame(b"\x01"), "not a capture"),
+        (encode_frame(b"\xc1"), "decoded"),
     ):
         bad.write_bytes(data)
         with pytest.raises(CaptureError, match=word):
-            read(bad)
+            read_segment(bad)
     with pytest.raises(CaptureError, match="format 99"):
-        head_of({"magic": MAGIC, "format": FORMAT + 97})
+        decode_header({"magic": MAGIC, "format": FORMAT + 97})
     with pytest.raises(CaptureError, match="head"):
-        head_of({"magic": MAGIC, "format": FORMAT})
+        decode_header({"magic": MAGIC, "format": FORMAT})
     assert replay([bad]).notes and "glenchute" in capsys.readouterr().err
 
 
@@ -304,11 +306,11 @@
     assert main(["replay", str(capture), "--against", str(same)]) == 0
     shutil.rmtree(same)
     other = changed(tmp_path, "call_pacing.py", "CALL_GAP_MS = 100.0", "CALL_GAP_MS = 150.0")
-    assert module_digest(other) != module_digest()
+    assert engine_digest(other) != engine_digest()
     assert main(["replay", str(capture), "--against", str(other)]) == 1
     assert " -> " in capsys.readouterr().out
     with pytest.raises(CaptureError):
-        other_module(tmp_path)
+        load_other_engine(tmp_path)
 
 
 def test_the_story_of_a_request_tells_stores_counter_and_servers(
@@ -327,16 +329,16 @@
     """As many as each capture holds; together the corpus has every cause."""
     causes: set[str] = set()
     for file in CORPUS:
-        told = [action for record in read(file).records for action in record[3] or ()]
+        told = [action for record in read_segment(file).records for action in record[3] or ()]
         refused = sum(number == ACTIONS.index(Reject) for number, _ in told)
-        found = Refusals()
-        assert not replay([file], seen=found).differences
+        found = RejectionCauses()
+        assert not replay([file], observe=found).differences
         rows = found.rows()
-        assert sum(row.refusals for row in rows) == refused, file.name
-        assert all(row.store_left < 6.0 for row in rows if row.cause == "empty")
-        assert all(row.store_left >= 1.0 for row in rows if row.cause in ("lot", "mute"))
+        assert sum(row.rejections for row in rows) == refused, file.name
+        assert all(row.bucket_left_units < 6.0 for row in rows if row.cause == "empty")
+        assert all(row.bucket_left_units >= 1.0 for row in rows if row.cause in ("lot", "mute"))
         causes |= {row.cause for row in rows}
-    assert causes == CAUSES.keys()
+    assert causes == CAUSE_TEXTS.keys()
     mute = next(file for file in CORPUS if "mute" in file.name)
     assert main(["replay", str(mute), "--refusals"]) == 0
     assert "while the counter is mute" in capsys.readouterr().out
@@ -345,17 +347,17 @@
 def test_a_version_that_names_no_limits_is_told_so() -> None:
     older = object()  # a module from before the limits were named
     with pytest.raises(CaptureError, match="does not name the limits"):
-        Refusals().listen(older)
+        RejectionCauses().attach(older)
 
 
 def test_overheard_gates_change_no_decision(capture: Path) -> None:
-    assert replay(only_run(capture), seen=Refusals()).differences == []
+    assert replay(only_run(capture), observe=RejectionCauses()).differences == []
 
 
 def test_a_fault_of_the_module_is_recorded_and_replayed(tmp_path: Path) -> None:
     made = fleet_settings(1)
     clock = [0.0]
-    keeper = Recorder(DecisionEngine(made, 1), made, 1, Rule(str(tmp_path)), lambda: clock[0])
+    keeper = Recorder(DecisionEngine(made, 1), made, 1, CaptureRule(str(tmp_path)), lambda: clock[0])
     keeper.handle(1000.0, EndpointList(EndpointListKind.CACHED, (Endpoint("s0", "a"),)))
     keeper.handle(1001.0, TimerFired(0))
     with pytest.raises(TypeError):  # a fault like any other: a time that is none
@@ -364,18 +366,18 @@
     keeper.trigger("asked for")
     keeper.writer.close(10.0)
     report = replay(only_run(tmp_path))
-    assert report.faults == 1 and not report.differences and report.records == 3
+    assert report.fault_count == 1 and not report.differences and report.records == 3
 
 
 def test_the_ring_is_bounded_and_written_on_a_trigger_once_a_minute(tmp_path: Path) -> None:
     made = fleet_settings(1)
     clock = [0.0]
-    rule = Rule(str(tmp_path), segment_s=1.0, segments=3, refusal_share=0.5)
+    rule = CaptureRule(str(tmp_path), segment_s=1.0, segments=3, refusal_share=0.5)
     keeper = Recorder(DecisionEngine(made, 1), made, 1, rule, lambda: clock[0])
     for step in range(100):
         clock[0] = step * 0.1
         keeper.handle(1000.0 + step * 100.0, TimerFired(0))
-    assert len(keeper.ring) <= 3 and not list(tmp_path.iterdir())
+    assert len(keeper.ring_segments) <= 3 and not list(tmp_path.iterdir())
     for step in range(200):  # no time left: all are refused
         clock[0] = 10.0 + step * 0.1
         request = Request(str(step), "none", "none", "c", 0.0)
@@ -389,20 +391,22 @@
 def test_a_disk_that_is_too_slow_costs_records_and_no_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(recorder_module, "QUEUE", 1)
-    monkeypatch.setattr(recorder_module, "BATCH", 4)
-    monkeypatch.setattr(recorder_module.Writer, "run", lambda self: None)  # it never writes
+    monkeypatch.setattr(recorder_module, "MAX_QUEUED_WRITES", 1)
+    monkeypatch.setattr(recorder_module, "RECORDS_PER_FRAME", 4)
+    monkeypatch.setattr(recorder_module.SegmentWriter, "run", lambda self: None)  # it never writes
     made = fleet_settings(1)
     clock = [0.0]
-    keeper = Recorder(DecisionEngine(made, 1), made, 1, Rule(str(tmp_path), ring=False), lambda: clock[0])
+    keeper = Recorder(
+        DecisionEngine(made, 1), made, 1, CaptureRule(str(tmp_path), ring=False), lambda: clock[0]
+    )
     for step in range(100):
         keeper.handle(1000.0 + step, TimerFired(0))
-    assert keeper.dropping and keeper.dropped >= 90 and keeper.writer.queue.qsize() == 1
+    assert keeper.is_dropping and keeper.dropped_records >= 90 and keeper.writer.queue.qsize() == 1
 
 
 def test_old_segments_go(tmp_path: Path) -> None:
     kept = recorded(tmp_path, 1, segments=2)
-    assert len(list(tmp_path.glob("*.glcap"))) == 2 and kept.number >= 4
+    assert len(list(tmp_path.glob("*.glcap"))) == 2 and kept.segment_number >= 4
     report = replay(only_run(tmp_path))  # from a snapshot, as the beginning is gone
     assert not report.differences and report.records > 100
 
--- a/tests/capture/test_captures.py
+++ b/tests/capture/test_captures.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from glenchute.capture.replay import replay, runs
+from glenchute.capture.replay import find_runs, replay
 from tests.captures.scenarios import SCENARIOS
 
 HERE = Path(__file__).resolve().parents[1] / "captures"
@@ -14,10 +14,10 @@
 
 @pytest.mark.parametrize("name", [play.__name__ for play in SCENARIOS])
 def test_decisions_are_what_they_were(name: str) -> None:
-    (files,) = runs(HERE / f"{name}-000000.glcap").values()
+    (files,) = find_runs(HERE / f"{name}-000000.glcap").values()
     report = replay(files)
     assert not report.notes and report.records > 50
-    told = [(d.at, d.event, d.captured, d.replayed) for d in report.differences]
+    told = [(d.record_index, d.event, d.captured, d.replayed) for d in report.differences]
     assert not told, 'if that is meant: python -m tests.captures --why "..."'
 
 
--- a/tests/capture/test_format_1.py
+++ b/tests/capture/test_format_1.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from glenchute.capture.codec import ACTIONS, EVENTS, event_of
-from glenchute.capture.replay import Segment, read, replay, runs
+from glenchute.capture.codec import ACTIONS, EVENTS, decode_event
+from glenchute.capture.replay import Segment, find_runs, read_segment, replay
 from glenchute.policy.actions import IncrementCounter, SendState, SetTimer
 from glenchute.policy.events import AttemptEnded, CounterReply, Outcome, Request, StateReceived, TimerFired
 
@@ -28,7 +28,7 @@
 
 def segments() -> list[Segment]:
     """All files, read."""
-    return [read(file) for file in FILES]
+    return [read_segment(file) for file in FILES]
 
 
 def test_the_files_are_as_they_were_recorded() -> None:
@@ -40,13 +40,13 @@
 @pytest.mark.parametrize("file", FILES, ids=lambda file: file.name)
 def test_each_file_alone_replays_equal(file: Path) -> None:
     report = replay([file])
-    told = [(d.at, d.event, d.captured, d.replayed) for d in report.differences]
-    assert not told and not report.notes and not report.faults
+    told = [(d.record_index, d.event, d.captured, d.replayed) for d in report.differences]
+    assert not told and not report.notes and not report.fault_count
     assert report.records == RECORDS[file.name]
 
 
 def test_a_run_without_its_beginning_replays_equal() -> None:
-    files = runs(HERE)["mid_life"]
+    files = find_runs(HERE)["mid_life"]
     report = replay(files)
     assert not report.differences and not report.notes
     assert report.records == sum(RECORDS[file.name] for file in files)
@@ -56,7 +56,7 @@
     records = [record for segment in segments() for record in segment.records]
     assert {record[1] for record in records} == set(range(len(EVENTS)))
     assert {number for record in records for number, _ in record[3]} == set(range(len(ACTIONS)))
-    events = [event_of(record) for record in records]
+    events = [decode_event(record) for record in records]
     late = {event.outcome for event in events if isinstance(event, CounterReply) and event.is_late}
     assert late == {Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED}
     assert {event.outcome for event in events if isinstance(event, AttemptEnded)} >= {
@@ -79,7 +79,7 @@
     open_calls: Counter[int] = Counter()
     found = 0
     for record in segment.records:
-        event = event_of(record)
+        event = decode_event(record)
         if isinstance(event, CounterReply):
             if event.is_late is late:
                 found += open_calls[event.key] <= 0
@@ -96,12 +96,12 @@
 def test_the_middle_segments_begin_in_full_work() -> None:
     """What their first events answer was begun before their snapshot."""
     for segment in segments():
-        if segment.head.number == 0:
-            assert segment.head.snapshot is None and segment.head.at == 0
+        if segment.header.number == 0:
+            assert segment.header.snapshot is None and segment.header.at == 0
             continue
-        assert segment.head.snapshot is not None and segment.head.at > 0
+        assert segment.header.snapshot is not None and segment.header.at > 0
         told = [action for record in segment.records for action in record[3]]
-        events = [event_of(record) for record in segment.records]
+        events = [decode_event(record) for record in segment.records]
         asked = {event.request_id for event in events if isinstance(event, Request)}
         tokens = {values[0] for number, values in told if ACTIONS[number] is SetTimer}
         ended = [e for e in events if isinstance(e, AttemptEnded) and e.request_id not in asked]
--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from glenchute.capture.codec import Head, batch, module_digest, note
+from glenchute.capture.codec import SegmentHeader, encode_batch, encode_record, engine_digest
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event
@@ -28,12 +28,12 @@
 
     def tell(now: float, event: Event) -> list[Action]:
         actions = module.handle(now, event)
-        notes.append(note(now, event, actions))
+        notes.append(encode_record(now, event, actions))
         return actions
 
     play(tell)
-    head = Head(scenario, 0, 0, START, module_digest(), settings, seed, None)
-    return head.encode() + b"".join(batch(notes[at : at + 512]) for at in range(0, len(notes), 512))
+    head = SegmentHeader(scenario, 0, 0, START, engine_digest(), settings, seed, None)
+    return head.encode() + b"".join(encode_batch(notes[at : at + 512]) for at in range(0, len(notes), 512))
 
 
 def main() -> None:
@@ -46,7 +46,7 @@
     for seed, play in enumerate(SCENARIOS, 1):
         (HERE / f"{play.__name__}-000000.glcap").write_bytes(record(play.__name__, play, seed))
     with (HERE / "WHY.md").open("a") as file:
-        file.write(f"- {datetime.date.today()}, module {module_digest()}: {args.why.strip()}\n")
+        file.write(f"- {datetime.date.today()}, module {engine_digest()}: {args.why.strip()}\n")
 
 
 if __name__ == "__main__":
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from glenchute.capture.codec import event_of
-from glenchute.capture.replay import read as read_segment
-from glenchute.capture.replay import replay, runs
+from glenchute.capture.codec import decode_event
+from glenchute.capture.replay import find_runs, replay
+from glenchute.capture.replay import read_segment as read_segment
 from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import parse
 from glenchute.policy.events import AttemptAssigned, AttemptEnded, Event, Outcome
@@ -156,11 +156,11 @@
 
 def captured(tmp_path: Path) -> list[Event]:
     """What a gateway that shares connections told its module, after a replay found each decision equal."""
-    files = [file for run in runs(tmp_path).values() for file in run]
-    for run in runs(tmp_path).values():
+    files = [file for run in find_runs(tmp_path).values() for file in run]
+    for run in find_runs(tmp_path).values():
         report = replay(run)
         assert report.records > 10 and not report.differences and not report.notes
-    return [event_of(record) for file in files for record in read_segment(file).records]
+    return [decode_event(record) for file in files for record in read_segment(file).records]
 
 
 def test_a_capture_tells_where_attempts_went_and_replays(tmp_path: Path) -> None:
--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from glenchute.capture.replay import replay, runs
+from glenchute.capture.replay import find_runs, replay
 from glenchute.policy.actions import Fail
 from glenchute.policy.admission import quota
 from glenchute.policy.admission.counter_sync import CounterSync
@@ -206,6 +206,6 @@
     script = Script(2, (Fault(1500.0, "half die", 0.5, 1), Fault(3000.0, "counter replaced", 0.9, 9)))
     files = captured(script, tmp_path)
     assert len(files) >= 5  # each gateway, and the lives after
-    for found in runs(tmp_path).values():
+    for found in find_runs(tmp_path).values():
         report = replay(found)
         assert not report.differences and not report.notes
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from glenchute.capture import format_1
-from glenchute.capture.recorder import Recorder, Rule
+from glenchute.capture.recorder import CaptureRule, Recorder
+from glenchute.capture.replay import find_runs
 from glenchute.capture.replay import replay as replayed
-from glenchute.capture.replay import runs
 from glenchute.policy.actions import IncrementCounter, SendState, StartAttempt
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import (
@@ -249,7 +249,9 @@
 
 def test_a_replacement_is_recorded_and_replayed_bit_equal(tmp_path: Path) -> None:
     clock = [0.0]
-    recorder = Recorder(DecisionEngine(SETTINGS, 1), SETTINGS, 1, Rule(str(tmp_path)), lambda: clock[0])
+    recorder = Recorder(
+        DecisionEngine(SETTINGS, 1), SETTINGS, 1, CaptureRule(str(tmp_path)), lambda: clock[0]
+    )
     recorder.handle(1000.0, saved_list())
     events: list[Event] = [
         StateReceived((QUOTA, replace(QUOTA, tenant="d", window_total_units=math.inf))),
@@ -262,6 +264,6 @@
         recorder.handle(1001.0 + at, event)
     recorder.trigger("asked for")
     recorder.writer.close(10.0)
-    (files,) = runs(tmp_path).values()
+    (files,) = find_runs(tmp_path).values()
     report = replayed(files)
-    assert not report.differences and not report.faults and report.records == len(events) + 1
+    assert not report.differences and not report.fault_count and report.records == len(events) + 1
