--- a/glenchute/listeners/extproc/events.py
+++ b/glenchute/listeners/extproc/events.py
@@ -1,4 +1,4 @@
-"""What a proxy says on a stream and is told on it. `messages.py` makes protobufs of these and back."""
+"""The messages of a stream, in both directions. `messages.py` converts them from and to protobufs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class RequestHeaders:
-    """A request's headers, names in small letters; `end` where no body follows."""
+    """A request's headers, by lower-case name; `end_of_stream`: no body follows."""
 
     headers: dict[str, list[bytes]]
     end_of_stream: bool = True
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class UnhandledMessage:
-    """A message that needs an answer of its own kind and no more: bodies and trailers that were not asked
+    """A message that needs a response of its own kind and no more: bodies and trailers that were not asked
     for. `kind` is the field of ProcessingRequest."""
 
     kind: str
@@ -44,12 +44,12 @@
 
 @dataclass(slots=True)
 class ObservedMessage:
-    """Observability mode: the proxy does not wait, and what it is told has no effect."""
+    """Observability mode: the proxy does not wait, and a response would have no effect."""
 
 
 @dataclass(slots=True)
 class UnknownMessage:
-    """A message without anything that is known."""
+    """A message without any known field."""
 
 
 ProxyMessage = (
@@ -59,19 +59,20 @@
 
 @dataclass(slots=True)
 class ContinueResponse:
-    """Go on, with changes. `kind` is the field of ProcessingResponse; `endpoint` goes into `envoy.lb`."""
+    """Continue, with header changes. `kind` is the field of ProcessingResponse; `endpoint` goes into the
+    metadata `envoy.lb`."""
 
     kind: str
     set_headers: dict[str, str] = field(default_factory=dict)
     remove_headers: tuple[str, ...] = ()
     endpoint: str = ""
-    wants_response_headers: bool = False  # by mode_override: the response's headers are to come here
-    wants_request_body: bool = False  # by mode_override: the request's body is to come here, buffered
+    wants_response_headers: bool = False  # by mode_override: send the response's headers
+    wants_request_body: bool = False  # by mode_override: send the request's body, buffered
 
 
 @dataclass(slots=True)
 class ImmediateResponse:
-    """ImmediateResponse: the proxy answers with this and does nothing else."""
+    """The proxy responds with this and does nothing else."""
 
     status: int
     headers: dict[str, str]
@@ -80,4 +81,4 @@
 
 
 ProcessorResponse = ContinueResponse | ImmediateResponse
-RespondCallback = Callable[[ProcessorResponse | None], None]  # None: nothing is to be said
+RespondCallback = Callable[[ProcessorResponse | None], None]  # None: no response is due
--- a/glenchute/listeners/extproc/messages.py
+++ b/glenchute/listeners/extproc/messages.py
@@ -1,4 +1,4 @@
-"""Protobufs of envoy.service.ext_proc.v3 to events and back (the published API, v3)."""
+"""Converts protobufs of envoy.service.ext_proc.v3 to events and back."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 ProcessingResponse = pb.ProcessingResponse
 MAX_STRUCT_DEPTH = 4
 MAX_RESPONSE_TEMPLATES = 64
-RESPONSE_TEMPLATES: dict[Any, Any] = {}  # answers of each shape, to be copied
+RESPONSE_TEMPLATES: dict[Any, Any] = {}  # a response of each shape, to be copied
 OVERWRITE = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 LB_METADATA_NAMESPACE = "envoy.lb"
 LB_ENDPOINT_KEY = (
@@ -31,7 +31,8 @@
 
 
 def decode_headers(found: Any, wanted: Container[str]) -> dict[str, list[bytes]]:
-    """Those of a HeaderMap that somebody reads; values come in `raw_value`, from old proxies in `value`."""
+    """The headers of a HeaderMap that are in `wanted`; values are in `raw_value`, from old proxies in
+    `value`."""
     made: dict[str, list[bytes]] = {}
     for header in found.headers:
         name = header.key.lower()
@@ -41,7 +42,7 @@
 
 
 def decode_value(found: Any, depth: int = 0) -> Any:
-    """A google.protobuf.Value as plain data; lists, nulls and what lies too deep are left out as None."""
+    """A google.protobuf.Value as plain data; lists, nulls and what is nested too deep become None."""
     kind = found.WhichOneof("kind")
     if kind in ("string_value", "number_value", "bool_value"):
         return getattr(found, kind)
@@ -51,7 +52,7 @@
 
 
 def decode_struct(found: Any, depth: int = 0) -> dict[str, Any]:
-    """A google.protobuf.Struct."""
+    """A google.protobuf.Struct as a dict."""
     return {key: decode_value(inner, depth) for key, inner in found.fields.items()}
 
 
@@ -87,7 +88,7 @@
 
 
 def apply_header_changes(changes: Any, told: ev.ContinueResponse) -> None:
-    """Header changes; what is set replaces what a client may have sent by the same name."""
+    """Header changes; what is set replaces what a client may have sent under the same name."""
     for name, text in told.set_headers.items():
         option = changes.set_headers.add(append_action=OVERWRITE)
         option.header.key, option.header.raw_value = name, text.encode()
@@ -95,7 +96,7 @@
 
 
 def header_mutation(made: Any, kind: str) -> Any:
-    """Where the header changes of an answer stand."""
+    """The field of a response that holds its header changes."""
     part = getattr(made, kind)
     return part.header_mutation if kind.endswith("trailers") else part.response.header_mutation
 
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -1,7 +1,7 @@
 """envoy.service.ratelimit.v3 over the same quotas: a proxy that only asks "may this account go on?".
 
-The call takes units of the account's quota as a request does. Nothing more is learned of it: no node is
-chosen that counts, and the attempt that the module decides on ends as never sent at once.
+The call takes units of the account's quota as a request does, and nothing more follows from it: the server
+that the engine chooses is not used, and the attempt ends at once.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class RateLimitCall(Call):
-    """A call that only asks; its own carrier."""
+    """A call that only asks; it is the transport of its own attempt."""
 
     gateway: RequestExecutor | None = None
     active_request: ActiveRequest | None = None
@@ -57,13 +57,13 @@
         write_by: float,
         about: AttemptContext | None = None,
     ) -> UntrackedAttempt:
-        """The module lets it go on: that is the answer."""
+        """The engine admits the call, which is the answer."""
         return UntrackedAttempt(self, done)
 
 
 class UntrackedAttempt:
-    """The attempt of a question: whoever asked makes it, and nobody here hears what became of it. It ends as
-    called off, which may have run, so that its units stay taken."""
+    """The attempt of a rate limit call: whoever asked makes it, unseen from here. It ends as cancelled, which
+    may have run, so that its units stay taken."""
 
     def __init__(self, question: RateLimitCall, done: Callable[[AttemptResult], None]) -> None:
         assert question.gateway is not None
@@ -75,7 +75,7 @@
         self.has_ended = False
 
     def start(self) -> None:
-        """Says yes, and ends."""
+        """Reports the admission, and ends."""
         question = self.call
         if question.on_admitted is not None:
             question.on_admitted()
@@ -84,7 +84,7 @@
         question.gateway.loop.call_soon(self.withdraw_request)
 
     def withdraw_request(self) -> None:
-        """The request is over before its attempt ends, so that the module looks for no other node."""
+        """Ends the request before its attempt, so that the engine looks for no other server."""
         gateway, live = self.call.gateway, self.call.active_request
         if gateway is not None and live is not None:
             gateway.client_disconnected(live)
@@ -112,9 +112,12 @@
         self.counts = counts
 
     def check(self, message: Any, answer: Callable[[Any], None]) -> Callable[[], None]:
-        """Decides one call; `answer` gets the response once, now or later. What is returned ends the call
-        early, where the proxy leaves. A call of another domain, or without a descriptor that the rules can
-        read, is not ours to limit: it is let through, as the API has it for limits that nobody configured."""
+        """Decides one call.
+
+        `answer` gets the response once, now or later; the returned function ends the call early, where the
+        proxy disconnects. A call of another domain, or without a descriptor that the rules can read, is
+        allowed, as the API has it for limits that nobody configured.
+        """
         if message.domain != self.domain or not 0 < len(message.descriptors) <= MAX_DESCRIPTORS:
             answer(build_response([OK] * len(message.descriptors)))
             return lambda: None
@@ -132,7 +135,7 @@
     def check_descriptor(
         self, message: Any, at: int, fields: Any, answer: Callable[[Any], None]
     ) -> Callable[[], None]:
-        """One descriptor is an account's: its quota decides."""
+        """The quota of one descriptor's account decides the call."""
         codes = [OK] * len(message.descriptors)
         units = fields.units * max(1, message.hits_addend or 1)
         if units > self.rules.max_units:
@@ -167,7 +170,7 @@
 
 
 def build_response(codes: list[int], at: int = 0, retry_after_ms: float | None = None) -> Any:
-    """A RateLimitResponse; over the limit it says when to come again."""
+    """A RateLimitResponse. Over the limit it says when to retry, for the descriptor `at`."""
     made = RateLimitResponse(overall_code=OVER_LIMIT if OVER_LIMIT in codes else OK)
     for code in codes:
         made.statuses.add(code=code)
--- /dev/null
+++ b/glenchute/listeners/extproc/request.py
@@ -0,0 +1,380 @@
+"""One request of a proxy, from its first stream to its last, and the attempts that the proxy makes for it.
+
+A `ProxiedRequest` is the transport of its request's attempts: where the gateway would write to a server
+itself, it tells the proxy to. The decision engine gets the same events either way. How each request ends is
+stated in docs/design/extproc.md.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from glenchute.core.active_request import ActiveRequest
+from glenchute.core.types import (
+    AttemptContext,
+    AttemptResult,
+    AttemptTransport,
+    Call,
+    Failed,
+    FinalResponse,
+    Rejected,
+    Served,
+    Streamed,
+)
+from glenchute.policy.events import Outcome
+from glenchute.policy.record import record
+from glenchute.policy.retries.proxied_attempts import (
+    AttemptState,
+    AttemptVerdict,
+    ResponseVerdict,
+    classify_response,
+    judge_attempt,
+    judge_response,
+)
+from glenchute.policy.services.request_mapping import MappedRequest
+
+from . import events as ev
+from .attempt import ProxiedAttempt
+from .responses import (
+    ATTEMPT_TIMEOUT_HEADER,
+    EFFECT_HEADER,
+    EXPECTED_TIMEOUT_HEADER,
+    PASS_RESPONSE,
+    REASON_HEADER,
+    RETRY_HEADER,
+    TOKEN_HEADER,
+    failure_response,
+    format_timeout_ms,
+    rejection_response,
+)
+
+if TYPE_CHECKING:
+    from .streams import DownstreamStream, UpstreamStream
+    from .table import RequestTable
+
+MAX_WRONG_SERVERS = 3  # times in a row that an attempt goes to another server than the chosen one
+TIMEOUT_TOLERANCE_S = 0.001  # an attempt that ends unexplained so shortly before its timeout has timed out
+# The final response in the words of the counters and of `judge_response`.
+RESPONSE_WORDS: dict[type[FinalResponse], str] = {
+    Served: "served",
+    Streamed: "streamed",
+    Rejected: "refused",
+    Failed: "failed",
+}
+
+
+@record(slots=True)
+class ProxiedCall(Call):
+    """A request whose attempts its proxy makes."""
+
+    request: ProxiedRequest | None = None
+
+    def encode(self, left_ms: int) -> bytes:
+        return b""
+
+    @property
+    def transport(self) -> AttemptTransport | None:
+        return self.request
+
+
+class ProxiedRequest:
+    """One request of a proxy. Each callback that it keeps is called once and then dropped."""
+
+    __slots__ = (
+        "active_request",
+        "attempts",
+        "client_stream",
+        "deadline",
+        "fields",
+        "final_response",
+        "first_decision",
+        "is_detached",
+        "is_finished",
+        "may_have_run",
+        "number",
+        "on_first_decision",
+        "open_attempt_streams",
+        "pending_attempt_response",
+        "pending_client_response",
+        "reconnect_timer",
+        "table",
+        "waiting_attempt",
+        "wrong_server_count",
+    )
+
+    def __init__(self, calls: RequestTable, ref: int, fields: MappedRequest, deadline: float) -> None:
+        self.table, self.number, self.fields, self.deadline = calls, ref, fields, deadline
+        self.active_request: ActiveRequest | None = None
+        self.first_decision: ev.ContinueResponse | None = (
+            None  # the first decision, told again where its stream is opened again
+        )
+        self.client_stream: DownstreamStream | None = None
+        self.on_first_decision: ev.RespondCallback | None = None  # the proxy waits for the first decision
+        self.waiting_attempt: tuple[UpstreamStream, str, ev.RespondCallback] | None = (
+            None  # an attempt waits to be let through
+        )
+        self.pending_attempt_response: ev.RespondCallback | None = (
+            None  # an attempt's response waits for what follows from it
+        )
+        self.pending_client_response: tuple[int, ev.RespondCallback] | None = (
+            None  # the client's response waits for the final answer
+        )
+        self.is_detached = False  # the proxy shows no response here: the attempt's stream must
+        self.final_response: FinalResponse | None = None
+        self.is_finished = False  # the final answer is known, or the proxy has given its own
+        self.may_have_run = False
+        self.wrong_server_count = 0
+        self.attempts: list[ProxiedAttempt] = []
+        self.open_attempt_streams: set[UpstreamStream] = set()  # streams of attempts that were let through
+        self.reconnect_timer: asyncio.TimerHandle | None = None
+
+    # --- as the carrier ----------------------------------------------------------------------------------
+
+    def create_attempt(
+        self,
+        server: str,
+        payload: Callable[[int], bytes],
+        timeout_s: float,
+        done: Callable[[AttemptResult], None],
+        write_by: float,
+        about: AttemptContext | None = None,
+    ) -> ProxiedAttempt | None:
+        """An attempt that the proxy is to make; None where the server takes nothing (any more)."""
+        address = self.table.gateway.upstream.address(server)
+        if address is None or self.is_finished:
+            return None
+        self.attempts.append(ProxiedAttempt(self, server, address, timeout_s, done, write_by))
+        return self.attempts[-1]
+
+    def on_attempt_chosen(self, attempt: ProxiedAttempt) -> None:
+        """The engine has chosen a server: whoever waits for that is told."""
+        if self.first_decision is None:
+            self.first_decision = self.table.first_decision(self, attempt)
+            if not self.table.settings.has_attempt_streams:
+                attempt.is_written = self.may_have_run = True
+            if self.on_first_decision is not None:
+                answer, self.on_first_decision = self.on_first_decision, None
+                answer(self.first_decision)
+        elif self.pending_attempt_response is not None:
+            answer, self.pending_attempt_response = self.pending_attempt_response, None
+            name = self.table.settings.endpoint_header
+            again = {RETRY_HEADER: "1", name: attempt.address}
+            answer(ev.ContinueResponse("response_headers", again, endpoint=attempt.address))
+        self.review_waiting_attempt()
+
+    def on_final_response(self, answer: FinalResponse) -> None:
+        """The core's one final response."""
+        self.final_response, self.is_finished = answer, True
+        self.table.counts[RESPONSE_WORDS[type(answer)]] += 1
+        if self.on_first_decision is not None:
+            ask, self.on_first_decision = self.on_first_decision, None
+            ask(self.final_message())
+        if self.pending_attempt_response is not None:
+            held, self.pending_attempt_response = self.pending_attempt_response, None
+            unserved = self.is_detached and not isinstance(answer, Served)
+            held(self.final_message() if unserved else PASS_RESPONSE)
+        self.review_waiting_attempt()
+        self.show_client_response()
+        self.remove_if_done()
+
+    def final_message(self) -> ev.ProcessorResponse:
+        """The final response as an immediate response."""
+        if isinstance(self.final_response, Rejected):
+            return rejection_response(self.final_response.retry_after_ms, "refused")
+        return failure_response("failed")
+
+    # --- the attempts' streams ---------------------------------------------------------------------------
+
+    def request_attempt(self, stream: UpstreamStream, going_to: str, answer: ev.RespondCallback) -> None:
+        """An upstream stream asks whether its attempt may go."""
+        if self.waiting_attempt is not None:
+            answer(
+                failure_response("attempt-in-waiting")
+            )  # one at a time: the other has not been let through
+            return
+        self.waiting_attempt = stream, going_to, answer
+        self.review_waiting_attempt()
+
+    def review_waiting_attempt(self) -> None:
+        """Decides on the attempt that waits for permission, if one does."""
+        if self.waiting_attempt is None:
+            return
+        stream, going_to, answer = self.waiting_attempt
+        attempt = self.attempts[-1] if self.attempts else None
+        offered = attempt is not None and not attempt.has_ended and not attempt.is_written
+        known = AttemptState(
+            is_request_finished=self.is_finished,
+            has_chosen_server=offered,
+            has_open_attempts=bool(self.open_attempt_streams),
+            requested_address=going_to,
+            chosen_address=attempt.address if attempt else "",
+            is_server_accepting=attempt is not None
+            and self.table.gateway.upstream.address(attempt.server) is not None,
+            is_in_time=attempt is not None and self.table.loop.time() <= attempt.write_by,
+        )
+        verdict = judge_attempt(known)
+        self.table.counts[f"gate-{verdict.value}"] += 1
+        if verdict is AttemptVerdict.WAIT:
+            return
+        if verdict is AttemptVerdict.TOO_LATE and attempt is not None:
+            attempt.finish(
+                AttemptResult(Outcome.UNREACHABLE)
+            )  # the module's next word comes by `offered` or `answered`
+            return
+        self.waiting_attempt = None
+        if verdict is AttemptVerdict.ALLOW and attempt is not None:
+            attempt.is_written = self.may_have_run = True
+            attempt.stream, stream.attempt = stream, attempt
+            self.open_attempt_streams.add(stream)
+            self.wrong_server_count = 0
+            left = format_timeout_ms(attempt.deadline - self.table.loop.time())
+            answer(
+                ev.ContinueResponse(
+                    "request_headers",
+                    {ATTEMPT_TIMEOUT_HEADER: left, EXPECTED_TIMEOUT_HEADER: left},
+                    (TOKEN_HEADER,),
+                )
+            )
+        elif verdict is AttemptVerdict.WRONG_SERVER and attempt is not None:
+            self.wrong_server_count += 1
+            again = {RETRY_HEADER: "1", self.table.settings.endpoint_header: attempt.address}
+            if self.wrong_server_count >= MAX_WRONG_SERVERS:
+                again = {}
+                attempt.finish(AttemptResult(Outcome.NOT_SENT))
+            answer(
+                ev.ImmediateResponse(503, {REASON_HEADER: "other-node", **again}, "", "glenchute_other_node")
+            )
+        else:
+            answer(self.final_message() if self.final_response is not None else failure_response("over"))
+
+    def on_attempt_response(
+        self, stream: UpstreamStream, status: int, details: str, load: str, answer: ev.RespondCallback
+    ) -> None:
+        """An attempt's response headers have come: its result, unless it has one."""
+        attempt = stream.attempt
+        if attempt is None or attempt.has_ended or self.is_finished:
+            answer(PASS_RESPONSE)  # too late to matter: the downstream stream shows what counts
+            return
+        how = classify_response(status, details, self.table.settings.rejected_status)
+        self.pending_attempt_response = answer
+        attempt.finish(AttemptResult(how, b"" if how is Outcome.OK else None, load.encode() or None))
+
+    def on_attempt_stream_closed(self, stream: UpstreamStream) -> None:
+        """An upstream stream has ended, or was reset."""
+        if self.waiting_attempt is not None and self.waiting_attempt[0] is stream:
+            self.waiting_attempt = None  # it was not let through, and now never will be
+        self.open_attempt_streams.discard(stream)
+        attempt = stream.attempt
+        if attempt is not None and not attempt.has_ended:
+            if self.client_stream is None and not self.is_detached:
+                how = Outcome.CANCELLED  # its proxy is gone: no fault of the node's
+            else:
+                timed_out = self.table.loop.time() >= attempt.deadline - TIMEOUT_TOLERANCE_S
+                how = Outcome.TIMEOUT if timed_out else Outcome.RESET
+            attempt.finish(AttemptResult(how))
+        elif (
+            attempt is not None and self.pending_attempt_response is not None and attempt is self.attempts[-1]
+        ):
+            self.pending_attempt_response = (
+                None  # nobody hears what follows from its response; the next attempt asks
+            )
+        self.review_waiting_attempt()
+        self.remove_if_done()
+
+    # --- the client's stream -----------------------------------------------------------------------------
+
+    def on_client_response(self, status: int, details: str, load: str, answer: ev.RespondCallback) -> None:
+        """The proxy is about to give its client a response: no attempt follows any more."""
+        self.pending_client_response = status, answer
+        attempt = self.attempts[-1] if self.attempts else None
+        if not self.is_finished and attempt is not None and not attempt.has_ended:
+            if attempt.is_written:
+                how = classify_response(status, details, self.table.settings.rejected_status)
+            else:
+                how = Outcome.UNREACHABLE  # it never asked, and will not be let through
+            attempt.finish(
+                AttemptResult(
+                    how, b"" if how is Outcome.OK else None, load.encode() or None, is_last_attempt=True
+                )
+            )
+        if not self.is_finished:  # the module waits for something that the proxy won't do
+            self.withdraw_request()
+        self.show_client_response()
+
+    def show_client_response(self) -> None:
+        """Says what becomes of the client's response, once that is known."""
+        if self.pending_client_response is None or not self.is_finished:
+            return
+        (status, answer), self.pending_client_response = self.pending_client_response, None
+        outcome = RESPONSE_WORDS[type(self.final_response)] if self.final_response is not None else ""
+        match judge_response(outcome, self.may_have_run, status):
+            case ResponseVerdict.PASS_THROUGH:
+                extra = {EFFECT_HEADER: "unknown"} if status >= 500 and self.may_have_run else {}
+                hidden = (RETRY_HEADER, TOKEN_HEADER, self.table.settings.endpoint_header)
+                answer(ev.ContinueResponse("response_headers", extra, hidden))
+            case ResponseVerdict.REJECTION:
+                answer(self.final_message())
+            case ResponseVerdict.FAILURE:
+                answer(failure_response("failed"))
+
+    def on_client_stream_closed(self, stream: DownstreamStream, clean: bool) -> None:
+        """The downstream stream has ended. If it was half-closed in order, the proxy only needs no more; if
+        it was reset, the proxy may open it again or be gone."""
+        if self.client_stream is not stream:
+            return
+        self.client_stream, self.on_first_decision, self.pending_client_response = None, None, None
+        if clean and self.first_decision is not None:
+            self.is_detached = True
+        elif not self.is_finished:
+            self.reconnect_timer = self.table.loop.call_later(
+                self.table.settings.reconnect_grace_s, self.on_reconnect_timeout
+            )
+        self.remove_if_done()
+
+    def on_reconnect_timeout(self) -> None:
+        """Nobody has opened the stream again: the client or its proxy is gone."""
+        if self.client_stream is None and not self.is_finished:
+            self.table.counts["abandoned"] += 1
+            self.withdraw_request()
+            for attempt in self.attempts:
+                attempt.stop(Outcome.CANCELLED)
+        self.remove_if_done()
+
+    def withdraw_request(self) -> None:
+        """No response is owed any more; the engine hears that the client has disconnected."""
+        self.is_finished = True
+        if self.active_request is not None:
+            self.table.gateway.client_disconnected(self.active_request)
+        self.review_waiting_attempt()
+
+    def expire(self) -> None:
+        """The last end of every wait."""
+        if not self.is_finished:
+            self.table.counts["expired"] += 1
+            self.withdraw_request()
+        for attempt in self.attempts:
+            attempt.stop(Outcome.CANCELLED)
+        for waiting in (
+            self.on_first_decision,
+            self.pending_attempt_response,
+            self.pending_client_response[1] if self.pending_client_response else None,
+        ):
+            if waiting is not None:
+                waiting(failure_response("expired"))
+        self.on_first_decision = self.pending_attempt_response = self.pending_client_response = None
+        if self.client_stream is not None and self.client_stream.abort is not None:
+            self.client_stream.abort()  # its proxy neither reads nor ends it
+        self.table.remove(self)
+
+    def remove_if_done(self) -> None:
+        """Leaves the table once nothing more can come for the request. An attempt that outlives it is waited
+        for."""
+        if (
+            self.is_finished
+            and self.client_stream is None
+            and not self.open_attempt_streams
+            and self.waiting_attempt is None
+        ):
+            self.table.remove(self)
--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -1,4 +1,4 @@
-"""The gRPC side, on grpcio's asyncio server in the gateway's own loop (why: docs/design/extproc.md)."""
+"""The gRPC server: grpcio's asyncio server in the gateway's own loop (why: docs/design/extproc.md)."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 from . import events as ev
 from . import messages
-from .calls import DownstreamStream, RequestTable, UpstreamStream
 from .ratelimit import RateLimiter, RateLimitRequest, RateLimitResponse
+from .streams import DownstreamStream, UpstreamStream
+from .table import RequestTable
 
 log = logging.getLogger("glenchute")
 
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsCredentials:
-    """PEM texts; with `client_ca` a proxy must show a certificate that it signed."""
+    """PEM texts. With `client_ca` a proxy must present a certificate that it signed."""
 
     certificate: bytes
     key: bytes
@@ -38,7 +39,7 @@
 
 
 class ResponseFuture:
-    """Where a stream's answer is put; a future only if it does not come at once."""
+    """Takes the response to one message; a future is made only if it does not come at once."""
 
     __slots__ = ("future", "is_set", "loop", "response")
 
@@ -63,8 +64,8 @@
 
 
 class StreamGuard:
-    """Cuts a stream off, from without its task; `clean` where it ended in order before that. The
-    server's sweep does it past `until`, the loop's time: a timer for each wait would cost more."""
+    """Aborts a stream from outside its task. The server's sweep does so after `deadline` (loop time), which
+    costs less than a timer for each wait."""
 
     __slots__ = ("deadline", "has_ended_cleanly", "is_aborted", "loop", "task")
 
@@ -75,18 +76,18 @@
         self.is_aborted = self.has_ended_cleanly = False
 
     def abort_soon(self) -> None:
-        """Not from within what the table is doing."""
+        """Aborts in the loop's next iteration, not from within a call of the table."""
         self.loop.call_soon(self.abort)
 
     def abort(self) -> None:
-        """Its end goes to the other side as ABORTED."""
+        """Cancels the task; the other side gets ABORTED."""
         if not self.task.done():
             self.is_aborted = True
             self.task.cancel()
 
 
 class ExtProcServer:
-    """The two services on one listener."""
+    """Both services on one address."""
 
     def __init__(
         self,
@@ -136,7 +137,7 @@
         self.server.add_generic_rpc_handlers(tuple(handlers))
 
     async def start(self) -> None:
-        """Listens; OSError where it can't."""
+        """Listens; raises OSError where it can't."""
         try:
             if self.tls is None:
                 self.port = self.server.add_insecure_port(self.listen)
@@ -151,7 +152,7 @@
         self.sweep()
 
     def sweep(self) -> None:
-        """Cuts off the streams whose time is up."""
+        """Aborts the streams whose time is up."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = self.loop.time()
         if now - self.last_report[1] >= REPORT_INTERVAL_S:
@@ -160,7 +161,7 @@
             cut.abort()
 
     def log_report(self, now: float) -> None:
-        """A line for the operators, while anything happens."""
+        """Logs the counters, unless nothing has changed."""
         counts = " ".join(f"{name}={n}" for name, n in sorted(self.calls.counts.items()))
         if counts != self.last_report[0]:
             log.info(
@@ -172,7 +173,7 @@
         self.last_report = counts, now
 
     async def process(self, requests: Any, context: Any) -> None:
-        """One stream. Whatever ends it, the table hears of that once."""
+        """One stream. However it ends, the table hears of that once."""
         given = dict(context.invocation_metadata() or ())
         stream = self.calls.open_stream(given.get(ROLE_METADATA) == "upstream")
         cut = StreamGuard(self.loop, self.loop.time() + self.max_stream_s)
@@ -203,8 +204,8 @@
     async def exchange(
         self, stream: DownstreamStream | UpstreamStream, context: Any, cut: StreamGuard
     ) -> bool:
-        """Messages and answers, one by one; True after an immediate response, which ends the exchange, and
-        False where the other end has no more to say."""
+        """Messages and responses, one by one. True after an immediate response, which ends the exchange;
+        False where the other side has ended it."""
         while True:
             message = await context.read()
             if message is grpc.aio.EOF:
@@ -227,7 +228,7 @@
                 return True
 
     def close_stream(self, stream: DownstreamStream | UpstreamStream, cut: StreamGuard) -> None:
-        """Tells the table; a fault there must not keep the stream."""
+        """Reports the stream's end to the table; a fault there must not keep the stream."""
         try:
             stream.close(cut.has_ended_cleanly)
         except Exception:
@@ -245,7 +246,7 @@
             raise
 
     async def stop(self, grace_s: float) -> None:
-        """GOAWAY at once; streams that are open are served until they end, or the time is up."""
+        """Sends GOAWAY at once; open streams are served until they end or `grace_s` is over."""
         await self.server.stop(grace_s)
         self.log_report(self.loop.time())
         if self.sweep_timer is not None:
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -1,4 +1,4 @@
-"""Brings the front up from the operator's table."""
+"""Builds the external processor from the operator's table."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 from glenchute.config.platform import PlatformConfig
 from glenchute.core.executor import RequestExecutor
 
-from .calls import ExtProcSettings, RequestTable
 from .ratelimit import RateLimiter
 from .server import ExtProcServer, TlsCredentials
+from .settings import ExtProcSettings
+from .table import RequestTable
 from .token import TokenSigner
 
 
 def token_signer(raw: dict[str, Any]) -> TokenSigner:
-    """With the operators' key, or one of this process's own."""
+    """Signs with the operators' key, or with one of this process's own."""
     if "token_key_file" not in raw:
         return TokenSigner()
     return TokenSigner(secret_key(raw["token_key_file"], "token_key_file"))
 
 
 def tls_credentials(raw: dict[str, Any] | None) -> TlsCredentials | None:
-    """The certificates, where any are named."""
+    """The certificates that the table names, if any."""
     if raw is None:
         return None
     client_ca = read_file(raw["client_ca"], "client_ca") if "client_ca" in raw else None
@@ -34,7 +35,7 @@
 
 
 def extproc_settings(raw: dict[str, Any], config: PlatformConfig) -> tuple[ExtProcSettings, Any]:
-    """The settings of the front, and the rules for rate limit calls."""
+    """The listener's settings, and the mapping rules for rate limit calls if these are enabled."""
     facts, made = config.facts, config.settings
     requests, limits = rules(raw, facts, made.gateway_count, config.request_bounds.max_units)
     repeats = {
@@ -63,7 +64,7 @@
 def create_server(
     raw: dict[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor
 ) -> ExtProcServer:
-    """The front, not listening yet; ConfigError where a file that it needs can't be used."""
+    """The server, not listening yet; raises ConfigError where a file that it needs can't be used."""
     found, limits = extproc_settings(raw, config)
     calls = RequestTable(loop, gateway, found, token_signer(raw))
     limiter = None
--- a/glenchute/listeners/extproc/token.py
+++ b/glenchute/listeners/extproc/token.py
@@ -1,7 +1,7 @@
 """The token that goes into a request with its first decision and comes back with each of its attempts.
 
-A processor that restarted knows nothing of what its forerunner let through. The token proves what was
-decided, by whom and when; it is signed, so that a client can't make one, and it says no more than it must.
+A processor that restarted knows nothing of what its predecessor allowed. The token proves what was decided,
+by which process and when; it is signed, so that a client can't forge one.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """What a token says. `ref` names the entry in its process's table."""
+    """What a token says. `request_number` names the request in its process's table; `decided_at_ms` is Unix
+    time."""
 
     process_id: bytes
     request_number: int
@@ -32,8 +33,8 @@
 
 
 class TokenSigner:
-    """Makes and reads tokens. Without a key of the operators' each process has its own, and takes the tokens
-    of its forerunner for forged, which closes all their attempts."""
+    """Issues and verifies tokens. Without a key of the operators each process has its own, and rejects the
+    tokens of its predecessor, so that all their attempts are refused."""
 
     def __init__(self, key: bytes | None = None) -> None:
         self.key = key or os.urandom(MIN_KEY_BYTES)
@@ -42,13 +43,13 @@
         self.process_id = os.urandom(8)
 
     def issue(self, ref: int, first_ms: float, class_name: str) -> str:
-        """The text of a token, at most 256 characters."""
+        """The text of a token, at most `MAX_TOKEN_CHARS` long."""
         name = class_name.encode()[:100]
         body = HEADER.pack(VERSION, self.process_id, ref, int(first_ms), len(name)) + name
         return base64.urlsafe_b64encode(body + self.signature(body)).decode().rstrip("=")
 
     def verify(self, text: str) -> Token | None:
-        """What it says; None for what nobody signed with this key."""
+        """The token; None for anything that was not signed with this key."""
         if len(text) > MAX_TOKEN_CHARS:
             return None
         try:
@@ -64,5 +65,5 @@
         return Token(boot, ref, first, body[HEADER.size :].decode("utf-8", "replace"))
 
     def signature(self, body: bytes) -> bytes:
-        """The signature."""
+        """The truncated HMAC of a token's body."""
         return hmac.new(self.key, body, hashlib.sha256).digest()[:SIGNATURE_BYTES]
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -18,14 +18,8 @@
 
 from glenchute.core.types import Failed, FinalResponse, Rejected, Served, Streamed
 from glenchute.listeners.extproc import events as ev
-from glenchute.listeners.extproc.calls import (
-    EXPIRY_GRACE_S,
-    MAX_BODY_BYTES,
-    SWEEP_INTERVAL_S,
-    DownstreamStream,
-    RequestTable,
-    UpstreamStream,
-)
+from glenchute.listeners.extproc.streams import MAX_BODY_BYTES, DownstreamStream, UpstreamStream
+from glenchute.listeners.extproc.table import EXPIRY_GRACE_S, SWEEP_INTERVAL_S, RequestTable
 from glenchute.listeners.extproc.token import TokenSigner
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from tests.proxied import ACCOUNT, Asker, Proxy, drawn, headers, responded, ways
--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -19,7 +19,7 @@
 from google.protobuf import json_format
 
 from glenchute.config.operator import parse
-from glenchute.listeners.extproc import calls, messages, server
+from glenchute.listeners.extproc import messages, responses, server
 from tests.sites import FACTS
 
 PAGE = (Path(__file__).resolve().parents[3] / "docs" / "operators" / "extproc.md").read_text()
@@ -86,7 +86,7 @@
     )
     (early,) = manager.early_header_mutation_extensions
     gone = {each.remove for each in inner(early.typed_config, header_mutation_pb2.HeaderMutation).mutations}
-    assert gone == {calls.TOKEN_HEADER, messages.LB_ENDPOINT_KEY}
+    assert gone == {responses.TOKEN_HEADER, messages.LB_ENDPOINT_KEY}
 
 
 def test_the_nodes_are_chosen_by_the_processor() -> None:
@@ -106,15 +106,16 @@
 
 def test_the_page_names_every_header_and_reason() -> None:
     for name in (
-        calls.TOKEN_HEADER,
-        calls.RETRY_HEADER,
-        calls.REASON_HEADER,
-        calls.EFFECT_HEADER,
-        calls.ROUTE_TIMEOUT_HEADER,
+        responses.TOKEN_HEADER,
+        responses.RETRY_HEADER,
+        responses.REASON_HEADER,
+        responses.EFFECT_HEADER,
+        responses.ROUTE_TIMEOUT_HEADER,
         "retry-after",
     ):
         assert f"`{name}" in PAGE, name
-    source = Path(calls.__file__).read_text()
+    modules = Path(responses.__file__).parent.glob("*.py")
+    source = "".join(module.read_text() for module in modules)
     reasons = set(re.findall(r'failure_response\("([a-z-]+)"\)', source))
     reasons |= {"table-full", "refused", "id-in-use", "other-node"}
     for reason in reasons:
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -13,7 +13,9 @@
 
 from glenchute.core.types import Failed, FinalResponse, Rejected, Served
 from glenchute.listeners.extproc import events as ev
-from glenchute.listeners.extproc.calls import DownstreamStream, ExtProcSettings, RequestTable, UpstreamStream
+from glenchute.listeners.extproc.settings import ExtProcSettings
+from glenchute.listeners.extproc.streams import DownstreamStream, UpstreamStream
+from glenchute.listeners.extproc.table import RequestTable
 from glenchute.listeners.extproc.token import TokenSigner
 from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import MappingRules
