--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -14,18 +14,19 @@
 
 import uvloop
 
-from glenchute.clients.counter import Counter
-from glenchute.clients.discovery import Discovery
+from glenchute.clients.counter import CounterClient
+from glenchute.clients.discovery import DiscoveryClient
 from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
 from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler, EndpointUpdate
 from glenchute.listeners.resp2.commands import CommandParser
 from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.balancing.subset_size import WHOLE
-from glenchute.policy.endpoints.polling import Doubt, Terms
+from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+from glenchute.policy.endpoints.polling import PollingTerms
 from glenchute.policy.engine import DecisionEngine as Policy
-from glenchute.policy.lifecycle.draining import ACCEPT_S
-from glenchute.upstreams.connection_pool import Servers
+from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
+from glenchute.upstreams.server_pools import ServerPools
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -38,8 +39,8 @@
     from glenchute.listeners.operations import OperationsServer
     from glenchute.policy.events import Endpoint
 
-    from .aside import Aside, Reread
-    from .succession import Succession
+    from .background_reload import BackgroundReload, ReloadedFile
+    from .handover import ProcessHandover
 
 LIST_WAIT_S = 0.3  # a start waits this long for the list of the day before it serves by the saved one ...
 CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
@@ -85,7 +86,9 @@
         shared = operator.pipeline if operator is not None else None  # connections to servers
         self.servers = self.backend(shared)
         self.counter = (
-            Counter(loop, config.counter, made.counter_timeout_ms / 1000.0, config.budget.counter_connections)
+            CounterClient(
+                loop, config.counter, made.counter_timeout_ms / 1000.0, config.budget.counter_connections
+            )
             if config.counter
             else None
         )
@@ -118,40 +121,48 @@
         self.extproc: ExtProc | None = None
         if operator is not None and operator.fronts and "extproc" in operator.fronts:
             self.extproc = self.processing(operator.fronts["extproc"])
-        self.succession = self.succeeding() if self.passed is not None else None
+        self.handover = self.make_handover() if self.passed is not None else None
         self.operations = self.operating() if config.operations_address is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
-        self.doubt = Doubt() if asked.get("doubt") else None
-        self.discovery = Discovery(
-            loop, config.discovery, self.listed, self.terms(asked), config.seed, self.doubt, self.serving
+        self.list_confirmation = ListConfirmation() if asked.get("doubt") else None
+        self.discovery = DiscoveryClient(
+            loop,
+            config.discovery,
+            self.listed,
+            self.terms(asked),
+            config.seed,
+            self.list_confirmation,
+            self.serving,
         )
-        self.discovery.restrain = self.gateway.update_endpoints
+        self.discovery.on_restriction = self.gateway.update_endpoints
         if self.fleet is not None:
             self.fleet.follow, self.fleet.counter = self.gateway.update_endpoints, self.counter
         # What of the operator's file holds until a restart.
         self.begun = started(operator) if operator is not None else None
-        self.aside: Aside[Reread] | None = None  # the reading of that file again
+        self.background_reload: BackgroundReload[ReloadedFile] | None = None  # the reading of that file again
         self.stopping = asyncio.Event()
 
-    def terms(self, asked: dict[str, Any]) -> Terms:
+    def terms(self, asked: dict[str, Any]) -> PollingTerms:
         """Who shares discovery, and what it bears."""
         # Who tells what the service bears, or has gateways ask for each other, has a shared one.
         pushed = not self.config.settings.must_subscribe and not asked and self.fleet is None
-        terms = Terms(self.config.settings.gateway_count, self.config.gateway_number, pushed=pushed)
-        return terms._replace(rate=asked.get("calls_per_s", terms.rate), list_age_s=asked.get("list_age_s"))
+        terms = PollingTerms(self.config.settings.gateway_count, self.config.gateway_number, is_pushed=pushed)
+        return terms._replace(
+            rate_per_s=asked.get("calls_per_s", terms.rate_per_s), max_list_age_s=asked.get("list_age_s")
+        )
 
     def serving(self) -> bool:
         """Whether servers answer, as far as anybody has asked them."""
         return self.gateway.last_failure_at - self.gateway.last_response_at < SERVING_S
 
-    def backend(self, shared: dict[str, Any] | None) -> Servers:
+    def backend(self, shared: dict[str, Any] | None) -> ServerPools:
         """The connections to the servers: one for each attempt, or shared where the operator's file says
         so."""
         if shared is None:
-            return Servers(self.loop, self.config.limits)
-        from .lines import backend
+            return ServerPools(self.loop, self.config.limits)
+        from .pipelined_upstream import pipelined_upstream
 
-        return backend(shared, self.config, self.loop)
+        return pipelined_upstream(shared, self.config, self.loop)
 
     def narrowed(
         self, decisions: DecisionHandler, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
@@ -168,7 +179,7 @@
     def narrow(self) -> None:
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
         told of some servers. It stands as with `[subset]`: behind members' words, before the recorder."""
-        rows, servers = self.discovery.held.rows, self.servers
+        rows, servers = self.discovery.current_list.rows, self.servers
         listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
         if self.fleet is not None:
             self.fleet.telling.module = self.narrowed(self.fleet.telling.module, {}, listed)
@@ -231,31 +242,33 @@
         listener = self.listener
 
         def ready() -> tuple[int, str]:
-            return (200 if listener.lifecycle.ready else 503), listener.lifecycle.phase.value
+            return (200 if listener.lifecycle.is_ready else 503), listener.lifecycle.phase.value
 
         def on() -> tuple[int, str]:
             listener.start_drain()
             if self.fleet is not None:
                 self.fleet.rest(on=True)
-            return (200 if listener.lifecycle.parting else 409), listener.lifecycle.phase.value
+            return (200 if listener.lifecycle.is_closing_connections else 409), listener.lifecycle.phase.value
 
         def off() -> tuple[int, str]:
             listener.end_drain()
             if self.fleet is not None:
                 self.fleet.rest(on=False)
-            return (200 if listener.lifecycle.ready else 409), listener.lifecycle.phase.value
+            return (200 if listener.lifecycle.is_ready else 409), listener.lifecycle.phase.value
 
         return OperationsServer(
             self.loop,
             {"/_ready": {"GET": ready}, "/_lameduck/on": {"PUT": on}, "/_lameduck/off": {"PUT": off}},
         )
 
-    def succeeding(self) -> Succession | None:
+    def make_handover(self) -> ProcessHandover | None:
         """The way to the processes before and after; imported only where the platform replaces them."""
-        from .succession import Succession
+        from .handover import ProcessHandover
 
         folder = self.environ.get("TMPDIR")
-        return Succession.of(folder, self.config, self.loop, self.gateway, self.listener, self.servers)
+        return ProcessHandover.create(
+            folder, self.config, self.loop, self.gateway, self.listener, self.servers
+        )
 
     def bind(self, operator: OperatorConfig) -> None:
         """The operator's routes hold for requests from the start on."""
@@ -292,27 +305,28 @@
             await self.operations.start(*self.config.operations_address)
         if self.config.cached_endpoints is not None:
             self.gateway.update_endpoints(self.config.cached_endpoints)
-            if self.doubt is not None:
-                self.doubt.follow(self.config.cached_endpoints.version, self.config.cached_endpoints.event)
+            if self.list_confirmation is not None:
+                saved = self.config.cached_endpoints
+                self.list_confirmation.apply(saved.version, saved.event)
         asks = self.fleet is not None and self.fleet.begin(self.config.cached_endpoints, self.discovery)
-        awaited = self.discovery.begin(self.config.cached_endpoints, LIST_WAIT_S, asks)
+        awaited = self.discovery.start(self.config.cached_endpoints, LIST_WAIT_S, asks)
         if self.fleet is not None:
             await self.fleet.start()
         if self.control is not None:
             await self.control.start()
-        if self.succession is not None:
-            await self.succession.take()
+        if self.handover is not None:
+            await self.handover.request_state()
         # The saved list may be old: a moment is given for today's, but no start hangs on discovery. Where the
         # turn to ask comes later than that, the saved list serves until then.
         if awaited:
             # A process that gets little of its core makes the call late: that time is not the agent's.
-            await wait(self.discovery.called, CALL_WAIT_S)
-            await wait(self.discovery.first, LIST_WAIT_S)
+            await wait(self.discovery.first_poll_made, CALL_WAIT_S)
+            await wait(self.discovery.first_answer, LIST_WAIT_S)
         if self.stopping.is_set():
             return
         await self.listener.start(*self.config.listen, self.passed)
-        if self.succession is not None:
-            await self.succession.open()
+        if self.handover is not None:
+            await self.handover.start_serving()
         if self.extproc is not None:
             await self.extproc.start()
 
@@ -334,9 +348,9 @@
             seed=self.config.seed,
         ) != replace(self.config, cached_endpoints=None):
             log.warning("what changed besides the addresses of discovery and counter waits for a restart")
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
         self.config = replace(self.config, discovery=config.discovery, counter=config.counter)
         if self.environ.get(OPERATOR_FILE_VARIABLE):
             self.reread(self.environ[OPERATOR_FILE_VARIABLE], config)
@@ -344,13 +358,13 @@
     def reread(self, path: str, config: PlatformConfig) -> None:
         """Reads the operator's file beside the loop, as it may take long; `follow` is told what came of it.
         Asked for again meanwhile, it is read once more afterwards."""
-        from .aside import Aside
+        from .background_reload import BackgroundReload
 
-        if self.aside is None:
-            self.aside = Aside(self.loop, self.follow)
-        self.aside.ask(partial(read_again, path, config))
+        if self.background_reload is None:
+            self.background_reload = BackgroundReload(self.loop, self.follow)
+        self.background_reload.submit(partial(read_again, path, config))
 
-    def follow(self, found: Reread | Exception) -> None:
+    def follow(self, found: ReloadedFile | Exception) -> None:
         """A sound file's routes hold for requests from now on; a wrong one changes nothing. Each is told."""
         if isinstance(found, Exception):
             fault = None if isinstance(found, ConfigError) else found
@@ -360,7 +374,7 @@
         self.gateway.routes = found.routes.inherit_budgets(routes) if routes is not None else found.routes
         self.tell(found, 0)
 
-    def tell(self, found: Reread, first: int) -> None:
+    def tell(self, found: ReloadedFile, first: int) -> None:
         """Logs what was read, some lines a turn of the loop: a file may have a warning for each route."""
         for line in found.warnings[first : first + LINES_A_TURN]:
             log.warning("%s", line)
@@ -378,13 +392,13 @@
         proxies = None
         if self.extproc is not None:
             # GOAWAY at once: a proxy opens its next stream elsewhere, and what is open is served to its end.
-            proxies = self.loop.create_task(self.extproc.stop(self.listener.lifecycle.leave_s))
+            proxies = self.loop.create_task(self.extproc.stop(self.listener.lifecycle.shutdown_grace_s))
         if self.fleet is not None:
             self.fleet.leave(replaced=self.passed is not None)
         self.listener.start_shutdown(replaced=self.passed is not None)
-        end = began + self.listener.lifecycle.leave_s  # what is still held then is answered and left
+        end = began + self.listener.lifecycle.shutdown_grace_s  # what is still held then is answered and left
         if self.passed is None:
-            await asyncio.sleep(ACCEPT_S)
+            await asyncio.sleep(SHUTDOWN_ACCEPT_S)
             # Closing the socket resets those that wait to be accepted, with requests that have been taken. A
             # process that stood still meanwhile finds them all here.
             while self.listener.has_pending_accept() and self.loop.time() < end:
@@ -403,8 +417,8 @@
         self.listener.close()
         if self.operations is not None:
             self.operations.close()
-        if self.succession is not None:
-            self.succession.close()
+        if self.handover is not None:
+            self.handover.close()
         if self.extproc is not None:
             await self.extproc.stop(0.0)
         if self.fleet is not None:
@@ -456,18 +470,18 @@
     return reading.config, lines
 
 
-def read_again(path: str, config: PlatformConfig) -> Reread:
+def read_again(path: str, config: PlatformConfig) -> ReloadedFile:
     """What a sound operator's file brings to a gateway that serves; ConfigError for a wrong one. Touches
     nothing else, so that it may run beside the loop."""
     from glenchute.policy.retries.route_limits import RouteTable
 
-    from .aside import Pace, Reread
+    from .background_reload import ReloadedFile, TimeSlices
 
     try:
-        operator, warnings = checked(path, config, Pace().rest)
+        operator, warnings = checked(path, config, TimeSlices().yield_if_over)
     except ConfigError as error:
         raise error.with_traceback(None) from None  # that holds all findings, to be freed on the loop
-    return Reread(RouteTable(operator.bindings, config.seed), started(operator), warnings)
+    return ReloadedFile(RouteTable(operator.bindings, config.seed), started(operator), warnings)
 
 
 def read_operator(path: str, config: PlatformConfig) -> OperatorConfig:
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -22,15 +22,10 @@
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import members as membership
-from glenchute.policy.membership.direct_messages import (
-    DirectMessenger,
-    GatewayRing,
-    UsageMessage,
-    UsageRequest,
-    gateway_numbers,
-)
+from glenchute.policy.membership.direct_messages import DirectMessenger, UsageMessage, UsageRequest
 from glenchute.policy.membership.endpoint_health import EndpointHealth
 from glenchute.policy.membership.endpoint_sharing import POLLER_WATCH_S, SharedEndpointList
+from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.gossip import Delta, Gossip, GossipSettings, ReceivedRow
 from glenchute.policy.membership.gossiped_drains import GossipedDrains
 from glenchute.policy.membership.leases import LeaseMessage, LeaseTerms
@@ -52,7 +47,7 @@
 from .usage_reports import UsageReporter
 
 if TYPE_CHECKING:
-    from glenchute.clients.discovery import Discovery
+    from glenchute.clients.discovery import DiscoveryClient
 
 AUDIT_S = 10.0  # copies that differ for so long are told of
 TICK_S = 0.025
@@ -100,7 +95,7 @@
         self.use_audit = UsageAudit()
         self.counter: SharedCounter | None = None
         self.runner = self.running(raw["leases"], rng) if "leases" in raw else None
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.follow: Callable[[EndpointUpdate], None] | None = None  # takes what others heard of servers
         self.places: dict[str, Address] = {}  # servers' addresses, as discovery told them here
         self.transport: asyncio.DatagramTransport | None = None
@@ -262,10 +257,10 @@
             return
         self.gossip.publish(self.loop.time(), row, len(self.members.members))
 
-    def begin(self, known: EndpointUpdate | None, discovery: Discovery) -> bool:
+    def begin(self, known: EndpointUpdate | None, discovery: DiscoveryClient) -> bool:
         """Before discovery is asked, with the saved list. Whether this gateway asks for all, and does so at
         once."""
-        discovery.confirmed = self.confirmed
+        discovery.on_confirmed = self.confirmed
         if known is not None:
             self.learn(known)
         if self.lists is None:
@@ -274,8 +269,8 @@
         if known is not None:
             self.lists.receive_discovery(self.loop.time(), known.version, True, servers_of(known), ())
             self.lists.confirmed_at = -1e9  # by nobody of late
-        discovery.others = self.leave_alone
-        discovery.watch.longest_s = POLLER_WATCH_S
+        discovery.delegated_for_s = self.leave_alone
+        discovery.watch.max_wait_s = POLLER_WATCH_S
         return self.lists.is_poller(self.there())
 
     def confirmed(self, version: int) -> None:
@@ -307,7 +302,7 @@
             Endpoint(r.endpoint, r.zone, r.cell, r.weight, r.started_ms, states[r.state]) for r in rows
         )
         addresses = {row.endpoint: address_of(row.address) for row in rows if row.address and row.state == 0}
-        self.discovery.since = self.lists.version
+        self.discovery.version = self.lists.version
         self.restraint.apply_discovery_list(self.lists.version, False, entries)
         self.places |= addresses
         self.follow(
@@ -422,7 +417,7 @@
                     self.runner.is_holder(coldstart.POLL_TASK),
                 )
                 if self.lists.is_lease_holder and not leased and self.discovery is not None:
-                    self.discovery.hurry()
+                    self.discovery.resume_polling()
         if self.lists is not None:
             self.shared(self.lists.tick(now, self.there()), [])
         self.replica.expire(now)
--- a/glenchute/listeners/operations/server.py
+++ b/glenchute/listeners/operations/server.py
@@ -1,5 +1,7 @@
-"""HTTP/1.1 at the second address, one call to a connection. What a call does is `actions` of whoever starts
-it. It runs in the gateway's loop, each turn of which is bounded.
+"""HTTP/1.1 server of the operations address, with one request per connection.
+
+What a request does is given by the `Routes` of whoever starts the server. It runs in the gateway's event
+loop, so every limit here bounds one turn of it.
 """
 
 from __future__ import annotations
@@ -11,157 +13,160 @@
 
 import h11
 
-from glenchute.policy.connections.operator_slots import Callers
+from glenchute.policy.connections.operator_slots import OperatorSlots
 
 log = logging.getLogger("glenchute")
 
-MOST_CALLERS = 8  # connections at once
-MOST_HEAD = 4096  # bytes of a call's head
-MOST_BODY = 4096  # bytes that may follow it; none is needed
-PATIENCE_S = 5.0  # a call that is not finished by then is ended
-SWEEP_S = 0.5
+MAX_CONNECTIONS = 8
+MAX_HEAD_BYTES = 4096
+MAX_BODY_BYTES = 4096  # no request needs a body; a small one is ignored
+REQUEST_TIMEOUT_S = 5.0  # from the connection to the end of the request
+SWEEP_INTERVAL_S = 0.5
+LISTEN_BACKLOG = 64
 
-Action = Callable[[], tuple[int, str]]  # what a call does: the status, and a line for people
-Actions = Mapping[str, Mapping[str, Action]]  # by path, then by method
+Handler = Callable[[], tuple[int, str]]  # executes a request; the status, and a line of text for people
+Routes = Mapping[str, Mapping[str, Handler]]  # by path, then by method
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """One answer."""
+class Response:
+    """One response."""
 
     status: int
     text: str
-    allow: str = ""
+    allow: str = ""  # the Allow header; empty: none
 
 
-def respond(actions: Actions, method: str, target: str) -> Reply:
-    """The answer to a call, which is carried out with it."""
-    methods = actions.get(target.partition("?")[0])
-    if methods is None:
-        return Reply(404, "no such call")
-    action = methods.get(method)
-    if action is None:
-        return Reply(405, "not by this method", ", ".join(sorted(methods)))
-    return Reply(*action())
+def respond(routes: Routes, method: str, target: str) -> Response:
+    """Executes a request and returns its response."""
+    handlers = routes.get(target.partition("?")[0])
+    if handlers is None:
+        return Response(404, "no such call")
+    handler = handlers.get(method)
+    if handler is None:
+        return Response(405, "not by this method", ", ".join(sorted(handlers)))
+    return Response(*handler())
 
 
-class Caller(asyncio.Protocol):
-    """One connection: a call, its answer, the end."""
+class OperatorConnection(asyncio.Protocol):
+    """One connection: a request, its response, the end."""
 
     def __init__(self, server: OperationsServer) -> None:
         self.server = server
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.request: h11.Request | None = None
-        self.body = 0
-        self.answered = False
+        self.body_bytes = 0
+        self.is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        for other in self.server.callers.came(self.server.loop.time(), self):
-            other.abort()
+        for evicted in self.server.slots.add(self.server.loop.time(), self):
+            evicted.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.server.callers.left(self)
+        self.server.slots.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
-            return  # one call to a connection: what follows is thrown away until the caller closes
+        if self.is_answered:
+            return  # whatever follows the one request is discarded until the client closes
         try:
             self.http.receive_data(data)
-            self.read()
+            self._process_events()
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint
-            self.reply(Reply(status if 400 <= status < 500 else 400, "not a call"))
+            self._send_response(Response(status if 400 <= status < 500 else 400, "not a call"))
 
     def eof_received(self) -> bool:
-        return self.answered  # a caller that has shut its side may still wait for its answer
+        return self.is_answered  # a client that has shut down its side may still read its response
 
-    def read(self) -> None:
-        """Goes on with what has come."""
-        while not self.answered:
+    def _process_events(self) -> None:
+        """Parses what has been received, until more is needed or the request is answered."""
+        while not self.is_answered:
             event = self.http.next_event()
             if isinstance(event, h11.Request):
                 self.request = event
                 if self.http.they_are_waiting_for_100_continue:
-                    self.write(h11.InformationalResponse(status_code=100, headers=[]))
+                    self._send(h11.InformationalResponse(status_code=100, headers=[]))
             elif isinstance(event, h11.Data):
-                self.body += len(event.data)
-                if self.body > MOST_BODY:
-                    self.reply(Reply(413, "no body is needed"))
+                self.body_bytes += len(event.data)
+                if self.body_bytes > MAX_BODY_BYTES:
+                    self._send_response(Response(413, "no body is needed"))
             elif isinstance(event, h11.EndOfMessage) and self.request is not None:
                 method = self.request.method.decode("ascii", "replace")
-                self.reply(self.server.respond(method, self.request.target.decode("ascii", "replace")))
+                target = self.request.target.decode("ascii", "replace")
+                self._send_response(self.server.respond(method, target))
             else:
                 return
 
-    def reply(self, reply: Reply) -> None:
-        """The one answer; then the own side is shut, and the other end closes."""
-        self.answered = True
-        text = f"{reply.text}\n".encode("ascii", "replace")
+    def _send_response(self, response: Response) -> None:
+        """Sends the one response and shuts down this side; the client closes the connection."""
+        self.is_answered = True
+        text = f"{response.text}\n".encode("ascii", "replace")
         headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(text)))]
         headers.append(("Connection", "close"))
-        if reply.allow:
-            headers.append(("Allow", reply.allow))
-        self.write(h11.Response(status_code=reply.status, headers=headers))
-        self.write(h11.Data(data=text))
-        self.write(h11.EndOfMessage())
+        if response.allow:
+            headers.append(("Allow", response.allow))
+        self._send(h11.Response(status_code=response.status, headers=headers))
+        self._send(h11.Data(data=text))
+        self._send(h11.EndOfMessage())
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write_eof()
 
-    def write(self, event: h11.Event) -> None:
-        """Sends one part of an answer."""
+    def _send(self, event: h11.Event) -> None:
         data = self.http.send(event)
         if data and self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Ends the connection, whatever has come."""
+        """Closes the connection, answered or not."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class OperationsServer:
-    """The listener at the second address."""
+    """The listener at the operations address."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, actions: Actions) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, routes: Routes) -> None:
         self.loop = loop
-        self.actions = actions
-        self.callers: Callers[Caller] = Callers(MOST_CALLERS, PATIENCE_S)
+        self.routes = routes
+        self.slots: OperatorSlots[OperatorConnection] = OperatorSlots(MAX_CONNECTIONS, REQUEST_TIMEOUT_S)
         self.server: asyncio.Server | None = None
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listens on this address only; OSError where that can't be."""
-        self.server = await self.loop.create_server(lambda: Caller(self), host, port, backlog=64)
-        self.sweep()
+        """Listens on this address; OSError if that fails."""
+        self.server = await self.loop.create_server(
+            lambda: OperatorConnection(self), host, port, backlog=LISTEN_BACKLOG
+        )
+        self._sweep()
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens on."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
-    def respond(self, method: str, target: str) -> Reply:
-        """The answer to a call. A fault of ours is logged and answered."""
+    def respond(self, method: str, target: str) -> Response:
+        """Executes a request. An exception of its handler is logged and answered with 500."""
         try:
-            return respond(self.actions, method, target)
+            return respond(self.routes, method, target)
         except Exception:
             log.exception("a call at the second address failed")
-            return Reply(500, "failed")
+            return Response(500, "failed")
 
-    def sweep(self) -> None:
-        """Ends callers whose time is up."""
-        for caller in self.callers.late(self.loop.time()):
-            caller.abort()
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
+    def _sweep(self) -> None:
+        """Closes connections whose time is up, again and again."""
+        for connection in self.slots.remove_expired(self.loop.time()):
+            connection.abort()
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
         """The end of the process."""
         if self.server is not None:
             self.server.close()
-        if self.sweeper is not None:
-            self.sweeper.cancel()
-        for caller in list(self.callers.held):
-            caller.abort()
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
+        for connection in list(self.slots.opened_at):
+            connection.abort()
--- a/tests/system/test_crossings.py
+++ b/tests/system/test_crossings.py
@@ -35,12 +35,18 @@
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.policy.lifecycle import draining as lifecycle
-from glenchute.policy.lifecycle.draining import ACCEPT_S, KILL_S, MOST_HELD_S, Lifecycle
+from glenchute.policy.lifecycle.draining import (
+    KILL_DELAY_S,
+    MAX_COUNTED_DEADLINE_S,
+    SHUTDOWN_ACCEPT_S,
+    ProcessLifecycle,
+)
 from glenchute.protocol import resp2 as resp
-from glenchute.upstreams.connection_pool import SETTLE_S
+from glenchute.upstreams.connection_pool import REUSE_DELAY_S
 from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
 from lab.site import free_port
-from tests.clients.test_peers import patient, start
+from tests.cli.test_process import connect_when_ready, start
+from tests.clients.manual_discovery import ManualDiscovery
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -54,7 +60,6 @@
     send_to,
     site,
 )
-from tests.policy.endpoints.test_watch import Held
 
 READ = (b"CALL.GET", CUSTOMER)
 
@@ -127,13 +132,13 @@
 async def queued_while_it_stood(one: Whole) -> None:
     """A connection and its request wait to be accepted while the process stands still past the accept time:
     the machine has taken them, and closing the listening socket would reset them."""
-    asker = await patient(one.listen)
+    asker = await connect_when_ready(one.listen)
     one.signal(signal.SIGTERM)
     await one.leaving(asker)
     one.signal(signal.SIGSTOP)
     late = await Client.connect(one.listen)  # by the machine: the process does not run
     late.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await asyncio.sleep(ACCEPT_S + 0.2)  # its timer is due before its sockets are looked at
+    await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # its timer is due before its sockets are looked at
     one.release.set()
     one.signal(signal.SIGCONT)
     assert await late.reply() == b"value"
@@ -141,7 +146,7 @@
 
 async def twice(one: Whole) -> None:
     """The second signal neither ends it sooner nor begins the end anew."""
-    held = await patient(one.listen)
+    held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -154,7 +159,7 @@
 
 async def half_a_command(one: Whole) -> None:
     """Its end comes after the signal: it is taken and answered."""
-    half = await patient(one.listen)
+    half = await connect_when_ready(one.listen)
     data = packed(b"CALL.POST", CUSTOMER, b"1", ORDER)
     half.writer.write(data[:-9])
     await asyncio.sleep(0.05)
@@ -168,7 +173,7 @@
 
 async def pipelined_behind_the_last(one: Whole) -> None:
     """A second command waits behind one that is open at the signal: both are answered before the end."""
-    both = await patient(one.listen)
+    both = await connect_when_ready(one.listen)
     both.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -182,7 +187,7 @@
 
 async def hanging_server(one: Whole) -> None:
     """Nothing answers: what is held gets its final answer before the kill."""
-    held = await patient(one.listen)
+    held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
@@ -205,9 +210,9 @@
     """Discovery holds the start's call until the signal has been sent."""
 
     async def scenario() -> None:
-        agent = Held()
+        agent = ManualDiscovery()
         async with whole(tmp_path, agent) as one:
-            await agent.call(0)
+            await agent.poll(0)
             one.signal(signal.SIGTERM)
             assert await one.process.wait() == 0
             with pytest.raises(ConnectionRefusedError):
@@ -220,7 +225,7 @@
     """Discovery and counter say nothing, no list is saved; the process runs for 20 ms of each 100."""
 
     async def scenario() -> None:
-        agent = Held()
+        agent = ManualDiscovery()
         async with whole(tmp_path, agent, counter=None, saved=False) as one:
 
             async def fifth() -> None:
@@ -232,7 +237,7 @@
 
             task = asyncio.create_task(fifth())
             async with asyncio.timeout(10.0):
-                asker = await patient(one.listen)
+                asker = await connect_when_ready(one.listen)
                 assert await asker.ask(b"PING") == b"PONG"
             task.cancel()
             one.signal(signal.SIGCONT)
@@ -243,13 +248,15 @@
 @pytest.mark.parametrize("longest_s", [0.05, 0.15, 0.8, 1.5, 3.0, 6.0, 60.0])
 def test_all_is_over_before_the_kill_however_short_deadlines_are(longest_s: float) -> None:
     """The kill comes no sooner than the longest deadline, three seconds at most, and 0.7 s more."""
-    life = Lifecycle(longest_s)
-    kill = min(longest_s, MOST_HELD_S) + KILL_S
-    assert ACCEPT_S < life.leave_s <= kill - 0.2
-    life.serving(0.0)
-    life.leave(1.0, False)
-    assert life.borne(1.0 + life.leave_s) == 0.0, "an idle connection would be open at the end"
-    assert life.borne(1.0 + ACCEPT_S - 0.01) == float("inf")
+    life = ProcessLifecycle(longest_s)
+    kill = min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
+    assert SHUTDOWN_ACCEPT_S < life.shutdown_grace_s <= kill - 0.2
+    life.begin_serving(0.0)
+    life.begin_shutdown(1.0, False)
+    assert life.idle_limit_s(1.0 + life.shutdown_grace_s) == 0.0, (
+        "an idle connection would be open at the end"
+    )
+    assert life.idle_limit_s(1.0 + SHUTDOWN_ACCEPT_S - 0.01) == float("inf")
 
 
 def test_with_short_deadlines_idle_connections_go_before_the_kill(tmp_path: Path) -> None:
@@ -258,7 +265,7 @@
 
     async def scenario() -> None:
         async with whole(tmp_path, longest_ms=200.0) as one:
-            held, idle = await patient(one.listen), await Client.connect(one.listen)
+            held, idle = await connect_when_ready(one.listen), await Client.connect(one.listen)
             assert await idle.ask(b"PING") == b"PONG"
             held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
             await until(lambda: one.server.calls())
@@ -268,7 +275,7 @@
             assert str(await held.reply()) == "ERR failed"
             assert await idle.ended() and await one.process.wait() == 0
             # The kill comes after 0.9 s; a process that took 1.5 s for its idle connections was ended by it.
-            assert loop.time() - began < lifecycle.ACCEPT_S + lifecycle.QUIET_S
+            assert loop.time() - began < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
 
     play(scenario())
 
@@ -366,11 +373,11 @@
             one.program.servers.activate_server("s0", ("127.0.0.1", port), False)
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.coming) == 1)
+            await until(lambda: len(one.program.servers.connecting) == 1)
             end(client, how)
             await until(lambda: script.of(AttemptEnded))
             assert [(e.outcome, e.is_final) for e in script.of(AttemptEnded)] == [(Outcome.NOT_SENT, True)]
-            await until(lambda: not one.program.servers.coming)
+            await until(lambda: not one.program.servers.connecting)
 
     play(scenario())
 
@@ -586,7 +593,7 @@
     """It drains, is gone, and comes back elsewhere, while an attempt connects to the old place."""
 
     async def scenario() -> None:
-        agent, script = Held(), Script(send_to("s0"))
+        agent, script = ManualDiscovery(), Script(send_to("s0"))
         asyncio.get_running_loop().create_task(agent.answer(0, listing(2, [], full=False)))
         new = RespPeer(always(SERVED))
         await new.start()
@@ -595,7 +602,7 @@
             await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.coming) == 1)
+            await until(lambda: len(one.program.servers.connecting) == 1)
             await agent.answer(2, listing(4, [row("s0", port, "Terminating")], full=False))
             await agent.answer(3, listing(5, [row("s0", port, "Gone")], full=False))
             await agent.answer(4, listing(6, [row("s0", new.port, started_ms=5.0)], full=False))
@@ -747,7 +754,7 @@
         heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await rested(one, 12)
-            await asyncio.sleep(2.0 * SETTLE_S)  # before that they are not used again
+            await asyncio.sleep(2.0 * REUSE_DELAY_S)  # before that they are not used again
             heard.endings.clear()
             socks.append(raw_client(one, *reads(1)))
             await until(lambda: not socks)
@@ -777,7 +784,7 @@
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script, operator=operator) as one:
             sock = raw_client(one, *reads(MAX_PENDING_COMMANDS))
-            while not one.program.servers.coming:
+            while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
@@ -845,7 +852,7 @@
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             client = await one.client()
             client.send(*READ, b"1", GET)
-            while not one.program.servers.coming:
+            while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             time.sleep(BUSY_S)
             assert await client.reply() == b"value"
