--- a/glenchute/core/endpoint_updates.py
+++ b/glenchute/core/endpoint_updates.py
@@ -11,7 +11,7 @@
 from .types import EndpointUpdate, UpstreamServers
 
 if TYPE_CHECKING:
-    from glenchute.policy.balancing.hash_ring import Placed
+    from glenchute.policy.balancing.hash_ring import RingedEndpoints
 
 BULK_ROWS = 256  # updates of more rows go to the upstream in one call
 
@@ -57,11 +57,11 @@
         False, with nothing done, where a server has several rows.
         """
         event, before, addresses = update.event, self.started_ms, update.addresses
-        placed: Placed | None = getattr(event.endpoints, "placed", None)
+        placed: RingedEndpoints | None = getattr(event.endpoints, "as_ringed", None)
         entries = event.endpoints
         if placed is not None:
-            listed: Collection[str] = placed.pairs
-            started = placed.started
+            listed: Collection[str] = placed.listed_servers
+            started = placed.started_ms
         else:
             listed = {entry.address for entry in entries}
             if len(listed) < len(entries):
