--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -27,7 +27,7 @@
 )
 from tests.loopback import always, play, raw_config, site
 from tests.sites import FACTS, NO_SCOPE
-from tests.upstreams.test_lines_loopback import Book, burst, reads, sharing
+from tests.upstreams.test_pipelined_servers import Book, burst, reads, sharing
 
 ROOT = Path(__file__).resolve().parents[2]
 HERE = replace(FACTS, max_streams=32)
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -152,7 +152,7 @@
 def test_askers_that_keep_their_connection_leave_room_for_the_next(pinging: int, silent: int) -> None:
     """Once with places left over, where only the clients' own third is short, and once with none. A place
     kept for its whole time is free too late for those who wait. From which rates on anybody has to wait is
-    held by a played clock in `test_places.py`."""
+    held by a played clock in `test_client_slots.py`."""
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0")), sockets=SOCKETS) as one:
--- /dev/null
+++ b/tests/policy/connections/test_pipelining.py
@@ -0,0 +1,508 @@
+"""The pipeline scheduler against its invariants, over generated histories, and by examples."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+from typing import Any
+
+import pytest
+from hypothesis import HealthCheck, settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
+
+from glenchute.policy.connections.class_compatibility import ClassCompatibility, Compatibility
+from glenchute.policy.connections.depth_limit import SAMPLES_PER_UPDATE, DepthLimit
+from glenchute.policy.connections.pipeline_types import (
+    AbortConnection,
+    AbortReason,
+    HedgeAttempt,
+    PipelineRules,
+    PlacementKind,
+    PlacementRequest,
+    StopJoining,
+    placement_request,
+)
+from glenchute.policy.connections.pipelining import PipelineScheduler
+from glenchute.policy.connections.service_times import UPPER_EDGES_MS, LatencyHistogram, ServiceTimes
+from glenchute.policy.settings import Idempotency, IdempotencyScope, RequestClass
+
+READ = RequestClass("read", 1000.0, 1.0, Idempotency.IDEMPOTENT)
+ORDER = RequestClass("order", 1500.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 800.0)
+CHARGE = RequestClass("charge", 2500.0, 2.0, Idempotency.NON_IDEMPOTENT)
+CLASSES = {cls.name: cls for cls in (READ, ORDER, CHARGE)}
+RULES = PipelineRules(max_depth=4, max_queued_per_server=6, settle_ms=0.0)
+
+
+def scheduler_with_samples(
+    rules: PipelineRules = RULES, may_follow_unsafe: bool = False, mean_ms: float = 50.0
+) -> PipelineScheduler:
+    """A scheduler with enough samples of each class."""
+    scheduler = PipelineScheduler(
+        rules, ClassCompatibility(CLASSES.values(), ("read", "order"), may_follow_unsafe)
+    )
+    for name in CLASSES:
+        for share in range(100):
+            scheduler.times.add(0.0, name, "n", mean_ms * (0.5 + share / 100.0), False)
+    scheduler.server("n").depth_limit.limit = float(rules.max_depth)
+    return scheduler
+
+
+def request_of(
+    now: float, name: str = "read", timeout: float = 900.0, left: float = 2000.0, again: bool = True
+) -> PlacementRequest:
+    return placement_request(
+        CLASSES[name], 50.0, now, now + min(timeout, left), now, now + left, math.inf, again
+    )
+
+
+def yes() -> bool:
+    return True
+
+
+def no() -> bool:
+    return False
+
+
+@dataclass
+class InFlight:
+    """An attempt, in the test's model."""
+
+    request: PlacementRequest
+    connection_id: int
+    bound: float
+    unsafe: bool
+
+
+class SchedulerMachine(RuleBasedStateMachine):
+    """Attempts are placed, connections come up, answer, stall, break, drain; the invariants hold at each
+    step."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.now = 1000.0
+        self.serial = 0
+        self.pipeline_rules = RULES
+        self.in_flight: dict[int, InFlight] = {}
+        self.connections: dict[int, list[int]] = {}
+        self.opening: set[int] = set()
+        self.finished: set[int] = set()
+
+    @initialize(depth=st.integers(2, 6), max_queued=st.integers(1, 8), may_hedge=st.booleans(),
+                may_follow_unsafe=st.booleans(), settle=st.sampled_from([0.0, 30.0]))  # fmt: skip
+    def begin(
+        self, depth: int, max_queued: int, may_hedge: bool, may_follow_unsafe: bool, settle: float
+    ) -> None:
+        self.pipeline_rules = PipelineRules(
+            max_depth=depth, max_queued_per_server=max_queued, may_hedge=may_hedge, settle_ms=settle
+        )
+        self.scheduler = scheduler_with_samples(self.pipeline_rules, may_follow_unsafe)
+        for name in ("n", "m"):
+            for _ in range(100):  # queued attempts are answered in time
+                self.scheduler.server(name).depth_limit.on_reply(0.8, True)
+
+    def finish(self, attempt_id: int) -> None:
+        assert attempt_id not in self.finished, "finished twice"
+        self.finished.add(attempt_id)
+        del self.in_flight[attempt_id]
+
+    def close(self, connection_id: int, has_failed: bool) -> None:
+        for attempt_id in self.connections.pop(connection_id):
+            self.finish(attempt_id)
+        self.opening.discard(connection_id)
+        self.scheduler.on_closed(connection_id, has_failed)
+
+    @rule(name=st.sampled_from(["read", "read", "order", "charge"]), server=st.sampled_from("nm"),
+          timeout=st.integers(60, 900), left=st.integers(60, 3000), again=st.booleans(),
+          may_open=st.booleans(), count=st.integers(1, 6))  # fmt: skip
+    def place(
+        self, name: str, server: str, timeout: int, left: int, again: bool, may_open: bool, count: int
+    ) -> None:
+        for _ in range(count):
+            self.serial += 1
+            wanted = request_of(self.now, name, float(timeout), float(left), again)
+            found = self.scheduler.place(self.now, server, self.serial, wanted, yes if may_open else no)
+            if found.kind in (PlacementKind.WAIT, PlacementKind.NONE):
+                assert (
+                    found.kind is PlacementKind.NONE
+                    or found.until_ms <= self.now + self.pipeline_rules.max_wait_ms
+                )
+                continue
+            if found.kind is PlacementKind.OPEN:
+                assert may_open and found.connection_id not in self.connections
+                self.connections[found.connection_id] = []
+                self.opening.add(found.connection_id)
+            ahead_ids = self.connections[found.connection_id]
+            unsafe = name == "charge"
+            if ahead_ids:
+                assert found.kind is PlacementKind.JOIN
+                assert not unsafe and again, "queued where an abort leaves its outcome unknown"
+                assert found.until_ms <= wanted.retry_by_ms and found.until_ms <= wanted.expires_at_ms
+                ahead = [self.in_flight[attempt_id] for attempt_id in ahead_ids]
+                assert self.scheduler.compatibility.may_follow_non_idempotent or not any(
+                    one.unsafe for one in ahead
+                )
+            assert found.describe(self.now)
+            bound = found.until_ms if ahead_ids else math.inf
+            ahead_ids.append(self.serial)
+            self.in_flight[self.serial] = InFlight(wanted, found.connection_id, bound, unsafe)
+
+    @precondition(lambda self: self.opening)
+    @rule(data=st.data(), comes_up=st.booleans())
+    def connection(self, data: Any, comes_up: bool) -> None:
+        connection_id = data.draw(st.sampled_from(sorted(self.opening)))
+        if comes_up:
+            self.opening.discard(connection_id)
+            self.scheduler.on_connected(self.now, connection_id)
+        else:
+            self.close(connection_id, False)
+
+    @precondition(lambda self: any(self.connections[n] for n in self.connections if n not in self.opening))
+    @rule(data=st.data(), is_ok=st.booleans())
+    def reply(self, data: Any, is_ok: bool) -> None:
+        busy = [n for n in sorted(self.connections) if self.connections[n] and n not in self.opening]
+        connection_id = data.draw(st.sampled_from(busy))
+        attempt_id = self.connections[connection_id].pop(0)
+        assert self.scheduler.on_reply(self.now, connection_id, is_ok) == attempt_id
+        self.finish(attempt_id)
+
+    @precondition(lambda self: self.connections)
+    @rule(data=st.data())
+    def connection_breaks(self, data: Any) -> None:
+        self.close(data.draw(st.sampled_from(sorted(self.connections))), True)
+
+    @precondition(lambda self: any(len(attempt_ids) > 1 for attempt_ids in self.connections.values()))
+    @rule(data=st.data())
+    def withdraw(self, data: Any) -> None:
+        """One is withdrawn before it was written."""
+        connection_id = data.draw(
+            st.sampled_from(sorted(n for n, attempt_ids in self.connections.items() if len(attempt_ids) > 1))
+        )
+        attempt_id = self.connections[connection_id].pop()
+        self.scheduler.on_withdrawn(self.now, connection_id, attempt_id)
+        self.finish(attempt_id)
+
+    @rule(
+        server=st.sampled_from("nm"),
+        what=st.sampled_from(["on_server_started", "on_server_draining", "on_server_removed"]),
+    )
+    def membership(self, server: str, what: str) -> None:
+        if self.serial % 5 == 0:
+            getattr(self.scheduler, what)(server)
+            if what == "on_server_draining" and server in self.scheduler.servers:
+                assert (
+                    self.scheduler.place(self.now, server, 10**9, request_of(self.now), yes).kind
+                    is PlacementKind.NONE
+                )
+
+    @rule(ms=st.sampled_from([0.2, 3.0, 25.0, 120.0, 500.0]))
+    def time_passes(self, ms: float) -> None:
+        """Time passes as it does for a gateway: timers fire a little late."""
+        end = self.now + ms
+        while True:
+            times_up = min((one.request.expires_at_ms for one in self.in_flight.values()), default=math.inf)
+            check = self.scheduler.next_check_ms()
+            due = min(times_up, check)
+            if due > end:
+                break
+            self.now = max(self.now, due)
+            if check <= times_up:
+                self.run_checks()
+                if self.scheduler.next_check_ms() <= check:
+                    self.now += 0.5  # a head that may not be aborted yet: the timer is coarse
+                continue
+            attempt_id = next(
+                attempt_id
+                for attempt_id, one in self.in_flight.items()
+                if one.request.expires_at_ms <= times_up
+            )
+            connection_id = self.in_flight[attempt_id].connection_id
+            assert self.connections[connection_id][0] == attempt_id, "timed out behind another"
+            self.close(connection_id, True)
+        self.now = end
+
+    def run_checks(self) -> None:
+        for action in self.scheduler.check(self.now):
+            if isinstance(action, AbortConnection):
+                head = self.in_flight[self.connections[action.connection_id][0]]
+                assert self.connections[action.connection_id][0] == action.head_id
+                assert not head.unsafe and self.now <= head.request.retry_by_ms + 3.0
+                for attempt_id in self.connections[action.connection_id][1:]:
+                    assert self.now <= self.in_flight[attempt_id].request.retry_by_ms + 1.0, (
+                        "aborted too late to be retried"
+                    )
+                self.close(action.connection_id, True)
+            elif isinstance(action, HedgeAttempt):
+                assert self.pipeline_rules.may_hedge and not self.in_flight[action.attempt_id].unsafe
+            else:
+                assert isinstance(action, StopJoining)
+                later = self.scheduler.chooser.joinable(
+                    self.now, self.scheduler.connections[action.connection_id].server, request_of(self.now)
+                )
+                assert action.connection_id not in [connection.connection_id for connection, _ in later]
+
+    @invariant()
+    def invariants_hold(self) -> None:
+        if not hasattr(self, "scheduler"):
+            return
+        queued: dict[str, int] = {}
+        for connection_id, attempt_ids in self.connections.items():
+            connection = self.scheduler.connections[connection_id]
+            assert [attempt.attempt_id for attempt in connection.attempts] == attempt_ids
+            assert len(attempt_ids) <= self.pipeline_rules.max_depth
+            name = connection.server.name
+            queued[name] = queued.get(name, 0) + max(0, len(attempt_ids) - 1)
+            for attempt_id in attempt_ids[1:]:
+                assert self.now <= self.in_flight[attempt_id].bound + 1.0, "queued past its hold bound"
+        assert len(self.scheduler.connections) == len(self.connections)
+        shared = {n for n, attempt_ids in self.connections.items() if len(attempt_ids) > 1}
+        assert {
+            n for n, connection in self.scheduler.connections.items() if len(connection.attempts) > 1
+        } == shared
+        assert {
+            n for n, connection in self.scheduler.connections.items() if connection.check_at_ms < math.inf
+        } <= shared
+        for server in self.scheduler.servers.values():
+            assert server.queued_count() <= self.pipeline_rules.max_queued_per_server
+            assert 1.0 <= server.depth_limit.limit <= self.pipeline_rules.max_depth
+
+
+SchedulerMachine.TestCase.settings = settings(
+    max_examples=120, derandomize=True, stateful_step_count=60, deadline=None,
+    suppress_health_check=list(HealthCheck),
+)  # fmt: skip
+TestScheduler = SchedulerMachine.TestCase
+
+
+# --- placement -----------------------------------------------------------------------------------
+
+
+def opened(
+    scheduler: PipelineScheduler,
+    now: float,
+    attempt_id: int,
+    wanted: PlacementRequest,
+    up_after: float = 20.0,
+) -> int:
+    """A connection with this attempt only."""
+    found = scheduler.place(now, "n", attempt_id, wanted, yes)
+    assert found.kind is PlacementKind.OPEN
+    scheduler.on_connected(now + up_after, found.connection_id)
+    return found.connection_id
+
+
+def test_connections_are_not_shared_without_samples() -> None:
+    scheduler = PipelineScheduler(RULES, ClassCompatibility(CLASSES.values(), ("read",)))
+    connection_id = opened(scheduler, 0.0, 1, request_of(0.0))
+    assert scheduler.place(30.0, "n", 2, request_of(30.0), yes).kind is PlacementKind.OPEN
+    assert scheduler.on_reply(60.0, connection_id) == 1
+    found = scheduler.place(61.0, "n", 3, request_of(61.0), yes)
+    assert found.kind is PlacementKind.IDLE and found.connection_id == connection_id  # the most recently used
+
+
+def test_a_connection_is_shared_where_opening_one_costs_more() -> None:
+    """The head is expected to take 8 ms more: less than 80 ms for a connect, but more than 1."""
+    for connect, how in ((80.0, PlacementKind.JOIN), (1.0, PlacementKind.OPEN)):
+        scheduler = scheduler_with_samples()
+        opened(scheduler, 0.0, 1, request_of(0.0))
+        scheduler.server("n").connect_ms = connect
+        found = scheduler.place(22.0, "n", 2, request_of(22.0), yes)
+        assert found.kind is how, found
+        assert "worse by" in found.describe(22.0)
+
+
+def test_nothing_joins_behind_a_stalled_head_or_one_that_takes_too_long() -> None:
+    scheduler = scheduler_with_samples()
+    opened(scheduler, 0.0, 1, request_of(0.0))
+    scheduler.server("n").connect_ms = 500.0
+    assert scheduler.place(50.0, "n", 2, request_of(50.0), no).kind is PlacementKind.JOIN
+    # The head takes 50 ms usually, 75 at most.
+    assert scheduler.place(400.0, "n", 3, request_of(400.0), no).kind is PlacementKind.WAIT
+    brief = request_of(60.0, left=90.0)  # the head counts as stalled only after 170 ms
+    assert scheduler.place(60.0, "n", 4, brief, no).kind is PlacementKind.WAIT
+
+
+@pytest.mark.parametrize(
+    ("ahead", "behind", "again", "joins"),
+    [
+        ("read", "read", True, True), ("read", "order", True, True), ("order", "read", True, True),
+        ("order", "order", True, True), ("read", "read", False, False), ("read", "charge", True, False),
+        ("charge", "read", True, False), ("charge", "charge", True, False), ("charge", "order", True, False),
+    ],
+)  # fmt: skip
+def test_which_class_may_be_queued_behind_which(ahead: str, behind: str, again: bool, joins: bool) -> None:
+    scheduler = scheduler_with_samples()
+    opened(scheduler, 0.0, 1, request_of(0.0, ahead))
+    scheduler.server("n").connect_ms = 500.0
+    found = scheduler.place(40.0, "n", 2, request_of(40.0, behind, again=again), no)
+    assert (found.kind is PlacementKind.JOIN) is joins, found
+
+
+def test_behind_a_non_idempotent_head_only_what_can_wait_for_its_timeout() -> None:
+    scheduler = scheduler_with_samples(may_follow_unsafe=True)
+    opened(scheduler, 0.0, 1, request_of(0.0, "charge", timeout=300.0, left=300.0))
+    assert scheduler.place(40.0, "n", 2, request_of(40.0), no).kind is PlacementKind.JOIN
+    assert scheduler.place(40.0, "n", 3, request_of(40.0, left=200.0), no).kind is PlacementKind.WAIT
+    assert not any(
+        isinstance(action, AbortConnection) for action in scheduler.check(290.0)
+    )  # it is never aborted for others
+
+
+def test_a_keyed_attempt_does_not_join_what_may_outlast_its_idempotency_window() -> None:
+    """The window is 800 ms: it must not be queued behind a head that may take longer."""
+    for stall_factor, joins in ((4.0, True), (20.0, False)):
+        scheduler = scheduler_with_samples(RULES._replace(stall_factor=stall_factor))
+        opened(scheduler, 0.0, 1, request_of(0.0, timeout=2000.0))
+        found = scheduler.place(40.0, "n", 2, request_of(40.0, "order", timeout=1400.0), no)
+        assert (found.kind is PlacementKind.JOIN) is joins
+
+
+def test_a_stalled_head_is_aborted_at_once_within_the_budget_else_at_the_bound() -> None:
+    for budget in (16.0, 0.0):
+        scheduler = scheduler_with_samples()
+        connection_id = opened(scheduler, 0.0, 1, request_of(0.0))
+        scheduler.server("n").connect_ms = 500.0
+        held = scheduler.place(40.0, "n", 2, request_of(40.0), no)
+        scheduler.abort_balance = budget
+        stalls = scheduler.next_check_ms()
+        assert 20.0 + 100.0 < stalls <= held.until_ms
+        found = scheduler.check(stalls)
+        assert found[0] == StopJoining(connection_id, 1)
+        if budget:
+            assert found[1:] == [AbortConnection(connection_id, 1, AbortReason.STALL)]
+        else:
+            assert len(found) == 1 and stalls < scheduler.next_check_ms() <= held.until_ms
+            assert scheduler.check(scheduler.next_check_ms()) == [
+                AbortConnection(connection_id, 1, AbortReason.HOLD_BOUND)
+            ]
+
+
+def test_nothing_joins_the_stalled_one_of_two_connections() -> None:
+    scheduler = scheduler_with_samples()
+    first = opened(scheduler, 0.0, 1, request_of(0.0))
+    scheduler.server("n").connect_ms = 0.1
+    second = opened(scheduler, 215.0, 2, request_of(215.0), up_after=0.1)
+    scheduler.server("n").connect_ms = 500.0
+    assert {
+        scheduler.place(290.0, "n", attempt_id, request_of(290.0), no).connection_id
+        for attempt_id in (3, 4, 5)
+    } == {second}
+    assert (
+        scheduler.place(290.0, "n", 6, request_of(290.0), no).kind is PlacementKind.WAIT
+    )  # not even where that is full
+    assert scheduler.on_reply(291.0, first) == 1
+    assert scheduler.place(291.0, "n", 7, request_of(291.0), no).connection_id == first
+
+
+def test_where_hedging_is_allowed_queued_attempts_are_hedged_and_the_connection_stays() -> None:
+    scheduler = scheduler_with_samples(RULES._replace(may_hedge=True, stall_factor=1.5))
+    connection_id = opened(scheduler, 0.0, 1, request_of(0.0))
+    for attempt_id in (2, 3):
+        assert scheduler.place(21.0, "n", attempt_id, request_of(21.0), no).connection_id == connection_id
+    assert scheduler.check(scheduler.next_check_ms()) == [
+        StopJoining(connection_id, 1),
+        HedgeAttempt(2),
+        HedgeAttempt(3),
+    ]
+    assert scheduler.check(scheduler.next_check_ms()) == [
+        AbortConnection(connection_id, 1, AbortReason.HOLD_BOUND)
+    ]
+
+
+def test_a_thousand_at_once_stay_within_every_limit() -> None:
+    scheduler = scheduler_with_samples(RULES._replace(max_queued_per_server=12))
+    scheduler.server("n").depth_limit.limit = 4.0
+    scheduler.server("n").connect_ms = 400.0
+    hows = []
+    for attempt_id in range(1000):
+        hows.append(
+            scheduler.place(
+                0.0, "n", attempt_id, request_of(0.0), lambda: len(scheduler.connections) < 20
+            ).kind
+        )
+    assert hows.count(PlacementKind.OPEN) <= 20 and hows.count(PlacementKind.JOIN) == 12
+    assert set(hows[40:]) == {PlacementKind.WAIT}
+
+
+def test_connections_to_a_new_process_are_not_shared() -> None:
+    scheduler = scheduler_with_samples()
+    scheduler.on_server_started("n")
+    opened(scheduler, 0.0, 1, request_of(0.0))
+    assert scheduler.place(40.0, "n", 2, request_of(40.0), no).kind is PlacementKind.WAIT
+
+
+# --- estimates ------------------------------------------------------------------------------------
+
+
+def test_service_times_are_accurate_to_a_bucket_and_decay() -> None:
+    times = LatencyHistogram()
+    for ms in range(1, 1001):
+        times.add(0.0, ms / 10.0)
+    assert 50.0 <= times.quantile(0.5) <= 50.0 * 1.26 and 95.0 <= times.quantile(0.95) <= 95.0 * 1.26
+    assert times.mean() == pytest.approx(50.0, rel=0.05)
+    assert times.share_within(25.0) == pytest.approx(0.25, abs=0.03)
+    for _ in range(300):
+        times.add(100_000.0, 5.0)  # five time constants later
+    assert times.quantile(0.9) < 7.0 and times.effective_samples(100_000.0) == pytest.approx(300.0, rel=0.03)
+    times.add(1e8, 5.0)
+    assert times.effective_samples(1e8) == pytest.approx(1.0) and math.isfinite(times.total_weight)
+
+
+def test_censored_samples_do_not_lengthen_the_estimate() -> None:
+    """Half of the replies come right behind another after 400 ms: their own 20 ms are found all the same."""
+    times = LatencyHistogram()
+    for _ in range(200):
+        times.add(0.0, 20.0)
+        times.add_upper_bound(0.0, 400.0)
+    assert times.mean() == pytest.approx(20.0, rel=0.2) and times.quantile(0.99) < 30.0
+
+
+@pytest.mark.parametrize("ms", [0.0, 0.05, UPPER_EDGES_MS[-1] * 2, 1e9])
+def test_service_times_out_of_range_fall_into_the_end_buckets(ms: float) -> None:
+    times = LatencyHistogram()
+    times.add(0.0, ms)
+    assert 0.0 < times.quantile(0.5) <= UPPER_EDGES_MS[-1]
+
+
+def test_a_slow_server_has_a_relative_latency_until_its_process_is_replaced() -> None:
+    times = ServiceTimes(["read"])
+    for _ in range(200):
+        times.add(0.0, "read", "quick", 20.0, False)
+    for _ in range(40):
+        times.add(0.0, "read", "slow", 60.0, False)
+    assert times.quantile("read", "slow", 0.5) > 1.5 * times.quantile("read", "quick", 0.5)
+    times.forget_server("slow")
+    assert times.relative_latency("slow") == 1.0
+    assert times.probability_within("read", "quick", 100.0, age_ms=1e6) < 0.01  # older than all that was seen
+
+
+@pytest.mark.parametrize(("ratio", "low", "high"), [(0.9, 7.9, 8.0), (3.0, 1.0, 1.6), (1.4, 7.9, 8.0)])
+def test_the_depth_limit_falls_where_queued_attempts_slow_down(ratio: float, low: float, high: float) -> None:
+    depth = DepthLimit(8)
+    for _ in range(60 * SAMPLES_PER_UPDATE):
+        depth.on_reply(ratio, True)
+    assert low <= depth.limit <= high
+
+
+def test_the_depth_limit_recovers_by_healthy_replies_of_unqueued_attempts() -> None:
+    depth = DepthLimit(8)
+    for _ in range(10):
+        depth.on_failure()
+    assert depth.attempts() == 1
+    for _ in range(5 * SAMPLES_PER_UPDATE):
+        depth.on_reply(1.0, False)
+    assert depth.attempts() == 2
+    for _ in range(10 * SAMPLES_PER_UPDATE):
+        depth.on_reply(9.0, False)
+    assert depth.attempts() == 2  # late replies raise nothing
+
+
+def test_class_compatibility() -> None:
+    rows = {(row.ahead, row.behind): row.compatibility for row in
+            ClassCompatibility(CLASSES.values(), ("read",), True).rows()}  # fmt: skip
+    assert (
+        rows["read", "read"] is Compatibility.UNTIL_STALL
+        and rows["charge", "read"] is Compatibility.UNTIL_TIMEOUT
+    )
+    assert all(verdict is Compatibility.NEVER for (_, behind), verdict in rows.items() if behind != "read")
+    assert rows["order", "read"] is Compatibility.NEVER and len(rows) == 9
--- a/tests/policy/connections/test_release.py
+++ b/tests/policy/connections/test_response_order.py
@@ -12,7 +12,7 @@
 from glenchute.listeners.resp2 import clients
 from glenchute.policy.connections.response_order import PendingReply, ReleaseDecision, decide_release
 from tests.loopback import CHARGE, CUSTOMER, Script, play, send_to, until
-from tests.upstreams.test_lines_loopback import Book, burst, change_rules, sharing, value
+from tests.upstreams.test_pipelined_servers import Book, burst, change_rules, sharing, value
 
 MARGIN = 0.02
 AHEAD_S = 0.2  # from the last answer to the moment at which what keeps it is given up
