--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -9,12 +9,12 @@
 import socket
 from typing import Any
 
-from glenchute.clients.discovery import ListError, address, read_list
 from glenchute.core.types import EndpointUpdate
 from glenchute.listeners.resp2.commands import RequestBounds, read_request_bounds
 from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
+from glenchute.protocol.endpoint_list import EndpointListError, decode_list, parse_address
 from glenchute.upstreams.limits import UpstreamLimits
 
 from .facts import ClassFacts, PlatformFacts
@@ -93,22 +93,22 @@
     wrong."""
     settings = policy_settings(raw["settings"])
     if not settings.classes or not settings.plans:
-        raise ListError("the settings name no classes or no plans")
+        raise EndpointListError("the settings name no classes or no plans")
     descriptors = int(number(table(raw, "limits").get("sockets"), DEFAULT_DESCRIPTORS))
     if descriptors < MIN_DESCRIPTORS:
-        raise ListError(f"{descriptors} sockets are too few")
+        raise EndpointListError(f"{descriptors} sockets are too few")
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     budget = divide_descriptors(descriptors, bool(operations))
     return PlatformConfig(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
-        listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
-        operations_address=address(operations) if operations else None,
-        discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and settings.has_counter else None,
+        listen=parse_address(raw.get("listen") or environ.get("EDGE_LISTEN")),
+        operations_address=parse_address(operations) if operations else None,
+        discovery=parse_address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
+        counter=parse_address(raw["counter"]) if raw.get("counter") and settings.has_counter else None,
         seed=int(str(raw.get("seed") or 0), 16),
         max_descriptors=descriptors,
         budget=budget,
-        cached_endpoints=read_list(raw["known"], saved=True) if raw.get("known") else None,
+        cached_endpoints=decode_list(raw["known"], saved=True) if raw.get("known") else None,
         passed_descriptor=descriptor(environ.get("EDGE_PASSED_SOCKET")),
         settings=settings,
         gateway_number=gateway_number(raw["settings"].get("me"), settings.gateway_count),
--- a/glenchute/protocol/member_datagrams.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -10,13 +10,14 @@
 
 import msgspec
 
-from glenchute.clients.discovery import address
 from glenchute.policy.membership import direct_messages as directmail
 from glenchute.policy.membership import endpoint_sharing as coldstart
 from glenchute.policy.membership import gossip, leases, members
 from glenchute.policy.membership.gossip import GossipMessage
 from glenchute.policy.membership.replica import BUCKETS, Row, RowKind
 
+from .endpoint_list import parse_address
+
 VERSION = 2
 MAX_DATAGRAM_BYTES = 4096  # of a datagram; a longer one is not read
 
@@ -187,7 +188,7 @@
         servers = tuple(coldstart.SharedEndpoint(*row) for row in raw)
         for one in servers:
             if one.address:
-                address(one.address)  # a ValueError where it is none
+                parse_address(one.address)  # a ValueError where it is none
             if not (0.0 < one.weight < math.inf and 0.0 <= one.started_ms < math.inf and 0 <= one.state <= 2):
                 raise ValueError
         return coldstart.EndpointListPart(since, version, at, of, servers)
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -222,7 +222,7 @@
         """As `Program.start` without listener."""
         if self.config.cached_endpoints is not None:
             self.gateway.update_endpoints(self.config.cached_endpoints)
-        self.discovery.begin(self.config.cached_endpoints, LIST_WAIT_S, False)
+        self.discovery.start(self.config.cached_endpoints, LIST_WAIT_S, False)
 
     def down(self) -> None:
         """Its connections end, and its module hears no more."""
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -91,7 +91,7 @@
     assert not calls.requests_by_number and not calls.requests_by_id
     assert not gateway.active_requests and not gateway.attempts_in_flight
     module: Any = gateway.decisions
-    assert not module.requests and not module.execution.attempts
+    assert not module.execution.requests and not module.execution.attempts
     assert all(tenant.attempts_in_flight == 0 for tenant in module.quota.tenants.by_id.values())
 
 
