--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -1,8 +1,8 @@
-"""The simulated site with shared connections: the deciders of `pipeline.py` and `line.py` between the modules
-and the nodes, and a network that answers a connection in order.
+"""The simulated site with pipelined connections: the scheduler and the command pipeline between the decision
+engines and the nodes, over a network that answers each connection in order.
 
-What is added to the site's books: what a node was sent on which connection and when the bytes left, whose
-value each reply was, who stood behind whom.
+Besides the rules of `World` it checks what a node was sent on which connection and when the bytes were sent,
+whose value each reply was, and which attempt was queued behind which.
 """
 
 from __future__ import annotations
@@ -31,60 +31,87 @@
 from lab.sim.world import MARGIN_MS, NET_MS, BrokenRule, Node, World
 
 PIPED_KINDS = (*KINDS, "stuck lines", "extra replies", "volley")
-MOST_CONNECTIONS = 5  # of a gateway: few, so that lines are shared
+MAX_CONNECTIONS = 5  # of a gateway: few, so that they are shared
 RULES = PipelineRules(max_depth=4, max_queued_per_server=8, settle_ms=10.0, max_idle_ms=4000.0)
 COMMAND_BYTES = 10
 
 
-class Try:
-    """An attempt on its way."""
+class SimulatedAttempt:
+    """An attempt in flight. `back`: what the site passes back with its end."""
 
     __slots__ = (
-        "back", "came_at", "conn", "entry", "left", "never", "over", "ref", "until", "waited", "write_by",
-    )  # fmt: skip
-
-    def __init__(self, ref: int, back: tuple[Any, ...], until: float, write_by: float) -> None:
-        self.ref, self.back, self.until, self.write_by = ref, back, until, write_by
-        self.conn: Conn | None = None
-        self.entry: PipelinedCommand[Try] | None = None
-        self.came_at = math.inf  # to the node
-        self.over = self.never = self.left = self.waited = False
-
-
-class Conn:
+        "arrived_at",
+        "attempt_id",
+        "back",
+        "command",
+        "connection",
+        "expires_at",
+        "has_waited",
+        "is_finished",
+        "is_unsent",
+        "was_sent",
+        "write_by",
+    )
+
+    def __init__(self, attempt_id: int, back: tuple[Any, ...], expires_at: float, write_by: float) -> None:
+        self.attempt_id, self.back = attempt_id, back
+        self.expires_at, self.write_by = expires_at, write_by
+        self.connection: SimulatedConnection | None = None
+        self.command: PipelinedCommand[SimulatedAttempt] | None = None
+        self.arrived_at = math.inf  # at the node
+        self.is_finished = False
+        self.is_unsent = False  # it ended as never sent
+        self.was_sent = False
+        self.has_waited = False
+
+
+class SimulatedConnection:
     """A connection of one gateway."""
 
     __slots__ = (
-        "booked", "buffered", "closed", "incarnation", "line", "node", "number", "order", "replies", "serial",
-        "started_ms", "stuck", "up",
-    )  # fmt: skip
-
-    def __init__(self, number: int, incarnation: int, node: Node | None, serial: int) -> None:
-        self.number, self.incarnation, self.node, self.serial = number, incarnation, node, serial
-        self.line: CommandPipeline[Try] = CommandPipeline(NETWORK_DELAY_MS, RULES.settle_ms)
-        self.up = self.closed = self.stuck = self.booked = False
-        self.buffered: list[Try] = []  # handed over, and not gone yet
-        self.order: deque[Try] = deque()  # what has gone, not answered
+        "buffered",
+        "connection_id",
+        "gateway",
+        "incarnation",
+        "is_blocked",
+        "is_closed",
+        "is_flush_scheduled",
+        "is_up",
+        "node",
+        "pipeline",
+        "replies",
+        "sent",
+        "started_ms",
+    )
+
+    def __init__(self, gateway: int, incarnation: int, node: Node | None, connection_id: int) -> None:
+        self.gateway, self.incarnation = gateway, incarnation
+        self.node, self.connection_id = node, connection_id
+        self.pipeline: CommandPipeline[SimulatedAttempt] = CommandPipeline(NETWORK_DELAY_MS, RULES.settle_ms)
+        self.is_up = self.is_closed = self.is_flush_scheduled = False
+        self.is_blocked = False  # bytes stay in the machine's buffer
+        self.buffered: list[SimulatedAttempt] = []  # written, not sent yet
+        self.sent: deque[SimulatedAttempt] = deque()  # without a reply, in order
         self.replies: dict[int, Outcome] = {}  # by attempt; in order only once all before are there
         self.started_ms = node.started_ms if node is not None else 0.0
 
 
 class PipedWorld(World):
-    """A site whose gateways share connections."""
+    """A site whose gateways use pipelined connections."""
 
     def __init__(self, *args: Any, **changes: Any) -> None:
-        self.pipes: dict[int, PipelineScheduler] = {}
-        self.conns: dict[tuple[int, int], Conn] = {}  # by gateway and line
-        self.tries: dict[tuple[int, int, str, int], Try] = {}
-        self.refs = 0
-        self.alarms: dict[int, float] = {}
+        self.schedulers: dict[int, PipelineScheduler] = {}
+        self.connections: dict[tuple[int, int], SimulatedConnection] = {}  # by gateway and line
+        self.attempts: dict[tuple[int, int, str, int], SimulatedAttempt] = {}
+        self.last_attempt_id = 0
+        self.check_times: dict[int, float] = {}
         self.extra: dict[str, float] = {}  # by node: share of answers with a second copy behind
         self.stuck: dict[str, float] = {}  # by node: share of writes that stay behind for a while
-        self.joined = self.cut_lines = self.most_on_a_line = 0
+        self.joined = self.aborted_shared = self.max_depth_seen = 0
         super().__init__(*args, **changes)
 
     def strike(self, kind: str, node: Node, size: float, span_ms: float) -> None:
-        """Faults that only shared connections can tell."""
+        """Faults that only matter to pipelined connections."""
         if kind == "volley":  # a portal's reads, all in one moment
             number = self.rng.randrange(30)
             for _ in range(20 + int(40 * size)):
@@ -94,176 +121,188 @@
         if kind not in kinds:
             super().strike(kind, node, size, span_ms)
         kinds[kind][node.name] = 0.1 + 0.5 * size
-        self.at(span_ms, self.relieve, kinds[kind], node.name)
+        self.at(span_ms, self.end_fault, kinds[kind], node.name)
 
-    def relieve(self, held: dict[str, float], name: str) -> None:
-        held.pop(name, None)
+    def end_fault(self, active: dict[str, float], name: str) -> None:
+        active.pop(name, None)
 
     # --- gateways ----------------------------------------------------------------------------------------
 
     def start(self, number: int) -> None:
         sharing = ClassCompatibility(self.settings.classes, ("read", "order", "bid"), number % 2 == 1)
-        pipe = self.pipes[number] = PipelineScheduler(RULES, sharing)
+        scheduler = self.schedulers[number] = PipelineScheduler(RULES, sharing)
         for cls in self.settings.classes:
             for share in range(40):  # as after some minutes: an hour of the simulated day would be too dear
-                pipe.times.add(self.now, cls.name, "", 10.0 + 2.0 * share, False)
-        self.alarms[number] = math.inf
+                scheduler.times.add(self.now, cls.name, "", 10.0 + 2.0 * share, False)
+        self.check_times[number] = math.inf
         super().start(number)
 
     def die(self, number: int, back_ms: float) -> None:
         if self.alive[number]:
-            for key, conn in list(self.conns.items()):
+            for key, conn in list(self.connections.items()):
                 if key[0] == number:
-                    conn.closed = True  # what has gone may run all the same
-                    del self.conns[key]
-            self.tries = {key: one for key, one in self.tries.items() if key[0] != number}
+                    conn.is_closed = True  # what has gone may run all the same
+                    del self.connections[key]
+            self.attempts = {key: one for key, one in self.attempts.items() if key[0] != number}
         super().die(number, back_ms)
 
     def tell(self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]) -> None:
         if self.lives(number, incarnation):
-            pipe = self.pipes[number]
+            scheduler = self.schedulers[number]
             for node in nodes:
                 if node.state is EndpointState.ACTIVE:
-                    pipe.server(node.name).is_draining = False
+                    scheduler.server(node.name).is_draining = False
                     if node.started_ms > 0:
-                        pipe.on_server_started(node.name)
+                        scheduler.on_server_started(node.name)
                     continue
-                pipe.on_server_draining(node.name)
-                self.emptied(number, node.name)
+                scheduler.on_server_draining(node.name)
+                self.on_server_draining(number, node.name)
                 if node.state is EndpointState.REMOVED:
-                    pipe.on_server_removed(node.name)
+                    scheduler.on_server_removed(node.name)
         super().tell(number, incarnation, kind, nodes)
 
-    def emptied(self, number: int, name: str) -> None:
-        """A node drains: what was not handed over goes elsewhere; what stays behind in the machine is cut off
-        before the grace ends."""
-        for conn in [c for key, c in self.conns.items() if key[0] == number]:
+    def on_server_draining(self, number: int, name: str) -> None:
+        """A node drains: what was not written goes elsewhere; what stays buffered is aborted before the grace
+        period ends."""
+        for conn in [c for key, c in self.connections.items() if key[0] == number]:
             if conn.node is not None and conn.node.name == name:
-                for entry in list(conn.line.pending):
-                    self.at(0.0, self.unsent, entry.item)
+                for entry in list(conn.pipeline.pending):
+                    self.at(0.0, self.stop_unsent, entry.item)
                 self.at(240.0, self.still_stuck, conn)
 
-    def unsent(self, one: Try) -> None:
-        """It ends, unless it was handed over meanwhile."""
-        if one.over or one.entry is None or one.conn is None:
+    def stop_unsent(self, one: SimulatedAttempt) -> None:
+        """It ends, unless it was written meanwhile."""
+        if one.is_finished or one.command is None or one.connection is None:
             return
-        if one.conn.line.withdraw(one.entry):
-            self.pipes[one.conn.number].on_withdrawn(self.now, one.conn.serial, one.ref)
-            self.over(one, Outcome.UNREACHABLE)
+        if one.connection.pipeline.withdraw(one.command):
+            self.schedulers[one.connection.gateway].on_withdrawn(
+                self.now, one.connection.connection_id, one.attempt_id
+            )
+            self.finish(one, Outcome.UNREACHABLE)
 
-    def still_stuck(self, conn: Conn) -> None:
-        if conn.stuck and not conn.closed:
-            self.cut(conn, None, Outcome.RESET)
+    def still_stuck(self, conn: SimulatedConnection) -> None:
+        if conn.is_blocked and not conn.is_closed:
+            self.close(conn, None, Outcome.RESET)
 
     # --- attempts ----------------------------------------------------------------------------------------
 
     def dispatch(
         self, node: Node | None, back: tuple[Any, ...], timeout: float, action: StartAttempt
     ) -> None:
-        """Instead of going out on a connection of its own, an attempt finds its place."""
+        """An attempt is placed on a connection by the scheduler, instead of getting its own."""
         number = back[0]
-        self.refs += 1
+        self.last_attempt_id += 1
         write_by = action.write_by_ms - self.skew[number] if action.write_by_ms > 0 else math.inf
-        one = Try(self.refs, back, self.now + timeout, write_by)
-        self.tries[number, back[1], back[2].ref, back[3]] = one
-        self.at(timeout, self.given_up, one)
-        self.at(0.0, self.seek, one)
+        one = SimulatedAttempt(self.last_attempt_id, back, self.now + timeout, write_by)
+        self.attempts[number, back[1], back[2].ref, back[3]] = one
+        self.at(timeout, self.on_timeout, one)
+        self.at(0.0, self.place, one)
 
-    def seek(self, one: Try) -> None:
-        """Asks the decider."""
+    def place(self, one: SimulatedAttempt) -> None:
+        """Asks the scheduler."""
         number, incarnation, asked, attempt, server, _ = one.back
-        if one.over or not self.lives(number, incarnation):
+        if one.is_finished or not self.lives(number, incarnation):
             return
-        pipe, cls = self.pipes[number], asked.cls
+        scheduler, cls = self.schedulers[number], asked.cls
         stop = self.told[number].get(server, math.inf)
         if self.now > min(one.write_by, stop):
-            self.over(one, Outcome.UNREACHABLE)
+            self.finish(one, Outcome.UNREACHABLE)
             return
         again = attempt + 1 < self.settings.max_attempts
-        job = placement_request(cls, pipe.times.mean(cls.name, server), self.now, one.until, asked.came,
-                     asked.deadline - MARGIN_MS, one.write_by, again)  # fmt: skip
-        mine = [conn for key, conn in self.conns.items() if key[0] == number]
-        found = pipe.place(self.now, server, one.ref, job, lambda: len(mine) < MOST_CONNECTIONS, one.waited)
+        request = placement_request(
+            cls,
+            scheduler.times.mean(cls.name, server),
+            self.now,
+            one.expires_at,
+            asked.came,
+            asked.deadline - MARGIN_MS,
+            one.write_by,
+            again,
+        )
+        mine = [conn for key, conn in self.connections.items() if key[0] == number]
+        found = scheduler.place(
+            self.now, server, one.attempt_id, request, lambda: len(mine) < MAX_CONNECTIONS, one.has_waited
+        )
         if found.kind is PlacementKind.NONE:
-            self.over(one, Outcome.UNREACHABLE)
+            self.finish(one, Outcome.UNREACHABLE)
             return
         if found.kind is PlacementKind.WAIT:
-            one.waited = True
-            self.at(found.until_ms - self.now, self.seek, one)
+            one.has_waited = True
+            self.at(found.until_ms - self.now, self.place, one)
             return
-        conn = self.conns.get((number, found.connection_id))
+        conn = self.connections.get((number, found.connection_id))
         if found.kind is PlacementKind.OPEN:
-            conn = Conn(number, incarnation, self.nodes.get(server), found.connection_id)
-            self.conns[number, found.connection_id] = conn
+            conn = SimulatedConnection(number, incarnation, self.nodes.get(server), found.connection_id)
+            self.connections[number, found.connection_id] = conn
             self.at(self.rng.uniform(1.0, 12.0), self.connected, conn)
         if conn is None:
             raise BrokenRule("lines", f"{found} names a connection that is not there")
         if found.kind is PlacementKind.JOIN:
             self.joined += 1
-        one.conn = conn
-        one.entry = conn.line.append(one, b"x" * COMMAND_BYTES)
-        self.most_on_a_line = max(self.most_on_a_line, len(conn.line))
-        if len(conn.line) > RULES.max_depth:
-            raise BrokenRule("depth", f"{len(conn.line)} on line {conn.serial}")
-        self.book(conn)
-        self.arm(number)
-
-    def connected(self, conn: Conn) -> None:
+        one.connection = conn
+        one.command = conn.pipeline.append(one, b"x" * COMMAND_BYTES)
+        self.max_depth_seen = max(self.max_depth_seen, len(conn.pipeline))
+        if len(conn.pipeline) > RULES.max_depth:
+            raise BrokenRule("depth", f"{len(conn.pipeline)} on line {conn.connection_id}")
+        self.schedule_flush(conn)
+        self.schedule_check(number)
+
+    def connected(self, conn: SimulatedConnection) -> None:
         """It comes up, or does not."""
-        if conn.closed:
+        if conn.is_closed:
             return
         if conn.node is None or not conn.node.alive:
-            self.cut(conn, None, Outcome.UNREACHABLE)
+            self.close(conn, None, Outcome.UNREACHABLE)
             return
-        conn.up, conn.started_ms = True, conn.node.started_ms
-        self.pipes[conn.number].on_connected(self.now, conn.serial)
-        self.book(conn)
-
-    def book(self, conn: Conn) -> None:
-        if conn.up and not conn.booked and not conn.stuck:
-            conn.booked = True
-            self.at(self.rng.uniform(0.0, 3.0), self.flush, conn)  # a busy loop's turn
-
-    def flush(self, conn: Conn) -> None:
-        """Hands over what waits."""
-        conn.booked = False
-        if conn.closed or conn.stuck or not self.lives(conn.number, conn.incarnation):
+        conn.is_up, conn.started_ms = True, conn.node.started_ms
+        self.schedulers[conn.gateway].on_connected(self.now, conn.connection_id)
+        self.schedule_flush(conn)
+
+    def schedule_flush(self, conn: SimulatedConnection) -> None:
+        if conn.is_up and not conn.is_flush_scheduled and not conn.is_blocked:
+            conn.is_flush_scheduled = True
+            self.at(self.rng.uniform(0.0, 3.0), self.flush, conn)  # an iteration of a busy loop
+
+    def flush(self, conn: SimulatedConnection) -> None:
+        """Writes what is pending."""
+        conn.is_flush_scheduled = False
+        if conn.is_closed or conn.is_blocked or not self.lives(conn.gateway, conn.incarnation):
             return
-        pipe = self.pipes[conn.number]
-        for entry in list(conn.line.pending):
+        scheduler = self.schedulers[conn.gateway]
+        for entry in list(conn.pipeline.pending):
             one = entry.item
-            stop = self.told[conn.number].get(one.back[4], math.inf)
+            stop = self.told[conn.gateway].get(one.back[4], math.inf)
             if self.now > min(one.write_by, stop):
-                conn.line.withdraw(entry)
-                pipe.on_withdrawn(self.now, conn.serial, one.ref)
-                self.over(one, Outcome.UNREACHABLE)
-        if conn.closed:
+                conn.pipeline.withdraw(entry)
+                scheduler.on_withdrawn(self.now, conn.connection_id, one.attempt_id)
+                self.finish(one, Outcome.UNREACHABLE)
+        if conn.is_closed:
             return
-        batch = [entry.item for entry in conn.line.next_batch(self.now, 16, 1000)[0]]
+        batch = [entry.item for entry in conn.pipeline.next_batch(self.now, 16, 1000)[0]]
         if not batch:
             return
         name = conn.node.name if conn.node is not None else ""
         if self.rng.random() < self.stuck.get(name, 0.0):
             go = self.rng.randrange(len(batch) + 1)
-            conn.buffered, conn.stuck = batch[go:], bool(batch[go:])
+            conn.buffered, conn.is_blocked = batch[go:], bool(batch[go:])
             batch = batch[:go]
-            self.at(self.rng.uniform(5.0, 700.0), self.unstuck, conn)
-            limits = [entry.item.write_by for entry in conn.line.in_flight]
-            end = min(*limits, self.told[conn.number].get(name, math.inf))
+            self.at(self.rng.uniform(5.0, 700.0), self.unblock, conn)
+            limits = [entry.item.write_by for entry in conn.pipeline.in_flight]
+            end = min(*limits, self.told[conn.gateway].get(name, math.inf))
             if end < math.inf:
                 self.at(end - 1.0 - self.now, self.still_stuck, conn)
-        self.sent_off(conn, batch)
-
-    def unstuck(self, conn: Conn) -> None:
-        """What stayed behind leaves, if the connection is still there."""
-        batch, conn.buffered, conn.stuck = conn.buffered, [], False
-        if not conn.closed and self.lives(conn.number, conn.incarnation):
-            self.sent_off(conn, batch)
-            self.book(conn)
-
-    def sent_off(self, conn: Conn, batch: list[Try]) -> None:
-        """Bytes leave: the books say whether they may."""
-        conn.line.update_sent(COMMAND_BYTES * len(conn.buffered))
+        self.send_batch(conn, batch)
+
+    def unblock(self, conn: SimulatedConnection) -> None:
+        """What was buffered is sent, if the connection is still open."""
+        batch, conn.buffered, conn.is_blocked = conn.buffered, [], False
+        if not conn.is_closed and self.lives(conn.gateway, conn.incarnation):
+            self.send_batch(conn, batch)
+            self.schedule_flush(conn)
+
+    def send_batch(self, conn: SimulatedConnection, batch: list[SimulatedAttempt]) -> None:
+        """Bytes are sent: checks whether they may be."""
+        conn.pipeline.update_sent(COMMAND_BYTES * len(conn.buffered))
         for one in batch:
             number, _, asked, attempt, server, _ = one.back
             stop = self.told[number].get(server)
@@ -274,20 +313,20 @@
             keyed = asked.cls.idempotency is Idempotency.WITH_KEY and asked.first_left is not None
             if keyed and asked.may_have_run and self.now - asked.first_left > asked.cls.idempotency_window_ms:
                 raise BrokenRule("nothing twice", f"{asked.ref} left again when its key was forgotten")
-            if asked.cls.idempotency is Idempotency.NON_IDEMPOTENT and conn.order:
-                raise BrokenRule("sharing", f"unsafe {asked.ref} went behind {conn.order[0].back[2].ref}")
-            conn.order.append(one)
-            one.left = True
-            self.at(NET_MS, self.comes, conn, one)
-
-    def comes(self, conn: Conn, one: Try) -> None:
-        """A command comes to the node, also on a connection that the gateway has closed meanwhile."""
-        if one.never:
+            if asked.cls.idempotency is Idempotency.NON_IDEMPOTENT and conn.sent:
+                raise BrokenRule("sharing", f"unsafe {asked.ref} went behind {conn.sent[0].back[2].ref}")
+            conn.sent.append(one)
+            one.was_sent = True
+            self.at(NET_MS, self.arrive_at_node, conn, one)
+
+    def arrive_at_node(self, conn: SimulatedConnection, one: SimulatedAttempt) -> None:
+        """A command arrives at the node, also on a connection that the gateway has closed meanwhile."""
+        if one.is_unsent:
             raise BrokenRule("nothing twice", f"{one.back[2].ref} was told as never sent, and came")
         if conn.node is None or not conn.node.alive or conn.node.started_ms != conn.started_ms:
-            self.at(NET_MS, self.broken, conn)
+            self.at(NET_MS, self.on_reset, conn)
             return
-        one.came_at = self.now
+        one.arrived_at = self.now
         self.arrive(conn.node, one.back)
 
     # --- replies -----------------------------------------------------------------------------------------
@@ -296,120 +335,124 @@
         self, number: int, incarnation: int, asked: Any, attempt: int, server: str, began: float,
         ending: Outcome,
     ) -> None:  # fmt: skip
-        """A node's word on one command: it comes to the gateway once all before it on its connection have."""
-        one = self.tries.get((number, incarnation, asked.ref, attempt))
-        conn = one.conn if one is not None else None
-        if one is None or one.over or conn is None or conn.closed:
+        """A node's reply to one command: it reaches the gateway after all before it on its connection."""
+        one = self.attempts.get((number, incarnation, asked.ref, attempt))
+        conn = one.connection if one is not None else None
+        if one is None or one.is_finished or conn is None or conn.is_closed:
             return
         if ending in (Outcome.RESET, Outcome.UNREACHABLE):
-            self.broken(conn)
+            self.on_reset(conn)
             return
-        conn.replies[one.ref] = ending
-        while not conn.closed and conn.order and conn.order[0].ref in conn.replies:
-            first = conn.order.popleft()
-            self.reply(conn, first, conn.replies.pop(first.ref))
+        conn.replies[one.attempt_id] = ending
+        while not conn.is_closed and conn.sent and conn.sent[0].attempt_id in conn.replies:
+            first = conn.sent.popleft()
+            self.reply(conn, first, conn.replies.pop(first.attempt_id))
         name = conn.node.name if conn.node is not None else ""
         # The node answered a moment ago, and saw nothing else waiting here: more may be on its way.
-        unseen = all(other.came_at > self.now - NET_MS for other in conn.order)
-        if not conn.closed and unseen and self.rng.random() < self.extra.get(name, 0.0):
+        unseen = all(other.arrived_at > self.now - NET_MS for other in conn.sent)
+        if not conn.is_closed and unseen and self.rng.random() < self.extra.get(name, 0.0):
             self.at(self.rng.uniform(0.0, NET_MS), self.surplus, conn)
 
-    def reply(self, conn: Conn, whose: Try, ending: Outcome) -> None:
+    def reply(self, conn: SimulatedConnection, whose: SimulatedAttempt, ending: Outcome) -> None:
         """A reply, at the gateway."""
-        found = conn.line.match_reply(self.now)
+        found = conn.pipeline.match_reply(self.now)
         if found is None:
             raise BrokenRule("pairing", f"the reply for {whose.back[2].ref} was held for one too many")
         entry, trusted = found
         if entry.item is not whose:
             raise BrokenRule("pairing", f"{entry.item.back[2].ref} got the reply for {whose.back[2].ref}")
-        self.pipes[conn.number].on_reply(self.now, conn.serial, ending is Outcome.OK)
+        self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, ending is Outcome.OK)
         if not trusted:
-            self.cut(conn, None, Outcome.RESET)
+            self.close(conn, None, Outcome.RESET)
             ending = Outcome.ERROR
-        self.over(whose, ending)
-        self.arm(conn.number)
+        self.finish(whose, ending)
+        self.schedule_check(conn.gateway)
 
-    def surplus(self, conn: Conn) -> None:
-        """More comes than belongs to an answer."""
-        if conn.closed or not self.lives(conn.number, conn.incarnation):
+    def surplus(self, conn: SimulatedConnection) -> None:
+        """A surplus reply arrives."""
+        if conn.is_closed or not self.lives(conn.gateway, conn.incarnation):
             return
-        found = conn.line.match_reply(self.now)
-        if found is not None and found[1]:
-            raise BrokenRule("one answer", f"{found[0].item.back[2].ref} was served with another's value")
+        found = conn.pipeline.match_reply(self.now)
+        if found is not None and found.is_trusted:
+            raise BrokenRule(
+                "one answer", f"{found.command.item.back[2].ref} was served with another's value"
+            )
         if found is not None:
-            self.pipes[conn.number].on_reply(self.now, conn.serial, False)
-        self.cut(conn, None, Outcome.RESET)
+            self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, False)
+        self.close(conn, None, Outcome.RESET)
         if found is not None:
-            self.over(found[0].item, Outcome.ERROR)
+            self.finish(found.command.item, Outcome.ERROR)
 
     # --- endings -----------------------------------------------------------------------------------------
 
-    def given_up(self, one: Try) -> None:
-        """An attempt's time is up."""
-        if one.over or not self.lives(one.back[0], one.back[1]):
+    def on_timeout(self, one: SimulatedAttempt) -> None:
+        """An attempt times out."""
+        if one.is_finished or not self.lives(one.back[0], one.back[1]):
             return
-        conn, entry = one.conn, one.entry
+        conn, entry = one.connection, one.command
         if conn is None or entry is None:
-            self.over(one, Outcome.UNREACHABLE)
-        elif conn.line.withdraw(entry):
-            self.pipes[conn.number].on_withdrawn(self.now, conn.serial, one.ref)
-            self.over(one, Outcome.UNREACHABLE)
+            self.finish(one, Outcome.UNREACHABLE)
+        elif conn.pipeline.withdraw(entry):
+            self.schedulers[conn.gateway].on_withdrawn(self.now, conn.connection_id, one.attempt_id)
+            self.finish(one, Outcome.UNREACHABLE)
         else:
-            if conn.line.in_flight[0] is not entry:
+            if conn.pipeline.in_flight[0] is not entry:
                 raise BrokenRule("hold-back", f"{one.back[2].ref} was given up behind another")
-            self.cut(conn, entry, Outcome.TIMEOUT)
+            self.close(conn, entry, Outcome.TIMEOUT)
 
-    def broken(self, conn: Conn) -> None:
+    def on_reset(self, conn: SimulatedConnection) -> None:
         """The connection breaks; the machine does not say how much of it had left."""
-        if not conn.closed and self.lives(conn.number, conn.incarnation):
-            conn.line.update_sent(0)
+        if not conn.is_closed and self.lives(conn.gateway, conn.incarnation):
+            conn.pipeline.update_sent(0)
             conn.buffered.clear()
-            self.cut(conn, None, Outcome.RESET)
+            self.close(conn, None, Outcome.RESET)
 
-    def cut(self, conn: Conn, cause: PipelinedCommand[Try] | None, ending: Outcome) -> None:
-        """The connection ends, and each attempt on it."""
-        if conn.closed:
+    def close(
+        self, conn: SimulatedConnection, cause: PipelinedCommand[SimulatedAttempt] | None, ending: Outcome
+    ) -> None:
+        """The connection closes, and each attempt on it ends."""
+        if conn.is_closed:
             return
-        conn.closed = True
-        self.conns.pop((conn.number, conn.serial), None)
-        rows = conn.line.close(cause, ending)
-        self.cut_lines += len(rows) > 1
-        self.pipes[conn.number].on_closed(conn.serial, bool(rows))
+        conn.is_closed = True
+        self.connections.pop((conn.gateway, conn.connection_id), None)
+        rows = conn.pipeline.close(cause, ending)
+        self.aborted_shared += len(rows) > 1
+        self.schedulers[conn.gateway].on_closed(conn.connection_id, bool(rows))
         for one, how in rows:
-            one.never = how is Outcome.UNREACHABLE
-            self.over(one, how)
+            one.is_unsent = how is Outcome.UNREACHABLE
+            self.finish(one, how)
 
-    def over(self, one: Try, ending: Outcome) -> None:
-        """An attempt's one ending."""
-        if one.over:
+    def finish(self, one: SimulatedAttempt, ending: Outcome) -> None:
+        """The single end of an attempt."""
+        if one.is_finished:
             raise BrokenRule("one ending", f"{one.back[2].ref} has two, the second {ending}")
-        if one.left and ending is Outcome.UNREACHABLE:
+        if one.was_sent and ending is Outcome.UNREACHABLE:
             raise BrokenRule("nothing twice", f"{one.back[2].ref} was told as never sent, and had left")
-        one.over = True
+        one.is_finished = True
         number, incarnation, asked, attempt = one.back[:4]
-        self.tries.pop((number, incarnation, asked.ref, attempt), None)
+        self.attempts.pop((number, incarnation, asked.ref, attempt), None)
         super().ended(number, incarnation, asked, attempt, one.back[4], one.back[5], ending)
 
-    def arm(self, number: int) -> None:
-        """The decider's next look."""
-        at = self.pipes[number].next_check_ms()
-        if at < self.alarms[number]:
-            self.alarms[number] = at
-            self.at(at - self.now, self.look, number, self.incarnation[number], at)
+    def schedule_check(self, number: int) -> None:
+        """Schedules the scheduler's next check."""
+        at = self.schedulers[number].next_check_ms()
+        if at < self.check_times[number]:
+            self.check_times[number] = at
+            self.at(at - self.now, self.run_checks, number, self.incarnation[number], at)
 
-    def look(self, number: int, incarnation: int, at: float) -> None:
-        """Stalled heads, and bounds that are reached."""
-        if not self.lives(number, incarnation) or self.alarms[number] != at:
+    def run_checks(self, number: int, incarnation: int, at: float) -> None:
+        """Executes what the scheduler says of stalled heads and reached bounds."""
+        if not self.lives(number, incarnation) or self.check_times[number] != at:
             return
-        self.alarms[number] = math.inf
-        for action in self.pipes[number].check(self.now):
+        self.check_times[number] = math.inf
+        for action in self.schedulers[number].check(self.now):
             conn = (
-                self.conns.get((number, action.connection_id))
+                self.connections.get((number, action.connection_id))
                 if isinstance(action, AbortConnection)
                 else None
             )
-            if conn is not None and conn.line.in_flight:
-                self.cut(conn, conn.line.in_flight[0], Outcome.RESET)
+            if conn is not None and conn.pipeline.in_flight:
+                self.close(conn, conn.pipeline.in_flight[0], Outcome.RESET)
             elif conn is not None:
-                self.cut(conn, None, Outcome.RESET)
-        self.at(0.5, self.arm, number)
+                self.close(conn, None, Outcome.RESET)
+        self.at(0.5, self.schedule_check, number)
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -1,5 +1,4 @@
-"""Shared connections at the simulated site: all rules hold over seeds, and bugs that were put in are
-found."""
+"""Pipelined connections at the simulated site: all rules hold over seeds, and injected bugs are found."""
 
 from __future__ import annotations
 
@@ -27,17 +26,17 @@
 
 
 def bug(rule: str) -> Callable[[Callable[[pytest.MonkeyPatch], None]], Callable[[pytest.MonkeyPatch], None]]:
-    """A bug to be found, by the rule that it breaks."""
+    """Registers a bug, by the rule that it breaks."""
 
-    def keep(put_in: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
-        BUGS[put_in.__name__] = rule, put_in
-        return put_in
+    def keep(inject: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
+        BUGS[inject.__name__] = rule, inject
+        return inject
 
     return keep
 
 
 @bug("nothing twice")
-def what_had_left_is_told_as_never_sent(patch: pytest.MonkeyPatch) -> None:
+def sent_commands_are_reported_as_never_sent(patch: pytest.MonkeyPatch) -> None:
     sound = CommandPipeline.close
 
     def cut(
@@ -50,8 +49,8 @@
 
 
 @bug("pairing")
-def half_of_a_batch_is_forgotten(patch: pytest.MonkeyPatch) -> None:
-    """While some of a batch stays behind, none of it counts as gone."""
+def a_partly_sent_batch_counts_as_unsent(patch: pytest.MonkeyPatch) -> None:
+    """While some of a batch is buffered, none of it counts as sent."""
     sound = CommandPipeline.update_sent
     patch.setattr(
         CommandPipeline, "update_sent", lambda self, buffered: sound(self, buffered) if not buffered else None
@@ -71,7 +70,7 @@
 
 
 @bug("sharing")
-def unsafe_ones_stand_behind_others(patch: pytest.MonkeyPatch) -> None:
+def non_idempotent_attempts_are_queued(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ClassCompatibility, "between", lambda self, ahead, behind: Compatibility.UNTIL_STALL)
     sound = pipeline_types.placement_request
 
@@ -83,13 +82,13 @@
 
 
 @bug("hold-back")
-def nobody_is_cut(patch: pytest.MonkeyPatch) -> None:
+def no_connection_is_aborted(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(PipelineScheduler, "check", lambda self, now: [])
 
 
 @bug("hold-back")
-def any_line_will_do(patch: pytest.MonkeyPatch) -> None:
-    """Who joins is not asked whether it can bear what stands there, and is never moved on for it."""
+def any_connection_may_be_joined(patch: pytest.MonkeyPatch) -> None:
+    """Whether an attempt can wait for those ahead is not checked, and no connection is aborted for it."""
     patch.setattr(PlacementChooser, "blocked_until_ms", lambda self, now, connection, request: now)
     patch.setattr(StallDetector, "is_stalled", lambda self, now, connection: False)
     patch.setattr(PipelineScheduler, "is_worth_aborting", lambda self, now, connection: False)
@@ -97,18 +96,18 @@
 
 
 @bug("drains")
-def drains_are_not_heeded_at_the_writing(patch: pytest.MonkeyPatch) -> None:
+def drains_are_ignored_when_writing(patch: pytest.MonkeyPatch) -> None:
     sound = PipedWorld.still_stuck
 
     def still_stuck(self: PipedWorld, conn: Any) -> None:
-        if any(self.now >= entry.item.write_by - 2.0 for entry in conn.line.in_flight):
+        if any(self.now >= entry.item.write_by - 2.0 for entry in conn.pipeline.in_flight):
             sound(self, conn)
 
     patch.setattr(PipedWorld, "still_stuck", still_stuck)
 
 
 @bug("depth")
-def depth_has_no_end(patch: pytest.MonkeyPatch) -> None:
+def depth_is_unlimited(patch: pytest.MonkeyPatch) -> None:
     sound = PlacementChooser.joinable
 
     def joinable(self: PlacementChooser, now: float, node: Any, job: Any) -> Any:
@@ -123,7 +122,7 @@
 
 
 @bug("pairing")
-def replies_go_to_the_last_who_came(patch: pytest.MonkeyPatch) -> None:
+def replies_go_to_the_newest_command(patch: pytest.MonkeyPatch) -> None:
     sound = CommandPipeline.match_reply
 
     def reply(self: CommandPipeline[Any], now: float) -> Any:
@@ -133,16 +132,20 @@
     patch.setattr(CommandPipeline, "match_reply", reply)
 
 
-def test_the_rules_hold_over_seeds_and_lines_are_shared() -> None:
-    joined = cut = 0
+def test_the_rules_hold_over_seeds_and_connections_are_shared() -> None:
+    joined = aborted = 0
     for seed in SEEDS:
         script = drawn(seed, PIPED_KINDS)
         world = play(script, site=PipedWorld)
         assert isinstance(world, PipedWorld)
-        joined, cut = joined + world.joined, cut + world.cut_lines
-        posts = [post for pipe in world.pipes.values() for post in pipe.connections.values()]
-        assert not any(len(post.attempts) > 1 for post in posts)  # all is over at the end
-    assert joined > 1000 and cut > 20
+        joined, aborted = joined + world.joined, aborted + world.aborted_shared
+        connections = [
+            connection
+            for scheduler in world.schedulers.values()
+            for connection in scheduler.connections.values()
+        ]
+        assert not any(len(connection.attempts) > 1 for connection in connections)  # all is over at the end
+    assert joined > 1000 and aborted > 20
 
 
 @pytest.mark.parametrize("kind", ["hang", "resets", "stuck lines", "extra replies", "drain", "half die"])
@@ -172,9 +175,9 @@
 
 
 @pytest.mark.parametrize("name", sorted(BUGS))
-def test_a_bug_that_was_put_in_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    rule, put_in = BUGS[name]
-    put_in(monkeypatch)
+def test_an_injected_bug_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    rule, inject = BUGS[name]
+    inject(monkeypatch)
     found = (tried(hard(seed), site=PipedWorld) for seed in range(24))
     failure = next((one for one in found if one is not None), None)
     failure = failure or search(range(10), site=PipedWorld, of=PIPED_KINDS)
