--- a/glenchute/config/operator_shape.py
+++ b/glenchute/config/operator_shape.py
@@ -8,7 +8,7 @@
 
 from .extproc_shape import LISTENERS
 from .fleet import FLEET
-from .pipeline import MOST_DEPTH, PIPELINE
+from .pipeline import MAX_DEPTH, PIPELINE
 from .schema import Boolean, Number, String, Strings, Table, TableArray
 
 MAX_ROUTES = 5_000
@@ -34,7 +34,7 @@
     "retry_on": Strings(tuple(RETRY_CAUSES), alone=False, code="unknown-cause"),
     "second_copy_after_ms": Number(0, MAX_DURATION_MS, above=True),
     "retry_budget": Table({"share": Number(0, 1), "least_per_s": Number(0, 1e6)}, ("share",)),
-    "pipeline_depth": Number(1, MOST_DEPTH, whole=True),
+    "pipeline_depth": Number(1, MAX_DEPTH, whole=True),
 }
 MATCH = Table({"class": Strings(), "plan": Strings(), "command": Strings(COMMANDS, code="unknown-command")})
 NAME = String("[A-Za-z0-9_.-]{1,64}", "1 to 64 letters, digits, '_', '.' or '-'")
--- a/glenchute/policy/connections/client_slots.py
+++ b/glenchute/policy/connections/client_slots.py
@@ -6,7 +6,7 @@
 PING earns nothing.
 
 `ConnectionSlots` receives each connection's events and returns the connections to close. It does no I/O; time
-is an argument, in seconds of a monotonic clock. Each event costs O(1): a connection stands in one queue, by
+is an argument, in seconds of a monotonic clock. Each event costs O(1): a connection is in one queue, by
 state, and each queue is ordered by the time at which its connections entered the state.
 
 Invariants, each with a property test:
@@ -328,7 +328,7 @@
         return CloseConnection(slot.key, reason)
 
     def _queue_of(self, slot: ClientSlot[Key]) -> OrderedDict[Key, ClientSlot[Key]]:
-        """The queue in which the slot stands."""
+        """The queue that the slot is in."""
         if slot.state is ConnectionState.IDLE_REUSED:
             return self.reused_by_gap[slot.gap_bucket]
         return self.slots_by_state[slot.state]
--- a/glenchute/policy/connections/pipelined_connection.py
+++ b/glenchute/policy/connections/pipelined_connection.py
@@ -34,7 +34,7 @@
         self.data = data  # emptied when written
         self.start_offset = self.end_offset = -1  # in the output stream, once written
         self.written_at_ms = 0.0
-        self.is_cancelled = False  # nobody waits for the reply, but it still has its place in the order
+        self.is_cancelled = False  # nobody waits for the reply, but it keeps its position
 
 
 class MatchedReply(NamedTuple, Generic[T]):
--- a/glenchute/policy/connections/placement_choice.py
+++ b/glenchute/policy/connections/placement_choice.py
@@ -175,7 +175,7 @@
     def _join_option(
         self, now_ms: float, server: ServerQueues, request: PlacementRequest, candidate: JoinCandidate
     ) -> ScoredPlacement:
-        """A place behind the attempts on a connection."""
+        """A position behind the attempts on a connection."""
         connection, hold_bound_ms = candidate
         delay_ms = 0.0
         if connection.is_connecting:
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -177,7 +177,7 @@
             self._set_timer(CLIENT_BLOCKED_TIMEOUT_S, self._on_client_blocked)
 
     def discard(self) -> None:
-        """The client is gone: the attempt ends with its connection."""
+        """The client has disconnected: the attempt ends with its connection."""
         self.is_dropped, self.sink, self.buffered = True, None, []
         if not self.has_ended:
             self.attempt.stop(Outcome.CANCELLED)
