--- a/glenchute/protocol/endpoint_list.py
+++ b/glenchute/protocol/endpoint_list.py
@@ -14,11 +14,11 @@
 from typing import TYPE_CHECKING, Any
 
 from glenchute.core.types import Address, EndpointUpdate
-from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
 if TYPE_CHECKING:  # imported with the first long list: most processes never receive one
-    from glenchute.policy.balancing.hash_ring import Placed, Placing
+    from glenchute.policy.balancing.hash_ring import RingBuilder, RingedEndpoints
 
 log = logging.getLogger("glenchute")
 
@@ -84,12 +84,12 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Brings a list, or changes to it, into force."""
         is_complete = update.event.kind is not EndpointListKind.CHANGES
-        placed: Placed | None = getattr(update.event.endpoints, "placed", None)
+        placed: RingedEndpoints | None = getattr(update.event.endpoints, "as_ringed", None)
         if placed is not None and is_complete:
-            self.rows = placed.pairs  # made while the list was decoded
+            self.rows = placed.listed_servers  # made while the list was decoded
             return
-        if placed is not None and len(placed.pairs) == len(placed):
-            self.rows.update(placed.pairs)
+        if placed is not None and len(placed.listed_servers) == len(placed):
+            self.rows.update(placed.listed_servers)
             return
         if is_complete:
             self.rows = {}
@@ -111,7 +111,7 @@
 class RowDecoder:
     """Collects the rows of one list."""
 
-    def __init__(self, current: CurrentList | None, ring_builder: Placing | None = None) -> None:
+    def __init__(self, current: CurrentList | None, ring_builder: RingBuilder | None = None) -> None:
         """`current`: the list in force, for unreadable rows; None: they are errors. `ring_builder`: is given
         each row, so that the tables of a long list are built along with it."""
         self.current, self.ring_builder = current, ring_builder
@@ -137,7 +137,7 @@
         if row[1] is not None:
             self.addresses[row[0].address] = row[1]
         if self.ring_builder is not None:
-            self.ring_builder.take(row)
+            self.ring_builder.add(row)
 
     def finish(self, raw: Any, saved: bool = False) -> EndpointUpdate:
         """The update made of the rows and of the list's other fields in `raw`. `saved`: the list is a saved
@@ -146,9 +146,9 @@
         version = int(raw["version"])
         if self.unreadable and self.current is not None:
             self._replace_unreadable(self.current, kind)
-        ring_builder = self.ring_builder if len(self.rows) > WHOLE else None
+        ring_builder = self.ring_builder if len(self.rows) > MAX_SUBSET_SIZE else None
         if ring_builder is not None:
-            endpoints = ring_builder.done()
+            endpoints = ring_builder.build()
         else:
             endpoints = tuple(endpoint for endpoint, _ in self.rows)
         return EndpointUpdate(version, EndpointList(kind, endpoints), self.addresses)
@@ -195,13 +195,13 @@
     list are built on the way. A row whose text was in the previous long list is not parsed again: text that
     is one JSON object is the same object wherever it stands.
     """
-    from glenchute.policy.balancing.hash_ring import Placing
+    from glenchute.policy.balancing.hash_ring import RingBuilder
 
     text = body.decode(json.detect_encoding(body), "surrogatepass")
     head = LIST_HEAD.match(text)
     if head is None:
         return decode_list(json.loads(text), current=current)
-    ring_builder = Placing(current.ring_positions if current is not None else {})
+    ring_builder = RingBuilder(current.ring_positions if current is not None else {})
     rows = RowDecoder(current, ring_builder)
     known_rows = current.rows_by_text if current is not None else {}
     rows_by_text: dict[str, EndpointRow] = {}
@@ -209,8 +209,8 @@
         rows_end = yield from scan_rows(text, head.end(), rows, known_rows, rows_by_text)
         yield from ring_builder.sort()
         raw = json.loads(text[: head.end()] + text[rows_end:])
-        if current is not None and raw.get("full") and len(rows_by_text) > WHOLE:
-            current.rows_by_text, current.ring_positions = rows_by_text, ring_builder.spots
+        if current is not None and raw.get("full") and len(rows_by_text) > MAX_SUBSET_SIZE:
+            current.rows_by_text, current.ring_positions = rows_by_text, ring_builder.positions
         known_rows = rows_by_text = {}
         yield  # the previous rows are freed in another turn than the one that brings this list into force
         return rows.finish(raw) if not raw["servers"] else decode_list(json.loads(text), current=current)
