--- a/glenchute/core/executor.py
+++ b/glenchute/core/executor.py
@@ -67,9 +67,8 @@
 
 log = logging.getLogger("glenchute")
 
-RESPONSE_MARGIN_S = (
-    0.01  # attempts end this long before the client's deadline, to leave time for the response
-)
+# Attempts end this long before the client's deadline, to leave time for the response.
+RESPONSE_MARGIN_S = 0.01
 ENGINE_RETRY_MS = 250.0  # after a fault in the engine's timer, which it would else never set again
 MIN_TIMER_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
 
--- a/glenchute/listeners/extproc/attempt.py
+++ b/glenchute/listeners/extproc/attempt.py
@@ -51,9 +51,8 @@
         self.deadline = self.started_at + timeout_s
         self.is_written = False  # the proxy was let through: it may have run
         self.has_ended = False
-        self.on_response_started: Callable[[ResponseSource], None] | None = (
-            None  # values go by the proxy, however long
-        )
+        # Values go by the proxy, however long.
+        self.on_response_started: Callable[[ResponseSource], None] | None = None
         self.is_wanted: Callable[[], bool] | None = None  # the proxy writes
         self.stream: UpstreamStream | None = None
         self.timer: asyncio.TimerHandle | None = None
--- a/glenchute/listeners/extproc/messages.py
+++ b/glenchute/listeners/extproc/messages.py
@@ -18,9 +18,8 @@
 RESPONSE_TEMPLATES: dict[Any, Any] = {}  # a response of each shape, to be copied
 OVERWRITE = base_pb2.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 LB_METADATA_NAMESPACE = "envoy.lb"
-LB_ENDPOINT_KEY = (
-    "x-gateway-destination-endpoint"  # Gateway API inference extension, endpoint picker protocol
-)
+# Gateway API inference extension, endpoint picker protocol.
+LB_ENDPOINT_KEY = "x-gateway-destination-endpoint"
 UNHANDLED_KINDS = ("response_body", "request_trailers", "response_trailers")
 PLAIN_RESPONSES = {
     kind: pb.ProcessingResponse()
--- a/glenchute/listeners/extproc/request.py
+++ b/glenchute/listeners/extproc/request.py
@@ -107,20 +107,16 @@
     def __init__(self, calls: RequestTable, ref: int, fields: MappedRequest, deadline: float) -> None:
         self.table, self.number, self.fields, self.deadline = calls, ref, fields, deadline
         self.active_request: ActiveRequest | None = None
-        self.first_decision: ev.ContinueResponse | None = (
-            None  # the first decision, told again where its stream is opened again
-        )
+        # The first decision, told again where its stream is opened again.
+        self.first_decision: ev.ContinueResponse | None = None
         self.client_stream: DownstreamStream | None = None
         self.on_first_decision: ev.RespondCallback | None = None  # the proxy waits for the first decision
-        self.waiting_attempt: tuple[UpstreamStream, str, ev.RespondCallback] | None = (
-            None  # an attempt waits to be let through
-        )
-        self.pending_attempt_response: ev.RespondCallback | None = (
-            None  # an attempt's response waits for what follows from it
-        )
-        self.pending_client_response: tuple[int, ev.RespondCallback] | None = (
-            None  # the client's response waits for the final answer
-        )
+        # An attempt waits to be let through.
+        self.waiting_attempt: tuple[UpstreamStream, str, ev.RespondCallback] | None = None
+        # An attempt's response waits for what follows from it.
+        self.pending_attempt_response: ev.RespondCallback | None = None
+        # The client's response waits for the final answer.
+        self.pending_client_response: tuple[int, ev.RespondCallback] | None = None
         self.is_detached = False  # the proxy shows no response here: the attempt's stream must
         self.final_response: FinalResponse | None = None
         self.is_finished = False  # the final answer is known, or the proxy has given its own
@@ -277,9 +273,8 @@
         elif (
             attempt is not None and self.pending_attempt_response is not None and attempt is self.attempts[-1]
         ):
-            self.pending_attempt_response = (
-                None  # nobody hears what follows from its response; the next attempt asks
-            )
+            # Nobody hears what follows from its response; the next attempt asks.
+            self.pending_attempt_response = None
         self.review_waiting_attempt()
         self.remove_if_done()
 
--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -19,9 +19,8 @@
 
 PROCESSOR_SERVICE = "envoy.service.ext_proc.v3.ExternalProcessor"
 RATE_LIMIT_SERVICE = "envoy.service.ratelimit.v3.RateLimitService"
-ROLE_METADATA = (
-    "x-glenchute-role"  # initial metadata of the filter's gRPC service: "upstream" at the nodes' side
-)
+# Initial metadata of the filter's gRPC service: "upstream" at the nodes' side.
+ROLE_METADATA = "x-glenchute-role"
 MAX_MESSAGE_BYTES = 1024 * 1024
 WRITE_TIMEOUT_S = 5.0  # a proxy that does not read what it asked for is cut off after this
 STREAM_GRACE_S = 30.0  # a stream ends this long after the longest deadline at the latest
--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -1,4 +1,4 @@
-"""A client's command, checked whole before anything of it touches a quota or a server."""
+"""Parses client commands; each is checked completely before it affects a quota or a server."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from glenchute.policy.settings import Idempotency, Settings
 from glenchute.protocol import resp2 as resp
 
-MAX_FIELDS_BYTES = 512  # bytes of the list of names and values
+MAX_FIELDS_BYTES = 512  # of the list of names and values
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 MAX_TENANT_NUMBER = 1 << 33
-IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,64}")  # ids and keys: no space, nothing that can't be printed
+IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,64}")  # of ids and keys: printable, without spaces
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,9})?")
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
 
 
 @record(slots=True)
 class Command(Call):
-    """A client's command, parsed and checked once. `fields` has a gap where the time left goes."""
+    """A client's command, parsed and checked once. The field list has a gap for the remaining time."""
 
     prefix: bytes  # the command up to the field list
     fields_around_deadline: tuple[bytes, bytes]  # the list up to and with "d=", and what follows the number
     suffix: bytes  # the body, encoded, or nothing
 
     def encode(self, left_ms: int) -> bytes:
-        """The command for a server: the client's own, but for the time left."""
+        """The command for a server: the client's own but for the remaining time."""
         fields = b"%b%d%b" % (self.fields_around_deadline[0], left_ms, self.fields_around_deadline[1])
         return b"%b%b%b" % (self.prefix, resp.encode_bulk(fields), self.suffix)
 
 
 class CommandError(ValueError):
-    """A command that can't be served; the text goes to the client."""
+    """A command that can't be served; the text is sent to the client."""
 
 
 @record(frozen=True, slots=True)
 class RequestBounds:
-    """The most that a command may ask for."""
+    """The most that a request may ask for."""
 
     max_units: float
-    max_deadline_ms: float  # longer deadlines are served as this: none may hold a place for minutes
+    max_deadline_ms: float  # longer deadlines are reduced to it: no request may occupy a slot for minutes
 
 
 def read_request_bounds(raw: dict[str, Any]) -> RequestBounds:
-    """From the settings."""
+    """The limits that the platform's file sets."""
     waits = [number(row.get("hard_limit_ms")) for row in raw["profiles"]]
     return RequestBounds(
         max_units=number((raw.get("domain") or {}).get("max_units")) or 1e6,
@@ -55,7 +55,7 @@
 
 
 class CommandParser:
-    """What a command may name, from the settings."""
+    """Parses commands by what the settings define: classes, plans and limits."""
 
     def __init__(self, settings: Settings, most: RequestBounds) -> None:
         self.gateway_count = settings.gateway_count
@@ -67,7 +67,7 @@
         }
 
     def parse(self, words: list[bytes]) -> Command:
-        """Checks a command and takes it apart, once."""
+        """Checks and parses a command; raises CommandError."""
         verb = words[0].upper()
         if not 4 <= len(words) <= 5:
             raise CommandError("wrong number of arguments")
@@ -98,7 +98,7 @@
             request_id=request_id,
             class_name=name,
             plan=self.lookup(self.plans, fields, b"t", "plan"),
-            # The one form that all gateways share: windows and counter names hang on it.
+            # The form that all gateways share: quota windows and counter keys depend on it.
             tenant=customer.lower().decode(),
             time_left_ms=min(left_ms, self.bounds.max_deadline_ms),
             units=units,
@@ -110,7 +110,7 @@
 
     @staticmethod
     def lookup(table: dict[bytes, Any], fields: dict[bytes, bytes], key: bytes, what: str) -> Any:
-        """What a field names."""
+        """The entry of `table` that a field names."""
         try:
             return table[fields[key]]
         except KeyError:
@@ -118,7 +118,7 @@
 
 
 def split_fields(text: bytes) -> tuple[dict[bytes, bytes], tuple[bytes, bytes]]:
-    """The fields by name, and the list round the number of `d`."""
+    """The fields by name, and the two parts of the list around the number of `d`, the remaining time."""
     fields: dict[bytes, bytes] = {}
     gap: tuple[bytes, bytes] | None = None
     at = 0
@@ -136,7 +136,7 @@
 
 
 def decimal_field(fields: dict[bytes, bytes], key: bytes, most: float, default: bytes) -> float:
-    """A number that is not negative. `float` alone would let through `nan`, `1_0`, `1e9` and white space."""
+    """A number from 0 to `most`. `float` alone would accept `nan`, `1_0`, `1e9` and white space."""
     text = fields.get(key, default)
     if DECIMAL_PATTERN.fullmatch(text) is None or float(text) > most:
         raise CommandError(f"bad number for {key.decode()}")
@@ -144,7 +144,7 @@
 
 
 def integer_field(fields: dict[bytes, bytes], key: bytes, least: int, most: int, default: int) -> int:
-    """A whole number in its range."""
+    """A whole number from `least` to `most`."""
     text = fields.get(key)
     if text is None:
         return default
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -71,9 +71,8 @@
         self.discarded_bytes = 0  # bytes that came since then
         self.is_write_blocked = False  # the client does not read its replies
         self.is_closed_by_peer = False  # it has closed, though bytes of it may still wait to be read
-        self.queued_reply_bytes = (
-            0  # bytes of replies since the transport could last tell whether the client reads
-        )
+        # Bytes of replies since the transport could last tell whether the client reads.
+        self.queued_reply_bytes = 0
         self.descriptor = -1  # the connection's descriptor
         self.is_reading_paused = False
         self.is_parsing = False
--- a/glenchute/listeners/resp2/listener.py
+++ b/glenchute/listeners/resp2/listener.py
@@ -49,17 +49,14 @@
             made.client_connections, made.requesting_connections, made.overflow_connections
         )
         self.open_ids: set[bytes] = set()
-        self.may_release_replies = (
-            False  # an unfinished read may be given up for the finished replies behind it
-        )
+        # An unfinished read may be given up for the finished replies behind it.
+        self.may_release_replies = False
         self.closed_peers = ClosedPeerDetector()
-        self.scheduled_clients: deque[ClientConnection] = (
-            deque()
-        )  # that have commands left, in the order of their turns
+        # That have commands left, in the order of their turns.
+        self.scheduled_clients: deque[ClientConnection] = deque()
         self.queued_reply_bytes = 0  # bytes of replies since the last turn that they had
-        self.release_timers: dict[
-            ClientConnection, asyncio.TimerHandle
-        ] = {}  # when such connections are looked at again
+        # When such connections are looked at again.
+        self.release_timers: dict[ClientConnection, asyncio.TimerHandle] = {}
         self.server: asyncio.Server | None = None
         self.accepted_count = self.request_count = 0  # connections; requests that reached the decisions
         self.last_report = "", loop.time()  # the last line for the operators, and when
--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -1,8 +1,8 @@
-"""What an external processor decides besides the module: pure functions of what a proxy told.
+"""Decisions on attempts that a proxy makes: pure functions of what the proxy reports.
 
-The module chooses server, retry and refusal. Left for here: what a proxy's response means as an attempt's
-ending, whether an attempt of an earlier process may go on, whether an attempt that asks may go now, and what
-the client is shown at the end. No I/O, no clock; the tables are in docs/design/extproc.md.
+The engine decides on servers, retries and rejections. The rules here are those that only a proxy needs: what
+its response means as an attempt's outcome, whether an attempt of an earlier process may go on, whether an
+attempt that asks may go now, and what the client is shown. The tables are in docs/design/extproc.md.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 from ..events import Outcome
 from ..record import record
 from ..settings import Idempotency
+from .retry_policy import EXPIRY_MARGIN_MS
 
 # Response code details of a proxy's own replies, as Envoy's page "Response code details" lists them. Only
-# these prove that no byte reached a node; every other one, and any of tomorrow's, counts as "may have run".
+# these prove that no byte reached a server; every other one, also unknown ones, counts as "may have run".
 UNSENT_DETAILS = re.compile(
     r"no_healthy_upstream|cluster_not_found|route_not_found|no_cluster|maintenance_mode|"
     r"upstream_reset_before_response_started\{(?:connection_failure|remote_connection_failure|"
@@ -25,10 +26,13 @@
 CANCELLED_DETAILS = re.compile(r"downstream_remote_disconnect|downstream_local_disconnect")
 
 
-def classify_response(status: int, details: str, full_status: int) -> Outcome:
-    """An attempt's ending from what the proxy saw: the status of the response (0: none), and the response
-    code details where the proxy sends that attribute. `full_status`: the status by which nodes turn a
-    request away unseen, 0 if they have none."""
+def classify_response(status: int, details: str, rejected_status: int) -> Outcome:
+    """An attempt's outcome from what the proxy saw.
+
+    `status` is that of the response, 0 without one; `details` are the response code details, where the proxy
+    sends that attribute; `rejected_status` is the status by which servers reject a request unread, 0 if they
+    have none.
+    """
     if details.startswith("via_upstream") or not details:
         pass
     elif UNSENT_DETAILS.match(details):
@@ -39,59 +43,60 @@
         return Outcome.CANCELLED
     elif details.startswith("upstream_reset"):
         return Outcome.RESET
-    if full_status and status == full_status:
+    if rejected_status and status == rejected_status:
         return Outcome.REJECTED
     if 200 <= status < 500:
         return Outcome.OK
     if status == 504 and not details:
-        return Outcome.TIMEOUT  # a proxy that says no more
+        return Outcome.TIMEOUT  # of a proxy that sends no details
     return Outcome.ERROR if status else Outcome.RESET
 
 
-def may_send_undecided(
-    repeat: Idempotency, open_after_restart: bool, age_ms: float, memory_ms: float
-) -> bool:
+def may_send_undecided(idempotency: Idempotency, is_resumable: bool, age_ms: float, window_ms: float) -> bool:
     """Whether a request that another process decided on `age_ms` ago may be sent, though nobody here knows
-    whether it was sent before. An unsafe one never; a keyed one while the nodes drop repeats, by the age of
-    its first decision, which is before its first sending; where the operator has the class closed, none. An
-    age below zero is another clock's or a forgery, and proves nothing."""
-    if not open_after_restart or repeat is Idempotency.NON_IDEMPOTENT or age_ms < 0.0:
+    whether it was sent before.
+
+    A non-idempotent one never may; one with a key only within its idempotency window, by the age of the first
+    decision, which is before its first attempt; none where the operator keeps the class closed after a
+    restart. A negative age is another clock's or forged, and proves nothing.
+    """
+    if not is_resumable or idempotency is Idempotency.NON_IDEMPOTENT or age_ms < 0.0:
         return False
-    return repeat is Idempotency.IDEMPOTENT or age_ms < memory_ms - 5.0
+    return idempotency is Idempotency.IDEMPOTENT or age_ms < window_ms - EXPIRY_MARGIN_MS
 
 
 class AttemptVerdict(Enum):
-    """What an attempt that asks is told."""
+    """The answer to an attempt that asks whether it may go."""
 
     ALLOW = "pass"
-    WAIT = "hold"  # until what it waits for has happened; each such wait ends at the deadline
-    REQUEST_FINISHED = "over"  # the request has its final answer
-    WRONG_SERVER = "node"  # goes to another node than the chosen one
-    TOO_LATE = "late"  # the chosen node takes nothing any more, or repeats are no longer dropped
+    WAIT = "hold"  # until what it waits for has happened, at most until the deadline
+    REQUEST_FINISHED = "over"  # the request has its final response
+    WRONG_SERVER = "node"  # it goes to another server than the chosen one
+    TOO_LATE = "late"  # the chosen server takes nothing any more, or may have forgotten the key
 
 
 @record(frozen=True, slots=True)
 class AttemptState:
-    """What is known where an attempt asks."""
+    """What is known when an attempt asks."""
 
-    is_request_finished: bool  # the request has its final answer
-    has_chosen_server: bool  # the module has chosen, and this choice has not been used
+    is_request_finished: bool  # it has its final response
+    has_chosen_server: bool  # the engine has chosen a server, and the choice has not been used
     has_open_attempts: bool  # an earlier attempt's stream is open: its connection may be
-    requested_address: str  # the node's address as the proxy tells it, "" if it does not
-    chosen_address: str  # the chosen node's address
-    is_server_accepting: bool  # the node's, by the list and its drain
-    is_in_time: bool  # before the moment after which no byte may leave
+    requested_address: str  # the server's address as the proxy reports it; "" if it does not
+    chosen_address: str  # the chosen server's address
+    is_server_accepting: bool  # by the endpoint list and its drain
+    is_in_time: bool  # before the time after which no byte may be sent
 
 
-def judge_attempt(asking: AttemptState) -> AttemptVerdict:
-    """Whether the attempt may go. Where it may not, no byte of it has left and none will."""
-    if asking.is_request_finished:
+def judge_attempt(state: AttemptState) -> AttemptVerdict:
+    """Whether the attempt may go. Where it may not, no byte of it has been sent and none will be."""
+    if state.is_request_finished:
         return AttemptVerdict.REQUEST_FINISHED
-    if not asking.has_chosen_server or asking.has_open_attempts:
+    if not state.has_chosen_server or state.has_open_attempts:
         return AttemptVerdict.WAIT
-    if not asking.is_server_accepting or not asking.is_in_time:
+    if not state.is_server_accepting or not state.is_in_time:
         return AttemptVerdict.TOO_LATE
-    if asking.requested_address and asking.requested_address != asking.chosen_address:
+    if state.requested_address and state.requested_address != state.chosen_address:
         return AttemptVerdict.WRONG_SERVER
     return AttemptVerdict.ALLOW
 
@@ -100,16 +105,16 @@
     """What becomes of the response that a proxy is about to give its client."""
 
     PASS_THROUGH = "through"  # as it is
-    REJECTION = "refusal"  # replaced by a refusal, which promises that nothing ran
+    REJECTION = "refusal"  # replaced by a rejection, which promises that nothing ran
     FAILURE = "unknown"  # replaced by a failure without a promise
 
 
-RETRYABLE_STATUSES = (429, 503)  # statuses that clients take for "not done, come again"
+RETRYABLE_STATUSES = (429, 503)  # clients take them as "not executed, retry later"
 
 
 def judge_response(outcome: str, may_have_run: bool, status: int) -> ResponseVerdict:
-    """`outcome` is "served", "refused", "failed", or "" where the proxy answers by itself. What may have run
-    must not leave with a status that clients read as a promise that it did not."""
+    """`outcome` is "served", "refused", "failed", or "" where the proxy responds by itself. A request that
+    may have run must not end with a status that clients read as a promise that it did not."""
     if outcome == "served":
         return ResponseVerdict.PASS_THROUGH
     if outcome == "refused":
--- a/glenchute/policy/services/request_mapping.py
+++ b/glenchute/policy/services/request_mapping.py
@@ -1,4 +1,4 @@
-"""What of a proxy's request is which field of a call: rules of the operator's file, applied without I/O.
+"""Maps the parts of a proxy's request to the fields of a call, by the rules of the operator's file.
 
 A source is written as text: `header:x-account`, `query:units`, `path:account` (a variable of the operation's
 path template), `metadata:namespace/key` (the proxy's filter metadata), `json:/order/id` (a pointer into a
@@ -30,7 +30,7 @@
 
 
 class MappingError(ValueError):
-    """A request that the rules can't read: a stable word, and the status for the client."""
+    """A request that the rules can't read: a stable reason, and the status for the client."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
         super().__init__(reason)
@@ -50,7 +50,7 @@
 
     @classmethod
     def parse(cls, text: str) -> PathTemplate:
-        """Raises ValueError with the reason."""
+        """Parses a template; raises ValueError with the reason."""
         if not text.startswith("/") or len(text) > 200:
             raise ValueError("begins with / and has at most 200 characters")
         parts: list[tuple[str, str]] = []
@@ -68,21 +68,22 @@
 
     @property
     def specificity(self) -> tuple[int, ...]:
-        """Which of two that match counts: literals before variables before the rest, from the left."""
+        """Sorts templates that match the same path, the most literal first: literals before variables before
+        the rest, from the left."""
         return tuple("=1*".index(kind) for kind, _ in self.parts)
 
     @property
     def normalized_parts(self) -> tuple[tuple[str, str], ...]:
-        """Equal for two that match the same paths."""
+        """Equal for two templates that match the same paths."""
         return tuple((kind, name if kind == "=" else "") for kind, name in self.parts)
 
     @property
     def variable_names(self) -> tuple[str, ...]:
-        """Its variables."""
+        """The names of its variables, from the left."""
         return tuple(name for kind, name in self.parts if kind != "=")
 
     def match(self, segments: list[str]) -> dict[str, str] | None:
-        """The variables, if the path is of this form."""
+        """The values of the variables, or None where the path does not match."""
         found: dict[str, str] = {}
         for at, (kind, name) in enumerate(self.parts):
             if kind == "*":
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """Requests of one method and form of path, and their class."""
+    """Requests of one method and path template, and their class."""
 
     class_name: str
     method: str  # "" for any
@@ -111,16 +112,17 @@
 
 @dataclass(slots=True)
 class RequestView:
-    """What a proxy tells of one request. Names of headers are in small letters."""
+    """What a proxy reports of one request. Names of headers are in lower case."""
 
     headers: Mapping[str, list[bytes]]
     metadata: Mapping[str, Any] = field(default_factory=dict)
     descriptors: Mapping[str, str] = field(default_factory=dict)
-    body: bytes | None = None  # whole, or None while it has not come
+    body: bytes | None = None  # complete, or None while it has not been received
     path_variables: Mapping[str, str] = field(default_factory=dict)
 
     def single_header(self, name: str) -> str | None:
-        """The one value of a header. Of two values each of both sides could take another."""
+        """The one value of a header; raises MappingError where it is repeated (each side might take another),
+        too long or not ASCII."""
         values = self.headers.get(name)
         if not values:
             return None
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MappedRequest:
-    """A call as the rules read it."""
+    """A request as the rules read it."""
 
     class_name: str
     plan: str
@@ -150,16 +152,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MappingRules:
-    """The mapping of one front. `sources` by field; `keyed` are the classes that need a key."""
+    """The mapping of one listener. `sources` are by field name."""
 
     sources: Mapping[str, str]
     operations: tuple[Operation, ...]
-    needs_key_by_class: Mapping[str, bool]  # name: whether it is keyed
+    needs_key_by_class: Mapping[str, bool]  # by class: whether requests need an idempotency key
     plans: tuple[str, ...]
     gateway_count: int
     max_units: float = 1e6
     parsed_sources: Mapping[str, tuple[str, str]] = field(init=False, repr=False, compare=False)
-    used_headers: frozenset[str] = field(init=False, repr=False, compare=False)  # names of headers that count
+    used_headers: frozenset[str] = field(
+        init=False, repr=False, compare=False
+    )  # names of the headers that the rules read
 
     def __post_init__(self) -> None:
         parts = {name: source.partition(":") for name, source in self.sources.items()}
@@ -169,7 +173,8 @@
         object.__setattr__(self, "used_headers", frozenset(named | {":path", ":method"}))
 
     def map_request(self, view: RequestView) -> MappedRequest:
-        """The fields of one request; raises MappingError, or NeedsBody where the body must come first."""
+        """The fields of one request. Raises MappingError, or BodyRequired where the body must be read
+        first."""
         path = view.single_header(":path") or "/"
         if "path" not in view.path_variables and self.operations:
             operation, view.path_variables = self.match_operation(view, path)
@@ -201,7 +206,7 @@
         return MappedRequest(name, plan, account.lower(), units, int(spread), request_id, key, deadline)
 
     def match_operation(self, view: RequestView, path: str) -> tuple[Operation | None, dict[str, str]]:
-        """The operation that matches, the most literal one, with its variables decoded."""
+        """The most specific operation that matches, with its path variables decoded."""
         method = view.single_header(":method") or ""
         segments = path.partition("?")[0][1:].split("/")
         best: tuple[Operation, dict[str, str]] | None = None
@@ -216,7 +221,7 @@
         return best or (None, {})
 
     def decimal_field(self, view: RequestView, name: str, path: str, default: float) -> float:
-        """A number that is not negative."""
+        """A field that is a number from 0 on."""
         text = self.text_field(view, name, path)
         if not text:
             return default
@@ -266,7 +271,7 @@
 
     @staticmethod
     def resolve_json_pointer(view: RequestView, pointer: str) -> Any:
-        """What a JSON pointer finds in the body."""
+        """What a JSON pointer (RFC 6901) finds in the body; None where it finds nothing."""
         if view.body is None:
             raise BodyRequired
         try:
--- a/glenchute/protocol/resp2.py
+++ b/glenchute/protocol/resp2.py
@@ -1,8 +1,8 @@
-"""RESP2: encoding, and strictness round hiredis' parser.
+"""RESP2: encoding, and strict parsing around hiredis' parser.
 
-hiredis takes any two bytes for the end of a bulk string, makes room for whatever number of elements an array
-announces, and has no limit on what it buffers. A message is thus handed to it only once it is known to be
-whole, well-formed and within the limits.
+hiredis takes any two bytes for the end of a bulk string, allocates for any announced number of array
+elements, and has no limit on what it buffers. So it gets a message only once that is known to be complete,
+well-formed and within the limits.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 import hiredis
 
 MAX_VALUE_BYTES = 64 * 1024  # the longest value that the protocol allows
-MAX_PENDING_BYTES = 2 * MAX_VALUE_BYTES  # bytes of one message that may wait for its end
+MAX_PENDING_BYTES = 2 * MAX_VALUE_BYTES  # of a message whose end has not been received
 MAX_LINE_BYTES = 1024  # of a status or an error
-MAX_LENGTH_LINE_BYTES = 24  # of the line that tells a length, or a number
+MAX_LENGTH_LINE_BYTES = 24  # of a line with a length or a number
 MAX_ARRAY_ELEMENTS = 99  # elements of an array; the protocol's own have five at most
-MAX_ARRAY_DEPTH = 2  # arrays in an array: figures on use
+MAX_ARRAY_DEPTH = 2  # of arrays in an array: load reports
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
@@ -32,11 +32,12 @@
 
 
 class ValueTooLongError(ProtocolError):
-    """A value over `MAX_VALUE`: not held here."""
+    """A value over `MAX_VALUE_BYTES`, which is not buffered."""
 
 
 def find_line_end(raw: bytes, at: int, most: int) -> int:
-    """Where the line at `at` ends, its line break included; 0 if that has not come."""
+    """The index after the line that begins at `at`, with its line break; 0 if its end has not been
+    received."""
     end = raw.find(b"\n", at, at + most + 2)
     if end < 0:
         if len(raw) - at > most:
@@ -48,14 +49,14 @@
 
 
 def parse_integer(raw: bytes, at: int, end: int) -> int:
-    """The number of a line."""
+    """The number of the line from `at` to `end`."""
     if INTEGER_PATTERN.fullmatch(raw, at + 1, end - 2) is None:
         raise ProtocolError("bad number")
     return int(raw[at + 1 : end - 2])
 
 
 def find_message_end(raw: bytes, at: int, depth: int = 0) -> int:
-    """Where the message at `at` ends; 0 if its end has not come."""
+    """The index after the message that begins at `at`; 0 if its end has not been received."""
     if at >= len(raw):
         return 0
     kind = raw[at]
@@ -86,7 +87,7 @@
 
 
 class Parser:
-    """One direction of a connection: bytes in, whole messages out."""
+    """One direction of a connection: bytes in, complete messages out."""
 
     __slots__ = ("_at", "_raw")
 
@@ -94,12 +95,12 @@
         self._raw, self._at = b"", 0
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they came."""
+        """Takes bytes as they were received."""
         self._raw = self._raw[self._at :] + data if self._at < len(self._raw) else data
         self._at = 0
 
     def next_message(self) -> Any:
-        """The next whole message, or False if its end has not come yet. A status is a `str`."""
+        """The next complete message, or False if its end has not been received. A status is a `str`."""
         start, end = self._at, find_message_end(self._raw, self._at)
         if not end:
             if len(self._raw) - start > MAX_PENDING_BYTES:
@@ -111,19 +112,19 @@
         reader = hiredis.Reader()
         reader.feed(self._raw, start, end - start)
         if end == len(self._raw):
-            self._raw, self._at = b"", 0  # an idle connection holds on to nothing
+            self._raw, self._at = b"", 0  # an idle connection keeps no buffer
         try:
             return reader.gets()
         except hiredis.ProtocolError as error:
             raise ProtocolError(str(error)) from None
 
     def take_unparsed(self) -> bytes:
-        """All that waits; the parser is empty then."""
+        """Returns and drops all bytes that are not parsed."""
         raw, self._raw, self._at = self._raw[self._at :], b"", 0
         return raw
 
     def has_unparsed(self) -> bool:
-        """Whether bytes wait behind the last message."""
+        """Whether bytes follow the last message."""
         return self._at < len(self._raw)
 
 
@@ -138,11 +139,11 @@
 
 
 def encode_busy(retry_after_ms: float) -> bytes:
-    """A refusal; the time is rounded up, so that nobody is told to come back too early."""
+    """A rejection. The time is rounded up, so that no client is told to retry too early."""
     return b"-BUSY %d\r\n" % -int(-retry_after_ms // 1) if retry_after_ms > 0 else b"-BUSY\r\n"
 
 
 def encode_error(text: str) -> bytes:
-    """An error line; line breaks and what is not ASCII can't stand in it."""
+    """An error line; characters that can't stand in one are replaced."""
     clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:200]
     return b"-ERR " + clean.encode() + b"\r\n"
--- a/glenchute/protocol/streamed_reply.py
+++ b/glenchute/protocol/streamed_reply.py
@@ -1,4 +1,4 @@
-"""A server's answer whose value is too long to be held: taken apart as it comes, at any cut."""
+"""Incremental parsing of a server's reply whose value is too long to be buffered."""
 
 from __future__ import annotations
 
@@ -7,16 +7,15 @@
 
 from . import resp2 as resp
 
-MAX_STREAMED_BYTES = 4 * 1024 * 1024  # the longest value that is passed on
+MAX_STREAMED_BYTES = 4 * 1024 * 1024  # the longest value that is forwarded
 HEAD_PATTERN = re.compile(rb"\*3\r\n\$([1-9][0-9]{0,8})\r\n")
 
 
 class StreamedReply:
-    """An array whose first element is a long value. The value's bytes come out as they go in; what stands
-    behind it is short and held until it is whole.
+    """An array whose first element is a long value, which is passed on as it is received. The elements behind
+    the value are short, and kept in `trailer` once `is_complete`.
 
-    `length` is the value's, in bytes; `reply` the two elements behind it, once `done`; `surplus` tells that
-    more came than belongs to the answer. ProtocolError where the bytes are no such answer.
+    Raises ProtocolError where the bytes are no such reply.
     """
 
     __slots__ = ("_parser", "_tail", "is_complete", "length_bytes", "remaining_bytes", "trailer")
@@ -25,13 +24,13 @@
         self.length_bytes = self.remaining_bytes = length
         self.is_complete = False
         self.trailer: list[Any] = []
-        self._tail = b""  # of the line break behind the value
+        self._tail = b""  # the part of the line break behind the value that was received
         self._parser: resp.Parser | None = None
 
     @classmethod
     def parse_head(cls, raw: bytes) -> tuple[StreamedReply, bytes] | None:
-        """The answer that begins with these bytes, and what of them stands behind its head; None where this
-        is no answer with a long value of an allowed length in the first place."""
+        """The reply that begins with these bytes, and those of them that follow its head; None where they
+        begin no reply with a value of an allowed length in the first place."""
         head = HEAD_PATTERN.match(raw)
         if head is None or not resp.MAX_VALUE_BYTES < int(head[1]) <= MAX_STREAMED_BYTES:
             return None
@@ -39,11 +38,11 @@
 
     @property
     def has_surplus(self) -> bool:
-        """Whether bytes wait behind the answer."""
+        """Whether bytes follow the reply, to which they don't belong."""
         return self._parser is not None and self._parser.has_unparsed()
 
     def feed(self, data: bytes) -> bytes:
-        """Takes bytes as they came; those of them that belong to the value."""
+        """Takes bytes as they were received; returns those that belong to the value."""
         if self.remaining_bytes >= len(data):
             self.remaining_bytes -= len(data)
             return data
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -21,9 +21,9 @@
 from glenchute.policy.events import AttemptAssigned, AttemptEnded, Event, Outcome
 from glenchute.policy.retries.route_limits import (
     RequestRetries,
-    RetryBudget,
     RetryBudgetSettings,
     RouteLimits,
+    RouteRetryBudget,
 )
 from tests.loopback import always, play, raw_config, site
 from tests.sites import FACTS, NO_SCOPE
@@ -95,7 +95,7 @@
     rule = RetryBudgetSettings(0.0)
     course = RequestRetries(
         RouteLimits("r", max_attempts=attempts, retryable_outcomes=causes),
-        RetryBudget(rule, 0.0),
+        RouteRetryBudget(rule, 0.0),
         random.Random(1),
     )
     course.started_attempts = started
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -15,14 +15,14 @@
 from glenchute.core.types import Failed, Rejected, Served
 from glenchute.policy.events import Outcome
 from glenchute.policy.retries.route_limits import (
-    MIN_TOKEN_BUFFER_S,
     NO_RETRY_MS,
     REQUEST_TOKEN_DECAY_S,
+    STEADY_BUFFER_S,
     Backoff,
     RequestRetries,
-    RetryBudget,
     RetryBudgetSettings,
     RouteLimits,
+    RouteRetryBudget,
     RouteTable,
 )
 from tests.simulated import Fate, Site
@@ -199,7 +199,7 @@
     rule = RetryBudgetSettings(0.1, 2.0)
     bound, site = failing(rule, 300, 100.0)
     assert bare > 360
-    assert 300 < bound <= 300 + 0.1 * 300 + 2.0 * (3.0 + MIN_TOKEN_BUFFER_S) + 1
+    assert 300 < bound <= 300 + 0.1 * 300 + 2.0 * (3.0 + STEADY_BUFFER_S) + 1
     assert bound < bare
     assert all(len(answers) == 1 for answers in site.answers.values())
 
@@ -214,7 +214,7 @@
     share: float, least: float, steps: list[tuple[float, bool]]
 ) -> None:
     now = 0.0
-    budget = RetryBudget(RetryBudgetSettings(share, least), now)
+    budget = RouteRetryBudget(RetryBudgetSettings(share, least), now)
     for wait, request in steps:
         now += wait
         if request:
@@ -222,13 +222,13 @@
         else:
             budget.try_withdraw(now)
         requests = sum(1 for _, is_request in steps if is_request)
-        bound = share * requests + least * (now / 1000.0 + MIN_TOKEN_BUFFER_S) + 1 + 1e-6
+        bound = share * requests + least * (now / 1000.0 + STEADY_BUFFER_S) + 1 + 1e-6
         assert budget.granted_count <= bound
-        assert budget.request_tokens >= -1e-9 and budget.steady_tokens <= max(1.0, least * MIN_TOKEN_BUFFER_S)
+        assert budget.request_tokens >= -1e-9 and budget.steady_tokens <= max(1.0, least * STEADY_BUFFER_S)
 
 
 def test_what_requests_put_in_fades() -> None:
-    budget = RetryBudget(RetryBudgetSettings(1.0), 0.0)
+    budget = RouteRetryBudget(RetryBudgetSettings(1.0), 0.0)
     for _ in range(100):
         budget.deposit(0.0)
     budget.advance(REQUEST_TOKEN_DECAY_S * 1000.0)
@@ -236,7 +236,7 @@
 
 
 def test_what_is_granted_and_not_used_is_given_back() -> None:
-    budget = RetryBudget(RetryBudgetSettings(0.0, 1.0), 0.0)
+    budget = RouteRetryBudget(RetryBudgetSettings(0.0, 1.0), 0.0)
     course = RequestRetries(RouteLimits("r", retry_budget=budget.settings), budget, random.Random(1))
     assert course.try_start_attempt(0.0, False)
     assert course.retry_delay_ms(0.0, Outcome.REJECTED) == 0.0 and budget.granted_count == 1
