--- a/glenchute/listeners/extproc/attempt.py
+++ b/glenchute/listeners/extproc/attempt.py
@@ -49,11 +49,11 @@
         self.timeout_s, self.done, self.write_by = timeout_s, done, write_by
         self.started_at = entry.table.loop.time()
         self.deadline = self.started_at + timeout_s
-        self.is_written = False  # the proxy was let through: it may have run
+        self.is_written = False  # the proxy was allowed to send it: it may have run
         self.has_ended = False
-        # Values go by the proxy, however long.
+        # Never called: values pass through the proxy.
         self.on_response_started: Callable[[ResponseSource], None] | None = None
-        self.is_wanted: Callable[[], bool] | None = None  # the proxy writes
+        self.is_wanted: Callable[[], bool] | None = None  # never called: the proxy writes
         self.stream: UpstreamStream | None = None
         self.timer: asyncio.TimerHandle | None = None
 
--- a/glenchute/listeners/extproc/request.py
+++ b/glenchute/listeners/extproc/request.py
@@ -104,29 +104,32 @@
         "wrong_server_count",
     )
 
-    def __init__(self, calls: RequestTable, ref: int, fields: MappedRequest, deadline: float) -> None:
-        self.table, self.number, self.fields, self.deadline = calls, ref, fields, deadline
+    def __init__(self, table: RequestTable, number: int, fields: MappedRequest, deadline: float) -> None:
+        self.table = table
+        self.number = number
+        self.fields = fields
+        self.deadline = deadline  # loop time
         self.active_request: ActiveRequest | None = None
-        # The first decision, told again where its stream is opened again.
+        # Repeated where the downstream stream is opened again.
         self.first_decision: ev.ContinueResponse | None = None
         self.client_stream: DownstreamStream | None = None
-        self.on_first_decision: ev.RespondCallback | None = None  # the proxy waits for the first decision
-        # An attempt waits to be let through.
+        self.on_first_decision: ev.RespondCallback | None = None  # set while the proxy waits for it
+        # An attempt waits for permission: its stream, the address it goes to, the callback.
         self.waiting_attempt: tuple[UpstreamStream, str, ev.RespondCallback] | None = None
-        # An attempt's response waits for what follows from it.
+        # An attempt's response is held back until the engine has decided what follows.
         self.pending_attempt_response: ev.RespondCallback | None = None
-        # The client's response waits for the final answer.
+        # The client's response (status, callback) is held back until the final response is known.
         self.pending_client_response: tuple[int, ev.RespondCallback] | None = None
-        self.is_detached = False  # the proxy shows no response here: the attempt's stream must
+        self.is_detached = False  # the client's response does not pass here, only the attempt's
         self.final_response: FinalResponse | None = None
-        self.is_finished = False  # the final answer is known, or the proxy has given its own
+        self.is_finished = False  # the final response is known, or the proxy has given its own
         self.may_have_run = False
         self.wrong_server_count = 0
         self.attempts: list[ProxiedAttempt] = []
-        self.open_attempt_streams: set[UpstreamStream] = set()  # streams of attempts that were let through
+        self.open_attempt_streams: set[UpstreamStream] = set()  # of attempts that were allowed
         self.reconnect_timer: asyncio.TimerHandle | None = None
 
-    # --- as the carrier ----------------------------------------------------------------------------------
+    # --- the transport of attempts -----------------------------------------------------------------------
 
     def create_attempt(
         self,
@@ -186,9 +189,7 @@
     def request_attempt(self, stream: UpstreamStream, going_to: str, answer: ev.RespondCallback) -> None:
         """An upstream stream asks whether its attempt may go."""
         if self.waiting_attempt is not None:
-            answer(
-                failure_response("attempt-in-waiting")
-            )  # one at a time: the other has not been let through
+            answer(failure_response("attempt-in-waiting"))  # one at a time: the other was not allowed yet
             return
         self.waiting_attempt = stream, going_to, answer
         self.review_waiting_attempt()
@@ -215,43 +216,46 @@
         if verdict is AttemptVerdict.WAIT:
             return
         if verdict is AttemptVerdict.TOO_LATE and attempt is not None:
-            attempt.finish(
-                AttemptResult(Outcome.UNREACHABLE)
-            )  # the module's next word comes by `offered` or `answered`
+            # The engine's next decision comes by `on_attempt_chosen` or `on_final_response`.
+            attempt.finish(AttemptResult(Outcome.UNREACHABLE))
             return
         self.waiting_attempt = None
         if verdict is AttemptVerdict.ALLOW and attempt is not None:
-            attempt.is_written = self.may_have_run = True
-            attempt.stream, stream.attempt = stream, attempt
-            self.open_attempt_streams.add(stream)
-            self.wrong_server_count = 0
-            left = format_timeout_ms(attempt.deadline - self.table.loop.time())
-            answer(
-                ev.ContinueResponse(
-                    "request_headers",
-                    {ATTEMPT_TIMEOUT_HEADER: left, EXPECTED_TIMEOUT_HEADER: left},
-                    (TOKEN_HEADER,),
-                )
-            )
+            self.allow_attempt(attempt, stream, answer)
         elif verdict is AttemptVerdict.WRONG_SERVER and attempt is not None:
-            self.wrong_server_count += 1
-            again = {RETRY_HEADER: "1", self.table.settings.endpoint_header: attempt.address}
-            if self.wrong_server_count >= MAX_WRONG_SERVERS:
-                again = {}
-                attempt.finish(AttemptResult(Outcome.NOT_SENT))
-            answer(
-                ev.ImmediateResponse(503, {REASON_HEADER: "other-node", **again}, "", "glenchute_other_node")
-            )
+            self.redirect_attempt(attempt, answer)
         else:
             answer(self.final_message() if self.final_response is not None else failure_response("over"))
 
+    def allow_attempt(
+        self, attempt: ProxiedAttempt, stream: UpstreamStream, answer: ev.RespondCallback
+    ) -> None:
+        """Lets the attempt go: it may have run from now on."""
+        attempt.is_written = self.may_have_run = True
+        attempt.stream, stream.attempt = stream, attempt
+        self.open_attempt_streams.add(stream)
+        self.wrong_server_count = 0
+        timeout_ms = format_timeout_ms(attempt.deadline - self.table.loop.time())
+        headers = {ATTEMPT_TIMEOUT_HEADER: timeout_ms, EXPECTED_TIMEOUT_HEADER: timeout_ms}
+        answer(ev.ContinueResponse("request_headers", headers, (TOKEN_HEADER,)))
+
+    def redirect_attempt(self, attempt: ProxiedAttempt, answer: ev.RespondCallback) -> None:
+        """Has the proxy retry at the chosen server; after `MAX_WRONG_SERVERS` in a row it must not."""
+        self.wrong_server_count += 1
+        retry = {RETRY_HEADER: "1", self.table.settings.endpoint_header: attempt.address}
+        if self.wrong_server_count >= MAX_WRONG_SERVERS:
+            retry = {}
+            attempt.finish(AttemptResult(Outcome.NOT_SENT))
+        headers = {REASON_HEADER: "other-node", **retry}
+        answer(ev.ImmediateResponse(503, headers, "", "glenchute_other_node"))
+
     def on_attempt_response(
         self, stream: UpstreamStream, status: int, details: str, load: str, answer: ev.RespondCallback
     ) -> None:
         """An attempt's response headers have come: its result, unless it has one."""
         attempt = stream.attempt
         if attempt is None or attempt.has_ended or self.is_finished:
-            answer(PASS_RESPONSE)  # too late to matter: the downstream stream shows what counts
+            answer(PASS_RESPONSE)  # too late: the downstream stream decides what the client gets
             return
         how = classify_response(status, details, self.table.settings.rejected_status)
         self.pending_attempt_response = answer
@@ -260,12 +264,12 @@
     def on_attempt_stream_closed(self, stream: UpstreamStream) -> None:
         """An upstream stream has ended, or was reset."""
         if self.waiting_attempt is not None and self.waiting_attempt[0] is stream:
-            self.waiting_attempt = None  # it was not let through, and now never will be
+            self.waiting_attempt = None  # it was not allowed, and now never will be
         self.open_attempt_streams.discard(stream)
         attempt = stream.attempt
         if attempt is not None and not attempt.has_ended:
             if self.client_stream is None and not self.is_detached:
-                how = Outcome.CANCELLED  # its proxy is gone: no fault of the node's
+                how = Outcome.CANCELLED  # its proxy is gone: no fault of the server's
             else:
                 timed_out = self.table.loop.time() >= attempt.deadline - TIMEOUT_TOLERANCE_S
                 how = Outcome.TIMEOUT if timed_out else Outcome.RESET
@@ -273,7 +277,7 @@
         elif (
             attempt is not None and self.pending_attempt_response is not None and attempt is self.attempts[-1]
         ):
-            # Nobody hears what follows from its response; the next attempt asks.
+            # Its stream can't be told what follows; the next attempt asks.
             self.pending_attempt_response = None
         self.review_waiting_attempt()
         self.remove_if_done()
@@ -288,18 +292,18 @@
             if attempt.is_written:
                 how = classify_response(status, details, self.table.settings.rejected_status)
             else:
-                how = Outcome.UNREACHABLE  # it never asked, and will not be let through
+                how = Outcome.UNREACHABLE  # it never asked, and will not be allowed
             attempt.finish(
                 AttemptResult(
                     how, b"" if how is Outcome.OK else None, load.encode() or None, is_last_attempt=True
                 )
             )
-        if not self.is_finished:  # the module waits for something that the proxy won't do
+        if not self.is_finished:  # the engine waits for something that the proxy won't do
             self.withdraw_request()
         self.show_client_response()
 
     def show_client_response(self) -> None:
-        """Says what becomes of the client's response, once that is known."""
+        """Releases, replaces or changes the client's response, once the final response is known."""
         if self.pending_client_response is None or not self.is_finished:
             return
         (status, answer), self.pending_client_response = self.pending_client_response, None
--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -19,11 +19,11 @@
 
 PROCESSOR_SERVICE = "envoy.service.ext_proc.v3.ExternalProcessor"
 RATE_LIMIT_SERVICE = "envoy.service.ratelimit.v3.RateLimitService"
-# Initial metadata of the filter's gRPC service: "upstream" at the nodes' side.
+# Initial metadata of the filter's gRPC service: "upstream" on the servers' side.
 ROLE_METADATA = "x-glenchute-role"
 MAX_MESSAGE_BYTES = 1024 * 1024
-WRITE_TIMEOUT_S = 5.0  # a proxy that does not read what it asked for is cut off after this
-STREAM_GRACE_S = 30.0  # a stream ends this long after the longest deadline at the latest
+WRITE_TIMEOUT_S = 5.0  # after which a proxy that does not read a response is aborted
+STREAM_GRACE_S = 30.0  # a stream ends this long after the longest deadline
 SWEEP_INTERVAL_S = 1.0
 REPORT_INTERVAL_S = 10.0
 
@@ -104,7 +104,7 @@
         self.open_stream_count = 0
         self.stream_guards: set[StreamGuard] = set()  # of all streams
         self.sweep_timer: asyncio.TimerHandle | None = None
-        self.last_report = "", self.loop.time()  # the last line for the operators, and when
+        self.last_report = "", self.loop.time()  # the counters last logged, and when
         self.server = grpc.aio.server(
             options=(
                 ("grpc.so_reuseport", 0),
@@ -186,15 +186,15 @@
             finally:
                 self.open_stream_count -= 1
                 self.close_stream(stream, cut)
-            # The other end closes. Ending first would reset the stream, and some clients then lose what they
+            # The other side closes. Ending first would reset the stream, and some clients then lose what they
             # have not read yet (RFC 9113, section 8.1, forbids that, and it happens).
             cut.deadline = self.loop.time() + WRITE_TIMEOUT_S
             while await context.read() is not grpc.aio.EOF:
                 pass
         except asyncio.CancelledError:
             if not cut.is_aborted:
-                raise  # the other end has gone
-            # Without a status of its own a cancelled handler would leave the other end waiting for ever.
+                raise  # the other side has disconnected
+            # Without a status a cancelled handler would leave the other side waiting for ever.
             cut.task.uncancel()
             await context.abort(grpc.StatusCode.ABORTED, "cut off")
         finally:
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -12,7 +12,7 @@
 
 from .ratelimit import RateLimiter
 from .server import ExtProcServer, TlsCredentials
-from .settings import ExtProcSettings
+from .settings import ClassLimits, ExtProcSettings
 from .table import RequestTable
 from .token import TokenSigner
 
@@ -38,8 +38,8 @@
     """The listener's settings, and the mapping rules for rate limit calls if these are enabled."""
     facts, made = config.facts, config.settings
     requests, limits = rules(raw, facts, made.gateway_count, config.request_bounds.max_units)
-    repeats = {
-        name: (
+    class_limits = {
+        name: ClassLimits(
             cls.idempotency,
             cls.idempotency_window_ms,
             min(cls.deadline_ms, config.request_bounds.max_deadline_ms),
@@ -48,7 +48,7 @@
     }
     found = ExtProcSettings(
         requests,
-        repeats,
+        class_limits,
         max_calls=raw.get("most_calls", 10_000),
         reconnect_grace_s=raw.get("reopen_ms", 250.0) / 1000.0,
         has_attempt_streams=raw.get("attempt_streams", True),
@@ -72,5 +72,5 @@
         wait_ms = min(config.request_bounds.max_deadline_ms, 1000.0)
         limiter = RateLimiter(gateway, limits, raw["ratelimit"]["domain"], wait_ms, calls.counts)
     most = raw.get("most_streams", 4 * found.max_calls)
-    longest_s = max(wait for _, _, wait in found.class_limits.values()) / 1000.0
+    longest_s = max(limits.max_deadline_ms for limits in found.class_limits.values()) / 1000.0
     return ExtProcServer(calls, limiter, raw["listen"], most, tls_credentials(raw.get("tls")), longest_s)
--- a/glenchute/listeners/extproc/table.py
+++ b/glenchute/listeners/extproc/table.py
@@ -31,7 +31,7 @@
     rejection_response,
     single_header,
 )
-from .settings import ExtProcSettings
+from .settings import ClassLimits, ExtProcSettings
 from .streams import DownstreamStream, UpstreamStream
 from .token import Token, TokenSigner
 
@@ -41,6 +41,8 @@
 EXPIRY_GRACE_S = 1.0  # a request stays this long after its deadline at most
 DEADLINE_MARGIN_S = 0.01  # the proxy's time ends so long before the client's, as the core's attempts do
 
+UNKNOWN_CLASS = ClassLimits(Idempotency.NON_IDEMPOTENT, 0.0, 0.0)
+
 
 class RequestTable:
     """All requests of all proxies, limited to `max_calls`."""
@@ -57,12 +59,12 @@
         self.requests_by_id: dict[str, ProxiedRequest] = {}
         self.last_number = 0
         self.sweep_timer: asyncio.TimerHandle | None = None
-        self.counts: Counter[str] = Counter()  # for the operators
+        self.counts: Counter[str] = Counter()
         self.used_headers = ways.mapping_rules.used_headers | {
             TOKEN_HEADER,
             ":status",
             ways.load_header,
-        }  # headers that anybody reads
+        }  # names of the headers that are read
         self.wall_clock = time.time
 
     def open_stream(self, upstream: bool) -> DownstreamStream | UpstreamStream:
@@ -88,7 +90,7 @@
         token = self.signer.verify(token_text) if token_text else None
         proven = token is not None and token.class_name == fields.class_name and self.may_resume(token)
         if token_text and not proven:
-            # Decided before, and whoever decided is not here to say what became of it.
+            # Another process has decided on it, and nobody here knows what became of it.
             self.counts["unproven"] += 1
             answer(failure_response("not-proven-unsent"))
             return
@@ -96,8 +98,8 @@
             self.counts["table-full"] += 1
             answer(rejection_response(1000.0, "table-full"))
             return
-        longest = self.settings.class_limits[fields.class_name][2]
-        left_ms = min(fields.deadline_ms or longest, longest)
+        max_deadline_ms = self.settings.class_limits[fields.class_name].max_deadline_ms
+        left_ms = min(fields.deadline_ms or max_deadline_ms, max_deadline_ms)
         self.last_number += 1
         entry = ProxiedRequest(self, self.last_number, fields, self.loop.time() + left_ms / 1000.0)
         entry.client_stream, entry.on_first_decision, stream.request = stream, answer, entry
@@ -146,21 +148,22 @@
 
     def may_resume(self, token: Token) -> bool:
         """Whether a request with this token, which no entry here knows, may be sent."""
-        repeat, memory_ms, _ = self.settings.class_limits.get(
-            token.class_name, (Idempotency.NON_IDEMPOTENT, 0.0, 0.0)
-        )
+        limits = self.settings.class_limits.get(token.class_name, UNKNOWN_CLASS)
         age_ms = self.wall_clock() * 1000.0 - token.decided_at_ms
         return may_send_undecided(
-            repeat, token.class_name in self.settings.resumable_classes, age_ms, memory_ms
+            limits.idempotency,
+            token.class_name in self.settings.resumable_classes,
+            age_ms,
+            limits.idempotency_window_ms,
         )
 
     def first_decision(self, entry: ProxiedRequest, attempt: ProxiedAttempt) -> ev.ContinueResponse:
         """The first decision on a request, as the proxy is told of it."""
-        repeat = self.settings.class_limits[entry.fields.class_name][0]
-        left = entry.deadline - DEADLINE_MARGIN_S - self.loop.time()
+        idempotency = self.settings.class_limits[entry.fields.class_name].idempotency
+        left_s = entry.deadline - DEADLINE_MARGIN_S - self.loop.time()
         headers = {
             self.settings.endpoint_header: attempt.address,
-            ROUTE_TIMEOUT_HEADER: format_timeout_ms(left),
+            ROUTE_TIMEOUT_HEADER: format_timeout_ms(left_s),
             ATTEMPT_TIMEOUT_HEADER: format_timeout_ms(attempt.timeout_s),
             "x-envoy-max-retries": "0",
         }
@@ -168,8 +171,9 @@
             token = self.signer.issue(entry.number, self.wall_clock() * 1000.0, entry.fields.class_name)
             headers[TOKEN_HEADER] = token
             headers["x-envoy-max-retries"] = str(2 * (self.settings.max_attempts - 1) + MAX_WRONG_SERVERS)
-            again = "retriable-headers,connect-failure"
-            headers["x-envoy-retry-on"] = again if repeat is Idempotency.NON_IDEMPOTENT else again + ",reset"
+            headers["x-envoy-retry-on"] = "retriable-headers,connect-failure"
+            if idempotency is not Idempotency.NON_IDEMPOTENT:
+                headers["x-envoy-retry-on"] += ",reset"
             headers["x-envoy-retriable-header-names"] = RETRY_HEADER
         return ev.ContinueResponse("request_headers", headers, (), attempt.address, True)
 
@@ -177,15 +181,12 @@
         """Expires requests whose deadline is long past. One timer for all of them, and none while the table
         is empty."""
         now = self.loop.time()
-        for entry in [
-            request
-            for request in self.requests_by_number.values()
-            if request.deadline + EXPIRY_GRACE_S <= now
-        ]:
-            entry.expire()
-        self.sweep_timer = (
-            self.loop.call_later(SWEEP_INTERVAL_S, self.sweep) if self.requests_by_number else None
-        )
+        for request in list(self.requests_by_number.values()):
+            if request.deadline + EXPIRY_GRACE_S <= now:
+                request.expire()
+        self.sweep_timer = None
+        if self.requests_by_number:
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def remove(self, entry: ProxiedRequest) -> None:
         """Removes an entry; unknown ones are ignored."""
--- a/glenchute/listeners/extproc/token.py
+++ b/glenchute/listeners/extproc/token.py
@@ -14,9 +14,9 @@
 import struct
 from dataclasses import dataclass
 
-HEADER = struct.Struct(">B8sQQB")  # version, boot, reference, first decision (Unix ms), length of the class
+HEADER = struct.Struct(">B8sQQB")  # version, process, request, decision (Unix ms), length of the class
 VERSION = 1
-SIGNATURE_BYTES = 16  # bytes kept of HMAC-SHA256 (RFC 2104, section 5)
+SIGNATURE_BYTES = 16  # of HMAC-SHA256, truncated (RFC 2104, section 5)
 MAX_TOKEN_CHARS = 256
 MIN_KEY_BYTES = 32
 
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -66,21 +66,21 @@
         self.parser = resp.Parser()
         self.slots: deque[ReplySlot] = deque()
         self.transport: asyncio.Transport | None = None
-        self.is_closing = False  # no more commands; closes when all replies are out
-        self.is_write_shut = False  # all is written and the own side is shut
-        self.discarded_bytes = 0  # bytes that came since then
+        self.is_closing = False  # accepts no more commands; closes when all replies are written
+        self.is_write_shut = False  # all replies are written and the own side is shut
+        self.discarded_bytes = 0  # input received since then
         self.is_write_blocked = False  # the client does not read its replies
-        self.is_closed_by_peer = False  # it has closed, though bytes of it may still wait to be read
+        self.is_closed_by_peer = False  # though input of it may still wait to be read
         # Bytes of replies since the transport could last tell whether the client reads.
         self.queued_reply_bytes = 0
-        self.descriptor = -1  # the connection's descriptor
+        self.descriptor = -1
         self.is_reading_paused = False
         self.is_parsing = False
-        self.is_turn_scheduled = False  # a turn of the loop is booked for commands that are left
-        self.has_sent_command = False  # a whole command has come
+        self.is_turn_scheduled = False  # the listener will call `run_turn`
+        self.has_sent_command = False  # a complete command has been received
         self.error_count = 0
-        self.has_partial_command = False  # the end of a command that has begun is awaited
-        self.streaming: ResponseSource | None = None  # the long value whose turn it is
+        self.has_partial_command = False  # the rest of a command is awaited
+        self.streaming: ResponseSource | None = None  # the value that is being written
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
@@ -133,7 +133,7 @@
         if self.is_turn_scheduled:
             return
         if len(data) > MAX_QUEUED_REPLY_BYTES and self.listener.queued_reply_bytes > MAX_TURN_REPLY_BYTES:
-            self.schedule_turn()  # others' turns have the rest of this one; small commands wait for none
+            self.schedule_turn()  # the rest of this iteration is for others; small commands don't wait
             self.update_reading()
         else:
             self.process_commands()
@@ -197,9 +197,9 @@
             slot.reply = resp.encode_error(str(error))
             self.error_count += 1
             if self.error_count >= MAX_COMMAND_ERRORS:
-                self.is_closing = True  # it goes on as before at full speed, at the others' cost
+                self.is_closing = True  # it would go on at full speed, at the others' cost
         except Exception:
-            # A fault of ours would else end the connection with all that is held on it.
+            # The fault would otherwise end the connection with all its pending replies.
             log.exception("a command failed")
             slot.reply = slot.reply or resp.FAILED
         self.count_reply_bytes(slot.reply or b"")
@@ -217,7 +217,7 @@
             return
         call = self.listener.catalogue.parse(words)
         if call.request_id in self.listener.open_ids:
-            # On the servers two requests of one id would be taken for one, and both might be spoilt.
+            # Servers would take two requests with one id for one request.
             raise CommandError("this request id is in use")
         now = self.listener.loop.time()
         if not self.listener.lifecycle.admits_requests(now):
@@ -262,7 +262,7 @@
     def flush(self) -> None:
         """Writes the replies that are next in order, and resumes or pauses reading."""
         if self.transport is None or self.is_parsing:
-            return  # while commands are being taken, their replies go out together afterwards
+            return  # replies to the commands being parsed are written together afterwards
         if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
             self.schedule_turn()
         ready: list[bytes] = []
@@ -276,13 +276,13 @@
                 and not self.parser.has_unparsed()
                 and not self.has_unread_input()
             ):
-                self.is_closing = True  # the process leaves or drains, and nothing is known to follow
+                self.is_closing = True  # draining or shutting down, and no input is known to follow
         if self.is_closing and not self.slots:
             self.shut_write_side()
             return
         if self.slots and self.slots[0].source is not None and self.streaming is None:
             self.start_streaming(self.slots[0].source)
-            return  # it may be over already, and this have been done again
+            return  # a short value has called `flush` again by now
         if self.listener.may_release_replies and self.slots and not self.is_write_blocked:
             self.listener.release_blocked_replies(self)
         if ready and self.parser.has_unparsed() and not self.is_write_blocked and not self.is_closing:
@@ -295,7 +295,7 @@
         """Whether the reply that is next in order can be written completely."""
         if slot.reply is None and slot.source is not None and slot.source.has_failed:
             slot.release()
-            slot.reply, slot.source = resp.FAILED, None  # it ended while it waited: nothing of it has left
+            slot.reply, slot.source = resp.FAILED, None  # it ended while it waited: nothing of it was written
         return slot.reply is not None
 
     def start_streaming(self, source: ResponseSource) -> None:
@@ -307,7 +307,7 @@
         self.update_state()
         self.update_reading()
         if self.is_write_blocked:
-            source.pause()  # of replies before it
+            source.pause()  # replies before it are still buffered
         source.start(self)
 
     def write_chunk(self, data: bytes) -> None:
@@ -330,7 +330,7 @@
         self.is_closing = True
         self.slots[0].source = None
         if self.transport is not None and not self.transport.is_closing():
-            self.set_state(ConnectionState.WRITE_BLOCKED)  # its time, should the client not read them
+            self.set_state(ConnectionState.WRITE_BLOCKED)  # limits the time, should the client not read them
             self.transport.close()
 
     def update_state(self) -> None:
@@ -368,7 +368,7 @@
             self.set_state(ConnectionState.WRITE_BLOCKED)
             self.transport.close()
         elif self.transport.get_write_buffer_size():
-            # The time to close runs for those that have got their replies.
+            # LINGERING has its own limit, for clients that have their replies.
             self.set_state(ConnectionState.WRITE_BLOCKED)
             self.update_reading()
             self.transport.write_eof()
--- a/glenchute/listeners/resp2/listener.py
+++ b/glenchute/listeners/resp2/listener.py
@@ -49,17 +49,17 @@
             made.client_connections, made.requesting_connections, made.overflow_connections
         )
         self.open_ids: set[bytes] = set()
-        # An unfinished read may be given up for the finished replies behind it.
+        # Unfinished idempotent requests may be abandoned for finished replies behind them.
         self.may_release_replies = False
         self.closed_peers = ClosedPeerDetector()
-        # That have commands left, in the order of their turns.
+        # Connections that have commands left, in the order of their turns.
         self.scheduled_clients: deque[ClientConnection] = deque()
-        self.queued_reply_bytes = 0  # bytes of replies since the last turn that they had
-        # When such connections are looked at again.
+        self.queued_reply_bytes = 0  # since `run_turns` last began
+        # When `release_blocked_replies` is to look at a connection again.
         self.release_timers: dict[ClientConnection, asyncio.TimerHandle] = {}
         self.server: asyncio.Server | None = None
-        self.accepted_count = self.request_count = 0  # connections; requests that reached the decisions
-        self.last_report = "", loop.time()  # the last line for the operators, and when
+        self.accepted_count = self.request_count = 0  # connections, requests
+        self.last_report = "", loop.time()  # the line last logged, and when
         self.paused_clients: set[ClientConnection] = set()
         self.closed_check_timer: asyncio.TimerHandle | None = None
         self.lifecycle = ProcessLifecycle(catalogue.bounds.max_deadline_ms / 1000.0)
@@ -96,7 +96,7 @@
                 ):
                     break
         finally:
-            again = bool(self.scheduled_clients)  # and a turn is due already
+            again = bool(self.scheduled_clients)  # `run_turns` is scheduled already
             self.scheduled_clients.extendleft(reversed(waiting))
             if waiting and not again:
                 self.loop.call_soon(self.run_turns)
--- a/glenchute/listeners/resp2/reply_slot.py
+++ b/glenchute/listeners/resp2/reply_slot.py
@@ -29,10 +29,10 @@
 
     def __init__(self, client: ClientConnection) -> None:
         self.client = client
-        self.deadline = math.inf  # the client waits until then, by the loop's clock
+        self.deadline = math.inf  # of the request, in loop time
         self.active_request: ActiveRequest | None = None
         self.reply: bytes | None = None
-        self.source: ResponseSource | None = None  # of a reply that is too long to be held
+        self.source: ResponseSource | None = None  # of a streamed reply
         self.request_id: bytes | None = None  # while the request is open
 
     def release(self) -> None:
@@ -45,7 +45,7 @@
         """Takes the final response, which is written once those before it have been."""
         self.active_request = None
         if isinstance(answer, Streamed):
-            self.source = answer.source  # its id stays in use until the value has passed
+            self.source = answer.source  # the id stays in use until the value has been written
         else:
             self.release()
             self.reply = encode_response(answer)
--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -72,7 +72,7 @@
     retryable_outcomes: frozenset[Outcome] | None = None
     hedge_after_ms: float = 0.0
     retry_budget: RetryBudgetSettings | None = None
-    # Attempts on one connection to a node, where connections are shared; 1: alone.
+    # Attempts in flight on one shared connection to a server; 1: it is not shared.
     max_pipeline_depth: int = 0
 
 
@@ -84,7 +84,7 @@
 
     def __init__(self, rule: RetryBudgetSettings, now: float) -> None:
         self.settings = rule
-        # From requests; fades, so that a quiet hour saves nothing up for a bad minute.
+        # They fade, so that a quiet hour saves nothing up for a bad minute.
         self.request_tokens = 0.0
         self.steady_tokens = self.max_steady_tokens()
         self.updated_ms = now
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -22,7 +22,7 @@
 from glenchute.listeners.extproc.table import EXPIRY_GRACE_S, SWEEP_INTERVAL_S, RequestTable
 from glenchute.listeners.extproc.token import TokenSigner
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
-from tests.proxied import ACCOUNT, Asker, Proxy, drawn, headers, responded, ways
+from tests.proxied import ACCOUNT, Asker, Proxy, drawn, extproc_settings, headers, responded
 from tests.simulated import Fate, Site
 
 SERVED = Fate(0.0, 0.02, Outcome.OK)
@@ -169,7 +169,7 @@
     fresh.gateway.upstream = site.servers
     fresh.gateway.clock = site.gateway.clock
     after = Proxy(fresh, proxy.tells, **changes)
-    after.calls = RequestTable(after.loop, fresh.gateway, ways(**changes), TokenSigner(b"k" * 32))
+    after.calls = RequestTable(after.loop, fresh.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32))
     after.calls.wall_clock = lambda: float(site.loop.now)
     after.asked = proxy.asked
     return after
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -13,7 +13,7 @@
 
 from glenchute.core.types import Failed, FinalResponse, Rejected, Served
 from glenchute.listeners.extproc import events as ev
-from glenchute.listeners.extproc.settings import ExtProcSettings
+from glenchute.listeners.extproc.settings import ClassLimits, ExtProcSettings
 from glenchute.listeners.extproc.streams import DownstreamStream, UpstreamStream
 from glenchute.listeners.extproc.table import RequestTable
 from glenchute.listeners.extproc.token import TokenSigner
@@ -39,12 +39,15 @@
 }
 
 
-def ways(**changes: Any) -> ExtProcSettings:
-    """The settings of the front, for the platform of `sites.py`."""
+def extproc_settings(**changes: Any) -> ExtProcSettings:
+    """The listener's settings, for the platform of `sites.py`."""
     classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
     rules = MappingRules(SOURCES, (), classes, FACTS.plans, 1)
-    repeats = {name: (cls.idempotency, cls.idempotency_window_ms, 1e6) for name, cls in FACTS.classes.items()}
-    return ExtProcSettings(rules, repeats, **{"max_attempts": 5, **changes})
+    limits = {
+        name: ClassLimits(cls.idempotency, cls.idempotency_window_ms, 1e6)
+        for name, cls in FACTS.classes.items()
+    }
+    return ExtProcSettings(rules, limits, **{"max_attempts": 5, **changes})
 
 
 def headers(**named: str) -> dict[str, list[bytes]]:
@@ -224,7 +227,9 @@
     def __init__(self, site: Site, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
         self.site, self.tells, self.pace = site, tells, pace
         self.loop = cast(Any, site.loop)
-        self.calls = RequestTable(self.loop, site.gateway, ways(**changes), TokenSigner(b"k" * 32))
+        self.calls = RequestTable(
+            self.loop, site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
+        )
         self.calls.wall_clock = lambda: float(site.loop.now)
         self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
         self.asked: dict[bytes, Asker] = {}
