--- /dev/null
+++ b/tests/crossings.py
@@ -0,0 +1,113 @@
+"""What the tests of crossing events share; docs/design/crossings.md has the table."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+
+import hiredis
+
+from glenchute.policy.actions import Action
+from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.events import AttemptEnded, Event, Outcome
+from lab.peers import Client, until
+from tests.loopback import (
+    CUSTOMER,
+    Site,
+)
+
+READ = (b"CALL.GET", CUSTOMER)
+
+
+def packed(*words: bytes) -> bytes:
+    return hiredis.pack_command(words)  # type: ignore[arg-type, no-any-return]
+
+
+def end(client: Client, how: str) -> None:
+    """The ways in which a client can leave."""
+    sock = client.writer.get_extra_info("socket")
+    if how == "reset":
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        client.writer.transport.abort()
+    elif how == "half-close":
+        client.writer.write_eof()
+    else:
+        client.writer.close()
+
+
+ENDS = ["close", "reset", "half-close"]
+
+
+@asynccontextmanager
+async def deaf() -> AsyncIterator[int]:
+    """A port whose connections never come up: the line of those that wait to be accepted is full."""
+    with socket.socket() as server:
+        server.bind(("127.0.0.1", 0))
+        server.listen(0)
+        callers = []
+        for _ in range(4):
+            caller = socket.socket()
+            caller.setblocking(False)
+            caller.connect_ex(server.getsockname())
+            callers.append(caller)
+        try:
+            yield server.getsockname()[1]
+        finally:
+            for caller in callers:
+                caller.close()
+
+
+async def reset(writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(0.02)  # what was written has been read; a reset may overtake it else, to the same end
+    sock = writer.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    writer.transport.abort()
+
+
+class Heard:
+    """The real module, and what it was told."""
+
+    def __init__(self, decisions: Policy) -> None:
+        self.decisions = decisions
+        self.endings: list[Outcome] = []
+
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        if isinstance(event, AttemptEnded):
+            self.endings.append(event.outcome)
+        return self.decisions.handle(now_ms, event)
+
+
+@asynccontextmanager
+async def crowd(one: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
+    """So many connections. As much of their commands as fits is in the machine before the loop's next turn;
+    what is left of each follows as there is room."""
+    before = len(one.program.listener.clients)
+    socks = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(count)]
+    await until(lambda: len(one.program.listener.clients) == before + count)
+    rests = {sock: memoryview(commands) for sock in socks}
+    for sock in socks:
+        sock.setblocking(False)
+
+    def more() -> None:
+        for sock in list(rests):
+            with suppress(BlockingIOError):
+                while rests[sock]:
+                    rests[sock] = rests[sock][sock.send(rests[sock]) :]
+                del rests[sock]
+
+    async def follow() -> None:
+        while rests:
+            await asyncio.sleep(0.01)
+            more()
+
+    more()
+    following = asyncio.create_task(follow())
+    try:
+        yield socks
+    finally:
+        following.cancel()
+        for sock in socks:
+            sock.close()
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -29,8 +29,8 @@
 from glenchute.upstreams.limits import UpstreamLimits
 from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import RespPeer, always, play, until
+from tests.crossings import packed
 from tests.loopback import CUSTOMER, GET, SERVED, Script, send_to, site
-from tests.system.test_crossings import packed
 
 COMMAND = b"*1\r\n$8\r\nCALL.GET\r\n"
 CONNECT_S = 0.4
--- /dev/null
+++ b/tests/system/test_crossings_busy_loop.py
@@ -0,0 +1,305 @@
+"""Crossing events, each order forced on real sockets: clients that leave while the event loop is busy.
+
+docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
+for are conditions.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+import time
+from collections.abc import Awaitable, Callable
+
+import pytest
+
+from glenchute.config.policy_settings import policy_settings
+from glenchute.listeners.resp2.closed_peers import MAX_CLOSES_PER_POLL, MAX_DETECTION_S
+from glenchute.listeners.resp2.connection import (
+    MAX_PENDING_COMMANDS,
+)
+from glenchute.policy.actions import Action, StartAttempt
+from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
+from glenchute.upstreams.connection_pool import REUSE_DELAY_S
+from lab.peers import Client, always, play, until
+from tests.crossings import ENDS, READ, Heard, packed, reset
+from tests.loopback import (
+    GET,
+    SERVED,
+    SETTINGS,
+    Script,
+    Site,
+    send_to,
+    site,
+)
+
+BUSY_S = 1.5 * MAX_DETECTION_S  # the loop stands still for longer than an attempt may follow its client's end
+
+
+def raw_client(one: Site, *commands: bytes) -> socket.socket:
+    """A connection whose bytes and end are in the machine before the loop's next turn."""
+    sock = socket.create_connection(("127.0.0.1", one.port))
+    sock.sendall(b"".join(commands))
+    return sock
+
+
+def end_raw(sock: socket.socket, how: str) -> None:
+    """As `end`, at once."""
+    if how == "half-close":
+        sock.shutdown(socket.SHUT_WR)
+        return
+    if how == "reset":
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    sock.close()
+
+
+async def rested(one: Site, count: int = 4) -> Client:
+    """Leaves so many connections to the servers open and unused, so that an attempt is written at once."""
+    script = one.program.gateway.decisions
+    steady = await one.client()
+    if isinstance(script, Script):
+        decide, script.decide = script.decide, send_to("s0")
+    for number in range(count):
+        steady.send(*READ, b"rested%d" % number, GET)
+    assert [await steady.reply() for _ in range(count)] == [b"value"] * count
+    if isinstance(script, Script):
+        script.decide = decide
+        script.events.clear()
+    return steady
+
+
+def reads(count: int) -> list[bytes]:
+    return [packed(*READ, b"%d" % number, GET) for number in range(count)]
+
+
+@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
+def test_who_left_while_the_loop_was_busy_is_not_sent_on(how: str, pending: int) -> None:
+    """Requests wait; the client goes while the loop stands still; then, before any socket is looked at, the
+    module sends them. With 64 pending the connection is not even read from."""
+
+    async def scenario() -> None:
+        script = Script(lambda event: [])
+        async with site(always(SERVED), decisions=script) as one:
+            steady = await rested(one)
+            sock = raw_client(one, *reads(pending))
+            taken = min(pending, MAX_PENDING_COMMANDS)
+            await until(lambda: len(script.of(Request)) == taken)
+            _, held = one.program.listener.clients
+            assert held.is_reading_paused is (pending >= MAX_PENDING_COMMANDS)
+            refs = [event.request_id for event in script.of(Request)]
+            script.decide = lambda event: (
+                [StartAttempt(ref, "s0") for ref in refs] if isinstance(event, TimerFired) else []
+            )
+            end_raw(sock, how)
+            time.sleep(BUSY_S)
+            one.program.gateway.post(TimerFired(1))
+            await until(lambda: len(script.of(ClientDisconnected)) == taken)
+            assert {e.outcome for e in script.of(AttemptEnded)} == {Outcome.NOT_SENT}
+            assert all(e.is_final for e in script.of(AttemptEnded))
+            assert len(script.of(AttemptEnded)) == taken
+            await until(lambda: held not in one.program.listener.clients)
+            script.decide = send_to("s0")
+            assert await steady.ask(*READ, b"0", GET) == b"value"
+            assert len(one.servers[0].calls()) == 4 + 1, "what the gone client had asked was sent on"
+            sock.close()
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("how", ENDS)
+def test_a_request_that_came_with_its_clients_end_is_not_begun(how: str) -> None:
+    """Both are in the machine when the loop, busy till then, reads: the request comes first to it."""
+
+    async def scenario() -> None:
+        script = Script(send_to("s0"))
+        async with site(always(SERVED), decisions=script) as one:
+            steady = await rested(one)
+            sock = raw_client(one)
+            await until(lambda: len(one.program.listener.clients) == 2)
+            for command in reads(3):
+                sock.sendall(command)
+            end_raw(sock, how)
+            time.sleep(BUSY_S)
+            await until(lambda: len(one.program.listener.clients) == 1)
+            assert await steady.ask(*READ, b"0", GET) == b"value"
+            assert len(one.servers[0].calls()) == 4 + 1
+            sock.close()
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("how", ENDS)
+def test_a_connection_and_its_end_that_waited_to_be_accepted_begin_nothing(how: str) -> None:
+    """The machine took it, its request and its end while the loop was busy; another's request, taken in the
+    same turn, has just had the ends looked for."""
+
+    async def scenario() -> None:
+        script = Script(send_to("s0"))
+        async with site(always(SERVED), decisions=script) as one:
+            steady = await rested(one)
+            accepted = one.program.listener.accepted_count
+            steady.send(*READ, b"steady", GET)
+            end_raw(sock := raw_client(one, *reads(1)), how)
+            time.sleep(BUSY_S)
+            assert await steady.reply() == b"value"
+            await until(lambda: one.program.listener.accepted_count == accepted + 1)
+            await until(lambda: len(one.program.listener.clients) == 1)
+            assert await steady.ask(*READ, b"steady", GET) == b"value"
+            assert len(one.servers[0].calls()) == 4 + 2
+            sock.close()
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("how", ENDS)
+def test_no_further_attempt_where_the_answer_is_read_before_the_clients_end(how: str) -> None:
+    """The server turns a request away in the moment in which its client goes; both wait for a busy loop."""
+
+    async def scenario() -> None:
+        socks: list[socket.socket] = []
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            if len(socks) == 1:
+                writer.write(b"-BUSY\r\n")
+                end_raw(socks.pop(), how)
+                time.sleep(BUSY_S)
+                return b""
+            return SERVED
+
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
+        async with site(reply, reply, decisions=heard) as one:
+            steady = await rested(one, 12)
+            await asyncio.sleep(2.0 * REUSE_DELAY_S)  # before that they are not used again
+            heard.endings.clear()
+            socks.append(raw_client(one, *reads(1)))
+            await until(lambda: not socks)
+            await until(
+                lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.attempts_in_flight
+            )
+            assert await steady.ask(*READ, b"0", GET) == b"value"
+            assert sum(len(server.calls()) for server in one.servers) == 12 + 2
+            assert heard.endings[0] is Outcome.REJECTED and heard.endings[-1] is Outcome.OK
+            assert set(heard.endings[1:-1]) <= {Outcome.NOT_SENT}
+
+    play(scenario())
+
+
+@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize(
+    "operator", [None, '[pipeline]\nclasses = ["read"]\ndepth = 2\n'], ids=["alone", "shared"]
+)
+@pytest.mark.parametrize("turns", range(5))
+def test_a_connection_that_came_up_while_the_loop_was_busy_writes_nothing_for_who_left(
+    how: str, operator: str | None, turns: int
+) -> None:
+    """The attempt has begun to connect so many turns of the loop before its client goes, and the loop stands
+    still: what was not written by then is not."""
+
+    async def scenario() -> None:
+        script = Script(send_to("s0"))
+        async with site(always(SERVED), decisions=script, operator=operator) as one:
+            sock = raw_client(one, *reads(MAX_PENDING_COMMANDS))
+            while not one.program.servers.connecting:
+                await asyncio.sleep(0)
+            for _ in range(turns):
+                await asyncio.sleep(0)
+            out = one.program.gateway.attempts_in_flight.values()
+            written = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in out)
+            end_raw(sock, how)
+            time.sleep(BUSY_S)
+            await until(
+                lambda: not one.program.listener.clients and not one.program.gateway.attempts_in_flight
+            )
+            assert await (await one.client()).ask(*READ, b"again", GET) == b"value"
+            assert len(one.servers[0].calls()) <= written + 1
+            sock.close()
+
+    play(scenario())
+
+
+def told_ms(one: Site, server: int) -> int:
+    """What time the last attempt at a server told to be left."""
+    fields = one.servers[server].calls()[-1][3]
+    return int(fields.partition(b"d=")[2].partition(b",")[0])
+
+
+FIRST_S = 0.2  # until the first attempt is over, in what follows
+
+
+async def silent(writer: asyncio.StreamWriter) -> None:
+    """Nothing comes: the attempt's own time is up."""
+
+
+async def failing(writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(FIRST_S)
+    writer.write(b"-ERR failed\r\n")
+
+
+async def late_reset(writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(FIRST_S)
+    await reset(writer)
+
+
+@pytest.mark.parametrize("first", [silent, failing, late_reset])
+def test_a_further_attempt_tells_no_more_time_than_is_left(first: Callable[..., Awaitable[None]]) -> None:
+    """By how long the first has taken at least, which its client has waited already."""
+
+    async def scenario() -> None:
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0", 1000.0 * FIRST_S if first is silent else 0.0)]
+            if isinstance(event, AttemptEnded) and not event.is_final:
+                return [StartAttempt(event.request_id, "s1", 0.0)]
+            return []
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+            await first(writer)
+
+        async with site(reply, always(SERVED), decisions=Script(decide)) as one:
+            assert await (await one.client()).ask(*READ, b"1", GET) == b"value"
+            assert told_ms(one, 1) <= 20_000 - 1000.0 * FIRST_S + 1.0
+
+    play(scenario())
+
+
+def test_an_attempt_on_a_connection_that_comes_up_late_tells_what_is_left_as_it_is_written() -> None:
+    async def scenario() -> None:
+        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+            client = await one.client()
+            client.send(*READ, b"1", GET)
+            while not one.program.servers.connecting:
+                await asyncio.sleep(0)
+            time.sleep(BUSY_S)
+            assert await client.reply() == b"value"
+            assert told_ms(one, 0) <= 20_000 - 1000.0 * BUSY_S + 1.0
+
+    play(scenario())
+
+
+def test_ends_are_told_by_one_call_for_all_and_cost_none_within_its_time() -> None:
+    """Also more at once than one call tells; who stays is not taken for gone."""
+
+    async def scenario() -> None:
+        script = Script(lambda event: [])
+        async with site(always(SERVED), decisions=script) as one:
+            ends, count = one.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
+            socks = [raw_client(one) for _ in range(count)]
+            await until(lambda: len(one.program.listener.clients) == count)
+            stays, *others = one.program.listener.clients
+            assert not ends.has_closed(stays)
+            for sock in socks[1:]:
+                sock.close()
+            ends.checked_at = time.monotonic() + 60.0
+            assert not any(ends.has_closed(other) for other in others)
+            ends.checked_at = -float("inf")
+            assert not ends.has_closed(stays) and all(other.is_closed_by_peer for other in others)
+            assert list(ends.clients.values()) == [stays]
+            await until(lambda: len(one.program.listener.clients) == 1)
+            socks[0].close()
+            await until(lambda: not one.program.listener.clients)
+            assert not ends.clients
+
+    play(scenario())
--- /dev/null
+++ b/tests/system/test_crossings_servers.py
@@ -0,0 +1,131 @@
+"""Crossing events, each order forced on real sockets: what servers send, and which attempts may follow.
+
+docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
+for are conditions.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+import pytest
+
+from glenchute.config.policy_settings import policy_settings
+from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.events import Outcome
+from lab.peers import RespPeer, always, listing, play, row, until
+from tests.clients.manual_discovery import ManualDiscovery
+from tests.crossings import READ, Heard, deaf, reset
+from tests.loopback import (
+    CHARGE,
+    CUSTOMER,
+    GET,
+    ORDER,
+    SERVED,
+    SETTINGS,
+    Script,
+    send_to,
+    site,
+)
+
+
+async def held_open(writer: asyncio.StreamWriter) -> None:
+    """The connection stays open, and nothing more comes."""
+
+
+async def closed(writer: asyncio.StreamWriter) -> None:
+    writer.close()
+
+
+HALF, ENDLESS = SERVED[:9], SERVED.replace(b"$5", b"$9000", 1)
+
+AGAIN = {b"read": True, b"order": True, b"charge": False}
+
+
+SERVERS: dict[str, tuple[list[bytes], Callable[[asyncio.StreamWriter], Awaitable[None]], Outcome]] = {
+    "half a line, silence": ([HALF], held_open, Outcome.ERROR),
+    "half a line, end": ([HALF], closed, Outcome.RESET),
+    "half a line, reset": ([HALF], reset, Outcome.RESET),
+    "an answer without an end": ([ENDLESS], held_open, Outcome.ERROR),
+    "no answer, end": ([], closed, Outcome.RESET),
+    "no answer, reset": ([], reset, Outcome.RESET),
+    "an error": ([b"-ERR failed\r\n"], held_open, Outcome.ERROR),
+    "a null": ([b"$-1\r\n"], held_open, Outcome.ERROR),
+    "no RESP": ([b"HTTP/1.1 200\r\n\r\n"], held_open, Outcome.ERROR),
+    "turned away": ([b"-BUSY\r\n"], held_open, Outcome.REJECTED),
+    "turned away, in pieces": ([b"-BU", b"SY\r", b"\n"], held_open, Outcome.REJECTED),
+    "turned away, with bytes behind it": ([b"-BUSY\r\nx"], held_open, Outcome.ERROR),
+    "turned away in part, end": ([b"-BUSY\r"], closed, Outcome.RESET),
+    "turned away in part, silence": ([b"-BUSY"], held_open, Outcome.ERROR),
+    "an answer": ([SERVED], held_open, Outcome.OK),
+    "an answer in pieces": ([SERVED[:4], SERVED[4:11], SERVED[11:]], held_open, Outcome.OK),
+    "an answer, end": ([SERVED], closed, Outcome.OK),
+    "an answer with bytes behind it": ([SERVED + b"+more\r\n"], held_open, Outcome.OK),
+    "two answers": ([SERVED + SERVED], held_open, Outcome.OK),
+    "an answer, a second later": ([SERVED, SERVED], held_open, Outcome.OK),
+}
+
+
+@pytest.mark.parametrize("name", [b"read", b"order", b"charge"])
+@pytest.mark.parametrize("what", SERVERS)
+def test_what_comes_back_and_what_may_follow(what: str, name: bytes) -> None:
+    """The first attempt meets this, a further one an answer. An unsafe request that may have run goes
+    nowhere again; one that never ran does, as all do; effects come from the settings, not from names."""
+    pieces, then, ending = SERVERS[what]
+    follows = ending is Outcome.REJECTED or (ending is not Outcome.OK and AGAIN[name])
+
+    async def scenario() -> None:
+        came = 0
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+            nonlocal came
+            came += 1
+            if came > 1:
+                return SERVED
+            for piece in pieces:
+                writer.write(piece)
+                await asyncio.sleep(0.005)
+            await then(writer)
+            return None
+
+        heard = Heard(Policy(policy_settings(SETTINGS), 1))
+        async with site(reply, reply, decisions=heard) as one:
+            client = await one.client()
+            verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
+            fields = {b"read": GET, b"order": ORDER, b"charge": CHARGE}[name]
+            client.send(verb, CUSTOMER, b"1", fields)
+            served = ending is Outcome.OK or follows
+            assert (await client.reply() == b"value") is served
+            assert came == 1 + follows
+            assert heard.endings == [ending, Outcome.OK][:came]
+            # What was spoilt is not used again, and another request gets no other's answer.
+            assert await client.ask(*READ, b"2", GET) == b"value"
+
+    play(scenario())
+
+
+def test_a_server_that_returns_at_another_address_is_met_there_alone() -> None:
+    """It drains, is gone, and comes back elsewhere, while an attempt connects to the old place."""
+
+    async def scenario() -> None:
+        agent, script = ManualDiscovery(), Script(send_to("s0"))
+        asyncio.get_running_loop().create_task(agent.answer(0, listing(2, [], full=False)))
+        new = RespPeer(always(SERVED))
+        await new.start()
+        async with deaf() as port, site(always(SERVED), decisions=script, discovery=agent) as one:  # type: ignore[arg-type]
+            await agent.answer(1, listing(3, [row("s0", port)], full=False))
+            await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
+            client = await one.client()
+            client.send(*READ, b"1", GET)
+            await until(lambda: len(one.program.servers.connecting) == 1)
+            await agent.answer(2, listing(4, [row("s0", port, "Terminating")], full=False))
+            await agent.answer(3, listing(5, [row("s0", port, "Gone")], full=False))
+            await agent.answer(4, listing(6, [row("s0", new.port, started_ms=5.0)], full=False))
+            await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", new.port))
+            assert await client.ask(*READ, b"2", GET) is not None
+            assert await client.reply() == b"value"  # after the first, which found nobody
+            assert len(new.calls()) == 1 and not one.servers[0].calls()
+        await new.stop()
+
+    play(scenario())
