--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from benchmarks.machine import machine
-from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
+from glenchute.policy.admission.quota_bounds import ceiling_overshoot_units, overshoot_bound
 from tests.fleet import PLANS, Fleet
 from tests.policy.admission.test_counter_loss import FAULTS, played
 
@@ -46,10 +46,10 @@
     gateways = SIZES[seed % len(SIZES)]
     fleet = played(KINDS[kind], seed, gateways, 100.0 * (seed % 2))
     soft, _, bare = PLANS
-    found = bound(bare, gateways, fleet.skew_ms, 1.0)
+    found = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
         fleet.overshoot("bare", bare.ceiling_rate_per_s, bare.ceiling_burst_units),
-        ceiling_overshoot(found, fleet.restarts),
+        ceiling_overshoot_units(found, fleet.restarts),
         fleet.overshoot("soft", soft.rate_per_s, soft.burst_units),
         (gateways - 1) * (soft.burst_units + SECONDS * soft.rate_per_s),
         fleet.refused_with_room("soft", soft.rate_per_s, soft.burst_units),
--- a/glenchute/cli/quota.py
+++ b/glenchute/cli/quota.py
@@ -6,7 +6,12 @@
 import sys
 
 from glenchute.config.platform import ConfigError
-from glenchute.policy.admission.quota_bounds import bound, bounds, members_bound, start_bound
+from glenchute.policy.admission.quota_bounds import (
+    members_overshoot_units,
+    overshoot_bound,
+    overshoot_bounds,
+    start_overshoot_units,
+)
 
 from .files import platform
 
@@ -34,17 +39,19 @@
     print(f"units past what the plan allows, for an account that comes through {spread} gateways whose")
     print(f"clocks differ by {args.clocks_ms:g} ms; requests of {largest:g} units at most")
     print(f"{'plan':16}" + "".join(f"{column:>10}" for column in COLUMNS))
-    for row in bounds(config.settings, spread, args.clocks_ms, largest):
+    for row in overshoot_bounds(config.settings, spread, args.clocks_ms, largest):
         figures = "".join(f"{value:10.2f}" for value in row[1:])
-        print(f"{row.plan:16}{figures}" + ("" if row.holds else "  !"))
+        print(f"{row.plan:16}{figures}" + ("" if row.is_within_slack else "  !"))
     print(LEGEND)
     if args.asked > 0.0:
         timeout_s = config.settings.counter_timeout_ms / 1000.0
         for plan in (plan for plan in config.settings.plans if plan.rate_per_s):
-            found = bound(plan, spread, args.clocks_ms, largest)
-            most_units = start_bound(plan, found, args.asked, spread, timeout_s)
+            found = overshoot_bound(plan, spread, args.clocks_ms, largest)
+            most_units = start_overshoot_units(plan, found, args.asked, spread, timeout_s)
             print(f"{plan.name}: all started at once, asked {args.asked:g} units a second: {most_units:.1f}")
-        whole, parted = (members_bound(args.asked, spread, largest, split) for split in (False, True))
+        whole, parted = (
+            members_overshoot_units(args.asked, spread, largest, split) for split in (False, True)
+        )
         print(f"with [fleet] and a mute counter, asked for {args.asked:g} units a second: past the quota by "
               f"{whole:.1f}, where the fleet is split by {parted:.1f}")  # fmt: skip
     return 0
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from glenchute.config.policy_settings import policy_settings
-from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
+from glenchute.policy.admission.quota_bounds import ceiling_overshoot_units, overshoot_bound
 from lab.counter import PartedCounter, Parts
 from lab.load import Account, Kind, Load
 from lab.nodes import Node, Trade
@@ -89,9 +89,9 @@
                 first[run.request_id] = min(at, first.get(run.request_id, at))
         moments = list(first.values())
         plan = policy_settings(site_settings).plans[2]
-        found = bound(plan, GATEWAYS, 0.0, 1.0)
+        found = overshoot_bound(plan, GATEWAYS, 0.0, 1.0)
         over = overshoot(moments, plan.ceiling_rate_per_s, plan.ceiling_burst_units)
-        assert over <= ceiling_overshoot(found) + plan.ceiling_rate_per_s * LATE_S
+        assert over <= ceiling_overshoot_units(found) + plan.ceiling_rate_per_s * LATE_S
         over = overshoot(moments, plan.rate_per_s, plan.burst_units)
         assert over <= (GATEWAYS - 1) * (plan.burst_units + plan.rate_per_s * SECONDS)
         # It was a flood, and the gateways served what they could.
--- a/tests/lab/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from glenchute.policy.admission.quota_bounds import members_bound
+from glenchute.policy.admission.quota_bounds import members_overshoot_units
 from glenchute.policy.membership.gossip import Gossip
 from glenchute.policy.membership.usage import AccountUsage
 from lab.sim.members import OF_MEMBERS, MembersWorld, mute_run
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("split", [False, True])
 def test_quotas_hold_by_members_words_and_are_used(gateways: int, rate: float, split: bool) -> None:
     over, served = mute_run(1, gateways, rate, split, True)
-    assert over <= min(members_bound(rate, gateways, 1.0, split), 20.0) and served >= 0.85
+    assert over <= min(members_overshoot_units(rate, gateways, 1.0, split), 20.0) and served >= 0.85
 
 
 def test_without_members_a_large_fleet_passes_a_quota_by_more() -> None:
--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -19,7 +19,7 @@
 from glenchute.policy.admission.counter_health import CounterHealth, CounterMonitor
 from glenchute.policy.admission.counter_sync import CounterSync
 from glenchute.policy.admission.epoch_markers import WindowCounter, marker_value
-from glenchute.policy.admission.quota_bounds import bound, ceiling_overshoot
+from glenchute.policy.admission.quota_bounds import ceiling_overshoot_units, overshoot_bound
 from glenchute.policy.admission.tenant import Tenant
 from tests.fleet import PLANS, Fleet
 
@@ -91,8 +91,8 @@
 
 def promised(fleet: Fleet, plan: int) -> float:
     """The ceiling's bound: the clocks, the restarts, one request of rounding in the true log's order."""
-    found = bound(PLANS[plan], fleet.gateways, fleet.skew_ms, 1.0)
-    return ceiling_overshoot(found, fleet.restarts) + 1e-6
+    found = overshoot_bound(PLANS[plan], fleet.gateways, fleet.skew_ms, 1.0)
+    return ceiling_overshoot_units(found, fleet.restarts) + 1e-6
 
 
 def seeds() -> Iterator[tuple[Fault, int, int, float]]:
@@ -144,8 +144,8 @@
         pair.flood("soft", 80.0, 7.0, [1.0, 1.0])
         pair.run(pair.now + 8000.0)
         worst = max(worst, pair.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units))
-    found = bound(SOFT, 2, 0.0, 1.0)
-    limit = found.quota_replaced + 7.0 * found.quota_split_rate
+    found = overshoot_bound(SOFT, 2, 0.0, 1.0)
+    limit = found.replaced_units + 7.0 * found.split_units_per_s
     assert 0.7 * limit <= worst <= limit
 
 
@@ -184,7 +184,7 @@
     fleet.flood("bare", 120.0, 5.0, [1.0, 1.0, 1.0])
     fleet.run(fleet.now + 6000.0)
     over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
-    assert over <= ceiling_overshoot(bound(BARE, 3, 0.0, 1.0), restores=1)
+    assert over <= ceiling_overshoot_units(overshoot_bound(BARE, 3, 0.0, 1.0), restores=1)
 
 
 def broken(monkeypatch: pytest.MonkeyPatch, **changes: object) -> float:
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenchute.policy.admission.quota_bounds import bound, start_bound
+from glenchute.policy.admission.quota_bounds import overshoot_bound, start_overshoot_units
 from glenchute.policy.endpoints import notification, polling
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler, max_first_polls_per_s
@@ -240,11 +240,11 @@
         counter(world)
         world.flood(4000.0, asked, plan.name)
         world.run(6000.0)
-        found = bound(plan, gateways, 100.0, 1.0)
+        found = overshoot_bound(plan, gateways, 100.0, 1.0)
         timeout_s = world.settings.counter_timeout_ms / 1000.0
         worst = max(worst, overshoot(world.sent, plan))
-        assert worst <= start_bound(plan, found, asked, gateways, timeout_s)
-    assert counter is not mute or worst > found.quota_silent
+        assert worst <= start_overshoot_units(plan, found, asked, gateways, timeout_s)
+    assert counter is not mute or worst > found.unavailable_units
 
 
 # --- processes -------------------------------------------------------------------------------------------
