--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -87,7 +87,7 @@
     return recorders[0]
 
 
-def test_hashed_accounts_stand_nowhere_and_the_capture_replays(tmp_path: Path) -> None:
+def test_pseudonyms_replace_tenants_and_the_capture_replays(tmp_path: Path) -> None:
     """Nor in the state, which snapshots hold; two gateways with one key call an account the same."""
     plain, hidden = tmp_path / "plain", tmp_path / "hidden"
     for folder, key in ((plain, None), (hidden, b"k" * 32)):
@@ -198,7 +198,7 @@
             assert back == [record]
 
 
-def test_a_cut_at_any_byte_leaves_what_is_before_it_sure(capture: Path, tmp_path: Path) -> None:
+def test_a_truncation_at_any_byte_leaves_what_is_before_it_intact(capture: Path, tmp_path: Path) -> None:
     file = only_run(capture)[0]
     data = file.read_bytes()
     whole = len(read_segment(file).records)
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize("capture_format", [FORMAT, format_1.FORMAT])
 @pytest.mark.parametrize("evil", [print, eval, Path, asyncio.run])
-def test_a_snapshot_can_ask_for_nothing_but_the_modules_own(
+def test_a_snapshot_can_load_only_the_engines_own_classes(
     evil: Callable[..., Any], capture_format: int
 ) -> None:
     with pytest.raises(CaptureError):
@@ -313,9 +313,7 @@
         load_other_engine(tmp_path)
 
 
-def test_the_story_of_a_request_tells_stores_counter_and_servers(
-    capture: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_explain_shows_buckets_counter_and_servers(capture: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["replay", str(capture), "--explain", "soft9"]) == 0
     out = capsys.readouterr().out
     for word in ("Request(request_id='soft9'", "customer: store", "counter: total", "server s0", "=> "):
@@ -325,7 +323,7 @@
 CORPUS = sorted((ROOT / "tests" / "captures").glob("*.glcap"))
 
 
-def test_refusals_are_told_by_cause(capsys: pytest.CaptureFixture[str]) -> None:
+def test_rejections_are_counted_by_cause(capsys: pytest.CaptureFixture[str]) -> None:
     """As many as each capture holds; together the corpus has every cause."""
     causes: set[str] = set()
     for file in CORPUS:
@@ -344,17 +342,17 @@
     assert "while the counter is mute" in capsys.readouterr().out
 
 
-def test_a_version_that_names_no_limits_is_told_so() -> None:
+def test_a_version_without_named_limits_is_an_error() -> None:
     older = object()  # a module from before the limits were named
     with pytest.raises(CaptureError, match="does not name the limits"):
         RejectionCauses().attach(older)
 
 
-def test_overheard_gates_change_no_decision(capture: Path) -> None:
+def test_observing_limits_changes_no_decision(capture: Path) -> None:
     assert replay(only_run(capture), observe=RejectionCauses()).differences == []
 
 
-def test_a_fault_of_the_module_is_recorded_and_replayed(tmp_path: Path) -> None:
+def test_a_fault_of_the_engine_is_recorded_and_replayed(tmp_path: Path) -> None:
     made = fleet_settings(1)
     clock = [0.0]
     keeper = Recorder(DecisionEngine(made, 1), made, 1, CaptureRule(str(tmp_path)), lambda: clock[0])
@@ -404,7 +402,7 @@
     assert keeper.is_dropping and keeper.dropped_records >= 90 and keeper.writer.queue.qsize() == 1
 
 
-def test_old_segments_go(tmp_path: Path) -> None:
+def test_old_segments_are_removed(tmp_path: Path) -> None:
     kept = recorded(tmp_path, 1, segments=2)
     assert len(list(tmp_path.glob("*.glcap"))) == 2 and kept.segment_number >= 4
     report = replay(only_run(tmp_path))  # from a snapshot, as the beginning is gone
--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -124,7 +124,7 @@
     assert over <= promised(fleet, 2) and fleet.units("bare") > 50.0
 
 
-def test_the_bounds_are_not_idle() -> None:
+def test_the_bounds_are_nearly_reached() -> None:
     """A flood gets most of its ceiling, also without a word of the counter; halves that hear nothing of each
     other come near to the quota's bound for a split."""
     for silent in (False, True):
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("fault", [replaced, mute, split])
-def test_gateways_that_restart_in_the_outage_do_not_bring_their_part_twice(fault: Fault) -> None:
+def test_gateways_that_restart_in_the_outage_do_not_spend_their_share_twice(fault: Fault) -> None:
     """One by one and half at once; each brings at most what is stated for a restart."""
     for seed in range(3):
         fleet = Fleet(4, seed, skew_ms=100.0)
@@ -176,7 +176,7 @@
     assert fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units) <= promised(fleet, 2)
 
 
-def test_a_state_that_goes_back_costs_what_is_stated_for_it() -> None:
+def test_a_restored_counter_costs_what_is_stated_for_it() -> None:
     fleet = Fleet(3, 11)
     fleet.run(fleet.now + 5000.0)
     fleet.at(fleet.now + 1000.0, fleet.counter.keep)
@@ -203,12 +203,12 @@
     return worst
 
 
-def test_a_build_without_the_marks_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_engine_without_markers_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     assert broken(monkeypatch) <= 1e-6
     assert broken(monkeypatch, granted_fraction=lambda self, spread: 1.0) > BARE.ceiling_slack_units
 
 
-def test_a_build_that_takes_units_off_a_total_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_engine_that_takes_units_off_a_total_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first form of this module: what was refused was taken off a memory that had never held it, and a
     fresh one granted that much more."""
     taken_off = CounterSync.make_call
@@ -227,7 +227,7 @@
     assert broken(monkeypatch) > BARE.ceiling_slack_units
 
 
-def test_a_build_that_puts_its_words_in_twice_is_caught() -> None:
+def test_an_engine_that_adds_lost_units_twice_is_found() -> None:
     """After a loss the memory holds what the gateways had confirmed, once."""
 
     def put_in(twice: bool) -> float:
@@ -248,7 +248,7 @@
     assert put_in(True) > 3.0 + 5 * 1.0
 
 
-def test_a_build_that_marks_again_after_a_loss_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_engine_that_marks_again_after_a_loss_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Both gateways in the first memory, one of them again in the second: more than one whole is granted."""
 
     def shares() -> float:
@@ -290,7 +290,7 @@
         max_size=60,
     )
 )
-def test_shares_of_all_memories_sum_to_one_at_most(steps: list[tuple[int, str]]) -> None:
+def test_granted_fractions_of_all_memories_sum_to_one_at_most(steps: list[tuple[int, str]]) -> None:
     """Six gateways, one name, any memory that they may reach: all memories together grant one whole."""
     mark = marker_value(20.0, 8.0, 2.5, 50.0)
     names = [WindowCounter(mark, True) for _ in range(6)]
@@ -319,7 +319,7 @@
         assert sum(round(total / mark) for total in memories) <= 6
 
 
-def test_own_words_are_put_in_again_once_for_each_loss() -> None:
+def test_own_units_are_added_again_once_for_each_loss() -> None:
     name = WindowCounter(1000.0, True)
     assert name.take_marker() == 1000.0 and name.take_marker() == 0.0
     assert name.apply_total(1003.0, 3.0, 1000.0) is None and name.confirmed_units == 3.0
@@ -339,12 +339,12 @@
 @pytest.mark.parametrize(
     ("burst", "rate", "span"), [(20.0, 8.0, 2.5), (4000.0, 1000.0, 4.0), (0.0, 0.0, 1.0)]
 )
-def test_a_mark_is_larger_than_what_a_window_holds(burst: float, rate: float, span: float) -> None:
+def test_a_marker_is_larger_than_what_a_window_holds(burst: float, rate: float, span: float) -> None:
     mark = marker_value(burst, rate, span, 0.0)
     assert mark >= marks_module.MARKER_FACTOR * (burst + rate * span) and math.log10(mark) % 1.0 == 0.0
 
 
-def test_the_counters_state_follows_its_answers() -> None:
+def test_the_counters_health_follows_its_replies() -> None:
     watch = CounterMonitor(2500.0)
     assert watch.state(0.0) is CounterHealth.SOUND
     watch.call_fraction = 0.3
@@ -364,7 +364,7 @@
     assert watch.state(9000.0) is CounterHealth.SPLIT
 
 
-def test_the_module_tells_of_a_replaced_counter_and_gives_nothing_fresh() -> None:
+def test_a_replaced_counter_is_reported_and_grants_nothing_new() -> None:
     """A single account that has spent its quota gets none by a fresh counter."""
     fleet = Fleet(3, 2)
     fleet.run(fleet.now + 4000.0)
--- a/tests/policy/admission/test_late_answers.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -49,7 +49,7 @@
         (b"+noise\r\n", 0.0, Outcome.TIMEOUT),
     ],
 )
-def test_after_a_time_out_the_truth_is_told_once(answer: bytes, total: float, ending: Outcome) -> None:
+def test_after_a_timeout_a_late_reply_is_reported_once(answer: bytes, total: float, ending: Outcome) -> None:
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -66,7 +66,7 @@
     play(scenario())
 
 
-def test_a_link_that_breaks_tells_that_nobody_will_know() -> None:
+def test_a_broken_connection_ends_late_replies() -> None:
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -83,7 +83,7 @@
     play(scenario())
 
 
-def test_the_core_hands_late_answers_to_the_module() -> None:
+def test_the_core_passes_late_replies_to_the_engine() -> None:
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -108,7 +108,7 @@
     play(scenario())
 
 
-# --- the module --------------------------------------------------------------------------------------------
+# --- the engine --------------------------------------------------------------------------------------------
 
 
 class Slow(Rig):
@@ -146,7 +146,7 @@
         return gone
 
 
-def test_a_counter_that_answers_late_is_not_mute() -> None:
+def test_a_counter_that_replies_late_is_available() -> None:
     slow, mute = Slow(), Slow()
     slow.spend(15)
     mute.spend(15, late=False)
@@ -156,7 +156,7 @@
     )
 
 
-def test_late_totals_tell_of_the_others_use_and_own_units_count_once() -> None:
+def test_late_totals_show_the_others_use_and_own_units_count_once() -> None:
     alone, crowded = Slow(), Slow()
     for rig, others in ((alone, 0.0), (crowded, 2.0)):
         for _ in range(12):
@@ -174,7 +174,7 @@
     )
 
 
-def test_what_was_turned_away_late_is_told_again() -> None:
+def test_units_rejected_late_are_reported_again() -> None:
     rig = Slow()
     rig.ask("read", "rate", "c", spread=2)
     rig.advance(300.0)
@@ -188,7 +188,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.sampled_from(["ask", "wait", "late", "full", "never", "long"]), max_size=60))
-def test_in_any_order_nothing_grows_and_no_figure_leaves_its_range(steps: list[str]) -> None:
+def test_in_any_order_all_values_stay_in_their_range(steps: list[str]) -> None:
     rig = Slow()
     for step in steps:
         if step == "ask":
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -73,7 +73,7 @@
     return worst
 
 
-def test_new_servers_get_work_while_the_old_ones_are_pressed() -> None:
+def test_new_servers_get_work_while_the_old_ones_are_overloaded() -> None:
     """Six in ten are replaced. The warm ones answered for all that came, and none of forty gateways knew
     that they were full: reports are old when a gateway meets a server every few seconds."""
     world = Large(1)
@@ -88,7 +88,7 @@
     assert most_of_cold(world, new, born) < world.settings.slow_start.overload_factor
 
 
-def test_few_warm_servers_answer_for_the_rate_of_cold_ones() -> None:
+def test_few_warm_servers_give_the_rate_of_those_that_warm_up() -> None:
     """A mean over all servers, most of them cold, told a fraction of what one can bear."""
     world = Large(2)
     world.load(6_000.0, 260.0, ("wide",))
@@ -109,7 +109,7 @@
     assert max(counts.values()) < 2.0 * mean and len(counts) == NODES
 
 
-def test_a_line_tells_how_requests_and_calls_ended() -> None:
+def test_a_log_message_counts_how_requests_and_calls_ended() -> None:
     world = Large(4, 3, 9)
     world.load(12_000.0, 60.0)
     world.run(12_000.0)
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
 @pytest.mark.parametrize("idle_s", [0, 3, 9])
-def test_turns_at_a_cold_server_are_not_saved_up(gateways: int, idle_s: int) -> None:
+def test_slow_start_tokens_are_not_saved_up(gateways: int, idle_s: int) -> None:
     """Nothing goes to the cold server for a while, so that its turn comes up at each gateway. Then all spend
     what turns they have: within the rule's time not more than it bears."""
     safety, bears = SlowStart(0.27, 18_000.0, 2.0, 3000.0), 15.0  # requests a second, once warm
@@ -147,7 +147,7 @@
     assert len(sent) > 0.4 * 6.0 * bears * safety.initial_fraction  # and its share is used
 
 
-def test_servers_that_are_gone_cost_few_attempts_under_an_old_list() -> None:
+def test_removed_servers_of_an_old_list_cost_few_attempts() -> None:
     """After a restart the list may name mostly servers that are gone. Where more than half could not be
     reached, that counted as the usual state of a server, and all were tried as before."""
     world = Large(6)
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "servers"), [(3, 10), (40, 60), (200, 100)])
-def test_all_servers_are_met_alike_and_changes_move_little(gateways: int, servers: int) -> None:
+def test_all_servers_are_used_alike_and_changes_move_little(gateways: int, servers: int) -> None:
     """Against rendezvous hashing and drawn subsets; the ring alone is as even, and moves more."""
     used = min(20, servers // 2)
     even = {name: balance(scheme, gateways, servers, used) for name, scheme in SCHEMES.items()}
@@ -222,7 +222,7 @@
     assert moved["kept ring"] <= 1.05 * moved["rendezvous"] + 0.05
 
 
-def test_the_module_behind_it_keeps_the_rules_over_seeds() -> None:
+def test_the_engine_behind_a_subset_keeps_the_rules_over_seeds() -> None:
     """The simulated site, its books and rules, with faults; each gateway uses three of nine servers."""
     met: Counter[bool] = Counter()
     for seed in range(3):
@@ -259,7 +259,7 @@
         return getattr(self.inner, name)
 
 
-def test_eight_processes_meet_each_of_eight_servers_few_at_a_time(tmp_path: Path) -> None:
+def test_eight_processes_use_each_of_eight_servers_few_at_a_time(tmp_path: Path) -> None:
     """By the servers' own books of whose requests ran: three gateways a server; without subsets 47 of 60 met
     one server (`benchmarks.subsets start`). Each gateway has four requests out at a time then: more would
     widen its subset, and under an open load the machine says how many are out. Then a third of the servers
@@ -390,7 +390,7 @@
 
 
 @pytest.mark.parametrize(("listed", "gateways", "used", "least", "most"), SIZES)
-def test_the_settings_alone_tell_how_many_are_used(
+def test_the_settings_alone_give_the_subset_size(
     listed: int, gateways: int, used: int, least: int, most: int
 ) -> None:
     """And that all are met alike: over all zones, whatever the number of gateways."""
@@ -408,7 +408,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 384, 520, 999])
-def test_places_on_the_ring_are_spread_evenly_by_the_number_alone(gateways: int) -> None:
+def test_first_positions_are_spread_evenly_by_the_number_alone(gateways: int) -> None:
     """No gap between neighbours is over twice the even one, nor under half of it; numbers too large for the
     fleet, as of a seed, have a place as well."""
     at = sorted(first_position(number) for number in range(gateways))
@@ -448,7 +448,7 @@
     assert module.of == len(module.known) == 19
 
 
-def test_a_list_round_the_limit_changes_sides_once() -> None:
+def test_a_list_around_the_limit_switches_once() -> None:
     subsetting, module = by_itself()
     fleet = fleet_of(MAX_SUBSET_SIZE + 10)
     subsetting.handle(1e6, news(fleet[:MAX_SUBSET_SIZE], EndpointListKind.FULL))
@@ -481,7 +481,7 @@
     )
 
 
-def test_a_zone_goes_at_once_and_comes_back_cold() -> None:
+def test_a_zone_is_removed_at_once_and_returns_warming_up() -> None:
     """With some of its servers listed the zone is never without one in use, and its cold ones are as many as
     their warmth asks for, with a bound; warm again, they are no more than before."""
     subsetting, module = by_itself()
@@ -527,7 +527,7 @@
     assert steps.count <= 3 * len(rows)
 
 
-def test_looks_cost_by_what_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reviews_cost_by_what_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
     """Looks without news, and then with all unreachable: the same steps at 2,000 and at 5,700 listed."""
     counts = []
     for listed in (2_000, 5_700):
@@ -664,12 +664,12 @@
     play(scenario())
 
 
-def test_a_start_does_not_read_the_subset() -> None:
+def test_a_start_does_not_import_the_subset() -> None:
     code = "import sys, glenchute.cli.run; sys.exit('glenchute.policy.balancing.subset' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-def test_without_its_parts_the_checks_fail(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_growth_or_weights_the_checks_fail(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(subsets, "GROWTH_FRACTION", 0.0)
     monkeypatch.setattr(subsets.Subset, "adjust_size", lambda self, now_ms, in_flight: None)
     with pytest.raises(AssertionError):
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -39,7 +39,7 @@
     assert 15 <= sends(rig, 400, 25.0) <= 26
 
 
-def test_use_of_the_other_gateways_takes_from_the_store() -> None:
+def test_use_by_other_gateways_drains_the_bucket() -> None:
     alone, shared = Rig(entries(4)), Rig(entries(4))
     for rig, others in ((alone, 0.0), (shared, 1.0)):
         rig.others = others
@@ -53,12 +53,12 @@
     assert went[1] < 0.8 * went[0]
 
 
-def test_trickle_gets_its_turn() -> None:
+def test_a_trickle_is_admitted_by_credit() -> None:
     rig = Rig(entries(4))
     assert sends(rig, 20, 1500.0) == 20
 
 
-def test_mute_counter_keeps_to_this_gateways_part() -> None:
+def test_an_unavailable_counter_leaves_the_local_share() -> None:
     rig = Rig(entries(4), with_(SETTINGS, has_counter=True))
     rig.ending, done = Outcome.UNREACHABLE, 0
     for _ in range(600):
@@ -71,7 +71,7 @@
     assert 10 <= done <= 6 / 2 + 2.0 / 2 * 15 + 5
 
 
-def test_mute_counter_is_called_rarely_and_recovers() -> None:
+def test_an_unavailable_counter_is_probed_rarely_and_recovers() -> None:
     rig = Rig(entries(4))
     rig.ending = Outcome.TIMEOUT
     for _ in range(100):
@@ -92,7 +92,7 @@
     assert not rig.gateway.quota.counter.pacing.is_unavailable
 
 
-def test_flush_is_no_fall_in_demand() -> None:
+def test_a_window_change_is_no_fall_in_demand() -> None:
     rig = Rig(entries(4))
     rig.others = 0.5
     for _ in range(70):
@@ -113,7 +113,7 @@
     assert customer.window_start_ms == window and before > 0 and customer.others_demand_per_s >= 0.5 * before
 
 
-def test_refusing_gateway_hears_that_the_others_stopped() -> None:
+def test_a_rejecting_gateway_learns_that_the_others_stopped() -> None:
     # A gateway with nothing new to report asked for no total and drained the store by an old rate.
     rig = Rig(entries(4))
     rig.others = 3.0
@@ -127,7 +127,7 @@
     assert sends(rig, 60, 100.0) >= 6
 
 
-def test_calls_ease_off_while_they_are_turned_away() -> None:
+def test_calls_are_reduced_while_they_are_rejected() -> None:
     def calls(ending: Outcome) -> int:
         rig = Rig(entries(4))
         for i in range(400):
@@ -140,7 +140,7 @@
     assert calls(Outcome.REJECTED) < 0.5 * calls(Outcome.OK)
 
 
-def test_open_cap_counts_attempts_out() -> None:
+def test_concurrency_limit_counts_attempts_in_flight() -> None:
     rig = Rig(entries(4))
     went = [bool(only(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
     assert went == [True, True, False, False, False, False]
@@ -148,13 +148,13 @@
     assert only(rig.ask(plan="open")[1], StartAttempt)
 
 
-def test_refused_with_advice_within_what_clients_heed() -> None:
+def test_rejected_with_a_retry_after_within_the_limit() -> None:
     rig = Rig(entries(4))
     refusals = [a for _ in range(30) for a in only(rig.ask(plan="rate")[1], Reject)]
     assert refusals and all(1.0 <= a.retry_after_ms <= SETTINGS.max_retry_after_ms for a in refusals)
 
 
-def test_forgotten_customer_meets_no_empty_guard() -> None:
+def test_an_evicted_tenant_returns_to_a_filled_guard() -> None:
     rig = Rig(entries(4))
     rig.advance(30_000.0)
     assert only(rig.ask(plan="hard", customer="new", units=2.0)[1], StartAttempt)
@@ -180,7 +180,7 @@
     return most
 
 
-def test_backlog_is_bounded_before_answers_are_late() -> None:
+def test_backlog_is_bounded_before_responses_are_late() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
     assert overload(rig, 3.0, 100.0) <= 40
@@ -192,7 +192,7 @@
     assert served == 10
 
 
-def test_capacity_comes_back_after_a_bad_second() -> None:
+def test_capacity_recovers_after_a_bad_second() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
     for _ in range(40):
@@ -204,7 +204,7 @@
     assert sends(rig, 100, 50.0, plan="wide") >= 90
 
 
-def test_time_outs_lengthen_the_next_ones() -> None:
+def test_timeouts_lengthen_the_next_ones() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
     first = only(rig.ask()[1], StartAttempt)[0].timeout_ms
@@ -251,7 +251,7 @@
     assert share_of(rig, "s0", 300, Outcome.OK, 200.0) < 0.12
 
 
-def test_silent_server_gets_nothing_more_before_any_time_out() -> None:
+def test_an_unresponsive_server_gets_nothing_more_before_any_timeout() -> None:
     rig = Rig(entries(5))
     rig.warm_up()
     hung = 0
@@ -283,7 +283,7 @@
     assert [rig.sent[name][0] for name in names].count("s1") >= 2
 
 
-def test_restarted_server_starts_with_a_clean_slate() -> None:
+def test_a_restarted_server_is_a_new_server() -> None:
     rig = Rig(entries(3))
     rig.warm_up()
     share_of(rig, "s0", 100, Outcome.ERROR, 1.0)
@@ -291,7 +291,7 @@
     assert rig.gateway.pool.servers["s0"].failure_rate == 0.0
 
 
-def test_load_report_is_heeded() -> None:
+def test_load_reports_move_the_choice() -> None:
     rig = Rig(entries(2))
     rig.warm_up()
     name, _ = rig.ask()
@@ -323,7 +323,7 @@
     assert lines == ["no server to send to: begins", "no server to send to: ends"]
 
 
-# --- the module as a whole -----------------------------------------------------------------------------
+# --- the engine as a whole -----------------------------------------------------------------------------
 
 SCRIPT = """
 from tests.rig import Rig, entries
@@ -373,7 +373,7 @@
 
 
 @pytest.mark.parametrize(("others", "least", "most"), [(0.0, 26, 40), (6.0, 0, 14)])
-def test_without_a_word_a_gateway_keeps_to_its_lot_of_the_quota(others: float, least: int, most: int) -> None:
+def test_without_a_total_a_gateway_keeps_to_its_local_share(others: float, least: int, most: int) -> None:
     # Even parts refused a customer here while the gateways that it no longer came through kept theirs.
     rig = Rig(entries(4))
     rig.others = others
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -19,7 +19,7 @@
 from lab.sim.swarm import Fault, Script
 from tests.rig import Rig, entries, only
 
-FOUND = {  # scripts by which service did not come back; each tells the part of the module that mends it
+FOUND = {  # scripts by which service did not come back; each tells the part of the engine that mends it
     "few requests out in a silence": Script(18, (Fault(6536, "slow in the quiet", 0.09, 953),)),
     "the only node hangs": Script(48, (Fault(4576, "hang", 0.91, 625),)),
     "slow, then silent": Script(53, (Fault(6248, "all slow", 0.69, 79), Fault(7127, "trickle", 0.47, 195))),
@@ -79,7 +79,7 @@
         (no_growth, "the only node hangs"),
     ],
 )
-def test_a_bug_that_was_put_in_is_found(
+def test_an_injected_fault_is_found(
     bug: Callable[[pytest.MonkeyPatch], None], script: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
@@ -100,14 +100,14 @@
     return pressure.capacity_per_s
 
 
-def test_one_old_request_in_a_silence_is_no_bound() -> None:
+def test_one_old_request_without_others_is_no_bound() -> None:
     pressure = CapacityEstimate()
     judged(pressure, 3, 20, 0.05, 20.0)
     pressure.end_window((pressure.window_start_ms or 0.0) + 4000.0, [0.7])
     assert pressure.capacity_per_s > 20.0
 
 
-def test_a_hung_fleet_is_seen_though_it_answers_nothing() -> None:
+def test_hung_servers_are_detected_though_none_responds() -> None:
     pressure = CapacityEstimate()
     judged(pressure, 3, 20, 0.05, 20.0)
     pressure.window_units = {1.0: 80.0}
@@ -115,7 +115,7 @@
     assert pressure.capacity_per_s <= 0.7 * 20.0
 
 
-def test_v_is_measured_up_from_wherever_it_fell_to() -> None:
+def test_the_capacity_estimate_recovers_from_any_value() -> None:
     pressure = CapacityEstimate()
     judged(pressure, 40, 20, 2.0, 20.0)
     fell = pressure.capacity_per_s
@@ -124,7 +124,7 @@
     assert pressure.capacity_per_s > 20.0
 
 
-def test_the_floor_is_one_request_at_a_time_at_each_server_of_ones_part() -> None:
+def test_the_floor_is_one_request_at_a_time_at_each_server_per_gateway() -> None:
     pressure = CapacityEstimate()
     pressure.servers_per_gateway = 0.5
     for _ in range(60):
@@ -132,7 +132,7 @@
     assert pressure.floor_per_s == pytest.approx(2.0, rel=0.01)
 
 
-def test_what_was_out_while_the_process_stood_tells_nothing_of_servers() -> None:
+def test_attempts_in_flight_during_a_stall_say_nothing_of_servers() -> None:
     rig = Rig(entries(3))
     rig.warm_up()
     out = [
@@ -150,7 +150,7 @@
     assert all(not s.in_flight and s.unanswered_since_ms is None for s in rig.gateway.pool.servers.values())
 
 
-def test_a_quiet_night_with_slow_answers_does_not_end_service(tmp_path: Path) -> None:
+def test_few_slow_responses_do_not_end_service(tmp_path: Path) -> None:
     """A quarter is left to stalls of the machine: 0.4 s without an answer just after a silence look like a
     queue at the servers, and the queue guard refuses two of 37; 0.6 s, six. The old line: 15 refused."""
 
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize("state", HELD)
-def test_each_state_that_could_hold_itself_ends_though_nothing_is_asked(state: str) -> None:
+def test_each_self_sustaining_state_ends_without_requests(state: str) -> None:
     strike, over, silence = HELD[state]
     rig = Rig(entries(3))
     rig.warm_up()
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -35,13 +35,13 @@
 
 
 @pytest.mark.parametrize("left", [0.0, -5.0])
-def test_no_time_left_is_answered_at_once(left: float) -> None:
+def test_no_time_left_is_rejected_at_once(left: float) -> None:
     rig = Rig(entries(3))
     _, actions = rig.ask(left=left)
     assert len(finals(actions)) == 1 and not only(actions, StartAttempt)
 
 
-def test_no_server_holds_briefly_then_refuses_in_time() -> None:
+def test_without_a_server_a_request_waits_briefly_then_is_rejected_in_time() -> None:
     rig = Rig(entries(1))
     rig.feed(gone("s0"))
     name, actions = rig.ask(left=900.0)
@@ -50,7 +50,7 @@
     assert [a.request_id for a in finals(later)] == [name]
 
 
-def test_held_request_goes_to_a_server_that_comes_up() -> None:
+def test_a_waiting_request_goes_to_a_server_that_comes_up() -> None:
     rig = Rig(entries(1))
     rig.feed(gone("s0"))
     name, _ = rig.ask()
@@ -94,21 +94,21 @@
     assert not finals([action for _, action in rig.log])
 
 
-def test_gone_client_gets_no_further_attempt() -> None:
+def test_a_disconnected_client_gets_no_retry() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask()
     rig.feed(ClientDisconnected(name))
     assert not only(rig.end(name, 0, Outcome.REJECTED, final=False), StartAttempt)
 
 
-def test_unknown_plan_and_class_are_served_as_unsafe_without_quota() -> None:
+def test_unknown_plan_and_class_are_served_as_non_idempotent_without_quota() -> None:
     rig = Rig(entries(3))
     actions = rig.feed(Request("x", "no-such-class", "no-such-plan", "c", 1000.0))
     assert only(actions, StartAttempt)
     assert [type(a) for a in finals(rig.end("x", 0, Outcome.TIMEOUT))] == [Fail]
 
 
-def test_more_requests_than_may_be_open_are_refused() -> None:
+def test_more_pending_requests_than_allowed_are_rejected() -> None:
     rig = Rig(entries(3), with_(SETTINGS, max_requests=4))
     answers = [finals(rig.ask()[1]) for _ in range(6)]
     assert [len(a) for a in answers] == [0, 0, 0, 1, 1, 1]
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
-def test_unsafe_request_that_may_have_run_fails(ending: Outcome) -> None:
+def test_a_non_idempotent_request_that_may_have_run_fails(ending: Outcome) -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
     actions = rig.end(name, 0, ending)
@@ -126,21 +126,21 @@
 
 
 @pytest.mark.parametrize("ending", NOT_RUN)
-def test_unsafe_request_that_did_not_run_is_tried_elsewhere(ending: Outcome) -> None:
+def test_a_non_idempotent_request_that_did_not_run_is_retried_elsewhere(ending: Outcome) -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
     sends = only(rig.end(name, 0, ending, 5.0), StartAttempt)
     assert len(sends) == 1 and sends[0].address != rig.sent[name][0]
 
 
-def test_unsafe_request_is_refused_only_if_no_attempt_ran() -> None:
+def test_a_non_idempotent_request_is_rejected_only_if_no_attempt_ran() -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
     rig.end(name, 0, Outcome.REJECTED, 5.0)
     assert [type(a) for a in finals(rig.end(name, 1, Outcome.RESET, 5.0))] == [Fail]
 
 
-def test_zone_keyed_request_stays_in_its_zone_once_it_may_have_run() -> None:
+def test_a_zone_scoped_key_pins_a_request_once_it_may_have_run() -> None:
     for seed in range(20):
         rig = Rig(entries(6, "abc"), seed=seed)
         name, _ = rig.ask("bid")
@@ -151,7 +151,7 @@
         assert zones == {int(first[1:]) % 3} and len(rig.sent[name]) == 2
 
 
-def test_zone_keyed_request_without_a_server_in_its_zone_fails() -> None:
+def test_a_pinned_request_without_a_server_in_its_zone_fails() -> None:
     rig = Rig((Endpoint("s0", "a"),))
     name, _ = rig.ask("bid")
     rig.feed(EndpointList(EndpointListKind.FULL, (Endpoint("s1", "b"),)))
@@ -160,7 +160,7 @@
     assert [type(a) for a in finals(actions)] == [Fail]
 
 
-def test_keyed_request_is_not_repeated_after_servers_forget() -> None:
+def test_a_request_with_a_key_is_not_retried_after_its_expiry() -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 2100.0
@@ -168,7 +168,7 @@
     assert not only(actions, StartAttempt) and [type(a) for a in finals(actions)] == [Fail]
 
 
-def test_held_keyed_request_is_not_sent_after_servers_forget() -> None:
+def test_a_waiting_request_with_a_key_is_not_sent_after_its_expiry() -> None:
     order = RequestClass("order", 5000.0, 2.0, Idempotency.WITH_KEY, IdempotencyScope.ALL, 1200.0)
     classes = (order,)
     rig = Rig(entries(1), with_(SETTINGS, classes=classes))
@@ -185,7 +185,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_new_to_a_draining_or_gone_server(state: EndpointState) -> None:
+def test_nothing_new_to_a_draining_or_removed_server(state: EndpointState) -> None:
     rig = Rig(entries(3))
     rig.feed(gone("s1", state))
     for _ in range(60):
@@ -193,7 +193,7 @@
     assert {s for sent in rig.sent.values() for s in sent} == {"s0", "s2"}
 
 
-def test_absent_from_a_full_list_is_gone() -> None:
+def test_absent_from_a_full_list_is_removed() -> None:
     rig = Rig(entries(3))
     rig.feed(EndpointList(EndpointListKind.FULL, entries(2)))
     for _ in range(60):
@@ -207,7 +207,7 @@
     assert only(rig.ask()[1], StartAttempt)
 
 
-def test_held_request_is_not_sent_to_a_server_told_to_drain() -> None:
+def test_a_waiting_request_is_not_sent_to_a_draining_server() -> None:
     rig = Rig(entries(1))
     name, _ = rig.ask()
     rig.feed(gone("s0"))
@@ -218,7 +218,7 @@
 # --- rule 4: cold servers ------------------------------------------------------------------------------
 
 
-def test_cold_server_gets_less_than_its_share_of_warm_traffic() -> None:
+def test_a_server_that_warms_up_gets_less_than_its_fraction_of_warm_traffic() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
     rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
@@ -235,7 +235,7 @@
     assert rig.now - start <= 1000.0 and sent.get("cold", 0) <= max(1.0, 0.5 * warm)
 
 
-def test_three_gateways_together_stay_under_a_cold_servers_share() -> None:
+def test_three_gateways_together_stay_under_the_slow_start_fraction() -> None:
     total = {"cold": 0, "warm": 0}
     for seed in range(3):
         rig = Rig(entries(4), with_(SETTINGS, gateway_count=3), seed=seed)
@@ -252,13 +252,13 @@
     assert total["warm"] > 200 and total["cold"] <= 0.5 * total["warm"] / 4
 
 
-def test_fresh_gateway_is_shy_with_a_fleet_of_cold_servers() -> None:
+def test_a_new_gateway_sends_little_to_servers_that_all_warm_up() -> None:
     rig = Rig(entries(3, started=1000.0))
     sends = sum(len(only(rig.ask()[1], StartAttempt)) for _ in range(200))
     assert sends <= 6
 
 
-def test_sends_to_cold_servers_do_not_raise_their_own_rate() -> None:
+def test_attempts_at_servers_that_warm_up_do_not_raise_their_rate() -> None:
     # With every server cold, each turn once counted as warm traffic and the turns came ever faster.
     rig = Rig(entries(6, started=1000.0))
     sends = 0
@@ -291,7 +291,7 @@
 
 @pytest.mark.parametrize("counter", [True, False])
 @pytest.mark.parametrize("units", [1.0, 2.0])
-def test_ceiling_holds_with_a_mute_or_empty_counter(counter: bool, units: float) -> None:
+def test_ceiling_holds_with_an_unavailable_or_empty_counter(counter: bool, units: float) -> None:
     rigs = [Rig(entries(4), with_(SETTINGS, has_counter=counter), seed=i) for i in range(2)]
     seconds = 8.0
     sent = send_through(rigs, seconds * 1000.0, 50.0, units)
@@ -307,7 +307,7 @@
     assert sent <= 12.0 + 4.0 * 1.1 + 2.0
 
 
-def test_unknown_refuse_kinds_carry_advice() -> None:
+def test_rejections_of_any_kind_carry_a_retry_after() -> None:
     rig = Rig(entries(4))
     refused = [a for _ in range(60) for a in only(rig.ask(plan="rate")[1], Reject)]
     assert refused and all(0 < a.retry_after_ms <= 500.0 for a in refused)
@@ -374,7 +374,7 @@
 
 @pytest.mark.parametrize("way", [leaves_while_held, leaves_while_it_asks, leaves_while_it_connects,
                                  finds_no_server, reaches_no_server])  # fmt: skip
-def test_what_came_to_no_server_gives_its_units_back(way: Callable[[Rig, str], None]) -> None:
+def test_a_request_that_reached_no_server_is_refunded(way: Callable[[Rig, str], None]) -> None:
     rig = Rig(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     way(rig, "rate")
@@ -384,7 +384,7 @@
 
 
 @pytest.mark.parametrize("way", [leaves_while_it_runs, is_turned_away])
-def test_what_came_to_a_server_keeps_its_units(way: Callable[[Rig, str], None]) -> None:
+def test_a_request_that_reached_a_server_is_not_refunded(way: Callable[[Rig, str], None]) -> None:
     rig = Rig(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     way(rig, "rate")
