--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -280,7 +280,7 @@
     return rig.gateway.quota.counter.pacing.call_fraction == 1.0
 
 
-HELD: dict[str, tuple[Callable[[Rig], None], Callable[[Rig], bool], float]] = {
+SELF_SUSTAINING: dict[str, tuple[Callable[[Rig], None], Callable[[Rig], bool], float]] = {
     # what a fault leaves; whether it is over; the silence after which it must be, in seconds
     "V and credit": (overloaded, serves, 24.0),
     "peak and backlog": (filled, serves, 0.0),
@@ -296,9 +296,9 @@
 }
 
 
-@pytest.mark.parametrize("state", HELD)
+@pytest.mark.parametrize("state", SELF_SUSTAINING)
 def test_each_self_sustaining_state_ends_without_requests(state: str) -> None:
-    strike, over, silence = HELD[state]
+    strike, over, silence = SELF_SUSTAINING[state]
     rig = Rig(entries(3))
     rig.warm_up()
     strike(rig)
