--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,7 +44,7 @@
 from benchmarks.machine import machine
 from benchmarks.slopes import Measure, Probe, cpu_ms, kib, table
 from glenchute.cli.fleet import table as text_table
-from glenchute.clients.membership.node import MemberNode as Node
+from glenchute.clients.membership import status
 from glenchute.config.facts import ClassFacts, PlatformFacts
 from glenchute.config.operator import OperatorConfig, ReadResult, parse
 from glenchute.config.operator_shape import MAX_ROUTES
@@ -161,7 +161,7 @@
         boot=1 << 59,
         members=MemberList(names[0], 1, names, SwimSettings(), random.Random(1)),
     )
-    return Node.show_members(node)
+    return status.show_members(node)
 
 
 SERVERS_ARE = (400, 1_200, 2_800), SERVERS, SERVERS
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -124,7 +124,8 @@
         )
         self.discovery.restrain = self.gateway.update_endpoints
         if self.fleet is not None:
-            self.fleet.follow, self.fleet.counter = self.gateway.update_endpoints, self.counter
+            self.fleet.endpoint_sync.apply_update = self.gateway.update_endpoints
+            self.fleet.audit.counter = self.counter
         # What of the operator's file holds until a restart.
         self.begun = started(operator) if operator is not None else None
         self.aside: Aside[Reread] | None = None  # the reading of that file again
@@ -168,7 +169,7 @@
         rows, servers = self.discovery.held.rows, self.servers
         listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
         if self.fleet is not None:
-            self.fleet.telling.module = self.narrowed(self.fleet.telling.module, {}, listed)
+            self.fleet.reporter.module = self.narrowed(self.fleet.reporter.module, {}, listed)
         else:
             self.gateway.decisions = self.narrowed(self.gateway.decisions, {}, listed)
         log.info("more than %d servers are listed: from now on a part of them is used", WHOLE)
@@ -213,12 +214,12 @@
         if "control" in raw:
             self.control = ControlServer(raw["control"])
             self.control.register("fleet", self.fleet.verbs())
-        return self.fleet.telling
+        return self.fleet.reporter
 
     def listed(self, news: EndpointUpdate) -> None:
         """Discovery's word."""
         if self.fleet is not None:
-            self.fleet.news(news)
+            self.fleet.endpoint_sync.receive_discovery(news)
         self.gateway.update_endpoints(news)
 
     def operating(self) -> OperationsServer:
@@ -233,13 +234,13 @@
         def on() -> tuple[int, str]:
             listener.lame_duck()
             if self.fleet is not None:
-                self.fleet.rest(on=True)
+                self.fleet.pause_tasks()
             return (200 if listener.life.parting else 409), listener.life.phase.value
 
         def off() -> tuple[int, str]:
             listener.back()
             if self.fleet is not None:
-                self.fleet.rest(on=False)
+                self.fleet.resume_tasks()
             return (200 if listener.life.ready else 409), listener.life.phase.value
 
         return OperationsServer(
@@ -291,7 +292,9 @@
             self.gateway.update_endpoints(self.config.cached_endpoints)
             if self.doubt is not None:
                 self.doubt.follow(self.config.cached_endpoints.version, self.config.cached_endpoints.event)
-        asks = self.fleet is not None and self.fleet.begin(self.config.cached_endpoints, self.discovery)
+        asks = self.fleet is not None and self.fleet.endpoint_sync.attach_discovery(
+            self.config.cached_endpoints, self.discovery
+        )
         awaited = self.discovery.begin(self.config.cached_endpoints, LIST_WAIT_S, asks)
         if self.fleet is not None:
             await self.fleet.start()
--- a/tests/messages/control.py
+++ b/tests/messages/control.py
@@ -83,13 +83,14 @@
     datagram = encode("lab", "g1", 0xAB, SwimMessage(Probes.ACK, 1, "", updates))
     fleet.datagram_received(datagram, ("127.0.0.1", 7001))
     fleet.datagram_received(b"noise", ("127.0.0.1", 7001))
-    assert fleet.lists is not None
-    fleet.lists.version, fleet.lists.confirmed_at = 170, now - 0.25
-    fleet.lists.endpoints = {"s0": SharedEndpoint(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
-    assert fleet.runner is not None
+    shared_list = fleet.endpoint_sync.shared_list
+    assert shared_list is not None
+    shared_list.version, shared_list.confirmed_at = 170, now - 0.25
+    shared_list.endpoints = {"s0": SharedEndpoint(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
+    assert fleet.task_runner is not None
     for _ in range(400):
         loop.now += 0.05
-        fleet.runner.tick()
+        fleet.task_runner.tick()
 
 
 def answers(requests: Rows | None = None) -> tuple[Rows, Rows]:
--- a/tests/policy/membership/test_directmail.py
+++ b/tests/policy/membership/test_directmail.py
@@ -415,9 +415,9 @@
             row["number"] = n
     made = Settings("a", 20, (), (), SlowStart())
     fleet = MemberNode(raw, Clock(), DecisionEngine(made, 1), made, 1, number)  # type: ignore[arg-type]
-    assert bool(fleet.post.ring.offsets) is numbered
+    assert bool(fleet.messenger.ring.offsets) is numbered
     if not numbered:
-        assert fleet.post.ring.subset_candidates(3) == tuple(f"g{n}" for n in range(10, 19))
+        assert fleet.messenger.ring.subset_candidates(3) == tuple(f"g{n}" for n in range(10, 19))
     foreign = (name != "edge" and not numbered) or (number, stated) == (3, 4)
     assert ("numbers.foreign" in caplog.text) is foreign
 
