--- a/glenchute/clients/membership/endpoint_sync.py
+++ b/glenchute/clients/membership/endpoint_sync.py
@@ -27,7 +27,7 @@
 from .log_events import log_event
 
 if TYPE_CHECKING:
-    from glenchute.clients.discovery import Discovery
+    from glenchute.clients.discovery import DiscoveryClient
 
 RANKED_STATES = {rank: state for state, rank in STATE_RANKS.items()}
 
@@ -45,16 +45,16 @@
         self.shared_list, self.clock, self.publish, self.send = shared_list, clock, publish, send
         self.present_members = present_members
         self.drains = GossipedDrains()
-        self.discovery: Discovery | None = None
+        self.discovery: DiscoveryClient | None = None
         self.apply_update: Callable[[EndpointUpdate], None] | None = None  # the core's
         self.addresses: dict[str, Address] = {}  # by endpoint, as discovery sent them
 
     # --- discovery ---------------------------------------------------------------------------------------
 
-    def attach_discovery(self, cached: EndpointUpdate | None, discovery: Discovery) -> bool:
+    def attach_discovery(self, cached: EndpointUpdate | None, discovery: DiscoveryClient) -> bool:
         """Before discovery is polled, with the cached list. Whether this gateway polls for all members, and
         does so at once."""
-        discovery.confirmed = self.confirm_version
+        discovery.on_confirmed = self.confirm_version
         if cached is not None:
             self.apply_discovery(cached)
         if self.shared_list is None:
@@ -64,8 +64,8 @@
             rows = shared_endpoints(cached)
             self.shared_list.receive_discovery(self.clock(), cached.version, True, rows, ())
             self.shared_list.confirmed_at = -1e9  # the cache confirms nothing
-        discovery.others = self.poll_delay_s
-        discovery.watch.longest_s = POLLER_WATCH_S
+        discovery.delegated_for_s = self.poll_delay_s
+        discovery.watch.max_wait_s = POLLER_WATCH_S
         return self.shared_list.is_poller(self.present_members())
 
     def poll_delay_s(self) -> float:
@@ -124,7 +124,7 @@
             return
         was_holder, self.shared_list.is_lease_holder = self.shared_list.is_lease_holder, is_holder
         if is_holder and not was_holder and self.discovery is not None:
-            self.discovery.hurry()
+            self.discovery.resume_polling()
 
     def handle_shared(self, out: Sequence[Outgoing[SharingMessage]], rows: Sequence[SharedEndpoint]) -> None:
         """Sends messages of the shared list, and applies the rows that changed in it."""
@@ -142,7 +142,7 @@
             if row.address and row.state == ACTIVE_RANK
         }
         version = self.shared_list.version
-        self.discovery.since = version
+        self.discovery.version = version
         self.drains.apply_discovery_list(version, False, entries)
         self.addresses |= addresses
         self.apply_update(EndpointUpdate(version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
--- a/glenchute/policy/membership/endpoint_sharing.py
+++ b/glenchute/policy/membership/endpoint_sharing.py
@@ -14,8 +14,8 @@
   removed here, nor lets one warm up faster: only discovery does.
 - A list never counts as newer than what discovery answered to somebody: versions come from its answers,
   changes are applied completely and without a gap, and ages add up on the way.
-- Without a message of a poller this gateway has polled by itself `FRESH_S` and `notification.left_alone`
-  later at most.
+- Without a message of a poller this gateway has polled by itself `FRESH_S` and
+  `notification.max_own_poll_delay_s` later at most.
 
 Not covered: a configured member that invents versions and ages. What it withholds is found when another
 poller reports a newer version, or when it falls silent.
@@ -35,7 +35,7 @@
 
 MAX_POLLERS = CANDIDATES_PER_TASK  # the same members, whether chosen by hashing or by lease
 POLL_TASK = "ask"  # the task by whose lease one of the pollers polls, where there are leases
-FRESH_S = notification.FRESH_S  # a list confirmed so recently needs no poll
+FRESH_S = notification.CONFIRMATION_TTL_S  # a list confirmed so recently needs no poll
 QUERY_INTERVAL_S = 1.0
 POLLER_WATCH_S = 1.5  # a poller's watch lasts so long, so that its confirmation is never older
 RETRY_QUERY_S = 0.25  # after a reply that shows a newer list, or too old a confirmation
--- a/glenchute/policy/membership/usage.py
+++ b/glenchute/policy/membership/usage.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-from ..admission.windows import span_of
+from ..admission.windows import window_length_ms
 from ..settings import Plan
 from .replica import Row, RowKind
 
@@ -33,7 +33,7 @@
 def window_allowance_units(plan: Plan) -> float:
     """The units of a window of which half may be admitted in any two windows in a row, whatever the state of
     the token bucket."""
-    return min(plan.burst_units, plan.rate_per_s * span_of(plan) / 1000.0)
+    return min(plan.burst_units, plan.rate_per_s * window_length_ms(plan) / 1000.0)
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         own.version, own.units, own.gateway_spread = own.version + 1, own.units + units, spread
         if plan is not None:
             own.allowance_units = window_allowance_units(plan)
-            own.previous_key = window_key(customer, window_ms - span_of(plan))
+            own.previous_key = window_key(customer, window_ms - window_length_ms(plan))
         if len(self.own) > MAX_WINDOWS:
             del self.own[next(iter(self.own))]
         return self.row_for(key, own)
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from ..admission.epoch_markers import marker_value
-from ..admission.windows import span_of, stable, window_start
+from ..admission.windows import stable_key, window_length_ms, window_start
 from ..settings import Plan
 from .replica import Row, RowKind
 
@@ -96,7 +96,7 @@
             plan = self.plans.get(account)
             if row.kind is not RowKind.USE or plan is None or not (start.isascii() and start.isdigit()):
                 continue
-            age_s = (now_ms - int(start) - span_of(plan)) / 1000.0
+            age_s = (now_ms - int(start) - window_length_ms(plan)) / 1000.0
             window = account, int(start)
             is_due = SETTLED_S <= age_s <= RETAINED_S and window not in self.checked_windows
             if is_due and self.is_window(window, plan):
@@ -111,16 +111,16 @@
             del self.checked_windows[next(iter(self.checked_windows))]
         plan = self.plans[account]
         marker = marker_value(
-            plan.burst_units, plan.rate_per_s, span_of(plan) / 1000.0, plan.ceiling_burst_units
+            plan.burst_units, plan.rate_per_s, window_length_ms(plan) / 1000.0, plan.ceiling_burst_units
         )
-        counter_name = stable(f"{account}/{start_ms}")
+        counter_name = stable_key(f"{account}/{start_ms}")
         return CounterQuery(account, plan, start_ms, counter_name, reported_units, marker)
 
     @staticmethod
     def is_window(window: Window, plan: Plan) -> bool:
         """Whether the plan has such a window: a received row may name any."""
         account, start_ms = window
-        return abs(window_start(start_ms + 0.5 * span_of(plan), account, plan) - start_ms) <= 1.0
+        return abs(window_start(start_ms + 0.5 * window_length_ms(plan), account, plan) - start_ms) <= 1.0
 
     def receive_total(self, query: CounterQuery, total: float | None) -> UsageMismatch | None:
         """The counter's total, None where it did not answer. A mismatch to be reported now: once an account,
@@ -138,7 +138,7 @@
             self.mismatches.pop(query.account, None)
             return None
         run = self.extend_run(query, is_lower)
-        min_distance_ms = 1000.0 * SETTLED_S + span_of(query.plan)
+        min_distance_ms = 1000.0 * SETTLED_S + window_length_ms(query.plan)
         is_short = run.window_count < MIN_MISMATCHED_WINDOWS
         if is_short or query.window_start_ms - run.first_window_ms < min_distance_ms:
             return None
