--- /dev/null
+++ b/glenchute/cli/program.py
@@ -0,0 +1,350 @@
+"""One gateway process: its parts put together, started, reloaded, and shut down in order."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import signal
+from dataclasses import replace
+from typing import TYPE_CHECKING, Any
+
+from glenchute.clients.counter import CounterClient
+from glenchute.clients.discovery import DiscoveryClient
+from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load, passed_socket
+from glenchute.core.executor import RequestExecutor
+from glenchute.core.types import DecisionHandler, EndpointUpdate
+from glenchute.listeners.resp2.commands import CommandParser
+from glenchute.listeners.resp2.listener import Listener
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
+from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+from glenchute.policy.engine import DecisionEngine
+from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
+
+from . import subsystems
+from .operator_reload import OperatorReload
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from glenchute.capture.recorder import Recorder
+    from glenchute.clients.membership.node import MemberNode
+    from glenchute.config.operator import OperatorConfig
+    from glenchute.control.server import ControlServer
+    from glenchute.listeners.extproc.server import ExtProcServer
+    from glenchute.policy.events import Endpoint
+    from glenchute.upstreams.server_pools import ServerPools
+
+    from .handover import ProcessHandover
+
+LIST_WAIT_S = 0.3  # a start waits this long for today's endpoint list before it serves by the cached one ...
+CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
+OUTAGE_S = 5.0  # attempts that fail so long after the last response show that no server responds
+LINGER_S = 0.05  # for the last replies to leave
+ACCEPT_POLL_S = 0.002
+CLIENTS_POLL_S = 0.02
+GC_THRESHOLDS = (20_000, 20, 20)
+
+log = logging.getLogger("glenchute")
+
+
+class GatewayProgram:
+    """One gateway process, from start to end.
+
+    The engine stands, from the inside out, behind the recorder, the subset of servers, and the members' usage
+    updates, as far as the operator's file has them."""
+
+    def __init__(
+        self,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        decisions: DecisionHandler | None = None,
+        environ: dict[str, str] | None = None,
+        operator: OperatorConfig | None = None,
+    ) -> None:
+        self.config, self.loop = config, loop
+        self.environ = environ or {}
+        self.passed = passed_socket(config)
+        self.stopping = asyncio.Event()
+        pipelined = operator.pipeline if operator is not None else None
+        self.servers = self.create_upstream(pipelined)
+        self.counter = self.create_counter()
+        self.recorder: Recorder | None = None
+        self.fleet: MemberNode | None = None
+        self.control: ControlServer | None = None
+        engine = self.wrap_engine(decisions or DecisionEngine(config.settings, config.seed), operator)
+        self.gateway = RequestExecutor(loop, engine, self.servers, self.counter)
+        self.gateway.allows_concurrent_attempts = config.settings.allows_hedging
+        if operator is None or operator.subset is None:
+            self.gateway.endpoints.server_limit = MAX_SUBSET_SIZE
+            self.gateway.endpoints.on_server_limit_exceeded = self.use_subset
+        if operator is not None:
+            self.apply_routes(operator)
+        self.listener = self.create_listener(pipelined)
+        self.extproc: ExtProcServer | None = None
+        if operator is not None and operator.fronts and "extproc" in operator.fronts:
+            self.extproc = subsystems.create_extproc(operator.fronts["extproc"], config, loop, self.gateway)
+        self.handover = self.create_handover() if self.passed is not None else None
+        self.operations = None
+        if config.operations_address is not None:
+            self.operations = subsystems.create_operations(loop, self.listener, self.fleet)
+        self.list_confirmation: ListConfirmation | None = None
+        self.discovery = self.create_discovery((operator.discovery if operator is not None else None) or {})
+        if self.fleet is not None:
+            self.fleet.endpoint_sync.apply_update = self.gateway.update_endpoints
+            self.fleet.audit.counter = self.counter
+        self.operator_reload = OperatorReload(loop, self.gateway, operator)
+
+    # --- parts -------------------------------------------------------------------------------------------
+
+    def create_upstream(self, pipelined: dict[str, Any] | None) -> ServerPools:
+        """The connections to the servers."""
+        return subsystems.create_upstream(pipelined, self.config, self.loop)
+
+    def create_subset(
+        self, engine: DecisionHandler, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
+    ) -> DecisionHandler:
+        """The engine behind a subset of the servers."""
+        return subsystems.create_subsetting(engine, self.config, raw, listed)
+
+    def create_counter(self) -> CounterClient | None:
+        """The client of the shared counter, if there is one."""
+        config = self.config
+        if config.counter is None:
+            return None
+        timeout_s = config.settings.counter_timeout_ms / 1000.0
+        return CounterClient(self.loop, config.counter, timeout_s, config.budget.counter_connections)
+
+    def wrap_engine(self, engine: DecisionHandler, operator: OperatorConfig | None) -> DecisionHandler:
+        """The engine behind what the operator's file puts before it."""
+        if operator is None:
+            return engine
+        if operator.capture is not None:
+            self.recorder = subsystems.create_recorder(engine, self.config, operator.capture, self.loop.time)
+            engine = self.recorder
+        if operator.subset is not None:
+            engine = self.create_subset(engine, operator.subset)
+        if operator.fleet is not None:
+            self.fleet = subsystems.create_member_node(engine, self.config, operator.fleet, self.loop)
+            self.control = self.create_control(self.fleet, operator.fleet)
+            engine = self.fleet.reporter
+        return engine
+
+    def create_control(self, members: MemberNode, raw: dict[str, Any]) -> ControlServer | None:
+        """The control socket with the members' verbs, where the operator's file names one."""
+        from glenchute.control.server import ControlServer
+
+        if "control" not in raw:
+            return None
+        control = ControlServer(raw["control"])
+        control.register("fleet", members.verbs())
+        return control
+
+    def create_listener(self, pipelined: dict[str, Any] | None) -> Listener:
+        """The listener for clients."""
+        settings = self.config.settings
+        parser = CommandParser(settings, self.config.request_bounds)
+        listener = Listener(self.loop, self.gateway, parser, self.config.budget)
+        if pipelined is not None:
+            self.gateway.max_attempts = settings.max_attempts
+            self.gateway.reports_assignments = self.recorder is not None
+            listener.may_release_replies = pipelined.get("release", False)
+        return listener
+
+    def create_discovery(self, raw: dict[str, Any]) -> DiscoveryClient:
+        """The client of discovery."""
+        self.list_confirmation = ListConfirmation() if raw.get("doubt") else None
+        discovery = DiscoveryClient(
+            self.loop,
+            self.config.discovery,
+            self.update_endpoints,
+            subsystems.polling_terms(self.config, raw, self.fleet is not None),
+            self.config.seed,
+            self.list_confirmation,
+            self.are_servers_responding,
+        )
+        discovery.on_restriction = self.gateway.update_endpoints
+        return discovery
+
+    def create_handover(self) -> ProcessHandover | None:
+        """The socket to the processes before and after; imported only where the platform replaces
+        processes."""
+        from .handover import ProcessHandover
+
+        folder = self.environ.get("TMPDIR")
+        return ProcessHandover.create(
+            folder, self.config, self.loop, self.gateway, self.listener, self.servers
+        )
+
+    def apply_routes(self, operator: OperatorConfig) -> None:
+        """The operator's routes hold for requests from the start on."""
+        from glenchute.policy.retries.route_limits import RouteTable
+
+        self.gateway.routes = RouteTable(operator.bindings, self.config.seed)
+
+    # --- endpoints ---------------------------------------------------------------------------------------
+
+    def are_servers_responding(self) -> bool:
+        """Whether servers respond, as far as requests have shown."""
+        return self.gateway.last_failure_at - self.gateway.last_response_at < OUTAGE_S
+
+    def update_endpoints(self, update: EndpointUpdate) -> None:
+        """An endpoint list, or changes, from discovery."""
+        if self.fleet is not None:
+            self.fleet.endpoint_sync.receive_discovery(update)
+        self.gateway.update_endpoints(update)
+
+    def use_subset(self) -> None:
+        """The list has become longer than a gateway can use completely: from the next update on the engine
+        knows a subset. It stands as with `[subset]`: inside the members' updates, outside the recorder."""
+        rows, servers = self.discovery.current_list.rows, self.servers
+        listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
+        if self.fleet is not None:
+            self.fleet.reporter.module = self.create_subset(self.fleet.reporter.module, {}, listed)
+        else:
+            self.gateway.decisions = self.create_subset(self.gateway.decisions, {}, listed)
+        log.info("more than %d servers are listed: from now on a part of them is used", MAX_SUBSET_SIZE)
+
+    # --- life --------------------------------------------------------------------------------------------
+
+    async def run(self, early_signals: list[int]) -> None:
+        """Serves until told to stop. `early_signals` came before the loop ran."""
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self.stopping.set)
+        if signal.SIGTERM in early_signals:
+            self.stopping.set()
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload)
+        if self.recorder is not None:
+            self.loop.add_signal_handler(signal.SIGUSR1, self.recorder.trigger, "asked for")
+        await self.start()
+        if self.stopping.is_set():  # told to end before it took any client
+            await self.close()
+            return
+        if signal.SIGHUP in early_signals:
+            self.reload()
+        gc.collect()
+        gc.freeze()  # what was loaded lives for ever; no collection needs to look at it again
+        gc.set_threshold(*GC_THRESHOLDS)
+        log.info("%s serves", self.config.name)
+        await self.stopping.wait()
+        await self.shut_down()
+        log.info("%s has ended", self.config.name)
+
+    async def start(self) -> None:
+        """Starts the parts; clients come last."""
+        if self.operations is not None and self.config.operations_address is not None:
+            await self.operations.start(*self.config.operations_address)
+        cached = self.config.cached_endpoints
+        if cached is not None:
+            self.gateway.update_endpoints(cached)
+            if self.list_confirmation is not None:
+                self.list_confirmation.apply(cached.version, cached.event)
+        polls = self.fleet is not None and self.fleet.endpoint_sync.attach_discovery(cached, self.discovery)
+        is_polled_now = self.discovery.start(cached, LIST_WAIT_S, polls)
+        if self.fleet is not None:
+            await self.fleet.start()
+        if self.control is not None:
+            await self.control.start()
+        if self.handover is not None:
+            await self.handover.request_state()
+        if is_polled_now:
+            await self.wait_for_list()
+        if self.stopping.is_set():
+            return
+        await self.listener.start(*self.config.listen, self.passed)
+        if self.handover is not None:
+            await self.handover.start_serving()
+        if self.extproc is not None:
+            await self.extproc.start()
+
+    async def wait_for_list(self) -> None:
+        """Gives discovery a moment: the cached list may be old, but no start depends on discovery. A process
+        that gets little of its core makes the call late, which is not the service's delay."""
+        await wait(self.discovery.first_poll_made, CALL_WAIT_S)
+        await wait(self.discovery.first_answer, LIST_WAIT_S)
+
+    def reload(self) -> None:
+        """Reads the platform's file again and follows its addresses; everything else waits for a restart. The
+        operator's file is read again too, beside the loop."""
+        try:
+            config = load(self.environ)
+        except ConfigError as error:
+            log.error("the configuration in force stays: %s", error)
+            return
+        log.info("the configuration was read again")
+        current = self.config
+        comparable = replace(
+            config,
+            discovery=current.discovery,
+            counter=current.counter,
+            cached_endpoints=None,
+            seed=current.seed,
+        )
+        if comparable != replace(current, cached_endpoints=None):
+            log.warning("what changed besides the addresses of discovery and counter waits for a restart")
+        self.discovery.change_address(config.discovery)
+        if self.counter is not None and config.counter is not None:
+            self.counter.change_address(config.counter)
+        self.config = replace(current, discovery=config.discovery, counter=config.counter)
+        if self.environ.get(OPERATOR_FILE_VARIABLE):
+            self.operator_reload.request(self.environ[OPERATOR_FILE_VARIABLE], config)
+
+    async def shut_down(self) -> None:
+        """A graceful shutdown: accepts what still comes, finishes what is in flight, and has ended before the
+        platform's kill."""
+        lifecycle, is_replaced = self.listener.lifecycle, self.passed is not None
+        began = self.loop.time()
+        proxies = None
+        if self.extproc is not None:
+            # GOAWAY at once: a proxy opens its next stream elsewhere, and what is open is served to its end.
+            proxies = self.loop.create_task(self.extproc.stop(lifecycle.shutdown_grace_s))
+        if self.fleet is not None:
+            self.fleet.leave(replaced=is_replaced)
+        self.listener.start_shutdown(replaced=is_replaced)
+        end = began + lifecycle.shutdown_grace_s  # what is in flight then is answered and abandoned
+        if not is_replaced:
+            await self.accept_until(end)
+        self.listener.stop()  # connections that wait at a passed socket are the next process's
+        while self.listener.clients and self.loop.time() < end:
+            await asyncio.sleep(CLIENTS_POLL_S)
+        if proxies is not None:
+            await proxies
+        self.gateway.close_all()
+        await asyncio.sleep(LINGER_S)
+        await self.close()
+
+    async def accept_until(self, end: float) -> None:
+        """Accepts for a moment, and while connections wait: closing the socket resets those, with requests
+        that clients have sent on them."""
+        await asyncio.sleep(SHUTDOWN_ACCEPT_S)
+        while self.listener.has_pending_accept() and self.loop.time() < end:
+            await asyncio.sleep(ACCEPT_POLL_S)
+
+    async def close(self) -> None:
+        """Closes all sockets."""
+        self.listener.close()
+        if self.operations is not None:
+            self.operations.close()
+        if self.handover is not None:
+            self.handover.close()
+        if self.extproc is not None:
+            await self.extproc.stop(0.0)
+        if self.fleet is not None:
+            self.fleet.close()
+        if self.control is not None:
+            self.control.close()
+        self.discovery.close()
+        if self.counter is not None:
+            self.counter.close()
+        self.servers.close()
+        if self.recorder is not None:
+            self.recorder.close()
+        await asyncio.sleep(0)
+
+
+async def wait(event: asyncio.Event, seconds: float) -> None:
+    """Waits for an event, but no longer than that."""
+    try:
+        await asyncio.wait_for(event.wait(), seconds)
+    except TimeoutError:
+        return
--- /dev/null
+++ b/glenchute/cli/subsystems.py
@@ -0,0 +1,148 @@
+"""Makes the parts of a gateway that the platform's or the operator's file switches on.
+
+Each is imported only where a file asks for it; a library that is missing then is a `ConfigError`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from glenchute.config.platform import ConfigError, PlatformConfig
+from glenchute.core.executor import RequestExecutor
+from glenchute.core.types import DecisionHandler
+from glenchute.listeners.resp2.listener import Listener
+from glenchute.policy.endpoints.polling import PollingTerms
+from glenchute.upstreams.server_pools import ServerPools
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from glenchute.capture.recorder import Recorder
+    from glenchute.clients.membership.node import MemberNode
+    from glenchute.listeners.extproc.server import ExtProcServer
+    from glenchute.listeners.operations import OperationsServer
+    from glenchute.policy.events import Endpoint
+
+# The operator's keys of [subset] -> fields of `SubsetTerms`.
+SUBSET_KEYS = {"servers": "min_servers", "busy": "busy_attempts", "calm": "calm_attempts"}
+DEFAULT_SEGMENT_S = 10.0
+DEFAULT_SEGMENT_MB = 4.0
+DEFAULT_SEGMENTS = 12
+
+Status = tuple[int, str]  # of a response at the operations address: its HTTP status and its body
+
+
+def create_upstream(
+    pipelined: dict[str, Any] | None, config: PlatformConfig, loop: asyncio.AbstractEventLoop
+) -> ServerPools:
+    """The connections to the servers: one for each attempt, or shared where the operator's file says so."""
+    if pipelined is None:
+        return ServerPools(loop, config.limits)
+    from .pipelined_upstream import pipelined_upstream
+
+    return pipelined_upstream(pipelined, config, loop)
+
+
+def create_subsetting(
+    decisions: DecisionHandler, config: PlatformConfig, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
+) -> DecisionHandler:
+    """The engine behind a subset of the servers. A gateway that does not know its number takes one from its
+    seed; the servers are then balanced by chance alone."""
+    from glenchute.policy.balancing.subset import SubsetTerms
+    from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
+
+    number = config.stated_number if config.stated_number is not None else config.seed
+    chosen = {SUBSET_KEYS[key]: value for key, value in raw.items()}
+    terms = SubsetTerms(config.settings.gateway_count, number, **chosen)
+    return SubsettingEngine(decisions, config.settings, terms, listed)
+
+
+def create_recorder(
+    decisions: DecisionHandler, config: PlatformConfig, raw: dict[str, Any], clock: Callable[[], float]
+) -> Recorder:
+    """The engine behind a recorder."""
+    from glenchute.capture.recorder import CaptureRule, Recorder
+    from glenchute.config.files import secret_key
+
+    key_file = raw.get("account_key_file")
+    rule = CaptureRule(
+        folder=raw["folder"],
+        ring=raw.get("mode", "ring") == "ring",
+        segment_s=raw.get("segment_s", DEFAULT_SEGMENT_S),
+        segment_bytes=int(raw.get("segment_mb", DEFAULT_SEGMENT_MB) * 1024 * 1024),
+        segments=raw.get("segments", DEFAULT_SEGMENTS),
+        refusal_share=raw.get("refusal_share", 1.0),
+        account_key=secret_key(key_file, "account_key_file") if key_file else None,
+    )
+    return Recorder(decisions, config.settings, config.seed, rule, clock)
+
+
+def create_member_node(
+    decisions: DecisionHandler,
+    config: PlatformConfig,
+    raw: dict[str, Any],
+    loop: asyncio.AbstractEventLoop,
+) -> MemberNode:
+    """The socket among the members, and the engine behind their usage updates."""
+    try:
+        from glenchute.clients.membership.node import MemberNode
+    except ImportError as error:
+        raise ConfigError(f"fleet needs glenchute[fleet]: {error}") from None
+    return MemberNode(raw, loop, decisions, config.settings, config.seed, config.gateway_number)
+
+
+def create_extproc(
+    raw: dict[str, Any],
+    config: PlatformConfig,
+    loop: asyncio.AbstractEventLoop,
+    executor: RequestExecutor,
+) -> ExtProcServer:
+    """The listener for proxies."""
+    try:
+        from glenchute.listeners.extproc.start import create_server
+    except ImportError as error:
+        raise ConfigError(f"fronts.extproc needs glenchute[extproc]: {error}") from None
+    return create_server(raw, config, loop, executor)
+
+
+def create_operations(
+    loop: asyncio.AbstractEventLoop, listener: Listener, members: MemberNode | None
+) -> OperationsServer:
+    """The operations address: readiness, and drains. The paths are the platform's."""
+    from glenchute.listeners.operations import OperationsServer
+
+    lifecycle = listener.lifecycle
+
+    def ready() -> Status:
+        return (200 if lifecycle.is_ready else 503), lifecycle.phase.value
+
+    def start_drain() -> Status:
+        listener.start_drain()
+        if members is not None:
+            members.pause_tasks()
+        return (200 if lifecycle.is_closing_connections else 409), lifecycle.phase.value
+
+    def end_drain() -> Status:
+        listener.end_drain()
+        if members is not None:
+            members.resume_tasks()
+        return (200 if lifecycle.is_ready else 409), lifecycle.phase.value
+
+    actions = {
+        "/_ready": {"GET": ready},
+        "/_lameduck/on": {"PUT": start_drain},
+        "/_lameduck/off": {"PUT": end_drain},
+    }
+    return OperationsServer(loop, actions)
+
+
+def polling_terms(config: PlatformConfig, raw: dict[str, Any], has_members: bool) -> PollingTerms:
+    """Who shares discovery, and what it bears. An operator who states what the service bears, or has members
+    ask for each other, has a shared one; else lists are pushed by an agent of this gateway's own."""
+    is_pushed = not config.settings.must_subscribe and not raw and not has_members
+    terms = PollingTerms(config.settings.gateway_count, config.gateway_number, is_pushed=is_pushed)
+    return terms._replace(
+        rate_per_s=raw.get("calls_per_s", terms.rate_per_s), max_list_age_s=raw.get("list_age_s")
+    )
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -12,7 +12,8 @@
 from dataclasses import replace
 from typing import Any
 
-from glenchute.cli.run import LIST_WAIT_S, Program, read_operator
+from glenchute.cli.operator_reload import read_operator
+from glenchute.cli.program import LIST_WAIT_S, GatewayProgram
 from glenchute.config.platform import PlatformConfig
 from glenchute.core.types import (
     Address,
@@ -188,7 +189,7 @@
         return self.module.handle(now_ms, event)
 
 
-class HollowGateway(Program):
+class HollowGateway(GatewayProgram):
     """One. `up` and `down` are its start and end."""
 
     def __init__(
@@ -204,15 +205,15 @@
         self.part = Part(Policy(config.settings, config.seed), config.gateway_number or 0, site.most_known)
         super().__init__(config, loop, self.part, operator=operator)
 
-    def backend(self, shared: dict[str, Any] | None) -> ServerPools:
+    def create_upstream(self, pipelined: dict[str, Any] | None) -> ServerPools:
         hollow = Hollows(self.loop, self.rng, self.site.service_ms / 1000.0, self.away)
         return hollow  # type: ignore[return-value]
 
-    def narrowed(self, *args: Any, **kwargs: Any) -> DecisionHandler:
+    def create_subset(self, *args: Any, **kwargs: Any) -> DecisionHandler:
         """Subsets are left out where a part is taken anyway (`most_known`): a start of one before 5,700
         servers and each change of the list would cost as much here as at a real one, 500 times."""
         module: DecisionHandler = args[0]
-        return module if self.site.most_known else super().narrowed(*args, **kwargs)
+        return module if self.site.most_known else super().create_subset(*args, **kwargs)
 
     def away(self, server: str) -> bool:
         """Whether its rack or zone is."""
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -25,7 +25,7 @@
     BackgroundReload,
     TimeSlices,
 )
-from glenchute.cli.run import LINES_A_TURN, read_again
+from glenchute.cli.operator_reload import WARNINGS_PER_TURN, reload_operator_file
 from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import ReadResult
 from lab.faults import Fault, Kind, Script
@@ -79,7 +79,7 @@
 
             def reread(text: str) -> None:
                 file.write_text(text)
-                program.reread(str(file), program.config)
+                program.operator_reload.request(str(file), program.config)
 
             reread(reads("second"))
             await until(lambda: blocked.started == 1)
@@ -94,7 +94,7 @@
             assert (
                 blocked.started == 2 and blocked.was_released
             )  # the third was superseded, none is read twice
-            reload = program.background_reload
+            reload = program.operator_reload.background
             await until(lambda: reload is not None and not reload.is_busy)
             assert sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
 
@@ -118,7 +118,7 @@
             async def rejected(text: str) -> str:
                 before = len(reported())
                 file.write_text(text)
-                program.reread(str(file), program.config)
+                program.operator_reload.request(str(file), program.config)
                 await until(lambda: len(reported()) > before)
                 assert (
                     bound(one) == "first" and sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
@@ -144,7 +144,7 @@
 
                 patch.setattr(threading.Thread, "start", none)
                 assert "can't start new thread" in await rejected(reads("second"))
-            program.reread(str(file), program.config)
+            program.operator_reload.request(str(file), program.config)
             await until(lambda: bound(one) == "second")
 
     play(scenario())
@@ -153,21 +153,21 @@
 def test_warnings_are_logged_some_lines_per_turn(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
-    count = 2 * LINES_A_TURN + 20
+    count = 2 * WARNINGS_PER_TURN + 20
     file.write_text(reads("r0", attempts=1) + "backoff = { first_ms = 5 }\n")
 
     async def scenario() -> None:
         async with site(always(SERVED), operator=reads("first")) as one:
             program = one.program
-            program.reread(str(file), program.config)
+            program.operator_reload.request(str(file), program.config)
             await until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
             (line,) = [r.getMessage() for r in caplog.records if "warning" in r.getMessage()]
             assert "backoff-unused: route[0].backoff" in line
             caplog.clear()
-            found = read_again(str(file), program.config)
+            found = reload_operator_file(str(file), program.config)
             found = found._replace(warnings=[f"w{n}" for n in range(count)])
-            program.follow(found)
-            assert len(caplog.records) == LINES_A_TURN and bound(one) == "r0"
+            program.operator_reload.apply(found)
+            assert len(caplog.records) == WARNINGS_PER_TURN and bound(one) == "r0"
             await until(lambda: len(caplog.records) > count)
             assert [r.getMessage() for r in caplog.records] == [*found.warnings, READ_AGAIN]
 
@@ -182,8 +182,10 @@
     async def scenario() -> None:
         async with site(always(SERVED), operator=reads("first")) as one:
             program, turns = one.program, 0
-            program.reread(str(file), program.config)
-            while program.background_reload is not None and program.background_reload.is_busy:
+            program.operator_reload.request(str(file), program.config)
+            while (
+                program.operator_reload.background is not None and program.operator_reload.background.is_busy
+            ):
                 turns += 1
                 await asyncio.sleep(0)
             assert turns > 20 and bound(one) == "first"
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from glenchute.cli.run import LIST_WAIT_S
+from glenchute.cli.program import LIST_WAIT_S
 from glenchute.clients.discovery import MAX_UNDIVIDED_BODY_BYTES, DiscoveryClient
 from glenchute.policy.endpoints import notification, watch
 from glenchute.policy.endpoints.polling import PollScheduler
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from glenchute.cli.run import Program
+from glenchute.cli.program import GatewayProgram
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.endpoints import notification
 from glenchute.policy.endpoints.polling import PollScheduler
@@ -77,14 +77,18 @@
     monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
     monkeypatch.setattr(PollScheduler, "record_failure", lambda self: 1000.0)
     monkeypatch.setattr(notification, "NOTIFIED_AFTER_S", 1000.0)
-    case, versions_for_members, listed = CONFIRMATION_CASES[name], list[int](), Program.listed
+    case, versions_for_members, listed = (
+        CONFIRMATION_CASES[name],
+        list[int](),
+        GatewayProgram.update_endpoints,
+    )
 
-    def recorded(self: Program, update: EndpointUpdate) -> None:
+    def recorded(self: GatewayProgram, update: EndpointUpdate) -> None:
         """Lists that members are sent pass here."""
         versions_for_members.append(update.version)
         listed(self, update)
 
-    monkeypatch.setattr(Program, "listed", recorded)
+    monkeypatch.setattr(GatewayProgram, "update_endpoints", recorded)
 
     async def scenario() -> None:
         manual, script = ManualDiscovery(), Script(lambda event: [])
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -22,7 +22,7 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 from envoy.service.ratelimit.v3 import rls_pb2
 
-from glenchute.cli.run import Program
+from glenchute.cli.program import GatewayProgram
 from glenchute.config.operator import parse
 from glenchute.config.platform import build
 from glenchute.listeners.extproc import server as server_module
@@ -80,15 +80,15 @@
     def __init__(self, lab: LabSite, nodes: list[HttpNode]) -> None:
         self.lab, self.nodes = lab, nodes
         self.port = free_port()
-        self.programs: list[Program] = []
+        self.programs: list[GatewayProgram] = []
         self.processes: list[GatewayProcess] = []  # killed at the end, if a test fails before it ends them
 
-    async def program(self, more: str = "") -> Program:
+    async def program(self, more: str = "") -> GatewayProgram:
         """A fresh gateway on the same port."""
         config = build(self.lab.platform(), {})
         reading = parse(OPERATOR.format(port=self.port, more=more), config.facts)
         assert reading.config is not None, reading.findings
-        made = Program(config, asyncio.get_running_loop(), operator=reading.config)
+        made = GatewayProgram(config, asyncio.get_running_loop(), operator=reading.config)
         await made.start()
         self.programs.append(made)
         return made
@@ -340,7 +340,7 @@
             config = build(one.lab.platform(), {})
             text = OPERATOR.format(port=1, more="").replace("127.0.0.1:1", f"unix:{path}")
             operator = parse(text, config.facts).config
-            program = Program(config, asyncio.get_running_loop(), operator=operator)
+            program = GatewayProgram(config, asyncio.get_running_loop(), operator=operator)
             await program.start()
             one.programs.append(program)
             proxies = [Proxy(f"unix:{path}") for _ in range(2)]
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from glenchute.cli.run import Program
+from glenchute.cli.program import GatewayProgram
 from glenchute.config.platform import ConfigError, build, load
 from glenchute.listeners.operations import server as operations_server
 from lab.nodes import Node, Trade
@@ -247,7 +247,7 @@
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
             made = config(1, 1, [], operations_address=("127.0.0.1", taken.getsockname()[1]))
-            program = Program(made, asyncio.get_running_loop())
+            program = GatewayProgram(made, asyncio.get_running_loop())
             with pytest.raises(OSError):
                 await program.start()
             await program.close()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from typing import Any
 
-from glenchute.cli.run import Program
+from glenchute.cli.program import GatewayProgram
 from glenchute.config.operator import parse
 from glenchute.config.platform import PlatformConfig, build
 from glenchute.core.types import DecisionHandler
@@ -104,7 +104,7 @@
 class Site:
     """A gateway with its peers."""
 
-    def __init__(self, program: Program, servers: list[RespPeer], counter: RespPeer) -> None:
+    def __init__(self, program: GatewayProgram, servers: list[RespPeer], counter: RespPeer) -> None:
         self.program, self.servers, self.counter = program, servers, counter
 
     @property
@@ -163,7 +163,7 @@
     made = config(discovery.port, counts.port, rows, **changes)
     bound = parse(operator, made.facts).config if operator is not None else None
     assert operator is None or bound is not None
-    program = Program(made, asyncio.get_running_loop(), decisions, operator=bound)
+    program = GatewayProgram(made, asyncio.get_running_loop(), decisions, operator=bound)
     await program.start()
     if program.counter is not None:
         await until(
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -450,7 +450,7 @@
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(book.ran) == 3)
-            leaving = asyncio.create_task(one.program.leave())
+            leaving = asyncio.create_task(one.program.shut_down())
             await asyncio.sleep(0.1)
             book.send(value(b"a") + value(b"b"))
             assert [await client.reply() for _ in range(2)] == [b"a", b"b"]
--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -453,7 +453,7 @@
             client, ids = await one.client(), numbered()
             ask(client, ids)
             await until(lambda: script.of(ResponseStarted))
-            await asyncio.wait_for(one.program.leave(), 5.0)
+            await asyncio.wait_for(one.program.shut_down(), 5.0)
             got = await client.reader.read()
             assert len(got) < len(VALUE)
 
