--- a/glenchute/capture/snapshot.py
+++ b/glenchute/capture/snapshot.py
@@ -52,7 +52,7 @@
     SlowStart,
 )
 
-from . import format_1
+from . import format_1, format_1_snapshot
 from .errors import SnapshotError
 
 POLICY_CLASSES = (
@@ -141,7 +141,7 @@
     """An engine in that state, which a capture of this format holds; `SnapshotError` where there is none."""
     try:
         if capture_format == format_1.FORMAT:
-            return format_1.load_snapshot(state)
+            return format_1_snapshot.load_snapshot(state)
         return RestrictedUnpickler(io.BytesIO(state)).load()
     except SnapshotError:
         raise
