--- a/glenchute/capture/format_1_snapshot.py
+++ b/glenchute/capture/format_1_snapshot.py
@@ -30,7 +30,7 @@
 from glenchute.policy.admission.backlog import Backlog
 from glenchute.policy.admission.call_pacing import CallPacing
 from glenchute.policy.admission.capacity import CapacityEstimate
-from glenchute.policy.admission.counter_calls import CounterCall, CounterCalls, TimedOutCall
+from glenchute.policy.admission.counter_calls import CounterCall, CounterCalls
 from glenchute.policy.admission.counter_health import CounterHealth, CounterMonitor
 from glenchute.policy.admission.counter_sync import CounterSync
 from glenchute.policy.admission.epoch_markers import WindowCounter
@@ -194,10 +194,11 @@
 def quota_accounting(old: State) -> State:
     """One object kept tenants, calls, and the pace of calls."""
     settings, pacing = old["settings"], call_pacing(old)
-    calls = CounterCalls(
-        {key: deque(CounterCall(*row) for row in rows) for key, rows in old["calls_out"].items()},
-        {key: deque(TimedOutCall(*row) for row in rows) for key, rows in old["timed_out"].items()},
-    )
+    calls = CounterCalls()
+    for key, rows in old["calls_out"].items():
+        calls.in_flight[key] = deque(CounterCall(*row) for row in rows)
+    for key, rows in old["timed_out"].items():
+        calls.timed_out[key] = deque(timed_out_call(*row) for row in rows)
     tenants = made(
         TenantTable,
         settings=settings,
@@ -231,6 +232,13 @@
     }
 
 
+def timed_out_call(
+    tenant: Tenant, window_counter: WindowCounter, units: float, marker: float, had_request: bool
+) -> CounterCall:
+    """Which request had waited was not kept: only whether one had matters for such a call."""
+    return CounterCall(tenant, window_counter, units, marker, "" if had_request else None, True, 0.0)
+
+
 def call_pacing(old: State) -> CallPacing:
     """The pace of calls, of the same object."""
     pacing: CallPacing = made(
--- a/glenchute/capture/snapshot.py
+++ b/glenchute/capture/snapshot.py
@@ -21,7 +21,7 @@
 from glenchute.policy.admission.backlog import Backlog
 from glenchute.policy.admission.call_pacing import CallPacing
 from glenchute.policy.admission.capacity import CapacityEstimate
-from glenchute.policy.admission.counter_calls import CounterCall, CounterCalls, TimedOutCall
+from glenchute.policy.admission.counter_calls import CounterCall, CounterCalls
 from glenchute.policy.admission.counter_health import CounterHealth, CounterMonitor
 from glenchute.policy.admission.counter_sync import CounterSync
 from glenchute.policy.admission.epoch_markers import WindowCounter
@@ -106,7 +106,6 @@
     SlowStartLimiter,
     Tenant,
     TenantTable,
-    TimedOutCall,
     WindowCounter,
 )
 PLAIN = (("collections", "deque"), ("random", "Random"), ("builtins", "set"), ("builtins", "frozenset"))
--- a/glenchute/policy/admission/counter_calls.py
+++ b/glenchute/policy/admission/counter_calls.py
@@ -22,20 +22,10 @@
     reserved_units: float  # of its units, those added ahead for that request
 
 
-@record(frozen=True, slots=True)
-class TimedOutCall:
-    """A call of a window in force that had no reply in time; a late one may still come."""
-
-    tenant: Tenant
-    window_counter: WindowCounter
-    units: float
-    marker: float
-    had_request: bool  # a request waited for it
-
-
-@record(slots=True)
 class CounterCalls:
     """The calls by key. Replies to one key's calls come in the order of the calls."""
 
-    in_flight: dict[int, deque[CounterCall]]
-    timed_out: dict[int, deque[TimedOutCall]]
+    def __init__(self) -> None:
+        self.in_flight: dict[int, deque[CounterCall]] = {}
+        # Of windows in force, without a reply in time; a late one may still come.
+        self.timed_out: dict[int, deque[CounterCall]] = {}
--- a/glenchute/policy/admission/counter_sync.py
+++ b/glenchute/policy/admission/counter_sync.py
@@ -16,7 +16,7 @@
 from ..settings import Settings
 from . import local_share
 from .call_pacing import CALL_GAP_MS, CallPacing
-from .counter_calls import CounterCall, CounterCalls, TimedOutCall
+from .counter_calls import CounterCall, CounterCalls
 from .epoch_markers import WindowCounter
 from .tenant import Tenant
 from .tenants import TenantTable
@@ -155,10 +155,7 @@
         self.pacing.record_failure(now_ms, outcome is Outcome.REJECTED)
         if is_current and outcome is Outcome.TIMEOUT:
             tenant.own_units_since_reply += call.units
-            timed_out = TimedOutCall(
-                tenant, call.window_counter, call.units, call.marker, call.request_id is not None
-            )
-            self.calls.timed_out.setdefault(tenant.counter_key, deque()).append(timed_out)
+            self.calls.timed_out.setdefault(tenant.counter_key, deque()).append(call)
         elif is_current and call.request_id is None:
             tenant.unreported_units += call.units
 
@@ -178,7 +175,7 @@
         elif reply.outcome is not Outcome.TIMEOUT:  # nothing was added after all
             call.window_counter.marker_not_added(call.marker)
             tenant.own_units_since_reply -= call.units
-            if not call.had_request:
+            if call.request_id is None:
                 tenant.unreported_units += call.units
                 self.tenants.unreported[tenant.tenant_id] = tenant
         if not calls:
--- a/glenchute/policy/admission/quota.py
+++ b/glenchute/policy/admission/quota.py
@@ -40,7 +40,7 @@
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings = settings
         self.rng = rng
-        self.tenants = TenantTable(settings, CallPacing(settings), CounterCalls({}, {}))
+        self.tenants = TenantTable(settings, CallPacing(settings), CounterCalls())
         self.counter = CounterSync(settings, rng, self.tenants)
         self.rejection_cause: RejectionCause | None = None  # of the last rejection
 
