--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -27,7 +27,7 @@
 )
 from tests.loopback import always, play, raw_config, site
 from tests.sites import FACTS, NO_SCOPE
-from tests.upstreams.test_pipelined_servers import Book, burst, reads, sharing
+from tests.upstreams.test_pipelined_servers import ScriptedServer, burst, pipelined_site, reads
 
 ROOT = Path(__file__).resolve().parents[2]
 HERE = replace(FACTS, max_streams=32)
@@ -169,14 +169,14 @@
                 f'[capture]\nfolder = "{tmp_path}"\nmode = "disk"\n')  # fmt: skip
 
     async def scenario() -> None:
-        stuck = Book()
-        async with sharing(stuck, operator=operator) as (one, lines):
+        stuck = ScriptedServer()
+        async with pipelined_site(stuck, operator=operator) as (one, lines):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             for _ in range(3):
-                stuck.sound = len(stuck.ran) >= 3
+                stuck.answers = len(stuck.ran) >= 3
                 await asyncio.sleep(0.05)
-            stuck.sound = True
+            stuck.answers = True
             assert {await client.reply() for _ in range(3)} == {b"a", b"b", b"c"}
             assert lines.scheduler.counts["condemned"] == 1
 
--- a/tests/policy/connections/test_descriptor_budget.py
+++ b/tests/policy/connections/test_descriptor_budget.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("sockets", [64, 65, 96, 127, 192, 224, 256, 1024, 4096])
 @pytest.mark.parametrize("operated", [False, True])
-def test_the_parts_of_the_descriptors_fit_into_them(sockets: int, operated: bool) -> None:
+def test_the_parts_never_exceed_the_descriptors(sockets: int, operated: bool) -> None:
     made = divide_descriptors(sockets, operated)
     assert (
         PROCESS_DESCRIPTORS
@@ -84,7 +84,7 @@
     )
 
 
-def test_the_parts_of_a_process_are_those_that_its_configuration_has() -> None:
+def test_a_process_uses_the_budget_of_its_configuration() -> None:
     """They are made once, there, by what it names."""
     raw = raw_config(1, 2, [])
     raw["limits"]["sockets"] = 96
@@ -114,7 +114,7 @@
     play(scenario())
 
 
-def test_a_connection_to_a_server_counts_once_while_it_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_counts_once_while_it_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """In the turn in which it is made it does not take a second place, for which an attempt would be turned
     away as if the servers were at fault."""
     counts: list[int] = []
@@ -135,7 +135,7 @@
     play(scenario())
 
 
-def test_an_attempt_called_off_before_its_connection_began_keeps_no_place() -> None:
+def test_an_attempt_cancelled_before_its_connect_leaks_no_connection() -> None:
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             servers = one.program.servers
@@ -255,7 +255,7 @@
 
 
 @pytest.mark.parametrize(("sockets", "silent"), [(64, True), (96, False), (96, True), (1024, False)])
-def test_a_drain_is_heard_past_idle_clients(tmp_path: Path, sockets: int, silent: bool) -> None:
+def test_a_drain_is_received_despite_idle_clients(tmp_path: Path, sockets: int, silent: bool) -> None:
     """Discovery is refused or silent while idle clients and open requests take all that they are given. It
     returns with a drain: the call to it, the attempts and the counter's links have their descriptors."""
 
@@ -295,7 +295,7 @@
     return next(number for number in range(len(taken) + 1) if number not in taken)
 
 
-def test_without_any_descriptor_nothing_gives_up_for_good(tmp_path: Path) -> None:
+def test_without_any_descriptor_all_parts_keep_retrying(tmp_path: Path) -> None:
     """Every peer is lost in a moment in which no socket can be opened, nor a file. Each part goes on trying,
     and the process goes on listening."""
 
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -1,4 +1,4 @@
-"""A second connection beside a late one: when, how often, and what crosses it, on real sockets."""
+"""Hedged connects: when, how often, and races on real sockets."""
 
 from __future__ import annotations
 
@@ -40,45 +40,45 @@
 
 
 @given(st.lists(st.floats(0.0, 10.0)), st.floats(0.0, CONNECT_S))
-def test_a_second_comes_late_enough_and_while_it_is_of_use(took: list[float], connect_s: float) -> None:
-    usual = ConnectTimeEstimate(CONNECT_S)
+def test_a_hedge_is_delayed_enough_and_still_useful(took: list[float], connect_s: float) -> None:
+    estimate = ConnectTimeEstimate(CONNECT_S)
     for seconds in took:
-        usual.record_connected(seconds)
-    wait = usual.hedge_delay_s(connect_s)
+        estimate.record_connected(seconds)
+    wait = estimate.hedge_delay_s(connect_s)
     assert wait is None or MIN_DELAY_S <= wait <= connect_s / 2.0
 
 
 @pytest.mark.parametrize("late", [0.0, 1 / 3])
-def test_what_is_late_follows_what_connections_take_and_not_the_late_ones(late: float) -> None:
-    usual = ConnectTimeEstimate(CONNECT_S)
+def test_the_hedge_delay_follows_the_median_and_not_the_outliers(late: float) -> None:
+    estimate = ConnectTimeEstimate(CONNECT_S)
     for number in range(300):
-        usual.record_connected(CONNECT_S if number % 3 < 3 * late else 0.005)
-    wait = usual.hedge_delay_s(CONNECT_S)
+        estimate.record_connected(CONNECT_S if number % 3 < 3 * late else 0.005)
+    wait = estimate.hedge_delay_s(CONNECT_S)
     assert wait is not None and DELAY_FACTOR * 0.004 < wait < DELAY_FACTOR * 0.008
 
 
-def test_however_long_connections_took_no_time_it_is_seen_when_they_do() -> None:
-    usual = ConnectTimeEstimate(CONNECT_S)
+def test_the_estimate_recovers_from_connect_times_of_zero() -> None:
+    estimate = ConnectTimeEstimate(CONNECT_S)
     for _ in range(10_000):
-        usual.record_connected(0.0)
-    assert usual.hedge_delay_s(CONNECT_S) == MIN_DELAY_S
+        estimate.record_connected(0.0)
+    assert estimate.hedge_delay_s(CONNECT_S) == MIN_DELAY_S
     for _ in range(30):
-        usual.record_connected(0.02)
-    assert usual.median_s > 0.02 / 1.2
+        estimate.record_connected(0.02)
+    assert estimate.median_s > 0.02 / 1.2
 
 
-def test_clients_that_leave_at_once_tell_nothing_of_what_connections_take() -> None:
-    usual = ConnectTimeEstimate(CONNECT_S)
-    first = usual.hedge_delay_s(CONNECT_S)
+def test_connects_abandoned_at_once_do_not_change_the_estimate() -> None:
+    estimate = ConnectTimeEstimate(CONNECT_S)
+    first = estimate.hedge_delay_s(CONNECT_S)
     for _ in range(100):
-        usual.record_abandoned(0.0001)
-    assert usual.hedge_delay_s(CONNECT_S) == first
-    usual.record_abandoned(CONNECT_S)
-    assert first is not None and usual.median_s > first / DELAY_FACTOR
+        estimate.record_abandoned(0.0001)
+    assert estimate.hedge_delay_s(CONNECT_S) == first
+    estimate.record_abandoned(CONNECT_S)
+    assert first is not None and estimate.median_s > first / DELAY_FACTOR
 
 
 @given(st.lists(st.booleans()))
-def test_seconds_are_at_most_a_share_of_the_connections_that_came_up(events: list[bool]) -> None:
+def test_hedges_are_at_most_a_share_of_the_connections_that_came_up(events: list[bool]) -> None:
     budget, spent, came = HedgeBudget(), 0, 0
     for came_up in events:
         if came_up:
@@ -92,8 +92,8 @@
 # --- sockets ---------------------------------------------------------------------------------------------
 
 
-class HeldLoop(uvloop.Loop):
-    """Lets each connect to a server go on when the test says so."""
+class GatedLoop(uvloop.Loop):
+    """Lets each connect to a server proceed when the test says so."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,9 +111,9 @@
 
 
 class Scene:
-    """One server, one pool, one attempt whose connects the test lets go on."""
+    """One server, one pool, one attempt whose connects the test controls."""
 
-    def __init__(self, loop: HeldLoop, server: RespPeer, connections: int) -> None:
+    def __init__(self, loop: GatedLoop, server: RespPeer, connections: int) -> None:
         self.loop, self.server = loop, server
         self.servers = ServerPools(loop, UpstreamLimits(CONNECT_S, 15.0, 0.25, connections))
         self.servers.activate_server("s0", ("127.0.0.1", server.port), False)
@@ -130,17 +130,17 @@
         made.start()
         return made
 
-    def go_on(self, number: int) -> None:
+    def let_connect(self, number: int) -> None:
         self.loop.gates[number].set_result(None)
 
     def fail(self, number: int) -> None:
         self.loop.gates[number].set_exception(ConnectionRefusedError())
 
-    async def second(self) -> None:
+    async def second_connect(self) -> None:
         await until(lambda: len(self.loop.gates) == 2)
 
     async def ended(self, ending: Outcome, calls: int) -> None:
-        """One ending, so many commands at the server, nothing left behind."""
+        """One result, so many commands at the server, no connection leaked."""
         await until(lambda: self.results)
         await until(lambda: not self.servers.connecting)
         await until(lambda: self.servers.connection_count() == len(self.pool.idle))
@@ -153,22 +153,22 @@
 
 async def first_with_second(scene: Scene) -> None:
     """Both come up in one moment: one carries the request, the other is closed unwritten."""
-    scene.go_on(0)
-    scene.go_on(1)
+    scene.let_connect(0)
+    scene.let_connect(1)
     await scene.ended(Outcome.OK, 1)
     assert len({number for what, number, _ in scene.server.log if what == "command"}) == 1
 
 
 async def second_first(scene: Scene) -> None:
-    """The second comes up: the first is given up, its wait is over, and nothing goes out on it later."""
-    scene.go_on(1)
+    """The second comes up: the first is cancelled, and nothing is written on it later."""
+    scene.let_connect(1)
     await scene.ended(Outcome.OK, 1)
     assert scene.loop.gates[0].cancelled()
 
 
 async def first_after_all(scene: Scene) -> None:
-    """The first comes up while the second does: the second is given up."""
-    scene.go_on(0)
+    """The first comes up while the second does: the second is cancelled."""
+    scene.let_connect(0)
     await scene.ended(Outcome.OK, 1)
     assert scene.loop.gates[1].cancelled()
 
@@ -178,7 +178,7 @@
     scene.fail(0)
     await until(lambda: len(scene.servers.connecting) == 1)
     assert not scene.results
-    scene.go_on(1)
+    scene.let_connect(1)
     await scene.ended(Outcome.OK, 1)
 
 
@@ -187,12 +187,12 @@
     scene.fail(1)
     await until(lambda: len(scene.servers.connecting) == 1)
     assert not scene.results
-    scene.go_on(0)
+    scene.let_connect(0)
     await scene.ended(Outcome.OK, 1)
 
 
 async def both_fail(scene: Scene) -> None:
-    """One ending, by which nothing has run; no timer has to tell."""
+    """One result, unreachable, without a timer."""
     scene.attempt.connect_timer.cancel()
     scene.fail(0)
     scene.fail(1)
@@ -200,22 +200,23 @@
 
 
 async def neither_in_time(scene: Scene) -> None:
-    """The time-out counts from the first: a second does not make it longer."""
+    """The timeout counts from the first: a hedge does not extend it."""
     connect_timer_at = scene.attempt.connect_timer.when()
     assert connect_timer_at == pytest.approx(scene.attempt.started_at + CONNECT_S, abs=0.005)
     await scene.ended(Outcome.UNREACHABLE, 0)
     assert all(gate.cancelled() for gate in scene.loop.gates)
 
 
-async def client_leaves(scene: Scene) -> None:
-    """Both are given up."""
+async def client_disconnects(scene: Scene) -> None:
+    """Both are cancelled."""
     scene.attempt.stop(Outcome.NOT_SENT)
     await scene.ended(Outcome.NOT_SENT, 0)
     assert all(gate.cancelled() for gate in scene.loop.gates)
 
 
-async def client_leaves_as_one_comes_up(scene: Scene) -> None:
-    """The connection is up, its task has not gone on yet: nothing is written on it, and it counts no more."""
+async def client_disconnects_as_one_comes_up(scene: Scene) -> None:
+    """The connection is up, its task has not resumed yet: nothing is written on it, and it is not counted any
+    more."""
 
     class Trip(set[Connection]):
         def add(self, conn: Connection) -> None:
@@ -223,7 +224,7 @@
             scene.attempt.stop(Outcome.NOT_SENT)
 
     scene.pool.open = Trip()
-    scene.go_on(0)
+    scene.let_connect(0)
     await scene.ended(Outcome.NOT_SENT, 0)
 
 
@@ -231,19 +232,19 @@
     """The server drains meanwhile, and its grace ends: nothing is written on what comes up."""
     scene.pool.stop()
     scene.pool.stop_at = scene.loop.time() - 0.001
-    scene.go_on(0)
-    scene.go_on(1)
+    scene.let_connect(0)
+    scene.let_connect(1)
     await scene.ended(Outcome.UNREACHABLE, 0)
 
 
 CROSSINGS: tuple[Act, ...] = (
     first_with_second, second_first, first_after_all, first_fails, second_fails, both_fail, neither_in_time,
-    client_leaves, client_leaves_as_one_comes_up, grace_over,
+    client_disconnects, client_disconnects_as_one_comes_up, grace_over,
 )  # fmt: skip
 
 
 @asynccontextmanager
-async def scene(loop: HeldLoop, connections: int = 100) -> AsyncIterator[Scene]:
+async def scene(loop: GatedLoop, connections: int = 100) -> AsyncIterator[Scene]:
     server = RespPeer(always(SERVED))
     await server.start()
     loop.port = server.port
@@ -255,45 +256,45 @@
         await server.stop()
 
 
-def played(act: Act, connections: int = 100) -> None:
+def run_act(act: Act, connections: int = 100) -> None:
     """An act on a fresh scene; the limit only keeps a broken test from hanging."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        assert isinstance(loop, HeldLoop)
+        assert isinstance(loop, GatedLoop)
         async with scene(loop, connections) as made:
             await act(made)
 
-    with asyncio.Runner(loop_factory=HeldLoop) as runner:
+    with asyncio.Runner(loop_factory=GatedLoop) as runner:
         runner.run(asyncio.wait_for(scenario(), 15.0))
 
 
 @pytest.mark.parametrize("act", CROSSINGS, ids=lambda act: act.__name__)
-def test_what_crosses_a_second_connection(act: Act) -> None:
+def test_races_of_a_hedged_connect(act: Act) -> None:
     async def both(made: Scene) -> None:
-        await made.second()
+        await made.second_connect()
         await act(made)
 
-    played(both)
+    run_act(both)
 
 
-def test_no_second_without_room() -> None:
-    """The descriptors are used up: the attempt waits on alone."""
+def test_no_hedge_beyond_the_connection_limit() -> None:
+    """The connection limit is reached: the attempt waits for its first connect."""
 
     async def act(made: Scene) -> None:
         await until(lambda: made.attempt.hedge_timer is None)
         assert len(made.loop.gates) == 1 and made.servers.connection_count() == 1
-        made.go_on(0)
+        made.let_connect(0)
         await made.ended(Outcome.OK, 1)
 
-    played(act, connections=1)
+    run_act(act, connections=1)
 
 
-def test_a_server_on_which_nothing_comes_up_is_not_asked_for_more() -> None:
-    """Its one second is spent; after a connection came up, every other one may be late."""
+def test_a_server_to_which_no_connection_comes_up_gets_one_hedge() -> None:
+    """Its hedge is spent; after that only connections that came up earn more."""
 
     async def act(made: Scene) -> None:
-        await made.second()
+        await made.second_connect()
         for _ in range(3):
             await until(lambda: made.results)
             made.results.clear()
@@ -303,10 +304,10 @@
             assert len(made.loop.gates) == asked + 1
         assert made.servers.hedged_connects == 1
 
-    played(act)
+    run_act(act)
 
 
-def test_a_drain_ends_seconds() -> None:
+def test_a_draining_server_gets_no_hedge() -> None:
     """The server drains while the first comes up: it may still carry the request, no other is opened."""
 
     async def act(made: Scene) -> None:
@@ -314,14 +315,14 @@
         made.pool.stop_at = math.inf
         await until(lambda: made.attempt.hedge_timer is None)
         assert len(made.loop.gates) == 1
-        made.go_on(0)
+        made.let_connect(0)
         await made.ended(Outcome.OK, 1)
 
-    played(act)
+    run_act(act)
 
 
-def test_one_that_has_come_free_carries_the_request_of_a_late_one() -> None:
-    """No second is opened then."""
+def test_a_connection_that_became_idle_is_used_instead_of_a_hedge() -> None:
+    """No second connection is opened then."""
 
     async def act(made: Scene) -> None:
         conn = Connection(made.pool)
@@ -330,23 +331,23 @@
         await made.ended(Outcome.OK, 1)
         assert len(made.loop.gates) == 1 and made.servers.hedged_connects == 0
 
-    played(act)
+    run_act(act)
 
 
-def test_given_up_before_its_first_step_a_connect_is_not_counted_for_good() -> None:
+def test_a_connect_cancelled_before_its_first_step_is_not_counted_forever() -> None:
     """The client leaves in the turn in which its request came: the task never runs any of its code."""
 
     async def act(made: Scene) -> None:
         made.begin().stop(Outcome.NOT_SENT)
         await until(lambda: made.loop.gates)
-        made.go_on(0)
+        made.let_connect(0)
         await until(lambda: len(made.results) == 2)
         await until(lambda: not made.servers.connecting)
 
-    played(act)
+    run_act(act)
 
 
-def test_clients_that_leave_at_once_take_no_place_for_good() -> None:
+def test_clients_that_disconnect_at_once_leak_no_connection() -> None:
     """More of them than there are connections to servers; then one that waits for its answer gets it."""
 
     async def scenario() -> None:
--- a/tests/policy/connections/test_response_order.py
+++ b/tests/policy/connections/test_response_order.py
@@ -1,4 +1,4 @@
-"""Replies in the order of their commands: what is given up for finished ones behind it, and what never is."""
+"""Which unfinished requests are abandoned for finished replies behind them, and which never are."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from glenchute.listeners.resp2 import listener as listener_module
 from glenchute.policy.connections.response_order import PendingReply, ReleaseDecision, decide_release
 from tests.loopback import CHARGE, CUSTOMER, Script, play, send_to, until
-from tests.upstreams.test_pipelined_servers import Book, burst, change_rules, sharing, value
+from tests.upstreams.test_pipelined_servers import ScriptedServer, burst, change_rules, pipelined_site, value
 
 MARGIN = 0.02
 AHEAD_S = 0.2  # from the last answer to the moment at which what keeps it is given up
 
 
-def order(text: str, **due: float) -> list[PendingReply]:
-    """`s`: an unanswered read, `u`: an unanswered charge, others: an answered one, due as told (0.01)."""
+def order(text: str, **deadline_s: float) -> list[PendingReply]:
+    """`s`: an unfinished read, `u`: an unfinished charge, others: a finished one with this deadline
+    (0.01)."""
     open_ones = {"s": PendingReply(9.0, False, True), "u": PendingReply(9.0, False, False)}
-    return [open_ones.get(one) or PendingReply(due.get(one, 0.01), True, False) for one in text]
+    return [open_ones.get(one) or PendingReply(deadline_s.get(one, 0.01), True, False) for one in text]
 
 
 @pytest.mark.parametrize(
@@ -44,7 +45,7 @@
         ("sab", {"a": math.inf}, ReleaseDecision(0, math.inf)),  # a PING waits for ever
     ],
 )
-def test_what_is_given_up(text: str, due: dict[str, float], expected: ReleaseDecision) -> None:
+def test_which_requests_are_abandoned(text: str, due: dict[str, float], expected: ReleaseDecision) -> None:
     found = decide_release(0.0, order(text, **due), MARGIN)
     assert found.release_count == expected.release_count and found.next_check_s == pytest.approx(
         expected.next_check_s
@@ -53,7 +54,7 @@
 
 @given(st.lists(st.builds(PendingReply, st.floats(-1, 2), st.booleans(), st.booleans()), max_size=40))
 @settings(derandomize=True, deadline=None)
-def test_more_gain_than_are_given_up(rows: list[PendingReply]) -> None:
+def test_more_replies_gain_than_requests_are_abandoned(rows: list[PendingReply]) -> None:
     found = decide_release(0.0, rows, MARGIN)
     taken = rows[: found.release_count]
     given_up = [row for row in taken if not row.is_finished]
@@ -65,7 +66,9 @@
 
 
 @pytest.mark.parametrize("release", [True, False])
-def test_a_portal_with_64_reads_on_one_connection(release: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_64_reads_on_one_connection_behind_a_stalled_one(
+    release: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The first stalls; the others are done long before it. Where that is asked for, the first is failed in
     time for them, and not before one's time is nearly up; else they go out once it ends.
 
@@ -73,12 +76,15 @@
     beyond any stall of the machine, and the order of what happens is the test's."""
 
     async def scenario() -> None:
-        book, stall_ends = Book(), asyncio.Event()
+        book, stall_ends = ScriptedServer(), asyncio.Event()
         operator = (
             f'[pipeline]\nclasses = ["read"]\nleast_stall_ms = 20000\nrelease = {str(release).lower()}\n'
         )
-        async with sharing(book, decisions=Script(send_to("s0")), operator=operator) as (one, lines):
-            change_rules(lines, max_depth=1)  # each alone: only the client waits
+        async with pipelined_site(book, decisions=Script(send_to("s0")), operator=operator) as (
+            one,
+            upstream,
+        ):
+            change_rules(upstream, max_depth=1)  # each alone: only the client waits
             client = await one.client()
             loop = asyncio.get_running_loop()
             slow, quick = b"c=read,t=basic,d=20000", b"c=read,t=basic,d=10000"
@@ -87,20 +93,20 @@
             await until(lambda: len(book.ran) == 64)
             where = {ran[2]: number for number, ran in book.ran}
             assert len(where) == len(set(where.values())) == 64  # all at the node at once, each alone
-            (held,) = one.program.listener.clients
+            (connection,) = one.program.listener.clients
             for n in range(1, 63):
                 book.send(value(b"v%d" % n), where[b"%d" % n])
-            await until(lambda: sum(slot.reply is not None for slot in held.slots) == 62)
-            due = min(slot.deadline for slot in held.slots if slot.reply is not None)
+            await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 62)
+            due = min(slot.deadline for slot in connection.slots if slot.reply is not None)
             look = loop.time() + AHEAD_S
             monkeypatch.setattr(listener_module, "RELEASE_MARGIN_S", due - look)
             book.send(value(b"v63"), where[b"63"])
-            await until(lambda: not held.slots or held.slots[-1].reply is not None)
+            await until(lambda: not connection.slots or connection.slots[-1].reply is not None)
 
             async def ends() -> None:
                 await asyncio.sleep(2.0 * AHEAD_S)
                 stall_ends.set()
-                assert len(held.slots) == 64 and not client.reader._buffer  # type: ignore[attr-defined]
+                assert len(connection.slots) == 64 and not client.reader._buffer  # type: ignore[attr-defined]
                 book.send(b"-ERR gave up\r\n", where[b"0"])
 
             end = None if release else asyncio.create_task(ends())
@@ -110,7 +116,7 @@
             replies += [await client.reply() for _ in range(63)]
             assert str(replies[0]) == "ERR failed" and replies[1:] == [b"v%d" % n for n in range(1, 64)]
             assert loop.time() < due
-            await until(lambda: not held.slots)
+            await until(lambda: not connection.slots)
             assert not one.program.gateway.active_requests and not one.program.listener.release_timers
             if release:
                 await until(lambda: where[b"0"] in book.ended)  # nor is the stalled one left at the node
@@ -120,34 +126,37 @@
     play(scenario())
 
 
-def test_a_charge_is_not_given_up_and_the_order_stands(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_non_idempotent_request_is_never_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     """The moment comes at which a read in its place would be given up for those behind it."""
 
     async def scenario() -> None:
-        book = Book()
+        book = ScriptedServer()
         operator = '[pipeline]\nclasses = ["read"]\nrelease = true\n'
-        async with sharing(book, decisions=Script(send_to("s0")), operator=operator) as (one, lines):
-            change_rules(lines, max_depth=1)
+        async with pipelined_site(book, decisions=Script(send_to("s0")), operator=operator) as (
+            one,
+            upstream,
+        ):
+            change_rules(upstream, max_depth=1)
             client = await one.client()
             loop = asyncio.get_running_loop()
             quick = b"c=read,t=basic,d=10000"
             charge = (b"CALL.POST", CUSTOMER, b"x", CHARGE, b"body")
             await burst(client, charge, *[(b"CALL.GET", CUSTOMER, b"%d" % n, quick) for n in range(3)])
             await until(lambda: len(book.ran) == 4)
-            (held,) = one.program.listener.clients
+            (connection,) = one.program.listener.clients
             look = loop.time() + AHEAD_S
             monkeypatch.setattr(
-                listener_module, "RELEASE_MARGIN_S", min(slot.deadline for slot in held.slots) - look
+                listener_module, "RELEASE_MARGIN_S", min(slot.deadline for slot in connection.slots) - look
             )
             where = {ran[2]: number for number, ran in book.ran}
             for number, ran in book.ran:
                 if ran[2] != b"x":
                     book.send(value(b"v" + ran[2]), number)
-            await until(lambda: sum(slot.reply is not None for slot in held.slots) == 3)
+            await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 3)
             await asyncio.sleep(2.0 * AHEAD_S)
-            assert len(held.slots) == 4 and loop.time() > look
-            held.flush()  # whatever happens on the connection then
-            assert len(held.slots) == 4 and not client.reader._buffer  # type: ignore[attr-defined]
+            assert len(connection.slots) == 4 and loop.time() > look
+            connection.flush()  # whatever happens on the connection then
+            assert len(connection.slots) == 4 and not client.reader._buffer  # type: ignore[attr-defined]
             book.send(value(b"ok"), where[b"x"])
             assert [await client.reply() for _ in range(4)] == [b"ok", b"v0", b"v1", b"v2"]
 
--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("at", [*range(1, 20), *range(len(ANSWER) - 40, len(ANSWER))])
-def test_one_cut_anywhere_near_an_edge(at: int) -> None:
+def test_a_split_near_any_edge(at: int) -> None:
     value, reply = taken(cut(ANSWER, [at]))
     assert value == VALUE and reply.is_complete and not reply.has_surplus
     assert reply.trailer == [None, b"inflight=7,queue=2.5"]
@@ -90,12 +90,12 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, len(ANSWER) - 1), max_size=40))
-def test_any_cuts(at: list[int]) -> None:
+def test_any_splits(at: list[int]) -> None:
     value, reply = taken(cut(ANSWER, at))
     assert value == VALUE and reply.is_complete and reply.trailer == [None, b"inflight=7,queue=2.5"]
 
 
-def test_byte_by_byte_and_with_more_behind() -> None:
+def test_byte_by_byte_and_with_surplus() -> None:
     value, reply = taken([ANSWER[i : i + 1] for i in range(len(ANSWER))])
     assert value == VALUE and reply.is_complete and not reply.has_surplus
     _, reply = taken([ANSWER + b"+OK\r\n"])
@@ -113,7 +113,7 @@
         b"*3\r\n$3000000000\r\n",
     ],
 )
-def test_other_long_elements_are_no_answers(data: bytes) -> None:
+def test_other_long_elements_are_invalid(data: bytes) -> None:
     parser = resp.Parser()
     parser.feed(data)
     with pytest.raises(resp.ProtocolError):
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("tail", [b"xy", b"\rx", b"\r\n-ERR\r\n", b"\r\n:1\r\n$70000\r\n", b"\r\n$x\r\n"])
-def test_a_wrong_length_or_end_is_found(tail: bytes) -> None:
+def test_a_wrong_length_or_end_is_detected(tail: bytes) -> None:
     reply = StreamedReply(4)
     with pytest.raises(resp.ProtocolError):
         reply.feed(b"abcd" + tail)
@@ -217,7 +217,7 @@
     return [event.outcome for event in script.of(AttemptEnded)]
 
 
-def test_a_long_value_is_served_whole_and_the_connection_is_used_again() -> None:
+def test_a_long_value_is_relayed_completely_and_the_connection_reused() -> None:
     async def scenario() -> None:
         async with serving(whole) as (one, script):
             client, ids = await one.client(), numbered()
@@ -234,7 +234,7 @@
     play(scenario())
 
 
-def test_replies_stay_in_order_round_a_long_one() -> None:
+def test_replies_stay_in_order_around_a_streamed_one() -> None:
     async def scenario() -> None:
         gates = {b"%016x" % n: asyncio.Event() for n in (1, 2, 3)}
 
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize("fields", [GET, ORDER])
-def test_before_the_first_byte_an_attempt_may_fail_and_after_it_never_goes_again(fields: bytes) -> None:
+def test_an_attempt_is_retried_before_its_first_byte_and_never_after(fields: bytes) -> None:
     async def scenario() -> None:
         sent = [b"*3\r\n$70", head(70_000) + VALUE[:30_000]]
 
@@ -294,7 +294,7 @@
     play(scenario())
 
 
-def test_pauses_of_the_server_in_the_head_the_body_and_before_the_last_line_break() -> None:
+def test_server_pauses_in_the_head_the_body_and_the_trailer() -> None:
     async def scenario() -> None:
         parts = [ANSWER[:6], ANSWER[6:300], ANSWER[300:40_000], ANSWER[40_000:-1], ANSWER[-1:]]
 
@@ -314,7 +314,7 @@
     play(scenario())
 
 
-def test_a_server_that_stops_is_cut_off_and_the_client_can_tell(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_server_is_aborted_and_the_client_notices(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(streamed_value, "SERVER_SILENCE_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
@@ -333,7 +333,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 @pytest.mark.parametrize("extra", [b"x", b"\r\n+OK\r\n"])
-def test_a_length_that_lies_never_passes_for_a_whole_value(extra: bytes, late: bool) -> None:
+def test_a_wrong_length_never_passes_for_a_complete_value(extra: bytes, late: bool) -> None:
     async def scenario() -> None:
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             if not late:
@@ -355,7 +355,7 @@
     play(scenario())
 
 
-def test_a_client_that_leaves_or_a_deadline_that_passes_in_the_middle() -> None:
+def test_a_client_disconnects_or_a_deadline_passes_during_a_stream() -> None:
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -383,7 +383,7 @@
     play(scenario())
 
 
-def test_readers_that_stop_hold_a_bounded_amount_and_short_requests_go_on() -> None:
+def test_blocked_readers_buffer_a_bounded_amount_and_short_requests_go_on() -> None:
     size = 2 * 1024 * 1024
 
     async def scenario() -> None:
@@ -413,7 +413,7 @@
     play(scenario())
 
 
-def test_with_one_place_all_values_move_and_a_reader_that_stops_makes_room(
+def test_with_one_permit_all_streams_advance_and_a_blocked_reader_is_aborted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(streamed_value, "CLIENT_BLOCKED_TIMEOUT_S", 0.1)
@@ -444,7 +444,7 @@
     play(scenario())
 
 
-def test_an_end_of_the_process_does_not_wait_for_ever_for_a_long_value() -> None:
+def test_shutdown_does_not_wait_forever_for_a_stream() -> None:
     async def scenario() -> None:
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             return ANSWER[:50_000]
@@ -460,7 +460,7 @@
     play(scenario())
 
 
-def test_shared_connections_do_not_take_long_values() -> None:
+def test_pipelined_connections_do_not_stream_values() -> None:
     async def scenario() -> None:
         operator = '[pipeline]\nclasses = ["read"]\n'
         async with serving(whole, operator=operator) as (one, script):
