--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -50,7 +50,9 @@
 
     def narrow(self) -> None:
         rows, servers = self.held.rows, self.servers
-        listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
+        listed = [
+            rows[name][0] for name in servers.server_ids() if name in rows and not servers.is_stopping(name)
+        ]
         self.gateway.decisions = SubsettingEngine(
             self.policy, self.policy.settings, SubsetTerms(GATEWAYS, 3), listed
         )
@@ -86,7 +88,7 @@
         subset = decisions.subset if isinstance(decisions, SubsettingEngine) else None
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
-            names, [servers.stops(name) for name in names], where,
+            names, [servers.is_stopping(name) for name in names], where,
             self.gateway.endpoints.started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
             subset and (subset.listed, subset.rings, list(subset.in_use)),
         )  # fmt: skip
--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -99,7 +99,7 @@
     def apply_limit_share(self, share: float) -> None:
         """Restricts this process to a share of the gateway's descriptors, 0 to 1."""
         self.listener.set_share(share)
-        self.servers.share(share)
+        self.servers.set_process_share(share)
 
     def close(self) -> None:
         """The end of the process."""
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -185,7 +185,9 @@
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
         told of some servers. It stands as with `[subset]`: behind members' words, before the recorder."""
         rows, servers = self.discovery.current_list.rows, self.servers
-        listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
+        listed = [
+            rows[name][0] for name in servers.server_ids() if name in rows and not servers.is_stopping(name)
+        ]
         if self.fleet is not None:
             self.fleet.reporter.module = self.narrowed(self.fleet.reporter.module, {}, listed)
         else:
--- a/glenchute/upstreams/connection_tracker.py
+++ b/glenchute/upstreams/connection_tracker.py
@@ -52,7 +52,7 @@
         self.connect_times = ConnectTimeEstimate(limits.connect_timeout_s)
         self.read_permits: StreamReadPermits[StreamedValue] = StreamReadPermits(limits.max_streams)
 
-    def share(self, share: float) -> None:
+    def set_process_share(self, share: float) -> None:
         """From now on this process uses at most this share of the gateway's connections and streams."""
         self.process_share = share
         self.read_permits.max_readers = max(1, int(self.limits.max_streams * share))
--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -89,7 +89,7 @@
             pool.stop()
             self.removed.add(pool)
 
-    def stops(self, server: str) -> bool:
+    def is_stopping(self, server: str) -> bool:
         """Whether a server drains or is unknown."""
         pool = self.pools.get(server)
         if pool is None:
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -144,7 +144,7 @@
         self.at.pop(server, None)
         self.draining.discard(server)
 
-    def stops(self, server: str) -> bool:
+    def is_stopping(self, server: str) -> bool:
         """Whether it takes nothing new."""
         return server not in self.at
 
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -318,7 +318,7 @@
             turns += 1
             assert json.dumps(sorted(chain.used())) == before and chain.state() == state
         assert turns > 3_000 // ROWS_PER_PART
-        assert all(chain.servers.stops(name) for name in drained) and chain.used().isdisjoint(drained)
+        assert all(chain.servers.is_stopping(name) for name in drained) and chain.used().isdisjoint(drained)
         drained = sorted(chain.used())[:10]
 
 
@@ -378,17 +378,17 @@
     drain = zoned(300, 600, state="Terminating")
     for full in (True, False):
         chain.tell([*zoned(0, 300), *drain, *zoned(900, 4_800)] if full else drain, full)
-        assert all(chain.servers.stops(one["id"]) for one in drain)
+        assert all(chain.servers.is_stopping(one["id"]) for one in drain)
         now += 0.1
     grace_s = chain.servers.limits.drain_grace_s - GRACE_MARGIN_S
     now = 100.0 + grace_s
     pool = chain.servers.open_pool("n300")
-    assert pool is not None and pool.stop_at == now and chain.servers.stops("n300")
+    assert pool is not None and pool.stop_at == now and chain.servers.is_stopping("n300")
     now += 0.01
     assert all(chain.servers.open_pool(one["id"]) is None for one in drain[:20])
     chain.tell(zoned(300, 300), False)
-    assert all(not chain.servers.stops(one["id"]) for one in drain[:300])
-    assert all(chain.servers.stops(one["id"]) for one in drain[300:])
+    assert all(not chain.servers.is_stopping(one["id"]) for one in drain[:300])
+    assert all(chain.servers.is_stopping(one["id"]) for one in drain[300:])
     assert chain.servers.open_pool("n300") is not None and chain.servers.open_pool("n599") is not None
     chain.tell([*zoned(0, 600), *zoned(900, 4_800)])
     assert len(chain.servers.server_ids()) == 5_400 and chain.servers.open_pool("n700") is None
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -103,7 +103,7 @@
             def summary() -> str:
                 reported = endpoint_states(script)
                 for name in "abcd":  # the transport and the decision engine agree
-                    assert servers.stops(name) is (
+                    assert servers.is_stopping(name) is (
                         name not in servers.server_ids() or reported[name] != "active"
                     )
                 return "".join(
