--- a/glenchute/listeners/extproc/messages.py
+++ b/glenchute/listeners/extproc/messages.py
@@ -69,86 +69,105 @@
         return ev.ObservedMessage()
     kind = message.WhichOneof("request")
     if kind == "request_headers":
-        said = message.request_headers
-        told = {
+        part = message.request_headers
+        metadata = {
             name: decode_struct(inner) for name, inner in message.metadata_context.filter_metadata.items()
         }
         return ev.RequestHeaders(
-            decode_headers(said.headers, wanted), said.end_of_stream, decode_attributes(message), told
+            decode_headers(part.headers, wanted), part.end_of_stream, decode_attributes(message), metadata
         )
     if kind == "response_headers":
-        said = message.response_headers
+        part = message.response_headers
         return ev.ResponseHeaders(
-            decode_headers(said.headers, wanted), said.end_of_stream, decode_attributes(message)
+            decode_headers(part.headers, wanted), part.end_of_stream, decode_attributes(message)
         )
     if kind == "request_body":
         return ev.RequestBody(message.request_body.body, message.request_body.end_of_stream)
     return ev.UnhandledMessage(kind) if kind in UNHANDLED_KINDS else ev.UnknownMessage()
 
 
-def apply_header_changes(changes: Any, told: ev.ContinueResponse) -> None:
+def apply_header_changes(changes: Any, event: ev.ContinueResponse) -> None:
     """Header changes; what is set replaces what a client may have sent under the same name."""
-    for name, text in told.set_headers.items():
+    for name, text in event.set_headers.items():
         option = changes.set_headers.add(append_action=OVERWRITE)
         option.header.key, option.header.raw_value = name, text.encode()
-    changes.remove_headers.extend(told.remove_headers)
+    changes.remove_headers.extend(event.remove_headers)
 
 
-def header_mutation(made: Any, kind: str) -> Any:
+def header_mutation(response: Any, kind: str) -> Any:
     """The field of a response that holds its header changes."""
-    part = getattr(made, kind)
+    part = getattr(response, kind)
     return part.header_mutation if kind.endswith("trailers") else part.response.header_mutation
 
 
-def encode_response(told: ev.ProcessorResponse) -> Any:
+def encode_response(event: ev.ProcessorResponse) -> Any:
     """An event as a ProcessingResponse."""
-    made = pb.ProcessingResponse()
-    if isinstance(told, ev.ImmediateResponse):
-        reply = made.immediate_response
-        reply.status.code = told.status
-        for name, text in told.headers.items():
-            option = reply.headers.set_headers.add(append_action=OVERWRITE)
-            option.header.key, option.header.raw_value = name, text.encode()
-        reply.body, reply.details = told.body.encode(), told.details
-        return made
-    if not (
-        told.set_headers or told.remove_headers or told.wants_response_headers or told.wants_request_body
-    ):
-        return PLAIN_RESPONSES[told.kind]
+    if isinstance(event, ev.ImmediateResponse):
+        return encode_immediate(event)
+    changes_nothing = not (event.set_headers or event.remove_headers)
+    if changes_nothing and not (event.wants_response_headers or event.wants_request_body):
+        return PLAIN_RESPONSES[event.kind]
+    if event.wants_request_body:
+        return build_continue(event)
     # The same few shapes come again and again: a copy of one is cheaper than building it.
     shape = (
-        told.kind,
-        tuple(told.set_headers),
-        told.remove_headers,
-        bool(told.endpoint),
-        told.wants_response_headers,
+        event.kind,
+        tuple(event.set_headers),
+        event.remove_headers,
+        bool(event.endpoint),
+        event.wants_response_headers,
     )
-    known = RESPONSE_TEMPLATES.get(shape) if not told.wants_request_body else None
-    if known is not None:
-        made.CopyFrom(known)
-        options = header_mutation(made, told.kind).set_headers
-        for option, text in zip(options, told.set_headers.values(), strict=True):
-            option.header.raw_value = text.encode()
-        if told.endpoint:
-            made.dynamic_metadata.fields[LB_METADATA_NAMESPACE].struct_value.fields[
-                LB_ENDPOINT_KEY
-            ].string_value = told.endpoint
-        return made
-    getattr(made, told.kind).SetInParent()
-    apply_header_changes(header_mutation(made, told.kind), told)
-    if told.endpoint:
-        made.dynamic_metadata.fields[LB_METADATA_NAMESPACE].struct_value.fields[
-            LB_ENDPOINT_KEY
-        ].string_value = told.endpoint
-    if told.kind == "request_headers" and (told.wants_response_headers or told.wants_request_body):
-        mode = made.mode_override  # all of it counts: what is left out would go back to its default
+    template = RESPONSE_TEMPLATES.get(shape)
+    if template is not None:
+        return fill_template(template, event)
+    response = build_continue(event)
+    if len(RESPONSE_TEMPLATES) < MAX_RESPONSE_TEMPLATES:
+        RESPONSE_TEMPLATES[shape] = response
+    copy = pb.ProcessingResponse()
+    copy.CopyFrom(response)
+    return copy
+
+
+def encode_immediate(event: ev.ImmediateResponse) -> Any:
+    """An ImmediateResponse."""
+    response = pb.ProcessingResponse()
+    immediate = response.immediate_response
+    immediate.status.code = event.status
+    for name, text in event.headers.items():
+        option = immediate.headers.set_headers.add(append_action=OVERWRITE)
+        option.header.key, option.header.raw_value = name, text.encode()
+    immediate.body, immediate.details = event.body.encode(), event.details
+    return response
+
+
+def fill_template(template: Any, event: ev.ContinueResponse) -> Any:
+    """A copy of a response of the event's shape, with the event's values."""
+    response = pb.ProcessingResponse()
+    response.CopyFrom(template)
+    options = header_mutation(response, event.kind).set_headers
+    for option, text in zip(options, event.set_headers.values(), strict=True):
+        option.header.raw_value = text.encode()
+    set_endpoint(response, event.endpoint)
+    return response
+
+
+def build_continue(event: ev.ContinueResponse) -> Any:
+    """A response that lets the exchange continue, built field by field."""
+    response = pb.ProcessingResponse()
+    getattr(response, event.kind).SetInParent()
+    apply_header_changes(header_mutation(response, event.kind), event)
+    set_endpoint(response, event.endpoint)
+    if event.kind == "request_headers" and (event.wants_response_headers or event.wants_request_body):
+        mode = response.mode_override  # replaces the whole mode: what is left out gets its default
         mode.request_header_mode = mode.response_header_mode = processing_mode_pb2.ProcessingMode.SEND
         mode.request_trailer_mode = mode.response_trailer_mode = processing_mode_pb2.ProcessingMode.SKIP
-        if told.wants_request_body:
+        if event.wants_request_body:
             mode.request_body_mode = processing_mode_pb2.ProcessingMode.BUFFERED
-            return made
-    if len(RESPONSE_TEMPLATES) < MAX_RESPONSE_TEMPLATES:
-        RESPONSE_TEMPLATES[shape] = made
-    kept = pb.ProcessingResponse()
-    kept.CopyFrom(made)
-    return kept
+    return response
+
+
+def set_endpoint(response: Any, endpoint: str) -> None:
+    """Names the chosen server in the metadata for the proxy's load balancer, if there is one."""
+    if endpoint:
+        namespace = response.dynamic_metadata.fields[LB_METADATA_NAMESPACE]
+        namespace.struct_value.fields[LB_ENDPOINT_KEY].string_value = endpoint
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -24,7 +24,7 @@
     ResponseSource,
 )
 from glenchute.policy.events import Outcome
-from glenchute.policy.services.request_mapping import MappingError, MappingRules, RequestView
+from glenchute.policy.services.request_mapping import MappedRequest, MappingError, MappingRules, RequestView
 
 RateLimitRequest = rls_pb2.RateLimitRequest
 RateLimitResponse = rls_pb2.RateLimitResponse
@@ -65,10 +65,10 @@
     """The attempt of a rate limit call: whoever asked makes it, unseen from here. It ends as cancelled, which
     may have run, so that its units stay taken."""
 
-    def __init__(self, question: RateLimitCall, done: Callable[[AttemptResult], None]) -> None:
-        assert question.gateway is not None
-        self.call, self.done = question, done
-        self.started_at = question.gateway.loop.time()
+    def __init__(self, call: RateLimitCall, done: Callable[[AttemptResult], None]) -> None:
+        assert call.gateway is not None
+        self.call, self.done = call, done
+        self.started_at = call.gateway.loop.time()
         self.is_written = False
         self.on_response_started: Callable[[ResponseSource], None] | None = None
         self.is_wanted: Callable[[], bool] | None = None  # nothing is written
@@ -76,12 +76,12 @@
 
     def start(self) -> None:
         """Reports the admission, and ends."""
-        question = self.call
-        if question.on_admitted is not None:
-            question.on_admitted()
-        assert question.gateway is not None
+        call = self.call
+        if call.on_admitted is not None:
+            call.on_admitted()
+        assert call.gateway is not None
         # In the loop's next round: the live request is known by then also where it was decided at once.
-        question.gateway.loop.call_soon(self.withdraw_request)
+        call.gateway.loop.call_soon(self.withdraw_request)
 
     def withdraw_request(self) -> None:
         """Ends the request before its attempt, so that the engine looks for no other server."""
@@ -122,9 +122,9 @@
             answer(build_response([OK] * len(message.descriptors)))
             return lambda: None
         for at, descriptor in enumerate(message.descriptors):
-            told = {entry.key: entry.value for entry in descriptor.entries}
+            descriptor_entries = {entry.key: entry.value for entry in descriptor.entries}
             try:
-                fields = self.rules.map_request(RequestView({}, descriptors=told))
+                fields = self.rules.map_request(RequestView({}, descriptors=descriptor_entries))
             except MappingError:
                 continue
             return self.check_descriptor(message, at, fields, answer)
@@ -133,7 +133,7 @@
         return lambda: None
 
     def check_descriptor(
-        self, message: Any, at: int, fields: Any, answer: Callable[[Any], None]
+        self, message: Any, at: int, fields: MappedRequest, answer: Callable[[Any], None]
     ) -> Callable[[], None]:
         """The quota of one descriptor's account decides the call."""
         codes = [OK] * len(message.descriptors)
@@ -142,7 +142,7 @@
             codes[at] = OVER_LIMIT
             answer(build_response(codes, at, 0.0))
             return lambda: None
-        question = RateLimitCall(
+        call = RateLimitCall(
             b"",
             fields.class_name,
             fields.plan,
@@ -152,20 +152,20 @@
             fields.gateway_spread,
             self.gateway,
         )
-        said = False
+        has_responded = False
 
-        def say(made: Any) -> None:
-            nonlocal said
-            if not said:
-                said = True
-                answer(made)
+        def respond(response: Any) -> None:
+            nonlocal has_responded
+            if not has_responded:
+                has_responded = True
+                answer(response)
 
-        def final(given: FinalResponse) -> None:
+        def on_final_response(final: FinalResponse) -> None:
             codes[at] = OVER_LIMIT
-            say(build_response(codes, at, given.retry_after_ms if isinstance(given, Rejected) else 0.0))
+            respond(build_response(codes, at, final.retry_after_ms if isinstance(final, Rejected) else 0.0))
 
-        question.on_admitted = lambda: say(build_response(codes))
-        live = question.active_request = self.gateway.accept(question, final)
+        call.on_admitted = lambda: respond(build_response(codes))
+        live = call.active_request = self.gateway.accept(call, on_final_response)
         return lambda: self.gateway.client_disconnected(live)
 
 
--- a/glenchute/listeners/extproc/request.py
+++ b/glenchute/listeners/extproc/request.py
@@ -148,7 +148,7 @@
         return self.attempts[-1]
 
     def on_attempt_chosen(self, attempt: ProxiedAttempt) -> None:
-        """The engine has chosen a server: whoever waits for that is told."""
+        """The engine has chosen a server: whoever waits for that gets a response."""
         if self.first_decision is None:
             self.first_decision = self.table.first_decision(self, attempt)
             if not self.table.settings.has_attempt_streams:
@@ -168,12 +168,12 @@
         self.final_response, self.is_finished = answer, True
         self.table.counts[RESPONSE_WORDS[type(answer)]] += 1
         if self.on_first_decision is not None:
-            ask, self.on_first_decision = self.on_first_decision, None
-            ask(self.final_message())
+            respond, self.on_first_decision = self.on_first_decision, None
+            respond(self.final_message())
         if self.pending_attempt_response is not None:
-            held, self.pending_attempt_response = self.pending_attempt_response, None
+            respond, self.pending_attempt_response = self.pending_attempt_response, None
             unserved = self.is_detached and not isinstance(answer, Served)
-            held(self.final_message() if unserved else PASS_RESPONSE)
+            respond(self.final_message() if unserved else PASS_RESPONSE)
         self.review_waiting_attempt()
         self.show_client_response()
         self.remove_if_done()
@@ -186,32 +186,32 @@
 
     # --- the attempts' streams ---------------------------------------------------------------------------
 
-    def request_attempt(self, stream: UpstreamStream, going_to: str, answer: ev.RespondCallback) -> None:
+    def request_attempt(self, stream: UpstreamStream, address: str, answer: ev.RespondCallback) -> None:
         """An upstream stream asks whether its attempt may go."""
         if self.waiting_attempt is not None:
             answer(failure_response("attempt-in-waiting"))  # one at a time: the other was not allowed yet
             return
-        self.waiting_attempt = stream, going_to, answer
+        self.waiting_attempt = stream, address, answer
         self.review_waiting_attempt()
 
     def review_waiting_attempt(self) -> None:
         """Decides on the attempt that waits for permission, if one does."""
         if self.waiting_attempt is None:
             return
-        stream, going_to, answer = self.waiting_attempt
+        stream, address, answer = self.waiting_attempt
         attempt = self.attempts[-1] if self.attempts else None
-        offered = attempt is not None and not attempt.has_ended and not attempt.is_written
-        known = AttemptState(
+        has_chosen_server = attempt is not None and not attempt.has_ended and not attempt.is_written
+        state = AttemptState(
             is_request_finished=self.is_finished,
-            has_chosen_server=offered,
+            has_chosen_server=has_chosen_server,
             has_open_attempts=bool(self.open_attempt_streams),
-            requested_address=going_to,
+            requested_address=address,
             chosen_address=attempt.address if attempt else "",
             is_server_accepting=attempt is not None
             and self.table.gateway.upstream.address(attempt.server) is not None,
             is_in_time=attempt is not None and self.table.loop.time() <= attempt.write_by,
         )
-        verdict = judge_attempt(known)
+        verdict = judge_attempt(state)
         self.table.counts[f"gate-{verdict.value}"] += 1
         if verdict is AttemptVerdict.WAIT:
             return
@@ -269,7 +269,7 @@
         attempt = stream.attempt
         if attempt is not None and not attempt.has_ended:
             if self.client_stream is None and not self.is_detached:
-                how = Outcome.CANCELLED  # its proxy is gone: no fault of the server's
+                how = Outcome.CANCELLED  # its proxy has disconnected: no fault of the server's
             else:
                 timed_out = self.table.loop.time() >= attempt.deadline - TIMEOUT_TOLERANCE_S
                 how = Outcome.TIMEOUT if timed_out else Outcome.RESET
@@ -277,7 +277,7 @@
         elif (
             attempt is not None and self.pending_attempt_response is not None and attempt is self.attempts[-1]
         ):
-            # Its stream can't be told what follows; the next attempt asks.
+            # Its stream is closed; the next attempt asks.
             self.pending_attempt_response = None
         self.review_waiting_attempt()
         self.remove_if_done()
@@ -320,7 +320,7 @@
 
     def on_client_stream_closed(self, stream: DownstreamStream, clean: bool) -> None:
         """The downstream stream has ended. If it was half-closed in order, the proxy only needs no more; if
-        it was reset, the proxy may open it again or be gone."""
+        it was reset, the proxy may open it again or have disconnected."""
         if self.client_stream is not stream:
             return
         self.client_stream, self.on_first_decision, self.pending_client_response = None, None, None
@@ -333,7 +333,7 @@
         self.remove_if_done()
 
     def on_reconnect_timeout(self) -> None:
-        """Nobody has opened the stream again: the client or its proxy is gone."""
+        """Nobody has opened the stream again: the client or its proxy has disconnected."""
         if self.client_stream is None and not self.is_finished:
             self.table.counts["abandoned"] += 1
             self.withdraw_request()
--- a/glenchute/listeners/extproc/responses.py
+++ b/glenchute/listeners/extproc/responses.py
@@ -1,4 +1,4 @@
-"""What a proxy is told: names of headers, formats, and the responses that the gateway gives itself."""
+"""Responses to a proxy: names of headers, formats, and the responses that the gateway gives by itself."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 EFFECT_HEADER = "x-glenchute-effect"  # "none": no attempt ran; "unknown": no promise
 ROUTE_TIMEOUT_HEADER = "x-envoy-upstream-rq-timeout-ms"
 ATTEMPT_TIMEOUT_HEADER = "x-envoy-upstream-rq-per-try-timeout-ms"
-EXPECTED_TIMEOUT_HEADER = "x-envoy-expected-rq-timeout-ms"  # what a server is told of its time
+EXPECTED_TIMEOUT_HEADER = "x-envoy-expected-rq-timeout-ms"  # the time that a server has
 # A server must not ask for a retry in the gateway's name.
 PASS_RESPONSE = ev.ContinueResponse("response_headers", {}, (RETRY_HEADER,))
 
--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -48,10 +48,10 @@
         self.is_set = False
         self.future: asyncio.Future[None] | None = None
 
-    def put(self, told: Any) -> None:
+    def put(self, response: Any) -> None:
         if self.is_set:
             return
-        self.response, self.is_set = told, True
+        self.response, self.is_set = response, True
         if self.future is not None and not self.future.done():
             self.future.set_result(None)
 
@@ -216,13 +216,13 @@
             except Exception:
                 log.exception("a message of a proxy failed")
                 box.put(ev.ImmediateResponse(500, {"x-glenchute-effect": "unknown"}, "", "glenchute_fault"))
-            told = await box.get()
-            if told is None:
+            response = await box.get()
+            if response is None:
                 continue
             last, cut.deadline = cut.deadline, self.loop.time() + WRITE_TIMEOUT_S
-            await context.write(messages.encode_response(told))
+            await context.write(messages.encode_response(response))
             cut.deadline = last
-            if isinstance(told, ev.ImmediateResponse):
+            if isinstance(response, ev.ImmediateResponse):
                 cut.has_ended_cleanly = True
                 return True
 
--- a/glenchute/listeners/extproc/streams.py
+++ b/glenchute/listeners/extproc/streams.py
@@ -85,10 +85,12 @@
             answer(ev.ContinueResponse(kind, wants_request_body=True))
             return
 
-        def after_body(told: ev.ProcessorResponse | None) -> None:
-            if isinstance(told, ev.ContinueResponse):
-                told = ev.ContinueResponse(kind, told.set_headers, told.remove_headers, told.endpoint)
-            answer(told)
+        def after_body(response: ev.ProcessorResponse | None) -> None:
+            if isinstance(response, ev.ContinueResponse):
+                response = ev.ContinueResponse(
+                    kind, response.set_headers, response.remove_headers, response.endpoint
+                )
+            answer(response)
 
         plain = kind == "request_headers"
         self.table.accept(
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -441,8 +441,8 @@
     def close_if_idle(self, since: float) -> None:
         """Closes if the connection has been idle since `since` (loop time) or longer, unless a command is
         arriving."""
-        place = self.listener.connection_slots.slots.get(self)
-        if place is None or self.slots or self.is_closing or self.parser.has_unparsed():
+        client_slot = self.listener.connection_slots.slots.get(self)
+        if client_slot is None or self.slots or self.is_closing or self.parser.has_unparsed():
             return
-        if place.state_entered_s <= since and not self.has_unread_input():
+        if client_slot.state_entered_s <= since and not self.has_unread_input():
             self.close_when_answered()
--- a/glenchute/listeners/resp2/listener.py
+++ b/glenchute/listeners/resp2/listener.py
@@ -168,9 +168,8 @@
         self.accepted_count += 1
         closes = self.connection_slots.add(now, client)
         while not all([self.close_connection(close) for close in closes]):
-            closes = self.connection_slots.evict_excess(
-                now, client
-            )  # who was to make room has a command waiting
+            # A connection that was to be evicted has unread input, and stays.
+            closes = self.connection_slots.evict_excess(now, client)
 
     def close_connection(self, close: CloseConnection[ClientConnection]) -> bool:
         """Closes a connection; False where it stays after all. A fault costs this one its clean end, and the
