--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -22,7 +22,6 @@
 from glenchute.listeners.resp2.commands import CommandParser
 from glenchute.listeners.resp2.listener import Listener
 from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
-from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 from glenchute.policy.endpoints.polling import PollingTerms
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
@@ -37,6 +36,7 @@
     from glenchute.control.server import ControlServer
     from glenchute.listeners.extproc.server import ExtProcServer as ExtProc
     from glenchute.listeners.operations import OperationsServer
+    from glenchute.policy.endpoints.list_confirmation import ListConfirmation
     from glenchute.policy.events import Endpoint
 
     from .background_reload import BackgroundReload, ReloadedFile
@@ -125,7 +125,7 @@
         self.handover = self.make_handover() if self.passed is not None else None
         self.operations = self.operating() if config.operations_address is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
-        self.list_confirmation = ListConfirmation() if asked.get("doubt") else None
+        self.list_confirmation = self.make_list_confirmation() if asked.get("doubt") else None
         self.discovery = DiscoveryClient(
             loop,
             config.discovery,
@@ -137,7 +137,8 @@
         )
         self.discovery.on_restriction = self.gateway.update_endpoints
         if self.fleet is not None:
-            self.fleet.follow, self.fleet.counter = self.gateway.update_endpoints, self.counter
+            self.fleet.endpoint_sync.apply_update = self.gateway.update_endpoints
+            self.fleet.audit.counter = self.counter
         # What of the operator's file holds until a restart.
         self.begun = started(operator) if operator is not None else None
         self.background_reload: BackgroundReload[ReloadedFile] | None = None  # the reading of that file again
@@ -186,7 +187,7 @@
         rows, servers = self.discovery.current_list.rows, self.servers
         listed = [rows[name][0] for name in servers.server_ids() if name in rows and not servers.stops(name)]
         if self.fleet is not None:
-            self.fleet.telling.module = self.narrowed(self.fleet.telling.module, {}, listed)
+            self.fleet.reporter.module = self.narrowed(self.fleet.reporter.module, {}, listed)
         else:
             self.gateway.decisions = self.narrowed(self.gateway.decisions, {}, listed)
         log.info("more than %d servers are listed: from now on a part of them is used", MAX_SUBSET_SIZE)
@@ -231,12 +232,12 @@
         if "control" in raw:
             self.control = ControlServer(raw["control"])
             self.control.register("fleet", self.fleet.verbs())
-        return self.fleet.telling
+        return self.fleet.reporter
 
     def listed(self, news: EndpointUpdate) -> None:
         """Discovery's word."""
         if self.fleet is not None:
-            self.fleet.news(news)
+            self.fleet.endpoint_sync.receive_discovery(news)
         self.gateway.update_endpoints(news)
 
     def operating(self) -> OperationsServer:
@@ -251,13 +252,13 @@
         def on() -> tuple[int, str]:
             listener.start_drain()
             if self.fleet is not None:
-                self.fleet.rest(on=True)
+                self.fleet.pause_tasks()
             return (200 if listener.lifecycle.is_closing_connections else 409), listener.lifecycle.phase.value
 
         def off() -> tuple[int, str]:
             listener.end_drain()
             if self.fleet is not None:
-                self.fleet.rest(on=False)
+                self.fleet.resume_tasks()
             return (200 if listener.lifecycle.is_ready else 409), listener.lifecycle.phase.value
 
         return OperationsServer(
@@ -274,6 +275,12 @@
             folder, self.config, self.loop, self.gateway, self.listener, self.servers
         )
 
+    def make_list_confirmation(self) -> ListConfirmation:
+        """Confirms unusual endpoint lists; imported only where the operator's file asks for it."""
+        from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+
+        return ListConfirmation()
+
     def bind(self, operator: OperatorConfig) -> None:
         """The operator's routes hold for requests from the start on."""
         from glenchute.policy.retries.route_limits import RouteTable
@@ -312,7 +319,9 @@
             if self.list_confirmation is not None:
                 saved = self.config.cached_endpoints
                 self.list_confirmation.apply(saved.version, saved.event)
-        asks = self.fleet is not None and self.fleet.begin(self.config.cached_endpoints, self.discovery)
+        asks = self.fleet is not None and self.fleet.endpoint_sync.attach_discovery(
+            self.config.cached_endpoints, self.discovery
+        )
         awaited = self.discovery.start(self.config.cached_endpoints, LIST_WAIT_S, asks)
         if self.fleet is not None:
             await self.fleet.start()
