--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -22,30 +22,38 @@
 from glenchute.listeners.extproc.table import EXPIRY_GRACE_S, SWEEP_INTERVAL_S, RequestTable
 from glenchute.listeners.extproc.token import TokenSigner
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState, Outcome
-from tests.proxied import ACCOUNT, Asker, Proxy, drawn, extproc_settings, headers, responded
-from tests.simulated import Fate, Site
+from tests.proxied import (
+    ACCOUNT,
+    ProxyClient,
+    SimulatedProxy,
+    extproc_settings,
+    headers,
+    planned_by_seed,
+    responded,
+)
+from tests.simulated import PlannedOutcome, SimulatedSite
 
-SERVED = Fate(0.0, 0.02, Outcome.OK)
-NEVER = Fate(0.0, 1e9, Outcome.OK)
-Draw = Callable[[random.Random], Fate]
+SERVED = PlannedOutcome(0.0, 0.02, Outcome.OK)
+NEVER = PlannedOutcome(0.0, 1e9, Outcome.OK)
+Draw = Callable[[random.Random], PlannedOutcome]
 
 
-def faulty(rng: random.Random) -> Fate:
+def faulty(rng: random.Random) -> PlannedOutcome:
     """Everything that may go wrong with an attempt."""
     ending = rng.choice([Outcome.OK] * 5 + [Outcome.ERROR, Outcome.REJECTED, Outcome.RESET])
     took_s = rng.choice([0.005, 0.02, 0.1, 0.3, 0.7, 1.2, 1e9]) * (0.5 + rng.random())
-    return Fate(rng.choice([0.0, 0.0, 0.0, 0.001, 0.004, math.inf]), took_s, ending)
+    return PlannedOutcome(rng.choice([0.0, 0.0, 0.0, 0.001, 0.004, math.inf]), took_s, ending)
 
 
-def connected(rng: random.Random) -> Fate:
+def connected(rng: random.Random) -> PlannedOutcome:
     """The same, before nodes that can always be reached."""
-    return Fate(0.0, faulty(rng).took_s, faulty(rng).ending)
+    return PlannedOutcome(0.0, faulty(rng).duration_s, faulty(rng).outcome)
 
 
-def place(seed: int, draw: Draw) -> Site:
+def place(seed: int, draw: Draw) -> SimulatedSite:
     """A site whose attempts' fates hang on the seed, the request and the attempt's number."""
-    made = Site(None, lambda: SERVED, connect_s=0.02, seed=seed)
-    made.servers.drawn = drawn(seed, draw)
+    made = SimulatedSite(None, lambda: SERVED, connect_s=0.02, seed=seed)
+    made.servers.planned_outcome = planned_by_seed(seed, draw)
     return made
 
 
@@ -56,7 +64,7 @@
     """The decision log of a run: for each request its attempts (node, start, ending), the final answer, when
     that came, and its retry-after."""
     site = place(seed, draw)
-    proxy = Proxy(site, tells) if proxied else None
+    proxy = SimulatedProxy(site, tells) if proxied else None
     rng = random.Random(seed)
     for _ in range(many):
         site.loop.run(site.loop.now + rng.expovariate(40))
@@ -65,13 +73,15 @@
         if proxy is not None:
             proxy.ask(name, left_ms)
         else:
-            site.ask(name, left_ms)
+            site.send_request(name, left_ms)
     site.loop.run(site.loop.now + 20.0)
     log = {}
     for number in range(1, many + 1):
         request = b"%d" % number
-        ((at, answer),) = proxy.asked[request].answers if proxy else site.answers[request]
-        tries = tuple((r.server, round(r.started, 6), r.ending) for r in site.servers.of(request))
+        ((at, answer),) = proxy.asked[request].answers if proxy else site.responses[request]
+        tries = tuple(
+            (r.server, round(r.started_at, 6), r.outcome) for r in site.servers.attempts_of(request)
+        )
         wait = int(answer.retry_after_ms) if isinstance(answer, Rejected) else 0
         log[request] = tries, type(answer).__name__, round(at, 3), wait
     if proxy is not None:
@@ -79,7 +89,7 @@
     return log
 
 
-def settled(proxy: Proxy) -> None:
+def settled(proxy: SimulatedProxy) -> None:
     """Nothing is left of any request, in the table, the core or the module."""
     calls, gateway = proxy.calls, proxy.site.gateway
     assert not calls.requests_by_number and not calls.requests_by_id
@@ -115,11 +125,11 @@
     """Truth at the nodes: `Servers.check` raises if an unsafe request goes out twice, or two attempts of one
     are out at once. Each request that was not left has one final answer."""
     site = place(seed, faulty)
-    proxy = Proxy(site, tells)
+    proxy = SimulatedProxy(site, tells)
     rng = random.Random(seed)
     left: set[bytes] = set()
 
-    def die(asker: Asker) -> None:
+    def die(asker: ProxyClient) -> None:
         if not asker.answers:
             left.add(asker.request)
             asker.leave()
@@ -144,10 +154,10 @@
     """One gives up attempts and requests long before the module does, the other long after: there the
     module's own time-outs hold, and no client waits past its deadline."""
     site = place(seed, faulty)
-    hasty, slow = Proxy(site, pace=0.3), Proxy(site, pace=4.0)
+    hasty, slow = SimulatedProxy(site, pace=0.3), SimulatedProxy(site, pace=4.0)
     slow.calls = hasty.calls
     rng = random.Random(seed)
-    asked: list[tuple[Asker, float]] = []
+    asked: list[tuple[ProxyClient, float]] = []
     for number in range(300):
         site.loop.run(site.loop.now + rng.expovariate(40))
         proxy = (hasty, slow)[number % 2]
@@ -160,22 +170,22 @@
     settled(hasty)
 
 
-def restarted(site: Site, proxy: Proxy, **changes: Any) -> Proxy:
+def restarted(site: SimulatedSite, proxy: SimulatedProxy, **changes: Any) -> SimulatedProxy:
     """The processor is killed and another takes its place: same key, empty table, modules anew. The proxy's
     streams have broken; what is out at the nodes goes on."""
-    fresh = Site(None, lambda: SERVED, connect_s=site.connect_s, seed=site.seed + 1)
+    fresh = SimulatedSite(None, lambda: SERVED, connect_s=site.connect_s, seed=site.seed + 1)
     fresh.loop, fresh.servers = site.loop, site.servers
     fresh.gateway.loop = site.loop  # type: ignore[assignment]
     fresh.gateway.upstream = site.servers
     fresh.gateway.clock = site.gateway.clock
-    after = Proxy(fresh, proxy.tells, **changes)
+    after = SimulatedProxy(fresh, proxy.tells, **changes)
     after.calls = RequestTable(after.loop, fresh.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32))
     after.calls.wall_clock = lambda: float(site.loop.now)
     after.asked = proxy.asked
     return after
 
 
-def let_through(asker: Asker, proxy: Proxy) -> ev.ProcessorResponse | None:
+def let_through(asker: ProxyClient, proxy: SimulatedProxy) -> ev.ProcessorResponse | None:
     """Asks a processor for an attempt with the token that another one gave."""
     told: list[ev.ProcessorResponse | None] = []
     up = UpstreamStream(proxy.calls)
@@ -194,7 +204,7 @@
     resumable_classes: frozenset[str], age_s: float
 ) -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     askers = {name: proxy.ask(name, 6000.0) for name in ("report-read", "check-order", "check-charge")}
     site.loop.run(site.loop.now + age_s)
     fresh = restarted(site, proxy, resumable_classes=resumable_classes)
@@ -218,7 +228,7 @@
     reissued = 0
     for at_ms in range(0, 400, 7):
         site = place(at_ms, faulty)
-        proxy = Proxy(site)
+        proxy = SimulatedProxy(site)
         for _ in range(5):
             proxy.ask("check-charge", 3000.0)
         site.loop.run(site.loop.now + at_ms / 1000.0)
@@ -235,7 +245,7 @@
 
 @pytest.mark.parametrize("token", ["", "x", "A" * 300, "AAAA", FORGED], ids=range(5))
 def test_an_attempt_without_a_token_of_ours_is_not_let_through(token: str) -> None:
-    proxy = Proxy(place(1, lambda rng: SERVED), resumable_classes=frozenset({"report-read"}))
+    proxy = SimulatedProxy(place(1, lambda rng: SERVED), resumable_classes=frozenset({"report-read"}))
     told: list[ev.ProcessorResponse | None] = []
     up = UpstreamStream(proxy.calls)
     up.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), told.append)
@@ -278,7 +288,7 @@
     )  # fmt: skip
 
 
-def opened(proxy: Proxy, said: ev.RequestHeaders) -> tuple[DownstreamStream, list[Any]]:
+def opened(proxy: SimulatedProxy, said: ev.RequestHeaders) -> tuple[DownstreamStream, list[Any]]:
     """A stream that asks, and what it is told."""
     told: list[Any] = []
     down = DownstreamStream(proxy.calls)
@@ -288,7 +298,7 @@
 
 def test_a_stream_opened_again_gets_the_same_decision() -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     first, told = opened(proxy, heads())
     first.close(False)
     site.loop.run(site.loop.now + 0.1)
@@ -305,7 +315,7 @@
 @pytest.mark.parametrize("change", [{}, {"name": "check-order"}])
 def test_an_id_in_use_is_told_so_without_a_promise(change: dict[str, str]) -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     first, _ = opened(proxy, heads())
     if change:
         first.close(False)  # free to be opened again, but by the same request only
@@ -318,7 +328,7 @@
 
 def test_a_lost_proxy_settles_units_and_open_attempts_once() -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     askers = [proxy.ask("check-charge", 5000.0) for _ in range(20)]
     module: Any = site.gateway.decisions
     assert sum(tenant.attempts_in_flight for tenant in module.quota.tenants.by_id.values()) == 20
@@ -326,13 +336,13 @@
         asker.leave()
     site.loop.run(site.loop.now + 1.0)
     settled(proxy)
-    assert all(len(site.servers.of(asker.request)) == 1 for asker in askers)
+    assert all(len(site.servers.attempts_of(asker.request)) == 1 for asker in askers)
 
 
 def test_a_response_after_the_deadlines_answer_is_not_shown() -> None:
     """The proxy's clock is slow: it shows a node's 200 after the request was answered as failed."""
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     asker = proxy.ask("check-charge", 1000.0)
     asker.proxy.loop.call_later = site.loop.call_later
     asker.over = True  # it no longer acts by itself
@@ -347,7 +357,7 @@
 
 def test_a_node_can_not_ask_for_a_retry_in_the_modules_name() -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     down, told = opened(proxy, heads())
     replies: list[Any] = []
     up = UpstreamStream(proxy.calls)
@@ -366,7 +376,7 @@
 @pytest.mark.parametrize("first", ["attempt", "client"])
 def test_the_attempts_end_and_the_clients_response_in_either_order(first: str) -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     asker = proxy.ask("check-charge", 2000.0)
     up, asker.up, asker.over = asker.up, None, True
     assert up is not None
@@ -386,7 +396,7 @@
 
 def test_a_proxy_that_ignores_the_chosen_node_is_turned_back_and_then_given_up() -> None:
     site = place(1, lambda rng: SERVED)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     down, told = opened(proxy, heads(name="check-charge"))
     token = told[0].set_headers["x-glenchute-token"]
     replies: list[Any] = []
@@ -408,7 +418,7 @@
 def test_a_node_that_leaves_gets_no_attempt_after_its_grace() -> None:
     """The choice was told; the proxy asks only after the node is gone, and gets another."""
     site = place(1, lambda rng: SERVED)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     down, told = opened(proxy, heads())
     gone = proxy.names[told[0].endpoint]
     site.servers.names.remove(gone)
@@ -438,7 +448,7 @@
     ]
     for said, expected in endings:
         site = place(1, lambda rng: NEVER)
-        proxy = Proxy(site, has_attempt_streams=False)
+        proxy = SimulatedProxy(site, has_attempt_streams=False)
         down, told = opened(proxy, heads(name="check-charge"))
         assert told[0].set_headers["x-envoy-max-retries"] == "0"
         assert "x-glenchute-token" not in told[0].set_headers
@@ -452,7 +462,7 @@
 
 def test_the_table_has_a_bound_and_says_so() -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site, max_calls=10)
+    proxy = SimulatedProxy(site, max_calls=10)
     streams = [opened(proxy, heads(f"r{n}")) for n in range(15)]
     assert len(proxy.calls.requests_by_number) == 10 and proxy.calls.counts["table-full"] == 5
     for _, told in streams[10:]:
@@ -466,7 +476,7 @@
 def test_streams_that_are_never_closed_do_not_keep_an_entry() -> None:
     """A stalled proxy: nothing comes any more, and nothing ends."""
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     asker = proxy.ask("check-charge", 1000.0)
     asker.over = True
     waiting: list[Any] = []
@@ -495,7 +505,7 @@
 )
 def test_a_rule_that_needs_the_body_waits_for_it(parts: list[bytes], status: int | None) -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = Proxy(site)
+    proxy = SimulatedProxy(site)
     rules = proxy.calls.settings.mapping_rules
     rules = replace(rules, sources={**rules.sources, "plan": "json:/plan"})
     proxy.calls.settings = replace(proxy.calls.settings, mapping_rules=rules)
@@ -516,7 +526,7 @@
 
 
 def test_observability_mode_and_unknown_messages_take_nothing() -> None:
-    proxy = Proxy(place(1, lambda rng: SERVED))
+    proxy = SimulatedProxy(place(1, lambda rng: SERVED))
     for made in (DownstreamStream(proxy.calls), UpstreamStream(proxy.calls)):
         for message in (ev.ObservedMessage(), ev.UnknownMessage()):
             told: list[Any] = []
@@ -556,8 +566,8 @@
 def test_no_order_of_messages_breaks_the_table(steps: list[Any], streams: bool) -> None:
     """Any messages, in any order, on any streams: each is answered at most once, nothing raises, two attempts
     of one request are never let through side by side, and in the end nothing is left."""
-    site = Site(None, lambda: NEVER)
-    proxy = Proxy(site, has_attempt_streams=streams)
+    site = SimulatedSite(None, lambda: NEVER)
+    proxy = SimulatedProxy(site, has_attempt_streams=streams)
     downs = [DownstreamStream(proxy.calls) for _ in range(4)]
     ups = [UpstreamStream(proxy.calls) for _ in range(4)]
     tokens: list[str] = []
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -25,16 +25,16 @@
     RouteRetryBudget,
     RouteTable,
 )
-from tests.simulated import Fate, Site
+from tests.simulated import PlannedOutcome, SimulatedSite
 from tests.sites import FACTS, OVERLAP
 
 CLASSES = tuple(FACTS.classes)
 ENDINGS = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
 FATES = st.builds(
-    Fate,
+    PlannedOutcome,
     connect_s=st.sampled_from([0.0, 0.0, 0.001, 0.1, 0.249, math.inf]),
-    took_s=st.sampled_from([0.0, 0.005, 0.1, 0.7, 1.2, 2.4, 1e9]),
-    ending=st.sampled_from(ENDINGS),
+    duration_s=st.sampled_from([0.0, 0.005, 0.1, 0.7, 1.2, 2.4, 1e9]),
+    outcome=st.sampled_from(ENDINGS),
 )
 CAUSES = ["full", "unreachable", "error", "reset", "timeout"]
 
@@ -74,30 +74,32 @@
     gap_s=st.sampled_from([0.0, 0.01, 0.5]),
 )
 def test_any_valid_file_keeps_the_rules_under_any_order_of_endings(
-    text: str, overlap: bool, fates: list[Fate], asks: list[tuple[str, float]], gap_s: float
+    text: str, overlap: bool, fates: list[PlannedOutcome], asks: list[tuple[str, float]], gap_s: float
 ) -> None:
     """The simulated servers refuse, at the moment when bytes leave, what the rules forbid."""
     operator = parse(text, OVERLAP if overlap else FACTS).config
     assume(operator is not None)
     assert operator is not None
     stream = iter(fates * 200)
-    site = Site(RouteTable(operator.bindings, 3) if operator else None, lambda: next(stream), overlap)
+    site = SimulatedSite(
+        RouteTable(operator.bindings, 3) if operator else None, lambda: next(stream), overlap
+    )
     asked = []
     for class_name, left_ms in asks:
-        asked.append((site.ask(class_name, left_ms), site.loop.now, left_ms))
+        asked.append((site.send_request(class_name, left_ms), site.loop.now, left_ms))
         site.loop.run(site.loop.now + gap_s)
     site.loop.run(site.loop.now + 10.0)
     for (request, at, left_ms), (class_name, _) in zip(asked, asks, strict=True):
-        site.check_answers(request, at, left_ms)
+        site.check_response(request, at, left_ms)
         bounded(site, request, operator.bindings.get((class_name, "osnovni")))
     assert not site.gateway.active_requests and not site.gateway.attempts_in_flight
 
 
-def bounded(site: Site, request: bytes, route: RouteLimits | None) -> None:
+def bounded(site: SimulatedSite, request: bytes, route: RouteLimits | None) -> None:
     """The attempts of a request against its route."""
     if route is None:
         return
-    records = site.servers.of(request)
+    records = site.servers.attempts_of(request)
     if route.max_attempts:
         assert len(records) <= route.max_attempts
     for record in records:
@@ -106,42 +108,45 @@
     if route.hedge_after_ms:
         return  # a copy may stand between an attempt and its repeat
     for number, (one, two) in enumerate(pairwise(records), 1):
-        assert one.ended is not None and one.ending is not None
+        assert one.ended_at is not None and one.outcome is not None
         if route.retryable_outcomes is not None:
-            assert one.ending in route.retryable_outcomes
+            assert one.outcome in route.retryable_outcomes
         if route.backoff is not None:
-            assert two.started - one.ended >= route.backoff.min_delay_ms(number) / 1000.0 - 1e-6
+            assert two.started_at - one.ended_at >= route.backoff.min_delay_ms(number) / 1000.0 - 1e-6
 
 
 def test_a_keyed_attempt_whose_connection_comes_up_too_late_is_not_written() -> None:
     """The repeat starts inside the span, its connection is up beyond it: no byte may leave."""
-    fates = iter([Fate(0.0, 2.3, Outcome.ERROR), Fate(0.24, 0.01, Outcome.OK)])
-    site = Site(None, lambda: next(fates))
-    request = site.ask("check-order", 4000.0)
+    fates = iter([PlannedOutcome(0.0, 2.3, Outcome.ERROR), PlannedOutcome(0.24, 0.01, Outcome.OK)])
+    site = SimulatedSite(None, lambda: next(fates))
+    request = site.send_request("check-order", 4000.0)
     site.loop.run(site.loop.now + 5.0)
-    first, second = site.servers.of(request)
-    assert second.started - first.started < 2.5 and second.left is None
-    assert isinstance(site.answers[request][0][1], Failed)
+    first, second = site.servers.attempts_of(request)
+    assert second.started_at - first.started_at < 2.5 and second.sent_at is None
+    assert isinstance(site.responses[request][0][1], Failed)
 
 
 def test_a_deadline_before_the_first_pause_is_answered_at_once() -> None:
     route = RouteLimits("r", backoff=Backoff(500.0, max_ms=500.0))
-    site = Site(RouteTable({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.01, Outcome.REJECTED))
+    site = SimulatedSite(
+        RouteTable({("report-read", "osnovni"): route}, 1),
+        lambda: PlannedOutcome(0.0, 0.01, Outcome.REJECTED),
+    )
     asked = site.loop.now
-    request = site.ask("report-read", 400.0)
+    request = site.send_request("report-read", 400.0)
     site.loop.run(asked + 3.0)
-    ((at, answer),) = site.answers[request]
-    assert isinstance(answer, Rejected) and at - asked < 0.02 and len(site.servers.of(request)) == 1
+    ((at, answer),) = site.responses[request]
+    assert isinstance(answer, Rejected) and at - asked < 0.02 and len(site.servers.attempts_of(request)) == 1
 
 
 def test_a_time_out_under_the_connect_time_ends_as_unreachable_and_tries_again() -> None:
-    fates = iter([Fate(0.2, 0.0, Outcome.OK), Fate(0.01, 0.02, Outcome.OK)])
+    fates = iter([PlannedOutcome(0.2, 0.0, Outcome.OK), PlannedOutcome(0.01, 0.02, Outcome.OK)])
     route = RouteLimits("r", attempt_timeout_ms=100.0)
-    site = Site(RouteTable({("check-charge", "osnovni"): route}, 1), lambda: next(fates))
-    request = site.ask("check-charge", 3000.0)
+    site = SimulatedSite(RouteTable({("check-charge", "osnovni"): route}, 1), lambda: next(fates))
+    request = site.send_request("check-charge", 3000.0)
     site.loop.run(site.loop.now + 4.0)
-    assert [r.ending for r in site.servers.of(request)] == [Outcome.UNREACHABLE, Outcome.OK]
-    assert isinstance(site.answers[request][0][1], Served)
+    assert [r.outcome for r in site.servers.attempts_of(request)] == [Outcome.UNREACHABLE, Outcome.OK]
+    assert isinstance(site.responses[request][0][1], Served)
 
 
 def test_two_routes_time_their_attempts_apart() -> None:
@@ -149,25 +154,25 @@
         ("report-read", "osnovni"): RouteLimits("reads", attempt_timeout_ms=200.0, max_attempts=2),
         ("check-order", "osnovni"): RouteLimits("orders", attempt_timeout_ms=900.0, max_attempts=1),
     }
-    site = Site(RouteTable(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK))
-    read, order = site.ask("report-read", 3000.0), site.ask("check-order", 3000.0)
+    site = SimulatedSite(RouteTable(table, 1), lambda: PlannedOutcome(0.0, 1e9, Outcome.OK))
+    read, order = site.send_request("report-read", 3000.0), site.send_request("check-order", 3000.0)
     site.loop.run(site.loop.now + 5.0)
-    assert [round(r.timeout_s, 3) for r in site.servers.of(read)] == [0.2, 0.2]
-    assert [round(r.timeout_s, 3) for r in site.servers.of(order)] == [0.9]
+    assert [round(r.timeout_s, 3) for r in site.servers.attempts_of(read)] == [0.2, 0.2]
+    assert [round(r.timeout_s, 3) for r in site.servers.attempts_of(order)] == [0.9]
 
 
 @pytest.mark.parametrize("class_name", ["report-read", "check-order"])
 def test_a_second_copy_goes_to_another_server_and_the_loser_is_called_off(class_name: str) -> None:
-    fates = iter([Fate(0.0, 1e9, Outcome.OK), Fate(0.0, 0.05, Outcome.OK)])
+    fates = iter([PlannedOutcome(0.0, 1e9, Outcome.OK), PlannedOutcome(0.0, 0.05, Outcome.OK)])
     route = RouteLimits("r", hedge_after_ms=100.0)
-    site = Site(RouteTable({(class_name, "osnovni"): route}, 1), lambda: next(fates), overlap=True)
+    site = SimulatedSite(RouteTable({(class_name, "osnovni"): route}, 1), lambda: next(fates), overlap=True)
     asked = site.loop.now
-    request = site.ask(class_name, 3000.0)
+    request = site.send_request(class_name, 3000.0)
     site.loop.run(asked + 4.0)
-    first, second = site.servers.of(request)
-    assert first.server != second.server and 0.1 <= second.started - asked < 0.11
-    assert first.ending is Outcome.CANCELLED and first.ended == second.ended
-    assert [type(answer) for _, answer in site.answers[request]] == [Served]
+    first, second = site.servers.attempts_of(request)
+    assert first.server != second.server and 0.1 <= second.started_at - asked < 0.11
+    assert first.outcome is Outcome.CANCELLED and first.ended_at == second.ended_at
+    assert [type(answer) for _, answer in site.responses[request]] == [Served]
 
 
 def test_no_copy_goes_out_for_an_unsafe_class_or_where_overlap_is_not_allowed() -> None:
@@ -175,18 +180,22 @@
     for class_name, overlap in (("check-charge", True), ("report-read", False)):
         route = RouteLimits("r", hedge_after_ms=50.0, max_attempts=2)
         table = {(class_name, "osnovni"): route}
-        site = Site(RouteTable(table, 1), lambda: Fate(0.0, 1e9, Outcome.OK), overlap=overlap)
-        request = site.ask(class_name, 400.0)
+        site = SimulatedSite(
+            RouteTable(table, 1), lambda: PlannedOutcome(0.0, 1e9, Outcome.OK), overlap=overlap
+        )
+        request = site.send_request(class_name, 400.0)
         site.loop.run(site.loop.now + 0.3)
-        assert len(site.servers.of(request)) == 1
+        assert len(site.servers.attempts_of(request)) == 1
 
 
-def failing(budget: RetryBudgetSettings | None, requests: int, rate: float) -> tuple[int, Site]:
+def failing(budget: RetryBudgetSettings | None, requests: int, rate: float) -> tuple[int, SimulatedSite]:
     """Requests to a fleet that fails wholly; the attempts sent."""
     route = RouteLimits("r", max_attempts=5, retry_budget=budget, retryable_outcomes=frozenset(Outcome))
-    site = Site(RouteTable({("report-read", "osnovni"): route}, 1), lambda: Fate(0.0, 0.002, Outcome.RESET))
+    site = SimulatedSite(
+        RouteTable({("report-read", "osnovni"): route}, 1), lambda: PlannedOutcome(0.0, 0.002, Outcome.RESET)
+    )
     for _ in range(requests):
-        site.ask("report-read", 3000.0)
+        site.send_request("report-read", 3000.0)
         site.loop.run(site.loop.now + 1.0 / rate)
     site.loop.run(site.loop.now + 5.0)
     return len(site.servers.records), site
@@ -201,7 +210,7 @@
     assert bare > 360
     assert 300 < bound <= 300 + 0.1 * 300 + 2.0 * (3.0 + STEADY_BUFFER_S) + 1
     assert bound < bare
-    assert all(len(answers) == 1 for answers in site.answers.values())
+    assert all(len(answers) == 1 for answers in site.responses.values())
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -20,7 +20,7 @@
 from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import MappingRules
 from glenchute.policy.settings import Idempotency
-from tests.simulated import Fate, Order, Record, Site
+from tests.simulated import AttemptRecord, PlannedOutcome, SimulatedCall, SimulatedSite
 from tests.sites import FACTS
 
 SOURCES = {
@@ -62,15 +62,15 @@
 
 
 @dataclass
-class Asker:
+class ProxyClient:
     """One request at the proxy."""
 
-    proxy: Proxy
+    proxy: SimulatedProxy
     request: bytes
     down: DownstreamStream
     attempts: int = 0
     up: UpstreamStream | None = None
-    record: Record | None = None
+    record: AttemptRecord | None = None
     token: str = ""
     node: str = ""
     most: int = 0
@@ -79,7 +79,7 @@
     answers: list[tuple[float, FinalResponse]] = field(default_factory=list)
 
     def decided(self, told: ev.ProcessorResponse | None) -> None:
-        """The first decision."""
+        """The first decision has come."""
         if self.over:
             return
         if isinstance(told, ev.ImmediateResponse):
@@ -96,7 +96,7 @@
         self.attempt()
 
     def attempt(self) -> None:
-        """Asks for an attempt."""
+        """Asks for permission for an attempt."""
         self.attempts += 1
         up = self.up = UpstreamStream(self.proxy.calls)
         up.abort = lambda: self.proxy.loop.call_later(0.0, self.aborted, up) and None
@@ -122,31 +122,31 @@
         assert isinstance(told, ev.ContinueResponse)
         server = self.proxy.names[self.node]
         timeout_s = int(told.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
-        record = self.record = Record(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
-        fate = self.proxy.site.servers.fate(record)
+        record = self.record = AttemptRecord(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
+        fate = self.proxy.site.servers.plan_attempt(record)
         loop, connect_s = self.proxy.loop, self.proxy.site.connect_s
         loop.call_later(timeout_s * self.proxy.pace, self.ended, up, record, Outcome.TIMEOUT)
         up_in_time = fate.connect_s <= connect_s
         connects = fate if up_in_time else None
         loop.call_later(min(fate.connect_s, connect_s), self.connected, up, record, connects)
 
-    def connected(self, up: UpstreamStream, record: Record, fate: Fate | None) -> None:
-        """The connection is up, or won't come up; the request's bytes leave."""
-        if record.ending is not None:
+    def connected(self, up: UpstreamStream, record: AttemptRecord, fate: PlannedOutcome | None) -> None:
+        """The connection is up, or won't come up; the request's bytes are sent."""
+        if record.outcome is not None:
             return
         if fate is None:
             self.ended(up, record, Outcome.UNREACHABLE)
             return
-        record.left = self.proxy.loop.now
-        self.proxy.site.servers.check(record)
-        if fate.took_s < 1e6:
-            self.proxy.loop.call_later(fate.took_s, self.ended, up, record, fate.ending)
-
-    def ended(self, up: UpstreamStream, record: Record, ending: Outcome) -> None:
-        """The attempt's ending, told as a response, or by the stream's end alone."""
-        if record.ending is not None:
+        record.sent_at = self.proxy.loop.now
+        self.proxy.site.servers.check_sent(record)
+        if fate.duration_s < 1e6:
+            self.proxy.loop.call_later(fate.duration_s, self.ended, up, record, fate.outcome)
+
+    def ended(self, up: UpstreamStream, record: AttemptRecord, ending: Outcome) -> None:
+        """The attempt's outcome, reported as a response or by the stream's end alone."""
+        if record.outcome is not None:
             return
-        record.ended, record.ending = self.proxy.loop.now, ending
+        record.ended_at, record.outcome = self.proxy.loop.now, ending
         status, details = DETAILS[ending]
         if self.proxy.tells or details == "via_upstream":
             up.receive(responded(status, details), lambda told: self.follow(up, told, status, details))
@@ -174,27 +174,27 @@
             self.show(status, details)
 
     def aborted(self, up: UpstreamStream) -> None:
-        """The processor broke the attempt's stream: the attempt is reset."""
+        """The processor reset the attempt's stream: the attempt is reset."""
         if self.up is up:
             self.cut()
             self.show(500, "")
 
     def cut(self, why: Outcome = Outcome.CANCELLED) -> None:
-        """Closes the connection of an attempt that is out."""
+        """Closes the connection of an attempt that is in flight."""
         up, self.up = self.up, None
-        if self.record is not None and self.record.ending is None:
-            self.record.ended, self.record.ending = self.proxy.loop.now, why
+        if self.record is not None and self.record.outcome is None:
+            self.record.ended_at, self.record.outcome = self.proxy.loop.now, why
         if up is not None:
             up.close(False)
 
     def route_timeout(self) -> None:
-        """The proxy's own time for the request is up."""
+        """The proxy's own timeout for the request."""
         if not self.over and not self.answers:
             self.cut(Outcome.TIMEOUT)
             self.show(504, "response_timeout")
 
     def show(self, status: int, details: str) -> None:
-        """The client's response, as the downstream stream lets it through."""
+        """The client's response, as the downstream stream lets it pass."""
         if self.over:
             return
         self.over = True
@@ -209,22 +209,22 @@
         self.down.receive(responded(status, details), shown)
 
     def finish(self, answer: FinalResponse) -> None:
-        """The client has its answer."""
+        """The client has its response."""
         self.over = True
         self.answers.append((self.proxy.loop.now, answer))
 
     def leave(self, clean: bool = False) -> None:
-        """The client is gone, or the whole proxy."""
+        """The client, or the whole proxy, disconnects."""
         self.over = True
         self.cut()
         self.down.close(clean)
 
 
-class Proxy:
-    """The proxy. `tells`: it says by a local reply how an attempt ended that got no response. `pace`: how
-    long its clock takes for a second."""
+class SimulatedProxy:
+    """A proxy. `tells`: it reports by a local reply how an attempt without a response ended. `pace`: how long
+    its clock takes for a second."""
 
-    def __init__(self, site: Site, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
+    def __init__(self, site: SimulatedSite, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
         self.site, self.tells, self.pace = site, tells, pace
         self.loop = cast(Any, site.loop)
         self.calls = RequestTable(
@@ -232,14 +232,18 @@
         )
         self.calls.wall_clock = lambda: float(site.loop.now)
         self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
-        self.asked: dict[bytes, Asker] = {}
+        self.asked: dict[bytes, ProxyClient] = {}
 
-    def ask(self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None) -> Asker:
+    def ask(
+        self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
+    ) -> ProxyClient:
         """A client's request; its number is the next one, unless another proxy counts too."""
         request = b"%d" % (len(self.asked) + 1 if number is None else number)
-        order = Order(request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.repeats[class_name])
+        order = SimulatedCall(
+            request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
+        )
         self.site.servers.orders[request] = order
-        asker = self.asked[request] = Asker(self, request, DownstreamStream(self.calls))
+        asker = self.asked[request] = ProxyClient(self, request, DownstreamStream(self.calls))
         said = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
             idempotency_key="k1", x_deadline_ms=str(left_ms),
@@ -255,8 +259,10 @@
         return Failed()
 
 
-def drawn(seed: int, draw: Callable[[Any], Fate]) -> Callable[[bytes, int], Fate]:
-    """Fates that hang on the seed, the request and the attempt's number only."""
+def planned_by_seed(
+    seed: int, draw: Callable[[Any], PlannedOutcome]
+) -> Callable[[bytes, int], PlannedOutcome]:
+    """Outcomes that depend only on the seed, the request and the attempt's number."""
     import random
 
     return lambda request, number: draw(random.Random(f"{seed}-{request.decode()}-{number}"))
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -1,7 +1,7 @@
-"""The core, the module and the routes under a simulated clock, before servers whose every ending is drawn.
+"""The core, the engine and the routes under a simulated clock, with servers whose outcomes are planned.
 
-The servers' side keeps the truth: when the bytes of each attempt left, and how it ended. What the rules
-promise is checked there, not in what the gateway believes.
+The servers record when the bytes of each attempt were sent and how it ended. The rules are checked on these
+records, not on what the gateway knows.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 ZONES = "aab"
 
 
-class Handle:
-    """A timer."""
+class SimulatedTimer:
+    """The handle of a scheduled call."""
 
     def __init__(self) -> None:
         self.cancelled = False
@@ -43,27 +43,27 @@
         self.cancelled = True
 
 
-class Loop:
-    """As much of an event loop as the core asks for; time passes only in `run`."""
+class SimulatedLoop:
+    """As much of an event loop as the core uses; time passes only in `run`."""
 
     def __init__(self) -> None:
         self.now = 1000.0
-        self.queue: list[tuple[float, int, Handle, Callable[..., Any], tuple[Any, ...]]] = []
+        self.queue: list[tuple[float, int, SimulatedTimer, Callable[..., Any], tuple[Any, ...]]] = []
         self.order = itertools.count()
 
     def time(self) -> float:
         return self.now
 
-    def call_at(self, at: float, call: Callable[..., Any], *args: Any) -> Handle:
-        handle = Handle()
+    def call_at(self, at: float, call: Callable[..., Any], *args: Any) -> SimulatedTimer:
+        handle = SimulatedTimer()
         heapq.heappush(self.queue, (max(at, self.now), next(self.order), handle, call, args))
         return handle
 
-    def call_later(self, delay: float, call: Callable[..., Any], *args: Any) -> Handle:
+    def call_later(self, delay: float, call: Callable[..., Any], *args: Any) -> SimulatedTimer:
         return self.call_at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """Carries out all that is due; nothing may raise."""
+        """Runs all calls up to this time; none may raise."""
         while self.queue and self.queue[0][0] <= until:
             at, _, handle, call, args = heapq.heappop(self.queue)
             self.now = max(self.now, at)
@@ -72,10 +72,10 @@
         self.now = max(self.now, until)
 
 
-class Clock:
-    """The module's clock."""
+class SimulatedClock:
+    """The engine's clock."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: SimulatedLoop) -> None:
         self.loop = loop
 
     def now_ms(self) -> float:
@@ -83,56 +83,56 @@
 
 
 @dataclass(frozen=True)
-class Fate:
-    """What becomes of an attempt: `connect_s` until its bytes leave (inf: never), then `ending` after
-    `took_s` (over 1e6: nothing comes)."""
+class PlannedOutcome:
+    """How an attempt will end: `connect_s` until its bytes are sent (inf: never), then `outcome` after
+    `duration_s` (over 1e6: no response)."""
 
     connect_s: float
-    took_s: float
-    ending: Outcome
+    duration_s: float
+    outcome: Outcome
 
 
 @dataclass
-class Record:
-    """The truth about one attempt."""
+class AttemptRecord:
+    """What really happened to one attempt."""
 
     request: bytes
     server: str
-    started: float
-    left: float | None = None  # when its bytes left
-    ended: float | None = None
-    ending: Outcome | None = None
+    started_at: float
+    sent_at: float | None = None  # when its bytes were sent
+    ended_at: float | None = None
+    outcome: Outcome | None = None
     timeout_s: float = 0.0
 
 
 @dataclass
-class Order(Call):
-    """A request; the servers are told who it is."""
+class SimulatedCall(Call):
+    """A request whose bytes are its id."""
 
-    repeat: Idempotency = Idempotency.IDEMPOTENT
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
 
     def encode(self, left_ms: int) -> bytes:
         return self.request_id
 
 
-class Try:
-    """An attempt, as the real backend makes it: its own time-out, no bytes after `write_by`, one ending."""
+class SimulatedAttempt:
+    """An attempt as the real upstream makes it: its own timeout, no bytes after `write_by`, one result."""
 
     def __init__(
         self,
-        servers: Servers,
-        record: Record,
-        fate: Fate,
+        servers: SimulatedServers,
+        record: AttemptRecord,
+        fate: PlannedOutcome,
         done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
         self.servers, self.record, self.fate, self.done = servers, record, fate, done
-        self.started_at = record.started
+        self.started_at = record.started_at
         self.write_by = write_by
         self.is_written = False
         self.on_response_started: Callable[[ResponseSource], None] | None = None
         self.is_wanted: Callable[[], bool] | None = None
-        self.over = False
+        self.has_ended = False
 
     def start(self) -> None:
         loop = self.servers.loop
@@ -141,38 +141,47 @@
         loop.call_later(connect, self.connected, self.fate.connect_s <= self.servers.connect_s)
 
     def connected(self, up: bool) -> None:
-        if self.over:
+        if self.has_ended:
             return
         if not up or self.servers.loop.now > self.write_by:
             self.end(Outcome.UNREACHABLE)
             return
-        self.is_written, self.record.left = True, self.servers.loop.now
-        self.servers.check(self.record)
-        if self.fate.took_s < 1e6:
-            self.servers.loop.call_later(self.fate.took_s, self.end, self.fate.ending)
+        self.is_written, self.record.sent_at = True, self.servers.loop.now
+        self.servers.check_sent(self.record)
+        if self.fate.duration_s < 1e6:
+            self.servers.loop.call_later(self.fate.duration_s, self.end, self.fate.outcome)
 
     def stop(self, ending: Outcome) -> None:
         self.end(ending if self.is_written else Outcome.UNREACHABLE)
 
     def end(self, ending: Outcome) -> None:
-        if self.over:
+        if self.has_ended:
             return
-        self.over = True
-        self.record.ended, self.record.ending = self.servers.loop.now, ending
+        self.has_ended = True
+        self.record.ended_at, self.record.outcome = self.servers.loop.now, ending
         self.done(AttemptResult(ending, self.record.request if ending is Outcome.OK else None))
 
 
-class Servers:
-    """The servers' side, with the rules as it sees them."""
+class SimulatedServers:
+    """The servers, with the five rules as they see them."""
 
-    def __init__(self, loop: Loop, fates: Callable[[], Fate], overlap: bool, connect_s: float) -> None:
-        self.loop, self.fates, self.overlap, self.connect_s = loop, fates, overlap, connect_s
-        self.records: list[Record] = []
-        self.by_request: dict[bytes, list[Record]] = {}
-        self.orders: dict[bytes, Order] = {}
+    def __init__(
+        self, loop: SimulatedLoop, fates: Callable[[], PlannedOutcome], overlap: bool, connect_s: float
+    ) -> None:
+        self.loop, self.next_outcome, self.allows_concurrent_attempts, self.connect_s = (
+            loop,
+            fates,
+            overlap,
+            connect_s,
+        )
+        self.records: list[AttemptRecord] = []
+        self.by_request: dict[bytes, list[AttemptRecord]] = {}
+        self.orders: dict[bytes, SimulatedCall] = {}
         self.names: list[str] = []
-        self.memory_s = 0.0
-        self.drawn: Callable[[bytes, int], Fate] | None = None  # by request and attempt, in place of `fates`
+        self.idempotency_window_s = 0.0
+        self.planned_outcome: Callable[[bytes, int], PlannedOutcome] | None = (
+            None  # by request and attempt, in place of `fates`
+        )
 
     def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         if server not in self.names:
@@ -205,52 +214,62 @@
         done: Callable[[AttemptResult], None],
         write_by: float,
         about: AttemptContext | None = None,
-    ) -> Try | None:
+    ) -> SimulatedAttempt | None:
         if server not in self.names:
             return None
-        if self.drawn is not None:
-            timeout_s = max(1, int(1000.0 * timeout_s + 1e-6)) / 1000.0  # as told to nodes and proxies
-        record = Record(payload(0), server, self.loop.now, timeout_s=timeout_s)
-        return Try(self, record, self.fate(record), done, write_by)
-
-    def fate(self, record: Record) -> Fate:
-        """Books an attempt and draws what becomes of it."""
-        number = len(self.of(record.request)) if self.drawn is not None else 0
+        if self.planned_outcome is not None:
+            timeout_s = (
+                max(1, int(1000.0 * timeout_s + 1e-6)) / 1000.0
+            )  # in whole milliseconds, as servers and proxies get it
+        record = AttemptRecord(payload(0), server, self.loop.now, timeout_s=timeout_s)
+        return SimulatedAttempt(self, record, self.plan_attempt(record), done, write_by)
+
+    def plan_attempt(self, record: AttemptRecord) -> PlannedOutcome:
+        """Records an attempt and plans its outcome."""
+        number = len(self.attempts_of(record.request)) if self.planned_outcome is not None else 0
         self.records.append(record)
         self.by_request.setdefault(record.request, []).append(record)
-        return self.drawn(record.request, number) if self.drawn is not None else self.fates()
+        return (
+            self.planned_outcome(record.request, number)
+            if self.planned_outcome is not None
+            else self.next_outcome()
+        )
 
-    def check(self, record: Record) -> None:
-        """The bytes of an attempt leave: what has been before it must allow that."""
+    def check_sent(self, record: AttemptRecord) -> None:
+        """The bytes of an attempt are sent: the attempts before it must allow that."""
         order = self.orders[record.request]
-        before = [r for r in self.of(record.request) if r is not record]
-        if not self.overlap:
-            assert all(r.ended is not None for r in before), "two attempts at once"
-        ran = [r for r in before if r.left is not None and (r.ending is None or r.ending in MAY_HAVE_RUN)]
-        if ran and order.repeat is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("an unsafe request went out again after it may have run")
-        if ran and order.repeat is Idempotency.WITH_KEY:
-            first = min(r.left for r in ran if r.left is not None)
-            assert self.loop.now - first <= self.memory_s, "a keyed attempt left beyond the memory span"
-
-    def of(self, request: bytes) -> list[Record]:
+        before = [r for r in self.attempts_of(record.request) if r is not record]
+        if not self.allows_concurrent_attempts:
+            assert all(r.ended_at is not None for r in before), "two attempts at once"
+        ran = [
+            r for r in before if r.sent_at is not None and (r.outcome is None or r.outcome in MAY_HAVE_RUN)
+        ]
+        if ran and order.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("a non-idempotent request was sent again after it may have run")
+        if ran and order.idempotency is Idempotency.WITH_KEY:
+            first = min(r.sent_at for r in ran if r.sent_at is not None)
+            assert self.loop.now - first <= self.idempotency_window_s, (
+                "a keyed attempt was sent after the idempotency window"
+            )
+
+    def attempts_of(self, request: bytes) -> list[AttemptRecord]:
         return self.by_request.get(request, [])
 
 
 @dataclass
-class Site:
-    """One gateway and its servers; `answers` holds each request's final answers and when they came."""
+class SimulatedSite:
+    """One gateway and its servers; `responses` are each request's final responses and when they came."""
 
     routes: RouteTable | None
-    fates: Callable[[], Fate]
+    fates: Callable[[], PlannedOutcome]
     overlap: bool = False
     connect_s: float = 0.25
     max_attempts: int = 5
     seed: int = 1
-    answers: dict[bytes, list[tuple[float, FinalResponse]]] = field(default_factory=dict)
+    responses: dict[bytes, list[tuple[float, FinalResponse]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.loop = Loop()
+        self.loop = SimulatedLoop()
         settings = Settings(
             zone="a",
             gateway_count=1,
@@ -265,36 +284,40 @@
             max_retry_after_ms=1000.0,
             allows_hedging=self.overlap,
         )
-        self.repeats = {cls.name: cls.idempotency for cls in settings.classes}
-        self.servers = Servers(self.loop, self.fates, self.overlap, self.connect_s)
-        self.servers.memory_s = 2.5
+        self.idempotency_by_class = {cls.name: cls.idempotency for cls in settings.classes}
+        self.servers = SimulatedServers(self.loop, self.fates, self.overlap, self.connect_s)
+        self.servers.idempotency_window_s = 2.5
         self.gateway = RequestExecutor(
             self.loop, Module(settings, self.seed), self.servers, None  # type: ignore[arg-type]
         )  # fmt: skip
-        self.gateway.clock = Clock(self.loop)  # type: ignore[assignment]
+        self.gateway.clock = SimulatedClock(self.loop)  # type: ignore[assignment]
         self.gateway.routes, self.gateway.allows_concurrent_attempts = self.routes, self.overlap
         entries = tuple(Endpoint(f"s{i}", ZONES[i % 3]) for i in range(6))
         self.servers.names = [entry.address for entry in entries]
         self.gateway.post(EndpointList(EndpointListKind.CACHED, entries))
 
-    def ask(self, class_name: str, left_ms: float, plan: str = "osnovni") -> bytes:
-        """A client's request."""
-        request = b"%d" % (len(self.answers) + 1)
-        repeat = self.repeats[class_name]
-        order = Order(request, class_name, plan, "c1", left_ms, 1.0, 1, repeat)
+    def send_request(self, class_name: str, left_ms: float, plan: str = "osnovni") -> bytes:
+        """A client's request; returns its id."""
+        request = b"%d" % (len(self.responses) + 1)
+        repeat = self.idempotency_by_class[class_name]
+        order = SimulatedCall(request, class_name, plan, "c1", left_ms, 1.0, 1, repeat)
         self.servers.orders[request] = order
-        self.answers[request] = []
-        self.gateway.accept(order, lambda answer: self.answers[request].append((self.loop.now, answer)))
+        self.responses[request] = []
+        self.gateway.accept(order, lambda answer: self.responses[request].append((self.loop.now, answer)))
         return request
 
-    def check_answers(self, request: bytes, asked: float, left_ms: float) -> None:
-        """Exactly one final answer in time, and a refusal promises the truth."""
-        ((at, answer),) = self.answers[request]
+    def check_response(self, request: bytes, asked: float, left_ms: float) -> None:
+        """Exactly one final response in time, and a rejection is true."""
+        ((at, answer),) = self.responses[request]
         assert at <= asked + left_ms / 1000.0 + 1e-6
-        ran = [r for r in self.servers.of(request) if r.left is not None and r.ending in MAY_HAVE_RUN]
+        ran = [
+            r
+            for r in self.servers.attempts_of(request)
+            if r.sent_at is not None and r.outcome in MAY_HAVE_RUN
+        ]
         if isinstance(answer, Rejected):
-            assert not ran, "a refusal after a try that may have run"
+            assert not ran, "a rejection after an attempt that may have run"
         elif isinstance(answer, Served):
-            assert answer.value == request and any(r.ending is Outcome.OK for r in ran)
+            assert answer.value == request and any(r.outcome is Outcome.OK for r in ran)
         else:
             assert isinstance(answer, Failed)
