--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -22,6 +22,7 @@
 # Initial metadata of the filter's gRPC service: "upstream" on the servers' side.
 ROLE_METADATA = "x-glenchute-role"
 MAX_MESSAGE_BYTES = 1024 * 1024
+MAX_METADATA_BYTES = 64 * 1024
 WRITE_TIMEOUT_S = 5.0  # after which a proxy that does not read a response is aborted
 STREAM_GRACE_S = 30.0  # a stream ends this long after the longest deadline
 SWEEP_INTERVAL_S = 1.0
@@ -109,31 +110,28 @@
             options=(
                 ("grpc.so_reuseport", 0),
                 ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
-                ("grpc.max_metadata_size", 64 * 1024),
+                ("grpc.max_metadata_size", MAX_METADATA_BYTES),
                 ("grpc.max_concurrent_streams", most_streams),
             ),
             maximum_concurrent_rpcs=most_streams,
         )
-        handlers = [
-            grpc.method_handlers_generic_handler(
-                PROCESSOR_SERVICE,
-                {
-                    "Process": grpc.stream_stream_rpc_method_handler(
-                        self.process,
-                        messages.ProcessingRequest.FromString,
-                        messages.ProcessingResponse.SerializeToString,
-                    )
-                },
-            )
-        ]
-        if limiter is not None:
-            method = grpc.unary_unary_rpc_method_handler(
-                self.check_rate_limit, RateLimitRequest.FromString, RateLimitResponse.SerializeToString
-            )
-            handlers.append(
-                grpc.method_handlers_generic_handler(RATE_LIMIT_SERVICE, {"ShouldRateLimit": method})
-            )
-        self.server.add_generic_rpc_handlers(tuple(handlers))
+        self.server.add_generic_rpc_handlers(self.handlers())
+
+    def handlers(self) -> tuple[Any, ...]:
+        """The gRPC handlers of the enabled services."""
+        process = grpc.stream_stream_rpc_method_handler(
+            self.process,
+            messages.ProcessingRequest.FromString,
+            messages.ProcessingResponse.SerializeToString,
+        )
+        processor = grpc.method_handlers_generic_handler(PROCESSOR_SERVICE, {"Process": process})
+        if self.limiter is None:
+            return (processor,)
+        check = grpc.unary_unary_rpc_method_handler(
+            self.check_rate_limit, RateLimitRequest.FromString, RateLimitResponse.SerializeToString
+        )
+        limiter = grpc.method_handlers_generic_handler(RATE_LIMIT_SERVICE, {"ShouldRateLimit": check})
+        return processor, limiter
 
     async def start(self) -> None:
         """Listens; raises OSError where it can't."""
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -143,10 +143,10 @@
         if self.is_parsing:
             return
         self.is_parsing, self.is_turn_scheduled = True, False
-        left = MAX_COMMANDS_PER_TURN
+        remaining = MAX_COMMANDS_PER_TURN
         try:
             while (
-                left
+                remaining
                 and not self.is_closing
                 and not self.is_write_blocked
                 and len(self.slots) < MAX_PENDING_COMMANDS
@@ -156,18 +156,16 @@
                 words = self.parser.next_message()
                 if words is False:
                     break
-                left -= 1
+                remaining -= 1
                 self.has_sent_command = True
                 if self.has_partial_command:
-                    self.set_state(
-                        ConnectionState.ACTIVE
-                    )  # that command has ended; the next has its own time
+                    self.set_state(ConnectionState.ACTIVE)  # the time of a partial command starts anew
                 self.handle_command(words)
         except resp.ProtocolError as error:
             self.close_on_protocol_error(error)
         finally:
             self.is_parsing = False
-        if not self.is_closing and self.parser.has_unparsed() and not left:
+        if not self.is_closing and self.parser.has_unparsed() and not remaining:
             self.schedule_turn()
         self.flush()
 
