--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -143,10 +143,10 @@
         if self.is_parsing:
             return
         self.is_parsing, self.is_turn_scheduled = True, False
-        left = MAX_COMMANDS_PER_TURN
+        remaining = MAX_COMMANDS_PER_TURN
         try:
             while (
-                left
+                remaining
                 and not self.is_closing
                 and not self.is_write_blocked
                 and len(self.slots) < MAX_PENDING_COMMANDS
@@ -156,18 +156,16 @@
                 words = self.parser.next_message()
                 if words is False:
                     break
-                left -= 1
+                remaining -= 1
                 self.has_sent_command = True
                 if self.has_partial_command:
-                    self.set_state(
-                        ConnectionState.ACTIVE
-                    )  # that command has ended; the next has its own time
+                    self.set_state(ConnectionState.ACTIVE)  # the time of a partial command starts anew
                 self.handle_command(words)
         except resp.ProtocolError as error:
             self.close_on_protocol_error(error)
         finally:
             self.is_parsing = False
-        if not self.is_closing and self.parser.has_unparsed() and not left:
+        if not self.is_closing and self.parser.has_unparsed() and not remaining:
             self.schedule_turn()
         self.flush()
 
@@ -441,8 +439,8 @@
     def close_if_idle(self, since: float) -> None:
         """Closes if the connection has been idle since `since` (loop time) or longer, unless a command is
         arriving."""
-        place = self.listener.connection_slots.slots.get(self)
-        if place is None or self.slots or self.is_closing or self.parser.has_unparsed():
+        client_slot = self.listener.connection_slots.slots.get(self)
+        if client_slot is None or self.slots or self.is_closing or self.parser.has_unparsed():
             return
-        if place.state_entered_s <= since and not self.has_unread_input():
+        if client_slot.state_entered_s <= since and not self.has_unread_input():
             self.close_when_answered()
