--- a/glenchute/clients/membership/lease_tasks.py
+++ b/glenchute/clients/membership/lease_tasks.py
@@ -1,10 +1,11 @@
-"""Tasks that one member does for all: this process' voter and keepers, and the steps that they let run.
-
-A step gets a guard, not a flag: `guard.act(longest_s)` just before each effect tells the token that the
-effect is to carry, or raises `LeaseLost`. A step is cancelled when its lease ends, and when it takes longer
-than it said. One that raises, or hangs, gives the lease back; a task whose holders failed `PARKED_AFTER`
-times in a row is parked, with an alarm, until an operator says otherwise. The first step of a holding is
-marked as failed before it runs, and that is told to others: so one that kills its process counts too.
+"""Tasks that one member runs for all: this process' acceptor, its candidates, and the steps of its tasks.
+
+A step gets a `LeaseGuard`: `begin_effect(longest_s)` just before each effect returns the fencing token that
+the effect has to carry, or raises `LeaseLost`. A step is cancelled when its lease ends, or when it takes
+longer than its limit. One that raises, or is cancelled by its limit, releases the lease; a task whose holders
+failed more than `MAX_FAILED_HOLDERS` times in a row is parked, with an alarm, until an operator unparks it.
+The first step of a holder is recorded as failed before it runs, and that record is gossiped: so a step that
+kills its process counts too.
 """
 
 from __future__ import annotations
@@ -29,34 +30,34 @@
 
 from .log_events import log_event
 
-SETTLE_S = 0.3  # for the mark of a first step to reach others before it runs
-MOST_ANSWER = 1024
+SETTLE_S = 0.3  # for the record of a first step to reach other members before it runs
 
 
 def clock() -> float:
-    """Seconds of a clock that nobody sets and that runs on while the machine sleeps."""
+    """Seconds of a monotonic clock that runs on while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LeaseLost(Exception):  # noqa: N818
-    """No effect may begin any more."""
+    """This process no longer holds the lease: no effect may start."""
 
 
 class LeaseGuard:
-    """What a step asks before each effect."""
+    """A step's access to its lease. `step`: how many steps this process completed before."""
 
-    def __init__(self, keeper: TaskCandidate, step: int) -> None:
-        self.candidate, self.step = keeper, step
+    def __init__(self, candidate: TaskCandidate, step: int) -> None:
+        self.candidate, self.step = candidate, step
 
     def begin_effect(self, longest_s: float) -> int:
-        """The token for an effect that begins now and ends within so long. LeaseLost if none may begin."""
+        """The fencing token for an effect that starts now and takes at most `longest_s`. LeaseLost where it
+        may not start."""
         token = self.candidate.fencing_token(clock(), longest_s)
         if token is None:
             raise LeaseLost
         return token
 
     def note_effects_ended(self) -> None:
-        """The effects that were begun are over."""
+        """All effects that were started are over, so the lease may be released."""
         self.candidate.note_effects_ended(clock())
 
 
@@ -64,19 +65,19 @@
 
 
 class TaskSettings(NamedTuple):
-    """One task; seconds."""
+    """One task of the operator's file."""
 
     name: str
     interval_s: float
     max_step_s: float  # a step that takes longer is cancelled
-    step: Step | None  # None: holding the lease is all that there is to do
+    step: Step | None  # None: the task is only to hold the lease
 
 
 class LeaseTask:
-    """A task at this process."""
+    """The state of a task in this process."""
 
-    def __init__(self, task: TaskSettings, keeper: TaskCandidate) -> None:
-        self.settings, self.candidate = task, keeper
+    def __init__(self, settings: TaskSettings, candidate: TaskCandidate) -> None:
+        self.settings, self.candidate = settings, candidate
         self.record = TaskRecord()
         self.next_step_at = 0.0
         self.step_job: asyncio.Task[None] | None = None
@@ -85,7 +86,7 @@
 
 
 class LeaseTaskRunner:
-    """The voter, the keepers and the steps of this process."""
+    """The acceptor, the candidates and the running steps of this process."""
 
     def __init__(
         self,
@@ -96,21 +97,24 @@
         tasks: Sequence[TaskSettings],
         rng: random.Random,
         send: Callable[[str, LeaseMessage], None],
-        tell: Callable[[Row], None],
-        read: Callable[[str], Row | None],
-        there: Callable[[], Sequence[str]],
+        publish: Callable[[Row], None],
+        read_row: Callable[[str], Row | None],
+        present_members: Callable[[], Sequence[str]],
     ) -> None:
-        self.loop, self.name, self.send, self.publish = loop, name, send, tell
-        self.read_row, self.present_members = read, there
+        """`send` sends a message to a member, `publish` gossips a task's record, `read_row` returns the
+        task's record as gossiped, `present_members` the other members that are not known to be gone."""
+        self.loop, self.name, self.send, self.publish = loop, name, send, publish
+        self.read_row, self.present_members = read_row, present_members
         now = clock()
         self.acceptor = Acceptor(name, terms, now) if name in terms.acceptors else None
         self.tasks: dict[str, LeaseTask] = {}
-        for task in tasks:
-            seeker = Proposer(name, boot, task.name, terms, terms.max_span_s)
-            self.tasks[task.name] = LeaseTask(task, TaskCandidate(seeker, random.Random(rng.random()), now))
-        self.known_members: tuple[str, ...] | None = None  # the members by which candidates were last chosen
+        for settings in tasks:
+            proposer = Proposer(name, boot, settings.name, terms, terms.max_span_s)
+            candidate = TaskCandidate(proposer, random.Random(rng.random()), now)
+            self.tasks[settings.name] = LeaseTask(settings, candidate)
+        self.known_members: tuple[str, ...] | None = None  # by which candidates were last chosen
         self.is_leaving = False
-        self.own_messages: list[Outgoing[LeaseMessage]] = []  # messages of this process to itself
+        self.own_messages: list[Outgoing[LeaseMessage]] = []  # of this process to itself
 
     # --- messages and time -------------------------------------------------------------------------------
 
@@ -118,47 +122,44 @@
         """A message of a member, or of this process."""
         now = clock()
         if message.kind in ACCEPTOR_MESSAGE_KINDS:
-            outs = self.acceptor.receive(now, sender, message) if self.acceptor is not None else []
-        else:
-            found = self.tasks.get(message.task)
-            outs = (
-                found.candidate.receive(now, sender, message)
-                if found is not None and not self.is_leaving
-                else []
-            )
-        self.send_all(outs)
-
-    def send_all(self, outs: list[Outgoing[LeaseMessage]]) -> None:
-        """Sends messages; those to this process come at once, but never inside one another."""
-        first = not self.own_messages
-        for out in outs:
-            if out.to == self.name:
-                self.own_messages.append(out)
+            if self.acceptor is not None:
+                self.send_all(self.acceptor.receive(now, sender, message))
+            return
+        task = self.tasks.get(message.task)
+        if task is not None and not self.is_leaving:
+            self.send_all(task.candidate.receive(now, sender, message))
+
+    def send_all(self, out: list[Outgoing[LeaseMessage]]) -> None:
+        """Sends messages. Those to this process are received before this returns, one after the other."""
+        is_outermost = not self.own_messages
+        for outgoing in out:
+            if outgoing.to == self.name:
+                self.own_messages.append(outgoing)
             else:
-                self.send(out.to, out.message)
-        while first and self.own_messages:
+                self.send(outgoing.to, outgoing.message)
+        while is_outermost and self.own_messages:
             self.receive(self.name, self.own_messages[0].message)
             self.own_messages.pop(0)
 
     def tick(self) -> None:
-        """All that time brings about; call it some times a second."""
+        """All that is due; to be called several times a second."""
         now = clock()
         if self.acceptor is not None:
             self.send_all(self.acceptor.tick(now))
-        there = tuple(self.present_members())
-        if there != self.known_members:
-            self.known_members = there
-            for one in self.tasks.values():
-                one.candidate.update_members(there)
-        for one in self.tasks.values():
-            self.follow_record(one)
-            one.candidate.is_paused = one.record.is_parked or self.is_leaving
-            self.send_all(one.candidate.tick(now))
-            holds = one.candidate.proposer.is_holder(now)
-            if not holds and one.step_job is not None:
-                one.step_job.cancel()  # what it has begun ends before the lease does; it begins nothing more
-            elif holds and one.step_job is None and now >= one.next_step_at and not self.is_leaving:
-                self.begin_step(one, now)
+        present = tuple(self.present_members())
+        if present != self.known_members:
+            self.known_members = present
+            for task in self.tasks.values():
+                task.candidate.update_members(present)
+        for task in self.tasks.values():
+            self.follow_record(task)
+            task.candidate.is_paused = task.record.is_parked or self.is_leaving
+            self.send_all(task.candidate.tick(now))
+            is_holder = task.candidate.proposer.is_holder(now)
+            if not is_holder and task.step_job is not None:
+                task.step_job.cancel()  # its effects end before the lease did
+            elif is_holder and task.step_job is None and now >= task.next_step_at and not self.is_leaving:
+                self.begin_step(task, now)
 
     def is_holder(self, task: str) -> bool:
         """Whether this process holds a task's lease."""
@@ -167,133 +168,139 @@
 
     # --- steps -------------------------------------------------------------------------------------------
 
-    def follow_record(self, one: LeaseTask) -> None:
-        """What others told of a task."""
-        row = self.read_row(one.settings.name)
-        if row is not None and row.version > one.record.version():
-            was, one.record = one.record.is_parked, TaskRecord.from_row(row.version, row.value)
-            if one.record.is_parked and not was:
-                log_event("task.parked", task=one.settings.name, failures=one.record.failures)
-
-    def publish_record(self, one: LeaseTask, record: TaskRecord) -> None:
-        """Tells what became of a task here."""
-        one.record = record
-        self.publish(Row(RowKind.TASK, one.settings.name, "", record.version(), float(record.failures)))
-
-    def begin_step(self, one: LeaseTask, now: float) -> None:
-        """A step begins, where there are any."""
-        if one.settings.step is None:
+    def follow_record(self, task: LeaseTask) -> None:
+        """Adopts the task's record as gossiped, where it is newer."""
+        row = self.read_row(task.settings.name)
+        if row is not None and row.version > task.record.version():
+            was_parked, task.record = task.record.is_parked, TaskRecord.from_row(row.version, row.value)
+            if task.record.is_parked and not was_parked:
+                log_event("task.parked", task=task.settings.name, failures=task.record.failures)
+
+    def publish_record(self, task: LeaseTask, record: TaskRecord) -> None:
+        """Gossips the task's new record."""
+        task.record = record
+        self.publish(Row(RowKind.TASK, task.settings.name, "", record.version(), float(record.failures)))
+
+    def begin_step(self, task: LeaseTask, now: float) -> None:
+        """Starts a step, where the task has any."""
+        if task.settings.step is None:
             return
-        one.next_step_at = now + one.settings.interval_s
-        one.step_job = self.loop.create_task(self.run_step(one))
+        task.next_step_at = now + task.settings.interval_s
+        task.step_job = self.loop.create_task(self.run_step(task))
 
-    async def run_step(self, one: LeaseTask) -> None:
-        """One step to its end, whatever that is."""
-        held = one.candidate.proposer.lease
+    async def run_step(self, task: LeaseTask) -> None:
+        """Runs one step, and records how it ended."""
+        lease = task.candidate.proposer.lease
         try:
-            if held is not None and one.record.token < held.token:
-                self.publish_record(one, one.record.taken_over_by(held.token).after_step(False))
-                if one.record.is_parked:
-                    log_event("task.parked", task=one.settings.name, failures=one.record.failures)
+            if lease is not None and task.record.token < lease.token:
+                self.publish_record(task, task.record.taken_over_by(lease.token).after_step(False))
+                if task.record.is_parked:
+                    log_event("task.parked", task=task.settings.name, failures=task.record.failures)
                     raise LeaseLost
                 await asyncio.sleep(SETTLE_S)
-            assert one.settings.step is not None
-            async with asyncio.timeout(one.settings.max_step_s):
-                await one.settings.step(LeaseGuard(one.candidate, one.completed_steps))
+            assert task.settings.step is not None
+            async with asyncio.timeout(task.settings.max_step_s):
+                await task.settings.step(LeaseGuard(task.candidate, task.completed_steps))
         except LeaseLost:
-            one.last_result = "lost the lease"
-            self.release_lease(one)
+            task.last_result = "lost the lease"
+            self.release_lease(task)
         except asyncio.CancelledError:
-            one.last_result = "cancelled: the lease ended"
-        except Exception as error:  # whatever a step does, it must not keep the lease
-            one.failed_steps += 1
-            one.last_result = f"failed: {error!r:.100}"
-            log_event("task.failed", task=one.settings.name, error=repr(error)[:200])
-            self.publish_record(one, one.record if one.completed_steps == 0 else one.record.after_step(False))
-            self.release_lease(one)
+            task.last_result = "cancelled: the lease ended"
+        except Exception as error:  # whatever a step raises, the lease has to be released
+            task.failed_steps += 1
+            task.last_result = f"failed: {error!r:.100}"
+            log_event("task.failed", task=task.settings.name, error=repr(error)[:200])
+            self.publish_record(
+                task, task.record if task.completed_steps == 0 else task.record.after_step(False)
+            )
+            self.release_lease(task)
         else:
-            one.completed_steps += 1
-            one.last_result = "acted"
-            self.publish_record(one, one.record.after_step(True))
+            task.completed_steps += 1
+            task.last_result = "acted"
+            self.publish_record(task, task.record.after_step(True))
         finally:
-            one.step_job = None
+            task.step_job = None
 
-    def release_lease(self, one: LeaseTask) -> None:
-        """Another is to try."""
-        self.send_all(one.candidate.release(clock()))
+    def release_lease(self, task: LeaseTask) -> None:
+        """Releases the lease, for another candidate to acquire it."""
+        self.send_all(task.candidate.release(clock()))
 
     def leave(self) -> None:
-        """This process ends: nothing more is begun, and leases go back as soon as what was begun is over."""
+        """This process ends: no step starts, and leases are released when effects in progress are over."""
         self.is_leaving = True
-        for one in self.tasks.values():
-            self.release_lease(one)
+        for task in self.tasks.values():
+            self.release_lease(task)
 
     def resume(self) -> None:
-        """It does not end after all."""
+        """This process does not end after all."""
         self.is_leaving = False
 
     def is_releasing(self) -> bool:
-        """Whether a lease waits for an effect to be over before it goes back."""
-        return any(one.candidate.is_releasing for one in self.tasks.values())
+        """Whether a lease waits for an effect to end before it is released."""
+        return any(task.candidate.is_releasing for task in self.tasks.values())
 
     def close(self) -> None:
-        """The end."""
-        for one in self.tasks.values():
-            if one.step_job is not None:
-                one.step_job.cancel()
+        """Cancels the running steps."""
+        for task in self.tasks.values():
+            if task.step_job is not None:
+                task.step_job.cancel()
 
     # --- for operators -----------------------------------------------------------------------------------
 
     def show_tasks(self) -> list[dict[str, Any]]:
-        """A row a task."""
+        """A row per task, for `fleet tasks`."""
         now = clock()
         rows = []
-        for one in self.tasks.values():
-            seeker = one.candidate.proposer
-            holds = seeker.is_holder(now)
-            left = seeker.lease.expires_at - now if holds and seeker.lease is not None else 0.0
-            known = seeker.other_holder.proposer if seeker.other_holder_until > now else ""
-            why = "" if holds or known else self.why_no_holder(one)
+        for task in self.tasks.values():
+            proposer = task.candidate.proposer
+            is_holder = proposer.is_holder(now)
+            remaining_s = proposer.lease.expires_at - now if is_holder and proposer.lease is not None else 0.0
+            other_holder = proposer.other_holder.proposer if proposer.other_holder_until > now else ""
+            why = "" if is_holder or other_holder else self.why_no_holder(task)
             rows.append(
                 {
-                    "task": one.settings.name,
-                    "holder": self.name if holds else known,
-                    "token": seeker.lease.token if seeker.lease is not None else seeker.other_holder.number,
-                    "left_s": round(max(left, seeker.other_holder_until - now if known else 0.0), 2),
-                    "candidate": one.candidate.is_candidate,
-                    "parked": one.record.is_parked,
-                    "steps": one.completed_steps,
-                    "failed": one.failed_steps,
-                    "last": one.last_result,
+                    "task": task.settings.name,
+                    "holder": self.name if is_holder else other_holder,
+                    "token": proposer.lease.token
+                    if proposer.lease is not None
+                    else proposer.other_holder.number,
+                    "left_s": round(
+                        max(remaining_s, proposer.other_holder_until - now if other_holder else 0.0), 2
+                    ),
+                    "candidate": task.candidate.is_candidate,
+                    "parked": task.record.is_parked,
+                    "steps": task.completed_steps,
+                    "failed": task.failed_steps,
+                    "last": task.last_result,
                     "nobody": why,
                 }
             )
         return rows
 
-    def why_no_holder(self, one: LeaseTask) -> str:
-        """Why this process knows of no holder."""
-        if one.record.is_parked:
+    def why_no_holder(self, task: LeaseTask) -> str:
+        """Why this process knows no holder of the task's lease."""
+        if task.record.is_parked:
             return "parked"
-        if not one.candidate.is_candidate:
+        if not task.candidate.is_candidate:
             return "others seek it"
         if self.acceptor is not None and not self.acceptor.has_recovered:
             return "voters are silent after a start"
         return "no majority has answered yet"
 
     def show_leases(self) -> list[dict[str, Any]]:
-        """What this process has promised as a voter, a row a lease."""
+        """A row per lease that this process accepted as an acceptor, for `fleet leases`."""
         if self.acceptor is None:
             return []
         now = clock()
         return [
-            {"task": task, "holder": held.ballot.proposer, "ballot": held.ballot.number,
-             "left_s": round(held.expires_at - now, 2)}
-            for task, held in self.acceptor.accepted.items() if held.expires_at > now
+            {"task": task, "holder": accepted.ballot.proposer, "ballot": accepted.ballot.number,
+             "left_s": round(accepted.expires_at - now, 2)}
+            for task, accepted in self.acceptor.accepted.items() if accepted.expires_at > now
         ] or [{"task": "", "holder": "", "ballot": 0, "left_s": 0.0,
                "ready": self.acceptor.has_recovered, "anew": self.acceptor.has_lost_history}]  # fmt: skip
 
     def release(self, task: str) -> list[dict[str, Any]]:
-        """An operator takes the lease away from this process."""
+        """`fleet release`: an operator takes the lease from this process."""
         found = self.tasks.get(task)
         if found is None or not found.candidate.proposer.is_holder(clock()):
             return [{"released": False}]
@@ -301,7 +308,7 @@
         return [{"released": True}]
 
     def unpark(self, task: str) -> list[dict[str, Any]]:
-        """An operator has looked at a parked task."""
+        """`fleet unpark`: an operator lets a parked task run again."""
         found = self.tasks.get(task)
         if found is None or not found.record.is_parked:
             return [{"unparked": False}]
@@ -314,12 +321,12 @@
     The service has to refuse a token lower than one that it has seen; see docs/operators/leases.md."""
 
     async def step(guard: LeaseGuard) -> None:
-        # Connecting acts on nothing, so it comes before the guard.
+        # Connecting has no effect on the service, so it needs no token.
         reader, writer = await asyncio.open_connection(*address)
         try:
             token = guard.begin_effect(longest_s)
-            said = {"task": task, "token": token, "holder": holder, "step": guard.step}
-            writer.write(json.dumps(said).encode() + b"\n")
+            request = {"task": task, "token": token, "holder": holder, "step": guard.step}
+            writer.write(json.dumps(request).encode() + b"\n")
             async with asyncio.timeout(longest_s):
                 answer = await reader.readline()
             if answer.strip() != b"ok":
--- a/glenchute/protocol/member_datagrams.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -1,31 +1,50 @@
-"""The form of datagrams between members: MessagePack by msgspec, a version first, every size bounded.
+"""The datagrams between members: MessagePack by msgspec, a version first, every size bounded.
 
-A datagram that is not of this form, of another version or of another fleet is counted and dropped whole.
+A datagram that is malformed, of another version or of another fleet is dropped as a whole, and counted.
 """
 
 from __future__ import annotations
 
 import math
 import re
+from collections.abc import Callable
+from enum import IntEnum
 
 import msgspec
 
-from glenchute.policy.membership import direct_messages as directmail
-from glenchute.policy.membership import endpoint_sharing as coldstart
-from glenchute.policy.membership import gossip, leases, members
-from glenchute.policy.membership.gossip import GossipMessage
+from glenchute.policy.membership import direct_messages, endpoint_sharing, gossip, leases, members
 from glenchute.policy.membership.replica import BUCKETS, Row, RowKind
 
 from .endpoint_list import parse_address
 
 VERSION = 2
-MAX_DATAGRAM_BYTES = 4096  # of a datagram; a longer one is not read
-
+MAX_DATAGRAM_BYTES = 4096  # a longer one is not decoded
 MAX_NAME_LENGTH = 64
+MAX_BOOT = 1 << 63
+MAX_SERIAL = 1 << 62  # of incarnations, ballots and serials
+MAX_LEASE_SPAN_S = 1e4
+HEX_ACCOUNT = re.compile("[0-9a-f]{16}")
+
+
+class Form(IntEnum):
+    """What the body of a datagram holds."""
+
+    SWIM = 0
+    DELTA = 1
+    DIGEST = 2
+    LEAF_REQUEST = 3
+    MATCHING_BUCKETS = 4
+    VERSION_REPLY = 5
+    LIST_PART = 6
+    VERSION_QUERY = 7
+    LEASE = 8
+    ROW_HASHES = 9
+    USAGE = 10
+    USAGE_REQUEST = 11
 
 
 class Packet(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A datagram."""
+    """A datagram; `body` is decoded by its `form`."""
 
     version: int
     fleet: str
@@ -36,94 +55,100 @@
 
 
 class SwimBody(msgspec.Struct, array_like=True):
-    """A message of membership."""
+    """A SWIM message; updates are name, state, incarnation and boot."""
 
     kind: int
     serial: int
-    about: str
+    target: str
     updates: list[tuple[str, int, int, int]]
 
 
 class InvalidDatagram(Exception):  # noqa: N818
-    """A datagram that is not taken; the text names why, for a counter."""
+    """A datagram that is dropped; its text is the reason, for a counter."""
 
 
-LEASE = msgspec.msgpack.Decoder(tuple[int, str, tuple[int, str, int], tuple[int, str, int], float, bool])
-LIST_FORMS: dict[type, int] = {
-    coldstart.VersionReply: 5,
-    coldstart.EndpointListPart: 6,
-    coldstart.VersionQuery: 7,
-}
+MemberMessage = (
+    members.SwimMessage
+    | gossip.GossipMessage
+    | endpoint_sharing.SharingMessage
+    | leases.LeaseMessage
+    | direct_messages.DirectMessage
+)
+
 ENCODER = msgspec.msgpack.Encoder()
 PACKET = msgspec.msgpack.Decoder(Packet)
-PROBE = msgspec.msgpack.Decoder(SwimBody)
-ROWS = msgspec.msgpack.Decoder(list[tuple[int, str, str, int, float, int]])
+SWIM = msgspec.msgpack.Decoder(SwimBody)
+LEASE = msgspec.msgpack.Decoder(tuple[int, str, tuple[int, str, int], tuple[int, str, int], float, bool])
+DELTA = msgspec.msgpack.Decoder(list[tuple[int, str, str, int, float, int]])
 DIGEST = msgspec.msgpack.Decoder(tuple[int, list[int], bool])
-MARKS = msgspec.msgpack.Decoder(tuple[list[int], bool])
-DONE = msgspec.msgpack.Decoder(tuple[list[int], bool])
-TOLD = msgspec.msgpack.Decoder(tuple[int, int, int])
-PART = msgspec.msgpack.Decoder(
+HASHES_OR_BUCKETS = msgspec.msgpack.Decoder(tuple[list[int], bool])
+LEAF_REQUEST = msgspec.msgpack.Decoder(tuple[int, list[int]])
+VERSION_REPLY = msgspec.msgpack.Decoder(tuple[int, int, int])
+LIST_PART = msgspec.msgpack.Decoder(
     tuple[int, int, int, int, list[tuple[int, str, str, str, int, float, float, int]]]
 )
-ASK = msgspec.msgpack.Decoder(tuple[int, int])
-WANT = msgspec.msgpack.Decoder(tuple[int, list[int]])
-ASKED = msgspec.msgpack.Decoder(int)
-# An account of 16 hex digits goes as a number. Then the window, after that of the first word; version,
-# thousandths of units, and the writer's boot where it is not the sender.
-MAIL = msgspec.msgpack.Decoder(tuple[int, bool, bool, int, list[tuple[int | str, int, int, int, int]]])
-HEX = re.compile("[0-9a-f]{16}")
+VERSION_QUERY = msgspec.msgpack.Decoder(tuple[int, int])
+USAGE_REQUEST = msgspec.msgpack.Decoder(int)
+# Serial, is first, is complete, the first entry's window. Then by entry: the account, as a number where it is
+# 16 hex digits; the window less the first entry's; version; thousandths of units; the writer's boot where it
+# is not the sender.
+USAGE = msgspec.msgpack.Decoder(tuple[int, bool, bool, int, list[tuple[int | str, int, int, int, int]]])
 
 
-MemberMessage = (
-    members.SwimMessage
-    | GossipMessage
-    | coldstart.SharingMessage
-    | leases.LeaseMessage
-    | directmail.UsageMessage
-    | directmail.UsageRequest
-)
+def encode(fleet: str, name: str, boot: int, message: MemberMessage) -> bytes:
+    """A message of the process `boot` of member `name`, as a datagram."""
+    form, fields = body_fields(message)
+    body = msgspec.Raw(ENCODER.encode(fields))
+    return ENCODER.encode(Packet(VERSION, fleet, name, boot, int(form), body))
 
 
-def encode(fleet: str, name: str, boot: int, body: MemberMessage) -> bytes:
-    """A datagram."""
-    if isinstance(body, members.SwimMessage):
-        words = [(u.name, int(u.state), u.incarnation, u.boot) for u in body.updates]
-        form, raw = 0, ENCODER.encode([int(body.kind), body.serial, body.target, words])
-    elif isinstance(body, gossip.Delta):
-        rows = [(int(r.kind), r.key, r.writer, r.version, r.value, age) for r, age in body.rows]
-        form, raw = 1, ENCODER.encode(rows)
-    elif isinstance(body, gossip.Digest):
-        form, raw = 2, ENCODER.encode((body.bucket, body.hashes, body.is_complete))
-    elif isinstance(body, gossip.LeafRequest):
-        form, raw = 3, ENCODER.encode((body.bucket, body.leaves))
-    elif isinstance(body, gossip.RowHashes):
-        form, raw = 9, ENCODER.encode((body.hashes, body.wants_reply))
-    elif isinstance(body, gossip.MatchingBuckets):
-        form, raw = 4, ENCODER.encode((body.buckets, body.is_complete))
-    elif isinstance(body, directmail.UsageMessage):
-        form, raw = 10, ENCODER.encode(usage_fields(body))
-    elif isinstance(body, directmail.UsageRequest):
-        form, raw = 11, ENCODER.encode(body.serial)
-    elif isinstance(body, leases.LeaseMessage):
-        form, raw = 8, ENCODER.encode((int(body.kind), *body[1:]))
-    else:  # about the list of servers
-        form, raw = LIST_FORMS[type(body)], ENCODER.encode(tuple(body))
-    return ENCODER.encode(Packet(VERSION, fleet, name, boot, form, msgspec.Raw(raw)))
-
-
-def usage_fields(mail: directmail.UsageMessage) -> tuple[object, ...]:
-    """Words of use as they stand in a datagram, 12 to 18 bytes each for the platform's accounts."""
-    base, rows = None, []
-    for word in mail.entries:
-        account, _, window = word.key.rpartition("/")
-        base = int(window) if base is None else base
-        said = int(account, 16) if HEX.fullmatch(account) else account
-        rows.append((said, int(window) - base, word.version, round(1000.0 * word.units), word.boot))
-    return mail.serial, mail.is_first, mail.is_complete, base or 0, rows
+def body_fields(message: MemberMessage) -> tuple[Form, object]:
+    """A message's form, and its fields as they are encoded."""
+    match message:
+        case members.SwimMessage(kind, serial, target, updates):
+            rows = [(update.name, int(update.state), update.incarnation, update.boot) for update in updates]
+            return Form.SWIM, [int(kind), serial, target, rows]
+        case gossip.Delta(rows_with_ages):
+            return Form.DELTA, [
+                (int(row.kind), row.key, row.writer, row.version, row.value, age_ms)
+                for row, age_ms in rows_with_ages
+            ]
+        case gossip.Digest():
+            return Form.DIGEST, (message.bucket, message.hashes, message.is_complete)
+        case gossip.LeafRequest():
+            return Form.LEAF_REQUEST, (message.bucket, message.leaves)
+        case gossip.RowHashes():
+            return Form.ROW_HASHES, (message.hashes, message.wants_reply)
+        case gossip.MatchingBuckets():
+            return Form.MATCHING_BUCKETS, (message.buckets, message.is_complete)
+        case direct_messages.UsageMessage():
+            return Form.USAGE, usage_fields(message)
+        case direct_messages.UsageRequest():
+            return Form.USAGE_REQUEST, message.serial
+        case leases.LeaseMessage():
+            return Form.LEASE, (int(message.kind), *message[1:])
+        case endpoint_sharing.VersionReply():
+            return Form.VERSION_REPLY, tuple(message)
+        case endpoint_sharing.EndpointListPart():
+            return Form.LIST_PART, tuple(message)
+        case endpoint_sharing.VersionQuery():
+            return Form.VERSION_QUERY, tuple(message)
+
+
+def usage_fields(message: direct_messages.UsageMessage) -> tuple[object, ...]:
+    """A usage message's fields, 12 to 18 bytes an entry for the platform's accounts."""
+    first_window, rows = None, []
+    for entry in message.entries:
+        account, _, window = entry.key.rpartition("/")
+        first_window = int(window) if first_window is None else first_window
+        encoded_account = int(account, 16) if HEX_ACCOUNT.fullmatch(account) else account
+        units = round(1000.0 * entry.units)
+        rows.append((encoded_account, int(window) - first_window, entry.version, units, entry.boot))
+    return message.serial, message.is_first, message.is_complete, first_window or 0, rows
 
 
 def decode(fleet: str, data: bytes) -> tuple[str, int, MemberMessage]:
-    """Sender's name, its boot, and what it says; Bad where any of it is not sound."""
+    """The sender's name, its boot, and its message. InvalidDatagram where any of it is malformed."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagram("too long")
     try:
@@ -134,101 +159,158 @@
         raise InvalidDatagram("version")
     if packet.fleet != fleet:
         raise InvalidDatagram("fleet")
-    if not 0 < len(packet.name) <= MAX_NAME_LENGTH or not 0 <= packet.boot < 1 << 63:
+    if not 0 < len(packet.name) <= MAX_NAME_LENGTH or not 0 <= packet.boot < MAX_BOOT:
         raise InvalidDatagram("name")
+    decode_body = BODY_DECODERS.get(packet.form)
+    if decode_body is None:
+        raise InvalidDatagram("body")
     try:
-        return packet.name, packet.boot, decode_body(packet)
+        return packet.name, packet.boot, decode_body(packet.body)
     except (msgspec.DecodeError, RecursionError, ValueError):
         raise InvalidDatagram("body") from None
 
 
-def decode_body(packet: Packet) -> MemberMessage:
-    """What a packet of this fleet says."""
-    if packet.form == 0:
-        probe = PROBE.decode(packet.body)
-        if len(probe.updates) > members.MAX_PIGGYBACKED_UPDATES or len(probe.about) > MAX_NAME_LENGTH:
+# --- bodies, by form; each raises ValueError, or msgspec.DecodeError, where it is malformed --------------
+
+
+def decode_swim(body: msgspec.Raw) -> members.SwimMessage:
+    """A SWIM message with its piggybacked updates."""
+    fields = SWIM.decode(body)
+    if len(fields.updates) > members.MAX_PIGGYBACKED_UPDATES or len(fields.target) > MAX_NAME_LENGTH:
+        raise ValueError
+    updates = []
+    for name, state, incarnation, boot in fields.updates:
+        is_bounded = -1 <= incarnation < MAX_SERIAL and 0 <= boot < MAX_BOOT
+        if not 0 < len(name) <= MAX_NAME_LENGTH or not is_bounded:
             raise ValueError
-        updates = []
-        for name, state, incarnation, boot in probe.updates:
-            if (
-                not 0 < len(name) <= MAX_NAME_LENGTH
-                or not -1 <= incarnation < 1 << 62
-                or not 0 <= boot < 1 << 63
-            ):
-                raise ValueError
-            updates.append(members.MemberUpdate(name, members.MemberState(state), incarnation, boot))
-        return members.SwimMessage(
-            members.SwimMessageKind(probe.kind), probe.serial, probe.about, tuple(updates)
+        updates.append(members.MemberUpdate(name, members.MemberState(state), incarnation, boot))
+    kind = members.SwimMessageKind(fields.kind)
+    return members.SwimMessage(kind, fields.serial, fields.target, tuple(updates))
+
+
+def decode_delta(body: msgspec.Raw) -> gossip.Delta:
+    """Rows; whether each is valid, the replica judges."""
+    fields = DELTA.decode(body)
+    if len(fields) > gossip.MAX_ROWS_PER_MESSAGE:
+        raise ValueError
+    return gossip.Delta(
+        tuple(
+            (Row(RowKind(kind), key, writer, version, value), age_ms)
+            for kind, key, writer, version, value, age_ms in fields
         )
-    if packet.form == 1:
-        told = ROWS.decode(packet.body)
-        if len(told) > gossip.MAX_ROWS_PER_MESSAGE:
-            raise ValueError
-        rows = [(Row(RowKind(k), key, by, ver, value), age) for k, key, by, ver, value, age in told]
-        return gossip.Delta(tuple(rows))
-    if packet.form == 2:
-        bucket, marks, known = DIGEST.decode(packet.body)
-        if not -1 <= bucket < BUCKETS or len(marks) != BUCKETS:
-            raise ValueError
-        return gossip.Digest(bucket, tuple(marks), known)
-    if packet.form == 3:
-        bucket, leaves = WANT.decode(packet.body)
-        if len(leaves) > BUCKETS:
-            raise ValueError
-        return gossip.LeafRequest(bucket, tuple(leaves))
-    if packet.form == 4:
-        buckets, known = DONE.decode(packet.body)
-        return gossip.MatchingBuckets(tuple(buckets), known)
-    if packet.form == 5:
-        return coldstart.VersionReply(*TOLD.decode(packet.body))
-    if packet.form == 6:
-        since, version, at, of, raw = PART.decode(packet.body)
-        if len(raw) > coldstart.MAX_ROWS_PER_PART or not 0 <= at < of <= coldstart.MAX_PARTS:
-            raise ValueError
-        servers = tuple(coldstart.SharedEndpoint(*row) for row in raw)
-        for one in servers:
-            if one.address:
-                parse_address(one.address)  # a ValueError where it is none
-            if not (0.0 < one.weight < math.inf and 0.0 <= one.started_ms < math.inf and 0 <= one.state <= 2):
-                raise ValueError
-        return coldstart.EndpointListPart(since, version, at, of, servers)
-    if packet.form == 7:
-        return coldstart.VersionQuery(*ASK.decode(packet.body))
-    if packet.form == 8:
-        kind, task, ballot, holder, span, ready = LEASE.decode(packet.body)
-        if (
-            len(task) > MAX_NAME_LENGTH
-            or len(ballot[1]) > MAX_NAME_LENGTH
-            or len(holder[1]) > MAX_NAME_LENGTH
-            or not 0.0 <= span < 1e4
-        ):
-            raise ValueError
-        if not all(0 <= n < 1 << 62 for n in (ballot[0], ballot[2], holder[0], holder[2])):
-            raise ValueError
-        made = leases.Ballot(*ballot), leases.Ballot(*holder)
-        return leases.LeaseMessage(leases.LeaseMessageKind(kind), task, *made, span, ready)
-    if packet.form == 9:
-        marks, answer = MARKS.decode(packet.body)
-        if len(marks) > gossip.MAX_ROW_HASHES:
-            raise ValueError
-        return gossip.RowHashes(tuple(marks), answer)
-    if packet.form == 10:
-        serial, first, whole, base, words = MAIL.decode(packet.body)
-        if len(words) > directmail.MAX_ENTRIES_PER_MESSAGE or not 0 <= serial < 1 << 62:
+    )
+
+
+def decode_digest(body: msgspec.Raw) -> gossip.Digest:
+    """A digest of all buckets, or of one bucket's leaves."""
+    bucket, hashes, is_complete = DIGEST.decode(body)
+    if not gossip.ALL_BUCKETS <= bucket < BUCKETS or len(hashes) != BUCKETS:
+        raise ValueError
+    return gossip.Digest(bucket, tuple(hashes), is_complete)
+
+
+def decode_leaf_request(body: msgspec.Raw) -> gossip.LeafRequest:
+    """A request for the rows of some leaves."""
+    bucket, leaves = LEAF_REQUEST.decode(body)
+    if len(leaves) > BUCKETS:
+        raise ValueError
+    return gossip.LeafRequest(bucket, tuple(leaves))
+
+
+def decode_matching_buckets(body: msgspec.Raw) -> gossip.MatchingBuckets:
+    """Buckets that match the sender's."""
+    buckets, is_complete = HASHES_OR_BUCKETS.decode(body)
+    return gossip.MatchingBuckets(tuple(buckets), is_complete)
+
+
+def decode_row_hashes(body: msgspec.Raw) -> gossip.RowHashes:
+    """Short hashes of rows."""
+    hashes, wants_reply = HASHES_OR_BUCKETS.decode(body)
+    if len(hashes) > gossip.MAX_ROW_HASHES:
+        raise ValueError
+    return gossip.RowHashes(tuple(hashes), wants_reply)
+
+
+def decode_version_reply(body: msgspec.Raw) -> endpoint_sharing.VersionReply:
+    """A version of the shared list, and its age."""
+    return endpoint_sharing.VersionReply(*VERSION_REPLY.decode(body))
+
+
+def decode_list_part(body: msgspec.Raw) -> endpoint_sharing.EndpointListPart:
+    """A part of the shared list, or of changes to it."""
+    base_version, version, part_number, part_count, rows = LIST_PART.decode(body)
+    is_numbered = 0 <= part_number < part_count <= endpoint_sharing.MAX_PARTS
+    if len(rows) > endpoint_sharing.MAX_ROWS_PER_PART or not is_numbered:
+        raise ValueError
+    endpoints = tuple(endpoint_sharing.SharedEndpoint(*row) for row in rows)
+    for endpoint in endpoints:
+        if endpoint.address:
+            parse_address(endpoint.address)  # a ValueError where it is none
+        is_finite = 0.0 < endpoint.weight < math.inf and 0.0 <= endpoint.started_ms < math.inf
+        if not is_finite or not 0 <= endpoint.state <= endpoint_sharing.REMOVED_RANK:
             raise ValueError
-        return directmail.UsageMessage(
-            serial, first, whole, tuple(usage_entry(base, *word) for word in words)
-        )
-    if packet.form == 11:
-        return directmail.UsageRequest(ASKED.decode(packet.body))
-    raise ValueError
+    return endpoint_sharing.EndpointListPart(base_version, version, part_number, part_count, endpoints)
+
+
+def decode_version_query(body: msgspec.Raw) -> endpoint_sharing.VersionQuery:
+    """A query for what changed after a version."""
+    return endpoint_sharing.VersionQuery(*VERSION_QUERY.decode(body))
+
+
+def decode_lease(body: msgspec.Raw) -> leases.LeaseMessage:
+    """A message of PaxosLease."""
+    kind, task, ballot, known_ballot, span_s, has_recovered = LEASE.decode(body)
+    names = task, ballot[1], known_ballot[1]
+    if max(map(len, names)) > MAX_NAME_LENGTH or not 0.0 <= span_s < MAX_LEASE_SPAN_S:
+        raise ValueError
+    numbers = ballot[0], ballot[2], known_ballot[0], known_ballot[2]
+    if not all(0 <= number < MAX_SERIAL for number in numbers):
+        raise ValueError
+    return leases.LeaseMessage(
+        leases.LeaseMessageKind(kind),
+        task,
+        leases.Ballot(*ballot),
+        leases.Ballot(*known_ballot),
+        span_s,
+        has_recovered,
+    )
+
+
+def decode_usage(body: msgspec.Raw) -> direct_messages.UsageMessage:
+    """Usage of accounts' windows."""
+    serial, is_first, is_complete, first_window, rows = USAGE.decode(body)
+    if len(rows) > direct_messages.MAX_ENTRIES_PER_MESSAGE or not 0 <= serial < MAX_SERIAL:
+        raise ValueError
+    entries = tuple(usage_entry(first_window, *row) for row in rows)
+    return direct_messages.UsageMessage(serial, is_first, is_complete, entries)
 
 
 def usage_entry(
-    base: int, account: int | str, window: int, version: int, units: int, boot: int
-) -> directmail.UsageEntry:  # fmt: skip
-    """One word. ValueError where its account or a number can be none."""
+    first_window: int, account: int | str, window: int, version: int, units: int, boot: int
+) -> direct_messages.UsageEntry:
+    """One entry. ValueError where its account or a number is out of range."""
     name = f"{account:016x}" if isinstance(account, int) else account
-    if not 0 < len(name) <= MAX_NAME_LENGTH or not 0 <= boot < 1 << 63 or units < 0 or version < 0:
+    if not 0 < len(name) <= MAX_NAME_LENGTH or not 0 <= boot < MAX_BOOT or units < 0 or version < 0:
         raise ValueError
-    return directmail.UsageEntry(f"{name}/{base + window}", version, units / 1000.0, boot)
+    return direct_messages.UsageEntry(f"{name}/{first_window + window}", version, units / 1000.0, boot)
+
+
+def decode_usage_request(body: msgspec.Raw) -> direct_messages.UsageRequest:
+    """A request for usage after a serial."""
+    return direct_messages.UsageRequest(USAGE_REQUEST.decode(body))
+
+
+BODY_DECODERS: dict[int, Callable[[msgspec.Raw], MemberMessage]] = {
+    Form.SWIM: decode_swim,
+    Form.DELTA: decode_delta,
+    Form.DIGEST: decode_digest,
+    Form.LEAF_REQUEST: decode_leaf_request,
+    Form.MATCHING_BUCKETS: decode_matching_buckets,
+    Form.VERSION_REPLY: decode_version_reply,
+    Form.LIST_PART: decode_list_part,
+    Form.VERSION_QUERY: decode_version_query,
+    Form.LEASE: decode_lease,
+    Form.ROW_HASHES: decode_row_hashes,
+    Form.USAGE: decode_usage,
+    Form.USAGE_REQUEST: decode_usage_request,
+}
