--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -1,18 +1,21 @@
-"""`[fleet]`: members, spans and budgets; what each key must be, and what they must be to each other."""
+"""The table `[fleet]` of the operator's file: the schema of its keys, and the checks across keys.
+
+Each check reports findings with a stable code, a location and a sentence on the fix.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from .schema import Boolean, Number, String, Strings, Table, TableArray
+from .schema import Boolean, Number, Path, String, Strings, Table, TableArray
 
 if TYPE_CHECKING:
     from .facts import PlatformFacts
     from .operator_text import FindingCollector
 
-MOST_MEMBERS = 1_000
-MOST_NUMBER = 999_999
-MOST_TASKS = 50
+MAX_MEMBERS = 1_000
+MAX_NUMBER = 999_999
+MAX_TASKS = 50
 ADDRESS = String(
     r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}", "an IPv4 address with its port, as 127.0.0.1:7946"
 )
@@ -34,7 +37,7 @@
                 },
                 ("name", "kind"),
             ),
-            MOST_TASKS,
+            MAX_TASKS,
         ),
     },
     ("voters",),
@@ -44,13 +47,13 @@
         "fleet": NAME,
         "name": NAME,
         "listen": ADDRESS,
-        "number": Number(0, MOST_NUMBER, whole=True),
+        "number": Number(0, MAX_NUMBER, whole=True),
         "members": TableArray(
             Table(
-                {"name": NAME, "address": ADDRESS, "number": Number(0, MOST_NUMBER, whole=True)},
+                {"name": NAME, "address": ADDRESS, "number": Number(0, MAX_NUMBER, whole=True)},
                 ("name", "address"),
             ),
-            MOST_MEMBERS,
+            MAX_MEMBERS,
         ),
         "period_ms": Number(20, 10_000),
         "patience_ms": Number(500, 60_000),
@@ -64,83 +67,103 @@
     },
     ("fleet", "name", "listen", "members"),
 )
-PLACE = ("fleet",)
+LOCATION: Path = ("fleet",)
+MIN_PATIENCE_PERIODS = 5.0
+MAX_STEP_SHARE = 0.5  # of a lease's usable time: a longer step might never be allowed to start
 
 
-def check(raw: dict[str, Any], facts: PlatformFacts | None, faults: FindingCollector) -> None:
-    """What keys must be to each other."""
+def check(raw: dict[str, Any], facts: PlatformFacts | None, report: FindingCollector) -> None:
+    """The checks across the table's keys."""
+    names = check_members(raw, report)
+    if raw.get("patience_ms", 2500.0) < MIN_PATIENCE_PERIODS * raw.get("period_ms", 200.0):
+        message = "patience_ms is under 5 periods: one lost answer could bury a member; raise it"
+        report("impatient", LOCATION, message)
+    check_numbers(raw, report)
+    if "leases" in raw:
+        check_leases(raw, names, report)
+    if not names and "members" in raw:
+        report("no-members", LOCATION, "has no members; list them, or leave [fleet] out", True)
+
+
+def check_members(raw: dict[str, Any], report: FindingCollector) -> set[str]:
+    """Names and addresses are unique, and none is this gateway's. The members' names."""
     names: dict[str, int] = {}
     addresses: dict[str, int] = {}
-    for at, row in enumerate(raw.get("members", [])):
+    for index, row in enumerate(raw.get("members", [])):
         for key, seen in (("name", names), ("address", addresses)):
-            word = row.get(key)
-            if word is None:
+            value = row.get(key)
+            if value is None:
                 continue
-            if word in seen:
-                message = f"{word!r} is members[{seen[word]}]'s; each {key} stands once"
-                faults("member-twice", (*PLACE, "members", at, key), message)
-            seen.setdefault(word, at)
-            if key == "address" and int(word.rpartition(":")[2]) not in range(1, 65_536):
-                faults("bad-port", (*PLACE, "members", at, key), "has no port from 1 to 65535; mend it")
+            if value in seen:
+                message = f"{value!r} is members[{seen[value]}]'s; each {key} stands once"
+                report("member-twice", (*LOCATION, "members", index, key), message)
+            seen.setdefault(value, index)
+            if key == "address" and int(value.rpartition(":")[2]) not in range(1, 65_536):
+                message = "has no port from 1 to 65535; mend it"
+                report("bad-port", (*LOCATION, "members", index, key), message)
     if raw.get("name") in names:
-        faults("names-itself", (*PLACE, "members", names[raw["name"]]), "is this gateway; list the others")
+        location = (*LOCATION, "members", names[raw["name"]])
+        report("names-itself", location, "is this gateway; list the others")
     if raw.get("listen") in addresses:
         message = "is also a member's; a gateway does not talk to itself"
-        faults("member-twice", (*PLACE, "listen"), message)
-    if raw.get("patience_ms", 2500.0) < 5.0 * raw.get("period_ms", 200.0):
-        message = "patience_ms is under 5 periods: one lost answer could bury a member; raise it"
-        faults("impatient", PLACE, message)
-    of_numbers(raw, faults)
-    if "leases" in raw:
-        of_leases(raw, set(names), faults)
-    if not names and "members" in raw:
-        faults("no-members", PLACE, "has no members; list them, or leave [fleet] out", True)
+        report("member-twice", (*LOCATION, "listen"), message)
+    return set(names)
 
 
-def of_numbers(raw: dict[str, Any], faults: FindingCollector) -> None:
-    """What gateways' numbers must be to each other, where the file states any."""
-    rows = [(PLACE, raw), *(((*PLACE, "members", at), row) for at, row in enumerate(raw.get("members", [])))]
-    stated: dict[int, str] = {}
-    for place, row in rows:
+def check_numbers(raw: dict[str, Any], report: FindingCollector) -> None:
+    """Either all gateways have a number, each its own, or none has one."""
+    members = enumerate(raw.get("members", []))
+    rows = [(LOCATION, raw), *(((*LOCATION, "members", index), row) for index, row in members)]
+    owners: dict[int, str] = {}
+    for location, row in rows:
         number = row.get("number")
         if number is None:
             if any("number" in other for _, other in rows):
-                faults("number-missing", place, "has no number; number all gateways, or none")
-        elif number in stated:
-            message = f"{number} is {stated[number]}'s; each gateway has a number of its own, the platform's"
-            faults("number-twice", (*place, "number"), message)
+                report("number-missing", location, "has no number; number all gateways, or none")
+        elif number in owners:
+            message = f"{number} is {owners[number]}'s; each gateway has a number of its own, the platform's"
+            report("number-twice", (*location, "number"), message)
         else:
-            stated[number] = row.get("name", "this gateway")
+            owners[number] = row.get("name", "this gateway")
 
 
-def of_leases(raw: dict[str, Any], names: set[str], faults: FindingCollector) -> None:
-    """What `[fleet.leases]` must be to the members and to itself."""
+def check_leases(raw: dict[str, Any], names: set[str], report: FindingCollector) -> None:
+    """The acceptors (`voters`) and the tasks of `[fleet.leases]`. `names`: the members'."""
     from glenchute.policy.membership.leases import (  # only for a file that has it
         LeaseTerms,
         acceptor_set_problem,
     )
 
     leases = raw["leases"]
-    at = (*PLACE, "leases")
+    location = (*LOCATION, "leases")
     listed, changing = [*names, raw.get("name", "")], leases.get("changing", False)
-    if "voters" in leases and (wrong := acceptor_set_problem(leases["voters"], listed, changing)):
-        faults("unsound-voters", (*at, "voters"), wrong)
-    seen: dict[str, int] = {}
+    if "voters" in leases and (problem := acceptor_set_problem(leases["voters"], listed, changing)):
+        report("unsound-voters", (*location, "voters"), problem)
     terms = LeaseTerms((), leases.get("longest_s", 10.0), leases.get("drift", 0.01))
-    for number, row in enumerate(leases.get("tasks", [])):
-        place = (*at, "tasks", number)
-        name, kind = row.get("name"), row.get("kind")
+    usable_s = terms.usable_span_s(terms.max_span_s)
+    max_step_s = MAX_STEP_SHARE * usable_s / (1.0 + terms.max_clock_drift)
+    seen: dict[str, int] = {}
+    for index, row in enumerate(leases.get("tasks", [])):
+        task_location = (*location, "tasks", index)
+        name = row.get("name")
         if name in seen:
             message = f"{name!r} is tasks[{seen[name]}]'s; each name stands once"
-            faults("task-twice", (*place, "name"), message)
-        seen.setdefault(name, number)
-        if (kind == "call") is not ("address" in row) and kind is not None:
-            faults("task-address", place, "kind call wants an address, and no other kind has one")
-        if (kind == "ask") is not (name == "ask") and kind is not None:
-            faults("task-ask", place, "the task that asks discovery is of kind ask and named ask")
-        if kind == "ask" and not raw.get("share_list"):
-            faults("task-ask", place, "asks for a list that nobody is told of; set share_list = true")
-        most = 0.5 * terms.usable_span_s(terms.max_span_s) / (1.0 + terms.max_clock_drift)
-        if kind == "call" and row.get("longest_step_s", 1.0) > most:
-            message = f"longest_step_s is over {most:.2f}, half of what a lease of longest_s lasts"
-            faults("long-step", place, f"{message}: it might never begin; raise longest_s, or cut the step")
+            report("task-twice", (*task_location, "name"), message)
+        seen.setdefault(name, index)
+        check_task(row, bool(raw.get("share_list")), max_step_s, task_location, report)
+
+
+def check_task(
+    row: dict[str, Any], shares_list: bool, max_step_s: float, location: Path, report: FindingCollector
+) -> None:
+    """One task: its keys fit its kind, and its step fits into a lease."""
+    name, kind = row.get("name"), row.get("kind")
+    if (kind == "call") is not ("address" in row) and kind is not None:
+        report("task-address", location, "kind call wants an address, and no other kind has one")
+    if (kind == "ask") is not (name == "ask") and kind is not None:
+        report("task-ask", location, "the task that asks discovery is of kind ask and named ask")
+    if kind == "ask" and not shares_list:
+        report("task-ask", location, "asks for a list that nobody is told of; set share_list = true")
+    if kind == "call" and row.get("longest_step_s", 1.0) > max_step_s:
+        message = f"longest_step_s is over {max_step_s:.2f}, half of what a lease of longest_s lasts"
+        report("long-step", location, f"{message}: it might never begin; raise longest_s, or cut the step")
