--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -21,8 +21,7 @@
 from glenchute.core.types import DecisionHandler, EndpointUpdate
 from glenchute.listeners.resp2.commands import CommandParser
 from glenchute.listeners.resp2.listener import Listener
-from glenchute.policy.balancing.subset_size import WHOLE
-from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.endpoints.polling import PollingTerms
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
@@ -37,6 +36,7 @@
     from glenchute.control.server import ControlServer
     from glenchute.listeners.extproc.server import ExtProcServer as ExtProc
     from glenchute.listeners.operations import OperationsServer
+    from glenchute.policy.endpoints.list_confirmation import ListConfirmation
     from glenchute.policy.events import Endpoint
 
     from .background_reload import BackgroundReload, ReloadedFile
@@ -46,6 +46,7 @@
 CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
 SERVING_S = 5.0  # attempts that fail so long after the last answer tell that no server answers
 LINGER_S = 0.05
+SUBSET_KEYS = {"servers": "min_servers", "busy": "busy_attempts", "calm": "calm_attempts"}  # of [subset]
 LOG_LINES_S = 20
 LINES_A_TURN = 50  # of warnings, whether the limit lets them through or not
 
@@ -107,7 +108,7 @@
         self.gateway.allows_concurrent_attempts = made.allows_hedging
         if raw is None:
             self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
-                WHOLE,
+                MAX_SUBSET_SIZE,
                 self.narrow,
             )
         if operator is not None:
@@ -124,7 +125,7 @@
         self.handover = self.make_handover() if self.passed is not None else None
         self.operations = self.operating() if config.operations_address is not None else None
         asked = (operator.discovery if operator is not None else None) or {}
-        self.list_confirmation = ListConfirmation() if asked.get("doubt") else None
+        self.list_confirmation = self.make_list_confirmation() if asked.get("doubt") else None
         self.discovery = DiscoveryClient(
             loop,
             config.discovery,
@@ -171,11 +172,14 @@
         """The module that is told of some of the servers only; imported only where the operator's file says
         so, or a list is that long. A gateway that does not know its number takes one by its seed: balanced by
         chance alone."""
-        from glenchute.policy.balancing.subset import Aperture, Terms
+        from glenchute.policy.balancing.subset import SubsetTerms
+        from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 
         made, number = self.config.settings, self.config.stated_number
         number = number if number is not None else self.config.seed
-        return Aperture(decisions, made, Terms(gateways=made.gateway_count, number=number, **raw), listed)
+        chosen = {SUBSET_KEYS[key]: value for key, value in raw.items()}
+        terms = SubsetTerms(made.gateway_count, number, **chosen)
+        return SubsettingEngine(decisions, made, terms, listed)
 
     def narrow(self) -> None:
         """The list has become longer than a gateway can use whole: from the next word of it on the module is
@@ -186,15 +190,15 @@
             self.fleet.reporter.module = self.narrowed(self.fleet.reporter.module, {}, listed)
         else:
             self.gateway.decisions = self.narrowed(self.gateway.decisions, {}, listed)
-        log.info("more than %d servers are listed: from now on a part of them is used", WHOLE)
+        log.info("more than %d servers are listed: from now on a part of them is used", MAX_SUBSET_SIZE)
 
     def recording(self, decisions: DecisionHandler, raw: dict[str, Any]) -> Recorder:
         """The module behind a recorder; imported only where the operator's file asks for one."""
-        from glenchute.capture.recorder import Recorder, Rule
+        from glenchute.capture.recorder import CaptureRule, Recorder
         from glenchute.config.files import secret_key
 
         named = raw.get("account_key_file")
-        rule = Rule(
+        rule = CaptureRule(
             folder=raw["folder"],
             ring=raw.get("mode", "ring") == "ring",
             segment_s=raw.get("segment_s", 10.0),
@@ -271,6 +275,12 @@
             folder, self.config, self.loop, self.gateway, self.listener, self.servers
         )
 
+    def make_list_confirmation(self) -> ListConfirmation:
+        """Confirms unusual endpoint lists; imported only where the operator's file asks for it."""
+        from glenchute.policy.endpoints.list_confirmation import ListConfirmation
+
+        return ListConfirmation()
+
     def bind(self, operator: OperatorConfig) -> None:
         """The operator's routes hold for requests from the start on."""
         from glenchute.policy.retries.route_limits import RouteTable
--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -1,4 +1,4 @@
-"""The gRPC side, on grpcio's asyncio server in the gateway's own loop (why: docs/design/extproc.md)."""
+"""The gRPC server: grpcio's asyncio server in the gateway's own loop (why: docs/design/extproc.md)."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 from . import events as ev
 from . import messages
-from .calls import DownstreamStream, RequestTable, UpstreamStream
 from .ratelimit import RateLimiter, RateLimitRequest, RateLimitResponse
+from .streams import DownstreamStream, UpstreamStream
+from .table import RequestTable
 
 log = logging.getLogger("glenchute")
 
 PROCESSOR_SERVICE = "envoy.service.ext_proc.v3.ExternalProcessor"
 RATE_LIMIT_SERVICE = "envoy.service.ratelimit.v3.RateLimitService"
-ROLE_METADATA = (
-    "x-glenchute-role"  # initial metadata of the filter's gRPC service: "upstream" at the nodes' side
-)
+# Initial metadata of the filter's gRPC service: "upstream" on the servers' side.
+ROLE_METADATA = "x-glenchute-role"
 MAX_MESSAGE_BYTES = 1024 * 1024
-WRITE_TIMEOUT_S = 5.0  # a proxy that does not read what it asked for is cut off after this
-STREAM_GRACE_S = 30.0  # a stream ends this long after the longest deadline at the latest
+WRITE_TIMEOUT_S = 5.0  # after which a proxy that does not read a response is aborted
+STREAM_GRACE_S = 30.0  # a stream ends this long after the longest deadline
 SWEEP_INTERVAL_S = 1.0
 REPORT_INTERVAL_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class TlsCredentials:
-    """PEM texts; with `client_ca` a proxy must show a certificate that it signed."""
+    """PEM texts. With `client_ca` a proxy must present a certificate that it signed."""
 
     certificate: bytes
     key: bytes
@@ -38,7 +38,7 @@
 
 
 class ResponseFuture:
-    """Where a stream's answer is put; a future only if it does not come at once."""
+    """Takes the response to one message; a future is made only if it does not come at once."""
 
     __slots__ = ("future", "is_set", "loop", "response")
 
@@ -63,8 +63,8 @@
 
 
 class StreamGuard:
-    """Cuts a stream off, from without its task; `clean` where it ended in order before that. The
-    server's sweep does it past `until`, the loop's time: a timer for each wait would cost more."""
+    """Aborts a stream from outside its task. The server's sweep does so after `deadline` (loop time), which
+    costs less than a timer for each wait."""
 
     __slots__ = ("deadline", "has_ended_cleanly", "is_aborted", "loop", "task")
 
@@ -75,18 +75,18 @@
         self.is_aborted = self.has_ended_cleanly = False
 
     def abort_soon(self) -> None:
-        """Not from within what the table is doing."""
+        """Aborts in the loop's next iteration, not from within a call of the table."""
         self.loop.call_soon(self.abort)
 
     def abort(self) -> None:
-        """Its end goes to the other side as ABORTED."""
+        """Cancels the task; the other side gets ABORTED."""
         if not self.task.done():
             self.is_aborted = True
             self.task.cancel()
 
 
 class ExtProcServer:
-    """The two services on one listener."""
+    """Both services on one address."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
         self.open_stream_count = 0
         self.stream_guards: set[StreamGuard] = set()  # of all streams
         self.sweep_timer: asyncio.TimerHandle | None = None
-        self.last_report = "", self.loop.time()  # the last line for the operators, and when
+        self.last_report = "", self.loop.time()  # the counters last logged, and when
         self.server = grpc.aio.server(
             options=(
                 ("grpc.so_reuseport", 0),
@@ -136,7 +136,7 @@
         self.server.add_generic_rpc_handlers(tuple(handlers))
 
     async def start(self) -> None:
-        """Listens; OSError where it can't."""
+        """Listens; raises OSError where it can't."""
         try:
             if self.tls is None:
                 self.port = self.server.add_insecure_port(self.listen)
@@ -151,7 +151,7 @@
         self.sweep()
 
     def sweep(self) -> None:
-        """Cuts off the streams whose time is up."""
+        """Aborts the streams whose time is up."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = self.loop.time()
         if now - self.last_report[1] >= REPORT_INTERVAL_S:
@@ -160,7 +160,7 @@
             cut.abort()
 
     def log_report(self, now: float) -> None:
-        """A line for the operators, while anything happens."""
+        """Logs the counters, unless nothing has changed."""
         counts = " ".join(f"{name}={n}" for name, n in sorted(self.calls.counts.items()))
         if counts != self.last_report[0]:
             log.info(
@@ -172,7 +172,7 @@
         self.last_report = counts, now
 
     async def process(self, requests: Any, context: Any) -> None:
-        """One stream. Whatever ends it, the table hears of that once."""
+        """One stream. However it ends, the table hears of that once."""
         given = dict(context.invocation_metadata() or ())
         stream = self.calls.open_stream(given.get(ROLE_METADATA) == "upstream")
         cut = StreamGuard(self.loop, self.loop.time() + self.max_stream_s)
@@ -186,15 +186,15 @@
             finally:
                 self.open_stream_count -= 1
                 self.close_stream(stream, cut)
-            # The other end closes. Ending first would reset the stream, and some clients then lose what they
+            # The other side closes. Ending first would reset the stream, and some clients then lose what they
             # have not read yet (RFC 9113, section 8.1, forbids that, and it happens).
             cut.deadline = self.loop.time() + WRITE_TIMEOUT_S
             while await context.read() is not grpc.aio.EOF:
                 pass
         except asyncio.CancelledError:
             if not cut.is_aborted:
-                raise  # the other end has gone
-            # Without a status of its own a cancelled handler would leave the other end waiting for ever.
+                raise  # the other side has disconnected
+            # Without a status a cancelled handler would leave the other side waiting for ever.
             cut.task.uncancel()
             await context.abort(grpc.StatusCode.ABORTED, "cut off")
         finally:
@@ -203,8 +203,8 @@
     async def exchange(
         self, stream: DownstreamStream | UpstreamStream, context: Any, cut: StreamGuard
     ) -> bool:
-        """Messages and answers, one by one; True after an immediate response, which ends the exchange, and
-        False where the other end has no more to say."""
+        """Messages and responses, one by one. True after an immediate response, which ends the exchange;
+        False where the other side has ended it."""
         while True:
             message = await context.read()
             if message is grpc.aio.EOF:
@@ -227,7 +227,7 @@
                 return True
 
     def close_stream(self, stream: DownstreamStream | UpstreamStream, cut: StreamGuard) -> None:
-        """Tells the table; a fault there must not keep the stream."""
+        """Reports the stream's end to the table; a fault there must not keep the stream."""
         try:
             stream.close(cut.has_ended_cleanly)
         except Exception:
@@ -245,7 +245,7 @@
             raise
 
     async def stop(self, grace_s: float) -> None:
-        """GOAWAY at once; streams that are open are served until they end, or the time is up."""
+        """Sends GOAWAY at once; open streams are served until they end or `grace_s` is over."""
         await self.server.stop(grace_s)
         self.log_report(self.loop.time())
         if self.sweep_timer is not None:
--- a/glenchute/listeners/extproc/start.py
+++ b/glenchute/listeners/extproc/start.py
@@ -1,4 +1,4 @@
-"""Brings the front up from the operator's table."""
+"""Builds the external processor from the operator's table."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 from glenchute.config.platform import PlatformConfig
 from glenchute.core.executor import RequestExecutor
 
-from .calls import ExtProcSettings, RequestTable
 from .ratelimit import RateLimiter
 from .server import ExtProcServer, TlsCredentials
+from .settings import ClassLimits, ExtProcSettings
+from .table import RequestTable
 from .token import TokenSigner
 
 
 def token_signer(raw: dict[str, Any]) -> TokenSigner:
-    """With the operators' key, or one of this process's own."""
+    """Signs with the operators' key, or with one of this process's own."""
     if "token_key_file" not in raw:
         return TokenSigner()
     return TokenSigner(secret_key(raw["token_key_file"], "token_key_file"))
 
 
 def tls_credentials(raw: dict[str, Any] | None) -> TlsCredentials | None:
-    """The certificates, where any are named."""
+    """The certificates that the table names, if any."""
     if raw is None:
         return None
     client_ca = read_file(raw["client_ca"], "client_ca") if "client_ca" in raw else None
@@ -34,11 +35,11 @@
 
 
 def extproc_settings(raw: dict[str, Any], config: PlatformConfig) -> tuple[ExtProcSettings, Any]:
-    """The settings of the front, and the rules for rate limit calls."""
+    """The listener's settings, and the mapping rules for rate limit calls if these are enabled."""
     facts, made = config.facts, config.settings
     requests, limits = rules(raw, facts, made.gateway_count, config.request_bounds.max_units)
-    repeats = {
-        name: (
+    class_limits = {
+        name: ClassLimits(
             cls.idempotency,
             cls.idempotency_window_ms,
             min(cls.deadline_ms, config.request_bounds.max_deadline_ms),
@@ -47,7 +48,7 @@
     }
     found = ExtProcSettings(
         requests,
-        repeats,
+        class_limits,
         max_calls=raw.get("most_calls", 10_000),
         reconnect_grace_s=raw.get("reopen_ms", 250.0) / 1000.0,
         has_attempt_streams=raw.get("attempt_streams", True),
@@ -63,7 +64,7 @@
 def create_server(
     raw: dict[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop, gateway: RequestExecutor
 ) -> ExtProcServer:
-    """The front, not listening yet; ConfigError where a file that it needs can't be used."""
+    """The server, not listening yet; raises ConfigError where a file that it needs can't be used."""
     found, limits = extproc_settings(raw, config)
     calls = RequestTable(loop, gateway, found, token_signer(raw))
     limiter = None
@@ -71,5 +72,5 @@
         wait_ms = min(config.request_bounds.max_deadline_ms, 1000.0)
         limiter = RateLimiter(gateway, limits, raw["ratelimit"]["domain"], wait_ms, calls.counts)
     most = raw.get("most_streams", 4 * found.max_calls)
-    longest_s = max(wait for _, _, wait in found.class_limits.values()) / 1000.0
+    longest_s = max(limits.max_deadline_ms for limits in found.class_limits.values()) / 1000.0
     return ExtProcServer(calls, limiter, raw["listen"], most, tls_credentials(raw.get("tls")), longest_s)
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -17,7 +17,7 @@
 from benchmarks.list_turns import LISTS, Chain, zoned
 from glenchute.core import endpoint_updates
 from glenchute.core.types import EndpointUpdate
-from glenchute.policy.balancing.subset_size import WHOLE
+from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.events import EndpointList, EndpointListKind
 from glenchute.protocol import endpoint_list
 from glenchute.protocol.endpoint_list import ROWS_PER_PART, CurrentList, decode_list, decode_list_in_parts
@@ -95,7 +95,9 @@
     assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, current)
 
 
-LONG = json.dumps({"version": 3, "full": True, "servers": [row(f"n{n}", 9) for n in range(WHOLE + 9)]})
+LONG = json.dumps(
+    {"version": 3, "full": True, "servers": [row(f"n{n}", 9) for n in range(MAX_SUBSET_SIZE + 9)]}
+)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -108,7 +110,7 @@
     current, other = CurrentList(), CurrentList()
     current.apply(decode_in_parts(LONG.encode(), current))
     other.rows = dict(current.rows)
-    assert len(current.rows_by_text) == WHOLE + 9
+    assert len(current.rows_by_text) == MAX_SUBSET_SIZE + 9
     body = (LONG[:at] + put + LONG[at + cut :]).replace("}, {", "}" + comma + "{").encode()
     assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, other)
 
@@ -183,10 +185,13 @@
             client = await one.client()
             assert await client.ask(b"PING") == b"PONG" and parts.paused and len(lists(script)) == before
             if end == "closes":
-                line = discovery.partial_decode.connection_id  # type: ignore[union-attr]
+                connection_id = discovery.partial_decode.connection_id  # type: ignore[union-attr]
                 answers.writers[-1].close()
                 await until(
-                    lambda: line not in discovery.connections or discovery.connections[line].transport is None
+                    lambda: (
+                        connection_id not in discovery.connections
+                        or discovery.connections[connection_id].transport is None
+                    )
                 )
             elif end == "moves":
                 discovery.change_address(("127.0.0.1", other.port))
@@ -263,10 +268,10 @@
     """Counts calls of Python and built-in functions within the context."""
     count = [0]
 
-    def one(frame: Any, event: str, arg: Any) -> None:
+    def count_call(frame: Any, event: str, arg: Any) -> None:
         count[0] += event in ("call", "c_call")
 
-    sys.setprofile(one)
+    sys.setprofile(count_call)
     try:
         yield count
     finally:
