--- a/glenchute/cli/operator_reload.py
+++ b/glenchute/cli/operator_reload.py
@@ -7,13 +7,13 @@
 import logging
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from glenchute.config.platform import ConfigError, PlatformConfig
 from glenchute.core.executor import RequestExecutor
 
 if TYPE_CHECKING:
-    from glenchute.config.operator import OperatorConfig
+    from glenchute.config.operator import OperatorConfig, RestartTables
 
     from .background_reload import BackgroundReload, ReloadedFile
 
@@ -23,18 +23,6 @@
 log = logging.getLogger("glenchute")
 
 
-def tables_until_restart(operator: OperatorConfig) -> tuple[Any, ...]:
-    """The tables of an operator's file whose changes wait for a restart (`RESTART_TABLES`)."""
-    return (
-        operator.capture,
-        operator.fronts,
-        operator.pipeline,
-        operator.fleet,
-        operator.discovery,
-        operator.subset,
-    )
-
-
 def load_operator_file(
     path: str, config: PlatformConfig, yield_processor: Callable[[], None] | None = None
 ) -> tuple[OperatorConfig, list[str]]:
@@ -69,17 +57,20 @@
     except ConfigError as error:
         raise error.with_traceback(None) from None  # that holds all findings, to be freed on the loop
     routes = RouteTable(operator.bindings, config.seed)
-    return ReloadedFile(routes, tables_until_restart(operator), warnings)
+    return ReloadedFile(routes, operator.restart_tables(), warnings)
 
 
 class OperatorReload:
     """Applies the routes of the operator's file when it is read again; a file with errors changes nothing."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, executor: RequestExecutor, operator: OperatorConfig | None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        executor: RequestExecutor,
+        tables_at_start: RestartTables | None,
     ) -> None:
         self.loop, self.executor = loop, executor
-        self.tables_at_start = tables_until_restart(operator) if operator is not None else None
+        self.tables_at_start = tables_at_start
         self.background: BackgroundReload[ReloadedFile] | None = None
 
     def request(self, path: str, config: PlatformConfig) -> None:
--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -21,7 +21,6 @@
 from glenchute.policy.lifecycle.draining import SHUTDOWN_ACCEPT_S
 
 from . import subsystems
-from .operator_reload import OperatorReload
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -36,6 +35,7 @@
     from glenchute.upstreams.server_pools import ServerPools
 
     from .handover import ProcessHandover
+    from .operator_reload import OperatorReload
 
 LIST_WAIT_S = 0.3  # a start waits this long for today's endpoint list before it serves by the cached one ...
 CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
@@ -93,7 +93,8 @@
         if self.fleet is not None:
             self.fleet.endpoint_sync.apply_update = self.gateway.update_endpoints
             self.fleet.audit.counter = self.counter
-        self.operator_reload = OperatorReload(loop, self.gateway, operator)
+        self.operator_reload: OperatorReload | None = None
+        self.tables_at_start = operator.restart_tables() if operator is not None else None
 
     # --- parts -------------------------------------------------------------------------------------------
 
@@ -189,6 +190,14 @@
 
         self.gateway.routes = RouteTable(operator.bindings, self.config.seed)
 
+    def reread_operator_file(self, path: str, config: PlatformConfig) -> None:
+        """Reads the operator's file again beside the loop, and applies its routes if it is valid."""
+        from .operator_reload import OperatorReload
+
+        if self.operator_reload is None:
+            self.operator_reload = OperatorReload(self.loop, self.gateway, self.tables_at_start)
+        self.operator_reload.request(path, config)
+
     # --- endpoints ---------------------------------------------------------------------------------------
 
     def are_servers_responding(self) -> bool:
@@ -296,7 +305,7 @@
             self.counter.change_address(config.counter)
         self.config = replace(current, discovery=config.discovery, counter=config.counter)
         if self.environ.get(OPERATOR_FILE_VARIABLE):
-            self.operator_reload.request(self.environ[OPERATOR_FILE_VARIABLE], config)
+            self.reread_operator_file(self.environ[OPERATOR_FILE_VARIABLE], config)
 
     async def shut_down(self) -> None:
         """A graceful shutdown: accepts what still comes, finishes what is in flight, and has ended before the
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -13,7 +13,6 @@
 
 from glenchute.config.platform import OPERATOR_FILE_VARIABLE, ConfigError, PlatformConfig, load
 
-from .operator_reload import read_operator
 from .program import GatewayProgram
 
 if TYPE_CHECKING:
@@ -62,6 +61,16 @@
         handler.addFilter(LogRateLimit())
 
 
+def load_operator(environ: dict[str, str], config: PlatformConfig) -> OperatorConfig | None:
+    """The operator's file that the environment names, if it names one. ConfigError with all that is wrong."""
+    path = environ.get(OPERATOR_FILE_VARIABLE)
+    if not path:
+        return None
+    from .operator_reload import read_operator
+
+    return read_operator(path, config)
+
+
 def run(operator_file: str | None = None) -> int:
     """Runs a gateway until told to stop. `operator_file` goes before the variable that names one. The exit
     status: 0 after a signal, 1 where it could not start, 2 where a file can't be used."""
@@ -72,8 +81,7 @@
         environ[OPERATOR_FILE_VARIABLE] = operator_file
     try:
         config = load(environ)
-        path = environ.get(OPERATOR_FILE_VARIABLE)
-        operator = read_operator(path, config) if path else None
+        operator = load_operator(environ, config)
     except ConfigError as error:
         print(f"glenchute: {error}", file=sys.stderr)
         return 2
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -19,6 +19,7 @@
 from .rules import violations
 from .schema import MISSING, Path
 
+RestartTables = tuple[dict[str, Any] | None, ...]
 DEFAULT_MAX_BACKOFF_MS = 1000.0
 DEFAULT_BACKOFF_FACTOR = 2.0
 DEFAULT_SUBSET_CALM = 0.5
@@ -37,6 +38,10 @@
     discovery: dict[str, Any] | None = None
     subset: dict[str, Any] | None = None
 
+    def restart_tables(self) -> RestartTables:
+        """The tables whose changes wait for a restart."""
+        return (self.capture, self.fronts, self.pipeline, self.fleet, self.discovery, self.subset)
+
 
 class ReadResult(NamedTuple):
     """What came of reading a file; `config` is None where it must not be loaded."""
--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -11,7 +11,6 @@
 import random
 
 from .actions import Action, Reject, SendState, SetTimer, SubscribeToEndpoints
-from .admission import state_transfer, usage_updates
 from .admission.counter_health import CounterHealth
 from .admission.overload import LoadShedder
 from .admission.quota import QuotaAccounting, RejectionCause
@@ -91,16 +90,28 @@
                 self.execution.abandon(request_id)
             case ResponseStarted(request_id, number):
                 self.execution.start_response(now_ms, request_id, number)
+            case SuccessorStarted() | StateReceived() | OtherProcessEnded():
+                self.handle_handover(now_ms, event)
+            case UsageUpdate():
+                from .admission import usage_updates  # most gateways never have one
+
+                usage_updates.apply_usage_update(self.quota.tenants, now_ms, event)
+            case AvoidEndpoint(address, duration_ms):
+                self.pool.avoid(address, now_ms, duration_ms)
+
+    def handle_handover(
+        self, now_ms: float, event: SuccessorStarted | StateReceived | OtherProcessEnded
+    ) -> None:
+        """Another process of this gateway starts beside this one, sends its state, or has ended."""
+        from .admission import state_transfer  # most starts take nothing over
+
+        match event:
             case SuccessorStarted():
                 self.actions.append(SendState(state_transfer.start_handover(self.quota.tenants, now_ms)))
             case StateReceived(quotas):
                 state_transfer.restore(self.quota.tenants, now_ms, quotas)
             case OtherProcessEnded():
                 state_transfer.end_handover(self.quota.tenants, now_ms)
-            case UsageUpdate():
-                usage_updates.apply_usage_update(self.quota.tenants, now_ms, event)
-            case AvoidEndpoint(address, duration_ms):
-                self.pool.avoid(address, now_ms, duration_ms)
 
     # --- time ---------------------------------------------------------------------------------------------
 
--- a/glenchute/policy/record.py
+++ b/glenchute/policy/record.py
@@ -1,10 +1,10 @@
-"""A `record` decorator: dataclasses with slots at a seventh of the cost of defining them.
+"""A `record` decorator: dataclasses with slots that cost little to define.
 
 A gateway that restarts is away for as long as its imports take, and half of that was the code that
-`dataclass` generates and compiles for methods that no request calls. Here only ``__init__`` is compiled;
-``__eq__``, ``__hash__`` and ``__repr__`` go over the fields' names. To mypy a record is a dataclass, so a
-frozen one must not be assigned to; at run time nothing prevents that. `dataclasses.fields` and `replace` work
-on it, and a dataclass may inherit from it.
+`dataclass` generates and compiles for methods that no request calls. Here only ``__init__`` is compiled, when
+the first record of its class is made; ``__eq__``, ``__hash__`` and ``__repr__`` go over the fields' names.
+To mypy a record is a dataclass, so a frozen one must not be assigned to; at run time nothing prevents that.
+`dataclasses.fields` and `replace` work on it, and a dataclass may inherit from it.
 """
 
 from __future__ import annotations
@@ -37,13 +37,8 @@
         return template.__dataclass_fields__
 
 
-def _make_record(cls: type, frozen: bool) -> type:
-    """A copy of the class with slots and the methods of a dataclass."""
-    inherited = getattr(cls, "__match_args__", ())
-    own = [name for name in vars(cls).get("__annotations__", {}) if name not in inherited]
-    names = (*inherited, *own)
-    defaults = dict(getattr(cls, "record_defaults", {}))
-    defaults |= {name: cls.__dict__[name] for name in names if name in cls.__dict__}
+def _compile_constructor(names: tuple[str, ...], defaults: dict[str, Any]) -> Any:
+    """``__init__`` for fields of these names."""
     namespace: dict[str, Any] = {"MISSING": MISSING}
     parameters, assignments = [], []
     for name in names:
@@ -58,9 +53,18 @@
             namespace[f"default_{name}"] = default
             parameters.append(f"{name}=default_{name}")
         assignments.append(f" self.{name}={value}")
-    exec(
-        f"def __init__({','.join(['self', *parameters])}):\n" + ("\n".join(assignments) or " pass"), namespace
-    )
+    header = f"def __init__({','.join(['self', *parameters])}):\n"
+    exec(header + ("\n".join(assignments) or " pass"), namespace)
+    return namespace["__init__"]
+
+
+def _make_record(cls: type, frozen: bool) -> type:
+    """A copy of the class with slots and the methods of a dataclass."""
+    inherited = getattr(cls, "__match_args__", ())
+    own = [name for name in vars(cls).get("__annotations__", {}) if name not in inherited]
+    names = (*inherited, *own)
+    defaults = dict(getattr(cls, "record_defaults", {}))
+    defaults |= {name: cls.__dict__[name] for name in names if name in cls.__dict__}
     body = {k: v for k, v in cls.__dict__.items() if k not in (*names, "__dict__", "__weakref__")}
     values_of = attrgetter(*names) if names else type
 
@@ -70,8 +74,13 @@
     def represent(self: Any) -> str:
         return f"{cls.__qualname__}({', '.join(f'{name}={getattr(self, name)!r}' for name in names)})"
 
+    def initialize(self: Any, *values: Any, **named_values: Any) -> None:
+        made.__init__ = _compile_constructor(names, defaults)  # the next record calls it directly
+        made.__init__(self, *values, **named_values)
+
     body |= {"__slots__": tuple(own), "__match_args__": names, "record_defaults": defaults,
-             "__init__": namespace["__init__"], "__eq__": equals, "__dataclass_fields__": _LazyFields(),
+             "__init__": initialize, "__eq__": equals, "__dataclass_fields__": _LazyFields(),
              "__hash__": (lambda self: hash(values_of(self))) if frozen else None}  # fmt: skip
     body.setdefault("__repr__", represent)
-    return type(cls)(cls.__name__, cls.__bases__, body)
+    made: Any = type(cls)(cls.__name__, cls.__bases__, body)
+    return made  # type: ignore[no-any-return]
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -25,7 +25,8 @@
     BackgroundReload,
     TimeSlices,
 )
-from glenchute.cli.operator_reload import WARNINGS_PER_TURN, reload_operator_file
+from glenchute.cli.operator_reload import WARNINGS_PER_TURN, OperatorReload, reload_operator_file
+from glenchute.cli.program import GatewayProgram
 from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import ReadResult
 from lab.faults import Fault, Kind, Script
@@ -38,6 +39,12 @@
 READ_AGAIN = "the operator's file was read again"
 
 
+def reload_of(program: GatewayProgram) -> OperatorReload:
+    """What has read the operator's file again."""
+    assert program.operator_reload is not None
+    return program.operator_reload
+
+
 def reads(name: str, attempts: int = 2) -> str:
     return f"[[route]]\nname = '{name}'\nmatch = {{ class = 'read' }}\nattempts = {attempts}\n"
 
@@ -79,7 +86,7 @@
 
             def reread(text: str) -> None:
                 file.write_text(text)
-                program.operator_reload.request(str(file), program.config)
+                program.reread_operator_file(str(file), program.config)
 
             reread(reads("second"))
             await until(lambda: blocked.started == 1)
@@ -94,7 +101,7 @@
             assert (
                 blocked.started == 2 and blocked.was_released
             )  # the third was superseded, none is read twice
-            reload = program.operator_reload.background
+            reload = reload_of(program).background
             await until(lambda: reload is not None and not reload.is_busy)
             assert sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
 
@@ -118,7 +125,7 @@
             async def rejected(text: str) -> str:
                 before = len(reported())
                 file.write_text(text)
-                program.operator_reload.request(str(file), program.config)
+                program.reread_operator_file(str(file), program.config)
                 await until(lambda: len(reported()) > before)
                 assert (
                     bound(one) == "first" and sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
@@ -144,7 +151,7 @@
 
                 patch.setattr(threading.Thread, "start", none)
                 assert "can't start new thread" in await rejected(reads("second"))
-            program.operator_reload.request(str(file), program.config)
+            program.reread_operator_file(str(file), program.config)
             await until(lambda: bound(one) == "second")
 
     play(scenario())
@@ -159,14 +166,14 @@
     async def scenario() -> None:
         async with site(always(SERVED), operator=reads("first")) as one:
             program = one.program
-            program.operator_reload.request(str(file), program.config)
+            program.reread_operator_file(str(file), program.config)
             await until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
             (line,) = [r.getMessage() for r in caplog.records if "warning" in r.getMessage()]
             assert "backoff-unused: route[0].backoff" in line
             caplog.clear()
             found = reload_operator_file(str(file), program.config)
             found = found._replace(warnings=[f"w{n}" for n in range(count)])
-            program.operator_reload.apply(found)
+            reload_of(program).apply(found)
             assert len(caplog.records) == WARNINGS_PER_TURN and bound(one) == "r0"
             await until(lambda: len(caplog.records) > count)
             assert [r.getMessage() for r in caplog.records] == [*found.warnings, READ_AGAIN]
@@ -182,10 +189,8 @@
     async def scenario() -> None:
         async with site(always(SERVED), operator=reads("first")) as one:
             program, turns = one.program, 0
-            program.operator_reload.request(str(file), program.config)
-            while (
-                program.operator_reload.background is not None and program.operator_reload.background.is_busy
-            ):
+            program.reread_operator_file(str(file), program.config)
+            while (background := reload_of(program).background) is not None and background.is_busy:
                 turns += 1
                 await asyncio.sleep(0)
             assert turns > 20 and bound(one) == "first"
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -359,7 +359,11 @@
         lines = (ROOT / name).read_text().splitlines()
         assert sum(1 for line in lines if line.strip()) <= 500, name
         assert max(len(line) for line in lines) <= 110, name
-    script = "import sys, glenchute.policy.engine; print(*sorted(m for m in sys.modules if 'policy.' in m))"
+    script = (
+        "import sys, glenchute.policy.engine; "
+        "from glenchute.policy.admission import state_transfer, usage_updates; "  # loaded by their events
+        "print(*sorted(m for m in sys.modules if 'policy.' in m))"
+    )
     command = [sys.executable, "-c", script]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = {f"{module.replace('.', '/')}.py" for module in done.stdout.split()}
