--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -43,7 +43,7 @@
 from benchmarks.capacity_members import lease_messages, members_kib, replica_kib, talk, telling
 from benchmarks.machine import machine
 from benchmarks.slopes import Measure, Probe, cpu_ms, kib, table
-from glenchute.cli.fleet import table as text_table
+from glenchute.cli.fleet import text_table
 from glenchute.clients.membership import status
 from glenchute.config.facts import ClassFacts, PlatformFacts
 from glenchute.config.operator import OperatorConfig, ReadResult, parse
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -19,11 +19,11 @@
 from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan
 from glenchute.protocol.member_datagrams import decode, encode
-from lab.fleet.holders import Swarm
-from lab.fleet.simulated import Net
+from lab.fleet.holders import LeaseCluster
+from lab.fleet.simulated import SwimNetwork
 
 
-class Watched(Net):
+class Watched(SwimNetwork):
     """A network that books what each member sends, in bytes as they are on the wire."""
 
     def __init__(self, count: int, seed: int) -> None:
@@ -237,7 +237,7 @@
 @functools.cache
 def lease_messages(members: int, tasks: int, seed: int) -> float:
     """Messages a second of all together, five voters, nothing wrong."""
-    swarm = Swarm(members, seed, tasks=tasks)
+    swarm = LeaseCluster(members, seed, tasks=tasks)
     swarm.run(5.0)
     before = swarm.sent
     swarm.run(10.0)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -23,7 +23,7 @@
 from benchmarks.machine import cpu_s, machine
 from lab.fleet.acting import MORE, drawn, tasks
 from lab.fleet.effects import EffectService
-from lab.fleet.holders import Swarm, longest_gap, overlaps, troubled
+from lab.fleet.holders import LeaseCluster, longest_gap, overlaps, run_with_faults
 from lab.fleet.processes import FleetSite
 
 
@@ -31,7 +31,7 @@
     """Seconds from a trouble of the holder to the first act of another."""
     found = []
     for seed in range(100):
-        swarm = Swarm(15, seed, longest=longest)
+        swarm = LeaseCluster(15, seed, longest=longest)
         swarm.run(3.0 + seed * 0.037)
         held = swarm.holder("task0")
         assert held is not None
@@ -45,9 +45,9 @@
         else:
             swarm.release(held)
         swarm.run(3.0 * longest + 5.0)
-        later = [act.began for act in swarm.acts if act.began > at and act.by.partition("#")[0] != held]
+        later = [act.began for act in swarm.effects if act.began > at and act.by.partition("#")[0] != held]
         found.append(later[0] - at if later else float("inf"))
-        assert not overlaps(swarm.acts)
+        assert not overlaps(swarm.effects)
     return sorted(found)
 
 
@@ -61,7 +61,7 @@
     for count in (15, 100, 500):
         rates = []
         for number in (1, 20):
-            swarm = Swarm(count, 1, tasks=number)
+            swarm = LeaseCluster(count, 1, tasks=number)
             swarm.run(5.0)
             before = swarm.sent
             swarm.run(10.0)
@@ -69,18 +69,18 @@
         print(f"{count:7} {rates[0]:28.1f} {rates[1]:9.1f}")
     print("lost  share of time without an act for over a second")
     for lose in (0.0, 0.1, 0.3, 0.5):
-        swarm = Swarm(15, 5, lose=lose)
+        swarm = LeaseCluster(15, 5, lose=lose)
         swarm.run(300.0)
-        times = [act.began for act in swarm.acts]
+        times = [act.began for act in swarm.effects]
         gaps = [b - a for a, b in itertools.pairwise(times) if b - a > 1.0]
-        longest = longest_gap(swarm.acts, "task0", 5.0, 300.0)
+        longest = longest_gap(swarm.effects, "task0", 5.0, 300.0)
         print(f"{lose:4.1f} {sum(gaps) / 300.0:8.4f}  longest {longest:.2f} s")
 
 
 def one_swarm(seed: int) -> tuple[int, int, int]:
     """Acts, messages, overlaps of a seed."""
-    swarm = troubled(seed, (5, 15, 60)[seed % 3], (5, 5, 9)[seed % 3], tasks=1 + seed % 3)
-    return len(swarm.acts), swarm.sent, len(overlaps(swarm.acts))
+    swarm = run_with_faults(seed, (5, 15, 60)[seed % 3], (5, 5, 9)[seed % 3], tasks=1 + seed % 3)
+    return len(swarm.effects), swarm.sent, len(overlaps(swarm.effects))
 
 
 def swarm(seeds: int) -> int:
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -23,7 +23,7 @@
 from lab.fleet import checks
 from lab.fleet.crowd import Others
 from lab.fleet.processes import FleetSite
-from lab.fleet.simulated import Mesh, Net, apart
+from lab.fleet.simulated import GossipNetwork, SwimNetwork, apart
 from lab.load import Account
 from lab.sim.members import gone_run
 from lab.site import free_port
@@ -80,14 +80,14 @@
     """Seconds from a heal to copies that agree, over seeds."""
     took = []
     for seed in range(5):
-        mesh = Mesh(count, seed)
-        mesh.run(30.0, mesh.whole)
+        mesh = GossipNetwork(count, seed)
+        mesh.run(30.0, mesh.are_complete)
         half = set(mesh.names[: count // 2])
         mesh.cut = apart(half)
         mesh.writes(5)
         mesh.run(3.0)
         mesh.cut = lambda sender, to: False
-        took.append(mesh.run(60.0, mesh.same))
+        took.append(mesh.run(60.0, mesh.are_equal))
     return took
 
 
@@ -123,11 +123,11 @@
     for count, lose, slow in cases:
         first, last, false = [], [], 0
         for seed in range(3 if count < 500 else 1):
-            net = Net(count, seed, lose)
+            net = SwimNetwork(count, seed, lose)
             net.lag = {name: 0.5 for name in net.rng.sample(net.names[2:], round(slow * count))}
-            net.run(30.0, net.all_here)
+            net.run(30.0, net.all_participate)
             net.run(20.0)
-            false += len(net.buried)
+            false += len(net.declared_dead)
             net.stopped.add("g1")
             first.append(net.run(30.0, lambda net=net: any(  # type: ignore[misc]
                 net.seen("g1", by) is not MemberState.ALIVE for by in net.names if by != "g1"
--- a/lab/fleet/holders.py
+++ b/lab/fleet/holders.py
@@ -60,38 +60,38 @@
 class Process:
     """One process: its clock, its vote, its tasks."""
 
-    def __init__(self, name: str, boot: int, swarm: Swarm, rate: float) -> None:
-        self.name, self.boot, self.swarm, self.rate = name, boot, swarm, rate
-        self.offset = swarm.rng.uniform(0.0, 1e6)  # clocks have nothing in common but their rate
+    def __init__(self, name: str, boot: int, cluster: LeaseCluster, rate: float) -> None:
+        self.name, self.boot, self.cluster, self.rate = name, boot, cluster, rate
+        self.offset = cluster.rng.uniform(0.0, 1e6)  # clocks have nothing in common but their rate
         self.stopped = False
         self.buffer: list[tuple[str, LeaseMessage]] = []  # what came while it stood
         now = self.clock()
-        self.voter = Acceptor(name, swarm.terms, now) if name in swarm.terms.acceptors else None
-        self.keepers = {}
-        for task in swarm.tasks:
-            seeker = Proposer(name, boot, task, swarm.terms, swarm.terms.max_span_s)
-            self.keepers[task] = TaskCandidate(seeker, random.Random(swarm.rng.getrandbits(60)), now)
+        self.acceptor = Acceptor(name, cluster.terms, now) if name in cluster.terms.acceptors else None
+        self.candidates = {}
+        for task in cluster.tasks:
+            seeker = Proposer(name, boot, task, cluster.terms, cluster.terms.max_span_s)
+            self.candidates[task] = TaskCandidate(seeker, random.Random(cluster.rng.getrandbits(60)), now)
 
     def clock(self) -> float:
-        return self.offset + self.swarm.now * self.rate
+        return self.offset + self.cluster.now * self.rate
 
-    def heard(self, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
+    def receive(self, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
         if message.kind in ACCEPTOR_MESSAGE_KINDS:
-            return self.voter.receive(self.clock(), sender, message) if self.voter is not None else []
-        return self.keepers[message.task].receive(self.clock(), sender, message)
+            return self.acceptor.receive(self.clock(), sender, message) if self.acceptor is not None else []
+        return self.candidates[message.task].receive(self.clock(), sender, message)
 
     def tick(self) -> list[Outgoing[LeaseMessage]]:
         now = self.clock()
-        outs = self.voter.tick(now) if self.voter is not None else []
-        for keeper in self.keepers.values():
+        outs = self.acceptor.tick(now) if self.acceptor is not None else []
+        for keeper in self.candidates.values():
             outs += keeper.tick(now)
             token = keeper.fencing_token(now, ACT_S)
-            if token is not None and self.swarm.rng.random() < 0.5:
-                self.swarm.act(keeper.proposer.task, token, self)
+            if token is not None and self.cluster.rng.random() < 0.5:
+                self.cluster.act(keeper.proposer.task, token, self)
         return outs
 
 
-class Swarm:
+class LeaseCluster:
     """So many processes, of which the first are voters."""
 
     def __init__(
@@ -102,54 +102,54 @@
         self.names = [f"g{n}" for n in range(count)]
         self.terms = LeaseTerms(tuple(self.names[:voters]), longest, drift)
         self.tasks = [f"task{n}" for n in range(tasks)]
-        self.now, self.lose, self.sent, self.boots = 0.0, lose, 0, 0
-        self.acts: list[Act] = []
-        self.due: list[tuple[float, int, str, str, LeaseMessage]] = []
+        self.now, self.loss, self.sent, self.boots = 0.0, lose, 0, 0
+        self.effects: list[Act] = []
+        self.in_flight: list[tuple[float, int, str, str, LeaseMessage]] = []
         self.order = itertools.count()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.down: set[str] = set()
-        self.processes = {name: self.made(name) for name in self.names}
+        self.processes = {name: self.make_process(name) for name in self.names}
         for name in self.names:
-            voter = self.processes[name].voter
+            voter = self.processes[name].acceptor
             if voter is not None:  # they have run for long
                 voter.has_recovered = True
-        self.place()
+        self.update_members()
 
-    def made(self, name: str) -> Process:
+    def make_process(self, name: str) -> Process:
         self.boots += 1
         drift = self.terms.max_clock_drift
         # At their bounds as often as between them.
         rate = self.rng.choice([1.0 - drift, 1.0 + drift, self.rng.uniform(1.0 - drift, 1.0 + drift)])
         return Process(name, self.boots, self, rate)
 
-    def place(self) -> None:
+    def update_members(self) -> None:
         """Members know who has gone; who is stopped or cut off they do not."""
         there = [name for name in self.names if name not in self.down]
         for name, process in self.processes.items():
-            for keeper in process.keepers.values():
+            for keeper in process.candidates.values():
                 keeper.update_members(one for one in there if one != name)
 
     def act(self, task: str, token: int, by: Process) -> None:
         """An effect begins now; what it acts on books it."""
         took = self.rng.choice([0.0, 0.5, 1.0]) * ACT_S
-        self.acts.append(Act(task, token, f"{by.name}#{by.boot}", self.now, self.now + took))
+        self.effects.append(Act(task, token, f"{by.name}#{by.boot}", self.now, self.now + took))
 
     def post(self, sender: str, outs: Sequence[Outgoing[LeaseMessage]]) -> None:
         for out in outs:
             self.sent += 1
             for _ in range(1 + (self.rng.random() < 0.02)):
-                if self.rng.random() >= self.lose and not self.cut(sender, out.to):
+                if self.rng.random() >= self.loss and not self.cut(sender, out.to):
                     late = self.rng.choice([0.001, 0.01, 0.01, 0.05, 0.01, 1.5])
                     row = (self.now + late * self.rng.random(), next(self.order), out.to, sender, out.message)
-                    heapq.heappush(self.due, row)
+                    heapq.heappush(self.in_flight, row)
 
     def run(self, seconds: float) -> None:
         """Lets time pass."""
         end = self.now + seconds
         while self.now < end:
             step = self.now + TICK_S
-            while self.due and self.due[0][0] <= step:
-                at, _, to, sender, message = heapq.heappop(self.due)
+            while self.in_flight and self.in_flight[0][0] <= step:
+                at, _, to, sender, message = heapq.heappop(self.in_flight)
                 self.now = max(self.now, at)
                 process = self.processes[to]
                 if to in self.down:
@@ -157,7 +157,7 @@
                 if process.stopped:
                     process.buffer.append((sender, message))
                 else:
-                    self.post(to, process.heard(sender, message))
+                    self.post(to, process.receive(sender, message))
             self.now = step
             for name, process in self.processes.items():
                 if name not in self.down and not process.stopped:
@@ -168,101 +168,103 @@
     def stop(self, name: str) -> None:
         self.processes[name].stopped = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """What it has not read comes first: it was there before the clock is looked at again."""
         process = self.processes[name]
         process.stopped, buffer, process.buffer = False, process.buffer, []
         for sender, message in buffer:
-            self.post(name, process.heard(sender, message))
+            self.post(name, process.receive(sender, message))
 
     def kill(self, name: str) -> None:
         self.down.add(name)
-        self.place()
+        self.update_members()
 
     def restart(self, name: str) -> None:
         self.down.discard(name)
-        self.processes[name] = self.made(name)
-        self.place()
+        self.processes[name] = self.make_process(name)
+        self.update_members()
 
     def holder(self, task: str) -> str | None:
         """Who acted last."""
-        acts = [act for act in self.acts if act.task == task]
+        acts = [act for act in self.effects if act.task == task]
         return acts[-1].by.partition("#")[0] if acts else None
 
     def release(self, name: str) -> None:
         """SIGTERM: all that it holds is given back."""
         process = self.processes[name]
-        for keeper in process.keepers.values():
+        for keeper in process.candidates.values():
             self.post(name, keeper.release(process.clock()))
 
 
-def troubled(seed: int, count: int, voters: int, seconds: float = 60.0, tasks: int = 1) -> Swarm:
+def run_with_faults(
+    seed: int, count: int, voters: int, seconds: float = 60.0, tasks: int = 1
+) -> LeaseCluster:
     """A run with drawn faults, most of them at whoever holds; then a calm time."""
     rng = random.Random(seed)
     longest, lose = rng.choice([1.0, 3.0]), rng.choice([0.0, 0.1, 0.3])
-    swarm = Swarm(count, seed, voters, tasks, longest, lose=lose)
+    cluster = LeaseCluster(count, seed, voters, tasks, longest, lose=lose)
     undo: list[tuple[float, Callable[..., None], tuple[Any, ...]]] = []
-    while swarm.now < seconds:
-        swarm.run(rng.uniform(0.1, 2.0))
-        for row in [row for row in undo if row[0] <= swarm.now]:
+    while cluster.now < seconds:
+        cluster.run(rng.uniform(0.1, 2.0))
+        for row in [row for row in undo if row[0] <= cluster.now]:
             undo.remove(row)
             row[1](*row[2])
-        held = swarm.holder(rng.choice(swarm.tasks)) or "g0"
-        name = held if rng.random() < 0.6 else rng.choice(swarm.names)
+        held = cluster.holder(rng.choice(cluster.tasks)) or "g0"
+        name = held if rng.random() < 0.6 else rng.choice(cluster.names)
         kind = rng.choice(["stop", "restart", "kill", "release", "cut", "one way", "halves"])
-        back = swarm.now + rng.uniform(0.2, 6.0)
-        if name in swarm.down or swarm.processes[name].stopped or len(undo) > max(2, voters // 2):
+        back = cluster.now + rng.uniform(0.2, 6.0)
+        if name in cluster.down or cluster.processes[name].stopped or len(undo) > max(2, voters // 2):
             continue
         if kind == "stop":
-            swarm.stop(name)
-            undo.append((back, swarm.go_on, (name,)))
+            cluster.stop(name)
+            undo.append((back, cluster.resume, (name,)))
         elif kind == "restart":
-            swarm.restart(name)
+            cluster.restart(name)
         elif kind == "kill":
-            swarm.kill(name)
-            undo.append((back, swarm.restart, (name,)))
+            cluster.kill(name)
+            undo.append((back, cluster.restart, (name,)))
         elif kind == "release":
-            swarm.release(name)
+            cluster.release(name)
         else:
-            half = set(rng.sample(swarm.names, len(swarm.names) // 2))
+            half = set(rng.sample(cluster.names, len(cluster.names) // 2))
             cuts: dict[str, Callable[[str, str], bool]] = {
                 "cut": lambda a, b, n=name: n in (a, b),  # type: ignore[misc]
                 "one way": lambda a, b, n=name: a == n,  # type: ignore[misc]
                 "halves": apart(half),
             }
-            swarm.cut = cuts[kind]
-            undo.append((back, setattr, (swarm, "cut", lambda a, b: False)))
+            cluster.cut = cuts[kind]
+            undo.append((back, setattr, (cluster, "cut", lambda a, b: False)))
     for _, act, args in undo:
         act(*args)
-    swarm.lose = 0.0
-    return swarm
+    cluster.loss = 0.0
+    return cluster
 
 
-def changed(seed: int, sets: Sequence[Sequence[int]]) -> Swarm:
+def run_acceptor_changes(seed: int, sets: Sequence[Sequence[int]]) -> LeaseCluster:
     """Voters' sets in service, one after the other: all processes are restarted with the next, in any order
     and a while apart, among stops and cuts; then a lease passes before the one after."""
     rng = random.Random(seed)
-    swarm = Swarm(8, seed, len(sets[0]), longest=1.0, lose=rng.choice([0.0, 0.2]))
+    cluster = LeaseCluster(8, seed, len(sets[0]), longest=1.0, lose=rng.choice([0.0, 0.2]))
     for at, voters in enumerate(sets):
-        swarm.terms = replace(swarm.terms, acceptors=tuple(swarm.names[n] for n in voters))
+        cluster.terms = replace(cluster.terms, acceptors=tuple(cluster.names[n] for n in voters))
         if at == 0:
-            for name in swarm.names:
-                swarm.restart(name)
-            swarm.run(4.0)
+            for name in cluster.names:
+                cluster.restart(name)
+            cluster.run(4.0)
             continue
-        for name in rng.sample(swarm.names, len(swarm.names)):
-            stopped = rng.choice(swarm.names) if rng.random() < 0.4 else None
-            half = set(rng.sample(swarm.names, 4))
+        for name in rng.sample(cluster.names, len(cluster.names)):
+            stopped = rng.choice(cluster.names) if rng.random() < 0.4 else None
+            half = set(rng.sample(cluster.names, 4))
             if rng.random() < 0.5:
-                swarm.cut = apart(half)
+                cluster.cut = apart(half)
             if stopped is not None:
-                swarm.stop(stopped)
-            swarm.run(rng.uniform(0.1, 1.5))
-            swarm.restart(name)
-            swarm.run(rng.uniform(0.1, 1.5))
-            if stopped is not None and swarm.processes[stopped].stopped:
-                swarm.go_on(stopped)
-            swarm.cut = lambda a, b: False
-        swarm.run(swarm.terms.startup_silence_s + 1.0)
-    swarm.lose = 0.0
-    return swarm
+                cluster.stop(stopped)
+            cluster.run(rng.uniform(0.1, 1.5))
+            cluster.restart(name)
+            cluster.run(rng.uniform(0.1, 1.5))
+            if stopped is not None and cluster.processes[stopped].stopped:
+                cluster.resume(stopped)
+            cluster.cut = lambda a, b: False
+        cluster.run(cluster.terms.startup_silence_s + 1.0)
+    cluster.loss = 0.0
+    return cluster
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -18,73 +18,73 @@
 TICK = 0.025
 
 
-class Posts:
+class DirectMessageNetwork:
     """So many gateways that let in as told, and what happens to their mail."""
 
     def __init__(
         self, count: int, seed: int, names: Sequence[str] = (), gateways: int = 0, budget: float = 6_144.0,
         numbered: bool = True,
     ) -> None:  # fmt: skip
-        self.rng, self.now, self.lose, self.gateways = random.Random(seed), 0.0, 0.0, gateways or count
+        self.rng, self.now, self.loss, self.gateways = random.Random(seed), 0.0, 0.0, gateways or count
         self.names = list(names) or [f"g{n}" for n in range(count)]
         self.budget, self.numbered = budget, numbered
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
-        self.gone: set[str] = set()  # by the probes of all
-        self.due: list[tuple[float, int, str, str, int, UsageMessage | UsageRequest]] = []
+        self.dead: set[str] = set()  # by the probes of all
+        self.in_flight: list[tuple[float, int, str, str, int, UsageMessage | UsageRequest]] = []
         self.order = itertools.count()
         self.boots = dict.fromkeys(self.names, 1)
         self.sent: Counter[tuple[str, str]] = Counter()  # words, by sender and receiver
-        self.letters: Counter[str] = Counter()
-        self.posts = {name: self.made(name) for name in self.names}
+        self.message_counts: Counter[str] = Counter()
+        self.messengers = {name: self.make_messenger(name) for name in self.names}
 
-    def made(self, name: str) -> DirectMessenger:
+    def make_messenger(self, name: str) -> DirectMessenger:
         numbers = gateway_numbers(dict.fromkeys(self.names)) if self.numbered else None
         ring = GatewayRing(name, self.names, numbers, self.gateways)
         use = AccountUsage(f"{name}#{self.boots[name]:x}")
         rng = random.Random(self.rng.getrandbits(60))
-        there = lambda other: other not in self.gone  # noqa: E731
+        there = lambda other: other not in self.dead  # noqa: E731
         return DirectMessenger(use, Replica(), ring, there, rng, self.now, self.budget)
 
     def restart(self, name: str) -> None:
         """Another process under the name, which knows nothing."""
         self.boots[name] += 1
-        self.posts[name] = self.made(name)
+        self.messengers[name] = self.make_messenger(name)
 
-    def let_in(
+    def admit(
         self, name: str, account: str, units: float = 1.0, spread: int = 3, plan: Plan | None = None,
         window: float = 0.0,
     ) -> None:  # fmt: skip
         """A request goes on."""
-        post = self.posts[name]
+        post = self.messengers[name]
         post.report(self.now, post.usage.add_admitted(account, window, units, spread, plan))
 
-    def hears(self, name: str, account: str, window: float = 0.0) -> float:
+    def units_of_peers(self, name: str, account: str, window: float = 0.0) -> float:
         """What a gateway knows of the others."""
-        return self.posts[name].usage.admitted_by_peers(account, window)
+        return self.messengers[name].usage.admitted_by_peers(account, window)
 
     def known(self, name: str, spread: int) -> int:
-        return self.posts[name].known_gateways(self.now, spread)
+        return self.messengers[name].known_gateways(self.now, spread)
 
     def carry(self, sender: str, letters: list[Outgoing[UsageMessage | UsageRequest]]) -> None:
         for to, body in letters:
-            self.letters[sender] += 1
+            self.message_counts[sender] += 1
             if isinstance(body, UsageMessage):
                 self.sent[sender, to] += len(body.entries)
-            if self.rng.random() >= self.lose and not self.cut(sender, to):
+            if self.rng.random() >= self.loss and not self.cut(sender, to):
                 at = self.now + self.rng.uniform(0.001, 0.005)
-                heapq.heappush(self.due, (at, next(self.order), sender, to, self.boots[sender], body))
+                heapq.heappush(self.in_flight, (at, next(self.order), sender, to, self.boots[sender], body))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         """Lets time pass; how long it took until the condition held."""
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
             step = self.now + TICK
-            while self.due and self.due[0][0] <= step:
-                when, _, sender, to, boot, body = heapq.heappop(self.due)
+            while self.in_flight and self.in_flight[0][0] <= step:
+                when, _, sender, to, boot, body = heapq.heappop(self.in_flight)
                 self.now = max(self.now, when)
-                self.carry(to, self.posts[to].receive(self.now, sender, boot, body))
+                self.carry(to, self.messengers[to].receive(self.now, sender, boot, body))
             self.now = step
-            for name, post in self.posts.items():
+            for name, post in self.messengers.items():
                 self.carry(name, post.tick(self.now))
                 post.replica.expire(self.now)
                 post.expire()
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -23,31 +23,31 @@
     return lambda sender, to: (sender in some) != (to in some)
 
 
-class Net:
+class SwimNetwork:
     """So many members, and what happens to their messages."""
 
     def __init__(self, count: int, seed: int, lose: float = 0.0, delay: float = 0.01) -> None:
         self.rng = random.Random(seed)
         self.names = [f"g{i}" for i in range(count)]
-        self.lose, self.delay = lose, delay
+        self.loss, self.delay = lose, delay
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.now = 0.0
-        self.due: list[tuple[float, int, str, str, int, SwimMessage]] = []
+        self.in_flight: list[tuple[float, int, str, str, int, SwimMessage]] = []
         self.order = itertools.count()
         self.stopped: set[str] = set()
         self.lag: dict[str, float] = {}  # seconds by which all that some say comes later
-        self.nodes = {name: self.made(name) for name in self.names}
+        self.nodes = {name: self.make_member(name) for name in self.names}
         self.longest = 0  # updates in a message
         self.sent = dict.fromkeys(self.names, 0)
-        self.buried: list[tuple[float, str, str]] = []  # when, by whom, whom
+        self.declared_dead: list[tuple[float, str, str]] = []  # when, by whom, whom
 
-    def made(self, name: str) -> MemberList:
+    def make_member(self, name: str) -> MemberList:
         boot = self.rng.getrandbits(60)
         return MemberList(name, boot, self.names, SwimSettings(), random.Random(boot), self.now)
 
     def restart(self, name: str) -> None:
         """Another process under the name, which knows nothing."""
-        self.nodes[name] = self.made(name)
+        self.nodes[name] = self.make_member(name)
         self.stopped.discard(name)
 
     def post(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
@@ -55,17 +55,17 @@
         for out in outs:
             self.sent[sender] += 1
             self.longest = max(self.longest, len(out.message.updates))
-            if self.rng.random() >= self.lose and not self.cut(sender, out.to):
+            if self.rng.random() >= self.loss and not self.cut(sender, out.to):
                 at = self.now + self.delay * self.rng.uniform(0.5, 1.5) + self.lag.get(sender, 0.0)
-                heapq.heappush(self.due, (at, next(self.order), sender, out.to, boot, out.message))
+                heapq.heappush(self.in_flight, (at, next(self.order), sender, out.to, boot, out.message))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         """Lets time pass; how long it took until the condition held."""
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
             step = self.now + TICK
-            while self.due and self.due[0][0] <= step:
-                when, _, sender, to, boot, message = heapq.heappop(self.due)
+            while self.in_flight and self.in_flight[0][0] <= step:
+                when, _, sender, to, boot, message = heapq.heappop(self.in_flight)
                 self.now = max(self.now, when)
                 if to not in self.stopped:
                     self.post(to, self.nodes[to].receive(self.now, sender, boot, message))
@@ -75,17 +75,17 @@
                     self.post(name, node.tick(self.now))
                     for change in node.take_changes():
                         if change.after is MemberState.DEAD:
-                            self.buried.append((self.now, name, change.name))
+                            self.declared_dead.append((self.now, name, change.name))
         return self.now - began
 
-    def seen(self, name: str, by: str) -> MemberState:
+    def state_of(self, name: str, by: str) -> MemberState:
         return self.nodes[by].members[name].state
 
     def all_see(self, name: str, state: MemberState, but: tuple[str, ...] = ()) -> bool:
         others = [other for other in self.names if other != name and other not in but]
-        return all(self.seen(name, by) is state for by in others)
+        return all(self.state_of(name, by) is state for by in others)
 
-    def all_here(self) -> bool:
+    def all_participate(self) -> bool:
         """Nobody is unknown or gone to anybody; where messages are lost some are in doubt at any time."""
         here = (MemberState.ALIVE, MemberState.SUSPECT)
         return all(m.state in here for node in self.nodes.values() for m in node.members.values())
@@ -99,18 +99,18 @@
     return {held.row for held in replica.rows.values()}
 
 
-class Mesh:
+class GossipNetwork:
     """Copies that exchange over a network that loses, repeats and delays."""
 
     def __init__(self, count: int, seed: int, lose: float = 0.0, rows: int = 0) -> None:
-        self.rng, self.lose, self.now = random.Random(seed), lose, 0.0
+        self.rng, self.loss, self.now = random.Random(seed), lose, 0.0
         self.names = [f"g{i}" for i in range(count)]
         self.alive = dict.fromkeys(self.names, True)
         self.nodes = {
             name: Gossip(Replica(), GossipSettings(), random.Random(seed + i))
             for i, name in enumerate(self.names)
         }
-        self.due: list[tuple[float, int, str, str, GossipMessage]] = []
+        self.in_flight: list[tuple[float, int, str, str, GossipMessage]] = []
         self.order = itertools.count()
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         for number, name in itertools.product(range(rows), self.names):
@@ -122,16 +122,16 @@
     def post(self, sender: str, sents: list[Outgoing[GossipMessage]]) -> None:
         for sent in sents:
             for _ in range(1 + (self.rng.random() < 0.05)):
-                if self.rng.random() >= self.lose and not self.cut(sender, sent.to):
+                if self.rng.random() >= self.loss and not self.cut(sender, sent.to):
                     at = self.now + self.rng.uniform(0.002, 0.02)
-                    heapq.heappush(self.due, (at, next(self.order), sender, sent.to, sent.message))
+                    heapq.heappush(self.in_flight, (at, next(self.order), sender, sent.to, sent.message))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
             step = self.now + TICK / 2.0
-            while self.due and self.due[0][0] <= step:
-                when, _, sender, to, body = heapq.heappop(self.due)
+            while self.in_flight and self.in_flight[0][0] <= step:
+                when, _, sender, to, body = heapq.heappop(self.in_flight)
                 self.now = max(self.now, when)
                 if self.alive[to]:
                     self.post(to, self.nodes[to].receive(self.now, sender, body, len(self.names)))
@@ -143,11 +143,11 @@
                     node.replica.expire(self.now)
         return self.now - began
 
-    def same(self) -> bool:
+    def are_equal(self) -> bool:
         copies = [rows_of(node.replica) for name, node in self.nodes.items() if self.alive[name]]
         return all(copy == copies[0] for copy in copies)
 
-    def whole(self) -> bool:
+    def are_complete(self) -> bool:
         return all(node.is_complete for name, node in self.nodes.items() if self.alive[name])
 
     def writes(self, count: int) -> None:
--- a/tests/policy/membership/test_directmail.py
+++ b/tests/policy/membership/test_direct_messages.py
@@ -34,14 +34,14 @@
 )
 from glenchute.policy.settings import Plan, Settings, SlowStart
 from glenchute.protocol.member_datagrams import encode
-from lab.fleet.posted import Posts
+from lab.fleet.posted import DirectMessageNetwork
 
 PLAN = Plan("p", rate_per_s=4.0, burst_units=12.0)
 
 
-def settled(count: int, **more: object) -> Posts:
+def settled(count: int, **more: object) -> DirectMessageNetwork:
     """Gateways that know each other's use."""
-    posts = Posts(count, 1, **more)  # type: ignore[arg-type]
+    posts = DirectMessageNetwork(count, 1, **more)  # type: ignore[arg-type]
     posts.run(20.0, lambda: all(posts.known(name, 3) == 2 for name in posts.names))
     return posts
 
@@ -92,22 +92,22 @@
 def test_without_sound_numbers_the_set_is_told_all_the_same(
     names: list[str], gateways: int, numbered: bool
 ) -> None:
-    posts = Posts(12, 1, names, gateways, numbered=numbered)
+    posts = DirectMessageNetwork(12, 1, names, gateways, numbered=numbered)
     posts.run(3.0)
-    posts.let_in(posts.names[0], "a", 5.0)
+    posts.admit(posts.names[0], "a", 5.0)
     posts.run(0.3)
-    assert [posts.hears(name, "a") for name in posts.names[1:3]] == [5.0, 5.0]
+    assert [posts.units_of_peers(name, "a") for name in posts.names[1:3]] == [5.0, 5.0]
 
 
 def test_with_wrong_numbers_words_are_lost_and_none_is_made_up() -> None:
     """Numbers of another order: the set hears nothing, and never more than was let in."""
     names = [f"g{7 * n % 12}" for n in range(12)]
-    posts = Posts(12, 1, names)
+    posts = DirectMessageNetwork(12, 1, names)
     posts.run(3.0)
-    posts.let_in(names[0], "a", 5.0)
+    posts.admit(names[0], "a", 5.0)
     posts.run(1.0)
-    assert sorted(posts.hears(name, "a") for name in names) == [0.0] * 8 + [5.0] * 4
-    assert posts.hears(names[1], "a") == 0.0
+    assert sorted(posts.units_of_peers(name, "a") for name in names) == [0.0] * 8 + [5.0] * 4
+    assert posts.units_of_peers(names[1], "a") == 0.0
 
 
 # --- cost --------------------------------------------------------------------------------------------------
@@ -118,12 +118,12 @@
     for count in (12, 120):
         posts = settled(count)
         posts.sent.clear()
-        posts.letters.clear()
+        posts.message_counts.clear()
         for n in range(200):
-            posts.let_in(f"g{n % 3}", "a", plan=PLAN)
+            posts.admit(f"g{n % 3}", "a", plan=PLAN)
             posts.run(0.05)
         words.append(sum(posts.sent.values()))
-        letters.append(posts.letters["g0"])
+        letters.append(posts.message_counts["g0"])
         assert {to for _, to in posts.sent if posts.sent[_, to]} <= {f"g{n % count}" for n in range(-2, 5)}
     assert words[0] == words[1] and abs(letters[0] - letters[1]) <= 0.1 * letters[0]
     assert words[0] <= 2 * 200 + 12  # each goes to the two others, once the set has shown itself
@@ -151,14 +151,14 @@
 
 @pytest.mark.parametrize("spread", [3, 30])
 def test_the_budget_holds_and_who_is_behind_is_not_taken_for_known(spread: int) -> None:
-    posts = Posts(60, 2, budget=1_000.0)
+    posts = DirectMessageNetwork(60, 2, budget=1_000.0)
     posts.run(8.0)
-    before, began = posts.posts["g0"].sent_bytes, posts.now
+    before, began = posts.messengers["g0"].sent_bytes, posts.now
     for n in range(400):  # far more than it may say
         for account in range(5):
-            posts.let_in("g0", f"a{n % 40}{account}", 5.0, spread, PLAN)
+            posts.admit("g0", f"a{n % 40}{account}", 5.0, spread, PLAN)
         posts.run(0.05)
-    post = posts.posts["g0"]
+    post = posts.messengers["g0"]
     assert post.sent_bytes - before <= 1_000.0 * (posts.now - began + 0.25) + 64 * 18 + 48
     assert post.pending_count == sum(map(len, post.pending.values())) <= directmail.MAX_PENDING_ENTRIES
     assert post.pending_count and posts.known("g1", 3) < 2
@@ -173,12 +173,12 @@
     monkeypatch.setattr(directmail, "MAX_REPORTED_WINDOWS", 40)
     posts = settled(6)
     for n in range(300):
-        posts.let_in("g0", f"a{n}", 5.0)
-    post = posts.posts["g0"]
+        posts.admit("g0", f"a{n}", 5.0)
+    post = posts.messengers["g0"]
     post.queue_changed_windows(posts.now)
     assert post.pending_count <= 50 and post.dropped_batches and len(post.reported_windows) == 40
     posts.run(10.0)
-    assert posts.hears("g1", "a299") == 5.0 == posts.hears("g1", "a290")
+    assert posts.units_of_peers("g1", "a299") == 5.0 == posts.units_of_peers("g1", "a290")
     assert (
         len(Replica().rules) == len(DEFAULT_KIND_RULES) and DEFAULT_KIND_RULES[RowKind.USE].max_rows <= 8_000
     )
@@ -209,11 +209,11 @@
     posts = settled(8)
     asked = [0.0] * 3
     for number, units in requests:
-        posts.let_in(f"g{number}", "a", units, 3, PLAN)
+        posts.admit(f"g{number}", "a", units, 3, PLAN)
         asked[number] += units
     posts.run(1.0)
     for number in range(3):
-        heard, others = posts.hears(f"g{number}", "a"), sum(asked) - asked[number]
+        heard, others = posts.units_of_peers(f"g{number}", "a"), sum(asked) - asked[number]
         assert heard <= others
         if sum(asked) >= 2.0 * REPORTED_SHARE * window_allowance_units(PLAN):
             assert heard == others
@@ -224,7 +224,7 @@
     posts = settled(8)
     posts.sent.clear()
     for number in range(3):
-        posts.let_in(f"g{number}", "a", 1.0, 3, PLAN)
+        posts.admit(f"g{number}", "a", 1.0, 3, PLAN)
     posts.run(1.0)
     assert not sum(posts.sent.values())
 
@@ -235,67 +235,75 @@
 @pytest.mark.parametrize("lose", [0.1, 0.4])
 def test_lost_mail_is_asked_for(lose: float) -> None:
     posts = settled(10)
-    posts.lose = lose
+    posts.loss = lose
     for n in range(60):
-        posts.let_in(f"g{n % 3}", f"a{n % 7}", 1.0, 3)
+        posts.admit(f"g{n % 3}", f"a{n % 7}", 1.0, 3)
         posts.run(0.02)
     want = {(name, f"a{a}"): sum(n % 7 == a and f"g{n % 3}" != name for n in range(60))
             for name in ("g0", "g1", "g2") for a in range(7)}  # fmt: skip
-    assert posts.run(15.0, lambda: all(posts.hears(*at) == units for at, units in want.items())) < 15.0
+    assert (
+        posts.run(15.0, lambda: all(posts.units_of_peers(*at) == units for at, units in want.items())) < 15.0
+    )
 
 
 def test_a_way_that_is_cut_for_two_alone_is_no_longer_trusted_and_is_made_up_for() -> None:
     """Others reach both, so the probes go on calling them alive."""
     posts = settled(8)
     posts.cut = lambda sender, to: {sender, to} == {"g0", "g1"}
-    posts.let_in("g0", "a", 5.0)
+    posts.admit("g0", "a", 5.0)
     posts.run(2.0)
-    assert posts.hears("g1", "a") == 0.0 and posts.hears("g2", "a") == 5.0
+    assert posts.units_of_peers("g1", "a") == 0.0 and posts.units_of_peers("g2", "a") == 5.0
     assert posts.known("g1", 3) < 2 and posts.known("g0", 3) < 2
     posts.cut = lambda sender, to: False
-    assert posts.run(5.0, lambda: posts.hears("g1", "a") == 5.0 and posts.known("g1", 3) == 2) < 5.0
+    assert posts.run(5.0, lambda: posts.units_of_peers("g1", "a") == 5.0 and posts.known("g1", 3) == 2) < 5.0
 
 
 def test_one_lost_message_is_enough_not_to_be_known() -> None:
     posts = settled(8)
     posts.cut = lambda sender, to: (sender, to) == ("g0", "g1")
-    posts.let_in("g0", "a", 5.0)
+    posts.admit("g0", "a", 5.0)
     posts.run(0.05)
     posts.cut = lambda sender, to: to == "g0"  # questions do not come through
-    posts.let_in("g0", "b", 5.0)
+    posts.admit("g0", "b", 5.0)
     posts.run(2.0)
-    assert posts.hears("g1", "b") == 5.0 and posts.hears("g1", "a") == 0.0 and posts.known("g1", 3) < 2
+    assert (
+        posts.units_of_peers("g1", "b") == 5.0
+        and posts.units_of_peers("g1", "a") == 0.0
+        and posts.known("g1", 3) < 2
+    )
     posts.cut = lambda sender, to: False
     posts.run(3.0)
-    assert posts.hears("g1", "a") == 5.0
+    assert posts.units_of_peers("g1", "a") == 5.0
 
 
 def test_who_returns_is_told_all_and_what_its_predecessor_let_in() -> None:
     posts = settled(8)
-    posts.let_in("g0", "a", 5.0)
-    posts.let_in("g1", "a", 4.0)
-    posts.let_in("g2", "a", 3.0)
+    posts.admit("g0", "a", 5.0)
+    posts.admit("g1", "a", 4.0)
+    posts.admit("g2", "a", 3.0)
     posts.run(0.5)
     posts.restart("g1")
     assert posts.known("g1", 3) == 0
     assert posts.run(5.0, lambda: posts.known("g1", 3) == 2) < 5.0
-    assert posts.hears("g1", "a") == 5.0 + 4.0 + 3.0  # its own of before too, once though two tell it
-    posts.let_in("g1", "a", 1.0)
+    assert (
+        posts.units_of_peers("g1", "a") == 5.0 + 4.0 + 3.0
+    )  # its own of before too, once though two tell it
+    posts.admit("g1", "a", 1.0)
     posts.run(0.5)
-    assert posts.hears("g0", "a") == 4.0 + 1.0 + 3.0  # two writers under one name
+    assert posts.units_of_peers("g0", "a") == 4.0 + 1.0 + 3.0  # two writers under one name
 
 
 def test_who_is_not_there_is_sent_nothing_and_told_all_when_it_is_back() -> None:
     posts = settled(8)
-    posts.gone.add("g1")
+    posts.dead.add("g1")
     posts.cut = lambda sender, to: "g1" in (sender, to)
     posts.sent.clear()
-    posts.let_in("g0", "a", 5.0)
+    posts.admit("g0", "a", 5.0)
     posts.run(1.0)
     assert not posts.sent["g0", "g1"] and posts.known("g0", 3) < 2
-    posts.gone.clear()
+    posts.dead.clear()
     posts.cut = lambda sender, to: False
-    assert posts.run(5.0, lambda: posts.hears("g1", "a") == 5.0 and posts.known("g0", 3) == 2) < 5.0
+    assert posts.run(5.0, lambda: posts.units_of_peers("g1", "a") == 5.0 and posts.known("g0", 3) == 2) < 5.0
 
 
 def test_mail_that_is_late_repeated_or_foreign_tells_no_more_than_it_says() -> None:
@@ -333,7 +341,7 @@
 
 def test_a_member_that_makes_things_up_makes_nothing_grow_without_a_bound() -> None:
     posts = settled(8)
-    post = posts.posts["g1"]
+    post = posts.messengers["g1"]
     for n in range(12_000):
         words = (UsageEntry("a/0", 1, 1.0, boot=n + 5), UsageEntry(f"{n}/0", 1, 1.0))
         post.receive(posts.now, ("g0", "g2")[n % 2], 1, UsageMessage(7 * n, n % 4 < 2, True, words))
@@ -349,8 +357,8 @@
 
 def test_questions_are_bounded_however_many_members_there_are() -> None:
     for count, spread in ((8, 8), (300, 300)):
-        posts = Posts(count, 1)
-        post = posts.posts["g0"]
+        posts = DirectMessageNetwork(count, 1)
+        post = posts.messengers["g0"]
         post.known_gateways(0.0, spread)
         asked = sum(len(post.tick(0.025 * n)) for n in range(400))
         assert asked <= 10.0 * MAX_REQUESTS_PER_S + 5
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -20,7 +20,14 @@
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.task_candidates import CANDIDATES_PER_TASK, TaskCandidate, TaskRecord
 from lab.explore import Explored, Explorer
-from lab.fleet.holders import ACT_S, Swarm, changed, longest_gap, overlaps, troubled
+from lab.fleet.holders import (
+    ACT_S,
+    LeaseCluster,
+    longest_gap,
+    overlaps,
+    run_acceptor_changes,
+    run_with_faults,
+)
 from lab.fleet.leasing import LONGEST, TERMS, System, check, events, fresh, held, late, racing, tied
 
 SYSTEMS: dict[str, tuple[Callable[..., System], dict[str, int], int]] = {
@@ -228,12 +235,14 @@
     """By the books of what they act on; and once faults are over somebody acts, at the latest when the
     silence of voters that have just started, and one lease, are over."""
     for seed in range(12):
-        swarm = troubled(seed, count, voters, tasks=1 + seed % 3)
-        calm = swarm.now
-        swarm.run(20.0)
-        assert len(swarm.acts) > 100 and overlaps(swarm.acts) == [], seed
-        most = 2.0 * swarm.terms.startup_silence_s + 2.0
-        assert max(longest_gap(swarm.acts, task, calm, swarm.now) for task in swarm.tasks) < most, seed
+        cluster = run_with_faults(seed, count, voters, tasks=1 + seed % 3)
+        calm = cluster.now
+        cluster.run(20.0)
+        assert len(cluster.effects) > 100 and overlaps(cluster.effects) == [], seed
+        most = 2.0 * cluster.terms.startup_silence_s + 2.0
+        assert max(longest_gap(cluster.effects, task, calm, cluster.now) for task in cluster.tasks) < most, (
+            seed
+        )
 
 
 def gives_back_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -246,17 +255,17 @@
 def clock_that_stands(patch: pytest.MonkeyPatch) -> None:
     """The clock of a stopped process stands as well, as some do while a machine sleeps."""
 
-    def go_on(self: Swarm, name: str) -> None:
+    def go_on(self: LeaseCluster, name: str) -> None:
         process = self.processes[name]
         process.offset -= (self.now - self.since[name]) * process.rate  # type: ignore[attr-defined]
         process.stopped = False
 
-    def stop(self: Swarm, name: str) -> None:
+    def stop(self: LeaseCluster, name: str) -> None:
         self.since = {**getattr(self, "since", {}), name: self.now}  # type: ignore[attr-defined]
         self.processes[name].stopped = True
 
-    patch.setattr(Swarm, "stop", stop)
-    patch.setattr(Swarm, "go_on", go_on)
+    patch.setattr(LeaseCluster, "stop", stop)
+    patch.setattr(LeaseCluster, "resume", go_on)
 
 
 def checked_too_early(patch: pytest.MonkeyPatch) -> None:
@@ -270,9 +279,9 @@
 def test_the_swarm_finds_bugs_too(bug: Callable[..., None], monkeypatch: pytest.MonkeyPatch) -> None:
     bug(monkeypatch)
     for seed in range(120):
-        swarm = troubled(seed, 5, 5)
-        if overlaps(swarm.acts):
-            print(bug.__name__, seed, overlaps(swarm.acts)[0])
+        cluster = run_with_faults(seed, 5, 5)
+        if overlaps(cluster.effects):
+            print(bug.__name__, seed, overlaps(cluster.effects)[0])
             return
     pytest.fail("not found")
 
@@ -291,11 +300,11 @@
     sets, safe = SETS[name]
     bad = 0
     for seed in range(40):
-        swarm = changed(seed, sets)
-        calm = swarm.now
-        swarm.run(5.0)
-        bad += bool(overlaps(swarm.acts))
-        assert longest_gap(swarm.acts, "task0", calm, swarm.now) < 4.0
+        cluster = run_acceptor_changes(seed, sets)
+        calm = cluster.now
+        cluster.run(5.0)
+        bad += bool(overlaps(cluster.effects))
+        assert longest_gap(cluster.effects, "task0", calm, cluster.now) < 4.0
     assert (bad == 0) is safe
 
 
@@ -303,37 +312,38 @@
     """Messages a second do not grow with the members, and tasks are spread over them."""
     sent = {}
     for count in (20, 500):
-        swarm = Swarm(count, 1, tasks=20)
-        swarm.run(5.0)
-        before = swarm.sent
-        swarm.run(10.0)
-        sent[count] = (swarm.sent - before) / 10.0
-        holders = {swarm.holder(task) for task in swarm.tasks}
+        cluster = LeaseCluster(count, 1, tasks=20)
+        cluster.run(5.0)
+        before = cluster.sent
+        cluster.run(10.0)
+        sent[count] = (cluster.sent - before) / 10.0
+        holders = {cluster.holder(task) for task in cluster.tasks}
         assert None not in holders
     assert sent[500] < 1.5 * sent[20] + 20.0 and len(holders) >= 15
     # All candidates of a task die at once: others take their places as soon as members tell.
-    task = swarm.tasks[0]
-    for keeper in [p.keepers[task] for p in swarm.processes.values() if p.keepers[task].is_candidate]:
-        if keeper.proposer.name not in swarm.terms.acceptors:
-            swarm.kill(keeper.proposer.name)
-    died = swarm.now
-    swarm.run(8.0)
-    assert sum(act.began > died + 5.0 for act in swarm.acts if act.task == task) > 5
+    task = cluster.tasks[0]
+    for keeper in [p.candidates[task] for p in cluster.processes.values() if p.candidates[task].is_candidate]:
+        if keeper.proposer.name not in cluster.terms.acceptors:
+            cluster.kill(keeper.proposer.name)
+    died = cluster.now
+    cluster.run(8.0)
+    assert sum(act.began > died + 5.0 for act in cluster.effects if act.task == task) > 5
     assert (
-        sum(process.keepers[task].is_candidate for process in swarm.processes.values()) >= CANDIDATES_PER_TASK
+        sum(process.candidates[task].is_candidate for process in cluster.processes.values())
+        >= CANDIDATES_PER_TASK
     )
 
 
 def test_a_release_hands_over_within_a_tenth_of_a_second() -> None:
-    swarm = Swarm(15, 3)
-    swarm.run(5.0)
-    held = swarm.holder("task0")
+    cluster = LeaseCluster(15, 3)
+    cluster.run(5.0)
+    held = cluster.holder("task0")
     assert held is not None
-    swarm.release(held)
-    swarm.run(1.0)
-    others = [act.began for act in swarm.acts if act.by.partition("#")[0] != held]
-    assert others and overlaps(swarm.acts) == []
-    assert min(others) - max(a.began for a in swarm.acts if a.began < min(others)) < ACT_S + 0.5
+    cluster.release(held)
+    cluster.run(1.0)
+    others = [act.began for act in cluster.effects if act.by.partition("#")[0] != held]
+    assert others and overlaps(cluster.effects) == []
+    assert min(others) - max(a.began for a in cluster.effects if a.began < min(others)) < ACT_S + 0.5
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -16,57 +16,57 @@
     SwimMessageKind,
     SwimSettings,
 )
-from lab.fleet.simulated import TICK, Net, apart
+from lab.fleet.simulated import TICK, SwimNetwork, apart
 
 
 @pytest.mark.parametrize(("count", "lose", "within"), [(2, 0, 1), (5, 0.2, 4), (40, 0, 5), (100, 0.1, 12)])
 def test_all_find_each_other(count: int, lose: float, within: float) -> None:
-    net = Net(count, 1, lose)
-    assert net.run(within, net.all_here) < within
+    net = SwimNetwork(count, 1, lose)
+    assert net.run(within, net.all_participate) < within
     net.run(2.0)
-    assert not net.buried
+    assert not net.declared_dead
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_one_that_dies_is_buried_by_all_and_nobody_else_is(seed: int) -> None:
-    net = Net(20, seed, lose=0.05)
+    net = SwimNetwork(20, seed, lose=0.05)
     net.run(5.0)
     net.stopped.add("g3")
     assert net.run(20.0, lambda: net.all_see("g3", MemberState.DEAD)) < 16.0
-    assert {whom for _, _, whom in net.buried} == {"g3"}
+    assert {whom for _, _, whom in net.declared_dead} == {"g3"}
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_one_that_stops_for_two_seconds_is_suspected_and_not_buried(seed: int) -> None:
-    net = Net(20, seed)
+    net = SwimNetwork(20, seed)
     net.run(5.0)
     net.stopped.add("g3")
     net.run(2.0)
-    assert any(net.seen("g3", by) is MemberState.SUSPECT for by in net.names if by != "g3")
+    assert any(net.state_of("g3", by) is MemberState.SUSPECT for by in net.names if by != "g3")
     net.stopped.discard("g3")
-    assert net.run(5.0, net.all_alive) < 5.0 and not net.buried
+    assert net.run(5.0, net.all_alive) < 5.0 and not net.declared_dead
 
 
 def test_without_its_patience_a_stop_is_a_burial(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemberList, "suspicion_timeout_s", lambda self, member: 0.0)
-    net = Net(20, 0)
+    net = SwimNetwork(20, 0)
     net.run(5.0)
     net.stopped.add("g3")
     net.run(2.0)
-    assert net.buried
+    assert net.declared_dead
 
 
 def test_one_way_cut_keeps_a_member_that_others_reach() -> None:
-    net = Net(10, 5)
+    net = SwimNetwork(10, 5)
     net.run(4.0)
     net.cut = lambda sender, to: (sender, to) == ("g1", "g0")  # g0 does not hear g1, g1 hears g0
     net.run(20.0)
-    assert not net.buried
+    assert not net.declared_dead
 
 
 def test_without_relays_a_one_way_cut_accuses_a_member(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership, "INDIRECT_PROBES", 0)
-    net = Net(10, 5)
+    net = SwimNetwork(10, 5)
     net.run(4.0)
     net.cut = lambda sender, to: (sender, to) == ("g1", "g0")
     net.run(20.0, lambda: net.nodes["g1"].incarnation > 0)
@@ -74,18 +74,18 @@
 
 
 def test_two_halves_bury_each_other_and_find_each_other_again() -> None:
-    net = Net(11, 6)
+    net = SwimNetwork(11, 6)
     net.run(4.0)
     half = set(net.names[:5])
     net.cut = apart(half)
     net.run(25.0)
-    assert net.seen("g9", "g0") is MemberState.DEAD and net.seen("g0", "g9") is MemberState.DEAD
+    assert net.state_of("g9", "g0") is MemberState.DEAD and net.state_of("g0", "g9") is MemberState.DEAD
     net.cut = lambda sender, to: False
     assert net.run(20.0, net.all_alive) < 20.0
 
 
 def test_a_process_that_starts_under_a_known_name_takes_it_over() -> None:
-    net = Net(8, 7)
+    net = SwimNetwork(8, 7)
     net.run(4.0)
     net.nodes["g2"].incarnation = 7  # as one that had to deny often
     net.nodes["g2"].queue_update("g2")
@@ -101,9 +101,9 @@
 
 
 def test_two_processes_under_one_name_are_seen_and_cost_a_message_a_period() -> None:
-    net = Net(6, 8)
+    net = SwimNetwork(6, 8)
     net.run(4.0)
-    twin = net.made("g2")
+    twin = net.make_member("g2")
     before = net.nodes["g2"].incarnation
     for _ in range(100):
         net.now += TICK
@@ -119,15 +119,15 @@
 
 
 def test_a_leave_is_told_and_no_suspicion() -> None:
-    net = Net(12, 9)
+    net = SwimNetwork(12, 9)
     net.run(4.0)
     net.post("g4", net.nodes["g4"].leave(net.now))
     assert net.run(4.0, lambda: net.all_see("g4", MemberState.LEFT)) < 4.0
-    assert not net.buried
+    assert not net.declared_dead
 
 
 def test_messages_are_as_many_in_trouble_as_in_calm() -> None:
-    net = Net(30, 10)
+    net = SwimNetwork(30, 10)
     net.run(6.0)
     calm = sum(net.sent.values())
     net.run(6.0)
@@ -148,7 +148,7 @@
 
 
 def test_a_process_that_stood_still_doubts_itself_first() -> None:
-    net = Net(6, 11)
+    net = SwimNetwork(6, 11)
     net.run(4.0)
     net.stopped.add("g0")
     net.run(1.9)
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -54,7 +54,7 @@
     decode,
     encode,
 )
-from lab.fleet.simulated import Mesh, apart, rows_of
+from lab.fleet.simulated import GossipNetwork, apart, rows_of
 
 ROWS = st.builds(
     lambda kind, key, writer, *rest: Row(kind, key, writer if kind in PER_PROCESS_KINDS else "", *rest),
@@ -136,26 +136,26 @@
 
 @pytest.mark.parametrize(("count", "lose"), [(2, 0.0), (5, 0.3), (40, 0.1)])
 def test_copies_agree_and_count_as_whole(count: int, lose: float) -> None:
-    mesh = Mesh(count, 3, lose)
-    assert mesh.run(10.0, mesh.whole) < 10.0
+    mesh = GossipNetwork(count, 3, lose)
+    assert mesh.run(10.0, mesh.are_complete) < 10.0
     mesh.writes(3)
-    assert mesh.run(12.0, mesh.same) < 12.0
+    assert mesh.run(12.0, mesh.are_equal) < 12.0
 
 
 def test_halves_that_were_cut_agree_again_after_the_heal() -> None:
-    mesh = Mesh(10, 4)
+    mesh = GossipNetwork(10, 4)
     mesh.run(3.0)
     half = set(mesh.names[:4])
     mesh.cut = apart(half)
     mesh.writes(20)
     mesh.run(4.0)
-    assert not mesh.same()
+    assert not mesh.are_equal()
     mesh.cut = lambda sender, to: False
-    assert mesh.run(8.0, mesh.same) < 8.0
+    assert mesh.run(8.0, mesh.are_equal) < 8.0
 
 
 def test_a_return_catches_up_from_a_second_giver_when_the_first_dies() -> None:
-    mesh = Mesh(4, 5, rows=2000)
+    mesh = GossipNetwork(4, 5, rows=2000)
     mesh.run(2.0)
     mesh.restart("g0")
     mesh.run(0.3)
@@ -166,14 +166,14 @@
 
 
 def test_most_returning_at_once_do_not_make_the_others_pass_their_budget() -> None:
-    mesh = Mesh(12, 6, rows=400)
+    mesh = GossipNetwork(12, 6, rows=400)
     mesh.run(3.0)
     stayed = mesh.names[:4]
     for name in mesh.names[4:]:
         mesh.restart(name)
     before = {name: mesh.nodes[name].sent_bytes for name in stayed}
-    assert mesh.run(20.0, mesh.whole) < 20.0
-    assert mesh.same()
+    assert mesh.run(20.0, mesh.are_complete) < 20.0
+    assert mesh.are_equal()
     spent = mesh.now - 3.0
     for name in stayed:
         node = mesh.nodes[name]
@@ -182,7 +182,7 @@
 
 def test_what_restrains_comes_through_though_digests_agree_by_chance(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Replica, "differing_children", lambda self, now, bucket, theirs: [])
-    mesh = Mesh(3, 7)
+    mesh = GossipNetwork(3, 7)
     mesh.nodes["g0"].replica.merge(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
     mesh.nodes["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
     mesh.run(4.0)
