--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -20,7 +20,7 @@
 
 from benchmarks.machine import machine
 from glenchute.config.policy_settings import policy_settings as read
-from glenchute.upstreams.limits import UpstreamLimits
+from glenchute.core.limits import UpstreamLimits
 from lab.peers import Client, numbered
 from tests.loopback import CUSTOMER, SERVED, SETTINGS, site
 
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -19,6 +19,7 @@
 
 from benchmarks.machine import machine
 from glenchute.core.executor import RequestExecutor
+from glenchute.core.limits import UpstreamLimits
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset import SubsetTerms
 from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
@@ -26,7 +27,6 @@
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.settings import Settings, SlowStart
 from glenchute.protocol.endpoint_list import CurrentList, decode_list, decode_list_in_parts
-from glenchute.upstreams.limits import UpstreamLimits
 from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import row
 
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -9,13 +9,12 @@
 import socket
 from typing import Any
 
+from glenchute.core.limits import RequestBounds, UpstreamLimits
 from glenchute.core.types import EndpointUpdate
-from glenchute.listeners.resp2.commands import RequestBounds, read_request_bounds
 from glenchute.policy.connections.descriptor_budget import DescriptorBudget, divide_descriptors
 from glenchute.policy.record import record
 from glenchute.policy.settings import Settings
 from glenchute.protocol.endpoint_list import EndpointListError, decode_list, parse_address
-from glenchute.upstreams.limits import UpstreamLimits
 
 from .facts import ClassFacts, PlatformFacts
 from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
@@ -31,6 +30,7 @@
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 DEFAULT_DRAIN_GRACE_MS = 250.0
 DEFAULT_DEADLINE_MS = 60_000.0
+DEFAULT_MAX_UNITS = 1e6  # of one request
 STREAM_BYTES = 192 * 1024  # of one such value: what waits for the client, and what comes in one read
 IDLE_MARGIN_S = 2.0  # connections are given up this long before the servers close them as idle
 MIN_IDLE_S = 0.5
@@ -114,7 +114,7 @@
         gateway_number=gateway_number(raw["settings"].get("me"), settings.gateway_count),
         stated_number=gateway_number(raw["settings"].get("me"), MAX_GATEWAYS),
         limits=connection_limits(raw, budget),
-        request_bounds=read_request_bounds(raw["settings"]),
+        request_bounds=request_bounds(raw["settings"]),
         facts=platform_facts(settings, raw["settings"]),
     )
 
@@ -134,6 +134,15 @@
     )
 
 
+def request_bounds(raw: dict[str, Any]) -> RequestBounds:
+    """The most that a request may ask for."""
+    deadlines_ms = [number(row.get("hard_limit_ms")) for row in raw["profiles"]]
+    return RequestBounds(
+        max_units=number((raw.get("domain") or {}).get("max_units")) or DEFAULT_MAX_UNITS,
+        max_deadline_ms=max(deadlines_ms) if deadlines_ms and min(deadlines_ms) > 0 else DEFAULT_DEADLINE_MS,
+    )
+
+
 def gateway_number(me: Any, gateways: int) -> int | None:
     """This gateway's number among them, if it is one."""
     return me if isinstance(me, int) and not isinstance(me, bool) and 0 <= me < gateways else None
--- a/glenchute/upstreams/limits.py
+++ b/glenchute/core/limits.py
@@ -1,4 +1,4 @@
-"""The limits of connections to servers, as the settings state them."""
+"""Limits that the platform states, as values: of connections to servers, and of requests."""
 
 from __future__ import annotations
 
@@ -17,3 +17,11 @@
     drain_grace_s: float
     max_connections: int
     max_streams: int = 64
+
+
+@record(frozen=True, slots=True)
+class RequestBounds:
+    """The most that a request may ask for. Longer deadlines are reduced to `max_deadline_ms`."""
+
+    max_units: float
+    max_deadline_ms: float
--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-from glenchute.config.policy_settings import number
+from glenchute.core.limits import RequestBounds
 from glenchute.core.types import Call
 from glenchute.policy.record import record
 from glenchute.policy.settings import Idempotency, Settings
@@ -37,23 +37,6 @@
     """A command that can't be served; the text is sent to the client."""
 
 
-@record(frozen=True, slots=True)
-class RequestBounds:
-    """The most that a request may ask for."""
-
-    max_units: float
-    max_deadline_ms: float  # longer deadlines are reduced to it: no request may occupy a slot for minutes
-
-
-def read_request_bounds(raw: dict[str, Any]) -> RequestBounds:
-    """The limits that the platform's file sets."""
-    waits = [number(row.get("hard_limit_ms")) for row in raw["profiles"]]
-    return RequestBounds(
-        max_units=number((raw.get("domain") or {}).get("max_units")) or 1e6,
-        max_deadline_ms=max(waits) if waits and min(waits) > 0 else 60_000.0,
-    )
-
-
 class CommandParser:
     """Parses commands by what the settings define: classes, plans and limits."""
 
--- a/glenchute/upstreams/connection_tracker.py
+++ b/glenchute/upstreams/connection_tracker.py
@@ -6,11 +6,10 @@
 from collections.abc import Collection, Coroutine, Sequence
 from typing import TYPE_CHECKING, Any, Protocol
 
+from glenchute.core.limits import UpstreamLimits
 from glenchute.policy.connections.hedged_connects import ConnectTimeEstimate
 from glenchute.policy.connections.stream_read_permits import StreamReadPermits
 
-from .limits import UpstreamLimits
-
 if TYPE_CHECKING:
     from .streamed_value import StreamedValue
 
--- a/glenchute/upstreams/pipelined_servers.py
+++ b/glenchute/upstreams/pipelined_servers.py
@@ -12,6 +12,7 @@
 import math
 from collections.abc import Callable, Iterable
 
+from glenchute.core.limits import UpstreamLimits
 from glenchute.core.types import Address, AttemptContext, AttemptResult
 from glenchute.policy.connections.class_compatibility import ClassCompatibility
 from glenchute.policy.connections.pipeline_types import PipelineRules
@@ -19,7 +20,6 @@
 from glenchute.policy.settings import RequestClass
 
 from .connection_pool import ConnectionPool
-from .limits import UpstreamLimits
 from .pipeline_runtime import PipelineRuntime, WriteLimits
 from .pipelined_attempt import PipelinedAttempt
 from .pipelined_pool import PipelinedPool
--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -6,13 +6,13 @@
 import math
 from collections.abc import Callable, Collection
 
+from glenchute.core.limits import UpstreamLimits
 from glenchute.core.types import Address, AttemptContext, AttemptResult
 
 from .attempt import BaseAttempt
 from .connection_pool import GRACE_MARGIN_S, ConnectionPool
 from .connection_tracker import ConnectionTracker
 from .exclusive_attempt import ExclusiveAttempt
-from .limits import UpstreamLimits
 
 SWEEP_INTERVAL_S = 1.0
 
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -19,6 +19,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from benchmarks.subsets import SCHEMES, balance, churn
+from glenchute.core.limits import UpstreamLimits
 from glenchute.policy.actions import Action, StartAttempt
 from glenchute.policy.balancing import subset as subsets
 from glenchute.policy.balancing.endpoint_choice import EndpointChooser
@@ -54,7 +55,6 @@
 from glenchute.policy.settings import Settings, SlowStart
 from glenchute.upstreams.connection import Connection
 from glenchute.upstreams.connection_pool import ConnectionPool
-from glenchute.upstreams.limits import UpstreamLimits
 from glenchute.upstreams.server_pools import ServerPools
 from lab.coldstart import Herd
 from lab.load import Account, Kind, Load
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -14,6 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from glenchute.core.limits import UpstreamLimits
 from glenchute.core.types import AttemptResult
 from glenchute.policy.connections.hedged_connects import (
     DELAY_FACTOR,
@@ -26,7 +27,6 @@
 from glenchute.policy.events import Outcome
 from glenchute.upstreams.connection import Connection
 from glenchute.upstreams.connection_pool import ConnectionPool
-from glenchute.upstreams.limits import UpstreamLimits
 from glenchute.upstreams.server_pools import ServerPools
 from lab.peers import RespPeer, always, play, until
 from tests.crossings import packed
--- /dev/null
+++ b/tests/system/test_layers.py
@@ -0,0 +1,162 @@
+"""Dependencies between the packages of `glenchute` point down, and no modules import each other in a
+circle."""
+
+from __future__ import annotations
+
+import ast
+from collections import defaultdict
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parents[2]
+BELOW = {
+    "policy": set(),
+    "protocol": {"core", "policy"},
+    "core": {"policy"},
+    "config": {"core", "policy", "protocol"},
+    "control": set(),
+    "capture": {"core", "policy"},
+    "clients": {"config", "core", "policy", "protocol"},
+    "listeners": {"config", "core", "policy", "protocol"},
+    "upstreams": {"config", "core", "policy", "protocol"},
+    "simulator": {"config", "policy"},
+    "cli": {
+        "capture", "clients", "config", "control", "core", "listeners", "policy", "protocol", "upstreams",
+    },
+    "__main__": {"cli"},
+}  # fmt: skip
+INPUT_AND_OUTPUT = {
+    "asyncio",
+    "os",
+    "pathlib",
+    "select",
+    "signal",
+    "socket",
+    "subprocess",
+    "threading",
+    "time",
+}
+
+
+def module_of(path: Path) -> str:
+    """The dotted name of a source file."""
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+def type_checking_only(tree: ast.AST) -> set[int]:
+    """The imports under `if TYPE_CHECKING`, by identity: they don't run."""
+    blocks = (node for node in ast.walk(tree) if isinstance(node, ast.If))
+    return {
+        id(child)
+        for block in blocks
+        if ast.unparse(block.test) == "TYPE_CHECKING"
+        for child in ast.walk(block)
+    }
+
+
+def imports(path: Path) -> Iterator[str]:
+    """The modules that a source file imports when it runs, now or later."""
+    tree = ast.parse(path.read_text())
+    skipped = type_checking_only(tree)
+    own = module_of(path)
+    package = own if path.name == "__init__.py" else own.rpartition(".")[0]
+    for node in ast.walk(tree):
+        if id(node) in skipped:
+            continue
+        if isinstance(node, ast.Import):
+            yield from (name.name for name in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            base = node.module or ""
+            if node.level:
+                steps = package.split(".")[: len(package.split(".")) - node.level + 1]
+                base = ".".join([*steps, base] if base else steps)
+            for name in node.names:
+                inner = ROOT.joinpath(*base.split("."), name.name)
+                is_module = inner.is_dir() or inner.with_suffix(".py").is_file()
+                yield f"{base}.{name.name}" if is_module else base
+
+
+GRAPH = {module_of(path): set(imports(path)) for path in sorted((ROOT / "glenchute").rglob("*.py"))}
+
+
+def layer(module: str) -> str:
+    """The package below `glenchute` that a module belongs to."""
+    return module.split(".")[1] if "." in module else module
+
+
+def cycles(graph: dict[str, set[str]]) -> list[list[str]]:
+    """Modules that import each other in a circle, each circle once (Tarjan's strongly connected
+    components)."""
+    order: dict[str, int] = {}
+    low: dict[str, int] = {}
+    stack: list[str] = []
+    found: list[list[str]] = []
+
+    def visit(module: str) -> None:
+        order[module] = low[module] = len(order)
+        stack.append(module)
+        for other in graph.get(module, ()):
+            if other not in order:
+                visit(other)
+                low[module] = min(low[module], low[other])
+            elif other in stack:
+                low[module] = min(low[module], order[other])
+        if low[module] == order[module]:
+            component = [stack.pop()]
+            while component[-1] != module:
+                component.append(stack.pop())
+            if len(component) > 1:
+                found.append(sorted(component))
+
+    for module in graph:
+        if module not in order:
+            visit(module)
+    return found
+
+
+def test_no_modules_import_each_other_in_a_circle() -> None:
+    assert cycles(GRAPH) == []
+
+
+def test_a_circle_is_found() -> None:
+    graph = defaultdict(set, {"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set()})
+    assert cycles(graph) == [["a", "b", "c"]]
+
+
+@pytest.mark.parametrize("package", sorted(BELOW))
+def test_dependencies_point_down(package: str) -> None:
+    upward = {
+        (module, other)
+        for module, others in GRAPH.items()
+        if layer(module) == package
+        for other in others
+        if other.startswith("glenchute.") and layer(other) not in BELOW[package] | {package}
+    }
+    assert upward == set()
+
+
+def test_each_package_has_its_layer() -> None:
+    assert {layer(module) for module in GRAPH} - {"glenchute"} == set(BELOW)
+
+
+def test_decisions_do_no_input_or_output() -> None:
+    forbidden = {
+        (module, other)
+        for module, others in GRAPH.items()
+        if layer(module) == "policy"
+        for other in others
+        if other.split(".")[0] in INPUT_AND_OUTPUT
+    }
+    assert forbidden == set()
+
+
+def test_the_program_does_not_import_the_test_bed() -> None:
+    users = {
+        module
+        for module, others in GRAPH.items()
+        if any(other.split(".")[0] in ("lab", "benchmarks", "tests") for other in others)
+    }
+    assert users == {"glenchute.cli.demo"}
