--- a/glenchute/capture/format_1_snapshot.py
+++ b/glenchute/capture/format_1_snapshot.py
@@ -400,6 +400,7 @@
     attributes: State
 
     def __setstate__(self, state: Any) -> None:
+        """Keeps the attributes, of a plain class or of one with slots."""
         plain, slots = state if isinstance(state, tuple) else (state, None)
         self.attributes = {**(plain or {}), **(slots or {})}
 
@@ -413,6 +414,7 @@
     members: Mapping[str, str]
 
     def __call__(self, value: object) -> Enum:
+        """Takes one more."""
         return self.target(value)
 
 
--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -117,6 +117,7 @@
         self.tenant_id = ""
 
     def __call__(self, engine: Any, record: Record) -> None:
+        """Takes one more."""
         event = decode_event(record)
         is_own = getattr(event, "request_id", None) == self.request
         actions = [action for action in record[3] or () if action[1] and action[1][0] == self.request]
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -116,6 +116,7 @@
         self.backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * self.backoff_s)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
         if self.is_closed:
             transport.abort()  # type: ignore[attr-defined]  # retired while it was connecting
@@ -134,6 +135,7 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         try:
             self.parser.feed(data)
             while (reply := self.parser.next_message()) is not False:
@@ -161,6 +163,7 @@
         self.calls.popleft().complete(self.loop.time(), outcome, total)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self.transport = None
         calls, self.calls = self.calls, deque()
         if not self.is_closed:
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -140,6 +140,7 @@
         self.timer = None if self.is_closed else self.loop.call_at(self.watch.next_poll_at, self.on_timer)
 
     def on_timer(self) -> None:
+        """The time of the next poll has come, or of the check of calls in flight."""
         if self.watch.in_flight and self.watch.next_poll_at <= self.loop.time():
             self._log_failure("no answer")
         self._execute(self.watch.tick(self.loop.time(), self.version is not None))
--- a/glenchute/clients/handover.py
+++ b/glenchute/clients/handover.py
@@ -50,9 +50,11 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         if self.finished.is_set():
             return
         self.received += data
@@ -67,6 +69,7 @@
         self.finished.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self.transport = None
         if not self.finished.is_set() and self.received:
             log.warning("what the process before told is void: torn")
@@ -117,6 +120,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
         assert self.transport is not None
         if self.server.successor is not None:
@@ -126,6 +130,7 @@
         self.transport.write(self.server.make_message())
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self.transport = None
         if self.server.successor is self:
             self.server.successor = None
--- a/glenchute/clients/http_exchange.py
+++ b/glenchute/clients/http_exchange.py
@@ -44,6 +44,7 @@
         self.is_aborted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
         if self.is_aborted:
             transport.abort()  # type: ignore[attr-defined]  # abandoned while it was connecting
@@ -57,9 +58,11 @@
         self.transport.write((self.http.send(head) or b"") + (self.http.send(self.h11.EndOfMessage()) or b""))
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         self._feed(data)
 
     def eof_received(self) -> None:
+        """The peer has closed its side; whether this side stays open."""
         self._feed(b"")  # ends a body without a length
 
     def _feed(self, data: bytes) -> None:
@@ -99,6 +102,7 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self.transport = None
         self.on_closed()
 
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -159,9 +159,11 @@
         await self.loop.create_datagram_endpoint(lambda: self, sock=udp_socket)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass of it
 
     def error_received(self, exc: Exception) -> None:
+        """The system reports an error of the socket."""
         self.dropped_datagrams["refused by the machine"] += 1  # a closed port; the probes find it
 
     def leave(self, replaced: bool) -> None:
--- a/glenchute/config/operator_text.py
+++ b/glenchute/config/operator_text.py
@@ -29,6 +29,7 @@
         self.yield_processor = yield_processor or do_not_yield
 
     def __call__(self, code: str, path: Path, message: str, warning: bool = False) -> None:
+        """Takes one more."""
         self.rows.append((code, path, message, warning))
 
     def findings(self, text: str) -> list[Finding]:
--- a/glenchute/config/schema.py
+++ b/glenchute/config/schema.py
@@ -50,6 +50,7 @@
         self.minimum, self.maximum, self.excludes_minimum, self.is_integer = least, most, above, whole
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
+        """See `Kind.check`."""
         wanted = "a whole number" if self.is_integer else "a number"
         if isinstance(value, bool) or not isinstance(value, int if self.is_integer else int | float):
             report("wrong-type", path, f"is {toml_type(value)}; write {wanted}")
@@ -64,6 +65,7 @@
         return value if self.is_integer else float(value)
 
     def schema(self) -> dict[str, Any]:
+        """See `Kind.schema`."""
         lower = "exclusiveMinimum" if self.excludes_minimum else "minimum"
         return {
             "type": "integer" if self.is_integer else "number",
@@ -76,12 +78,14 @@
     """true or false."""
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
+        """See `Kind.check`."""
         if not isinstance(value, bool):
             report("wrong-type", path, f"is {toml_type(value)}; write true or false")
             return MISSING
         return value
 
     def schema(self) -> dict[str, Any]:
+        """See `Kind.schema`."""
         return {"type": "boolean"}
 
 
@@ -92,6 +96,7 @@
         self.pattern, self.expected = pattern, wanted
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
+        """See `Kind.check`."""
         if not isinstance(value, str):
             report("wrong-type", path, f"is {toml_type(value)}; write a string")
             return MISSING
@@ -101,6 +106,7 @@
         return value
 
     def schema(self) -> dict[str, Any]:
+        """See `Kind.schema`."""
         return {"type": "string", "pattern": f"^(?:{self.pattern})$"}
 
 
@@ -112,6 +118,7 @@
         self.options, self.allows_single, self.code = options, alone, code
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
+        """See `Kind.check`."""
         rows = [value] if isinstance(value, str) and self.allows_single else value
         if not isinstance(rows, list):
             one = "a string or " if self.allows_single else ""
@@ -134,6 +141,7 @@
         return tuple(good) if good else MISSING
 
     def schema(self) -> dict[str, Any]:
+        """See `Kind.schema`."""
         item: dict[str, Any] = {"type": "string"}
         if self.options:
             item["enum"] = list(self.options)
@@ -148,6 +156,7 @@
         self.keys, self.required = keys, required
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
+        """See `Kind.check`."""
         if not isinstance(value, dict):
             report("wrong-type", path, f"is {toml_type(value)}; write a table")
             return MISSING
@@ -166,6 +175,7 @@
         return good
 
     def schema(self) -> dict[str, Any]:
+        """See `Kind.schema`."""
         made: dict[str, Any] = {
             "type": "object",
             "properties": {key: kind.schema() for key, kind in self.keys.items()},
@@ -183,6 +193,7 @@
         self.table, self.max_rows = of, most
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
+        """See `Kind.check`."""
         if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
             report("wrong-type", path, f"is {toml_type(value)}; write [[{label(path)}]] for each")
             return MISSING
@@ -192,4 +203,5 @@
         return [self.table.check(row, (*path, at), report) for at, row in enumerate(value)]
 
     def schema(self) -> dict[str, Any]:
+        """See `Kind.schema`."""
         return {"type": "array", "items": self.table.schema(), "maxItems": self.max_rows}
--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -122,7 +122,8 @@
 class DecisionHandler(Protocol):
     """The decision engine, or what stands before it, as far as the core needs it."""
 
-    def handle(self, now_ms: float, event: Event) -> list[Action]: ...
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        """The actions that answer one event."""
 
 
 class UpstreamAttempt(Protocol):
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -42,10 +42,12 @@
     on_admitted: Callable[[], None] | None = None
 
     def encode(self, left_ms: int) -> bytes:
+        """Nothing is sent: the proxy forwards the request itself."""
         return b""
 
     @property
     def transport(self) -> AttemptTransport | None:
+        """What makes the attempts of this call."""
         return self
 
     def create_attempt(
--- a/glenchute/listeners/extproc/request.py
+++ b/glenchute/listeners/extproc/request.py
@@ -72,10 +72,12 @@
     request: ProxiedRequest | None = None
 
     def encode(self, left_ms: int) -> bytes:
+        """Nothing is sent: the proxy forwards the request itself."""
         return b""
 
     @property
     def transport(self) -> AttemptTransport | None:
+        """What makes the attempts of this call."""
         return self.request
 
 
--- a/glenchute/listeners/extproc/server.py
+++ b/glenchute/listeners/extproc/server.py
@@ -50,6 +50,7 @@
         self.future: asyncio.Future[None] | None = None
 
     def put(self, response: Any) -> None:
+        """Sets the response, once."""
         if self.is_set:
             return
         self.response, self.is_set = response, True
@@ -57,6 +58,7 @@
             self.future.set_result(None)
 
     async def get(self) -> Any:
+        """Waits for the response."""
         if not self.is_set:
             self.future = self.loop.create_future()
             await self.future
--- a/glenchute/listeners/operations/server.py
+++ b/glenchute/listeners/operations/server.py
@@ -60,15 +60,18 @@
         self.is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
         for evicted in self.server.slots.add(self.server.loop.time(), self):
             evicted.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self.transport = None
         self.server.slots.remove(self)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         if self.is_answered:
             return  # whatever follows the one request is discarded until the client closes
         try:
@@ -79,6 +82,7 @@
             self._send_response(Response(status if 400 <= status < 500 else 400, "not a call"))
 
     def eof_received(self) -> bool:
+        """The peer has closed its side; whether this side stays open."""
         return self.is_answered  # a client that has shut down its side may still read its response
 
     def _process_events(self) -> None:
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -83,6 +83,7 @@
         self.streaming: ResponseSource | None = None  # the value that is being written
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
@@ -94,6 +95,7 @@
         return self.is_closed_by_peer or self.listener.closed_peers.has_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self.listener.closed_peers.remove(self)
         self.transport, self.is_closing = None, True
         look = self.listener.release_timers.pop(self, None)
@@ -124,6 +126,7 @@
         self.streaming = None
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         if self.is_closing:
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_LINGER_BYTES and not self.slots and self.transport is not None:
@@ -309,10 +312,12 @@
         source.start(self)
 
     def write_chunk(self, data: bytes) -> None:
+        """Writes a part of a streamed value."""
         if self.transport is not None:
             self.transport.write(data)
 
     def finish(self) -> None:
+        """Ends it, once."""
         if self.transport is not None and self.streaming is not None:
             self.streaming = None
             self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
@@ -391,6 +396,7 @@
             self.listener.paused_clients.discard(self)
 
     def pause_writing(self) -> None:
+        """The transport holds as much as it may."""
         self.is_write_blocked = True
         if self.streaming is not None:
             self.streaming.pause()
@@ -398,6 +404,7 @@
         self.update_reading()
 
     def resume_writing(self) -> None:
+        """The transport takes bytes again."""
         self.is_write_blocked = False
         if self.streaming is not None:
             self.streaming.resume()
--- a/glenchute/policy/balancing/subsetting_engine.py
+++ b/glenchute/policy/balancing/subsetting_engine.py
@@ -23,7 +23,8 @@
 class Engine(Protocol):
     """What takes events: the decision engine, or what stands before it."""
 
-    def handle(self, now_ms: float, event: Event) -> list[Action]: ...
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        """The actions that answer one event."""
 
 
 class SubsettingEngine:
--- a/glenchute/policy/connections/client_slots.py
+++ b/glenchute/policy/connections/client_slots.py
@@ -347,7 +347,9 @@
         self.slots[slot.key] = slot
 
     def __iter__(self) -> Iterator[Key]:
+        """Goes over all of them."""
         return iter(list(self.slots))
 
     def __len__(self) -> int:
+        """How many there are."""
         return len(self.slots)
--- a/glenchute/policy/connections/pipelined_connection.py
+++ b/glenchute/policy/connections/pipelined_connection.py
@@ -75,6 +75,7 @@
         self.network_delay_ms, self.settle_ms = network_delay_ms, settle_ms
 
     def __len__(self) -> int:
+        """How many there are."""
         return len(self.pending) + len(self.in_flight)
 
     def append(self, item: T, data: bytes) -> PipelinedCommand[T]:
--- a/glenchute/policy/services/request_mapping.py
+++ b/glenchute/policy/services/request_mapping.py
@@ -166,6 +166,7 @@
     )  # names of the headers that the rules read
 
     def __post_init__(self) -> None:
+        """Parses the sources once."""
         parts = {name: source.partition(":") for name, source in self.sources.items()}
         parsed = {name: (kind, where) for name, (kind, _, where) in parts.items()}
         object.__setattr__(self, "parsed_sources", parsed)
@@ -234,29 +235,7 @@
         source = self.parsed_sources.get(name)
         if source is None:
             return ""
-        kind, where = source
-        found: Any = None
-        match kind:
-            case "header":
-                found = view.single_header(where)
-            case "path":
-                found = view.path_variables.get(where)
-            case "value":
-                found = where
-            case "descriptor":
-                found = view.descriptors.get(where)
-            case "query":
-                pairs = parse_qsl(path.partition("?")[2], max_num_fields=None, keep_blank_values=True)
-                values = [value for key, value in pairs if key == where]
-                if len(values) > 1:
-                    raise MappingError(f"repeated-{where}"[:60])
-                found = values[0] if values else None
-            case "metadata":
-                space, _, key = where.partition("/")
-                inner = view.metadata.get(space)
-                found = inner.get(key) if isinstance(inner, Mapping) else None
-            case "json":
-                found = self.resolve_json_pointer(view, where)
+        found = self.resolve_source(view, source, path)
         if found is None:
             return ""
         if type(found) is not str:
@@ -269,6 +248,28 @@
             raise MappingError(f"long-{name}", 431)
         return text
 
+    def resolve_source(self, view: RequestView, source: tuple[str, str], path: str) -> Any:
+        """What a source, its kind and its name, finds in a request; None where it finds nothing."""
+        kind, where = source
+        match kind:
+            case "header":
+                return view.single_header(where)
+            case "path":
+                return view.path_variables.get(where)
+            case "value":
+                return where
+            case "descriptor":
+                return view.descriptors.get(where)
+            case "query":
+                return query_value(path, where)
+            case "metadata":
+                space, _, key = where.partition("/")
+                inner = view.metadata.get(space)
+                return inner.get(key) if isinstance(inner, Mapping) else None
+            case "json":
+                return self.resolve_json_pointer(view, where)
+        return None
+
     @staticmethod
     def resolve_json_pointer(view: RequestView, pointer: str) -> Any:
         """What a JSON pointer (RFC 6901) finds in the body; None where it finds nothing."""
@@ -287,3 +288,12 @@
             else:
                 return None
         return at
+
+
+def query_value(path: str, name: str) -> str | None:
+    """A parameter of the path's query; None where it has none. MappingError where it stands twice."""
+    pairs = parse_qsl(path.partition("?")[2], max_num_fields=None, keep_blank_values=True)
+    values = [value for key, value in pairs if key == name]
+    if len(values) > 1:
+        raise MappingError(f"repeated-{name}"[:60])
+    return values[0] if values else None
--- a/glenchute/upstreams/attempt.py
+++ b/glenchute/upstreams/attempt.py
@@ -20,11 +20,14 @@
     timer: asyncio.TimerHandle | None
 
     @property
-    def on_response_started(self) -> Callable[[ResponseSource], None] | None: ...
+    def on_response_started(self) -> Callable[[ResponseSource], None] | None:
+        """Called with the source when a streamed response begins."""
 
-    def stop(self, ending: Outcome) -> None: ...
+    def stop(self, ending: Outcome) -> None:
+        """Ends the attempt with this outcome."""
 
-    def finish(self, result: AttemptResult) -> None: ...
+    def finish(self, result: AttemptResult) -> None:
+        """Ends it, once."""
 
 
 class BaseAttempt:
--- a/glenchute/upstreams/connection.py
+++ b/glenchute/upstreams/connection.py
@@ -22,13 +22,17 @@
     """The pool of a connection, as far as the connection needs it."""
 
     @property
-    def tracker(self) -> ConnectionTracker: ...
+    def tracker(self) -> ConnectionTracker:
+        """Counts the connections of all pools."""
 
-    def on_connected(self, conn: Connection) -> None: ...
+    def on_connected(self, conn: Connection) -> None:
+        """The connection is up."""
 
-    def give_back(self, conn: Connection) -> None: ...
+    def give_back(self, conn: Connection) -> None:
+        """The connection is free again."""
 
-    def forget(self, conn: Connection) -> None: ...
+    def forget(self, conn: Connection) -> None:
+        """The connection has ended."""
 
 
 class Connection(asyncio.Protocol):
@@ -46,10 +50,12 @@
         self.stall_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         self.transport = transport  # type: ignore[assignment]
         self.pool.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         attempt = self.attempt
         if attempt is None or attempt.result is not None:
             self.abort()  # a surplus reply: replies can't be matched to commands any more
@@ -113,6 +119,7 @@
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         self.pool.forget(self)
--- a/glenchute/upstreams/connection_tracker.py
+++ b/glenchute/upstreams/connection_tracker.py
@@ -18,21 +18,26 @@
     """An idle connection, as far as choosing one to close needs it."""
 
     @property
-    def idle_since(self) -> float: ...
+    def idle_since(self) -> float:
+        """Loop time, in seconds, of its last use."""
 
 
 class TrackedPool(Protocol):
     """A server's connections, as far as the limit needs them; the idle ones in order of their last use."""
 
     @property
-    def open(self) -> Collection[object]: ...
+    def open(self) -> Collection[object]:
+        """All connections that are up or coming up."""
 
     @property
-    def idle(self) -> Sequence[IdleConnection]: ...
+    def idle(self) -> Sequence[IdleConnection]:
+        """The idle ones, the longest idle first."""
 
-    def close_longest_idle(self) -> None: ...
+    def close_longest_idle(self) -> None:
+        """Closes the connection that has been idle longest."""
 
-    def close_idle(self, before: float | None = None) -> None: ...
+    def close_idle(self, before: float | None = None) -> None:
+        """Closes idle connections, those last used before this loop time where it is given."""
 
 
 class ConnectionTracker:
--- a/glenchute/upstreams/exclusive_attempt.py
+++ b/glenchute/upstreams/exclusive_attempt.py
@@ -145,6 +145,7 @@
             self.conn.abort()
 
     def release(self) -> None:
+        """Gives back what the attempt holds."""
         super().release()
         self._cancel_connects()
         self.conn = None
--- a/glenchute/upstreams/pipelined_attempt.py
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -196,6 +196,7 @@
             conn.close_with(command, ending, reason)
 
     def release(self) -> None:
+        """Gives back what the attempt holds."""
         super().release()
         if self.wait_timer is not None:
             self.wait_timer.cancel()
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -37,45 +37,59 @@
     is_written: bool
 
     @property
-    def attempt_id(self) -> int: ...
+    def attempt_id(self) -> int:
+        """The attempt's number on this connection."""
 
     @property
-    def payload(self) -> Callable[[int], bytes]: ...
+    def payload(self) -> Callable[[int], bytes]:
+        """The command's bytes for the time left, in milliseconds."""
 
     @property
-    def is_wanted(self) -> Callable[[], bool] | None: ...
+    def is_wanted(self) -> Callable[[], bool] | None:
+        """Whether its client still waits, where that can be asked."""
 
     @property
-    def is_finished(self) -> bool: ...
+    def is_finished(self) -> bool:
+        """Whether its result is known."""
 
     @property
-    def expires_at(self) -> float: ...
+    def expires_at(self) -> float:
+        """Loop time, in seconds, of its timeout."""
 
     @property
-    def write_by(self) -> float: ...
+    def write_by(self) -> float:
+        """Loop time, in seconds, after which not a byte may be written; 0.0: none."""
 
-    def stop_unless_written(self) -> None: ...
+    def stop_unless_written(self) -> None:
+        """Ends the attempt if nothing of it has been written."""
 
-    def finish(self, result: AttemptResult) -> None: ...
+    def finish(self, result: AttemptResult) -> None:
+        """Ends it, once."""
 
 
 class PipelinedOwner(ConnectionOwner, Protocol):
     """The pool of a pipelined connection, as far as the connection needs it."""
 
     @property
-    def runtime(self) -> PipelineRuntime: ...
+    def runtime(self) -> PipelineRuntime:
+        """What the pools of all servers share."""
 
     @property
-    def address(self) -> Address: ...
+    def address(self) -> Address:
+        """The server's address."""
 
     @property
-    def stop_at(self) -> float | None: ...
+    def stop_at(self) -> float | None:
+        """Loop time, in seconds, from which nothing is written to the server; None: it takes work."""
 
-    def mark_busy(self, conn: PipelinedConnection) -> None: ...
+    def mark_busy(self, conn: PipelinedConnection) -> None:
+        """The connection has a command in flight."""
 
-    def retire(self, connection_id: int) -> None: ...
+    def retire(self, connection_id: int) -> None:
+        """The connection takes no more commands."""
 
-    def place_next_waiting(self) -> None: ...
+    def place_next_waiting(self) -> None:
+        """Places the attempt that has waited longest."""
 
 
 class FinishedAttempt(NamedTuple):
@@ -173,6 +187,7 @@
             attempt.finish(AttemptResult(outcome))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up."""
         super().connection_made(transport)
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=0)  # `pause_writing` as soon as anything is buffered
@@ -272,6 +287,7 @@
             self.send_deadline_timer = self.loop.call_at(send_by, self._on_send_deadline)
 
     def resume_writing(self) -> None:
+        """The transport takes bytes again."""
         self.is_buffer_full = False
         if self.send_deadline_timer is not None:
             self.send_deadline_timer.cancel()
@@ -289,6 +305,7 @@
     # --- reading -----------------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have arrived."""
         if self.final_results is not None:
             return
         if self.stall_timer is not None:
@@ -400,6 +417,7 @@
             self._report_results()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         if self.send_deadline_timer is not None:
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -39,11 +39,11 @@
     transport: asyncio.Transport | None
     streamed: StreamedValue | None
 
-    def complete_response(
-        self, attempt: CarriedAttempt, result: AttemptResult, has_surplus: bool
-    ) -> None: ...
+    def complete_response(self, attempt: CarriedAttempt, result: AttemptResult, has_surplus: bool) -> None:
+        """The streamed response has ended."""
 
-    def fail_response(self) -> None: ...
+    def fail_response(self) -> None:
+        """The streamed response has broken off."""
 
 
 class StreamedValue:
