--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity_gateway import GATEWAYS
 from benchmarks.slopes import cpu_ms, kib
-from glenchute.policy.admission.windows import window_start
+from glenchute.policy.admission.windows import window_start_ms
 from glenchute.policy.membership.direct_messages import DirectMessenger
 from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
 from glenchute.policy.membership.members import MemberList, MemberState, SwimMessage, SwimSettings
@@ -126,7 +126,7 @@
     """A gateway's requests of one step: what is looked up and written down for each."""
     for gateway, tenant in rows:
         if gateway == number:
-            window = window_start(1000.0 * at, tenant.name, tenant.plan)
+            window = window_start_ms(1000.0 * at, tenant.name, tenant.plan)
             post.usage.admitted_by_peers(tenant.name, window)
             post.known_gateways(at, tenant.spread)
             post.report(at, post.usage.add_admitted(tenant.name, window, 1.0, tenant.spread, tenant.plan))
--- a/glenchute/capture/format_1_snapshot.py
+++ b/glenchute/capture/format_1_snapshot.py
@@ -141,7 +141,7 @@
     "fails": "failure_rate",
     "fails_at": "failure_rate_ms",
     "refused": "connect_failures",
-    "look_at": "next_probe_ms",
+    "look_at": "backed_off_until_ms",
     "avoid_to": "avoid_until_ms",
     "silent_since": "unanswered_since_ms",
     "held": "peer_requests",
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -10,7 +10,7 @@
 
 from glenchute.core.types import DecisionHandler
 from glenchute.policy.actions import Action, Fail, Reject, StartAttempt
-from glenchute.policy.admission.windows import window_start
+from glenchute.policy.admission.windows import window_start_ms
 from glenchute.policy.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -78,10 +78,10 @@
         if plan is None or not plan.rate_per_s or len(self.pending_requests) >= MAX_PENDING_REQUESTS:
             return
         self.note_account(request.tenant, plan)
-        window = window_start(now_ms, request.tenant, plan)
+        window = window_start_ms(now_ms, request.tenant, plan)
         share = self.known_share(request.gateway_spread)
         units = self.usage.admitted_by_peers(request.tenant, window)
-        previous_window = window_start(window - 1.0, request.tenant, plan)
+        previous_window = window_start_ms(window - 1.0, request.tenant, plan)
         previous_units = self.usage.admitted_by_peers(request.tenant, previous_window)
         self.module.handle(now_ms, UsageUpdate(request, window, units, previous_units, share))
         self.pending_requests[request.request_id] = request
@@ -89,7 +89,7 @@
     def report_admitted(self, now_ms: float, request: Request) -> None:
         """The request's first attempt starts: its units are used."""
         plan = self.plans[request.plan]
-        window = window_start(now_ms, request.tenant, plan)
+        window = window_start_ms(now_ms, request.tenant, plan)
         row = self.usage.add_admitted(request.tenant, window, request.units, request.gateway_spread, plan)
         self.publish(row)
 
--- a/glenchute/core/executor.py
+++ b/glenchute/core/executor.py
@@ -335,7 +335,7 @@
         """The backoff of the request's route after this outcome; inf: no retry."""
         if request.retries is None or request.attempts_in_flight:
             return 0.0
-        return request.retries.retry_delay_ms(self.clock.now_ms(), outcome)
+        return request.retries.reserve_retry(self.clock.now_ms(), outcome)
 
     def response_started(self, request: ActiveRequest, number: int, source: ResponseSource) -> None:
         """A streamed response has begun. It is the final response, however it ends: after its first byte
--- a/glenchute/listeners/extproc/table.py
+++ b/glenchute/listeners/extproc/table.py
@@ -12,7 +12,7 @@
 from collections import Counter
 
 from glenchute.core.executor import RequestExecutor
-from glenchute.policy.retries.proxied_attempts import may_send_undecided
+from glenchute.policy.retries.proxied_attempts import may_send_after_takeover
 from glenchute.policy.services.request_mapping import MappedRequest
 from glenchute.policy.settings import Idempotency
 
@@ -150,7 +150,7 @@
         """Whether a request with this token, which no entry here knows, may be sent."""
         limits = self.settings.class_limits.get(token.class_name, UNKNOWN_CLASS)
         age_ms = self.wall_clock() * 1000.0 - token.decided_at_ms
-        return may_send_undecided(
+        return may_send_after_takeover(
             limits.idempotency,
             token.class_name in self.settings.resumable_classes,
             age_ms,
--- a/glenchute/policy/admission/backlog.py
+++ b/glenchute/policy/admission/backlog.py
@@ -9,7 +9,7 @@
 
 RATE_WINDOW_S = 2.0  # the rate of completed work is a mean over this long
 PEAK_FADE_S = 8.0
-MEASURING_MS = 200.0  # added to the age of a mean that began at nothing
+MIN_RATE_AGE_MS = 200.0  # added to the measuring time, so that the first responses show no huge rate
 MOST_GAP_S = 4.0  # without a response, after which the rate is measured anew
 
 
@@ -39,8 +39,8 @@
         fade = math.exp(-elapsed_s / RATE_WINDOW_S)
         self.completed_ms_per_s = self.completed_ms_per_s * fade + work_ms / RATE_WINDOW_S
         self.measured_since_ms = min(self.measured_since_ms, now_ms)
-        age_ms = now_ms - self.measured_since_ms + MEASURING_MS
-        grown = 1.0 - math.exp(-age_ms / 2000.0)
+        age_ms = now_ms - self.measured_since_ms + MIN_RATE_AGE_MS
+        grown = 1.0 - math.exp(-age_ms / (1000.0 * RATE_WINDOW_S))
         self.peak_ms_per_s = max(
             self.completed_ms_per_s / grown, self.peak_ms_per_s * math.exp(-elapsed_s / PEAK_FADE_S)
         )
--- a/glenchute/policy/admission/call_pacing.py
+++ b/glenchute/policy/admission/call_pacing.py
@@ -1,6 +1,7 @@
 """How often the shared counter may be called, and whether it is available.
 
-A counter that rejects calls or replies late is called for a fraction of the wanted calls only. One that has
+A counter that rejects calls, or gives most of its replies late, is called for a fraction of the wanted calls
+only. One that has
 not replied to `UNAVAILABLE_AFTER` calls in a row counts as unavailable: each gateway then keeps to its local
 share of each quota, and probes the counter now and then.
 """
--- a/glenchute/policy/admission/capacity.py
+++ b/glenchute/policy/admission/capacity.py
@@ -15,9 +15,9 @@
 TARGET_RATIO = 0.5  # median latency over its objective that the estimate settles at under overload
 LATENCY_STEP = 0.25  # weight of one response in the mean latency
 SIZE_STEP = 0.05  # weight of one request in the mean size
-LEAST_FACTOR = 0.7  # one bad window says little of the next
-MOST_FACTOR = 1.2  # for each good window in a row
-UNBOUND_FACTOR = 3.0  # times the demand: an estimate above binds nothing
+MIN_WINDOW_FACTOR = 0.7  # one window lowers the estimate to this fraction of it at least
+MAX_WINDOW_FACTOR = 1.2  # one raises it by this at most, to the power of the good windows in a row
+NO_LIMIT_FACTOR = 3.0  # an estimate beyond so many times the demand is no limit
 
 
 class CapacityEstimate:
@@ -68,23 +68,26 @@
         median = ratios[len(ratios) // 2] if ratios else 0.0
         confidence = min(1.0, len(ratios) / ENOUGH_RESPONSES)
         if median > TARGET_RATIO:
-            # What few responses tell, or came while nobody asked, is no bound on what the servers can do.
+            # Few responses are weak evidence, and little demand shows little: neither lowers the estimate
+            # much.
             offered = max(sum(self.window_units.values()) / length_s, sum(self.demand_per_s.values()))
             self.capacity_per_s = min(self.capacity_per_s, offered / confidence)
-        self.capacity_per_s = self.growth(median, confidence) * max(self.capacity_per_s, self.floor_per_s)
+        self.capacity_per_s = self.end_window_factor(median, confidence) * max(
+            self.capacity_per_s, self.floor_per_s
+        )
         self.update_demand(length_s)
-        if self.capacity_per_s > UNBOUND_FACTOR * sum(self.demand_per_s.values()):
+        if self.capacity_per_s > NO_LIMIT_FACTOR * sum(self.demand_per_s.values()):
             self.capacity_per_s = math.inf
         self.latency_ratios, self.window_start_ms = [], now_ms
 
-    def growth(self, median: float, confidence: float) -> float:
-        """The factor of a window: smooth, as many gateways see different medians by chance, but their sum
-        should not differ; faster with each good window in a row."""
-        factor = max(LEAST_FACTOR, 1.0 + TARGET_RATIO - median)
+    def end_window_factor(self, median: float, confidence: float) -> float:
+        """Counts good windows in a row; returns the factor for the estimate, below 1 where it shrinks. It
+        changes smoothly with the median, which differs between gateways by chance."""
+        factor = max(MIN_WINDOW_FACTOR, 1.0 + TARGET_RATIO - median)
         self.good_windows = self.good_windows + 1 if median < 0.5 * TARGET_RATIO else 0
         if factor < 1.0:
             return 1.0 + confidence * (factor - 1.0)
-        return float(min(MOST_FACTOR, factor) ** max(1, self.good_windows))
+        return float(min(MAX_WINDOW_FACTOR, factor) ** max(1, self.good_windows))
 
     def update_demand(self, length_s: float) -> None:
         """Moves the demand towards that of the window, by as much as it was seen."""
--- a/glenchute/policy/admission/counter_sync.py
+++ b/glenchute/policy/admission/counter_sync.py
@@ -36,7 +36,7 @@
         self.tenants = tenants
         self.pacing: CallPacing = tenants.pacing
         self.calls: CounterCalls = tenants.calls
-        self.replied_tenant: Tenant | None = None  # of the last reply in time
+        self.replied_tenant: Tenant | None = None  # of the last call that ended, late replies aside
         self.reserved_units = 0.0  # that its call had added ahead for a request, in the window in force
 
     # --- when to call -------------------------------------------------------------------------------------
--- a/glenchute/policy/admission/fill.py
+++ b/glenchute/policy/admission/fill.py
@@ -9,7 +9,7 @@
 from .tenant import Tenant
 
 SPEND_S = 0.4  # a bucket's units are offered to the demand over this long
-MOST_CREDIT_REQUESTS = 2.0
+MOST_CREDIT_REQUESTS = 2.0  # a credit holds so many times the request's units at most
 
 
 def add_credit(tenant: Tenant, units: float, bucket_units: float) -> None:
--- a/glenchute/policy/admission/overload.py
+++ b/glenchute/policy/admission/overload.py
@@ -15,9 +15,9 @@
 from .backlog import Backlog
 from .capacity import CapacityEstimate
 
-MOST_WAIT_FRACTION = 0.5  # of a latency objective that the backlog may take, for the highest value ...
+BACKLOG_WAIT_FRACTION = 0.5  # of a latency objective that the backlog may take, for the highest value ...
 LOW_VALUE_REDUCTION = 0.2  # ... and so much less for the lowest
-MOST_CREDIT_REQUESTS = 2.0
+MOST_CREDIT_REQUESTS = 2.0  # a credit holds so many times the request's units at most
 
 
 class LoadShedder:
@@ -26,7 +26,9 @@
     def __init__(self) -> None:
         self.capacity = CapacityEstimate()
         self.backlog = Backlog()
-        self.credit_units: dict[float, float] = {}  # of the marginal value: what it has been granted so far
+        self.credit_units: dict[
+            float, float
+        ] = {}  # by value of a unit: granted units that no request used yet
 
     def admit(self, value: float, units: float, objective_ms: float, is_busy: bool) -> bool:
         """Whether a request goes on. `objective_ms`: its class's latency objective; `is_busy`: enough
@@ -36,7 +38,7 @@
         higher_per_s = sum(n for v, n in capacity.demand_per_s.items() if v > value)
         if self.backlog.peak_ms_per_s > 0 and is_busy:
             higher_fraction = higher_per_s / max(sum(capacity.demand_per_s.values()), 1e-9)
-            most_wait_ms = objective_ms * (MOST_WAIT_FRACTION - LOW_VALUE_REDUCTION * higher_fraction)
+            most_wait_ms = objective_ms * (BACKLOG_WAIT_FRACTION - LOW_VALUE_REDUCTION * higher_fraction)
             if self.backlog.wait_ms > most_wait_ms:
                 return False
         if capacity.capacity_per_s == math.inf:
--- a/glenchute/policy/admission/quota.py
+++ b/glenchute/policy/admission/quota.py
@@ -52,7 +52,7 @@
         `has_total`: the request waited for a reply of the counter that came just now. `is_blind`: it should
         have, but the call was not made or failed.
         """
-        is_blind = self.must_use_local_share(now_ms, tenant, is_blind)
+        uses_local_share = self.must_use_local_share(now_ms, tenant, is_blind)
         tenant.own_demand_per_s += units / FILL_WINDOW_S
         plan = tenant.plan
         wait_ms: float | None = None
@@ -65,24 +65,28 @@
             missing = units - tenant.ceiling_guard_units
             return missing / plan.ceiling_rate_per_s * tenant.gateway_spread * 1000.0
         if plan.rate_per_s:
-            wait_ms = self.rate_wait_ms(tenant, units, has_total, is_blind)
+            wait_ms = self.rate_wait_ms(tenant, units, has_total, uses_local_share)
         if wait_ms is None and plan.max_concurrent:
-            wait_ms = self.concurrency_wait_ms(tenant, units, has_total, is_blind)
+            wait_ms = self.concurrency_wait_ms(tenant, units, has_total, uses_local_share)
         return wait_ms
 
     def must_use_local_share(self, now_ms: float, tenant: Tenant, is_blind: bool) -> bool:
         """Whether the local bucket decides, as the others' use is not known: else each gateway would spend
-        all of a quota. A total younger than the time in which the bucket turns over still tells of it; of
-        many gateways each errs by its own, so it has to be younger."""
+        all of a quota. A total younger than the time in which the bucket turns over still tells of it. The
+        errors of many gateways add up, so the age that counts as young falls with their number."""
         if self.tenants.pacing.is_unavailable and not self.tenants.reporting_fraction(now_ms, tenant):
             return True
         most_age_ms = tenant.window_length_ms * min(1.0, local_share.PRIOR_REQUESTS / tenant.gateway_spread)
         return is_blind and now_ms - tenant.counter_total_ms > most_age_ms
 
-    def rate_wait_ms(self, tenant: Tenant, units: float, has_total: bool, is_blind: bool) -> float | None:
+    def rate_wait_ms(
+        self, tenant: Tenant, units: float, has_total: bool, uses_local_share: bool
+    ) -> float | None:
         """The rate with its burst. A total of just now orders the requests of all gateways, so no fraction is
-        needed then."""
-        bucket_units = min(tenant.local_units, tenant.bucket_units) if is_blind else tenant.bucket_units
+        needed then. 0 for FILL: the bucket holds enough, and a retry at once has the same chance."""
+        bucket_units = tenant.bucket_units
+        if uses_local_share:
+            bucket_units = min(tenant.local_units, bucket_units)
         fill.add_credit(tenant, units, bucket_units)
         if bucket_units >= units and (tenant.credit_units >= units or has_total):
             return None
--- a/glenchute/policy/admission/state_transfer.py
+++ b/glenchute/policy/admission/state_transfer.py
@@ -18,13 +18,14 @@
     """The successor runs: halves what this process may admit by itself, and leaves the markers to the
     successor. The tenants' state for it, those seen last first."""
     tenants.markers_from_ms = math.inf
-    snapshots = [snapshot(tenants, now_ms, tenant) for tenant in list(tenants.by_id.values())]
+    snapshots = [split_off_half(tenants, now_ms, tenant) for tenant in list(tenants.by_id.values())]
     tenants.set_process_count(2)
     return tuple(reversed(snapshots))
 
 
-def snapshot(tenants: TenantTable, now_ms: float, tenant: Tenant) -> QuotaSnapshot:
-    """One tenant's state for the successor, with half of its guard and demand, which is given up here."""
+def split_off_half(tenants: TenantTable, now_ms: float, tenant: Tenant) -> QuotaSnapshot:
+    """One tenant's state for the successor. Half of the ceiling guard and of the reported own units moves to
+    it; half of the own demand is copied and stays here too."""
     tenants.refresh(now_ms, tenant)
     tenant.ceiling_guard_units *= 0.5
     tenant.reported_own_units *= 0.5
--- a/glenchute/policy/admission/tenant.py
+++ b/glenchute/policy/admission/tenant.py
@@ -15,7 +15,7 @@
 
     tenant_id: str
     plan: Plan
-    gateway_spread: int  # processes of gateways through which the tenant's requests come
+    gateway_spread: int  # gateways through which the tenant's requests come; twice that during a handover
     updated_ms: float  # when the buckets were last brought up to date
     bucket_units: float  # what the quota's token bucket, shared by all gateways, is thought to hold
     local_units: float  # this gateway's local share of it; counts while the counter is unavailable
@@ -43,5 +43,5 @@
     reporting_fraction: float = 0.0  # of the gateways, that usage updates cover, this one included
     usage_update_ms: float = -1e9
     counter_total_units: float = 0.0  # by the last reply
-    counter_total_ms: float = -1e9
+    counter_total_ms: float = -1e9  # when the others' use was last known, by a total or by members
     last_call_ms: float = -1e9
--- a/glenchute/policy/admission/tenants.py
+++ b/glenchute/policy/admission/tenants.py
@@ -11,7 +11,7 @@
 from .counter_calls import CounterCalls
 from .epoch_markers import WindowCounter, marker_value
 from .tenant import Tenant
-from .windows import FILL_WINDOW_S, TENANT_IDLE_MS, stable_key, window_length_ms, window_start
+from .windows import FILL_WINDOW_S, TENANT_IDLE_MS, stable_key, window_length_ms, window_start_ms
 
 USAGE_UPDATE_TTL_MS = 1500.0  # members' usage updates count for this long
 OTHERS_USE_TTL_S = 1.5  # the others' use is expected to go on for this long, then fades
@@ -55,7 +55,7 @@
     def refresh(self, now_ms: float, tenant: Tenant) -> None:
         """Brings a tenant's buckets up to the present, and its counter key to the window in force."""
         tenant.window_length_ms = window_length_ms(tenant.plan)
-        start_ms = window_start(now_ms, tenant.tenant_id, tenant.plan)
+        start_ms = window_start_ms(now_ms, tenant.tenant_id, tenant.plan)
         if start_ms > tenant.window_start_ms:
             self.begin_window(start_ms, tenant)
         self.refill(now_ms, tenant)
@@ -138,7 +138,8 @@
         tenant.assumed_drain_units = 0.0
 
     def headroom(self, tenant: Tenant) -> float:
-        """What the tenant's quotas are thought to admit at once, in units or attempts."""
+        """What the tenant's quotas are thought to admit at once: the least of units left and attempts left,
+        as a request counts as one of either."""
         plan = tenant.plan
         left = tenant.bucket_units if plan.rate_per_s else math.inf
         if plan.max_concurrent:
@@ -153,7 +154,8 @@
         self.process_count = process_count
 
     def evict_idle(self, now_ms: float) -> None:
-        """Forgets tenants that were not seen for `TENANT_IDLE_MS` and have nothing in flight."""
+        """Forgets tenants unseen for `TENANT_IDLE_MS`, oldest first, up to the first that was seen since or
+        has something in flight."""
         while self.by_id:
             tenant = next(iter(self.by_id.values()))
             is_recent = now_ms - tenant.last_seen_ms < TENANT_IDLE_MS
--- a/glenchute/policy/admission/windows.py
+++ b/glenchute/policy/admission/windows.py
@@ -7,8 +7,8 @@
 
 from ..settings import Plan
 
-FILL_WINDOW_S = 1.0  # what a bucket holds is offered to the demand of this long
-TENANT_IDLE_MS = 60_000.0  # a tenant unseen for this long is forgotten, by the counter too
+FILL_WINDOW_S = 1.0  # time constant of the demand estimates; the shortest quota and capacity window
+TENANT_IDLE_MS = 60_000.0  # until a tenant and its counter keys are forgotten; the longest quota window
 
 
 def stable_key(text: str) -> int:
@@ -28,7 +28,7 @@
     return min(TENANT_IDLE_MS, 1000.0 * max(FILL_WINDOW_S, fill_s))
 
 
-def window_start(now_ms: float, tenant_id: str, plan: Plan) -> float:
-    """When the window in force began, in milliseconds."""
+def window_start_ms(now_ms: float, tenant_id: str, plan: Plan) -> float:
+    """When the window in force began."""
     length_ms = window_length_ms(plan)
     return now_ms - (now_ms + window_phase(tenant_id) * length_ms) % length_ms
--- a/glenchute/policy/balancing/endpoint_choice.py
+++ b/glenchute/policy/balancing/endpoint_choice.py
@@ -50,7 +50,7 @@
         pinned = pinned_endpoint(pending)
         is_cell_pinned = request_class.idempotency_scope is IdempotencyScope.CELL
         mean_ms = self.pool.latency.expected_ms(request_class, pending.request.units)
-        weight_of, has_token = self.slow_start.weight, self.slow_start.has_token
+        weight_of, refill_and_check = self.slow_start.weight, self.slow_start.refill_and_check
         delay_of, uniform = self.expected_delay, self.rng.uniform
         attempted, own_zone = pending.attempted_addresses, self.settings.zone
         cross_zone_factor = 1.0 + CROSS_ZONE_FACTOR * self.settings.cross_zone_price
@@ -62,13 +62,13 @@
                 continue
             weight = weight_of(server, now_ms)
             if weight < 1.0 and (
-                server.in_flight >= MOST_WARMING_UP or not has_token(server, now_ms, weight)
+                server.in_flight >= MOST_WARMING_UP or not refill_and_check(server, now_ms, weight)
             ):
                 continue
             cost = delay_of(server, now_ms, mean_ms, weight) / weight
             if endpoint.address in attempted:
                 cost += ATTEMPTED_PENALTY
-            if now_ms < max(server.next_probe_ms, server.avoid_until_ms):
+            if now_ms < max(server.backed_off_until_ms, server.avoid_until_ms):
                 cost += BACKED_OFF_PENALTY
             if endpoint.zone != own_zone:
                 cost *= cross_zone_factor
--- a/glenchute/policy/balancing/pool.py
+++ b/glenchute/policy/balancing/pool.py
@@ -57,7 +57,8 @@
         """Members could not reach a server; a duration of 0: they have reached it."""
         if server := self.servers.get(address):
             server.avoid_until_ms = now_ms + duration_ms
-            server.next_probe_ms *= duration_ms > 0
+            if not duration_ms > 0:
+                server.backed_off_until_ms = 0.0
 
     def record_start(self, now_ms: float, server: Server) -> None:
         """An attempt goes to this server."""
@@ -92,8 +93,10 @@
         if outcome is Outcome.OK and is_warm:
             self.slow_start.record_response(server, now_ms)
 
-    def detect_outliers(self, now_ms: float) -> list[str]:
-        """Updates the periodic estimates; the addresses of servers that fail far more often than most."""
+    def update_health(self, now_ms: float) -> list[str]:
+        """Updates the median failure rate and the rate by which warming servers get tokens, which decide
+        until the next call. Returns the addresses of the outliers: servers that fail far more often than
+        most."""
         self.slow_start.update_warm_rate(self.servers.values(), now_ms)
         return self.outliers.detect(self.servers, now_ms)
 
--- a/glenchute/policy/balancing/server.py
+++ b/glenchute/policy/balancing/server.py
@@ -18,7 +18,7 @@
     failure_rate: float = 0.0  # recent fraction of failures, 0 to 1
     failure_rate_ms: float = 0.0
     connect_failures: int = 0  # in a row
-    next_probe_ms: float = 0.0  # an unreachable server is chosen last until then
+    backed_off_until_ms: float = 0.0  # an unreachable server is chosen last until then
     avoid_until_ms: float = 0.0  # the same by the reports of members
     unanswered_since_ms: float | None = None  # first attempt sent since the last response
     peer_requests: float = 0.0  # requests of other gateways there, by its last load report
--- a/glenchute/policy/balancing/slow_start.py
+++ b/glenchute/policy/balancing/slow_start.py
@@ -13,6 +13,8 @@
 from .server import Server
 
 RESPONSE_RATE_WINDOW_S = 3.0
+SAFE_FRACTION = 0.8  # of the overload factor, that a burst of saved tokens may use
+MIN_BURST_FACTOR = 0.2
 UNKNOWN_RATE_INTERVAL_S = 3.0  # between requests of all gateways to a server while no rate is known
 
 
@@ -31,7 +33,7 @@
         warms_up = server.endpoint.started_ms > 0
         return min(1.0, rules.initial_fraction + (1.0 - rules.initial_fraction) * age) if warms_up else 1.0
 
-    def has_token(self, server: Server, now_ms: float, weight: float) -> bool:
+    def refill_and_check(self, server: Server, now_ms: float, weight: float) -> bool:
         """Refills the server's bucket; whether it may be sent a request now. `weight`: its `weight()`.
 
         The bucket is small: saved tokens, spent by all gateways at once when the warm servers are full, would
@@ -45,10 +47,14 @@
             )
             / 1000.0
         )
-        burst = rate_per_ms * rules.overload_window_ms * max(0.2, 0.8 * rules.overload_factor - 1.0)
+        burst = (
+            rate_per_ms
+            * rules.overload_window_ms
+            * max(MIN_BURST_FACTOR, SAFE_FRACTION * rules.overload_factor - 1.0)
+        )
         server.slow_start_tokens += rate_per_ms * max(0.0, now_ms - server.slow_start_tokens_ms)
         server.slow_start_tokens_ms = now_ms
-        if server.slow_start_tokens > 1.0 + burst:
+        if server.slow_start_tokens > 1.0 + burst:  # the fraction stays, so that gateways stay out of step
             server.slow_start_tokens = burst if burst >= 1.0 else server.slow_start_tokens % 1.0
         return server.slow_start_tokens >= 1.0
 
--- a/glenchute/policy/connections/client_slots.py
+++ b/glenchute/policy/connections/client_slots.py
@@ -13,7 +13,10 @@
 
 - At most ``max_connections`` connections are not lingering, and at most ``max_connections + max_overflow``
   exist.
-- A connection with a request in flight, or whose next command may be arriving, is never closed.
+- A connection with a request in flight, or whose next command may be arriving, is never evicted, nor closed
+as
+  idle. It is closed where its command takes longer than ``PARTIAL_COMMAND_TIMEOUT_S`` to arrive, or its
+  client reads nothing for ``WRITE_BLOCKED_TIMEOUT_S``.
 - A connection that was reused after a response outlives one with a single request that is idle for as long.
 - A new connection is not evicted before ``MIN_FIRST_COMMAND_S``.
 """
--- a/glenchute/policy/connections/descriptor_budget.py
+++ b/glenchute/policy/connections/descriptor_budget.py
@@ -1,7 +1,8 @@
 """Divides the file descriptors of a process between client, server and counter connections.
 
-The parts and what the process needs for itself never add up to more than the limit, so that idle clients
-cannot starve discovery, the counter or the servers of descriptors.
+The parts and what the process needs for itself add up to no more than the limit, from the least limit that
+the platform may state on, so that idle clients cannot starve discovery, the counter or the servers of
+descriptors.
 """
 
 from __future__ import annotations
--- a/glenchute/policy/endpoints/notification.py
+++ b/glenchute/policy/endpoints/notification.py
@@ -1,7 +1,8 @@
 """Deadlines by which a change at the discovery service counts as notified to this gateway, and the polling
 limits that follow from them. Stateless; all times in seconds.
 
-The deadlines are the operators' terms and take precedence over older sentences of PROTOCOL:
+A change *counts as notified* from the moment at which requests to a server that it takes away are this
+gateway's fault. These deadlines go before those of the platform's protocol document:
 
 - After a failed, rejected or abandoned poll, whatever else is allowed: `NOTIFIED_AFTER_S` after discovery had
   the change and could be reached.
--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -40,7 +40,8 @@
 from .settings import Idempotency, RequestClass, Settings
 from .timing import TICK_MS
 
-LEAST_IN_FLIGHT = 4.0  # attempts, below which they say nothing of the servers
+MIN_BUSY_ATTEMPTS = 4.0  # with no more in flight, the backlog is not used to shed requests
+COUNTER_TIMEOUTS_LEFT = 2.0  # a request waits for the counter only if it has time for so many, and a tick
 STALL_MS = 1000.0  # a tick that comes so late shows that this process stood still
 
 
@@ -173,7 +174,7 @@
             "V binds": self.shedder.capacity.capacity_per_s < math.inf,
             "no server to send to": not self.pool.servers,
             "requests fail on most servers": most_fail,
-            "servers avoided": ", ".join(self.pool.detect_outliers(now_ms)),
+            "servers avoided": ", ".join(self.pool.update_health(now_ms)),
         }
         self.actions += self.reports.state_changes(now_ms, states)
         self.actions += self.reports.due_counts(now_ms)
@@ -185,6 +186,7 @@
         capacity, then a server."""
         left_ms = request.time_left_ms
         self.reports.count("requests")
+        # An unknown class is never repeated; its whole time is its latency objective.
         request_class = self.classes.get(request.class_name) or RequestClass(
             "", left_ms, 1.0, Idempotency.NON_IDEMPOTENT
         )
@@ -196,14 +198,15 @@
         tenant = self.quota.tenants.lookup(now_ms, request)
         pending = PendingRequest(request, request_class, tenant, now_ms, now_ms + left_ms)
         self.execution.requests[request.request_id] = pending
-        has_time = left_ms >= 2.0 * self.settings.counter_timeout_ms + TICK_MS
+        has_time = left_ms >= COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout_ms + TICK_MS
         counter = self.quota.counter
         if tenant is not None and has_time and counter.needs_total(now_ms, tenant, request.units):
             pending.is_counted = True
             if (call := counter.call_for_request(now_ms, tenant, request)) is not None:
                 self.actions.append(call)
                 return
-        self.decide(now_ms, pending, False, pending.is_counted)
+        # Counted without a call: the counter is spared, and the total that was needed is missing.
+        self.decide(now_ms, pending, has_total=False, is_blind=pending.is_counted)
 
     def handle_counter_reply(self, now_ms: float, reply: CounterReply) -> None:
         """A call to the counter has ended: decides the request that waits for it, if there is one."""
@@ -248,8 +251,9 @@
         if wait_ms is not None:
             return wait_ms
         value = request_class.priority_weight * tenant.plan.price
-        servers_per_gateway = 2.0 * len(self.pool.servers) / self.settings.gateway_count
-        is_busy = len(self.execution.attempts) > max(LEAST_IN_FLIGHT, servers_per_gateway)
+        # Two attempts for each server of this gateway's share.
+        usual_attempts = 2.0 * len(self.pool.servers) / self.settings.gateway_count
+        is_busy = len(self.execution.attempts) > max(MIN_BUSY_ATTEMPTS, usual_attempts)
         if self.shedder.admit(value, units, request_class.latency_objective_ms, is_busy):
             return None
         self.quota.rejection_cause = RejectionCause.OVERLOAD
--- a/glenchute/policy/events.py
+++ b/glenchute/policy/events.py
@@ -9,6 +9,9 @@
 `AttemptEnded` for each `StartAttempt`, one `CounterReply` for each `IncrementCounter`, and one `TimerFired`
 for each `SetTimer`, never inside the same call; and a `ClientDisconnected` when a client leaves.
 
+*Members* are the other gateways that exchange messages with this one directly, beside the counter and
+discovery.
+
 Times are milliseconds, quantities are quota units.
 """
 
@@ -90,7 +93,7 @@
 
 @record(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun: the attempt is the client's from now on."""
+    """A streamed response has begun. It is the final response, and the request can't be retried."""
 
     request_id: str
     attempt: int
@@ -98,7 +101,8 @@
 
 @record(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended. `is_final`: the client has its response; else it is owed, if none was given."""
+    """An attempt ended. `is_final`: with it the client has its final response; otherwise the engine still
+    owes one, unless the client has it or has left."""
 
     request_id: str
     attempt: int
@@ -209,7 +213,8 @@
 @record(frozen=True, slots=True)
 class AvoidEndpoint:
     """Members could not reach a server: for `duration_ms` it is chosen last, as if this gateway had failed to
-    reach it. 0: members have reached it, and their earlier report is void; what was found here stands."""
+    reach it. 0: members have reached it: their report and this gateway's own wait before the next attempt
+    there are void; its count of failed connects stands."""
 
     address: str
     duration_ms: float
--- a/glenchute/policy/lifecycle/draining.py
+++ b/glenchute/policy/lifecycle/draining.py
@@ -114,5 +114,6 @@
         return INITIAL_IDLE_LIMIT_S * max(0.0, 1.0 - elapsed_share)
 
     def admits_requests(self, now: float) -> bool:
-        """Whether a request that arrives now is admitted."""
+        """Whether a request that arrives now is admitted: not from `DRAIN_ADMISSION_S` into a drain on. In
+        every other phase yes, also while shutting down, as it is still answered within `shutdown_grace_s`."""
         return self.phase is not Phase.DRAINING or now - self.phase_started_at < DRAIN_ADMISSION_S
--- a/glenchute/policy/lifecycle/handover.py
+++ b/glenchute/policy/lifecycle/handover.py
@@ -56,7 +56,8 @@
 
 def retained_limit_share(in_use: int, limit: int) -> float:
     """The share of the gateway's descriptors that a process retains when its successor starts: half, or those
-    in use and `RESERVE_SHARE` more, so that no connection is closed for it. The rest is the successor's."""
+    in use and `RESERVE_SHARE` more, but three quarters at most; only with more than that in use are
+    connections closed for it. The rest is the successor's."""
     return min(1.0 - MIN_LIMIT_SHARE, max(0.5, (in_use + RESERVE_SHARE * limit) / limit))
 
 
@@ -94,7 +95,7 @@
     """Decodes the quota of one tenant; HandoverError if it is invalid."""
     if not isinstance(row, list) or len(row) != len(FIELDS):
         raise HandoverError("a customer's row is not whole")
-    tenant, plan, gateway_spread, *figures, window_start, window_total = row
+    tenant, plan, gateway_spread, *figures, window_start_ms, window_total = row
     if not isinstance(tenant, str) or not isinstance(plan, str) or not 0 < len(tenant) <= MAX_TENANT_LENGTH:
         raise HandoverError("a customer without a name")
     if type(gateway_spread) is not int or not 1 <= gateway_spread <= MAX_GATEWAY_SPREAD:
@@ -112,7 +113,7 @@
         others_demand_per_s=others_demand,
         reported_own_units=reported_own,
         reported_units=reported,
-        window_start_ms=decode_number(window_start, -MAX_WINDOW_MS, MAX_WINDOW_MS),
+        window_start_ms=decode_number(window_start_ms, -MAX_WINDOW_MS, MAX_WINDOW_MS),
         window_total_units=(
             math.inf if window_total is None else decode_number(window_total, -MAX_UNITS, MAX_UNITS)
         ),
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from ..admission.epoch_markers import marker_value
-from ..admission.windows import stable_key, window_length_ms, window_start
+from ..admission.windows import stable_key, window_length_ms, window_start_ms
 from ..settings import Plan
 from .replica import Row, RowKind
 
@@ -120,7 +120,7 @@
     def is_window(window: Window, plan: Plan) -> bool:
         """Whether the plan has such a window: a received row may name any."""
         account, start_ms = window
-        return abs(window_start(start_ms + 0.5 * window_length_ms(plan), account, plan) - start_ms) <= 1.0
+        return abs(window_start_ms(start_ms + 0.5 * window_length_ms(plan), account, plan) - start_ms) <= 1.0
 
     def receive_total(self, query: CounterQuery, total: float | None) -> UsageMismatch | None:
         """The counter's total, None where it did not answer. A mismatch to be reported now: once an account,
--- a/glenchute/policy/reports.py
+++ b/glenchute/policy/reports.py
@@ -33,8 +33,8 @@
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def state_changes(self, now_ms: float, states: Mapping[str, bool | str]) -> list[Action]:
-        """A message for each state that begins or ends, in the order given. A state that is a text begins
-        with that detail."""
+        """A message for each state that begins or ends, in the order given, at most one for a state in
+        `STATE_INTERVAL_MS`: a shorter one may go unreported. A text is the detail at the beginning."""
         actions: list[Action] = []
         for what, state in states.items():
             reported = self.states.get(what) or ReportedState()
--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -22,7 +22,7 @@
 from .timing import TICK_MS
 
 TICK_TOKEN = 0  # of the engine's own timer; attempts that are scheduled have higher ones
-MOST_WAIT_FRACTION = 0.3  # of the latency objective that a request may wait for a server
+SERVER_WAIT_FRACTION = 0.3  # of the latency objective, since arrival: so long a request waits for a server
 
 
 class RequestExecution:
@@ -59,7 +59,7 @@
         server = self.chooser.pick(now_ms, pending)
         if server is None:
             waited_ms = now_ms - pending.arrived_ms
-            most_wait_ms = MOST_WAIT_FRACTION * pending.request_class.latency_objective_ms
+            most_wait_ms = SERVER_WAIT_FRACTION * pending.request_class.latency_objective_ms
             if waited_ms < most_wait_ms and now_ms < pending.deadline_ms - 2 * TICK_MS:
                 self.waiting.append(pending.request.request_id)
             else:
@@ -134,8 +134,8 @@
 
     def retry_or_finish(self, now_ms: float, pending: PendingRequest, event: AttemptEnded) -> None:
         """No attempt is in flight any more: starts another, at once or after the delay that the server asked
-        for, or finishes the request. A server that can't be reached has had no work that the budget
-        spares."""
+        for, or finishes the request. A retry after UNREACHABLE takes no token: no server had work from that
+        attempt."""
         tokens = 0.0 if event.outcome is Outcome.UNREACHABLE else 1.0
         start_ms = now_ms + event.retry_delay_ms
         if not self.retry_policy.may_retry(start_ms, pending, event) or not self.retry_budget.has(tokens):
--- a/glenchute/policy/requests.py
+++ b/glenchute/policy/requests.py
@@ -21,8 +21,8 @@
     arrived_ms: float
     deadline_ms: float
     attempt_count: int = 0
-    in_flight: int = 0  # attempts
-    is_counted: bool = False  # a call has added its units to the counter, or may have
+    in_flight: int = 0  # attempts of it
+    is_counted: bool = False  # not to be reported: its own call added its units, or may have, or stood for it
     is_charged: bool = False  # its units are taken from the tenant's buckets
     has_reached_server: bool = False  # an attempt has, or may have
     attempted_addresses: list[str] = field(default_factory=list)
--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -17,7 +17,7 @@
 
 # Response code details of a proxy's own replies, as Envoy's page "Response code details" lists them. Only
 # these prove that no byte reached a server; every other one, also unknown ones, counts as "may have run".
-UNSENT_DETAILS = re.compile(
+UNREACHABLE_DETAILS = re.compile(
     r"no_healthy_upstream|cluster_not_found|route_not_found|no_cluster|maintenance_mode|"
     r"upstream_reset_before_response_started\{(?:connection_failure|remote_connection_failure|"
     r"local_connection_failure|connection_timeout|overflow)\b"
@@ -35,7 +35,7 @@
     """
     if details.startswith("via_upstream") or not details:
         pass
-    elif UNSENT_DETAILS.match(details):
+    elif UNREACHABLE_DETAILS.match(details):
         return Outcome.UNREACHABLE
     elif TIMEOUT_DETAILS.match(details):
         return Outcome.TIMEOUT
@@ -52,9 +52,11 @@
     return Outcome.ERROR if status else Outcome.RESET
 
 
-def may_send_undecided(idempotency: Idempotency, is_resumable: bool, age_ms: float, window_ms: float) -> bool:
-    """Whether a request that another process decided on `age_ms` ago may be sent, though nobody here knows
-    whether it was sent before.
+def may_send_after_takeover(
+    idempotency: Idempotency, is_resumable: bool, age_ms: float, window_ms: float
+) -> bool:
+    """Whether a request that an earlier process decided on `age_ms` ago, and that it may or may not have
+    sent, may be sent.
 
     A non-idempotent one never may; one with a key only within its idempotency window, by the age of the first
     decision, which is before its first attempt; none where the operator keeps the class closed after a
@@ -89,7 +91,8 @@
 
 
 def judge_attempt(state: AttemptState) -> AttemptVerdict:
-    """Whether the attempt may go. Where it may not, no byte of it has been sent and none will be."""
+    """Whether the attempt may go; no byte of it has been sent yet. After WAIT it asks again, after any other
+    answer but ALLOW it never goes."""
     if state.is_request_finished:
         return AttemptVerdict.REQUEST_FINISHED
     if not state.has_chosen_server or state.has_open_attempts:
--- a/glenchute/policy/retries/retry_budget.py
+++ b/glenchute/policy/retries/retry_budget.py
@@ -5,7 +5,7 @@
 
 TOKENS_PER_REQUEST = 0.2
 INITIAL_TOKENS = 5.0
-MOST_TOKENS = 10.0
+MOST_TOKENS = 10.0  # retries that can be saved up
 
 
 class RetryBudget:
--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -82,12 +82,12 @@
 
     __slots__ = ("denied_count", "granted_count", "request_tokens", "settings", "steady_tokens", "updated_ms")
 
-    def __init__(self, rule: RetryBudgetSettings, now: float) -> None:
+    def __init__(self, rule: RetryBudgetSettings, now_ms: float) -> None:
         self.settings = rule
         # They fade, so that a quiet hour saves nothing up for a bad minute.
         self.request_tokens = 0.0
         self.steady_tokens = self.max_steady_tokens()
-        self.updated_ms = now
+        self.updated_ms = now_ms
         self.granted_count = self.denied_count = 0
 
     def max_steady_tokens(self) -> float:
@@ -98,23 +98,23 @@
             else 0.0
         )
 
-    def advance(self, now: float) -> None:
+    def advance(self, now_ms: float) -> None:
         """Applies the decay and the inflow since the last call."""
-        passed = max(0.0, now - self.updated_ms) / 1000.0
-        self.request_tokens *= math.exp(-passed / REQUEST_TOKEN_DECAY_S)
+        elapsed_s = max(0.0, now_ms - self.updated_ms) / 1000.0
+        self.request_tokens *= math.exp(-elapsed_s / REQUEST_TOKEN_DECAY_S)
         self.steady_tokens = min(
-            self.max_steady_tokens(), self.steady_tokens + self.settings.min_retries_per_s * passed
+            self.max_steady_tokens(), self.steady_tokens + self.settings.min_retries_per_s * elapsed_s
         )
-        self.updated_ms = max(self.updated_ms, now)
+        self.updated_ms = max(self.updated_ms, now_ms)
 
-    def deposit(self, now: float) -> None:
+    def deposit(self, now_ms: float) -> None:
         """Adds the tokens of a new request."""
-        self.advance(now)
+        self.advance(now_ms)
         self.request_tokens += self.settings.retries_per_request
 
-    def try_withdraw(self, now: float) -> bool:
+    def try_withdraw(self, now_ms: float) -> bool:
         """Takes a token for one retry; False where there is none. Both parts pay together."""
-        self.advance(now)
+        self.advance(now_ms)
         if self.request_tokens + self.steady_tokens < 1.0 - TOKEN_TOLERANCE:
             self.denied_count += 1
             return False
@@ -142,7 +142,7 @@
         self.started_attempts = 0
         self.has_reserved_retry = False
 
-    def retry_delay_ms(self, now: float, outcome: Outcome) -> float:
+    def reserve_retry(self, now_ms: float, outcome: Outcome) -> float:
         """Milliseconds to wait before a retry after this outcome, or `NO_RETRY_MS`. A retry that is granted
         reserves a token; each call replaces the grant before."""
         self.release()
@@ -151,7 +151,7 @@
             return NO_RETRY_MS
         if route.retryable_outcomes is not None and outcome not in route.retryable_outcomes:
             return NO_RETRY_MS
-        if self.budget is not None and not self.budget.try_withdraw(now):
+        if self.budget is not None and not self.budget.try_withdraw(now_ms):
             return NO_RETRY_MS
         self.has_reserved_retry = True
         return (
@@ -168,7 +168,7 @@
             return False
         return route.retryable_outcomes is None or outcome in route.retryable_outcomes
 
-    def try_start_attempt(self, now: float, overlapping: bool) -> bool:
+    def try_start_attempt(self, now_ms: float, overlapping: bool) -> bool:
         """Counts an attempt that is to start, hedged where `overlapping`. False: it must not start."""
         route = self.limits
         if self.started_attempts:
@@ -176,7 +176,7 @@
                 return False
             if overlapping:
                 if not route.hedge_after_ms or (
-                    self.budget is not None and not self.budget.try_withdraw(now)
+                    self.budget is not None and not self.budget.try_withdraw(now_ms)
                 ):
                     return False
             elif not self.has_reserved_retry:
@@ -207,7 +207,7 @@
             if route.retry_budget is not None
         }
 
-    def start_request(self, now: float, class_name: str, plan: str) -> RequestRetries | None:
+    def start_request(self, now_ms: float, class_name: str, plan: str) -> RequestRetries | None:
         """The limits of a new request, whose tokens are deposited; None where no route binds it."""
         route = self.limits_by_binding.get((class_name, plan))
         if route is None:
@@ -216,8 +216,8 @@
         if route.retry_budget is not None:
             budget = self.budgets.get(route.name)
             if budget is None:
-                budget = self.budgets[route.name] = RouteRetryBudget(route.retry_budget, now)
-            budget.deposit(now)
+                budget = self.budgets[route.name] = RouteRetryBudget(route.retry_budget, now_ms)
+            budget.deposit(now_ms)
         return RequestRetries(route, budget, self.rng)
 
     def inherit_budgets(self, old: RouteTable) -> RouteTable:
--- a/glenchute/policy/settings.py
+++ b/glenchute/policy/settings.py
@@ -51,8 +51,10 @@
     ceiling_rate_per_s: float = 0.0  # units
     ceiling_burst_units: float = 0.0
     ceiling_slack_units: float = 0.0
-    over_quota_weight_fraction: float = 0.0  # fraction of its weight that a request beyond the quota earns
-    over_quota_cost_fraction: float = 0.0  # fraction of its weight that such a request costs
+    over_quota_weight_fraction: float = (
+        0.0  # of its weight, that a request beyond the quota earns; not used yet
+    )
+    over_quota_cost_fraction: float = 0.0  # of its weight, that such a request costs; not used yet
 
 
 @record(frozen=True, slots=True)
@@ -80,6 +82,6 @@
     has_counter: bool = False  # a shared counter may be called
     counter_timeout_ms: float = 50.0
     must_subscribe: bool = False  # endpoint changes come only after `SubscribeToEndpoints`
-    weights_known: bool = False  # `Endpoint.weight` says how large a server is
-    cross_zone_price: float = 0.0
+    weights_known: bool = False  # `Endpoint.weight` says how large a server is; not used yet
+    cross_zone_price: float = 0.0  # of a request to another zone; each 0.1 adds one time the expected delay
     allows_hedging: bool = False  # two attempts of one request may be in flight at once
--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -132,7 +132,7 @@
             fleet.slow_start.warm_response_rate_per_s = case.bears * shares[number] / sum(shares)
         for fleet in fleets.values():
             server = fleet.servers["s"]
-            if fleet.slow_start.has_token(server, now, fleet.slow_start.weight(server, now)) and busy:
+            if fleet.slow_start.refill_and_check(server, now, fleet.slow_start.weight(server, now)) and busy:
                 fleet.record_start(now, server)
                 rows.append((now, rng.expovariate(1.0), True))
     return windows(rows, 1.0, case.bears, safety)
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -30,7 +30,7 @@
 from glenchute.policy.admission.quota import QuotaAccounting
 from glenchute.policy.admission.tenant import Tenant
 from glenchute.policy.admission.tenants import TenantTable
-from glenchute.policy.admission.windows import window_phase, window_start
+from glenchute.policy.admission.windows import window_phase, window_start_ms
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import CounterReply, Outcome, Request
 from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
@@ -346,7 +346,7 @@
         return tenant
 
     def refresh(self, now_ms: float, tenant: Tenant) -> None:
-        start = window_start(now_ms, tenant.tenant_id, tenant.plan)
+        start = window_start_ms(now_ms, tenant.tenant_id, tenant.plan)
         if start <= tenant.window_start_ms:
             super().refresh(now_ms, tenant)
             return
--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from glenchute.policy.actions import Action, IncrementCounter, SetTimer, StartAttempt
-from glenchute.policy.admission.windows import window_start
+from glenchute.policy.admission.windows import window_start_ms
 from glenchute.policy.events import (
     AttemptAssigned,
     AttemptEnded,
@@ -231,7 +231,7 @@
     ) -> None:
         """A usage update of members, and the request that it goes with."""
         plan = next(plan for plan in settings.plans if plan.name == request.plan)
-        start = window_start(self.now, request.tenant, plan)
+        start = window_start_ms(self.now, request.tenant, plan)
         self.feed(UsageUpdate(request, start, units, before, share))
         self.feed(request)
 
@@ -572,7 +572,7 @@
     stocks = []
     for number, plan in enumerate(MEMBERS_SETTINGS.plans * 2):
         customer = f"m{number % 4}{plan.name}"
-        start = window_start(made.now, customer, plan) - (0.0 if number % 3 else 5.0)
+        start = window_start_ms(made.now, customer, plan) - (0.0 if number % 3 else 5.0)
         total = float("inf") if number % 5 == 1 or number == 6 else 1.0 + 0.5 * number
         store, guard = (plan.burst_units + 2.0, 9.0) if number % 2 else (0.4 * plan.burst_units, 0.5)
         stocks.append(QuotaSnapshot(
--- a/tests/listeners/extproc/test_extproc_rules.py
+++ b/tests/listeners/extproc/test_extproc_rules.py
@@ -18,7 +18,7 @@
     classify_response,
     judge_attempt,
     judge_response,
-    may_send_undecided,
+    may_send_after_takeover,
 )
 from glenchute.policy.services.request_mapping import (
     MappedRequest,
@@ -241,7 +241,7 @@
 
 @given(st.sampled_from(Idempotency), st.booleans(), st.floats(-1e6, 1e9), st.floats(0, 1e6))
 def test_what_an_earlier_process_decided(repeat: Idempotency, open_: bool, age: float, memory: float) -> None:
-    if may_send_undecided(repeat, open_, age, memory):
+    if may_send_after_takeover(repeat, open_, age, memory):
         assert open_ and age >= 0 and repeat is not Idempotency.NON_IDEMPOTENT
         assert repeat is Idempotency.IDEMPOTENT or age < memory
 
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -134,7 +134,7 @@
         for fleet in fleets:
             server = fleet.servers["s"]
             if (
-                fleet.slow_start.has_token(server, now, fleet.slow_start.weight(server, now))
+                fleet.slow_start.refill_and_check(server, now, fleet.slow_start.weight(server, now))
                 and now > 1000 * idle_s
             ):
                 fleet.record_start(now, server)
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from glenchute.policy.admission.windows import stable_key, window_length_ms, window_start
+from glenchute.policy.admission.windows import stable_key, window_length_ms, window_start_ms
 from glenchute.policy.membership import usage_audit as audits
 from glenchute.policy.membership.replica import Row, RowKind
 from glenchute.policy.membership.usage_audit import MAX_QUERIES_PER_STEP, UsageAudit
@@ -28,7 +28,7 @@
 
 def begins(account: str, ago: int = 2) -> int:
     """The start of a window that is over and settled."""
-    return round(window_start(NOW, account, PLAN) - ago * SPAN)
+    return round(window_start_ms(NOW, account, PLAN) - ago * SPAN)
 
 
 def used(account: str, units: float, writer: str = "g0#1", ago: int = 2) -> Row:
@@ -84,7 +84,7 @@
     audit, told = prepared(plan), []
     for ago, (units, total) in enumerate(windows):
         at = NOW + ago * SPAN
-        row = Row(RowKind.USE, f"a1/{round(window_start(at, 'a1', PLAN) - 2 * SPAN)}", "g0#1", 1, units)
+        row = Row(RowKind.USE, f"a1/{round(window_start_ms(at, 'a1', PLAN) - 2 * SPAN)}", "g0#1", 1, units)
         (look,) = audit.due_queries(at, [row])
         found = audit.receive_total(look, total)
         told.append(found.is_counter_lower if found is not None else None)
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -248,13 +248,13 @@
     budget = RouteRetryBudget(RetryBudgetSettings(0.0, 1.0), 0.0)
     course = RequestRetries(RouteLimits("r", retry_budget=budget.settings), budget, random.Random(1))
     assert course.try_start_attempt(0.0, False)
-    assert course.retry_delay_ms(0.0, Outcome.REJECTED) == 0.0 and budget.granted_count == 1
+    assert course.reserve_retry(0.0, Outcome.REJECTED) == 0.0 and budget.granted_count == 1
     course.release()
     assert budget.granted_count == 0
-    assert course.retry_delay_ms(0.0, Outcome.REJECTED) == 0.0 and course.try_start_attempt(0.0, False)
+    assert course.reserve_retry(0.0, Outcome.REJECTED) == 0.0 and course.try_start_attempt(0.0, False)
     course.release()
     assert budget.granted_count == 1
-    assert course.retry_delay_ms(0.0, Outcome.REJECTED) == NO_RETRY_MS and not course.try_start_attempt(
+    assert course.reserve_retry(0.0, Outcome.REJECTED) == NO_RETRY_MS and not course.try_start_attempt(
         0.0, False
     )
 
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -288,7 +288,7 @@
     "a mute counter": (mute, heard_again, 0.0),
     "slowed calls": (crowd, asks, 120.0),
     "a pause of a server": (gone, reaches, 12.5),
-    "a judgement of a server": (gone, lambda rig: rig.gateway.pool.detect_outliers(rig.now) == [], 5.0),
+    "a judgement of a server": (gone, lambda rig: rig.gateway.pool.update_health(rig.now) == [], 5.0),
     "turns at cold servers": (cold, serves, 10.0),
     "a window's lost memory": (forgot, granting, 3.0),
     "the budget of repeats": (spent, repeats, 0.0),
