--- a/glenchute/policy/connections/stall_detector.py
+++ b/glenchute/policy/connections/stall_detector.py
@@ -1,4 +1,4 @@
-"""When the head of a pipelined connection counts as stalled. Times are in milliseconds."""
+"""Detects stalled heads of pipelined connections. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from .pipeline_types import TIMER_RESOLUTION_MS, PipelineRules
 from .service_times import ServiceTimes
 
-THRESHOLD_TTL_MS = 50.0
+THRESHOLD_TTL_MS = 50.0  # how long a computed stall threshold is cached
 
 
 class StallThreshold(NamedTuple):
-    """A stall threshold and when it was computed."""
+    """A cached stall threshold and the time at which it was computed."""
 
     computed_at_ms: float
     stall_after_ms: float
 
 
 class StallDetector:
-    """Stall thresholds by class and server, from the quantiles of their service times."""
+    """Stall thresholds by class and server, derived from quantiles of their service times."""
 
     def __init__(self, rules: PipelineRules, times: ServiceTimes) -> None:
         self.rules = rules
@@ -28,11 +28,11 @@
         self.thresholds: dict[tuple[str, str], StallThreshold] = {}  # by class and server
 
     def forget_server(self, server: str) -> None:
-        """The server left the endpoint list."""
+        """Drops the cached thresholds of a server that left the endpoint list."""
         self.thresholds = {key: found for key, found in self.thresholds.items() if key[1] != server}
 
     def stall_after_ms(self, now_ms: float, class_name: str, server: str) -> float:
-        """How long an attempt of this class may take before it counts as stalled; inf without samples."""
+        """Returns the service time above which an attempt counts as stalled; inf without samples."""
         cached = self.thresholds.get((class_name, server))
         if cached is not None and now_ms - cached.computed_at_ms < THRESHOLD_TTL_MS:
             return cached.stall_after_ms
@@ -45,15 +45,16 @@
         return stall_after_ms
 
     def stalls_at_ms(self, now_ms: float, connection: ConnectionQueue, attempt: QueuedAttempt) -> float:
-        """When this attempt counts as stalled, if it is the head then.
+        """Returns when this attempt counts as stalled, if it is the head by then.
 
-        Its reply may have been delayed by the one ahead, so it is given a moment after that one's reply.
+        Its reply may have been delayed by the attempt ahead, so it gets at least `TIMER_RESOLUTION_MS` after
+        the reply to that one.
         """
         stall_after_ms = self.stall_after_ms(now_ms, attempt.request.class_name, connection.server.name)
         return max(attempt.sent_at_ms + stall_after_ms, connection.last_reply_ms + TIMER_RESOLUTION_MS)
 
     def is_stalled(self, now_ms: float, connection: ConnectionQueue) -> bool:
-        """Whether no attempt may join this connection."""
+        """Returns whether the head is stalled, so that no attempt may join this connection."""
         if connection.is_marked_stalled:
             return True
         if not connection.attempts:
