--- a/glenchute/policy/connections/class_compatibility.py
+++ b/glenchute/policy/connections/class_compatibility.py
@@ -1,9 +1,8 @@
-"""Which request classes may share a pipelined connection, derived at load from the platform's settings.
+"""Determines which request classes may share a pipelined connection, when the settings are loaded.
 
-An attempt that is queued behind another can end with an unknown outcome when the connection is aborted for
-the sake of the one ahead, so only idempotent and keyed classes are queued. An attempt that others are queued
-behind can be aborted for their sake, so a non-idempotent one is never aborted for others: what is queued
-behind it must be able to wait for its whole timeout.
+Aborting a connection because its head stalls can leave the outcome of its other attempts unknown. So only
+idempotent and keyed classes are queued behind other attempts, and a non-idempotent head is never aborted for
+those behind it: they must be able to wait until it times out.
 """
 
 from __future__ import annotations
@@ -16,18 +15,20 @@
 
 
 class Compatibility(Enum):
-    """Whether one class may be queued behind another. The values appear in ``glenchute pipeline``."""
+    """Whether one class may be queued behind another. ``glenchute pipeline`` prints the values."""
 
     NEVER = "no"
-    UNTIL_STALL = "yes"  # the attempt ahead may be aborted once it stalls
-    UNTIL_TIMEOUT = "whole"  # the attempt ahead is never aborted for others
+    UNTIL_STALL = "yes"  # an attempt ahead may be aborted once it stalls
+    UNTIL_TIMEOUT = "whole"  # an attempt ahead is never aborted for others
 
 
 DESCRIPTIONS = {
-    Compatibility.NEVER: "does not go behind anything: a cut would leave it unknown, or it was not named",
-    Compatibility.UNTIL_STALL: "a stalled head is cut and goes again; those behind are moved on",
+    Compatibility.NEVER: (
+        "never queued: an abort would leave its outcome unknown, or the operator does not list it"
+    ),
+    Compatibility.UNTIL_STALL: "a stalled head is aborted and retried; those behind it are placed again",
     Compatibility.UNTIL_TIMEOUT: (
-        "the head is never cut for others; they join only if they can bear its whole time-out"
+        "the head is never aborted for others; they join only if they can wait for its whole time-out"
     ),
 }
 
@@ -43,8 +44,8 @@
 class ClassCompatibility:
     """The compatibility of each pair of classes.
 
-    `shared`: the names of the classes that the operator lets share connections. `may_follow_non_idempotent`:
-    whether they may also be queued behind non-idempotent ones.
+    `shared`: names of the classes for which the operator enables pipelining. `may_follow_non_idempotent`:
+    whether these may also be queued behind non-idempotent attempts.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         }
 
     def _derive(self, ahead: RequestClass, behind: RequestClass) -> Compatibility:
-        """The compatibility of one pair."""
+        """Derives the compatibility of one pair."""
         if behind.idempotency is Idempotency.NON_IDEMPOTENT or behind.name not in self.shared:
             return Compatibility.NEVER
         if ahead.idempotency is Idempotency.NON_IDEMPOTENT:
@@ -71,14 +72,14 @@
         return Compatibility.UNTIL_STALL if ahead.name in self.shared else Compatibility.NEVER
 
     def between(self, ahead: str, behind: str) -> Compatibility:
-        """Whether class `behind` may be queued behind class `ahead`; unknown classes share nothing."""
+        """Returns whether class `behind` may be queued behind class `ahead`; NEVER for unknown classes."""
         return self.by_pair.get((ahead, behind), Compatibility.NEVER)
 
     def may_abort_for_others(self, class_name: str) -> bool:
-        """Whether an attempt of this class at the head may be aborted for those queued behind it."""
+        """Returns whether a head of this class may be aborted for the attempts queued behind it."""
         cls = self.classes.get(class_name)
         return cls is not None and cls.idempotency is not Idempotency.NON_IDEMPOTENT
 
     def rows(self) -> list[CompatibilityRow]:
-        """All pairs, in the order of the settings."""
+        """Returns all pairs, in the order of the settings."""
         return [CompatibilityRow(ahead, behind, found) for (ahead, behind), found in self.by_pair.items()]
--- a/glenchute/policy/connections/connection_queues.py
+++ b/glenchute/policy/connections/connection_queues.py
@@ -1,4 +1,4 @@
-"""The attempts that are queued on each pipelined connection, by server. Times are in milliseconds."""
+"""The attempts on each pipelined connection, by server. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 from .depth_limit import DepthLimit
 from .pipeline_types import PlacementRequest
 
-INITIAL_CONNECT_MS = 5.0  # the estimate until a connection came up
-CONNECT_SMOOTHING = 0.2
+INITIAL_CONNECT_MS = 5.0  # estimated connect time before the first connection is established
+CONNECT_SMOOTHING = 0.2  # weight of the newest connect time in the moving average
 
 
 class QueuedAttempt:
     """An attempt on a connection.
 
-    `sent_at_ms`: when it was sent; while the connection is coming up, when it is expected to be.
-    `hold_bound_ms`: it is the head or its connection is closed by then; inf for one placed as the head.
+    `sent_at_ms`: when it was sent, or the expected time while the connection is being established.
+    `hold_bound_ms`: the time by which it becomes the head or its connection is closed; inf for an attempt
+    that was placed as the head. `was_queued`: whether it was placed behind others.
     """
 
     __slots__ = ("attempt_id", "hold_bound_ms", "is_hedged", "request", "sent_at_ms", "was_queued")
@@ -38,7 +39,7 @@
 
 
 class ConnectionQueue:
-    """One connection and the attempts on it, the head first."""
+    """One connection and its attempts, the head first."""
 
     __slots__ = (
         "attempts",
@@ -60,14 +61,14 @@
         self.connect_started_ms = now_ms
         self.idle_since_ms = now_ms
         self.last_reply_ms = -math.inf
-        self.is_marked_stalled = False  # nothing joins until the head has been answered
-        self.check_at_ms = math.inf  # when it is to be checked for a stall
+        self.is_marked_stalled = False  # no attempt joins until the head has its reply
+        self.check_at_ms = math.inf  # time of the next check for a stalled head or an expired hold bound
 
     def abort_by_ms(self) -> float:
-        """When the connection has to be aborted for the queued attempts if the head is still there; inf for
-        none.
+        """Returns when to abort the connection for its queued attempts if the head is still unfinished.
 
-        A head that times out by then needs no abort; any other must be aborted while it may still be retried.
+        inf if nothing is queued. A head that times out before the bound needs no abort; any other must be
+        aborted while it may still be retried.
         """
         bound_ms = min((attempt.hold_bound_ms for attempt in list(self.attempts)[1:]), default=math.inf)
         head = self.attempts[0].request if self.attempts else None
@@ -85,13 +86,13 @@
         self.name = name
         self.connections: dict[int, ConnectionQueue] = {}
         self.depth_limit = DepthLimit(max_depth)
-        self.connect_ms = INITIAL_CONNECT_MS  # smoothed
-        self.is_draining = False  # nothing new is placed here
+        self.connect_ms = INITIAL_CONNECT_MS  # exponential moving average
+        self.is_draining = False  # while set, no new attempt is placed here
 
     def queued_count(self) -> int:
-        """Attempts that are queued behind another."""
+        """Returns the number of attempts that are queued behind another."""
         return sum(len(c.attempts) - 1 for c in self.connections.values() if len(c.attempts) > 1)
 
     def record_connect(self, connect_ms: float) -> None:
-        """A connection came up after so long."""
+        """Updates the average connect time with that of a new connection."""
         self.connect_ms += CONNECT_SMOOTHING * (connect_ms - self.connect_ms)
