--- a/glenchute/policy/connections/client_memory.py
+++ b/glenchute/policy/connections/client_memory.py
@@ -1,12 +1,12 @@
-"""The bytes that a process buffers for its clients: one bound for all of them, whatever their number.
+"""Bounds the memory that a process buffers for all its client connections together.
 
-A connection buffers input that is not parsed yet, replies that wait for those before them, and replies that
-the client has not read. Each connection is bounded by itself, but many that do not read their replies would
-together take more than the process has. Above the bound such connections are given up, those with a short
-response before those with a streamed one, the longest without progress first; and a connection with pending
-commands begins no more of them.
+A connection buffers unparsed input, finished replies that wait for earlier ones, and replies that its client
+has not read yet. Each connection has a bound of its own, but many clients that do not read their replies
+could together exceed the memory of the process. Above the total bound, connections whose clients do not read
+are closed: short responses before streamed ones, the longest without progress first. Meanwhile a connection
+with pending commands starts no further ones.
 
-No I/O. An update costs O(1); only what is above the bound walks the connections that do not read.
+Sans I/O. An update costs O(1); connections are scanned only while the total exceeds the bound.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 from collections.abc import Hashable, Iterable
 from typing import Generic, TypeVar
 
-FILLING_FRACTION = 0.25  # of the bound, past which less is read at a time
+FILLING_FRACTION = 0.25  # of the bound; above it connections read fewer bytes at a time
 
 Key = TypeVar("Key", bound=Hashable)
 
 
 class ClientMemory(Generic[Key]):
-    """What each connection buffers, in bytes, and the bound on the sum."""
+    """The buffered bytes of each connection, and the bound on their sum."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Raises `ValueError` where there would be no memory."""
+        """Raises `ValueError` if `max_bytes` is below 1."""
         if max_bytes < 1:
-            raise ValueError("clients need memory for their commands and replies")
+            raise ValueError("the memory bound for clients must be at least 1 byte")
         self.max_bytes = max_bytes
         self.total_bytes = 0
         self.bytes_by_connection: dict[Key, int] = {}
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether more is buffered than the bound allows."""
+        """Whether the buffered bytes exceed the bound."""
         return self.total_bytes > self.max_bytes
 
     @property
     def is_filling(self) -> bool:
-        """Whether less is to be read at a time, as much is buffered."""
+        """Whether so much is buffered that connections should read fewer bytes at a time."""
         return self.total_bytes > FILLING_FRACTION * self.max_bytes
 
     def update(self, key: Key, buffered_bytes: int) -> None:
-        """A connection buffers this much now."""
+        """Sets the number of bytes that a connection buffers now."""
         self.total_bytes += buffered_bytes - self.bytes_by_connection.get(key, 0)
         if buffered_bytes:
             self.bytes_by_connection[key] = buffered_bytes
@@ -49,18 +49,20 @@
             self.bytes_by_connection.pop(key, None)
 
     def remove(self, key: Key) -> None:
-        """The connection has ended; unknown keys are ignored."""
+        """Removes a closed connection; unknown keys are ignored."""
         self.total_bytes -= self.bytes_by_connection.pop(key, 0)
 
     def choose_victims(self, blocked: Iterable[Key]) -> list[Key]:
-        """The connections to give up, so that the rest keeps to the bound as far as that is possible.
-        `blocked`: those whose clients do not read, the first to be given up first."""
-        excess, victims = self.total_bytes - self.max_bytes, list[Key]()
+        """Returns the connections to close so that the others stay within the bound, as far as possible.
+
+        `blocked`: the connections whose clients do not read, in the order in which to close them.
+        """
+        excess_bytes, victims = self.total_bytes - self.max_bytes, list[Key]()
         for key in blocked:
-            if excess <= 0:
+            if excess_bytes <= 0:
                 break
             buffered_bytes = self.bytes_by_connection.get(key, 0)
             if buffered_bytes:
-                excess -= buffered_bytes
+                excess_bytes -= buffered_bytes
                 victims.append(key)
         return victims
--- a/glenchute/policy/connections/stream_read_permits.py
+++ b/glenchute/policy/connections/stream_read_permits.py
@@ -1,9 +1,9 @@
-"""Fair read permits for streamed values: bounds how many values are read from servers at the same time.
+"""Fair read permits for streamed values: bounds how many values are read from servers concurrently.
 
 A value that is too long to be buffered is relayed chunk by chunk. Each reader holds a bounded number of
-bytes, so limiting the readers bounds the memory of all streams together. Those without a permit wait in FIFO
-order; while any waits, a reader hands its permit on after each chunk (round robin), so that every stream
-advances.
+bytes, so limiting the number of readers bounds the memory of all streams together. Streams without a permit
+wait in FIFO order; while any waits, a reader gives up its permit after each chunk (round robin), so that
+every stream makes progress.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class StreamReadPermits(Generic[Key]):
-    """A round-robin semaphore with `max_readers` permits. It does no I/O and reads no clock.
+    """A round-robin semaphore with `max_readers` permits, without I/O or a clock.
 
-    Raises `ValueError` where `max_readers` is below 1.
+    Raises `ValueError` if `max_readers` is below 1.
     """
 
     def __init__(self, max_readers: int) -> None:
         if max_readers < 1:
-            raise ValueError("at least one stream must be able to read")
+            raise ValueError("max_readers must be at least 1")
         self.max_readers = max_readers
         self.readers: dict[Key, None] = {}
         self.waiters: OrderedDict[Key, None] = OrderedDict()
 
     def acquire(self, key: Key) -> bool:
-        """Whether `key` has a permit now. If not it is queued, and `grant_next` names it later."""
+        """Returns whether `key` has a permit now. If not, it is queued until `grant_next` returns it."""
         if key in self.readers:
             return True
         if key not in self.waiters and len(self.readers) < self.max_readers:
@@ -39,9 +39,9 @@
         return False
 
     def rotate_after_chunk(self, key: Key) -> bool:
-        """To be called when `key` has passed on a chunk and buffers nothing; whether it keeps its permit.
+        """Returns whether `key` keeps its permit, after it has relayed a chunk and buffers nothing.
 
-        If not it has been queued behind the waiters, and `grant_next` has a waiter to name.
+        If not, it has been queued behind the waiters, and `grant_next` will return one of them.
         """
         if not self.waiters or key not in self.readers:
             return key in self.readers
@@ -50,13 +50,12 @@
         return False
 
     def release(self, key: Key) -> None:
-        """The stream has ended, or is paused with nothing buffered: it neither reads nor waits."""
+        """Removes a stream that has ended or is paused with nothing buffered; it neither reads nor waits."""
         self.readers.pop(key, None)
         self.waiters.pop(key, None)
 
     def grant_next(self) -> Key | None:
-        """Gives a free permit to the longest waiter and returns it; None when there is no permit or no
-        waiter.
+        """Gives a free permit to the longest waiter and returns its key; None without a permit or a waiter.
 
         To be called repeatedly until it returns None.
         """
