--- a/glenchute/policy/connections/hedged_connects.py
+++ b/glenchute/policy/connections/hedged_connects.py
@@ -1,24 +1,24 @@
-"""Hedged connects: when a second connection to a server is opened because the first is slow to come up.
+"""Hedged connects: when to open a second connection to a server because the first is slow to connect.
 
-Nothing has been written on the first one, so no request can have run: unlike a hedged request this needs no
-idempotency. The delay follows Happy Eyeballs (RFC 8305, section 5): it is derived from recent connect times
-and never below 10 ms. A budget per server (as Finagle's `RetryBudget`) bounds the extra connections: a server
-to which no connection comes up gets one hedge and no more.
+Nothing has been written on the first connection, so no request can have run: unlike a hedged request, a
+hedged connect needs no idempotency. The delay follows Happy Eyeballs (RFC 8305, section 5): it is derived
+from recent connect times and never below 10 ms. A budget per server (like Finagle's `RetryBudget`) bounds the
+extra connections: a server that accepts no connection gets a single hedge.
 """
 
 from __future__ import annotations
 
-DELAY_FACTOR = 4.0  # times the median connect time
-MIN_DELAY_S = 0.01  # RFC 8305's minimum: shorter ones mistake scheduling pauses for network delay
-MEDIAN_STEP = 1.1
-DEPOSIT_PER_CONNECT = 0.5  # hedges earned by each connection that came up
-MAX_BALANCE = 2.0  # hedges that a server's budget can hold
+DELAY_FACTOR = 4.0  # the hedge delay as a multiple of the median connect time
+MIN_DELAY_S = 0.01  # RFC 8305's minimum; shorter delays mistake scheduling pauses for network delay
+MEDIAN_STEP_FACTOR = 1.1
+DEPOSIT_PER_CONNECT = 0.5  # hedges earned by each established connection
+MAX_BALANCE = 2.0  # maximum hedges in a server's budget
 
 
 class ConnectTimeEstimate:
-    """A running median of connect times, moved by one tenth per observation.
+    """A running median of connect times, moved by a factor of `MEDIAN_STEP_FACTOR` per observation.
 
-    A connect that takes very long or never completes counts as a single step. `connect_timeout_s` is the time
+    A connect that takes very long or never completes counts as a single step. `connect_timeout_s`: the time
     after which a connect is abandoned.
     """
 
@@ -29,27 +29,32 @@
         self.median_s = connect_timeout_s / DELAY_FACTOR / DELAY_FACTOR
 
     def record_connected(self, seconds: float) -> None:
-        """A connection came up after so long."""
-        step = MEDIAN_STEP if seconds > self.median_s else 1.0 / MEDIAN_STEP
-        # Below this floor no delay gets shorter, and from zero no step leads anywhere.
+        """Records the connect time of an established connection."""
+        step = MEDIAN_STEP_FACTOR if seconds > self.median_s else 1.0 / MEDIAN_STEP_FACTOR
+        # Lower medians would not shorten the delay, and a median of zero could never rise again.
         floor_s = MIN_DELAY_S / DELAY_FACTOR
         self.median_s = max(floor_s, self.median_s * step)
         self.median_s = min(self.connect_timeout_s / DELAY_FACTOR, self.median_s)
 
     def record_abandoned(self, seconds: float) -> None:
-        """A connect was abandoned after so long; a lower bound, so it counts only above the median."""
+        """Records an abandoned connect.
+
+        Its duration is only a lower bound of the connect time, so it counts only above the median.
+        """
         if seconds > self.median_s:
             self.record_connected(seconds)
 
     def hedge_delay_s(self, available_s: float) -> float | None:
-        """The delay before the second connect of an attempt that has `available_s` seconds to connect; None
-        where the second would have less time than the first had."""
+        """Returns the delay before the second connect of an attempt that has `available_s` to connect.
+
+        None if the second connect would have less time than the delay itself.
+        """
         delay_s = max(MIN_DELAY_S, DELAY_FACTOR * self.median_s)
         return delay_s if 2.0 * delay_s <= available_s else None
 
 
 class HedgeBudget:
-    """The hedged connects that one server may still get."""
+    """The number of hedged connects that one server may still get."""
 
     __slots__ = ("balance",)
 
@@ -57,11 +62,11 @@
         self.balance = 1.0
 
     def deposit(self) -> None:
-        """A connection to the server came up."""
+        """Adds to the balance for an established connection to the server."""
         self.balance = min(MAX_BALANCE, self.balance + DEPOSIT_PER_CONNECT)
 
     def try_withdraw(self) -> bool:
-        """Spends one hedge if the balance allows; whether it did."""
+        """Spends one hedge if the balance allows, and returns whether it did."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
