--- a/tests/policy/connections/test_client_slots.py
+++ b/tests/policy/connections/test_client_slots.py
@@ -260,11 +260,11 @@
     serve_request(slots, now, "once")
     once, back = [], []
     for i in range(126):
-        once.append(slots.allowance_s(slots.slots["once"]))
-        back.append(slots.allowance_s(slots.slots["back"]))
+        once.append(slots.time_limit_s(slots.slots["once"]))
+        back.append(slots.time_limit_s(slots.slots["back"]))
         add_all(slots, now, f"b{i}")
         slots.on_request(now, f"b{i}")
-    assert once[0] > 0.9 * MAX_IDLE_S and slots.allowance_s(slots.slots["once"]) == 0.0
+    assert once[0] > 0.9 * MAX_IDLE_S and slots.time_limit_s(slots.slots["once"]) == 0.0
     for row in (once, back):
         assert all(a >= b >= a - 3 * MAX_IDLE_S / 128 - 1e-9 for a, b in pairwise(row))
     assert all(a <= b for a, b in zip(once, back, strict=True))
