--- a/glenchute/policy/connections/response_forecast.py
+++ b/glenchute/policy/connections/response_forecast.py
@@ -9,22 +9,23 @@
 from .pipeline_types import PlacementRequest
 from .service_times import RemainingTime, ServiceTimes
 
-GRID_POINTS = 8  # of the numerical integration, spaced geometrically up to the timeout
-FIRST_POINT_OF_MEAN = 0.25
-FIRST_POINT_OF_TIMEOUT = 0.5
+GRID_POINTS = 8  # points of the numerical integration, geometrically spaced up to the timeout
+FIRST_POINT_MEAN_FRACTION = 0.25  # the first point is at most this fraction of the mean service time
+FIRST_POINT_TIMEOUT_FRACTION = 0.5  # the first point is at most this fraction of the remaining timeout
+# Lower bounds that keep the spacing of the grid finite.
 MIN_HORIZON_MS = 1.0
 MIN_MEAN_MS = 0.05
 
 
 class ExpectedResponse(NamedTuple):
-    """Expected milliseconds to the response, and how many of them are after the latency objective."""
+    """The expected time to the response, and the part of it after the latency objective."""
 
     total_ms: float
     late_ms: float
 
 
 class AheadTime(NamedTuple):
-    """The remaining time of so many attempts ahead."""
+    """The remaining time of each of `attempts` attempts ahead."""
 
     remaining: RemainingTime
     attempts: int
@@ -38,16 +39,16 @@
     ahead: Sequence[QueuedAttempt],
     delay_ms: float,
 ) -> ExpectedResponse:
-    """The expected time to the response of an attempt that is sent `delay_ms` from now behind `ahead`.
+    """Returns the expected time to the response of an attempt sent `delay_ms` from now behind `ahead`.
 
-    It is finished when it and all ahead are: the expectation is the integral of the probability that it is
-    not, by the trapezoidal rule. Of those ahead the head counts by its own age and all others by that of the
-    youngest, which overestimates their times.
+    The response comes when the attempt and all those ahead are finished. Its expected time is the integral of
+    the probability that they are not, computed by the trapezoidal rule. The head counts by its own age and
+    all others ahead by the age of the youngest, which overestimates their remaining times.
     """
     horizon_ms = max(MIN_HORIZON_MS, request.expires_at_ms - now_ms)
     objective_ms = max(0.0, request.objective_at_ms - now_ms)
     mean_ms = max(times.mean(request.class_name, server), MIN_MEAN_MS)
-    first_ms = min(FIRST_POINT_OF_MEAN * mean_ms, FIRST_POINT_OF_TIMEOUT * horizon_ms)
+    first_ms = min(FIRST_POINT_MEAN_FRACTION * mean_ms, FIRST_POINT_TIMEOUT_FRACTION * horizon_ms)
     ratio = (horizon_ms / first_ms) ** (1.0 / (GRID_POINTS - 1))
     own = times.remaining(request.class_name, server, -delay_ms)
     ahead_times = _ahead_times(times, now_ms, server, ahead)
@@ -67,7 +68,7 @@
 def _ahead_times(
     times: ServiceTimes, now_ms: float, server: str, ahead: Sequence[QueuedAttempt]
 ) -> list[AheadTime]:
-    """The remaining times of the attempts ahead, the head apart from the others."""
+    """Returns the remaining times of the attempts ahead, the head separate from the others."""
     found: list[AheadTime] = []
     if ahead:
         found.append(AheadTime(_remaining(times, now_ms, server, ahead[0]), 1))
@@ -77,12 +78,12 @@
 
 
 def _remaining(times: ServiceTimes, now_ms: float, server: str, attempt: QueuedAttempt) -> RemainingTime:
-    """The remaining time of one attempt."""
+    """Returns the remaining time of one attempt."""
     return times.remaining(attempt.request.class_name, server, now_ms - attempt.sent_at_ms)
 
 
 def _probability_within(own: RemainingTime, ahead_times: list[AheadTime], time_ms: float) -> float:
-    """The probability that the attempt and all ahead are finished `time_ms` from now."""
+    """Returns the probability that the attempt and all those ahead are finished `time_ms` from now."""
     probability = own.probability_within(time_ms)
     if probability > 0.0:
         for remaining, attempts in ahead_times:
--- a/tests/policy/connections/test_pipelining.py
+++ b/tests/policy/connections/test_pipelining.py
@@ -440,7 +440,7 @@
         times.add(0.0, ms / 10.0)
     assert 50.0 <= times.quantile(0.5) <= 50.0 * 1.26 and 95.0 <= times.quantile(0.95) <= 95.0 * 1.26
     assert times.mean() == pytest.approx(50.0, rel=0.05)
-    assert times.share_within(25.0) == pytest.approx(0.25, abs=0.03)
+    assert times.fraction_within(25.0) == pytest.approx(0.25, abs=0.03)
     for _ in range(300):
         times.add(100_000.0, 5.0)  # five time constants later
     assert times.quantile(0.9) < 7.0 and times.effective_samples(100_000.0) == pytest.approx(300.0, rel=0.03)
