--- a/glenchute/policy/connections/pipelining.py
+++ b/glenchute/policy/connections/pipelining.py
@@ -1,18 +1,17 @@
-"""Pipelining: which connection to its server an attempt uses, and when one is aborted because its head
-stalls.
+"""Pipelining: which connection to its server an attempt uses, and when one is aborted as its head stalls.
 
-The server has been chosen by the decision engine; here only the connection is. Events in (`place`,
-`on_connected`, `on_reply`, `on_closed`, ...), typed placements and actions out; no I/O, no randomness, time
-is an argument in milliseconds.
+The decision engine has chosen the server; this module only chooses the connection. It takes events (`place`,
+`on_connected`, `on_reply`, `on_closed`, ...) and returns typed placements and actions. It does no I/O and
+uses no randomness; the time is an argument in milliseconds.
 
 Invariants, whatever the estimates of service times:
 
-- *Hold bound.* An attempt that is queued behind others has a bound, no later than its own timeout and than
-  the time until which its request may be retried (`PlacementRequest.retry_by_ms`). By then it is the head or
-  the connection was aborted, and whatever was aborted may still be retried: none times out behind another.
+- *Hold bound.* An attempt that is queued behind others has a hold bound, which is no later than its own
+  timeout and `PlacementRequest.retry_by_ms`. By then it is the head, or the connection is aborted while the
+  aborted attempts may still be retried. No attempt times out behind another.
 - A non-idempotent attempt is never queued behind another, and never aborted for others.
-- No connection holds more attempts than the rules, the server's adaptive limit at the time of joining and the
-  attempt itself allow; and no more than `max_queued_per_server` attempts are queued at a server.
+- No connection has more attempts than the rules, the server's adaptive limit and the attempt's route allow at
+  the time of joining, and no more than `max_queued_per_server` attempts are queued at a server.
 """
 
 from __future__ import annotations
@@ -41,12 +40,14 @@
 from .service_times import ServiceTimes
 from .stall_detector import THRESHOLD_TTL_MS, StallDetector
 
-ABORTS_PER_PLACEMENT = 0.1  # attempts that may be aborted before their bound, earned by each placement
-MAX_ABORT_BALANCE = 16.0
-RECHECK_MS = THRESHOLD_TTL_MS  # an abort is repeated after so long if the connection is still there
-MIN_PROBABILITY_TO_KEEP = 0.5  # that a stalled head finishes within another mean service time
-CENSORED_WITHIN_MS = 1.0  # of the reply ahead: the service may have finished before that
-# Keys of `PipelineScheduler.counts`, which the log shows.
+ABORTS_PER_PLACEMENT = 0.1  # what each placement adds to the budget of attempts aborted before their bound
+MAX_ABORT_BALANCE = 16.0  # maximum of that budget, in attempts
+RECHECK_MS = THRESHOLD_TTL_MS  # interval at which an abort is repeated while the connection is still open
+# A stalled head is kept if it finishes within another mean service time with at least this probability.
+MIN_PROBABILITY_TO_KEEP = 0.5
+# A reply that comes so soon after the one ahead may have been finished earlier: its time is an upper bound.
+CENSORED_WITHIN_MS = 1.0
+# Keys of `PipelineScheduler.counts`, which appear in the log.
 STALLED_COUNT = "condemned"
 BOUND_ABORT_COUNT = "cut at a bound"
 STALL_ABORT_COUNT = "cut at a stall"
@@ -55,8 +56,8 @@
 class PipelineScheduler:
     """All pipelined connections of a gateway.
 
-    Bounded by the connections and the attempts in flight. Identifiers of connections are assigned here, those
-    of attempts by the caller.
+    Memory is bounded by the number of connections and attempts in flight. Connection ids are assigned here,
+    attempt ids by the caller.
     """
 
     def __init__(self, rules: PipelineRules, compatibility: ClassCompatibility) -> None:
@@ -68,33 +69,35 @@
         self.connections: dict[int, ConnectionQueue] = {}
         self.checks = CheckSchedule(self.connections)
         self.last_connection_id = 0
-        self.abort_balance = MAX_ABORT_BALANCE / 2.0  # attempts that may be aborted before their bound
+        self.abort_balance = MAX_ABORT_BALANCE / 2.0  # how many attempts may be aborted before their bound
         self.counts: Counter[str] = Counter()
 
     # --- servers -----------------------------------------------------------------------------------------
 
     def server(self, name: str) -> ServerQueues:
-        """The connections to a server, created where it is new."""
+        """Returns the connections to a server, creating the entry for a new server."""
         found = self.servers.get(name)
         if found is None:
             found = self.servers[name] = ServerQueues(name, self.rules.max_depth)
         return found
 
     def on_server_started(self, name: str) -> None:
-        """A new process takes work: it is warming up, so its depth limit starts at 1 and its relative latency
-        is unknown."""
+        """Resets the state of a server that a new process runs.
+
+        The process is warming up, so its depth limit starts at 1 and its relative latency is unknown.
+        """
         server = self.server(name)
         server.depth_limit = DepthLimit(self.rules.max_depth, initial=1.0)
         server.is_draining = False
         self.times.forget_server(name)
 
     def on_server_draining(self, name: str) -> None:
-        """The server drains: nothing is placed there any more, its attempts may finish."""
+        """Stops placements at a draining server; its attempts may finish."""
         if name in self.servers:
             self.servers[name].is_draining = True
 
     def on_server_removed(self, name: str) -> None:
-        """The server left the endpoint list. Its connections live on until they are closed."""
+        """Forgets a server that left the endpoint list. Its connections remain until they are closed."""
         self.servers.pop(name, None)
         self.times.forget_server(name)
         self.stalls.forget_server(name)
@@ -112,8 +115,8 @@
     ) -> Placement:
         """Chooses a connection and queues the attempt there.
 
-        `may_open`: whether one more connection may be opened, called only where that matters. `has_waited`:
-        the attempt has waited already and may not again.
+        `may_open`: whether one more connection may be opened; called only if that matters. `has_waited`:
+        whether the attempt has waited already and may not wait again.
         """
         server = self.server(server_name)
         if server.is_draining:
@@ -136,7 +139,7 @@
         request: PlacementRequest,
         placement: Placement,
     ) -> Placement:
-        """Queues the attempt on a connection that is to be opened; the placement with its identifier."""
+        """Queues the attempt on a new connection; returns the placement with the connection's id."""
         self.last_connection_id += 1
         connection_id = self.last_connection_id
         connection = ConnectionQueue(connection_id, server, now_ms)
@@ -148,7 +151,7 @@
     def _place_on_existing(
         self, now_ms: float, attempt_id: int, request: PlacementRequest, placement: Placement
     ) -> None:
-        """Queues the attempt on the connection that was chosen."""
+        """Queues the attempt on the chosen connection."""
         connection = self.connections[placement.connection_id]
         is_queued = bool(connection.attempts)
         sent_at_ms = now_ms
@@ -162,23 +165,23 @@
     # --- stalls ------------------------------------------------------------------------------------------
 
     def next_check_ms(self) -> float:
-        """When `check` has something to do at the earliest; inf while nothing is queued behind anything."""
+        """Returns the earliest time at which `check` has work; inf while no attempts are queued."""
         return self.checks.next_check_ms()
 
     def check(self, now_ms: float) -> list[PipelineAction]:
-        """The actions for heads that are stalled now and for hold bounds that are reached."""
+        """Returns the actions for heads that are stalled now and for hold bounds that have expired."""
         actions: list[PipelineAction] = []
         while self.checks.next_check_ms() <= now_ms:
             actions += self._check_connection(now_ms, self.checks.pop())
         return actions
 
     def _check_connection(self, now_ms: float, connection: ConnectionQueue) -> list[PipelineAction]:
-        """The actions for one connection; schedules its next check."""
+        """Returns the actions for one connection and schedules its next check."""
         actions: list[PipelineAction] = []
         head = connection.attempts[0]
         has_reached_bound = now_ms >= connection.abort_by_ms()
         if not has_reached_bound and now_ms < self.stalls.stalls_at_ms(now_ms, connection, head):
-            self._schedule_check(now_ms, connection)  # the threshold has grown meanwhile
+            self._schedule_check(now_ms, connection)  # the stall threshold has grown since
             return actions
         if not connection.is_marked_stalled:
             connection.is_marked_stalled = True
@@ -186,9 +189,9 @@
             connection.server.depth_limit.on_failure()
             self.counts[STALLED_COUNT] += 1
         if self.rules.may_hedge:
-            actions += self._hedges(connection)
+            actions += self._hedge_queued(connection)
         if not self._may_abort(now_ms, head):
-            return actions  # those behind can wait for its timeout
+            return actions  # the queued attempts can wait until the head times out
         if has_reached_bound:
             actions.append(self._abort(now_ms, connection, AbortReason.HOLD_BOUND))
             self.counts[BOUND_ABORT_COUNT] += 1
@@ -201,17 +204,17 @@
         return actions
 
     def _may_abort(self, now_ms: float, head: QueuedAttempt) -> bool:
-        """Whether a head may be aborted for those behind it, and can still be retried."""
+        """Returns whether the head may be aborted for those behind it and can still be retried."""
         may_abort_class = self.compatibility.may_abort_for_others(head.request.class_name)
         return may_abort_class and now_ms <= head.request.retry_by_ms + TIMER_RESOLUTION_MS
 
     def _abort(self, now_ms: float, connection: ConnectionQueue, reason: AbortReason) -> AbortConnection:
-        """The action that aborts a connection."""
+        """Returns the action that aborts the connection, and schedules the check that would repeat it."""
         self.checks.schedule(connection, now_ms + RECHECK_MS)
         return AbortConnection(connection.connection_id, connection.attempts[0].attempt_id, reason)
 
-    def _hedges(self, connection: ConnectionQueue) -> list[PipelineAction]:
-        """Hedged requests for the attempts behind the head, one for each."""
+    def _hedge_queued(self, connection: ConnectionQueue) -> list[PipelineAction]:
+        """Returns hedges for the attempts behind the head, one for each."""
         actions: list[PipelineAction] = []
         for attempt in list(connection.attempts)[1:]:
             if not attempt.is_hedged:
@@ -220,8 +223,10 @@
         return actions
 
     def is_worth_aborting(self, now_ms: float, connection: ConnectionQueue) -> bool:
-        """Whether to abort before the bound: the budget allows it, and the head is unlikely to finish
-        soon."""
+        """Returns whether to abort before the hold bound.
+
+        This is so if the budget allows it and the head is unlikely to finish soon.
+        """
         head = connection.attempts[0]
         if self.abort_balance < len(connection.attempts):
             return False
@@ -232,7 +237,7 @@
         return probability < MIN_PROBABILITY_TO_KEEP
 
     def _schedule_check(self, now_ms: float, connection: ConnectionQueue) -> None:
-        """Schedules the next check: at the connection's bound, and when its head will be stalled."""
+        """Schedules the next check: at the connection's hold bound, or earlier when its head stalls."""
         at_ms = math.inf
         if len(connection.attempts) > 1:
             at_ms = connection.abort_by_ms()
@@ -241,25 +246,25 @@
                 at_ms = min(at_ms, self.stalls.stalls_at_ms(now_ms, connection, head))
         self.checks.schedule(connection, at_ms)
 
-    # --- events of connections ---------------------------------------------------------------------------
+    # --- connection events -------------------------------------------------------------------------------
 
     def on_connected(self, now_ms: float, connection_id: int) -> None:
-        """A connection is up, and its attempts are sent."""
+        """Records that a connection is established and its attempts are sent."""
         connection = self.connections.get(connection_id)
         if connection is None or not connection.is_connecting:
             return
         connection.server.record_connect(now_ms - connection.connect_started_ms)
         connection.is_connecting = False
-        # No surplus reply can be on its way, so it needs no time to settle.
+        # No surplus reply can be in transit on a new connection, so it needs no time to settle.
         connection.idle_since_ms = now_ms - self.rules.settle_ms
         for attempt in connection.attempts:
             attempt.sent_at_ms = now_ms
         self._schedule_check(now_ms, connection)
 
     def on_reply(self, now_ms: float, connection_id: int, is_ok: bool = True) -> int | None:
-        """The head of this connection was answered; its attempt's identifier, None where there is no head.
+        """Removes the head of this connection on its reply and returns its attempt id; None without a head.
 
-        `is_ok`: with a value, so that its time is a service time.
+        `is_ok`: the reply is a value, so that its time counts as a service time.
         """
         connection = self.connections.get(connection_id)
         if connection is None or not connection.attempts:
@@ -268,14 +273,14 @@
         if is_ok and attempt.request.class_name in self.times.histograms:
             self._record_service_time(now_ms, connection, attempt)
         connection.last_reply_ms = now_ms
-        connection.is_marked_stalled = False  # the next one is the head, with its own time
-        self._on_shortened(now_ms, connection)
+        connection.is_marked_stalled = False  # the next attempt is the head now, with its own threshold
+        self._on_attempt_removed(now_ms, connection)
         return attempt.attempt_id
 
     def _record_service_time(
         self, now_ms: float, connection: ConnectionQueue, attempt: QueuedAttempt
     ) -> None:
-        """Learns from a reply."""
+        """Updates the service times and the depth limit with a reply."""
         server, class_name = connection.server, attempt.request.class_name
         time_ms = max(0.0, now_ms - attempt.sent_at_ms)
         mean_ms = self.times.mean(class_name, server.name)
@@ -285,17 +290,17 @@
             server.depth_limit.on_reply(time_ms / mean_ms, attempt.was_queued)
 
     def on_withdrawn(self, now_ms: float, connection_id: int, attempt_id: int) -> None:
-        """An attempt was taken off its connection before any of it was written."""
+        """Removes an attempt that was withdrawn before any of it was written."""
         connection = self.connections.get(connection_id)
         if connection is None:
             return
         connection.attempts = deque(one for one in connection.attempts if one.attempt_id != attempt_id)
         if not connection.attempts:
             connection.is_marked_stalled = False
-        self._on_shortened(now_ms, connection)
+        self._on_attempt_removed(now_ms, connection)
 
     def on_closed(self, connection_id: int, has_failed: bool = False) -> None:
-        """The connection is closed; `has_failed`: an attempt timed out or broke on it."""
+        """Removes a closed connection. `has_failed`: a timeout or fault closed it while it had attempts."""
         connection = self.connections.pop(connection_id, None)
         if connection is None:
             return
@@ -303,8 +308,8 @@
         if has_failed:
             connection.server.depth_limit.on_failure()
 
-    def _on_shortened(self, now_ms: float, connection: ConnectionQueue) -> None:
-        """An attempt has left this connection."""
+    def _on_attempt_removed(self, now_ms: float, connection: ConnectionQueue) -> None:
+        """Updates the idle time and the check after an attempt was removed."""
         if not connection.attempts:
             connection.idle_since_ms = now_ms
         self._schedule_check(now_ms, connection)
--- a/glenchute/policy/connections/placement_choice.py
+++ b/glenchute/policy/connections/placement_choice.py
@@ -1,7 +1,7 @@
-"""Which connection to a server an attempt uses: an idle one, one that it joins, a new one, or none yet.
+"""Chooses the connection to a server for an attempt: an idle one, one to join, a new one, or none yet.
 
-Options are scored by the expected time to the response, where each millisecond after the latency objective
-counts more, and the cost of opening a connection. Times are in milliseconds.
+Options are scored by the expected time to the response, in which milliseconds after the latency objective
+weigh more, plus the cost of opening a connection. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -23,21 +23,23 @@
 from .service_times import ServiceTimes
 from .stall_detector import StallDetector
 
-LATE_WEIGHT = 4.0  # of a millisecond after the latency objective, against one before it
-MAX_CANDIDATES = 2  # connections to join that are scored, those with the fewest attempts
+LATE_WEIGHT = 4.0  # additional weight of each millisecond after the latency objective
+MAX_CANDIDATES = 2  # how many of the connections to join are scored, starting with the shortest queues
 MIN_JOINABLE_DEPTH = 2
 
 
 class JoinCandidate(NamedTuple):
-    """A connection that an attempt may join, and the time by which it is the head or the connection
-    closed."""
+    """A connection that an attempt may join.
+
+    `hold_bound_ms`: the time by which the attempt will be the head or the connection closed.
+    """
 
     connection: ConnectionQueue
     hold_bound_ms: float
 
 
 class ScoredPlacement(NamedTuple):
-    """An option; the lowest score wins."""
+    """An option and its score; lower is better. `label` describes it in the log."""
 
     score_ms: float
     label: str
@@ -45,7 +47,7 @@
 
 
 class PlacementChooser:
-    """Chooses among the connections to one server; changes nothing but the cache of stall thresholds."""
+    """Chooses among the connections to a server. Its only side effect is on the cache of stall thresholds."""
 
     def __init__(
         self,
@@ -67,13 +69,16 @@
         may_open: Callable[[], bool],
         has_waited: bool,
     ) -> Placement:
-        """The best placement. `may_open`: whether one more connection may be opened, called only where that
-        matters; `has_waited`: WAIT is no option any more."""
+        """Returns the best placement.
+
+        `may_open`: whether one more connection may be opened; called only if that matters. `has_waited`:
+        whether the attempt has waited already, which rules out WAIT.
+        """
         idle = self.idle_connection(now_ms, server)
         if idle is not None:
             return Placement(PlacementKind.IDLE, idle.connection_id)
         if not self._has_samples(now_ms, request):
-            # Without samples nothing can be forecast, so connections are not shared.
+            # Without samples there is no forecast of response times, so connections are not shared.
             return (
                 Placement(PlacementKind.OPEN) if may_open() else self._nothing_available(now_ms, has_waited)
             )
@@ -82,7 +87,7 @@
             options.append(self._open_option(now_ms, server, request))
         candidates = self.joinable(now_ms, server, request)
         if len(candidates) == 1 and not options and (has_waited or not self.rules.max_wait_ms):
-            connection, hold_bound_ms = candidates[0]  # the only option
+            connection, hold_bound_ms = candidates[0]  # the only option, so no score is needed
             return Placement(
                 PlacementKind.JOIN, connection.connection_id, hold_bound_ms, len(connection.attempts)
             )
@@ -92,10 +97,10 @@
             options.append(wait)
         if not options:
             return self._nothing_available(now_ms, has_waited)
-        return _best(options)
+        return _best_placement(options)
 
     def idle_connection(self, now_ms: float, server: ServerQueues) -> ConnectionQueue | None:
-        """The most recently used connection without attempts that has settled and is not too old."""
+        """Returns the most recently used idle connection within `settle_ms` and `max_idle_ms`, if any."""
         best: ConnectionQueue | None = None
         for connection in server.connections.values():
             idle_ms = now_ms - connection.idle_since_ms
@@ -107,7 +112,7 @@
         return best
 
     def joinable(self, now_ms: float, server: ServerQueues, request: PlacementRequest) -> list[JoinCandidate]:
-        """The connections that the attempt may join, those with the fewest attempts first."""
+        """Returns the connections that the attempt may join, those with the fewest attempts first."""
         rules = self.rules
         adaptive_depth = server.depth_limit.attempts() if rules.is_adaptive else request.max_depth
         max_depth = min(rules.max_depth, request.max_depth, adaptive_depth)
@@ -120,14 +125,14 @@
             for c in server.connections.values()
             if 0 < len(c.attempts) < max_depth
         )
-        # A moment before its own timeout: otherwise both timers fire together, in either order.
+        # This lies before its own timeout, as two timers that are due together may fire in either order.
         hold_bound_ms = min(request.retry_by_ms, request.expires_at_ms - TIMER_RESOLUTION_MS)
         found: list[JoinCandidate] = []
         for _, connection_id in shortest_first:
             connection = server.connections[connection_id]
             if self.stalls.is_stalled(now_ms, connection):
                 continue
-            # By the bound it is the head or the connection closed, so it never times out behind another.
+            # The attempts ahead are gone by the hold bound, so this one never times out behind another.
             if self.blocked_until_ms(now_ms, connection, request) <= hold_bound_ms:
                 found.append(JoinCandidate(connection, hold_bound_ms))
                 if len(found) == MAX_CANDIDATES:
@@ -137,10 +142,10 @@
     def blocked_until_ms(
         self, now_ms: float, connection: ConnectionQueue, request: PlacementRequest
     ) -> float:
-        """The latest time at which the attempts on this connection are out of the way; inf: it must not join.
+        """Returns the latest time until which attempts on this connection block the new one.
 
-        A head is aborted once it stalls, if it may still be retried then; otherwise it blocks until its
-        timeout. The next one is then the head.
+        inf if it must not join. Each attempt ahead, once it is the head, is aborted when it stalls if it may
+        still be retried then; otherwise it blocks until its timeout.
         """
         blocked_ms = now_ms
         for attempt in connection.attempts:
@@ -156,18 +161,18 @@
         return blocked_ms
 
     def _has_samples(self, now_ms: float, request: PlacementRequest) -> bool:
-        """Whether the service times of the request's class are known."""
+        """Returns whether there are enough service time samples of the request's class."""
         class_name = request.class_name
         return class_name in self.times.histograms and self.times.has_samples(now_ms, class_name)
 
     def _nothing_available(self, now_ms: float, has_waited: bool) -> Placement:
-        """A wait for a connection, if it has not had one."""
+        """Returns a WAIT placement, or NONE if the attempt has waited already."""
         if has_waited:
             return Placement(PlacementKind.NONE)
         return Placement(PlacementKind.WAIT, until_ms=now_ms + self.rules.max_wait_ms)
 
     def _open_option(self, now_ms: float, server: ServerQueues, request: PlacementRequest) -> ScoredPlacement:
-        """A new connection."""
+        """Scores opening a new connection."""
         expected = self._expected(now_ms, server, request, (), server.connect_ms)
         placement = Placement(PlacementKind.OPEN, 0, 0.0, 0, expected.total_ms, expected.late_ms)
         return ScoredPlacement(_score_ms(expected) + self.rules.open_cost_ms, "a new one", placement)
@@ -175,7 +180,7 @@
     def _join_option(
         self, now_ms: float, server: ServerQueues, request: PlacementRequest, candidate: JoinCandidate
     ) -> ScoredPlacement:
-        """A position behind the attempts on a connection."""
+        """Scores joining a connection behind its attempts."""
         connection, hold_bound_ms = candidate
         delay_ms = 0.0
         if connection.is_connecting:
@@ -195,19 +200,19 @@
     def _wait_option(
         self, now_ms: float, server: ServerQueues, request: PlacementRequest
     ) -> ScoredPlacement | None:
-        """A wait for a connection that is about to have settled; None where there is none in time."""
+        """Scores waiting for a connection that is about to settle; None if there is none in time."""
         rules = self.rules
         if rules.max_wait_ms <= 0:
             return None
-        settling = [
+        idle_since_times_ms = [
             c.idle_since_ms for c in server.connections.values() if not c.attempts and not c.is_connecting
         ]
-        ready_ms = min(settling, default=math.inf) + rules.settle_ms
-        if not now_ms < ready_ms <= now_ms + rules.max_wait_ms or ready_ms >= request.expires_at_ms:
+        ready_at_ms = min(idle_since_times_ms, default=math.inf) + rules.settle_ms
+        if not now_ms < ready_at_ms <= now_ms + rules.max_wait_ms or ready_at_ms >= request.expires_at_ms:
             return None
-        expected = self._expected(now_ms, server, request, (), ready_ms - now_ms)
-        placement = Placement(PlacementKind.WAIT, 0, ready_ms, 0, expected.total_ms, expected.late_ms)
-        # The timer is coarse, and another attempt may have taken the connection by then.
+        expected = self._expected(now_ms, server, request, (), ready_at_ms - now_ms)
+        placement = Placement(PlacementKind.WAIT, 0, ready_at_ms, 0, expected.total_ms, expected.late_ms)
+        # The penalty: the timer is coarse, and another attempt may take the connection first.
         return ScoredPlacement(_score_ms(expected) + TIMER_RESOLUTION_MS, "a wait", placement)
 
     def _expected(
@@ -218,17 +223,17 @@
         ahead: Sequence[QueuedAttempt],
         delay_ms: float,
     ) -> ExpectedResponse:
-        """The expected response time at this server."""
+        """Returns the expected response time at this server."""
         return expected_response(self.times, now_ms, server.name, request, ahead, delay_ms)
 
 
 def _score_ms(expected: ExpectedResponse) -> float:
-    """The weighted expected time to the response."""
+    """Returns the weighted expected time to the response."""
     return expected.total_ms + LATE_WEIGHT * expected.late_ms
 
 
-def _best(options: list[ScoredPlacement]) -> Placement:
-    """The option with the lowest score, the earlier one of equals, with a note on the second best."""
+def _best_placement(options: list[ScoredPlacement]) -> Placement:
+    """Returns the option with the lowest score, the earlier of equal ones, with a note on the second best."""
     ranked = sorted(options, key=lambda option: option.score_ms)
     best = ranked[0].placement
     if len(ranked) > 1:
