--- a/glenchute/policy/connections/client_memory.py
+++ b/glenchute/policy/connections/client_memory.py
@@ -14,7 +14,7 @@
 from collections.abc import Hashable, Iterable
 from typing import Generic, TypeVar
 
-FILLING_FRACTION = 0.25  # of the bound; above it connections read fewer bytes at a time
+FILLING_FRACTION = 0.25  # above this fraction of the bound, connections read fewer bytes at a time
 
 Key = TypeVar("Key", bound=Hashable)
 
--- a/glenchute/policy/connections/response_order.py
+++ b/glenchute/policy/connections/response_order.py
@@ -1,9 +1,9 @@
-"""Head-of-line blocking on client connections: when an unfinished request is abandoned for finished ones.
+"""Decides when head-of-line blocking on a client connection is ended by abandoning an unfinished request.
 
-RESP2 replies are written in the order of their commands, so a finished reply waits for those before it while
-its deadline runs on. Where the operator enables it, an unfinished request at the head is abandoned, but only
-if it may fail without harm, if the finished ones are about to miss their deadlines, and if they outnumber the
-abandoned ones. Times are in seconds of one clock.
+RESP2 replies are written in the order of their commands, so a finished reply may miss its deadline while it
+waits for an earlier one. If the operator enables it, unfinished requests at the head are abandoned, but only
+if they are safe to repeat, if finished replies behind them are about to miss their deadlines, and if those
+replies outnumber the abandoned requests. Times are in seconds of one clock.
 """
 
 from __future__ import annotations
@@ -14,27 +14,29 @@
 
 
 class PendingReply(NamedTuple):
-    """One command's reply in the order of its connection."""
+    """The reply to one command, in the order of its connection."""
 
-    deadline_s: float  # the client waits until then; inf for commands that are no requests
+    deadline_s: float  # when the client stops waiting; inf for commands that are not requests
     is_finished: bool
-    may_fail: bool  # unfinished and safe to repeat, so that its client may retry
+    may_fail: bool  # whether it is unfinished and safe to repeat, so that the client may retry
 
 
 class ReleaseDecision(NamedTuple):
-    """Abandon the unfinished requests among the first `release_count`; decide again at `next_check_s` (inf:
-    only when something changes)."""
+    """Which replies to release: the unfinished ones among the first `release_count` are to be abandoned.
+
+    `next_check_s`: when to decide again; inf if only a change of the replies calls for it.
+    """
 
     release_count: int
     next_check_s: float
 
 
 def decide_release(now: float, replies: Iterable[PendingReply], margin_s: float) -> ReleaseDecision:
-    """Which requests to abandon now. A finished reply is urgent `margin_s` seconds before its deadline.
+    """Decides which requests to abandon now. A finished reply is urgent from `margin_s` before its deadline.
 
-    Nothing is abandoned unless more finished replies than that can still be delivered in time because of it;
-    nothing that may not fail is abandoned, nor anything behind such a request. Linear in the number of
-    replies.
+    Requests are abandoned only if this delivers more urgent replies in time than there are abandoned
+    requests. A request that may not fail is never abandoned, nor is any behind it. Runs in time linear in the
+    number of replies.
     """
     best_gain = release_count = abandoned = delivered = 0
     next_check_s = math.inf
@@ -45,7 +47,7 @@
             abandoned += 1
             continue
         if not abandoned or reply.deadline_s <= now or reply.deadline_s == math.inf:
-            continue  # nothing blocks it, or it is late already
+            continue  # nothing blocks the reply, or it has missed its deadline or has none
         if reply.deadline_s - margin_s > now:
             next_check_s = min(next_check_s, reply.deadline_s - margin_s)
             continue
