--- a/tests/policy/connections/test_client_memory.py
+++ b/tests/policy/connections/test_client_memory.py
@@ -1,4 +1,4 @@
-"""The bound on what is buffered for all clients."""
+"""Tests of the bound on the memory that is buffered for all clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from glenchute.policy.connections.client_memory import ClientMemory
 
 
-def test_no_memory_is_refused() -> None:
+def test_a_bound_of_zero_is_rejected() -> None:
     with pytest.raises(ValueError, match="memory"):
         ClientMemory(0)
 
@@ -20,16 +20,16 @@
     st.permutations(range(10)),
     st.integers(1, 500),
 )
-def test_what_is_left_keeps_to_the_bound(
+def test_the_remaining_connections_stay_within_the_bound(
     updates: list[tuple[int, int]], blocked: list[int], max_bytes: int
 ) -> None:
-    """The total is the sum of the last updates; no more are given up than the bound asks for."""
+    """The total is the sum of the last updates; no more connections are closed than the bound requires."""
     memory: ClientMemory[int] = ClientMemory(max_bytes)
-    last: dict[int, int] = {}
-    for key, buffered in updates:
-        memory.update(key, buffered)
-        last[key] = buffered
-        assert memory.total_bytes == sum(last.values())
+    last_updates: dict[int, int] = {}
+    for key, buffered_bytes in updates:
+        memory.update(key, buffered_bytes)
+        last_updates[key] = buffered_bytes
+        assert memory.total_bytes == sum(last_updates.values())
     victims = memory.choose_victims(blocked)
     assert bool(victims) == memory.is_exhausted
     for key in victims[:-1]:
--- a/tests/policy/connections/test_client_slots.py
+++ b/tests/policy/connections/test_client_slots.py
@@ -1,5 +1,4 @@
-"""Which client connections keep their slots and which are evicted: property tests without sockets or a
-clock."""
+"""Property tests of client connection slots, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -41,7 +40,7 @@
 
 
 def serve_request(slots: ConnectionSlots[str], now: float, key: str) -> None:
-    """A request that is answered at once."""
+    """Records a request and its immediate response."""
     slots.on_request(now, key)
     slots.set_state(now, key, ConnectionState.IDLE_UNUSED)
 
@@ -51,36 +50,38 @@
         assert slots.add(now, key) == []
 
 
-def add_reused(slots: ConnectionSlots[str], now: float, key: str, gap_s: float, times: int = 4) -> float:
-    """Adds a connection and sends several requests on it; the time of the last response."""
+def add_reused(
+    slots: ConnectionSlots[str], now: float, key: str, gap_s: float, request_count: int = 4
+) -> float:
+    """Adds a connection with several requests on it; returns the time of the last response."""
     add_all(slots, now, key)
-    for _ in range(times + 1):
+    for _ in range(request_count + 1):
         serve_request(slots, now, key)
         now += gap_s
     return now - gap_s
 
 
 class SlotsMachine(RuleBasedStateMachine):
-    """Any order of events, against a model of the slots."""
+    """Any order of events on the slots, checked against a model."""
 
     @initialize(
         max_connections=st.integers(1, 6), max_requesting=st.integers(1, 6), max_overflow=st.integers(0, 3)
     )
-    def begin(self, max_connections: int, max_requesting: int, max_overflow: int) -> None:
+    def create_slots(self, max_connections: int, max_requesting: int, max_overflow: int) -> None:
         self.slots: ConnectionSlots[int] = ConnectionSlots(max_connections, max_requesting, max_overflow)
         self.now, self.last_key = 100.0, 0
         self.state: dict[int, ConnectionState] = {}
         self.added_at: dict[int, float] = {}
         self.entered_at: dict[int, float] = {}
-        self.has_carried: set[int] = set()
-        self.is_answered: set[int] = set()  # their last request was answered
-        self.is_reused: set[int] = set()
+        self.requesting_keys: set[int] = set()
+        self.answered_keys: set[int] = set()  # keys whose last request was answered
+        self.reused_keys: set[int] = set()
 
-    def apply(self, closes: list[CloseConnection[int]], newcomer: int | None = None) -> None:
-        """Checks the closes against the model, and applies them to it."""
+    def apply(self, closes: list[CloseConnection[int]], new_key: int | None = None) -> None:
+        """Checks the closes against the model and applies them to it."""
         for close in closes:
             key, state = close.key, self.state[close.key]
-            assert state is not ConnectionState.ACTIVE, "a request was in flight"
+            assert state is not ConnectionState.ACTIVE, "a connection with a request in flight was closed"
             if close.reason is CloseReason.IDLE:
                 assert state in (
                     ConnectionState.IDLE_UNUSED,
@@ -93,9 +94,11 @@
             ):
                 assert self.now - self.added_at[key] >= MIN_FIRST_COMMAND_S
             if close.reason in (CloseReason.NO_SLOT,):
-                assert key == newcomer
-                held = [k for k, s in self.state.items() if s is not ConnectionState.LINGERING and k != key]
-                assert len(held) >= self.slots.max_connections
+                assert key == new_key
+                occupied = [
+                    k for k, s in self.state.items() if s is not ConnectionState.LINGERING and k != key
+                ]
+                assert len(occupied) >= self.slots.max_connections
             if close.reason in GRACEFUL_REASONS:
                 self.state[key] = ConnectionState.LINGERING
                 self.entered_at[key] = self.now
@@ -106,10 +109,10 @@
     def forget(self, key: int) -> None:
         del self.state[key], self.added_at[key], self.entered_at[key]
 
-    def pick(self, data: st.DataObject, *states: ConnectionState) -> int:
+    def draw_key(self, data: st.DataObject, *states: ConnectionState) -> int:
         return data.draw(st.sampled_from(sorted(k for k, s in self.state.items() if s in states)))
 
-    def has(self, *states: ConnectionState) -> bool:
+    def has_state(self, *states: ConnectionState) -> bool:
         return any(s in states for s in self.state.values())
 
     @rule()
@@ -120,22 +123,26 @@
         self.apply(self.slots.add(self.now, self.last_key), self.last_key)
 
     @rule(seconds=st.floats(0.0, 3.0))
-    def wait(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += seconds
         self.apply(self.slots.close_expired(self.now))
 
-    @precondition(lambda self: self.has(*[s for s in ConnectionState if s is not ConnectionState.LINGERING]))
+    @precondition(
+        lambda self: self.has_state(*[s for s in ConnectionState if s is not ConnectionState.LINGERING])
+    )
     @rule(data=st.data())
     def request(self, data: st.DataObject) -> None:
-        key = self.pick(data, *[s for s in ConnectionState if s is not ConnectionState.LINGERING])
-        if key in self.is_answered:
-            self.is_reused.add(key)
-            self.is_answered.discard(key)
-        self.has_carried.add(key)
+        key = self.draw_key(data, *[s for s in ConnectionState if s is not ConnectionState.LINGERING])
+        if key in self.answered_keys:
+            self.reused_keys.add(key)
+            self.answered_keys.discard(key)
+        self.requesting_keys.add(key)
         self.state[key], self.entered_at[key] = ConnectionState.ACTIVE, self.now
         self.slots.on_request(self.now, key)
 
-    @precondition(lambda self: self.has(*[s for s in ConnectionState if s is not ConnectionState.LINGERING]))
+    @precondition(
+        lambda self: self.has_state(*[s for s in ConnectionState if s is not ConnectionState.LINGERING])
+    )
     @rule(
         data=st.data(),
         to=st.sampled_from(
@@ -147,17 +154,17 @@
             ]
         ),
     )
-    def change(self, data: st.DataObject, to: ConnectionState) -> None:
-        key = self.pick(data, *[s for s in ConnectionState if s is not ConnectionState.LINGERING])
+    def change_state(self, data: st.DataObject, to: ConnectionState) -> None:
+        key = self.draw_key(data, *[s for s in ConnectionState if s is not ConnectionState.LINGERING])
         self.slots.set_state(self.now, key, to)
         if to is ConnectionState.IDLE_UNUSED:
-            if key in self.has_carried:
-                self.is_answered.add(key)
+            if key in self.requesting_keys:
+                self.answered_keys.add(key)
             to = (
                 ConnectionState.IDLE_REUSED
-                if key in self.is_reused
+                if key in self.reused_keys
                 else ConnectionState.IDLE_USED_ONCE
-                if key in self.has_carried
+                if key in self.requesting_keys
                 else ConnectionState.IDLE_UNUSED
             )
         if to is not self.state[key]:
@@ -165,8 +172,8 @@
 
     @precondition(lambda self: self.state)
     @rule(data=st.data())
-    def leave(self, data: st.DataObject) -> None:
-        key = self.pick(data, *ConnectionState)
+    def remove(self, data: st.DataObject) -> None:
+        key = self.draw_key(data, *ConnectionState)
         self.slots.remove(key)
         self.forget(key)
 
@@ -179,7 +186,7 @@
         assert {k: p.state for k, p in slots.slots.items()} == self.state
         assert slots.connected_count() <= limit and len(slots) <= limit + slots.max_overflow
         alive = [k for k, s in self.state.items() if s is not ConnectionState.LINGERING]
-        assert slots.requesting_count == len(self.has_carried & set(alive))
+        assert slots.requesting_count == len(self.requesting_keys & set(alive))
         queued = sum(len(q) for q in slots.slots_by_state.values()) + sum(len(q) for q in slots.reused_by_gap)
         assert queued == len(self.state)
         for queue in (*slots.slots_by_state.values(), *slots.reused_by_gap):
@@ -188,19 +195,19 @@
 
     @invariant()
     def no_state_outlasts_its_limit(self) -> None:
-        """After `close_expired` only requests in flight may exceed the longest time of a state."""
+        """After `close_expired`, only connections with requests in flight exceed the limit of a state."""
         if not hasattr(self, "slots"):
             return
         self.apply(self.slots.close_expired(self.now))
-        most = {
+        time_limits_s = {
             ConnectionState.AWAITING_COMMAND: MAX_FIRST_COMMAND_S,
             ConnectionState.PARTIAL_COMMAND: PARTIAL_COMMAND_TIMEOUT_S,
             ConnectionState.WRITE_BLOCKED: WRITE_BLOCKED_TIMEOUT_S,
         }
-        most[ConnectionState.LINGERING] = LINGER_TIMEOUT_S
+        time_limits_s[ConnectionState.LINGERING] = LINGER_TIMEOUT_S
         for key, state in self.state.items():
             if state is not ConnectionState.ACTIVE:
-                assert self.now - self.entered_at[key] <= most.get(state, MAX_IDLE_S) + 1e-9
+                assert self.now - self.entered_at[key] <= time_limits_s.get(state, MAX_IDLE_S) + 1e-9
 
 
 @pytest.mark.parametrize(
@@ -235,7 +242,7 @@
 @pytest.mark.parametrize("gap_s", [0.001, 0.02, 0.5, 3.0])
 @pytest.mark.parametrize("active", range(1, 30, 4))
 def test_a_reused_connection_outlives_one_with_a_single_request(gap_s: float, active: int) -> None:
-    """Both are idle from the same time on, at any load and for any idle gap."""
+    """Both become idle at the same time, at any load and for any idle gap."""
     slots: ConnectionSlots[str] = ConnectionSlots(48, 32, 4)
     now = add_reused(slots, 0.0, "back", gap_s)
     add_all(slots, now, "once", *[f"busy{i}" for i in range(active)])
@@ -252,8 +259,8 @@
     assert order == ["once", "back"]
 
 
-def test_the_allowance_falls_smoothly_to_zero() -> None:
-    """No step is larger than one slot accounts for."""
+def test_the_idle_time_limit_falls_smoothly_to_zero() -> None:
+    """Each additional connection lowers the limit by no more than the share of one slot."""
     slots: ConnectionSlots[str] = ConnectionSlots(192, 128, 16)
     now = add_reused(slots, 0.0, "back", 0.01)
     add_all(slots, now, "once")
@@ -271,10 +278,10 @@
 
 
 def test_no_more_are_closed_than_the_load_requires() -> None:
-    """All slots for requests are taken by connections that were used a moment ago: a few are closed."""
+    """All slots for requests are taken by recently used connections: only a few are closed."""
     slots: ConnectionSlots[str] = ConnectionSlots(192, 128, 16)
     for i in range(128):
-        add_reused(slots, 0.001 * i / 128, f"c{i}", 0.005, times=4)
+        add_reused(slots, 0.001 * i / 128, f"c{i}", 0.005, request_count=4)
     closes = slots.close_expired(0.025)
     assert 1 <= len(closes) <= 4 and {close.reason for close in closes} == {CloseReason.IDLE}
 
@@ -336,7 +343,7 @@
 
 
 def test_expiry_of_a_hundred_thousand_costs_linear_time() -> None:
-    """The ratio of the times of two sizes, whatever the machine."""
+    """Compares the CPU times of two sizes, so that the result does not depend on the machine."""
 
     def cpu_s(size: int) -> float:
         slots: ConnectionSlots[int] = ConnectionSlots(2 * size, 2 * size, 0)
@@ -348,8 +355,8 @@
         assert len(slots.close_expired(1000.0)) == size
         return time.process_time() - began
 
-    small = min(cpu_s(10_000) for _ in range(3))
-    assert cpu_s(100_000) < 10 * 4 * small + 0.05
+    small_cpu_s = min(cpu_s(10_000) for _ in range(3))
+    assert cpu_s(100_000) < 10 * 4 * small_cpu_s + 0.05
 
 
 def test_sweeps_are_more_frequent_under_load() -> None:
@@ -361,29 +368,29 @@
     assert slots.next_sweep_s() == PRESSURED_SWEEP_INTERVAL_S
 
 
-@pytest.mark.parametrize(("sockets", "rates"), [(96, (20.0, 100.0)), (384, (20.0, 150.0, 600.0))])
+@pytest.mark.parametrize(("descriptors", "rates"), [(96, (20.0, 100.0)), (384, (20.0, 150.0, 600.0))])
 def test_single_request_connections_occupy_few_slots_at_any_rate(
-    sockets: int, rates: tuple[float, ...]
+    descriptors: int, rates: tuple[float, ...]
 ) -> None:
-    """In simulated time: clients that keep their connection after one request, at rates too high for a
-    constant 2 s."""
-    budget = divide_descriptors(sockets)
+    """In simulated time: clients keep their connection open after one request. With a constant idle timeout
+    of 2 s, the higher rates would occupy all slots."""
+    budget = divide_descriptors(descriptors)
     for rate in rates:
         rng, now, requests, rejected = random.Random(7), 0.0, 0, 0
         slots: ConnectionSlots[int] = ConnectionSlots(
             budget.client_connections, budget.requesting_connections, budget.overflow_connections
         )
-        check = 0.0
+        next_sweep = 0.0
         while now < 10.0:
             now += rng.expovariate(rate)
-            while check < now:
-                for close in slots.close_expired(check):
+            while next_sweep < now:
+                for close in slots.close_expired(next_sweep):
                     if close.reason is not CloseReason.LINGER_TIMEOUT:
-                        slots.remove(close.key)  # the client sees the end and closes
-                check += slots.next_sweep_s()
+                        slots.remove(close.key)  # the client closes its side in response
+                next_sweep += slots.next_sweep_s()
             requests += 1
             if slots.requesting_count >= budget.requesting_connections:
-                rejected += 1  # the client has no connection left to ask on
+                rejected += 1  # no connection is left for this request
                 continue
             slots.add(now, requests)
             slots.on_request(now, requests)
@@ -392,8 +399,8 @@
         assert math.isclose(requests, 10.0 * rate, rel_tol=0.2)
 
 
-def test_who_does_not_read_is_evicted_before_idle_clients_short_responses_first() -> None:
-    """And none before `MIN_WRITE_BLOCKED_S` without progress."""
+def test_clients_that_do_not_read_are_evicted_before_idle_ones_short_responses_first() -> None:
+    """None of them is evicted before `MIN_WRITE_BLOCKED_S` without progress."""
     slots: ConnectionSlots[str] = ConnectionSlots(4, 3, 2)
     add_all(slots, 0.0, "stream", "once", "short", "late")
     serve_request(slots, 0.0, "once")
--- a/tests/policy/connections/test_operator_slots.py
+++ b/tests/policy/connections/test_operator_slots.py
@@ -1,4 +1,4 @@
-"""Connection slots of the operations address, by their guarantees."""
+"""Property tests of the connection slots of the operations address."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from glenchute.policy.connections.operator_slots import OperatorSlots
 
 
-class Slots(RuleBasedStateMachine):
-    """Connections that open, finish, or stay silent."""
+class OperatorSlotsMachine(RuleBasedStateMachine):
+    """Connections that open, finish, or stay silent, against a model of the slots."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,9 @@
         self.opened_at[self.last_connection] = self.now
         assert self.last_connection not in evicted
         for connection in evicted:
-            assert self.opened_at.pop(connection) <= min(self.opened_at.values()), "not the oldest"
+            assert self.opened_at.pop(connection) <= min(self.opened_at.values()), (
+                "the evicted connection is not the oldest"
+            )
 
     @rule()
     def finishes(self) -> None:
@@ -46,5 +48,7 @@
         assert all(self.now - at < 2.0 or at == self.now for at in self.opened_at.values())
 
 
-Slots.TestCase.settings = settings(max_examples=40, stateful_step_count=30, deadline=None, derandomize=True)
-TestSlots = Slots.TestCase
+OperatorSlotsMachine.TestCase.settings = settings(
+    max_examples=40, stateful_step_count=30, deadline=None, derandomize=True
+)
+TestSlots = OperatorSlotsMachine.TestCase
