--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -1,4 +1,4 @@
-"""Hedged connects: when, how often, and races on real sockets."""
+"""Tests of hedged connects: their delay, their budget, and races on real sockets."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 CONNECT_S = 0.4
 
 
-# --- the choice ------------------------------------------------------------------------------------------
+# --- delay and budget ------------------------------------------------------------------------------------
 
 
 @given(st.lists(st.floats(0.0, 10.0)), st.floats(0.0, CONNECT_S))
-def test_a_hedge_is_delayed_enough_and_still_useful(took: list[float], connect_s: float) -> None:
+def test_a_hedge_is_delayed_enough_and_still_useful(connect_times_s: list[float], connect_s: float) -> None:
     estimate = ConnectTimeEstimate(CONNECT_S)
-    for seconds in took:
+    for seconds in connect_times_s:
         estimate.record_connected(seconds)
-    wait = estimate.hedge_delay_s(connect_s)
-    assert wait is None or MIN_DELAY_S <= wait <= connect_s / 2.0
+    delay_s = estimate.hedge_delay_s(connect_s)
+    assert delay_s is None or MIN_DELAY_S <= delay_s <= connect_s / 2.0
 
 
-@pytest.mark.parametrize("late", [0.0, 1 / 3])
-def test_the_hedge_delay_follows_the_median_and_not_the_outliers(late: float) -> None:
+@pytest.mark.parametrize("slow_fraction", [0.0, 1 / 3])
+def test_the_hedge_delay_follows_the_median_and_not_the_outliers(slow_fraction: float) -> None:
     estimate = ConnectTimeEstimate(CONNECT_S)
     for number in range(300):
-        estimate.record_connected(CONNECT_S if number % 3 < 3 * late else 0.005)
-    wait = estimate.hedge_delay_s(CONNECT_S)
-    assert wait is not None and DELAY_FACTOR * 0.004 < wait < DELAY_FACTOR * 0.008
+        estimate.record_connected(CONNECT_S if number % 3 < 3 * slow_fraction else 0.005)
+    delay_s = estimate.hedge_delay_s(CONNECT_S)
+    assert delay_s is not None and DELAY_FACTOR * 0.004 < delay_s < DELAY_FACTOR * 0.008
 
 
 def test_the_estimate_recovers_from_connect_times_of_zero() -> None:
@@ -79,25 +79,25 @@
 
 @given(st.lists(st.booleans()))
 def test_hedges_are_at_most_a_share_of_the_connections_that_came_up(events: list[bool]) -> None:
-    budget, spent, came = HedgeBudget(), 0, 0
+    budget, spent, connected = HedgeBudget(), 0, 0
     for came_up in events:
         if came_up:
             budget.deposit()
-            came += 1
+            connected += 1
         else:
             spent += budget.try_withdraw()
-        assert spent <= 1 + DEPOSIT_PER_CONNECT * came and budget.balance <= MAX_BALANCE
+        assert spent <= 1 + DEPOSIT_PER_CONNECT * connected and budget.balance <= MAX_BALANCE
 
 
 # --- sockets ---------------------------------------------------------------------------------------------
 
 
 class GatedLoop(uvloop.Loop):
-    """Lets each connect to a server proceed when the test says so."""
+    """An event loop that holds each connect to the server until the test opens its gate."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.gates: list[asyncio.Future[None]] = []
+        self.connect_gates: list[asyncio.Future[None]] = []
         self.port = 0
 
     async def create_connection(  # type: ignore[override]
@@ -105,262 +105,268 @@
     ) -> Any:
         if port == self.port and factory is not None:
             gate: asyncio.Future[None] = self.create_future()
-            self.gates.append(gate)
+            self.connect_gates.append(gate)
             await gate
         return await super().create_connection(factory, host, port, **more)
 
 
-class Scene:
-    """One server, one pool, one attempt whose connects the test controls."""
+class HedgeRace:
+    """One server, one pool, and one attempt whose connects the test controls."""
 
     def __init__(self, loop: GatedLoop, server: RespPeer, connections: int) -> None:
         self.loop, self.server = loop, server
         self.servers = ServerPools(loop, UpstreamLimits(CONNECT_S, 15.0, 0.25, connections))
         self.servers.activate_server("s0", ("127.0.0.1", server.port), False)
         self.results: list[AttemptResult] = []
-        self.attempt = self.begin()
+        self.attempt = self.start_attempt()
 
     @property
     def pool(self) -> ConnectionPool:
         return self.servers.pools["s0"]
 
-    def begin(self, timeout_s: float = 60.0) -> Any:
-        made = self.servers.create_attempt("s0", lambda left: COMMAND, timeout_s, self.results.append)
-        assert made is not None
-        made.start()
-        return made
+    def start_attempt(self, timeout_s: float = 60.0) -> Any:
+        new_attempt = self.servers.create_attempt("s0", lambda left: COMMAND, timeout_s, self.results.append)
+        assert new_attempt is not None
+        new_attempt.start()
+        return new_attempt
 
-    def let_connect(self, number: int) -> None:
-        self.loop.gates[number].set_result(None)
+    def complete_connect(self, index: int) -> None:
+        self.loop.connect_gates[index].set_result(None)
 
-    def fail(self, number: int) -> None:
-        self.loop.gates[number].set_exception(ConnectionRefusedError())
+    def fail_connect(self, index: int) -> None:
+        self.loop.connect_gates[index].set_exception(ConnectionRefusedError())
 
-    async def second_connect(self) -> None:
-        await until(lambda: len(self.loop.gates) == 2)
+    async def wait_for_hedge(self) -> None:
+        await until(lambda: len(self.loop.connect_gates) == 2)
 
-    async def ended(self, ending: Outcome, calls: int) -> None:
-        """One result, so many commands at the server, no connection leaked."""
+    async def expect_result(self, outcome: Outcome, calls: int) -> None:
+        """Asserts one result, `calls` commands at the server, and no leaked connection."""
         await until(lambda: self.results)
         await until(lambda: not self.servers.connecting)
         await until(lambda: self.servers.connection_count() == len(self.pool.idle))
-        assert [result.outcome for result in self.results] == [ending]
+        assert [result.outcome for result in self.results] == [outcome]
         assert len(self.server.calls()) == calls
 
 
-Act = Callable[[Scene], Awaitable[None]]
+RaceScenario = Callable[[HedgeRace], Awaitable[None]]
 
 
-async def first_with_second(scene: Scene) -> None:
-    """Both come up in one moment: one carries the request, the other is closed unwritten."""
-    scene.let_connect(0)
-    scene.let_connect(1)
-    await scene.ended(Outcome.OK, 1)
-    assert len({number for what, number, _ in scene.server.log if what == "command"}) == 1
+async def both_connect_at_once(race: HedgeRace) -> None:
+    """One carries the request, and nothing is written on the other, which is closed."""
+    race.complete_connect(0)
+    race.complete_connect(1)
+    await race.expect_result(Outcome.OK, 1)
+    assert len({number for what, number, _ in race.server.log if what == "command"}) == 1
 
 
-async def second_first(scene: Scene) -> None:
-    """The second comes up: the first is cancelled, and nothing is written on it later."""
-    scene.let_connect(1)
-    await scene.ended(Outcome.OK, 1)
-    assert scene.loop.gates[0].cancelled()
+async def second_connects_first(race: HedgeRace) -> None:
+    """The first is cancelled, and nothing is written on it later."""
+    race.complete_connect(1)
+    await race.expect_result(Outcome.OK, 1)
+    assert race.loop.connect_gates[0].cancelled()
 
 
-async def first_after_all(scene: Scene) -> None:
-    """The first comes up while the second does: the second is cancelled."""
-    scene.let_connect(0)
-    await scene.ended(Outcome.OK, 1)
-    assert scene.loop.gates[1].cancelled()
+async def first_connects_before_second(race: HedgeRace) -> None:
+    """The second connect is cancelled."""
+    race.complete_connect(0)
+    await race.expect_result(Outcome.OK, 1)
+    assert race.loop.connect_gates[1].cancelled()
 
 
-async def first_fails(scene: Scene) -> None:
-    """The other may yet carry the request."""
-    scene.fail(0)
-    await until(lambda: len(scene.servers.connecting) == 1)
-    assert not scene.results
-    scene.let_connect(1)
-    await scene.ended(Outcome.OK, 1)
+async def first_fails(race: HedgeRace) -> None:
+    """The second connection carries the request."""
+    race.fail_connect(0)
+    await until(lambda: len(race.servers.connecting) == 1)
+    assert not race.results
+    race.complete_connect(1)
+    await race.expect_result(Outcome.OK, 1)
 
 
-async def second_fails(scene: Scene) -> None:
-    """The same the other way round."""
-    scene.fail(1)
-    await until(lambda: len(scene.servers.connecting) == 1)
-    assert not scene.results
-    scene.let_connect(0)
-    await scene.ended(Outcome.OK, 1)
+async def second_fails(race: HedgeRace) -> None:
+    """The first connection carries the request."""
+    race.fail_connect(1)
+    await until(lambda: len(race.servers.connecting) == 1)
+    assert not race.results
+    race.complete_connect(0)
+    await race.expect_result(Outcome.OK, 1)
 
 
-async def both_fail(scene: Scene) -> None:
-    """One result, unreachable, without a timer."""
-    scene.attempt.connect_timer.cancel()
-    scene.fail(0)
-    scene.fail(1)
-    await scene.ended(Outcome.UNREACHABLE, 0)
+async def both_fail(race: HedgeRace) -> None:
+    """The attempt ends as unreachable without waiting for the timeout."""
+    race.attempt.connect_timer.cancel()
+    race.fail_connect(0)
+    race.fail_connect(1)
+    await race.expect_result(Outcome.UNREACHABLE, 0)
 
 
-async def neither_in_time(scene: Scene) -> None:
-    """The timeout counts from the first: a hedge does not extend it."""
-    connect_timer_at = scene.attempt.connect_timer.when()
-    assert connect_timer_at == pytest.approx(scene.attempt.started_at + CONNECT_S, abs=0.005)
-    await scene.ended(Outcome.UNREACHABLE, 0)
-    assert all(gate.cancelled() for gate in scene.loop.gates)
+async def neither_connects_in_time(race: HedgeRace) -> None:
+    """The timeout counts from the first connect: a hedge does not extend it."""
+    connect_timer_at = race.attempt.connect_timer.when()
+    assert connect_timer_at == pytest.approx(race.attempt.started_at + CONNECT_S, abs=0.005)
+    await race.expect_result(Outcome.UNREACHABLE, 0)
+    assert all(gate.cancelled() for gate in race.loop.connect_gates)
 
 
-async def client_disconnects(scene: Scene) -> None:
-    """Both are cancelled."""
-    scene.attempt.stop(Outcome.NOT_SENT)
-    await scene.ended(Outcome.NOT_SENT, 0)
-    assert all(gate.cancelled() for gate in scene.loop.gates)
+async def client_disconnects(race: HedgeRace) -> None:
+    """Both connects are cancelled."""
+    race.attempt.stop(Outcome.NOT_SENT)
+    await race.expect_result(Outcome.NOT_SENT, 0)
+    assert all(gate.cancelled() for gate in race.loop.connect_gates)
 
 
-async def client_disconnects_as_one_comes_up(scene: Scene) -> None:
-    """The connection is up, its task has not resumed yet: nothing is written on it, and it is not counted any
-    more."""
+async def client_disconnects_as_one_connects(race: HedgeRace) -> None:
+    """The client disconnects when a connection is established but its task has not resumed: nothing is
+    written on it, and it is no longer counted."""
 
-    class Trip(set[Connection]):
+    class StoppingSet(set[Connection]):
         def add(self, conn: Connection) -> None:
             super().add(conn)
-            scene.attempt.stop(Outcome.NOT_SENT)
+            race.attempt.stop(Outcome.NOT_SENT)
 
-    scene.pool.open = Trip()
-    scene.let_connect(0)
-    await scene.ended(Outcome.NOT_SENT, 0)
+    race.pool.open = StoppingSet()
+    race.complete_connect(0)
+    await race.expect_result(Outcome.NOT_SENT, 0)
 
 
-async def grace_over(scene: Scene) -> None:
-    """The server drains meanwhile, and its grace ends: nothing is written on what comes up."""
-    scene.pool.stop()
-    scene.pool.stop_at = scene.loop.time() - 0.001
-    scene.let_connect(0)
-    scene.let_connect(1)
-    await scene.ended(Outcome.UNREACHABLE, 0)
+async def drain_grace_ends(race: HedgeRace) -> None:
+    """The server drains and its grace period ends: nothing is written on connections established later."""
+    race.pool.stop()
+    race.pool.stop_at = race.loop.time() - 0.001
+    race.complete_connect(0)
+    race.complete_connect(1)
+    await race.expect_result(Outcome.UNREACHABLE, 0)
 
 
-CROSSINGS: tuple[Act, ...] = (
-    first_with_second, second_first, first_after_all, first_fails, second_fails, both_fail, neither_in_time,
-    client_disconnects, client_disconnects_as_one_comes_up, grace_over,
+RACES: tuple[RaceScenario, ...] = (
+    both_connect_at_once, second_connects_first, first_connects_before_second, first_fails, second_fails,
+    both_fail, neither_connects_in_time, client_disconnects, client_disconnects_as_one_connects,
+    drain_grace_ends,
 )  # fmt: skip
 
 
 @asynccontextmanager
-async def scene(loop: GatedLoop, connections: int = 100) -> AsyncIterator[Scene]:
+async def hedge_race(loop: GatedLoop, connections: int = 100) -> AsyncIterator[HedgeRace]:
     server = RespPeer(always(SERVED))
     await server.start()
     loop.port = server.port
-    made = Scene(loop, server, connections)
+    race = HedgeRace(loop, server, connections)
     try:
-        yield made
+        yield race
     finally:
-        made.servers.close()
+        race.servers.close()
         await server.stop()
 
 
-def run_act(act: Act, connections: int = 100) -> None:
-    """An act on a fresh scene; the limit only keeps a broken test from hanging."""
+def run_race(race_scenario: RaceScenario, connections: int = 100) -> None:
+    """Runs a scenario on a new `HedgeRace`; the timeout only keeps a broken test from hanging."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, GatedLoop)
-        async with scene(loop, connections) as made:
-            await act(made)
+        async with hedge_race(loop, connections) as race:
+            await race_scenario(race)
 
     with asyncio.Runner(loop_factory=GatedLoop) as runner:
         runner.run(asyncio.wait_for(scenario(), 15.0))
 
 
-@pytest.mark.parametrize("act", CROSSINGS, ids=lambda act: act.__name__)
-def test_races_of_a_hedged_connect(act: Act) -> None:
-    async def both(made: Scene) -> None:
-        await made.second_connect()
-        await act(made)
+@pytest.mark.parametrize("race_scenario", RACES, ids=lambda race_scenario: race_scenario.__name__)
+def test_races_of_a_hedged_connect(race_scenario: RaceScenario) -> None:
+    async def wait_and_race(race: HedgeRace) -> None:
+        await race.wait_for_hedge()
+        await race_scenario(race)
 
-    run_act(both)
+    run_race(wait_and_race)
 
 
 def test_no_hedge_beyond_the_connection_limit() -> None:
-    """The connection limit is reached: the attempt waits for its first connect."""
+    """The connection limit is reached, so the attempt waits for its first connect."""
 
-    async def act(made: Scene) -> None:
-        await until(lambda: made.attempt.hedge_timer is None)
-        assert len(made.loop.gates) == 1 and made.servers.connection_count() == 1
-        made.let_connect(0)
-        await made.ended(Outcome.OK, 1)
+    async def race_scenario(race: HedgeRace) -> None:
+        await until(lambda: race.attempt.hedge_timer is None)
+        assert len(race.loop.connect_gates) == 1 and race.servers.connection_count() == 1
+        race.complete_connect(0)
+        await race.expect_result(Outcome.OK, 1)
 
-    run_act(act, connections=1)
+    run_race(race_scenario, connections=1)
 
 
 def test_a_server_to_which_no_connection_comes_up_gets_one_hedge() -> None:
-    """Its hedge is spent; after that only connections that came up earn more."""
+    """Its initial hedge is spent; only established connections earn more."""
 
-    async def act(made: Scene) -> None:
-        await made.second_connect()
+    async def race_scenario(race: HedgeRace) -> None:
+        await race.wait_for_hedge()
         for _ in range(3):
-            await until(lambda: made.results)
-            made.results.clear()
-            asked = len(made.loop.gates)
-            made.attempt = made.begin()
-            await until(lambda: made.results)
-            assert len(made.loop.gates) == asked + 1
-        assert made.servers.hedged_connects == 1
+            await until(lambda: race.results)
+            race.results.clear()
+            connect_count = len(race.loop.connect_gates)
+            race.attempt = race.start_attempt()
+            await until(lambda: race.results)
+            assert len(race.loop.connect_gates) == connect_count + 1
+        assert race.servers.hedged_connects == 1
 
-    run_act(act)
+    run_race(race_scenario)
 
 
 def test_a_draining_server_gets_no_hedge() -> None:
-    """The server drains while the first comes up: it may still carry the request, no other is opened."""
+    """The server drains during the first connect, which may still carry the request; no other is opened."""
 
-    async def act(made: Scene) -> None:
-        made.pool.stop()
-        made.pool.stop_at = math.inf
-        await until(lambda: made.attempt.hedge_timer is None)
-        assert len(made.loop.gates) == 1
-        made.let_connect(0)
-        await made.ended(Outcome.OK, 1)
+    async def race_scenario(race: HedgeRace) -> None:
+        race.pool.stop()
+        race.pool.stop_at = math.inf
+        await until(lambda: race.attempt.hedge_timer is None)
+        assert len(race.loop.connect_gates) == 1
+        race.complete_connect(0)
+        await race.expect_result(Outcome.OK, 1)
 
-    run_act(act)
+    run_race(race_scenario)
 
 
 def test_a_connection_that_became_idle_is_used_instead_of_a_hedge() -> None:
-    """No second connection is opened then."""
+    """The idle connection carries the request, and no second connect is started."""
 
-    async def act(made: Scene) -> None:
-        conn = Connection(made.pool)
-        await uvloop.Loop.create_connection(made.loop, lambda: conn, *made.pool.address)
-        made.pool.give_back(conn)
-        await made.ended(Outcome.OK, 1)
-        assert len(made.loop.gates) == 1 and made.servers.hedged_connects == 0
+    async def race_scenario(race: HedgeRace) -> None:
+        conn = Connection(race.pool)
+        await uvloop.Loop.create_connection(race.loop, lambda: conn, *race.pool.address)
+        race.pool.give_back(conn)
+        await race.expect_result(Outcome.OK, 1)
+        assert len(race.loop.connect_gates) == 1 and race.servers.hedged_connects == 0
 
-    run_act(act)
+    run_race(race_scenario)
 
 
 def test_a_connect_cancelled_before_its_first_step_is_not_counted_forever() -> None:
-    """The client leaves in the turn in which its request came: the task never runs any of its code."""
+    """The client disconnects in the loop iteration of its request, so the connect task never runs."""
 
-    async def act(made: Scene) -> None:
-        made.begin().stop(Outcome.NOT_SENT)
-        await until(lambda: made.loop.gates)
-        made.let_connect(0)
-        await until(lambda: len(made.results) == 2)
-        await until(lambda: not made.servers.connecting)
+    async def race_scenario(race: HedgeRace) -> None:
+        race.start_attempt().stop(Outcome.NOT_SENT)
+        await until(lambda: race.loop.connect_gates)
+        race.complete_connect(0)
+        await until(lambda: len(race.results) == 2)
+        await until(lambda: not race.servers.connecting)
 
-    run_act(act)
+    run_race(race_scenario)
 
 
 def test_clients_that_disconnect_at_once_leak_no_connection() -> None:
-    """More of them than there are connections to servers; then one that waits for its answer gets it."""
+    """There are more such clients than connections to servers; a client that waits is served afterwards."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
-            servers = one.program.servers
+        async with site(always(SERVED), decisions=Script(send_to("s0"))) as gateway_site:
+            servers = gateway_site.program.servers
             for number in range(int(1.5 * servers.max_connections())):
-                with socket.create_connection(("127.0.0.1", one.port)) as client:
+                with socket.create_connection(("127.0.0.1", gateway_site.port)) as client:
                     client.sendall(packed(b"CALL.GET", CUSTOMER, b"%d" % number, GET))
                 if number % 20 == 0:
                     await asyncio.sleep(0)
-            await until(lambda: not one.program.listener.clients and not one.program.gateway.active_requests)
-            asker = await one.client()
-            assert await asker.ask(b"CALL.GET", CUSTOMER, b"last", GET) == b"value"
+            await until(
+                lambda: (
+                    not gateway_site.program.listener.clients
+                    and not gateway_site.program.gateway.active_requests
+                )
+            )
+            waiting_client = await gateway_site.client()
+            assert await waiting_client.ask(b"CALL.GET", CUSTOMER, b"last", GET) == b"value"
             await until(
                 lambda: servers.connection_count() == sum(len(pool.idle) for pool in servers.pools.values())
             )
