--- a/tests/policy/connections/test_pipelining.py
+++ b/tests/policy/connections/test_pipelining.py
@@ -1,4 +1,4 @@
-"""The pipeline scheduler against its invariants, over generated histories, and by examples."""
+"""Tests of the pipeline scheduler: its invariants over generated event sequences, and examples."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 
 def scheduler_with_samples(
-    rules: PipelineRules = RULES, may_follow_unsafe: bool = False, mean_ms: float = 50.0
+    rules: PipelineRules = RULES, follows_non_idempotent: bool = False, mean_ms: float = 50.0
 ) -> PipelineScheduler:
-    """A scheduler with enough samples of each class."""
+    """Returns a scheduler with enough service time samples of each class."""
     scheduler = PipelineScheduler(
-        rules, ClassCompatibility(CLASSES.values(), ("read", "order"), may_follow_unsafe)
+        rules, ClassCompatibility(CLASSES.values(), ("read", "order"), follows_non_idempotent)
     )
     for name in CLASSES:
         for share in range(100):
@@ -48,40 +48,51 @@
     return scheduler
 
 
-def request_of(
-    now: float, name: str = "read", timeout: float = 900.0, left: float = 2000.0, again: bool = True
+def make_request(
+    now: float,
+    name: str = "read",
+    timeout_ms: float = 900.0,
+    time_left_ms: float = 2000.0,
+    may_retry: bool = True,
 ) -> PlacementRequest:
     return placement_request(
-        CLASSES[name], 50.0, now, now + min(timeout, left), now, now + left, math.inf, again
+        CLASSES[name],
+        50.0,
+        now,
+        now + min(timeout_ms, time_left_ms),
+        now,
+        now + time_left_ms,
+        math.inf,
+        may_retry,
     )
 
 
-def yes() -> bool:
+def can_open() -> bool:
     return True
 
 
-def no() -> bool:
+def cannot_open() -> bool:
     return False
 
 
 @dataclass
 class InFlight:
-    """An attempt, in the test's model."""
+    """An attempt in the model of the test."""
 
     request: PlacementRequest
     connection_id: int
-    bound: float
-    unsafe: bool
+    hold_bound_ms: float
+    is_non_idempotent: bool
 
 
 class SchedulerMachine(RuleBasedStateMachine):
-    """Attempts are placed, connections come up, answer, stall, break, drain; the invariants hold at each
-    step."""
+    """Attempts are placed while connections are established, answer, stall, break and drain; the invariants
+    hold at each step."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        self.serial = 0
+        self.last_attempt_id = 0
         self.pipeline_rules = RULES
         self.in_flight: dict[int, InFlight] = {}
         self.connections: dict[int, list[int]] = {}
@@ -89,20 +100,20 @@
         self.finished: set[int] = set()
 
     @initialize(depth=st.integers(2, 6), max_queued=st.integers(1, 8), may_hedge=st.booleans(),
-                may_follow_unsafe=st.booleans(), settle=st.sampled_from([0.0, 30.0]))  # fmt: skip
+                follows_non_idempotent=st.booleans(), settle=st.sampled_from([0.0, 30.0]))  # fmt: skip
     def begin(
-        self, depth: int, max_queued: int, may_hedge: bool, may_follow_unsafe: bool, settle: float
+        self, depth: int, max_queued: int, may_hedge: bool, follows_non_idempotent: bool, settle: float
     ) -> None:
         self.pipeline_rules = PipelineRules(
             max_depth=depth, max_queued_per_server=max_queued, may_hedge=may_hedge, settle_ms=settle
         )
-        self.scheduler = scheduler_with_samples(self.pipeline_rules, may_follow_unsafe)
+        self.scheduler = scheduler_with_samples(self.pipeline_rules, follows_non_idempotent)
         for name in ("n", "m"):
-            for _ in range(100):  # queued attempts are answered in time
+            for _ in range(100):  # replies to queued attempts in time raise the depth limit
                 self.scheduler.server(name).depth_limit.on_reply(0.8, True)
 
     def finish(self, attempt_id: int) -> None:
-        assert attempt_id not in self.finished, "finished twice"
+        assert attempt_id not in self.finished, "the attempt ended twice"
         self.finished.add(attempt_id)
         del self.in_flight[attempt_id]
 
@@ -113,15 +124,24 @@
         self.scheduler.on_closed(connection_id, has_failed)
 
     @rule(name=st.sampled_from(["read", "read", "order", "charge"]), server=st.sampled_from("nm"),
-          timeout=st.integers(60, 900), left=st.integers(60, 3000), again=st.booleans(),
+          timeout_ms=st.integers(60, 900), time_left_ms=st.integers(60, 3000), may_retry=st.booleans(),
           may_open=st.booleans(), count=st.integers(1, 6))  # fmt: skip
     def place(
-        self, name: str, server: str, timeout: int, left: int, again: bool, may_open: bool, count: int
+        self,
+        name: str,
+        server: str,
+        timeout_ms: int,
+        time_left_ms: int,
+        may_retry: bool,
+        may_open: bool,
+        count: int,
     ) -> None:
         for _ in range(count):
-            self.serial += 1
-            wanted = request_of(self.now, name, float(timeout), float(left), again)
-            found = self.scheduler.place(self.now, server, self.serial, wanted, yes if may_open else no)
+            self.last_attempt_id += 1
+            new_request = make_request(self.now, name, float(timeout_ms), float(time_left_ms), may_retry)
+            found = self.scheduler.place(
+                self.now, server, self.last_attempt_id, new_request, can_open if may_open else cannot_open
+            )
             if found.kind in (PlacementKind.WAIT, PlacementKind.NONE):
                 assert (
                     found.kind is PlacementKind.NONE
@@ -133,19 +153,23 @@
                 self.connections[found.connection_id] = []
                 self.opening.add(found.connection_id)
             ahead_ids = self.connections[found.connection_id]
-            unsafe = name == "charge"
+            is_non_idempotent = name == "charge"
             if ahead_ids:
                 assert found.kind is PlacementKind.JOIN
-                assert not unsafe and again, "queued where an abort leaves its outcome unknown"
-                assert found.until_ms <= wanted.retry_by_ms and found.until_ms <= wanted.expires_at_ms
+                assert not is_non_idempotent and may_retry, "an attempt that may not be retried was queued"
+                assert (
+                    found.until_ms <= new_request.retry_by_ms and found.until_ms <= new_request.expires_at_ms
+                )
                 ahead = [self.in_flight[attempt_id] for attempt_id in ahead_ids]
                 assert self.scheduler.compatibility.may_follow_non_idempotent or not any(
-                    one.unsafe for one in ahead
+                    in_flight_attempt.is_non_idempotent for in_flight_attempt in ahead
                 )
             assert found.describe(self.now)
-            bound = found.until_ms if ahead_ids else math.inf
-            ahead_ids.append(self.serial)
-            self.in_flight[self.serial] = InFlight(wanted, found.connection_id, bound, unsafe)
+            hold_bound_ms = found.until_ms if ahead_ids else math.inf
+            ahead_ids.append(self.last_attempt_id)
+            self.in_flight[self.last_attempt_id] = InFlight(
+                new_request, found.connection_id, hold_bound_ms, is_non_idempotent
+            )
 
     @precondition(lambda self: self.opening)
     @rule(data=st.data(), comes_up=st.booleans())
@@ -174,7 +198,7 @@
     @precondition(lambda self: any(len(attempt_ids) > 1 for attempt_ids in self.connections.values()))
     @rule(data=st.data())
     def withdraw(self, data: Any) -> None:
-        """One is withdrawn before it was written."""
+        """The last attempt of a connection is withdrawn before it is written."""
         connection_id = data.draw(
             st.sampled_from(sorted(n for n, attempt_ids in self.connections.items() if len(attempt_ids) > 1))
         )
@@ -184,62 +208,69 @@
 
     @rule(
         server=st.sampled_from("nm"),
-        what=st.sampled_from(["on_server_started", "on_server_draining", "on_server_removed"]),
+        event=st.sampled_from(["on_server_started", "on_server_draining", "on_server_removed"]),
     )
-    def membership(self, server: str, what: str) -> None:
-        if self.serial % 5 == 0:
-            getattr(self.scheduler, what)(server)
-            if what == "on_server_draining" and server in self.scheduler.servers:
+    def membership(self, server: str, event: str) -> None:
+        if self.last_attempt_id % 5 == 0:
+            getattr(self.scheduler, event)(server)
+            if event == "on_server_draining" and server in self.scheduler.servers:
                 assert (
-                    self.scheduler.place(self.now, server, 10**9, request_of(self.now), yes).kind
+                    self.scheduler.place(self.now, server, 10**9, make_request(self.now), can_open).kind
                     is PlacementKind.NONE
                 )
 
     @rule(ms=st.sampled_from([0.2, 3.0, 25.0, 120.0, 500.0]))
     def time_passes(self, ms: float) -> None:
-        """Time passes as it does for a gateway: timers fire a little late."""
-        end = self.now + ms
+        """Advances the time and runs timers in order, a little late as in a gateway."""
+        end_ms = self.now + ms
         while True:
-            times_up = min((one.request.expires_at_ms for one in self.in_flight.values()), default=math.inf)
+            next_expiry_ms = min(
+                (in_flight_attempt.request.expires_at_ms for in_flight_attempt in self.in_flight.values()),
+                default=math.inf,
+            )
             check = self.scheduler.next_check_ms()
-            due = min(times_up, check)
-            if due > end:
+            next_timer_ms = min(next_expiry_ms, check)
+            if next_timer_ms > end_ms:
                 break
-            self.now = max(self.now, due)
-            if check <= times_up:
+            self.now = max(self.now, next_timer_ms)
+            if check <= next_expiry_ms:
                 self.run_checks()
                 if self.scheduler.next_check_ms() <= check:
-                    self.now += 0.5  # a head that may not be aborted yet: the timer is coarse
+                    self.now += 0.5  # the head may not be aborted yet; the timer is coarse
                 continue
             attempt_id = next(
                 attempt_id
-                for attempt_id, one in self.in_flight.items()
-                if one.request.expires_at_ms <= times_up
+                for attempt_id, in_flight_attempt in self.in_flight.items()
+                if in_flight_attempt.request.expires_at_ms <= next_expiry_ms
             )
             connection_id = self.in_flight[attempt_id].connection_id
-            assert self.connections[connection_id][0] == attempt_id, "timed out behind another"
+            assert self.connections[connection_id][0] == attempt_id, "an attempt timed out behind another"
             self.close(connection_id, True)
-        self.now = end
+        self.now = end_ms
 
     def run_checks(self) -> None:
         for action in self.scheduler.check(self.now):
             if isinstance(action, AbortConnection):
                 head = self.in_flight[self.connections[action.connection_id][0]]
                 assert self.connections[action.connection_id][0] == action.head_id
-                assert not head.unsafe and self.now <= head.request.retry_by_ms + 3.0
+                assert not head.is_non_idempotent and self.now <= head.request.retry_by_ms + 3.0
                 for attempt_id in self.connections[action.connection_id][1:]:
                     assert self.now <= self.in_flight[attempt_id].request.retry_by_ms + 1.0, (
-                        "aborted too late to be retried"
+                        "a queued attempt was aborted too late to be retried"
                     )
                 self.close(action.connection_id, True)
             elif isinstance(action, HedgeAttempt):
-                assert self.pipeline_rules.may_hedge and not self.in_flight[action.attempt_id].unsafe
+                assert (
+                    self.pipeline_rules.may_hedge and not self.in_flight[action.attempt_id].is_non_idempotent
+                )
             else:
                 assert isinstance(action, StopJoining)
-                later = self.scheduler.chooser.joinable(
-                    self.now, self.scheduler.connections[action.connection_id].server, request_of(self.now)
+                joinable_connections = self.scheduler.chooser.joinable(
+                    self.now, self.scheduler.connections[action.connection_id].server, make_request(self.now)
                 )
-                assert action.connection_id not in [connection.connection_id for connection, _ in later]
+                assert action.connection_id not in [
+                    connection.connection_id for connection, _ in joinable_connections
+                ]
 
     @invariant()
     def invariants_hold(self) -> None:
@@ -253,7 +284,9 @@
             name = connection.server.name
             queued[name] = queued.get(name, 0) + max(0, len(attempt_ids) - 1)
             for attempt_id in attempt_ids[1:]:
-                assert self.now <= self.in_flight[attempt_id].bound + 1.0, "queued past its hold bound"
+                assert self.now <= self.in_flight[attempt_id].hold_bound_ms + 1.0, (
+                    "an attempt was still queued after its hold bound"
+                )
         assert len(self.scheduler.connections) == len(self.connections)
         shared = {n for n, attempt_ids in self.connections.items() if len(attempt_ids) > 1}
         assert {
@@ -277,101 +310,105 @@
 # --- placement -----------------------------------------------------------------------------------
 
 
-def opened(
+def open_connection(
     scheduler: PipelineScheduler,
     now: float,
     attempt_id: int,
-    wanted: PlacementRequest,
-    up_after: float = 20.0,
+    new_request: PlacementRequest,
+    connect_time_ms: float = 20.0,
 ) -> int:
-    """A connection with this attempt only."""
-    found = scheduler.place(now, "n", attempt_id, wanted, yes)
+    """Opens a connection for this attempt and returns its id."""
+    found = scheduler.place(now, "n", attempt_id, new_request, can_open)
     assert found.kind is PlacementKind.OPEN
-    scheduler.on_connected(now + up_after, found.connection_id)
+    scheduler.on_connected(now + connect_time_ms, found.connection_id)
     return found.connection_id
 
 
 def test_connections_are_not_shared_without_samples() -> None:
     scheduler = PipelineScheduler(RULES, ClassCompatibility(CLASSES.values(), ("read",)))
-    connection_id = opened(scheduler, 0.0, 1, request_of(0.0))
-    assert scheduler.place(30.0, "n", 2, request_of(30.0), yes).kind is PlacementKind.OPEN
+    connection_id = open_connection(scheduler, 0.0, 1, make_request(0.0))
+    assert scheduler.place(30.0, "n", 2, make_request(30.0), can_open).kind is PlacementKind.OPEN
     assert scheduler.on_reply(60.0, connection_id) == 1
-    found = scheduler.place(61.0, "n", 3, request_of(61.0), yes)
-    assert found.kind is PlacementKind.IDLE and found.connection_id == connection_id  # the most recently used
+    found = scheduler.place(61.0, "n", 3, make_request(61.0), can_open)
+    assert found.kind is PlacementKind.IDLE and found.connection_id == connection_id
 
 
 def test_a_connection_is_shared_where_opening_one_costs_more() -> None:
-    """The head is expected to take 8 ms more: less than 80 ms for a connect, but more than 1."""
-    for connect, how in ((80.0, PlacementKind.JOIN), (1.0, PlacementKind.OPEN)):
+    """The head is expected to take another 8 ms: less than a connect of 80 ms, but more than one of 1 ms."""
+    for server_connect_ms, expected_kind in ((80.0, PlacementKind.JOIN), (1.0, PlacementKind.OPEN)):
         scheduler = scheduler_with_samples()
-        opened(scheduler, 0.0, 1, request_of(0.0))
-        scheduler.server("n").connect_ms = connect
-        found = scheduler.place(22.0, "n", 2, request_of(22.0), yes)
-        assert found.kind is how, found
+        open_connection(scheduler, 0.0, 1, make_request(0.0))
+        scheduler.server("n").connect_ms = server_connect_ms
+        found = scheduler.place(22.0, "n", 2, make_request(22.0), can_open)
+        assert found.kind is expected_kind, found
         assert "worse by" in found.describe(22.0)
 
 
 def test_nothing_joins_behind_a_stalled_head_or_one_that_takes_too_long() -> None:
     scheduler = scheduler_with_samples()
-    opened(scheduler, 0.0, 1, request_of(0.0))
+    open_connection(scheduler, 0.0, 1, make_request(0.0))
     scheduler.server("n").connect_ms = 500.0
-    assert scheduler.place(50.0, "n", 2, request_of(50.0), no).kind is PlacementKind.JOIN
-    # The head takes 50 ms usually, 75 at most.
-    assert scheduler.place(400.0, "n", 3, request_of(400.0), no).kind is PlacementKind.WAIT
-    brief = request_of(60.0, left=90.0)  # the head counts as stalled only after 170 ms
-    assert scheduler.place(60.0, "n", 4, brief, no).kind is PlacementKind.WAIT
+    assert scheduler.place(50.0, "n", 2, make_request(50.0), cannot_open).kind is PlacementKind.JOIN
+    # The head takes 50 ms on average, and 75 ms at most.
+    assert scheduler.place(400.0, "n", 3, make_request(400.0), cannot_open).kind is PlacementKind.WAIT
+    brief = make_request(60.0, time_left_ms=90.0)  # the head counts as stalled only after 170 ms
+    assert scheduler.place(60.0, "n", 4, brief, cannot_open).kind is PlacementKind.WAIT
 
 
 @pytest.mark.parametrize(
-    ("ahead", "behind", "again", "joins"),
+    ("ahead", "behind", "may_retry", "joins"),
     [
         ("read", "read", True, True), ("read", "order", True, True), ("order", "read", True, True),
         ("order", "order", True, True), ("read", "read", False, False), ("read", "charge", True, False),
         ("charge", "read", True, False), ("charge", "charge", True, False), ("charge", "order", True, False),
     ],
 )  # fmt: skip
-def test_which_class_may_be_queued_behind_which(ahead: str, behind: str, again: bool, joins: bool) -> None:
+def test_which_class_may_be_queued_behind_which(
+    ahead: str, behind: str, may_retry: bool, joins: bool
+) -> None:
     scheduler = scheduler_with_samples()
-    opened(scheduler, 0.0, 1, request_of(0.0, ahead))
+    open_connection(scheduler, 0.0, 1, make_request(0.0, ahead))
     scheduler.server("n").connect_ms = 500.0
-    found = scheduler.place(40.0, "n", 2, request_of(40.0, behind, again=again), no)
+    found = scheduler.place(40.0, "n", 2, make_request(40.0, behind, may_retry=may_retry), cannot_open)
     assert (found.kind is PlacementKind.JOIN) is joins, found
 
 
 def test_behind_a_non_idempotent_head_only_what_can_wait_for_its_timeout() -> None:
-    scheduler = scheduler_with_samples(may_follow_unsafe=True)
-    opened(scheduler, 0.0, 1, request_of(0.0, "charge", timeout=300.0, left=300.0))
-    assert scheduler.place(40.0, "n", 2, request_of(40.0), no).kind is PlacementKind.JOIN
-    assert scheduler.place(40.0, "n", 3, request_of(40.0, left=200.0), no).kind is PlacementKind.WAIT
-    assert not any(
-        isinstance(action, AbortConnection) for action in scheduler.check(290.0)
-    )  # it is never aborted for others
+    scheduler = scheduler_with_samples(follows_non_idempotent=True)
+    open_connection(scheduler, 0.0, 1, make_request(0.0, "charge", timeout_ms=300.0, time_left_ms=300.0))
+    assert scheduler.place(40.0, "n", 2, make_request(40.0), cannot_open).kind is PlacementKind.JOIN
+    assert (
+        scheduler.place(40.0, "n", 3, make_request(40.0, time_left_ms=200.0), cannot_open).kind
+        is PlacementKind.WAIT
+    )
+    # A non-idempotent head is never aborted for others.
+    assert not any(isinstance(action, AbortConnection) for action in scheduler.check(290.0))
 
 
 def test_a_keyed_attempt_does_not_join_what_may_outlast_its_idempotency_window() -> None:
-    """The window is 800 ms: it must not be queued behind a head that may take longer."""
+    """With a window of 800 ms it must not be queued behind a head that may take longer."""
     for stall_factor, joins in ((4.0, True), (20.0, False)):
         scheduler = scheduler_with_samples(RULES._replace(stall_factor=stall_factor))
-        opened(scheduler, 0.0, 1, request_of(0.0, timeout=2000.0))
-        found = scheduler.place(40.0, "n", 2, request_of(40.0, "order", timeout=1400.0), no)
+        open_connection(scheduler, 0.0, 1, make_request(0.0, timeout_ms=2000.0))
+        found = scheduler.place(40.0, "n", 2, make_request(40.0, "order", timeout_ms=1400.0), cannot_open)
         assert (found.kind is PlacementKind.JOIN) is joins
 
 
 def test_a_stalled_head_is_aborted_at_once_within_the_budget_else_at_the_bound() -> None:
     for budget in (16.0, 0.0):
         scheduler = scheduler_with_samples()
-        connection_id = opened(scheduler, 0.0, 1, request_of(0.0))
+        connection_id = open_connection(scheduler, 0.0, 1, make_request(0.0))
         scheduler.server("n").connect_ms = 500.0
-        held = scheduler.place(40.0, "n", 2, request_of(40.0), no)
+        placement = scheduler.place(40.0, "n", 2, make_request(40.0), cannot_open)
         scheduler.abort_balance = budget
-        stalls = scheduler.next_check_ms()
-        assert 20.0 + 100.0 < stalls <= held.until_ms
-        found = scheduler.check(stalls)
+        stalls_at_ms = scheduler.next_check_ms()
+        assert 20.0 + 100.0 < stalls_at_ms <= placement.until_ms
+        found = scheduler.check(stalls_at_ms)
         assert found[0] == StopJoining(connection_id, 1)
         if budget:
             assert found[1:] == [AbortConnection(connection_id, 1, AbortReason.STALL)]
         else:
-            assert len(found) == 1 and stalls < scheduler.next_check_ms() <= held.until_ms
+            assert len(found) == 1 and stalls_at_ms < scheduler.next_check_ms() <= placement.until_ms
             assert scheduler.check(scheduler.next_check_ms()) == [
                 AbortConnection(connection_id, 1, AbortReason.HOLD_BOUND)
             ]
@@ -379,26 +416,28 @@
 
 def test_nothing_joins_the_stalled_one_of_two_connections() -> None:
     scheduler = scheduler_with_samples()
-    first = opened(scheduler, 0.0, 1, request_of(0.0))
+    first = open_connection(scheduler, 0.0, 1, make_request(0.0))
     scheduler.server("n").connect_ms = 0.1
-    second = opened(scheduler, 215.0, 2, request_of(215.0), up_after=0.1)
+    second = open_connection(scheduler, 215.0, 2, make_request(215.0), connect_time_ms=0.1)
     scheduler.server("n").connect_ms = 500.0
     assert {
-        scheduler.place(290.0, "n", attempt_id, request_of(290.0), no).connection_id
+        scheduler.place(290.0, "n", attempt_id, make_request(290.0), cannot_open).connection_id
         for attempt_id in (3, 4, 5)
     } == {second}
-    assert (
-        scheduler.place(290.0, "n", 6, request_of(290.0), no).kind is PlacementKind.WAIT
-    )  # not even where that is full
+    # Not even when the other connection is full.
+    assert scheduler.place(290.0, "n", 6, make_request(290.0), cannot_open).kind is PlacementKind.WAIT
     assert scheduler.on_reply(291.0, first) == 1
-    assert scheduler.place(291.0, "n", 7, request_of(291.0), no).connection_id == first
+    assert scheduler.place(291.0, "n", 7, make_request(291.0), cannot_open).connection_id == first
 
 
 def test_where_hedging_is_allowed_queued_attempts_are_hedged_and_the_connection_stays() -> None:
     scheduler = scheduler_with_samples(RULES._replace(may_hedge=True, stall_factor=1.5))
-    connection_id = opened(scheduler, 0.0, 1, request_of(0.0))
+    connection_id = open_connection(scheduler, 0.0, 1, make_request(0.0))
     for attempt_id in (2, 3):
-        assert scheduler.place(21.0, "n", attempt_id, request_of(21.0), no).connection_id == connection_id
+        assert (
+            scheduler.place(21.0, "n", attempt_id, make_request(21.0), cannot_open).connection_id
+            == connection_id
+        )
     assert scheduler.check(scheduler.next_check_ms()) == [
         StopJoining(connection_id, 1),
         HedgeAttempt(2),
@@ -409,26 +448,26 @@
     ]
 
 
-def test_a_thousand_at_once_stay_within_every_limit() -> None:
+def test_a_thousand_concurrent_attempts_stay_within_all_limits() -> None:
     scheduler = scheduler_with_samples(RULES._replace(max_queued_per_server=12))
     scheduler.server("n").depth_limit.limit = 4.0
     scheduler.server("n").connect_ms = 400.0
-    hows = []
+    placed_kinds = []
     for attempt_id in range(1000):
-        hows.append(
+        placed_kinds.append(
             scheduler.place(
-                0.0, "n", attempt_id, request_of(0.0), lambda: len(scheduler.connections) < 20
+                0.0, "n", attempt_id, make_request(0.0), lambda: len(scheduler.connections) < 20
             ).kind
         )
-    assert hows.count(PlacementKind.OPEN) <= 20 and hows.count(PlacementKind.JOIN) == 12
-    assert set(hows[40:]) == {PlacementKind.WAIT}
+    assert placed_kinds.count(PlacementKind.OPEN) <= 20 and placed_kinds.count(PlacementKind.JOIN) == 12
+    assert set(placed_kinds[40:]) == {PlacementKind.WAIT}
 
 
 def test_connections_to_a_new_process_are_not_shared() -> None:
     scheduler = scheduler_with_samples()
     scheduler.on_server_started("n")
-    opened(scheduler, 0.0, 1, request_of(0.0))
-    assert scheduler.place(40.0, "n", 2, request_of(40.0), no).kind is PlacementKind.WAIT
+    open_connection(scheduler, 0.0, 1, make_request(0.0))
+    assert scheduler.place(40.0, "n", 2, make_request(40.0), cannot_open).kind is PlacementKind.WAIT
 
 
 # --- estimates ------------------------------------------------------------------------------------
@@ -449,7 +488,7 @@
 
 
 def test_censored_samples_do_not_lengthen_the_estimate() -> None:
-    """Half of the replies come right behind another after 400 ms: their own 20 ms are found all the same."""
+    """Half of the replies come right behind another after 400 ms; the estimate stays at their own 20 ms."""
     times = LatencyHistogram()
     for _ in range(200):
         times.add(0.0, 20.0)
@@ -473,7 +512,7 @@
     assert times.quantile("read", "slow", 0.5) > 1.5 * times.quantile("read", "quick", 0.5)
     times.forget_server("slow")
     assert times.relative_latency("slow") == 1.0
-    assert times.probability_within("read", "quick", 100.0, age_ms=1e6) < 0.01  # older than all that was seen
+    assert times.probability_within("read", "quick", 100.0, age_ms=1e6) < 0.01  # older than all samples
 
 
 @pytest.mark.parametrize(("ratio", "low", "high"), [(0.9, 7.9, 8.0), (3.0, 1.0, 1.6), (1.4, 7.9, 8.0)])
@@ -484,7 +523,7 @@
     assert low <= depth.limit <= high
 
 
-def test_the_depth_limit_recovers_by_healthy_replies_of_unqueued_attempts() -> None:
+def test_the_depth_limit_recovers_on_healthy_replies_to_attempts_that_were_not_queued() -> None:
     depth = DepthLimit(8)
     for _ in range(10):
         depth.on_failure()
@@ -494,7 +533,7 @@
     assert depth.attempts() == 2
     for _ in range(10 * SAMPLES_PER_UPDATE):
         depth.on_reply(9.0, False)
-    assert depth.attempts() == 2  # late replies raise nothing
+    assert depth.attempts() == 2  # late replies do not raise the limit
 
 
 def test_class_compatibility() -> None:
