--- a/tests/policy/connections/test_response_order.py
+++ b/tests/policy/connections/test_response_order.py
@@ -1,4 +1,4 @@
-"""Which unfinished requests are abandoned for finished replies behind them, and which never are."""
+"""Tests of which unfinished requests are abandoned for finished replies behind them."""
 
 from __future__ import annotations
 
@@ -14,39 +14,44 @@
 from tests.loopback import CHARGE, CUSTOMER, Script, play, send_to, until
 from tests.upstreams.test_pipelined_servers import ScriptedServer, burst, change_rules, pipelined_site, value
 
-MARGIN = 0.02
-AHEAD_S = 0.2  # from the last answer to the moment at which what keeps it is given up
+MARGIN_S = 0.02
+CHECK_DELAY_S = 0.2  # time from the last reply to the check that abandons what blocks it
 
 
-def order(text: str, **deadline_s: float) -> list[PendingReply]:
-    """`s`: an unfinished read, `u`: an unfinished charge, others: a finished one with this deadline
-    (0.01)."""
-    open_ones = {"s": PendingReply(9.0, False, True), "u": PendingReply(9.0, False, False)}
-    return [open_ones.get(one) or PendingReply(deadline_s.get(one, 0.01), True, False) for one in text]
+def order(letters: str, **deadline_s: float) -> list[PendingReply]:
+    """Builds pending replies: `s` is an unfinished read, `u` an unfinished charge, and any other letter a
+    finished reply with its deadline in `deadline_s`, by default 0.01."""
+    unfinished = {"s": PendingReply(9.0, False, True), "u": PendingReply(9.0, False, False)}
+    return [
+        unfinished.get(letter) or PendingReply(deadline_s.get(letter, 0.01), True, False)
+        for letter in letters
+    ]
 
 
 @pytest.mark.parametrize(
-    ("text", "due", "expected"),
+    ("letters", "deadlines_s", "expected"),
     [
         ("", {}, ReleaseDecision(0, math.inf)),
         ("s", {}, ReleaseDecision(0, math.inf)),
-        ("ab", {}, ReleaseDecision(0, math.inf)),  # they go out by themselves
-        ("sa", {}, ReleaseDecision(0, math.inf)),  # one for one is no gain
+        ("ab", {}, ReleaseDecision(0, math.inf)),  # nothing blocks them
+        ("sa", {}, ReleaseDecision(0, math.inf)),  # one reply for one request is no gain
         ("sab", {}, ReleaseDecision(3, math.inf)),
-        ("usab", {}, ReleaseDecision(0, math.inf)),  # a charge is never given up, nor what is behind it
+        ("usab", {}, ReleaseDecision(0, math.inf)),  # a charge is never abandoned, nor anything behind it
         ("sabuss", {}, ReleaseDecision(3, math.inf)),
         ("ssab", {}, ReleaseDecision(0, math.inf)),
         ("ssabc", {}, ReleaseDecision(5, math.inf)),
-        ("sabsc", {}, ReleaseDecision(3, math.inf)),  # the second is not worth one more
+        ("sabsc", {}, ReleaseDecision(3, math.inf)),  # abandoning the second gains only one more reply
         ("sabscde", {}, ReleaseDecision(7, math.inf)),
         ("sab", {"b": 0.5}, ReleaseDecision(0, 0.48)),  # not urgent yet
         ("sabc", {"c": 0.5}, ReleaseDecision(3, 0.48)),
-        ("sab", {"a": -1.0, "b": 0.0}, ReleaseDecision(0, math.inf)),  # late already: nothing is gained
-        ("sab", {"a": math.inf}, ReleaseDecision(0, math.inf)),  # a PING waits for ever
+        ("sab", {"a": -1.0, "b": 0.0}, ReleaseDecision(0, math.inf)),  # too late to gain anything
+        ("sab", {"a": math.inf}, ReleaseDecision(0, math.inf)),  # a PING has no deadline
     ],
 )
-def test_which_requests_are_abandoned(text: str, due: dict[str, float], expected: ReleaseDecision) -> None:
-    found = decide_release(0.0, order(text, **due), MARGIN)
+def test_which_requests_are_abandoned(
+    letters: str, deadlines_s: dict[str, float], expected: ReleaseDecision
+) -> None:
+    found = decide_release(0.0, order(letters, **deadlines_s), MARGIN_S)
     assert found.release_count == expected.release_count and found.next_check_s == pytest.approx(
         expected.next_check_s
     )
@@ -54,14 +59,18 @@
 
 @given(st.lists(st.builds(PendingReply, st.floats(-1, 2), st.booleans(), st.booleans()), max_size=40))
 @settings(derandomize=True, deadline=None)
-def test_more_replies_gain_than_requests_are_abandoned(rows: list[PendingReply]) -> None:
-    found = decide_release(0.0, rows, MARGIN)
-    taken = rows[: found.release_count]
-    given_up = [row for row in taken if not row.is_finished]
-    assert all(row.may_fail for row in given_up)
-    first = next((at for at, row in enumerate(taken) if not row.is_finished), 0)
-    gain = [row for row in taken[first:] if row.is_finished and 0.0 < row.deadline_s <= MARGIN]
-    assert not found.release_count or len(gain) > len(given_up) > 0
+def test_more_replies_are_delivered_in_time_than_requests_are_abandoned(
+    pending_replies: list[PendingReply],
+) -> None:
+    found = decide_release(0.0, pending_replies, MARGIN_S)
+    released = pending_replies[: found.release_count]
+    abandoned = [reply for reply in released if not reply.is_finished]
+    assert all(reply.may_fail for reply in abandoned)
+    first = next((at for at, reply in enumerate(released) if not reply.is_finished), 0)
+    delivered = [
+        reply for reply in released[first:] if reply.is_finished and 0.0 < reply.deadline_s <= MARGIN_S
+    ]
+    assert not found.release_count or len(delivered) > len(abandoned) > 0
     assert found.next_check_s > 0.0
 
 
@@ -69,95 +78,110 @@
 def test_64_reads_on_one_connection_behind_a_stalled_one(
     release: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first stalls; the others are done long before it. Where that is asked for, the first is failed in
-    time for them, and not before one's time is nearly up; else they go out once it ends.
+    """The first read stalls and the others finish long before it. If `release` is enabled, the first fails in
+    time for the others, but not before one of them is close to its deadline; otherwise they are delivered
+    when the first one ends.
 
-    The margin is set once all but one are done, so that it is reached `AHEAD_S` later: the deadlines are far
-    beyond any stall of the machine, and the order of what happens is the test's."""
+    The margin is set when all but one are finished, so that it is reached `CHECK_DELAY_S` later. The
+    deadlines are far longer than any stall of the machine, so the test controls the order of events."""
 
     async def scenario() -> None:
-        book, stall_ends = ScriptedServer(), asyncio.Event()
+        server, stall_ends = ScriptedServer(), asyncio.Event()
         operator = (
             f'[pipeline]\nclasses = ["read"]\nleast_stall_ms = 20000\nrelease = {str(release).lower()}\n'
         )
-        async with pipelined_site(book, decisions=Script(send_to("s0")), operator=operator) as (
-            one,
+        async with pipelined_site(server, decisions=Script(send_to("s0")), operator=operator) as (
+            gateway_site,
             upstream,
         ):
-            change_rules(upstream, max_depth=1)  # each alone: only the client waits
-            client = await one.client()
+            # One attempt per connection, so that only the replies to the client are blocked.
+            change_rules(upstream, max_depth=1)
+            client = await gateway_site.client()
             loop = asyncio.get_running_loop()
-            slow, quick = b"c=read,t=basic,d=20000", b"c=read,t=basic,d=10000"
-            words = [(b"CALL.GET", CUSTOMER, b"%d" % n, quick if n else slow) for n in range(64)]
-            await burst(client, *words)
-            await until(lambda: len(book.ran) == 64)
-            where = {ran[2]: number for number, ran in book.ran}
-            assert len(where) == len(set(where.values())) == 64  # all at the node at once, each alone
-            (connection,) = one.program.listener.clients
+            slow_parameters, quick_parameters = b"c=read,t=basic,d=20000", b"c=read,t=basic,d=10000"
+            commands = [
+                (b"CALL.GET", CUSTOMER, b"%d" % n, quick_parameters if n else slow_parameters)
+                for n in range(64)
+            ]
+            await burst(client, *commands)
+            await until(lambda: len(server.ran) == 64)
+            command_numbers = {ran[2]: number for number, ran in server.ran}
+            # All are at the server concurrently, each on its own connection.
+            assert len(command_numbers) == len(set(command_numbers.values())) == 64
+            (connection,) = gateway_site.program.listener.clients
             for n in range(1, 63):
-                book.send(value(b"v%d" % n), where[b"%d" % n])
+                server.send(value(b"v%d" % n), command_numbers[b"%d" % n])
             await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 62)
-            due = min(slot.deadline for slot in connection.slots if slot.reply is not None)
-            look = loop.time() + AHEAD_S
-            monkeypatch.setattr(listener_module, "RELEASE_MARGIN_S", due - look)
-            book.send(value(b"v63"), where[b"63"])
+            first_deadline = min(slot.deadline for slot in connection.slots if slot.reply is not None)
+            check_at = loop.time() + CHECK_DELAY_S
+            monkeypatch.setattr(listener_module, "RELEASE_MARGIN_S", first_deadline - check_at)
+            server.send(value(b"v63"), command_numbers[b"63"])
             await until(lambda: not connection.slots or connection.slots[-1].reply is not None)
 
-            async def ends() -> None:
-                await asyncio.sleep(2.0 * AHEAD_S)
+            async def end_stall() -> None:
+                await asyncio.sleep(2.0 * CHECK_DELAY_S)
                 stall_ends.set()
                 assert len(connection.slots) == 64 and not client.reader._buffer  # type: ignore[attr-defined]
-                book.send(b"-ERR gave up\r\n", where[b"0"])
+                server.send(b"-ERR gave up\r\n", command_numbers[b"0"])
 
-            end = None if release else asyncio.create_task(ends())
+            stall_task = None if release else asyncio.create_task(end_stall())
             replies = [await client.reply()]
             assert stall_ends.is_set() is not release
-            assert look - 0.001 <= loop.time() < due  # the loop's clock counts whole ms
+            # The loop's clock has a resolution of 1 ms.
+            assert check_at - 0.001 <= loop.time() < first_deadline
             replies += [await client.reply() for _ in range(63)]
             assert str(replies[0]) == "ERR failed" and replies[1:] == [b"v%d" % n for n in range(1, 64)]
-            assert loop.time() < due
+            assert loop.time() < first_deadline
             await until(lambda: not connection.slots)
-            assert not one.program.gateway.active_requests and not one.program.listener.release_timers
+            assert (
+                not gateway_site.program.gateway.active_requests
+                and not gateway_site.program.listener.release_timers
+            )
             if release:
-                await until(lambda: where[b"0"] in book.ended)  # nor is the stalled one left at the node
-            if end is not None:
-                await end
+                # The stalled request is cancelled at the server as well.
+                await until(lambda: command_numbers[b"0"] in server.ended)
+            if stall_task is not None:
+                await stall_task
 
     play(scenario())
 
 
 def test_a_non_idempotent_request_is_never_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The moment comes at which a read in its place would be given up for those behind it."""
+    """The check comes at which a read in its place would be abandoned for the replies behind it."""
 
     async def scenario() -> None:
-        book = ScriptedServer()
+        server = ScriptedServer()
         operator = '[pipeline]\nclasses = ["read"]\nrelease = true\n'
-        async with pipelined_site(book, decisions=Script(send_to("s0")), operator=operator) as (
-            one,
+        async with pipelined_site(server, decisions=Script(send_to("s0")), operator=operator) as (
+            gateway_site,
             upstream,
         ):
             change_rules(upstream, max_depth=1)
-            client = await one.client()
+            client = await gateway_site.client()
             loop = asyncio.get_running_loop()
-            quick = b"c=read,t=basic,d=10000"
+            quick_parameters = b"c=read,t=basic,d=10000"
             charge = (b"CALL.POST", CUSTOMER, b"x", CHARGE, b"body")
-            await burst(client, charge, *[(b"CALL.GET", CUSTOMER, b"%d" % n, quick) for n in range(3)])
-            await until(lambda: len(book.ran) == 4)
-            (connection,) = one.program.listener.clients
-            look = loop.time() + AHEAD_S
+            await burst(
+                client, charge, *[(b"CALL.GET", CUSTOMER, b"%d" % n, quick_parameters) for n in range(3)]
+            )
+            await until(lambda: len(server.ran) == 4)
+            (connection,) = gateway_site.program.listener.clients
+            check_at = loop.time() + CHECK_DELAY_S
             monkeypatch.setattr(
-                listener_module, "RELEASE_MARGIN_S", min(slot.deadline for slot in connection.slots) - look
+                listener_module,
+                "RELEASE_MARGIN_S",
+                min(slot.deadline for slot in connection.slots) - check_at,
             )
-            where = {ran[2]: number for number, ran in book.ran}
-            for number, ran in book.ran:
+            command_numbers = {ran[2]: number for number, ran in server.ran}
+            for number, ran in server.ran:
                 if ran[2] != b"x":
-                    book.send(value(b"v" + ran[2]), number)
+                    server.send(value(b"v" + ran[2]), number)
             await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 3)
-            await asyncio.sleep(2.0 * AHEAD_S)
-            assert len(connection.slots) == 4 and loop.time() > look
-            connection.flush()  # whatever happens on the connection then
+            await asyncio.sleep(2.0 * CHECK_DELAY_S)
+            assert len(connection.slots) == 4 and loop.time() > check_at
+            connection.flush()  # another write on the connection does not change that
             assert len(connection.slots) == 4 and not client.reader._buffer  # type: ignore[attr-defined]
-            book.send(value(b"ok"), where[b"x"])
+            server.send(value(b"ok"), command_numbers[b"x"])
             assert [await client.reply() for _ in range(4)] == [b"ok", b"v0", b"v1", b"v2"]
 
     play(scenario())
