--- a/glenchute/policy/connections/check_schedule.py
+++ b/glenchute/policy/connections/check_schedule.py
@@ -8,7 +8,8 @@
 
 from .connection_queues import ConnectionQueue
 
-# The heap is rebuilt once it has more entries than the first plus the second for each connection.
+# The heap is rebuilt once it exceeds `COMPACT_MIN_ENTRIES` plus `COMPACT_ENTRIES_PER_CONNECTION` for each
+# connection.
 COMPACT_MIN_ENTRIES = 64
 COMPACT_ENTRIES_PER_CONNECTION = 4
 
--- a/glenchute/policy/connections/client_slots.py
+++ b/glenchute/policy/connections/client_slots.py
@@ -36,7 +36,7 @@
 # fraction. Reused ones keep more (see `ConnectionSlots.time_limit_s`).
 UNREUSED_IDLE_EXPONENT = 3
 MAX_FIRST_COMMAND_S = 2.0  # time to complete the first command while all slots are free
-MIN_FIRST_COMMAND_S = 0.1  # time to complete it while no slot is free: a round trip and some delay
+MIN_FIRST_COMMAND_S = 0.1  # time for the first command while no slot is free: a round trip and some delay
 PARTIAL_COMMAND_TIMEOUT_S = 2.4  # a slow client may take 2 s to complete a command
 WRITE_BLOCKED_TIMEOUT_S = 30.0  # time without progress before the connection is aborted
 MIN_WRITE_BLOCKED_S = 0.5  # time without progress before the connection may be evicted
--- a/glenchute/policy/connections/pipelining.py
+++ b/glenchute/policy/connections/pipelining.py
@@ -41,7 +41,7 @@
 from .stall_detector import THRESHOLD_TTL_MS, StallDetector
 
 ABORTS_PER_PLACEMENT = 0.1  # what each placement adds to the budget of attempts aborted before their bound
-MAX_ABORT_BALANCE = 16.0  # maximum of that budget, in attempts
+MAX_ABORT_BALANCE = 16.0  # maximum budget of attempts aborted before their bound
 RECHECK_MS = THRESHOLD_TTL_MS  # interval at which an abort is repeated while the connection is still open
 # A stalled head is kept if it finishes within another mean service time with at least this probability.
 MIN_PROBABILITY_TO_KEEP = 0.5
--- a/glenchute/policy/connections/service_times.py
+++ b/glenchute/policy/connections/service_times.py
@@ -27,8 +27,8 @@
 MIN_SAMPLES = 20.0  # minimum effective number of samples for a distribution to be used
 MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY = 0.25, 4.0  # ratios beyond these mean a stall, not a slow server
 RELATIVE_LATENCY_SMOOTHING = 0.1
-# The cumulative fractions are recomputed once the new samples reach the effective number of samples divided
-# by the second constant, and after the number in the first one at the latest.
+# The cumulative fractions are recomputed after as many new samples as the effective number of samples divided
+# by `UPDATE_DIVISOR`, but after `MAX_SAMPLES_PER_UPDATE` at the latest.
 MAX_SAMPLES_PER_UPDATE = 32
 UPDATE_DIVISOR = 50.0
 MIN_TOTAL_WEIGHT = 1e-300
@@ -55,7 +55,7 @@
         self.epoch_ms = 0.0  # a sample at this time has weight 1
         self._cumulative: list[float] = [0.0] * BUCKET_COUNT
         self._mean = 0.0
-        self._uncounted = self._recompute_after = 0  # numbers of samples
+        self._uncounted = self._recompute_after = 0  # both count samples
         self._last_weight = 1.0
 
     def sample_weight(self, now_ms: float) -> float:
