--- a/glenchute/capture/rejections.py
+++ b/glenchute/capture/rejections.py
@@ -78,9 +78,11 @@
             raise CaptureError("this version of the module does not name the limits that refuse")
         admit, count = engine.quota.admit, engine.reports.count
 
-        def observed_admit(now_ms: float, tenant: Any, units: float, has_total: bool, is_blind: bool) -> Any:
+        def observed_admit(
+            now_ms: float, tenant: Any, units: float, has_total: bool, is_total_missing: bool
+        ) -> Any:
             self.last = units, tenant.bucket_units
-            return admit(now_ms, tenant, units, has_total, is_blind)
+            return admit(now_ms, tenant, units, has_total, is_total_missing)
 
         def observed_count(what: str) -> None:
             if what.startswith(REJECTED_PREFIX):
--- a/glenchute/policy/admission/concurrency.py
+++ b/glenchute/policy/admission/concurrency.py
@@ -13,13 +13,13 @@
     return CONCURRENCY_FILL * tenant.plan.max_concurrent / max(demand_per_s * mean_attempt_s, 1e-9)
 
 
-def is_full(tenant: Tenant, units: float, headroom: float, is_blind: bool) -> bool:
+def is_full(tenant: Tenant, units: float, headroom: float, uses_local_bucket: bool) -> bool:
     """Whether this gateway's even part of the limit is in use.
 
-    `headroom`: attempts thought to be left over all gateways. `is_blind`: nothing recent is known of the
-    other gateways, and the local bucket decides.
+    `headroom`: attempts thought to be left over all gateways. `uses_local_bucket`: nothing recent is known
+    of the other gateways, and the local bucket decides.
     """
     even_part = tenant.plan.max_concurrent // tenant.gateway_spread
-    if is_blind:
+    if uses_local_bucket:
         return tenant.local_units < units and tenant.attempts_in_flight >= even_part
     return tenant.attempts_in_flight >= max(1, even_part) and headroom < 1.0
--- a/glenchute/policy/admission/quota.py
+++ b/glenchute/policy/admission/quota.py
@@ -45,14 +45,14 @@
         self.rejection_cause: RejectionCause | None = None  # of the last rejection
 
     def admit(
-        self, now_ms: float, tenant: Tenant, units: float, has_total: bool, is_blind: bool
+        self, now_ms: float, tenant: Tenant, units: float, has_total: bool, is_total_missing: bool
     ) -> float | None:
         """None to admit a request, else the milliseconds for which a rejected client should stay away.
 
-        `has_total`: the request waited for a reply of the counter that came just now. `is_blind`: it should
-        have, but the call was not made or failed.
+        `has_total`: the request waited for a reply of the counter that came just now. `is_total_missing`: it
+        should have, but the call was not made or failed.
         """
-        uses_local_share = self.must_use_local_share(now_ms, tenant, is_blind)
+        uses_local_share = self.must_use_local_share(now_ms, tenant, is_total_missing)
         tenant.own_demand_per_s += units / FILL_WINDOW_S
         plan = tenant.plan
         wait_ms: float | None = None
@@ -70,14 +70,14 @@
             wait_ms = self.concurrency_wait_ms(tenant, units, has_total, uses_local_share)
         return wait_ms
 
-    def must_use_local_share(self, now_ms: float, tenant: Tenant, is_blind: bool) -> bool:
+    def must_use_local_share(self, now_ms: float, tenant: Tenant, is_total_missing: bool) -> bool:
         """Whether the local bucket decides, as the others' use is not known: else each gateway would spend
         all of a quota. A total younger than the time in which the bucket turns over still tells of it. The
         errors of many gateways add up, so the age that counts as young falls with their number."""
         if self.tenants.pacing.is_unavailable and not self.tenants.reporting_fraction(now_ms, tenant):
             return True
         most_age_ms = tenant.window_length_ms * min(1.0, local_share.PRIOR_REQUESTS / tenant.gateway_spread)
-        return is_blind and now_ms - tenant.counter_total_ms > most_age_ms
+        return is_total_missing and now_ms - tenant.counter_total_ms > most_age_ms
 
     def rate_wait_ms(
         self, tenant: Tenant, units: float, has_total: bool, uses_local_share: bool
@@ -101,14 +101,14 @@
         return max(0.0, units - bucket_units) / tenant.plan.rate_per_s * 1000.0
 
     def concurrency_wait_ms(
-        self, tenant: Tenant, units: float, has_total: bool, is_blind: bool
+        self, tenant: Tenant, units: float, has_total: bool, uses_local_bucket: bool
     ) -> float | None:
         """The concurrency limit: with a total of just now, as a fraction of the demand."""
         mean_attempt_s = self.tenants.mean_attempt_s
         if has_total:
             is_rejected = self.rng.random() > concurrency.admitted_fraction(tenant, mean_attempt_s)
         else:
-            is_rejected = concurrency.is_full(tenant, units, self.tenants.headroom(tenant), is_blind)
+            is_rejected = concurrency.is_full(tenant, units, self.tenants.headroom(tenant), uses_local_bucket)
         if not is_rejected:
             return None
         self.rejection_cause = RejectionCause.CONCURRENCY
--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -211,7 +211,7 @@
                 self.actions.append(call)
                 return
         # Counted without a call: the counter is spared, and the total that was needed is missing.
-        self.decide(now_ms, pending, has_total=False, is_blind=pending.is_counted)
+        self.decide(now_ms, pending, has_total=False, is_total_missing=pending.is_counted)
 
     def handle_counter_reply(self, now_ms: float, reply: CounterReply) -> None:
         """A call to the counter has ended: decides the request that waits for it, if there is one."""
@@ -225,12 +225,14 @@
         elif request_id and counter.replied_tenant and is_answered:
             counter.refund_reserved(counter.replied_tenant)  # its client has left
 
-    def decide(self, now_ms: float, pending: PendingRequest, has_total: bool, is_blind: bool = False) -> None:
+    def decide(
+        self, now_ms: float, pending: PendingRequest, has_total: bool, is_total_missing: bool = False
+    ) -> None:
         """Admits a request or rejects it. `has_total`: by a total of the counter that came just now;
-        `is_blind`: such a total was needed, and did not come."""
+        `is_total_missing`: such a total was needed, and did not come."""
         tenant, request = pending.tenant, pending.request
         if tenant is not None:
-            wait_ms = self.rejection_wait_ms(now_ms, pending, tenant, has_total, is_blind)
+            wait_ms = self.rejection_wait_ms(now_ms, pending, tenant, has_total, is_total_missing)
             if wait_ms is not None:
                 assert self.quota.rejection_cause is not None
                 self.reports.count("refused: " + self.quota.rejection_cause.value)
@@ -247,12 +249,12 @@
         self.execution.send(now_ms, pending)
 
     def rejection_wait_ms(
-        self, now_ms: float, pending: PendingRequest, tenant: Tenant, has_total: bool, is_blind: bool
+        self, now_ms: float, pending: PendingRequest, tenant: Tenant, has_total: bool, is_total_missing: bool
     ) -> float | None:
         """For how long a rejected client should stay away, by the quota or the servers' capacity; None: the
         request is admitted."""
         request_class, units = pending.request_class, pending.request.units
-        wait_ms = self.quota.admit(now_ms, tenant, units, has_total, is_blind)
+        wait_ms = self.quota.admit(now_ms, tenant, units, has_total, is_total_missing)
         if wait_ms is not None:
             return wait_ms
         value = request_class.priority_weight * tenant.plan.price
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -450,21 +450,21 @@
         self.informed.taken[tenant.tenant_id] += units
 
     def admit(
-        self, now_ms: float, tenant: Tenant, units: float, has_total: bool, is_blind: bool
+        self, now_ms: float, tenant: Tenant, units: float, has_total: bool, is_total_missing: bool
     ) -> float | None:
         if "lot" in self.exact:
-            is_blind = False
+            is_total_missing = False
         if "store" in self.exact:
             account = self.world.accounts[tenant.tenant_id]
             tenant.bucket_units = self.world.books.store(account).fill(self.world.now)
             tenant.credit_units = 1e9
             return super().admit(now_ms, tenant, units, has_total, False)
         if "untold" not in self.exact:
-            return super().admit(now_ms, tenant, units, has_total, is_blind)
+            return super().admit(now_ms, tenant, units, has_total, is_total_missing)
         kept = tenant.bucket_units
         tenant.bucket_units = max(0.0, kept - self.world.untold(tenant.tenant_id, self.number))
         lower = kept - tenant.bucket_units
-        wait_ms = super().admit(now_ms, tenant, units, has_total, is_blind)
+        wait_ms = super().admit(now_ms, tenant, units, has_total, is_total_missing)
         tenant.bucket_units += lower
         return wait_ms
 
