--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -1,8 +1,8 @@
-"""The decision engine: follows each request from its admission to its one final response.
+"""The decision engine: handles each request from its admission to its one final response.
 
-A gateway serves many tenants, whose quotas hold over all gateways together. `QuotaAccounting` decides which
-requests are admitted, `LoadShedder` which are shed under overload; `RequestExecution` sends admitted ones
-until they have their final response. Times are milliseconds, rates are units a second.
+A gateway serves many tenants, and a tenant's quota applies to all gateways together. `QuotaAccounting`
+enforces the quotas, `LoadShedder` sheds requests under overload, and `RequestExecution` runs the attempts of
+an admitted request until it has its final response. Times are milliseconds, rates are units per second.
 """
 
 from __future__ import annotations
@@ -41,13 +41,14 @@
 from .settings import Idempotency, RequestClass, Settings
 from .timing import TICK_MS
 
-MIN_BUSY_ATTEMPTS = 4.0  # with no more in flight, the backlog is not used to shed requests
-COUNTER_TIMEOUTS_LEFT = 2.0  # a request waits for the counter only if it has time for so many, and a tick
-STALL_MS = 1000.0  # a tick that comes so late shows that this process stood still
+MIN_BUSY_ATTEMPTS = 4.0  # at or below this many attempts in flight, the backlog sheds nothing
+# A request waits for the counter only if its remaining time covers this many counter timeouts and one tick.
+MIN_COUNTER_TIMEOUTS = 2.0
+STALL_THRESHOLD_MS = 1000.0  # a tick that is later than this shows that the process was stalled
 
 
 class DecisionEngine:
-    """All decisions of one gateway. Events in, actions out; see `events.py` for what the caller owes."""
+    """All decisions of one gateway: takes events, returns actions. `events.py` states the caller's duties."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -64,17 +65,17 @@
         self.actions: list[Action] = []
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Takes one event; returns the actions that follow."""
+        """Handles one event and returns the resulting actions, in the order of their execution."""
         self.actions = self.execution.actions = []
         if self.next_tick_ms == math.inf:
             self.start(now_ms)
-        if now_ms - self.next_tick_ms > STALL_MS:
+        if now_ms - self.next_tick_ms > STALL_THRESHOLD_MS:
             self.resume_after_stall(now_ms)
         self.dispatch(now_ms, event)
         return self.actions
 
     def dispatch(self, now_ms: float, event: Event) -> None:
-        """One method for each kind of event."""
+        """Passes an event to the method for its type."""
         match event:
             case Request():
                 self.accept(now_ms, event)
@@ -95,7 +96,7 @@
             case SuccessorStarted() | StateReceived() | OtherProcessEnded():
                 self.handle_handover(now_ms, event)
             case UsageUpdate():
-                from .admission import usage_updates  # most gateways never have one
+                from .admission import usage_updates  # imported on use: most gateways receive no such event
 
                 usage_updates.apply_usage_update(self.quota.tenants, now_ms, event)
             case AvoidEndpoint(address, duration_ms):
@@ -104,8 +105,8 @@
     def handle_handover(
         self, now_ms: float, event: SuccessorStarted | StateReceived | OtherProcessEnded
     ) -> None:
-        """Another process of this gateway starts beside this one, sends its state, or has ended."""
-        from .admission import state_transfer  # most starts take nothing over
+        """Transfers quota state between two processes of this gateway, or ends their handover."""
+        from .admission import state_transfer  # imported on use: most processes see no handover
 
         match event:
             case SuccessorStarted():
@@ -118,27 +119,27 @@
     # --- time ---------------------------------------------------------------------------------------------
 
     def start(self, now_ms: float) -> None:
-        """The first event: begins the ticks, at a random phase, so that gateways don't act in step."""
+        """Starts the periodic tick at the first event, at a random phase so that gateways are not in step."""
         self.quota.tenants.started_ms = self.reports.counts_since_ms = now_ms
         self.next_tick_ms = now_ms + TICK_MS * self.rng.uniform(0.5, 1.5)
         self.actions.append(SetTimer(TICK_TOKEN, self.next_tick_ms))
 
     def resume_after_stall(self, now_ms: float) -> None:
-        """This process stood still: what was in flight meanwhile shows how long, and nothing of the
-        servers."""
+        """Discards measurements after a stall of this process: the durations of attempts that were in flight
+        include the stall and say nothing about the servers."""
         self.execution.resumed_ms = self.next_tick_ms = now_ms
         self.shedder.reset_after_stall(now_ms)
         self.pool.reset_after_stall()
 
     def handle_timer(self, now_ms: float, token: int) -> None:
-        """The tick, or the time of a scheduled attempt."""
+        """Runs the tick, or starts the scheduled attempt that the timer belongs to."""
         if token == TICK_TOKEN:
             self.tick(now_ms)
         else:
             self.execution.start_scheduled(now_ms, token)
 
     def tick(self, now_ms: float) -> None:
-        """Updates the estimates, reports, calls the counter, and tries waiting requests again."""
+        """Updates the estimates, logs reports, makes due calls to the counter, retries waiting requests."""
         self.next_tick_ms = now_ms + TICK_MS
         self.actions.append(SetTimer(TICK_TOKEN, self.next_tick_ms))
         self.update_capacity(now_ms)
@@ -150,7 +151,8 @@
         self.execution.retry_waiting(now_ms)
 
     def update_capacity(self, now_ms: float) -> None:
-        """Ends a window of the capacity estimate, if it is over."""
+        """Passes the number of servers and the ages of attempts in flight to the capacity estimate, which
+        ends its window if that is over."""
         capacity = self.shedder.capacity
         servers = max(1, self.pool.total_servers, len(self.pool.servers))
         capacity.servers_per_gateway = servers / self.settings.gateway_count
@@ -163,18 +165,18 @@
         capacity.end_window(now_ms, in_flight_ratios)
 
     def report(self, now_ms: float) -> None:
-        """Logs the counts and the states that begin or end."""
+        """Logs the due counts and the states that have begun or ended."""
         pacing = self.quota.counter.pacing
         health = pacing.monitor.state(now_ms)
-        is_doubtful = health in (CounterHealth.REPLACED, CounterHealth.SPLIT)
-        most_fail = self.pool.outliers.median_failure_rate > 0.2  # as of the last tick
+        is_suspect = health in (CounterHealth.REPLACED, CounterHealth.SPLIT)
+        most_servers_fail = self.pool.outliers.median_failure_rate > 0.2  # as of the last tick
         states = {
             "counter mute": self.settings.has_counter and pacing.is_unavailable,
             "calls to the counter slowed": pacing.call_fraction < 0.5,
-            "counter in doubt": health.value if is_doubtful else "",
+            "counter in doubt": health.value if is_suspect else "",
             "V binds": self.shedder.capacity.capacity_per_s < math.inf,
             "no server to send to": not self.pool.servers,
-            "requests fail on most servers": most_fail,
+            "requests fail on most servers": most_servers_fail,
             "servers avoided": ", ".join(self.pool.update_health(now_ms)),
         }
         self.actions += self.reports.state_changes(now_ms, states)
@@ -183,11 +185,11 @@
     # --- admission ----------------------------------------------------------------------------------------
 
     def accept(self, now_ms: float, request: Request) -> None:
-        """A new request: its quota first, where that is unsure with a call to the counter, then the servers'
-        capacity, then a server."""
+        """Handles a new request: checks it against its quota, after a call to the counter where a current
+        total is needed, then against the servers' capacity, and sends it to a server."""
         left_ms = request.time_left_ms
         self.reports.count("requests")
-        # An unknown class is never repeated; its whole time is its latency objective.
+        # A request of an unknown class is not idempotent, and its latency objective is its whole time.
         request_class = self.classes.get(request.class_name) or RequestClass(
             "", left_ms, 1.0, Idempotency.NON_IDEMPOTENT
         )
@@ -203,18 +205,19 @@
         tenant = self.quota.tenants.lookup(now_ms, request)
         pending = PendingRequest(request, request_class, tenant, now_ms, now_ms + left_ms)
         self.execution.requests[request.request_id] = pending
-        has_time = left_ms >= COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout_ms + TICK_MS
+        has_time = left_ms >= MIN_COUNTER_TIMEOUTS * self.settings.counter_timeout_ms + TICK_MS
         counter = self.quota.counter
         if tenant is not None and has_time and counter.needs_total(now_ms, tenant, request.units):
             pending.is_counted = True
             if (call := counter.call_for_request(now_ms, tenant, request)) is not None:
                 self.actions.append(call)
                 return
-        # Counted without a call: the counter is spared, and the total that was needed is missing.
+        # If `is_counted` is set here, the call was omitted to spare an overloaded counter: calls that are
+        # made reserve this request's units too, and the total that it needed is missing.
         self.decide(now_ms, pending, has_total=False, is_total_missing=pending.is_counted)
 
     def handle_counter_reply(self, now_ms: float, reply: CounterReply) -> None:
-        """A call to the counter has ended: decides the request that waits for it, if there is one."""
+        """Handles the end of a call to the counter, and decides on the request that waits for it, if any."""
         self.reports.count(f"counter: {reply.outcome.value}")
         counter = self.quota.counter
         request_id = counter.handle_reply(now_ms, reply)
@@ -223,13 +226,13 @@
             pending.is_counted = reply.outcome not in DID_NOT_RUN
             self.decide(now_ms, pending, is_answered, not is_answered)
         elif request_id and counter.replied_tenant and is_answered:
-            counter.refund_reserved(counter.replied_tenant)  # its client has left
+            counter.refund_reserved(counter.replied_tenant)  # the client of the request has disconnected
 
     def decide(
         self, now_ms: float, pending: PendingRequest, has_total: bool, is_total_missing: bool = False
     ) -> None:
-        """Admits a request or rejects it. `has_total`: by a total of the counter that came just now;
-        `is_total_missing`: such a total was needed, and did not come."""
+        """Admits a request and sends it, or rejects it. `has_total`: a total of the counter has just arrived
+        for it; `is_total_missing`: it needed such a total, and none came."""
         tenant, request = pending.tenant, pending.request
         if tenant is not None:
             wait_ms = self.rejection_wait_ms(now_ms, pending, tenant, has_total, is_total_missing)
@@ -242,7 +245,8 @@
                 wait_ms = max(1.0, min(wait_ms, self.settings.max_retry_after_ms))
                 self.actions.append(Reject(request.request_id, wait_ms))
                 return
-            # Charged now and not when it is sent, so that waiting requests don't pass a ceiling together.
+            # Charged at admission, not when sent: requests that wait for a server could together exceed a
+            # ceiling otherwise.
             self.quota.charge(tenant, request.units, pending.is_counted, has_total)
             pending.is_charged = True
             self.actions += self.quota.counter.due_calls(now_ms, tenant)
@@ -251,14 +255,14 @@
     def rejection_wait_ms(
         self, now_ms: float, pending: PendingRequest, tenant: Tenant, has_total: bool, is_total_missing: bool
     ) -> float | None:
-        """For how long a rejected client should stay away, by the quota or the servers' capacity; None: the
-        request is admitted."""
+        """Returns after how many milliseconds a request that the quota or the load shedder rejects may be
+        retried, or None for a request that is admitted."""
         request_class, units = pending.request_class, pending.request.units
         wait_ms = self.quota.admit(now_ms, tenant, units, has_total, is_total_missing)
         if wait_ms is not None:
             return wait_ms
         value = request_class.priority_weight * tenant.plan.price
-        # Two attempts for each server of this gateway's share.
+        # Two attempts for each server in this gateway's even share of the servers.
         usual_attempts = 2.0 * len(self.pool.servers) / self.settings.gateway_count
         is_busy = len(self.execution.attempts) > max(MIN_BUSY_ATTEMPTS, usual_attempts)
         if self.shedder.admit(value, units, request_class.latency_objective_ms, is_busy):
@@ -269,7 +273,7 @@
     # --- endpoints -----------------------------------------------------------------------------------------
 
     def update_endpoints(self, now_ms: float, update: EndpointList) -> None:
-        """An endpoint list; where it is no live one, asks for changes."""
+        """Applies an endpoint list; subscribes to changes after a CACHED or FAILED one."""
         self.pool.update(update, now_ms)
         is_live = update.kind not in (EndpointListKind.CACHED, EndpointListKind.FAILED)
         if not is_live and self.settings.must_subscribe:
--- a/glenchute/policy/events.py
+++ b/glenchute/policy/events.py
@@ -1,16 +1,19 @@
 """The events that the decision engine takes.
 
-The caller makes one ``DecisionEngine(settings, seed)`` at start and calls ``handle(now_ms, event)`` for each
-event, in the order in which the events happened, from one thread. The call returns the actions
-(`policy/actions.py`), which the caller executes in that order.
+The caller creates one ``DecisionEngine(settings, seed)`` at start and calls ``handle(now_ms, event)`` for
+each event, in the order in which the events happened, from one thread. The call returns the actions
+(`policy/actions.py`), which the caller executes in the order given.
 
-The engine relies on a clock that never goes backwards and that all gateways share to a tenth of a second
-(quota windows start by it); an `EndpointList` of kind CACHED or FULL as the first event; exactly one
-`AttemptEnded` for each `StartAttempt`, one `CounterReply` for each `IncrementCounter`, and one `TimerFired`
-for each `SetTimer`, never inside the same call; and a `ClientDisconnected` when a client leaves.
+The engine relies on the following:
 
-*Members* are the other gateways that exchange messages with this one directly, beside the counter and
-discovery.
+- The clock never goes backwards, and the gateways' clocks agree to 0.1 s, as quota windows start by them.
+- The first event is an `EndpointList` of kind CACHED or FULL.
+- There is exactly one `AttemptEnded` for each `StartAttempt`, one `CounterReply` for each `IncrementCounter`
+  (besides late ones) and one `TimerFired` for each `SetTimer`, never inside the call that asked for it.
+- There is a `ClientDisconnected` for each client that disconnects.
+
+*Members* are the gateways that exchange messages with this one directly, in addition to what all gateways
+learn from the counter and discovery.
 
 Times are milliseconds, quantities are quota units.
 """
@@ -23,27 +26,27 @@
 
 
 class Outcome(Enum):
-    """How an attempt, or a call to the counter, ended."""
+    """How an attempt or a call to the counter ended, and whether it may have been executed."""
 
     OK = "ok"
     ERROR = "error"  # an error response; may have run
-    REJECTED = "full"  # shed by the server unread; did not run
+    REJECTED = "full"  # rejected by the server without being processed; did not run
     TIMEOUT = "timeout"  # no response in time; may have run
-    UNREACHABLE = "unreachable"  # no connection; did not run
+    UNREACHABLE = "unreachable"  # the connection could not be established; did not run
     RESET = "reset"  # the connection broke; may have run
     CANCELLED = "cancelled"  # may have run
-    NOT_SENT = "unsent"  # not a byte was written; did not run
-    NO_CONNECTION = "no connection"  # this process has no connection to spare; did not run
+    NOT_SENT = "unsent"  # no byte was written; did not run
+    NO_CONNECTION = "no connection"  # this process had no free connection; did not run
 
 
 DID_NOT_RUN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.NO_CONNECTION)
 NEVER_REACHED_SERVER = (Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.NO_CONNECTION)
-# Of an attempt: it says nothing of its server.
+# Outcomes of an attempt that say nothing about its server.
 TELLS_NOTHING_OF_SERVER = (Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.NO_CONNECTION)
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of a server."""
+    """The state of a server according to the endpoint list."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -51,12 +54,12 @@
 
 
 class EndpointListKind(Enum):
-    """What an `EndpointList` holds."""
+    """The kind of an `EndpointList`."""
 
-    FULL = "full"  # every server; absent ones are removed
+    FULL = "full"  # all servers; known servers that are absent are removed
     CHANGES = "changes"  # changed endpoints only
-    CACHED = "saved"  # a full list from before the start, perhaps old
-    FAILED = "failed"  # a subscription or a fetch failed; no endpoints
+    CACHED = "saved"  # a full list that was stored before the start and may be outdated
+    FAILED = "failed"  # a subscription or a fetch failed; holds no endpoints
 
 
 @record(frozen=True, slots=True)
@@ -67,22 +70,22 @@
     zone: str
     cell: int = 0
     weight: float = 1.0
-    started_ms: float = 0.0  # its last start; 0: long ago
+    started_ms: float = 0.0  # time of the server's last start; 0: long ago
     state: EndpointState = EndpointState.ACTIVE
 
 
 @record(frozen=True, slots=True)
 class EndpointList:
-    """The server list, or changes to it, each server at most once."""
+    """The endpoint list, or changes to it; holds each server at most once."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
-    total_endpoints: int = 0  # servers that exist where this gateway uses a subset; 0: these are all
+    total_endpoints: int = 0  # number of all servers if this gateway uses a subset; 0: the list is complete
 
 
 @record(frozen=True, slots=True)
 class Request:
-    """A client's request; the engine owes it exactly one final response within `time_left_ms`."""
+    """A client's request; the engine gives it exactly one final response within `time_left_ms`."""
 
     request_id: str
     class_name: str
@@ -90,14 +93,14 @@
     tenant: str
     time_left_ms: float
     units: float = 1.0
-    gateway_spread: int = 1  # gateways through which this tenant's requests come
-    attempt_timeout_ms: float = 0.0  # no attempt may take longer; 0: no such limit
-    hedge_after_ms: float = 0.0  # a hedged request may start this long after the first; 0: never
+    gateway_spread: int = 1  # number of gateways that receive this tenant's requests
+    attempt_timeout_ms: float = 0.0  # upper limit for an attempt's duration; 0: no such limit
+    hedge_after_ms: float = 0.0  # a hedged request may start this long after the first attempt; 0: never
 
 
 @record(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun. It is the final response, and the request can't be retried."""
+    """A streamed response has begun. It is the final response; the request can no longer be retried."""
 
     request_id: str
     attempt: int
@@ -105,8 +108,8 @@
 
 @record(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended. `is_final`: with it the client has its final response; otherwise the engine still
-    owes one, unless the client has it or has left."""
+    """An attempt ended. `is_final`: its result was the client's final response; otherwise the engine still
+    has to give one, unless the request already has it or the client has disconnected."""
 
     request_id: str
     attempt: int
@@ -114,14 +117,15 @@
     outcome: Outcome
     duration_ms: float
     is_final: bool
-    queued_requests: float | None = None  # load report: requests waiting at the server
-    active_requests: float | None = None  # load report: requests that the server holds
-    retry_delay_ms: float = 0.0  # a retry may start no sooner; inf: none may
+    queued_requests: float | None = None  # load report: requests in the server's queue
+    active_requests: float | None = None  # load report: requests held by the server
+    retry_delay_ms: float = 0.0  # shortest delay before a retry; inf: no retry is allowed
 
 
 @record(frozen=True, slots=True)
 class AttemptStalled:
-    """An attempt waits behind another whose response does not come: a hedged request elsewhere would help."""
+    """An attempt is blocked on its connection by another one without a response. A hedged request to another
+    server may help."""
 
     request_id: str
     attempt: int
@@ -129,7 +133,8 @@
 
 @record(frozen=True, slots=True)
 class AttemptAssigned:
-    """On which connection an attempt was written, and why. Decides nothing; captures keep it for readers."""
+    """The connection on which an attempt was written, and the reason. The engine ignores this event; it is
+    recorded in captures for diagnosis."""
 
     request_id: str
     attempt: int
@@ -138,7 +143,7 @@
 
 @record(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; no response is owed."""
+    """The client disconnected; the request needs no response."""
 
     request_id: str
 
@@ -152,9 +157,11 @@
 
 @record(frozen=True, slots=True)
 class CounterReply:
-    """The reply to one `IncrementCounter`; replies for one key come in the order of the calls. `is_late`: the
-    call has ended as timed out before, and this is what became of it; late replies come in the order of the
-    calls too. A transport that can't observe them sends none."""
+    """The reply to one `IncrementCounter`; replies for one key come in the order of the calls.
+
+    `is_late`: the call was reported as timed out before, and this is its actual result. Late replies come in
+    the order of the calls too. A transport that can't observe late replies sends none.
+    """
 
     key: int
     total: float
@@ -165,8 +172,8 @@
 
 @record(frozen=True, slots=True)
 class QuotaSnapshot:
-    """The quota state of one tenant, in units and units per second, for this gateway's next process. Half of
-    the ceiling guard is in it; the process that sends it has given that half up."""
+    """The quota state of one tenant, in units and units per second, for the successor of this process. It
+    holds half of the ceiling guard, which the sending process has given up."""
 
     tenant: str
     plan: str
@@ -177,20 +184,22 @@
     others_demand_per_s: float
     reported_own_units: float
     reported_units: float
-    window_start_ms: float  # start of the window whose counter key is in use ...
-    window_total_units: float  # ... and its last known total with own units added since; inf: unknown
+    window_start_ms: float  # start of the window whose counter key is in use
+    # Last known total of that window, including this gateway's units since then; inf: unknown.
+    window_total_units: float
 
 
 @record(frozen=True, slots=True)
 class SuccessorStarted:
-    """Another process of this gateway runs from now on and takes over. What this gateway may do by itself is
-    halved, and only the successor marks the counter keys of windows that begin from now on. The answer is
+    """The successor of this process has started. From now on this process admits half as much without the
+    counter, and only the successor adds markers to the counter keys of new windows. The engine answers with
     `SendState`."""
 
 
 @record(frozen=True, slots=True)
 class StateReceived:
-    """The previous process still runs and sent its state. What this process may do by itself is halved."""
+    """The predecessor, which still runs, has sent its state. While both run, this process admits half as much
+    without the counter."""
 
     quotas: tuple[QuotaSnapshot, ...]
 
@@ -202,12 +211,15 @@
 
 @record(frozen=True, slots=True)
 class UsageUpdate:
-    """What members gossiped of a tenant's use, beside the counter: the units that all other gateways admitted
-    in the window that began at `window_start_ms` and in the one before, and the fraction of the gateways that
-    those members and this gateway make up (1: all; 0: nothing is known of the rest, while the units stand).
-    It may lack some of their use and never holds more than it. Ceilings ignore it."""
+    """A tenant's use as reported by the members' gossip, independently of the counter.
+
+    It holds the units that other gateways admitted in the window that began at `window_start_ms` and in the
+    window before, and the fraction of all gateways that the reporting members and this gateway make up (1:
+    all; 0: the coverage is unknown, but the units are still valid). The units may be less than the actual
+    use, never more. Ceilings ignore them.
+    """
 
-    request: Request  # the next request of this tenant, which follows at once
+    request: Request  # the tenant's request whose own event follows at once
     window_start_ms: float
     window_units: float
     previous_window_units: float
@@ -217,8 +229,8 @@
 @record(frozen=True, slots=True)
 class AvoidEndpoint:
     """Members could not reach a server: for `duration_ms` it is chosen last, as if this gateway had failed to
-    reach it. 0: members have reached it: their report and this gateway's own wait before the next attempt
-    there are void; its count of failed connects stands."""
+    connect to it. A duration of 0 says that members have reached it: this ends both an earlier report and
+    this gateway's own connect backoff for the server, but keeps its count of connect failures."""
 
     address: str
     duration_ms: float
