--- a/glenchute/policy/actions.py
+++ b/glenchute/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision engine returns, to be executed in their order."""
+"""The actions that the decision engine returns. The caller executes them in the order given."""
 
 from __future__ import annotations
 
@@ -8,9 +8,12 @@
 
 @record(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt, numbered 0, 1, 2 ... for each request. `timeout_ms` 0: until the client leaves. Not a
-    byte of it may be written after `write_by_ms`, if that is not 0: servers may have forgotten the request's
-    idempotency key from then on."""
+    """Starts an attempt; the attempts of a request are numbered 0, 1, 2 ...
+
+    `timeout_ms` 0: no timeout, the attempt ends when the client disconnects. No byte of it may be written
+    after `write_by_ms`, if that is not 0: from then on servers may have forgotten the request's idempotency
+    key and would execute it again.
+    """
 
     request_id: str
     address: str
@@ -20,7 +23,7 @@
 
 @record(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancels an attempt."""
 
     request_id: str
     attempt: int
@@ -28,7 +31,7 @@
 
 @record(frozen=True, slots=True)
 class Reject:
-    """Final response: rejected, with the promise that no attempt ran."""
+    """The final response "rejected", which guarantees that no attempt ran."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -36,14 +39,14 @@
 
 @record(frozen=True, slots=True)
 class Fail:
-    """Final response: failed, with no promise about the effect."""
+    """The final response "failed": the request may or may not have been executed."""
 
     request_id: str
 
 
 @record(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at or after `at_ms`."""
+    """Requests a `TimerFired` at or after `at_ms`."""
 
     token: int
     at_ms: float
@@ -51,7 +54,7 @@
 
 @record(frozen=True, slots=True)
 class IncrementCounter:
-    """Add `amount` to the shared counter `key`, which expires `ttl_ms` after its first call."""
+    """Adds `amount` to the shared counter `key`, which expires `ttl_ms` after the first call for it."""
 
     key: int
     amount: float
@@ -60,19 +63,19 @@
 
 @record(frozen=True, slots=True)
 class SubscribeToEndpoints:
-    """Ask for changes to the endpoint list from now on."""
+    """Subscribes to changes of the endpoint list."""
 
 
 @record(frozen=True, slots=True)
 class LogMessage:
-    """A line for the operators."""
+    """Logs a line for the operators."""
 
     message: str
 
 
 @record(frozen=True, slots=True)
 class SendState:
-    """What the next process needs, the tenants seen last first."""
+    """Sends the quota state of the tenants to the successor, most recently seen first."""
 
     quotas: tuple[QuotaSnapshot, ...]
 
--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -1,4 +1,4 @@
-"""The execution of admitted requests: attempts, retries and hedged requests until the one final response."""
+"""Executes admitted requests: attempts, retries and hedged requests until the one final response."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 from .settings import Settings
 from .timing import TICK_MS
 
-TICK_TOKEN = 0  # of the engine's own timer; attempts that are scheduled have higher ones
-SERVER_WAIT_FRACTION = 0.3  # of the latency objective, since arrival: so long a request waits for a server
+TICK_TOKEN = 0  # timer token of the engine's tick; scheduled attempts have higher tokens
+# How long after its arrival a request may wait for a server, as a fraction of its latency objective.
+SERVER_WAIT_FRACTION = 0.3
 
 
 class RequestExecution:
-    """Pending requests and their attempts. `actions` is where each event's actions go."""
+    """Runs the attempts of all pending requests; appends its actions to `actions`."""
 
     def __init__(
         self,
@@ -45,22 +46,22 @@
         self.chooser = EndpointChooser(settings, rng, pool)
         self.retry_policy = RetryPolicy(settings, pool.latency)
         self.retry_budget = RetryBudget()
-        self.requests: dict[str, PendingRequest] = {}  # without a final response
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, by request and number
-        self.waiting: list[str] = []  # requests for which there is no server now
-        self.scheduled: dict[int, ScheduledAttempt] = {}  # by the token of their timer
+        self.requests: dict[str, PendingRequest] = {}  # requests without a final response
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # attempts in flight, by request and number
+        self.waiting: list[str] = []  # requests that wait for a server
+        self.scheduled: dict[int, ScheduledAttempt] = {}  # scheduled attempts by timer token
         self.last_token = TICK_TOKEN
-        self.resumed_ms = -math.inf  # when this process last went on after a stall
+        self.resumed_ms = -math.inf  # when this process last resumed after a stall
         self.actions: list[Action] = []
 
     def send(self, now_ms: float, pending: PendingRequest) -> None:
-        """Starts an attempt. Where there is no server now, the request waits for one to come up or for a
-        slow-start token, as long as a response could still be in time."""
+        """Starts an attempt. If no server can be chosen now, the request waits for one to become available,
+        or for a slow-start token, as long as a response could still be in time."""
         server = self.chooser.pick(now_ms, pending)
         if server is None:
             waited_ms = now_ms - pending.arrived_ms
-            most_wait_ms = SERVER_WAIT_FRACTION * pending.request_class.latency_objective_ms
-            if waited_ms < most_wait_ms and now_ms < pending.deadline_ms - 2 * TICK_MS:
+            max_wait_ms = SERVER_WAIT_FRACTION * pending.request_class.latency_objective_ms
+            if waited_ms < max_wait_ms and now_ms < pending.deadline_ms - 2 * TICK_MS:
                 self.waiting.append(pending.request.request_id)
             else:
                 self.finish(pending)
@@ -71,7 +72,7 @@
             self.schedule(now_ms + hedge_after_ms, ScheduledAttempt(pending, is_hedge=True))
 
     def start_attempt(self, now_ms: float, pending: PendingRequest, server: Server) -> None:
-        """Starts an attempt at this server."""
+        """Starts an attempt at `server`."""
         request, endpoint = pending.request, server.endpoint
         if pending.tenant is not None:
             pending.tenant.attempts_in_flight += 1
@@ -88,7 +89,8 @@
         self.shedder.backlog.add(mean_ms)
 
     def end_attempt(self, now_ms: float, event: AttemptEnded) -> None:
-        """An attempt's outcome: learns from it, then tries again where that is allowed, else finishes."""
+        """Handles an attempt's outcome: updates the estimates, then retries the request if that is allowed,
+        or finishes it."""
         if (attempt := self.attempts.pop((event.request_id, event.attempt), None)) is None:
             return
         pending = attempt.pending
@@ -109,8 +111,8 @@
                 self.retry_or_finish(now_ms, pending, event)
 
     def learn(self, now_ms: float, attempt: Attempt, event: AttemptEnded) -> None:
-        """Updates the estimates. An attempt that was in flight while this process stood still says
-        nothing."""
+        """Updates the estimates from an attempt's outcome. The duration of an attempt that was in flight
+        during a stall of this process is ignored."""
         pending = attempt.pending
         is_valid = attempt.sent_ms >= self.resumed_ms
         seen = event if is_valid else replace(event, outcome=Outcome.CANCELLED)
@@ -126,15 +128,16 @@
             self.shedder.capacity.record_latency(event.duration_ms, objective_ms)
 
     def cancel_attempts(self, pending: PendingRequest) -> None:
-        """The request has its response: cancels a hedged attempt that is still in flight."""
+        """Cancels the attempts that are still in flight when the request has its response."""
         if pending.in_flight:
             request_id = pending.request.request_id
             numbers = [n for n in range(pending.attempt_count) if (request_id, n) in self.attempts]
             self.actions += [CancelAttempt(request_id, number) for number in numbers]
 
     def retry_or_finish(self, now_ms: float, pending: PendingRequest, event: AttemptEnded) -> None:
-        """No attempt is in flight any more: starts another, at once or after the delay that the server asked
-        for, or finishes the request. A retry takes no token where no server had work from that attempt."""
+        """Starts a retry, at once or after the event's retry delay, or finishes the request. No attempt of it
+        is in flight. The retry takes no token of the retry budget if the last attempt reached no server, as
+        it caused no load there."""
         tokens = 0.0 if event.outcome in NEVER_REACHED_SERVER else 1.0
         start_ms = now_ms + event.retry_delay_ms
         if not self.retry_policy.may_retry(start_ms, pending, event) or not self.retry_budget.has(tokens):
@@ -147,13 +150,13 @@
             self.send(now_ms, pending)
 
     def schedule(self, at_ms: float, scheduled: ScheduledAttempt) -> None:
-        """Sets a timer for a further attempt."""
+        """Sets a timer for a retry or a hedged attempt."""
         self.last_token += 1
         self.scheduled[self.last_token] = scheduled
         self.actions.append(SetTimer(self.last_token, at_ms))
 
     def start_scheduled(self, now_ms: float, token: int) -> None:
-        """A retry delay is over, or the time for a hedged attempt has come."""
+        """Starts the retry or the hedged attempt whose timer fired, if the request is still pending."""
         scheduled = self.scheduled.pop(token, None)
         if scheduled is None:
             return
@@ -166,8 +169,8 @@
             self.send_or_finish(now_ms, pending)
 
     def hedge(self, now_ms: float, pending: PendingRequest) -> None:
-        """Starts a hedged attempt beside the first, at another server, if that is allowed and in the
-        budget."""
+        """Starts a hedged attempt at another server, if the request may have one and the retry budget has a
+        token for it."""
         first = self.attempts.get((pending.request.request_id, 0))
         if first is None or not hedging.may_hedge(pending) or not self.retry_budget.has(1.0):
             return
@@ -180,7 +183,7 @@
             self.start_attempt(now_ms, pending, server)
 
     def retry_waiting(self, now_ms: float) -> None:
-        """Tries the requests that wait for a server again."""
+        """Tries again to send the requests that wait for a server."""
         waiting, self.waiting = self.waiting, []
         for request_id in waiting:
             pending = self.requests.get(request_id)
@@ -194,37 +197,38 @@
     # --- the end of a request -----------------------------------------------------------------------------
 
     def send_or_finish(self, now_ms: float, pending: PendingRequest) -> None:
-        """Starts another attempt if that is still allowed, else finishes the request."""
+        """Starts another attempt if that is still allowed, or finishes the request."""
         if self.retry_policy.may_retry(now_ms, pending, None):
             self.send(now_ms, pending)
         else:
             self.finish(pending)
 
     def handle_stalled_attempt(self, now_ms: float, request_id: str) -> None:
-        """An attempt waits behind another on its connection: a hedged one may help."""
+        """Tries to start a hedged attempt for a request whose attempt is blocked on its connection."""
         if self.settings.allows_hedging and (pending := self.requests.get(request_id)):
             self.hedge(now_ms, pending)
 
     def start_response(self, now_ms: float, request_id: str, attempt_number: int) -> None:
-        """A streamed response has begun: the client has its final response."""
+        """Records that a streamed response has begun; it is the request's final response."""
         self.requests.pop(request_id, None)
         if attempt := self.attempts.get((request_id, attempt_number)):
             attempt.response_started_ms = now_ms
 
     def abandon(self, request_id: str) -> None:
-        """The client has left."""
+        """Drops a request whose client has disconnected."""
         if (pending := self.requests.pop(request_id, None)) is not None:
             self.refund(pending)
 
     def refund(self, pending: PendingRequest) -> None:
-        """Refunds the units of a request that is over, if none of its attempts has reached a server."""
+        """Refunds the units of a finished request, if none of its attempts can have reached a server."""
         is_unused = not pending.has_reached_server and not pending.in_flight
         if pending.tenant is not None and pending.is_charged and is_unused:
             pending.is_charged = False
             self.quota.refund(pending.tenant, pending.request.units)
 
     def finish(self, pending: PendingRequest) -> None:
-        """The final response of a request that was not served: rejected only if no attempt may have run."""
+        """Gives the final response to a request that was not served: a rejection if no attempt can have run,
+        else a failure."""
         self.refund(pending)
         request_id, did_not_run = pending.request.request_id, pending.may_have_run_ms is None
         self.reports.count("refused: no attempt" if did_not_run else "failed")
--- a/glenchute/policy/requests.py
+++ b/glenchute/policy/requests.py
@@ -1,4 +1,4 @@
-"""Pending requests and their attempts."""
+"""The state of pending requests and their attempts."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 
 @record(slots=True)
 class PendingRequest:
-    """A request that awaits its final response."""
+    """A request without a final response."""
 
     request: Request
     request_class: RequestClass
-    tenant: Tenant | None  # None: no quota
+    tenant: Tenant | None  # None: the request has no quota
     arrived_ms: float
     deadline_ms: float
     attempt_count: int = 0
-    in_flight: int = 0  # attempts of it
-    is_counted: bool = False  # not to be reported: its own call added its units, or may have, or stood for it
-    is_charged: bool = False  # its units are taken from the tenant's buckets
-    has_reached_server: bool = False  # an attempt has, or may have
+    in_flight: int = 0  # attempts of this request in flight
+    # Its units must not be reported to the counter: a call made for it added them, or may have, or units
+    # that other calls reserve cover them.
+    is_counted: bool = False
+    is_charged: bool = False  # its units have been taken from the tenant's buckets
+    has_reached_server: bool = False  # an attempt reached a server, or may have
     attempted_addresses: list[str] = field(default_factory=list)
-    may_have_run_ms: float | None = None  # when the first attempt was sent that may have run
-    pinned_endpoint: Endpoint | None = None  # where that one went
+    may_have_run_ms: float | None = None  # send time of the first attempt that may have run
+    pinned_endpoint: Endpoint | None = None  # the server of the first attempt that may have run
 
 
 @record(slots=True)
@@ -37,13 +39,14 @@
     pending: PendingRequest
     endpoint: Endpoint
     sent_ms: float
-    expected_latency_ms: float  # mean of such requests when it was sent
-    response_started_ms: float = math.inf  # a streamed response has begun: it is not late from then on
+    expected_latency_ms: float  # mean latency of such requests at the time of sending
+    # When a streamed response began. The attempt's age for the capacity estimate ends here.
+    response_started_ms: float = math.inf
 
 
 @record(frozen=True, slots=True)
 class ScheduledAttempt:
-    """A further attempt that a timer starts."""
+    """A retry or a hedged attempt that starts when its timer fires."""
 
     pending: PendingRequest
     is_hedge: bool
