--- a/glenchute/policy/__init__.py
+++ b/glenchute/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decision code: pure functions and state machines; time and randomness are arguments, no I/O."""
+"""Decision code: pure functions and state machines that take time and randomness as arguments. No I/O."""
--- a/glenchute/policy/record.py
+++ b/glenchute/policy/record.py
@@ -1,10 +1,10 @@
-"""A `record` decorator: dataclasses with slots that cost little to define.
+"""A `record` decorator: slotted dataclasses that are cheap to define.
 
-A gateway that restarts is away for as long as its imports take, and half of that was the code that
+A restarting gateway is unavailable while it imports its modules, and half of that time went into code that
 `dataclass` generates and compiles for methods that no request calls. Here only ``__init__`` is compiled, when
-the first record of its class is made; ``__eq__``, ``__hash__`` and ``__repr__`` go over the fields' names.
-To mypy a record is a dataclass, so a frozen one must not be assigned to; at run time nothing prevents that.
-`dataclasses.fields` and `replace` work on it, and a dataclass may inherit from it.
+the first instance of a class is created; ``__eq__``, ``__hash__`` and ``__repr__`` iterate over field names.
+For mypy a record is a dataclass, so it reports assignments to a frozen one; at run time they are not checked.
+`dataclasses.fields` and `replace` work on records, and a dataclass may inherit from one.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 else:
 
     def record(*, frozen: bool = False, slots: bool = True) -> Any:
-        """A decorator with the meaning of `dataclasses.dataclass` for plain classes with annotated fields,
-        which may inherit from a record; `frozen` ones can be hashed."""
+        """Works like `dataclasses.dataclass` for plain classes with annotated fields, which may inherit from
+        a record. Instances of a `frozen` record are hashable."""
         return lambda cls: _make_record(cls, frozen)
 
 
 class _LazyFields:
-    """The descriptor of ``__dataclass_fields__``: makes them when they are first asked for."""
+    """The descriptor behind ``__dataclass_fields__``: creates the fields at the first access."""
 
     def __get__(self, instance: object, owner: type) -> Any:
         namespace = {"__annotations__": dict.fromkeys(owner.__match_args__, Any), **owner.record_defaults}  # type: ignore[attr-defined]
@@ -38,7 +38,7 @@
 
 
 def _compile_constructor(names: tuple[str, ...], defaults: dict[str, Any]) -> Any:
-    """``__init__`` for fields of these names."""
+    """Compiles ``__init__`` for fields of these names."""
     namespace: dict[str, Any] = {"MISSING": MISSING}
     parameters, assignments = [], []
     for name in names:
@@ -59,7 +59,7 @@
 
 
 def _make_record(cls: type, frozen: bool) -> type:
-    """A copy of the class with slots and the methods of a dataclass."""
+    """Returns a copy of the class with slots and the methods of a dataclass."""
     inherited = getattr(cls, "__match_args__", ())
     own = [name for name in vars(cls).get("__annotations__", {}) if name not in inherited]
     names = (*inherited, *own)
@@ -75,12 +75,13 @@
         return f"{cls.__qualname__}({', '.join(f'{name}={getattr(self, name)!r}' for name in names)})"
 
     def initialize(self: Any, *values: Any, **named_values: Any) -> None:
-        made.__init__ = _compile_constructor(names, defaults)  # the next record calls it directly
-        made.__init__(self, *values, **named_values)
+        # The class gets the compiled constructor, so later instances call it directly.
+        slotted_class.__init__ = _compile_constructor(names, defaults)
+        slotted_class.__init__(self, *values, **named_values)
 
     body |= {"__slots__": tuple(own), "__match_args__": names, "record_defaults": defaults,
              "__init__": initialize, "__eq__": equals, "__dataclass_fields__": _LazyFields(),
              "__hash__": (lambda self: hash(values_of(self))) if frozen else None}  # fmt: skip
     body.setdefault("__repr__", represent)
-    made: Any = type(cls)(cls.__name__, cls.__bases__, body)
-    return made  # type: ignore[no-any-return]
+    slotted_class: Any = type(cls)(cls.__name__, cls.__bases__, body)
+    return slotted_class  # type: ignore[no-any-return]
--- a/glenchute/policy/timing.py
+++ b/glenchute/policy/timing.py
@@ -2,4 +2,4 @@
 
 from __future__ import annotations
 
-TICK_MS = 250.0  # between two passes of the engine over its pending requests and estimates
+TICK_MS = 250.0  # interval of the engine's tick, which updates estimates and retries waiting requests
