--- a/glenchute/policy/admission/backlog.py
+++ b/glenchute/policy/admission/backlog.py
@@ -1,56 +1,58 @@
-"""The backlog of this gateway: work in flight against the rate at which servers complete it.
+"""The backlog of this gateway: the work in flight, compared with the rate at which servers complete work.
 
-Work is counted in milliseconds of mean response time, by class and units as `LatencyEstimates` has it.
+The work of a request is the mean latency in milliseconds that `LatencyEstimates` has for its class and units.
 """
 
 from __future__ import annotations
 
 import math
 
-RATE_WINDOW_S = 2.0  # the rate of completed work is a mean over this long
-PEAK_FADE_S = 8.0
-MIN_RATE_AGE_MS = 200.0  # added to the measuring time, so that the first responses show no huge rate
-MOST_GAP_S = 4.0  # without a response, after which the rate is measured anew
+RATE_WINDOW_S = 2.0  # time constant of the mean rate of completed work
+PEAK_DECAY_S = 8.0  # time constant by which the peak rate decays
+MIN_RATE_AGE_MS = 200.0  # added to the measuring time, so that the first responses don't give a huge rate
+MAX_RESPONSE_GAP_S = 4.0  # after this long without a response, the measurement of the rate restarts
 
 
 class Backlog:
-    """Work in flight and the rate of completed work."""
+    """Tracks the work in flight and the rate of completed work."""
 
     def __init__(self) -> None:
         self.in_flight_ms = 0.0
         self.completed_ms_per_s = 0.0
-        self.peak_ms_per_s = 0.0  # most of that lately
+        self.peak_ms_per_s = 0.0  # recent peak of the rate of completed work
         self.completed_at_ms = 0.0
         self.measured_since_ms = math.inf
 
     def add(self, work_ms: float) -> None:
-        """An attempt is sent."""
+        """Adds the work of an attempt that is sent."""
         self.in_flight_ms += work_ms
 
     def remove(self, work_ms: float) -> None:
-        """An attempt has ended."""
+        """Removes the work of an attempt that has ended."""
         self.in_flight_ms = max(0.0, self.in_flight_ms - work_ms)
 
     def record_completed(self, now_ms: float, work_ms: float) -> None:
-        """An attempt has ended with a response."""
+        """Updates the rate by an attempt that has ended with a response."""
         elapsed_s = (now_ms - self.completed_at_ms) / 1000.0
-        if elapsed_s > MOST_GAP_S:
+        if elapsed_s > MAX_RESPONSE_GAP_S:
             self.completed_ms_per_s, self.measured_since_ms = 0.0, now_ms
-        fade = math.exp(-elapsed_s / RATE_WINDOW_S)
-        self.completed_ms_per_s = self.completed_ms_per_s * fade + work_ms / RATE_WINDOW_S
+        decay = math.exp(-elapsed_s / RATE_WINDOW_S)
+        self.completed_ms_per_s = self.completed_ms_per_s * decay + work_ms / RATE_WINDOW_S
         self.measured_since_ms = min(self.measured_since_ms, now_ms)
         age_ms = now_ms - self.measured_since_ms + MIN_RATE_AGE_MS
-        grown = 1.0 - math.exp(-age_ms / (1000.0 * RATE_WINDOW_S))
+        # The mean starts at 0: dividing by this corrects the bias of a measurement that began recently.
+        bias_correction = 1.0 - math.exp(-age_ms / (1000.0 * RATE_WINDOW_S))
         self.peak_ms_per_s = max(
-            self.completed_ms_per_s / grown, self.peak_ms_per_s * math.exp(-elapsed_s / PEAK_FADE_S)
+            self.completed_ms_per_s / bias_correction,
+            self.peak_ms_per_s * math.exp(-elapsed_s / PEAK_DECAY_S),
         )
         self.completed_at_ms = now_ms
 
     @property
     def wait_ms(self) -> float:
-        """How long the work in flight takes at the peak rate; only where a rate is known."""
+        """Milliseconds that the work in flight takes at the peak rate, which must not be 0."""
         return self.in_flight_ms / self.peak_ms_per_s * 1000.0
 
     def reset_after_stall(self, now_ms: float) -> None:
-        """This process stood still: the rate is of long ago."""
+        """Restarts the measurement of the rate after a stall of this process, which makes it outdated."""
         self.completed_ms_per_s, self.measured_since_ms = 0.0, now_ms
