--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -10,7 +10,7 @@
 
 from benchmarks.recovery import measure
 from glenchute.policy.actions import StartAttempt
-from glenchute.policy.admission.call_pacing import LEAST_CALL_FRACTION
+from glenchute.policy.admission.call_pacing import MIN_CALL_FRACTION
 from glenchute.policy.admission.capacity import CapacityEstimate
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Outcome
 from glenchute.policy.settings import Idempotency, RequestClass
@@ -181,7 +181,7 @@
 
 def crowd(rig: Rig) -> None:
     rig.gateway.quota.counter.pacing.call_fraction, rig.gateway.quota.counter.pacing.late_fraction = (
-        LEAST_CALL_FRACTION,
+        MIN_CALL_FRACTION,
         1.0,
     )
 
