--- a/glenchute/policy/admission/counter_calls.py
+++ b/glenchute/policy/admission/counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the shared counter that await a reply."""
+"""Calls to the shared counter that are waiting for a reply."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @record(frozen=True, slots=True)
 class CounterCall:
-    """One `IncrementCounter`, as long as its reply may come."""
+    """One `IncrementCounter` whose reply may still come."""
 
     tenant: Tenant
-    window_counter: WindowCounter  # of the window that the call's key belongs to
+    window_counter: WindowCounter  # state of the window that the call's key belongs to
     units: float
-    marker: float  # added besides the units; 0: none
-    request_id: str | None  # the request that waits for the reply
-    is_complete: bool  # nothing was taken off its units
-    reserved_units: float  # of its units, those added ahead for that request
+    marker: float  # epoch marker that the call adds to its units; 0: none
+    request_id: str | None  # the request that waits for the reply, if any
+    is_complete: bool  # no refunds were subtracted from its units
+    reserved_units: float  # the part of `units` that is reserved for the waiting request
 
 
 class CounterCalls:
-    """The calls by key. Replies to one key's calls come in the order of the calls."""
+    """Holds the calls by counter key. Replies to one key's calls come in the order of the calls."""
 
     def __init__(self) -> None:
         self.in_flight: dict[int, deque[CounterCall]] = {}
-        # Of windows in force, without a reply in time; a late one may still come.
+        # Calls of current windows that had no reply in time; a late reply may still come.
         self.timed_out: dict[int, deque[CounterCall]] = {}
--- a/glenchute/policy/admission/counter_sync.py
+++ b/glenchute/policy/admission/counter_sync.py
@@ -1,8 +1,8 @@
-"""Synchronisation with the shared counter: when to call it, and what its replies teach.
+"""Synchronisation with the shared counter: when to call it, and how its replies are applied.
 
 The counter holds, for each tenant and window, the units that all gateways have admitted. A gateway reports
-its own units, and learns from the total what the others have used. A request that could empty the quota waits
-for the reply to a call of its own.
+its own units and derives the other gateways' use from the total in the reply. A request that might exceed
+what is left of the quota waits for the reply to its own call.
 """
 
 from __future__ import annotations
@@ -22,13 +22,14 @@
 from .tenants import TenantTable
 from .windows import FILL_WINDOW_S, TENANT_IDLE_MS
 
-REPORT_GAP_MS = 1000.0  # between two reports of a tenant whose bucket is below half ...
-CALM_REPORT_GAP_MS = 2000.0  # ... and above
-URGENT_FRACTION = 0.5  # of the headroom: more that all gateways could have admitted is urgent
+REPORT_GAP_MS = 1000.0  # shortest time between reports for a tenant whose bucket is at most half full
+CALM_REPORT_GAP_MS = 2000.0  # shortest time between reports for a tenant whose bucket is more than half full
+# A report is urgent if all gateways together may have admitted this fraction of the headroom unreported.
+URGENT_FRACTION = 0.5
 
 
 class CounterSync:
-    """Calls to the counter, and what follows from their replies."""
+    """Makes the calls to the counter and applies its replies to the tenants."""
 
     def __init__(self, settings: Settings, rng: random.Random, tenants: TenantTable) -> None:
         self.settings = settings
@@ -36,15 +37,16 @@
         self.tenants = tenants
         self.pacing: CallPacing = tenants.pacing
         self.calls: CounterCalls = tenants.calls
-        self.replied_tenant: Tenant | None = None  # of the last call that ended, late replies aside
-        self.reserved_units = 0.0  # that its call had added ahead for a request, in the window in force
+        self.replied_tenant: Tenant | None = None  # tenant of the last call that ended, except late replies
+        # Units that this call had reserved for a request; 0 if they were not for the current window.
+        self.reserved_units = 0.0
 
     # --- when to call -------------------------------------------------------------------------------------
 
     def needs_total(self, now_ms: float, tenant: Tenant, units: float) -> bool:
-        """Whether a request has to wait for a total: the other gateways may have used what is left. Of few
-        gateways each has totals often and seldom needs one; of hundreds, each sees a tenant once in a window
-        or never."""
+        """Returns whether a request has to wait for a total, as the other gateways may have used up what is
+        left. With few gateways each gets totals often and rarely has to wait; with hundreds, each may see a
+        tenant once in a window or never."""
         headroom = self.tenants.headroom(tenant)
         if self.pacing.is_unavailable or headroom == math.inf or tenant.calls_in_flight:
             return False
@@ -56,8 +58,8 @@
         return possible_units >= URGENT_FRACTION * headroom and not is_known_empty
 
     def call_for_request(self, now_ms: float, tenant: Tenant, request: Request) -> IncrementCounter | None:
-        """The call that a request waits for; None if it is not made, as the counter is overloaded. Those made
-        reserve the units of those that are not."""
+        """Returns the call that a request waits for, or None if it is omitted because the counter is
+        overloaded. Calls that are made reserve units for the omitted ones too."""
         if self.rng.random() > self.pacing.call_fraction:
             return None
         reserved_units = request.units / self.pacing.call_fraction
@@ -66,10 +68,11 @@
     def make_call(
         self, now_ms: float, tenant: Tenant, reserved_units: float = 0.0, request_id: str | None = None
     ) -> IncrementCounter:
-        """Reports what is new of a tenant, and reserves units for a request that waits for the reply.
+        """Makes the call that reports a tenant's new units and reserves units for a request that waits for
+        the reply.
 
-        Under a ceiling nothing is ever taken off a total: what is taken off was added to the memory of then,
-        which may be lost, and a fresh memory would hold less than it has granted.
+        Under a ceiling a total is never decreased. The units to subtract may have been added to a counter
+        that has lost its memory since; its replacement would then hold fewer units than it has granted.
         """
         window_counter = tenant.window_counter
         assert window_counter is not None
@@ -87,7 +90,8 @@
         return IncrementCounter(tenant.counter_key, round(reported_units + marker, 3), TENANT_IDLE_MS)
 
     def due_calls(self, now_ms: float, tenant: Tenant) -> list[Action]:
-        """Reports what is new of a tenant, the sooner the nearer its bucket is to empty."""
+        """Returns the call that reports a tenant's new units, if one is due. Reports are more frequent when
+        less is left in the bucket."""
         self.tenants.refresh(now_ms, tenant)
         unreported_units = tenant.unreported_units
         is_refund = unreported_units < 0.0
@@ -103,7 +107,7 @@
         return [] if is_early else [self.make_call(now_ms, tenant)]
 
     def report_gap_ms(self, tenant: Tenant) -> float:
-        """Least time between two reports of a tenant."""
+        """Returns the shortest time between two reports for a tenant."""
         spread_units = tenant.unreported_units * tenant.gateway_spread
         burst_units = tenant.plan.burst_units
         is_urgent = abs(tenant.unreported_units) * tenant.gateway_spread >= (
@@ -116,7 +120,7 @@
     # --- replies ------------------------------------------------------------------------------------------
 
     def handle_reply(self, now_ms: float, reply: CounterReply) -> str | None:
-        """How a call ended. Returns the request that waits for it."""
+        """Handles the end of a call. Returns the request that waits for it, if any."""
         if reply.is_late:
             self.handle_late_reply(now_ms, reply)
             return None
@@ -141,22 +145,22 @@
         if is_current:
             tenant.own_units_since_reply += call.units
             tenant.is_last_call_complete = call.is_complete
-            # Replies come in order: those to the calls before this one never will.
+            # Replies come in the order of the calls, so earlier calls get no reply any more.
             self.calls.timed_out.pop(tenant.counter_key, None)
         self.apply_total(now_ms, tenant, call.window_counter, reply.total, call.units, call.marker, 0.0)
         return call.request_id
 
     def handle_failure(self, now_ms: float, call: CounterCall, outcome: Outcome, is_current: bool) -> None:
-        """A call had no reply, or was rejected. What is not proven never to have been added may have been,
-        and adding it twice would be worse than losing it."""
+        """Handles a call that had no reply or was rejected. Its units count as added unless the outcome
+        proves that they were not: adding them twice would be worse than losing them."""
         tenant = call.tenant
-        is_added_perhaps = outcome not in DID_NOT_RUN
-        if not is_added_perhaps:
+        may_have_been_added = outcome not in DID_NOT_RUN
+        if not may_have_been_added:
             call.window_counter.marker_not_added(call.marker)
         self.pacing.record_failure(now_ms, outcome is Outcome.REJECTED)
         if not is_current:
             return
-        if is_added_perhaps:
+        if may_have_been_added:
             tenant.own_units_since_reply += call.units
         elif call.request_id is None:
             tenant.unreported_units += call.units
@@ -164,10 +168,10 @@
             self.calls.timed_out.setdefault(tenant.counter_key, deque()).append(call)
 
     def handle_late_reply(self, now_ms: float, reply: CounterReply) -> None:
-        """What became of a call that had no reply in time. A slow counter is available, and its totals are as
-        true; no request waits for them any more."""
+        """Handles the actual result of a call that timed out. A slow counter is available, and its totals are
+        valid, but no request waits for them any more."""
         if not (calls := self.calls.timed_out.get(reply.key)):
-            return  # of a window that has ended
+            return  # the window of the call has ended
         call = calls.popleft()
         tenant = call.tenant
         if reply.outcome is Outcome.OK:
@@ -195,9 +199,10 @@
         marker: float,
         later_units: float,
     ) -> None:
-        """Learns from a total: its rise beyond the own units is the other gateways' use.
+        """Applies a total: what it has risen beyond this gateway's own units is the other gateways' use.
 
-        `units`, `marker`: what the call added; `later_units`: own units that may have been added after it.
+        `units`, `marker`: what the call added; `later_units`: own units of later calls, which may have been
+        added after this total.
         """
         lost_units = window_counter.apply_total(total, units, marker)
         self.pacing.monitor.record_reply(now_ms, lost_units is not None)
@@ -207,33 +212,35 @@
         own_units = tenant.own_units_since_reply - later_units
         others_units = window_counter.units - tenant.counter_total_units - own_units
         if lost_units is not None:
-            # The own units were lost with the others'. They are added again, once, so that gateways that know
-            # nothing learn of them; the bucket stands, as a fresh memory is no fresh quota.
+            # The counter has lost this gateway's units and those of others. The own units are reported again,
+            # once, so that gateways without earlier totals learn of them. The bucket is not changed: the loss
+            # must not refill the quota.
             tenant.unreported_units += lost_units
             self.tenants.unreported[tenant.tenant_id] = tenant
             others_units = -math.inf
-        if others_units >= -0.5:  # else counts were lost, not demand: the last known demand stands
+        # A negative difference shows that counts were lost, not that demand fell: the estimate is kept.
+        if others_units >= -0.5:
             self.apply_others_use(now_ms, tenant, max(0.0, own_units), max(0.0, others_units))
         tenant.counter_total_units, tenant.counter_total_ms = window_counter.units, now_ms
         tenant.own_units_since_reply = later_units
 
     def apply_others_use(self, now_ms: float, tenant: Tenant, own_units: float, others_units: float) -> None:
-        """Own and other gateways' units since the last total. What members have reported of the latter has
-        been deducted already."""
+        """Applies the units that this and the other gateways have added since the last total. What members
+        have reported of the others' units has been deducted from the bucket before."""
         local_share.record_total(tenant, own_units, others_units)
         known_units = max(0.0, tenant.member_others_units - tenant.counter_others_units)
         tenant.counter_others_units += others_units
         self.tenants.deduct_others_use(now_ms, tenant, max(0.0, others_units - known_units))
 
     def refund_reserved(self, tenant: Tenant) -> None:
-        """The request that the last reply was for is rejected, but the counter holds its units. Left there
-        they would pass for use: of many gateways each sees a tenant seldom, and together they would ask it
-        out of its quota."""
+        """Takes back the units that the last call reserved for a request which is not sent after all. If the
+        counter kept them, they would count as use: many gateways, each of which sees a tenant rarely, would
+        together use up its quota by calls alone."""
         tenant.unreported_units -= self.reserved_units
         if tenant.unreported_units < 0.0 and not tenant.plan.ceiling_rate_per_s:
             self.tenants.unreported[tenant.tenant_id] = tenant
 
     def record_tick(self) -> None:
-        """A tick of the engine."""
+        """Records a tick of the engine."""
         if not self.calls.in_flight:
             self.pacing.record_idle_tick()
