--- a/glenchute/policy/admission/__init__.py
+++ b/glenchute/policy/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Quota accounting per tenant, ceilings, epoch markers, and the capacity estimate."""
+"""Admission control: quota accounting per tenant, ceilings, epoch markers and the capacity estimate."""
--- a/glenchute/policy/admission/concurrency.py
+++ b/glenchute/policy/admission/concurrency.py
@@ -1,25 +1,27 @@
-"""Concurrency limits: how many attempts of a tenant may be in flight at once, over all gateways."""
+"""Concurrency limits: how many attempts of a tenant may be in flight at once over all gateways."""
 
 from __future__ import annotations
 
 from .tenant import Tenant
 
-CONCURRENCY_FILL = 0.6  # of a limit that a steady flow fills at most: attempts come in bursts
+# Fraction of a concurrency limit that the mean demand may use; the rest is for bursts of attempts.
+CONCURRENCY_FILL = 0.6
 
 
 def admitted_fraction(tenant: Tenant, mean_attempt_s: float) -> float:
-    """The fraction of the demand that fits a limit, taken as a rate: attempts leave as fast as they end."""
+    """Returns which fraction of the demand the limit covers, by Little's law: attempts in flight are the
+    demand times the mean duration of an attempt. A result above 1 covers all of it."""
     demand_per_s = tenant.own_demand_per_s + tenant.others_demand_per_s
     return CONCURRENCY_FILL * tenant.plan.max_concurrent / max(demand_per_s * mean_attempt_s, 1e-9)
 
 
 def is_full(tenant: Tenant, units: float, headroom: float, uses_local_bucket: bool) -> bool:
-    """Whether this gateway's even part of the limit is in use.
+    """Returns whether this gateway's even share of the limit is in use.
 
-    `headroom`: attempts thought to be left over all gateways. `uses_local_bucket`: nothing recent is known
-    of the other gateways, and the local bucket decides.
+    `headroom`: estimated attempts left over all gateways. `uses_local_bucket`: nothing recent is known of
+    the other gateways, so that the local bucket decides.
     """
-    even_part = tenant.plan.max_concurrent // tenant.gateway_spread
+    even_share = tenant.plan.max_concurrent // tenant.gateway_spread
     if uses_local_bucket:
-        return tenant.local_units < units and tenant.attempts_in_flight >= even_part
-    return tenant.attempts_in_flight >= max(1, even_part) and headroom < 1.0
+        return tenant.local_units < units and tenant.attempts_in_flight >= even_share
+    return tenant.attempts_in_flight >= max(1, even_share) and headroom < 1.0
