--- a/glenchute/policy/admission/state_transfer.py
+++ b/glenchute/policy/admission/state_transfer.py
@@ -1,7 +1,8 @@
-"""Quota state across a handover between two processes of one gateway.
+"""Quota state during a handover between two processes of one gateway.
 
-A gateway may be two processes for a while. To the others they are one, so each keeps to half of the gateway's
-local shares and ceiling guards, and one of them alone marks the counter keys of a window.
+During a handover a gateway consists of two processes, which the other gateways count as one. Therefore each
+process has half of the gateway's local shares and ceiling guards, and only one of them adds markers to the
+counter keys of a window.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 
 def start_handover(tenants: TenantTable, now_ms: float) -> tuple[QuotaSnapshot, ...]:
-    """The successor runs: halves what this process may admit by itself, and leaves the markers to the
-    successor. The tenants' state for it, those seen last first."""
+    """Starts the handover to a successor: halves what this process may admit on its own and stops adding
+    markers. Returns the tenants' state for the successor, most recently seen first."""
     tenants.markers_from_ms = math.inf
     snapshots = [split_off_half(tenants, now_ms, tenant) for tenant in list(tenants.by_id.values())]
     tenants.set_process_count(2)
@@ -24,8 +25,8 @@
 
 
 def split_off_half(tenants: TenantTable, now_ms: float, tenant: Tenant) -> QuotaSnapshot:
-    """One tenant's state for the successor. Half of the ceiling guard and of the reported own units moves to
-    it; half of the own demand is copied and stays here too."""
+    """Returns one tenant's state for the successor. Half of the ceiling guard and of the reported own units
+    move to the successor; half of the own demand is copied, and this process keeps all of it."""
     tenants.refresh(now_ms, tenant)
     tenant.ceiling_guard_units *= 0.5
     tenant.reported_own_units *= 0.5
@@ -47,42 +48,42 @@
 
 
 def restore(tenants: TenantTable, now_ms: float, snapshots: tuple[QuotaSnapshot, ...]) -> None:
-    """Takes over the predecessor's state. A tenant that this process knows already is kept as it is; of more
-    than the table holds, those seen last come first."""
+    """Applies the predecessor's state. Tenants that this process already knows are not changed. If the table
+    can't hold all tenants, the most recently seen are restored."""
     tenants.markers_from_ms = now_ms
     tenants.set_process_count(2)
     room = max(0, MAX_TENANTS - len(tenants.by_id))
-    for stored in reversed(snapshots[:room]):
-        if stored.plan in tenants.plans and stored.tenant not in tenants.by_id:
-            restore_tenant(tenants, now_ms, stored)
+    for snapshot in reversed(snapshots[:room]):
+        if snapshot.plan in tenants.plans and snapshot.tenant not in tenants.by_id:
+            restore_tenant(tenants, now_ms, snapshot)
 
 
-def restore_tenant(tenants: TenantTable, now_ms: float, stored: QuotaSnapshot) -> None:
-    """One tenant from the predecessor's state."""
-    plan = tenants.plans[stored.plan]
+def restore_tenant(tenants: TenantTable, now_ms: float, snapshot: QuotaSnapshot) -> None:
+    """Creates one tenant from the predecessor's state."""
+    plan = tenants.plans[snapshot.plan]
     tenant = Tenant(
-        stored.tenant,
+        snapshot.tenant,
         plan,
-        tenants.spread_of(stored.gateway_spread),
+        tenants.spread_of(snapshot.gateway_spread),
         now_ms,
-        min(stored.bucket_units, plan.burst_units),
+        min(snapshot.bucket_units, plan.burst_units),
         0.0,
-        min(stored.ceiling_guard_units, 0.5 * plan.ceiling_burst_units),
+        min(snapshot.ceiling_guard_units, 0.5 * plan.ceiling_burst_units),
         now_ms,
     )
-    tenant.own_demand_per_s = stored.own_demand_per_s
-    tenant.others_demand_per_s = stored.others_demand_per_s
-    tenant.reported_own_units = stored.reported_own_units
-    tenant.reported_units = max(stored.reported_units, stored.reported_own_units)
+    tenant.own_demand_per_s = snapshot.own_demand_per_s
+    tenant.others_demand_per_s = snapshot.others_demand_per_s
+    tenant.reported_own_units = snapshot.reported_own_units
+    tenant.reported_units = max(snapshot.reported_units, snapshot.reported_own_units)
     tenant.local_units = local_limit_units(tenant)
     tenants.refresh(now_ms, tenant)
-    if tenant.window_start_ms == stored.window_start_ms and stored.window_total_units < math.inf:
-        # The bucket is less by these units already.
-        tenant.counter_total_units, tenant.counter_total_ms = stored.window_total_units, now_ms
+    if tenant.window_start_ms == snapshot.window_start_ms and snapshot.window_total_units < math.inf:
+        # The predecessor has deducted these units from the bucket already.
+        tenant.counter_total_units, tenant.counter_total_ms = snapshot.window_total_units, now_ms
     tenants.by_id[tenant.tenant_id] = tenant
 
 
 def end_handover(tenants: TenantTable, now_ms: float) -> None:
-    """The other process has ended."""
+    """Ends the handover when the other process has ended."""
     tenants.markers_from_ms = min(tenants.markers_from_ms, now_ms)
     tenants.set_process_count(1)
--- a/glenchute/policy/admission/tenants.py
+++ b/glenchute/policy/admission/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of this gateway: their records, and how buckets and windows follow the clock."""
+"""The table of tenants at this gateway, and how their buckets and windows advance with time."""
 
 from __future__ import annotations
 
@@ -14,37 +14,39 @@
 from .tenant import Tenant
 from .windows import FILL_WINDOW_S, TENANT_IDLE_MS, stable_key, window_length_ms, window_start_ms
 
-USAGE_UPDATE_TTL_MS = 1500.0  # members' usage updates count for this long
-MAX_TENANTS = 50_000  # records; some 32 MB
-EVICTION_BATCH = 256  # records that make room at a time
-FULL_CHECK_MS = 1000.0  # between two walks over a table of which nothing can be forgotten
-OTHERS_USE_TTL_S = 1.5  # the others' use is expected to go on for this long, then fades
+USAGE_UPDATE_TTL_MS = 1500.0  # how long a members' usage update is valid
+MAX_TENANTS = 50_000  # records, which take about 32 MB
+EVICTION_BATCH = 256  # number of records evicted at a time to make room
+FULL_CHECK_MS = 1000.0  # interval between searches of a full table from which no record could be evicted
+OTHERS_USE_TTL_S = 1.5  # the others' use is assumed to go on for this long without a total, then to decay
 
 
 class TenantTable:
-    """The quota state of each tenant, of `MAX_TENANTS` at most.
+    """The quota state of each tenant, for at most `MAX_TENANTS` tenants.
 
-    Past that the tenants seen least recently are forgotten, and begin with a full bucket when they return.
-    One that has something in flight, units to report or a ceiling is not, as a forgotten ceiling could be
-    passed.
+    When the table is full, the least recently seen tenants are evicted; they start with a full bucket when
+    they return. A tenant with anything in flight, with units to report or with a ceiling is never evicted: a
+    new ceiling guard would let it exceed its ceiling.
     """
 
-    full_until_ms = -math.inf  # until then nothing can be forgotten; snapshots of before have none
+    # No record can be evicted until then. A class attribute, as snapshots of older versions don't hold it.
+    full_until_ms = -math.inf
 
     def __init__(self, settings: Settings, pacing: CallPacing, calls: CounterCalls) -> None:
         self.settings = settings
         self.pacing = pacing
         self.calls = calls
         self.plans = {plan.name: plan for plan in settings.plans}
-        self.by_id: dict[str, Tenant] = {}  # the least recently seen first
-        self.unreported: dict[str, Tenant] = {}  # those with units to report to the counter
-        self.started_ms = math.inf  # when this gateway had its first event
-        self.markers_from_ms = -math.inf  # windows that begin from then on may be marked by this process
-        self.process_count = 1  # processes of this gateway; local shares are even ones of them all
-        self.mean_attempt_s = 0.2  # mean time that an attempt is in flight
+        self.by_id: dict[str, Tenant] = {}  # least recently seen first
+        self.unreported: dict[str, Tenant] = {}  # tenants with units to report to the counter
+        self.started_ms = math.inf  # time of the engine's first event
+        self.markers_from_ms = -math.inf  # this process may mark windows that begin at this time or later
+        self.process_count = 1  # processes of this gateway, which divide its local shares evenly
+        self.mean_attempt_s = 0.2  # mean duration of an attempt
 
     def lookup(self, now_ms: float, request: Request) -> Tenant | None:
-        """The tenant's record, up to date; None where the plan is unknown, which is read as no quota."""
+        """Returns the tenant's record, brought up to date and created if need be. An unknown plan has no
+        quota: None."""
         if (plan := self.plans.get(request.plan)) is None:
             return None
         tenant = self.by_id.pop(request.tenant, None)
@@ -60,14 +62,15 @@
         return tenant
 
     def make_room(self, now_ms: float, request: Request) -> bool:
-        """Whether the request's tenant has a record, or there is room for one."""
+        """Returns whether the request's tenant has a record or there is room for one, evicting others if
+        needed."""
         is_known = request.tenant in self.by_id or request.plan not in self.plans
         if is_known or len(self.by_id) < MAX_TENANTS:
             return True
         if now_ms < self.full_until_ms:
             return False
-        oldest = (tenant for tenant in self.by_id.values() if self.is_evictable(tenant))
-        evicted = list(islice(oldest, EVICTION_BATCH))
+        evictable = (tenant for tenant in self.by_id.values() if self.is_evictable(tenant))
+        evicted = list(islice(evictable, EVICTION_BATCH))
         for tenant in evicted:
             self.forget(tenant)
         if not evicted:
@@ -75,22 +78,22 @@
         return bool(evicted)
 
     def is_evictable(self, tenant: Tenant) -> bool:
-        """Whether a tenant may be forgotten for another, however recently it was seen."""
+        """Returns whether a tenant may be evicted to make room, however recently it was seen."""
         has_work = tenant.attempts_in_flight or tenant.calls_in_flight or tenant.unreported_units
         return not has_work and not tenant.plan.ceiling_rate_per_s
 
     def forget(self, tenant: Tenant) -> None:
-        """Drops a tenant's record, and what refers to it."""
+        """Removes a tenant's record and all references to it."""
         del self.by_id[tenant.tenant_id]
         self.unreported.pop(tenant.tenant_id, None)
         self.calls.timed_out.pop(tenant.counter_key, None)
 
     def spread_of(self, gateway_spread: int) -> int:
-        """Processes over which a tenant's requests come in, by the number of its gateways."""
+        """Returns the number of processes that receive a tenant's requests, from its number of gateways."""
         return max(1, min(gateway_spread, self.settings.gateway_count)) * self.process_count
 
     def refresh(self, now_ms: float, tenant: Tenant) -> None:
-        """Brings a tenant's buckets up to the present, and its counter key to the window in force."""
+        """Advances a tenant's buckets to `now_ms`, and its counter key to the current window."""
         tenant.window_length_ms = window_length_ms(tenant.plan)
         start_ms = window_start_ms(now_ms, tenant.tenant_id, tenant.plan)
         if start_ms > tenant.window_start_ms:
@@ -98,8 +101,8 @@
         self.refill(now_ms, tenant)
 
     def begin_window(self, start_ms: float, tenant: Tenant) -> None:
-        """Begins a window. A key holds one window's use, so a gateway's first total of it tells how much of
-        the bucket is used up, however long ago the last total was."""
+        """Starts a window with a new counter key. A key holds the use of one window, so the first total that
+        a gateway gets for it shows how much of the bucket is used up, however old the total before is."""
         self.refill(start_ms, tenant)
         plan, ended = tenant.plan, tenant.window_counter
         is_busy = tenant.own_demand_per_s > tenant.largest_request_units
@@ -120,7 +123,7 @@
         tenant.calls_in_flight = 0
 
     def refill(self, now_ms: float, tenant: Tenant) -> None:
-        """Refills the buckets up to a moment, and drains them by what the other gateways are expected to
+        """Refills the buckets up to `now_ms`, and drains the quota's bucket by the other gateways' assumed
         use."""
         elapsed_s = (now_ms - tenant.updated_ms) / 1000.0
         if elapsed_s <= 0:
@@ -132,10 +135,10 @@
         tenant.updated_ms = now_ms
 
     def refill_bucket(self, now_ms: float, tenant: Tenant, elapsed_s: float) -> None:
-        """Refills and drains the quota's bucket.
+        """Refills the quota's bucket, and drains it by the other gateways' assumed use.
 
-        While the counter is unavailable and members report their use, a gateway and those keep to their
-        fraction of the quota: the rest may be half of the gateways, doing the same.
+        While the counter is unavailable and members report their use, this gateway and those members together
+        keep to their fraction of the quota, as the other gateways, partitioned from them, may do the same.
         """
         plan = tenant.plan
         is_unavailable = self.pacing.is_unavailable
@@ -144,7 +147,8 @@
             drain_per_s = 0.0
         else:
             age_s = max(0.0, tenant.updated_ms - tenant.counter_total_ms) / 1000.0
-            # A surge of theirs that has ended must not keep the bucket empty while no total comes.
+            # The assumed use decays: a surge elsewhere that has ended must not keep the bucket empty while no
+            # total arrives.
             drain_per_s = tenant.others_demand_per_s * math.exp(min(0.0, OTHERS_USE_TTL_S - age_s))
         drain = min(drain_per_s * min(elapsed_s, FILL_WINDOW_S), max(0.0, tenant.bucket_units))
         tenant.assumed_drain_units += drain
@@ -155,28 +159,31 @@
         )
 
     def reporting_fraction(self, now_ms: float, tenant: Tenant) -> float:
-        """The fraction of the gateways whose use of this window members have reported; 0: unknown, or old."""
+        """Returns the fraction of the gateways whose use in this window is known by recent usage updates; 0
+        if it is unknown or the last update is too old."""
         is_recent = now_ms - tenant.usage_update_ms < USAGE_UPDATE_TTL_MS
         return tenant.reporting_fraction if is_recent else 0.0
 
     def deduct_others_use(self, now_ms: float, tenant: Tenant, units: float) -> None:
-        """The other gateways have used so many units more than was known. By members' reports alone the
-        bucket may go below 0: what several gateways admitted at once, before they knew of each other, is made
-        up for."""
+        """Deducts units that the other gateways have used beyond what was known. While the counter is
+        unavailable and members report, the bucket may go below 0, to make up for what several gateways
+        admitted at the same time before they knew of each other's use."""
         burst = tenant.plan.burst_units
-        may_owe = self.pacing.is_unavailable and self.reporting_fraction(now_ms, tenant)
-        least = -burst if may_owe else 0.0
+        may_go_negative = self.pacing.is_unavailable and self.reporting_fraction(now_ms, tenant)
+        min_units = -burst if may_go_negative else 0.0
         since_ms = max(tenant.counter_total_ms, tenant.window_start_ms)
         elapsed_s = max(now_ms - since_ms, 1.0) / 1000.0
         total_age_ms = max(now_ms - tenant.counter_total_ms, 1.0)
         weight = 1.0 - math.exp(-total_age_ms / 1000.0 / FILL_WINDOW_S)
         tenant.others_demand_per_s += (units / (elapsed_s + 0.1) - tenant.others_demand_per_s) * weight
-        tenant.bucket_units = min(burst, max(least, tenant.bucket_units + tenant.assumed_drain_units - units))
+        tenant.bucket_units = min(
+            burst, max(min_units, tenant.bucket_units + tenant.assumed_drain_units - units)
+        )
         tenant.assumed_drain_units = 0.0
 
     def headroom(self, tenant: Tenant) -> float:
-        """What the tenant's quotas are thought to admit at once: the least of units left and attempts left,
-        as a request counts as one of either."""
+        """Returns how much the tenant's quotas are estimated to admit now: the lesser of the units left and
+        the attempts left, with one attempt compared as one unit."""
         plan = tenant.plan
         left = tenant.bucket_units if plan.rate_per_s else math.inf
         if plan.max_concurrent:
@@ -185,14 +192,14 @@
         return left
 
     def set_process_count(self, process_count: int) -> None:
-        """So many processes of this gateway run from now on."""
+        """Sets how many processes of this gateway run, and adapts the tenants' gateway spread."""
         for tenant in self.by_id.values():
             tenant.gateway_spread = tenant.gateway_spread // self.process_count * process_count
         self.process_count = process_count
 
     def evict_idle(self, now_ms: float) -> None:
-        """Forgets tenants unseen for `TENANT_IDLE_MS`, oldest first, up to the first that was seen since or
-        has something in flight."""
+        """Evicts tenants that were not seen for `TENANT_IDLE_MS`, least recently seen first, up to the first
+        that was seen since then or has anything in flight."""
         while self.by_id:
             tenant = next(iter(self.by_id.values()))
             is_recent = now_ms - tenant.last_seen_ms < TENANT_IDLE_MS
--- a/glenchute/policy/admission/usage_updates.py
+++ b/glenchute/policy/admission/usage_updates.py
@@ -1,7 +1,7 @@
-"""Usage updates: what members gossip of their use of a quota, beside the counter.
+"""Usage updates: the use of a quota as members report it by gossip, independently of the counter.
 
-The counter's totals and these updates tell of the same units, and each may lack some: the larger one counts,
-and only its rise is deducted from the bucket.
+The counter's totals and these updates report the same units, and each may lack some. The larger value counts,
+and only its increase is deducted from the bucket.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 
 def apply_usage_update(tenants: TenantTable, now_ms: float, update: UsageUpdate) -> None:
-    """Deducts what members have used beyond what was known. An update of another window than the one in force
-    is dropped, and so is one of a tenant for which the table has no room."""
+    """Deducts what members have used beyond what was known. An update for another window than the current one
+    is dropped, and so is one for a tenant for which the table has no room."""
     if not tenants.make_room(now_ms, update.request):
         return
     tenant = tenants.lookup(now_ms, update.request)
@@ -24,9 +24,11 @@
     tenant.usage_update_ms = now_ms
     known_units = max(tenant.counter_others_units, tenant.member_others_units)
     tenant.member_others_units = max(tenant.member_others_units, update.window_units)
-    # Requests come seldom, and most of a window's use may be reported only when it is over.
+    # The previous window counts too: updates come with requests, and if these are rare, most of a window's
+    # use may be reported only when it is over.
     if math.isnan(tenant.previous_window_units):
-        # This gateway saw nothing of that window: what has been refilled since it began counts against it.
+        # The others' use in the previous window was unknown: all of it is deducted, less what the rate has
+        # refilled since that window began.
         elapsed_ms = now_ms - tenant.window_start_ms + tenant.window_length_ms
         others_units = (
             update.previous_window_units
