--- a/glenchute/policy/retries/__init__.py
+++ b/glenchute/policy/retries/__init__.py
@@ -1,1 +1,1 @@
-"""When another attempt may start: route limits and what proxied attempts allow."""
+"""Retries and hedged requests: retry policy, retry budget, route limits and attempts made by proxies."""
--- a/glenchute/policy/retries/hedging.py
+++ b/glenchute/policy/retries/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt beside the first, where that is slow and a repeat does no harm."""
+"""Hedged requests: a second, concurrent attempt when the first is slow and a repeat is harmless."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 
 
 def may_hedge(pending: PendingRequest) -> bool:
-    """Whether a request may have a hedged attempt: beside its first, and no other."""
+    """Returns whether a request may have a hedged attempt: only its first attempt has started, and it is
+    still in flight."""
     if pending.in_flight != 1 or pending.attempt_count != 1:
         return False
     return pending.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
 
 
 def pin_to_first(pending: PendingRequest, first: Attempt) -> None:
-    """With an idempotency key the first attempt counts as run from now on, even if no hedged one starts
-    then, so that the hedged one goes to servers that drop repeats of it. Other requests are not changed."""
+    """Marks the first attempt of a request with an idempotency key as one that may have run, so that the
+    hedged attempt goes to a server that recognises repeats of it. The mark remains even if no hedged attempt
+    starts. Other requests are not changed."""
     if pending.request_class.idempotency is Idempotency.WITH_KEY:
         pending.may_have_run_ms, pending.pinned_endpoint = first.sent_ms, first.endpoint
--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -1,8 +1,9 @@
-"""Decisions on attempts that a proxy makes: pure functions of what the proxy reports.
+"""Decisions on attempts that a proxy makes, as pure functions of what the proxy reports.
 
-The engine decides on servers, retries and rejections. The rules here are those that only a proxy needs: what
-its response means as an attempt's outcome, whether an attempt of an earlier process may go on, whether an
-attempt that asks may go now, and what the client is shown. The tables are in docs/design/extproc.md.
+The engine decides on servers, retries and rejections. The rules here apply to proxied attempts only: which
+outcome a proxy's response stands for, whether a request that an earlier process decided on may be sent,
+whether an attempt may be sent now, and which response the client gets. The tables are in
+docs/design/extproc.md.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from ..settings import Idempotency
 from .retry_policy import EXPIRY_MARGIN_MS
 
-# Response code details of a proxy's own replies, as Envoy's page "Response code details" lists them. Only
-# these prove that no byte reached a server; every other one, also unknown ones, counts as "may have run".
+# Response code details of replies that the proxy itself generates, from Envoy's page "Response code details".
+# Only these prove that no byte reached a server; with any other, known or unknown, the attempt may have run.
 UNREACHABLE_DETAILS = re.compile(
     r"no_healthy_upstream|cluster_not_found|route_not_found|no_cluster|maintenance_mode|"
     r"upstream_reset_before_response_started\{(?:connection_failure|remote_connection_failure|"
@@ -27,11 +28,11 @@
 
 
 def classify_response(status: int, details: str, rejected_status: int) -> Outcome:
-    """An attempt's outcome from what the proxy saw.
+    """Returns an attempt's outcome from what the proxy reports.
 
-    `status` is that of the response, 0 without one; `details` are the response code details, where the proxy
-    sends that attribute; `rejected_status` is the status by which servers reject a request unread, 0 if they
-    have none.
+    `status`: the response's status, 0 if there is no response. `details`: the response code details, "" if
+    the proxy does not send that attribute. `rejected_status`: the status with which servers reject a request
+    without processing it, 0 if there is none.
     """
     if details.startswith("via_upstream") or not details:
         pass
@@ -48,19 +49,20 @@
     if 200 <= status < 500:
         return Outcome.OK
     if status == 504 and not details:
-        return Outcome.TIMEOUT  # of a proxy that sends no details
+        return Outcome.TIMEOUT  # the proxy sends no details, so the status alone indicates the timeout
     return Outcome.ERROR if status else Outcome.RESET
 
 
 def may_send_after_takeover(
     idempotency: Idempotency, is_resumable: bool, age_ms: float, window_ms: float
 ) -> bool:
-    """Whether a request that an earlier process decided on `age_ms` ago, and that it may or may not have
-    sent, may be sent.
+    """Returns whether a request may be sent that an earlier process first decided on `age_ms` ago and may
+    have sent already.
 
-    A non-idempotent one never may; one with a key only within its idempotency window, by the age of the first
-    decision, which is before its first attempt; none where the operator keeps the class closed after a
-    restart. A negative age is another clock's or forged, and proves nothing.
+    A non-idempotent request may never be sent. One with an idempotency key may be sent only within its
+    idempotency window, measured from the first decision, which precedes its first attempt. If the operator
+    does not let the class resume after a restart (`is_resumable`), none may be sent. A negative age comes
+    from another clock or is forged, and proves nothing.
     """
     if not is_resumable or idempotency is Idempotency.NON_IDEMPOTENT or age_ms < 0.0:
         return False
@@ -68,31 +70,31 @@
 
 
 class AttemptVerdict(Enum):
-    """The answer to an attempt that asks whether it may go."""
+    """The decision whether a proxied attempt may be sent."""
 
     ALLOW = "pass"
-    WAIT = "hold"  # until what it waits for has happened, at most until the deadline
+    WAIT = "hold"  # until a server is chosen and earlier streams are closed, at most until the deadline
     REQUEST_FINISHED = "over"  # the request has its final response
-    WRONG_SERVER = "node"  # it goes to another server than the chosen one
-    TOO_LATE = "late"  # the chosen server takes nothing any more, or may have forgotten the key
+    WRONG_SERVER = "node"  # the attempt goes to another server than the chosen one
+    TOO_LATE = "late"  # the chosen server accepts no requests any more, or may have forgotten the key
 
 
 @record(frozen=True, slots=True)
 class AttemptState:
-    """What is known when an attempt asks."""
+    """What is known when the proxy asks whether an attempt may be sent."""
 
-    is_request_finished: bool  # it has its final response
-    has_chosen_server: bool  # the engine has chosen a server, and the choice has not been used
-    has_open_attempts: bool  # an earlier attempt's stream is open: its connection may be
-    requested_address: str  # the server's address as the proxy reports it; "" if it does not
-    chosen_address: str  # the chosen server's address
-    is_server_accepting: bool  # by the endpoint list and its drain
-    is_in_time: bool  # before the time after which no byte may be sent
+    is_request_finished: bool  # the request has its final response
+    has_chosen_server: bool  # the engine has chosen a server for an attempt that has not been sent yet
+    has_open_attempts: bool  # the stream of an earlier attempt is open, so its connection may be open too
+    requested_address: str  # address of the attempt's server as the proxy reports it; "" if it does not
+    chosen_address: str  # address of the chosen server
+    is_server_accepting: bool  # the chosen server is in the endpoint list and not draining
+    is_in_time: bool  # it is not yet the time after which no byte may be sent
 
 
 def judge_attempt(state: AttemptState) -> AttemptVerdict:
-    """Whether the attempt may go; no byte of it has been sent yet. After WAIT it asks again, after any other
-    answer but ALLOW it never goes."""
+    """Decides whether an attempt, of which no byte has been sent yet, may be sent. After WAIT the caller asks
+    again later; after any other verdict but ALLOW the attempt is never sent."""
     if state.is_request_finished:
         return AttemptVerdict.REQUEST_FINISHED
     if not state.has_chosen_server or state.has_open_attempts:
@@ -105,29 +107,29 @@
 
 
 class ResponseVerdict(Enum):
-    """What becomes of the response that a proxy is about to give its client."""
+    """What happens to the response that a proxy is about to send to its client."""
 
-    PASS_THROUGH = "through"  # as it is
-    REJECTION = "refusal"  # replaced by a rejection, which promises that nothing ran
-    FAILURE = "unknown"  # replaced by a failure without a promise
+    PASS_THROUGH = "through"  # sent unchanged
+    REJECTION = "refusal"  # replaced by a rejection, which guarantees that no attempt ran
+    FAILURE = "unknown"  # replaced by a failure, which does not say whether an attempt ran
 
 
 class FinalOutcome(Enum):
-    """The engine's final response to a proxied request. The values are the words of the counters."""
+    """The engine's final response to a proxied request. The values are names of the counts in reports."""
 
     SERVED = "served"
     STREAMED = "streamed"
     REJECTED = "refused"
     FAILED = "failed"
-    NONE = ""  # the proxy responds by itself
+    NONE = ""  # the engine gave no response; the proxy responds on its own
 
 
-RETRYABLE_STATUSES = (429, 503)  # clients take them as "not executed, retry later"
+RETRYABLE_STATUSES = (429, 503)  # clients interpret these as "not executed, retry later"
 
 
 def judge_response(outcome: FinalOutcome, may_have_run: bool, status: int) -> ResponseVerdict:
-    """What the client gets of a response with this status. A request that may have run must not end with a
-    status that clients read as a promise that it did not."""
+    """Decides what the client gets for a response with this status. A request that may have run must not end
+    with a status that clients interpret as a guarantee that it did not."""
     if outcome is FinalOutcome.SERVED:
         return ResponseVerdict.PASS_THROUGH
     if outcome is FinalOutcome.REJECTED:
--- a/glenchute/policy/retries/retry_policy.py
+++ b/glenchute/policy/retries/retry_policy.py
@@ -1,8 +1,7 @@
-"""The retry policy: when another attempt of a request is allowed and of use, and how long an attempt may
-take.
+"""The retry policy: when another attempt of a request is allowed and useful, and how long it may take.
 
-Allowed means that nothing is executed twice: a request that is not idempotent is never sent again once it may
-have run; one with an idempotency key only as long as servers remember the key.
+An attempt is allowed if nothing can be executed twice: a non-idempotent request is never sent again once it
+may have run, and one with an idempotency key only as long as servers remember the key.
 """
 
 from __future__ import annotations
@@ -14,30 +13,32 @@
 from ..requests import PendingRequest
 from ..settings import Idempotency, Settings
 
-EXPIRY_MARGIN_MS = 5.0  # before servers may forget an idempotency key
-LEAST_RESPONSE_FRACTION = 0.5  # of a mean response time that has to be left for a retry
-LEAST_TIMEOUT_FRACTION = 0.5  # of the latency objective
-MOST_TIMEOUT_FRACTION = 0.75  # a longer timeout leaves a retry no time
-TIMEOUT_FACTOR = 5.0  # times the mean response time under the present load
-MOST_TIMEOUTS = 2  # attempts of a request that have a timeout
+EXPIRY_MARGIN_MS = 5.0  # nothing is sent within this time before servers may forget an idempotency key
+MIN_RESPONSE_FRACTION = 0.5  # fraction of a mean latency that must be left for a retry
+MIN_TIMEOUT_FRACTION = 0.5  # shortest timeout of an attempt, as a fraction of the latency objective
+# Longest timeout of an attempt, as a fraction of the latency objective; a longer one leaves no time to retry.
+MAX_TIMEOUT_FRACTION = 0.75
+TIMEOUT_FACTOR = 5.0  # timeout of an attempt in multiples of the mean latency under the current load
+MAX_TIMED_ATTEMPTS = 2  # number of attempts of a request that have a timeout
 
 
 class RetryPolicy:
-    """What the attempts of one request may do."""
+    """Decides whether a request may be retried, and on the timeouts of its attempts."""
 
     def __init__(self, settings: Settings, latency: LatencyEstimates) -> None:
         self.settings = settings
         self.latency = latency
 
     def may_retry(self, now_ms: float, pending: PendingRequest, event: AttemptEnded | None) -> bool:
-        """Whether another attempt may start at `now_ms`. `event`: the end of the last one, if it is known."""
+        """Returns whether another attempt may start at `now_ms`. `event`: the end of the last attempt, if
+        known."""
         if pending.attempt_count >= self.settings.max_attempts:
             return False
         if event and event.outcome is Outcome.NOT_SENT:
-            return False  # it had no time left, or its client has gone: another would fare the same
+            return False  # no time was left, or the client has disconnected; a retry would not be sent either
         request_class = pending.request_class
         mean_ms = self.latency.expected_ms(request_class, pending.request.units)
-        if now_ms + LEAST_RESPONSE_FRACTION * mean_ms > useful_until_ms(pending):
+        if now_ms + MIN_RESPONSE_FRACTION * mean_ms > useful_until_ms(pending):
             return False
         if pending.may_have_run_ms is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -45,32 +46,32 @@
         return has_key and now_ms < self.idempotency_expiry_ms(pending)
 
     def idempotency_expiry_ms(self, pending: PendingRequest) -> float:
-        """When the servers may have forgotten the idempotency key of a request that may have run; 0: no such
-        time."""
+        """Returns the time after which nothing of a request that may have run is sent, as servers may have
+        forgotten its idempotency key; 0 if there is no such time."""
         if pending.request_class.idempotency is not Idempotency.WITH_KEY or pending.may_have_run_ms is None:
             return 0.0
         return pending.may_have_run_ms + pending.request_class.idempotency_window_ms - EXPIRY_MARGIN_MS
 
     def attempt_timeout_ms(self, now_ms: float, pending: PendingRequest, mean_ms: float) -> float:
-        """How long the next attempt may take before it is given up for a retry; 0: as long as the client
-        waits, where a retry would come too late or is not allowed: overloaded servers finish their work.
+        """Returns the timeout of the next attempt, after which it may be retried. It is 0 (no timeout) if a
+        retry would be too late or is not allowed, so that overloaded servers can finish their work.
 
-        `mean_ms`: mean response time of such a request.
+        `mean_ms`: mean latency of such a request.
         """
         request_class, request = pending.request_class, pending.request
         objective_ms = request_class.latency_objective_ms
         timeout_ms = max(
-            LEAST_TIMEOUT_FRACTION * objective_ms,
+            MIN_TIMEOUT_FRACTION * objective_ms,
             TIMEOUT_FACTOR * mean_ms * max(1.0, self.latency.load_factor),
         )
         leaves_no_time = (
-            timeout_ms > MOST_TIMEOUT_FRACTION * objective_ms
+            timeout_ms > MAX_TIMEOUT_FRACTION * objective_ms
             or pending.deadline_ms - now_ms - timeout_ms < mean_ms
         )
         if (
             leaves_no_time
             or request_class.idempotency is Idempotency.NON_IDEMPOTENT
-            or pending.attempt_count >= min(MOST_TIMEOUTS, self.settings.max_attempts - 1)
+            or pending.attempt_count >= min(MAX_TIMED_ATTEMPTS, self.settings.max_attempts - 1)
         ):
             timeout_ms = 0.0
         if request.attempt_timeout_ms > 0:
@@ -79,7 +80,7 @@
 
 
 def useful_until_ms(pending: PendingRequest) -> float:
-    """Until when a response earns anything."""
+    """Returns the time until which a response still has a value."""
     if pending.request_class.late_weight_fraction > 0:
         return pending.deadline_ms
     return min(pending.deadline_ms, pending.arrived_ms + pending.request_class.latency_objective_ms)
--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -1,14 +1,15 @@
 """Route limits: how the operator's file limits the attempts of a request.
 
-The decision engine chooses the server and decides on each retry. A route only takes away: how long an attempt
-may take, how many there may be, after which outcomes, how far apart, and how many retries all requests of the
-route may cost together. Times are milliseconds unless a name says otherwise.
+The decision engine chooses the server and decides on each retry. A route only adds limits: on the duration of
+an attempt, the number of attempts, the outcomes after which a retry is allowed, the delay between attempts,
+and the retries of all requests of the route together. Times are milliseconds unless a name says otherwise.
 
-One `RequestRetries` follows each request: `RouteTable.start_request`, then `try_start_attempt` for each
-attempt, `retry_delay_ms` for each outcome that leaves the request open, and `release` at the final response.
-A retry that `retry_delay_ms` grants is reserved from the route's budget until the next attempt starts.
+One `RequestRetries` tracks each request: `RouteTable.start_request` creates it, `try_start_attempt` is called
+for each attempt, `reserve_retry` for each outcome that leaves the request open, and `release` at the final
+response. A retry that `reserve_retry` grants is reserved from the route's budget until the next attempt
+starts.
 
-The settings are named tuples: dataclasses would take longer to make than the file to read.
+The settings are named tuples, as defining dataclasses would take longer than reading the file.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 
 from ..events import Outcome
 
-REQUEST_TOKEN_DECAY_S = 10.0  # time constant by which the tokens of past requests fade
-STEADY_BUFFER_S = 1.0  # the steady part holds the inflow of this time, at least one token
+REQUEST_TOKEN_DECAY_S = 10.0  # time constant by which the tokens of past requests decay
+STEADY_BUFFER_S = 1.0  # steady tokens accumulate for at most this time, or up to one token if that is more
 
-TOKEN_TOLERANCE = 1e-9  # rounding of the sums of tokens
+TOKEN_TOLERANCE = 1e-9  # tolerance for rounding errors in sums of tokens
 
 NO_RETRY_MS = math.inf
 
 
 class Backoff(NamedTuple):
-    """Delays before retries: `initial_ms`, then `factor` times the one before, at most `max_ms`, each
-    randomly longer or shorter by up to `jitter_fraction` (0 to 1) of it."""
+    """Delays before retries: `initial_ms` before the first, then `factor` times the delay before, at most
+    `max_ms`. Each delay is randomly longer or shorter by up to `jitter_fraction` (0 to 1) of it."""
 
     initial_ms: float
     factor: float = 2.0
@@ -38,32 +39,32 @@
     jitter_fraction: float = 0.0
 
     def nominal_delay_ms(self, number: int) -> float:
-        """The delay before retry `number` (from 1) without jitter."""
-        # The exponent is limited: a large factor would overflow long after `max_ms` applies.
+        """Returns the delay before retry `number` (from 1) without jitter."""
+        # The exponent is limited because a large factor would overflow, long after `max_ms` applies.
         return float(min(self.max_ms, self.initial_ms * self.factor ** min(number - 1, 64)))
 
     def min_delay_ms(self, number: int) -> float:
-        """The shortest delay before retry `number`."""
+        """Returns the shortest delay before retry `number`."""
         return self.nominal_delay_ms(number) * (1.0 - self.jitter_fraction)
 
     def max_delay_ms(self, number: int) -> float:
-        """The longest delay before retry `number`."""
+        """Returns the longest delay before retry `number`."""
         return self.nominal_delay_ms(number) * (1.0 + self.jitter_fraction)
 
     def draw_delay_ms(self, number: int, rng: random.Random) -> float:
-        """A random delay before retry `number`; draws once."""
+        """Returns a random delay before retry `number`, with one draw from `rng`."""
         return self.nominal_delay_ms(number) * (1.0 + self.jitter_fraction * rng.uniform(-1.0, 1.0))
 
 
 class RetryBudgetSettings(NamedTuple):
-    """Retries that a route allows: `retries_per_request`, and `min_retries_per_s` whatever the load."""
+    """Retries that a route allows: `retries_per_request` plus `min_retries_per_s`, whatever the load."""
 
     retries_per_request: float
     min_retries_per_s: float = 0.0
 
 
 class RouteLimits(NamedTuple):
-    """What limits one kind of request. 0 or None: no limit besides the engine's own."""
+    """The limits of one route. 0 or None: no limit besides the engine's own."""
 
     name: str
     attempt_timeout_ms: float = 0.0
@@ -72,32 +73,33 @@
     retryable_outcomes: frozenset[Outcome] | None = None
     hedge_after_ms: float = 0.0
     retry_budget: RetryBudgetSettings | None = None
-    # Attempts in flight on one shared connection to a server; 1: it is not shared.
+    # Attempts in flight on one pipelined connection to a server; 1: no pipelining.
     max_pipeline_depth: int = 0
 
     def is_retryable(self, outcome: Outcome) -> bool:
-        """Whether a retry may follow this outcome. To an operator, an attempt for which the gateway had no
-        connection could not connect."""
+        """Returns whether a retry may follow this outcome. NO_CONNECTION is treated as UNREACHABLE, the
+        outcome that operators can list for attempts without a connection."""
         listed = Outcome.UNREACHABLE if outcome is Outcome.NO_CONNECTION else outcome
         return self.retryable_outcomes is None or listed in self.retryable_outcomes
 
 
 class RouteRetryBudget:
-    """The token bucket of one route. n requests in any t seconds allow at most ``retries_per_request * n +
-    min_retries_per_s * (t + STEADY_BUFFER_S) + 1`` retries beyond the tokens that were in it."""
+    """The retry tokens of one route. With n requests in any t seconds, it grants at most
+    ``retries_per_request * n + min_retries_per_s * (t + STEADY_BUFFER_S) + 1`` retries in addition to the
+    tokens that it held before."""
 
     __slots__ = ("denied_count", "granted_count", "request_tokens", "settings", "steady_tokens", "updated_ms")
 
-    def __init__(self, rule: RetryBudgetSettings, now_ms: float) -> None:
-        self.settings = rule
-        # They fade, so that a quiet hour saves nothing up for a bad minute.
+    def __init__(self, retry_settings: RetryBudgetSettings, now_ms: float) -> None:
+        self.settings = retry_settings
+        # These tokens decay, so that a long time without failures saves up nothing for a retry storm.
         self.request_tokens = 0.0
         self.steady_tokens = self.max_steady_tokens()
         self.updated_ms = now_ms
         self.granted_count = self.denied_count = 0
 
     def max_steady_tokens(self) -> float:
-        """The capacity of the steady part."""
+        """Returns the capacity for steady tokens."""
         return (
             max(1.0, self.settings.min_retries_per_s * STEADY_BUFFER_S)
             if self.settings.min_retries_per_s > 0
@@ -105,7 +107,7 @@
         )
 
     def advance(self, now_ms: float) -> None:
-        """Applies the decay and the inflow since the last call."""
+        """Applies the decay of request tokens and the inflow of steady tokens since the last call."""
         elapsed_s = max(0.0, now_ms - self.updated_ms) / 1000.0
         self.request_tokens *= math.exp(-elapsed_s / REQUEST_TOKEN_DECAY_S)
         self.steady_tokens = min(
@@ -114,12 +116,13 @@
         self.updated_ms = max(self.updated_ms, now_ms)
 
     def deposit(self, now_ms: float) -> None:
-        """Adds the tokens of a new request."""
+        """Adds the tokens for a new request."""
         self.advance(now_ms)
         self.request_tokens += self.settings.retries_per_request
 
     def try_withdraw(self, now_ms: float) -> bool:
-        """Takes a token for one retry; False where there is none. Both parts pay together."""
+        """Takes one token for a retry, from request tokens first, then from steady tokens. Returns False if
+        both together hold less than one."""
         self.advance(now_ms)
         if self.request_tokens + self.steady_tokens < 1.0 - TOKEN_TOLERANCE:
             self.denied_count += 1
@@ -131,13 +134,13 @@
         return True
 
     def refund(self) -> None:
-        """Returns a token that was taken and not used."""
+        """Puts back a token that was taken and not used."""
         self.request_tokens += 1.0
         self.granted_count -= 1
 
 
 class RequestRetries:
-    """What one request may still do under its route."""
+    """Tracks the attempts of one request against the limits of its route."""
 
     __slots__ = ("budget", "has_reserved_retry", "limits", "rng", "started_attempts")
 
@@ -149,8 +152,8 @@
         self.has_reserved_retry = False
 
     def reserve_retry(self, now_ms: float, outcome: Outcome) -> float:
-        """Milliseconds to wait before a retry after this outcome, or `NO_RETRY_MS`. A retry that is granted
-        reserves a token; each call replaces the grant before."""
+        """Returns the delay before a retry after this outcome, or `NO_RETRY_MS`. A retry that is granted
+        reserves a token; each call releases the reservation before it."""
         self.release()
         route = self.limits
         if route.max_attempts and self.started_attempts >= route.max_attempts:
@@ -167,15 +170,16 @@
         )
 
     def may_retry_after(self, outcome: Outcome) -> bool:
-        """Whether the number of attempts and the retryable outcomes leave a retry after this outcome. The
-        budget may still deny it: tokens are taken only when an attempt has ended."""
+        """Returns whether the number of attempts and the retryable outcomes allow a retry after this outcome.
+        The budget may still deny it, as tokens are taken only when an attempt has ended."""
         route = self.limits
         if route.max_attempts and self.started_attempts >= route.max_attempts:
             return False
         return route.is_retryable(outcome)
 
     def try_start_attempt(self, now_ms: float, overlapping: bool) -> bool:
-        """Counts an attempt that is to start, hedged where `overlapping`. False: it must not start."""
+        """Counts an attempt that is about to start; `overlapping`: it is a hedged one. Returns False if it
+        must not start."""
         route = self.limits
         if self.started_attempts:
             if route.max_attempts and self.started_attempts >= route.max_attempts:
@@ -193,7 +197,7 @@
         return True
 
     def release(self) -> None:
-        """Refunds the token of a retry that was granted and has not started."""
+        """Refunds the token of a granted retry that has not started."""
         if self.has_reserved_retry:
             self.has_reserved_retry = False
             if self.budget is not None:
@@ -201,7 +205,7 @@
 
 
 class RouteTable:
-    """The routes in force, by class and plan. Its size is fixed at load."""
+    """The current routes by request class and plan. Its size is fixed when the operator's file is loaded."""
 
     def __init__(self, table: Mapping[tuple[str, str], RouteLimits], seed: int) -> None:
         self.limits_by_binding = dict(table)
@@ -214,7 +218,7 @@
         }
 
     def start_request(self, now_ms: float, class_name: str, plan: str) -> RequestRetries | None:
-        """The limits of a new request, whose tokens are deposited; None where no route binds it."""
+        """Deposits the tokens for a new request and returns its retry state; None if no route matches it."""
         route = self.limits_by_binding.get((class_name, plan))
         if route is None:
             return None
@@ -227,8 +231,8 @@
         return RequestRetries(route, budget, self.rng)
 
     def inherit_budgets(self, old: RouteTable) -> RouteTable:
-        """Takes over the budgets of routes that keep their name and budget settings in a reload, which must
-        not hand out fresh ones. Costs a step for each budget in use. Returns itself."""
+        """Takes over the budgets of the routes whose name and budget settings a reload does not change, as a
+        reload must not provide fresh tokens. Takes time in proportion to the budgets in use. Returns self."""
         self.rng = old.rng
         self.budgets = {
             name: budget
