--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -1,4 +1,4 @@
-"""Failures met so far, each by the events that showed it."""
+"""Tests of the decision engine's quotas, capacity estimate and choice of servers, by scripted events."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def sends(rig: Rig, count: int, gap_ms: float, plan: str = "rate", units: float = 1.0) -> int:
-    """One customer asks; how many requests went on, each served at once."""
-    done = 0
+def served_requests(rig: Rig, count: int, gap_ms: float, plan: str = "rate", units: float = 1.0) -> int:
+    """Sends requests of one tenant and ends each attempt at once; returns how many were admitted."""
+    served = 0
     for _ in range(count):
         name, actions = rig.ask(plan=plan, units=units)
         if only(actions, StartAttempt):
-            done += 1
+            served += 1
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(gap_ms)
-    return done
+    return served
 
 
 # --- quotas --------------------------------------------------------------------------------------------
@@ -34,9 +34,9 @@
 
 def test_burst_then_rate() -> None:
     rig = Rig(entries(4))
-    assert 5 <= sends(rig, 100, 1.0) <= 7
+    assert 5 <= served_requests(rig, 100, 1.0) <= 7
     rig.advance(500.0)
-    assert 15 <= sends(rig, 400, 25.0) <= 26
+    assert 15 <= served_requests(rig, 400, 25.0) <= 26
 
 
 def test_use_by_other_gateways_drains_the_bucket() -> None:
@@ -49,26 +49,26 @@
                 rig.end(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(100.0)
-    went = [len({r for r in rig.sent}) for rig in (alone, shared)]
-    assert went[1] < 0.8 * went[0]
+    sent = [len({r for r in rig.sent}) for rig in (alone, shared)]
+    assert sent[1] < 0.8 * sent[0]
 
 
 def test_a_trickle_is_admitted_by_credit() -> None:
     rig = Rig(entries(4))
-    assert sends(rig, 20, 1500.0) == 20
+    assert served_requests(rig, 20, 1500.0) == 20
 
 
 def test_an_unavailable_counter_leaves_the_local_share() -> None:
     rig = Rig(entries(4), with_(SETTINGS, has_counter=True))
-    rig.ending, done = Outcome.UNREACHABLE, 0
+    rig.ending, served = Outcome.UNREACHABLE, 0
     for _ in range(600):
         name, actions = rig.ask(plan="rate")
         if only(actions, StartAttempt):
-            done += 1
+            served += 1
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(25.0)
-    assert 10 <= done <= 6 / 2 + 2.0 / 2 * 15 + 5
+    assert 10 <= served <= 6 / 2 + 2.0 / 2 * 15 + 5
 
 
 def test_an_unavailable_counter_is_probed_rarely_and_recovers() -> None:
@@ -101,20 +101,25 @@
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(50.0)
-    customer = rig.gateway.quota.tenants.by_id["c"]
-    before, window = customer.others_demand_per_s, customer.window_start_ms
+    tenant = rig.gateway.quota.tenants.by_id["c"]
+    demand_before, window = tenant.others_demand_per_s, tenant.window_start_ms
     rig._totals.clear()
     rig.others = -1.0
-    heard = rig._answered
-    while rig._answered == heard:
+    answered = rig._answered
+    while rig._answered == answered:
         rig.ask(plan="rate")
         rig.advance(20.0)
         rig.answer_calls()
-    assert customer.window_start_ms == window and before > 0 and customer.others_demand_per_s >= 0.5 * before
+    assert (
+        tenant.window_start_ms == window
+        and demand_before > 0
+        and tenant.others_demand_per_s >= 0.5 * demand_before
+    )
 
 
 def test_a_rejecting_gateway_learns_that_the_others_stopped() -> None:
-    # A gateway with nothing new to report asked for no total and drained the store by an old rate.
+    # Guards against a gateway that rejects everything, so has nothing to report and gets no total, and keeps
+    # draining the bucket by an outdated rate of the others' use.
     rig = Rig(entries(4))
     rig.others = 3.0
     for _ in range(40):
@@ -124,7 +129,7 @@
         rig.answer_calls()
         rig.advance(100.0)
     rig.others = 0.0
-    assert sends(rig, 60, 100.0) >= 6
+    assert served_requests(rig, 60, 100.0) >= 6
 
 
 def test_calls_are_reduced_while_they_are_rejected() -> None:
@@ -150,8 +155,8 @@
 
 def test_rejected_with_a_retry_after_within_the_limit() -> None:
     rig = Rig(entries(4))
-    refusals = [a for _ in range(30) for a in only(rig.ask(plan="rate")[1], Reject)]
-    assert refusals and all(1.0 <= a.retry_after_ms <= SETTINGS.max_retry_after_ms for a in refusals)
+    rejections = [a for _ in range(30) for a in only(rig.ask(plan="rate")[1], Reject)]
+    assert rejections and all(1.0 <= a.retry_after_ms <= SETTINGS.max_retry_after_ms for a in rejections)
 
 
 def test_an_evicted_tenant_returns_to_a_filled_guard() -> None:
@@ -164,20 +169,20 @@
 
 
 def overload(rig: Rig, seconds: float, took: float) -> int:
-    """More comes than is answered; returns how many were out at once at most."""
-    out: list[str] = []
-    most = 0
+    """Sends more requests than are completed; returns the largest number in flight at once."""
+    in_flight: list[str] = []
+    max_in_flight = 0
     for step in range(int(seconds * 100)):
         name, actions = rig.ask(customer=f"c{step % 7}", left=4000.0)
         if only(actions, StartAttempt):
-            out.append(name)
-        most = max(most, len(out))
+            in_flight.append(name)
+        max_in_flight = max(max_in_flight, len(in_flight))
         rig.now += 10.0
-        if out and step % 4 == 0:
-            rig.end(out.pop(0), 0, Outcome.OK, took)
+        if in_flight and step % 4 == 0:
+            rig.end(in_flight.pop(0), 0, Outcome.OK, took)
         rig.advance(0.0)
         rig.answer_calls()
-    return most
+    return max_in_flight
 
 
 def test_backlog_is_bounded_before_responses_are_late() -> None:
@@ -188,7 +193,7 @@
 
 def test_first_requests_of_a_gateway_are_not_taken_for_a_backlog() -> None:
     rig = Rig(entries(10))
-    served = sends(rig, 10, 20.0, plan="wide")
+    served = served_requests(rig, 10, 20.0, plan="wide")
     assert served == 10
 
 
@@ -201,7 +206,7 @@
             rig.end(name, 0, Outcome.OK, 2500.0)
         rig.advance(50.0)
     rig.advance(8000.0)
-    assert sends(rig, 100, 50.0, plan="wide") >= 90
+    assert served_requests(rig, 100, 50.0, plan="wide") >= 90
 
 
 def test_timeouts_lengthen_the_next_ones() -> None:
@@ -223,7 +228,8 @@
 
 
 def share_of(rig: Rig, server: str, count: int, other: Outcome, took: float, classes: str = "read") -> float:
-    """Share of first attempts that a server gets while it ends them in another way than the rest."""
+    """Returns the fraction of first attempts that a server gets while its attempts end differently from those
+    at other servers."""
     hits = total = 0
     for _ in range(count):
         name, actions = rig.ask(classes)
@@ -266,7 +272,7 @@
 
 
 def test_failures_everywhere_do_not_hide_the_queues() -> None:
-    # A class that fails on every server must leave the choice to the queues.
+    # If a class fails on every server, the servers' queues must still decide the choice.
     rig = Rig(entries(4))
     rig.warm_up()
     for i in range(80):
@@ -284,17 +290,18 @@
 
 
 def test_a_shortage_of_this_process_says_nothing_of_the_server() -> None:
-    """Guards against a server that is backed off, or a retry budget that is used up, without its fault."""
+    """Guards against a backoff of the server, or use of the retry budget, when this process had no free
+    connection."""
     rig = Rig(entries(3))
     rig.warm_up()
     name, _ = rig.ask()
     first = rig.sent[name][0]
-    known = rig.gateway.pool.servers[first]
-    before = known.failure_rate, known.connect_failures, rig.gateway.execution.retry_budget.tokens
+    server = rig.gateway.pool.servers[first]
+    before = server.failure_rate, server.connect_failures, rig.gateway.execution.retry_budget.tokens
     actions = rig.end(name, 0, Outcome.NO_CONNECTION)
     assert [action.address == first for action in only(actions, StartAttempt)] == [False]
-    assert (known.failure_rate, known.connect_failures, rig.gateway.execution.retry_budget.tokens) == before
-    assert known.backed_off_until_ms == 0.0 and known.in_flight == 0
+    assert (server.failure_rate, server.connect_failures, rig.gateway.execution.retry_budget.tokens) == before
+    assert server.backed_off_until_ms == 0.0 and server.in_flight == 0
     for number in range(1, 4):
         actions = rig.end(name, number, Outcome.NO_CONNECTION)
     assert [type(action) for action in finals(actions)] == [Reject]
@@ -302,7 +309,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_among_backed_off_servers_the_least_loaded_is_chosen(seed: int) -> None:
-    """Guards against a choice by chance while all servers are backed off."""
+    """Guards against a random choice, regardless of load, while all servers are backed off."""
     rig = Rig(entries(4), seed=seed)
     rig.warm_up()
     for server in rig.gateway.pool.servers.values():
@@ -352,7 +359,7 @@
     assert lines == ["no server to send to: begins", "no server to send to: ends"]
 
 
-# --- the engine as a whole -----------------------------------------------------------------------------
+# --- whole engine --------------------------------------------------------------------------------------
 
 SCRIPT = """
 from tests.rig import Rig, entries
@@ -382,7 +389,7 @@
 
 
 def test_the_modules_of_the_engine_keep_their_limits() -> None:
-    """Each module that the engine runs is listed, and short enough to be read at once."""
+    """Checks that each module that the engine imports is listed and does not exceed the size limits."""
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     for name in listed:
         lines = (ROOT / name).read_text().splitlines()
@@ -390,7 +397,7 @@
         assert max(len(line) for line in lines) <= 110, name
     script = (
         "import sys, glenchute.policy.engine; "
-        "from glenchute.policy.admission import state_transfer, usage_updates; "  # loaded by their events
+        "from glenchute.policy.admission import state_transfer, usage_updates; "  # imported on their events
         "print(*sorted(m for m in sys.modules if 'policy.' in m))"
     )
     command = [sys.executable, "-c", script]
@@ -407,26 +414,27 @@
 
 @pytest.mark.parametrize(("others", "least", "most"), [(0.0, 26, 40), (6.0, 0, 14)])
 def test_without_a_total_a_gateway_keeps_to_its_local_share(others: float, least: int, most: int) -> None:
-    # Even parts refused a customer here while the gateways that it no longer came through kept theirs.
+    # Guards against even shares, by which this gateway rejects a tenant's requests while shares are unused at
+    # gateways that the tenant's requests no longer come through.
     rig = Rig(entries(4))
     rig.others = others
 
-    def second() -> int:
-        went = 0
+    def run_second() -> int:
+        admitted = 0
         for _ in range(2):
             name, _actions = rig.ask(plan="rate", spread=2)
-            sent = bool(rig.sent.get(name))
-            went += sent
-            if sent:
+            is_sent = bool(rig.sent.get(name))
+            admitted += is_sent
+            if is_sent:
                 rig.end(name, 0, Outcome.OK, 1.0)
             rig.advance(500.0)
             rig.answer_calls()
-        return went
+        return admitted
 
     for _ in range(20):
-        second()
+        run_second()
     rig.ending = Outcome.TIMEOUT
     for _ in range(5):
-        second()
+        run_second()
     assert rig.gateway.quota.counter.pacing.is_unavailable
-    assert least <= sum(second() for _ in range(18)) <= most  # even parts would let 18 to 21 go
+    assert least <= sum(run_second() for _ in range(18)) <= most  # even shares would admit 18 to 21
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, from scripted events."""
+"""Tests of the engine's five rules by scripted events: responses, effects, drains, slow start, ceilings."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
-def gone(server: str, state: EndpointState = EndpointState.DRAINING) -> EndpointList:
+def endpoint_change(server: str, state: EndpointState = EndpointState.DRAINING) -> EndpointList:
     return EndpointList(EndpointListKind.CHANGES, (Endpoint(server, "a", state=state),))
 
 
-# --- rule 1: exactly one final answer, in time ---------------------------------------------------------
+# --- rule 1: exactly one final response, in time -------------------------------------------------------
 
 
 @pytest.mark.parametrize("left", [0.0, -5.0])
@@ -45,7 +45,7 @@
 
 def test_without_a_server_a_request_waits_briefly_then_is_rejected_in_time() -> None:
     rig = Rig(entries(1))
-    rig.feed(gone("s0"))
+    rig.feed(endpoint_change("s0"))
     name, actions = rig.ask(left=900.0)
     assert not finals(actions)
     later = rig.advance(900.0)
@@ -54,7 +54,7 @@
 
 def test_a_waiting_request_goes_to_a_server_that_comes_up() -> None:
     rig = Rig(entries(1))
-    rig.feed(gone("s0"))
+    rig.feed(endpoint_change("s0"))
     name, _ = rig.ask()
     actions = rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),)))
     assert [(s.request_id, s.address) for s in only(actions, StartAttempt)] == [(name, "s9")]
@@ -83,7 +83,8 @@
 
 
 def test_a_hedge_that_does_not_start_marks_nothing_as_run() -> None:
-    """Guards against a keyed request that fails, though it never ran, for a hedge without a server."""
+    """Guards against marking a request with an idempotency key as one that may have run when its hedged
+    attempt finds no server: it then fails, though it can be rejected."""
     rig = Rig(entries(1), replace(SETTINGS, allows_hedging=True))
     name, _ = rig.ask("order")
     assert not only(rig.feed(AttemptStalled(name, 0)), StartAttempt)
@@ -127,7 +128,7 @@
     assert [len(a) for a in answers] == [0, 0, 0, 1, 1, 1]
 
 
-# --- rule 2: no effect twice ---------------------------------------------------------------------------
+# --- rule 2: no effect is caused twice -----------------------------------------------------------------
 
 
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
@@ -187,20 +188,20 @@
     rig = Rig(entries(1), with_(SETTINGS, classes=classes))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 1000.0
-    rig.feed(gone("s0"))
+    rig.feed(endpoint_change("s0"))
     rig.end(name, 0, Outcome.RESET, 1000.0)
     rig.now += 400.0
     actions = rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),))) + rig.advance(6000.0)
     assert not only(actions, StartAttempt) and [type(a) for a in finals(actions)] == [Fail]
 
 
-# --- rule 3: drains ------------------------------------------------------------------------------------
+# --- rule 3: nothing new to draining or removed servers ------------------------------------------------
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_nothing_new_to_a_draining_or_removed_server(state: EndpointState) -> None:
     rig = Rig(entries(3))
-    rig.feed(gone("s1", state))
+    rig.feed(endpoint_change("s1", state))
     for _ in range(60):
         rig.ask()
     assert {s for sent in rig.sent.values() for s in sent} == {"s0", "s2"}
@@ -223,12 +224,12 @@
 def test_a_waiting_request_is_not_sent_to_a_draining_server() -> None:
     rig = Rig(entries(1))
     name, _ = rig.ask()
-    rig.feed(gone("s0"))
+    rig.feed(endpoint_change("s0"))
     actions = rig.end(name, 0, Outcome.REJECTED, 5.0) + rig.advance(3000.0)
     assert not only(actions, StartAttempt) and len(finals(actions)) == 1
 
 
-# --- rule 4: cold servers ------------------------------------------------------------------------------
+# --- rule 4: slow start --------------------------------------------------------------------------------
 
 
 def test_a_server_that_warms_up_gets_less_than_its_fraction_of_warm_traffic() -> None:
@@ -261,7 +262,8 @@
                 rig.now += 5.0
                 rig.end(name, 0, Outcome.OK)
             rig.now += 5.0
-    # It starts at a quarter of its capacity and bears twice that: half of what a warm one gets, at most.
+    # The server starts at a quarter of its capacity, and twice that overloads it: it may get at most half of
+    # what a warm server gets.
     assert total["warm"] > 200 and total["cold"] <= 0.5 * total["warm"] / 4
 
 
@@ -272,7 +274,8 @@
 
 
 def test_attempts_at_servers_that_warm_up_do_not_raise_their_rate() -> None:
-    # With every server cold, each turn once counted as warm traffic and the turns came ever faster.
+    # Guards against counting attempts at warming servers as warm traffic: with all servers warming up, the
+    # rate of attempts would keep rising.
     rig = Rig(entries(6, started=1000.0))
     sends = 0
     for _ in range(400):
@@ -288,7 +291,7 @@
 
 
 def send_through(rigs: list[Rig], ms: float, each_ms: float, units: float) -> float:
-    """All gateways get one customer's requests as fast as they come; the units that went on."""
+    """Sends one tenant's requests to all gateways at a high rate; returns the units that were admitted."""
     total, elapsed = 0.0, 0.0
     while elapsed < ms:
         for rig in rigs:
@@ -326,30 +329,30 @@
     assert refused and all(0 < a.retry_after_ms <= 500.0 for a in refused)
 
 
-def told(rig: Rig) -> float:
-    """What the counter has been told of a customer's use, and what it is about to be told."""
+def counted_units(rig: Rig) -> float:
+    """Returns the units that were reported to the counter for a tenant, with those yet to be reported."""
     rig.answer_calls()
     amounts = [action.amount for _, action in rig.log if isinstance(action, IncrementCounter)]
     return round(sum(amounts, rig.gateway.quota.tenants.by_id["c"].unreported_units), 3)
 
 
-def leaves_while_held(rig: Rig, plan: str) -> None:
-    """No server is there; the client leaves before one comes up."""
+def leaves_while_waiting_for_server(rig: Rig, plan: str) -> None:
+    """The client disconnects while its request waits for a server to come up."""
     name, actions = rig.ask(plan=plan)
     assert not finals(actions)
     rig.feed(ClientDisconnected(name))
     rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
 
 
-def leaves_while_it_asks(rig: Rig, plan: str) -> None:
-    """The counter's word comes after the client has left."""
+def leaves_while_waiting_for_counter(rig: Rig, plan: str) -> None:
+    """The counter's reply arrives after the client has disconnected."""
     rig.gateway.quota.counter.needs_total = lambda now_ms, tenant, units: True  # type: ignore[method-assign]
     rig.feed(Request("gone", "read", plan, "c", 3000.0, 1.0, 2))
     rig.feed(ClientDisconnected("gone"))
     assert not only(rig.answer_calls(), StartAttempt)
 
 
-def leaves_while_it_connects(rig: Rig, plan: str) -> None:
+def leaves_while_connecting(rig: Rig, plan: str) -> None:
     rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
     rig.feed(ClientDisconnected(name))
@@ -370,42 +373,43 @@
         rig.advance(300.0)
 
 
-def leaves_while_it_runs(rig: Rig, plan: str) -> None:
+def leaves_while_running(rig: Rig, plan: str) -> None:
     rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
     rig.feed(ClientDisconnected(name))
     rig.end(name, 0, Outcome.CANCELLED, final=True)
 
 
-def is_turned_away(rig: Rig, plan: str) -> None:
-    """It has come to a server: that takes its units."""
+def is_rejected_by_server(rig: Rig, plan: str) -> None:
+    """The request has reached a server, so its units are not refunded."""
     rig.feed(EndpointList(EndpointListKind.CHANGES, entries(1)))
     name, _ = rig.ask(plan=plan)
     rig.feed(ClientDisconnected(name))
     rig.end(name, 0, Outcome.REJECTED, final=True)
 
 
-@pytest.mark.parametrize("way", [leaves_while_held, leaves_while_it_asks, leaves_while_it_connects,
-                                 finds_no_server, reaches_no_server])  # fmt: skip
+@pytest.mark.parametrize("way", [leaves_while_waiting_for_server, leaves_while_waiting_for_counter,
+                                 leaves_while_connecting, finds_no_server, reaches_no_server])  # fmt: skip
 def test_a_request_that_reached_no_server_is_refunded(way: Callable[[Rig, str], None]) -> None:
     rig = Rig(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     way(rig, "rate")
-    assert told(rig) == 0.0
-    customer = rig.gateway.quota.tenants.by_id["c"]
-    assert customer.bucket_units == 6.0 and not rig.gateway.execution.requests
+    assert counted_units(rig) == 0.0
+    tenant = rig.gateway.quota.tenants.by_id["c"]
+    assert tenant.bucket_units == 6.0 and not rig.gateway.execution.requests
 
 
-@pytest.mark.parametrize("way", [leaves_while_it_runs, is_turned_away])
+@pytest.mark.parametrize("way", [leaves_while_running, is_rejected_by_server])
 def test_a_request_that_reached_a_server_is_not_refunded(way: Callable[[Rig, str], None]) -> None:
     rig = Rig(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     way(rig, "rate")
-    assert told(rig) == 1.0
+    assert counted_units(rig) == 1.0
 
 
 def test_under_a_ceiling_nothing_is_taken_off_a_total() -> None:
-    """The guard and the counter keep what was booked: a memory that was lost would grant it twice."""
+    """Guards against refunds under a ceiling: a counter that has lost its memory would grant refunded units
+    again, so the guard and the counter keep them."""
     rig = Rig(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
     name, actions = rig.ask(plan="hard")
