--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -1,4 +1,7 @@
-"""Losing the counter: the overshoot stays under what is promised, by a log that no gateway keeps."""
+"""Tests that overshoot stays within its bounds when the shared counter fails or loses its memory.
+
+The overshoot is computed from a log of all admitted units, which no gateway has.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 from hypothesis import strategies as st
 
 from glenchute.policy.actions import IncrementCounter
-from glenchute.policy.admission import epoch_markers as marks_module
+from glenchute.policy.admission import epoch_markers
 from glenchute.policy.admission.counter_health import CounterHealth, CounterMonitor
 from glenchute.policy.admission.counter_sync import CounterSync
 from glenchute.policy.admission.epoch_markers import WindowCounter, marker_value
@@ -33,20 +36,20 @@
 
 
 def replaced(fleet: Fleet, rng: random.Random) -> None:
-    """Again and again a fresh counter, under open connections."""
+    """The counter is replaced by an empty one, up to 12 times, while connections stay open."""
     for _ in range(rng.randint(1, 12)):
         fleet.at(fleet.now + rng.uniform(0.0, 6000.0), fleet.counter.replace)
 
 
 def part_lost(fleet: Fleet, rng: random.Random) -> None:
-    """One part dies and comes back empty, while the others stand."""
+    """One part of the counter dies and comes back empty; the other parts keep running."""
     which = rng.randrange(fleet.parts)
     fleet.at(fleet.now + 1500.0, fleet.counter.kill, which)
     fleet.at(fleet.now + 1500.0 + rng.uniform(50.0, 3000.0), fleet.counter.replace, which)
 
 
 def split(fleet: Fleet, rng: random.Random) -> None:
-    """Two halves, one of them empty or not, that heal with both having counted."""
+    """The counter is split in two halves, one of which may be empty; it may heal after both have counted."""
     empty = rng.random() < 0.5
     fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.split, half(fleet), empty)
     if rng.random() < 0.7:
@@ -54,21 +57,21 @@
 
 
 def mute(fleet: Fleet, rng: random.Random) -> None:
-    """No word, from the start or later, and perhaps for good."""
+    """The counter becomes unavailable, at the start or later, and may stay so."""
     fleet.at(fleet.now + rng.choice([0.0, 1000.0, 2500.0]), fleet.counter.kill)
     if rng.random() < 0.5:
         fleet.at(fleet.now + 4000.0, rng.choice([fleet.counter.revive, fleet.counter.replace]))
 
 
 def late(fleet: Fleet, rng: random.Random) -> None:
-    """Calls are added and answered after the time-out, or never."""
+    """The counter adds the calls, but replies after their timeout or never."""
     fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.slow, rng.uniform(30.0, 400.0))
     fleet.at(fleet.now + 3000.0, fleet.counter.deafen, True)
     fleet.at(fleet.now + 4000.0, fleet.counter.deafen, False)
 
 
 def flapping(fleet: Fleet, rng: random.Random) -> None:
-    """All of it, in any order."""
+    """Three of the other faults in random order."""
     for fault in rng.sample([replaced, part_lost, split, mute, late], 3):
         fault(fleet, rng)
 
@@ -77,11 +80,11 @@
 
 
 def played(fault: Fault, seed: int, gateways: int, skew_ms: float = 0.0, **kind: object) -> Fleet:
-    """Seven seconds of a flood on each plan under a fault."""
+    """Runs a flood of seven seconds on each plan under a fault."""
     fleet = Fleet(gateways, seed, skew_ms=skew_ms, **kind)  # type: ignore[arg-type]
     rng = random.Random(seed * 7919 + 1)
     weights = [rng.choice([0.05, 1.0, 4.0]) for _ in range(gateways)]
-    fleet.run(fleet.now + rng.uniform(3000.0, 6000.0))  # windows of before the start are over
+    fleet.run(fleet.now + rng.uniform(3000.0, 6000.0))  # until windows that began before the start are over
     fault(fleet, rng)
     for plan, rate in (("hard", 60.0), ("bare", 90.0), ("soft", 40.0)):
         fleet.flood(plan, rate, 7.0, weights)
@@ -89,10 +92,10 @@
     return fleet
 
 
-def promised(fleet: Fleet, plan: int) -> float:
-    """The ceiling's bound: the clocks, the restarts, one request of rounding in the true log's order."""
-    found = overshoot_bound(PLANS[plan], fleet.gateways, fleet.skew_ms, 1.0)
-    return ceiling_overshoot_units(found, fleet.restarts) + 1e-6
+def ceiling_bound(fleet: Fleet, plan: int) -> float:
+    """Returns the ceiling's bound with the fleet's clock difference and restarts, plus a rounding error."""
+    bound = overshoot_bound(PLANS[plan], fleet.gateways, fleet.skew_ms, 1.0)
+    return ceiling_overshoot_units(bound, fleet.restarts) + 1e-6
 
 
 def seeds() -> Iterator[tuple[Fault, int, int, float]]:
@@ -108,8 +111,8 @@
     fleet = played(fault, seed, gateways, skew_ms)
     for number, plan in ((1, HARD), (2, BARE)):
         over = fleet.overshoot(plan.name, plan.ceiling_rate_per_s, plan.ceiling_burst_units)
-        assert over <= promised(fleet, number), (plan.name, over)
-        assert promised(fleet, number) <= plan.ceiling_slack_units
+        assert over <= ceiling_bound(fleet, number), (plan.name, over)
+        assert ceiling_bound(fleet, number) <= plan.ceiling_slack_units
     soft = fleet.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units)
     assert soft <= (gateways - 1) * (SOFT.burst_units + 7.0 * SOFT.rate_per_s)
 
@@ -121,16 +124,16 @@
     fleet.flood("bare", 300.0, 5.0, [1.0] * 40, 0.2)
     fleet.run(fleet.now + 6000.0)
     over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
-    assert over <= promised(fleet, 2) and fleet.units("bare") > 50.0
+    assert over <= ceiling_bound(fleet, 2) and fleet.units("bare") > 50.0
 
 
 def test_the_bounds_are_nearly_reached() -> None:
-    """A flood gets most of its ceiling, also without a word of the counter; halves that hear nothing of each
-    other come near to the quota's bound for a split."""
-    for silent in (False, True):
+    """Guards against bounds that are too loose: a flood gets most of its ceiling, with and without the
+    counter, and a split counter lets it come near the quota's bound for a split."""
+    for is_unavailable in (False, True):
         fleet = Fleet(3, 1)
         fleet.run(fleet.now + 5000.0)
-        if silent:
+        if is_unavailable:
             fleet.counter.kill()
         fleet.flood("bare", 90.0, 20.0, [1.0, 1.0, 1.0])
         fleet.run(fleet.now + 21_000.0)
@@ -144,14 +147,14 @@
         pair.flood("soft", 80.0, 7.0, [1.0, 1.0])
         pair.run(pair.now + 8000.0)
         worst = max(worst, pair.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units))
-    found = overshoot_bound(SOFT, 2, 0.0, 1.0)
-    limit = found.replaced_units + 7.0 * found.split_units_per_s
+    bound = overshoot_bound(SOFT, 2, 0.0, 1.0)
+    limit = bound.replaced_units + 7.0 * bound.split_units_per_s
     assert 0.7 * limit <= worst <= limit
 
 
 @pytest.mark.parametrize("fault", [replaced, mute, split])
 def test_gateways_that_restart_in_the_outage_do_not_spend_their_share_twice(fault: Fault) -> None:
-    """One by one and half at once; each brings at most what is stated for a restart."""
+    """Two gateways restart at once and one later; each adds at most the bound for a restart."""
     for seed in range(3):
         fleet = Fleet(4, seed, skew_ms=100.0)
         rng = random.Random(seed)
@@ -163,7 +166,7 @@
         fleet.flood("bare", 120.0, 7.0, [1.0, 1.0, 1.0, 1.0])
         fleet.run(fleet.now + 8000.0)
         over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
-        assert over <= promised(fleet, 2)
+        assert over <= ceiling_bound(fleet, 2)
 
 
 def test_traffic_that_moves_to_other_gateways_brings_no_second_ceiling() -> None:
@@ -173,7 +176,9 @@
         fleet.counter.replace()
         fleet.flood("bare", 120.0, 1.0, [1.0 if i == turn % 4 else 0.01 for i in range(4)])
         fleet.run(fleet.now + 1000.0)
-    assert fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units) <= promised(fleet, 2)
+    assert fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units) <= ceiling_bound(
+        fleet, 2
+    )
 
 
 def test_a_restored_counter_costs_what_is_stated_for_it() -> None:
@@ -187,8 +192,9 @@
     assert over <= ceiling_overshoot_units(overshoot_bound(BARE, 3, 0.0, 1.0), restores=1)
 
 
-def broken(monkeypatch: pytest.MonkeyPatch, **changes: object) -> float:
-    """The worst overshoot of a build with something wrong in it, under replacements without end."""
+def worst_overshoot(monkeypatch: pytest.MonkeyPatch, **changes: object) -> float:
+    """Returns the worst overshoot with these changes to `WindowCounter`, while the counter is replaced every
+    50 ms."""
     for name, value in changes.items():
         monkeypatch.setattr(WindowCounter, name, value)
     worst = 0.0
@@ -204,80 +210,81 @@
 
 
 def test_an_engine_without_markers_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert broken(monkeypatch) <= 1e-6
-    assert broken(monkeypatch, granted_fraction=lambda self, spread: 1.0) > BARE.ceiling_slack_units
+    assert worst_overshoot(monkeypatch) <= 1e-6
+    assert worst_overshoot(monkeypatch, granted_fraction=lambda self, spread: 1.0) > BARE.ceiling_slack_units
 
 
 def test_an_engine_that_takes_units_off_a_total_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first form of this module: what was refused was taken off a memory that had never held it, and a
-    fresh one granted that much more."""
-    taken_off = CounterSync.make_call
+    """Guards against subtracting the units of rejected requests under a ceiling: a replaced counter never
+    held them, and would grant that much more."""
+    original = CounterSync.make_call
 
     def call(
-        self: CounterSync, now_ms: float, tenant: Tenant, extra: float = 0.0, waits: str | None = None
+        self: CounterSync, now_ms: float, tenant: Tenant, reserved: float = 0.0, request_id: str | None = None
     ) -> IncrementCounter:
-        due = round(tenant.unreported_units + extra, 3)
-        made = taken_off(self, now_ms, tenant, extra, waits)
+        units = round(tenant.unreported_units + reserved, 3)
+        action = original(self, now_ms, tenant, reserved, request_id)
         queue = self.calls.in_flight[tenant.counter_key]
-        queue[-1] = replace(queue[-1], units=due, is_complete=True, reserved_units=extra)
+        queue[-1] = replace(queue[-1], units=units, is_complete=True, reserved_units=reserved)
         tenant.unreported_units = 0.0
-        return replace(made, amount=round(due + queue[-1].marker, 3))
+        return replace(action, amount=round(units + queue[-1].marker, 3))
 
     monkeypatch.setattr(CounterSync, "make_call", call)
-    assert broken(monkeypatch) > BARE.ceiling_slack_units
+    assert worst_overshoot(monkeypatch) > BARE.ceiling_slack_units
 
 
 def test_an_engine_that_adds_lost_units_twice_is_found() -> None:
-    """After a loss the memory holds what the gateways had confirmed, once."""
+    """After a loss the counter holds each gateway's confirmed units once."""
 
-    def put_in(twice: bool) -> float:
-        name, memory, fresh = WindowCounter(1000.0, True), 0.0, 3.0
+    def counted_units(twice: bool) -> float:
+        window, total, units = WindowCounter(1000.0, True), 0.0, 3.0
         for step in range(6):
             if step == 2:
-                memory = 0.0
-            toll = name.take_marker()
-            memory += fresh + toll
-            again = name.apply_total(memory, fresh, toll)
-            fresh = 1.0 + (again or 0.0)
-            if twice and again is not None:
-                name.confirmed_units += again
-                name.marker_count = 1
-        return memory % 1000.0
+                total = 0.0
+            marker = window.take_marker()
+            total += units + marker
+            lost_units = window.apply_total(total, units, marker)
+            units = 1.0 + (lost_units or 0.0)
+            if twice and lost_units is not None:
+                window.confirmed_units += lost_units
+                window.marker_count = 1
+        return total % 1000.0
 
-    assert put_in(False) == 3.0 + 5 * 1.0
-    assert put_in(True) > 3.0 + 5 * 1.0
+    assert counted_units(False) == 3.0 + 5 * 1.0
+    assert counted_units(True) > 3.0 + 5 * 1.0
 
 
 def test_an_engine_that_marks_again_after_a_loss_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both gateways in the first memory, one of them again in the second: more than one whole is granted."""
+    """Guards against a gateway that marks the key again after a loss: the counter and its replacement then
+    together grant more than the whole."""
 
-    def shares() -> float:
-        names, granted = [WindowCounter(1000.0, True), WindowCounter(1000.0, True)], 0.0
+    def granted_sum() -> float:
+        windows, granted = [WindowCounter(1000.0, True), WindowCounter(1000.0, True)], 0.0
         for _ in range(2):
-            memory = best = 0.0
-            for name in (*names, *names):
-                toll = name.take_marker()
-                memory += 1.0 + toll
-                name.apply_total(memory, 1.0, toll)
-                best = max(best, name.granted_fraction(2))
-            granted += best
+            total = largest = 0.0
+            for window in (*windows, *windows):
+                marker = window.take_marker()
+                total += 1.0 + marker
+                window.apply_total(total, 1.0, marker)
+                largest = max(largest, window.granted_fraction(2))
+            granted += largest
         return granted
 
-    assert shares() == 1.0
-    heard = WindowCounter.apply_total
+    assert granted_sum() == 1.0
+    original = WindowCounter.apply_total
 
-    def again(self: WindowCounter, total: float, units: float, toll: float) -> float | None:
-        lost = heard(self, total, units, toll)
-        if lost is not None:
+    def mark_again(self: WindowCounter, total: float, units: float, marker: float) -> float | None:
+        lost_units = original(self, total, units, marker)
+        if lost_units is not None:
             self.has_lost_memory = self.is_marked = self.is_marker_confirmed = False
             self.marker_count = 0
-        return lost
+        return lost_units
 
-    monkeypatch.setattr(WindowCounter, "apply_total", again)
-    assert shares() > 1.0
+    monkeypatch.setattr(WindowCounter, "apply_total", mark_again)
+    assert granted_sum() > 1.0
 
 
-# --- marks ------------------------------------------------------------------------------------------------
+# --- epoch markers ----------------------------------------------------------------------------------------
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
@@ -291,81 +298,88 @@
     )
 )
 def test_granted_fractions_of_all_memories_sum_to_one_at_most(steps: list[tuple[int, str]]) -> None:
-    """Six gateways, one name, any memory that they may reach: all memories together grant one whole."""
-    mark = marker_value(20.0, 8.0, 2.5, 50.0)
-    names = [WindowCounter(mark, True) for _ in range(6)]
-    memories = [0.0]
-    reach = [0] * 6
-    granting: dict[int, float] = {0: 0.0}
-    for gateway, what in steps:
-        name = names[gateway]
-        if what == "lose":
-            memories.append(0.0)
-            reach = [len(memories) - 1] * 6
-        elif what == "split":
-            memories.append(0.0)
-            reach = [len(memories) - 1 if i % 2 else r for i, r in enumerate(reach)]
+    """Six gateways call any instance of the counter, for one key: all instances together grant at most the
+    whole."""
+    marker_units = marker_value(20.0, 8.0, 2.5, 50.0)
+    windows = [WindowCounter(marker_units, True) for _ in range(6)]
+    totals = [0.0]  # by instance of the counter
+    reached = [0] * 6  # by gateway: the instance that its calls reach
+    granted: dict[int, float] = {0: 0.0}  # by instance
+    for gateway, step in steps:
+        window = windows[gateway]
+        if step == "lose":
+            totals.append(0.0)
+            reached = [len(totals) - 1] * 6
+        elif step == "split":
+            totals.append(0.0)
+            reached = [len(totals) - 1 if i % 2 else r for i, r in enumerate(reached)]
         else:
-            toll = name.take_marker()
-            if what == "full":
-                name.marker_not_added(toll)
-            elif what != "timeout lost":
-                memories[reach[gateway]] += toll + 1.0
-                if what == "add":
-                    name.apply_total(memories[reach[gateway]], 1.0, toll)
-                    at = reach[gateway]
-                    granting[at] = max(granting.get(at, 0.0), name.granted_fraction(6))
-        assert sum(granting.values()) <= 1.0 + 1e-9
-        assert sum(round(total / mark) for total in memories) <= 6
+            marker = window.take_marker()
+            if step == "full":
+                window.marker_not_added(marker)
+            elif step != "timeout lost":
+                totals[reached[gateway]] += marker + 1.0
+                if step == "add":
+                    window.apply_total(totals[reached[gateway]], 1.0, marker)
+                    instance = reached[gateway]
+                    granted[instance] = max(granted.get(instance, 0.0), window.granted_fraction(6))
+        assert sum(granted.values()) <= 1.0 + 1e-9
+        assert sum(round(total / marker_units) for total in totals) <= 6
 
 
 def test_own_units_are_added_again_once_for_each_loss() -> None:
-    name = WindowCounter(1000.0, True)
-    assert name.take_marker() == 1000.0 and name.take_marker() == 0.0
-    assert name.apply_total(1003.0, 3.0, 1000.0) is None and name.confirmed_units == 3.0
-    assert name.apply_total(1008.0, 2.0, 0.0) is None  # another's three units
-    assert name.apply_total(1.0, 1.0, 0.0) == 5.0 and name.has_lost_memory and name.granted_fraction(1) == 0.0
-    assert name.apply_total(7.0, 5.0, 0.0) is None and name.confirmed_units == 6.0
-    assert name.apply_total(0.5, 0.5, 0.0) is None or name.confirmed_units <= 6.5
+    window = WindowCounter(1000.0, True)
+    assert window.take_marker() == 1000.0 and window.take_marker() == 0.0
+    assert window.apply_total(1003.0, 3.0, 1000.0) is None and window.confirmed_units == 3.0
+    assert window.apply_total(1008.0, 2.0, 0.0) is None  # includes three units of another gateway
+    assert (
+        window.apply_total(1.0, 1.0, 0.0) == 5.0
+        and window.has_lost_memory
+        and window.granted_fraction(1) == 0.0
+    )
+    assert window.apply_total(7.0, 5.0, 0.0) is None and window.confirmed_units == 6.0
+    assert window.apply_total(0.5, 0.5, 0.0) is None or window.confirmed_units <= 6.5
 
 
 def test_a_window_of_before_the_start_is_not_marked_and_grants_nothing() -> None:
-    name = WindowCounter(1000.0, False)
-    assert name.take_marker() == 0.0
-    name.apply_total(3002.0, 2.0, 0.0)
-    assert name.granted_fraction(3) == 0.0
+    window = WindowCounter(1000.0, False)
+    assert window.take_marker() == 0.0
+    window.apply_total(3002.0, 2.0, 0.0)
+    assert window.granted_fraction(3) == 0.0
 
 
 @pytest.mark.parametrize(
-    ("burst", "rate", "span"), [(20.0, 8.0, 2.5), (4000.0, 1000.0, 4.0), (0.0, 0.0, 1.0)]
+    ("burst", "rate", "window_s"), [(20.0, 8.0, 2.5), (4000.0, 1000.0, 4.0), (0.0, 0.0, 1.0)]
 )
-def test_a_marker_is_larger_than_what_a_window_holds(burst: float, rate: float, span: float) -> None:
-    mark = marker_value(burst, rate, span, 0.0)
-    assert mark >= marks_module.MARKER_FACTOR * (burst + rate * span) and math.log10(mark) % 1.0 == 0.0
+def test_a_marker_is_larger_than_what_a_window_holds(burst: float, rate: float, window_s: float) -> None:
+    marker = marker_value(burst, rate, window_s, 0.0)
+    assert (
+        marker >= epoch_markers.MARKER_FACTOR * (burst + rate * window_s) and math.log10(marker) % 1.0 == 0.0
+    )
 
 
 def test_the_counters_health_follows_its_replies() -> None:
-    watch = CounterMonitor(2500.0)
-    assert watch.state(0.0) is CounterHealth.SOUND
-    watch.call_fraction = 0.3
-    assert watch.state(0.0) is CounterHealth.SLOW
+    monitor = CounterMonitor(2500.0)
+    assert monitor.state(0.0) is CounterHealth.SOUND
+    monitor.call_fraction = 0.3
+    assert monitor.state(0.0) is CounterHealth.SLOW
     for _ in range(3):
-        watch.record_failure(100.0)
-    assert watch.state(100.0) is CounterHealth.UNAVAILABLE
-    watch.call_fraction = 1.0
-    watch.record_reply(200.0, False)
-    assert watch.state(200.0) is CounterHealth.RECOVERING and watch.state(2700.0) is CounterHealth.SOUND
-    watch.record_reply(3000.0, True)
-    assert watch.state(3100.0) is CounterHealth.REPLACED and watch.state(5600.0) is CounterHealth.SOUND
+        monitor.record_failure(100.0)
+    assert monitor.state(100.0) is CounterHealth.UNAVAILABLE
+    monitor.call_fraction = 1.0
+    monitor.record_reply(200.0, False)
+    assert monitor.state(200.0) is CounterHealth.RECOVERING and monitor.state(2700.0) is CounterHealth.SOUND
+    monitor.record_reply(3000.0, True)
+    assert monitor.state(3100.0) is CounterHealth.REPLACED and monitor.state(5600.0) is CounterHealth.SOUND
     for _ in range(50):
-        watch.record_window(1.0)
+        monitor.record_window(1.0)
     for _ in range(10):
-        watch.record_window(0.5)
-    assert watch.state(9000.0) is CounterHealth.SPLIT
+        monitor.record_window(0.5)
+    assert monitor.state(9000.0) is CounterHealth.SPLIT
 
 
 def test_a_replaced_counter_is_reported_and_grants_nothing_new() -> None:
-    """A single account that has spent its quota gets none by a fresh counter."""
+    """A tenant that has used up its quota gets no new quota when the counter is replaced by an empty one."""
     fleet = Fleet(3, 2)
     fleet.run(fleet.now + 4000.0)
     fleet.flood("soft", 60.0, 6.0, [1.0, 1.0, 1.0])
