--- a/tests/policy/admission/test_counter_resets.py
+++ b/tests/policy/admission/test_counter_resets.py
@@ -1,4 +1,4 @@
-"""Calls that the counter adds and that then end in a reset or an error: they count as added."""
+"""Tests of calls that the counter may have added, but that end in a reset, an error or a cancellation."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 MARKER = marker_value(
     HARD.burst_units, HARD.rate_per_s, window_length_ms(HARD) / 1000.0, HARD.ceiling_burst_units
 )
-NOT_KNOWN = [Outcome.RESET, Outcome.ERROR, Outcome.CANCELLED]
+MAY_HAVE_BEEN_ADDED = [Outcome.RESET, Outcome.ERROR, Outcome.CANCELLED]
 
 
 @dataclass
 class SplitAfterReset(Fleet):
-    """Each gateway's first call for a key is added at one half of the counter, and ends without a total; all
-    its later calls reach the other half. Gateways with an even number begin at the first half."""
+    """A fleet with a counter of two halves. Each gateway's first call for a key is added at one half and ends
+    without a total; all its later calls reach the other half. Even gateways begin at the first half."""
 
     ending: Outcome = Outcome.RESET
-    totals: dict[tuple[int, int], float] = field(default_factory=dict)  # by half and key
-    first_calls: set[tuple[int, int]] = field(default_factory=set)  # gateways and keys
+    totals: dict[tuple[int, int], float] = field(default_factory=dict)  # total by half and key
+    first_calls: set[tuple[int, int]] = field(default_factory=set)  # gateway and key of each first call
     added: dict[str, float] = field(default_factory=dict)
 
     def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
-        """Adds the call, and answers it unless it is the first."""
+        """Adds the call, and replies with a total unless it is the gateway's first for its key."""
         is_first = (number, call.key) not in self.first_calls
         self.first_calls.add((number, call.key))
         half = (number + (not is_first)) % 2
@@ -40,8 +40,8 @@
         self.at(self.now + NET_MS, self.feed, number, incarnation, reply)
 
 
-def flooded(ending: Outcome, seed: int) -> SplitAfterReset:
-    """Seven seconds on the plan with a ceiling, by four gateways."""
+def run_flood(ending: Outcome, seed: int) -> SplitAfterReset:
+    """Runs a flood of seven seconds on the plan with a ceiling, through four gateways."""
     fleet = SplitAfterReset(4, seed, ending=ending)
     fleet.run(fleet.now + 5000.0)
     fleet.flood("hard", 120.0, 7.0, [1.0] * 4)
@@ -49,22 +49,24 @@
     return fleet
 
 
-@pytest.mark.parametrize("ending", NOT_KNOWN)
+@pytest.mark.parametrize("ending", MAY_HAVE_BEEN_ADDED)
 @pytest.mark.parametrize("seed", range(6))
 def test_a_window_is_marked_once_by_each_gateway(ending: Outcome, seed: int) -> None:
-    """Guards against markers added twice: the halves of a counter would grant more than the whole."""
-    fleet = flooded(ending, seed)
+    """Guards against markers that are added twice, by which the halves of a counter would together grant more
+    than the whole."""
+    fleet = run_flood(ending, seed)
     assert fleet.totals
     for key in {key for _, key in fleet.totals}:
         markers = [round(fleet.totals.get((half, key), 0.0) / MARKER) for half in (0, 1)]
         assert sum(markers) <= fleet.gateways, markers
 
 
-@pytest.mark.parametrize("ending", NOT_KNOWN)
+@pytest.mark.parametrize("ending", MAY_HAVE_BEEN_ADDED)
 @pytest.mark.parametrize("seed", range(6))
 def test_units_are_not_added_twice(ending: Outcome, seed: int) -> None:
-    """Guards against units that are reported again though the counter may hold them."""
-    fleet = flooded(ending, seed)
-    added = sum(total - MARKER * round(total / MARKER) for total in fleet.totals.values())
-    reserved = fleet.asked - len(fleet.sent)  # what waited for a total and was rejected stays added
-    assert added <= fleet.units("hard") + reserved + 1e-6
+    """Guards against units that are reported again although the counter may hold them."""
+    fleet = run_flood(ending, seed)
+    added_units = sum(total - MARKER * round(total / MARKER) for total in fleet.totals.values())
+    # Under a ceiling the units of requests that waited for a total and were rejected are not subtracted.
+    reserved_units = fleet.asked - len(fleet.sent)
+    assert added_units <= fleet.units("hard") + reserved_units + 1e-6
--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -1,4 +1,4 @@
-"""Answers of the counter that come after their time-out: told by the link, learned from by the module."""
+"""Tests of counter replies that arrive after their timeout: reported by the client, used by the engine."""
 
 from __future__ import annotations
 
@@ -15,30 +15,31 @@
 from tests.loopback import RespPeer, Script, always, play, site, until
 from tests.rig import Rig, entries, only
 
-Told = tuple[str, float, Outcome]
+Report = tuple[str, float, Outcome]
 
 
-async def told_by(reply: Any, go: asyncio.Event, calls: int) -> list[Told]:
-    """What a counter that answers as `reply` when `go` is set makes of so many calls for one name."""
+async def collect_reports(reply: Any, go: asyncio.Event, calls: int) -> list[Report]:
+    """Makes this many calls for one key to a counter that answers with `reply`, and sets `go` when all have
+    timed out. Returns what the client reports, in order."""
     peer = RespPeer(reply)
     await peer.start()
     counter = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.05)
-    told: list[Told] = []
+    reports: list[Report] = []
     await until(lambda: all(link.is_ready() for link in counter.connections))
     for _ in range(calls):
         counter.increment(
             7, 1.0, 4000.0,
-            lambda total, ending, took: told.append(("done", total, ending)),
-            lambda total, ending, took: told.append(("late", total, ending)),
+            lambda total, ending, took: reports.append(("done", total, ending)),
+            lambda total, ending, took: reports.append(("late", total, ending)),
         )  # fmt: skip
-    await until(lambda: len(told) == calls)
+    await until(lambda: len(reports) == calls)
     go.set()
-    await until(lambda: len(told) == 2 * calls)
+    await until(lambda: len(reports) == 2 * calls)
     await asyncio.sleep(0.05)
     counter.close()
     await asyncio.sleep(0.02)
     await peer.stop()
-    return told
+    return reports
 
 
 @pytest.mark.parametrize(
@@ -59,9 +60,9 @@
             await go.wait()
             return answer
 
-        told = await told_by(reply, go, 3)
-        assert told[:3] == [("done", 0.0, Outcome.TIMEOUT)] * 3
-        assert told[3:] == [("late", total, ending)] * 3
+        reports = await collect_reports(reply, go, 3)
+        assert reports[:3] == [("done", 0.0, Outcome.TIMEOUT)] * 3
+        assert reports[3:] == [("late", total, ending)] * 3
 
     play(scenario())
 
@@ -77,8 +78,8 @@
             writer.close()
             return None
 
-        told = await told_by(reply, go, 2)
-        assert told == [("done", 0.0, Outcome.TIMEOUT)] * 2 + [("late", 0.0, Outcome.TIMEOUT)] * 2
+        reports = await collect_reports(reply, go, 2)
+        assert reports == [("done", 0.0, Outcome.TIMEOUT)] * 2 + [("late", 0.0, Outcome.TIMEOUT)] * 2
 
     play(scenario())
 
@@ -111,20 +112,20 @@
 # --- the engine --------------------------------------------------------------------------------------------
 
 
-class Slow(Rig):
-    """A gateway whose counter answers every call too late, or not at all."""
+class LateCounterRig(Rig):
+    """A gateway whose counter replies to every call after its timeout, or never."""
 
     def __init__(self) -> None:
         super().__init__()
         self.feed(EndpointList(EndpointListKind.CACHED, entries(3)))
         self.ending = Outcome.TIMEOUT
         self.totals: dict[int, float] = {}
-        self.told = 0
+        self.late_count = 0
 
     def answer_late(self, ending: Outcome = Outcome.OK, others: float = 0.0) -> None:
-        """All calls that have timed out are answered, in order."""
-        calls = [action for _, action in self.log if isinstance(action, IncrementCounter)][self.told :]
-        self.told += len(calls)
+        """Sends the late replies to all calls that have timed out, in order."""
+        calls = [action for _, action in self.log if isinstance(action, IncrementCounter)][self.late_count :]
+        self.late_count += len(calls)
         for call in calls:
             if ending is Outcome.OK:
                 self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + others
@@ -132,10 +133,10 @@
             self.feed(CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True))
 
     def spend(self, requests: int, late: bool = True) -> int:
-        """Requests of one customer, 100 ms apart; how many went on."""
-        gone = 0
+        """Sends requests of one tenant, 100 ms apart; returns how many were admitted."""
+        admitted = 0
         for _ in range(requests):
-            gone += bool(only(self.ask("read", "rate", "c", spread=2)[1], StartAttempt))
+            admitted += bool(only(self.ask("read", "rate", "c", spread=2)[1], StartAttempt))
             self.answer_calls()
             if late:
                 self.answer_late()
@@ -143,53 +144,53 @@
             self.answer_calls()
             if late:
                 self.answer_late()
-        return gone
+        return admitted
 
 
 def test_a_counter_that_replies_late_is_available() -> None:
-    slow, mute = Slow(), Slow()
-    slow.spend(15)
-    mute.spend(15, late=False)
+    delayed, silent = LateCounterRig(), LateCounterRig()
+    delayed.spend(15)
+    silent.spend(15, late=False)
     assert (
-        mute.gateway.quota.counter.pacing.is_unavailable
-        and not slow.gateway.quota.counter.pacing.is_unavailable
+        silent.gateway.quota.counter.pacing.is_unavailable
+        and not delayed.gateway.quota.counter.pacing.is_unavailable
     )
 
 
 def test_late_totals_show_the_others_use_and_own_units_count_once() -> None:
-    alone, crowded = Slow(), Slow()
-    for rig, others in ((alone, 0.0), (crowded, 2.0)):
+    alone, shared = LateCounterRig(), LateCounterRig()
+    for rig, others in ((alone, 0.0), (shared, 2.0)):
         for _ in range(12):
             rig.ask("read", "rate", "c", spread=2)
             rig.advance(250.0)
             rig.answer_calls()
             rig.answer_late(others=others)
     assert alone.gateway.quota.tenants.by_id["c"].others_demand_per_s < 0.2, (
-        "own units passed for the others'"
+        "own units were counted as the others' use"
     )
-    assert crowded.gateway.quota.tenants.by_id["c"].others_demand_per_s > 1.0
+    assert shared.gateway.quota.tenants.by_id["c"].others_demand_per_s > 1.0
     assert (
-        crowded.gateway.quota.tenants.by_id["c"].bucket_units
+        shared.gateway.quota.tenants.by_id["c"].bucket_units
         < alone.gateway.quota.tenants.by_id["c"].bucket_units + 0.1
     )
 
 
 def test_units_rejected_late_are_reported_again() -> None:
-    rig = Slow()
+    rig = LateCounterRig()
     rig.ask("read", "rate", "c", spread=2)
     rig.advance(300.0)
     rig.answer_calls()
-    c = rig.gateway.quota.tenants.by_id["c"]
-    owed = c.unreported_units + c.own_units_since_reply
+    tenant = rig.gateway.quota.tenants.by_id["c"]
+    admitted_units = tenant.unreported_units + tenant.own_units_since_reply
     rig.answer_late(Outcome.REJECTED)
-    assert c.own_units_since_reply == 0.0 and c.unreported_units <= owed
+    assert tenant.own_units_since_reply == 0.0 and tenant.unreported_units <= admitted_units
     assert not rig.gateway.quota.counter.calls.timed_out
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.sampled_from(["ask", "wait", "late", "full", "never", "long"]), max_size=60))
 def test_in_any_order_all_values_stay_in_their_range(steps: list[str]) -> None:
-    rig = Slow()
+    rig = LateCounterRig()
     for step in steps:
         if step == "ask":
             rig.ask("read", "hard", "c", spread=2)
@@ -201,17 +202,17 @@
             rig.answer_late(endings[step])
         rig.answer_calls()
     quota = rig.gateway.quota
-    for c in quota.tenants.by_id.values():
+    for tenant in quota.tenants.by_id.values():
         assert (
-            0.0 <= c.bucket_units <= c.plan.burst_units
-            and c.own_demand_per_s >= 0.0
-            and c.others_demand_per_s >= 0.0
+            0.0 <= tenant.bucket_units <= tenant.plan.burst_units
+            and tenant.own_demand_per_s >= 0.0
+            and tenant.others_demand_per_s >= 0.0
         )
         assert (
-            c.window_counter is None
-            or not c.window_counter.marker_count
-            or c.window_counter.marker_count <= 2
+            tenant.window_counter is None
+            or not tenant.window_counter.marker_count
+            or tenant.window_counter.marker_count <= 2
         )
     assert sum(map(len, quota.counter.calls.timed_out.values())) <= 60
-    names = {c.counter_key for c in quota.tenants.by_id.values()}
-    assert set(quota.counter.calls.timed_out) <= names, "kept for a window that has ended"
+    keys = {tenant.counter_key for tenant in quota.tenants.by_id.values()}
+    assert set(quota.counter.calls.timed_out) <= keys, "a call of a window that has ended is kept"
--- a/tests/policy/admission/test_tenant_bound.py
+++ b/tests/policy/admission/test_tenant_bound.py
@@ -1,4 +1,4 @@
-"""The number of tenants that a gateway knows is bounded, whatever names clients send."""
+"""Tests that the number of tenants at a gateway is bounded, whatever tenant names clients send."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 def settle(engine: DecisionEngine) -> None:
-    """All that was in flight has ended, and all units are reported."""
+    """Sets all tenants to have nothing in flight and no units to report."""
     for tenant in engine.quota.tenants.by_id.values():
         tenant.attempts_in_flight = tenant.calls_in_flight = 0
         tenant.unreported_units = 0.0
 
 
 def test_the_tenants_seen_least_recently_are_forgotten(engine: DecisionEngine) -> None:
-    """Guards against a table that grows with the names that clients invent."""
+    """Guards against a table that grows without limit when clients send new tenant names."""
     known = engine.quota.tenants.by_id
     for number in range(10 * BOUND):
         engine.handle(1000.0, request(f"t{number}"))
@@ -49,7 +49,8 @@
 
 
 def test_work_and_ceilings_are_never_forgotten(engine: DecisionEngine) -> None:
-    """Guards against a ceiling that starts anew, and units that the counter never hears of."""
+    """Guards against eviction of a tenant with a ceiling, whose guard would be renewed, or with units that
+    the counter would never get."""
     table = engine.quota.tenants
     engine.handle(1000.0, request("ceiling", "hard"))
     for name in ("in flight", "calling", "unreported"):
@@ -72,7 +73,8 @@
 def test_with_nothing_to_forget_new_tenants_are_rejected_and_known_ones_served(
     engine: DecisionEngine,
 ) -> None:
-    """Until the first of them has been idle for long enough; no request goes past the quota meanwhile."""
+    """New tenants are rejected until the first known tenant has been idle long enough, and are not admitted
+    without a quota meanwhile."""
     table = engine.quota.tenants
     for number in range(BOUND):
         engine.handle(1000.0, request(f"t{number}", "hard"))
@@ -92,7 +94,7 @@
 
 
 def test_a_handover_brings_no_more_tenants_than_the_table_holds(engine: DecisionEngine) -> None:
-    """The tenants seen last come with it."""
+    """Of more tenants than the table holds, the most recently seen are transferred."""
     for number in range(BOUND):
         engine.handle(1000.0 + number, request(f"t{number}"))
     snapshots = state_transfer.start_handover(engine.quota.tenants, 2000.0)
--- a/tests/policy/admission/test_total_age.py
+++ b/tests/policy/admission/test_total_age.py
@@ -1,4 +1,4 @@
-"""How old a total of the counter may be for a request that could not wait for one."""
+"""Tests how old the counter's last total may be for a request that got no new one."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 from tests.rig import SETTINGS, Rig, entries, with_
 
 
-@pytest.mark.parametrize(("spread", "free"), [(2, True), (100, False)])
-def test_of_many_gateways_a_total_must_be_younger(spread: int, free: bool) -> None:
-    """Half a second after a total, of a window of three: of two gateways one may spend what the bucket is
-    thought to hold, of a hundred each keeps to its local share, as they would overspend it a hundredfold."""
+@pytest.mark.parametrize(("spread", "may_use_bucket"), [(2, True), (100, False)])
+def test_of_many_gateways_a_total_must_be_younger(spread: int, may_use_bucket: bool) -> None:
+    """With a total that is half a second old, in a window of three seconds, one of two gateways may use the
+    estimated bucket. One of a hundred keeps to its local share, as together they could overspend the bucket
+    a hundredfold."""
     rig = Rig(entries(4), with_(SETTINGS, gateway_count=spread))
     rig.ask(plan="rate", spread=spread)
     rig.advance(1200.0)
@@ -22,8 +23,8 @@
     quota = rig.gateway.quota
     tenant = quota.tenants.by_id["c"]
     quota.tenants.refresh(rig.now, tenant)
-    tenant.local_units = 0.5  # less than a request
+    tenant.local_units = 0.5  # less than the units of a request
     assert tenant.bucket_units > 2.0
     assert rig.now - tenant.counter_total_ms < tenant.window_length_ms
-    assert (quota.admit(rig.now, tenant, 1.0, False, True) is None) == free
-    assert quota.admit(rig.now, tenant, 1.0, False, False) is None  # where it was sure, both
+    assert (quota.admit(rig.now, tenant, 1.0, False, True) is None) == may_use_bucket
+    assert quota.admit(rig.now, tenant, 1.0, False, False) is None  # needs no total, so the bucket decides
--- a/tests/policy/admission/test_window_gaps.py
+++ b/tests/policy/admission/test_window_gaps.py
@@ -1,4 +1,4 @@
-"""A tenant that is not seen for some windows: nothing is known of the last of them."""
+"""Tests a tenant that is not seen for some windows, so that the use in the window before is unknown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("windows", [0, 1, 2, 5])
 def test_a_window_that_was_not_seen_is_unknown(windows: int) -> None:
-    """Guards against the use of an older window that passes for that of the window before."""
+    """Guards against taking the use in an older window for the use in the window before."""
     engine = DecisionEngine(settings(1), 1)
     engine.handle(1000.0, EndpointList(EndpointListKind.CACHED, SERVERS))
     engine.handle(1000.0, Request("r0", "read", PLANS[0].name, "t", 900.0))
