--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: what they bound, by any valid file and any order of endings, under a simulated clock."""
+"""Tests of route limits and retry budgets with any valid operator's file, outcomes and a simulated clock."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 from tests.sites import FACTS, OVERLAP
 
 CLASSES = tuple(FACTS.classes)
-ENDINGS = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
-FATES = st.builds(
+OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
+PLANNED_OUTCOMES = st.builds(
     PlannedOutcome,
     connect_s=st.sampled_from([0.0, 0.0, 0.001, 0.1, 0.249, math.inf]),
     duration_s=st.sampled_from([0.0, 0.005, 0.1, 0.7, 1.2, 2.4, 1e9]),
-    outcome=st.sampled_from(ENDINGS),
+    outcome=st.sampled_from(OUTCOMES),
 )
-CAUSES = ["full", "unreachable", "error", "reset", "timeout"]
+RETRY_CAUSES = ["full", "unreachable", "error", "reset", "timeout"]
 
 
 @st.composite
-def files(draw: st.DrawFn) -> str:
-    """An operator's file; most of them are valid."""
+def operator_files(draw: st.DrawFn) -> str:
+    """Draws the text of an operator's file; most are valid."""
     text = ""
     for name in draw(st.lists(st.sampled_from(CLASSES), unique=True, min_size=1)):
         text += f'[[route]]\nname = "{name}"\nmatch = {{ class = "{name}" }}\n'
@@ -53,7 +53,7 @@
             first, jitter = draw(st.sampled_from([1, 20, 300])), draw(st.sampled_from([0, 0.2, 1.0]))
             text += f"backoff = {{ first_ms = {first}, factor = 2, most_ms = 600, jitter = {jitter} }}\n"
         if draw(st.booleans()):
-            text += f"retry_on = {draw(st.lists(st.sampled_from(CAUSES), unique=True, min_size=1))}\n"
+            text += f"retry_on = {draw(st.lists(st.sampled_from(RETRY_CAUSES), unique=True, min_size=1))}\n"
         if draw(st.booleans()):
             text += f"second_copy_after_ms = {draw(st.sampled_from([10, 100, 500]))}\n"
         if draw(st.booleans()):
@@ -63,10 +63,10 @@
 
 @settings(max_examples=400, derandomize=True, deadline=None, suppress_health_check=list(HealthCheck))
 @given(
-    text=files(),
+    text=operator_files(),
     overlap=st.booleans(),
-    fates=st.lists(FATES, min_size=1, max_size=12),
-    asks=st.lists(
+    outcomes=st.lists(PLANNED_OUTCOMES, min_size=1, max_size=12),
+    requests=st.lists(
         st.tuples(st.sampled_from(CLASSES), st.sampled_from([5.0, 300.0, 1500.0, 4000.0])),
         min_size=1,
         max_size=8,
@@ -74,29 +74,29 @@
     gap_s=st.sampled_from([0.0, 0.01, 0.5]),
 )
 def test_any_valid_file_keeps_the_rules_under_any_order_of_endings(
-    text: str, overlap: bool, fates: list[PlannedOutcome], asks: list[tuple[str, float]], gap_s: float
+    text: str, overlap: bool, outcomes: list[PlannedOutcome], requests: list[tuple[str, float]], gap_s: float
 ) -> None:
-    """The simulated servers refuse, at the moment when bytes leave, what the rules forbid."""
+    """The simulated servers fail the test when bytes are sent that the rules forbid."""
     operator = parse(text, OVERLAP if overlap else FACTS).config
     assume(operator is not None)
     assert operator is not None
-    stream = iter(fates * 200)
+    stream = iter(outcomes * 200)
     site = SimulatedSite(
         RouteTable(operator.bindings, 3) if operator else None, lambda: next(stream), overlap
     )
-    asked = []
-    for class_name, left_ms in asks:
-        asked.append((site.send_request(class_name, left_ms), site.loop.now, left_ms))
+    sent = []
+    for class_name, left_ms in requests:
+        sent.append((site.send_request(class_name, left_ms), site.loop.now, left_ms))
         site.loop.run(site.loop.now + gap_s)
     site.loop.run(site.loop.now + 10.0)
-    for (request, at, left_ms), (class_name, _) in zip(asked, asks, strict=True):
-        site.check_response(request, at, left_ms)
-        bounded(site, request, operator.bindings.get((class_name, "osnovni")))
+    for (request, sent_at, left_ms), (class_name, _) in zip(sent, requests, strict=True):
+        site.check_response(request, sent_at, left_ms)
+        check_limits(site, request, operator.bindings.get((class_name, "osnovni")))
     assert not site.gateway.active_requests and not site.gateway.attempts_in_flight
 
 
-def bounded(site: SimulatedSite, request: bytes, route: RouteLimits | None) -> None:
-    """The attempts of a request against its route."""
+def check_limits(site: SimulatedSite, request: bytes, route: RouteLimits | None) -> None:
+    """Checks the attempts of a request against the limits of its route."""
     if route is None:
         return
     records = site.servers.attempts_of(request)
@@ -106,7 +106,7 @@
         if route.attempt_timeout_ms:
             assert record.timeout_s <= route.attempt_timeout_ms / 1000.0 + 1e-9
     if route.hedge_after_ms:
-        return  # a copy may stand between an attempt and its repeat
+        return  # a hedged attempt may come between an attempt and its retry
     for number, (one, two) in enumerate(pairwise(records), 1):
         assert one.ended_at is not None and one.outcome is not None
         if route.retryable_outcomes is not None:
@@ -116,9 +116,10 @@
 
 
 def test_a_keyed_attempt_whose_connection_comes_up_too_late_is_not_written() -> None:
-    """The repeat starts inside the span, its connection is up beyond it: no byte may leave."""
-    fates = iter([PlannedOutcome(0.0, 2.3, Outcome.ERROR), PlannedOutcome(0.24, 0.01, Outcome.OK)])
-    site = SimulatedSite(None, lambda: next(fates))
+    """The retry starts within the idempotency window, but its connection is established after it: no byte may
+    be sent."""
+    outcomes = iter([PlannedOutcome(0.0, 2.3, Outcome.ERROR), PlannedOutcome(0.24, 0.01, Outcome.OK)])
+    site = SimulatedSite(None, lambda: next(outcomes))
     request = site.send_request("check-order", 4000.0)
     site.loop.run(site.loop.now + 5.0)
     first, second = site.servers.attempts_of(request)
@@ -132,17 +133,21 @@
         RouteTable({("report-read", "osnovni"): route}, 1),
         lambda: PlannedOutcome(0.0, 0.01, Outcome.REJECTED),
     )
-    asked = site.loop.now
+    start = site.loop.now
     request = site.send_request("report-read", 400.0)
-    site.loop.run(asked + 3.0)
-    ((at, answer),) = site.responses[request]
-    assert isinstance(answer, Rejected) and at - asked < 0.02 and len(site.servers.attempts_of(request)) == 1
+    site.loop.run(start + 3.0)
+    ((ended_at, response),) = site.responses[request]
+    assert (
+        isinstance(response, Rejected)
+        and ended_at - start < 0.02
+        and len(site.servers.attempts_of(request)) == 1
+    )
 
 
 def test_a_time_out_under_the_connect_time_ends_as_unreachable_and_tries_again() -> None:
-    fates = iter([PlannedOutcome(0.2, 0.0, Outcome.OK), PlannedOutcome(0.01, 0.02, Outcome.OK)])
+    outcomes = iter([PlannedOutcome(0.2, 0.0, Outcome.OK), PlannedOutcome(0.01, 0.02, Outcome.OK)])
     route = RouteLimits("r", attempt_timeout_ms=100.0)
-    site = SimulatedSite(RouteTable({("check-charge", "osnovni"): route}, 1), lambda: next(fates))
+    site = SimulatedSite(RouteTable({("check-charge", "osnovni"): route}, 1), lambda: next(outcomes))
     request = site.send_request("check-charge", 3000.0)
     site.loop.run(site.loop.now + 4.0)
     assert [r.outcome for r in site.servers.attempts_of(request)] == [Outcome.UNREACHABLE, Outcome.OK]
@@ -162,21 +167,23 @@
 
 
 @pytest.mark.parametrize("class_name", ["report-read", "check-order"])
-def test_a_second_copy_goes_to_another_server_and_the_loser_is_called_off(class_name: str) -> None:
-    fates = iter([PlannedOutcome(0.0, 1e9, Outcome.OK), PlannedOutcome(0.0, 0.05, Outcome.OK)])
+def test_a_hedged_attempt_goes_to_another_server_and_the_slower_one_is_cancelled(class_name: str) -> None:
+    outcomes = iter([PlannedOutcome(0.0, 1e9, Outcome.OK), PlannedOutcome(0.0, 0.05, Outcome.OK)])
     route = RouteLimits("r", hedge_after_ms=100.0)
-    site = SimulatedSite(RouteTable({(class_name, "osnovni"): route}, 1), lambda: next(fates), overlap=True)
-    asked = site.loop.now
+    site = SimulatedSite(
+        RouteTable({(class_name, "osnovni"): route}, 1), lambda: next(outcomes), overlap=True
+    )
+    start = site.loop.now
     request = site.send_request(class_name, 3000.0)
-    site.loop.run(asked + 4.0)
+    site.loop.run(start + 4.0)
     first, second = site.servers.attempts_of(request)
-    assert first.server != second.server and 0.1 <= second.started_at - asked < 0.11
+    assert first.server != second.server and 0.1 <= second.started_at - start < 0.11
     assert first.outcome is Outcome.CANCELLED and first.ended_at == second.ended_at
-    assert [type(answer) for _, answer in site.responses[request]] == [Served]
+    assert [type(response) for _, response in site.responses[request]] == [Served]
 
 
-def test_no_copy_goes_out_for_an_unsafe_class_or_where_overlap_is_not_allowed() -> None:
-    """Also where a route that load would have refused says so."""
+def test_no_hedged_attempt_for_a_non_idempotent_class_or_where_overlap_is_not_allowed() -> None:
+    """This holds even for a route with a hedging delay, which the load of the file would have refused."""
     for class_name, overlap in (("check-charge", True), ("report-read", False)):
         route = RouteLimits("r", hedge_after_ms=50.0, max_attempts=2)
         table = {(class_name, "osnovni"): route}
@@ -188,8 +195,10 @@
         assert len(site.servers.attempts_of(request)) == 1
 
 
-def failing(budget: RetryBudgetSettings | None, requests: int, rate: float) -> tuple[int, SimulatedSite]:
-    """Requests to a fleet that fails wholly; the attempts sent."""
+def run_failing_fleet(
+    budget: RetryBudgetSettings | None, requests: int, rate: float
+) -> tuple[int, SimulatedSite]:
+    """Sends requests to servers that all fail; returns the number of attempts, and the site."""
     route = RouteLimits("r", max_attempts=5, retry_budget=budget, retryable_outcomes=frozenset(Outcome))
     site = SimulatedSite(
         RouteTable({("report-read", "osnovni"): route}, 1), lambda: PlannedOutcome(0.0, 0.002, Outcome.RESET)
@@ -202,15 +211,15 @@
 
 
 def test_a_failing_fleet_is_not_buried_under_attempts() -> None:
-    """The module's own store allows a fifth of the requests; a route's budget less, and whatever the module
-    would allow."""
-    bare, _ = failing(None, 300, 100.0)
-    rule = RetryBudgetSettings(0.1, 2.0)
-    bound, site = failing(rule, 300, 100.0)
-    assert bare > 360
-    assert 300 < bound <= 300 + 0.1 * 300 + 2.0 * (3.0 + STEADY_BUFFER_S) + 1
-    assert bound < bare
-    assert all(len(answers) == 1 for answers in site.responses.values())
+    """The engine's own retry budget allows retries for a fifth of the requests; a route's budget limits them
+    further."""
+    unlimited_attempts, _ = run_failing_fleet(None, 300, 100.0)
+    budget = RetryBudgetSettings(0.1, 2.0)
+    limited_attempts, site = run_failing_fleet(budget, 300, 100.0)
+    assert unlimited_attempts > 360
+    assert 300 < limited_attempts <= 300 + 0.1 * 300 + 2.0 * (3.0 + STEADY_BUFFER_S) + 1
+    assert limited_attempts < unlimited_attempts
+    assert all(len(responses) == 1 for responses in site.responses.values())
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -236,7 +245,7 @@
         assert budget.request_tokens >= -1e-9 and budget.steady_tokens <= max(1.0, least * STEADY_BUFFER_S)
 
 
-def test_what_requests_put_in_fades() -> None:
+def test_request_tokens_decay() -> None:
     budget = RouteRetryBudget(RetryBudgetSettings(1.0), 0.0)
     for _ in range(100):
         budget.deposit(0.0)
@@ -244,17 +253,17 @@
     assert math.isclose(budget.request_tokens, 100.0 / math.e)
 
 
-def test_what_is_granted_and_not_used_is_given_back() -> None:
+def test_a_granted_retry_that_is_not_used_is_refunded() -> None:
     budget = RouteRetryBudget(RetryBudgetSettings(0.0, 1.0), 0.0)
-    course = RequestRetries(RouteLimits("r", retry_budget=budget.settings), budget, random.Random(1))
-    assert course.try_start_attempt(0.0, False)
-    assert course.reserve_retry(0.0, Outcome.REJECTED) == 0.0 and budget.granted_count == 1
-    course.release()
+    retries = RequestRetries(RouteLimits("r", retry_budget=budget.settings), budget, random.Random(1))
+    assert retries.try_start_attempt(0.0, False)
+    assert retries.reserve_retry(0.0, Outcome.REJECTED) == 0.0 and budget.granted_count == 1
+    retries.release()
     assert budget.granted_count == 0
-    assert course.reserve_retry(0.0, Outcome.REJECTED) == 0.0 and course.try_start_attempt(0.0, False)
-    course.release()
+    assert retries.reserve_retry(0.0, Outcome.REJECTED) == 0.0 and retries.try_start_attempt(0.0, False)
+    retries.release()
     assert budget.granted_count == 1
-    assert course.reserve_retry(0.0, Outcome.REJECTED) == NO_RETRY_MS and not course.try_start_attempt(
+    assert retries.reserve_retry(0.0, Outcome.REJECTED) == NO_RETRY_MS and not retries.try_start_attempt(
         0.0, False
     )
 
@@ -267,23 +276,23 @@
         routes.start_request(0.0, "c", "p")
     budget = routes.budgets["r"]
     assert budget.try_withdraw(0.0) and budget.try_withdraw(0.0) and not budget.try_withdraw(0.0)
-    again = RouteTable({("c", "p"): RouteLimits("r", max_attempts=2, retry_budget=rule)}, 0).inherit_budgets(
-        routes
-    )
-    assert again.budgets["r"] is budget
-    other = RouteTable(
+    reloaded = RouteTable(
+        {("c", "p"): RouteLimits("r", max_attempts=2, retry_budget=rule)}, 0
+    ).inherit_budgets(routes)
+    assert reloaded.budgets["r"] is budget
+    changed = RouteTable(
         {("c", "p"): RouteLimits("r", retry_budget=rule._replace(retries_per_request=0.9))}, 0
-    ).inherit_budgets(again)
-    assert "r" not in other.budgets
+    ).inherit_budgets(reloaded)
+    assert "r" not in changed.budgets
 
 
-def draws(backoff: Backoff, number: int) -> Iterator[float]:
+def draw_delays(backoff: Backoff, number: int) -> Iterator[float]:
     rng = random.Random(5)
     return (backoff.draw_delay_ms(number, rng) for _ in range(200))
 
 
 @pytest.mark.parametrize("number", [1, 2, 3, 10, 5000])
-def test_pauses_stay_between_their_least_and_most(number: int) -> None:
+def test_delays_stay_between_their_minimum_and_maximum(number: int) -> None:
     backoff = Backoff(20.0, 100.0, 200.0, 0.2)
-    for pause in draws(backoff, number):
-        assert backoff.min_delay_ms(number) <= pause <= backoff.max_delay_ms(number) <= 240.0
+    for delay_ms in draw_delays(backoff, number):
+        assert backoff.min_delay_ms(number) <= delay_ms <= backoff.max_delay_ms(number) <= 240.0
