--- a/glenchute/policy/admission/local_share.py
+++ b/glenchute/policy/admission/local_share.py
@@ -11,7 +11,7 @@
 from .tenant import Tenant
 
 PRIOR_REQUESTS = 4.0  # weight of the even share, in requests: this many reported requests weigh as much
-LEAST_REQUESTS = 2.0  # smallest capacity of a local bucket in requests, however many gateways share the quota
+MIN_LOCAL_REQUESTS = 2.0  # smallest capacity of a local bucket in requests, whatever the gateway spread
 # Factor on older totals at each new one, as the distribution of a tenant's use over the gateways changes.
 REPORT_DECAY = 0.85
 
@@ -27,7 +27,7 @@
     """Returns the capacity of the local bucket."""
     plan = tenant.plan
     share = (plan.burst_units or plan.max_concurrent) * local_fraction(tenant)
-    return max(share, LEAST_REQUESTS * tenant.largest_request_units)
+    return max(share, MIN_LOCAL_REQUESTS * tenant.largest_request_units)
 
 
 def record_total(tenant: Tenant, own_units: float, others_units: float) -> None:
--- a/glenchute/policy/admission/quota_bounds.py
+++ b/glenchute/policy/admission/quota_bounds.py
@@ -21,8 +21,8 @@
 Quota: a gateway admits from a bucket that holds at most b and fills at the rate r, whatever totals it gets.
 Without totals k gateways may each admit that much, so the overshoot is at most (k - 1) (b + r T) over the
 time T without totals. While the counter is known to be unavailable, each gateway keeps to its local share of
-the bucket, which is at least `LEAST_REQUESTS` of the largest requests. After a start this applies only once
-`UNAVAILABLE_AFTER` calls have had no reply (`start_overshoot_units`).
+the bucket, which is at least `MIN_LOCAL_REQUESTS` of the largest requests. After a start this applies only
+once `UNAVAILABLE_AFTER` calls have had no reply (`start_overshoot_units`).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from ..settings import Plan, Settings
 from .ceiling import COUNTED_FRACTION
 from .counter_health import UNAVAILABLE_AFTER
-from .local_share import LEAST_REQUESTS
+from .local_share import MIN_LOCAL_REQUESTS
 from .windows import window_length_ms
 
 
@@ -74,7 +74,7 @@
         if plan.ceiling_rate_per_s
         else 0.0
     )
-    local_shares_units = max(plan.burst_units, LEAST_REQUESTS * largest_request_units * gateway_spread)
+    local_shares_units = max(plan.burst_units, MIN_LOCAL_REQUESTS * largest_request_units * gateway_spread)
     return OvershootBound(
         plan=plan.name,
         window_s=length_s,
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -302,7 +302,7 @@
 def test_another_version_is_compared_and_its_changes_are_counted(
     capture: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    same = changed(tmp_path, "local_share.py", "LEAST_REQUESTS = 2.0", "LEAST_REQUESTS = 2.0 ")
+    same = changed(tmp_path, "local_share.py", "MIN_LOCAL_REQUESTS = 2.0", "MIN_LOCAL_REQUESTS = 2.0 ")
     assert main(["replay", str(capture), "--against", str(same)]) == 0
     shutil.rmtree(same)
     other = changed(tmp_path, "call_pacing.py", "CALL_GAP_MS = 100.0", "CALL_GAP_MS = 150.0")
