--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -78,7 +78,7 @@
         """Passes an event to the method for its type."""
         match event:
             case Request():
-                self.accept(now_ms, event)
+                self.handle_request(now_ms, event)
             case AttemptEnded():
                 self.execution.end_attempt(now_ms, event)
             case EndpointList():
@@ -184,7 +184,7 @@
 
     # --- admission ----------------------------------------------------------------------------------------
 
-    def accept(self, now_ms: float, request: Request) -> None:
+    def handle_request(self, now_ms: float, request: Request) -> None:
         """Handles a new request: checks it against its quota, after a call to the counter where a current
         total is needed, then against the servers' capacity, and sends it to a server."""
         left_ms = request.time_left_ms
@@ -214,7 +214,7 @@
                 return
         # If `is_counted` is set here, the call was omitted to spare an overloaded counter: calls that are
         # made reserve this request's units too, and the total that it needed is missing.
-        self.decide(now_ms, pending, has_total=False, is_total_missing=pending.is_counted)
+        self.admit_or_reject(now_ms, pending, has_total=False, is_total_missing=pending.is_counted)
 
     def handle_counter_reply(self, now_ms: float, reply: CounterReply) -> None:
         """Handles the end of a call to the counter, and decides on the request that waits for it, if any."""
@@ -224,11 +224,11 @@
         is_answered = reply.outcome is Outcome.OK
         if pending := self.execution.requests.get(request_id or ""):
             pending.is_counted = reply.outcome not in DID_NOT_RUN
-            self.decide(now_ms, pending, is_answered, not is_answered)
+            self.admit_or_reject(now_ms, pending, is_answered, not is_answered)
         elif request_id and counter.replied_tenant and is_answered:
             counter.refund_reserved(counter.replied_tenant)  # the client of the request has disconnected
 
-    def decide(
+    def admit_or_reject(
         self, now_ms: float, pending: PendingRequest, has_total: bool, is_total_missing: bool = False
     ) -> None:
         """Admits a request and sends it, or rejects it. `has_total`: a total of the counter has just arrived
--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -95,7 +95,7 @@
             return
         pending = attempt.pending
         self.reports.count(f"attempt: {event.outcome.value}")
-        self.learn(now_ms, attempt, event)
+        self.update_estimates(now_ms, attempt, event)
         pending.in_flight -= 1
         pending.has_reached_server |= event.outcome not in NEVER_REACHED_SERVER
         if event.request_id not in self.requests:
@@ -110,7 +110,7 @@
             if pending.in_flight <= 0:
                 self.retry_or_finish(now_ms, pending, event)
 
-    def learn(self, now_ms: float, attempt: Attempt, event: AttemptEnded) -> None:
+    def update_estimates(self, now_ms: float, attempt: Attempt, event: AttemptEnded) -> None:
         """Updates the estimates from an attempt's outcome. The duration of an attempt that was in flight
         during a stall of this process is ignored."""
         pending = attempt.pending
