--- a/glenchute/policy/admission/call_pacing.py
+++ b/glenchute/policy/admission/call_pacing.py
@@ -20,10 +20,9 @@
 LATE_STEP = 0.1  # weight of one reply in the mean fraction of late replies
 # Fraction of late replies above which the counter is overloaded; below it, a path to the counter is slow.
 OVERLOAD_LATE_FRACTION = 0.5
-# Factors of the call fraction.
-REPLY_IN_TIME_FACTOR = 1.02  # for each reply in time, and for each second without calls
-LATE_REPLY_FACTOR = 0.92  # for each late reply of an overloaded counter
-FAILED_CALL_FACTOR = 0.8  # for each failed call to an overloaded counter
+REPLY_IN_TIME_FACTOR = 1.02  # factor of the call fraction per reply in time, or per second without calls
+LATE_REPLY_FACTOR = 0.92  # factor of the call fraction per late reply of an overloaded counter
+FAILED_CALL_FACTOR = 0.8  # factor of the call fraction per failed call to an overloaded counter
 
 
 class CallPacing:
@@ -43,7 +42,7 @@
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether no counter replies, so that this gateway keeps to its local share of each quota."""
+        """Whether there is no counter or it does not reply; this gateway then keeps to its local shares."""
         return not self.settings.has_counter or self.consecutive_failures >= UNAVAILABLE_AFTER
 
     def record_call(self, now_ms: float) -> None:
--- a/glenchute/policy/admission/counter_health.py
+++ b/glenchute/policy/admission/counter_health.py
@@ -8,8 +8,9 @@
 from ..record import record
 
 UNAVAILABLE_AFTER = 3  # after this many consecutive calls without a reply, the counter counts as unavailable
-SPLIT_RATIO = 0.75  # a split is suspected if the fast mean of marker fractions is below this part of the slow
-MIN_KNOWN_FRACTION = 0.5  # below this value of the slow mean, nothing can be said of a split
+# A split is suspected when the fast mean of marker fractions is below this fraction of the slow mean.
+SPLIT_RATIO = 0.75
+MIN_KNOWN_FRACTION = 0.5  # a slow mean of marker fractions at or below this does not indicate a split
 SLOW_STEP, FAST_STEP = 0.01, 0.1  # weight of one window in the slow and in the fast mean
 
 
--- a/glenchute/policy/admission/epoch_markers.py
+++ b/glenchute/policy/admission/epoch_markers.py
@@ -27,7 +27,7 @@
 
 MARKER_FACTOR = 8.0  # smallest ratio of a marker to a window's units, so that units never look like markers
 MARKER_TOLERANCE = 0.02  # fraction of a marker by which units may fall without counting as lost memory
-TOTAL_PRECISION = 1e-6  # relative precision of a total
+TOTAL_PRECISION = 1e-6  # relative error allowed in a total, of which seven digits are exact
 
 
 def marker_value(burst_units: float, rate_per_s: float, window_s: float, ceiling_burst_units: float) -> float:
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -1,5 +1,5 @@
-"""Tests that a gateway recovers from any state that faults leave: the capacity estimate, stalls, and states
-that could keep themselves up without requests."""
+"""Tests that a gateway recovers from any state that faults leave: a low capacity estimate, stalls, and states
+that could persist by themselves once requests stop."""
 
 from __future__ import annotations
 
