--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -164,7 +164,7 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> UpstreamAttempt | None:
         """Creates an attempt, not started yet; None if the server takes nothing (any more).
 
@@ -176,14 +176,17 @@
 class UpstreamServers(AttemptTransport, Protocol):
     """The servers, by their ids."""
 
-    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
-        """A server is active. `started_anew`: its process is not the one that was known."""
+    def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
+        """A server is active. `has_restarted`: its process is not the one that was known."""
 
     def activate_servers(
-        self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
+        self,
+        addresses: dict[str, Address],
+        has_restarted: Callable[[str], bool],
+        retained: Collection[str] | None,
     ) -> None:
-        """Many servers are active; `anew` tells of each whether it was started anew. Of all others those in
-        `stay` remain as they are and the rest is removed; None: all remain."""
+        """Many servers are active; `has_restarted` tells of each whether its process is a new one. Of all
+        others those in `retained` remain as they are and the rest is removed; None: all remain."""
 
     def drain_server(self, server: str) -> None:
         """A server is draining: no new attempts, those in flight may finish."""
--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -57,7 +57,7 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> UntrackedAttempt:
         """The engine admits the call, which is the answer."""
         return UntrackedAttempt(self, done)
--- a/glenchute/listeners/extproc/request.py
+++ b/glenchute/listeners/extproc/request.py
@@ -140,7 +140,7 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> ProxiedAttempt | None:
         """An attempt that the proxy is to make; None where the server takes nothing (any more)."""
         address = self.table.gateway.upstream.address(server)
--- a/glenchute/upstreams/pipelined_attempt.py
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -31,9 +31,9 @@
 
 
 class PipelinedAttempt(BaseAttempt):
-    """One request, placed on a connection by the scheduler. `about`: None where nothing is known of it."""
+    """One request, placed on a connection by the scheduler. `context`: None where nothing is known of it."""
 
-    __slots__ = ("about", "attempt_id", "command", "conn", "pool", "wait_timer", "wait_until")
+    __slots__ = ("attempt_id", "command", "conn", "context", "pool", "wait_timer", "wait_until")
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
-        about: AttemptContext | None,
+        context: AttemptContext | None,
     ) -> None:
         super().__init__(pool.tracker.loop, payload, timeout_s, done, write_by)
         self.attempt_id = pool.runtime.new_attempt_id()
-        self.pool, self.about = pool, about
+        self.pool, self.context = pool, context
         self.conn: PipelinedConnection | None = None
         self.command: PipelinedCommand[PipelinedItem] | None = None
         self.wait_timer: asyncio.TimerHandle | None = None
@@ -105,8 +105,8 @@
                 scheduler.on_closed(connection_id)
                 return False
         self.conn = conn
-        if self.about is not None and self.about.on_assigned is not None:
-            self.about.on_assigned(f"{pool.server}: {placement.describe(pool.runtime.now_ms())}")
+        if self.context is not None and self.context.on_assigned is not None:
+            self.context.on_assigned(f"{pool.server}: {placement.describe(pool.runtime.now_ms())}")
         self.command = conn.join(self)
         return True
 
@@ -125,21 +125,21 @@
 
     def _placement_request(self, now_ms: float) -> PlacementRequest:
         """What the scheduler has to know. An attempt of an unknown class shares no connection."""
-        runtime, about = self.pool.runtime, self.about
-        request_class = runtime.classes.get(about.class_name) if about is not None else None
+        runtime, context = self.pool.runtime, self.context
+        request_class = runtime.classes.get(context.class_name) if context is not None else None
         expires_at_ms = 1000.0 * self.expires_at
-        if about is None or request_class is None:
+        if context is None or request_class is None:
             return PlacementRequest("", expires_at_ms, math.inf, -math.inf, max_depth=1)
         return placement_request(
             request_class,
             mean_ms=runtime.scheduler.times.mean(request_class.name, self.pool.server),
             started_at_ms=now_ms,
             expires_at_ms=expires_at_ms,
-            received_at_ms=1000.0 * about.received_at,
-            deadline_ms=1000.0 * about.deadline,
+            received_at_ms=1000.0 * context.received_at,
+            deadline_ms=1000.0 * context.deadline,
             write_by_ms=1000.0 * self.write_by,
-            may_retry=about.may_retry,
-            max_depth=about.max_depth or UNLIMITED_DEPTH,
+            may_retry=context.may_retry,
+            max_depth=context.max_depth or UNLIMITED_DEPTH,
         )
 
     def _wait(self, now: float, placement: Placement) -> None:
@@ -159,8 +159,8 @@
 
     def on_blocked(self) -> None:
         """It is queued behind a stalled head: the core may hedge it."""
-        if self.about is not None:
-            self.about.on_stalled()
+        if self.context is not None:
+            self.context.on_stalled()
 
     def abort_connection(self, connection_id: int, reason: AbortReason) -> None:
         """Its connection is aborted for those queued behind it."""
--- a/glenchute/upstreams/pipelined_servers.py
+++ b/glenchute/upstreams/pipelined_servers.py
@@ -53,11 +53,11 @@
         """A pool for a server that was not listed at this address before."""
         return PipelinedPool(self, self.runtime, server, address)
 
-    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
-        """A server takes work; `started_anew`: with a new process."""
+    def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
+        """Adds or updates a server that accepts requests; `has_restarted`: it has a new process."""
         before = self.pools.get(server)
-        super().activate_server(server, address, started_anew)
-        if started_anew or self.pools[server] is not before:
+        super().activate_server(server, address, has_restarted)
+        if has_restarted or self.pools[server] is not before:
             self.scheduler.on_server_started(server)
 
     def drain_server(self, server: str) -> None:
@@ -78,14 +78,14 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float = math.inf,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> PipelinedAttempt | None:
         """Creates an attempt, not started yet; None if the server gets nothing (any more)."""
         pool = self.open_pool(server)
         if pool is None:
             return None
         assert isinstance(pool, PipelinedPool)
-        attempt = PipelinedAttempt(pool, payload, timeout_s, done, write_by, about)
+        attempt = PipelinedAttempt(pool, payload, timeout_s, done, write_by, context)
         self.runtime.attempts[attempt.attempt_id] = attempt
         return attempt
 
--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -35,8 +35,8 @@
         """A pool for a server that was not listed at this address before."""
         return ConnectionPool(self, address)
 
-    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
-        """A server takes work; `started_anew`: with a new process."""
+    def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
+        """Adds or updates a server that accepts requests; `has_restarted`: it has a new process."""
         if self.unopened.pop(server, None) is not None:
             self.stopping.pop(server, None)
             self.pools[server] = self.new_pool(server, address)
@@ -47,24 +47,32 @@
                 self.removed.add(pool)
                 pool.stop()
             self.pools[server] = self.new_pool(server, address)
-        elif started_anew:
+        elif has_restarted:
             pool.close_idle()  # they lead to the process that ended
 
     def activate_servers(
-        self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
+        self,
+        addresses: dict[str, Address],
+        has_restarted: Callable[[str], bool],
+        retained: Collection[str] | None,
     ) -> None:
-        """Many servers take work; `anew`: whether one has a new process. Of the others all stay as they are,
-        or, unless it is None, those in `stay`, and the rest is removed."""
+        """Adds or updates servers that accept requests; `has_restarted` tells whether one has a new process.
+
+        Of all other servers those in `retained` are left unchanged and the rest is removed; None: all are
+        left unchanged.
+        """
         for server in list(self.pools):
             if server in addresses:
-                self.activate_server(server, addresses[server], anew(server))
-            elif stay is not None and server not in stay:
+                self.activate_server(server, addresses[server], has_restarted(server))
+            elif retained is not None and server not in retained:
                 self.remove_server(server)
         stopping = self.stopping.items()
         self.stopping = {
-            name: at for name, at in stopping if name not in addresses and (stay is None or name in stay)
+            name: at
+            for name, at in stopping
+            if name not in addresses and (retained is None or name in retained)
         }
-        if stay is not None:
+        if retained is not None:
             self.unopened = {name: self.unopened[name] for name in self.stopping}
         self.unopened |= addresses
         for server in self.pools:
@@ -124,11 +132,11 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float = math.inf,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> BaseAttempt | None:
         """Creates an attempt, not started yet; None if the server gets nothing (any more).
 
-        `about` is for attempts that share connections, and not used here.
+        `context` is for attempts that share connections, and not used here.
         """
         pool = self.open_pool(server)
         if pool is None:
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -113,25 +113,28 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> UpstreamAttempt | None:
         """Makes one."""
         if server not in self.at or self.loop.time() >= write_by:
             return None
         return Trial(self, server, timeout_s, done)
 
-    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
         """It takes work."""
         self.at[server] = address
         self.draining.discard(server)
 
     def activate_servers(
-        self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
+        self,
+        addresses: dict[str, Address],
+        has_restarted: Callable[[str], bool],
+        retained: Collection[str] | None,
     ) -> None:
         """They take work."""
-        if stay is not None:
+        if retained is not None:
             self.at = {}
-            self.draining.intersection_update(stay)
+            self.draining.intersection_update(retained)
         self.at.update(addresses)
         self.draining.difference_update(addresses)
 
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -183,17 +183,20 @@
             None  # by request and attempt, in place of `fates`
         )
 
-    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
+    def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
         if server not in self.names:
             self.names.append(server)
 
     def activate_servers(
-        self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
+        self,
+        addresses: dict[str, Address],
+        has_restarted: Callable[[str], bool],
+        retained: Collection[str] | None,
     ) -> None:
-        for server in [] if stay is None else [name for name in self.names if name not in stay]:
+        for server in [] if retained is None else [name for name in self.names if name not in retained]:
             self.remove_server(server)
         for server, address in addresses.items():
-            self.activate_server(server, address, anew(server))
+            self.activate_server(server, address, has_restarted(server))
 
     def drain_server(self, server: str) -> None: ...
 
@@ -213,7 +216,7 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> SimulatedAttempt | None:
         if server not in self.names:
             return None
