--- a/glenchute/upstreams/__init__.py
+++ b/glenchute/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to the servers, and the attempts on them."""
+"""Connections to servers, and the attempts made on them."""
--- a/glenchute/upstreams/attempt.py
+++ b/glenchute/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt: one request on its way to one server, and its single result."""
+"""Attempts: one request sent to one server, with exactly one result."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class CarriedAttempt(Protocol):
-    """An attempt on a connection of its own, as its connection needs it.
+    """The part of an attempt that its connection uses, where the connection carries one attempt at a time.
 
-    `result` is set while the connection closes for it.
+    `result` is set once the outcome is known but is reported only when the connection has closed.
     """
 
     result: AttemptResult | None
@@ -21,22 +21,22 @@
 
     @property
     def on_response_started(self) -> Callable[[ResponseSource], None] | None:
-        """Called with the source when a streamed response begins."""
+        """The callback that receives the source of a streamed response; None: values are not streamed."""
 
-    def stop(self, ending: Outcome) -> None:
-        """Ends the attempt with this outcome."""
+    def stop(self, outcome: Outcome) -> None:
+        """Ends the attempt early with this outcome."""
 
     def finish(self, result: AttemptResult) -> None:
-        """Ends it, once."""
+        """Reports the result; further results are ignored."""
 
 
 class BaseAttempt:
-    """What attempts have in common, whatever kind of connection carries them.
+    """The common base of attempts on exclusive and on pipelined connections.
 
-    `payload` makes the command, given the milliseconds that are left. `done` is called once, with the result.
-    Not a byte is written after `write_by`. `on_response_started` is called, before `done`, for a response
-    that is too long to be buffered. `is_wanted` is called right before the command is written; where it
-    returns False it has ended the attempt. Times are the loop's, in seconds.
+    `payload` encodes the command, given the remaining time in milliseconds. `done` is called once, with the
+    result. No byte is written after `write_by`. `on_response_started` is called before `done` for a response
+    that is too long to be buffered. `is_wanted` is called right before the command is written; if it returns
+    False, it has already ended the attempt. All times are loop times, in seconds.
     """
 
     __slots__ = (
@@ -68,25 +68,28 @@
         self.expires_at = self.started_at + timeout_s
         self.write_by = write_by
         self.is_finished = False
-        self.is_written = False  # a byte may have been sent
+        self.is_written = False  # a byte may have been sent, so the request may have run
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Sends the command, or begins to."""
+        """Sends the command, or begins to open a connection for it."""
         raise NotImplementedError
 
-    def stop(self, ending: Outcome) -> None:
-        """A timeout or a cancellation. The result is reported once the connection is closed."""
+    def stop(self, outcome: Outcome) -> None:
+        """Ends the attempt at a timeout or a cancellation.
+
+        Where something was written, the result is reported once the connection is closed.
+        """
         raise NotImplementedError
 
     def release(self) -> None:
-        """Cancels the timers and drops what the attempt refers to."""
+        """Cancels the timers and drops references to the connection."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def finish(self, result: AttemptResult) -> None:
-        """Reports the result; further ones are ignored."""
+        """Reports the result; further results are ignored."""
         if self.is_finished:
             return
         self.is_finished = True
--- a/glenchute/upstreams/connection.py
+++ b/glenchute/upstreams/connection.py
@@ -19,24 +19,24 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool of a connection, as far as the connection needs it."""
+    """The part of a connection pool that its connections use."""
 
     @property
     def tracker(self) -> ConnectionTracker:
-        """Counts the connections of all pools."""
+        """The tracker that counts the connections of all pools."""
 
     def on_connected(self, conn: Connection) -> None:
-        """The connection is up."""
+        """Registers an established connection."""
 
     def give_back(self, conn: Connection) -> None:
-        """The connection is free again."""
+        """Returns a connection without attempts to the idle ones."""
 
-    def forget(self, conn: Connection) -> None:
-        """The connection has ended."""
+    def remove_connection(self, conn: Connection) -> None:
+        """Removes a closed connection."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection; `attempt` is the one whose command was written last and has no response yet."""
+    """One connection; `attempt` is the attempt whose command is written and has no complete response yet."""
 
     __slots__ = ("attempt", "idle_since", "parser", "pool", "stall_timer", "streamed", "transport")
 
@@ -44,21 +44,21 @@
         self.pool = pool
         self.parser = resp2.Parser()
         self.attempt: CarriedAttempt | None = None
-        self.streamed: StreamedValue | None = None  # the response that is being relayed
+        self.streamed: StreamedValue | None = None  # the long value that is being relayed to a client
         self.transport: asyncio.Transport | None = None
         self.idle_since = 0.0
-        self.stall_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
+        self.stall_timer: asyncio.TimerHandle | None = None  # set while a response is incomplete
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Registers the established connection with its pool."""
         self.transport = transport  # type: ignore[assignment]
         self.pool.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Parses received bytes, and ends the attempt once its response is complete."""
         attempt = self.attempt
         if attempt is None or attempt.result is not None:
-            self.abort()  # a surplus reply: replies can't be matched to commands any more
+            self.abort()  # after surplus bytes, replies can't be matched to commands any more
             return
         if self.stall_timer is not None:
             self.stall_timer.cancel()
@@ -76,14 +76,14 @@
             self.fail_response()
             return
         if reply is False:
-            # A wrong length leaves a response without an end, on a connection that stays open.
+            # With a wrong length prefix the response never completes while the connection stays open.
             loop = self.pool.tracker.loop
             self.stall_timer = loop.call_later(RESPONSE_STALL_S, self.fail_response)
             return
         self.complete_response(attempt, result_of(reply), self.parser.has_unparsed())
 
     def complete_response(self, attempt: CarriedAttempt, result: AttemptResult, has_surplus: bool) -> None:
-        """The response is complete; `has_surplus`: more bytes came behind it."""
+        """Ends the attempt with its complete response; `has_surplus`: more bytes followed it."""
         is_reusable = result.is_connection_reusable and not has_surplus
         if not is_reusable and result.outcome is not Outcome.OK:
             self.fail_response()
@@ -92,18 +92,18 @@
         if is_reusable:
             self.pool.give_back(self)
         else:
-            self.abort()  # a value with surplus behind it is served, but the connection is not used again
+            self.abort()  # a value followed by surplus bytes is served, but its connection is not reused
         attempt.finish(result)
 
     def _start_stream(self, attempt: CarriedAttempt) -> None:
-        """Begins to relay a value that is too long to be buffered."""
-        found = StreamedReply.parse_head(self.parser.take_unparsed())
-        if found is None or attempt.on_response_started is None:
+        """Starts to relay a value that is too long to be buffered."""
+        parsed = StreamedReply.parse_head(self.parser.take_unparsed())
+        if parsed is None or attempt.on_response_started is None:
             self.fail_response()
             return
-        from .streamed_value import StreamedValue  # not needed by most processes
+        from .streamed_value import StreamedValue  # imported here, as most processes never stream
 
-        reply, first_bytes = found
+        reply, first_bytes = parsed
         tracker = self.pool.tracker
         try:
             self.streamed = StreamedValue(self, attempt, reply, tracker.loop, tracker.read_permits)
@@ -112,28 +112,27 @@
             self.fail_response()
 
     def fail_response(self) -> None:
-        """The response is invalid or incomplete: the attempt ends as an error, as the request may have
-        run."""
+        """Ends the attempt as an error, for an invalid or incomplete response; the request may have run."""
         if self.attempt is not None and self.attempt.result is None:
             self.attempt.result = AttemptResult(Outcome.ERROR)
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Ends the attempt once the connection is closed."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
-        self.pool.forget(self)
+        self.pool.remove_connection(self)
         if self.streamed is not None:
             self.streamed.on_connection_lost()
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            # The command may have been sent, so the outcome is never "did not run". uvloop closes the socket
-            # only after this call, and a retry must not reach a server while this attempt is open: hence
-            # `call_soon`.
+            # The command may have been sent, so the outcome is never one that excludes that it ran. The
+            # result is reported by `call_soon`, since uvloop closes the socket only after this call and a
+            # retry must not reach a server while this attempt is open.
             result = attempt.result or AttemptResult(Outcome.RESET)
             self.pool.tracker.loop.call_soon(attempt.finish, result)
 
     def abort(self) -> None:
-        """Closes the connection now; its attempt ends in `connection_lost`."""
+        """Closes the connection immediately; its attempt ends in `connection_lost`."""
         if self.transport is not None:
             self.transport.abort()
--- a/glenchute/upstreams/connection_pool.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -1,7 +1,7 @@
-"""The connections to one server, with the most recently used idle one taken first.
+"""The connection pool of one server, which reuses the most recently used idle connection first (LIFO).
 
-So the extra connections of a burst become idle, and are closed before the server would close them under a
-request.
+The additional connections of a burst thus stay idle, and are closed before the server would close them while
+a request is being sent.
 """
 
 from __future__ import annotations
@@ -12,28 +12,31 @@
 from .connection import Connection
 from .connection_tracker import ConnectionTracker
 
-GRACE_MARGIN_S = 0.05  # a write this close to the end of a drain's grace period might be sent after it
-REUSE_DELAY_S = 0.03  # surplus bytes or the server's close may follow a response within this time
+# A write this close to the end of a drain's grace period may be sent only after it.
+GRACE_MARGIN_S = 0.05
+REUSE_DELAY_S = 0.03  # after a response, surplus bytes or the server's close may still follow it
 
 
 class ConnectionPool:
-    """The open connections to one server. Times are the loop's, in seconds."""
+    """The open connections to one server. Times are loop times, in seconds."""
 
     __slots__ = ("address", "hedge_budget", "idle", "open", "stop_at", "tracker")
 
     def __init__(self, tracker: ConnectionTracker, address: Address) -> None:
         self.tracker = tracker
         self.address = address
-        self.idle: list[Connection] = []  # in order of their last use
+        self.idle: list[Connection] = []  # by their last use, the longest idle first
         self.open: set[Connection] = set()
         self.hedge_budget = HedgeBudget()
-        self.stop_at: float | None = None  # nothing is written after this: the server drains or was removed
+        # Set when the server drains or was removed: nothing is written after this time.
+        self.stop_at: float | None = None
 
     def take(self) -> Connection | None:
-        """Removes and returns the most recently used idle connection that can be trusted, if any.
+        """Removes and returns the most recently used idle connection that is safe to reuse, if any.
 
-        One that is too old may be about to be closed by the server, one that is too new may still receive
-        surplus bytes of its last response; a command written there would be reset or get the wrong response.
+        The server may be closing one that has been idle for too long, and one that became idle just now may
+        still receive surplus bytes of its last response: a command written there would be reset or be given
+        the wrong response.
         """
         now = self.tracker.loop.time()
         for index in range(len(self.idle) - 1, -1, -1):
@@ -49,7 +52,7 @@
         return None
 
     def give_back(self, conn: Connection) -> None:
-        """Keeps a connection whose response is complete, unless the server is stopping."""
+        """Keeps a connection as idle after its response, unless the server drains or was removed."""
         if self.stop_at is not None or conn.transport is None or conn.transport.is_closing():
             conn.abort()
             return
@@ -57,13 +60,13 @@
         self.idle.append(conn)
 
     def on_connected(self, conn: Connection) -> None:
-        """A connection is up."""
+        """Registers an established connection."""
         self.tracker.connecting.discard(conn)
         self.open.add(conn)
         self.tracker.active_pools.add(self)
 
-    def forget(self, conn: Connection) -> None:
-        """A connection is closed."""
+    def remove_connection(self, conn: Connection) -> None:
+        """Removes a closed connection."""
         self.open.discard(conn)
         if not self.open:
             self.tracker.active_pools.discard(self)
@@ -71,11 +74,11 @@
             self.idle.remove(conn)
 
     def close_longest_idle(self) -> None:
-        """Closes the idle connection that was used the longest ago; there must be one."""
+        """Closes the connection that has been idle for longest; there must be an idle one."""
         self.idle.pop(0).abort()
 
     def close_idle(self, before: float | None = None) -> None:
-        """Closes idle connections: all, or those not used since `before`."""
+        """Closes idle connections: all, or those not used since `before` (loop time)."""
         kept = [] if before is None else [conn for conn in self.idle if conn.idle_since > before]
         closing = [conn for conn in self.idle if conn not in kept]
         self.idle = kept
@@ -83,7 +86,10 @@
             conn.abort()
 
     def stop(self) -> None:
-        """The server drains or was removed: the grace period runs from the first report of it."""
+        """Stops new work, as the server drains or was removed.
+
+        The grace period begins at the first call; later calls do not extend it.
+        """
         if self.stop_at is None:
             grace_s = self.tracker.limits.drain_grace_s
             self.stop_at = self.tracker.loop.time() + grace_s - GRACE_MARGIN_S
--- a/glenchute/upstreams/connection_tracker.py
+++ b/glenchute/upstreams/connection_tracker.py
@@ -1,4 +1,4 @@
-"""The connections of a process to all servers: their limit, and what is learned from opening them."""
+"""The connections of a process to all servers: their limit, their connect times, and the read permits."""
 
 from __future__ import annotations
 
@@ -15,58 +15,59 @@
 
 
 class IdleConnection(Protocol):
-    """An idle connection, as far as choosing one to close needs it."""
+    """The part of an idle connection that the choice of one to close uses."""
 
     @property
     def idle_since(self) -> float:
-        """Loop time, in seconds, of its last use."""
+        """The loop time of its last use, in seconds."""
 
 
 class TrackedPool(Protocol):
-    """A server's connections, as far as the limit needs them; the idle ones in order of their last use."""
+    """The part of a connection pool that the connection limit uses."""
 
     @property
     def open(self) -> Collection[object]:
-        """All connections that are up or coming up."""
+        """All established connections."""
 
     @property
     def idle(self) -> Sequence[IdleConnection]:
-        """The idle ones, the longest idle first."""
+        """The idle connections, the longest idle first."""
 
     def close_longest_idle(self) -> None:
-        """Closes the connection that has been idle longest."""
+        """Closes the connection that has been idle for longest."""
 
     def close_idle(self, before: float | None = None) -> None:
-        """Closes idle connections, those last used before this loop time where it is given."""
+        """Closes idle connections: all, or those not used since `before` (loop time)."""
 
 
 class ConnectionTracker:
-    """Counts connections against the limit, and closes idle ones to make room.
+    """Enforces the limit of connections, and closes idle ones to stay within it.
 
-    Costs follow the connections in use, not the servers: only pools with open connections are walked.
+    The cost depends on the connections in use, not on the number of servers: only pools with open connections
+    are visited.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: UpstreamLimits) -> None:
         self.loop = loop
         self.limits = limits
-        self.process_share = 1.0  # of the gateway's limits, while several processes serve
-        self.active_pools: set[TrackedPool] = set()  # with open connections
-        self.connecting: set[object] = set()  # connections that are coming up, not yet in their pools
-        self.hedged_connects = 0  # opened so far
+        self.process_share = 1.0  # fraction of the gateway's limits, below 1 while several processes serve
+        self.active_pools: set[TrackedPool] = set()  # pools with open connections
+        self.connecting: set[object] = set()  # connections being opened, not yet in their pools
+        self.hedged_connects = 0  # total of hedged connects opened
         self.connect_times = ConnectTimeEstimate(limits.connect_timeout_s)
         self.read_permits: StreamReadPermits[StreamedValue] = StreamReadPermits(limits.max_streams)
 
     def set_process_share(self, share: float) -> None:
-        """From now on this process uses at most this share of the gateway's connections and streams."""
+        """Limits this process to a fraction of the gateway's connections and streams from now on."""
         self.process_share = share
         self.read_permits.max_readers = max(1, int(self.limits.max_streams * share))
 
     def max_connections(self) -> float:
-        """Connections that this process may have now."""
+        """The number of connections that this process may have."""
         return self.limits.max_connections * self.process_share
 
     def connection_count(self) -> int:
-        """Connections that are open or coming up."""
+        """The number of connections that are established or being opened."""
         return len(self.connecting) + sum(len(pool.open) for pool in self.active_pools)
 
     def may_open(self) -> bool:
@@ -76,7 +77,7 @@
         return any(pool.idle for pool in self.active_pools)
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; closes the longest idle one for it if necessary."""
+        """Whether one more connection may be opened; closes the longest idle one if that is necessary."""
         if self.connection_count() < self.max_connections():
             return True
         pools = [pool for pool in self.active_pools if pool.idle]
@@ -86,10 +87,10 @@
         return True
 
     def start_connect(self, connection: object, connect: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Runs `connect` in a task; `connection` counts as coming up until it ends.
+        """Runs `connect` in a task; `connection` counts as being opened until the task ends.
 
-        The end is observed from outside: a task that is cancelled before its first step runs none of its
-        code.
+        The end is observed by a callback: a task that is cancelled before its first step runs none of its own
+        code, not even `finally`.
         """
         self.connecting.add(connection)
         task = self.loop.create_task(connect)
--- a/glenchute/upstreams/exclusive_attempt.py
+++ b/glenchute/upstreams/exclusive_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt on a connection of its own, with a hedged connect if that is slow to come up."""
+"""An attempt on an exclusive connection, with a hedged connect if a new connection is slow to open."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ExclusiveAttempt(BaseAttempt):
-    """One request on a connection without other attempts."""
+    """One request on a connection that carries no other attempt meanwhile."""
 
     __slots__ = ("conn", "connect_timer", "connects", "hedge_timer", "pool", "result")
 
@@ -28,14 +28,14 @@
     ) -> None:
         super().__init__(pool.tracker.loop, payload, timeout_s, done, write_by)
         self.pool = pool
-        self.result: AttemptResult | None = None  # set while the connection closes for a reason of ours
+        self.result: AttemptResult | None = None  # set when the gateway itself closes the connection
         self.conn: Connection | None = None
-        self.connects: set[asyncio.Task[None]] = set()  # one, or two if it was hedged
+        self.connects: set[asyncio.Task[None]] = set()  # pending connects: one, or two if it was hedged
         self.connect_timer: asyncio.TimerHandle | None = None
         self.hedge_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Writes on an idle connection if there is one, otherwise opens one."""
+        """Writes the command to an idle connection if there is one, otherwise opens a connection."""
         tracker = self.pool.tracker
         self.timer = tracker.loop.call_at(self.expires_at, self.stop, Outcome.TIMEOUT)
         conn = self.pool.take()
@@ -53,14 +53,14 @@
                 self.hedge_timer = tracker.loop.call_later(hedge_delay_s, self._on_connect_late)
 
     def _open(self) -> None:
-        """Begins to open a connection."""
+        """Starts to open a connection."""
         conn = Connection(self.pool)
         self.connects.add(self.pool.tracker.start_connect(conn, self._connect(conn)))
 
     def _on_connect_late(self) -> None:
-        """The connection has not come up: uses one that has become idle, or opens a second one.
+        """Hedges a connect that takes long: uses a connection that has become idle, or opens a second one.
 
-        No second one is opened to a server that drains, and no idle connection is closed for it.
+        No second one is opened to a server that drains, and no idle connection is closed to make room for it.
         """
         pool, tracker = self.pool, self.pool.tracker
         self.hedge_timer = None
@@ -74,7 +74,7 @@
             self._open()
 
     async def _connect(self, conn: Connection) -> None:
-        """Opens a connection. The first that comes up carries the request."""
+        """Opens a connection. The first one that is established carries the request."""
         pool, tracker = self.pool, self.pool.tracker
         host, port = pool.address
         task, began = asyncio.current_task(), tracker.loop.time()
@@ -87,20 +87,22 @@
                 self._on_connect_failed()
             return
         except asyncio.CancelledError:
-            pool.forget(conn)  # when cancelled as it came up, `connection_lost` is not called
+            pool.remove_connection(
+                conn
+            )  # `connection_lost` is not called if this is cancelled just as the connect completes
             tracker.connect_times.record_abandoned(tracker.loop.time() - began)
             raise
         self.connects.discard(task)
         tracker.connect_times.record_connected(tracker.loop.time() - began)
         pool.hedge_budget.deposit()
         if pool.stop_at is not None and tracker.loop.time() > pool.stop_at:
-            conn.abort()  # the grace period ended while this connection came up
+            conn.abort()  # the grace period ended while this connection was being opened
             self.finish(AttemptResult(Outcome.UNREACHABLE))
         else:
             self.write(conn)
 
     def write(self, conn: Connection) -> None:
-        """Writes the command; from here on the request may have run."""
+        """Writes the command; from then on the request may have run."""
         self._cancel_connects()
         if self.is_wanted is not None and not self.is_wanted():
             conn.abort()
@@ -117,11 +119,11 @@
         conn.transport.write(self.payload(left_ms))
 
     def _on_connect_failed(self) -> None:
-        """No connection came up, or none in time."""
+        """Ends the attempt: no connection could be opened, or none in time."""
         self.finish(AttemptResult(Outcome.UNREACHABLE))
 
     def _cancel_connects(self) -> None:
-        """Cancels all connects that have not come up."""
+        """Cancels all pending connects."""
         for timer in (self.connect_timer, self.hedge_timer):
             if timer is not None:
                 timer.cancel()
@@ -130,23 +132,29 @@
         for task in connects:
             task.cancel()
 
-    def stop(self, ending: Outcome) -> None:
-        """A timeout or a cancellation. The result is reported once the connection is closed."""
+    def stop(self, outcome: Outcome) -> None:
+        """Ends the attempt at a timeout or a cancellation.
+
+        Where something was written, the result is reported once the connection is closed.
+        """
         if self.is_finished or self.result is not None:
             return
         if self.conn is None:
-            # Nothing was written, so it did not run. A cancellation says nothing of the server either.
-            self.finish(AttemptResult(Outcome.UNREACHABLE if ending is Outcome.TIMEOUT else Outcome.NOT_SENT))
+            # Nothing was written, so the request did not run. Unlike a timeout, a cancellation is no evidence
+            # against the server.
+            self.finish(
+                AttemptResult(Outcome.UNREACHABLE if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT)
+            )
         else:
-            if ending is Outcome.TIMEOUT:
-                # The server's machine may have vanished, and reset what it finds open once it is back.
-                # Requests on its other idle connections would then end as reset though they never ran.
+            if outcome is Outcome.TIMEOUT:
+                # The server's host may have failed, and may reset its old connections once it has restarted.
+                # Requests on other idle connections to it would then end as RESET though they never ran.
                 self.pool.close_idle(self.started_at)
-            self.result = AttemptResult(ending)
+            self.result = AttemptResult(outcome)
             self.conn.abort()
 
     def release(self) -> None:
-        """Gives back what the attempt holds."""
+        """Cancels the timers and pending connects, and drops the connection."""
         super().release()
         self._cancel_connects()
         self.conn = None
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -157,7 +157,8 @@
             self.on_connect_failed()
             return
         except asyncio.CancelledError:
-            self.pool.forget(self)  # when cancelled as it came up, `connection_lost` is not called
+            # `connection_lost` is not called if this is cancelled just as the connect completes.
+            self.pool.remove_connection(self)
             raise
         finally:
             self.pool.tracker.connecting.discard(self)
@@ -422,7 +423,7 @@
             self.stall_timer.cancel()
         if self.send_deadline_timer is not None:
             self.send_deadline_timer.cancel()
-        self.pool.forget(self)
+        self.pool.remove_connection(self)
         if self.final_results is None:
             # The operating system does not say how much it had sent: all that was written may have been.
             self.pipeline.update_sent(0)
--- a/glenchute/upstreams/responses.py
+++ b/glenchute/upstreams/responses.py
@@ -1,4 +1,4 @@
-"""What a server's RESP2 reply says of its attempt."""
+"""Maps a server's RESP2 reply to the result of its attempt."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from glenchute.policy.events import Outcome
 from glenchute.protocol import resp2
 
-RESPONSE_STALL_S = 0.25  # a response that has begun and stops for so long is taken as broken off
-VALUE_REPLY_LENGTH = 3  # value, unused, load report
+RESPONSE_STALL_S = 0.25  # an incomplete response without new bytes for this long has failed
+VALUE_REPLY_LENGTH = 3  # elements: value, unused, load report
 REJECTED_TEXT = "BUSY"
 FAILED_TEXT = "ERR failed"
 LOAD_REPORT = re.compile(r"[a-z_0-9]+=[0-9.]+(,[a-z_0-9]+=[0-9.]+)*")
 
 
 def result_of(reply: Any) -> AttemptResult:
-    """The result that a complete reply stands for, by the platform's protocol.
+    """The result of a complete reply, by the platform's protocol.
 
-    Only the exact forms count: a reply that was damaged on its way belongs to a request that has run, so it
-    must neither be served nor taken for a rejection.
+    Any reply that does not match a known form exactly is an error: a reply that was corrupted in transit
+    belongs to a request that has run, so it must neither be served nor be treated as a rejection.
     """
     if isinstance(reply, list) and len(reply) == VALUE_REPLY_LENGTH and isinstance(reply[0], bytes):
         return AttemptResult(Outcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
