--- a/glenchute/upstreams/pipelined_attempt.py
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt on a connection that it may share with others."""
+"""An attempt on a pipelined connection, which it may share with other attempts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .pipelined_connection import PipelinedConnection, PipelinedItem
 from .pipelined_pool import PipelinedPool
 
-MAX_WAITING = 1024  # attempts that wait for a connection to one server
+MAX_WAITING = 1024  # attempts that may wait for a connection, per server
 WAIT_MARGIN_S = 0.001  # a timer may fire a little early
 ABORT_TEXTS = {
     AbortReason.STALL: "its head is stalled",
@@ -31,7 +31,7 @@
 
 
 class PipelinedAttempt(BaseAttempt):
-    """One request, placed on a connection by the scheduler. `context`: None where nothing is known of it."""
+    """One request, placed on a connection by the scheduler; without a `context` it shares no connection."""
 
     __slots__ = ("attempt_id", "command", "conn", "context", "pool", "wait_timer", "wait_until")
 
@@ -50,23 +50,24 @@
         self.conn: PipelinedConnection | None = None
         self.command: PipelinedCommand[PipelinedItem] | None = None
         self.wait_timer: asyncio.TimerHandle | None = None
-        self.wait_until = math.inf  # the end of its only wait, however often it is placed meanwhile
+        # Loop time of the end of its wait for a connection; further placements do not extend it.
+        self.wait_until = math.inf
 
     def start(self) -> None:
-        """Chooses a connection."""
+        """Starts the timeout and places the attempt on a connection."""
         self.timer = self.pool.tracker.loop.call_at(self.expires_at, self.stop, Outcome.TIMEOUT)
         self._place()
 
     # --- placement ---------------------------------------------------------------------------------------
 
     def place_again(self) -> None:
-        """A connection may have become available."""
+        """Asks for a placement again, as a connection may have become available."""
         if self.wait_timer is not None:
             self.wait_timer.cancel()
         self._place()
 
     def _place(self) -> None:
-        """Chooses a connection, again where the chosen one is closing."""
+        """Places the attempt, repeatedly while the chosen connection turns out to be closing."""
         self.wait_timer = None
         if self.is_finished:
             return
@@ -75,7 +76,7 @@
             pass
 
     def _try_place(self) -> bool:
-        """Asks the scheduler once and acts on it; False where its connection is closing."""
+        """Asks the scheduler once and executes its placement; False if the chosen connection is closing."""
         pool, scheduler = self.pool, self.pool.runtime.scheduler
         now = pool.tracker.loop.time()
         if now > self.write_by:
@@ -111,7 +112,7 @@
         return True
 
     def _ask_scheduler(self, now: float) -> Placement:
-        """The scheduler's placement."""
+        """Asks the scheduler for a placement."""
         pool, runtime = self.pool, self.pool.runtime
         now_ms = 1000.0 * now
         request = self._placement_request(now_ms)
@@ -124,7 +125,7 @@
         return placement
 
     def _placement_request(self, now_ms: float) -> PlacementRequest:
-        """What the scheduler has to know. An attempt of an unknown class shares no connection."""
+        """The request to the scheduler. An attempt without a known class shares no connection."""
         runtime, context = self.pool.runtime, self.context
         request_class = runtime.classes.get(context.class_name) if context is not None else None
         expires_at_ms = 1000.0 * self.expires_at
@@ -143,7 +144,7 @@
         )
 
     def _wait(self, now: float, placement: Placement) -> None:
-        """Waits for a connection, if not too many do."""
+        """Waits for a connection, unless `MAX_WAITING` attempts already do."""
         pool = self.pool
         if len(pool.waiting) >= MAX_WAITING:
             self.finish(AttemptResult(Outcome.NO_CONNECTION))
@@ -158,27 +159,28 @@
     # --- actions of the scheduler ------------------------------------------------------------------------
 
     def on_blocked(self) -> None:
-        """It is queued behind a stalled head: the core may hedge it."""
+        """Reports to the core that the attempt is behind a stalled head, so that it may be hedged."""
         if self.context is not None:
             self.context.on_stalled()
 
     def abort_connection(self, connection_id: int, reason: AbortReason) -> None:
-        """Its connection is aborted for those queued behind it."""
+        """Aborts the connection for the attempts behind this one, unless this one has left it."""
         if self.conn is not None and self.conn.connection_id == connection_id:
             self.conn.close_with(self.command, Outcome.RESET, ABORT_TEXTS[reason])
 
-    # --- the end -----------------------------------------------------------------------------------------
+    # --- outcome ------------------------------------------------------------------------------------------
 
     def stop_unless_written(self) -> None:
-        """Its server drains: it ends, unless it was written meanwhile."""
+        """Ends the attempt, as its server drains, unless it has been written meanwhile."""
         if not self.is_finished and not self.is_written:
             self.stop(Outcome.CANCELLED)
 
-    def stop(self, ending: Outcome) -> None:
-        """A timeout or a cancellation. The result is reported once the connection is closed.
+    def stop(self, outcome: Outcome) -> None:
+        """Ends the attempt at a timeout or a cancellation.
 
-        An attempt that is cancelled while others are on its connection only loses its response: it counts as
-        in flight until that comes, and its request gets no other attempt before.
+        Where something was written, the result is reported once the connection is closed. If it is cancelled
+        while other attempts are on the connection, that stays open: the attempt remains in flight until its
+        response has come, which is discarded, and its request gets no other attempt before that.
         """
         if self.is_finished:
             return
@@ -186,21 +188,21 @@
         if conn is None or command is None or conn.withdraw(command):
             if conn is not None:
                 conn.give_back_if_idle()
-            # Nothing was written, so it did not run. A cancellation says nothing of the server either.
+            # Nothing was written, so the request did not run.
             self.finish(
-                AttemptResult(Outcome.NOT_SENT if ending is Outcome.NOT_SENT else Outcome.UNREACHABLE)
+                AttemptResult(Outcome.NOT_SENT if outcome is Outcome.NOT_SENT else Outcome.UNREACHABLE)
             )
-        elif ending is Outcome.CANCELLED and len(conn.pipeline) > 1:
+        elif outcome is Outcome.CANCELLED and len(conn.pipeline) > 1:
             command.is_cancelled = True
         else:
-            if ending is Outcome.TIMEOUT:
-                # As in `ExclusiveAttempt.stop`: a machine that vanished resets what it finds open later.
+            if outcome is Outcome.TIMEOUT:
+                # The server's host may have failed; see `ExclusiveAttempt.stop`.
                 self.pool.close_idle(self.started_at)
-            reason = "its time is up" if ending is Outcome.TIMEOUT else "called off"
-            conn.close_with(command, ending, reason)
+            reason = "its time is up" if outcome is Outcome.TIMEOUT else "cancelled"
+            conn.close_with(command, outcome, reason)
 
     def release(self) -> None:
-        """Gives back what the attempt holds."""
+        """Cancels the timers, and removes the attempt from the pool's and the runtime's tables."""
         super().release()
         if self.wait_timer is not None:
             self.wait_timer.cancel()
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -1,10 +1,10 @@
-"""A connection to a server on which several attempts may be queued, answered in order.
+"""A pipelined connection to a server: several attempts may be queued on it, and are answered in order.
 
 Commands that are queued in one iteration of the event loop are written together at its end, so that no timer
-delays any. Bytes are handed to the transport only while its buffer is empty, so that after a break only one
-batch may have been sent in part. A break that the operating system reports says nothing of how much had been
-sent: all that was written may have been. Where the gateway itself closes, the transport's buffer is asked
-first.
+delays them. Bytes are handed to the transport only while its buffer is empty, so that at most one batch may
+have been sent in part when the connection ends. When the operating system reports the end, the number of
+bytes sent is unknown: everything written may have been sent. When the gateway itself closes the connection,
+the size of the transport's buffer tells how many bytes have not been sent.
 """
 
 from __future__ import annotations
@@ -32,47 +32,47 @@
 
 
 class PipelinedItem(Protocol):
-    """An attempt, as its connection needs it."""
+    """The part of an attempt that a pipelined connection uses."""
 
     is_written: bool
 
     @property
     def attempt_id(self) -> int:
-        """The attempt's number on this connection."""
+        """The attempt's id, unique within this upstream."""
 
     @property
     def payload(self) -> Callable[[int], bytes]:
-        """The command's bytes for the time left, in milliseconds."""
+        """Encodes the command, given the remaining time in milliseconds."""
 
     @property
     def is_wanted(self) -> Callable[[], bool] | None:
-        """Whether its client still waits, where that can be asked."""
+        """Whether its client still waits; if it returns False it has ended the attempt. None: unknown."""
 
     @property
     def is_finished(self) -> bool:
-        """Whether its result is known."""
+        """Whether its result has been reported."""
 
     @property
     def expires_at(self) -> float:
-        """Loop time, in seconds, of its timeout."""
+        """The loop time of its timeout, in seconds."""
 
     @property
     def write_by(self) -> float:
-        """Loop time, in seconds, after which not a byte may be written; 0.0: none."""
+        """The loop time after which no byte may be written, in seconds; inf: no limit."""
 
     def stop_unless_written(self) -> None:
-        """Ends the attempt if nothing of it has been written."""
+        """Ends the attempt if none of its bytes has been written."""
 
     def finish(self, result: AttemptResult) -> None:
-        """Ends it, once."""
+        """Reports the result; further results are ignored."""
 
 
 class PipelinedOwner(ConnectionOwner, Protocol):
-    """The pool of a pipelined connection, as far as the connection needs it."""
+    """The part of a connection pool that its pipelined connections use."""
 
     @property
     def runtime(self) -> PipelineRuntime:
-        """What the pools of all servers share."""
+        """The scheduler and its timer, shared by the pools of all servers."""
 
     @property
     def address(self) -> Address:
@@ -80,27 +80,27 @@
 
     @property
     def stop_at(self) -> float | None:
-        """Loop time, in seconds, from which nothing is written to the server; None: it takes work."""
+        """The loop time after which nothing is written to the server, in seconds; None: it is active."""
 
     def mark_busy(self, conn: PipelinedConnection) -> None:
-        """The connection has a command in flight."""
+        """Removes the connection from the idle ones, as an attempt joins it."""
 
     def retire(self, connection_id: int) -> None:
-        """The connection takes no more commands."""
+        """Makes the connection unavailable for further attempts."""
 
     def place_next_waiting(self) -> None:
-        """Places the attempt that has waited longest."""
+        """Places the next waiting attempt again, as a connection may have become available."""
 
 
 class FinishedAttempt(NamedTuple):
-    """The result of one attempt, to be reported."""
+    """An attempt with its result, which is still to be reported."""
 
     attempt: PipelinedItem
     result: AttemptResult
 
 
 class PipelinedConnection(Connection):
-    """One connection with a pipeline of attempts."""
+    """One connection with a queue of attempts, some written and some pending."""
 
     __slots__ = (
         "connect_task",
@@ -121,10 +121,10 @@
         self.connection_id = connection_id
         settle_ms = pool.runtime.scheduler.rules.settle_ms
         self.pipeline: CommandPipeline[PipelinedItem] = CommandPipeline(NETWORK_DELAY_MS, settle_ms)
-        # Set when the gateway closes the connection; reported when it is closed.
+        # Set when the connection is closing; reported once it has closed.
         self.final_results: list[FinishedAttempt] | None = None
         self.is_up = False
-        self.is_buffer_full = False  # some written bytes have not been sent
+        self.is_buffer_full = False  # the transport still buffers written bytes
         self.is_flush_scheduled = False
         self.connect_task: asyncio.Task[None] | None = None
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -132,16 +132,16 @@
 
     @property
     def runtime(self) -> PipelineRuntime:
-        """The scheduler and its timer."""
+        """The scheduler and its timer, shared by all connections."""
         return self.pool.runtime
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The event loop."""
+        """The event loop of the connection tracker."""
         return self.pool.tracker.loop
 
     def is_usable(self) -> bool:
-        """Whether an attempt may still join."""
+        """Whether further attempts may join the connection."""
         if self.final_results is not None:
             return False
         return not self.is_up or (self.transport is not None and not self.transport.is_closing())
@@ -149,7 +149,7 @@
     # --- connecting --------------------------------------------------------------------------------------
 
     async def connect(self) -> None:
-        """Opens the connection and writes what has been queued; if it fails, nothing of that was sent."""
+        """Opens the connection and writes the queued commands; none of them was sent if it fails."""
         host, port = self.pool.address
         try:
             await self.loop.create_connection(lambda: self, host, port)
@@ -166,7 +166,7 @@
         if self.connect_timer is not None:
             self.connect_timer.cancel()
         if self.final_results is not None:
-            self.abort()  # came up too late
+            self.abort()  # its attempts have ended already
             return
         self.is_up = True
         self.runtime.scheduler.on_connected(self.runtime.now_ms(), self.connection_id)
@@ -175,7 +175,7 @@
         self.runtime.schedule_check()
 
     def on_connect_failed(self) -> None:
-        """The connection was refused or did not come up in time."""
+        """Ends all queued attempts, as the connection could not be opened, or not in time."""
         if self.is_up or self.final_results is not None:
             return
         if self.connect_task is not None and self.connect_task is not asyncio.current_task(self.loop):
@@ -188,28 +188,30 @@
             attempt.finish(AttemptResult(outcome))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Registers the established connection, and has the transport buffer as little as possible."""
         super().connection_made(transport)
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(high=0)  # `pause_writing` as soon as anything is buffered
+        self.transport.set_write_buffer_limits(
+            high=0
+        )  # so that `pause_writing` is called as soon as any byte is buffered
 
     # --- writing -----------------------------------------------------------------------------------------
 
     def join(self, attempt: PipelinedItem) -> PipelinedCommand[PipelinedItem]:
-        """Queues an attempt; its command is written at the end of the loop's iteration."""
+        """Queues an attempt; its command is written at the end of the event loop's iteration."""
         self.pool.mark_busy(self)
         command = self.pipeline.append(attempt, b"")
         self._schedule_flush()
         return command
 
     def _schedule_flush(self) -> None:
-        """Commands wait to be written."""
+        """Schedules a write of the pending commands at the end of this iteration of the event loop."""
         if self.is_up and not self.is_flush_scheduled and not self.is_buffer_full:
             self.is_flush_scheduled = True
             self.loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Writes the next batch, while the transport's buffer is empty."""
+        """Writes the next batch if the transport's buffer is empty."""
         self.is_flush_scheduled = False
         transport = self.transport
         if not self.is_up or self.is_buffer_full or self.final_results is not None:
@@ -218,7 +220,7 @@
             return
         for command in list(self.pipeline.pending):
             if command.item.is_wanted is not None and not command.item.is_finished:
-                command.item.is_wanted()  # withdraws it where it is not
+                command.item.is_wanted()  # withdraws the command if its client has gone
         now = self.loop.time()
         expired = self._encode_pending(now)
         limits = self.runtime.write_limits
@@ -238,7 +240,7 @@
             self.give_back_if_idle()
 
     def _encode_pending(self, now: float) -> list[PipelinedItem]:
-        """Makes the commands that are to be written; withdraws and returns those that are too late."""
+        """Encodes the pending commands; withdraws and returns those that are too late to be written."""
         stop_at = self.pool.stop_at
         expired: list[PipelinedItem] = []
         for command in list(self.pipeline.pending):
@@ -253,7 +255,7 @@
         return expired
 
     def withdraw(self, command: PipelinedCommand[PipelinedItem]) -> bool:
-        """Removes an attempt of which nothing was written; False where something was."""
+        """Removes a command that has not been written; False if it has been."""
         if not self.pipeline.withdraw(command):
             return False
         now_ms, attempt_id = self.runtime.now_ms(), command.item.attempt_id
@@ -261,18 +263,21 @@
         return True
 
     def give_back_if_idle(self) -> None:
-        """Returns the connection to the pool's idle ones if no attempt is left."""
+        """Returns the connection to the pool's idle ones if no attempt is on it."""
         if self.is_up and not self.pipeline and self.final_results is None:
             self.pool.give_back(self)
 
     def _update_sent(self) -> None:
-        """Learns how much of what was written may have been sent."""
+        """Updates how many of the written bytes may have been sent."""
         if self.transport is not None:
             self.pipeline.update_sent(self.transport.get_write_buffer_size())
 
     def pause_writing(self) -> None:
-        """Some bytes are buffered. None may be sent after the server's grace period, nor a keyed command's
-        after its idempotency window: the connection is closed before that."""
+        """Stops writing while the transport buffers bytes, and sets the deadline for sending them.
+
+        No byte may be sent after the server's grace period, nor one of a command with an idempotency key
+        after its idempotency window: the connection is closed before that.
+        """
         self.is_buffer_full = True
         limits = [command.item.write_by for command in self.pipeline.in_flight]
         if self.pool.stop_at is not None:
@@ -282,13 +287,15 @@
             self.set_send_deadline(send_by)
 
     def set_send_deadline(self, send_by: float) -> None:
-        """Closes the connection at this time if its buffer is still not empty; an earlier call takes
-        effect."""
+        """Closes the connection at this loop time if its buffer is still not empty then.
+
+        The first call since the buffer was last empty counts; further ones are ignored.
+        """
         if self.send_deadline_timer is None:
             self.send_deadline_timer = self.loop.call_at(send_by, self._on_send_deadline)
 
     def resume_writing(self) -> None:
-        """The transport takes bytes again."""
+        """Resumes writing, as the transport's buffer is empty."""
         self.is_buffer_full = False
         if self.send_deadline_timer is not None:
             self.send_deadline_timer.cancel()
@@ -298,7 +305,7 @@
             self._schedule_flush()
 
     def _on_send_deadline(self) -> None:
-        """What is buffered may not be sent any more."""
+        """Closes the connection, as the buffered bytes must not be sent any more."""
         self.send_deadline_timer = None
         if self.is_buffer_full and self.final_results is None:
             self.close_with(None, Outcome.RESET, "its bytes could no longer leave in time")
@@ -306,7 +313,7 @@
     # --- reading -----------------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Parses received bytes and reports the results of the attempts they answer."""
         if self.final_results is not None:
             return
         if self.stall_timer is not None:
@@ -317,7 +324,7 @@
         fault = self._read_replies(self.runtime.now_ms(), data, results)
         if fault:
             self.close_with(None, Outcome.RESET, fault)
-            # An attempt that failed may be retried: that too must wait until the connection is closed.
+            # A failed attempt may be retried, which must also wait until the connection is closed.
             assert self.final_results is not None
             self.final_results[:0] = [one for one in results if one.result.outcome is not Outcome.OK]
             results = [one for one in results if one.result.outcome is Outcome.OK]
@@ -330,7 +337,7 @@
         self.runtime.schedule_check()
 
     def _read_replies(self, now_ms: float, data: bytes, results: list[FinishedAttempt]) -> str:
-        """Parses replies and appends their results; why the connection can't go on, or an empty text."""
+        """Parses replies and appends their results; returns why the connection must close, or ''."""
         fault = ""
         try:
             self.parser.feed(data)
@@ -343,12 +350,12 @@
         if not fault and self.parser.has_unparsed():
             if not self.pipeline.in_flight:
                 return "more than was asked for"
-            # A wrong length leaves a reply without an end, on a connection that stays open.
+            # With a wrong length prefix the reply never completes while the connection stays open.
             self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.fail_response)
         return fault
 
     def _on_reply(self, now_ms: float, reply: object, results: list[FinishedAttempt]) -> str:
-        """A complete reply; why the connection can't go on after it, or an empty text."""
+        """Handles one complete reply; returns why the connection must close after it, or ''."""
         matched = self.pipeline.match_reply(now_ms)
         if matched is None:
             return "a reply too many"
@@ -362,10 +369,10 @@
         results.append(FinishedAttempt(matched.command.item, result))
         if not matched.is_trusted:
             return "a reply that may be another's"
-        return "" if result.is_connection_reusable else "a reply of no known form"
+        return "" if result.is_connection_reusable else "an unrecognized reply"
 
     def _fail_head(self, now_ms: float, results: list[FinishedAttempt]) -> None:
-        """The reply to the head is invalid, but the request may have run."""
+        """Ends the head as an error, as its reply is invalid, if it may have been sent and may have run."""
         command = self.pipeline.in_flight[0]
         if self.pipeline.may_be_sent(command):
             self.pipeline.in_flight.popleft()
@@ -374,7 +381,7 @@
             results.append(FinishedAttempt(command.item, AttemptResult(outcome)))
 
     def fail_response(self) -> None:
-        """A reply has begun and does not go on."""
+        """Closes the connection, as an incomplete reply has stalled; the head ends as an error."""
         self.stall_timer = None
         if self.final_results is None:
             results: list[FinishedAttempt] = []
@@ -390,7 +397,7 @@
     def close_with(
         self, cause: PipelinedCommand[PipelinedItem] | None, outcome: Outcome, reason: str
     ) -> None:
-        """The gateway closes the connection, for `cause` with its `outcome` if there is one.
+        """Closes the connection, for `cause` if given, which then ends with `outcome`.
 
         The results of all attempts are determined now and reported once the connection is closed.
         """
@@ -401,7 +408,7 @@
         self.final_results = [FinishedAttempt(item, AttemptResult(found)) for item, found in outcomes]
         if len(outcomes) > 1:
             log.info(
-                "line %d to %s with %d attempts is cut: %s",
+                "aborting connection %d to %s with %d attempts: %s",
                 self.connection_id,
                 self.pool.address,
                 len(outcomes),
@@ -418,14 +425,14 @@
             self._report_results()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Determines the results of all attempts, and reports them once the socket is closed."""
         if self.stall_timer is not None:
             self.stall_timer.cancel()
         if self.send_deadline_timer is not None:
             self.send_deadline_timer.cancel()
         self.pool.remove_connection(self)
         if self.final_results is None:
-            # The operating system does not say how much it had sent: all that was written may have been.
+            # The operating system does not tell how much it had sent: everything written may have been.
             self.pipeline.update_sent(0)
             outcomes = self.pipeline.close()
             self.final_results = [FinishedAttempt(item, AttemptResult(found)) for item, found in outcomes]
@@ -434,14 +441,14 @@
         self.loop.call_soon(self._report_results)
 
     def _report_results(self) -> None:
-        """The connection is closed."""
+        """Reports the results of all attempts, now that the connection is closed."""
         results, self.final_results = self.final_results or [], []
         for attempt, result in results:
             attempt.finish(result)
         self.pool.place_next_waiting()
 
     def _retire(self, has_failed: bool) -> None:
-        """Nothing is placed here any more."""
+        """Makes the connection unavailable; `has_failed`: attempts were on it when it closed."""
         if self.connect_timer is not None:
             self.connect_timer.cancel()
         self.pool.retire(self.connection_id)
--- a/glenchute/upstreams/pipelined_pool.py
+++ b/glenchute/upstreams/pipelined_pool.py
@@ -1,4 +1,4 @@
-"""The pipelined connections to one server, and the attempts that wait for one."""
+"""The pipelined connections to one server, and the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class WaitingAttempt(Protocol):
-    """An attempt that waits for a connection."""
+    """The part of an attempt that the pool uses while it waits for a connection."""
 
     def place_again(self) -> None:
-        """A connection may have become available."""
+        """Asks for a placement again, as a connection may have become available."""
 
     def stop_unless_written(self) -> None:
-        """Its server drains."""
+        """Ends the attempt, as its server drains, if none of its bytes has been written."""
 
 
 class PipelinedPool(ConnectionPool):
-    """The connections to one server."""
+    """The pipelined connections to one server."""
 
     __slots__ = ("by_id", "runtime", "server", "waiting")
 
@@ -33,11 +33,11 @@
         super().__init__(tracker, address)
         self.runtime = runtime
         self.server = server
-        self.by_id: dict[int, PipelinedConnection] = {}  # those that attempts may be placed on
-        self.waiting: dict[int, WaitingAttempt] = {}  # by attempt id, the longest waiting first
+        self.by_id: dict[int, PipelinedConnection] = {}  # connections that attempts may be placed on
+        self.waiting: dict[int, WaitingAttempt] = {}  # by attempt id, the least recently placed first
 
     def open_connection(self, connection_id: int) -> PipelinedConnection | None:
-        """Begins to open a connection; None where the limit does not allow one."""
+        """Starts to open a connection; None if the connection limit does not allow it."""
         tracker = self.tracker
         if not tracker.make_room():
             return None
@@ -48,21 +48,25 @@
         return conn
 
     def mark_busy(self, conn: PipelinedConnection) -> None:
-        """An attempt joins this connection."""
+        """Removes the connection from the idle ones, as an attempt joins it."""
         if conn in self.idle:
             self.idle.remove(conn)
 
     def retire(self, connection_id: int) -> None:
-        """Nothing is placed on this connection any more."""
+        """Makes the connection unavailable for further attempts."""
         self.by_id.pop(connection_id, None)
 
     def place_next_waiting(self) -> None:
-        """A connection may have become available: the longest waiting attempt is placed again."""
+        """Places the first waiting attempt again, as a connection may have become available."""
         for attempt in list(self.waiting.values())[:1]:
             attempt.place_again()
 
     def stop(self) -> None:
-        """The server drains or was removed. What was written may be answered, the rest goes elsewhere."""
+        """Stops new work, as the server drains or was removed.
+
+        Written commands may still be answered; attempts that are not written end, so that their requests can
+        go to other servers.
+        """
         super().stop()
         assert self.stop_at is not None
         stops = [attempt.stop_unless_written for attempt in self.waiting.values()]
@@ -71,5 +75,5 @@
             if conn.is_buffer_full:
                 conn.set_send_deadline(self.stop_at)
         for stop in stops:
-            # Not from here: the core must not be called while it reports the endpoint list.
+            # Called later, as the core must not be re-entered while it reports the endpoint list.
             self.tracker.loop.call_soon(stop)
