--- a/glenchute/upstreams/pipelined_servers.py
+++ b/glenchute/upstreams/pipelined_servers.py
@@ -1,8 +1,8 @@
-"""The upstream whose attempts share connections, with one scheduler for all servers.
+"""The pipelined upstream: attempts share connections, with one scheduler for all servers.
 
-Which attempt joins which connection, and when a connection is aborted for those queued on it, is decided in
-`policy/connections/pipelining.py`; which bytes belong to which attempt, and how each ends when its connection
-does, in `policy/connections/pipelined_connection.py`.
+`policy/connections/pipelining.py` decides which attempt joins which connection, and when a connection is
+aborted for the attempts queued on it. `policy/connections/pipelined_connection.py` decides which bytes belong
+to which attempt, and how each attempt ends when its connection does.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class PipelinedServers(ServerPools):
-    """The pipelined connection pools of all servers."""
+    """The connection pools of all servers, whose connections are pipelined."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.last_report_at = loop.time()
 
     def new_pool(self, server: str, address: Address) -> ConnectionPool:
-        """A pool for a server that was not listed at this address before."""
+        """Creates the pool of a server that is new, is active again or has a new address."""
         return PipelinedPool(self, self.runtime, server, address)
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
@@ -61,12 +61,12 @@
             self.scheduler.on_server_started(server)
 
     def drain_server(self, server: str) -> None:
-        """A server drains: it gets nothing new, attempts in flight may finish."""
+        """Stops new attempts at a server that drains; those in flight may finish."""
         self.scheduler.on_server_draining(server)
         super().drain_server(server)
 
     def remove_server(self, server: str) -> None:
-        """A server was removed from the endpoint list."""
+        """Removes a server that has left the endpoint list; its attempts in flight may finish."""
         self.scheduler.on_server_draining(server)
         super().remove_server(server)
         self.scheduler.on_server_removed(server)
@@ -80,7 +80,7 @@
         write_by: float = math.inf,
         context: AttemptContext | None = None,
     ) -> PipelinedAttempt | None:
-        """Creates an attempt, not started yet; None if the server gets nothing (any more)."""
+        """Creates an attempt without starting it; None if the server accepts no requests (any more)."""
         pool = self.open_pool(server)
         if pool is None:
             return None
@@ -90,7 +90,7 @@
         return attempt
 
     def sweep(self) -> None:
-        """As `ServerPools.sweep`, with a report in the log now and then."""
+        """As `ServerPools.sweep`; also logs the counts every `REPORT_INTERVAL_S` if they have changed."""
         super().sweep()
         now = self.loop.time()
         if now - self.last_report_at >= REPORT_INTERVAL_S:
@@ -101,7 +101,7 @@
             self.last_report, self.last_report_at = report, now
 
     def close(self) -> None:
-        """Closes everything, at the end of the process."""
+        """Closes all connections, also those being opened, at the end of the process."""
         self.runtime.close()
         for pool in [*self.pools.values(), *self.removed]:
             if isinstance(pool, PipelinedPool):
--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all servers, by the servers' ids."""
+"""The connection pools of all servers, by server id."""
 
 from __future__ import annotations
 
@@ -18,21 +18,25 @@
 
 
 class ServerPools(ConnectionTracker):
-    """The upstream: knows which servers take work, and makes attempts on connections to them.
+    """The upstream: the servers that accept requests, and the attempts on connections to them.
 
-    A server of a long endpoint list gets its pool when it is first used, as most never are.
+    The pool of a server from a long endpoint list is created when the server is first used, as most servers
+    never are.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: UpstreamLimits) -> None:
         super().__init__(loop, limits)
         self.pools: dict[str, ConnectionPool] = {}
-        self.unopened: dict[str, Address] = {}  # servers without a pool
-        self.stopping: dict[str, float] = {}  # of these, draining ones: nothing is written after this time
-        self.removed: set[ConnectionPool] = set()  # of servers that are not listed any more
+        self.unopened: dict[str, Address] = {}  # addresses of servers without a pool yet
+        # Servers in `unopened` that drain, with the loop time after which nothing is written to them.
+        self.stopping: dict[str, float] = {}
+        self.removed: set[ConnectionPool] = (
+            set()
+        )  # pools that were replaced or whose servers have left the list
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def new_pool(self, server: str, address: Address) -> ConnectionPool:
-        """A pool for a server that was not listed at this address before."""
+        """Creates the pool of a server that is new, is active again or has a new address."""
         return ConnectionPool(self, address)
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
@@ -48,7 +52,7 @@
                 pool.stop()
             self.pools[server] = self.new_pool(server, address)
         elif has_restarted:
-            pool.close_idle()  # they lead to the process that ended
+            pool.close_idle()  # they are connected to the process that has ended
 
     def activate_servers(
         self,
@@ -79,7 +83,7 @@
             self.unopened.pop(server, None)
 
     def drain_server(self, server: str) -> None:
-        """A server drains: it gets nothing new, attempts in flight may finish."""
+        """Stops new attempts at a server that drains; those in flight may finish."""
         if server in self.unopened:
             stop_at = self.loop.time() + self.limits.drain_grace_s - GRACE_MARGIN_S
             self.stopping.setdefault(server, stop_at)
@@ -89,7 +93,7 @@
             pool.stop()
 
     def remove_server(self, server: str) -> None:
-        """A server was removed from the endpoint list."""
+        """Removes a server that has left the endpoint list; its attempts in flight may finish."""
         self.unopened.pop(server, None)
         self.stopping.pop(server, None)
         pool = self.pools.pop(server, None)
@@ -98,18 +102,21 @@
             self.removed.add(pool)
 
     def is_stopping(self, server: str) -> bool:
-        """Whether a server drains or is unknown."""
+        """Whether a server drains or is not listed."""
         pool = self.pools.get(server)
         if pool is None:
             return server not in self.unopened or server in self.stopping
         return pool.stop_at is not None
 
     def server_ids(self) -> list[str]:
-        """All servers that are listed or drain."""
+        """The ids of all servers that are active or draining."""
         return [*self.pools, *self.unopened]
 
     def open_pool(self, server: str) -> ConnectionPool | None:
-        """The pool of a server that takes work, or that drains and is within its grace period."""
+        """The pool of a server that is active or within its drain's grace period, else None.
+
+        Creates the pool if the server has none yet.
+        """
         if server in self.stopping:
             pool = self.pools[server] = self.new_pool(server, self.unopened.pop(server))
             pool.stop_at = self.stopping.pop(server)
@@ -121,7 +128,7 @@
         return found
 
     def address(self, server: str) -> Address | None:
-        """The address of a server; None if it gets nothing (any more)."""
+        """The address of a server; None if it accepts no requests (any more)."""
         pool = self.open_pool(server)
         return pool.address if pool is not None else None
 
@@ -134,9 +141,9 @@
         write_by: float = math.inf,
         context: AttemptContext | None = None,
     ) -> BaseAttempt | None:
-        """Creates an attempt, not started yet; None if the server gets nothing (any more).
+        """Creates an attempt without starting it; None if the server accepts no requests (any more).
 
-        `context` is for attempts that share connections, and not used here.
+        `context` is unused here; only attempts that share connections need it.
         """
         pool = self.open_pool(server)
         if pool is None:
@@ -144,8 +151,8 @@
         return ExclusiveAttempt(pool, payload, timeout_s, done, write_by)
 
     def sweep(self) -> None:
-        """Closes connections before the server would for being idle, and forgets removed pools without
-        any."""
+        """Closes connections that have been idle for long, before the server would, and drops removed pools
+        without connections."""
         self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         before = self.loop.time() - self.limits.max_idle_s
         for pool in [pool for pool in self.active_pools if pool.idle]:
@@ -153,7 +160,7 @@
         self.removed = {pool for pool in self.removed if pool.open}
 
     def close(self) -> None:
-        """Closes everything, at the end of the process."""
+        """Closes all connections, at the end of the process."""
         self.sweeper.cancel()
         for pool in [*self.pools.values(), *self.removed]:
             for conn in list(pool.open):
