--- a/glenchute/listeners/resp2/__init__.py
+++ b/glenchute/listeners/resp2/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front: RESP2 over TCP."""
+"""The client listener for the platform's protocol: RESP2 over TCP."""
--- a/glenchute/listeners/resp2/closed_peers.py
+++ b/glenchute/listeners/resp2/closed_peers.py
@@ -1,7 +1,7 @@
-"""Detects clients that have closed their connections before the event loop has read that.
+"""Detects that clients have closed their connections, before the event loop reads the end of the stream.
 
-The loop may have been busy, other bytes may come first, or reading may be paused. One poll asks for all
-connections, so that it can be made right before an attempt is sent.
+The loop may be busy, other bytes may precede the end, or reading may be paused. A single epoll call covers
+all connections, which makes it cheap enough to be called right before each attempt is sent.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from .connection import ClientConnection
 
-MAX_DETECTION_S = 0.1  # an attempt must not be sent later than this after its client closed
-POLL_AGE_S = MAX_DETECTION_S / 10.0  # a result that is older is not relied on
-PAUSED_POLL_INTERVAL_S = MAX_DETECTION_S / 4.0  # while connections are not read from
+MAX_DETECTION_S = 0.1  # no attempt may be sent later than this after its client has closed
+POLL_AGE_S = MAX_DETECTION_S / 10.0  # the age at which a poll's result is out of date
+PAUSED_POLL_INTERVAL_S = MAX_DETECTION_S / 4.0  # while reading from any connection is paused
 MAX_CLOSES_PER_POLL = 64
 
 
 def has_socket_event(sock: Any, event: int) -> bool:
-    """Whether the kernel reports this `select.poll` event, or an error, for a socket."""
+    """Whether the kernel reports this `select.poll` event, or an error, for a socket right now."""
     if sock is None or sock.fileno() < 0:
         return False
     waiting = select.poll()
@@ -30,45 +30,45 @@
 
 
 class ClosedPeerDetector:
-    """Marks the connections whose clients have closed them."""
+    """Polls all client connections, and marks those that their clients have closed."""
 
     def __init__(self) -> None:
         self.poll = select.epoll()
-        self.clients: dict[int, ClientConnection] = {}  # by descriptor
+        self.clients: dict[int, ClientConnection] = {}  # by file descriptor
         self.checked_at = -math.inf
 
     def add(self, client: ClientConnection, sock: Any) -> None:
-        """Registers a new connection; its input was not polled yet."""
+        """Registers a new connection, and makes the next `has_closed` poll."""
         client.descriptor = sock.fileno()
         self.clients[client.descriptor] = client
         self.poll.register(client.descriptor, select.EPOLLRDHUP)
         self.checked_at = -math.inf
 
     def remove(self, client: ClientConnection) -> None:
-        """Unregisters a connection, while its descriptor is still its own. Unknown ones are ignored."""
+        """Unregisters a connection, before its file descriptor is closed. Unknown ones are ignored."""
         if self.clients.pop(client.descriptor, None) is not None:
             self.poll.unregister(client.descriptor)
 
     def check(self) -> None:
-        """Polls, and marks those that are closed."""
+        """Polls, and marks and unregisters the connections that their clients have closed."""
         self.checked_at = time.monotonic()
         while True:
-            found = self.poll.poll(0, MAX_CLOSES_PER_POLL)
-            for number, _ in found:
-                client = self.clients[number]
+            events = self.poll.poll(0, MAX_CLOSES_PER_POLL)
+            for fd, _ in events:
+                client = self.clients[fd]
                 self.remove(client)
                 client.is_closed_by_peer = True
-            if len(found) < MAX_CLOSES_PER_POLL:
+            if len(events) < MAX_CLOSES_PER_POLL:
                 return
 
     def close(self) -> None:
-        """Ends the detector with the process."""
+        """Closes the detector, at the end of the process. `has_closed` does not poll after this."""
         self.checked_at = math.inf
         self.poll.close()
-        self.clients.clear()  # connections are lost after this
+        self.clients.clear()  # `remove` may still be called for them
 
     def has_closed(self, client: ClientConnection) -> bool:
-        """Whether this client has closed its connection, by a poll no older than `POLL_AGE_S`."""
+        """Whether this client has closed its connection, by a poll that is at most `POLL_AGE_S` old."""
         if time.monotonic() - self.checked_at > POLL_AGE_S:
             self.check()
         return client.is_closed_by_peer
--- a/glenchute/listeners/resp2/reply_slot.py
+++ b/glenchute/listeners/resp2/reply_slot.py
@@ -1,4 +1,4 @@
-"""Reply slots: RESP2 replies are written in the order of their commands."""
+"""Reply slots, which keep RESP2 replies in the order of their commands."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def encode_response(answer: FinalResponse) -> bytes:
-    """A final response in RESP2. Streamed ones are not encoded here."""
+    """Encodes a final response in RESP2; `Streamed` ones are written chunk by chunk instead."""
     if isinstance(answer, Served):
         return resp.encode_bulk(answer.value)
     if isinstance(answer, Rejected):
@@ -23,29 +23,29 @@
 
 
 class ReplySlot:
-    """The reply of one command, in the order of its connection."""
+    """The reply of one command, at its position among the replies of the connection."""
 
     __slots__ = ("active_request", "client", "deadline", "reply", "request_id", "source")
 
     def __init__(self, client: ClientConnection) -> None:
         self.client = client
-        self.deadline = math.inf  # of the request, in loop time
+        self.deadline = math.inf  # loop time of the request's deadline
         self.active_request: ActiveRequest | None = None
         self.reply: bytes | None = None
-        self.source: ResponseSource | None = None  # of a streamed reply
-        self.request_id: bytes | None = None  # while the request is open
+        self.source: ResponseSource | None = None  # set for a streamed reply
+        self.request_id: bytes | None = None  # set while the id is reserved
 
     def release(self) -> None:
-        """The request is over: its id may be used again."""
+        """Releases the request id, so that it may be used again."""
         if self.request_id is not None:
             self.client.listener.open_ids.discard(self.request_id)
             self.request_id = None
 
     def complete(self, answer: FinalResponse) -> None:
-        """Takes the final response, which is written once those before it have been."""
+        """Stores the final response, which is written once all replies before it have been."""
         self.active_request = None
         if isinstance(answer, Streamed):
-            self.source = answer.source  # the id stays in use until the value has been written
+            self.source = answer.source  # the id stays reserved until the value has been written
         else:
             self.release()
             self.reply = encode_response(answer)
