--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -1,8 +1,8 @@
-"""One client connection: commands in, replies in the order of their commands.
+"""One client connection: it receives commands, and sends replies in the order of the commands.
 
-What a client may make the gateway buffer is bounded: the bytes of a message, the commands of a connection,
-the replies it does not read, the work of one iteration of the event loop. How many connections there are and
-how long each may wait is decided in `policy/connections/client_slots.py`.
+The resources that one client can take are bounded: the size of a message, the pending commands of a
+connection, the replies it does not read, and the work in one iteration of the event loop.
+`policy/connections/client_slots.py` decides how many connections there may be and how long each may wait.
 """
 
 from __future__ import annotations
@@ -26,23 +26,25 @@
 
 log = logging.getLogger("glenchute")
 
-MAX_PENDING_COMMANDS = 64  # commands of one connection without a reply; more are left unread
-MAX_COMMANDS_PER_TURN = 16  # of one connection, before others get their turn
-MAX_COMMAND_ERRORS = 8  # commands that can't be served, after which a connection is closed
-MAX_LINGER_BYTES = 4 * 1024 * 1024  # input that is discarded while the last replies leave
-MAX_UNUSED_LINGER_BYTES = 256 * 1024  # the same, of a connection that never carried a request
-STREAM_BUFFER_BYTES = 64 * 1024  # of a streamed value, before its source is paused
-WRITE_BUFFER_BYTES = 128 * 1024  # replies that may wait for a slow reader before its commands are left unread
-WRITE_RESUME_BYTES = 64 * 1024  # of these left, at which its commands are read again
-# The transport writes at the end of an iteration of the loop: after so many bytes that is awaited.
+MAX_PENDING_COMMANDS = 64  # per connection, without a written reply; further commands are left unread
+MAX_COMMANDS_PER_TURN = 16  # per connection, before other connections get their turn
+MAX_COMMAND_ERRORS = 8  # invalid commands after which a connection is closed
+MAX_LINGER_BYTES = 4 * 1024 * 1024  # input that is discarded while the connection closes
+MAX_UNUSED_LINGER_BYTES = 256 * 1024  # as MAX_LINGER_BYTES, if it has carried no request
+STREAM_BUFFER_BYTES = 64 * 1024  # unsent bytes of a streamed value at which its source is paused
+# Unsent bytes of replies at which a client's commands are left unread, and at which they are read again.
+WRITE_BUFFER_BYTES = 128 * 1024
+WRITE_RESUME_BYTES = 64 * 1024
+# Bytes of replies after which a connection waits for the next iteration of the event loop, as the transport
+# writes only at the end of an iteration.
 MAX_QUEUED_REPLY_BYTES = 64 * 1024
-READ_BYTES = 256 * 1024  # the most that is read from a connection at a time
-FILLING_READ_BYTES = 32 * 1024  # the same, while much is buffered for clients or the connection closes
-MAX_TURN_REPLY_BYTES = 16 * MAX_QUEUED_REPLY_BYTES  # of all connections, in one iteration of the loop
+READ_BYTES = 256 * 1024  # maximum of one read
+FILLING_READ_BYTES = 32 * 1024  # maximum of one read while client memory fills or the connection closes
+MAX_TURN_REPLY_BYTES = 16 * MAX_QUEUED_REPLY_BYTES  # for all connections together
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One client connection. Streamed values are written to it as to a `ResponseSink`."""
+    """One client connection; it is the `ResponseSink` of the streamed values written to it."""
 
     __slots__ = (
         "descriptor",
@@ -72,14 +74,13 @@
         self.parser = resp.Parser()
         self.slots: deque[ReplySlot] = deque()
         self.transport: asyncio.Transport | None = None
-        self.is_closing = False  # accepts no more commands; closes when all replies are written
-        self.is_write_shut = False  # all replies are written and the own side is shut
-        self.discarded_bytes = 0  # input received since then
-        self.is_write_blocked = False  # the client does not read its replies
-        self.is_closed_by_peer = False  # though input of it may still wait to be read
-        # Bytes of replies since the transport could last tell whether the client reads.
-        self.queued_reply_bytes = 0
-        self.waiting_reply_bytes = 0  # of replies whose turn in the connection's order has not come
+        self.is_closing = False  # no more commands are accepted; closes once all replies are written
+        self.is_write_shut = False  # all replies are written and the write side is shut down
+        self.discarded_bytes = 0  # input received since `is_closing` was set
+        self.is_write_blocked = False  # the transport's buffer is full: the client does not read its replies
+        self.is_closed_by_peer = False  # input from before the close may still be unread
+        self.queued_reply_bytes = 0  # bytes of replies since the last turn, which may not have been sent yet
+        self.waiting_reply_bytes = 0  # bytes of finished replies behind unfinished ones
         self.descriptor = -1
         self.is_reading_paused = False
         self.is_parsing = False
@@ -87,11 +88,11 @@
         self.has_sent_command = False  # a complete command has been received
         self.has_carried_request = False
         self.error_count = 0
-        self.has_partial_command = False  # the rest of a command is awaited
-        self.streaming: ResponseSource | None = None  # the value that is being written
+        self.has_partial_command = False  # an incomplete command has been received
+        self.streaming: ResponseSource | None = None  # the value that is being written, if any
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Sets the buffer limits and registers the connection with the listener."""
         self.transport = transport  # type: ignore[assignment]
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES, low=WRITE_RESUME_BYTES)
@@ -103,49 +104,51 @@
         return self.is_closed_by_peer or self.listener.closed_peers.has_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Unregisters the connection and abandons its pending replies."""
         self.listener.closed_peers.remove(self)
         self.transport, self.is_closing = None, True
-        look = self.listener.release_timers.pop(self, None)
-        if look is not None:
-            look.cancel()
+        timer = self.listener.release_timers.pop(self, None)
+        if timer is not None:
+            timer.cancel()
         self.listener.connection_slots.remove(self)
         self.listener.client_memory.remove(self)
         self.listener.paused_clients.discard(self)
         self.abandon_replies()
 
     def eof_received(self) -> None:
-        """The client has closed its side. The transport closes once everything is written, for which it has a
-        limited time: a client that reads nothing would otherwise keep its slot, and its requests would be
-        forwarded."""
+        """Abandons the pending replies, as the client has closed its side.
+
+        The transport closes once everything is written. The time for that is limited as for a client that
+        does not read: otherwise such a client would keep its slot, and its requests would be forwarded.
+        """
         self.is_closing = True
         self.abandon_replies()
         self.set_state(ConnectionState.WRITE_BLOCKED)
 
     def abandon_replies(self) -> None:
-        """The client does not wait for the pending replies any more."""
+        """Drops the pending replies and reports their requests as disconnected."""
         slots, self.slots = self.slots, deque()
         self.waiting_reply_bytes = 0
         for slot in slots:
             slot.release()
-            live, slot.active_request = slot.active_request, None
-            if live is not None:
-                self.listener.gateway.client_disconnected(live)
+            request, slot.active_request = slot.active_request, None
+            if request is not None:
+                self.listener.gateway.client_disconnected(request)
             if slot.source is not None:
                 slot.source.discard()
         self.streaming = None
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where the event loop writes what it reads. All connections share it: it is copied at once."""
+        """The read buffer. All connections share one, as `buffer_updated` copies its content at once."""
         reads_less = self.is_closing or self.listener.client_memory.is_filling
         return self.listener.read_buffer[: FILLING_READ_BYTES if reads_less else READ_BYTES]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """The event loop has read into the buffer."""
+        """Copies the received bytes out of the shared buffer and handles them."""
         self.data_received(bytes(self.listener.read_buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Handles received bytes: parses them now or in a later turn, or discards them while closing."""
         if self.is_closing:
             self.discarded_bytes += len(data)
             limit = MAX_LINGER_BYTES if self.has_carried_request else MAX_UNUSED_LINGER_BYTES
@@ -157,13 +160,13 @@
             return
         is_turn_used_up = self.listener.queued_reply_bytes > MAX_TURN_REPLY_BYTES
         if is_turn_used_up and self.parser.buffered_bytes >= FILLING_READ_BYTES:
-            self.schedule_turn()  # the rest of this iteration is for others; small commands don't wait
+            self.schedule_turn()  # leaves the rest of this iteration to others; small commands need not wait
             self.update_reading()
         else:
             self.process_commands()
 
     def process_commands(self) -> None:
-        """Handles the complete commands for whose replies there is room, a limited number in one turn."""
+        """Handles complete commands while there is room for their replies, up to `MAX_COMMANDS_PER_TURN`."""
         if self.is_parsing:
             return
         self.is_parsing, self.is_turn_scheduled = True, False
@@ -183,7 +186,9 @@
                 remaining -= 1
                 self.has_sent_command = True
                 if self.has_partial_command:
-                    self.set_state(ConnectionState.ACTIVE)  # the time of a partial command starts anew
+                    self.set_state(
+                        ConnectionState.ACTIVE
+                    )  # so that the timeout of a partial command starts again
                 self.handle_command(words)
         except resp.ProtocolError as error:
             self.close_on_protocol_error(error)
@@ -194,26 +199,26 @@
         self.flush()
 
     def is_held_back(self) -> bool:
-        """Whether no further command begins before a pending one has its reply, as clients' buffers are
-        full."""
+        """Whether no further command may start while any is pending, as client memory is exhausted."""
         return bool(self.slots) and self.listener.client_memory.is_exhausted
 
     def schedule_turn(self) -> None:
-        """Has the listener go on with the remaining input later. Nothing is read before that: one iteration
-        of the loop may read megabytes, in many calls."""
+        """Schedules the handling of the remaining input by the listener.
+
+        Nothing is read before that, as one iteration of the loop may read megabytes, in many calls.
+        """
         if not self.is_turn_scheduled:
             self.is_turn_scheduled = True
             self.listener.schedule_turn(self)
 
     def run_turn(self) -> None:
-        """Goes on with the remaining input; what was written before has been sent, or the transport has said
-        that it can't."""
+        """Handles remaining input. The transport has sent what was written before, or has paused writing."""
         self.queued_reply_bytes = 0
         self.process_commands()
 
     def handle_command(self, words: Any) -> None:
-        """Handles one command. Errors are replied to the client; only what breaks RESP closes the
-        connection."""
+        """Handles one command. The reply to an invalid one is an error; `MAX_COMMAND_ERRORS` of them close
+        the connection. Raises ProtocolError if it is not a command in RESP."""
         if not isinstance(words, list) or not words or not all(type(word) is bytes for word in words):
             raise resp.ProtocolError("expected an array of bulk strings")
         slot = ReplySlot(self)
@@ -224,28 +229,28 @@
             slot.reply = resp.encode_error(str(error))
             self.error_count += 1
             if self.error_count >= MAX_COMMAND_ERRORS:
-                self.is_closing = True  # it would go on at full speed, at the others' cost
+                self.is_closing = True  # it might go on at full speed, which slows all other clients
         except Exception:
-            # The fault would otherwise end the connection with all its pending replies.
-            log.exception("a command failed")
+            # Unhandled, the exception would end the connection and all its pending replies.
+            log.exception("handling a client command failed")
             slot.reply = slot.reply or resp.FAILED
         self.count_reply_bytes(slot.reply or b"")
 
     def count_reply_bytes(self, reply: bytes) -> None:
-        """A reply is buffered here until it is next in order, and written at the end of an iteration."""
+        """Counts a reply that is buffered until it is next in order and the loop's iteration ends."""
         self.queued_reply_bytes += len(reply)
         self.waiting_reply_bytes += len(reply)
         self.listener.queued_reply_bytes += len(reply)
 
     def execute_command(self, slot: ReplySlot, words: list[bytes]) -> None:
-        """Accepts a request, or replies to a command of the connection itself."""
+        """Submits a request to the gateway, or executes a connection command."""
         verb = words[0].upper()
         if verb not in (b"CALL.GET", b"CALL.POST"):
             slot.reply = self.execute_connection_command(verb, words)
             return
-        call = self.listener.catalogue.parse(words)
+        call = self.listener.command_parser.parse(words)
         if call.request_id in self.listener.open_ids:
-            # Servers would take two requests with one id for one request.
+            # Servers would treat two requests with one id as one request.
             raise CommandError("this request id is in use")
         now = self.listener.loop.time()
         if not self.listener.lifecycle.admits_requests(now):
@@ -257,16 +262,16 @@
         slot.request_id = call.request_id
         self.listener.request_count += 1
         try:
-            live = self.listener.gateway.accept(call, slot.complete, self.has_left)
+            request = self.listener.gateway.accept(call, slot.complete, self.has_left)
         except Exception:
             slot.release()
             raise
-        slot.deadline = live.deadline
+        slot.deadline = request.deadline
         if slot.reply is None:
-            slot.active_request = live
+            slot.active_request = request
 
     def execute_connection_command(self, verb: bytes, words: list[bytes]) -> bytes:
-        """The reply to a command of the connection itself."""
+        """Executes a command that is no request, such as PING, and returns its reply."""
         if verb == b"PING":
             if len(words) > 2:
                 raise CommandError("wrong number of arguments for 'ping'")
@@ -281,7 +286,7 @@
         raise CommandError(f"unknown command '{verb[:64].decode('ascii', 'replace')}'")
 
     def close_on_protocol_error(self, error: Exception) -> None:
-        """Replies an error after the pending replies, and closes."""
+        """Queues an error reply after the pending replies, and closes the connection after it."""
         slot = ReplySlot(self)
         slot.reply = resp.encode_error(f"Protocol error: {error}")
         self.slots.append(slot)
@@ -289,9 +294,9 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes the replies that are next in order, and resumes or pauses reading."""
+        """Writes the finished replies that are next in order, and resumes or pauses reading."""
         if self.transport is None or self.is_parsing:
-            return  # replies to the commands being parsed are written together afterwards
+            return  # `process_commands` flushes when it has parsed all commands
         if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
             self.schedule_turn()
         ready: list[bytes] = []
@@ -301,7 +306,9 @@
             written = b"".join(ready)
             self.waiting_reply_bytes = max(0, self.waiting_reply_bytes - len(written))
             if not self.slots:
-                self.waiting_reply_bytes = 0  # short replies that replace others are not counted
+                self.waiting_reply_bytes = (
+                    0  # some short replies, as the end of a streamed value, were not counted
+                )
             self.transport.write(written)
             if (
                 not self.slots
@@ -309,13 +316,13 @@
                 and not self.parser.has_unparsed()
                 and not self.has_unread_input()
             ):
-                self.is_closing = True  # draining or shutting down, and no input is known to follow
+                self.is_closing = True  # draining or shutting down, and no further input has been received
         if self.is_closing and not self.slots:
             self.shut_write_side()
             return
         if self.slots and self.slots[0].source is not None and self.streaming is None:
             self.start_streaming(self.slots[0].source)
-            return  # a short value has called `flush` again by now
+            return  # a value that was complete has called `flush` again already
         if self.listener.may_release_replies and self.slots and not self.is_write_blocked:
             self.listener.release_blocked_replies(self)
         if ready and self.parser.has_unparsed() and not self.is_write_blocked and not self.is_closing:
@@ -325,21 +332,21 @@
         self.update_memory()
 
     def update_memory(self) -> None:
-        """Reports what this connection buffers."""
+        """Reports the number of bytes that this connection buffers."""
         unsent = self.transport.get_write_buffer_size() if self.transport is not None else 0
         buffered = unsent + self.waiting_reply_bytes + self.parser.buffered_bytes
         self.listener.update_memory(self, buffered)
 
     @staticmethod
     def next_reply(slot: ReplySlot) -> bool:
-        """Whether the reply that is next in order can be written completely."""
+        """Whether the reply that is next in order can be written completely; not so if it is streamed."""
         if slot.reply is None and slot.source is not None and slot.source.has_failed:
             slot.release()
-            slot.reply, slot.source = resp.FAILED, None  # it ended while it waited: nothing of it was written
+            slot.reply, slot.source = resp.FAILED, None  # the stream failed before any byte of it was written
         return slot.reply is not None
 
     def start_streaming(self, source: ResponseSource) -> None:
-        """A streamed value is next in order: writes its bytes as they come."""
+        """Starts to write a streamed value, which is next in order, as its bytes are received."""
         assert self.transport is not None
         self.streaming = source
         self.transport.set_write_buffer_limits(high=STREAM_BUFFER_BYTES)
@@ -347,16 +354,16 @@
         self.update_state()
         self.update_reading()
         if self.is_write_blocked:
-            source.pause()  # replies before it are still buffered
+            source.pause()  # earlier replies are still buffered
         source.start(self)
 
     def write_chunk(self, data: bytes) -> None:
-        """Writes a part of a streamed value."""
+        """Writes one chunk of the streamed value."""
         if self.transport is not None:
             self.transport.write(data)
 
     def finish(self) -> None:
-        """Ends it, once."""
+        """Ends the streamed value, which is complete, and goes on with the replies after it."""
         if self.transport is not None and self.streaming is not None:
             self.streaming = None
             self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES, low=WRITE_RESUME_BYTES)
@@ -366,21 +373,25 @@
             self.flush()
 
     def abort(self) -> None:
-        """The value ends before its announced length, and so does the connection, which shows the client. The
-        replies before it have been written, and are sent."""
+        """Closes the connection, as the streamed value ended before its announced length.
+
+        The end of the connection tells the client. Replies before the value have been written and are sent.
+        """
         self.streaming = None
         self.is_closing = True
         self.slots[0].source = None
         if self.transport is not None and not self.transport.is_closing():
-            self.set_state(ConnectionState.WRITE_BLOCKED)  # limits the time, should the client not read them
+            self.set_state(
+                ConnectionState.WRITE_BLOCKED
+            )  # limits the time for a client that does not read them
             self.transport.close()
 
     def update_state(self) -> None:
-        """Reports the state of the connection to its slot."""
+        """Derives the state of the connection and reports it to its slot."""
         if self.is_write_blocked or (
             self.is_closing and self.transport is not None and self.transport.is_closing()
         ):
-            # Also when some has been read: the rest has no other time.
+            # Reported also after some progress, since nothing else limits the time for the rest.
             is_streaming = self.streaming is not None
             self.set_state(ConnectionState.STREAM_BLOCKED if is_streaming else ConnectionState.WRITE_BLOCKED)
         elif self.slots or self.is_closing:
@@ -398,10 +409,12 @@
         self.listener.connection_slots.set_state(self.listener.loop.time(), self, state)
 
     def shut_write_side(self) -> None:
-        """Everything is written. Closing with unread or arriving bytes would reset the connection: what was
-        just written might be lost, or a command that crosses the close. So only the own side is shut and
-        further input is discarded. The client finds its command unanswered at the end of the connection and
-        may send it again, as nothing of it was looked at."""
+        """Shuts down the write side, as all replies are written, and discards further input.
+
+        Closing the socket with unread or arriving bytes would reset the connection, so that written replies
+        could be lost. A client whose command crosses the shutdown gets the end of the connection instead of
+        a reply, and may send the command again, as it was not processed.
+        """
         if self.transport is None or self.is_write_shut or self.transport.is_closing():
             return
         self.is_write_shut = True
@@ -410,7 +423,7 @@
             self.set_state(ConnectionState.WRITE_BLOCKED)
             self.transport.close()
         elif self.transport.get_write_buffer_size():
-            # LINGERING has its own limit, for clients that have their replies.
+            # Not LINGERING, whose timeout is for clients that have received all replies.
             self.set_state(ConnectionState.WRITE_BLOCKED)
             self.update_reading()
             self.transport.write_eof()
@@ -420,7 +433,7 @@
             self.transport.write_eof()
 
     def update_reading(self) -> None:
-        """Backpressure: a client that does not read, or has too many commands pending, is not read from."""
+        """Pauses or resumes reading: backpressure for clients that do not read or have too many commands."""
         stop = not self.is_closing and (
             self.is_write_blocked
             or self.is_turn_scheduled
@@ -438,7 +451,7 @@
             self.listener.paused_clients.discard(self)
 
     def pause_writing(self) -> None:
-        """The transport holds as much as it may."""
+        """Pauses the streamed value and reading, as the transport's buffer is full."""
         self.is_write_blocked = True
         if self.streaming is not None:
             self.streaming.pause()
@@ -447,7 +460,7 @@
         self.update_memory()
 
     def resume_writing(self) -> None:
-        """The transport takes bytes again."""
+        """Resumes the streamed value and reading, as the transport's buffer has drained."""
         self.is_write_blocked = False
         if self.streaming is not None:
             self.streaming.resume()
@@ -457,19 +470,21 @@
         self.update_memory()
 
     def has_unread_input(self) -> bool:
-        """Whether bytes, or the end of the connection, wait in the kernel."""
+        """Whether the kernel holds unread bytes or the end of the stream."""
         return self.transport is not None and has_socket_event(
             self.transport.get_extra_info("socket"), select.POLLIN
         )
 
     def close_when_answered(self) -> None:
-        """Closes once all accepted commands are answered."""
+        """Closes the connection once all accepted commands are answered."""
         self.is_closing = True
         self.flush()
 
     def close_for(self, reason: CloseReason) -> bool:
-        """Closes as `ConnectionSlots` decided; False where input has come that may be a command, or a command
-        waits for its turn."""
+        """Closes the connection as `ConnectionSlots` decided.
+
+        Returns False, and keeps it, if unread input may be a command or a command waits for its turn.
+        """
         if self.transport is None:
             return True
         if reason in ABORT_REASONS:
@@ -488,8 +503,10 @@
         return True
 
     def close_if_idle(self, since: float) -> None:
-        """Closes if the connection has been idle since `since` (loop time) or longer, unless a command is
-        arriving."""
+        """Closes the connection if it has been idle since `since` (loop time) or longer.
+
+        It stays open if unread input may be a command.
+        """
         client_slot = self.listener.connection_slots.slots.get(self)
         if client_slot is None or self.slots or self.is_closing or self.parser.has_unparsed():
             return
