--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -40,7 +40,7 @@
 MAX_QUEUED_REPLY_BYTES = 64 * 1024
 READ_BYTES = 256 * 1024  # maximum of one read
 FILLING_READ_BYTES = 32 * 1024  # maximum of one read while client memory fills or the connection closes
-MAX_TURN_REPLY_BYTES = 16 * MAX_QUEUED_REPLY_BYTES  # for all connections together
+MAX_TURN_REPLY_BYTES = 16 * MAX_QUEUED_REPLY_BYTES  # replies of all connections per loop iteration
 
 
 class ClientConnection(asyncio.BufferedProtocol):
--- a/tests/upstreams/test_connection_pool.py
+++ b/tests/upstreams/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to servers over loopback sockets."""
+"""Exclusive connections and their pools, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import AttemptEnded, Event, Outcome, Request
-from glenchute.upstreams import connection_pool as servers_module
+from glenchute.upstreams import connection_pool
 from tests.loopback import (
     CUSTOMER,
     GET,
@@ -41,32 +41,33 @@
             assert len(pool.idle) == 2
             last = pool.idle[-1]
             for conn in pool.idle:
-                conn.idle_since -= 2 * servers_module.REUSE_DELAY_S
+                conn.idle_since -= 2 * connection_pool.REUSE_DELAY_S
             assert await client.ask(b"CALL.GET", CUSTOMER, b"3", GET) == b"value"
             assert pool.idle[-1] is last and len(one.servers[0].writers) == 2
 
     play(scenario())
 
 
-def test_a_copy_of_an_answer_that_comes_later_serves_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It comes in a segment of its own, when the connection has been given back already."""
+def test_a_duplicate_reply_that_arrives_later_is_not_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a request that is served with the duplicate of an earlier reply, which arrives in a
+    segment of its own, after the connection has been returned to the pool."""
 
     async def scenario() -> None:
-        async def twice(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        async def reply_twice(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             value = words[2].rjust(4, b"0")
-            answer = b"*3\r\n$4\r\n%b\r\n$-1\r\n$-1\r\n" % value
-            writer.write(answer)
+            encoded = b"*3\r\n$4\r\n%b\r\n$-1\r\n$-1\r\n" % value
+            writer.write(encoded)
             await asyncio.sleep(0.005)
-            return answer
+            return encoded
 
-        async with site(twice, decisions=Script(send_to("s0"))) as one:
+        async with site(reply_twice, decisions=Script(send_to("s0"))) as one:
             client = await one.client()
             for number in range(1, 9):
                 value = await client.ask(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
                 assert value == b"%04d" % number
             assert len(one.servers[0].writers) == 8
 
-    monkeypatch.setattr(servers_module, "REUSE_DELAY_S", 30.0)  # however slow the machine
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 30.0)  # so that it holds on a slow machine too
     play(scenario())
 
 
@@ -86,8 +87,8 @@
     play(scenario())
 
 
-def test_bytes_that_nobody_asked_for_end_a_connection() -> None:
-    """Else the next request on it would be served with another's value."""
+def test_surplus_bytes_close_the_connection() -> None:
+    """Guards against a request that is served with the surplus reply to an earlier one."""
 
     async def scenario() -> None:
         async with site(always(SERVED + SERVED), decisions=Script(send_to("s0"))) as one:
@@ -98,23 +99,23 @@
     play(scenario())
 
 
-def test_a_connection_that_comes_up_after_a_drains_grace_is_not_written() -> None:
+def test_a_connection_established_after_the_drain_grace_period_is_not_written_to() -> None:
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script) as one:
             client = await one.client()
             decide, pool = script.decide, one.program.servers.pools["s0"]
 
-            def grace_ends() -> None:
+            def end_grace_period() -> None:
                 pool.stop_at = one.program.loop.time() - 1.0
 
-            def and_drain(event: Event) -> list[Action]:
+            def decide_and_drain(event: Event) -> list[Action]:
                 if isinstance(event, Request):
-                    pool.stop()  # within its grace as the attempt starts, past it when the connection is up
-                    one.program.loop.call_soon(grace_ends)
+                    pool.stop()  # the grace period ends between the attempt's start and its connect
+                    one.program.loop.call_soon(end_grace_period)
                 return decide(event)
 
-            script.decide = and_drain
+            script.decide = decide_and_drain
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             assert str(await client.reply()) == "ERR failed"
             assert [e.outcome for e in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
@@ -123,7 +124,7 @@
     play(scenario())
 
 
-def test_a_server_that_is_gone_loses_its_idle_connections() -> None:
+def test_idle_connections_to_a_removed_server_are_closed() -> None:
     async def scenario() -> None:
         discovery = DiscoveryPeer()
         script = Script(send_to("s0"))
@@ -136,23 +137,23 @@
             await until(lambda: ("closed", 1, []) in one.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
-            assert (
-                not one.program.gateway.endpoints.started_ms and not one.program.servers.pools
-            )  # ids are ever new
+            # A removed server's id never comes back, so nothing may be kept for it.
+            assert not one.program.gateway.endpoints.started_ms and not one.program.servers.pools
 
     play(scenario())
 
 
-def test_a_time_out_closes_what_stood_idle_meanwhile() -> None:
-    """The machine may have vanished; its old connections would be reset under the next requests."""
+def test_a_timeout_closes_connections_idle_since_before_the_attempt() -> None:
+    """Guards against requests that fail on old connections of a server whose host has failed: once it is back
+    it resets them."""
 
     async def scenario() -> None:
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             return None if words[2] == b"mute" else SERVED
 
         def decide(event: Event) -> list[Action]:
-            quick = isinstance(event, Request) and len(script.of(Request)) == 3
-            return send_to("s0", 300.0 if quick else 0.0)(event)
+            is_third = isinstance(event, Request) and len(script.of(Request)) == 3
+            return send_to("s0", 300.0 if is_third else 0.0)(event)
 
         script = Script(decide)
         async with site(reply, decisions=script) as one:
@@ -162,9 +163,9 @@
             assert [await client.reply(), await client.reply()] == [b"value", b"value"]
             pool = one.program.servers.pools["s0"]
             for conn in pool.idle:
-                conn.idle_since -= 1.0  # unused since before the attempt
+                conn.idle_since -= 1.0  # idle since before the attempt
             assert len(pool.idle) == 2
-            one.program.servers.sweeper.cancel()  # or the idle limit would close them too, later
+            one.program.servers.sweeper.cancel()  # which would close them too, at the idle limit
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"mute", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.TIMEOUT
             await until(lambda: not pool.open)
@@ -188,8 +189,8 @@
     play(scenario())
 
 
-def test_no_server_is_left_alone_for_a_shortage_of_connections() -> None:
-    """Guards against servers that are backed off though this process alone had no connection to spare."""
+def test_a_shortage_of_connections_backs_off_no_server() -> None:
+    """Guards against servers that are backed off because this process has no free connection."""
 
     async def scenario() -> None:
         async with site(always(None), always(None)) as one:
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -1,5 +1,5 @@
-"""Pipelined connections over loopback sockets: what servers ran by their own log, and what clients
-received."""
+"""Pipelined connections over loopback sockets: the commands that servers logged, compared with the replies
+that clients received."""
 
 from __future__ import annotations
 
@@ -47,8 +47,12 @@
 
 
 class ScriptedServer(Peer):
-    """A server that the test controls. It answers by itself only if `answers`; `ran` logs the complete
-    commands by connection; the first connections are aborted after as many bytes as `cuts` says."""
+    """A server that the test controls.
+
+    It replies by itself only if `answers` is set. `ran` logs the complete commands with the numbers of their
+    connections. The first connections are aborted after as many bytes as `cuts` says. `ended` holds the
+    numbers of closed connections.
+    """
 
     def __init__(self, answers: bool = False) -> None:
         super().__init__()
@@ -60,7 +64,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         number = len(self.writers) - 1
-        left = self.cuts.pop(0) if self.cuts else 1 << 40
+        remaining = self.cuts.pop(0) if self.cuts else 1 << 40
         parser = hiredis.Reader()
         try:
             while True:
@@ -68,21 +72,21 @@
                     writer.transport.pause_reading()  # type: ignore[attr-defined]
                     await until(lambda: self.reads)
                     writer.transport.resume_reading()  # type: ignore[attr-defined]
-                data = await reader.read(min(left, 65536)) if left else b""
+                data = await reader.read(min(remaining, 65536)) if remaining else b""
                 parser.feed(data)
-                left -= len(data)
+                remaining -= len(data)
                 while (words := parser.gets()) is not False:
                     self.ran.append((number, words))
                     if self.answers:
                         writer.write(value(words[2]))
-                if not data or not left:
+                if not data or not remaining:
                     writer.transport.abort()
                     return
         finally:
             self.ended.add(number)
 
     def ids(self, connection: int | None = None) -> list[bytes]:
-        """The ids of the requests that came completely, in order."""
+        """The ids of the requests that were received completely, in order."""
         return [words[2] for number, words in self.ran if connection in (None, number)]
 
     def send(self, data: bytes, connection: int = 0) -> None:
@@ -94,13 +98,13 @@
 
 
 def add_samples(program: Any, connect_ms: float = 2000.0) -> PipelinedServers:
-    """Makes the scheduler share: enough samples of each class, and a high connect time."""
+    """Makes the scheduler share connections: enough samples of each class, and a high connect time."""
     upstream = program.servers
     assert isinstance(upstream, PipelinedServers)
     now = 1000.0 * asyncio.get_running_loop().time()
     for name in ("read", "order"):
-        for share in range(60):
-            upstream.scheduler.times.add(now, name, "s0", 20.0 + share / 3.0, False)
+        for sample in range(60):
+            upstream.scheduler.times.add(now, name, "s0", 20.0 + sample / 3.0, False)
     for server in upstream.pools:
         upstream.scheduler.server(server).depth_limit.limit = 8.0
         upstream.scheduler.server(server).connect_ms = connect_ms
@@ -108,7 +112,7 @@
 
 
 def change_rules(upstream: PipelinedServers, **changes: Any) -> None:
-    """Other rules than those of the operator's file, for all parts of the scheduler."""
+    """Replaces rules of the operator's file in all parts of the scheduler."""
     scheduler = upstream.scheduler
     rules = scheduler.rules._replace(**changes)
     scheduler.rules = scheduler.chooser.rules = scheduler.stalls.rules = rules
@@ -136,7 +140,7 @@
 
 
 async def burst(client: Client, *words: tuple[bytes, ...]) -> None:
-    """Commands in one write."""
+    """Sends commands in one write."""
     client.writer.write(b"".join(packed(each) for each in words))
 
 
@@ -167,33 +171,35 @@
             assert server.ids() == [b"a", b"b", b"c", b"d", b"e"]
             assert not upstream.runtime.attempts and not one.program.gateway.attempts_in_flight
             await burst(client, *reads([b"f"]))
-            assert await client.reply() == b"f" and len(server.writers) == 1  # on the same, idle again
+            assert (
+                await client.reply() == b"f" and len(server.writers) == 1
+            )  # the connection was idle again and is reused
 
     play(scenario())
 
 
 def test_outcomes_for_every_form_of_reply() -> None:
-    """Three attempts on a connection: what comes back, and the outcome of each."""
+    """Three attempts on a connection: received bytes, whether the server then closes, and the outcomes."""
     ok, busy, failed = value(b"v"), b"-BUSY\r\n", b"-ERR failed\r\n"
     e = Outcome
     table: list[tuple[bytes, bool, list[Outcome]]] = [
         (ok + ok + ok, False, [e.OK, e.OK, e.OK]),
         (ok + busy + ok, False, [e.OK, e.REJECTED, e.OK]),
         (failed + ok + busy, False, [e.ERROR, e.OK, e.REJECTED]),
-        (ok + ok + ok + ok, False, [e.OK, e.OK, e.OK]),  # one too many: the connection ends
+        (ok + ok + ok + ok, False, [e.OK, e.OK, e.OK]),  # a surplus reply: the connection closes
         (ok + b"noise\r\n", False, [e.OK, e.ERROR, e.RESET]),
         (ok + b"-ERR what\r\n" + ok, False, [e.OK, e.ERROR, e.RESET]),
         (b"$-1\r\n" + ok, False, [e.ERROR, e.RESET, e.RESET]),
         (ok, True, [e.OK, e.RESET, e.RESET]),
-        (ok + ok[:9], True, [e.OK, e.RESET, e.RESET]),  # a reply that had begun
+        (ok + ok[:9], True, [e.OK, e.RESET, e.RESET]),  # an incomplete reply
         (b"", True, [e.RESET, e.RESET, e.RESET]),
         (b"*3\r\n$3000000000\r\n", False, [e.ERROR, e.RESET, e.RESET]),
-        (ok + ok[:9], False, [e.OK, e.ERROR, e.RESET]),  # it stops midway
+        (ok + ok[:9], False, [e.OK, e.ERROR, e.RESET]),  # the second reply stalls
     ]
 
     async def row(data: bytes, ends: bool, expected: list[Outcome]) -> None:
         server, script = ScriptedServer(), Script(send_to("s0"))
-        patient = SHARED + "least_stall_ms = 1500\n"  # or a reply that stops midway would count as a stall
+        patient = SHARED + "least_stall_ms = 1500\n"  # longer than the stalled reply takes to fail
         async with pipelined_site(server, decisions=script, operator=patient) as (one, upstream):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
@@ -203,11 +209,11 @@
                 server.writers[0].close()
             await until(lambda: len(outcomes(script)) == 3)
             assert [outcomes(script)[str(n)] for n in (1, 2, 3)] == expected, data
-            for ending in expected:
+            for outcome in expected:
                 reply = await client.reply()
-                assert (reply == b"v") is (ending is e.OK)
-                if ending in (e.ERROR, e.RESET):
-                    assert not str(reply).startswith("BUSY")  # it may have run: that is no refusal
+                assert (reply == b"v") is (outcome is e.OK)
+                if outcome in (e.ERROR, e.RESET):
+                    assert not str(reply).startswith("BUSY")  # it may have run, so it must not be rejected
             if data not in (ok + ok + ok, ok + busy + ok, failed + ok + busy):
                 await until(lambda: not upstream.pools["s0"].open)
                 await until(lambda: 0 in server.ended)
@@ -220,9 +226,8 @@
 
 
 def test_connections_cut_at_every_byte_of_a_batch() -> None:
-    """The server's log against the clients' replies, with the real decision engine: the first connections end
-    after N bytes, for every N. Nothing unsafe runs twice, a key is repeated only as a repeat, a refusal means
-    that none ran."""
+    """The first connections close after N bytes, for every N, with the real decision engine. No request that
+    is not idempotent runs twice, each served request has run, and a rejected one has not run."""
 
     async def scenario() -> None:
         server = ScriptedServer(answers=True)
@@ -230,7 +235,7 @@
             names = numbered()
             client = await one.client()
 
-            async def five(cuts: list[int]) -> dict[bytes, Any]:
+            async def send_five(cuts: list[int]) -> dict[bytes, Any]:
                 ids = [next(names) for _ in range(5)]
                 await until(lambda: not upstream.runtime.attempts)
                 for pool in upstream.pools.values():
@@ -247,10 +252,10 @@
 
             name = b"%016x" % 1
             batch = [*reads([name] * 3), (b"CALL.POST", CUSTOMER, name, ORDER, b"body")]
-            whole = sum(len(packed(words)) for words in batch)
+            batch_bytes = sum(len(packed(words)) for words in batch)
             served = 0
-            for offset in range(0, whole + 12):
-                replies = await five([offset, offset])
+            for offset in range(0, batch_bytes + 12):
+                replies = await send_five([offset, offset])
                 ran = Counter(server.ids())
                 charge = list(replies)[3]
                 assert ran[charge] <= 1, offset
@@ -260,7 +265,7 @@
                         assert ran[name] >= 1, offset
                     elif str(reply).startswith("BUSY"):
                         assert ran[name] == 0, offset
-            assert served > 3 * whole  # most go again and are served
+            assert served > 3 * batch_bytes  # most are retried and served
             assert upstream.runtime.counts["commands"] > upstream.runtime.counts["writes"]
             assert not one.program.gateway.active_requests and not one.program.gateway.attempts_in_flight
 
@@ -268,29 +273,32 @@
 
 
 def test_a_stalled_head_delays_no_request_past_its_deadline() -> None:
-    """One node of two holds its first command for ever: all five are served elsewhere, long before time."""
+    """Guards against requests that wait behind a stalled head until they time out. One of two servers never
+    answers its first command: all five requests are retried at the other, long before their deadline."""
 
     async def scenario() -> None:
-        stuck, sound = ScriptedServer(), ScriptedServer(answers=True)
-        async with pipelined_site(stuck, sound) as (one, upstream):
-            # The first goes to the stuck one, and so does what comes while that has the shorter line.
-            one.program.gateway.update_endpoints(_news(one, "s1", EndpointState.REMOVED))
+        stalled, healthy = ScriptedServer(), ScriptedServer(answers=True)
+        async with pipelined_site(stalled, healthy) as (one, upstream):
+            # Without the healthy server, all five are sent to the stalled one.
+            one.program.gateway.update_endpoints(endpoint_update(one, "s1", EndpointState.REMOVED))
             add_samples(one.program)
             loop = asyncio.get_running_loop()
             client = await one.client()
             began = loop.time()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
-            await until(lambda: len(stuck.ran) == 5)
-            one.program.gateway.update_endpoints(_news(one, "s1", EndpointState.ACTIVE, sound.port))
+            await until(lambda: len(stalled.ran) == 5)
+            one.program.gateway.update_endpoints(
+                endpoint_update(one, "s1", EndpointState.ACTIVE, healthy.port)
+            )
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
-            assert loop.time() - began < 2.0  # of 20 s that they would wait
+            assert loop.time() - began < 2.0  # their deadline is 20 s
             assert upstream.scheduler.counts["cut at a stall"] == 1
-            assert sorted(sound.ids()) == [b"a", b"b", b"c", b"d", b"e"] and 0 in stuck.ended
+            assert sorted(healthy.ids()) == [b"a", b"b", b"c", b"d", b"e"] and 0 in stalled.ended
 
     play(scenario())
 
 
-def _news(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
+def endpoint_update(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
     from glenchute.core.types import EndpointUpdate
 
     entry = Endpoint(server, "a", state=state)
@@ -308,7 +316,7 @@
             assert {event.request_id for event in script.of(AttemptStalled)} == {"2", "3"}
             server.send(value(b"a") + value(b"b") + value(b"c"))
             assert [await client.reply() for _ in range(3)] == [b"a", b"b", b"c"]
-            assert not server.ended  # the line went on
+            assert not server.ended  # the connection stays open
 
     play(scenario())
 
@@ -317,29 +325,29 @@
     async def scenario() -> None:
         server, script = ScriptedServer(), Script(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, upstream):
-            stays, leaves = await one.client(), await one.client()
-            await burst(stays, *reads([b"a", b"b"]))
+            staying, departing = await one.client(), await one.client()
+            await burst(staying, *reads([b"a", b"b"]))
             await until(lambda: len(server.ran) == 2)
-            await burst(leaves, *reads([b"c"]))
+            await burst(departing, *reads([b"c"]))
             await until(lambda: len(server.ran) == 3)
-            await burst(stays, *reads([b"d", b"e"]))
+            await burst(staying, *reads([b"d", b"e"]))
             await until(lambda: len(server.ran) == 5)
-            leaves.writer.close()
+            departing.writer.close()
             await until(lambda: script.of(ClientDisconnected))
             server.send(b"".join(value(name) for name in (b"a", b"b", b"c", b"d", b"e")))
-            assert [await stays.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
-            assert all(ending is Outcome.OK for ending in outcomes(script).values())
+            assert [await staying.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
+            assert all(outcome is Outcome.OK for outcome in outcomes(script).values())
             assert len(upstream.pools["s0"].idle) == 1 and not upstream.runtime.attempts
 
     play(scenario())
 
 
 def test_a_cancelled_attempt_keeps_its_position_until_its_reply() -> None:
-    """A cancellation in the middle aborts no other; its outcome is reported once its reply has come."""
+    """A cancellation aborts no other attempt; its outcome is reported once its reply is received."""
 
     async def scenario() -> None:
         server, script = ScriptedServer(), Script(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, _lines):
+        async with pipelined_site(server, decisions=script) as (one, _upstream):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(server.ran) == 3)
@@ -373,8 +381,9 @@
 
 
 def test_a_drain_while_a_batch_is_half_written() -> None:
-    """The server does not read. What has not been written goes elsewhere at once; the rest of the bytes must
-    not be sent after the grace period, so the connection is aborted by then."""
+    """The server does not read. Commands that are not written end at once, so that they can be retried at
+    other servers. Buffered bytes must not be sent after the grace period, so the connection is aborted by
+    then."""
 
     async def scenario() -> None:
         server, script = ScriptedServer(), Script(send_to("s0"))
@@ -394,23 +403,25 @@
             await until(lambda: len(upstream.runtime.attempts) == 160)
             await until(lambda: any(conn.is_buffer_full for conn in pool.by_id.values()))
             conn = next(iter(pool.by_id.values()))
-            held = len(conn.pipeline.pending)
-            assert held > 0
-            named = {ref: live.call.request_id for ref, live in one.program.gateway.active_requests.items()}
+            pending = len(conn.pipeline.pending)
+            assert pending > 0
+            request_ids = {
+                ref: live.call.request_id for ref, live in one.program.gateway.active_requests.items()
+            }
             loop = asyncio.get_running_loop()
-            told = loop.time()
-            one.program.gateway.update_endpoints(_news(one, "s0", EndpointState.DRAINING))
-            await until(lambda: len(outcomes(script)) >= held)
-            assert loop.time() - told < 0.2
-            assert list(outcomes(script).values()).count(Outcome.UNREACHABLE) >= held
+            drained_at = loop.time()
+            one.program.gateway.update_endpoints(endpoint_update(one, "s0", EndpointState.DRAINING))
+            await until(lambda: len(outcomes(script)) >= pending)
+            assert loop.time() - drained_at < 0.2
+            assert list(outcomes(script).values()).count(Outcome.UNREACHABLE) >= pending
             await until(lambda: len(outcomes(script)) == 160)
-            assert 0.1 < loop.time() - told < 0.6 and Outcome.RESET in outcomes(script).values()
+            assert 0.1 < loop.time() - drained_at < 0.6 and Outcome.RESET in outcomes(script).values()
             server.reads = True
             await until(lambda: 0 in server.ended)
-            whole = set(server.ids())
-            for ref, ending in outcomes(script).items():
-                if ending is Outcome.UNREACHABLE:
-                    assert named[ref] not in whole, "told as never sent, and it ran"
+            received = set(server.ids())
+            for ref, outcome in outcomes(script).items():
+                if outcome is Outcome.UNREACHABLE:
+                    assert request_ids[ref] not in received, "ran though it ended as UNREACHABLE"
 
     play(scenario())
 
@@ -433,14 +444,16 @@
                 for _ in mine:
                     replies.append(await client.reply())
                     peak = max(peak, upstream.connection_count())
-                odd = [(reply, name) for reply, name in zip(replies, mine, strict=True)
+                wrong = [(reply, name) for reply, name in zip(replies, mine, strict=True)
                        if reply != name and not isinstance(reply, hiredis.ReplyError)]  # fmt: skip
-                assert not odd  # refused, or failed on a busy machine; never another's value
+                assert (
+                    not wrong
+                )  # some may be rejected or fail on a busy machine, but none gets another's value
             ran = Counter(servers[0].ids() + servers[1].ids())
-            # A stall of this very machine is one of the server's, too: reads then go again.
+            # If this machine stalls, the servers appear stalled too, and reads are retried.
             assert max(ran.values()) <= one.program.gateway.max_attempts and len(ran) > 100
             assert not upstream.runtime.attempts and not one.program.gateway.active_requests
-            # An idle one at one server may be closed to make room for one at the other: what is open counts.
+            # An idle connection to one server may be closed for one to the other: only open ones count.
             assert peak <= upstream.limits.max_connections
             assert (
                 sum(len(server.writers) - len(server.ended) for server in servers)
@@ -457,22 +470,22 @@
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await until(lambda: len(server.ran) == 3)
-            leaving = asyncio.create_task(one.program.shut_down())
+            shutdown = asyncio.create_task(one.program.shut_down())
             await asyncio.sleep(0.1)
             server.send(value(b"a") + value(b"b"))
             assert [await client.reply() for _ in range(2)] == [b"a", b"b"]
             server.send(value(b"c"))
             assert await client.reply() == b"c"
-            await leaving
+            await shutdown
             assert await client.ended()
 
     play(scenario())
 
 
-def test_a_server_closes_an_idle_connection_under_a_batch() -> None:
+def test_a_server_closes_an_idle_connection_while_a_batch_is_written() -> None:
     async def scenario() -> None:
         server, script = ScriptedServer(answers=True), Script(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, _lines):
+        async with pipelined_site(server, decisions=script) as (one, _upstream):
             client = await one.client()
             await burst(client, *reads([b"a"]))
             assert await client.reply() == b"a"
@@ -484,8 +497,8 @@
             ended = [outcomes(script)[n] for n in "23"]
             assert set(ended) <= {Outcome.RESET, Outcome.UNREACHABLE}
             ran = server.ids()
-            assert all(ending is Outcome.RESET or name not in ran
-                       for ending, name in zip(ended, (b"b", b"c"), strict=True))  # fmt: skip
+            assert all(outcome is Outcome.RESET or name not in ran
+                       for outcome, name in zip(ended, (b"b", b"c"), strict=True))  # fmt: skip
 
     play(scenario())
 
@@ -496,7 +509,7 @@
         server, script = ScriptedServer(), Script(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, upstream):
             await server.stop()
-            if not refused:  # a backlog that is full answers nothing; here the connect is called off
+            if not refused:  # the connect times out, as with a full backlog, which answers nothing
                 upstream.limits = type(upstream.limits)(0.0, 10.0, 0.25, 100)
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
@@ -516,7 +529,7 @@
             charge = (b"CALL.POST", CUSTOMER, b"x", CHARGE, b"body")
             await burst(client, *reads([b"a"]), charge, (*charge[:2], b"y", *charge[3:]), *reads([b"b"]))
             await until(lambda: len(server.ran) == 4)
-            by_id = [set(server.ids(number)) for number in range(len(server.writers))]
-            assert {b"x"} in by_id and {b"y"} in by_id
+            by_connection = [set(server.ids(number)) for number in range(len(server.writers))]
+            assert {b"x"} in by_connection and {b"y"} in by_connection
 
     play(scenario())
