--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -1,5 +1,5 @@
-"""Long values: taken apart at any cut, read by turns, and passed on over sockets with peers that stall, lie,
-stop and leave."""
+"""Streamed values: parsing at any split, fair read permits, and relaying over loopback sockets with peers
+that stall, send wrong lengths, break off and disconnect."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def body(length: int, seed: int = 1) -> bytes:
-    """A value that holds all that could mislead a parser."""
+    """A value that contains everything that could mislead a parser."""
     noise = random.Random(seed).randbytes(4096) + b"\r\n$-1\r\n*3\r\n-ERR failed\r\nHTTP/1.1 200 OK\r\n\r\n"
     return (noise * (length // len(noise) + 1))[:length]
 
@@ -54,36 +54,36 @@
 ANSWER = head(len(VALUE)) + VALUE + TAIL
 
 
-# --- the framer --------------------------------------------------------------------------------------------
+# --- the parser --------------------------------------------------------------------------------------------
 
 
-def taken(pieces: list[bytes]) -> tuple[bytes, StreamedReply]:
-    """What comes of an answer that comes in these pieces."""
-    parser, reply, out = resp.Parser(), None, []
+def parse_pieces(pieces: list[bytes]) -> tuple[bytes, StreamedReply]:
+    """Parses a reply that is received in these pieces; returns the value and the parser's state."""
+    parser, reply, chunks = resp.Parser(), None, []
     for piece in pieces:
         if reply is not None:
-            out.append(reply.feed(piece))
+            chunks.append(reply.feed(piece))
             continue
         parser.feed(piece)
         try:
             assert parser.next_message() is False
         except resp.ValueTooLongError:
-            found = StreamedReply.parse_head(parser.take_unparsed())
-            assert found is not None
-            reply = found[0]
-            out.append(reply.feed(found[1]))
+            parsed = StreamedReply.parse_head(parser.take_unparsed())
+            assert parsed is not None
+            reply = parsed[0]
+            chunks.append(reply.feed(parsed[1]))
     assert reply is not None
-    return b"".join(out), reply
+    return b"".join(chunks), reply
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
-    marks = [0, *sorted(at), len(data)]
-    return [data[a:b] for a, b in itertools.pairwise(marks) if a < b]
+def split(data: bytes, at: list[int]) -> list[bytes]:
+    offsets = [0, *sorted(at), len(data)]
+    return [data[a:b] for a, b in itertools.pairwise(offsets) if a < b]
 
 
 @pytest.mark.parametrize("at", [*range(1, 20), *range(len(ANSWER) - 40, len(ANSWER))])
 def test_a_split_near_any_edge(at: int) -> None:
-    value, reply = taken(cut(ANSWER, [at]))
+    value, reply = parse_pieces(split(ANSWER, [at]))
     assert value == VALUE and reply.is_complete and not reply.has_surplus
     assert reply.trailer == [None, b"inflight=7,queue=2.5"]
 
@@ -91,14 +91,14 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.integers(1, len(ANSWER) - 1), max_size=40))
 def test_any_splits(at: list[int]) -> None:
-    value, reply = taken(cut(ANSWER, at))
+    value, reply = parse_pieces(split(ANSWER, at))
     assert value == VALUE and reply.is_complete and reply.trailer == [None, b"inflight=7,queue=2.5"]
 
 
 def test_byte_by_byte_and_with_surplus() -> None:
-    value, reply = taken([ANSWER[i : i + 1] for i in range(len(ANSWER))])
+    value, reply = parse_pieces([ANSWER[i : i + 1] for i in range(len(ANSWER))])
     assert value == VALUE and reply.is_complete and not reply.has_surplus
-    _, reply = taken([ANSWER + b"+OK\r\n"])
+    _, reply = parse_pieces([ANSWER + b"+OK\r\n"])
     assert reply.is_complete and reply.has_surplus
 
 
@@ -128,63 +128,65 @@
         reply.feed(b"abcd" + tail)
 
 
-# --- turns -------------------------------------------------------------------------------------------------
+# --- read permits ------------------------------------------------------------------------------------------
 
 
-class Reading(RuleBasedStateMachine):
-    """Values that ask, get pieces and end, against what the turns promise."""
+class ReadPermitsMachine(RuleBasedStateMachine):
+    """Streams acquire permits, receive chunks and end; checks the contract of `StreamReadPermits`."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.turns: StreamReadPermits[int] = StreamReadPermits(3)
-        self.serial = 0
-        self.moves: dict[int, int] = {}  # pieces that others got since this one began to wait
-        self.reads: set[int] = set()
+        self.permits: StreamReadPermits[int] = StreamReadPermits(3)
+        self.last_key = 0
+        self.waiting: dict[int, int] = {}  # the streams without a permit, the longest waiting first
+        self.reading: set[int] = set()
 
     @rule()
-    def asks(self) -> None:
-        self.serial += 1
-        if self.turns.acquire(self.serial):
-            self.reads.add(self.serial)
+    def acquire(self) -> None:
+        self.last_key += 1
+        if self.permits.acquire(self.last_key):
+            self.reading.add(self.last_key)
         else:
-            self.moves[self.serial] = 0
+            self.waiting[self.last_key] = 0
 
-    @precondition(lambda self: self.reads)
+    @precondition(lambda self: self.reading)
     @rule(pick=st.integers(0, 9))
-    def got(self, pick: int) -> None:
-        key = sorted(self.reads)[pick % len(self.reads)]
-        ahead = len(self.moves)
-        if not self.turns.rotate_after_chunk(key):
-            assert ahead, "nobody waits, and yet it may not go on"
-            self.reads.discard(key)
-            self.moves[key] = 0
-        self.wake()
-
-    @precondition(lambda self: self.reads or self.moves)
+    def receive_chunk(self, pick: int) -> None:
+        key = sorted(self.reading)[pick % len(self.reading)]
+        waiting_count = len(self.waiting)
+        if not self.permits.rotate_after_chunk(key):
+            assert waiting_count, "the permit was taken away though no stream waits"
+            self.reading.discard(key)
+            self.waiting[key] = 0
+        self.grant()
+
+    @precondition(lambda self: self.reading or self.waiting)
     @rule(pick=st.integers(0, 99))
-    def ends(self, pick: int) -> None:
-        keys = sorted(self.reads | set(self.moves))
+    def end(self, pick: int) -> None:
+        keys = sorted(self.reading | set(self.waiting))
         key = keys[pick % len(keys)]
-        self.turns.release(key)
-        self.reads.discard(key)
-        self.moves.pop(key, None)
-        self.wake()
+        self.permits.release(key)
+        self.reading.discard(key)
+        self.waiting.pop(key, None)
+        self.grant()
 
-    def wake(self) -> None:
-        while (key := self.turns.grant_next()) is not None:
-            assert key == next(iter(self.moves)), "not the one that has waited for longest"
-            del self.moves[key]
-            self.reads.add(key)
+    def grant(self) -> None:
+        while (key := self.permits.grant_next()) is not None:
+            assert key == next(iter(self.waiting)), "the permit was not granted to the longest waiting stream"
+            del self.waiting[key]
+            self.reading.add(key)
 
     @invariant()
-    def bounded_and_busy(self) -> None:
-        assert set(self.turns.readers) == self.reads and len(self.reads) <= 3
-        assert list(self.turns.waiters) == list(self.moves)
-        assert not self.moves or len(self.reads) == 3, "a place is free and somebody waits"
+    def permits_are_bounded_and_in_use(self) -> None:
+        assert set(self.permits.readers) == self.reading and len(self.reading) <= 3
+        assert list(self.permits.waiters) == list(self.waiting)
+        assert not self.waiting or len(self.reading) == 3, "a permit is free though a stream waits"
 
 
-Reading.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
-TestReading = Reading.TestCase
+ReadPermitsMachine.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=40, deadline=None, derandomize=True
+)
+TestReadPermits = ReadPermitsMachine.TestCase
 
 
 # --- over sockets ------------------------------------------------------------------------------------------
@@ -194,7 +196,7 @@
 async def serving(
     answer: Callable[[asyncio.StreamWriter, bytes], Any], **changes: Any
 ) -> AsyncIterator[tuple[Site, Script]]:
-    """A gateway whose one server answers with what `answer` writes, told the request's id."""
+    """A gateway with one server, which replies with what `answer` returns or writes for a request id."""
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         found = await answer(writer, words[2])
@@ -205,7 +207,7 @@
         yield one, script
 
 
-async def whole(writer: asyncio.StreamWriter, name: bytes) -> bytes:
+async def answer_completely(writer: asyncio.StreamWriter, name: bytes) -> bytes:
     return ANSWER
 
 
@@ -213,19 +215,19 @@
     client.send(b"CALL.GET" if fields is GET else b"CALL.POST", CUSTOMER, next(ids), fields)
 
 
-def ended(script: Script) -> list[Outcome]:
+def outcomes(script: Script) -> list[Outcome]:
     return [event.outcome for event in script.of(AttemptEnded)]
 
 
 def test_a_long_value_is_relayed_completely_and_the_connection_reused() -> None:
     async def scenario() -> None:
-        async with serving(whole) as (one, script):
+        async with serving(answer_completely) as (one, script):
             client, ids = await one.client(), numbered()
             for _ in range(3):
                 ask(client, ids)
                 assert await client.reply() == VALUE
                 await asyncio.sleep(0.05)
-            assert ended(script) == [Outcome.OK] * 3
+            assert outcomes(script) == [Outcome.OK] * 3
             assert all(event.active_requests == 7.0 and event.is_final for event in script.of(AttemptEnded))
             assert len(script.of(ResponseStarted)) == 3
             assert len(one.servers[0].writers) == 1
@@ -247,7 +249,7 @@
             for _ in range(3):
                 ask(client, ids)
             gates[b"%016x" % 3].set()
-            gates[b"%016x" % 2].set()  # its turn has not come: its server waits
+            gates[b"%016x" % 2].set()  # its reply is not next in order, so its server has to wait
             await until(lambda: script.of(ResponseStarted))
             await asyncio.sleep(0.05)
             assert not client.reader._buffer  # type: ignore[attr-defined]
@@ -268,11 +270,11 @@
             await asyncio.sleep(0.05)
             writer.close()
 
-        tries: dict[str, int] = {}
+        attempts: dict[str, int] = {}
 
         def decide(event: Event) -> list[Action]:
             if isinstance(event, Request) or (isinstance(event, AttemptEnded) and not event.is_final):
-                tries[event.request_id] = tries.get(event.request_id, 0) + 1
+                attempts[event.request_id] = attempts.get(event.request_id, 0) + 1
                 return [StartAttempt(event.request_id, "s0", 0.0)]
             return []
 
@@ -284,12 +286,13 @@
         async with site(reply, decisions=script) as one:
             client, ids = await one.client(), numbered()
             ask(client, ids, fields)
-            got = await client.reader.read()  # to the end of the connection: the client can tell
+            # The end of the connection shows the client that the value is incomplete.
+            got = await client.reader.read()
             assert got == b"$70000\r\n" + VALUE[:30_000]
             await until(lambda: len(script.of(AttemptEnded)) == 2)
             last = script.of(AttemptEnded)[-1]
             assert last.is_final and last.outcome is Outcome.RESET
-            assert list(tries.values()) == [2] and not one.program.gateway.active_requests
+            assert list(attempts.values()) == [2] and not one.program.gateway.active_requests
 
     play(scenario())
 
@@ -301,15 +304,15 @@
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> None:
             for n, part in enumerate(parts):
                 writer.write(part)
-                await asyncio.sleep(0.1 if n == 0 else 0.4)  # a short answer would have failed at 0.25 s
+                await asyncio.sleep(0.1 if n == 0 else 0.4)  # a buffered reply would have failed after 0.25 s
 
         async with serving(answer) as (one, script):
             client, ids = await one.client(), numbered()
             ask(client, ids)
             assert await client.reply() == VALUE
-            await until(lambda: ended(script) == [Outcome.OK])
-            took = script.of(AttemptEnded)[0].duration_ms
-            assert took < 1000.0, "the time is that of the first bytes"
+            await until(lambda: outcomes(script) == [Outcome.OK])
+            duration_ms = script.of(AttemptEnded)[0].duration_ms
+            assert duration_ms < 1000.0, "not the time to the first bytes"
 
     play(scenario())
 
@@ -326,7 +329,7 @@
             ask(client, ids)
             got = await client.reader.read()
             assert 0 < len(got) < len(VALUE)
-            await until(lambda: ended(script) == [Outcome.ERROR])
+            await until(lambda: outcomes(script) == [Outcome.ERROR])
 
     play(scenario())
 
@@ -348,36 +351,36 @@
             if late:
                 got = await client.reader.read()
                 assert got.startswith(b"$70000\r\n") and len(got) < len(b"$70000\r\n") + 70_000 + 2
-            else:  # found out before anything was passed on
+            else:  # detected before any byte was relayed
                 assert str(await client.reply()) == "ERR failed"
-            await until(lambda: ended(script) == [Outcome.ERROR])
+            await until(lambda: outcomes(script) == [Outcome.ERROR])
 
     play(scenario())
 
 
 def test_a_client_disconnects_or_a_deadline_passes_during_a_stream() -> None:
     async def scenario() -> None:
-        go = asyncio.Event()
+        may_finish = asyncio.Event()
 
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             writer.write(ANSWER[:40_000])
-            await go.wait()
+            await may_finish.wait()
             return ANSWER[40_000:]
 
         async with serving(answer) as (one, script):
             ids = numbered()
-            stays, leaves = await one.client(), await one.client()
+            staying, leaving = await one.client(), await one.client()
             short = GET.replace(b"d=20000", b"d=1000")
-            time_is_up = asyncio.get_running_loop().time() + 1.1
-            stays.send(b"CALL.GET", CUSTOMER, next(ids), short)
-            ask(leaves, ids)
+            deadline = asyncio.get_running_loop().time() + 1.1
+            staying.send(b"CALL.GET", CUSTOMER, next(ids), short)
+            ask(leaving, ids)
             await until(lambda: len(script.of(ResponseStarted)) == 2)
-            leaves.writer.transport.abort()
-            await until(lambda: ended(script) == [Outcome.CANCELLED])
-            # The time of the one that stays is up, but its first bytes were in time.
-            await until(lambda: asyncio.get_running_loop().time() > time_is_up)
-            go.set()
-            assert await stays.reply() == VALUE
+            leaving.writer.transport.abort()
+            await until(lambda: outcomes(script) == [Outcome.CANCELLED])
+            # The deadline of the staying client has passed, but the first bytes were in time.
+            await until(lambda: asyncio.get_running_loop().time() > deadline)
+            may_finish.set()
+            assert await staying.reply() == VALUE
             await until(lambda: not one.program.listener.open_ids)
 
     play(scenario())
@@ -394,21 +397,21 @@
 
         async with serving(answer) as (one, _):
             ids = numbered()
-            stopped = [await one.client() for _ in range(12)]
-            for client in stopped:
+            blocked = [await one.client() for _ in range(12)]
+            for client in blocked:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 ask(client, ids)
-            usual = await one.client()
+            other = await one.client()
             for n in range(1001, 1051):
-                assert await usual.ask(b"CALL.GET", CUSTOMER, b"%016x" % n, GET) == b"value"
-            held = 0
-            for place in one.program.listener.clients:
-                if place.transport is not None:
-                    held += place.transport.get_write_buffer_size()
-            assert held <= 12 * 3 * 64 * 1024, held
-            for client in stopped:
+                assert await other.ask(b"CALL.GET", CUSTOMER, b"%016x" % n, GET) == b"value"
+            buffered = 0
+            for connection in one.program.listener.clients:
+                if connection.transport is not None:
+                    buffered += connection.transport.get_write_buffer_size()
+            assert buffered <= 12 * 3 * 64 * 1024, buffered
+            for client in blocked:
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-                assert await client.reply() == value  # and each gets the whole of it
+                assert await client.reply() == value  # each receives the complete value
 
     play(scenario())
 
@@ -428,18 +431,21 @@
         async with serving(answer) as (one, script):
             one.program.servers.read_permits.max_readers = 1
             ids = numbered()
-            narrow = socket.socket()
-            narrow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # or the machine takes it all
-            narrow.connect(("127.0.0.1", one.port))
-            stops = Client(*await asyncio.open_connection(sock=narrow))
-            stops.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            ask(stops, ids)
+            sock = socket.socket()
+            # A small buffer: otherwise the kernel would take the whole value without the client reading.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            sock.connect(("127.0.0.1", one.port))
+            blocked = Client(*await asyncio.open_connection(sock=sock))
+            blocked.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            ask(blocked, ids)
             await until(lambda: script.of(ResponseStarted))
             others = [await one.client() for _ in range(5)]
             for client in others:
                 ask(client, ids)
             assert await asyncio.gather(*(client.reply() for client in others)) == [value] * 5
-            assert Outcome.ERROR in ended(script)  # the one that did not read was cut off for them
+            assert Outcome.ERROR in outcomes(
+                script
+            )  # the stream that was not read was aborted for the others
 
     play(scenario())
 
@@ -463,10 +469,10 @@
 def test_pipelined_connections_do_not_stream_values() -> None:
     async def scenario() -> None:
         operator = '[pipeline]\nclasses = ["read"]\n'
-        async with serving(whole, operator=operator) as (one, script):
+        async with serving(answer_completely, operator=operator) as (one, script):
             client, ids = await one.client(), numbered()
             ask(client, ids)
             assert str(await client.reply()) == "ERR failed"
-            assert ended(script) == [Outcome.ERROR]
+            assert outcomes(script) == [Outcome.ERROR]
 
     play(scenario())
