--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -300,7 +300,7 @@
         if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
             self.schedule_turn()
         ready: list[bytes] = []
-        while self.slots and self.next_reply(self.slots[0]):
+        while self.slots and self.is_reply_ready(self.slots[0]):
             ready.append(self.slots.popleft().reply or b"")
         if ready:
             written = b"".join(ready)
@@ -338,7 +338,7 @@
         self.listener.update_memory(self, buffered)
 
     @staticmethod
-    def next_reply(slot: ReplySlot) -> bool:
+    def is_reply_ready(slot: ReplySlot) -> bool:
         """Whether the reply that is next in order can be written completely; not so if it is streamed."""
         if slot.reply is None and slot.source is not None and slot.source.has_failed:
             slot.release()
