--- a/tests/listeners/resp2/test_client_connections.py
+++ b/tests/listeners/resp2/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections of the RESP2 listener over loopback sockets."""
+"""Client connections of the RESP2 listener, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from glenchute.listeners.resp2 import connection as clients_module
+from glenchute.listeners.resp2 import connection as connection_module
 from glenchute.listeners.resp2.connection import MAX_PENDING_COMMANDS
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import MIN_FIRST_COMMAND_S
@@ -32,7 +32,7 @@
 
 
 ID = b"9b1f03aa5c7e2d41"
-BAD = [
+INVALID_COMMANDS = [
     ([b"NOPE"], "unknown command 'NOPE'"),
     ([b"HELLO", b"3"], "unknown command 'HELLO'"),
     ([b"PING", b"a", b"b"], "wrong number of arguments"),
@@ -73,23 +73,25 @@
 ]
 
 
-def test_bad_commands_are_told_and_reach_neither_quota_nor_server(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_commands_get_errors_and_reach_neither_quota_nor_server(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script) as one:
             client = await one.client()
-            for words, text in BAD:
+            for words, text in INVALID_COMMANDS:
                 assert text in str(await client.ask(*words)), words
             assert script.of(Request) == []
             assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
 
-    monkeypatch.setattr(clients_module, "MAX_COMMAND_ERRORS", 1000)
+    monkeypatch.setattr(connection_module, "MAX_COMMAND_ERRORS", 1000)
     play(scenario())
 
 
-def test_a_client_with_many_errors_is_told_each_and_closed() -> None:
+def test_a_client_with_many_errors_gets_error_replies_and_is_closed() -> None:
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             client, other = await one.client(), await one.client()
@@ -97,9 +99,9 @@
             for _ in range(500):
                 client.send(b"NOPE")
             assert await client.reply() == b"value"
-            for _ in range(clients_module.MAX_COMMAND_ERRORS):
+            for _ in range(connection_module.MAX_COMMAND_ERRORS):
                 assert "unknown command" in str(await client.reply())
-            assert await client.reply() is None  # and no reset, which could have cost the errors
+            assert await client.reply() is None  # not a reset, with which the error replies could be lost
             assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
     play(scenario())
@@ -110,18 +112,18 @@
         async with site(always(SERVED)) as one:
             client = await one.client()
             await until(lambda: one.program.listener.clients)
-            (held,) = one.program.listener.clients
-            taken: list[int] = []
-            held.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
-            held.process_commands()
-            taken.append(len(held.parser._raw) - held.parser._at)
-            assert taken == [14 * (50 - clients_module.MAX_COMMANDS_PER_TURN)]
+            (connection,) = one.program.listener.clients
+            unparsed: list[int] = []
+            connection.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
+            connection.process_commands()
+            unparsed.append(len(connection.parser._raw) - connection.parser._at)
+            assert unparsed == [14 * (50 - connection_module.MAX_COMMANDS_PER_TURN)]
             assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
 
     play(scenario())
 
 
-def test_an_id_that_is_open_is_refused_elsewhere_until_it_is_over() -> None:
+def test_a_request_id_in_use_is_rejected_on_other_connections() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -130,25 +132,25 @@
             return SERVED
 
         async with site(reply, decisions=Script(send_to("s0"))) as one:
-            usual, bad = await one.client(), await one.client()
-            usual.send(b"CALL.GET", CUSTOMER, ID, GET)
+            first, second = await one.client(), await one.client()
+            first.send(b"CALL.GET", CUSTOMER, ID, GET)
             await until(lambda: len(one.servers[0].calls()) == 1)
-            assert "in use" in str(await bad.ask(b"CALL.GET", CUSTOMER, ID, GET))
+            assert "in use" in str(await second.ask(b"CALL.GET", CUSTOMER, ID, GET))
             release.set()
-            assert await usual.reply() == b"value"
-            assert await bad.ask(b"CALL.GET", CUSTOMER, ID, GET) == b"value"
+            assert await first.reply() == b"value"
+            assert await second.ask(b"CALL.GET", CUSTOMER, ID, GET) == b"value"
             assert not one.program.listener.open_ids
             release.clear()
-            usual.send(b"CALL.GET", CUSTOMER, ID, GET)
+            first.send(b"CALL.GET", CUSTOMER, ID, GET)
             await until(lambda: one.program.listener.open_ids)
-            usual.writer.close()
-            await until(lambda: not one.program.listener.open_ids)  # the client left
+            first.writer.close()
+            await until(lambda: not one.program.listener.open_ids)  # the client has disconnected
             release.set()
 
     play(scenario())
 
 
-def test_a_long_deadline_is_served_as_the_longest_of_the_settings() -> None:
+def test_a_long_deadline_is_reduced_to_the_longest_of_the_settings() -> None:
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script) as one:
@@ -160,49 +162,53 @@
     play(scenario())
 
 
-def test_who_says_nothing_or_half_a_command_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_and_partial_commands_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         async with site(always(None), decisions=Script(send_to("s0"))) as one:
-            silent, half, idle, busy = [await one.client() for _ in range(4)]
-            half.writer.write(b"*2\r\n$4\r\nPI")
+            silent, partial, idle, busy = [await one.client() for _ in range(4)]
+            partial.writer.write(b"*2\r\n$4\r\nPI")
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
             assert await silent.ended()
-            assert "did not come" in str(await half.reply())
-            assert await half.reply() is None
+            assert "did not come" in str(await partial.reply())
+            assert await partial.reply() is None
             assert await idle.ended()
-            assert len(one.program.gateway.active_requests) == 1  # whose client is still there
+            # The request of the busy client, which is still connected.
+            assert len(one.program.gateway.active_requests) == 1
 
     for name in ("MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.2)
     play(scenario())
 
 
-def test_past_the_limit_those_that_never_asked_make_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_slots, "MAX_IDLE_S", 1000.0)  # room is made at need only ...
+def test_past_the_limit_connections_without_requests_are_evicted_first(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Connections are evicted only when a new one is accepted, not by a sweep before that.
+    monkeypatch.setattr(client_slots, "MAX_IDLE_S", 1000.0)
     for name in ("SWEEP_INTERVAL_S", "PRESSURED_SWEEP_INTERVAL_S"):
-        monkeypatch.setattr(client_slots, name, 1000.0)  # ... and by no sweep before that
+        monkeypatch.setattr(client_slots, name, 1000.0)
 
     async def scenario() -> None:
         async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
             one.program.listener.connection_slots.max_connections = 2
-            asked = await one.client()
-            assert await asked.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+            used = await one.client()
+            assert await used.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             silent = await one.client()
             await until(lambda: len(one.program.listener.clients) == 2)
-            await asyncio.sleep(2.0 * MIN_FIRST_COMMAND_S)  # clearly past: the loop's clock is coarse
+            await asyncio.sleep(2.0 * MIN_FIRST_COMMAND_S)  # a wide margin, as the loop's clock is coarse
             pinging = await one.client()
             assert await pinging.ask(b"PING") == b"PONG"
             assert await silent.ended()
             last = await one.client()
             assert await last.ask(b"PING") == b"PONG"
             assert await pinging.ended()
-            assert await asked.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+            assert await used.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
     play(scenario())
 
 
-BROKEN = [
+INVALID_RESP = [
     b"GET / HTTP/1.1\r\n\r\n",
     b"*1\r\n:5\r\n",
     b"+OK\r\n",
@@ -223,8 +229,8 @@
 ]
 
 
-@pytest.mark.parametrize("data", BROKEN)
-def test_what_is_not_resp_is_told_and_closes(data: bytes) -> None:
+@pytest.mark.parametrize("data", INVALID_RESP)
+def test_invalid_resp_gets_an_error_reply_and_is_closed(data: bytes) -> None:
     async def scenario() -> None:
         async with site(always(SERVED)) as one:
             client = await one.client()
@@ -233,7 +239,7 @@
                 assert "Protocol error" in str(await client.reply())
                 assert await client.reply() is None
             except ConnectionResetError:
-                pass  # bytes were left unread: the end of the connection is told as a reset
+                pass  # a reset, as bytes of the client were left unread
             await until(lambda: not one.program.listener.clients)
             other = await one.client()
             assert await other.ask(b"PING") == b"PONG"
@@ -241,9 +247,10 @@
     play(scenario())
 
 
-def test_a_site_listens_where_no_peer_of_another_run_is_called() -> None:
-    """A gateway that has lost its counter goes on calling its port: whoever is given that port next has its
-    dozen connections, and never sees an empty table."""
+def test_a_site_listens_outside_the_range_of_outgoing_ports() -> None:
+    """Guards against a test whose listener gets the connections of another run, so that it is never without
+    clients. A gateway whose counter has ended keeps opening a dozen connections to the counter's port,
+    whatever listens there next."""
 
     async def scenario() -> None:
         low, high = outgoing_ports()
@@ -255,8 +262,8 @@
     play(scenario())
 
 
-def test_commands_behind_a_full_line_wait_their_turn() -> None:
-    """A client that writes without end is left unread at a point, and loses nothing by it."""
+def test_commands_past_the_pending_limit_wait_and_are_answered() -> None:
+    """A client that keeps writing is not read from past `MAX_PENDING_COMMANDS`, yet gets all replies."""
 
     async def scenario() -> None:
         release = asyncio.Event()
@@ -284,23 +291,22 @@
             client = await one.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await until(lambda: one.program.listener.clients)
-            (held,) = one.program.listener.clients
+            (connection,) = one.program.listener.clients
             word = b"x" * 60_000
-            while not held.is_write_blocked:
+            while not connection.is_write_blocked:
                 client.send(b"PING", word)
                 await asyncio.sleep(0)
-            assert held.is_reading_paused and held.transport is not None
-            assert held.transport.get_write_buffer_size() < 8_000_000
+            assert connection.is_reading_paused and connection.transport is not None
+            assert connection.transport.get_write_buffer_size() < 8_000_000
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            while (
-                held.is_write_blocked
-            ):  # all of it, or the client itself would stop reading at its own bound
+            # Reads all replies, since the client's own stream would stop reading at its limit.
+            while connection.is_write_blocked:
                 assert await client.reply() == word
 
     play(scenario())
 
 
-def test_past_the_limit_an_idle_connection_makes_room() -> None:
+def test_past_the_limit_an_idle_connection_is_evicted() -> None:
     async def scenario() -> None:
         async with site(always(None), sockets=64) as one:
             one.program.listener.connection_slots.max_connections = 2
@@ -319,7 +325,7 @@
     play(scenario())
 
 
-def test_a_fault_at_a_command_costs_neither_the_answer_nor_the_connection(
+def test_an_exception_in_a_command_gets_a_reply_and_keeps_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
--- a/tests/listeners/resp2/test_unread_replies.py
+++ b/tests/listeners/resp2/test_unread_replies.py
@@ -1,4 +1,4 @@
-"""Clients that do not read their replies: what they hold is bounded, and others are served meanwhile."""
+"""Clients that do not read their replies: their memory and slots are limited, and others are served."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import CloseReason
 from glenchute.protocol import resp2 as resp
-from tests.loopback import CUSTOMER, GET, SERVED, Site, always, play, send_to, site, until
-from tests.loopback import Script as Decisions
+from tests.loopback import CUSTOMER, GET, SERVED, Script, Site, always, play, send_to, site, until
 
 WORD = b"x" * 60_000
 LARGE = resp.encode_command(b"PING", WORD)
@@ -21,24 +20,24 @@
 
 @contextmanager
 def sockets(one: Site, count: int) -> Iterator[list[socket.socket]]:
-    """Connections that read nothing of themselves, with little room in the kernel."""
-    made = []
+    """Client sockets that are not read from unless the test does, with small receive buffers."""
+    opened = []
     for _ in range(count):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(("127.0.0.1", one.port))
         sock.setblocking(False)
-        made.append(sock)
+        opened.append(sock)
     try:
-        yield made
+        yield opened
     finally:
-        for sock in made:
+        for sock in opened:
             sock.close()
 
 
 @asynccontextmanager
 async def writing(socks: list[socket.socket], data: bytes) -> AsyncIterator[None]:
-    """Sends the data over and over on each of them, as far as it is taken."""
+    """Sends the data repeatedly on each socket, as fast as it is accepted."""
 
     async def write(sock: socket.socket) -> None:
         with suppress(ConnectionError):
@@ -54,8 +53,8 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def buffered(one: Site) -> int:
-    """What the gateway holds for all clients, counted anew."""
+def buffered_bytes(one: Site) -> int:
+    """The bytes that the gateway buffers for all clients, counted independently of its own total."""
     return sum(
         client.transport.get_write_buffer_size() + client.parser.buffered_bytes + client.waiting_reply_bytes
         for client in one.program.listener.clients
@@ -63,38 +62,38 @@
     )
 
 
-def test_what_unread_replies_hold_has_one_bound_for_the_process() -> None:
+def test_unread_replies_of_all_clients_have_one_memory_limit() -> None:
     """Guards against memory that grows with the number of clients that do not read."""
-    bound = 2 * 1024 * 1024
+    limit = 2 * 1024 * 1024
 
     async def scenario() -> None:
         async with site(always(SERVED)) as one:
             listener = one.program.listener
-            listener.client_memory.max_bytes = bound
+            listener.client_memory.max_bytes = limit
             other = await one.client()
             with sockets(one, 60) as socks:
                 async with writing(socks, LARGE):
                     counts = listener.connection_slots.closed_counts
                     await until(lambda: counts[CloseReason.UNREAD] >= 20)
-                    most = 0
+                    peak = 0
                     for _ in range(200):
                         await asyncio.sleep(0)
-                        most = max(most, buffered(one))
+                        peak = max(peak, buffered_bytes(one))
                     assert await other.ask(b"PING") == b"PONG"
-            # One turn's replies and one read of each come in before the next relief.
-            assert most <= bound + 60 * (len(WORD) + 64 * 1024), f"{most} bytes"
+            # Each connection may add one turn's replies and one read before memory is relieved again.
+            assert peak <= limit + 60 * (len(WORD) + 64 * 1024), f"{peak} bytes"
             await until(lambda: len(listener.clients) == 1)
-            assert listener.client_memory.total_bytes == buffered(one) == 0
+            assert listener.client_memory.total_bytes == buffered_bytes(one) == 0
 
     play(scenario())
 
 
-def test_a_client_that_does_not_read_gives_its_slot_to_a_newcomer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against service that ends once those who do not read have taken all slots."""
+def test_a_client_that_does_not_read_loses_its_slot_to_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an outage once clients that do not read their replies occupy all slots."""
     monkeypatch.setattr(client_slots, "MIN_WRITE_BLOCKED_S", 0.02)
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Decisions(send_to("s0")), sockets=96) as one:
+        async with site(always(SERVED), decisions=Script(send_to("s0")), sockets=96) as one:
             slots = one.program.listener.connection_slots
             with sockets(one, slots.max_connections) as socks:
                 async with writing(socks, LARGE):
@@ -109,8 +108,8 @@
     play(scenario())
 
 
-def test_a_rejected_newcomer_that_goes_on_writing_is_cut_off() -> None:
-    """Guards against the time that is spent on reading, and throwing away, what rejected clients send."""
+def test_a_rejected_client_that_keeps_writing_is_aborted() -> None:
+    """Guards against unlimited time spent on discarding what rejected clients send."""
 
     async def scenario() -> None:
         async with site(always(SERVED), sockets=96) as one:
@@ -118,9 +117,9 @@
             listener.connection_slots.max_connections = 0
             with sockets(one, 1) as socks:
                 await until(lambda: listener.connection_slots.closed_counts[CloseReason.NO_SLOT] == 1)
-                held = next(iter(listener.clients))
+                rejected = next(iter(listener.clients))
                 async with writing(socks, LARGE):
-                    await until(lambda: held.transport is None)
-                assert held.discarded_bytes <= 256 * 1024 + len(LARGE)
+                    await until(lambda: rejected.transport is None)
+                assert rejected.discarded_bytes <= 256 * 1024 + len(LARGE)
 
     play(scenario())
