--- a/glenchute/upstreams/connection.py
+++ b/glenchute/upstreams/connection.py
@@ -28,7 +28,7 @@
     def on_connected(self, conn: Connection) -> None:
         """Registers an established connection."""
 
-    def give_back(self, conn: Connection) -> None:
+    def release(self, conn: Connection) -> None:
         """Returns a connection without attempts to the idle ones."""
 
     def remove_connection(self, conn: Connection) -> None:
@@ -90,7 +90,7 @@
             return
         self.attempt = None
         if is_reusable:
-            self.pool.give_back(self)
+            self.pool.release(self)
         else:
             self.abort()  # a value followed by surplus bytes is served, but its connection is not reused
         attempt.finish(result)
--- a/glenchute/upstreams/connection_pool.py
+++ b/glenchute/upstreams/connection_pool.py
@@ -31,7 +31,7 @@
         # Set when the server drains or was removed: nothing is written after this time.
         self.stop_at: float | None = None
 
-    def take(self) -> Connection | None:
+    def acquire(self) -> Connection | None:
         """Removes and returns the most recently used idle connection that is safe to reuse, if any.
 
         The server may be closing one that has been idle for too long, and one that became idle just now may
@@ -51,7 +51,7 @@
             conn.abort()
         return None
 
-    def give_back(self, conn: Connection) -> None:
+    def release(self, conn: Connection) -> None:
         """Keeps a connection as idle after its response, unless the server drains or was removed."""
         if self.stop_at is not None or conn.transport is None or conn.transport.is_closing():
             conn.abort()
--- a/glenchute/upstreams/exclusive_attempt.py
+++ b/glenchute/upstreams/exclusive_attempt.py
@@ -38,7 +38,7 @@
         """Writes the command to an idle connection if there is one, otherwise opens a connection."""
         tracker = self.pool.tracker
         self.timer = tracker.loop.call_at(self.expires_at, self.stop, Outcome.TIMEOUT)
-        conn = self.pool.take()
+        conn = self.pool.acquire()
         if conn is not None:
             self.write(conn)
         elif not tracker.make_room():
@@ -66,7 +66,7 @@
         self.hedge_timer = None
         if pool.stop_at is not None:
             return
-        conn = pool.take()
+        conn = pool.acquire()
         if conn is not None:
             self.write(conn)
         elif tracker.connection_count() < tracker.max_connections() and pool.hedge_budget.try_withdraw():
--- a/glenchute/upstreams/pipelined_attempt.py
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -187,7 +187,7 @@
         conn, command = self.conn, self.command
         if conn is None or command is None or conn.withdraw(command):
             if conn is not None:
-                conn.give_back_if_idle()
+                conn.release_if_idle()
             # Nothing was written, so the request did not run.
             self.finish(
                 AttemptResult(Outcome.NOT_SENT if outcome is Outcome.NOT_SENT else Outcome.UNREACHABLE)
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -170,7 +170,7 @@
             return
         self.is_up = True
         self.runtime.scheduler.on_connected(self.runtime.now_ms(), self.connection_id)
-        self.give_back_if_idle()
+        self.release_if_idle()
         self._flush()
         self.runtime.schedule_check()
 
@@ -237,7 +237,7 @@
         for attempt in expired:
             attempt.finish(AttemptResult(Outcome.NOT_SENT))
         if expired:
-            self.give_back_if_idle()
+            self.release_if_idle()
 
     def _encode_pending(self, now: float) -> list[PipelinedItem]:
         """Encodes the pending commands; withdraws and returns those that are too late to be written."""
@@ -262,10 +262,10 @@
         self.runtime.scheduler.on_withdrawn(now_ms, self.connection_id, attempt_id)
         return True
 
-    def give_back_if_idle(self) -> None:
+    def release_if_idle(self) -> None:
         """Returns the connection to the pool's idle ones if no attempt is on it."""
         if self.is_up and not self.pipeline and self.final_results is None:
-            self.pool.give_back(self)
+            self.pool.release(self)
 
     def _update_sent(self) -> None:
         """Updates how many of the written bytes may have been sent."""
@@ -329,7 +329,7 @@
             self.final_results[:0] = [one for one in results if one.result.outcome is not Outcome.OK]
             results = [one for one in results if one.result.outcome is Outcome.OK]
         elif results:
-            self.give_back_if_idle()
+            self.release_if_idle()
         for attempt, result in results:
             attempt.finish(result)
         if not fault and results:
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -653,7 +653,7 @@
             conns.append(Connection(servers.pools[f"n{n}"]))
             conns[-1].connection_made(Ends(conns[-1]))
         assert servers.connection_count() == 3 and not servers.may_open() and not servers.make_room()
-        servers.pools["n7"].give_back(conns[1])
+        servers.pools["n7"].release(conns[1])
         assert servers.may_open() and servers.make_room() and servers.connection_count() == 2
         servers.remove_server("n5")
         servers.sweep()
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -327,7 +327,7 @@
     async def act(made: Scene) -> None:
         conn = Connection(made.pool)
         await uvloop.Loop.create_connection(made.loop, lambda: conn, *made.pool.address)
-        made.pool.give_back(conn)
+        made.pool.release(conn)
         await made.ended(Outcome.OK, 1)
         assert len(made.loop.gates) == 1 and made.servers.hedged_connects == 0
 
