--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -99,7 +99,7 @@
         self.listener.closed_peers.add(self, self.transport.get_extra_info("socket"))
         self.listener.on_connected(self)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed the connection."""
         return self.is_closed_by_peer or self.listener.closed_peers.has_closed(self)
 
@@ -262,7 +262,7 @@
         slot.request_id = call.request_id
         self.listener.request_count += 1
         try:
-            request = self.listener.gateway.accept(call, slot.complete, self.has_left)
+            request = self.listener.gateway.accept(call, slot.complete, self.has_disconnected)
         except Exception:
             slot.release()
             raise
--- a/lab/soak/mutants.py
+++ b/lab/soak/mutants.py
@@ -83,7 +83,7 @@
 
 def ignores_disconnects() -> None:
     """Requests of clients that left are sent on."""
-    ClientConnection.has_left = lambda self: False  # type: ignore[method-assign]
+    ClientConnection.has_disconnected = lambda self: False  # type: ignore[method-assign]
     RequestExecutor.client_disconnected = lambda self, request: None  # type: ignore[method-assign]
 
 
