--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -191,9 +191,8 @@
         """Registers the established connection, and has the transport buffer as little as possible."""
         super().connection_made(transport)
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(
-            high=0
-        )  # so that `pause_writing` is called as soon as any byte is buffered
+        # `pause_writing` is then called as soon as any byte is buffered.
+        self.transport.set_write_buffer_limits(high=0)
 
     # --- writing -----------------------------------------------------------------------------------------
 
--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -6,8 +6,8 @@
 slows the server down.
 
 Every wait is bounded. A stream is aborted here if the server sends nothing although it is read from, if the
-whole value takes too long, or if the client does not read while other streams wait for a permit. Without
-waiting streams it is the listener that closes a client that does not read.
+whole value takes too long, or if the client does not read while other streams wait for a permit. Otherwise
+the listener limits how long a client may go without reading.
 """
 
 from __future__ import annotations
