--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -11,12 +11,11 @@
 from glenchute.policy.settings import Idempotency, Settings
 from glenchute.protocol import resp2 as resp
 
-MAX_FIELDS_BYTES = 512  # of the field list, name=value,name=value...
+MAX_FIELDS_BYTES = 512  # of the field list, name=value,name=value,...
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 MAX_TENANT_NUMBER = 1 << 33
-IDENTIFIER_PATTERN = re.compile(
-    rb"[!-~]{1,64}"
-)  # request ids and idempotency keys: printable ASCII without spaces
+# Request ids and idempotency keys: printable ASCII without spaces.
+IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,64}")
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,9})?")
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,6}")
 
--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -126,7 +126,7 @@
         self.set_state(ConnectionState.WRITE_BLOCKED)
 
     def abandon_replies(self) -> None:
-        """Drops the pending replies and reports their requests as disconnected."""
+        """Drops the pending replies, and reports to the gateway that the client has disconnected."""
         slots, self.slots = self.slots, deque()
         self.waiting_reply_bytes = 0
         for slot in slots:
@@ -186,9 +186,8 @@
                 remaining -= 1
                 self.has_sent_command = True
                 if self.has_partial_command:
-                    self.set_state(
-                        ConnectionState.ACTIVE
-                    )  # so that the timeout of a partial command starts again
+                    # The timeout of a partial command starts again.
+                    self.set_state(ConnectionState.ACTIVE)
                 self.handle_command(words)
         except resp.ProtocolError as error:
             self.close_on_protocol_error(error)
@@ -306,9 +305,8 @@
             written = b"".join(ready)
             self.waiting_reply_bytes = max(0, self.waiting_reply_bytes - len(written))
             if not self.slots:
-                self.waiting_reply_bytes = (
-                    0  # some short replies, as the end of a streamed value, were not counted
-                )
+                # Some short replies were not counted, such as the end of a streamed value.
+                self.waiting_reply_bytes = 0
             self.transport.write(written)
             if (
                 not self.slots
@@ -381,9 +379,8 @@
         self.is_closing = True
         self.slots[0].source = None
         if self.transport is not None and not self.transport.is_closing():
-            self.set_state(
-                ConnectionState.WRITE_BLOCKED
-            )  # limits the time for a client that does not read them
+            # Limits the time for a client that does not read them.
+            self.set_state(ConnectionState.WRITE_BLOCKED)
             self.transport.close()
 
     def update_state(self) -> None:
--- a/glenchute/upstreams/exclusive_attempt.py
+++ b/glenchute/upstreams/exclusive_attempt.py
@@ -87,9 +87,8 @@
                 self._on_connect_failed()
             return
         except asyncio.CancelledError:
-            pool.remove_connection(
-                conn
-            )  # `connection_lost` is not called if this is cancelled just as the connect completes
+            # `connection_lost` is not called if this is cancelled just as the connect completes.
+            pool.remove_connection(conn)
             tracker.connect_times.record_abandoned(tracker.loop.time() - began)
             raise
         self.connects.discard(task)
--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -30,9 +30,8 @@
         self.unopened: dict[str, Address] = {}  # addresses of servers without a pool yet
         # Servers in `unopened` that drain, with the loop time after which nothing is written to them.
         self.stopping: dict[str, float] = {}
-        self.removed: set[ConnectionPool] = (
-            set()
-        )  # pools that were replaced or whose servers have left the list
+        # Pools that were replaced or whose servers have left the list.
+        self.removed: set[ConnectionPool] = set()
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def new_pool(self, server: str, address: Address) -> ConnectionPool:
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -171,9 +171,8 @@
             assert server.ids() == [b"a", b"b", b"c", b"d", b"e"]
             assert not upstream.runtime.attempts and not one.program.gateway.attempts_in_flight
             await burst(client, *reads([b"f"]))
-            assert (
-                await client.reply() == b"f" and len(server.writers) == 1
-            )  # the connection was idle again and is reused
+            # The connection was idle again and is reused.
+            assert await client.reply() == b"f" and len(server.writers) == 1
 
     play(scenario())
 
@@ -446,9 +445,8 @@
                     peak = max(peak, upstream.connection_count())
                 wrong = [(reply, name) for reply, name in zip(replies, mine, strict=True)
                        if reply != name and not isinstance(reply, hiredis.ReplyError)]  # fmt: skip
-                assert (
-                    not wrong
-                )  # some may be rejected or fail on a busy machine, but none gets another's value
+                # Some may be rejected or fail on a busy machine, but none gets another's value.
+                assert not wrong
             ran = Counter(servers[0].ids() + servers[1].ids())
             # If this machine stalls, the servers appear stalled too, and reads are retried.
             assert max(ran.values()) <= one.program.gateway.max_attempts and len(ran) > 100
--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -443,9 +443,8 @@
             for client in others:
                 ask(client, ids)
             assert await asyncio.gather(*(client.reply() for client in others)) == [value] * 5
-            assert Outcome.ERROR in outcomes(
-                script
-            )  # the stream that was not read was aborted for the others
+            # The stream that was not read was aborted for the others.
+            assert Outcome.ERROR in outcomes(script)
 
     play(scenario())
 
