--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all servers, by the servers' ids."""
+"""The connection pools of all servers, by server id."""
 
 from __future__ import annotations
 
@@ -18,25 +18,28 @@
 
 
 class ServerPools(ConnectionTracker):
-    """The upstream: knows which servers take work, and makes attempts on connections to them.
+    """The upstream: the servers that accept requests, and the attempts on connections to them.
 
-    A server of a long endpoint list gets its pool when it is first used, as most never are.
+    The pool of a server from a long endpoint list is created when the server is first used, as most servers
+    never are.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: UpstreamLimits) -> None:
         super().__init__(loop, limits)
         self.pools: dict[str, ConnectionPool] = {}
-        self.unopened: dict[str, Address] = {}  # servers without a pool
-        self.stopping: dict[str, float] = {}  # of these, draining ones: nothing is written after this time
-        self.removed: set[ConnectionPool] = set()  # of servers that are not listed any more
+        self.unopened: dict[str, Address] = {}  # addresses of servers without a pool yet
+        # Servers in `unopened` that drain, with the loop time after which nothing is written to them.
+        self.stopping: dict[str, float] = {}
+        # Pools that were replaced or whose servers have left the list.
+        self.removed: set[ConnectionPool] = set()
         self.sweeper = loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def new_pool(self, server: str, address: Address) -> ConnectionPool:
-        """A pool for a server that was not listed at this address before."""
+        """Creates the pool of a server that is new, is active again or has a new address."""
         return ConnectionPool(self, address)
 
-    def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
-        """A server takes work; `started_anew`: with a new process."""
+    def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
+        """Adds or updates a server that accepts requests; `has_restarted`: it has a new process."""
         if self.unopened.pop(server, None) is not None:
             self.stopping.pop(server, None)
             self.pools[server] = self.new_pool(server, address)
@@ -47,31 +50,39 @@
                 self.removed.add(pool)
                 pool.stop()
             self.pools[server] = self.new_pool(server, address)
-        elif started_anew:
-            pool.close_idle()  # they lead to the process that ended
+        elif has_restarted:
+            pool.close_idle()  # they are connected to the process that has ended
 
     def activate_servers(
-        self, addresses: dict[str, Address], anew: Callable[[str], bool], stay: Collection[str] | None
+        self,
+        addresses: dict[str, Address],
+        has_restarted: Callable[[str], bool],
+        retained: Collection[str] | None,
     ) -> None:
-        """Many servers take work; `anew`: whether one has a new process. Of the others all stay as they are,
-        or, unless it is None, those in `stay`, and the rest is removed."""
+        """Adds or updates servers that accept requests; `has_restarted` tells whether one has a new process.
+
+        Of all other servers those in `retained` are left unchanged and the rest is removed; None: all are
+        left unchanged.
+        """
         for server in list(self.pools):
             if server in addresses:
-                self.activate_server(server, addresses[server], anew(server))
-            elif stay is not None and server not in stay:
+                self.activate_server(server, addresses[server], has_restarted(server))
+            elif retained is not None and server not in retained:
                 self.remove_server(server)
         stopping = self.stopping.items()
         self.stopping = {
-            name: at for name, at in stopping if name not in addresses and (stay is None or name in stay)
+            name: at
+            for name, at in stopping
+            if name not in addresses and (retained is None or name in retained)
         }
-        if stay is not None:
+        if retained is not None:
             self.unopened = {name: self.unopened[name] for name in self.stopping}
         self.unopened |= addresses
         for server in self.pools:
             self.unopened.pop(server, None)
 
     def drain_server(self, server: str) -> None:
-        """A server drains: it gets nothing new, attempts in flight may finish."""
+        """Stops new attempts at a server that drains; those in flight may finish."""
         if server in self.unopened:
             stop_at = self.loop.time() + self.limits.drain_grace_s - GRACE_MARGIN_S
             self.stopping.setdefault(server, stop_at)
@@ -81,7 +92,7 @@
             pool.stop()
 
     def remove_server(self, server: str) -> None:
-        """A server was removed from the endpoint list."""
+        """Removes a server that has left the endpoint list; its attempts in flight may finish."""
         self.unopened.pop(server, None)
         self.stopping.pop(server, None)
         pool = self.pools.pop(server, None)
@@ -90,18 +101,21 @@
             self.removed.add(pool)
 
     def is_stopping(self, server: str) -> bool:
-        """Whether a server drains or is unknown."""
+        """Whether a server drains or is not listed."""
         pool = self.pools.get(server)
         if pool is None:
             return server not in self.unopened or server in self.stopping
         return pool.stop_at is not None
 
     def server_ids(self) -> list[str]:
-        """All servers that are listed or drain."""
+        """The ids of all servers that are active or draining."""
         return [*self.pools, *self.unopened]
 
     def open_pool(self, server: str) -> ConnectionPool | None:
-        """The pool of a server that takes work, or that drains and is within its grace period."""
+        """The pool of a server that is active or within its drain's grace period, else None.
+
+        Creates the pool if the server has none yet.
+        """
         if server in self.stopping:
             pool = self.pools[server] = self.new_pool(server, self.unopened.pop(server))
             pool.stop_at = self.stopping.pop(server)
@@ -113,7 +127,7 @@
         return found
 
     def address(self, server: str) -> Address | None:
-        """The address of a server; None if it gets nothing (any more)."""
+        """The address of a server; None if it accepts no requests (any more)."""
         pool = self.open_pool(server)
         return pool.address if pool is not None else None
 
@@ -124,11 +138,11 @@
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float = math.inf,
-        about: AttemptContext | None = None,
+        context: AttemptContext | None = None,
     ) -> BaseAttempt | None:
-        """Creates an attempt, not started yet; None if the server gets nothing (any more).
+        """Creates an attempt without starting it; None if the server accepts no requests (any more).
 
-        `about` is for attempts that share connections, and not used here.
+        `context` is unused here; only attempts that share connections need it.
         """
         pool = self.open_pool(server)
         if pool is None:
@@ -136,8 +150,8 @@
         return ExclusiveAttempt(pool, payload, timeout_s, done, write_by)
 
     def sweep(self) -> None:
-        """Closes connections before the server would for being idle, and forgets removed pools without
-        any."""
+        """Closes connections that have been idle for long, before the server would, and drops removed pools
+        without connections."""
         self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         before = self.loop.time() - self.limits.max_idle_s
         for pool in [pool for pool in self.active_pools if pool.idle]:
@@ -145,7 +159,7 @@
         self.removed = {pool for pool in self.removed if pool.open}
 
     def close(self) -> None:
-        """Closes everything, at the end of the process."""
+        """Closes all connections, at the end of the process."""
         self.sweeper.cancel()
         for pool in [*self.pools.values(), *self.removed]:
             for conn in list(pool.open):
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -328,7 +328,7 @@
     async def race_scenario(race: HedgeRace) -> None:
         conn = Connection(race.pool)
         await uvloop.Loop.create_connection(race.loop, lambda: conn, *race.pool.address)
-        race.pool.give_back(conn)
+        race.pool.release(conn)
         await race.expect_result(Outcome.OK, 1)
         assert len(race.loop.connect_gates) == 1 and race.servers.hedged_connects == 0
 
