--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -18,7 +18,7 @@
 
 from benchmarks.machine import machine
 from glenchute.policy.balancing.hash_ring import ring_position
-from glenchute.policy.balancing.subset import DRIFT_MS, Subset, SubsetTerms, walk_ring
+from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetTerms, walk_ring
 from glenchute.policy.events import Endpoint, EndpointState
 from glenchute.policy.settings import SlowStart
 from lab.coldstart import Herd
@@ -35,7 +35,7 @@
         subset = Subset(SubsetTerms(gateways, number, used), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in servers])
         subset.in_use = dict.fromkeys(sorted(before[number]) if before is not None else ())
-        subset.settle(0.0)
+        subset.refresh(0.0)
         chosen.append(set(subset.in_use))
     return chosen
 
@@ -110,18 +110,18 @@
     for number in range(gateways):
         subset = Subset(SubsetTerms(gateways, number, used), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in now])
-        subset.settle(0.0)
+        subset.refresh(0.0)
         subsets.append(subset)
     for at in range(servers * 6 // 10):
         gone, new = row[at], row[servers + at]
         for subset in subsets:
             subset.apply_changes((Endpoint(gone, "a", state=EndpointState.REMOVED), Endpoint(new, "a")))
-            subset.settle(0.0)
+            subset.refresh(0.0)
     found = []
     for hour in (0, 1):
         for tick in range(360 * hour):
             for subset in subsets:
-                subset.drift((tick + 1.0) * DRIFT_MS)
+                subset.rebalance((tick + 1.0) * REBALANCE_INTERVAL_MS)
         met = Counter(server for subset in subsets for server in subset.in_use)
         found.append(max(met.values()) * servers / sum(met.values()))
     return found[0], found[1]
--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -8,9 +8,10 @@
 position that its number alone gives, evenly spread however many gateways there are: no message passes between
 them.
 
-A server in use is kept while it is listed, and every `DRIFT_MS` one is replaced towards what the ring has by
-now: by the ring alone, each change of the list would replace a server at half of the gateways, each of them a
-handshake. A changed row is put into its ring by bisection; all else walks what is in use.
+A server in use stays in use while it is listed; every `REBALANCE_INTERVAL_MS` one server is replaced by one
+that the rings assign now. Following the rings at once would replace a server at half of the gateways for each
+change of the list, each time at the cost of a handshake. A changed row is put into its ring by bisection;
+all other work is proportional to the number of servers in use.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 STEP_MS = 250.0  # between two steps wider
 GROWTH_FRACTION = 0.25  # of the servers in use that one step adds
 CALM_MS = 10_000.0  # of low load before some go out of use again
-DRIFT_MS = 10_000.0  # between two replacements
+REBALANCE_INTERVAL_MS = 10_000.0  # between two replacements
 SHRINK_FRACTION = 0.125  # of the excess that goes out of use at a time
 UNREACHABLE_MS = 5_000.0  # a server that could not be reached counts `MIN_WEIGHT` for so long
 MAX_UNREACHABLE = 5_000
@@ -74,7 +75,7 @@
         self.in_use: dict[str, None] = {}  # in the order in which they came into use
         self.unreachable_until_ms: dict[str, float] = {}
         self.extra_servers = 0  # beyond `min_servers`, by the load
-        self.is_stale = True  # something has changed since the last `settle`
+        self.is_stale = True  # something has changed since the last `refresh`
         self.widened_ms = self.drifted_ms = self.calm_since_ms = -1e12
         self.replaced_count = 0  # servers that went out of use though they were listed
 
@@ -176,7 +177,7 @@
             sums[zone] = sums.get(zone, 0.0) + weight
         return sums
 
-    def settle(self, now_ms: float) -> tuple[list[str], list[str]]:
+    def refresh(self, now_ms: float) -> tuple[list[str], list[str]]:
         """Brings what is in use up to date; which servers came into use, and which went out."""
         self.is_stale = False
         removed = [server for server in self.in_use if server not in self.listed]
@@ -194,9 +195,9 @@
                 weights[zone] = weights.get(zone, 0.0) + weight
         return added, removed
 
-    def drift(self, now_ms: float) -> tuple[list[str], list[str]]:
+    def rebalance(self, now_ms: float) -> tuple[list[str], list[str]]:
         """Replaces one server by one of the ring's, or takes some out of use where there are too many."""
-        if now_ms - self.drifted_ms < DRIFT_MS:
+        if now_ms - self.drifted_ms < REBALANCE_INTERVAL_MS:
             return [], []
         self.drifted_ms = now_ms
         ideal = self.ideal(now_ms)
--- a/glenchute/policy/balancing/subsetting_engine.py
+++ b/glenchute/policy/balancing/subsetting_engine.py
@@ -82,9 +82,9 @@
             server: until_ms for server, until_ms in subset.unreachable_until_ms.items() if until_ms > now_ms
         }
         subset.adjust_size(now_ms, sum(self.in_flight.get(server, 0) for server in subset.in_use))
-        added, removed = subset.settle(now_ms) if subset.is_stale else ([], [])
+        added, removed = subset.refresh(now_ms) if subset.is_stale else ([], [])
         if not added and not removed:
-            added, removed = subset.drift(now_ms)
+            added, removed = subset.rebalance(now_ms)
         return self.pass_changes(now_ms, added, removed, ())
 
     # --- the list -----------------------------------------------------------------------------------------
@@ -108,7 +108,7 @@
             subset.rings = {}
             subset.update_rings(subset.listed.values(), ())
         if is_full:
-            subset.settle(now_ms)
+            subset.refresh(now_ms)
             self.reported_total = length
             in_use = tuple(subset.listed[server] for server in subset.in_use)
             return self.pass_on(now_ms, EndpointList(event.kind, in_use, length))
@@ -119,7 +119,7 @@
     def begin_subsetting(self, now_ms: float, event: EndpointList, known: Iterable[str]) -> list[Action]:
         """By these changes the list has become too long to be used whole."""
         subset = self.subset
-        subset.settle(now_ms)
+        subset.refresh(now_ms)
         removed = [server for server in known if server not in subset.in_use and server in subset.listed]
         inactive = [endpoint for endpoint in event.endpoints if endpoint.state is not EndpointState.ACTIVE]
         return self.pass_changes(now_ms, list(subset.in_use), removed, tuple(inactive))
@@ -133,7 +133,7 @@
         has_lost = any(endpoint.state is not EndpointState.ACTIVE for endpoint in changed)
         added, removed = list[str](), list[str]()
         if is_short or has_lost or self.may_lack_zone(event):
-            added, removed = subset.settle(now_ms)
+            added, removed = subset.refresh(now_ms)
         named = {endpoint.address for endpoint in changed}
         unnamed = [server for server in removed if server not in named]
         return self.pass_changes(now_ms, added, unnamed, tuple(changed))
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -401,7 +401,7 @@
     for number in range(gateways if most else 0):
         one = Subset(SubsetTerms(gateways, number), SlowStart())
         one.listed, one.rings = first.listed, first.rings
-        one.settle(0.0)
+        one.refresh(0.0)
         assert len(one.in_use) == used
         met.update(one.in_use.keys())
     assert {met[entry.address] for entry in fleet} <= set(range(least, most + 1))
