--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -1,12 +1,12 @@
-"""Subsetting: which of the listed servers one gateway uses, so that the cost of a choice follows what is
-used, and each server has connections of few gateways.
+"""Subsetting: which of the listed servers one gateway uses, so that the cost of an endpoint choice depends on
+the servers in use alone, and each server has connections from few gateways.
 
-With all of M servers used by all of N gateways, each request looks at M servers, and N M connections are
-opened after a start. Here each gateway uses as many as `subset_size` has it, or as the operator's file names,
-and more as its load needs it (Finagle's aperture; "Reinventing Backend Subsetting at Google", ACM Queue 2022,
-for what such subsets have to do). The servers of a zone stand on a hash ring, and each gateway begins at a
-position that its number alone gives, evenly spread however many gateways there are: no message passes between
-them.
+If all of N gateways used all of M servers, each request would compare M servers, and N M connections would be
+opened after a start. Here each gateway uses as many as `subset_size` returns or the operator's file sets, and
+more when its load requires it (as Finagle's aperture does; "Reinventing Backend Subsetting at Google", ACM
+Queue 2022, states the requirements). The servers of a zone are placed on a hash ring, and each gateway begins
+at a position that follows from its number alone. The positions are evenly spread for any number of gateways,
+so gateways exchange no messages for this.
 
 A server in use stays in use while it is listed; every `REBALANCE_INTERVAL_MS` one server is replaced by one
 that the rings assign now. Following the rings at once would replace a server at half of the gateways for each
@@ -26,31 +26,32 @@
 from .hash_ring import RingedEndpoints, RingPosition, ring_position
 from .subset_size import subset_size
 
-MIN_WEIGHT = 0.2  # of a server that warms up or is unreachable: bounds how far a ring is walked
+MIN_WEIGHT = 0.2  # least weight of a server that warms up or is unreachable; bounds the walk over a ring
 GOLDEN_RATIO = 0.618034
-STEP_MS = 250.0  # between two steps wider
-GROWTH_FRACTION = 0.25  # of the servers in use that one step adds
-CALM_MS = 10_000.0  # of low load before some go out of use again
-REBALANCE_INTERVAL_MS = 10_000.0  # between two replacements
-SHRINK_FRACTION = 0.125  # of the excess that goes out of use at a time
-UNREACHABLE_MS = 5_000.0  # a server that could not be reached counts `MIN_WEIGHT` for so long
-MAX_UNREACHABLE = 5_000
-MAX_SINGLE_INSERTS = 16  # changes of one ring up to which each is inserted by itself
+GROWTH_INTERVAL_MS = 250.0  # time between two enlargements of the subset
+GROWTH_FRACTION = 0.25  # fraction of the servers in use that one enlargement adds
+LOW_LOAD_MS = 10_000.0  # time of low load after which servers are released
+REBALANCE_INTERVAL_MS = 10_000.0  # time between two replacements of a server
+SHRINK_FRACTION = 0.125  # fraction of the surplus servers that is released at a time
+UNREACHABLE_MS = 5_000.0  # how long a server that could not be reached has `MIN_WEIGHT`
+MAX_UNREACHABLE = 5_000  # servers that are remembered as unreachable
+MAX_SINGLE_INSERTS = 16  # changes to one ring that are inserted one by one; more are sorted in
 
 
 class SubsetTerms(NamedTuple):
-    """Which of the gateways this is, and how many servers it may use."""
+    """The gateway's place among all gateways, and how many servers it may use."""
 
     gateway_count: int
     gateway_number: int  # from 0; any number that no other gateway has
-    min_servers: int = 0  # in use, counted by weight; 0: as `subset_size` has it, of long lists only
-    busy_attempts: float = 2.0  # in flight at a server in use, on average, from which on more come into use
-    calm_attempts: float = 0.5  # ... and below which some go out of use
+    min_servers: int = 0  # sum of the weights in use at least; 0: `subset_size`, and only of long lists
+    busy_attempts: float = 2.0  # mean attempts in flight per server, from which servers are added
+    calm_attempts: float = 0.5  # mean attempts in flight per server, below which servers are released
 
 
 def first_position(gateway_number: int) -> float:
-    """Where on a ring, from 0 to 1, a gateway begins: the bits of its number behind the point in reverse
-    order (van der Corput's sequence). The first n of these lie evenly for any n."""
+    """Returns the position on a ring, from 0 to 1, at which a gateway begins: the bits of its number,
+    reversed after the binary point (van der Corput sequence). The first n positions are evenly spread for any
+    n."""
     position, bit = 0.0, 0.5
     while gateway_number > 0 and bit > 1e-15:
         position += bit * (gateway_number & 1)
@@ -59,7 +60,7 @@
 
 
 def walk_ring(ring: list[RingPosition], gateway_number: int) -> Iterator[str]:
-    """The servers of a ring in the order in which a gateway takes them."""
+    """Yields the servers of a ring in the order in which a gateway uses them."""
     first = int(first_position(gateway_number) * len(ring))
     for offset in range(len(ring)):
         yield ring[(first + offset) % len(ring)][1]
@@ -70,24 +71,25 @@
 
     def __init__(self, terms: SubsetTerms, slow_start: SlowStart) -> None:
         self.terms, self.slow_start = terms, slow_start
-        self.listed: dict[str, Endpoint] = {}  # active ones
-        self.rings: dict[str, list[RingPosition]] = {}  # by zone, sorted
-        self.in_use: dict[str, None] = {}  # in the order in which they came into use
+        self.listed: dict[str, Endpoint] = {}  # the active servers by address
+        self.rings: dict[str, list[RingPosition]] = {}  # positions of the active servers by zone, sorted
+        self.in_use: dict[str, None] = {}  # addresses in the order in which they were added
         self.unreachable_until_ms: dict[str, float] = {}
-        self.extra_servers = 0  # beyond `min_servers`, by the load
-        self.is_stale = True  # something has changed since the last `refresh`
-        self.widened_ms = self.drifted_ms = self.calm_since_ms = -1e12
-        self.replaced_count = 0  # servers that went out of use though they were listed
+        self.extra_servers = 0  # servers beyond `min_servers`, because of the load
+        self.is_stale = True  # whether anything has changed since the last `refresh`
+        self.last_growth_ms = self.last_rebalance_ms = self.low_load_since_ms = -1e12
+        self.replaced_count = 0  # servers taken out of use while they were listed
 
     @property
     def min_servers(self) -> int:
-        """How many are in use at least, counted by weight."""
+        """The least sum of the weights of the servers in use."""
         return self.terms.min_servers or subset_size(len(self.listed), self.terms.gateway_count)
 
     # --- the list -----------------------------------------------------------------------------------------
 
     def replace_list(self, endpoints: Iterable[Endpoint]) -> None:
-        """These are all active servers. Those that stay on their ring are not inserted anew."""
+        """Replaces the list by `endpoints`, all active servers. Those that stay on their ring are not
+        reinserted."""
         if isinstance(endpoints, RingedEndpoints):
             self.listed, self.rings, self.is_stale = endpoints.active, endpoints.rings, True
             return
@@ -107,7 +109,7 @@
         self.update_rings(added, removed)
 
     def apply_changes(self, endpoints: Iterable[Endpoint]) -> None:
-        """These rows have changed."""
+        """Applies the changed rows of the list."""
         added: dict[str, Endpoint] = {}
         removed: dict[str, Endpoint] = {}
         for endpoint in endpoints:
@@ -124,7 +126,7 @@
         self.update_rings(added.values(), removed.values())
 
     def update_rings(self, added: Iterable[Endpoint], removed: Iterable[Endpoint]) -> None:
-        """Brings the rings up to date, each by one sort where much has changed."""
+        """Adds endpoints to their rings and removes others; a ring with many changes is sorted once."""
         zones: dict[str, tuple[list[str], list[str]]] = {}
         for side, endpoints in enumerate((added, removed)):
             for endpoint in endpoints:
@@ -136,10 +138,11 @@
                 del self.rings[zone]
         self.is_stale = True
 
-    # --- what is in use -----------------------------------------------------------------------------------
+    # --- the servers in use ---------------------------------------------------------------------------------
 
     def weight(self, now_ms: float, server: str) -> float:
-        """What a server in use counts, 0 to 1: one that warms up by its age, an unreachable one least."""
+        """Returns the weight of a server, `MIN_WEIGHT` to 1: by its age while it warms up, least if
+        unreachable."""
         if self.unreachable_until_ms.get(server, -1e12) > now_ms:
             return MIN_WEIGHT
         started_ms = self.listed[server].started_ms
@@ -150,11 +153,12 @@
         weight = initial + (1.0 - initial) * max(0.0, now_ms - started_ms) / warm_up_ms
         return min(1.0, max(MIN_WEIGHT, weight))
 
-    def ideal(self, now_ms: float) -> dict[str, float]:
-        """What the rings have for this gateway now, each zone in proportion to its size, with weights."""
+    def assigned(self, now_ms: float) -> dict[str, float]:
+        """Returns the servers that the rings assign to this gateway now, with their weights; each zone has a
+        share in proportion to its size."""
         chosen: dict[str, float] = {}
         wanted, length, passed = self.min_servers + self.extra_servers, len(self.listed), 0
-        # Each gateway rounds by its number, so that no zone is used by fewer gateways than others.
+        # The rounding offset depends on the gateway, so that no zone is used by fewer gateways than others.
         offset = edge = int(length * (GOLDEN_RATIO * self.terms.gateway_number % 1.0))
         for zone in sorted(self.rings):
             ring = self.rings[zone]
@@ -169,8 +173,8 @@
                 sum_of_weights += chosen[server]
         return chosen
 
-    def by_zone(self, weights: Iterable[tuple[str, float]]) -> dict[str, float]:
-        """The sum of these weights in each zone."""
+    def sum_by_zone(self, weights: Iterable[tuple[str, float]]) -> dict[str, float]:
+        """Sums the weights by zone."""
         sums: dict[str, float] = {}
         for server, weight in weights:
             zone = self.listed[server].zone
@@ -178,15 +182,16 @@
         return sums
 
     def refresh(self, now_ms: float) -> tuple[list[str], list[str]]:
-        """Brings what is in use up to date; which servers came into use, and which went out."""
+        """Drops servers that are no longer listed and adds assigned ones where a zone is short. Returns the
+        added and the removed servers."""
         self.is_stale = False
         removed = [server for server in self.in_use if server not in self.listed]
         for server in removed:
             del self.in_use[server]
-        added, ideal = [], self.ideal(now_ms)
-        weights = self.by_zone((server, self.weight(now_ms, server)) for server in self.in_use)
-        wanted = self.by_zone(ideal.items())
-        for server, weight in ideal.items():
+        added, assigned = [], self.assigned(now_ms)
+        weights = self.sum_by_zone((server, self.weight(now_ms, server)) for server in self.in_use)
+        wanted = self.sum_by_zone(assigned.items())
+        for server, weight in assigned.items():
             zone = self.listed[server].zone
             is_short = zone not in weights or weights[zone] < wanted[zone]
             if server not in self.in_use and is_short:
@@ -196,32 +201,34 @@
         return added, removed
 
     def rebalance(self, now_ms: float) -> tuple[list[str], list[str]]:
-        """Replaces one server by one of the ring's, or takes some out of use where there are too many."""
-        if now_ms - self.drifted_ms < REBALANCE_INTERVAL_MS:
+        """Replaces one unassigned server by an assigned one of its zone, or releases some where there are too
+        many. Does nothing within `REBALANCE_INTERVAL_MS` of the last time. Returns the added and the removed
+        servers."""
+        if now_ms - self.last_rebalance_ms < REBALANCE_INTERVAL_MS:
             return [], []
-        self.drifted_ms = now_ms
-        ideal = self.ideal(now_ms)
-        strangers = [server for server in self.in_use if server not in ideal]
-        if not strangers:
+        self.last_rebalance_ms = now_ms
+        assigned = self.assigned(now_ms)
+        unassigned = [server for server in self.in_use if server not in assigned]
+        if not unassigned:
             return [], []
-        zone = self.listed[strangers[0]].zone
-        added = [one for one in ideal if one not in self.in_use and self.listed[one].zone == zone][:1]
-        removed = strangers[:1] if added else self.excess(strangers, len(ideal))
+        zone = self.listed[unassigned[0]].zone
+        added = [one for one in assigned if one not in self.in_use and self.listed[one].zone == zone][:1]
+        removed = unassigned[:1] if added else self.select_surplus(unassigned, len(assigned))
         for server in removed:
             del self.in_use[server]
         self.replaced_count += len(removed)
         self.in_use.update(dict.fromkeys(added))
         return added, removed
 
-    def excess(self, strangers: list[str], wanted: int) -> list[str]:
-        """Of the servers that the rings don't have for this gateway, those to go out of use: a fraction of
-        what is too much, and never the last of a zone."""
+    def select_surplus(self, unassigned: list[str], wanted: int) -> list[str]:
+        """Returns the unassigned servers to release: `SHRINK_FRACTION` of those beyond `wanted`, and never
+        the last one of a zone."""
         counts: dict[str, int] = {}
         for server in self.in_use:
             zone = self.listed[server].zone
             counts[zone] = counts.get(zone, 0) + 1
         removed = []
-        for server in strangers[: max(0, math.ceil(SHRINK_FRACTION * (len(self.in_use) - wanted)))]:
+        for server in unassigned[: max(0, math.ceil(SHRINK_FRACTION * (len(self.in_use) - wanted)))]:
             zone = self.listed[server].zone
             if counts[zone] > 1:
                 counts[zone] -= 1
@@ -229,27 +236,28 @@
         return removed
 
     def adjust_size(self, now_ms: float, in_flight: int) -> None:
-        """Wider or narrower by the attempts in flight at the servers in use. Never wider than these attempts
-        have use for, or twice as wide: where no server can be reached, using all that are listed would help
-        nobody and make each choice a walk over them."""
+        """Grows or shrinks the subset by the attempts in flight at the servers in use. It never has more
+        extra servers than these attempts can keep busy, or than `min_servers` if that is more: where no
+        server can be reached, using the whole list would not help, and each choice would compare all listed
+        servers."""
         weights = sum(self.weight(now_ms, server) for server in self.in_use)
-        useful = max(self.min_servers, math.ceil(in_flight / self.terms.busy_attempts))
-        most = max(0, min(len(self.listed) - self.min_servers, useful))
+        useful_servers = max(self.min_servers, math.ceil(in_flight / self.terms.busy_attempts))
+        max_extra = max(0, min(len(self.listed) - self.min_servers, useful_servers))
         if in_flight >= self.terms.busy_attempts * weights:
-            self.calm_since_ms = now_ms
-            if now_ms - self.widened_ms >= STEP_MS and self.extra_servers < most:
-                self.widened_ms, self.is_stale = now_ms, True
+            self.low_load_since_ms = now_ms
+            if now_ms - self.last_growth_ms >= GROWTH_INTERVAL_MS and self.extra_servers < max_extra:
+                self.last_growth_ms, self.is_stale = now_ms, True
                 step = max(1, round(GROWTH_FRACTION * len(self.in_use)))
-                self.extra_servers = min(most, self.extra_servers + step)
+                self.extra_servers = min(max_extra, self.extra_servers + step)
         elif in_flight >= self.terms.calm_attempts * weights:
-            self.calm_since_ms = now_ms
-        elif self.extra_servers and now_ms - self.calm_since_ms >= CALM_MS:
-            self.calm_since_ms = now_ms
+            self.low_load_since_ms = now_ms
+        elif self.extra_servers and now_ms - self.low_load_since_ms >= LOW_LOAD_MS:
+            self.low_load_since_ms = now_ms
             self.extra_servers -= math.ceil(SHRINK_FRACTION * self.extra_servers)
 
 
 def update_ring(ring: list[RingPosition], added: list[str], removed: list[str]) -> None:
-    """Brings one ring up to date: by insertion, or by one sort of many changes."""
+    """Applies changes to one ring: one by one, or by one sort where there are many."""
     if len(added) + len(removed) > MAX_SINGLE_INSERTS:
         if removed:
             names = set(removed)
--- a/glenchute/policy/balancing/subsetting_engine.py
+++ b/glenchute/policy/balancing/subsetting_engine.py
@@ -1,9 +1,9 @@
-"""The decision engine behind a subset: it knows the servers in use only, and decides among these as ever.
+"""Restricts a decision engine to a subset of the listed servers: it is told of the servers in use only.
 
-A list that one gateway can use whole is passed on as it comes. What holds: the engine is told of no server
-that the list does not have as active, and of each drain and removal at the moment that it comes; no zone that
-has servers is without one in use; with none to send to, or all in use busy, more come into use within
-`STEP_MS`.
+A list that one gateway can use whole is passed on unchanged. Guarantees: the engine knows no server that is
+not active in the list, and learns of each drain and removal with the event that reports it; every zone that
+has servers has one in use; if no server in use can be reached, or all of them are busy, servers are added
+within `GROWTH_INTERVAL_MS`.
 """
 
 from __future__ import annotations
@@ -16,47 +16,47 @@
 from ..events import AttemptEnded, Endpoint, EndpointList, EndpointListKind, EndpointState, Event, Outcome
 from ..settings import Settings
 from .hash_ring import RingedEndpoints
-from .subset import MAX_UNREACHABLE, STEP_MS, UNREACHABLE_MS, Subset, SubsetTerms
-from .subset_size import MAX_SUBSET_SIZE, WHOLE_LIST_AGAIN_BELOW
+from .subset import GROWTH_INTERVAL_MS, MAX_UNREACHABLE, UNREACHABLE_MS, Subset, SubsetTerms
+from .subset_size import MAX_SUBSET_SIZE, STOP_SUBSETTING_SIZE
 
 
 class Engine(Protocol):
-    """What takes events: the decision engine, or what stands before it."""
+    """A receiver of events: the decision engine, or a wrapper around it."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """The actions that answer one event."""
+        """Handles one event and returns the resulting actions."""
 
 
 class SubsettingEngine:
-    """Takes all events for an engine, and passes on what concerns the servers in use."""
+    """Receives all events for an engine and forwards what concerns the servers in use."""
 
     def __init__(
         self, engine: Engine, settings: Settings, terms: SubsetTerms, listed: Iterable[Endpoint] = ()
     ) -> None:
-        """`listed`: the servers that the engine knows already."""
+        """`listed`: the servers that the engine already knows."""
         self.engine, self.subset = engine, Subset(terms, settings.slow_start)
-        self.is_subsetting = terms.min_servers > 0  # else all that are listed are in use
+        self.is_subsetting = terms.min_servers > 0  # False: all listed servers are in use
         self.subset.listed = {endpoint.address: endpoint for endpoint in listed}
-        self.in_flight: dict[str, int] = {}  # attempts, by server
+        self.in_flight: dict[str, int] = {}  # number of attempts by server
         self.reviewed_ms = -1e12
-        self.reported_total = 0  # `total_endpoints` as the engine knows it; 0: it knows them all
+        self.reported_total = 0  # the last `total_endpoints` sent to the engine; 0: it knows all servers
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """One event for the engine; returns its actions."""
+        """Handles one event for the engine; returns the engine's actions."""
         if isinstance(event, EndpointList):
             return self.update_list(now_ms, event)
         if not self.is_subsetting:
             return self.engine.handle(now_ms, event)
         if isinstance(event, AttemptEnded):
             self.record_end(now_ms, event)
-        actions = self.pass_on(now_ms, event)
-        if now_ms - self.reviewed_ms >= STEP_MS:
+        actions = self.forward(now_ms, event)
+        if now_ms - self.reviewed_ms >= GROWTH_INTERVAL_MS:
             self.reviewed_ms = now_ms
             actions += self.review(now_ms)
         return actions
 
     def record_end(self, now_ms: float, event: AttemptEnded) -> None:
-        """An attempt has ended; an unreachable server does not count as in use for a while."""
+        """Records the end of an attempt; an unreachable server has the least weight for `UNREACHABLE_MS`."""
         left = self.in_flight.get(event.address, 0) - 1
         if left > 0:
             self.in_flight[event.address] = left
@@ -67,8 +67,8 @@
             unreachable[event.address] = now_ms + UNREACHABLE_MS
             self.subset.is_stale = True
 
-    def pass_on(self, now_ms: float, event: Event) -> list[Action]:
-        """Passes an event to the engine, and counts the attempts that it starts."""
+    def forward(self, now_ms: float, event: Event) -> list[Action]:
+        """Forwards an event to the engine and counts the attempts that it starts."""
         actions: list[Action] = list(self.engine.handle(now_ms, event))
         for action in actions:
             if isinstance(action, StartAttempt):
@@ -76,7 +76,7 @@
         return actions
 
     def review(self, now_ms: float) -> list[Action]:
-        """Adapts the subset to load and time."""
+        """Adapts the subset to the load, to servers that warm up or were unreachable, and to the rings."""
         subset = self.subset
         subset.unreachable_until_ms = {
             server: until_ms for server, until_ms in subset.unreachable_until_ms.items() if until_ms > now_ms
@@ -85,25 +85,26 @@
         added, removed = subset.refresh(now_ms) if subset.is_stale else ([], [])
         if not added and not removed:
             added, removed = subset.rebalance(now_ms)
-        return self.pass_changes(now_ms, added, removed, ())
+        return self.forward_changes(now_ms, added, removed, ())
 
     # --- the list -----------------------------------------------------------------------------------------
 
     def update_list(self, now_ms: float, event: EndpointList) -> list[Action]:
-        """An endpoint list: decides whether a subset of it is used, and tells the engine what concerns it."""
+        """Applies an endpoint list: decides whether a subset of it is used, and forwards what concerns
+        that."""
         if event.kind is EndpointListKind.FAILED:
-            return self.pass_on(now_ms, event)
+            return self.forward(now_ms, event)
         subset, was_subsetting = self.subset, self.is_subsetting
         is_full = event.kind is not EndpointListKind.CHANGES
-        known: Iterable[str] = ()  # servers that the engine may know
+        known: Iterable[str] = ()  # servers that the engine may already know
         if not was_subsetting and not is_full and len(subset.listed) + len(event.endpoints) > MAX_SUBSET_SIZE:
             known = {*subset.listed, *(endpoint.address for endpoint in event.endpoints)}
         self.track_list(event, is_full)
         length = len(subset.listed)
-        limit = WHOLE_LIST_AGAIN_BELOW if was_subsetting else MAX_SUBSET_SIZE
+        limit = STOP_SUBSETTING_SIZE if was_subsetting else MAX_SUBSET_SIZE
         self.is_subsetting = subset.terms.min_servers > 0 or length > limit
         if not self.is_subsetting:
-            return self.pass_whole_list(now_ms, event, is_full or not was_subsetting)
+            return self.forward_whole_list(now_ms, event, is_full or not was_subsetting)
         if not was_subsetting and not (is_full and isinstance(event.endpoints, RingedEndpoints)):
             subset.rings = {}
             subset.update_rings(subset.listed.values(), ())
@@ -111,22 +112,22 @@
             subset.refresh(now_ms)
             self.reported_total = length
             in_use = tuple(subset.listed[server] for server in subset.in_use)
-            return self.pass_on(now_ms, EndpointList(event.kind, in_use, length))
+            return self.forward(now_ms, EndpointList(event.kind, in_use, length))
         if not was_subsetting:
-            return self.begin_subsetting(now_ms, event, known)
+            return self.start_subsetting(now_ms, event, known)
         return self.update_subset(now_ms, event)
 
-    def begin_subsetting(self, now_ms: float, event: EndpointList, known: Iterable[str]) -> list[Action]:
-        """By these changes the list has become too long to be used whole."""
+    def start_subsetting(self, now_ms: float, event: EndpointList, known: Iterable[str]) -> list[Action]:
+        """Starts to use a subset, as these changes made the list too long to be used whole."""
         subset = self.subset
         subset.refresh(now_ms)
         removed = [server for server in known if server not in subset.in_use and server in subset.listed]
         inactive = [endpoint for endpoint in event.endpoints if endpoint.state is not EndpointState.ACTIVE]
-        return self.pass_changes(now_ms, list(subset.in_use), removed, tuple(inactive))
+        return self.forward_changes(now_ms, list(subset.in_use), removed, tuple(inactive))
 
     def update_subset(self, now_ms: float, event: EndpointList) -> list[Action]:
-        """Passes on the changes of servers in use, and others in place of those that are lost. What else the
-        changes bring has time until the next review."""
+        """Forwards changes to servers in use, and replaces those that were lost. All other changes wait for
+        the next review."""
         subset = self.subset
         changed = [endpoint for endpoint in event.endpoints if endpoint.address in subset.in_use]
         is_short = len(subset.in_use) < min(subset.min_servers, len(subset.listed))
@@ -136,10 +137,10 @@
             added, removed = subset.refresh(now_ms)
         named = {endpoint.address for endpoint in changed}
         unnamed = [server for server in removed if server not in named]
-        return self.pass_changes(now_ms, added, unnamed, tuple(changed))
+        return self.forward_changes(now_ms, added, unnamed, tuple(changed))
 
     def track_list(self, event: EndpointList, is_full: bool) -> None:
-        """Follows the list; on rings only where a subset is in use."""
+        """Records a list, or changes to it; keeps the rings up to date only while a subset is used."""
         subset = self.subset
         if is_full:
             active: Iterable[Endpoint] = event.endpoints
@@ -158,7 +159,7 @@
                     subset.listed[endpoint.address] = endpoint
 
     def may_lack_zone(self, event: EndpointList) -> bool:
-        """Whether a zone that this list names may be without a server in use."""
+        """Returns whether a zone named in this list may have no server in use."""
         zones = {endpoint.zone for endpoint in event.endpoints}
         for server in self.subset.in_use:
             endpoint = self.subset.listed.get(server)
@@ -168,28 +169,29 @@
                     return False
         return True
 
-    def pass_whole_list(self, now_ms: float, event: EndpointList, is_enough: bool) -> list[Action]:
-        """All servers are in use. `is_enough`: the event tells the engine of all that it does not know."""
+    def forward_whole_list(self, now_ms: float, event: EndpointList, is_complete: bool) -> list[Action]:
+        """Forwards a list that is used whole. `is_complete`: the event names all servers unknown to the
+        engine."""
         subset, in_use = self.subset, self.subset.in_use
-        if not is_enough:
+        if not is_complete:
             named = {endpoint.address for endpoint in event.endpoints}
             rest = [e for e in subset.listed.values() if e.address not in in_use and e.address not in named]
             event = replace(event, endpoints=(*event.endpoints, *rest))
         subset.in_use, subset.rings, subset.unreachable_until_ms, subset.extra_servers = {}, {}, {}, 0
         self.in_flight.clear()
-        if self.reported_total:  # once told of more than it knows, the engine has to be told of each length
+        if self.reported_total:  # the engine was told of a longer list once, so it needs each new length
             self.reported_total = len(subset.listed)
             event = replace(event, total_endpoints=self.reported_total)
         return self.engine.handle(now_ms, event)
 
-    def pass_changes(
+    def forward_changes(
         self, now_ms: float, added: list[str], removed: list[str], changed: tuple[Endpoint, ...]
     ) -> list[Action]:
-        """Tells the engine which servers have come into use and gone out of it, and which have changed."""
+        """Tells the engine which servers were added to the subset, which were removed, and which changed."""
         endpoints = [*changed, *(self.subset.listed[server] for server in added)]
         endpoints += [Endpoint(server, "", state=EndpointState.REMOVED) for server in removed]
         total = len(self.subset.listed)
         if not endpoints and total == self.reported_total:
             return []
         self.reported_total = total
-        return self.pass_on(now_ms, EndpointList(EndpointListKind.CHANGES, tuple(endpoints), total))
+        return self.forward(now_ms, EndpointList(EndpointListKind.CHANGES, tuple(endpoints), total))
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -24,8 +24,8 @@
 from glenchute.policy.balancing import subset as subsets
 from glenchute.policy.balancing.endpoint_choice import EndpointChooser
 from glenchute.policy.balancing.subset import (
+    GROWTH_INTERVAL_MS,
     MIN_WEIGHT,
-    STEP_MS,
     UNREACHABLE_MS,
     Subset,
     SubsetTerms,
@@ -34,7 +34,7 @@
 from glenchute.policy.balancing.subset_size import (
     MAX_SUBSET_SIZE,
     MIN_SUBSET_SIZE,
-    WHOLE_LIST_AGAIN_BELOW,
+    STOP_SUBSETTING_SIZE,
     subset_size,
 )
 from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
@@ -179,7 +179,7 @@
     for number in range(8 * first):
         subsetting.handle(now, Request(f"r{number}", "read", "wide", "c", 900.0))
     for _ in range(12):
-        subsetting.handle(now := now + STEP_MS, TimerFired(0))
+        subsetting.handle(now := now + GROWTH_INTERVAL_MS, TimerFired(0))
     wide = len(module.known)
     assert wide >= 2 * first
     for number in range(8 * first):
@@ -204,7 +204,7 @@
     before = set(module.known)
     for number, server in enumerate(sorted(before)):
         subsetting.handle(1e6 + 10.0, AttemptEnded(f"r{number}", 0, server, Outcome.UNREACHABLE, 1.0, False))
-    subsetting.handle(1e6 + 10.0 + STEP_MS, TimerFired(0))
+    subsetting.handle(1e6 + 10.0 + GROWTH_INTERVAL_MS, TimerFired(0))
     assert len(set(module.known) - before) >= 4
     for step in range(100):
         subsetting.handle(1e6 + UNREACHABLE_MS + 2_000.0 * step, TimerFired(0))
@@ -454,12 +454,12 @@
     subsetting.handle(1e6, news(fleet[:MAX_SUBSET_SIZE], EndpointListKind.FULL))
     sides = []
     for step in range(20):
-        change = fleet[MAX_SUBSET_SIZE:] if step % 2 == 0 else out_of(fleet[WHOLE_LIST_AGAIN_BELOW + 4 :])
+        change = fleet[MAX_SUBSET_SIZE:] if step % 2 == 0 else out_of(fleet[STOP_SUBSETTING_SIZE + 4 :])
         subsetting.handle(1e6 + 1000.0 * step, news(change))
         sides.append(subsetting.is_subsetting)
-    assert all(sides) and len(module.known) < WHOLE_LIST_AGAIN_BELOW
-    subsetting.handle(2e6, news(out_of(fleet[WHOLE_LIST_AGAIN_BELOW - 4 :])))
-    assert not subsetting.is_subsetting and len(module.known) == WHOLE_LIST_AGAIN_BELOW - 4
+    assert all(sides) and len(module.known) < STOP_SUBSETTING_SIZE
+    subsetting.handle(2e6, news(out_of(fleet[STOP_SUBSETTING_SIZE - 4 :])))
+    assert not subsetting.is_subsetting and len(module.known) == STOP_SUBSETTING_SIZE - 4
 
 
 def test_all_names_new() -> None:
@@ -495,14 +495,14 @@
     assert before in (6, 7)
     subsetting.handle(2e6, news(out_of(zone)))
     assert used() == 0 and len(module.known) >= MIN_SUBSET_SIZE - before
-    subsetting.handle(2e6 + STEP_MS, TimerFired(0))
+    subsetting.handle(2e6 + GROWTH_INTERVAL_MS, TimerFired(0))
     assert len(module.known) >= MIN_SUBSET_SIZE
     cold = [replace(entry, started_ms=3e6) for entry in zone]
     for entry in cold[:5]:
         subsetting.handle(3e6, news([entry]))
         assert used() >= 1
     subsetting.handle(3e6, news(cold[5:]))
-    subsetting.handle(3e6 + STEP_MS, TimerFired(0))
+    subsetting.handle(3e6 + GROWTH_INTERVAL_MS, TimerFired(0))
     assert before < used() <= (before + 1) / SETTINGS.slow_start.initial_fraction
     for step in range(200):
         subsetting.handle(3e6 + 20_000.0 * step, TimerFired(0))
@@ -536,7 +536,7 @@
             subsetting.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
             steps = Steps(patch)
             for at in range(400):
-                now = 1e6 + at * STEP_MS
+                now = 1e6 + at * GROWTH_INTERVAL_MS
                 for server in list(module.known) if at > 200 else ():
                     subsetting.handle(now, AttemptEnded("r", 0, server, Outcome.UNREACHABLE, 1.0, False))
                 subsetting.handle(now, TimerFired(0))
