--- a/glenchute/policy/balancing/hash_ring.py
+++ b/glenchute/policy/balancing/hash_ring.py
@@ -1,9 +1,9 @@
-"""Hash rings: the servers of a zone in the order of their hashed names, prepared while a list is read.
+"""Hash rings: the servers of a zone in the order of their hashed names, built while a list is read.
 
-What follows from a list of thousands of rows (which servers are active, and their ring positions) costs most
-of applying it, and depends on the list alone. So it is worked out row by row while the list is read, between
-requests. At the one moment at which the list comes into force, its tables replace the former ones; nothing of
-it counts before that moment, and all of it from then on.
+The tables derived from a list of thousands of rows (the active servers and their ring positions) are most of
+the cost of applying it, and depend on the list alone. So they are built row by row while the list is read,
+between requests. When the list comes into force, its tables replace the previous ones in one step: none of it
+applies before that moment, and all of it from then on.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 from ..events import Endpoint, EndpointState
 from .subset_size import MAX_SUBSET_SIZE
 
-ROWS_PER_STEP = 512  # of rings, sorted in one step
+ROWS_PER_STEP = 512  # ring positions sorted in one step, at least
 
 RingPosition = tuple[bytes, str]  # hash and name of a server
 ListedServer = tuple[Endpoint, tuple[str, int] | None]  # a server, and the host and port where it listens
 
 
 def ring_position(server: str) -> RingPosition:
-    """A server's position on its ring. Any name that JSON can hold has one."""
+    """Returns a server's position on its ring. Any string of JSON, lone surrogates included, has one."""
     return blake2b(server.encode(errors="surrogatepass"), digest_size=8).digest(), server
 
 
 class RingedEndpoints(tuple[Endpoint, ...]):
-    """The endpoints of a list or of changes, each server once, with the tables that follow from them. To code
-    that does not know it, a tuple. Whoever takes a table of a full list owns it from then on."""
+    """The endpoints of a list or of changes, each server once, with the tables derived from them. Usable as a
+    plain tuple. Code that takes over a table of a full list owns it from then on and may change it."""
 
-    active: dict[str, Endpoint]
-    rings: dict[str, list[RingPosition]]  # of the active ones, by zone, sorted
-    started_ms: dict[str, float]  # of the active ones, Unix time
-    listed_servers: dict[str, ListedServer]  # all but the removed ones
+    active: dict[str, Endpoint]  # the active servers by address
+    rings: dict[str, list[RingPosition]]  # positions of the active servers by zone, sorted
+    started_ms: dict[str, float]  # start times of the active servers, Unix time
+    listed_servers: dict[str, ListedServer]  # all servers but the removed ones
 
     @property
     def as_ringed(self) -> RingedEndpoints:
-        """Tells this class from a plain tuple without an import of it."""
+        """Lets a caller tell this class from a plain tuple without importing it."""
         return self
 
 
@@ -44,9 +44,9 @@
     """Builds `RingedEndpoints` row by row."""
 
     def __init__(self, known_positions: Mapping[str, RingPosition]) -> None:
-        """`known_positions`: those of servers that need no hashing."""
+        """`known_positions`: positions of servers that were hashed before."""
         self.known_positions = known_positions
-        self.positions: dict[str, RingPosition] = {}  # of the active servers
+        self.positions: dict[str, RingPosition] = {}  # positions of the active servers
         self.endpoints: list[Endpoint] = []
         self.active: dict[str, Endpoint] = {}
         self.rings: dict[str, list[RingPosition]] = {}
@@ -54,7 +54,7 @@
         self.listed_servers: dict[str, ListedServer] = {}
 
     def add(self, listed_server: ListedServer) -> None:
-        """Adds a row."""
+        """Adds a row of the list."""
         endpoint = listed_server[0]
         server = endpoint.address
         self.endpoints.append(endpoint)
@@ -66,8 +66,8 @@
             self.rings.setdefault(endpoint.zone, []).append(position)
 
     def sort(self) -> Iterator[None]:
-        """Sorts the rings, some `ROWS_PER_STEP` rows a step, or one ring that has more. To be called when all
-        rows have been added, or nearly all."""
+        """Sorts the rings in steps of whole rings that hold `ROWS_PER_STEP` rows or more together; yields
+        after each step. To be called when all rows, or nearly all, have been added."""
         rows = 0
         for ring in self.rings.values():
             ring.sort()
@@ -77,15 +77,15 @@
                 rows = 0
 
     def build(self) -> tuple[Endpoint, ...]:
-        """The endpoints, each once; of several rows with one name the last counts. A plain tuple where there
-        are such rows, as the tables would hold them all, and where the list is short enough to be used
-        whole."""
+        """Returns the endpoints, each once; of several rows with one name the last counts. The result is a
+        plain tuple if there are such rows, as the tables would hold all of them, or if the list is short
+        enough to be used whole."""
         if len(self.listed_servers) < len(self.endpoints):
             return tuple(endpoint for endpoint, _ in self.listed_servers.values())
         if len(self.active) <= MAX_SUBSET_SIZE:
             return tuple(self.endpoints)
         for _ in self.sort():
-            pass  # the rows that came last; next to nothing where they are sorted
+            pass  # only rows added since the last sort; cheap if the rings are sorted
         built = RingedEndpoints(self.endpoints)
         built.active, built.rings = self.active, self.rings
         built.started_ms, built.listed_servers = self.started_ms, self.listed_servers
--- a/glenchute/policy/balancing/outliers.py
+++ b/glenchute/policy/balancing/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier detection: servers that fail far more often than most.
+"""Outlier detection: finds servers that fail far more often than most.
 
-What fails on every server (a bad class of requests, an overloaded pool) says nothing of one server, so a
-failure rate counts only beyond the median of all servers.
+Failures that occur on every server (a faulty request class, an overloaded pool) say nothing about one server,
+so a failure rate counts only as far as it exceeds the median of all servers.
 """
 
 from __future__ import annotations
@@ -12,32 +12,32 @@
 from ..events import Outcome
 from .server import Server
 
-FAILURE_FADE_MS = 5_000.0
-OUTLIER_MARGIN = 0.5  # failure rate beyond the median from which on a server is an outlier
-SUCCESS_FACTOR = 0.7  # what one success leaves of a failure rate
-FAILURE_STEP = 0.3  # weight of one failure
-TIMEOUT_STEP = 0.5  # of a time-out or a failed connect
+FAILURE_DECAY_MS = 5_000.0  # time constant of the decay of a failure rate
+OUTLIER_MARGIN = 0.5  # a server is an outlier if its failure rate exceeds the median by more
+SUCCESS_FACTOR = 0.7  # multiplies the failure rate at each success
+FAILURE_SMOOTHING = 0.3  # weight of one failure in the failure rate
+TIMEOUT_SMOOTHING = 0.5  # weight of one time-out or failed connect in the failure rate
 
 
 class OutlierDetector:
-    """Failure rates of the servers and their median."""
+    """Tracks the failure rates of the servers and their median."""
 
     def __init__(self) -> None:
         self.median_failure_rate = 0.0
 
     def record(self, server: Server, now_ms: float, outcome: Outcome) -> None:
-        """An attempt has ended, with any outcome that tells something of the server."""
+        """Records the end of an attempt whose outcome says something about the server."""
         rate = failure_rate(server, now_ms)
         if outcome is Outcome.OK:
             server.failure_rate = rate * SUCCESS_FACTOR
         else:
             timed_out = outcome in (Outcome.TIMEOUT, Outcome.UNREACHABLE)
-            step = TIMEOUT_STEP if timed_out else FAILURE_STEP
-            server.failure_rate = rate + step * (1.0 - rate)
+            smoothing = TIMEOUT_SMOOTHING if timed_out else FAILURE_SMOOTHING
+            server.failure_rate = rate + smoothing * (1.0 - rate)
         server.failure_rate_ms = now_ms
 
     def detect(self, servers: Mapping[str, Server], now_ms: float) -> list[str]:
-        """Updates the median; the addresses of the outliers."""
+        """Updates the median failure rate; returns the addresses of the outliers."""
         rates = {address: failure_rate(server, now_ms) for address, server in servers.items()}
         self.median_failure_rate = sorted(rates.values())[len(rates) // 2] if rates else 0.0
         return [
@@ -46,5 +46,5 @@
 
 
 def failure_rate(server: Server, now_ms: float) -> float:
-    """A server's recent fraction of failures, faded to the present."""
-    return server.failure_rate * math.exp((server.failure_rate_ms - now_ms) / FAILURE_FADE_MS)
+    """Returns a server's recent fraction of failures, decayed to the present."""
+    return server.failure_rate * math.exp((server.failure_rate_ms - now_ms) / FAILURE_DECAY_MS)
--- a/glenchute/policy/balancing/slow_start.py
+++ b/glenchute/policy/balancing/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: how many requests a server that warms up may be sent.
+"""Slow start: limits the requests to a server that warms up.
 
-All gateways together send such a server no more than its present capacity as a fraction of what a warm server
-responds to. Each gateway keeps a token bucket for each server that warms up; a request takes one token.
+All gateways together send such a server no more than the response rate of a warm server times the fraction of
+its full capacity that it has by then. Each gateway keeps a token bucket for each server that warms up; a
+request takes one token.
 """
 
 from __future__ import annotations
@@ -12,32 +13,33 @@
 from ..settings import Settings
 from .server import Server
 
-RESPONSE_RATE_WINDOW_S = 3.0
-SAFE_FRACTION = 0.8  # of the overload factor, that a burst of saved tokens may use
-MIN_BURST_FACTOR = 0.2
-UNKNOWN_RATE_INTERVAL_S = 3.0  # between requests of all gateways to a server while no rate is known
+RESPONSE_RATE_WINDOW_S = 3.0  # time constant of the moving averages of response rates
+OVERLOAD_SAFETY_FRACTION = 0.8  # fraction of the overload factor for the steady rate and a burst
+MIN_BURST_FACTOR = 0.2  # least burst, as a fraction of the tokens of one overload window
+UNKNOWN_RATE_INTERVAL_S = 3.0  # time between requests of all gateways to a server while no rate is known
 
 
 class SlowStartLimiter:
-    """Weights and token buckets of the servers that warm up."""
+    """Computes weights and refills token buckets of the servers that warm up."""
 
     def __init__(self, settings: Settings) -> None:
         self.rules = settings.slow_start
         self.gateway_count = settings.gateway_count
-        self.warm_response_rate_per_s = 0.0  # responses of one warm server to this gateway, mean
+        self.warm_response_rate_per_s = 0.0  # mean rate of responses of one warm server to this gateway
 
     def weight(self, server: Server, now_ms: float) -> float:
-        """The least fraction of its full capacity that a server has by now; 1 for a warm one."""
+        """Returns the fraction of its full capacity that a server has by now at least; 1 for a warm one."""
         rules = self.rules
         age = max(0.0, now_ms - server.endpoint.started_ms) / max(1.0, rules.warm_up_ms)
         warms_up = server.endpoint.started_ms > 0
         return min(1.0, rules.initial_fraction + (1.0 - rules.initial_fraction) * age) if warms_up else 1.0
 
     def refill_and_check(self, server: Server, now_ms: float, weight: float) -> bool:
-        """Refills the server's bucket; whether it may be sent a request now. `weight`: its `weight()`.
+        """Refills a server's bucket; returns whether the server may be sent a request now. `weight`: its
+        `weight()`.
 
-        The bucket is small: saved tokens, spent by all gateways at once when the warm servers are full, would
-        overload the server.
+        The bucket is small: if all gateways spent many saved tokens at once, as when the warm servers are
+        full, they would overload the server.
         """
         rules = self.rules
         rate_per_ms = (
@@ -50,27 +52,28 @@
         burst = (
             rate_per_ms
             * rules.overload_window_ms
-            * max(MIN_BURST_FACTOR, SAFE_FRACTION * rules.overload_factor - 1.0)
+            * max(MIN_BURST_FACTOR, OVERLOAD_SAFETY_FRACTION * rules.overload_factor - 1.0)
         )
         server.slow_start_tokens += rate_per_ms * max(0.0, now_ms - server.slow_start_tokens_ms)
         server.slow_start_tokens_ms = now_ms
-        if server.slow_start_tokens > 1.0 + burst:  # the fraction stays, so that gateways stay out of step
+        if server.slow_start_tokens > 1.0 + burst:
+            # Keeps the fraction of a token, so that gateways do not synchronize.
             server.slow_start_tokens = burst if burst >= 1.0 else server.slow_start_tokens % 1.0
         return server.slow_start_tokens >= 1.0
 
     def record_response(self, server: Server, now_ms: float) -> None:
-        """A warm server has responded."""
+        """Records a response of a warm server."""
         server.response_rate_per_s = response_rate_per_s(server, now_ms) + 1.0 / RESPONSE_RATE_WINDOW_S
         server.response_rate_ms = now_ms
 
     def update_warm_rate(self, servers: Iterable[Server], now_ms: float) -> None:
-        """Takes the mean response rate of the servers that are warm now. With none warm the last mean stands:
-        counting servers that warm up would raise the rate by itself and overload all of them."""
+        """Updates the mean response rate of warm servers. Without warm servers the last mean is kept: if
+        servers that warm up were counted, the rate would raise itself and overload all of them."""
         rates = [response_rate_per_s(s, now_ms) for s in servers if self.weight(s, now_ms) >= 1.0]
         self.warm_response_rate_per_s = sum(rates) / len(rates) if rates else self.warm_response_rate_per_s
 
 
 def response_rate_per_s(server: Server, now_ms: float) -> float:
-    """Responses of a server to this gateway, faded to the present."""
+    """Returns the rate of a server's responses to this gateway, decayed to the present."""
     age_ms = server.response_rate_ms - now_ms
     return server.response_rate_per_s * math.exp(age_ms / 1000.0 / RESPONSE_RATE_WINDOW_S)
