--- a/glenchute/policy/endpoints/list_confirmation.py
+++ b/glenchute/policy/endpoints/list_confirmation.py
@@ -1,13 +1,13 @@
-"""Which complete endpoint lists need a second, confirming answer before they come into force. No I/O.
+"""Decides which complete endpoint lists need a second, confirming answer before they come into force. No I/O.
 
-For a discovery service that may answer with a truncated, outdated or empty list; one that is always right
-does not need it. A list is *unusual* if its version is older than the one in force or if it lacks more than
-half of the endpoints in force. It is accepted when a later answer is not unusual beside it; an empty one only
-when, in addition, the endpoints in force do not answer either. So a false answer costs one poll, and a true
-one is delayed by one: the confirming poll goes without delay (`EndpointWatch.record_unconfirmed`).
+This protects against a discovery service that may answer with a truncated, outdated or empty list; a reliable
+one does not need it. A list is *unusual* if its version is older than the one in force or if it lacks more
+than half of the endpoints in force. It is accepted when a later answer confirms it, that is, is not older and
+has at least half of its endpoints; an empty list only if, in addition, the endpoints in force do not respond
+either. So a wrong answer costs one poll, and a correct one is delayed by one poll: the confirming poll is
+sent without delay (`EndpointWatch.record_unconfirmed`).
 
-What an unconfirmed list takes out of service holds at once (`withdraw_endpoints`): such a list may withdraw
-endpoints, never add them.
+An unconfirmed list may withdraw endpoints at once (`withdraw_endpoints`), but never add any.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 
 class UnconfirmedList(NamedTuple):
-    """A complete list that waits for its confirmation."""
+    """A complete list that has not been confirmed yet."""
 
     version: int
     addresses: frozenset[str]
 
 
 class ListConfirmation:
-    """The lists of one discovery service: the one in force, and the one that waits for its confirmation."""
+    """The lists of one discovery service: the one in force, and the last unconfirmed one."""
 
-    MIN_RETAINED_SHARE = 0.5  # of the endpoints in force that a list has to name
-    ANSWERS_NEEDED = 2  # to bring an unusual list into force
+    MIN_RETAINED_SHARE = 0.5  # least share of the endpoints in force that a usual list names
+    ANSWERS_NEEDED = 2  # consecutive answers that bring an unusual list into force
 
     def __init__(self) -> None:
-        self.version = -1  # of the list in force
-        self.endpoints: dict[str, Endpoint] = {}  # by address, in the state in which they may be used
-        self.active_count = 0  # active endpoints when the list came into force
+        self.version = -1  # version of the list in force
+        self.endpoints: dict[str, Endpoint] = {}  # endpoints in force by address; withdrawn ones are draining
+        self.active_count = 0  # number of active endpoints when the list came into force
         self.unconfirmed: UnconfirmedList | None = None
 
     def accepts(self, version: int, received: EndpointList, serving: bool) -> bool:
-        """Whether this answer comes into force; if so, it has been applied. `serving`: endpoints of the list
-        in force answer requests now."""
+        """Applies an answer unless it is an unusual list without confirmation; returns whether it was
+        applied. `serving`: endpoints of the list in force respond to requests at present."""
         if received.kind is EndpointListKind.FULL:
             addresses = frozenset(endpoint.address for endpoint in received.endpoints)
             is_unusual = version < self.version or self.lacks_most(addresses, frozenset(self.endpoints))
@@ -51,12 +51,13 @@
         return True
 
     def lacks_most(self, addresses: frozenset[str], expected: frozenset[str]) -> bool:
-        """Whether less than `MIN_RETAINED_SHARE` of the expected addresses are there."""
+        """Returns whether `addresses` has less than `MIN_RETAINED_SHARE` of the expected ones."""
         return len(expected & addresses) < self.MIN_RETAINED_SHARE * len(expected)
 
     def is_confirmed_by(self, version: int, addresses: frozenset[str]) -> bool:
-        """Whether a list confirms the unconfirmed one. It need not be equal: while endpoints come and go,
-        each answer of a correct service differs from the one before, and none would ever be accepted."""
+        """Returns whether a list confirms the unconfirmed one. The lists need not be equal: while endpoints
+        come and go, each answer of a correct service differs from the previous one, so none would ever be
+        accepted."""
         if self.unconfirmed is None or version < self.unconfirmed.version:
             return False
         expected = self.unconfirmed.addresses
@@ -64,9 +65,9 @@
 
     def withdraw_endpoints(self, received: EndpointList) -> tuple[Endpoint, ...]:
         """Takes the endpoints that an unconfirmed list reports as draining or removed out of service, and
-        returns them in the state draining; the next accepted list decides whether they return. None are
-        withdrawn where fewer than half of those that were active would be left: a false list must not end
-        service, and its confirmation is polled for at once."""
+        returns them in the state draining; the next accepted list decides whether they return to service.
+        Withdraws none if fewer than half of the active endpoints would be left: a wrong list must not end the
+        service, and the confirming poll is sent at once."""
         inactive = {
             endpoint.address for endpoint in received.endpoints if endpoint.state is not EndpointState.ACTIVE
         }
@@ -79,7 +80,7 @@
         return withdrawn
 
     def apply(self, version: int, received: EndpointList) -> None:
-        """Brings a list, or changes to it, into force."""
+        """Brings a complete list, or changes to the one in force, into force."""
         if received.kind is not EndpointListKind.CHANGES:
             self.endpoints = {}
         for endpoint in received.endpoints:
