--- a/glenchute/policy/lifecycle/handover.py
+++ b/glenchute/policy/lifecycle/handover.py
@@ -1,11 +1,11 @@
-"""State handed over from one process of a gateway to its successor, and how the two share the gateway's
-limits while they overlap. No I/O, no clock.
+"""The state handed over from one process of a gateway to its successor, and how the two processes divide the
+gateway's limits while they overlap. No I/O, no clock.
 
 The message is one line of JSON. It is rejected as a whole unless every part is valid; the successor then
-starts as after a kill, on the safe side, and logs the reason.
+starts conservatively, as after a crash, and logs the reason.
 
-Property tests hold that both shares are at least `MIN_LIMIT_SHARE`, that they sum to 1 at most, and that
-`decode_handover` raises nothing but `HandoverError` and returns no figure out of its range, whatever its
+Property tests check that both shares are at least `MIN_LIMIT_SHARE`, that their sum is at most 1, and
+that `decode_handover` raises nothing but `HandoverError` and returns no number out of its range, whatever its
 input.
 """
 
@@ -19,15 +19,16 @@
 from ..events import QuotaSnapshot
 
 FORMAT = 1
-MAX_QUOTAS = 10_000  # tenants that are handed over, the most recently seen first
+MAX_QUOTAS = 10_000  # tenants handed over at most, the most recently seen ones first
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 MAX_TENANT_LENGTH = 64
 MAX_GATEWAY_SPREAD = 1_000_000
 MAX_UNITS = 1e12
 MAX_WINDOW_MS = 1e15
-MIN_LIMIT_SHARE = 0.25  # of the gateway's descriptors, for either process
-RESERVE_SHARE = 1 / 8  # of the descriptors, retained beyond those in use
-# The columns of the message, for processes of any version, in the order of `QuotaSnapshot`'s fields.
+MIN_LIMIT_SHARE = 0.25  # least share of the gateway's file descriptors for either process
+RESERVE_SHARE = 1 / 8  # share of the file descriptors retained beyond those in use
+# Names of the columns of the message, in the order of the fields of `QuotaSnapshot`. They are the same in all
+# versions, whatever the fields are called.
 FIELDS = (
     "customer",
     "plan",
@@ -44,25 +45,26 @@
 
 
 class HandoverError(ValueError):
-    """A handover message is invalid; the text is the reason, as the log names it."""
+    """Raised for an invalid handover message; the text is the reason that is logged."""
 
 
 class HandoverState(NamedTuple):
-    """What the predecessor hands over."""
+    """The state that the predecessor hands over."""
 
-    limit_share: float  # of the gateway's descriptors, for the successor
+    limit_share: float  # the successor's share of the gateway's file descriptors
     quotas: tuple[QuotaSnapshot, ...]
 
 
 def retained_limit_share(in_use: int, limit: int) -> float:
-    """The share of the gateway's descriptors that a process retains when its successor starts: half, or those
-    in use and `RESERVE_SHARE` more, but three quarters at most; only with more than that in use are
-    connections closed for it. The rest is the successor's."""
+    """Returns the share of the gateway's file descriptors that a process retains when its successor starts:
+    half, or those in use plus `RESERVE_SHARE` if that is more, but at most three quarters. Connections are
+    closed for it only if more than that are in use. The successor gets the rest."""
     return min(1.0 - MIN_LIMIT_SHARE, max(0.5, (in_use + RESERVE_SHARE * limit) / limit))
 
 
 def encode_handover(gateway: str, limit_share: float, quotas: Sequence[QuotaSnapshot]) -> bytes:
-    """The message to the successor of the gateway with this name. Quotas beyond `MAX_QUOTAS` are left out."""
+    """Encodes the message to the successor process of the gateway with this name. Quotas beyond `MAX_QUOTAS`
+    are omitted."""
     rows = [[getattr(quota, name) for name in QuotaSnapshot.__match_args__] for quota in quotas[:MAX_QUOTAS]]
     for row in rows:
         row[:] = [None if value == math.inf else value for value in row]  # JSON has no infinity
@@ -71,37 +73,37 @@
 
 
 def decode_handover(gateway: str, raw: bytes) -> HandoverState:
-    """Decodes a message to the gateway with this name; HandoverError if it is invalid."""
+    """Decodes a message to the gateway with this name; raises HandoverError if it is invalid."""
     if not raw.endswith(b"\n"):
         raise HandoverError("torn")
     try:
         message = json.loads(raw, parse_constant=reject_constant)
     except (ValueError, RecursionError):
-        raise HandoverError("no JSON") from None
+        raise HandoverError("message is not valid JSON") from None
     if not isinstance(message, dict) or message.get("format") != FORMAT:
-        raise HandoverError(f"not of format {FORMAT}")
+        raise HandoverError(f"message format is not {FORMAT}")
     if message.get("gateway") != gateway:
-        raise HandoverError("another gateway's")
+        raise HandoverError("message is for another gateway")
     if message.get("fields") != list(FIELDS):
-        raise HandoverError("other fields than this version's")
+        raise HandoverError("fields differ from those of this version")
     rows = message.get("stocks")
     if not isinstance(rows, list) or len(rows) > MAX_QUOTAS:
-        raise HandoverError("too many customers, or no list of them")
+        raise HandoverError("list of tenants is missing or too long")
     limit_share = decode_number(message.get("share"), MIN_LIMIT_SHARE, 1.0 - MIN_LIMIT_SHARE)
     return HandoverState(limit_share, tuple([decode_quota(row) for row in rows]))
 
 
 def decode_quota(row: Any) -> QuotaSnapshot:
-    """Decodes the quota of one tenant; HandoverError if it is invalid."""
+    """Decodes the quota of one tenant; raises HandoverError if it is invalid."""
     if not isinstance(row, list) or len(row) != len(FIELDS):
-        raise HandoverError("a customer's row is not whole")
-    tenant, plan, gateway_spread, *figures, window_start_ms, window_total = row
+        raise HandoverError("tenant row does not have one value per field")
+    tenant, plan, gateway_spread, *numbers, window_start_ms, window_total = row
     if not isinstance(tenant, str) or not isinstance(plan, str) or not 0 < len(tenant) <= MAX_TENANT_LENGTH:
-        raise HandoverError("a customer without a name")
+        raise HandoverError("tenant or plan name is invalid")
     if type(gateway_spread) is not int or not 1 <= gateway_spread <= MAX_GATEWAY_SPREAD:
-        raise HandoverError("a spread out of range")
+        raise HandoverError("gateway spread is out of range")
     bucket, guard, own_demand, others_demand, reported_own, reported = [
-        decode_number(figure, -MAX_UNITS, MAX_UNITS) for figure in figures
+        decode_number(number, -MAX_UNITS, MAX_UNITS) for number in numbers
     ]
     return QuotaSnapshot(
         tenant=tenant,
@@ -120,13 +122,14 @@
     )
 
 
-def decode_number(value: Any, least: float, most: float) -> float:
-    """A number within its range, as a float; HandoverError otherwise."""
-    if type(value) not in (int, float) or not least <= value <= most:
-        raise HandoverError("a figure out of range")
+def decode_number(value: Any, minimum: float, maximum: float) -> float:
+    """Returns a number of the message as a float; raises HandoverError if it is not a number within its
+    range."""
+    if type(value) not in (int, float) or not minimum <= value <= maximum:
+        raise HandoverError("value is not a number in its range")
     return float(value)
 
 
 def reject_constant(name: str) -> float:
-    """ValueError for NaN and the infinities, which are not JSON."""
+    """Raises ValueError for NaN and the infinities, which are not valid JSON."""
     raise ValueError(name)
--- a/tests/policy/lifecycle/test_draining.py
+++ b/tests/policy/lifecycle/test_draining.py
@@ -52,10 +52,10 @@
     @precondition(lambda self: self.is_serving)
     @rule(replaced=st.booleans())
     def begin_shutdown(self, replaced: bool) -> None:
-        has_settled = self.lifecycle.closes_after_response(self.now)
+        was_closing = self.lifecycle.closes_after_response(self.now)
         self.lifecycle.begin_shutdown(self.now, replaced)
-        assert not has_settled or self.lifecycle.closes_after_response(self.now), (
-            "a settled drain begins anew"
+        assert not was_closing or self.lifecycle.closes_after_response(self.now), (
+            "closing connections is interrupted"
         )
         self.is_shutting_down = True
 
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -81,16 +81,16 @@
 @pytest.mark.parametrize(
     ("raw", "reason"),
     [
-        (b"\n", "no JSON"),
-        (b"[" * 100_000 + b"\n", "no JSON"),
-        (b"\xff\xfe\n", "no JSON"),
+        (b"\n", "not valid JSON"),
+        (b"[" * 100_000 + b"\n", "not valid JSON"),
+        (b"\xff\xfe\n", "not valid JSON"),
         (b"[]\n", "format"),
         (changed(format=2), "format"),
         (changed(gateway="h"), "another gateway"),
         (changed(fields=["customer"]), "fields"),
-        (changed(stocks={}), "customers"),
-        (changed(stocks=[[]] * (MAX_QUOTAS + 1)), "customers"),
-        (changed(stocks=[[1]]), "not whole"),
+        (changed(stocks={}), "list of tenants"),
+        (changed(stocks=[[]] * (MAX_QUOTAS + 1)), "list of tenants"),
+        (changed(stocks=[[1]]), "one value per field"),
         (changed(share=0.9), "range"),
         (changed(share=True), "range"),
         (row(0, ""), "name"),
@@ -102,8 +102,8 @@
         (row(3, 1e300), "range"),
         (row(9, None), "range"),
         (changed(stocks=[[*range(11)]]), "name"),
-        (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"NaN"), "no JSON"),
-        (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"Infinity"), "no JSON"),
+        (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"NaN"), "not valid JSON"),
+        (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"Infinity"), "not valid JSON"),
     ],
 )
 def test_an_invalid_message_is_rejected_as_a_whole(raw: bytes, reason: str) -> None:
