--- a/tests/policy/endpoints/test_list_confirmation.py
+++ b/tests/policy/endpoints/test_list_confirmation.py
@@ -1,5 +1,5 @@
-"""Unusual lists that wait for a confirming answer (`doubt` in the operator's file): endpoints that they
-withdraw are withdrawn at once, and the lists are in force by their deadlines."""
+"""Confirmation of unusual lists (`doubt` in the operator's file): an unconfirmed list withdraws endpoints at
+once, and a confirmed one is in force by its deadline."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def full_list(*names: str, **others: EndpointState) -> EndpointList:
-    """A complete list: `names` are active, the others in the given state."""
+    """Returns a complete list: `names` are active, the others in the given state."""
     rows = [Endpoint(name, "a") for name in names]
     return EndpointList(
         EndpointListKind.FULL, (*rows, *(Endpoint(n, "b", state=s) for n, s in others.items()))
@@ -33,7 +33,7 @@
 
     version: int
     received_list: EndpointList
-    stopped: set[str]
+    withdrawn: set[str]
 
 
 WITHDRAWAL_CASES: dict[str, WithdrawalCase] = {
@@ -51,14 +51,14 @@
 
 @pytest.mark.parametrize("name", WITHDRAWAL_CASES)
 def test_an_unconfirmed_list_withdraws_endpoints_at_once_and_adds_none(name: str) -> None:
-    """A false list cannot end service: half of the active endpoints are left, however many lists come."""
-    confirmation, (version, received_list, stopped) = ListConfirmation(), WITHDRAWAL_CASES[name]
+    """A wrong list cannot end the service: half of the active endpoints remain, however many lists arrive."""
+    confirmation, (version, received_list, withdrawn) = ListConfirmation(), WITHDRAWAL_CASES[name]
     confirmation.apply(5, full_list(*TEN))
     assert not confirmation.accepts(version, received_list, True)
     found = confirmation.withdraw_endpoints(received_list)
-    assert {endpoint.address for endpoint in found} == stopped
+    assert {endpoint.address for endpoint in found} == withdrawn
     assert all(endpoint.state is DRAINING and endpoint.zone == "a" for endpoint in found)
-    assert confirmation.withdraw_endpoints(received_list) == ()  # reported once
+    assert confirmation.withdraw_endpoints(received_list) == ()  # each endpoint is reported once
     for at in range(3):
         confirmation.withdraw_endpoints(full_list(**dict.fromkeys(TEN[3 * at : 3 * at + 3], DRAINING)))
     assert sum(endpoint.state is ACTIVE for endpoint in confirmation.endpoints.values()) >= 5
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("name", ANSWERS)
 def test_a_confirming_list_need_not_equal_the_first(name: str) -> None:
-    """While endpoints come and go each answer has another version."""
+    """While endpoints come and go, each answer has a different version."""
     confirmation = ListConfirmation()
     confirmation.apply(5, full_list(*TEN))
     assert [
@@ -122,9 +122,9 @@
 
 
 class UnreliableService:
-    """A service that is unavailable or answers falsely until `outage_end`. From then on each answer comes
-    after `latency_s`: a list that lacks most of the endpoints in force, of another version each time. One
-    gateway polls it and needs confirmations."""
+    """A service that is unavailable or gives wrong answers until `outage_end`. From then on each answer
+    arrives after `latency_s`: a list that lacks most of the endpoints in force, of a new version each time.
+    One gateway polls it and needs confirmations."""
 
     def __init__(
         self,
@@ -134,7 +134,7 @@
         latency_s: float,
         first_answer_at: float | None,
     ) -> None:
-        """`first_answer_at`: when the first poll gets a false answer, if ever."""
+        """`first_answer_at`: when the first poll gets a wrong answer; None: never."""
         self.scheduler, self.rng, self.outage_end, self.latency_s = (
             PollScheduler(terms, rng),
             rng,
@@ -148,7 +148,7 @@
         )
         self.confirmation.apply(5, full_list(*TEN))
         self.results: dict[int, tuple[float, str]] = {}
-        self.wait_s = -1.0  # of the first call
+        self.wait_s = -1.0  # wait of the first poll; below 0 before that poll
         self.now, self.version, self.listed = 0.0, 6, True
 
     def execute(self, commands: list[OpenAndPoll | Poll | CloseConnection]) -> None:
@@ -164,11 +164,11 @@
             else:
                 result = self.rng.choice(RESULTS)
                 if result != "no answer":
-                    late = self.rng.random() * self.rng.choice([0.0, 1.0, 9.0])
-                    self.results[command.connection_id] = self.now + late, result
+                    delay_s = self.rng.random() * self.rng.choice([0.0, 1.0, 9.0])
+                    self.results[command.connection_id] = self.now + delay_s, result
 
     def answer(self, connection_id: int, names: list[str]) -> bool:
-        """Answers with a complete list; whether it is accepted."""
+        """Answers with a complete list; returns whether it is accepted."""
         self.version += 1
         if self.confirmation.accepts(self.version, full_list(*names), True):
             return True
@@ -176,7 +176,7 @@
         return False
 
     def received_at(self) -> float:
-        """When the true list is in force."""
+        """Runs the simulation; returns the time at which the correct list is in force."""
         self.watch.start(0.0, 0.0, self.first_answer_at is not None)
         for _ in range(100_000):
             connection_id, (at, how) = min(
@@ -194,7 +194,7 @@
             elif how == "false":
                 self.listed = False
                 if self.answer(connection_id, [f"x{self.rng.random()}"]):
-                    raise AssertionError("a false list was accepted")
+                    raise AssertionError("a wrong list was accepted")
             elif how == "refused":
                 self.watch.record_connection_lost(self.now, connection_id)
             else:
@@ -213,9 +213,9 @@
     st.sampled_from([None, 2.5, 30.0, 3600.0]), st.floats(0.001, 60.0),
     st.one_of(st.none(), st.floats(0.0, 9.0)), st.floats(0.0, 1.0), st.integers(0, 10**6),
 )  # fmt: skip
-@example(200, 0.5, 30.0, 0.001, 1.9, 1.0, 1)  # the false answer crosses the end of the outage
+@example(200, 0.5, 30.0, 0.001, 1.9, 1.0, 1)  # the wrong answer arrives after the end of the outage
 @example(200, 15.0, None, 0.001, None, 1.0, 1)
-def test_an_unusual_list_that_is_true_is_in_force_by_its_deadline(
+def test_an_unusual_list_that_is_correct_is_in_force_by_its_deadline(
     gateways: int,
     rate: float,
     age: float | None,
@@ -224,9 +224,9 @@
     share: float,
     seed: int,
 ) -> None:
-    """Whatever became of the polls before, also false answers, while both answers come within their part of
-    the recovery budget: a third of the least of it. With no `first_answer_at` that poll is a watch, silent
-    from its beginning, with a wait of its own."""
+    """Holds whatever the results of earlier polls, wrong answers included, if both answers arrive within
+    their part of the recovery budget: a third of the least budget. Without `first_answer_at` the first poll
+    is a watch that is silent from its start and has a wait."""
     timeout_s = notification.NOTIFIED_AFTER_WAIT_S / 3.0
     service = UnreliableService(
         PollingTerms(gateways, 0, rate, age),
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint watch by simulated services: silent, late, failing and delegated polls."""
+"""The endpoint watch against simulated services: silent, late, failing and delegated polls."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class SilentService:
-    """A discovery service under a simulated clock. Polls sent before `silent_at` and not answered by then
-    never are; the n-th one sent later is answered with the change after `latencies_s[n]`."""
+    """A discovery service with a simulated clock. Polls that are sent before `silent_at` and not answered by
+    then are never answered; the n-th poll sent later is answered with the change after `latencies_s[n]`."""
 
     def __init__(self, terms: PollingTerms, seed: int, silent_at: float, latencies_s: list[float]) -> None:
         self.scheduler = PollScheduler(terms, random.Random(seed))
         self.watch = EndpointWatch(self.scheduler)
         self.silent_at, self.latencies_s = silent_at, latencies_s
         self.now = 0.0
-        self.answers: dict[int, float] = {}  # by connection
-        self.polls: list[tuple[float, float]] = []  # when each was sent, and its wait
+        self.answers: dict[int, float] = {}  # time of the answer by connection
+        self.polls: list[tuple[float, float]] = []  # time at which each was sent, and its wait
         self.max_in_flight = 0
 
     def execute(self, commands: list[watch.WatchCommand]) -> None:
@@ -47,7 +47,8 @@
         return sum(at >= self.silent_at for at, _ in self.polls)
 
     def received_at(self) -> float:
-        """When the change that the silence hid is in force."""
+        """Runs the simulation; returns the time at which the change that the silent watch missed is in
+        force."""
         self.watch.start(0.0, 0.0, False)
         for _ in range(10_000):
             connection_id, at = min(self.answers.items(), key=lambda item: item[1], default=(0, float("inf")))
@@ -63,7 +64,8 @@
 
 
 def notified_at(service: SilentService) -> float:
-    """When the change counts as notified, by PROTOCOL and the standing test, from the silent poll on."""
+    """Returns the time at which a change missed by the silent poll counts as notified, by the deadlines of
+    `notification`."""
     sent_at, wait_s = max(poll for poll in service.polls if poll[0] < service.silent_at)
     return max(
         service.silent_at + notification.NOTIFIED_AFTER_S,
@@ -75,7 +77,7 @@
 def silences(draw: st.DrawFn) -> tuple[SilentService, float]:
     is_pushed, gateways = draw(st.booleans()), draw(st.sampled_from([1, 3, 40, 200, 2000]))
     silent_at = draw(st.floats(0.0, 60.0, exclude_min=True))
-    timeout_s = 0.75 if is_pushed else 1.0  # of the watch's polls: checked against the watch below
+    timeout_s = 0.75 if is_pushed else 1.0  # least time-out of a poll of the watch; the test below checks it
     # Latencies of the polls after the silence; where two are drawn, the first is never answered.
     first, share = draw(st.sampled_from([0, 1] if is_pushed else [0])), draw(st.floats(0.0, 1.0))
     latencies_s = [1e9] * first + [share * timeout_s]
@@ -91,7 +93,9 @@
 ) -> None:
     service, timeout_s = case
     for wait_s in (0.0, 2.25, 3.0) if service.scheduler.terms.is_pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0):
-        assert service.watch.answer_timeout_s(wait_s) >= timeout_s  # as the docstring of the watch promises
+        assert (
+            service.watch.answer_timeout_s(wait_s) >= timeout_s
+        )  # as the doc comment of the watch guarantees
     received = service.received_at()
     assert received <= notified_at(service)
     assert service.max_in_flight <= watch.MAX_IN_FLIGHT
@@ -102,17 +106,17 @@
 
 
 def test_without_hedged_polls_the_deadline_is_missed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An answer is abandoned 3 s after its wait."""
+    """Hedges a poll only 3 s after its wait: the deadline is then missed, so the test above can fail."""
     monkeypatch.setattr(EndpointWatch, "answer_timeout_s", lambda self, wait_s: 3.0)
     service = SilentService(PollingTerms(200, 0), 1, 30.0, [0.0])
     assert service.received_at() > notified_at(service)
 
 
 def test_a_service_that_answers_within_a_second_gets_no_hedged_polls() -> None:
-    """What hedging costs a fleet of 200: nothing at a service that takes up to a second for an answer, one
-    poll for each that takes longer, and a bounded rate when nothing is answered at all."""
+    """Cost of hedging for 200 gateways: none at a service that answers within a second, one poll for each
+    late answer, and a bounded rate if nothing is answered at all."""
     polls_per_s = {}
-    for late in (0.0, 0.9, 1.9, 1e9):
+    for delay_s in (0.0, 0.9, 1.9, 1e9):
         polls = 0
         for number in range(200):
             service = EndpointWatch(PollScheduler(PollingTerms(200, number), random.Random(number)))
@@ -128,12 +132,12 @@
                 for command in service.tick(now, True):
                     if not isinstance(command, CloseConnection):
                         polls += 1
-                        answers[command.connection_id] = now + command.wait_s + late
+                        answers[command.connection_id] = now + command.wait_s + delay_s
                     else:
                         answers.pop(command.connection_id, None)
-        polls_per_s[late] = polls / 120.0
+        polls_per_s[delay_s] = polls / 120.0
     assert polls_per_s[0.9] <= polls_per_s[0.0] <= 12.5 and polls_per_s[1.9] <= 2.0 * polls_per_s[0.0]
-    assert polls_per_s[1e9] <= 200 / 1.5  # each polls again at a bounded rate
+    assert polls_per_s[1e9] <= 200 / 1.5  # each gateway polls at a bounded rate
 
 
 @pytest.mark.parametrize("wait_s", [0.0, 3.0, 4.0, 20.0, 55.0])
@@ -150,8 +154,9 @@
 def test_delays_after_rejections_keep_the_deadline(
     gateways: int, retry_after_s: float | None, age: float | None, listed: bool
 ) -> None:
-    """A 503 does not delay a drain past its deadline: delay and answer fit, also at the tenth 503 in a row,
-    and whatever the operators configure. Retries are spread, though the service names one moment."""
+    """A 503 does not delay a drain past its deadline: delay and answer fit into it, also after the tenth
+    consecutive 503 and whatever the operators configure. Retries are spread, though Retry-After is the same
+    for all gateways."""
     scheduler = PollScheduler(PollingTerms(gateways, 0, max_list_age_s=age), random.Random(1))
     delays = [scheduler.record_rejection(retry_after_s, listed) for _ in range(10)]
     assert (
@@ -166,19 +171,20 @@
 
 @pytest.mark.parametrize("retry_after_s", [None, 30.0])
 def test_an_agent_that_answers_503_is_polled_again_at_once(retry_after_s: float | None) -> None:
-    """Where lists are pushed, what the agent has counts as notified, and polls cost no other client."""
+    """Where an agent pushes lists, its changes count as notified at once, and polls affect no other
+    client."""
     scheduler = PollScheduler(PollingTerms(200, 199, is_pushed=True), random.Random(1))
     assert max(scheduler.record_rejection(retry_after_s, True) for _ in range(10)) <= polling.MIN_BACKOFF_S
 
 
-# What becomes of a poll of an unavailable service.
+# Results of a poll of an unavailable service.
 RESULTS = ("refused", "reset", "rejected", "invalid", "no answer")
 
 
 class UnavailableService:
     """A service that is unavailable from `outage_start` to `outage_end`, and one gateway that polls it. Each
-    poll in between gets a result of its own, reported at any time, also after the outage; so does the watch
-    that was in flight at its start. From `outage_end` on polls are answered with the change after
+    poll in between, and the watch in flight at the start of the outage, gets a random result, reported at any
+    time, possibly after the outage. From `outage_end` on polls are answered with the change after
     `latency_s`."""
 
     def __init__(
@@ -193,8 +199,8 @@
         self.watch = EndpointWatch(self.scheduler)
         self.outage_start, self.outage_end, self.latency_s = outage_start, outage_end, latency_s
         self.now = 0.0
-        self.results: dict[int, tuple[float, str]] = {}  # by connection: when, and what
-        self.last_served = (0.0, 0.0)  # the last poll of the working service: when, and its wait
+        self.results: dict[int, tuple[float, str]] = {}  # time and result by connection
+        self.last_served = (0.0, 0.0)  # time and wait of the last poll of the working service
         self.polls: list[float] = []
 
     def execute(self, commands: list[watch.WatchCommand]) -> None:
@@ -217,7 +223,7 @@
                 self.results[command.connection_id] = max(self.now, self.outage_start) + result[1], result[0]
 
     def received_at(self, is_start_waiting: bool, retry_after_s: float | None) -> float:
-        """When the change is in force."""
+        """Runs the simulation; returns the time at which the change is in force."""
         self.watch.start(0.0, 0.0, is_start_waiting)
         for _ in range(100_000):
             connection_id, (at, how) = min(
@@ -256,11 +262,13 @@
     gateways: int, rate: float, age: float | None, retry_after_s: float | None,
     is_pushed: bool, is_start_waiting: bool, outage_start: float, outage_s: float, share: float, seed: int,
 ) -> None:  # fmt: skip
-    """Whatever became of the polls before, and whenever that was reported. Only the watch that was in flight
-    when the outage began has its wait (or the first poll, if that came later): a silent one counts 2 s
-    after."""
+    """Holds whatever the results of earlier polls, and whenever they were reported. Only the watch that was
+    in flight when the outage began (or the first poll, if it was sent later) extends the deadline, to 2 s
+    after the end of its wait."""
     timeout_s = 0.75 if is_pushed else 1.0
-    terms = PollingTerms(gateways, 0, rate, None if is_pushed else age, is_pushed)  # an agent has no list age
+    terms = PollingTerms(
+        gateways, 0, rate, None if is_pushed else age, is_pushed
+    )  # no maximum list age applies to an agent
     service = UnavailableService(
         terms, random.Random(seed), outage_start, outage_start + outage_s, share * timeout_s
     )
@@ -278,7 +286,7 @@
 def test_the_delay_counts_from_the_poll_not_from_the_report_of_its_failure(
     how: str, reported_after_s: float
 ) -> None:
-    """The service may have recovered right after the poll was sent."""
+    """The service may have recovered right after the poll was sent, long before the failure is reported."""
     endpoint_watch = EndpointWatch(PollScheduler(PollingTerms(200, 199, 13.0, 30.0), random.Random(1)))
     endpoint_watch.start(0.0, 0.0, True)
     endpoint_watch.tick(0.0, True)
@@ -294,7 +302,7 @@
 
 @pytest.mark.parametrize("count", [200, 520])
 def test_an_unavailable_service_is_polled_at_a_bounded_rate(count: int) -> None:
-    """What the deadlines cost it: one poll a gateway in 3 to 4 s."""
+    """Cost of the deadlines: one poll per gateway every 3 to 4 s."""
     polls: list[float] = []
     for number in range(count):
         terms = PollingTerms(count, number, count / 15.0, 30.0)
@@ -315,10 +323,11 @@
 
 
 def received_while_delegating(
-    terms: PollingTerms, confirmations: list[tuple[float, float]], change: float, late: float
+    terms: PollingTerms, confirmations: list[tuple[float, float]], change: float, delay_s: float
 ) -> float:
-    """When a gateway that delegates polling has a change in force that no member reports. `confirmations`:
-    when each arrives, and until when it confirms the list in force, a moment before the change."""
+    """Returns the time at which a gateway that delegates polling has a change in force that no member
+    reports. `confirmations`: for each one the time at which it arrives, and the time, before the change, up
+    to which it confirms the list in force."""
     shared_list = SharedEndpointList("m9", 0.0, random.Random(1))
     shared_list.version, shared_list.confirmed_at = 5, 0.0
     shared_list.is_lease_holder = False  # other members poll
@@ -338,7 +347,9 @@
                 if isinstance(command, CloseConnection):
                     answers.pop(command.connection_id, None)
                 else:
-                    answers[command.connection_id] = now + late if now >= change else max(now + late, change)
+                    answers[command.connection_id] = (
+                        now + delay_s if now >= change else max(now + delay_s, change)
+                    )
         elif now >= change:
             return now
         else:
@@ -355,7 +366,7 @@
     gateways: int, rate: float, age: float | None, confirmations: list[tuple[float, float]], change: float,
     share: float,
 ) -> None:  # fmt: skip
-    """Confirmations by members may stop at any moment, whatever maximum list age is configured."""
+    """Confirmations by members may stop at any time; the maximum list age does not matter."""
     confirming = [(at, max(0.0, at - old)) for at, old in confirmations if at - old <= change]
     terms = PollingTerms(gateways, gateways - 1, rate, age)
     received = received_while_delegating(terms, confirming, change, share * notification.ANSWER_ALLOWANCE_S)
