--- a/tests/policy/endpoints/test_list_confirmation.py
+++ b/tests/policy/endpoints/test_list_confirmation.py
@@ -215,7 +215,7 @@
 )  # fmt: skip
 @example(200, 0.5, 30.0, 0.001, 1.9, 1.0, 1)  # the wrong answer arrives after the end of the outage
 @example(200, 15.0, None, 0.001, None, 1.0, 1)
-def test_an_unusual_list_that_is_correct_is_in_force_by_its_deadline(
+def test_an_unusual_list_that_is_true_is_in_force_by_its_deadline(
     gateways: int,
     rate: float,
     age: float | None,
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -93,9 +93,7 @@
 ) -> None:
     service, timeout_s = case
     for wait_s in (0.0, 2.25, 3.0) if service.scheduler.terms.is_pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0):
-        assert (
-            service.watch.answer_timeout_s(wait_s) >= timeout_s
-        )  # as the doc comment of the watch guarantees
+        assert service.watch.answer_timeout_s(wait_s) >= timeout_s  # stated in the doc comment of the watch
     received = service.received_at()
     assert received <= notified_at(service)
     assert service.max_in_flight <= watch.MAX_IN_FLIGHT
@@ -266,9 +264,8 @@
     in flight when the outage began (or the first poll, if it was sent later) extends the deadline, to 2 s
     after the end of its wait."""
     timeout_s = 0.75 if is_pushed else 1.0
-    terms = PollingTerms(
-        gateways, 0, rate, None if is_pushed else age, is_pushed
-    )  # no maximum list age applies to an agent
+    # No maximum list age applies to an agent.
+    terms = PollingTerms(gateways, 0, rate, None if is_pushed else age, is_pushed)
     service = UnavailableService(
         terms, random.Random(seed), outage_start, outage_start + outage_s, share * timeout_s
     )
--- a/tests/policy/lifecycle/test_draining.py
+++ b/tests/policy/lifecycle/test_draining.py
@@ -1,4 +1,4 @@
-"""Phases of a process, by their guarantees."""
+"""The guarantees of the phases of a process."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from glenchute.policy.lifecycle.draining import Phase, ProcessLifecycle
 
 
-class Phases(RuleBasedStateMachine):
-    """Transitions in any sequence, against a model that knows only which were requested."""
+class LifecycleMachine(RuleBasedStateMachine):
+    """Requests transitions in any order and compares with a model that records only the requests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -91,8 +91,10 @@
             assert self.lifecycle.admits_requests(self.now)
 
 
-Phases.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
-TestPhases = Phases.TestCase
+LifecycleMachine.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
+)
+TestLifecycle = LifecycleMachine.TestCase
 
 
 def test_a_drain_before_the_start_has_no_effect() -> None:
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -1,4 +1,4 @@
-"""The handover between processes of a gateway: the message, and the decision engine's part."""
+"""Handover between processes of a gateway: the message, and the quotas in the decision engine."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from glenchute.capture import format_1
 from glenchute.capture.recorder import CaptureRule, Recorder
 from glenchute.capture.replay import find_runs
-from glenchute.capture.replay import replay as replayed
+from glenchute.capture.replay import replay as replay_files
 from glenchute.policy.actions import IncrementCounter, SendState, StartAttempt
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import (
@@ -66,16 +66,18 @@
             decode_handover("g", raw[:cut])
 
 
-def changed(**changes: Any) -> bytes:
+def message_with(**changes: Any) -> bytes:
+    """Encodes a message with some of its members replaced."""
     message = json.loads(encode_handover("g", 0.5, [QUOTA]))
     message.update(changes)
     return json.dumps(message).encode() + b"\n"
 
 
-def row(at: int, value: Any) -> bytes:
+def message_with_value(at: int, value: Any) -> bytes:
+    """Encodes a message in which one value of the tenant row is replaced."""
     cells = json.loads(encode_handover("g", 0.5, [QUOTA]))["stocks"][0]
     cells[at] = value
-    return changed(stocks=[cells])
+    return message_with(stocks=[cells])
 
 
 @pytest.mark.parametrize(
@@ -85,23 +87,23 @@
         (b"[" * 100_000 + b"\n", "not valid JSON"),
         (b"\xff\xfe\n", "not valid JSON"),
         (b"[]\n", "format"),
-        (changed(format=2), "format"),
-        (changed(gateway="h"), "another gateway"),
-        (changed(fields=["customer"]), "fields"),
-        (changed(stocks={}), "list of tenants"),
-        (changed(stocks=[[]] * (MAX_QUOTAS + 1)), "list of tenants"),
-        (changed(stocks=[[1]]), "one value per field"),
-        (changed(share=0.9), "range"),
-        (changed(share=True), "range"),
-        (row(0, ""), "name"),
-        (row(0, "x" * 65), "name"),
-        (row(1, 5), "name"),
-        (row(2, 0), "spread"),
-        (row(2, True), "spread"),
-        (row(3, "1"), "range"),
-        (row(3, 1e300), "range"),
-        (row(9, None), "range"),
-        (changed(stocks=[[*range(11)]]), "name"),
+        (message_with(format=2), "format"),
+        (message_with(gateway="h"), "another gateway"),
+        (message_with(fields=["customer"]), "fields"),
+        (message_with(stocks={}), "list of tenants"),
+        (message_with(stocks=[[]] * (MAX_QUOTAS + 1)), "list of tenants"),
+        (message_with(stocks=[[1]]), "one value per field"),
+        (message_with(share=0.9), "range"),
+        (message_with(share=True), "range"),
+        (message_with_value(0, ""), "name"),
+        (message_with_value(0, "x" * 65), "name"),
+        (message_with_value(1, 5), "name"),
+        (message_with_value(2, 0), "spread"),
+        (message_with_value(2, True), "spread"),
+        (message_with_value(3, "1"), "range"),
+        (message_with_value(3, 1e300), "range"),
+        (message_with_value(9, None), "range"),
+        (message_with(stocks=[[*range(11)]]), "name"),
         (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"NaN"), "not valid JSON"),
         (encode_handover("g", 0.5, [QUOTA]).replace(b"3.0", b"Infinity"), "not valid JSON"),
     ],
@@ -127,15 +129,15 @@
     assert share * limit >= min(in_use, 0.75 * limit)
 
 
-# --- the decision engine's part ---------------------------------------------------------------------------
+# --- quotas in the decision engine ------------------------------------------------------------------------
 
 
-def gateway_with_use(customer: str, plan: str, requests: int) -> Rig:
-    """A gateway at which a tenant has used part of its quota."""
+def gateway_after_requests(tenant: str, plan: str, requests: int) -> Rig:
+    """Returns a gateway at which a tenant has sent some requests."""
     rig = Rig()
     rig.feed(saved_list())
     for _ in range(requests):
-        rig.ask("read", plan, customer, spread=1)
+        rig.ask("read", plan, tenant, spread=1)
         rig.answer_calls()
     return rig
 
@@ -147,8 +149,8 @@
     return EndpointList(EndpointListKind.CACHED, entries(3))
 
 
-def replaced(old: Rig) -> Rig:
-    """The successor, after the handover."""
+def replace_process(old: Rig) -> Rig:
+    """Hands over to a new process and returns that."""
     [sent] = only(old.feed(SuccessorStarted()), SendState)
     new = Rig()
     new.now = old.now
@@ -157,38 +159,36 @@
     return new
 
 
-def admitted(rig: Rig, plan: str, customer: str, requests: int = 60) -> int:
-    """How many of simultaneous requests are admitted. Calls to the counter get no answer."""
-    return sum(
-        bool(only(rig.ask("read", plan, customer, spread=1)[1], StartAttempt)) for _ in range(requests)
-    )
+def count_admitted(rig: Rig, plan: str, tenant: str, requests: int = 60) -> int:
+    """Counts the admitted ones of simultaneous requests. Calls to the counter get no answer."""
+    return sum(bool(only(rig.ask("read", plan, tenant, spread=1)[1], StartAttempt)) for _ in range(requests))
 
 
 def test_a_spent_quota_stays_spent_in_the_successor() -> None:
-    old = gateway_with_use("c", "rate", 20)  # a burst of 6
+    old = gateway_after_requests("c", "rate", 20)  # more than the burst of 6
     fresh = Rig()
     fresh.feed(saved_list())
-    assert admitted(fresh, "rate", "c") >= 5
-    assert admitted(replaced(old), "rate", "c") <= 1
+    assert count_admitted(fresh, "rate", "c") >= 5
+    assert count_admitted(replace_process(old), "rate", "c") <= 1
 
 
 @pytest.mark.parametrize("spent", [0, 4, 30])
 def test_two_processes_admit_no_more_than_one_under_a_ceiling(spent: int) -> None:
-    single = gateway_with_use("c", "hard", spent)
+    single = gateway_after_requests("c", "hard", spent)
     single.ending = Outcome.TIMEOUT
-    most = admitted(single, "hard", "c")
-    old = gateway_with_use("c", "hard", spent)
-    new = replaced(old)
-    both = admitted(old, "hard", "c") + admitted(new, "hard", "c")
-    assert both <= most + 1, (both, most)  # a request is not split
+    most = count_admitted(single, "hard", "c")
+    old = gateway_after_requests("c", "hard", spent)
+    new = replace_process(old)
+    both = count_admitted(old, "hard", "c") + count_admitted(new, "hard", "c")
+    assert both <= most + 1, (both, most)  # one more by rounding, as a request is not split
 
 
 def test_only_the_successor_marks_epochs_until_the_predecessor_is_single_again() -> None:
-    old = gateway_with_use("c", "hard", 2)
-    new = replaced(old)
+    old = gateway_after_requests("c", "hard", 2)
+    new = replace_process(old)
 
     def may_mark(rig: Rig) -> bool:
-        """Whether a window that begins from now on is marked."""
+        """Returns whether a window that begins from now on is marked."""
         rig.advance(20_000.0)
         rig.ask("read", "hard", "c", spread=1)
         window_counter = rig.gateway.quota.tenants.by_id["c"].window_counter
@@ -202,7 +202,7 @@
 
 
 def test_local_shares_are_halved_during_the_overlap_and_restored_after_it() -> None:
-    old = gateway_with_use("c", "hard", 2)
+    old = gateway_after_requests("c", "hard", 2)
     quota = old.gateway.quota
     before = quota.tenants.by_id["c"].gateway_spread
     old.feed(SuccessorStarted())
@@ -221,7 +221,7 @@
         old.answer_calls()
     old.advance(300.0)
     old.answer_calls()
-    new = replaced(old)
+    new = replace_process(old)
     left = new.gateway.quota.tenants.by_id["c"].bucket_units
     new._totals = dict(old._totals)
     name = new.gateway.quota.tenants.by_id["c"].counter_key
@@ -265,5 +265,5 @@
     recorder.trigger("asked for")
     recorder.writer.close(10.0)
     (files,) = find_runs(tmp_path).values()
-    report = replayed(files)
+    report = replay_files(files)
     assert not report.differences and not report.fault_count and report.records == len(events) + 1
