--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -1,4 +1,5 @@
-"""Subsets of servers: met alike without talk, kept through changes, widened by load; few connections."""
+"""Subsetting: servers are used evenly without messages between gateways, subsets change little with the list
+and grow with load, and the cost depends on the servers in use."""
 
 from __future__ import annotations
 
@@ -72,19 +73,21 @@
     kind: EndpointListKind = EndpointListKind.FULL,
     state: EndpointState = EndpointState.ACTIVE,
 ) -> EndpointList:
+    """Returns a list event with these servers, spread over two zones."""
     return EndpointList(kind, tuple(Endpoint(name, "ab"[int(name[1:]) % 2], state=state) for name in names))
 
 
-class Module:
-    """Follows the list as the decision engine does, and sends each request to all that it knows in turn."""
+class FakeEngine:
+    """A fake decision engine: follows the list as the real one does, and sends requests to the known servers
+    in turn."""
 
     def __init__(self) -> None:
         self.known: dict[str, Endpoint] = {}
-        self.of = self.turn = 0
+        self.total = self.turn = 0
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         if isinstance(event, EndpointList):
-            self.of = event.total_endpoints
+            self.total = event.total_endpoints
             if event.kind is EndpointListKind.FULL:
                 self.known.clear()
             for entry in event.endpoints:
@@ -98,72 +101,79 @@
         return []
 
 
-def narrow(gateways: int = 10, number: int = 3, servers: int = 4) -> tuple[SubsettingEngine, Module]:
-    module = Module()
-    return SubsettingEngine(module, SETTINGS, SubsetTerms(gateways, number, servers)), module
+def sized_subset(
+    gateways: int = 10, number: int = 3, servers: int = 4
+) -> tuple[SubsettingEngine, FakeEngine]:
+    """Returns a subsetting engine with a configured subset size, and its fake engine."""
+    engine = FakeEngine()
+    return SubsettingEngine(engine, SETTINGS, SubsetTerms(gateways, number, servers)), engine
 
 
-class Lives(RuleBasedStateMachine):
-    """Whatever happens, the module knows only what is in service, of each zone, and enough of it."""
+class SubsetMachine(RuleBasedStateMachine):
+    """Checks after any events that the engine knows only active servers, enough of them, and some of each
+    zone."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.subsetting, self.module = narrow()
-        self.now, self.serial, self.out = 1e6, 0, []  # type: ignore[var-annotated]
+        self.subsetting, self.engine = sized_subset()
+        self.now, self.serial, self.open_attempts = 1e6, 0, []  # type: ignore[var-annotated]
         self.serving = {f"s{n}" for n in range(12)}
-        self.told(listed(sorted(self.serving)))
+        self.feed(listed(sorted(self.serving)))
 
-    def told(self, event: Event) -> None:
+    def feed(self, event: Event) -> None:
         for action in self.subsetting.handle(self.now, event):
             if isinstance(action, StartAttempt):
                 assert action.address in self.serving
-                self.out.append(action)
+                self.open_attempts.append(action)
 
     @rule(number=st.integers(0, 30), state=st.sampled_from(EndpointState))
     def changes(self, number: int, state: EndpointState) -> None:
         name = f"s{number}"
         (self.serving.add if state is EndpointState.ACTIVE else self.serving.discard)(name)
-        self.told(listed([name], EndpointListKind.CHANGES, state))
+        self.feed(listed([name], EndpointListKind.CHANGES, state))
 
     @rule(numbers=st.sets(st.integers(0, 30)))
     def whole(self, numbers: set[int]) -> None:
         self.serving = {f"s{number}" for number in numbers}
-        self.told(listed(sorted(self.serving)))
+        self.feed(listed(sorted(self.serving)))
 
     @rule(count=st.integers(1, 40))
     def asks(self, count: int) -> None:
         for _ in range(count):
             self.serial += 1
-            self.told(Request(f"r{self.serial}", "read", "wide", "c", 900.0))
+            self.feed(Request(f"r{self.serial}", "read", "wide", "c", 900.0))
 
     @rule(ending=st.sampled_from((Outcome.OK, Outcome.UNREACHABLE)))
     def ends(self, ending: Outcome) -> None:
-        out, self.out = self.out, []
-        for one in out:
-            self.told(AttemptEnded(one.request_id, 0, one.address, ending, 5.0, ending is Outcome.OK))
+        open_attempts, self.open_attempts = self.open_attempts, []
+        for one in open_attempts:
+            self.feed(AttemptEnded(one.request_id, 0, one.address, ending, 5.0, ending is Outcome.OK))
 
     @rule(ms=st.floats(1.0, 20_000.0))
     def waits(self, ms: float) -> None:
         self.now += ms
-        self.told(TimerFired(0))
+        self.feed(TimerFired(0))
 
     @invariant()
     def known_is_in_service_and_enough(self) -> None:
-        known, subset = set(self.module.known), self.subsetting.subset
+        known, subset = set(self.engine.known), self.subsetting.subset
         assert known == set(subset.in_use) <= self.serving
         assert len(known) >= min(4, len(self.serving))
         assert {int(name[1:]) % 2 for name in known} == {int(name[1:]) % 2 for name in self.serving}
-        assert self.module.of == len(self.serving) or not self.serving
-        assert sum(self.subsetting.in_flight.values()) == len(self.out)
+        assert self.engine.total == len(self.serving) or not self.serving
+        assert sum(self.subsetting.in_flight.values()) == len(self.open_attempts)
 
 
-TestLives = Lives.TestCase
-TestLives.settings = settings(max_examples=60, stateful_step_count=30, deadline=None, derandomize=True)
+TestSubsetMachine = SubsetMachine.TestCase
+TestSubsetMachine.settings = settings(
+    max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
+)
 
 
-def test_the_last_that_are_listed_are_in_use_though_they_could_not_be_reached() -> None:
-    """All were lost; of those listed next one was among them. It is one of three, and four may be used."""
-    one = Lives()
+def test_the_last_listed_servers_are_in_use_though_they_could_not_be_reached() -> None:
+    """All servers are removed; the next list has three, one of which was unreachable before. Four may be
+    used."""
+    one = SubsetMachine()
     one.asks(40)
     one.ends(Outcome.UNREACHABLE)
     for numbers in (set(), {0, 1, 13}):
@@ -171,49 +181,50 @@
         one.known_is_in_service_and_enough()
 
 
-def test_load_widens_within_a_step_and_calm_narrows() -> None:
-    subsetting, module = narrow()
+def test_load_enlarges_a_subset_and_low_load_shrinks_it() -> None:
+    subsetting, engine = sized_subset()
     names = [f"s{n}" for n in range(40)]
     subsetting.handle(0.0, listed(names))
-    first, now = len(module.known), 0.0
+    first, now = len(engine.known), 0.0
     for number in range(8 * first):
         subsetting.handle(now, Request(f"r{number}", "read", "wide", "c", 900.0))
     for _ in range(12):
         subsetting.handle(now := now + GROWTH_INTERVAL_MS, TimerFired(0))
-    wide = len(module.known)
+    wide = len(engine.known)
     assert wide >= 2 * first
     for number in range(8 * first):
         subsetting.handle(now, AttemptEnded(f"r{number}", 0, "s0", Outcome.OK, 5.0, True))
     subsetting.in_flight.clear()
     for _ in range(200):
         subsetting.handle(now := now + 2_000.0, TimerFired(0))
-    assert len(module.known) <= first + 1
+    assert len(engine.known) <= first + 1
 
 
 @pytest.mark.parametrize("trouble", ["unreachable", "cold"])
 def test_servers_that_can_not_serve_are_not_counted(trouble: str) -> None:
-    """Those that can't be reached are made up for at once, and cold ones by their warmth."""
-    subsetting, module = narrow(servers=4)
+    """Unreachable servers are compensated by others at once, and servers that warm up by their weight."""
+    subsetting, engine = sized_subset(servers=4)
     names = [f"s{n}" for n in range(20)]
     if trouble == "cold":
         entries = tuple(Endpoint(name, "a", started_ms=1e6) for name in names)
         subsetting.handle(1e6, EndpointList(EndpointListKind.FULL, entries))
-        assert len(module.known) == 16  # at a quarter each
+        assert len(engine.known) == 16  # each has a weight of a quarter
         return
     subsetting.handle(1e6, listed(names))
-    before = set(module.known)
+    before = set(engine.known)
     for number, server in enumerate(sorted(before)):
         subsetting.handle(1e6 + 10.0, AttemptEnded(f"r{number}", 0, server, Outcome.UNREACHABLE, 1.0, False))
     subsetting.handle(1e6 + 10.0 + GROWTH_INTERVAL_MS, TimerFired(0))
-    assert len(set(module.known) - before) >= 4
+    assert len(set(engine.known) - before) >= 4
     for step in range(100):
         subsetting.handle(1e6 + UNREACHABLE_MS + 2_000.0 * step, TimerFired(0))
-    assert len(module.known) <= len(before) + 1
+    assert len(engine.known) <= len(before) + 1
 
 
 @pytest.mark.parametrize(("gateways", "servers"), [(3, 10), (40, 60), (200, 100)])
 def test_all_servers_are_used_alike_and_changes_move_little(gateways: int, servers: int) -> None:
-    """Against rendezvous hashing and drawn subsets; the ring alone is as even, and moves more."""
+    """Compares the kept ring with rendezvous hashing and random subsets. A ring without kept servers is as
+    even, but replaces more."""
     used = min(20, servers // 2)
     even = {name: balance(scheme, gateways, servers, used) for name, scheme in SCHEMES.items()}
     moved = {name: churn(scheme, gateways, servers, used) for name, scheme in SCHEMES.items()}
@@ -223,14 +234,16 @@
 
 
 def test_the_engine_behind_a_subset_keeps_the_rules_over_seeds() -> None:
-    """The simulated site, its books and rules, with faults; each gateway uses three of nine servers."""
+    """Runs the simulated site with its checks and faults; each gateway uses three of nine servers."""
     met: Counter[bool] = Counter()
     for seed in range(3):
         numbers = iter(range(1000))
 
         def make(made: Settings, given: int, numbers: object = numbers) -> object:
             number = next(numbers) % made.gateway_count  # type: ignore[call-overload]
-            return _Behind(DecisionEngine(made, given), made, SubsetTerms(made.gateway_count, number, 3))
+            return InspectableEngine(
+                DecisionEngine(made, given), made, SubsetTerms(made.gateway_count, number, 3)
+            )
 
         world = World(seed, 6, 9, make)
         world.load(20_000.0, 60.0)
@@ -246,8 +259,8 @@
     assert met == {True: 3}
 
 
-class _Behind:
-    """An subsetting with the module's own books in sight, as the site checks these."""
+class InspectableEngine:
+    """A subsetting engine with the attributes of the inner engine, which the simulated site checks."""
 
     def __init__(self, inner: DecisionEngine, made: Settings, terms: SubsetTerms) -> None:
         self.inner, self.subsetting = inner, SubsettingEngine(inner, made, terms)
@@ -260,10 +273,11 @@
 
 
 def test_eight_processes_use_each_of_eight_servers_few_at_a_time(tmp_path: Path) -> None:
-    """By the servers' own books of whose requests ran: three gateways a server; without subsets 47 of 60 met
-    one server (`benchmarks.subsets start`). Each gateway has four requests out at a time then: more would
-    widen its subset, and under an open load the machine says how many are out. Then a third of the servers
-    dies, one gateway stands still, and another is killed and started again; service goes on throughout."""
+    """By the servers' records of the requests that ran, three gateways on average use a server; without
+    subsets 47 of 60 did (`benchmarks.subsets start`). During this each gateway has four requests in flight:
+    more would enlarge its subset, and under an open load their number depends on the machine. Then a third of
+    the servers fail, one gateway is stopped, and another is killed and restarted; requests are served
+    throughout."""
 
     async def scenario() -> None:
         operator = "[subset]\nservers = 3\n"
@@ -271,12 +285,14 @@
             await herd.start(range(8))
 
             def client(number: int, rate: float, seed: int) -> Load:
-                """Each gateway's accounts are its own, so that the servers' books tell it."""
+                """Returns a load on one gateway. Its accounts identify the gateway in the servers'
+                records."""
                 mine = [Account(b"%016x" % (1000 * number + at), "korporativni") for at in range(40)]
                 port = herd.gateways[number].port
                 return Load(lambda: port, (Kind("report-read", 1.0, 20_000),), mine, rate, seed + number)
 
-            async def by_fours(number: int) -> Load:
+            async def load_by_fours(number: int) -> Load:
+                """Sends requests to one gateway, four at a time."""
                 made = client(number, 0.0, 100)
                 for first in range(0, 80, 4):
                     names = [b"%04x%04x" % (number, at) for at in range(first, first + 4)]
@@ -292,7 +308,7 @@
                 await asyncio.gather(*(one.run(seconds) for one in made))
                 return made
 
-            loads = list(await asyncio.gather(*map(by_fours, range(8))))
+            loads = list(await asyncio.gather(*map(load_by_fours, range(8))))
             met = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in herd.site.nodes]
             assert max(met) <= 4, met
             for node in herd.site.nodes[:3]:
@@ -303,41 +319,44 @@
             herd.gateways[7].signal(signal.SIGCONT)
             await herd.start([6])
             loads += await load(1.0, range(8), 300)
-            told = [outcome.answer for one in loads for outcome in one.outcomes]
-            assert len(told) > 900 and told.count("lost") == 0
-            assert told.count("served") >= 0.95 * len(told)
+            results = [outcome.answer for one in loads for outcome in one.outcomes]
+            assert len(results) > 900 and results.count("lost") == 0
+            assert results.count("served") >= 0.95 * len(results)
 
     play(scenario())
 
 
-# --- long lists, used in part by themselves ----------------------------------------------------------------
+# --- long lists, of which a subset is used by default -------------------------------------------------------
 
 
-def fleet_of(count: int, zones: int = 7, first: int = 0, **more: Any) -> list[Endpoint]:
-    """So many servers, spread over the zones unevenly."""
+def servers_in_zones(count: int, zones: int = 7, first: int = 0, **more: Any) -> list[Endpoint]:
+    """Returns servers that are unevenly spread over the zones."""
     return [
         Endpoint(f"n{n}", "abcdefg"[min(zones - 1, n % (zones + 3))], **more)
         for n in range(first, first + count)
     ]
 
 
-def by_itself(gateways: int = 520, number: int = 7) -> tuple[SubsettingEngine, Module]:
-    module = Module()
+def default_subset(gateways: int = 520, number: int = 7) -> tuple[SubsettingEngine, FakeEngine]:
+    """Returns a subsetting engine without a configured subset size, and its fake engine."""
+    engine = FakeEngine()
     return SubsettingEngine(
-        module, replace(SETTINGS, gateway_count=gateways), SubsetTerms(gateways, number)
-    ), module
+        engine, replace(SETTINGS, gateway_count=gateways), SubsetTerms(gateways, number)
+    ), engine
 
 
-def news(entries: Sequence[Endpoint], kind: EndpointListKind = EndpointListKind.CHANGES) -> EndpointList:
+def list_event(
+    entries: Sequence[Endpoint], kind: EndpointListKind = EndpointListKind.CHANGES
+) -> EndpointList:
     return EndpointList(kind, tuple(entries))
 
 
-def out_of(entries: Iterable[Endpoint], state: EndpointState = EndpointState.REMOVED) -> list[Endpoint]:
+def with_state(entries: Iterable[Endpoint], state: EndpointState = EndpointState.REMOVED) -> list[Endpoint]:
     return [replace(entry, state=state) for entry in entries]
 
 
-class Steps:
-    """Counts what a subset walks, one by one."""
+class StepCounter:
+    """Counts the servers and ring positions that a subset visits."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.count = 0
@@ -345,38 +364,43 @@
             owner: Any = subsets.Subset if name == "weight" else subsets
             patch.setattr(owner, name, self.counted(getattr(owner, name)))
 
-    def counted(self, sound: Callable[..., Any]) -> Callable[..., Any]:
+    def counted(self, original: Callable[..., Any]) -> Callable[..., Any]:
         def one(*args: Any) -> Any:
             self.count += 1
-            return sound(*args)
+            return original(*args)
 
         return one
 
 
 @pytest.mark.parametrize("count", [0, 1, 20, 200, MAX_SUBSET_SIZE])
 def test_a_list_that_a_gateway_can_use_whole_is_passed_on_event_by_event(count: int) -> None:
-    told: list[Event] = []
+    received: list[Event] = []
 
-    class Told(Module):
+    class RecordingEngine(FakeEngine):
         def handle(self, now_ms: float, event: Event) -> list[Action]:
-            told.append(event)
+            received.append(event)
             return super().handle(now_ms, event)
 
-    subsetting = SubsettingEngine(Told(), SETTINGS, SubsetTerms(2, 1))
-    fleet = fleet_of(count)
-    events: list[Event] = [news(fleet, EndpointListKind.CACHED), news(fleet, EndpointListKind.FULL)]
+    subsetting = SubsettingEngine(RecordingEngine(), SETTINGS, SubsetTerms(2, 1))
+    fleet = servers_in_zones(count)
+    events: list[Event] = [
+        list_event(fleet, EndpointListKind.CACHED),
+        list_event(fleet, EndpointListKind.FULL),
+    ]
     events += [Request(f"r{n}", "read", "wide", "c", 900.0) for n in range(20)]
-    events += [news(out_of(fleet[:3], EndpointState.DRAINING)), news(out_of(fleet[:3]))]
+    events += [list_event(with_state(fleet[:3], EndpointState.DRAINING)), list_event(with_state(fleet[:3]))]
     events += [EndpointList(EndpointListKind.FAILED)]
     events += [AttemptEnded(f"r{n}", 0, "n5", Outcome.UNREACHABLE, 5.0, False) for n in range(20)]
-    events += [news(fleet[:2]), TimerFired(0), SuccessorStarted(), ClientDisconnected("r1")]
+    events += [list_event(fleet[:2]), TimerFired(0), SuccessorStarted(), ClientDisconnected("r1")]
     for at, event in enumerate(events):
         subsetting.handle(1e6 + 300.0 * at, event)
-    assert len(told) == len(events) and all(one is other for one, other in zip(told, events, strict=True))
+    assert len(received) == len(events) and all(
+        one is other for one, other in zip(received, events, strict=True)
+    )
 
 
 SIZES = [
-    # listed, gateways: how many are used, and how many gateways then meet a server at least and at most
+    # listed servers, gateways, subset size, least and largest number of gateways that use a server
     (257, 520, MIN_SUBSET_SIZE, 94, 99),
     (570, 520, MIN_SUBSET_SIZE, 41, 46),
     (5_700, 520, MIN_SUBSET_SIZE, 3, 6),
@@ -393,10 +417,10 @@
 def test_the_settings_alone_give_the_subset_size(
     listed: int, gateways: int, used: int, least: int, most: int
 ) -> None:
-    """And that all are met alike: over all zones, whatever the number of gateways."""
+    """Servers are also used evenly, over all zones and for any number of gateways."""
     assert subset_size(listed, gateways) == used
     first = Subset(SubsetTerms(gateways, 0), SlowStart())
-    first.replace_list(fleet := fleet_of(listed))
+    first.replace_list(fleet := servers_in_zones(listed))
     met: Counter[str] = Counter()
     for number in range(gateways if most else 0):
         one = Subset(SubsetTerms(gateways, number), SlowStart())
@@ -409,8 +433,8 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 384, 520, 999])
 def test_first_positions_are_spread_evenly_by_the_number_alone(gateways: int) -> None:
-    """No gap between neighbours is over twice the even one, nor under half of it; numbers too large for the
-    fleet, as of a seed, have a place as well."""
+    """The gaps between neighbours are between half and twice the even one. Numbers larger than the number of
+    gateways, such as random ones, have a position too."""
     at = sorted(first_position(number) for number in range(gateways))
     gaps = [b - a for a, b in zip(at, [*at[1:], 1.0 + at[0]], strict=True)]
     assert 0.5 / gateways <= min(gaps) and max(gaps) <= 2.0 / gateways
@@ -422,148 +446,150 @@
 def test_a_wrong_number_or_fleet_size_leaves_a_gateway_with_servers_of_each_zone(
     number: int, gateways: int
 ) -> None:
-    subsetting, module = by_itself(gateways, number)
-    subsetting.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
-    assert MIN_SUBSET_SIZE <= len(module.known) <= MAX_SUBSET_SIZE
-    assert {entry.zone for entry in module.known.values()} == set("abcdefg")
+    subsetting, engine = default_subset(gateways, number)
+    subsetting.handle(1e6, list_event(servers_in_zones(5_700), EndpointListKind.FULL))
+    assert MIN_SUBSET_SIZE <= len(engine.known) <= MAX_SUBSET_SIZE
+    assert {entry.zone for entry in engine.known.values()} == set("abcdefg")
 
 
 @pytest.mark.parametrize("kind", [EndpointListKind.FULL, EndpointListKind.CHANGES])
 def test_a_list_that_grows_and_shrinks_in_one_answer(kind: EndpointListKind) -> None:
-    """20, 5,700, 20 and 5,700 others: the module knows each time what it may use, in one event, and how many
-    there are."""
-    subsetting, module = by_itself()
-    few, many, others = fleet_of(20), fleet_of(5_700), fleet_of(5_700, first=10_000)
-    subsetting.handle(1e6, news(few, EndpointListKind.FULL))
-    assert module.known == {entry.address: entry for entry in few} and module.of == 0
+    """Lists of 20, 5,700, 20 and 5,700 other servers: one event each time tells the engine which servers it
+    may use and how many there are."""
+    subsetting, engine = default_subset()
+    few, many, others = servers_in_zones(20), servers_in_zones(5_700), servers_in_zones(5_700, first=10_000)
+    subsetting.handle(1e6, list_event(few, EndpointListKind.FULL))
+    assert engine.known == {entry.address: entry for entry in few} and engine.total == 0
     now = 1e6
     turns = ((few, many, MIN_SUBSET_SIZE), (many, few, 20), (few, others, MIN_SUBSET_SIZE), (others, few, 20))
     for before, after, count in turns:
         names = {entry.address for entry in after}
-        change = [*(entry for entry in out_of(before) if entry.address not in names), *after]
-        subsetting.handle(now := now + 10.0, news(after if kind is EndpointListKind.FULL else change, kind))
-        assert len(module.known) == count and module.known.keys() <= names
-        assert module.of == len(after)
-    subsetting.handle(now + 10.0, news(out_of(few[:1])))
-    assert module.of == len(module.known) == 19
+        change = [*(entry for entry in with_state(before) if entry.address not in names), *after]
+        subsetting.handle(
+            now := now + 10.0, list_event(after if kind is EndpointListKind.FULL else change, kind)
+        )
+        assert len(engine.known) == count and engine.known.keys() <= names
+        assert engine.total == len(after)
+    subsetting.handle(now + 10.0, list_event(with_state(few[:1])))
+    assert engine.total == len(engine.known) == 19
 
 
 def test_a_list_around_the_limit_switches_once() -> None:
-    subsetting, module = by_itself()
-    fleet = fleet_of(MAX_SUBSET_SIZE + 10)
-    subsetting.handle(1e6, news(fleet[:MAX_SUBSET_SIZE], EndpointListKind.FULL))
+    subsetting, engine = default_subset()
+    fleet = servers_in_zones(MAX_SUBSET_SIZE + 10)
+    subsetting.handle(1e6, list_event(fleet[:MAX_SUBSET_SIZE], EndpointListKind.FULL))
     sides = []
     for step in range(20):
-        change = fleet[MAX_SUBSET_SIZE:] if step % 2 == 0 else out_of(fleet[STOP_SUBSETTING_SIZE + 4 :])
-        subsetting.handle(1e6 + 1000.0 * step, news(change))
+        change = fleet[MAX_SUBSET_SIZE:] if step % 2 == 0 else with_state(fleet[STOP_SUBSETTING_SIZE + 4 :])
+        subsetting.handle(1e6 + 1000.0 * step, list_event(change))
         sides.append(subsetting.is_subsetting)
-    assert all(sides) and len(module.known) < STOP_SUBSETTING_SIZE
-    subsetting.handle(2e6, news(out_of(fleet[STOP_SUBSETTING_SIZE - 4 :])))
-    assert not subsetting.is_subsetting and len(module.known) == STOP_SUBSETTING_SIZE - 4
+    assert all(sides) and len(engine.known) < STOP_SUBSETTING_SIZE
+    subsetting.handle(2e6, list_event(with_state(fleet[STOP_SUBSETTING_SIZE - 4 :])))
+    assert not subsetting.is_subsetting and len(engine.known) == STOP_SUBSETTING_SIZE - 4
 
 
 def test_all_names_new() -> None:
-    """As after a restart of the list service: none of the old is known from this event on."""
-    subsetting, module = by_itself()
-    subsetting.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
-    subsetting.handle(2e6, news(fresh := fleet_of(5_700, first=6_000), EndpointListKind.FULL))
-    assert len(module.known) == MIN_SUBSET_SIZE and module.known.keys() <= {entry.address for entry in fresh}
+    """As after a restart of the list service: from this event on the engine knows no old server."""
+    subsetting, engine = default_subset()
+    subsetting.handle(1e6, list_event(servers_in_zones(5_700), EndpointListKind.FULL))
+    subsetting.handle(2e6, list_event(fresh := servers_in_zones(5_700, first=6_000), EndpointListKind.FULL))
+    assert len(engine.known) == MIN_SUBSET_SIZE and engine.known.keys() <= {entry.address for entry in fresh}
 
 
 def test_most_of_the_subset_drains_together() -> None:
-    """One answer takes all but one of those in use: as many others are in use with the same event."""
-    subsetting, module = by_itself()
-    subsetting.handle(1e6, news(fleet_of(5_700), EndpointListKind.FULL))
-    used = list(module.known.values())
-    subsetting.handle(2e6, news(out_of(used[1:], EndpointState.DRAINING)))
-    assert len(module.known) == MIN_SUBSET_SIZE and module.known.keys().isdisjoint(
+    """One answer drains all but one of the servers in use: the same event brings as many others into use."""
+    subsetting, engine = default_subset()
+    subsetting.handle(1e6, list_event(servers_in_zones(5_700), EndpointListKind.FULL))
+    used = list(engine.known.values())
+    subsetting.handle(2e6, list_event(with_state(used[1:], EndpointState.DRAINING)))
+    assert len(engine.known) == MIN_SUBSET_SIZE and engine.known.keys().isdisjoint(
         entry.address for entry in used[1:]
     )
 
 
 def test_a_zone_is_removed_at_once_and_returns_warming_up() -> None:
-    """With some of its servers listed the zone is never without one in use, and its cold ones are as many as
-    their warmth asks for, with a bound; warm again, they are no more than before."""
-    subsetting, module = by_itself()
-    rest, zone = fleet_of(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
-    subsetting.handle(1e6, news([*rest, *zone], EndpointListKind.FULL))
+    """While some of its servers are listed, one server of a zone is in use at least. While they warm up, more
+    are in use according to their weights, up to a bound; once warm, no more than before."""
+    subsetting, engine = default_subset()
+    rest, zone = servers_in_zones(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
+    subsetting.handle(1e6, list_event([*rest, *zone], EndpointListKind.FULL))
 
     def used() -> int:
-        return sum(entry.zone == "z" for entry in module.known.values())
+        return sum(entry.zone == "z" for entry in engine.known.values())
 
     before = used()
     assert before in (6, 7)
-    subsetting.handle(2e6, news(out_of(zone)))
-    assert used() == 0 and len(module.known) >= MIN_SUBSET_SIZE - before
+    subsetting.handle(2e6, list_event(with_state(zone)))
+    assert used() == 0 and len(engine.known) >= MIN_SUBSET_SIZE - before
     subsetting.handle(2e6 + GROWTH_INTERVAL_MS, TimerFired(0))
-    assert len(module.known) >= MIN_SUBSET_SIZE
+    assert len(engine.known) >= MIN_SUBSET_SIZE
     cold = [replace(entry, started_ms=3e6) for entry in zone]
     for entry in cold[:5]:
-        subsetting.handle(3e6, news([entry]))
+        subsetting.handle(3e6, list_event([entry]))
         assert used() >= 1
-    subsetting.handle(3e6, news(cold[5:]))
+    subsetting.handle(3e6, list_event(cold[5:]))
     subsetting.handle(3e6 + GROWTH_INTERVAL_MS, TimerFired(0))
     assert before < used() <= (before + 1) / SETTINGS.slow_start.initial_fraction
     for step in range(200):
         subsetting.handle(3e6 + 20_000.0 * step, TimerFired(0))
-    assert used() <= before + 1 and len(module.known) <= MIN_SUBSET_SIZE + 1
+    assert used() <= before + 1 and len(engine.known) <= MIN_SUBSET_SIZE + 1
 
 
 def test_a_changed_row_costs_by_what_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
-    """2,000 rows in one second, each an answer of its own, at 5,700 listed: so many steps a row, the looks of
-    that second among them. All rows in one answer cost a few steps each."""
-    subsetting, module = by_itself()
-    fleet = fleet_of(5_700)
-    subsetting.handle(1e6, news(fleet, EndpointListKind.FULL))
-    rng, steps = random.Random(1), Steps(monkeypatch)
+    """2,000 changed rows in one second, each in a separate answer, of 5,700 listed: the steps per row are
+    bounded, including the reviews of that second. Rows in one answer cost a few steps each."""
+    subsetting, engine = default_subset()
+    fleet = servers_in_zones(5_700)
+    subsetting.handle(1e6, list_event(fleet, EndpointListKind.FULL))
+    rng, steps = random.Random(1), StepCounter(monkeypatch)
     rows = [replace(one, weight=2.0, started_ms=rng.choice((0.0, 9e5))) for one in rng.sample(fleet, 2_000)]
     for at, entry in enumerate(rows):
-        subsetting.handle(1e6 + 0.5 * at, news([replace(entry, zone=rng.choice("abcdefg"))]))
+        subsetting.handle(1e6 + 0.5 * at, list_event([replace(entry, zone=rng.choice("abcdefg"))]))
         subsetting.handle(1e6 + 0.5 * at, TimerFired(0))
     assert steps.count <= 12 * len(rows)
-    assert module.known.keys() == subsetting.subset.in_use.keys()
+    assert engine.known.keys() == subsetting.subset.in_use.keys()
     steps.count = 0
-    subsetting.handle(2e6, news(rows))
+    subsetting.handle(2e6, list_event(rows))
     assert steps.count <= 3 * len(rows)
 
 
 def test_reviews_cost_by_what_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Looks without news, and then with all unreachable: the same steps at 2,000 and at 5,700 listed."""
+    """Reviews without changes, and then with all servers unreachable, take as many steps at 2,000 as at 5,700
+    listed."""
     counts = []
     for listed in (2_000, 5_700):
         with monkeypatch.context() as patch:
-            subsetting, module = by_itself()
-            subsetting.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
-            steps = Steps(patch)
+            subsetting, engine = default_subset()
+            subsetting.handle(1e6, list_event(servers_in_zones(listed), EndpointListKind.FULL))
+            steps = StepCounter(patch)
             for at in range(400):
                 now = 1e6 + at * GROWTH_INTERVAL_MS
-                for server in list(module.known) if at > 200 else ():
+                for server in list(engine.known) if at > 200 else ():
                     subsetting.handle(now, AttemptEnded("r", 0, server, Outcome.UNREACHABLE, 1.0, False))
                 subsetting.handle(now, TimerFired(0))
             counts.append(steps.count)
-            assert (
-                len(module.known) <= 2 * MIN_SUBSET_SIZE / MIN_WEIGHT + 7
-            )  # one more a zone, as weights add up
+            # One more per zone, as the sum of weights exceeds the size.
+            assert len(engine.known) <= 2 * MIN_SUBSET_SIZE / MIN_WEIGHT + 7
     assert counts[1] <= 1.1 * counts[0]
 
 
 def test_a_pick_looks_at_as_many_servers_at_5700_as_at_100(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decision engine itself behind the subset, counted by its looks at a server."""
-    looks = 0
-    sound = EndpointChooser.expected_delay
+    """Counts the servers that the real decision engine compares behind a subset."""
+    comparisons = 0
+    original = EndpointChooser.expected_delay
 
     def delay(*args: Any) -> float:
-        nonlocal looks
-        looks += 1
-        return sound(*args)
+        nonlocal comparisons
+        comparisons += 1
+        return original(*args)
 
     monkeypatch.setattr(EndpointChooser, "expected_delay", delay)
     found = {}
     for listed in (20, 5_700):
         made = replace(SETTINGS, gateway_count=520)
         subsetting = SubsettingEngine(DecisionEngine(made, 1), made, SubsetTerms(520, 7))
-        subsetting.handle(1e6, news(fleet_of(listed), EndpointListKind.FULL))
-        looks = sent = 0
+        subsetting.handle(1e6, list_event(servers_in_zones(listed), EndpointListKind.FULL))
+        comparisons = sent = 0
         for n in range(500):
             for action in subsetting.handle(1e6 + 6.0 * n, Request(f"r{n}", "read", "wide", "c", 900.0)):
                 if isinstance(action, StartAttempt):
@@ -572,17 +598,17 @@
                         f"r{n}", 0, action.address, Outcome.OK, 5.0, True, active_requests=1.0
                     )
                     subsetting.handle(1e6 + 6.0 * n + 5.0, ended)
-        found[listed] = looks / sent
+        found[listed] = comparisons / sent
     assert found[20] == 20 and found[5_700] <= MIN_SUBSET_SIZE
 
 
 def test_the_rules_hold_in_swarm_runs_with_many_servers() -> None:
-    """The simulated site with more servers than a gateway uses whole, so that each gateway uses some of them;
-    without its cold turns or its drains this is found."""
-    parts: list[_Behind] = []
+    """Runs the simulated site with more servers than a gateway uses whole, so that each gateway uses a
+    subset. Without its slow-start tokens or its drains the site finds a broken rule."""
+    parts: list[InspectableEngine] = []
 
-    def make(made: Settings, given: int) -> _Behind:
-        parts.append(_Behind(DecisionEngine(made, given), made, SubsetTerms(520, len(parts))))
+    def make(made: Settings, given: int) -> InspectableEngine:
+        parts.append(InspectableEngine(DecisionEngine(made, given), made, SubsetTerms(520, len(parts))))
         return parts[-1]
 
     def large(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
@@ -596,36 +622,36 @@
 
 
 def test_a_gateway_without_a_file_uses_a_part_of_a_long_list() -> None:
-    """A process's own parts: as the list grows past the limit the module is told of some, and drains of these
-    come at once. A short list is told as it is."""
-    module = Script(lambda event: [])
+    """Uses the parts of a real process: a short list is passed on unchanged; once it grows past the limit,
+    the engine is told of a subset, and of drains in it at once."""
+    engine = Script(lambda event: [])
 
     async def scenario() -> None:
         rows = [{**row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(MAX_SUBSET_SIZE + 40)]
         answers = DiscoveryPeer(listing(2, rows[:20]), listing(3, rows[20:], full=False))
-        async with site(decisions=module, discovery=answers) as one:
+        async with site(decisions=engine, discovery=answers) as one:
             await until(lambda: one.program.discovery.version == 3)
-            lists = module.of(EndpointList)
+            lists = engine.of(EndpointList)
             assert [event.total_endpoints for event in lists] == [0, 0, MAX_SUBSET_SIZE + 40]
             assert len(lists[1].endpoints) == 20
             subsetting: Any = one.program.gateway.decisions
             used = subsetting.subset.in_use
             assert len(used) == subset_size(MAX_SUBSET_SIZE + 40, SETTINGS.gateway_count)
-            gone = next(iter(used))
-            answers.answers.append(listing(4, [row(gone, 9, "Terminating")], full=False))
+            drained = next(iter(used))
+            answers.answers.append(listing(4, [row(drained, 9, "Terminating")], full=False))
             await until(lambda: one.program.discovery.version == 4)
-            assert gone not in used and len(used) == MAX_SUBSET_SIZE
-            assert gone in {entry.address for entry in module.of(EndpointList)[-1].endpoints}
+            assert drained not in used and len(used) == MAX_SUBSET_SIZE
+            assert drained in {entry.address for entry in engine.of(EndpointList)[-1].endpoints}
 
     play(scenario())
 
 
 def test_connections_cost_by_the_servers_that_have_any(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Sweeps, and the look for room before each new connection, walk no pool that has none."""
+    """Sweeps, and the search for room before each new connection, visit only pools that have connections."""
     walked = 0
 
-    class Ends(asyncio.Transport):
-        """Tells its connection of its end at once."""
+    class EndingTransport(asyncio.Transport):
+        """A transport that reports its end to its connection at once."""
 
         def __init__(self, conn: Connection) -> None:
             super().__init__()
@@ -637,7 +663,7 @@
         def is_closing(self) -> bool:
             return False
 
-    class Counted(ConnectionPool):
+    class CountingPool(ConnectionPool):
         def close_idle(self, before: float | None = None) -> None:
             nonlocal walked
             walked += 1
@@ -645,13 +671,13 @@
 
     async def scenario() -> None:
         servers = ServerPools(asyncio.get_running_loop(), UpstreamLimits(0.25, 13.0, 0.25, 3))
-        monkeypatch.setattr(servers, "new_pool", lambda server, address: Counted(servers, address))
+        monkeypatch.setattr(servers, "new_pool", lambda server, address: CountingPool(servers, address))
         for n in range(5_700):
             servers.activate_server(f"n{n}", ("127.0.0.1", 9), False)
         conns = []
         for n in (5, 7, 7):
             conns.append(Connection(servers.pools[f"n{n}"]))
-            conns[-1].connection_made(Ends(conns[-1]))
+            conns[-1].connection_made(EndingTransport(conns[-1]))
         assert servers.connection_count() == 3 and not servers.may_open() and not servers.make_room()
         servers.pools["n7"].give_back(conns[1])
         assert servers.may_open() and servers.make_room() and servers.connection_count() == 2
@@ -673,7 +699,7 @@
     monkeypatch.setattr(subsets, "GROWTH_FRACTION", 0.0)
     monkeypatch.setattr(subsets.Subset, "adjust_size", lambda self, now_ms, in_flight: None)
     with pytest.raises(AssertionError):
-        test_load_widens_within_a_step_and_calm_narrows()
+        test_load_enlarges_a_subset_and_low_load_shrinks_it()
     monkeypatch.setattr(subsets.Subset, "weight", lambda self, now_ms, server: 1.0)
     with pytest.raises(AssertionError):
         test_servers_that_can_not_serve_are_not_counted("unreachable")
