--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -157,20 +157,20 @@
         """Returns the servers that the rings assign to this gateway now, with their weights; each zone has a
         share in proportion to its size."""
         chosen: dict[str, float] = {}
-        wanted, length, passed = self.min_servers + self.extra_servers, len(self.listed), 0
+        wanted, length, listed_so_far = self.min_servers + self.extra_servers, len(self.listed), 0
         # The rounding offset depends on the gateway, so that no zone is used by fewer gateways than others.
-        offset = edge = int(length * (GOLDEN_RATIO * self.terms.gateway_number % 1.0))
+        offset = share_end = int(length * (GOLDEN_RATIO * self.terms.gateway_number % 1.0))
         for zone in sorted(self.rings):
             ring = self.rings[zone]
-            passed += len(ring)
-            before, edge = edge, offset + wanted * passed
-            share = max(1, edge // length - before // length)
-            sum_of_weights = 0.0
+            listed_so_far += len(ring)
+            share_start, share_end = share_end, offset + wanted * listed_so_far
+            zone_share = max(1, share_end // length - share_start // length)
+            weight_sum = 0.0
             for server in walk_ring(ring, self.terms.gateway_number):
-                if sum_of_weights >= share:
+                if weight_sum >= zone_share:
                     break
                 chosen[server] = self.weight(now_ms, server)
-                sum_of_weights += chosen[server]
+                weight_sum += chosen[server]
         return chosen
 
     def sum_by_zone(self, weights: Iterable[tuple[str, float]]) -> dict[str, float]:
