--- a/glenchute/policy/membership/__init__.py
+++ b/glenchute/policy/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways decide together: who is there, and what each knows of the others' state. No I/O."""
+"""State that gateways share: membership, gossip, leases and usage reports. No I/O."""
--- a/glenchute/policy/membership/leases.py
+++ b/glenchute/policy/membership/leases.py
@@ -3,13 +3,13 @@
 
 Source: Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for Leases" (2012): Paxos in which the value
 decided is "who holds this lease for how long", and an accepted proposal is forgotten when its lease expires.
-Added here: a bound on clock drift, fencing tokens that only grow, and recovery of an acceptor's promises from
-the other acceptors.
+Added here: a bound on clock drift, fencing tokens that only increase, and recovery of an acceptor's promises
+from the other acceptors.
 
 Assumptions: each clock runs at 1 - drift to 1 + drift times real time and never goes back; clock offsets and
 the wall clock do not matter. Messages may be lost, duplicated, delayed and reordered without bound. A process
 that is stopped and resumed reads its clock before it acts, and that clock has advanced meanwhile. An acceptor
-that starts (it can't know whether for the first time) answers nothing for the longest lease, and until a
+that starts (it can't know whether for the first time) answers no proposer for the longest lease, and until a
 majority of the others have reported what they promised.
 
 Then, for each task:
@@ -19,9 +19,9 @@
   others; any two majorities share an acceptor.
 - Tokens of later leases are higher, as long as no majority of the acceptors restarts within one recovery: a
   new ballot has to pass an acceptor of each majority before it, or one that has recovered from such an
-  acceptor. Where all acceptors have lost their state they start anew (`has_lost_history`): tokens may fall,
-  and a new holder waits until the longest effect is over.
-- While a majority answers and one proposer asks alone, it holds the lease after two round trips.
+  acceptor. Where a majority of the acceptors has lost its state, they start over
+  (`has_lost_history`): tokens may decrease, and a new holder waits until the longest effect is over.
+- While a majority answers and only one proposer competes, it holds the lease after two round trips.
 """
 
 from __future__ import annotations
@@ -45,13 +45,13 @@
     boot: int
 
     def may_replace(self, promised: Ballot) -> bool:
-        """Whether an acceptor that has promised `promised` may promise this ballot. The number alone has to
-        be higher, as it is the fencing token: of two proposers with one number the second would else hold
-        the lease with the first one's token."""
+        """Returns whether an acceptor that has promised `promised` may promise this ballot. Compares the
+        numbers alone, because the number is the fencing token: with equal numbers the second proposer would
+        hold the lease with the first one's token."""
         return self == promised or self.number > promised.number
 
     def releases(self, accepted: Ballot) -> bool:
-        """Whether a release of this ballot ends `accepted` too: it is of the same process, and no older."""
+        """Returns whether releasing this ballot also ends `accepted`: same process, and not older."""
         is_same_process = (self.proposer, self.boot) == (accepted.proposer, accepted.boot)
         return is_same_process and self.number >= accepted.number
 
@@ -63,14 +63,14 @@
     """What a message asks for or reports; the numbers are part of the datagram format."""
 
     PREPARE = 0
-    PROMISE = 1  # `known_ballot` is the accepted ballot, if there is one, for `span_s` more
+    PROMISE = 1  # `known_ballot` is the accepted ballot, if any; its lease lasts `span_s` more
     PROPOSE = 2  # asks for a lease of `span_s`
     ACCEPTED = 3
-    REJECTED = 4  # `known_ballot` has been promised, which is higher
+    REJECTED = 4  # `known_ballot` is the ballot that the acceptor has promised
     RELEASE = 5
-    RECOVERY_REQUEST = 6  # an acceptor that has started asks what the others promised
+    RECOVERY_REQUEST = 6  # a starting acceptor asks the others for their promises
     RECOVERY_REPLY = 7  # `known_ballot` is the highest promise for any task
-    RELEASED = 8  # to other proposers: the lease of `ballot` has just been released
+    RELEASED = 8  # tells other proposers that the lease of `ballot` has just been released
 
 
 # What an acceptor receives; all other kinds go to a proposer.
@@ -84,7 +84,7 @@
 
 
 class LeaseMessage(NamedTuple):
-    """One message about one task's lease. `has_recovered`: the sender, an acceptor, is past its recovery."""
+    """A message about one task's lease. `has_recovered`: the sending acceptor has finished its recovery."""
 
     kind: LeaseMessageKind
     task: str
@@ -96,68 +96,73 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """What all acceptors and proposers have to be configured with alike. Spans are seconds by any clock that
-    keeps within the drift."""
+    """Terms that have to be the same for all acceptors and proposers. Spans are seconds by any clock within
+    `max_clock_drift`."""
 
     acceptors: tuple[str, ...]
     max_span_s: float = 10.0  # no lease is proposed or accepted for longer
-    max_clock_drift: float = 0.01  # share of real time
+    max_clock_drift: float = 0.01  # as a share of real time
 
     @property
     def majority(self) -> int:
-        """Acceptors that decide."""
+        """Returns the number of acceptors that form a majority."""
         return len(self.acceptors) // 2 + 1
 
     @property
     def startup_silence_s(self) -> float:
-        """How long an acceptor that has started answers nothing: all that it had accepted expires in it."""
+        """Returns for how long a started acceptor stays silent: all leases that it had accepted expire by
+        then."""
         return self.max_span_s * (1.0 + self.max_clock_drift)
 
     def usable_span_s(self, span_s: float) -> float:
-        """How long, by the holder's clock, a lease of `span_s` by the acceptors' clocks may be used."""
+        """Returns how long the holder may use a lease of `span_s` by the acceptors' clocks, in seconds by its
+        own clock."""
         return span_s * (1.0 - self.max_clock_drift) / (1.0 + self.max_clock_drift)
 
 
 class AcceptedLease(NamedTuple):
-    """A lease that an acceptor has accepted, by its own clock."""
+    """A lease that an acceptor has accepted; `expires_at` is by the acceptor's clock."""
 
     ballot: Ballot
     expires_at: float
 
 
 class Acceptor:
-    """The promises of one acceptor, for all tasks."""
+    """The promises and accepted leases of one acceptor, for all tasks."""
 
     def __init__(self, name: str, terms: LeaseTerms, now: float) -> None:
         self.name, self.terms = name, terms
         self.silent_until = now + terms.startup_silence_s
-        self.recovery_replies: dict[str, bool] = {}  # by acceptor: whether it has recovered itself
+        self.recovery_replies: dict[str, bool] = {}  # by acceptor: whether it has recovered
         self.has_recovered = False
-        self.has_lost_history = False  # no acceptor remembers its promises
-        self.promise_floor = NO_BALLOT  # promised for every task: the highest that the others had promised
+        self.has_lost_history = False  # a majority of acceptors had no promises to report
+        # Counts as promised for every task: the highest ballot that the other acceptors had promised.
+        self.promise_floor = NO_BALLOT
         self.promised: dict[str, Ballot] = {}
         self.accepted: dict[str, AcceptedLease] = {}
 
     def tick(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Forgets expired leases and, while recovering, asks the others for their promises. To be called
+        """Drops expired leases and, while recovering, asks the others for their promises. To be called
         several times a second."""
         for task in [task for task, lease in self.accepted.items() if lease.expires_at <= now]:
             del self.accepted[task]
         if self.has_recovered:
             return []
         others = [acceptor for acceptor in self.terms.acceptors if acceptor != self.name]
-        remembering, replied = sum(self.recovery_replies.values()), len(self.recovery_replies)
-        forgetful = replied - remembering + 1  # this one included
+        recovered_count, reply_count = sum(self.recovery_replies.values()), len(self.recovery_replies)
+        unrecovered_count = reply_count - recovered_count + 1  # includes this acceptor
         majority = self.terms.majority
-        is_answered = remembering >= majority or replied == len(others) or forgetful >= majority
+        is_answered = (
+            recovered_count >= majority or reply_count == len(others) or unrecovered_count >= majority
+        )
         if now >= self.silent_until and is_answered:
-            self.has_recovered, self.has_lost_history = True, forgetful >= majority
+            self.has_recovered, self.has_lost_history = True, unrecovered_count >= majority
             return []
         request = LeaseMessage(LeaseMessageKind.RECOVERY_REQUEST, "", NO_BALLOT)
         return [Outgoing(other, request) for other in others]
 
     def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """A message, and the answer to it. Until an acceptor has recovered it answers proposers nothing."""
+        """Handles a message and returns the answer. Proposers get none until this acceptor has recovered."""
         if message.kind is LeaseMessageKind.RECOVERY_REQUEST:
             return [Outgoing(sender, self.recovery_reply())]
         if message.kind is LeaseMessageKind.RECOVERY_REPLY:
@@ -178,19 +183,19 @@
         return []
 
     def current_lease(self, now: float, task: str) -> AcceptedLease | None:
-        """The task's accepted lease, unless it has expired."""
+        """Returns the task's accepted lease, or None where there is none or it has expired."""
         accepted = self.accepted.get(task)
         return accepted if accepted is not None and accepted.expires_at > now else None
 
     def recovery_reply(self) -> LeaseMessage:
-        """The highest promise of this acceptor, for one that recovers."""
+        """Returns the highest promise of this acceptor, for one that recovers."""
         highest = max([self.promise_floor, *self.promised.values()])
         return LeaseMessage(
             LeaseMessageKind.RECOVERY_REPLY, "", NO_BALLOT, highest, has_recovered=self.has_recovered
         )
 
     def prepare(self, now: float, task: str, ballot: Ballot) -> LeaseMessage:
-        """Promises the ballot, and reports the accepted lease; or rejects it."""
+        """Promises the ballot and reports the accepted lease, or rejects the ballot."""
         promised = self.promised.get(task, self.promise_floor)
         if not ballot.may_replace(promised):
             return LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised)
@@ -202,7 +207,7 @@
         return LeaseMessage(LeaseMessageKind.PROMISE, task, ballot, accepted.ballot, remaining_s)
 
     def propose(self, now: float, task: str, ballot: Ballot, span_s: float) -> LeaseMessage:
-        """Accepts the lease for its span, or rejects it."""
+        """Accepts a lease for `span_s` seconds, or rejects it."""
         promised = self.promised.get(task, self.promise_floor)
         if not ballot.may_replace(promised) or span_s > self.terms.max_span_s:
             return LeaseMessage(LeaseMessageKind.REJECTED, task, ballot, promised)
@@ -217,48 +222,49 @@
 
     token: int
     expires_at: float
-    ballot: Ballot  # of the last renewal
+    ballot: Ballot  # ballot of the last renewal
 
 
 @dataclass(slots=True)
 class BallotRound:
-    """A round in progress: prepare, then propose."""
+    """A ballot round in progress: prepare, then propose."""
 
     ballot: Ballot
     promised_by: set[str] = field(default_factory=set)
-    rejected_by: set[str] = field(default_factory=set)  # promised a higher ballot, or accepted another holder
+    # Acceptors that promised a higher ballot, or accepted another holder's lease.
+    rejected_by: set[str] = field(default_factory=set)
     accepted_by: set[str] = field(default_factory=set)
-    lease_expires_at: float | None = None  # set when the proposal is sent
+    lease_expires_at: float | None = None  # None until the proposal is sent
 
 
 class Proposer:
-    """One process that acquires, renews and releases one task's lease."""
+    """The part of one process in acquiring, renewing and releasing one task's lease."""
 
     def __init__(self, name: str, boot: int, task: str, terms: LeaseTerms, span_s: float) -> None:
-        """ValueError where `span_s` is over the longest lease of the terms."""
+        """Raises ValueError where `span_s` is longer than the terms allow."""
         if span_s > terms.max_span_s:
-            raise ValueError("a lease must not be longer than the longest")
+            raise ValueError("lease span is longer than max_span_s of the terms")
         self.name, self.boot, self.task, self.terms, self.span_s = name, boot, task, terms, span_s
-        self.highest_number = 0  # of the ballots seen
+        self.highest_number = 0  # highest ballot number seen
         self.current_round: BallotRound | None = None
         self.lease: OwnLease | None = None
-        self.released_ballot = NO_BALLOT  # of another holder, which announced the release
+        self.released_ballot = NO_BALLOT  # the last ballot whose release another holder announced
         self.other_holder: Ballot = NO_BALLOT
-        self.other_holder_until = -math.inf  # when its lease expires at the latest, unless renewed
+        self.other_holder_until = -math.inf  # latest expiry of the other holder's lease, unless renewed
 
     def is_holder(self, now: float) -> bool:
-        """Whether this process holds the lease at this moment."""
+        """Returns whether this process holds the lease at `now`."""
         return self.lease is not None and now < self.lease.expires_at
 
     def fencing_token(self, now: float, longest_s: float) -> int | None:
-        """The token for an effect that starts now and takes at most `longest_s`; None where it might outlast
-        the lease. To be called just before the effect: a pause of the process between this and the effect is
-        covered only where the effect's target refuses tokens lower than it has seen."""
+        """Returns the token for an effect that starts now and takes at most `longest_s`, or None where it
+        might outlast the lease. To be called just before the effect: a pause of the process between this call
+        and the effect is covered only where the effect's target rejects tokens lower than it has seen."""
         end = now + longest_s * (1.0 + self.terms.max_clock_drift)
         return self.lease.token if self.lease is not None and end < self.lease.expires_at else None
 
     def start_round(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Begins a round to acquire the lease, or to renew it where this process holds it."""
+        """Starts a round that acquires the lease, or renews it where this process holds it."""
         if not self.is_holder(now):
             self.lease = None
         self.highest_number += 1
@@ -266,8 +272,8 @@
         return self.broadcast(LeaseMessage(LeaseMessageKind.PREPARE, self.task, self.current_round.ballot))
 
     def release(self, now: float) -> list[Outgoing[LeaseMessage]]:
-        """Releases the lease: not held from now on, whether or not the messages arrive. A renewal in progress
-        is released with it."""
+        """Releases the lease, which is not held from now on, whether or not the messages arrive. A renewal in
+        progress is released with it."""
         lease, current_round, self.lease, self.current_round = self.lease, self.current_round, None, None
         if lease is None:
             return []
@@ -275,8 +281,8 @@
         return self.broadcast(LeaseMessage(LeaseMessageKind.RELEASE, self.task, ballot))
 
     def retransmit(self) -> list[Outgoing[LeaseMessage]]:
-        """The message of the current round again, to acceptors that have not answered. Acceptors answer a
-        duplicate and apply it once."""
+        """Returns the message of the current round for the acceptors that have not answered. Acceptors answer
+        a duplicate but apply it once."""
         current = self.current_round
         if current is None:
             return []
@@ -289,14 +295,14 @@
         return [Outgoing(acceptor, message) for acceptor in self.terms.acceptors if acceptor not in answered]
 
     def note_release(self, ballot: Ballot) -> None:
-        """The holder of `ballot` announced that it released the lease: what acceptors still report of it does
-        not count."""
+        """Records that the holder of `ballot` released the lease; acceptors' later reports of that lease are
+        ignored."""
         self.released_ballot = ballot
         self.highest_number = max(self.highest_number, ballot.number)
 
     def receive(self, now: float, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """An acceptor's answer, and what follows from it. An answer to an older round only raises the number
-        of the next ballot."""
+        """Handles an acceptor's answer and returns the messages that follow. An answer to an older round only
+        raises the number of the next ballot."""
         self.highest_number = max(self.highest_number, message.known_ballot.number)
         current = self.current_round
         if message.task != self.task or current is None or message.ballot != current.ballot:
@@ -315,9 +321,9 @@
     def receive_promise(
         self, now: float, current: BallotRound, sender: str, message: LeaseMessage
     ) -> list[Outgoing[LeaseMessage]]:
-        """A promise; with a majority of them the lease is proposed."""
+        """Counts a promise; with a majority of them, proposes the lease."""
         if not self.is_available(message.known_ballot):
-            # A round that reached a minority is accepted there, too: only a majority's reports name a holder.
+            # A round that reached only a minority is accepted there as well, so one report proves no holder.
             self.other_holder = message.known_ballot
             self.other_holder_until = now + message.span_s * (1.0 + 2.0 * self.terms.max_clock_drift)
             self.note_rejection(current, sender)
@@ -325,13 +331,13 @@
         current.promised_by.add(sender)
         if len(current.promised_by) < self.terms.majority:
             return []
-        # The lease starts before the proposal is sent, so it ends before any acceptor's copy.
+        # The lease starts before the proposal is sent, so it ends before any acceptor's copy of it.
         current.lease_expires_at = now + self.terms.usable_span_s(self.span_s)
         proposal = LeaseMessage(LeaseMessageKind.PROPOSE, self.task, current.ballot, span_s=self.span_s)
         return self.broadcast(proposal)
 
     def receive_acceptance(self, now: float, current: BallotRound, sender: str) -> None:
-        """An acceptance; with a majority of them the lease is held. A renewal keeps the token."""
+        """Counts an acceptance; with a majority of them the lease is held. A renewal keeps the token."""
         current.accepted_by.add(sender)
         if len(current.accepted_by) < self.terms.majority:
             return
@@ -342,34 +348,36 @@
             self.lease = OwnLease(token, expires_at, current.ballot)
 
     def note_rejection(self, current: BallotRound, acceptor: str) -> None:
-        """An acceptor rejects the round; it ends once the others are no majority."""
+        """Counts a rejection; the round ends once the remaining acceptors can't form a majority."""
         current.rejected_by.add(acceptor)
         if len(current.rejected_by) > len(self.terms.acceptors) - self.terms.majority:
             self.current_round = None
 
     def is_available(self, accepted: Ballot) -> bool:
-        """Whether a reported accepted ballot leaves the lease to this process: there is none, it is this
-        process' own, or its holder released it."""
+        """Returns whether the accepted ballot that an acceptor reported leaves the lease free for this
+        process: there is none, it is this process' own, or its holder has released it."""
         is_own = (accepted.proposer, accepted.boot) == (self.name, self.boot)
         return accepted == NO_BALLOT or is_own or self.released_ballot.releases(accepted)
 
     def broadcast(self, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
-        """The same message to each acceptor."""
+        """Returns the message, addressed to each acceptor."""
         return [Outgoing(acceptor, message) for acceptor in self.terms.acceptors]
 
 
 def acceptor_set_problem(acceptors: Sequence[str], listed: Sequence[str], changing: bool = False) -> str:
-    """What is wrong with a set of acceptors (`voters` in the operator's file), in a sentence; empty where
-    nothing is. `listed`: all members. `changing`: the set is one step of a replacement. Majorities of two
-    sets share an acceptor if one was added or one removed, and not if one was replaced; so a replacement goes
-    by way of an even set."""
+    """Returns what is wrong with a set of acceptors (`voters` in the operator's file) as a sentence, or an
+    empty string.
+
+    `listed` names all members; `changing` allows an even set, as one step of a replacement. Majorities of two
+    sets share an acceptor if one acceptor was added or removed, but not if one was replaced, so a replacement
+    goes through an even set."""
     if len(set(acceptors)) != len(acceptors):
         return "names a voter twice"
     count = len(acceptors)
     if not MIN_ACCEPTORS <= count <= MAX_ACCEPTORS:
         return f"has {count} voters; 3 to 9 decide"
     if count % 2 == 0 and not changing:
-        why = f"has {count} voters, and may lose no more than {count - 1} may; take an odd one"
-        return f"{why}, or say changing = true while voters are replaced"
+        why = f"has {count} voters, which tolerate no more failures than {count - 1}; use an odd number"
+        return f"{why}, or set changing = true while voters are replaced"
     missing = [acceptor for acceptor in acceptors if acceptor not in listed]
-    return f"names {missing[0]}, which is no member" if missing else ""
+    return f"names {missing[0]}, which is not a member" if missing else ""
--- a/glenchute/policy/membership/outgoing.py
+++ b/glenchute/policy/membership/outgoing.py
@@ -8,7 +8,7 @@
 
 
 class Outgoing(NamedTuple, Generic[MessageT]):
-    """`message` goes to the member named `to`. Delivery is not guaranteed, nor is order."""
+    """A message for the member named `to`. Neither delivery nor order is guaranteed."""
 
     to: str
     message: MessageT
