--- a/glenchute/policy/membership/members.py
+++ b/glenchute/policy/membership/members.py
@@ -7,7 +7,7 @@
 shrinks with independent confirmations; a suspect is notified by the next message to it.
 
 Times are seconds of a monotonic clock of this process; no message carries a time. Only configured members
-are accepted, so all tables are bounded by the configuration. Guarantees, each with a test:
+are accepted, so the configuration bounds all tables. Guarantees, each with a test:
 
 - A member that answers within `min_suspicion_s` is not declared dead, however many messages are lost.
 - A restarted process differs from its predecessor by its `boot` (a random number per process), and takes the
@@ -29,21 +29,21 @@
 
 MAX_PIGGYBACKED_UPDATES = 16  # per message
 INDIRECT_PROBES = 3  # members asked for an indirect probe
-RETRANSMIT_FACTOR = 3.0  # an update is sent this many times ln(members): a share of e^-3 ln n misses it
+RETRANSMIT_FACTOR = 3.0  # an update is sent 3 ln(n) times; a share e^(-3 ln n) of n members misses it
 MAX_LOCAL_HEALTH = 8
-MAX_CONFIRMATIONS = 3  # at so many a suspicion's timeout is at its minimum
-UNKNOWN_MEMBER_PROBE_PERIODS = 2
-DEAD_MEMBER_PROBE_PERIODS = 8  # a dead member is probed once in so many periods: a partition may have ended
-INDIRECT_PROBE_PERIODS = 0.4  # time without an answer after which indirect probes are sent
-RELAY_PERIODS = 4.0  # time for which an indirect probe for another member is remembered
-REFUTATION_PERIODS = 5.0  # times log10(members): time in which a refutation reaches all
-NAME_CONFLICT_S = 1.0  # two processes that send under one name within this time are both running
+MAX_CONFIRMATIONS = 3  # number of confirmations at which a suspicion's timeout reaches its minimum
+UNKNOWN_MEMBER_PROBE_PERIODS = 2  # periods between probes of members never reached
+DEAD_MEMBER_PROBE_PERIODS = 8  # periods between probes of dead members, as a partition may have ended
+INDIRECT_PROBE_PERIODS = 0.4  # periods without an answer after which indirect probes are sent
+RELAY_PERIODS = 4.0  # periods for which an indirect probe for another member is remembered
+REFUTATION_PERIODS = 5.0  # times log10(members): periods within which a refutation reaches all
+NAME_CONFLICT_S = 1.0  # two processes sending under one name within this time run at once
 
 
 class MemberState(IntEnum):
     """A member's state; of two updates of one incarnation the higher state wins."""
 
-    UNKNOWN = 0  # configured, no message yet
+    UNKNOWN = 0  # configured, but no message was received yet
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
@@ -59,7 +59,7 @@
     PING = 0
     ACK = 1
     PING_REQ = 2  # asks the receiver to probe `target`
-    NACK = 3  # the answer to PING_REQ until the target has answered
+    NACK = 3  # acknowledges a PING_REQ whose target has not answered yet
 
 
 class MemberUpdate(NamedTuple):
@@ -73,8 +73,8 @@
 
 
 class SwimMessage(NamedTuple):
-    """One message. `serial` pairs an answer with its probe; `target` is the member that an indirect probe is
-    about, else empty; `updates` are piggybacked."""
+    """A message. `serial` pairs an answer with its probe; `target` is the member that an indirect probe is
+    for, else empty; `updates` are piggybacked."""
 
     kind: SwimMessageKind
     serial: int
@@ -83,7 +83,7 @@
 
 
 class MemberChange(NamedTuple):
-    """A member's state has changed in this process' view. `is_name_conflict`: two processes run under the
+    """A change of a member's state in this process' view. `is_name_conflict`: two processes run under the
     name at the same time."""
 
     name: str
@@ -105,8 +105,8 @@
 class SwimSettings:
     """Timing of the failure detector."""
 
-    period_s: float = 0.2  # protocol period: one probe each
-    min_suspicion_s: float = 2.5  # a suspicion lasts at least this long
+    period_s: float = 0.2  # protocol period, with one probe in each
+    min_suspicion_s: float = 2.5  # minimum duration of a suspicion
     max_suspicion_factor: float = 4.0  # timeout of an unconfirmed suspicion, in multiples of the minimum
 
 
@@ -119,12 +119,12 @@
     incarnation: int = -1
     boot: int = 0
     state_since: float = 0.0
-    last_message_at: float = -math.inf  # of its present process, received directly
+    last_message_at: float = -math.inf  # received directly from the member's present process
     suspected_by: set[str] = field(default_factory=set)
 
     @property
     def is_participating(self) -> bool:
-        """Alive, or suspected."""
+        """Returns whether the member is alive or suspected."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
@@ -141,7 +141,7 @@
 
 
 class MemberList:
-    """The members as one process sees them."""
+    """The members and their states as seen by one process."""
 
     def __init__(
         self, name: str, boot: int, listed: Sequence[str], settings: SwimSettings, rng: random.Random,
@@ -159,7 +159,7 @@
         self.period_count = 0
         self.probe_round: list[str] = []
         self.relayed_probes: dict[int, RelayedProbe] = {}  # by serial
-        self.piggyback_counts: dict[str, int] = {}  # by member: how often its queued update was sent
+        self.piggyback_counts: dict[str, int] = {}  # by member: transmissions of its queued update
         self.refuted_at = -math.inf
         self.name_conflicts: dict[str, int] = {}
         self.pending_changes: list[MemberChange] = []
@@ -168,22 +168,23 @@
     # --- queries -----------------------------------------------------------------------------------------
 
     def alive_names(self) -> list[str]:
-        """Members that take part, suspects included, without this process."""
+        """Returns the names of participating members, including suspects but not this process."""
         return [member.name for member in self.members.values() if member.is_participating]
 
     def take_changes(self) -> list[MemberChange]:
-        """The changes since the last call."""
+        """Returns the changes since the last call."""
         changes, self.pending_changes = self.pending_changes, []
         return changes
 
     def own_state(self) -> MemberState:
-        """The state that this process announces for itself."""
+        """Returns the state that this process announces for itself."""
         return MemberState.LEFT if self.is_leaving else MemberState.ALIVE
 
     # --- timer -------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[Outgoing[SwimMessage]]:
-        """Ends expired suspicions and starts the probes that are due. To be called several times a period."""
+        """Ends expired suspicions and starts the probes that are due. To be called several times per
+        period."""
         self.expire_suspicions(now)
         health_factor = 1 + self.local_health
         out = self.indirect_probes(now, health_factor)
@@ -213,13 +214,13 @@
             if now - member.state_since < self.suspicion_timeout_s(member):
                 continue
             if now - member.last_message_at < self.settings.min_suspicion_s:
-                # It has sent to this process since: its refutation was lost, so the suspicion starts anew.
+                # A message has arrived from it since, so its refutation was lost: restart the suspicion.
                 member.state_since = member.last_message_at
             else:
                 self.set_state(now, member, MemberState.DEAD, member.incarnation, member.boot)
 
     def indirect_probes(self, now: float, health_factor: int) -> list[Outgoing[SwimMessage]]:
-        """Asks other members to probe the current target, once, where it has not answered in time."""
+        """Asks other members, once, to probe the current target if it has not answered in time."""
         out: list[Outgoing[SwimMessage]] = []
         probe = self.current_probe
         if probe is None or probe.is_indirect:
@@ -234,8 +235,8 @@
         return out
 
     def recover_from_pause(self, now: float) -> None:
-        """This process was stopped or starved: answers that it missed are its own fault, so the current probe
-        does not count and all suspicions start anew."""
+        """Handles a pause of this process, which was stopped or starved of CPU: any missing answers are its
+        own fault, so the current probe is abandoned and all suspicions restart."""
         self.local_health = MAX_LOCAL_HEALTH
         self.current_probe = None
         for member in self.members.values():
@@ -243,8 +244,8 @@
                 member.state_since = max(member.state_since, now)
 
     def next_target(self) -> str | None:
-        """The next member to probe: each participating one once a round, in a shuffled order; every few
-        periods one that is dead, has left or was never reached."""
+        """Returns the next member to probe: each participating one once per round in shuffled order, and
+        every few periods one that is dead, has left or was never reached."""
         gone = [member.name for member in self.members.values() if member.state in GONE_STATES]
         alive = self.alive_names()
         unknown = [name for name in gone if self.members[name].state is MemberState.UNKNOWN]
@@ -260,7 +261,7 @@
         return self.probe_round.pop() if self.probe_round else None
 
     def probe_failed(self, now: float, probe: Probe) -> None:
-        """The probe got no answer, direct or indirect, within its period."""
+        """Suspects the target of a probe that got no answer, direct or indirect, within its period."""
         self.current_probe = None
         member = self.members[probe.target]
         if not member.is_participating:
@@ -271,7 +272,8 @@
         self.suspect(now, member, self.name)
 
     def suspicion_timeout_s(self, member: Member) -> float:
-        """How long a suspicion lasts: it falls with the logarithm of the number of its confirmations."""
+        """Returns the timeout of a suspicion, which falls with the logarithm of its number of
+        confirmations."""
         size = len(self.members) + 1
         refutation_s = REFUTATION_PERIODS * math.log10(max(10, size)) * self.settings.period_s
         shortest_s = self.settings.min_suspicion_s + refutation_s
@@ -284,8 +286,8 @@
     def receive(
         self, now: float, sender: str, boot: int, message: SwimMessage
     ) -> list[Outgoing[SwimMessage]]:
-        """A message from the process `boot` of member `sender`, and the answers to it. Senders that are not
-        configured are ignored."""
+        """Handles a message from the process `boot` of member `sender` and returns the answers. Senders that
+        are not configured are ignored."""
         member = self.members.get(sender)
         if member is None:
             return []
@@ -308,7 +310,8 @@
         return self.receive_ack(sender, message)
 
     def relay_probe(self, now: float, sender: str, message: SwimMessage) -> list[Outgoing[SwimMessage]]:
-        """Probes a member for another one, which gets a NACK at once and an ACK when there is an answer."""
+        """Probes a member on behalf of another, which gets a NACK at once and an ACK if the target
+        answers."""
         if message.target not in self.members:
             return []
         self.last_serial += 1
@@ -317,7 +320,7 @@
         return [self.compose(message.target, SwimMessageKind.PING, self.last_serial), nack]
 
     def receive_ack(self, sender: str, message: SwimMessage) -> list[Outgoing[SwimMessage]]:
-        """An answer to a relayed probe, which is passed on, or to this process' own probe."""
+        """Handles an answer to a relayed probe, which is forwarded, or to this process' own probe."""
         relay = self.relayed_probes.pop(message.serial, None)
         if relay is not None and relay.target == sender:
             return [self.compose(relay.requester, SwimMessageKind.ACK, relay.requester_serial, sender)]
@@ -328,7 +331,7 @@
         return []
 
     def apply_update(self, now: float, sender: str, update: MemberUpdate) -> None:
-        """One piggybacked update. Higher incarnations win, then higher boots, then higher states."""
+        """Applies a piggybacked update. Higher incarnations win, then higher boots, then higher states."""
         if update.name == self.name:
             self.apply_update_on_self(now, update)
             return
@@ -340,7 +343,7 @@
         if update.state is MemberState.SUSPECT and rank == known and member.state is MemberState.SUSPECT:
             if sender not in member.suspected_by and len(member.suspected_by) < MAX_CONFIRMATIONS:
                 member.suspected_by.add(sender)
-                # Passed on, but its count of transmissions does not start anew.
+                # The confirmation is forwarded, but the count of transmissions is not reset.
                 self.piggyback_counts.setdefault(member.name, 0)
         elif update.state is MemberState.SUSPECT and rank >= known:
             member.incarnation, member.boot = rank
@@ -353,12 +356,12 @@
             self.set_state(now, member, update.state, *rank)
 
     def apply_update_on_self(self, now: float, update: MemberUpdate) -> None:
-        """What others believe of this process, or of another one under its name. It is refuted where it is
-        wrong, once a period at most, so that two processes under one name cost one message a period."""
+        """Applies an update on this process, or on another process under its name. A wrong one is refuted, at
+        most once per period, so that two processes under one name cost only one message per period."""
         is_same_process = update.boot == self.boot
         if is_same_process:
-            is_expected = update.state in (MemberState.UNKNOWN, self.own_state())
-            if is_expected or update.incarnation < self.incarnation:
+            is_correct = update.state in (MemberState.UNKNOWN, self.own_state())
+            if is_correct or update.incarnation < self.incarnation:
                 return
         elif (update.incarnation, update.boot) < (self.incarnation, self.boot):
             self.queue_update(self.name)
@@ -373,7 +376,7 @@
             self.queue_update(self.name)
 
     def leave(self, now: float) -> list[Outgoing[SwimMessage]]:
-        """Graceful leave: announced to a few members at once, and piggybacked from there."""
+        """Leaves gracefully: announces it to a few members at once, which spread it by piggybacking."""
         self.is_leaving = True
         self.incarnation += 1
         self.queue_update(self.name)
@@ -384,14 +387,14 @@
     # --- state -------------------------------------------------------------------------------------------
 
     def suspect(self, now: float, member: Member, accuser: str) -> None:
-        """`accuser` got no answer from the member."""
+        """Records that `accuser` suspects the member."""
         if member.state is not MemberState.SUSPECT:
             self.set_state(now, member, MemberState.SUSPECT, member.incarnation, member.boot)
             member.suspected_by = set()
         member.suspected_by.add(accuser)
 
     def set_state(self, now: float, member: Member, state: MemberState, incarnation: int, boot: int) -> None:
-        """Adopts an update and queues it for the others."""
+        """Adopts a member's state and queues it for the other members."""
         if state is not member.state:
             self.pending_changes.append(MemberChange(member.name, member.state, state))
             member.state_since = now
@@ -401,26 +404,27 @@
         self.queue_update(member.name)
 
     def queue_update(self, name: str) -> None:
-        """The member's state is to be piggybacked from now on, with a fresh count of transmissions."""
+        """Queues the member's state for piggybacking, with a new count of transmissions."""
         self.piggyback_counts[name] = 0
 
     def update_for(self, name: str) -> MemberUpdate:
-        """A member's state as an update; also of this process."""
+        """Returns the state of a member, or of this process, as an update."""
         if name == self.name:
             return MemberUpdate(name, self.own_state(), self.incarnation, self.boot)
         member = self.members[name]
         return MemberUpdate(name, member.state, member.incarnation, member.boot)
 
     def piggyback_order(self, name: str) -> tuple[bool, int]:
-        """Sort key: suspicions, refutations and deaths before first announcements, then the least sent. Where
-        many members join at once a refutation would else be queued behind all of them."""
+        """Returns the sort key of a queued update: suspicions, refutations and deaths before first
+        announcements, then the least sent. Without it, when many members join at once, a refutation would
+        wait behind all of their announcements."""
         update = self.update_for(name)
         is_announcement = update.state is MemberState.ALIVE and update.incarnation <= 0
         return is_announcement, self.piggyback_counts[name]
 
     def compose(self, to: str, kind: SwimMessageKind, serial: int, target: str = "") -> Outgoing[SwimMessage]:
-        """A message with piggybacked updates: this process' own, the receiver's where it is suspected or
-        gone, then the queue in its order."""
+        """Returns a message with piggybacked updates: this process' own, the receiver's if that is suspected
+        or gone, then the queued ones in order."""
         names = [self.name]
         if self.members[to].state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
             names.append(to)
