--- a/glenchute/policy/membership/replica.py
+++ b/glenchute/policy/membership/replica.py
@@ -2,14 +2,13 @@
 
 Source: Almeida, Shoker, Baquero, "Delta State Replicated Data Types" (2018); replicas are compared by a hash
 tree, as in Dynamo's anti-entropy (DeCandia et al., 2007). A row is the latest value of one key by one writer.
-Merging two rows keeps the later version; two rows of one version with different values are a conflict, which
-is counted, and of which the safe value of the row's kind is kept. Both are a maximum of a total order, so
+Merging two rows keeps the later version. Two rows of one version with different values are a conflict, which
+is counted; the safe value for the row's kind is kept. Both rules take the maximum of a total order, so
 merging is commutative, associative and idempotent whatever is lost, duplicated or delayed.
 
-Clocks of other processes are not trusted: a row carries its age, and each replica counts on by its own clock.
-A row older than its kind's lifetime is removed, and is excluded from comparison some time before that, so
-that replicas which remove it at different moments do not send it back to each other.
-"""
+Clocks of other processes are not trusted: a row carries its age, which each replica advances by its own
+clock. A row older than its kind's lifetime is removed. It is excluded from comparison some time before that,
+so that replicas that remove it at different moments do not send it back to each other."""
 
 from __future__ import annotations
 
@@ -21,30 +20,33 @@
 from typing import NamedTuple
 
 BUCKETS = 64  # children of each node of the two-level hash tree
-COMPARED_LIFETIME_SHARE = 0.8  # share of its lifetime for which a row is compared
+COMPARED_LIFETIME_SHARE = 0.8  # the share of its lifetime for which a row is compared
 MAX_KEY_LENGTH = 80  # characters
 MAX_VALUE = 1e12
 MAX_RECENT_CONFLICTS = 100
 
 
 class RowKind(IntEnum):
-    """What a row reports; the numbers are part of the datagram format."""
+    """What a row reports; the numbers are part of the datagram format. "Safe" names the value that wins a
+    conflict."""
 
-    SERVER = 0  # an endpoint drains or is removed; version: discovery's. Safe: the more restrictive state
-    USE = (
-        1  # units admitted for an account in a window, by one process. Safe: more; sent to some members only
-    )
-    TASK = 2  # the outcome of a task's steps; version: token and serial. Safe: more failures
-    HEALTH = 3  # milliseconds for which a process avoids an endpoint that it could not reach. Safe: longer
+    # An endpoint that drains or is removed; the version is discovery's. Safe: the more restrictive state.
+    SERVER = 0
+    # Units that one process admitted for an account in a window; sent to some members only. Safe: more units.
+    USE = 1
+    # The outcome of a task's steps; the version holds token and serial. Safe: more failures.
+    TASK = 2
+    # Milliseconds for which a process avoids an endpoint that it could not reach. Safe: longer.
+    HEALTH = 3
 
 
-PER_PROCESS_KINDS = (RowKind.USE, RowKind.HEALTH)  # a row has one process as its writer
+PER_PROCESS_KINDS = (RowKind.USE, RowKind.HEALTH)  # kinds whose rows have one process as their writer
 RowKey = tuple[RowKind, str, str]  # kind, key, writer
-Leaf = tuple[int, int]  # of the hash tree: bucket, and position in the bucket
+Leaf = tuple[int, int]  # a leaf of the hash tree: its bucket, and its position in the bucket
 
 
 class Row(NamedTuple):
-    """One value. `writer` is a process (`name#boot`), empty for kinds that any member may write."""
+    """A value of one key. `writer` is a process (`name#boot`), empty for kinds that any member may write."""
 
     kind: RowKind
     key: str
@@ -55,13 +57,15 @@
 
 @dataclass(frozen=True, slots=True)
 class KindRules:
-    """How long rows of a kind live, and how many are stored; past that the longest unchanged are evicted."""
+    """The lifetime of rows of one kind, and how many are stored; beyond that, those unchanged for the longest
+    time are evicted."""
 
     lifetime_s: float
     max_rows: int
     is_required: bool = True  # a replica that lacks some of them is incomplete
-    is_replicated: bool = True  # on all members, and compared; else sent to some only (`direct_messages`)
-    urgency: int = 0  # the lowest is pushed first
+    # Whether all members keep and compare the rows; else only some members get them (`direct_messages`).
+    is_replicated: bool = True
+    urgency: int = 0  # the kind with the lowest value is pushed first
 
 
 DEFAULT_KIND_RULES = {
@@ -73,7 +77,7 @@
 
 
 class Conflict(NamedTuple):
-    """Two rows of one version that differ; `sender` delivered the second one."""
+    """Two rows of one version with different values; `sender` delivered the second one."""
 
     kept: Row
     other: Row
@@ -89,7 +93,7 @@
 
 
 class ComparisonDeadline(NamedTuple):
-    """When a row is no longer compared; `row_hash` tells whether it is still that version."""
+    """When a row is no longer compared; `row_hash` shows whether the row still has that version."""
 
     at: float
     key: RowKey
@@ -97,19 +101,20 @@
 
 
 def row_hash(row: Row) -> int:
-    """A 64-bit hash over all fields of a row."""
+    """Returns a 64-bit hash over all fields of a row."""
     text = f"{int(row.kind)}|{row.key}|{row.writer}|{row.version}|{row.value!r}"
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def leaf_of(kind: RowKind, key: str, writer: str) -> Leaf:
-    """The leaf of the hash tree that a row belongs to, whatever its version."""
+    """Returns the leaf of the hash tree that a row belongs to, whatever its version."""
     raw = hashlib.blake2b(f"{int(kind)}|{key}|{writer}".encode(), digest_size=2).digest()
     return raw[0] % BUCKETS, raw[1] % BUCKETS
 
 
 def is_valid(row: Row) -> bool:
-    """Whether a received row is bounded, finite, and has a writer exactly where its kind needs one."""
+    """Returns whether a received row is bounded, finite, and has a writer exactly where its kind needs
+    one."""
     is_bounded = 0 < len(row.key) <= MAX_KEY_LENGTH and len(row.writer) <= MAX_KEY_LENGTH
     has_right_writer = bool(row.writer) == (row.kind in PER_PROCESS_KINDS)
     return is_bounded and has_right_writer and row.version >= 0 and 0 <= row.value < MAX_VALUE
@@ -121,11 +126,11 @@
     def __init__(self, rules: dict[RowKind, KindRules] | None = None) -> None:
         self.rules = rules or DEFAULT_KIND_RULES
         self.rows: dict[RowKey, StoredRow] = {}
-        # By kind, the longest unchanged first.
+        # By kind, the row unchanged for the longest time first.
         self.keys_by_age: dict[RowKind, dict[RowKey, None]] = {kind: {} for kind in RowKind}
         self.evicted_counts = dict.fromkeys(RowKind, 0)
         self.leaves: dict[Leaf, set[RowKey]] = {}
-        # Hashes of the rows that are compared, kept up at each change: a node's is the XOR of its rows'.
+        # Hashes of the compared rows, updated at each change; a node's hash is the XOR of its rows' hashes.
         self.leaf_hashes: dict[Leaf, int] = {}
         self.bucket_hashes = [0] * BUCKETS
         self.compared_hashes: dict[RowKey, int] = {}
@@ -135,7 +140,7 @@
         self.rejected_count = 0  # received rows that were not valid
 
     def merge(self, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
-        """Merges a row that was created `age_s` ago; whether this replica has changed."""
+        """Merges a row that was created `age_s` ago, and returns whether this replica has changed."""
         if not is_valid(row):
             self.rejected_count += 1
             return False
@@ -161,7 +166,8 @@
         return True
 
     def store(self, key: RowKey, row: Row, now: float, age_s: float) -> None:
-        """Puts a row in the place of the one before it, and into the hash tree where it is young enough."""
+        """Stores a row in place of its earlier version, and adds it to the hash tree if it is young
+        enough."""
         rules = self.rules[row.kind]
         created_at = now - age_s
         new_hash = row_hash(row) if rules.is_replicated else 0
@@ -178,7 +184,7 @@
         self.keys_by_age[row.kind][key] = None
 
     def compact_deadlines(self) -> None:
-        """Drops the deadlines of versions that were replaced, once they are most of the heap."""
+        """Drops the deadlines of replaced versions once these make up most of the heap."""
         if len(self.comparison_deadlines) <= 4 * len(self.rows) + 1000:
             return
         self.comparison_deadlines = [
@@ -189,14 +195,14 @@
         heapq.heapify(self.comparison_deadlines)
 
     def record_conflict(self, conflict: Conflict) -> None:
-        """Counts a conflict, and keeps it for operators; each pair once."""
+        """Counts a conflict and keeps it for operators, once for each pair of rows."""
         if any(known.kept == conflict.kept and known.other == conflict.other for known in self.conflicts):
             return
         self.conflict_count += 1
         self.conflicts = [*self.conflicts[1 - MAX_RECENT_CONFLICTS :], conflict]
 
     def toggle_hash(self, key: RowKey, hash_value: int) -> None:
-        """Adds a row to the hashes of its leaf and bucket, or takes it out of them."""
+        """Adds a row's hash to those of its leaf and bucket, or removes it: XOR does both."""
         leaf = leaf_of(*key)
         self.leaf_hashes[leaf] = self.leaf_hashes.get(leaf, 0) ^ hash_value
         self.bucket_hashes[leaf[0]] ^= hash_value
@@ -204,13 +210,13 @@
             del self.leaf_hashes[leaf]
 
     def stop_comparing(self, key: RowKey) -> None:
-        """Takes a row out of the hash tree, if it is in it."""
+        """Removes a row from the hash tree, if it is there."""
         hash_value = self.compared_hashes.pop(key, None)
         if hash_value is not None:
             self.toggle_hash(key, hash_value)
 
     def remove(self, key: RowKey) -> None:
-        """Removes a row."""
+        """Removes a row from the store and from the hash tree."""
         self.stop_comparing(key)
         kind = key[0]
         del self.rows[key]
@@ -223,28 +229,28 @@
             del self.leaves[leaf]
 
     def expire(self, now: float) -> None:
-        """Removes rows past their lifetime. Rows are received with an age, so a few may be stored behind
-        younger ones: those are removed together with these."""
+        """Removes rows past their lifetime. As rows arrive with an age, a few expired ones may stand behind
+        younger ones in the order of changes; they are removed only after those."""
         for kind, keys in self.keys_by_age.items():
             while keys and now - self.rows[next(iter(keys))].created_at >= self.rules[kind].lifetime_s:
                 self.remove(next(iter(keys)))
 
     def get(self, kind: RowKind, key: str, writer: str = "") -> Row | None:
-        """A row; None where there is none."""
+        """Returns a row, or None where there is none."""
         stored = self.rows.get((kind, key, writer))
         return stored.row if stored is not None else None
 
     # --- anti-entropy ------------------------------------------------------------------------------------
 
     def compared_rows(self, now: float, leaf: Leaf) -> Iterable[StoredRow]:
-        """The rows of a leaf that are young enough to be compared."""
+        """Yields the rows of a leaf that are young enough to be compared."""
         for key in self.leaves.get(leaf, ()):
             stored = self.rows[key]
             if now - stored.created_at < COMPARED_LIFETIME_SHARE * self.rules[key[0]].lifetime_s:
                 yield stored
 
     def child_hashes(self, now: float, bucket: int | None) -> tuple[int, ...]:
-        """The hashes of all buckets (`bucket` None), or of one bucket's leaves."""
+        """Returns the hashes of all buckets (`bucket` None), or of one bucket's leaves."""
         while self.comparison_deadlines and self.comparison_deadlines[0].at <= now:
             deadline = heapq.heappop(self.comparison_deadlines)
             if self.compared_hashes.get(deadline.key) == deadline.row_hash:
@@ -254,7 +260,7 @@
         return tuple(self.bucket_hashes)
 
     def differing_children(self, now: float, bucket: int | None, theirs: tuple[int, ...]) -> list[int]:
-        """The children whose hashes differ from a peer's."""
+        """Returns the children whose hashes differ from a peer's."""
         if len(theirs) != BUCKETS:
             return []
         ours = self.child_hashes(now, bucket)
