--- a/glenchute/policy/membership/endpoint_health.py
+++ b/glenchute/policy/membership/endpoint_health.py
@@ -1,22 +1,23 @@
-"""Unreachable endpoints shared among members: one gateway's failed connection spares all others theirs. No
-I/O; seconds of this process' clock.
+"""Sharing of unreachable endpoints among members: one gateway's failed connection spares the others their
+own. No I/O; times are seconds of this process' clock.
 
-Without it N gateways each find each of M unreachable endpoints, and each retries by itself. Here a gateway
-that could not connect reports for how long it avoids the endpoint, and the others avoid it up to
-`MAX_STRETCH` times as long, each a random part of it: so the first retry is the reporter's, or one other's,
-and its report, "still unreachable" with a longer avoidance or "reachable", reaches all before most have
-retried. It is soft
-state: a row lives a short time and has one writer, and a replica that lacks some counts as complete.
+Without it each of N gateways finds each of M unreachable endpoints, and retries it by itself. Here a gateway
+that could not connect reports for how long it avoids the endpoint, and each of the others avoids it for a
+random time up to `MAX_STRETCH` times as long. So the reporter, or one other gateway, retries first, and its
+report ("still unreachable" with a longer avoidance, or "reachable") reaches all before most have retried. The
+reports are soft state: a row lives for a short time and has one writer, and a replica that lacks some counts
+as complete.
 
-Whatever is reported:
+Guarantees, whatever is reported:
 
 - An endpoint that answered this process within `OWN_EVIDENCE_S` is not avoided here.
-- An avoided endpoint is the last choice, never excluded: with all endpoints avoided the choice is as without.
-- The reports of one writer alone count for `SINGLE_REPORTER_SHARE` of the endpoints at most; beyond that a
-  second writer has to report the endpoint too. A member that is partitioned from a zone, or reports falsely,
-  does not empty the others' choice.
-- A report is in force for `MAX_AVOIDANCE_S` times `MAX_STRETCH` at most after it was created, however often
-  it is passed on.
+- An avoided endpoint is the last choice but never excluded: if all are avoided, the choice is as without
+  reports.
+- The reports of a single writer are followed for `SINGLE_REPORTER_SHARE` of the endpoints at most; beyond
+  that a second writer has to report the endpoint too. A member that is partitioned from a zone, or reports
+  falsely, does not leave the others without endpoints.
+- A report is in force for `MAX_AVOIDANCE_S` times `MAX_STRETCH` after its creation at most, however often it
+  is forwarded.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 from ..events import TELLS_NOTHING_OF_SERVER, AvoidEndpoint, Outcome
 from .replica import Row, RowKind
 
-MIN_AVOIDANCE_S, MAX_AVOIDANCE_S = 1.0, 2.0  # doubled with each failed retry
+MIN_AVOIDANCE_S, MAX_AVOIDANCE_S = 1.0, 2.0  # the avoidance doubles with each failed retry
 MAX_STRETCH = 2.0
 OWN_EVIDENCE_S = 1.0
 SINGLE_REPORTER_SHARE = 1.0 / 3.0
@@ -40,11 +41,11 @@
 
     version: int
     avoid_until: float  # the end of the longest avoidance by this report
-    own_avoid_until: float  # the end of this process' own, a random part of it
+    own_avoid_until: float  # the end of this process' avoidance, which is a random part of the longest
 
 
 class OwnReport(NamedTuple):
-    """What this process reported last of an endpoint."""
+    """The last report of this process on an endpoint."""
 
     avoidance_s: float
     avoid_until: float
@@ -58,20 +59,21 @@
         self.writer, self.rng = writer, rng
         self.last_version = 0
         self.own_reports: dict[str, OwnReport] = {}
-        self.last_answer_at: dict[str, float] = {}  # by endpoint, to this process
+        self.last_answer_at: dict[str, float] = {}  # by endpoint: its last answer to this process
         self.peer_reports: dict[str, dict[str, PeerReport]] = {}  # by endpoint, by writer
         self.avoided_by_writer: dict[str, set[str]] = {}
-        self.changed_endpoints: dict[str, None] = {}  # of which the decision engine is to be notified
+        self.changed_endpoints: dict[str, None] = {}  # endpoints whose change the engine does not know yet
         self.ignored_count = 0  # reports overruled by own evidence, or beyond a single writer's share
 
     # --- this process' own attempts ----------------------------------------------------------------------
 
     def attempt_ended(self, now: float, endpoint: str, outcome: Outcome) -> Row | None:
-        """An attempt of this process has ended; the row to publish, if it is news to the others."""
+        """Handles the end of an attempt of this process, and returns the row to publish if it is new to the
+        other members."""
         if outcome is Outcome.UNREACHABLE:
             return self.report_unreachable(now, endpoint)
         if outcome is Outcome.TIMEOUT or outcome in TELLS_NOTHING_OF_SERVER:
-            return None  # says nothing of whether the endpoint can be reached
+            return None  # the outcome does not show whether the endpoint is reachable
         self.last_answer_at.pop(endpoint, None)
         self.last_answer_at[endpoint] = now
         if len(self.last_answer_at) > MAX_ENDPOINTS:
@@ -84,7 +86,8 @@
         return self.report_row(endpoint, 0.0) if was_reported or is_avoided_by_peers else None
 
     def report_unreachable(self, now: float, endpoint: str) -> Row | None:
-        """A connection failed; None where the current avoidance already covers it."""
+        """Handles a failed connection, and returns the row to publish, or None while the avoidance reported
+        before lasts."""
         own = self.own_reports.get(endpoint)
         if own is not None and now < own.avoid_until:
             return None
@@ -96,14 +99,15 @@
         return self.report_row(endpoint, avoidance_s)
 
     def report_row(self, endpoint: str, avoidance_s: float) -> Row:
-        """This process' next row on the endpoint; an avoidance of 0 reports that it is reachable."""
+        """Returns this process' next row on the endpoint; an avoidance of 0 reports that it is reachable."""
         self.last_version += 1
         return Row(RowKind.HEALTH, endpoint, self.writer, self.last_version, round(1000.0 * avoidance_s))
 
     # --- reports of other members ------------------------------------------------------------------------
 
     def receive(self, now: float, row: Row, age_s: float) -> None:
-        """A member's row, created `age_s` ago. "Reachable" ends all reports on the endpoint."""
+        """Handles a member's row that was created `age_s` ago. "Reachable" ends all reports on the
+        endpoint."""
         if row.writer == self.writer:
             return
         known = self.peer_reports.get(row.key, {}).get(row.writer)
@@ -133,7 +137,7 @@
             self.forget_report(writer, endpoint)
 
     def forget_report(self, writer: str, endpoint: str) -> None:
-        """The writer no longer avoids the endpoint."""
+        """Removes an endpoint from those that the writer avoids."""
         avoided = self.avoided_by_writer.get(writer)
         if avoided is not None:
             avoided.discard(endpoint)
@@ -141,7 +145,7 @@
                 del self.avoided_by_writer[writer]
 
     def expire(self, now: float) -> None:
-        """Drops reports that are over; to be called now and then."""
+        """Drops expired reports; to be called now and then."""
         for endpoint in list(self.peer_reports):
             reports = self.peer_reports[endpoint]
             for writer in [writer for writer, report in reports.items() if report.avoid_until <= now]:
@@ -151,7 +155,8 @@
                 del self.peer_reports[endpoint]
 
     def avoidance_s(self, now: float, endpoint: str, endpoint_count: int) -> float:
-        """For how long the endpoint is avoided because of the others' reports. `endpoint_count`: listed."""
+        """Returns for how many seconds the endpoint is avoided because of other members' reports.
+        `endpoint_count`: the number of listed endpoints."""
         if now - self.last_answer_at.get(endpoint, -math.inf) <= OWN_EVIDENCE_S:
             self.ignored_count += endpoint in self.peer_reports
             return 0.0
@@ -168,7 +173,7 @@
         return max(report.own_avoid_until for report in reports.values()) - now
 
     def take_changes(self, now: float, endpoint_count: int) -> list[AvoidEndpoint]:
-        """The events for the decision engine since the last call."""
+        """Returns the events for the decision engine since the last call."""
         if not self.changed_endpoints:
             return []  # the common case, before nearly every request
         changed, self.changed_endpoints = self.changed_endpoints, {}
--- a/glenchute/policy/membership/gateway_ring.py
+++ b/glenchute/policy/membership/gateway_ring.py
@@ -1,7 +1,8 @@
-"""Which members may share an account's subset with this gateway, by the gateways' numbers. No I/O.
+"""The members that may share an account's subset with this gateway, by the gateways' numbers. No I/O.
 
-An account's requests come through its subset alone: `spread` gateways with consecutive numbers, counted as a
-ring. Of the subset a request states the size only. Where members have no numbers any two may share a subset.
+An account's requests arrive at its subset only: `spread` gateways with consecutive numbers on a ring. A
+request states the subset's size but not its position. Where members have no numbers, any two may share a
+subset.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 
 
 def gateway_numbers(rows: Mapping[str, int | None]) -> dict[str, int] | None:
-    """Members' numbers by name: as configured, else the digits at the name's end. None where a member has no
-    number, or two members have the same."""
+    """Returns members' numbers by name: as configured, else the digits at the end of the name; or None where
+    a member has no number or two members have the same."""
     numbers: dict[str, int] = {}
     for name, configured in rows.items():
         digits = TRAILING_DIGITS.search(name)
@@ -35,10 +36,11 @@
     def __init__(
         self, name: str, members: Sequence[str], numbers: dict[str, int] | None, gateways: int
     ) -> None:
-        """`name`: this gateway's; `gateways`: how many there are, members or not."""
+        """`name`: this gateway's; `gateways`: the number of gateways, whether members or not."""
         self.gateway_count = max(gateways, 1)
         self.members = tuple(other for other in members if other != name)
-        self.offsets: dict[str, int] = {}  # empty: no numbers, or they do not fit the number of gateways
+        # Empty where there are no numbers, or where they do not fit the number of gateways.
+        self.offsets: dict[str, int] = {}
         if numbers is not None:
             own = numbers[name]
             self.offsets = {other: (numbers[other] - own) % self.gateway_count for other in self.members}
@@ -48,7 +50,8 @@
         self.range_cache: dict[tuple[int, int], tuple[str, ...]] = {}
 
     def subset_candidates(self, spread: int, seen: Sequence[str] = ()) -> tuple[str, ...]:
-        """Members that may be in a subset of `spread` gateways with this one and with all of `seen`."""
+        """Returns the members that may be in a subset of `spread` gateways with this one and with all of
+        `seen`."""
         if not self.offsets or 2 * spread > self.gateway_count:
             return self.members if spread > 1 else ()
         low = high = 0
@@ -57,11 +60,11 @@
             offset -= self.gateway_count if 2 * offset > self.gateway_count else 0
             low, high = min(low, offset), max(high, offset)
         if high - low >= spread:
-            low = high = 0  # `seen` can't be of one subset: its position stays unknown
+            low = high = 0  # `seen` does not fit one subset, so the subset's position stays unknown
         return self.members_between(high - spread + 1, low + spread - 1)
 
     def members_between(self, first: int, last: int) -> tuple[str, ...]:
-        """Members from one offset to another, both included; negative offsets precede this gateway."""
+        """Returns the members between two offsets, both included; negative offsets precede this gateway."""
         found = self.range_cache.get((first, last))
         if found is None:
             if len(self.range_cache) > MAX_CACHED_RANGES:
@@ -72,6 +75,6 @@
         return found
 
     def expected_candidates(self, spread: int) -> int:
-        """The number of `subset_candidates(spread)`, were all gateways members."""
+        """Returns the number of `subset_candidates(spread)` if all gateways were members."""
         others = self.gateway_count - 1
         return others if not self.offsets else min(others, 2 * (spread - 1))
