--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -1,22 +1,22 @@
-"""Usage sent directly to the members that it may concern (direct mail). No I/O; seconds of one clock.
-
-A usage row goes from its writer to the members that may share the account's subset (`gateway_ring`), once
-each and by nobody else (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987): at
-once, then to that member once per `MIN_PUSH_INTERVAL_S`, and of that account once per
-`ACCOUNT_INTERVAL_PER_GATEWAY_S` and gateway of its subset. It goes to all candidates, until the others'
-reports on the same account show where the subset lies.
-
-Messages may be lost, so each direction of a pair of members has serial numbers, and each message tells
-whether it completes all that the sender has to report by now. A member that finds a number missing, or
-receives nothing for a while, sends a request, and is sent all that is still of use. A member's usage counts
-as known while its last message was such a complete one, not long ago; what is admitted by a member whose
-budget does not suffice, or that is partitioned from this one, is thus not taken for known, however alive
-others report it to be. All of it shares one budget of bytes per second, with or without faults.
-
-Wrong numbers of members cost quality, not a rule: a gateway then receives usage of members that do not share
-the account, and takes the others for idle, so with the counter unavailable each admits up to the whole quota;
-the usage audit reports it. A shift of all numbers does no harm, and without numbers usage goes to all.
-"""
+"""Usage sent directly to the members that may need it (direct mail). No I/O; times are seconds of one clock.
+
+The writer of a usage row, and no other member, sends it to each member that may share the account's subset
+(`gateway_ring`; Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987). The first
+change is sent at once. Later ones wait until `MIN_PUSH_INTERVAL_S` has passed since the last message to that
+member, and `ACCOUNT_INTERVAL_PER_GATEWAY_S` times the subset's size since the last report on that account.
+Rows go to all candidates until the others' reports on the same account show the subset's position.
+
+Messages may be lost, so each direction between two members has serial numbers, and each message states
+whether it completes all that the sender has to report so far. A member that finds a number missing, or
+receives nothing for a while, sends a request, and is sent all rows that still matter. A member's usage counts
+as known while its last message was a complete and recent one. So the usage of a member whose budget does not
+suffice, or that is partitioned from this one, does not count as known, even if others report it alive. All
+messages share one budget of bytes per second, with or without faults.
+
+Wrong member numbers degrade accuracy but break no guarantee: a gateway then receives usage from members that
+do not share the account, and takes those that do for idle. So with the counter unavailable each admits up to
+the whole quota; the usage audit reports it. Numbers that are all shifted alike do no harm, and without
+numbers usage goes to all members."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 from .replica import Replica, Row, RowKey, RowKind
 from .usage import AccountUsage
 
-MIN_PUSH_INTERVAL_S = 0.1  # between messages to one member
-ACCOUNT_INTERVAL_PER_GATEWAY_S = 0.02
-REQUEST_INTERVAL_S = 0.5  # between requests to one member
-MAX_REQUESTS_PER_S = 16.0  # to all members
+MIN_PUSH_INTERVAL_S = 0.1  # time between messages to one member
+ACCOUNT_INTERVAL_PER_GATEWAY_S = 0.02  # time between reports on one account, per gateway of its subset
+REQUEST_INTERVAL_S = 0.5  # time between requests to one member
+MAX_REQUESTS_PER_S = 16.0  # rate of requests to all members together
 MAX_MISSED_REQUESTS = 3.0  # request intervals without a complete message after which usage is unknown
-MAX_REQUEST_BACKLOG_S = 0.25  # of requests that the budget held back
+MAX_REQUEST_BACKLOG_S = 0.25  # how far requests held back by the budget are caught up
 MAX_ENTRIES_PER_MESSAGE = 64
-ENTRY_BYTES, HEADER_BYTES = 18, 48  # what they cost in the budget
-ALLOWANCE_SHARE = 4.0  # the budget of 1/4 s may be saved up
-MAX_PENDING_ENTRIES = 20_000  # all members together
+ENTRY_BYTES, HEADER_BYTES = 18, 48  # sizes charged to the budget for an entry and a header
+ALLOWANCE_DIVISOR = 4.0  # at most the budget of 1/4 s accumulates
+MAX_PENDING_ENTRIES = 20_000  # pending entries for all members together
 MAX_REPORTED_WINDOWS = 8_000
-MIN_SUBSET_SIZE = 8  # requests are sent for a subset of this size before any request named a larger one
-SERIAL_BITS = 24  # of a sequence's random start, which tells a process from its predecessor
-NOT_IN_SEQUENCE = -1  # `received_serial`, where some messages were missed
+MIN_SUBSET_SIZE = 8  # members of a subset of this size are asked before a client's request names a larger one
+SERIAL_BITS = 24  # bits of a sequence's random first serial, which differs from a predecessor's
+NOT_IN_SEQUENCE = -1  # value of `received_serial` while messages of the sequence are missing
 
 
 class UsageEntry(NamedTuple):
-    """Units admitted in a window. `boot` 0: by the sender; else by an earlier process of that boot under the
-    receiver's name."""
+    """Units admitted in a window. `boot` 0: by the sender; otherwise by the receiver's predecessor with that
+    boot."""
 
     key: str
     version: int
@@ -58,8 +58,8 @@
 
 
 class UsageMessage(NamedTuple):
-    """Entries for one member. `is_first`: starts a sequence, nothing before counts; `is_complete`: with it
-    the receiver has all that the sender has to report by now."""
+    """Entries for one member. `is_first`: the message starts a new sequence; `is_complete`: with it the
+    receiver has all that the sender has to report so far."""
 
     serial: int
     is_first: bool
@@ -68,7 +68,8 @@
 
 
 class UsageRequest(NamedTuple):
-    """The sender has received the sequence up to this serial; `NOT_IN_SEQUENCE`: it lacks some, or all."""
+    """A request for later messages: the sender has the sequence up to this serial, or lacks some or all of it
+    (`NOT_IN_SEQUENCE`)."""
 
     serial: int
 
@@ -85,8 +86,8 @@
     sent_at: float = -math.inf
     next_push_at: float = -math.inf
     restarts_sequence: bool = True  # the next message is the first of a sequence
-    resynced_at: float = -math.inf  # when all was last sent again
-    peer_boot: int = -1  # of the process whose sequence is received
+    resynced_at: float = -math.inf  # when all reported rows were last sent again
+    peer_boot: int = -1  # boot of the process whose sequence is received
     received_serial: int = NOT_IN_SEQUENCE
     complete_at: float = -math.inf  # when the last complete message was received
     next_request_at: float = -math.inf
@@ -99,16 +100,17 @@
         self, usage: AccountUsage, replica: Replica, ring: GatewayRing, is_alive: Callable[[str], bool],
         rng: random.Random, now: float = 0.0, budget_bytes_per_s: float = 6_144.0,
     ) -> None:  # fmt: skip
-        """`is_alive`: whether a member is alive beyond suspicion."""
+        """`is_alive`: whether a member is alive and not suspected."""
         self.usage, self.replica, self.ring, self.is_alive, self.rng = usage, replica, ring, is_alive, rng
         self.budget_bytes_per_s = budget_bytes_per_s
         self.channels: dict[str, PeerChannel] = {}
-        # This process' windows, by key: those that are reported, the longest unchanged first; those that
-        # changed, with the time from which they may be sent; those that were sent, likewise.
+        # This process' windows, by key. `reported_windows`: the windows that are reported, the one unchanged
+        # for the longest time first. `changed_windows`: the time from which a changed window may be sent.
+        # `next_report_at`: the time from which a window that was sent may be sent again.
         self.reported_windows: dict[str, None] = {}
         self.changed_windows: dict[str, float] = {}
         self.next_report_at: dict[str, float] = {}
-        self.pending: dict[str, dict[RowKey, None]] = {}  # rows to be sent, by member
+        self.pending: dict[str, dict[RowKey, None]] = {}  # by member: the rows to send
         self.pending_count = 0
         self.known_counts: dict[int, int] = {}  # by subset size; valid until the next tick
         self.widest_subset = min(MIN_SUBSET_SIZE, ring.gateway_count)
@@ -120,7 +122,7 @@
     # --- this process' usage -----------------------------------------------------------------------------
 
     def report(self, now: float, row: Row) -> None:
-        """This process' own usage row has changed."""
+        """Queues a changed usage row of this process, if it has to be reported."""
         if self.usage.must_report(row.key):
             self.replica.merge(now, row)
             self.reported_windows.pop(row.key, None)
@@ -130,7 +132,7 @@
             self.changed_windows.setdefault(row.key, self.next_report_at.get(row.key, now))
 
     def recipients(self, key: str) -> tuple[str, ...]:
-        """The members that a window of this process is reported to."""
+        """Returns the members that a window of this process is reported to."""
         own = self.usage.own.get(key)
         if own is None:
             return ()
@@ -140,14 +142,14 @@
         return self.ring.subset_candidates(own.gateway_spread, names)
 
     def channel(self, name: str) -> PeerChannel:
-        """The channel to a member, made at need."""
+        """Returns the channel to a member, created on first use."""
         channel = self.channels.get(name)
         if channel is None:
             channel = self.channels[name] = PeerChannel(self.rng.getrandbits(SERIAL_BITS))
         return channel
 
     def queue_row(self, name: str, key: RowKey) -> None:
-        """A row to be sent to a member. Past the bound all that is pending for it is dropped."""
+        """Queues a row for a member. Beyond `MAX_PENDING_ENTRIES` all that is pending for it is dropped."""
         pending = self.pending.setdefault(name, {})
         if key not in pending:
             pending[key] = None
@@ -156,7 +158,7 @@
             self.drop_pending(name)
 
     def drop_pending(self, name: str) -> None:
-        """Drops what is pending for a member. The gap in the serials makes it send a request."""
+        """Drops what is pending for a member. The gap in the serials makes the member send a request."""
         self.pending_count -= len(self.pending.pop(name))
         self.dropped_batches += 1
         self.channel(name).sent_serial += 1
@@ -164,10 +166,10 @@
     # --- timer -------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> Outbox:
-        """What is due now, within the budget."""
+        """Returns the messages that are due, within the budget."""
         budget = self.budget_bytes_per_s
         refill = budget * (now - self.allowance_at)
-        self.byte_allowance = min(budget / ALLOWANCE_SHARE, self.byte_allowance + refill)
+        self.byte_allowance = min(budget / ALLOWANCE_DIVISOR, self.byte_allowance + refill)
         self.allowance_at = now
         self.known_counts.clear()
         out: Outbox = []
@@ -197,7 +199,7 @@
             del self.next_report_at[next(iter(self.next_report_at))]
 
     def send_pending(self, now: float, out: Outbox, name: str) -> None:
-        """Sends the next message to a member, and puts it last in the queue."""
+        """Sends the next message to a member, which moves to the end of the queue if more is pending."""
         channel, pending = self.channel(name), self.pending.pop(name, {})
         entries: list[UsageEntry] = []
         while pending and len(entries) < MAX_ENTRIES_PER_MESSAGE:
@@ -219,7 +221,8 @@
         self.emit(out, Outgoing(name, message))
 
     def send_requests(self, now: float, out: Outbox) -> None:
-        """Requests to members that may share a subset in use, round-robin; at once where one was missed."""
+        """Sends requests to members that may share a subset in use, round-robin; next to those of which a
+        message was missed."""
         interval_s = 1.0 / MAX_REQUESTS_PER_S
         while self.byte_allowance > 0.0 and now - self.last_request_at >= interval_s:
             self.last_request_at = max(self.last_request_at + interval_s, now - MAX_REQUEST_BACKLOG_S)
@@ -235,7 +238,7 @@
                     break
 
     def emit(self, out: Outbox, outgoing: Outgoing[DirectMessage]) -> None:
-        """Sends a message, and takes its approximate size from the allowance."""
+        """Sends a message and deducts its approximate size from the allowance."""
         message, cost = outgoing.message, HEADER_BYTES
         if isinstance(message, UsageMessage):
             cost += ENTRY_BYTES * len(message.entries)
@@ -246,7 +249,7 @@
     # --- messages ----------------------------------------------------------------------------------------
 
     def receive(self, now: float, sender: str, boot: int, message: DirectMessage) -> Outbox:
-        """A message from the process `boot` of member `sender`, and the answers to it."""
+        """Handles a message from the process `boot` of member `sender`, and returns the answers."""
         out: Outbox = []
         channel = self.channel(sender)
         if isinstance(message, UsageRequest):
@@ -261,14 +264,15 @@
         elif message.serial != channel.received_serial:
             if is_in_sequence and len(self.request_round) <= 2 * len(self.ring.members):
                 channel.next_request_at = -math.inf
-                self.request_round.append(sender)  # the next one that is sent a request
+                self.request_round.append(sender)  # `sender` is the next to be sent a request
             channel.received_serial = NOT_IN_SEQUENCE
         if message.is_complete and channel.received_serial == message.serial:
             channel.complete_at = now
         return out
 
     def merge_entries(self, now: float, sender: str, boot: int, message: UsageMessage) -> None:
-        """Merges a message's entries; they may make this process' own usage of a window worth a report."""
+        """Merges a message's entries. With them, this process' own usage of a window may have to be
+        reported."""
         own_name = self.usage.writer.rpartition("#")[0]
         for entry in message.entries[:MAX_ENTRIES_PER_MESSAGE]:
             writer = f"{own_name}#{entry.boot:x}" if entry.boot else f"{sender}#{boot:x}"
@@ -279,8 +283,8 @@
                     self.report(now, self.usage.row_for(entry.key, self.usage.own[entry.key]))
 
     def answer_request(self, now: float, out: Outbox, name: str, channel: PeerChannel, serial: int) -> None:
-        """Answers a request: that nothing is new, or with all that is reported. Nothing while messages to the
-        member are pending or just sent; answers beyond the budget are left out."""
+        """Answers a request, either that nothing is new, or with all reported rows. Sends nothing beyond the
+        budget, nor to a member in sequence while messages to it are pending or were just sent."""
         is_busy = name in self.pending or now - channel.sent_at < 2.0 * MIN_PUSH_INTERVAL_S
         if self.byte_allowance <= 0.0 or (is_busy and serial >= 0):
             return
@@ -291,12 +295,13 @@
             self.resync(now, out, name, channel, serial)
 
     def resync(self, now: float, out: Outbox, name: str, channel: PeerChannel, serial: int) -> None:
-        """Starts a new sequence with all that is reported to the member."""
+        """Starts a new sequence with all rows that are reported to the member."""
         channel.resynced_at, channel.restarts_sequence = now, True
         for key in self.reported_windows:
             if name in self.recipients(key):
                 self.queue_row(name, (RowKind.USE, key, self.usage.writer))
-        if serial < 0:  # it may have restarted: nobody else reports what its predecessor admitted
+        if serial < 0:
+            # The member may have restarted, and only others can report what its predecessor admitted.
             for row_key in self.replica.keys_by_age[RowKind.USE]:
                 if row_key[2].rpartition("#")[0] == name:
                     self.queue_row(name, row_key)
@@ -305,7 +310,7 @@
     # --- what is known -----------------------------------------------------------------------------------
 
     def expire(self) -> None:
-        """Forgets windows whose rows have expired."""
+        """Drops reported windows whose rows have expired."""
         rows, writer = self.replica.rows, self.usage.writer
         while self.reported_windows:
             oldest = next(iter(self.reported_windows))
@@ -314,8 +319,8 @@
             del self.reported_windows[oldest]
 
     def known_gateways(self, now: float, spread: int) -> int:
-        """How many of the other gateways of a subset of `spread` are certain to have all their usage known
-        here, wherever the subset lies."""
+        """Returns how many of the other gateways of a subset of `spread` certainly have all their usage known
+        here, whatever the subset's position."""
         spread = min(spread, self.ring.gateway_count)
         if spread > self.widest_subset:
             self.widest_subset = spread
@@ -326,7 +331,7 @@
         return known_count
 
     def count_known(self, now: float, spread: int) -> int:
-        """The same, counted anew."""
+        """Returns the result of `known_gateways`, without its cache."""
         candidates = self.ring.subset_candidates(spread)
         requested = len(self.ring.subset_candidates(self.widest_subset))
         max_age_s = MAX_MISSED_REQUESTS * max(REQUEST_INTERVAL_S, requested / MAX_REQUESTS_PER_S)
