--- a/glenchute/policy/membership/gossiped_drains.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -1,20 +1,20 @@
-"""Endpoints that drain or are removed by gossip, until discovery confirms or revokes it. No I/O; seconds of
-this process' clock.
+"""Endpoints that gossip reports as draining or removed, until discovery confirms or revokes it. No I/O; times
+are seconds of this process' clock.
 
-Members learn of a drain at different moments, and a member's report is a reason for all to stop using the
-endpoint at once. But it may be wrong: of a replica from before a restart of discovery, or corrupted; and
-nobody would ever take it back, as discovery reports changes only. So a gossiped drain is on trial:
+Members learn of a drain at different times, and a member's report lets all others stop using the endpoint at
+once. But the report may be wrong, from a replica older than a restart of discovery or a corrupted one, and
+nothing would ever revoke it, as discovery reports only changes. So gossiped drains are provisional
+(`on_trial`):
 
-- Discovery's own answer for a version settles all gossiped drains of that version and older ones.
-- A gossiped drain that is newer than discovery's version `SETTLE_S` or more after it was created is revoked:
-  the endpoint is restored as discovery had it, and gossip about it is ignored for `DISTRUST_S`.
-- Drains on trial withhold at most `MAX_WITHHELD_SHARE` of the endpoints; those beyond are counted and left to
-  discovery. A real release of more than that is learned as without members.
+- Discovery's own answer for a version settles all gossiped drains of that version and of older ones.
+- A gossiped drain that is still newer than discovery's version `SETTLE_S` after its creation is revoked: the
+  endpoint is restored as discovery had it, and gossip about it is ignored for `DISTRUST_S`.
+- Provisional drains withhold at most `MAX_WITHHELD_SHARE` of the endpoints; further ones are counted and left
+  to discovery, so a real rollout that drains more is learned as without members.
 
-So a wrong drain costs at most that share of the endpoints until the next answer of discovery that comes
-`SETTLE_S` after it, and breaks no rule: a withheld endpoint gets nothing. While discovery does not answer, a
-gossiped drain stays, and the share still bounds its cost.
-"""
+So wrong drains cost at most that share of the endpoints, until discovery's next answer at least `SETTLE_S`
+after them, and break no guarantee: a withheld endpoint gets no requests. While discovery does not answer, a
+gossiped drain stays in force, and the share still bounds its cost."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 from ..events import Endpoint, EndpointState
 
-SETTLE_S = 6.0  # a change counts as notified to everybody after this
-DISTRUST_S = 60.0
+SETTLE_S = 6.0  # time by which discovery has notified every member of a change
+DISTRUST_S = 60.0  # time for which gossip about an endpoint is ignored after a revoked drain
 MAX_WITHHELD_SHARE = 0.5
 MAX_DRAINS = 5_000
-RANKED_STATES = (EndpointState.DRAINING, EndpointState.REMOVED)  # rank 1 and 2 of a row
+RANKED_STATES = (EndpointState.DRAINING, EndpointState.REMOVED)  # the states of a row's ranks 1 and 2
 
 
 class GossipedDrain(NamedTuple):
-    """A drain on trial: the member that sent it, and when it was created."""
+    """A provisional drain: the member that sent it, and when it was created."""
 
     version: int
     state: EndpointState
@@ -51,15 +51,15 @@
     """Discovery's list as received here, and the gossiped drains that are applied on top of it."""
 
     def __init__(self) -> None:
-        self.version = -1  # of discovery's last answer
-        self.active_endpoints: dict[str, Endpoint] = {}  # by discovery
+        self.version = -1  # version of discovery's last answer
+        self.active_endpoints: dict[str, Endpoint] = {}  # by address: active endpoints of discovery's list
         self.on_trial: dict[str, GossipedDrain] = {}
-        self.distrusted_until: dict[str, float] = {}  # endpoints whose gossip is ignored
+        self.distrusted_until: dict[str, float] = {}  # by endpoint: until when gossip about it is ignored
         self.revoked_count = self.over_limit_count = 0
 
     def apply_discovery_list(self, version: int, full: bool, entries: Iterable[Endpoint]) -> None:
-        """Discovery's list (`full`) or changes, before they are applied; they settle the drains of the
-        endpoints that they name."""
+        """Records discovery's list (`full`) or changes before the caller applies them. They settle the
+        drains of the endpoints that they name."""
         entries = tuple(entries)
         if full:
             self.active_endpoints.clear()
@@ -75,7 +75,8 @@
     def receive(
         self, now: float, endpoint: str, version: int, rank: float, age_s: float, sender: str
     ) -> bool:
-        """A gossiped drain, created `age_s` ago; `rank` 1: draining, 2: removed. Whether it is applied."""
+        """Handles a gossiped drain that was created `age_s` ago, and returns whether it is applied. `rank` is
+        1 for draining, 2 for removed."""
         known = self.on_trial.get(endpoint)
         if version <= self.version or endpoint not in self.active_endpoints or not 1.0 <= rank <= 2.0:
             return False
@@ -83,8 +84,8 @@
             return False
         state = RANKED_STATES[rank >= 2.0]
         if known is not None:
-            is_stronger = state is EndpointState.REMOVED and known.state is not EndpointState.REMOVED
-            if not is_stronger:
+            is_more_restrictive = state is EndpointState.REMOVED and known.state is not EndpointState.REMOVED
+            if not is_more_restrictive:
                 return False
         elif len(self.on_trial) >= min(MAX_DRAINS, MAX_WITHHELD_SHARE * len(self.active_endpoints)):
             self.over_limit_count += 1
@@ -93,14 +94,14 @@
         return True
 
     def confirm_version(self, now: float, version: int) -> tuple[list[Endpoint], list[RevokedDrain]]:
-        """Discovery has just answered that `version` is its newest: the endpoints that are restored, and the
-        drains that are revoked."""
+        """Handles discovery's answer that `version` is its newest; returns the endpoints that are restored
+        and the drains that are revoked."""
         self.version = version
         restored: list[Endpoint] = []
         revoked: list[RevokedDrain] = []
         for endpoint, drain in list(self.on_trial.items()):
-            # Where discovery is past its version, all changes up to there were received: had the drain been
-            # real, `apply_discovery_list` would have settled it.
+            # Up to its newest version all of discovery's changes have been received, so a real drain of that
+            # version or an older one would have been settled by `apply_discovery_list`.
             if drain.version <= version or now - drain.created_at >= SETTLE_S:
                 del self.on_trial[endpoint]
                 restored.append(self.active_endpoints[endpoint])
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -1,16 +1,14 @@
-"""Audit of usage: the members' reports against the shared counter's totals. No I/O; wall-clock milliseconds
-only name windows.
+"""Audit of usage: compares members' reports with the shared counter's totals. No I/O; wall-clock milliseconds
+serve only to name windows.
 
-Both count the same units by independent ways, so where they differ for a window that is over and whose
-reports have arrived, one of them has lost something: a counter that was reset, partitioned or replaced has
-less than members admitted; members whose reports do not arrive admitted what only the counter knows. One
-process audits for all, as each comparison is a call to the counter; windows with the most units come first,
-each once.
+Both count the same units independently, so where they differ for a window that has ended and whose reports
+have arrived, one of them has lost units: a counter that was reset, partitioned or replaced has less than
+members admitted; where members' reports do not arrive, the counter has more. One process audits for all, as
+each comparison is a call to the counter. Each window is audited once, those with the most units first.
 
-Expected differences are left out or allowed for: units of requests that were rejected after the counter was
-asked stay in totals of plans with a ceiling (`QuotaAccounting.call`), so there only "lower" is judged; calls
-that got no answer in time may have been added or not, which the tolerances cover.
-"""
+Expected differences are excluded or tolerated: units of requests rejected after the call to the counter stay
+in the totals of plans with a ceiling (`QuotaAccounting.call`), so for these plans only lower totals count;
+the units of calls that timed out may have been added or not, which the tolerances cover."""
 
 from __future__ import annotations
 
@@ -22,21 +20,22 @@
 from ..settings import Plan
 from .replica import Row, RowKind
 
-SETTLED_S = 3.0  # after a window's end all reports of it have arrived, at the counter too ...
-RETAINED_S = 12.0  # ... and members' rows of it are still stored
+SETTLED_S = 3.0  # time after a window's end by which members and the counter have all reports of it
+RETAINED_S = 12.0  # time after a window's end until which members still store its rows
 MAX_QUERIES_PER_STEP = 16
-TOLERANCE_UNITS, TOLERANCE_SHARE = 2.0, 0.1  # the share is of the larger side
-# Windows of an account in a row that have to differ alike before it is reported. They have to begin further
-# apart than what a counter that was reset has lost of windows that were over and not yet audited.
+TOLERANCE_UNITS, TOLERANCE_SHARE = 2.0, 0.1  # the share is of the larger of the two totals
+# Successive windows of an account that have to differ in the same direction before a mismatch is reported.
+# Their starts also have to span more than the windows, ended but not yet audited, that a counter loses by a
+# reset.
 MIN_MISMATCHED_WINDOWS = 3
 MAX_ACCOUNTS = 5_000
 MAX_CHECKED_WINDOWS = 20_000
 
-Window = tuple[str, int]  # account, and begin in milliseconds
+Window = tuple[str, int]  # account, and start in milliseconds
 
 
 class CounterQuery(NamedTuple):
-    """One total to be read from the counter. `reported_units`: what members admitted."""
+    """A total to read from the counter. `reported_units`: units that members reported as admitted."""
 
     account: str
     plan: Plan
@@ -47,7 +46,7 @@
 
 
 class UsageMismatch(NamedTuple):
-    """An account of which the counter has less, or more, than the members reported."""
+    """An account for which the counter has fewer, or more, units than the members reported."""
 
     account: str
     is_counter_lower: bool
@@ -56,7 +55,7 @@
 
 
 class MismatchRun(NamedTuple):
-    """Windows of an account in a row that differ alike."""
+    """Successive windows of an account that differ in the same direction."""
 
     is_counter_lower: bool
     window_count: int
@@ -67,29 +66,30 @@
     """The state of the audit in one process."""
 
     def __init__(self) -> None:
-        self.plans: dict[str, Plan] = {}  # of accounts that this process has seen
+        self.plans: dict[str, Plan] = {}  # by account that this process has seen
         self.checked_windows: dict[Window, None] = {}
         self.mismatch_runs: dict[str, MismatchRun] = {}  # by account
         self.mismatches: dict[str, UsageMismatch] = {}  # by account
         self.compared_count = self.unanswered_count = 0
 
     def note_account(self, account: str, plan: Plan) -> None:
-        """A request of this account has come: only then its plan, and thus the ends of its windows, are
-        known."""
+        """Records the plan of an account that has sent a request; without it, the ends of the account's
+        windows are unknown."""
         if plan.rate_per_s and account not in self.plans:
             if len(self.plans) >= MAX_ACCOUNTS:
                 del self.plans[next(iter(self.plans))]
             self.plans[account] = plan
 
     def due_queries(self, now_ms: float, rows: Iterable[Row]) -> list[CounterQuery]:
-        """The totals to be read now. `rows`: as this process has them; `now_ms`: by the clock that names
-        windows."""
+        """Returns the totals to read now. `rows`: all rows that this process has; `now_ms`: by the clock that
+        names windows."""
         reported = self.reported_units(now_ms, rows)
         largest = sorted(reported, key=lambda window: (-reported[window], window))[:MAX_QUERIES_PER_STEP]
         return [self.query(window, reported[window]) for window in largest]
 
     def reported_units(self, now_ms: float, rows: Iterable[Row]) -> dict[Window, float]:
-        """The units that members reported, for windows that can be audited now and were not yet."""
+        """Returns the units that members reported, by window, for windows that are due and not yet
+        audited."""
         reported: dict[Window, float] = {}
         for row in rows:
             account, _, start = row.key.rpartition("/")
@@ -104,7 +104,7 @@
         return reported
 
     def query(self, window: Window, reported_units: float) -> CounterQuery:
-        """The query for a window, which is not audited again."""
+        """Returns the query for a window, and marks the window as audited."""
         account, start_ms = window
         self.checked_windows[window] = None
         if len(self.checked_windows) > MAX_CHECKED_WINDOWS:
@@ -118,13 +118,14 @@
 
     @staticmethod
     def is_window(window: Window, plan: Plan) -> bool:
-        """Whether the plan has such a window: a received row may name any."""
+        """Returns whether the plan has such a window; a received row may name any."""
         account, start_ms = window
         return abs(window_start_ms(start_ms + 0.5 * window_length_ms(plan), account, plan) - start_ms) <= 1.0
 
     def receive_total(self, query: CounterQuery, total: float | None) -> UsageMismatch | None:
-        """The counter's total, None where it did not answer. A mismatch to be reported now: once an account,
-        until it agrees again."""
+        """Handles the counter's total (None where it did not answer), and returns a mismatch that is to be
+        reported now. An account is reported once, until its totals agree again or differ in the other
+        direction."""
         if total is None:
             self.unanswered_count += 1
             return None
@@ -150,7 +151,8 @@
         return found if known is None or known.is_counter_lower is not is_lower else None
 
     def extend_run(self, query: CounterQuery, is_lower: bool) -> MismatchRun:
-        """The account's run of mismatches with this window; a new one where the last differed otherwise."""
+        """Returns the account's run of mismatches including this window; a new run where the last window
+        differed in the other direction."""
         run = self.mismatch_runs.get(query.account)
         if run is None or run.is_counter_lower is not is_lower:
             extended = MismatchRun(is_lower, 1, query.window_start_ms)
