--- a/glenchute/policy/services/request_mapping.py
+++ b/glenchute/policy/services/request_mapping.py
@@ -1,4 +1,4 @@
-"""Maps the parts of a proxy's request to the fields of a call, by the rules of the operator's file.
+"""Mapping of the parts of a proxy's request to the fields of a call, by the rules of the operator's file.
 
 A source is written as text: `header:x-account`, `query:units`, `path:account` (a variable of the operation's
 path template), `metadata:namespace/key` (the proxy's filter metadata), `json:/order/id` (a pointer into a
@@ -30,7 +30,7 @@
 
 
 class MappingError(ValueError):
-    """A request that the rules can't read: a stable reason, and the status for the client."""
+    """A request that the rules can't map: a stable reason, and the status for the client."""
 
     def __init__(self, reason: str, status: int = 400) -> None:
         super().__init__(reason)
@@ -38,19 +38,20 @@
 
 
 class BodyRequired(Exception):  # noqa: N818
-    """A field lies in the body, which has not come yet."""
+    """Raised where a field is in the body, which has not been received yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class PathTemplate:
-    """A path template: literals, `{name}` for one segment, and `{name=**}` at the end for the rest."""
+    """A path template: literals, `{name}` for one segment, and `{name=**}` at the end for all remaining
+    segments."""
 
     text: str
-    parts: tuple[tuple[str, str], ...]  # ("=", literal), ("1", name) or ("*", name)
+    parts: tuple[tuple[str, str], ...]  # each is ("=", literal), ("1", name) or ("*", name)
 
     @classmethod
     def parse(cls, text: str) -> PathTemplate:
-        """Parses a template; raises ValueError with the reason."""
+        """Parses a template. Raises ValueError with the reason where it is invalid."""
         if not text.startswith("/") or len(text) > 200:
             raise ValueError("begins with / and has at most 200 characters")
         parts: list[tuple[str, str]] = []
@@ -68,34 +69,34 @@
 
     @property
     def specificity(self) -> tuple[int, ...]:
-        """Sorts templates that match the same path, the most literal first: literals before variables before
-        the rest, from the left."""
+        """Returns a sort key for templates that match the same path, the most specific first: from the left,
+        literals before `{name}` before `{name=**}`."""
         return tuple("=1*".index(kind) for kind, _ in self.parts)
 
     @property
     def normalized_parts(self) -> tuple[tuple[str, str], ...]:
-        """Equal for two templates that match the same paths."""
+        """Returns the parts without variable names: equal for templates that match the same paths."""
         return tuple((kind, name if kind == "=" else "") for kind, name in self.parts)
 
     @property
     def variable_names(self) -> tuple[str, ...]:
-        """The names of its variables, from the left."""
+        """Returns the names of the variables, from the left."""
         return tuple(name for kind, name in self.parts if kind != "=")
 
     def match(self, segments: list[str]) -> dict[str, str] | None:
-        """The values of the variables, or None where the path does not match."""
+        """Returns the values of the variables, or None where the path does not match."""
         found: dict[str, str] = {}
-        for at, (kind, name) in enumerate(self.parts):
+        for index, (kind, name) in enumerate(self.parts):
             if kind == "*":
-                found[name] = "/".join(segments[at:])
+                found[name] = "/".join(segments[index:])
                 return found
-            if at >= len(segments):
+            if index >= len(segments):
                 return None
             if kind == "=":
-                if segments[at] != name:
+                if segments[index] != name:
                     return None
-            elif segments[at]:
-                found[name] = segments[at]
+            elif segments[index]:
+                found[name] = segments[index]
             else:
                 return None
         return found if len(segments) == len(self.parts) else None
@@ -103,26 +104,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """Requests of one method and path template, and their class."""
+    """The class of requests with one method and path template."""
 
     class_name: str
-    method: str  # "" for any
+    method: str  # empty matches any method
     template: PathTemplate
 
 
 @dataclass(slots=True)
 class RequestView:
-    """What a proxy reports of one request. Names of headers are in lower case."""
+    """The properties of a request that a proxy reports. Header names are in lower case."""
 
     headers: Mapping[str, list[bytes]]
     metadata: Mapping[str, Any] = field(default_factory=dict)
     descriptors: Mapping[str, str] = field(default_factory=dict)
-    body: bytes | None = None  # complete, or None while it has not been received
+    body: bytes | None = None  # None until the complete body has been received
     path_variables: Mapping[str, str] = field(default_factory=dict)
 
     def single_header(self, name: str) -> str | None:
-        """The one value of a header; raises MappingError where it is repeated (each side might take another),
-        too long or not ASCII."""
+        """Returns the single value of a header, or None. Raises MappingError where it is repeated (its
+        readers might use different values), too long or not ASCII."""
         values = self.headers.get(name)
         if not values:
             return None
@@ -138,25 +139,25 @@
 
 @dataclass(frozen=True, slots=True)
 class MappedRequest:
-    """A request as the rules read it."""
+    """The fields of a request, mapped by the rules."""
 
     class_name: str
     plan: str
     account: str
     units: float
     gateway_spread: int
-    request_id: str  # "" where the proxy gave none
+    request_id: str  # empty where the request has none
     idempotency_key: str
-    deadline_ms: float  # 0 where it gave none
+    deadline_ms: float  # 0 where the request has none
 
 
 @dataclass(frozen=True, slots=True)
 class MappingRules:
-    """The mapping of one listener. `sources` are by field name."""
+    """The mapping rules of one listener. `sources` are by field name."""
 
     sources: Mapping[str, str]
     operations: tuple[Operation, ...]
-    needs_key_by_class: Mapping[str, bool]  # by class: whether requests need an idempotency key
+    needs_key_by_class: Mapping[str, bool]  # by class: whether its requests need an idempotency key
     plans: tuple[str, ...]
     gateway_count: int
     max_units: float = 1e6
@@ -174,7 +175,7 @@
         object.__setattr__(self, "used_headers", frozenset(named | {":path", ":method"}))
 
     def map_request(self, view: RequestView) -> MappedRequest:
-        """The fields of one request. Raises MappingError, or BodyRequired where the body must be read
+        """Returns the fields of a request. Raises MappingError, or BodyRequired where the body has to be read
         first."""
         path = view.single_header(":path") or "/"
         if "path" not in view.path_variables and self.operations:
@@ -207,22 +208,22 @@
         return MappedRequest(name, plan, account.lower(), units, int(spread), request_id, key, deadline)
 
     def match_operation(self, view: RequestView, path: str) -> tuple[Operation | None, dict[str, str]]:
-        """The most specific operation that matches, with its path variables decoded."""
+        """Returns the most specific operation that matches, or None, and its decoded path variables."""
         method = view.single_header(":method") or ""
         segments = path.partition("?")[0][1:].split("/")
         best: tuple[Operation, dict[str, str]] | None = None
-        for one in self.operations:
-            if one.method and one.method != method:
+        for candidate in self.operations:
+            if candidate.method and candidate.method != method:
                 continue
-            found = one.template.match(segments)
+            found = candidate.template.match(segments)
             if found is not None and (
-                best is None or one.template.specificity < best[0].template.specificity
+                best is None or candidate.template.specificity < best[0].template.specificity
             ):
-                best = one, {name: unquote(value) for name, value in found.items()}
+                best = candidate, {name: unquote(value) for name, value in found.items()}
         return best or (None, {})
 
     def decimal_field(self, view: RequestView, name: str, path: str, default: float) -> float:
-        """A field that is a number from 0 on."""
+        """Returns a field that is a non-negative decimal number, or `default` where it is empty."""
         text = self.text_field(view, name, path)
         if not text:
             return default
@@ -231,7 +232,7 @@
         return float(text)
 
     def text_field(self, view: RequestView, name: str, path: str) -> str:
-        """A field's text, "" where its source has nothing."""
+        """Returns a field's text, or an empty string where its source finds nothing."""
         source = self.parsed_sources.get(name)
         if source is None:
             return ""
@@ -240,7 +241,7 @@
             return ""
         if type(found) is not str:
             if isinstance(found, float) and found.is_integer():
-                found = int(found)  # numbers of protobuf's Struct are all doubles
+                found = int(found)  # protobuf's Struct holds all numbers as doubles
             if isinstance(found, bool) or not isinstance(found, int | float):
                 raise MappingError(f"bad-{name}")
         text = str(found)
@@ -249,7 +250,8 @@
         return text
 
     def resolve_source(self, view: RequestView, source: tuple[str, str], path: str) -> Any:
-        """What a source, its kind and its name, finds in a request; None where it finds nothing."""
+        """Returns what a source (its kind and its name) finds in a request, or None where it finds
+        nothing."""
         kind, where = source
         match kind:
             case "header":
@@ -272,26 +274,28 @@
 
     @staticmethod
     def resolve_json_pointer(view: RequestView, pointer: str) -> Any:
-        """What a JSON pointer (RFC 6901) finds in the body; None where it finds nothing."""
+        """Returns what a JSON pointer (RFC 6901) finds in the body, or None where it finds nothing. Raises
+        BodyRequired where the body has not been received."""
         if view.body is None:
             raise BodyRequired
         try:
-            at: Any = json.loads(view.body)
+            node: Any = json.loads(view.body)
         except (ValueError, RecursionError):
             raise MappingError("body-not-json") from None
         for step in pointer[1:].split("/"):
             step = step.replace("~1", "/").replace("~0", "~")
-            if isinstance(at, dict):
-                at = at.get(step)
-            elif isinstance(at, list) and INTEGER_PATTERN.fullmatch(step) and int(step) < len(at):
-                at = at[int(step)]
+            if isinstance(node, dict):
+                node = node.get(step)
+            elif isinstance(node, list) and INTEGER_PATTERN.fullmatch(step) and int(step) < len(node):
+                node = node[int(step)]
             else:
                 return None
-        return at
+        return node
 
 
 def query_value(path: str, name: str) -> str | None:
-    """A parameter of the path's query; None where it has none. MappingError where it stands twice."""
+    """Returns a parameter of the path's query, or None where it has none. Raises MappingError where it is
+    repeated."""
     pairs = parse_qsl(path.partition("?")[2], max_num_fields=None, keep_blank_values=True)
     values = [value for key, value in pairs if key == name]
     if len(values) > 1:
