--- a/glenchute/policy/services/queue_delay.py
+++ b/glenchute/policy/services/queue_delay.py
@@ -1,4 +1,5 @@
-"""How long a request may wait for its service's turn before it is rejected. Pure; times are milliseconds."""
+"""Limit on how long a request may wait for its service's turn before it is rejected. No I/O; times are
+milliseconds."""
 
 from __future__ import annotations
 
@@ -11,9 +12,9 @@
 class QueueDelayLimit:
     """Controlled delay as in Maurer, "Fail at Scale" (ACM Queue, 2015).
 
-    A queue that was empty within `burst_ms` holds a burst, whose requests may wait `burst_ms`. One that was
-    not is a standing queue, and a request that has waited `standing_ms` in it is rejected at once, as it
-    would be late for its client anyway."""
+    A queue that was empty within the last `burst_ms` holds a burst, whose requests may wait `burst_ms`. Any
+    other is a standing queue: a request that has waited `standing_ms` in it is rejected at once, as its
+    response would be too late for the client anyway."""
 
     __slots__ = ("burst_ms", "empty_at_ms", "standing_ms")
 
@@ -22,10 +23,10 @@
         self.empty_at_ms = -math.inf
 
     def note_empty(self, now_ms: float) -> None:
-        """The queue is empty just now."""
+        """Records that the queue is empty at `now_ms`."""
         self.empty_at_ms = now_ms
 
     def must_reject(self, now_ms: float, waited_ms: float) -> bool:
-        """Whether a request that has waited so long is rejected instead of served."""
+        """Returns whether a request that has waited for `waited_ms` is rejected instead of served."""
         is_standing = now_ms - self.empty_at_ms > self.burst_ms
         return waited_ms > (self.standing_ms if is_standing else self.burst_ms)
--- a/glenchute/policy/services/round_robin.py
+++ b/glenchute/policy/services/round_robin.py
@@ -1,4 +1,4 @@
-"""Deficit round robin (Shreedhar, Varghese, SIGCOMM 1995) between services or queues. Pure."""
+"""Deficit round robin (Shreedhar, Varghese, SIGCOMM 1995) between services or queues. No I/O."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class DeficitRoundRobin:
-    """Whose turn it is, where turns differ in cost.
+    """A scheduler that shares turns of different costs between members by weight.
 
-    Each member with work may spend `quantum` times its weight in a round; what a turn costs beyond that is
-    paid in later rounds. Constant time a turn, whatever the number of members; idle ones cost nothing.
+    Each member with work may spend `quantum` times its weight per round; any cost beyond that is deducted in
+    later rounds. A turn takes constant time whatever the number of members, and idle members cost nothing.
 
-    Guarantee: in any span in which a member always has work, it lags what its weight gives it by no more than
-    one quantum and one largest turn."""
+    Guarantee: over any period in which a member always has work, it falls behind its weighted share by at
+    most one quantum and the cost of the largest turn."""
 
     def __init__(self, weights: Mapping[str, float], quantum: float) -> None:
         self.weights, self.quantum = dict(weights), quantum
@@ -22,14 +22,14 @@
         self.deficit: dict[str, float] = {}
 
     def add_work(self, member: str) -> None:
-        """The member has something to do."""
+        """Marks a member as having work."""
         if member not in self.has_work:
             self.has_work.add(member)
             self.active.append(member)
             self.deficit.setdefault(member, 0.0)
 
     def next(self) -> str | None:
-        """Whose turn it is; None where no member has work."""
+        """Returns the member whose turn it is, or None where no member has work."""
         while self.active:
             member = self.active[0]
             if self.deficit[member] > 0.0:
@@ -41,12 +41,12 @@
         return None
 
     def charge(self, member: str, cost: float, has_more: bool) -> None:
-        """A turn of this member had this cost; `has_more`: it has work left."""
+        """Charges a member for a turn. `has_more`: the member has work left."""
         self.deficit[member] -= cost
         if not has_more:
             self.has_work.discard(member)
             self.active.remove(member)
-            # Unused credit is not saved up; a debt is paid when the member comes back.
+            # Unused credit expires; a debt is kept for when the member has work again.
             self.deficit[member] = min(0.0, self.deficit[member])
         elif self.deficit[member] <= 0.0:
             self.active.remove(member)
