--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: what is promised of it, over a simulated network that loses, delays, cuts and stops."""
+"""Guarantees of membership over a simulated network with loss, delay, partitions and paused processes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_dies_is_buried_by_all_and_nobody_else_is(seed: int) -> None:
+def test_only_a_member_that_stops_for_good_is_declared_dead_by_all(seed: int) -> None:
     net = SwimNetwork(20, seed, lose=0.05)
     net.run(5.0)
     net.stopped.add("g3")
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_stops_for_two_seconds_is_suspected_and_not_buried(seed: int) -> None:
+def test_a_member_paused_for_two_seconds_is_suspected_but_not_declared_dead(seed: int) -> None:
     net = SwimNetwork(20, seed)
     net.run(5.0)
     net.stopped.add("g3")
@@ -47,7 +47,7 @@
     assert net.run(5.0, net.all_alive) < 5.0 and not net.declared_dead
 
 
-def test_without_its_patience_a_stop_is_a_burial(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_suspicion_timeout_a_pause_counts_as_death(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemberList, "suspicion_timeout_s", lambda self, member: 0.0)
     net = SwimNetwork(20, 0)
     net.run(5.0)
@@ -56,24 +56,28 @@
     assert net.declared_dead
 
 
-def test_one_way_cut_keeps_a_member_that_others_reach() -> None:
+def test_a_one_way_partition_keeps_a_member_that_others_reach() -> None:
     net = SwimNetwork(10, 5)
     net.run(4.0)
-    net.cut = lambda sender, to: (sender, to) == ("g1", "g0")  # g0 does not hear g1, g1 hears g0
+    net.cut = lambda sender, to: (
+        (sender, to) == ("g1", "g0")
+    )  # g0 gets nothing from g1, but g1 gets g0's messages
     net.run(20.0)
     assert not net.declared_dead
 
 
-def test_without_relays_a_one_way_cut_accuses_a_member(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_indirect_probes_a_one_way_partition_makes_a_member_suspected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(membership, "INDIRECT_PROBES", 0)
     net = SwimNetwork(10, 5)
     net.run(4.0)
     net.cut = lambda sender, to: (sender, to) == ("g1", "g0")
     net.run(20.0, lambda: net.nodes["g1"].incarnation > 0)
-    assert net.nodes["g1"].incarnation > 0  # it had to deny
+    assert net.nodes["g1"].incarnation > 0  # it had to refute a suspicion
 
 
-def test_two_halves_bury_each_other_and_find_each_other_again() -> None:
+def test_partitioned_halves_declare_each_other_dead_and_rejoin() -> None:
     net = SwimNetwork(11, 6)
     net.run(4.0)
     half = set(net.names[:5])
@@ -87,7 +91,7 @@
 def test_a_process_that_starts_under_a_known_name_takes_it_over() -> None:
     net = SwimNetwork(8, 7)
     net.run(4.0)
-    net.nodes["g2"].incarnation = 7  # as one that had to deny often
+    net.nodes["g2"].incarnation = 7  # as after many refutations
     net.nodes["g2"].queue_update("g2")
     net.run(3.0)
     old = net.nodes["g2"].boot
@@ -100,25 +104,25 @@
     assert old not in boots() and net.nodes["g2"].incarnation > 7
 
 
-def test_two_processes_under_one_name_are_seen_and_cost_a_message_a_period() -> None:
+def test_two_processes_under_one_name_are_detected_and_cost_one_message_per_period() -> None:
     net = SwimNetwork(6, 8)
     net.run(4.0)
-    twin = net.make_member("g2")
+    duplicate = net.make_member("g2")
     before = net.nodes["g2"].incarnation
     for _ in range(100):
         net.now += TICK
         for to in net.names:
             if to != "g2":
-                ping = SwimMessage(SwimMessageKind.PING, 1, "", (twin.update_for("g2"),))
-                net.post(to, net.nodes[to].receive(net.now, "g2", twin.boot, ping))
-        twin.apply_update(net.now, "g0", net.nodes["g0"].update_for("g2"))
+                ping = SwimMessage(SwimMessageKind.PING, 1, "", (duplicate.update_for("g2"),))
+                net.post(to, net.nodes[to].receive(net.now, "g2", duplicate.boot, ping))
+        duplicate.apply_update(net.now, "g0", net.nodes["g0"].update_for("g2"))
         net.now -= TICK
         net.run(TICK)
     assert sum(net.nodes[n].name_conflicts.get("g2", 0) for n in net.names) > 0
     assert net.nodes["g2"].incarnation - before <= 100 * TICK / SwimSettings().period_s + 2
 
 
-def test_a_leave_is_told_and_no_suspicion() -> None:
+def test_a_leave_is_announced_and_raises_no_suspicion() -> None:
     net = SwimNetwork(12, 9)
     net.run(4.0)
     net.post("g4", net.nodes["g4"].leave(net.now))
@@ -126,34 +130,36 @@
     assert not net.declared_dead
 
 
-def test_messages_are_as_many_in_trouble_as_in_calm() -> None:
+def test_the_message_rate_stays_bounded_while_members_fail() -> None:
     net = SwimNetwork(30, 10)
     net.run(6.0)
-    calm = sum(net.sent.values())
+    baseline = sum(net.sent.values())
     net.run(6.0)
-    calm = sum(net.sent.values()) - calm
+    baseline = sum(net.sent.values()) - baseline
     net.stopped |= set(net.names[:10])
     before = sum(net.sent.values())
     net.run(6.0)
-    assert sum(net.sent.values()) - before < 2.5 * calm  # relays beside; no storm
+    assert (
+        sum(net.sent.values()) - before < 2.5 * baseline
+    )  # indirect probes are added, without a message storm
     assert net.longest <= MAX_PIGGYBACKED_UPDATES
 
 
-def test_one_that_is_not_listed_or_speaks_of_one_is_not_taken_in() -> None:
+def test_members_that_are_not_configured_are_ignored() -> None:
     node = MemberList("g0", 1, ["g0", "g1"], SwimSettings(), random.Random(1))
-    words = (MemberUpdate("g1", MemberState.ALIVE, 0, 5), MemberUpdate("stranger", MemberState.ALIVE, 9, 9))
-    assert node.receive(0.1, "stranger", 9, SwimMessage(SwimMessageKind.PING, 1, "", words)) == []
-    assert node.receive(0.1, "g1", 5, SwimMessage(SwimMessageKind.PING, 1, "", words))
+    updates = (MemberUpdate("g1", MemberState.ALIVE, 0, 5), MemberUpdate("stranger", MemberState.ALIVE, 9, 9))
+    assert node.receive(0.1, "stranger", 9, SwimMessage(SwimMessageKind.PING, 1, "", updates)) == []
+    assert node.receive(0.1, "g1", 5, SwimMessage(SwimMessageKind.PING, 1, "", updates))
     assert set(node.members) == {"g1"} and node.members["g1"].state is MemberState.ALIVE
 
 
-def test_a_process_that_stood_still_doubts_itself_first() -> None:
+def test_a_resumed_process_blames_its_own_pause_first() -> None:
     net = SwimNetwork(6, 11)
     net.run(4.0)
     net.stopped.add("g0")
     net.run(1.9)
     net.stopped.discard("g0")
-    net.now += 4.0  # all others went on in no time: the worst case
+    net.now += 4.0  # worst case: all others advanced while g0 was paused
     net.nodes["g0"].tick(net.now)
     assert net.nodes["g0"].local_health > 0
     assert all(m.state is not MemberState.DEAD for m in net.nodes["g0"].members.values())
