--- a/tests/policy/membership/test_direct_messages.py
+++ b/tests/policy/membership/test_direct_messages.py
@@ -1,4 +1,5 @@
-"""Use told straight: to whom, what is left unsaid, what is lost on the way, and what is taken for known."""
+"""Direct usage messages: their recipients, unreported usage, lost messages, and usage that counts as
+known."""
 
 from __future__ import annotations
 
@@ -40,31 +41,31 @@
 
 
 def settled(count: int, **more: object) -> DirectMessageNetwork:
-    """Gateways that know each other's use."""
-    posts = DirectMessageNetwork(count, 1, **more)  # type: ignore[arg-type]
-    posts.run(20.0, lambda: all(posts.known(name, 3) == 2 for name in posts.names))
-    return posts
+    """Returns a network whose gateways know each other's usage."""
+    network = DirectMessageNetwork(count, 1, **more)  # type: ignore[arg-type]
+    network.run(20.0, lambda: all(network.known(name, 3) == 2 for name in network.names))
+    return network
 
 
-# --- whom it concerns ------------------------------------------------------------------------------------
+# --- recipients ------------------------------------------------------------------------------------------
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.integers(2, 40), st.integers(0, 39), st.integers(1, 40), st.integers(0, 39))
-def test_all_that_share_a_set_are_told_and_counted(count: int, me: int, spread: int, first: int) -> None:
-    me, spread, first = me % count, min(spread, count), first % count
+def test_candidates_cover_every_possible_subset(count: int, own: int, spread: int, first: int) -> None:
+    own, spread, first = own % count, min(spread, count), first % count
     names = [f"gw-{n:03d}" for n in range(count)]
-    ring = GatewayRing(names[me], names, gateway_numbers(dict.fromkeys(names)), count)
+    ring = GatewayRing(names[own], names, gateway_numbers(dict.fromkeys(names)), count)
     members = [names[(first + step) % count] for step in range(spread)]
-    if names[me] not in members:
+    if names[own] not in members:
         return
-    near = ring.subset_candidates(spread)
-    assert set(members) - {names[me]} <= set(near) and names[me] not in near
-    assert len(near) == len(set(near)) == ring.expected_candidates(spread) <= 2 * spread
-    # Whoever of the set has been heard of takes nobody of it away, and the whole set leaves nobody else.
-    others = [name for name in members if name != names[me]]
+    candidates = ring.subset_candidates(spread)
+    assert set(members) - {names[own]} <= set(candidates) and names[own] not in candidates
+    assert len(candidates) == len(set(candidates)) == ring.expected_candidates(spread) <= 2 * spread
+    # Members already seen exclude no member of the subset; all of them together exclude all other members.
+    others = [name for name in members if name != names[own]]
     for seen in (others[:1], others[-1:], others):
-        assert set(others) <= set(ring.subset_candidates(spread, seen)) <= set(near)
+        assert set(others) <= set(ring.subset_candidates(spread, seen)) <= set(candidates)
     if 2 * spread <= count:
         assert set(ring.subset_candidates(spread, others)) == set(others)
 
@@ -77,59 +78,67 @@
         ({"a1": 2, "b2": None}, None), ({"g\u0663": None, "g1": None}, None),
     ],
 )  # fmt: skip
-def test_numbers_are_stated_or_the_names_end(rows: dict[str, int | None], numbers: object) -> None:
+def test_numbers_are_configured_or_taken_from_the_end_of_names(
+    rows: dict[str, int | None], numbers: object
+) -> None:
     assert gateway_numbers(rows) == numbers
 
 
 @pytest.mark.parametrize(
     ("names", "gateways", "numbered"),
     [
-        ([f"g{n + 1}" for n in range(12)], 12, True),  # counted from 1: distances are the same
-        ([f"g{n}" for n in range(12)], 6, True),  # more members than the platform has gateways
+        ([f"g{n + 1}" for n in range(12)], 12, True),  # numbers from 1 have the same distances
+        ([f"g{n}" for n in range(12)], 6, True),  # there are more members than the platform has gateways
         (["zagreb", "split", *(f"g{n}" for n in range(10))], 12, True), ([], 12, False),
     ],
 )  # fmt: skip
-def test_without_sound_numbers_the_set_is_told_all_the_same(
+def test_without_valid_numbers_the_subset_gets_usage_all_the_same(
     names: list[str], gateways: int, numbered: bool
 ) -> None:
-    posts = DirectMessageNetwork(12, 1, names, gateways, numbered=numbered)
-    posts.run(3.0)
-    posts.admit(posts.names[0], "a", 5.0)
-    posts.run(0.3)
-    assert [posts.units_of_peers(name, "a") for name in posts.names[1:3]] == [5.0, 5.0]
+    network = DirectMessageNetwork(12, 1, names, gateways, numbered=numbered)
+    network.run(3.0)
+    network.admit(network.names[0], "a", 5.0)
+    network.run(0.3)
+    assert [network.units_of_peers(name, "a") for name in network.names[1:3]] == [5.0, 5.0]
 
 
-def test_with_wrong_numbers_words_are_lost_and_none_is_made_up() -> None:
-    """Numbers of another order: the set hears nothing, and never more than was let in."""
+def test_with_wrong_numbers_usage_is_lost_but_never_invented() -> None:
+    """Where numbers have another order, the subset gets no usage, and no member counts more than was
+    admitted."""
     names = [f"g{7 * n % 12}" for n in range(12)]
-    posts = DirectMessageNetwork(12, 1, names)
-    posts.run(3.0)
-    posts.admit(names[0], "a", 5.0)
-    posts.run(1.0)
-    assert sorted(posts.units_of_peers(name, "a") for name in names) == [0.0] * 8 + [5.0] * 4
-    assert posts.units_of_peers(names[1], "a") == 0.0
+    network = DirectMessageNetwork(12, 1, names)
+    network.run(3.0)
+    network.admit(names[0], "a", 5.0)
+    network.run(1.0)
+    assert sorted(network.units_of_peers(name, "a") for name in names) == [0.0] * 8 + [5.0] * 4
+    assert network.units_of_peers(names[1], "a") == 0.0
 
 
 # --- cost --------------------------------------------------------------------------------------------------
 
 
-def test_what_a_row_costs_is_by_its_set_and_not_by_the_members() -> None:
-    words, letters = [], []
+def test_the_cost_of_a_row_depends_on_its_subset_and_not_on_the_number_of_members() -> None:
+    entry_counts, message_counts = [], []
     for count in (12, 120):
-        posts = settled(count)
-        posts.sent.clear()
-        posts.message_counts.clear()
+        network = settled(count)
+        network.sent.clear()
+        network.message_counts.clear()
         for n in range(200):
-            posts.admit(f"g{n % 3}", "a", plan=PLAN)
-            posts.run(0.05)
-        words.append(sum(posts.sent.values()))
-        letters.append(posts.message_counts["g0"])
-        assert {to for _, to in posts.sent if posts.sent[_, to]} <= {f"g{n % count}" for n in range(-2, 5)}
-    assert words[0] == words[1] and abs(letters[0] - letters[1]) <= 0.1 * letters[0]
-    assert words[0] <= 2 * 200 + 12  # each goes to the two others, once the set has shown itself
+            network.admit(f"g{n % 3}", "a", plan=PLAN)
+            network.run(0.05)
+        entry_counts.append(sum(network.sent.values()))
+        message_counts.append(network.message_counts["g0"])
+        assert {to for _, to in network.sent if network.sent[_, to]} <= {
+            f"g{n % count}" for n in range(-2, 5)
+        }
+    assert (
+        entry_counts[0] == entry_counts[1]
+        and abs(message_counts[0] - message_counts[1]) <= 0.1 * message_counts[0]
+    )
+    assert entry_counts[0] <= 2 * 200 + 12  # once the subset is known, each row goes to its two other members
 
 
-def test_use_is_not_passed_on_and_lies_in_no_comparison() -> None:
+def test_usage_rows_are_neither_gossiped_nor_compared() -> None:
     gossip = Gossip(Replica(), GossipSettings(), random.Random(1))
     blank = gossip.replica.child_hashes(0.0, None)
     gossip.receive(0.0, "g1", Delta(((Row(RowKind.USE, "a/0", "g2#1", 1, 5.0), 0),)), 5)
@@ -138,234 +147,242 @@
     assert gossip.replica.child_hashes(0.0, None) == blank and not gossip.replica.leaves
 
 
-def test_a_word_is_small() -> None:
+def test_encoded_entries_stay_within_their_sizes_in_the_budget() -> None:
     def size(count: int) -> int:
-        words = tuple(
+        entries = tuple(
             UsageEntry(f"{4096 + n:016x}/{1_700_000_000_000 + 37 * n}", 9, 7.0) for n in range(count)
         )
-        return len(encode("zagreb", "g17", 1 << 60, UsageMessage(9, False, True, words)))
+        return len(encode("zagreb", "g17", 1 << 60, UsageMessage(9, False, True, entries)))
 
     assert (size(MAX_ENTRIES_PER_MESSAGE) - size(0)) / MAX_ENTRIES_PER_MESSAGE <= directmail.ENTRY_BYTES
     assert size(0) <= directmail.HEADER_BYTES and size(MAX_ENTRIES_PER_MESSAGE) <= 1_400
 
 
 @pytest.mark.parametrize("spread", [3, 30])
-def test_the_budget_holds_and_who_is_behind_is_not_taken_for_known(spread: int) -> None:
-    posts = DirectMessageNetwork(60, 2, budget=1_000.0)
-    posts.run(8.0)
-    before, began = posts.messengers["g0"].sent_bytes, posts.now
-    for n in range(400):  # far more than it may say
+def test_the_budget_holds_and_usage_that_lags_behind_is_not_known(spread: int) -> None:
+    network = DirectMessageNetwork(60, 2, budget=1_000.0)
+    network.run(8.0)
+    before, started_at = network.messengers["g0"].sent_bytes, network.now
+    for n in range(400):  # far more rows than the budget covers
         for account in range(5):
-            posts.admit("g0", f"a{n % 40}{account}", 5.0, spread, PLAN)
-        posts.run(0.05)
-    post = posts.messengers["g0"]
-    assert post.sent_bytes - before <= 1_000.0 * (posts.now - began + 0.25) + 64 * 18 + 48
-    assert post.pending_count == sum(map(len, post.pending.values())) <= directmail.MAX_PENDING_ENTRIES
-    assert post.pending_count and posts.known("g1", 3) < 2
-    posts.run(60.0, lambda: posts.known("g1", 3) == 2 and not post.pending_count)
-    assert posts.known("g1", 3) == 2 and not post.pending_count
+            network.admit("g0", f"a{n % 40}{account}", 5.0, spread, PLAN)
+        network.run(0.05)
+    messenger = network.messengers["g0"]
+    assert messenger.sent_bytes - before <= 1_000.0 * (network.now - started_at + 0.25) + 64 * 18 + 48
+    assert (
+        messenger.pending_count == sum(map(len, messenger.pending.values())) <= directmail.MAX_PENDING_ENTRIES
+    )
+    assert messenger.pending_count and network.known("g1", 3) < 2
+    network.run(60.0, lambda: network.known("g1", 3) == 2 and not messenger.pending_count)
+    assert network.known("g1", 3) == 2 and not messenger.pending_count
 
 
-def test_what_is_owed_and_kept_is_bounded_and_what_fell_out_is_asked_for(
+def test_pending_and_reported_windows_are_bounded_and_dropped_ones_are_requested(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(directmail, "MAX_PENDING_ENTRIES", 50)
     monkeypatch.setattr(directmail, "MAX_REPORTED_WINDOWS", 40)
-    posts = settled(6)
+    network = settled(6)
     for n in range(300):
-        posts.admit("g0", f"a{n}", 5.0)
-    post = posts.messengers["g0"]
-    post.queue_changed_windows(posts.now)
-    assert post.pending_count <= 50 and post.dropped_batches and len(post.reported_windows) == 40
-    posts.run(10.0)
-    assert posts.units_of_peers("g1", "a299") == 5.0 == posts.units_of_peers("g1", "a290")
+        network.admit("g0", f"a{n}", 5.0)
+    messenger = network.messengers["g0"]
+    messenger.queue_changed_windows(network.now)
+    assert (
+        messenger.pending_count <= 50 and messenger.dropped_batches and len(messenger.reported_windows) == 40
+    )
+    network.run(10.0)
+    assert network.units_of_peers("g1", "a299") == 5.0 == network.units_of_peers("g1", "a290")
     assert (
         len(Replica().rules) == len(DEFAULT_KIND_RULES) and DEFAULT_KIND_RULES[RowKind.USE].max_rows <= 8_000
     )
 
 
-# --- what is left unsaid ----------------------------------------------------------------------------------
+# --- unreported usage -------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     "plan", [PLAN, Plan("short", rate_per_s=8.0, burst_units=2.0), Plan("long", 1.0, 0.1, 30.0)]
 )
-def test_half_of_the_allowance_in_each_window_empties_no_store(plan: Plan) -> None:
-    """The claim on which silence rests, by the store itself: all of it at the end of a window and at the
-    beginning of the next, for ever."""
-    store, at = plan.burst_units, 0.0
+def test_half_of_the_allowance_in_each_window_empties_no_token_bucket(plan: Plan) -> None:
+    """Usage up to this amount need not be reported, as it can't empty a token bucket. The worst case is all
+    of it at the end of one window and again at the start of the next, in every pair of windows."""
+    tokens, last_use_s = plan.burst_units, 0.0
     for window in range(50):
-        moment = (window + window % 2) * window_length_ms(plan) / 1000.0  # of every second one its end
-        store = min(
-            plan.burst_units, store + plan.rate_per_s * (moment - at)
+        # Uses fall on the start of even windows and the end of odd ones.
+        use_s = (window + window % 2) * window_length_ms(plan) / 1000.0
+        tokens = min(
+            plan.burst_units, tokens + plan.rate_per_s * (use_s - last_use_s)
         ) - 2.0 * REPORTED_SHARE * window_allowance_units(plan)
-        at = moment
-        assert store >= -1e-9
+        last_use_s = use_s
+        assert tokens >= -1e-9
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from((0.5, 1.0, 3.0))), max_size=30))
-def test_once_half_of_an_allowance_is_used_all_of_it_is_said(requests: list[tuple[int, float]]) -> None:
-    posts = settled(8)
-    asked = [0.0] * 3
+def test_once_half_of_an_allowance_is_used_all_usage_is_reported(requests: list[tuple[int, float]]) -> None:
+    network = settled(8)
+    admitted = [0.0] * 3
     for number, units in requests:
-        posts.admit(f"g{number}", "a", units, 3, PLAN)
-        asked[number] += units
-    posts.run(1.0)
+        network.admit(f"g{number}", "a", units, 3, PLAN)
+        admitted[number] += units
+    network.run(1.0)
     for number in range(3):
-        heard, others = posts.units_of_peers(f"g{number}", "a"), sum(asked) - asked[number]
-        assert heard <= others
-        if sum(asked) >= 2.0 * REPORTED_SHARE * window_allowance_units(PLAN):
-            assert heard == others
-        assert others - heard <= REPORTED_SHARE * window_allowance_units(PLAN)
+        known, others = network.units_of_peers(f"g{number}", "a"), sum(admitted) - admitted[number]
+        assert known <= others
+        if sum(admitted) >= 2.0 * REPORTED_SHARE * window_allowance_units(PLAN):
+            assert known == others
+        assert others - known <= REPORTED_SHARE * window_allowance_units(PLAN)
 
 
-def test_nothing_is_said_of_an_account_far_from_its_limit() -> None:
-    posts = settled(8)
-    posts.sent.clear()
+def test_usage_far_below_the_limit_is_not_reported() -> None:
+    network = settled(8)
+    network.sent.clear()
     for number in range(3):
-        posts.admit(f"g{number}", "a", 1.0, 3, PLAN)
-    posts.run(1.0)
-    assert not sum(posts.sent.values())
+        network.admit(f"g{number}", "a", 1.0, 3, PLAN)
+    network.run(1.0)
+    assert not sum(network.sent.values())
 
 
-# --- what is lost ------------------------------------------------------------------------------------------
+# --- lost messages -----------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("lose", [0.1, 0.4])
-def test_lost_mail_is_asked_for(lose: float) -> None:
-    posts = settled(10)
-    posts.loss = lose
+def test_lost_messages_are_requested_again(lose: float) -> None:
+    network = settled(10)
+    network.loss = lose
     for n in range(60):
-        posts.admit(f"g{n % 3}", f"a{n % 7}", 1.0, 3)
-        posts.run(0.02)
-    want = {(name, f"a{a}"): sum(n % 7 == a and f"g{n % 3}" != name for n in range(60))
+        network.admit(f"g{n % 3}", f"a{n % 7}", 1.0, 3)
+        network.run(0.02)
+    expected = {(name, f"a{a}"): sum(n % 7 == a and f"g{n % 3}" != name for n in range(60))
             for name in ("g0", "g1", "g2") for a in range(7)}  # fmt: skip
     assert (
-        posts.run(15.0, lambda: all(posts.units_of_peers(*at) == units for at, units in want.items())) < 15.0
+        network.run(15.0, lambda: all(network.units_of_peers(*at) == units for at, units in expected.items()))
+        < 15.0
     )
 
 
-def test_a_way_that_is_cut_for_two_alone_is_no_longer_trusted_and_is_made_up_for() -> None:
-    """Others reach both, so the probes go on calling them alive."""
-    posts = settled(8)
-    posts.cut = lambda sender, to: {sender, to} == {"g0", "g1"}
-    posts.admit("g0", "a", 5.0)
-    posts.run(2.0)
-    assert posts.units_of_peers("g1", "a") == 0.0 and posts.units_of_peers("g2", "a") == 5.0
-    assert posts.known("g1", 3) < 2 and posts.known("g0", 3) < 2
-    posts.cut = lambda sender, to: False
-    assert posts.run(5.0, lambda: posts.units_of_peers("g1", "a") == 5.0 and posts.known("g1", 3) == 2) < 5.0
-
-
-def test_one_lost_message_is_enough_not_to_be_known() -> None:
-    posts = settled(8)
-    posts.cut = lambda sender, to: (sender, to) == ("g0", "g1")
-    posts.admit("g0", "a", 5.0)
-    posts.run(0.05)
-    posts.cut = lambda sender, to: to == "g0"  # questions do not come through
-    posts.admit("g0", "b", 5.0)
-    posts.run(2.0)
+def test_a_partition_between_two_members_alone_is_detected_and_caught_up_after() -> None:
+    """The other members reach both, so membership keeps them alive, and only the missing messages show it."""
+    network = settled(8)
+    network.cut = lambda sender, to: {sender, to} == {"g0", "g1"}
+    network.admit("g0", "a", 5.0)
+    network.run(2.0)
+    assert network.units_of_peers("g1", "a") == 0.0 and network.units_of_peers("g2", "a") == 5.0
+    assert network.known("g1", 3) < 2 and network.known("g0", 3) < 2
+    network.cut = lambda sender, to: False
     assert (
-        posts.units_of_peers("g1", "b") == 5.0
-        and posts.units_of_peers("g1", "a") == 0.0
-        and posts.known("g1", 3) < 2
+        network.run(5.0, lambda: network.units_of_peers("g1", "a") == 5.0 and network.known("g1", 3) == 2)
+        < 5.0
     )
-    posts.cut = lambda sender, to: False
-    posts.run(3.0)
-    assert posts.units_of_peers("g1", "a") == 5.0
-
-
-def test_who_returns_is_told_all_and_what_its_predecessor_let_in() -> None:
-    posts = settled(8)
-    posts.admit("g0", "a", 5.0)
-    posts.admit("g1", "a", 4.0)
-    posts.admit("g2", "a", 3.0)
-    posts.run(0.5)
-    posts.restart("g1")
-    assert posts.known("g1", 3) == 0
-    assert posts.run(5.0, lambda: posts.known("g1", 3) == 2) < 5.0
+
+
+def test_one_lost_message_makes_usage_unknown() -> None:
+    network = settled(8)
+    network.cut = lambda sender, to: (sender, to) == ("g0", "g1")
+    network.admit("g0", "a", 5.0)
+    network.run(0.05)
+    network.cut = lambda sender, to: to == "g0"  # requests to g0 are lost
+    network.admit("g0", "b", 5.0)
+    network.run(2.0)
+    assert (
+        network.units_of_peers("g1", "b") == 5.0
+        and network.units_of_peers("g1", "a") == 0.0
+        and network.known("g1", 3) < 2
+    )
+    network.cut = lambda sender, to: False
+    network.run(3.0)
+    assert network.units_of_peers("g1", "a") == 5.0
+
+
+def test_a_restarted_member_gets_all_usage_including_its_predecessors() -> None:
+    network = settled(8)
+    network.admit("g0", "a", 5.0)
+    network.admit("g1", "a", 4.0)
+    network.admit("g2", "a", 3.0)
+    network.run(0.5)
+    network.restart("g1")
+    assert network.known("g1", 3) == 0
+    assert network.run(5.0, lambda: network.known("g1", 3) == 2) < 5.0
+    # The predecessor's 4 units count once, though two members report them.
+    assert network.units_of_peers("g1", "a") == 5.0 + 4.0 + 3.0
+    network.admit("g1", "a", 1.0)
+    network.run(0.5)
+    assert network.units_of_peers("g0", "a") == 4.0 + 1.0 + 3.0  # g1 has two writers
+
+
+def test_a_dead_member_is_sent_nothing_and_gets_all_usage_on_its_return() -> None:
+    network = settled(8)
+    network.dead.add("g1")
+    network.cut = lambda sender, to: "g1" in (sender, to)
+    network.sent.clear()
+    network.admit("g0", "a", 5.0)
+    network.run(1.0)
+    assert not network.sent["g0", "g1"] and network.known("g0", 3) < 2
+    network.dead.clear()
+    network.cut = lambda sender, to: False
     assert (
-        posts.units_of_peers("g1", "a") == 5.0 + 4.0 + 3.0
-    )  # its own of before too, once though two tell it
-    posts.admit("g1", "a", 1.0)
-    posts.run(0.5)
-    assert posts.units_of_peers("g0", "a") == 4.0 + 1.0 + 3.0  # two writers under one name
-
-
-def test_who_is_not_there_is_sent_nothing_and_told_all_when_it_is_back() -> None:
-    posts = settled(8)
-    posts.dead.add("g1")
-    posts.cut = lambda sender, to: "g1" in (sender, to)
-    posts.sent.clear()
-    posts.admit("g0", "a", 5.0)
-    posts.run(1.0)
-    assert not posts.sent["g0", "g1"] and posts.known("g0", 3) < 2
-    posts.dead.clear()
-    posts.cut = lambda sender, to: False
-    assert posts.run(5.0, lambda: posts.units_of_peers("g1", "a") == 5.0 and posts.known("g0", 3) == 2) < 5.0
-
-
-def test_mail_that_is_late_repeated_or_foreign_tells_no_more_than_it_says() -> None:
-    use, replica = AccountUsage("g1#2"), Replica()
+        network.run(5.0, lambda: network.units_of_peers("g1", "a") == 5.0 and network.known("g0", 3) == 2)
+        < 5.0
+    )
+
+
+def test_late_repeated_or_foreign_messages_add_no_usage() -> None:
+    usage, replica = AccountUsage("g1#2"), Replica()
     names = ["g0", "g1", "g2"]
     ring = GatewayRing("g1", names, gateway_numbers(dict.fromkeys(names)), 3)
-    post = DirectMessenger(use, replica, ring, lambda name: True, random.Random(1))
+    messenger = DirectMessenger(usage, replica, ring, lambda name: True, random.Random(1))
     late, new = (
         UsageMessage(5, True, True, (UsageEntry("a/0", 1, 2.0),)),
         UsageMessage(6, False, True, (UsageEntry("a/0", 2, 3.0),)),
     )
-    for mail in (late, new, late, new, new):
-        post.receive(1.0, "g0", 7, mail)
-    assert use.admitted_by_peers("a", 0.0) == 3.0
-    post.receive(
-        1.0, "g0", 7, UsageMessage(7, False, True, (UsageEntry("a/0", 9, 50.0, boot=2),))
-    )  # of this very process
+    for message in (late, new, late, new, new):
+        messenger.receive(1.0, "g0", 7, message)
+    assert usage.admitted_by_peers("a", 0.0) == 3.0
+    # The entry names this process itself as its writer.
+    messenger.receive(1.0, "g0", 7, UsageMessage(7, False, True, (UsageEntry("a/0", 9, 50.0, boot=2),)))
     assert replica.get(RowKind.USE, "a/0", "g1#2") is None
-    post.receive(
-        1.0, "g0", 7, UsageMessage(8, False, True, (UsageEntry("a/0", 1, 4.0, boot=1),))
-    )  # of the one before
-    assert use.admitted_by_peers("a", 0.0) == 7.0
-    post.receive(
+    # The entry's writer is this process' predecessor.
+    messenger.receive(1.0, "g0", 7, UsageMessage(8, False, True, (UsageEntry("a/0", 1, 4.0, boot=1),)))
+    assert usage.admitted_by_peers("a", 0.0) == 7.0
+    messenger.receive(
         1.0,
         "g0",
         7,
         UsageMessage(9, False, True, (UsageEntry("", 1, 4.0), UsageEntry("a/0", 3, float("nan")))),
     )
-    assert use.admitted_by_peers("a", 0.0) == 7.0 and replica.rejected_count == 2
-    post.receive(
-        1.0, "g0", 7, UsageMessage(9, False, True, (UsageEntry("a/0", 2, 9.0),))
-    )  # two copies of one version
-    assert replica.conflict_count == 1 and use.admitted_by_peers("a", 0.0) == 13.0
+    assert usage.admitted_by_peers("a", 0.0) == 7.0 and replica.rejected_count == 2
+    # The version is known, but with other units.
+    messenger.receive(1.0, "g0", 7, UsageMessage(9, False, True, (UsageEntry("a/0", 2, 9.0),)))
+    assert replica.conflict_count == 1 and usage.admitted_by_peers("a", 0.0) == 13.0
 
 
-def test_a_member_that_makes_things_up_makes_nothing_grow_without_a_bound() -> None:
-    posts = settled(8)
-    post = posts.messengers["g1"]
+def test_a_member_that_invents_usage_can_not_exhaust_memory() -> None:
+    network = settled(8)
+    messenger = network.messengers["g1"]
     for n in range(12_000):
-        words = (UsageEntry("a/0", 1, 1.0, boot=n + 5), UsageEntry(f"{n}/0", 1, 1.0))
-        post.receive(posts.now, ("g0", "g2")[n % 2], 1, UsageMessage(7 * n, n % 4 < 2, True, words))
-    assert len(post.replica.keys_by_age[RowKind.USE]) <= DEFAULT_KIND_RULES[RowKind.USE].max_rows
-    assert len(post.usage.units_by_writer) == len(post.usage.peer_units) <= MAX_WINDOWS
+        entries = (UsageEntry("a/0", 1, 1.0, boot=n + 5), UsageEntry(f"{n}/0", 1, 1.0))
+        messenger.receive(network.now, ("g0", "g2")[n % 2], 1, UsageMessage(7 * n, n % 4 < 2, True, entries))
+    assert len(messenger.replica.keys_by_age[RowKind.USE]) <= DEFAULT_KIND_RULES[RowKind.USE].max_rows
+    assert len(messenger.usage.units_by_writer) == len(messenger.usage.peer_units) <= MAX_WINDOWS
     assert (
-        len(post.usage.units_by_writer["a/0"])
+        len(messenger.usage.units_by_writer["a/0"])
         == MAX_WRITERS_PER_WINDOW
-        == post.usage.admitted_by_peers("a", 0.0)
+        == messenger.usage.admitted_by_peers("a", 0.0)
     )
-    assert len(post.channels) <= 7 and len(post.request_round) <= 2 * 7 + 1
+    assert len(messenger.channels) <= 7 and len(messenger.request_round) <= 2 * 7 + 1
 
 
-def test_questions_are_bounded_however_many_members_there_are() -> None:
+def test_the_request_rate_is_bounded_however_many_members_there_are() -> None:
     for count, spread in ((8, 8), (300, 300)):
-        posts = DirectMessageNetwork(count, 1)
-        post = posts.messengers["g0"]
-        post.known_gateways(0.0, spread)
-        asked = sum(len(post.tick(0.025 * n)) for n in range(400))
-        assert asked <= 10.0 * MAX_REQUESTS_PER_S + 5
+        network = DirectMessageNetwork(count, 1)
+        messenger = network.messengers["g0"]
+        messenger.known_gateways(0.0, spread)
+        request_count = sum(len(messenger.tick(0.025 * n)) for n in range(400))
+        assert request_count <= 10.0 * MAX_REQUESTS_PER_S + 5
 
 
 class Clock:
-    """A loop that only tells the time."""
+    """A replacement for the event loop that only keeps the time."""
 
     now = 0.0
 
@@ -376,13 +393,13 @@
         self.now += TICK_S
 
 
-def test_a_quiet_tick_walks_over_no_list_of_who_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
-    walks: list[int] = []
-    sound = MemberList.alive_names
+def test_a_tick_without_changes_does_not_list_the_members(monkeypatch: pytest.MonkeyPatch) -> None:
+    calls: list[int] = []
+    original = MemberList.alive_names
 
     def counted(self: MemberList) -> list[str]:
-        walks.append(1)
-        return sound(self)
+        calls.append(1)
+        return original(self)
 
     monkeypatch.setattr(MemberList, "alive_names", counted)
     rows = [{"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(1, 520)]
@@ -393,32 +410,33 @@
         SwimMessage(Probes.ACK, n, "", (MemberUpdate(f"g{n}", MemberState.ALIVE, 0, n),)) for n in (1, 2)
     ]
     for n, probe in enumerate(probes, 1):
-        walks.clear()
+        calls.clear()
         for _ in range(3):
             fleet.tick()
-        assert len(walks) <= 1 and len(fleet.alive) == n - 1
+        assert len(calls) <= 1 and len(fleet.alive) == n - 1
         fleet.datagram_received(encode("lab", f"g{n}", n, probe), ("127.0.0.1", 7000 + n))
         fleet.tick()
         assert fleet.alive == [f"g{m}" for m in range(1, n + 1)]
 
 
 @pytest.mark.parametrize(
-    ("name", "number", "stated", "numbered"),
+    ("name", "number", "configured", "numbered"),
     [
         ("g0", 0, None, True), ("g0", None, None, True), ("g0", 3, None, False),
         ("g0", 3, 3, True), ("g0", 3, 4, False), ("edge", 3, 3, True), ("edge", 3, None, False),
     ],
 )  # fmt: skip
-def test_numbers_that_are_not_the_platforms_are_not_gone_by(
-    name: str, number: int | None, stated: int | None, numbered: bool, caplog: pytest.LogCaptureFixture
+def test_numbers_that_differ_from_the_platforms_are_not_used(
+    name: str, number: int | None, configured: int | None, numbered: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Those that share an account with this gateway would be told nothing, and be taken for idle."""
+    """With wrong numbers, gateways that share an account with this one would get no usage from it, and count
+    as idle."""
     rows: list[dict[str, object]] = [
         {"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(10, 19)
     ]
     raw: dict[str, object] = {"fleet": "lab", "name": name, "listen": "127.0.0.1:7000", "members": rows}
-    if stated is not None:
-        raw["number"] = stated
+    if configured is not None:
+        raw["number"] = configured
         for n, row in enumerate(rows, 10):
             row["number"] = n
     made = Settings("a", 20, (), (), SlowStart())
@@ -426,7 +444,7 @@
     assert bool(fleet.messenger.ring.offsets) is numbered
     if not numbered:
         assert fleet.messenger.ring.subset_candidates(3) == tuple(f"g{n}" for n in range(10, 19))
-    foreign = (name != "edge" and not numbered) or (number, stated) == (3, 4)
+    foreign = (name != "edge" and not numbered) or (number, configured) == (3, 4)
     assert ("numbers.foreign" in caplog.text) is foreign
 
 
@@ -453,5 +471,5 @@
         (HEAD + "use_kib_s = 0\n" + members(2), ["out-of-range"]),
     ],
 )  # fmt: skip
-def test_numbers_and_members_in_the_operators_file(text: str, codes: list[str]) -> None:
+def test_member_numbers_in_the_operators_file_are_checked(text: str, codes: list[str]) -> None:
     assert [finding.code for finding in parse(text, None).findings] == codes
