--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -1,4 +1,4 @@
-"""Copies: joining is a join, copies find each other whatever the network does, bounds hold."""
+"""Replicas: merging is a CRDT join, replicas converge whatever the network does, bounds hold."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 )
 
 
-def joined(rows: list[Row]) -> Replica:
+def merged(rows: list[Row]) -> Replica:
     replica = Replica()
     for row in rows:
         replica.merge(0.0, row)
@@ -75,25 +75,25 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(ROWS, max_size=12), st.randoms(use_true_random=False))
-def test_joining_is_commutative_associative_and_idempotent(rows: list[Row], rng: random.Random) -> None:
-    once = joined(rows)
+def test_merging_is_commutative_associative_and_idempotent(rows: list[Row], rng: random.Random) -> None:
+    once = merged(rows)
     shuffled = rows + rng.sample(rows, len(rows) // 2)
     rng.shuffle(shuffled)
-    assert rows_of(joined(shuffled)) == rows_of(once)
-    cut = len(rows) // 2
-    halves = [*rows_of(joined(rows[:cut])), *rows_of(joined(rows[cut:]))]
-    assert rows_of(joined(halves)) == rows_of(once)
-    assert joined(shuffled).child_hashes(0.0, None) == once.child_hashes(0.0, None)
+    assert rows_of(merged(shuffled)) == rows_of(once)
+    middle = len(rows) // 2
+    halves = [*rows_of(merged(rows[:middle])), *rows_of(merged(rows[middle:]))]
+    assert rows_of(merged(halves)) == rows_of(once)
+    assert merged(shuffled).child_hashes(0.0, None) == once.child_hashes(0.0, None)
 
 
-def test_two_copies_of_one_version_are_a_conflict_that_the_safe_one_wins() -> None:
+def test_two_values_of_one_version_are_a_conflict_won_by_the_safe_value() -> None:
     for rows in itertools.permutations(
         [Row(RowKind.USE, "a/0", "g1#1", 4, units) for units in (3.0, 8.0, 5.0)]
     ):
-        replica = joined(list(rows) * 2)
+        replica = merged(list(rows) * 2)
         assert rows_of(replica) == {Row(RowKind.USE, "a/0", "g1#1", 4, 8.0)}
         assert replica.conflict_count >= 2 and all(c.kept.value > c.other.value for c in replica.conflicts)
-    drains = joined([Row(RowKind.SERVER, "s1", "", 9, 1.0), Row(RowKind.SERVER, "s1", "", 9, 2.0)])
+    drains = merged([Row(RowKind.SERVER, "s1", "", 9, 1.0), Row(RowKind.SERVER, "s1", "", 9, 2.0)])
     assert rows_of(drains) == {Row(RowKind.SERVER, "s1", "", 9, 2.0)}
 
 
@@ -110,12 +110,12 @@
         Row(RowKind.USE, "k", "w", 1, float("inf")),
     ],
 )
-def test_rows_that_are_not_sound_are_counted_and_not_taken(row: Row) -> None:
-    replica = joined([row])
+def test_invalid_rows_are_counted_and_rejected(row: Row) -> None:
+    replica = merged([row])
     assert not replica.rows and replica.rejected_count == 1
 
 
-def test_a_full_store_drops_what_changed_longest_ago_and_old_rows_do_not_come_back() -> None:
+def test_a_full_replica_evicts_rows_unchanged_for_longest_and_old_rows_do_not_return() -> None:
     replica = Replica({RowKind.USE: KindRules(10.0, 3), RowKind.SERVER: DEFAULT_KIND_RULES[RowKind.SERVER]})
     for number in range(5):
         replica.merge(float(number), Row(RowKind.USE, f"k{number}", "w", 1, 1.0))
@@ -123,97 +123,100 @@
         RowKind.USE
     ] == 2
     assert sum(map(len, replica.leaves.values())) == 3
-    for version in range(2, 9000):  # what is kept of versions that have gone is bounded
+    for version in range(2, 9000):  # the deadlines of replaced versions are bounded
         replica.merge(5.0, Row(RowKind.USE, "k4", "w", version, 1.0))
     assert len(replica.comparison_deadlines) < 2000
-    assert (
-        replica.child_hashes(5.0, None) != replica.child_hashes(13.5, None) == (0,) * 64
-    )  # too old to be compared
+    # At 13.5 s the rows are too old to be compared.
+    assert replica.child_hashes(5.0, None) != replica.child_hashes(13.5, None) == (0,) * 64
     replica.expire(20.0)
     assert not replica.rows and not replica.leaves and not replica.keys_by_age[RowKind.USE]
     assert not replica.merge(20.0, Row(RowKind.USE, "k", "w", 1, 1.0), age_s=10.0)
 
 
-@pytest.mark.parametrize(("count", "lose"), [(2, 0.0), (5, 0.3), (40, 0.1)])
-def test_copies_agree_and_count_as_whole(count: int, lose: float) -> None:
-    mesh = GossipNetwork(count, 3, lose)
-    assert mesh.run(10.0, mesh.are_complete) < 10.0
-    mesh.writes(3)
-    assert mesh.run(12.0, mesh.are_equal) < 12.0
-
-
-def test_halves_that_were_cut_agree_again_after_the_heal() -> None:
-    mesh = GossipNetwork(10, 4)
-    mesh.run(3.0)
-    half = set(mesh.names[:4])
-    mesh.cut = apart(half)
-    mesh.writes(20)
-    mesh.run(4.0)
-    assert not mesh.are_equal()
-    mesh.cut = lambda sender, to: False
-    assert mesh.run(8.0, mesh.are_equal) < 8.0
-
-
-def test_a_return_catches_up_from_a_second_giver_when_the_first_dies() -> None:
-    mesh = GossipNetwork(4, 5, rows=2000)
-    mesh.run(2.0)
-    mesh.restart("g0")
-    mesh.run(0.3)
-    assert 0 < len(mesh.nodes["g0"].replica.rows) < 2000 and not mesh.nodes["g0"].is_complete
-    mesh.alive["g1"] = mesh.alive["g2"] = False
-    assert mesh.run(15.0, lambda: mesh.nodes["g0"].is_complete) < 15.0
-    assert len(mesh.nodes["g0"].replica.rows) == 2000
-
-
-def test_most_returning_at_once_do_not_make_the_others_pass_their_budget() -> None:
-    mesh = GossipNetwork(12, 6, rows=400)
-    mesh.run(3.0)
-    stayed = mesh.names[:4]
-    for name in mesh.names[4:]:
-        mesh.restart(name)
-    before = {name: mesh.nodes[name].sent_bytes for name in stayed}
-    assert mesh.run(20.0, mesh.are_complete) < 20.0
-    assert mesh.are_equal()
-    spent = mesh.now - 3.0
+@pytest.mark.parametrize(("count", "loss"), [(2, 0.0), (5, 0.3), (40, 0.1)])
+def test_replicas_converge_and_become_complete(count: int, loss: float) -> None:
+    network = GossipNetwork(count, 3, loss)
+    assert network.run(10.0, network.are_complete) < 10.0
+    network.writes(3)
+    assert network.run(12.0, network.are_equal) < 12.0
+
+
+def test_partitioned_halves_converge_after_the_partition() -> None:
+    network = GossipNetwork(10, 4)
+    network.run(3.0)
+    half = set(network.names[:4])
+    network.cut = apart(half)
+    network.writes(20)
+    network.run(4.0)
+    assert not network.are_equal()
+    network.cut = lambda sender, to: False
+    assert network.run(8.0, network.are_equal) < 8.0
+
+
+def test_a_restarted_member_catches_up_from_another_when_its_first_source_dies() -> None:
+    network = GossipNetwork(4, 5, rows=2000)
+    network.run(2.0)
+    network.restart("g0")
+    network.run(0.3)
+    assert 0 < len(network.nodes["g0"].replica.rows) < 2000 and not network.nodes["g0"].is_complete
+    network.alive["g1"] = network.alive["g2"] = False
+    assert network.run(15.0, lambda: network.nodes["g0"].is_complete) < 15.0
+    assert len(network.nodes["g0"].replica.rows) == 2000
+
+
+def test_many_restarts_at_once_do_not_make_the_others_exceed_their_budget() -> None:
+    network = GossipNetwork(12, 6, rows=400)
+    network.run(3.0)
+    stayed = network.names[:4]
+    for name in network.names[4:]:
+        network.restart(name)
+    before = {name: network.nodes[name].sent_bytes for name in stayed}
+    assert network.run(20.0, network.are_complete) < 20.0
+    assert network.are_equal()
+    elapsed_s = network.now - 3.0
     for name in stayed:
-        node = mesh.nodes[name]
-        assert node.sent_bytes - before[name] <= node.settings.budget_bytes_per_s * (spent + 0.25) + 4096
+        node = network.nodes[name]
+        assert node.sent_bytes - before[name] <= node.settings.budget_bytes_per_s * (elapsed_s + 0.25) + 4096
 
 
-def test_what_restrains_comes_through_though_digests_agree_by_chance(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drains_spread_even_if_digests_match_by_chance(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Replica, "differing_children", lambda self, now, bucket, theirs: [])
-    mesh = GossipNetwork(3, 7)
-    mesh.nodes["g0"].replica.merge(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
-    mesh.nodes["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
-    mesh.run(4.0)
-    assert all(node.replica.get(RowKind.SERVER, "s1") for node in mesh.nodes.values())
-    assert mesh.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None  # the others wait for a change
+    network = GossipNetwork(3, 7)
+    network.nodes["g0"].replica.merge(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
+    network.nodes["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
+    network.run(4.0)
+    assert all(node.replica.get(RowKind.SERVER, "s1") for node in network.nodes.values())
+    assert (
+        network.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None
+    )  # other rows are not repeated
 
 
-def bug_lower_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
-    held = self.rows.get((row.kind, row.key, row.writer))
-    if held is not None and row.version == held.row.version and row.value != held.row.value:
+def last_value_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
+    """Injects a bug: of two values of one version the last merged one wins."""
+    stored = self.rows.get((row.kind, row.key, row.writer))
+    if stored is not None and row.version == stored.row.version and row.value != stored.row.value:
         self.rows.pop((row.kind, row.key, row.writer))
         del self.keys_by_age[row.kind][row.kind, row.key, row.writer]
-    return SOUND(self, now, row, age_s, sender)
+    return ORIGINAL_MERGE(self, now, row, age_s, sender)
 
 
-def bug_last_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
-    at = (row.kind, row.key, row.writer)
-    if at in self.rows:
-        self.rows.pop(at)
-        del self.keys_by_age[row.kind][at]
-    return SOUND(self, now, row, age_s, sender)
+def last_row_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
+    """Injects a bug: the last merged row wins, whatever its version."""
+    row_key = (row.kind, row.key, row.writer)
+    if row_key in self.rows:
+        self.rows.pop(row_key)
+        del self.keys_by_age[row.kind][row_key]
+    return ORIGINAL_MERGE(self, now, row, age_s, sender)
 
 
-SOUND = Replica.merge
+ORIGINAL_MERGE = Replica.merge
 
 
-@pytest.mark.parametrize("bug", [bug_lower_wins, bug_last_wins])
-def test_a_bug_in_the_join_is_found(bug: object, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("bug", [last_value_wins, last_row_wins])
+def test_an_injected_bug_in_merging_is_found(bug: object, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Replica, "merge", bug)
     with pytest.raises(AssertionError):
-        test_joining_is_commutative_associative_and_idempotent()
+        test_merging_is_commutative_associative_and_idempotent()
 
 
 @pytest.mark.parametrize(
@@ -240,22 +243,22 @@
         ),
     ],
 )
-def test_datagrams_come_back_and_no_cut_or_flip_of_one_raises(body: MemberMessage) -> None:
+def test_datagrams_round_trip_and_corrupted_ones_raise_no_other_error(body: MemberMessage) -> None:
     data = encode("lab", "g1", 7, body)
     assert decode("lab", data) == ("g1", 7, body) and len(data) <= MAX_DATAGRAM_BYTES
     rng = random.Random(1)
-    for at in range(len(data)):
+    for position in range(len(data)):
         flipped = bytearray(data)
-        flipped[at] ^= 1 << rng.randrange(8)
-        for torn in (data[:at], bytes(flipped)):
+        flipped[position] ^= 1 << rng.randrange(8)
+        for corrupted in (data[:position], bytes(flipped)):
             try:
-                decode("lab", torn)
+                decode("lab", corrupted)
             except InvalidDatagram:
                 continue
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (random.Random(1).randbytes(65_000), "too long"),
         (random.Random(2).randbytes(900), "noise"),
@@ -298,19 +301,21 @@
         (encode("lab", "g1", 1, UsageMessage(1, True, True, (UsageEntry("a/0", 1, 1.0, -3),))), "body"),
     ],
 )
-def test_datagrams_that_are_not_ours_are_named(data: bytes, why: str) -> None:
-    with pytest.raises(InvalidDatagram, match=why):
+def test_foreign_datagrams_are_rejected_with_their_reason(data: bytes, reason: str) -> None:
+    with pytest.raises(InvalidDatagram, match=reason):
         decode("lab", data)
 
 
-def test_use_is_by_writer_and_window_and_a_predecessor_is_another() -> None:
-    use = AccountUsage("g0#2")
+def test_usage_is_kept_by_writer_and_window_and_a_predecessor_is_another_writer() -> None:
+    usage = AccountUsage("g0#2")
     for row in (Row(RowKind.USE, "a/0", "g1#1", 1, 3.0), Row(RowKind.USE, "a/0", "g1#1", 2, 5.0),
                 Row(RowKind.USE, "a/0", "g0#1", 4, 2.0), Row(RowKind.USE, "a/9", "g1#1", 1, 50.0),
                 Row(RowKind.USE, "a/0", "g0#2", 1, 99.0)):  # fmt: skip
-        use.receive(row)
-    assert use.admitted_by_peers("a", 0.0) == 7.0
-    assert [use.add_admitted("a", 0.0, 1.5) for _ in range(2)][-1] == Row(RowKind.USE, "a/0", "g0#2", 2, 3.0)
+        usage.receive(row)
+    assert usage.admitted_by_peers("a", 0.0) == 7.0
+    assert [usage.add_admitted("a", 0.0, 1.5) for _ in range(2)][-1] == Row(
+        RowKind.USE, "a/0", "g0#2", 2, 3.0
+    )
 
 
 @pytest.mark.parametrize(
@@ -325,5 +330,5 @@
         ((True, 0, 9, 5, 0.1), 1.0),
     ],
 )
-def test_the_share_that_is_known(args: tuple[bool, int, int, int, float], share: float) -> None:
+def test_known_usage_share(args: tuple[bool, int, int, int, float], share: float) -> None:
     assert known_usage_share(*args) == pytest.approx(share)
