--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -16,7 +16,8 @@
 Wrong member numbers degrade accuracy but break no guarantee: a gateway then receives usage from members that
 do not share the account, and takes those that do for idle. So with the counter unavailable each admits up to
 the whole quota; the usage audit reports it. Numbers that are all shifted alike do no harm, and without
-numbers usage goes to all members."""
+numbers usage goes to all members.
+"""
 
 from __future__ import annotations
 
--- a/glenchute/policy/membership/gossip.py
+++ b/glenchute/policy/membership/gossip.py
@@ -227,7 +227,7 @@
             self.send(out, Outgoing(to, Delta(rows)))
 
     def send(self, out: Outbox, outgoing: Outgoing[GossipMessage]) -> None:
-        """Sends a message and deducts its approximate member_count from the allowance."""
+        """Sends a message and deducts its approximate size from the allowance."""
         message, cost = outgoing.message, MESSAGE_BYTES
         if isinstance(message, Delta):
             cost += ROW_BYTES * len(message.rows)
@@ -351,7 +351,7 @@
                 self.queue_leaves(sender, bucket, (leaf,))
 
     def queue_leaves(self, name: str, bucket: int, leaves: Sequence[int]) -> None:
-        """Queues leaves whose rows a member is to be sent; each once, so the member_count of the tree bounds
+        """Queues leaves whose rows a member is to be sent; each once, so the size of the tree bounds
         the queue."""
         pending = self.pending_leaves.setdefault(name, {})
         for leaf in leaves[:BUCKETS]:
--- a/glenchute/policy/membership/gossiped_drains.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -14,7 +14,8 @@
 
 So wrong drains cost at most that share of the endpoints, until discovery's next answer at least `SETTLE_S`
 after them, and break no guarantee: a withheld endpoint gets no requests. While discovery does not answer, a
-gossiped drain stays in force, and the share still bounds its cost."""
+gossiped drain stays in force, and the share still bounds its cost.
+"""
 
 from __future__ import annotations
 
--- a/glenchute/policy/membership/replica.py
+++ b/glenchute/policy/membership/replica.py
@@ -8,7 +8,8 @@
 
 Clocks of other processes are not trusted: a row carries its age, which each replica advances by its own
 clock. A row older than its kind's lifetime is removed. It is excluded from comparison some time before that,
-so that replicas that remove it at different moments do not send it back to each other."""
+so that replicas that remove it at different moments do not send it back to each other.
+"""
 
 from __future__ import annotations
 
--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -8,7 +8,8 @@
 
 Expected differences are excluded or tolerated: units of requests rejected after the call to the counter stay
 in the totals of plans with a ceiling (`QuotaAccounting.call`), so for these plans only lower totals count;
-the units of calls that timed out may have been added or not, which the tolerances cover."""
+the units of calls that timed out may have been added or not, which the tolerances cover.
+"""
 
 from __future__ import annotations
 
--- a/glenchute/policy/services/fair_queue.py
+++ b/glenchute/policy/services/fair_queue.py
@@ -5,7 +5,8 @@
 periodically so that no two tenants share a lane permanently. Lanes take turns by deficit round robin. When
 the queue is full, the longest lane drops its oldest item, so that a flooding tenant drops its own items.
 
-No I/O; times are milliseconds."""
+No I/O; times are milliseconds.
+"""
 
 from __future__ import annotations
 
