--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -1,4 +1,5 @@
-"""Gateways that start in one moment: what the list service, the lists and the servers see of it."""
+"""Cold start of many gateways at once: load on the discovery service, doubtful lists, quota overshoot,
+sharing of the list among members."""
 
 from __future__ import annotations
 
@@ -36,33 +37,35 @@
 from lab.sim.world import World
 from lab.site import patient
 
-STATED = 30.0  # seconds that a list may be old, where the operators say so
+MAX_LIST_AGE_S = 30.0  # configured limit on the age of a list
 
 
 def waves(crowd: Crowd) -> None:
-    """A supervisor restarts in step: a third, each two seconds."""
+    """A supervisor restarts a third of the gateways every two seconds."""
     for third in range(3):
         crowd.start(range(third, crowd.count, 3))
         crowd.run(2.0)
     crowd.run(60.0)
 
 
-def forgets(crowd: Crowd) -> None:
+def lose_watches(crowd: Crowd) -> None:
+    """The service loses all watches."""
     starts(crowd)
     crowd.calls.clear()
     crowd.lose()
     crowd.run(40.0)
 
 
-def news(crowd: Crowd) -> None:
+def list_change(crowd: Crowd) -> None:
+    """The list changes, which answers all watches at once."""
     starts(crowd)
     crowd.calls.clear()
     crowd.news()
     crowd.run(40.0)
 
 
-def loops(crowd: Crowd) -> None:
-    """A tenth crashes after five seconds, again and again."""
+def crash_loops(crowd: Crowd) -> None:
+    """A tenth of the gateways crashes every five seconds."""
     crowd.start(range(crowd.count))
     for _ in range(12):
         crowd.run(5.0)
@@ -72,116 +75,125 @@
 
 SCENES: dict[str, Callable[[Crowd], None]] = {
     "all at once": starts, "in waves": waves, "the service down for 30 s": outage,
-    "the service forgets all watches": forgets, "news for all": news, "a release": release,
-    "restart loops": loops,
+    "the service loses all watches": lose_watches, "a change for all": list_change, "a release": release,
+    "restart loops": crash_loops,
 }  # fmt: skip
 
 
-# After these all come again within `notification.longest_pause`, which goes before the service's rate.
-LOST = ("the service down for 30 s", "the service forgets all watches")
+# After these, all gateways call again within `notification.max_backoff_s`, which takes precedence over the
+# service's rate.
+LOST = ("the service down for 30 s", "the service loses all watches")
 
 
 @pytest.mark.parametrize("count", [200, 500, 520])
 @pytest.mark.parametrize("scene", SCENES)
-def test_a_service_whose_rate_is_known_is_not_overrun(scene: str, count: int) -> None:
-    """No second brings much more than 1.5 times what the service bears, and one call in twenty at most is
-    turned away. Where calls came to nothing it has to bear them within the terms."""
+def test_a_service_with_a_configured_rate_is_not_overloaded(scene: str, count: int) -> None:
+    """No second has much more than 1.5 times the service's rate of calls, and at most one call in twenty is
+    rejected. After an outage the rate is what the polling terms require of the service."""
     rate = count / (polling.POLL_RATE_SHARE * notification.max_backoff_s()) if scene in LOST else count / 15.0
-    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, STATED), rate)
+    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
     SCENES[scene](crowd)
-    assert len(crowd.heard) == count  # all have their list
+    assert len(crowd.heard) == count  # all gateways have their list
     assert busiest(crowd.calls) <= 1.5 * rate + 12.0 and turned_away(crowd.calls) <= 0.05
 
 
 @pytest.mark.parametrize("count", [200, 520])
-def test_a_service_that_bears_less_than_the_terms_want_recovers(count: int) -> None:
-    """At a quarter of that rate each gateway goes on at the pace that the terms want, no faster, and the
-    service answers all that it can until all have heard."""
+def test_a_service_slower_than_the_terms_require_recovers(count: int) -> None:
+    """At a quarter of the required rate each gateway keeps to the pace of the polling terms, and the service
+    answers at its full rate until all gateways have a list."""
     rate = count / 15.0
-    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, STATED), rate)
+    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
     starts(crowd)
     crowd.down = True
     crowd.lose()
     crowd.run(30.0)
     crowd.calls.clear()
     crowd.heard.clear()
-    crowd.down, began = False, crowd.now
+    crowd.down, started_at = False, crowd.now
     crowd.run(120.0)
     assert busiest(crowd.calls) <= 1.2 * count / (
         polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
     )
-    answered = [call for call in crowd.calls if call.how == "answered" and call.at < began + 20.0]
+    answered = [call for call in crowd.calls if call.how == "answered" and call.at < started_at + 20.0]
     assert len(answered) >= 0.95 * 20.0 * rate
-    assert len(crowd.heard) == count and max(crowd.heard.values()) <= began + 60.0
-    assert turned_away(crowd.calls, began + 90.0) == 0.0
+    assert len(crowd.heard) == count and max(crowd.heard.values()) <= started_at + 60.0
+    assert turned_away(crowd.calls, started_at + 90.0) == 0.0
 
 
-def at_once(self: PollScheduler, *_: object) -> float:
-    """What the program did: a start asks at once, a loss is retried within 0.1 s."""
+def no_delay(self: PollScheduler, *_: object) -> float:
+    """Polls at once, without spreading the gateways' polls over time."""
     return 0.0
 
 
 @pytest.mark.parametrize(
-    ("scene", "bug"), [("all at once", "first_poll_delay_s"), ("news for all", "synchronized_delay_s")]
+    ("scene", "bug"), [("all at once", "first_poll_delay_s"), ("a change for all", "synchronized_delay_s")]
 )
-def test_without_turns_the_same_service_is_overrun(
+def test_without_delays_the_same_service_is_overloaded(
     scene: str, bug: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(PollScheduler, bug, at_once)
-    crowd = Crowd(300, lambda n: PollingTerms(300, n, 20.0, STATED), 20.0)
+    monkeypatch.setattr(PollScheduler, bug, no_delay)
+    crowd = Crowd(300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0)
     SCENES[scene](crowd)
     assert busiest(crowd.calls) >= 250
 
 
 @pytest.mark.parametrize(
-    ("gateways", "rate", "age"), [(3, 100.0, 6.0), (40, 100.0, 6.0), (300, 100.0, 6.0), (300, 20.0, STATED)]
+    ("gateways", "rate", "age"),
+    [(3, 100.0, 6.0), (40, 100.0, 6.0), (300, 100.0, 6.0), (300, 20.0, MAX_LIST_AGE_S)],
 )
-def test_the_bound_that_is_told_holds(gateways: int, rate: float, age: float) -> None:
+def test_first_polls_stay_within_their_bound(gateways: int, rate: float, age: float) -> None:
     for listed in (True, False):
         terms = [PollingTerms(gateways, number, rate, age) for number in range(gateways)]
         times = sorted(
             PollScheduler(one, random.Random(n)).first_poll_delay_s(listed) for n, one in enumerate(terms)
         )
-        most = max(sum(at <= other < at + 1.0 for other in times) for at in times)
+        peak_per_s = max(sum(at <= other < at + 1.0 for other in times) for at in times)
         assert (
-            most <= max_first_polls_per_s(terms[0], listed)
+            peak_per_s <= max_first_polls_per_s(terms[0], listed)
             and times[-1] <= age - notification.ANSWER_ALLOWANCE_S
         )
 
 
-def test_where_no_age_is_stated_only_a_call_that_was_turned_away_is_put_off() -> None:
-    """A crowd long ago must not put off what comes after news: seen as a broken drain on a bench's day."""
-    pacing_ = PollScheduler(PollingTerms(200, 7), random.Random(1))
-    assert pacing_.first_poll_delay_s(True) == pacing_.synchronized_delay_s() == 0.0
-    pauses = [pacing_.record_rejection(None, True) for _ in range(5)]
-    assert max(pauses) <= notification.max_backoff_s() and len(set(pauses)) == 5
-    assert pacing_.synchronized_delay_s() == pacing_.reset_for_new_address() == 0.0
-    assert all(pacing_.record_failure() <= polling.MAX_BACKOFF_S for _ in range(9))
-    assert pacing_.watch_wait_s() <= polling.MAX_WATCH_WAIT_S
+def test_without_a_configured_list_age_only_rejected_calls_are_delayed() -> None:
+    """Rejections at an earlier time of high load must not delay the poll after a change of the list, as that
+    broke a drain in a benchmark run."""
+    scheduler = PollScheduler(PollingTerms(200, 7), random.Random(1))
+    assert scheduler.first_poll_delay_s(True) == scheduler.synchronized_delay_s() == 0.0
+    delays = [scheduler.record_rejection(None, True) for _ in range(5)]
+    assert max(delays) <= notification.max_backoff_s() and len(set(delays)) == 5
+    assert scheduler.synchronized_delay_s() == scheduler.reset_for_new_address() == 0.0
+    assert all(scheduler.record_failure() <= polling.MAX_BACKOFF_S for _ in range(9))
+    assert scheduler.watch_wait_s() <= polling.MAX_WATCH_WAIT_S
 
 
-def test_one_without_a_list_goes_before_those_that_have_one() -> None:
-    crowd = Crowd(300, lambda n: PollingTerms(300, n, 20.0, STATED), 20.0, listed=lambda n: n % 100 != 7)
+def test_gateways_without_a_list_poll_before_those_that_have_one() -> None:
+    crowd = Crowd(
+        300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0, listed=lambda n: n % 100 != 7
+    )
     starts(crowd)
     urgent = [crowd.heard.pop(n) for n in (7, 107, 207)]
     assert max(urgent) < min(crowd.heard.values()) + 0.5
 
 
-@pytest.mark.parametrize(("believed", "there"), [(300, 3), (3, 300)])
-def test_a_size_that_is_set_wrong_costs_time_not_the_service(believed: int, there: int) -> None:
-    """Three that think they are 300 are late, but in time; 300 that think they are three are turned away, at
-    the pace of the terms, until all have been answered."""
-    crowd = Crowd(there, lambda n: PollingTerms(believed, n % believed, 20.0, STATED), 20.0)
+@pytest.mark.parametrize(("configured", "actual"), [(300, 3), (3, 300)])
+def test_a_wrong_gateway_count_delays_polls_but_does_not_overload_the_service(
+    configured: int, actual: int
+) -> None:
+    """Three gateways configured as 300 get their lists late, but within the age limit. Of 300 gateways
+    configured as three, many are rejected, and retry at the pace of the terms until all have been
+    answered."""
+    crowd = Crowd(actual, lambda n: PollingTerms(configured, n % configured, 20.0, MAX_LIST_AGE_S), 20.0)
     starts(crowd)
     crowd.run(60.0)
-    assert len(crowd.heard) == there
-    if there < believed:
-        assert max(crowd.heard.values()) < STATED and turned_away(crowd.calls) == 0.0
+    assert len(crowd.heard) == actual
+    if actual < configured:
+        assert max(crowd.heard.values()) < MAX_LIST_AGE_S and turned_away(crowd.calls) == 0.0
     else:
-        pace = there / (
-            polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
-        )  # whoever is turned away comes again in time
-        assert busiest(crowd.calls, 20.0) <= 1.2 * pace and turned_away(crowd.calls, STATED + 60.0) < 0.2
+        # A gateway that is rejected again retries no sooner than after this share of the longest backoff.
+        pace = actual / (polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s())
+        assert (
+            busiest(crowd.calls, 20.0) <= 1.2 * pace and turned_away(crowd.calls, MAX_LIST_AGE_S + 60.0) < 0.2
+        )
 
 
 def listing(*names: str, kind: EndpointListKind = EndpointListKind.FULL) -> EndpointList:
@@ -189,33 +201,33 @@
 
 
 TEN = [f"s{n}" for n in range(10)]
-GONE = EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", state=EndpointState.REMOVED),))
+REMOVAL = EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", state=EndpointState.REMOVED),))
 LISTS: dict[str, list[tuple[int, EndpointList, bool, bool]]] = {
-    # version, list, whether servers answer, whether it is taken
+    # Version, list, whether servers answer, whether the list is accepted.
     "the same again": [(5, listing(*TEN), True, True)],
     "one fewer": [(6, listing(*TEN[1:]), True, True)],
-    "half, then whole": [(6, listing(*TEN[:4]), True, False), (6, listing(*TEN), True, True)],
-    "half, said twice": [(6, listing(*TEN[:4]), True, False), (6, listing(*TEN[:4]), True, True)],
+    "half, then full": [(6, listing(*TEN[:4]), True, False), (6, listing(*TEN), True, True)],
+    "half, repeated": [(6, listing(*TEN[:4]), True, False), (6, listing(*TEN[:4]), True, True)],
     "two halves": [(6, listing(*TEN[:4]), True, False), (6, listing(*TEN[6:]), True, False)],
     "older, then newer": [(4, listing(*TEN), True, False), (6, listing(*TEN), True, True)],
-    "a count that began anew": [(1, listing(*TEN), True, False), (1, listing(*TEN), True, True)],
+    "versions that restarted": [(1, listing(*TEN), True, False), (1, listing(*TEN), True, True)],
     "empty while servers answer": [(6, listing(), True, False)] * 3,
-    "empty, and nobody answers": [(6, listing(), True, False), (6, listing(), False, True)],
-    "changes": [(6, GONE, True, True), (7, listing(*TEN[1:5]), True, False)],
+    "empty, and no server answers": [(6, listing(), True, False), (6, listing(), False, True)],
+    "changes": [(6, REMOVAL, True, True), (7, listing(*TEN[1:5]), True, False)],
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_odd_lists_wait_for_a_second_word(name: str) -> None:
-    doubt = ListConfirmation()
-    doubt.apply(5, listing(*TEN))
-    assert [doubt.accepts(version, told, serving) for version, told, serving, _ in LISTS[name]] == [
-        taken for *_, taken in LISTS[name]
-    ]
+def test_doubtful_lists_need_a_confirmation(name: str) -> None:
+    confirmation = ListConfirmation()
+    confirmation.apply(5, listing(*TEN))
+    assert [
+        confirmation.accepts(version, offered, serving) for version, offered, serving, _ in LISTS[name]
+    ] == [accepted for *_, accepted in LISTS[name]]
 
 
 def no_fault(world: World) -> None:
-    """The counter is sound, and as fresh as the gateways."""
+    """Leaves the counter available; it starts empty like the gateways."""
 
 
 def slow(world: World) -> None:
@@ -227,69 +239,72 @@
 
 
 @pytest.mark.parametrize("counter", [no_fault, slow, mute])
-@pytest.mark.parametrize(("gateways", "asked"), [(3, 60.0), (40, 60.0), (300, 300.0)])
-def test_what_a_start_of_all_lets_in_past_a_quota_is_stated(
-    gateways: int, asked: float, counter: Callable[[World], None]
+@pytest.mark.parametrize(("gateways", "requests_per_s"), [(3, 60.0), (40, 60.0), (300, 300.0)])
+def test_the_quota_overshoot_of_a_simultaneous_start_is_bounded(
+    gateways: int, requests_per_s: float, counter: Callable[[World], None]
 ) -> None:
-    """By the book of what was sent on. With a mute counter the parts alone do not bound it: until three calls
-    have been missed each gateway spends from a full store."""
+    """Measures the overshoot from the forwarded requests. With an unavailable counter the gateways' shares
+    alone do not bound it: until it has missed three calls, each gateway spends from a full token bucket."""
     worst = 0.0
     for seed in (1, 2):
         world = World(seed, gateways, 6)
         plan = world.settings.plans[0]
         counter(world)
-        world.flood(4000.0, asked, plan.name)
+        world.flood(4000.0, requests_per_s, plan.name)
         world.run(6000.0)
         found = overshoot_bound(plan, gateways, 100.0, 1.0)
         timeout_s = world.settings.counter_timeout_ms / 1000.0
         worst = max(worst, overshoot(world.sent, plan))
-        assert worst <= start_overshoot_units(plan, found, asked, gateways, timeout_s)
+        assert worst <= start_overshoot_units(plan, found, requests_per_s, gateways, timeout_s)
     assert counter is not mute or worst > found.unavailable_units
 
 
 # --- processes -------------------------------------------------------------------------------------------
 
-CI = 40
-OPERATOR = f"[discovery]\ncalls_per_s = 12\nlist_age_s = {STATED:.0f}\ndoubt = true\n"
+PROCESS_COUNT = 40
+OPERATOR = f"[discovery]\ncalls_per_s = 12\nlist_age_s = {MAX_LIST_AGE_S:.0f}\ndoubt = true\n"
 READS = (Kind("report-read", 1.0, 20_000),)
-ASKED = 52 + 32  # what the seeds 1 and 2 draw in 2 s at 20 a second
-ASKS = [Account(b"%016x" % n, "korporativni", 1.0, ",spread=1,first=0") for n in range(20)]
+REQUEST_COUNT = 52 + 32  # requests that seeds 1 and 2 generate in 2 s at 20 per second
+ACCOUNTS = [Account(b"%016x" % n, "korporativni", 1.0, ",spread=1,first=0") for n in range(20)]
 
 
-def test_forty_processes_start_die_and_start_beside_a_service_of_few_calls(tmp_path: Path) -> None:
+def test_forty_processes_start_and_restart_with_a_rate_limited_service(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Herd(tmp_path, CI, 12.0, 10, OPERATOR) as herd:
-            await herd.start(range(CI))
-            await herd.until(lambda: len(herd.lists.calls) >= CI)
-            killed = range(0, CI, 2)
+        async with Herd(tmp_path, PROCESS_COUNT, 12.0, 10, OPERATOR) as herd:
+            await herd.start(range(PROCESS_COUNT))
+            await herd.until(lambda: len(herd.lists.calls) >= PROCESS_COUNT)
+            killed = range(0, PROCESS_COUNT, 2)
             herd.kill(killed)
-            herd.lists.update(row("s9", 9, "Gone"))  # news for all others in the same moment
+            herd.lists.update(row("s9", 9, "Gone"))  # a change for all others at the same time
             await herd.start(killed)
             before = len(herd.lists.calls)
-            await herd.until(lambda: len(herd.lists.calls) >= before + CI // 2)
+            await herd.until(lambda: len(herd.lists.calls) >= before + PROCESS_COUNT // 2)
             assert busiest(herd.lists.calls) <= 24 and turned_away(herd.lists.calls) <= 0.05
             for gateway in herd.gateways:
                 gateway.signal(signal.SIGTERM)
-            assert [g.process.wait(10) for g in herd.gateways if g.process is not None] == [0] * CI
+            assert [g.process.wait(10) for g in herd.gateways if g.process is not None] == [0] * PROCESS_COUNT
 
     play(scenario())
 
 
 @pytest.mark.parametrize("mode", ["empty", "half", "older", "silent"])
-def test_a_service_that_lies_or_is_silent_keeps_no_process_from_serving(mode: str, tmp_path: Path) -> None:
-    """Restarted under load while the service answers so; one is stopped in mid-start, and goes on."""
+def test_a_faulty_or_silent_discovery_service_keeps_no_process_from_serving(
+    mode: str, tmp_path: Path
+) -> None:
+    """Processes restart under load while the service is faulty; one of them is paused during its start."""
 
     async def scenario() -> None:
         async with Herd(tmp_path, 3, 50.0, 30, OPERATOR, patient()) as herd:
             herd.lists.mode = mode
             if mode in ("half", "older"):
-                await herd.site.nodes[0].stop()  # the only one on such a list: who believes it serves nobody
+                # The only server on the faulty list: a gateway that accepts the list can't serve.
+                await herd.site.nodes[0].stop()
             herd.gateways[2].start()
             herd.gateways[2].signal(signal.SIGSTOP)
             await herd.start(range(2))
             ports = [gateway.port for gateway in herd.gateways[:2]]
             loads = [
-                Load(lambda port=port: port, READS, ASKS, 20.0, seed)  # type: ignore[misc]
+                Load(lambda port=port: port, READS, ACCOUNTS, 20.0, seed)  # type: ignore[misc]
                 for seed, port in enumerate(ports, 1)
             ]
             await asyncio.gather(*(load.run(2.0) for load in loads))
@@ -297,66 +312,68 @@
             await herd.gateways[2].ready(20.0)
             outcomes = [outcome for load in loads for outcome in load.outcomes]
             answered = [outcome for outcome in outcomes if outcome.answer == "served"]
-            assert len(outcomes) == ASKED and len(answered) >= 0.95 * len(outcomes)
-            odd = sum("not believed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
-            assert odd == (0 if mode == "silent" else 2)
+            assert len(outcomes) == REQUEST_COUNT and len(answered) >= 0.95 * len(outcomes)
+            doubted = sum("not believed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
+            assert doubted == (0 if mode == "silent" else 2)
 
     play(scenario())
 
 
-# --- members that ask for each other ---------------------------------------------------------------------
+# --- list sharing among members --------------------------------------------------------------------------
 
 
 def server(version: int, name: str, state: int = 0, started: float = 0.0) -> SharedEndpoint:
     return SharedEndpoint(version, name, "127.0.0.1:80", "a", 0, 1.0, started, state)
 
 
-class Told(NamedTuple):
-    """What a member holds, and what another's words make of it."""
+class MergeCase(NamedTuple):
+    """A member's row, a row that another member sends, and the row that changes."""
 
-    held: tuple[int, SharedEndpoint]  # version, row
-    word: SharedEndpoint
-    taken: SharedEndpoint | None
+    known: tuple[int, SharedEndpoint]  # version and row
+    received: SharedEndpoint
+    merged: SharedEndpoint | None
 
 
-MERGES: dict[str, Told] = {
-    "a new server": Told((4, server(4, "a")), server(5, "b"), server(5, "b")),
-    "a drain": Told((4, server(4, "a")), server(5, "a", 1), server(5, "a", 1)),
-    "back from a drain": Told((4, server(4, "a", 1)), server(5, "a", 0), None),
-    "back from the gone": Told((4, server(4, "a", 2)), server(5, "a", 0), None),
-    "started again": Told((4, server(4, "a", 0, 1.0)), server(5, "a", 0, 9.0), server(5, "a", 0, 9.0)),
-    "made warmer": Told((4, server(4, "a", 0, 9.0)), server(5, "a", 0, 1.0), None),
-    "an older word": Told((4, server(4, "a")), server(3, "a", 2), None),
-    "a state that is none": Told((4, server(4, "a")), server(5, "a", 7), None),
+MERGES: dict[str, MergeCase] = {
+    "a new server": MergeCase((4, server(4, "a")), server(5, "b"), server(5, "b")),
+    "a drain": MergeCase((4, server(4, "a")), server(5, "a", 1), server(5, "a", 1)),
+    "back from a drain": MergeCase((4, server(4, "a", 1)), server(5, "a", 0), None),
+    "back from removal": MergeCase((4, server(4, "a", 2)), server(5, "a", 0), None),
+    "started again": MergeCase((4, server(4, "a", 0, 1.0)), server(5, "a", 0, 9.0), server(5, "a", 0, 9.0)),
+    "an earlier start": MergeCase((4, server(4, "a", 0, 9.0)), server(5, "a", 0, 1.0), None),
+    "an older row": MergeCase((4, server(4, "a")), server(3, "a", 2), None),
+    "an invalid state": MergeCase((4, server(4, "a")), server(5, "a", 7), None),
 }
 
 
 @pytest.mark.parametrize("name", MERGES)
-def test_a_members_word_restrains_and_never_brings_a_server_back(name: str) -> None:
-    (version, row), word, taken = MERGES[name]
+def test_a_members_row_may_remove_a_server_but_never_restores_one(name: str) -> None:
+    (version, row), received, expected = MERGES[name]
     share = SharedEndpointList("g0", 0.0, random.Random(1))
     share.receive_discovery(0.0, version, True, [row], ())
-    _, changed = share.receive(1.0, "g1", EndpointListPart(version, max(5, word.version), 0, 1, (word,)))
-    assert changed == ([taken] if taken is not None else [])
+    _, changed = share.receive(
+        1.0, "g1", EndpointListPart(version, max(5, received.version), 0, 1, (received,))
+    )
+    assert changed == ([expected] if expected is not None else [])
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 10**6), st.integers(3, 40), st.sampled_from([0.0, 0.1, 0.3]))
-def test_lists_pass_between_members_whatever_is_lost(seed: int, count: int, lose: float) -> None:
-    """The others' lists are always what the service said at the version that they name, and nobody holds a
-    list for confirmed when the service had a newer one."""
+def test_shared_lists_are_correct_whatever_messages_are_lost(seed: int, count: int, lose: float) -> None:
+    """Each member's list always equals the service's list at that version, and no member counts a list as
+    confirmed at a time when the service had a newer one."""
     rng = random.Random(seed)
     names = [f"g{n}" for n in range(count)]
     shares = {name: SharedEndpointList(name, 0.0, rng) for name in names}
     others = {name: [other for other in names if other != name] for name in names}
     truth = {f"s{n}": 0 for n in range(30)}
-    past: dict[int, tuple[dict[str, int], float]] = {}  # version: the list, and until when it was the newest
+    past: dict[int, tuple[dict[str, int], float]] = {}  # by version: list, and when it was replaced
     due: list[tuple[float, int, str, str, Any]] = []
     order = itertools.count()
     version, now = 1, 0.0
 
-    def post(sender: str, sents: list[Outgoing[SharingMessage]]) -> None:
-        for sent in sents:
+    def post(sender: str, messages: list[Outgoing[SharingMessage]]) -> None:
+        for sent in messages:
             for _ in range(1 + (rng.random() < 0.1)):
                 if rng.random() >= lose:
                     late = rng.choice([0.005, 0.02, 0.4])
@@ -386,42 +403,45 @@
     assert {share.version for share in shares.values()} == {version}
 
 
-def test_three_of_ten_processes_ask_and_are_replaced_when_they_die(tmp_path: Path) -> None:
-    """Killed askers, a gateway cut off from all others, a service that is away for a while."""
+def test_three_of_ten_processes_poll_and_are_replaced_when_they_die(tmp_path: Path) -> None:
+    """Kills the polling gateways, then partitions one gateway from all others; the list's changes reach every
+    gateway."""
 
     async def scenario() -> None:
         more = "share_list = true\nperiod_ms = 100\npatience_ms = 1000\n"
         async with FleetSite(tmp_path, 10, more=more, lists=50.0) as site:
             lists = site.lists
             assert lists is not None
-            everyone = range(10)
+            all_gateways = range(10)
 
-            async def shown(number: int) -> dict[str, Any]:
+            async def list_state(number: int) -> dict[str, Any]:
                 rows = await site.asked(number, "list")
                 return rows[0] if rows else {"version": -1, "asks": False}
 
-            async def newest(numbers: Iterable[int]) -> bool:
-                return all([(await shown(n))["version"] == lists.version for n in numbers])
+            async def have_newest(numbers: Iterable[int]) -> bool:
+                return all([(await list_state(n))["version"] == lists.version for n in numbers])
 
             await site.start()
-            await site.until(lambda: site.agree(everyone))
-            askers = [n for n in everyone if (await shown(n))["asks"]]
-            assert len(askers) == 3
-            began = len(lists.calls)
+            await site.until(lambda: site.agree(all_gateways))
+            pollers = [n for n in all_gateways if (await list_state(n))["asks"]]
+            assert len(pollers) == 3
+            calls_before = len(lists.calls)
             since = lists.calls[-1].at
             lists.update(row("s1", site.site.nodes[1].port, "Terminating"))
-            await site.until(lambda: newest(everyone))
+            await site.until(lambda: have_newest(all_gateways))
             while lists.calls[-1].at < since + 4.0:
                 await asyncio.sleep(0.02)
-            assert busiest(lists.calls[began:]) <= 6  # three askers, a wait of 1.1 to 1.5 s each
-            for number in askers:
+            assert (
+                busiest(lists.calls[calls_before:]) <= 6
+            )  # three gateways poll with watches of 1.1 to 1.5 s
+            for number in pollers:
                 site.send_signal(number, signal.SIGKILL)
-            rest = [n for n in everyone if n not in askers]
+            rest = [n for n in all_gateways if n not in pollers]
             lists.update(row("s2", site.site.nodes[2].port, "Terminating"))
-            await site.until(lambda: newest(rest), 8.0)
-            lonely = [n for n in rest if not (await shown(n))["asks"]][:1]
-            site.split([lonely, [n for n in everyone if n not in lonely]])
+            await site.until(lambda: have_newest(rest), 8.0)
+            isolated = [n for n in rest if not (await list_state(n))["asks"]][:1]
+            site.split([isolated, [n for n in all_gateways if n not in isolated]])
             lists.update(row("s0", site.site.nodes[0].port, "Ready", 5.0))
-            await site.until(lambda: newest(rest), 8.0)
+            await site.until(lambda: have_newest(rest), 8.0)
 
     play(scenario())
