--- a/tests/policy/services/test_resource_ledger.py
+++ b/tests/policy/services/test_resource_ledger.py
@@ -1,4 +1,4 @@
-"""Floors, loans and turns between services: the promises over drawn lives, and by tables."""
+"""Floors, loans and turns between services: guarantees over random operations, and tables of cases."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 RECALL_MS = 100.0
 
 
-class Loans(RuleBasedStateMachine):
-    """Services take and give; borrowers heed recalls just in time. Nobody waits longer for his own."""
+class LedgerMachine(RuleBasedStateMachine):
+    """Services acquire and release amounts, and borrowers return recalled ones at the last moment. No service
+    waits longer than `RECALL_MS` for its floor."""
 
     @initialize(floors=st.tuples(*[st.integers(0, 10)] * 3), spare=st.integers(0, 12),
                 weights=st.tuples(*[st.sampled_from([0.5, 1.0, 3.0])] * 3))  # fmt: skip
@@ -24,32 +25,32 @@
         self.shares = {n: ResourceShare(float(f), w) for n, f, w in zip(NAMES, floors, weights, strict=True)}
         self.ledger = ResourceLedger(float(sum(floors) + spare), self.shares, RECALL_MS)
         self.now = 0.0
-        self.since: dict[str, float] = {}  # own, asked for and not had, by when it was last asked for
+        self.since: dict[str, float] = {}  # by service that waits for its floor: when it last asked
 
     @rule(name=st.sampled_from(NAMES), amount=st.integers(1, 6))
-    def take(self, name: str, amount: int) -> None:
+    def acquire(self, name: str, amount: int) -> None:
         free, borrowed = self.ledger.free(), self.ledger.borrowed(name)
-        wanted = sum(want for other, want in self.ledger.awaited.items() if other != name)
+        awaited_by_others = sum(want for other, want in self.ledger.awaited.items() if other != name)
         found = self.ledger.acquire(self.now, name, float(amount))
         if found is Grant.GUARANTEED:
             assert self.ledger.borrowed(name) == borrowed == 0.0 and amount <= free
             if name not in self.ledger.awaited:
                 self.since.pop(name, None)
         elif found is Grant.BORROWED:
-            assert amount <= free - wanted, "lent what is called back for another"
+            assert amount <= free - awaited_by_others, "lent an amount that was recalled for another service"
         elif found is Grant.RECALLED:
-            assert amount > free - wanted
-            self.since[name] = self.now  # each ask has its own time; all is there by the last one's
+            assert amount > free - awaited_by_others
+            self.since[name] = self.now  # the recall time counts from the last request
         else:
-            assert self.ledger.used[name] + amount > self.shares[name].floor, "refused what is its own"
+            assert self.ledger.used[name] + amount > self.shares[name].floor, "denied an amount in the floor"
 
     @rule(name=st.sampled_from(NAMES), amount=st.integers(1, 8))
-    def give(self, name: str, amount: int) -> None:
+    def release(self, name: str, amount: int) -> None:
         self.ledger.release(name, float(amount))
 
     @rule(ms=st.sampled_from([1.0, 30.0, 99.0, 150.0]))
-    def passes(self, ms: float) -> None:
-        """Time passes; who is told to give back does so at the last moment."""
+    def advance_time(self, ms: float) -> None:
+        """Advances the time; borrowers return recalled amounts at the last moment."""
         end = self.now + ms
         while due := [recall for recall in self.ledger.recalls() if recall.due_ms <= end]:
             first = min(due, key=lambda recall: recall.due_ms)
@@ -59,7 +60,9 @@
         for name, since in list(self.since.items()):
             want = self.ledger.awaited.get(name, 0.0)
             if want and self.now > since + RECALL_MS:
-                assert self.ledger.acquire(self.now, name, want) is Grant.GUARANTEED, "its own came too late"
+                assert self.ledger.acquire(self.now, name, want) is Grant.GUARANTEED, (
+                    "the floor came too late"
+                )
                 self.since.pop(name, None)
 
     @invariant()
@@ -74,8 +77,10 @@
             assert 0.0 < want <= self.shares[name].floor - used[name] + 1e-6
 
 
-Loans.TestCase.settings = settings(max_examples=150, derandomize=True, stateful_step_count=50, deadline=None)
-TestLoans = Loans.TestCase
+LedgerMachine.TestCase.settings = settings(
+    max_examples=150, derandomize=True, stateful_step_count=50, deadline=None
+)
+TestLedger = LedgerMachine.TestCase
 
 
 @pytest.mark.parametrize(
@@ -90,21 +95,21 @@
         ResourceLedger(total, shares, RECALL_MS)
 
 
-def test_the_surplus_is_shared_by_weight_while_two_are_hungry() -> None:
+def test_the_surplus_is_shared_by_weight_while_two_services_compete() -> None:
     ledger = ResourceLedger(40.0, {"a": ResourceShare(0.0, 3.0), "b": ResourceShare(0.0, 1.0)}, RECALL_MS)
     while ledger.acquire(0.0, "a", 1.0) is Grant.BORROWED:
         pass
     assert ledger.used["a"] == 40.0 and ledger.acquire(0.0, "b", 1.0) is Grant.DENIED
     for _ in range(20):
-        ledger.release("a", 1.0)  # as its requests end
-    taken = {"a": 0, "b": 0}
+        ledger.release("a", 1.0)  # requests of "a" end
+    granted = {"a": 0, "b": 0}
     for _ in range(40):
         for name in ("a", "b"):
-            taken[name] += ledger.acquire(1.0, name, 1.0) is Grant.BORROWED
+            granted[name] += ledger.acquire(1.0, name, 1.0) is Grant.BORROWED
     assert ledger.used == pytest.approx({"a": 30.0, "b": 10.0}, abs=1.0)
 
 
-def test_a_recall_is_met_from_who_borrowed_most_and_not_lent_again() -> None:
+def test_a_recall_goes_to_the_largest_borrower_and_is_not_lent_again() -> None:
     shares = {"a": ResourceShare(4.0), "b": ResourceShare(2.0), "c": ResourceShare(0.0)}
     ledger = ResourceLedger(8.0, shares, RECALL_MS)
     for name, amount in (("b", 4.0), ("c", 4.0)):
@@ -127,29 +132,29 @@
 )
 @settings(max_examples=300, derandomize=True, deadline=None)
 def test_turns_follow_the_weights(costs: dict[str, list[float]], weights: dict[str, float]) -> None:
-    """Until the first runs out of work, each has had what its weight gives it, but for a quantum and a
+    """Until the first member runs out of work, each has had its weighted share, to within a quantum and a
     turn."""
-    rounds, left = DeficitRoundRobin(weights, 2.0), {name: list(rows) for name, rows in costs.items()}
-    for name in left:
+    rounds, remaining = DeficitRoundRobin(weights, 2.0), {name: list(rows) for name, rows in costs.items()}
+    for name in remaining:
         rounds.add_work(name)
-    spent = dict.fromkeys(left, 0.0)
-    while all(left.values()):
+    spent = dict.fromkeys(remaining, 0.0)
+    while all(remaining.values()):
         turn = rounds.next()
         assert turn is not None
-        cost = left[turn].pop()
+        cost = remaining[turn].pop()
         spent[turn] += cost
-        rounds.charge(turn, cost, bool(left[turn]))
-    most = 5.0 + 2.0 * max(weights.values())
+        rounds.charge(turn, cost, bool(remaining[turn]))
+    max_lag = 5.0 + 2.0 * max(weights.values())
     shares = [spent[name] / weights[name] for name in spent]
     for name in spent:
-        assert max(shares) - spent[name] / weights[name] <= 2.0 * most / min(weights.values())
+        assert max(shares) - spent[name] / weights[name] <= 2.0 * max_lag / min(weights.values())
     while (last := rounds.next()) is not None:
-        cost = left[last].pop()
-        rounds.charge(last, cost, bool(left[last]))
-    assert not any(left.values()), "somebody with work had no turn"
+        cost = remaining[last].pop()
+        rounds.charge(last, cost, bool(remaining[last]))
+    assert not any(remaining.values()), "a member with work had no turn"
 
 
-def test_a_flood_keeps_no_neighbour_waiting_for_more_than_its_quantum() -> None:
+def test_a_flood_delays_another_member_by_a_quantum_at_most() -> None:
     rounds = DeficitRoundRobin({"flood": 1.0, **{f"idle{n}": 1.0 for n in range(199)}, "calm": 1.0}, 1.0)
     rounds.add_work("flood")
     for _ in range(1000):
@@ -168,7 +173,7 @@
     delay.note_empty(1000.0)
     table = [(1010.0, 9.0, False), (1099.0, 99.0, False), (1101.0, 4.0, False), (1101.0, 6.0, True),
              (5000.0, 6.0, True)]  # fmt: skip
-    for now, waited, refused in table:
-        assert delay.must_reject(now, waited) is refused, now
+    for now, waited, is_rejected in table:
+        assert delay.must_reject(now, waited) is is_rejected, now
     delay.note_empty(5000.0)
     assert not delay.must_reject(5010.0, 9.0) and delay.must_reject(5100.0, 101.0)
--- a/tests/policy/services/test_routing.py
+++ b/tests/policy/services/test_routing.py
@@ -1,4 +1,4 @@
-"""Which service a request is for: tables, overlaps and gaps, and the order of the file never decides."""
+"""Mapping of requests to services: tables, overlaps and gaps; the order of the file never decides."""
 
 from __future__ import annotations
 
@@ -33,24 +33,28 @@
 
 
 @pytest.mark.parametrize(
-    ("way", "expected"),
+    ("origin", "expected"),
     [
         (RequestOrigin("report-read", HOST, "/v1/reports/7"), "reports"),
         (RequestOrigin("report-read", "Reports.Jadran.example.org.:8443", "/"), "reports"),
         (RequestOrigin("report-read", HOST, "/v1/archive"), "archive"),
         (RequestOrigin("report-read", HOST, "/v1/archive/2020?x=/v0"), "archive"),
-        (RequestOrigin("report-read", HOST, "/v1/archives"), "reports"),  # whole segments
-        (RequestOrigin("report-read", HOST, "/v1/archive/../../v0"), "reports"),  # dots match no prefix
-        (RequestOrigin("report-read", HOST, "/v1/archive%2f.."), "reports"),
+        (RequestOrigin("report-read", HOST, "/v1/archives"), "reports"),  # prefixes match whole segments
         (
-            RequestOrigin("report-read", "orders.jadran.example.org", "/v0/x"),
-            "orders",
-        ),  # a host before a path
+            RequestOrigin("report-read", HOST, "/v1/archive/../../v0"),
+            "reports",
+        ),  # a path with dot segments matches no prefix
+        (RequestOrigin("report-read", HOST, "/v1/archive%2f.."), "reports"),
+        # The host decides before the path.
+        (RequestOrigin("report-read", "orders.jadran.example.org", "/v0/x"), "orders"),
         (RequestOrigin("report-read", "a.b.jadran.example.org", ""), "jadran"),
-        (RequestOrigin("report-read", "jadran.example.org", ""), None),  # the domain itself is not below it
+        (RequestOrigin("report-read", "jadran.example.org", ""), None),  # the domain itself does not match
         (RequestOrigin("report-read", "elsewhere.example.org", "/v0/x"), "old"),
         (RequestOrigin("check-charge"), "charges"),
-        (RequestOrigin("check-charge", command="POST", front="resp2"), "charges"),  # class before command
+        (
+            RequestOrigin("check-charge", command="POST", front="resp2"),
+            "charges",
+        ),  # the class decides before the command
         (RequestOrigin("check-charge", command="POST", front="extproc"), "slow"),
         (RequestOrigin("check-order", command="POST"), "writes"),
         (RequestOrigin("report-read"), None),
@@ -58,11 +62,11 @@
         (RequestOrigin("report-read", "[::1]:80", "/v0"), "old"),
     ],
 )
-def test_the_most_specific_rule_wins_in_any_order(way: RequestOrigin, expected: str | None) -> None:
+def test_the_most_specific_rule_wins_in_any_order(origin: RequestOrigin, expected: str | None) -> None:
     for seed in range(6):
         rules = RULES[:]
         random.Random(seed).shuffle(rules)
-        assert ServiceRouter(rules).service_for(way) == expected
+        assert ServiceRouter(rules).service_for(origin) == expected
 
 
 @pytest.mark.parametrize(
@@ -89,35 +93,37 @@
     assert overlaps(rules) == [Overlap(4, 8), Overlap(2, 9), Overlap(4, 10)]
 
 
-def test_gaps_are_classes_that_no_rule_reaches() -> None:
+def test_gaps_are_classes_that_match_no_rule() -> None:
     classes = ("report-read", "check-order", "check-charge")
     found = unreached_classes(ServiceRouter(RULES), classes, ("resp2",))
-    assert [way.class_name for way in found] == ["report-read", "check-order"]
+    assert [origin.class_name for origin in found] == ["report-read", "check-order"]
     assert not unreached_classes(ServiceRouter([*RULES, ServiceRule("rest")]), classes, ("resp2", "extproc"))
 
 
 NAMED = st.sampled_from(["", "a", "b"])
 RULE = st.builds(ServiceRule, st.just("s"), st.sampled_from(["", "h.x", "*.x", "*.h.x"]),
                  st.sampled_from(["", "/p", "/p/q"]), NAMED, NAMED, NAMED)  # fmt: skip
-WAY = st.builds(RequestOrigin, NAMED, st.sampled_from(["", "h.x", "i.x", "k.h.x", "y"]),
+ORIGIN = st.builds(RequestOrigin, NAMED, st.sampled_from(["", "h.x", "i.x", "k.h.x", "y"]),
                 st.sampled_from(["", "/", "/p", "/p/q/r", "/pp"]), NAMED, NAMED)  # fmt: skip
 
 
-def covers(rule: ServiceRule, way: RequestOrigin) -> bool:
-    """What a rule means, said the slow way."""
-    below = rule.host.startswith("*") and way.host.endswith(rule.host[1:])
-    host = not rule.host or way.host == rule.host or below
-    path = path_segments(way.path)[: len(path_segments(rule.path))] == path_segments(rule.path)
-    rest = zip(rule.attributes, (way.class_name, way.command, way.front), strict=True)
+def covers(rule: ServiceRule, origin: RequestOrigin) -> bool:
+    """Returns whether a rule matches a request, by a direct check that serves as the reference."""
+    is_in_domain = rule.host.startswith("*") and origin.host.endswith(rule.host[1:])
+    host = not rule.host or origin.host == rule.host or is_in_domain
+    path = path_segments(origin.path)[: len(path_segments(rule.path))] == path_segments(rule.path)
+    rest = zip(rule.attributes, (origin.class_name, origin.command, origin.front), strict=True)
     return host and path and all(not named or named == given for named, given in rest)
 
 
-@given(st.lists(RULE, max_size=12, unique_by=lambda rule: rule[1:]), WAY)
+@given(st.lists(RULE, max_size=12, unique_by=lambda rule: rule[1:]), ORIGIN)
 @settings(derandomize=True, deadline=None)
-def test_the_table_agrees_with_what_rules_mean(rules: list[ServiceRule], way: RequestOrigin) -> None:
+def test_the_router_agrees_with_a_direct_check_of_each_rule(
+    rules: list[ServiceRule], origin: RequestOrigin
+) -> None:
     named = [rule._replace(service=str(at)) for at, rule in enumerate(rules)]
-    found = ServiceRouter(named).service_for(way)
-    matching = [rule for rule in named if covers(rule, way)]
+    found = ServiceRouter(named).service_for(origin)
+    matching = [rule for rule in named if covers(rule, origin)]
     assert (found is None) == (not matching)
     if found is not None:
         chosen = named[int(found)]
@@ -131,13 +137,13 @@
 
 
 def test_a_look_up_does_not_grow_with_the_services() -> None:
-    """Steps are counted, not timed: the tables that are asked for one request."""
+    """Counts the table look-ups for one request instead of measuring time."""
 
     class Counting(dict):  # type: ignore[type-arg]
-        asked = 0
+        lookup_count = 0
 
         def get(self, key: object, default: object = None) -> object:
-            Counting.asked += 1
+            Counting.lookup_count += 1
             return super().get(key, default)
 
     steps = []
@@ -146,8 +152,8 @@
             [ServiceRule(f"s{n}", host=f"s{n}.example.org", path="/v1") for n in range(count)]
         )
         router.table = Counting(router.table)
-        Counting.asked = 0
+        Counting.lookup_count = 0
         assert router.service_for(RequestOrigin("c", "s0.example.org", "/v1/x/y")) == "s0"
         assert router.service_for(RequestOrigin("c", "nobody.example.org", "/v1/x/y")) is None
-        steps.append(Counting.asked)
+        steps.append(Counting.lookup_count)
     assert steps[0] == steps[1] == steps[2]
