--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -431,9 +431,8 @@
             await site.until(lambda: have_newest(all_gateways))
             while lists.calls[-1].at < since + 4.0:
                 await asyncio.sleep(0.02)
-            assert (
-                busiest(lists.calls[calls_before:]) <= 6
-            )  # three gateways poll with watches of 1.1 to 1.5 s
+            # Three gateways poll with watches of 1.1 to 1.5 s.
+            assert busiest(lists.calls[calls_before:]) <= 6
             for number in pollers:
                 site.send_signal(number, signal.SIGKILL)
             rest = [n for n in all_gateways if n not in pollers]
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -200,9 +200,8 @@
     now = system.clock("a")
     assert proposer.fencing_token(now, 1.0) is not None
     assert proposer.fencing_token(now, LONGEST) is None  # the effect would outlast the lease
-    assert proposer.fencing_token(now + 60.0, 0.0) is None and not proposer.is_holder(
-        now + 60.0
-    )  # after a pause
+    # After a pause of 60 s the lease has expired.
+    assert proposer.fencing_token(now + 60.0, 0.0) is None and not proposer.is_holder(now + 60.0)
 
 
 def test_recovery_completes_without_history_but_waits_for_an_acceptor_that_may_have_one() -> None:
@@ -216,9 +215,8 @@
                         voters[name].receive(now, out.to, back.message)
 
     exchange(1.0, ("v0", "v1"))
-    assert not any(
-        voter.has_recovered for voter in voters.values()
-    )  # acceptors are silent for the longest lease span
+    # Acceptors are silent for the longest lease span.
+    assert not any(voter.has_recovered for voter in voters.values())
     for now in (TERMS.startup_silence_s, TERMS.startup_silence_s + 1.0):
         exchange(now, ("v0", "v1"))
     assert voters["v0"].has_recovered and voters["v0"].has_lost_history and voters["v1"].has_recovered
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -59,9 +59,8 @@
 def test_a_one_way_partition_keeps_a_member_that_others_reach() -> None:
     net = SwimNetwork(10, 5)
     net.run(4.0)
-    net.cut = lambda sender, to: (
-        (sender, to) == ("g1", "g0")
-    )  # g0 gets nothing from g1, but g1 gets g0's messages
+    # g0 gets nothing from g1, but g1 gets g0's messages.
+    net.cut = lambda sender, to: (sender, to) == ("g1", "g0")
     net.run(20.0)
     assert not net.declared_dead
 
@@ -139,9 +138,8 @@
     net.stopped |= set(net.names[:10])
     before = sum(net.sent.values())
     net.run(6.0)
-    assert (
-        sum(net.sent.values()) - before < 2.5 * baseline
-    )  # indirect probes are added, without a message storm
+    # Indirect probes are added, without a message storm.
+    assert sum(net.sent.values()) - before < 2.5 * baseline
     assert net.longest <= MAX_PIGGYBACKED_UPDATES
 
 
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -186,9 +186,8 @@
     network.nodes["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
     network.run(4.0)
     assert all(node.replica.get(RowKind.SERVER, "s1") for node in network.nodes.values())
-    assert (
-        network.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None
-    )  # other rows are not repeated
+    # Other rows are not repeated.
+    assert network.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None
 
 
 def last_value_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
--- a/tests/policy/services/test_isolation.py
+++ b/tests/policy/services/test_isolation.py
@@ -58,9 +58,8 @@
         tallies = {name: Tally() for name in names}
         queues: dict[str, list[float]] = {name: [] for name in names}
         order = itertools.count()
-        events: list[
-            tuple[float, int, str, bool]
-        ] = []  # time, order, service, whether a request arrives or ends
+        # Time, order, service, whether a request arrives or ends.
+        events: list[tuple[float, int, str, bool]] = []
         for name, rate in self.rates.items():
             at = self.since.get(name, 0.0)
             while (at := at + 1000.0 * rng.expovariate(rate)) < ms:
--- a/tests/policy/services/test_routing.py
+++ b/tests/policy/services/test_routing.py
@@ -40,10 +40,8 @@
         (RequestOrigin("report-read", HOST, "/v1/archive"), "archive"),
         (RequestOrigin("report-read", HOST, "/v1/archive/2020?x=/v0"), "archive"),
         (RequestOrigin("report-read", HOST, "/v1/archives"), "reports"),  # prefixes match whole segments
-        (
-            RequestOrigin("report-read", HOST, "/v1/archive/../../v0"),
-            "reports",
-        ),  # a path with dot segments matches no prefix
+        # A path with dot segments matches no prefix.
+        (RequestOrigin("report-read", HOST, "/v1/archive/../../v0"), "reports"),
         (RequestOrigin("report-read", HOST, "/v1/archive%2f.."), "reports"),
         # The host decides before the path.
         (RequestOrigin("report-read", "orders.jadran.example.org", "/v0/x"), "orders"),
@@ -51,10 +49,8 @@
         (RequestOrigin("report-read", "jadran.example.org", ""), None),  # the domain itself does not match
         (RequestOrigin("report-read", "elsewhere.example.org", "/v0/x"), "old"),
         (RequestOrigin("check-charge"), "charges"),
-        (
-            RequestOrigin("check-charge", command="POST", front="resp2"),
-            "charges",
-        ),  # the class decides before the command
+        # The class decides before the command.
+        (RequestOrigin("check-charge", command="POST", front="resp2"), "charges"),
         (RequestOrigin("check-charge", command="POST", front="extproc"), "slow"),
         (RequestOrigin("check-order", command="POST"), "writes"),
         (RequestOrigin("report-read"), None),
