--- a/glenchute/clients/handover.py
+++ b/glenchute/clients/handover.py
@@ -1,8 +1,9 @@
 """Transport of the handover between two processes of a gateway: a Unix socket in their common $TMPDIR.
 
 The process in service listens there. Its successor connects, receives one message, and keeps the connection
-open: its end tells either side that the other process has ended, for whatever reason. Neither side waits for
-the other; without a valid message the successor starts as after a kill.
+open: when it closes, either side knows that the other process has ended, for whatever reason. The
+predecessor never waits for its successor; the successor waits for a bounded time and starts without a
+handover, as after a kill, if it has received no valid message by then.
 """
 
 from __future__ import annotations
@@ -24,37 +25,38 @@
 
 log = logging.getLogger("glenchute")
 
-REQUEST_TIMEOUT_S = 0.5  # for the connection, and again for the message: a start is delayed no longer
-MAX_PATH_BYTES = 100  # Linux takes 107
-OWNER_ONLY_UMASK = 0o177
+REQUEST_TIMEOUT_S = 0.5  # to connect, and again to receive the message: limits the delay of a start
+MAX_PATH_BYTES = 100  # Linux accepts up to 107 for a Unix socket
+OWNER_ONLY_UMASK = 0o177  # the socket file is accessible to its owner only
 
 
 def socket_path(folder: str, gateway: str, listen: tuple[str, int]) -> Path | None:
-    """The socket of the gateway with this name and listening address; None where the folder's name is too
-    long for a socket's."""
+    """Returns the socket path of the gateway with this name and listening address; None if it would be longer
+    than `MAX_PATH_BYTES`."""
     identity = f"{gateway}@{listen[0]}:{listen[1]}".encode()
     path = Path(folder) / f"glenchute-{hashlib.blake2b(identity, digest_size=6).hexdigest()}"
     return path if len(os.fsencode(path)) <= MAX_PATH_BYTES else None
 
 
 class PredecessorConnection(asyncio.Protocol):
-    """The successor's end of the connection."""
+    """The successor's side of the connection: receives the handover message."""
 
-    def __init__(self, gateway: str, on_ended: Callable[[], None]) -> None:
-        """`on_ended`: called when the predecessor has ended, if it has handed over before."""
+    def __init__(self, path: Path, gateway: str, on_ended: Callable[[], None]) -> None:
+        """`on_ended`: called when the predecessor has ended, if it has handed over its state before that."""
+        self.path = path
         self.gateway = gateway
         self.on_ended = on_ended
         self.received = bytearray()
         self.state: HandoverState | None = None
-        self.finished = asyncio.Event()  # a message was received, or the connection has ended
+        self.finished = asyncio.Event()  # set once a message was received or the connection has ended
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Keeps the transport of the open connection."""
         self.transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Collects the message; once it is complete or over `MAX_MESSAGE_BYTES`, decodes it."""
         if self.finished.is_set():
             return
         self.received += data
@@ -64,15 +66,23 @@
         try:
             self.state = decode_handover(self.gateway, bytes(self.received))
         except HandoverError as error:
-            log.warning("what the process before told is void: %s", error)
+            log.warning(
+                "the predecessor at %s sent an invalid handover message (%s): starting without its state",
+                self.path,
+                error,
+            )
         self.received.clear()
         self.finished.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Reports the end of the predecessor, if it has handed over."""
         self.transport = None
         if not self.finished.is_set() and self.received:
-            log.warning("what the process before told is void: torn")
+            log.warning(
+                "the predecessor at %s closed the connection within the handover message: "
+                "starting without its state",
+                self.path,
+            )
         self.finished.set()
         if self.state is not None:
             self.on_ended()
@@ -86,51 +96,63 @@
 async def request_handover(
     loop: asyncio.AbstractEventLoop, path: Path, gateway: str, on_ended: Callable[[], None]
 ) -> PredecessorConnection | None:
-    """Requests the state of the predecessor; None where there is no predecessor, or no valid message in time.
-    `on_ended` is called when a predecessor that has handed over ends."""
+    """Requests the state of the predecessor; returns the connection, or None if there is no predecessor or no
+    valid message was received in time. `on_ended` is called when a predecessor that has handed over ends."""
     if not path.exists():
         return None
     try:
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
             _, connection = await loop.create_unix_connection(
-                lambda: PredecessorConnection(gateway, on_ended), str(path)
+                lambda: PredecessorConnection(path, gateway, on_ended), str(path)
             )
     except ConnectionRefusedError:
-        log.info("a process before this one left its socket and is gone")
+        log.info(
+            "nothing listens on the handover socket %s, left by a process that has ended: "
+            "starting without a handover",
+            path,
+        )
         return None
     except (OSError, TimeoutError) as error:
-        log.warning("the process before can't be asked: %s", error or "no answer")
+        log.warning(
+            "can't connect to the predecessor at %s (%s): starting without a handover",
+            path,
+            error or "no answer",
+        )
         return None
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
             await connection.finished.wait()
     if connection.state is None:
         if not connection.finished.is_set():
-            log.warning("the process before says nothing")
+            log.warning(
+                "the predecessor at %s sent no complete handover message in time: "
+                "starting without a handover",
+                path,
+            )
         connection.close()
         return None
     return connection
 
 
 class SuccessorConnection(asyncio.Protocol):
-    """The predecessor's end of the connection."""
+    """The predecessor's side of the connection: sends the handover message."""
 
     def __init__(self, server: HandoverServer) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Sends the message to the successor, or closes the connection if there is a successor already."""
         self.transport = transport  # type: ignore[assignment]
         assert self.transport is not None
         if self.server.successor is not None:
-            self.transport.abort()  # one successor at a time: a third process starts without a handover
+            self.transport.abort()  # a process beyond the one successor starts without a handover
             return
         self.server.successor = self
         self.transport.write(self.server.make_message())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Reports the end of the successor."""
         self.transport = None
         if self.server.successor is self:
             self.server.successor = None
@@ -138,7 +160,7 @@
 
 
 class HandoverServer:
-    """The socket of the process in service."""
+    """The Unix socket on which the process in service accepts its successor."""
 
     def __init__(
         self,
@@ -146,15 +168,16 @@
         make_message: Callable[[], bytes],
         on_ended: Callable[[], None],
     ) -> None:
-        """`make_message`: called for each successor, for the bytes that it is sent; `on_ended`: when it has
-        ended."""
+        """`make_message`: called for each successor, returns the bytes to send to it; `on_ended`: called when
+        the successor has ended."""
         self.loop = loop
         self.make_message, self.on_ended = make_message, on_ended
         self.successor: SuccessorConnection | None = None
         self.server: asyncio.Server | None = None
 
     async def start(self, path: Path) -> None:
-        """Listens, in place of any process before. A failure is logged; the process serves without."""
+        """Listens at the path and replaces the predecessor's socket there. A failure is logged; the process
+        then serves without a handover to its successor."""
         try:
             with contextlib.suppress(FileNotFoundError):
                 path.unlink()
@@ -164,10 +187,15 @@
             finally:
                 os.umask(previous_umask)
         except OSError as error:
-            log.warning("the next process can't ask this one: %s", error)
+            log.warning(
+                "can't listen on the handover socket %s (%s): a successor will start without a handover",
+                path,
+                error,
+            )
 
     def close(self) -> None:
-        """Closes the socket and its connection. The path stays: it may be the successor's by now."""
+        """Closes the socket and its connection. The socket's path is not removed, as the successor may listen
+        there by now."""
         if self.server is not None:
             self.server.close()
         if self.successor is not None and self.successor.transport is not None:
--- a/tests/clients/test_handover_socket.py
+++ b/tests/clients/test_handover_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket between a process and its successor."""
+"""The Unix socket over which a process hands its state to its successor."""
 
 from __future__ import annotations
 
@@ -37,12 +37,11 @@
         for side in ("successor", "predecessor"):
             connection = await handover.request_handover(loop, path, "g", lambda: ended.append("predecessor"))
             assert connection is not None and connection.state == HandoverState(0.5, (QUOTA,))
-            assert (
-                await handover.request_handover(loop, path, "g", lambda: ended.append("third")) is None
-            )  # one at a time
+            # A second successor at the same time is refused.
+            assert await handover.request_handover(loop, path, "g", lambda: ended.append("third")) is None
             assert not ended
             if side == "successor":
-                connection.close()  # the successor dies: the predecessor accepts another
+                connection.close()  # as when the successor ends: the predecessor accepts another
                 await until(lambda: ended)
                 assert "successor" in ended and "third" not in ended
                 ended.clear()
@@ -84,17 +83,17 @@
         assert await handover.request_handover(loop, path, "g", lambda: None) is not None
         one.close()
         assert handover.socket_path("/" + "x" * 200, "g", ("127.0.0.1", 1)) is None
-        await handover_server(loop, b"", []).start(
-            tmp_path / "no" / "folder"
-        )  # no error: the process serves without
+        # A folder that does not exist raises no error: the process serves without a handover.
+        await handover_server(loop, b"", []).start(tmp_path / "no" / "folder")
 
     play(scenario())
 
 
-def test_without_replacement_by_the_platform_nothing_of_it_is_imported_or_opened(
+def test_without_process_replacement_no_handover_module_is_imported_and_no_socket_opened(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No Unix socket is opened, and no module of the replacement is imported."""
+    """Guards against a process that imports modules of the handover, or opens its socket, although the
+    platform does not replace processes."""
     code = (
         "import importlib.util, sys, glenchute.cli.run\n"
         "names = ('clients.handover', 'cli.handover', 'listeners.operations', 'upstreams.streamed_value')\n"
