--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -1,10 +1,11 @@
 """Client of the discovery service: fetches the endpoint list and watches it for changes over HTTP/1.1.
 
-At the service a watch lasts only while each poll follows the previous answer at once; a later poll begins a
-new watch from the version in force. So whatever fails (silence, an error, an invalid body), the list in force
-stays and only the changes since are requested: a service that many gateways share has its highest load when
-all of them have lost it, and complete lists for all would keep it overloaded. The complete list is requested
-without a list in force, after an answer of an older version than the one in force, and at another address.
+For the service a watch lasts only while each poll follows the previous answer at once; a later poll begins a
+new watch from the version in force. Whatever fails (silence, an error, an invalid body), the list in force
+stays and only the changes since its version are requested: the load on a shared service is highest when all
+gateways poll it again after an outage, and complete lists for all of them would keep it overloaded. The
+complete list is requested only without a list in force, after an answer with an older version than the one in
+force, to confirm an unusual list, and from a new address.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 from .http_exchange import HttpExchange, HttpResponse
 
-if TYPE_CHECKING:  # imported by whoever makes one: most processes need no confirmations
+if TYPE_CHECKING:  # imported where an instance is created: most processes need no confirmations
     from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 
 log = logging.getLogger("glenchute")
@@ -37,8 +38,10 @@
 LIST_TARGET = "/v1/servers"
 HTTP_OK = 200
 HTTP_SERVICE_UNAVAILABLE = 503
-EMPTY_ANSWER_PAUSE_S = 0.1  # after an answer without changes that came at once; a watch lasts over 0.2 s
-MAX_UNDIVIDED_BODY_BYTES = 64 * 1024  # a longer body is decoded in parts, with requests served in between
+# Delay of the next poll after an answer without changes that came sooner than this. A working watch waits for
+# over 0.2 s; without the delay a service that does not wait would be polled without a pause.
+EMPTY_ANSWER_PAUSE_S = 0.1
+MAX_UNDIVIDED_BODY_BYTES = 64 * 1024  # a longer body is decoded in parts, and requests are served in between
 
 
 class UnconfirmedListError(EndpointListError):
@@ -46,16 +49,18 @@
 
 
 class PartialDecode:
-    """A complete answer that is being decoded in parts."""
+    """An answer that was received completely and is being decoded in parts."""
 
     def __init__(self, connection_id: int, parts: Generator[None, None, EndpointUpdate]) -> None:
         self.connection_id, self.parts = connection_id, parts
-        self.is_connection_lost = False  # since the answer was received
+        self.is_connection_lost = False  # whether the connection has ended since the answer was received
 
 
 class DiscoveryClient:
-    """Fetches the list, then watches it for as long as the process runs. `policy/endpoints/watch.py` decides
-    which polls are in flight and when the next one is sent."""
+    """Fetches the endpoint list, then watches it for as long as the process runs.
+
+    `EndpointWatch` decides which polls are in flight and when the next one is sent.
+    """
 
     def __init__(
         self,
@@ -67,20 +72,20 @@
         confirmation: ListConfirmation | None = None,
         is_serving: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`on_list`: receives each list that comes into force. `seed`: draws the delays, which must differ
-        between gateways. `confirmation`: unusual lists wait for a second answer; None: they do not.
-        `is_serving`: whether endpoints of the list answer requests now."""
+        """`on_list`: receives each list that comes into force. `seed`: of the random delays, which must
+        differ between gateways. `confirmation`: decides which lists need a second answer; None: no list does.
+        `is_serving`: returns whether endpoints of the list in force answer requests now."""
         self.loop = loop
         self.address = address
         self.on_list = on_list
-        self.version: int | None = None  # of the list in force; None requests the complete list
+        self.version: int | None = None  # of the list in force; None: the next poll is for the complete list
         self.current_list = CurrentList()
         self.connections: dict[int, HttpExchange] = {}
         self.connect_tasks: dict[int, asyncio.Task[None]] = {}
-        self.partial_decode: PartialDecode | None = None  # its poll still counts as in flight
+        self.partial_decode: PartialDecode | None = None  # meanwhile its poll counts as in flight
         self.timer: asyncio.TimerHandle | None = None
         self.scheduler = PollScheduler(terms, random.Random(seed))
-        # How long from now other members poll for this gateway.
+        # Returns how long from now, in seconds, other members poll for this gateway.
         self.delegated_for_s: Callable[[], float] = lambda: 0.0
         self.watch = EndpointWatch(
             self.scheduler,
@@ -88,19 +93,23 @@
             1 if confirmation is None else confirmation.ANSWERS_NEEDED,
         )
         self.confirmation, self.is_serving = confirmation, is_serving
-        # Receives what an unconfirmed list withdraws. Members are not sent such lists, so it may differ.
+        # Receives the endpoints that an unconfirmed list withdraws. A function of its own, as other members
+        # must not be sent unconfirmed lists.
         self.on_restriction = on_list
-        self.on_confirmed: Callable[[int], None] = lambda version: None  # after each valid answer
-        self.failed_polls = 0  # since the last valid answer
+        # Called with the version in force after each valid answer.
+        self.on_confirmed: Callable[[int], None] = lambda version: None
+        self.failed_polls = 0  # failures since the last valid answer
         self.last_poll_at = 0.0
-        self.first_poll_made = asyncio.Event()  # also set if it failed
-        self.first_answer = asyncio.Event()
+        self.first_poll_made = asyncio.Event()  # set when the first poll was sent, or could not be sent
+        self.first_answer = asyncio.Event()  # set at the first valid answer
         self.is_closed = False
 
     def start(self, saved: EndpointUpdate | None, patience_s: float, immediate: bool = False) -> bool:
-        """Schedules the first poll. `saved`: a saved list to serve by, if there is one; `patience_s`: how
-        long the start of the process would wait for an answer; `immediate`: poll without delay. Whether the
-        answer is worth waiting for."""
+        """Schedules the first poll; returns whether the start of the process should wait for its answer.
+
+        `saved`: a saved list to serve by, if there is one. `patience_s`: the longest wait of the start for an
+        answer. `immediate`: the first poll has no delay.
+        """
         if saved is not None:
             self.version = saved.version
             self.current_list.apply(saved)
@@ -111,8 +120,8 @@
         return is_worth_waiting
 
     def change_address(self, address: Address) -> None:
-        """Discovery has another address. The complete list is requested there, as versions are per address;
-        the list in force stays until then."""
+        """Polls at another address from now on. The complete list is requested there, as versions are only
+        comparable within one address; the list in force stays until it is received."""
         if address == self.address:
             return
         self.address, self.version = address, None
@@ -120,12 +129,12 @@
         self._reset_timer()
 
     def resume_polling(self) -> None:
-        """This gateway polls for other members from now on."""
+        """Ends the delegation of polls: this gateway polls for other members from now on."""
         self.watch.resume_polling(self.loop.time())
         self._reset_timer()
 
     def close(self) -> None:
-        """The end of the process."""
+        """Stops polling and closes all connections, as the process ends."""
         self.is_closed = True
         self._reset_timer()
         for connection_id in list(self.connections):
@@ -134,13 +143,13 @@
     # --- polls -------------------------------------------------------------------------------------------
 
     def _reset_timer(self) -> None:
-        """Arms the one timer, for the next poll."""
+        """Sets the timer to the time of the next poll; after `close` there is none."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = None if self.is_closed else self.loop.call_at(self.watch.next_poll_at, self.on_timer)
 
     def on_timer(self) -> None:
-        """The time of the next poll has come, or of the check of calls in flight."""
+        """Sends the poll that is due: the next one, or a hedged one beside those without a timely answer."""
         if self.watch.in_flight and self.watch.next_poll_at <= self.loop.time():
             self._log_failure("no answer")
         self._execute(self.watch.tick(self.loop.time(), self.version is not None))
@@ -157,7 +166,7 @@
                     self._close_connection(connection_id)
 
     def open_connection(self, connection_id: int, wait_s: float) -> None:
-        """Opens a connection and polls on it; the watch limits the time of both together."""
+        """Opens a connection and polls on it; the watch limits the time of both steps together."""
         exchange = HttpExchange(
             lambda response: self._on_response(connection_id, response),
             lambda: self._on_connection_closed(connection_id),
@@ -182,7 +191,7 @@
         if exchange is None:
             return
         if not exchange.is_usable():
-            # It was closed by the peer, and `_on_connection_closed` has not been called yet.
+            # The peer has closed the connection, and `_on_connection_closed` has not been called yet.
             self._close_connection(connection_id)
             self.watch.record_connection_lost(self.loop.time(), connection_id)
             self._reset_timer()
@@ -195,7 +204,7 @@
         exchange.get(f"{self.address[0]}:{self.address[1]}", target)
 
     def _close_connection(self, connection_id: int) -> None:
-        """Closes a connection; an answer on it no longer counts."""
+        """Closes a connection and drops its answer, also one that is being decoded."""
         task = self.connect_tasks.pop(connection_id, None)
         exchange = self.connections.pop(connection_id, None)
         if self.partial_decode is not None and self.partial_decode.connection_id == connection_id:
@@ -206,9 +215,9 @@
             exchange.abort()
 
     def _on_connection_closed(self, connection_id: int) -> None:
-        """A connection was closed by the peer or could not be opened."""
+        """Handles a connection that the peer closed or that could not be opened."""
         if self.partial_decode is not None and self.partial_decode.connection_id == connection_id:
-            self.partial_decode.is_connection_lost = True  # its answer is complete and still counts
+            self.partial_decode.is_connection_lost = True  # the answer was complete and remains valid
             return
         if self.is_closed or self.connections.pop(connection_id, None) is None:
             return
@@ -220,9 +229,9 @@
     # --- answers -----------------------------------------------------------------------------------------
 
     def _on_response(self, connection_id: int, response: HttpResponse) -> None:
-        """An answer was received. Changes, by which drains come, are in force at once. A long list is decoded
-        in parts and in force once it is complete, unless its connection is closed before: because another
-        answer was accepted, the address has changed, or the process ends."""
+        """Handles an answer. A short one, as changes with drains are, comes into force at once. A long one is
+        decoded in parts and comes into force once all are decoded, unless its connection is closed before
+        that: because another answer was accepted, the address has changed, or the process ends."""
         if connection_id not in self.watch.in_flight or connection_id not in self.connections:
             return
         if response.status == HTTP_OK and len(response.body) > MAX_UNDIVIDED_BODY_BYTES:
@@ -238,7 +247,7 @@
         )
 
     def decode_next_part(self, decoding: PartialDecode) -> None:
-        """Decodes the next part of an answer, if it still counts."""
+        """Decodes the next part of an answer, unless the answer was dropped."""
         if self.partial_decode is not decoding:
             return
         try:
@@ -262,7 +271,7 @@
         decode: Callable[[], EndpointUpdate],
         retry_after_s: float | None = None,
     ) -> None:
-        """Brings an answer into force, or schedules a retry if it is not valid."""
+        """Brings an answer into force, or schedules a retry if it is invalid."""
         now = self.loop.time()
         try:
             update = self._validate(status, decode)
@@ -270,7 +279,11 @@
             self._handle_invalid(now, connection_id, status, error, retry_after_s)
             return
         if self.failed_polls:
-            log.info("discovery answers again, after %d tries", self.failed_polls)
+            log.info(
+                "discovery answers again, after %d failed polls; the list from %s:%d is up to date",
+                self.failed_polls,
+                *self.address,
+            )
             self.failed_polls = 0
         has_changes = bool(update.event.endpoints)
         if self.version is None or has_changes or update.event.kind is EndpointListKind.FULL:
@@ -281,25 +294,25 @@
         self.version = update.version
         self.scheduler.record_answer()
         self.first_answer.set()
-        # A change ends the watches of all gateways at one moment.
+        # A change ends the watches of all gateways at the same time, so their next polls need random delays.
         delay_s = self.scheduler.synchronized_delay_s() if has_changes else 0.0
         delay_s = EMPTY_ANSWER_PAUSE_S if is_empty_at_once else delay_s
         self._execute(self.watch.record_answer(now, connection_id, delay_s))
         self._reset_timer()
 
     def _validate(self, status: int, decode: Callable[[], EndpointUpdate]) -> EndpointUpdate:
-        """The update of a valid answer; ValueError or RecursionError otherwise, UnconfirmedListError if it
-        needs a confirming answer. Where the complete list has to be requested next, `version` is None after
-        that."""
+        """Returns the update of a valid answer; raises ValueError or RecursionError if the answer is invalid,
+        UnconfirmedListError if it needs a confirming answer. If the next poll has to request the complete
+        list, `version` is None after the error."""
         if status != HTTP_OK:
-            raise EndpointListError(f"status {status}")
+            raise EndpointListError(f"HTTP status {status}")
         update = decode()
         if update.event.kind is not EndpointListKind.FULL:
             if self.version is None:
-                raise EndpointListError("changes to no list")
+                raise EndpointListError("changes instead of the complete list")
             if update.version < self.version:
-                self.version = None  # versions were reset: the changes in between are not known
-                raise EndpointListError("an older version")
+                self.version = None  # versions were reset: the changes in between are unknown
+                raise EndpointListError("changes with an older version than the list in force")
         confirmation = self.confirmation
         if confirmation is not None and not confirmation.accepts(
             update.version, update.event, self.is_serving()
@@ -308,18 +321,19 @@
             self._apply_restriction(confirmation, update.event)
             count = len(update.event.endpoints)
             raise UnconfirmedListError(
-                f"a list of version {update.version} with {count} servers, not believed yet"
+                f"a list of version {update.version} with {count} servers, not confirmed yet"
             )
         return update
 
     def _handle_invalid(
         self, now: float, connection_id: int, status: int, error: Exception, retry_after_s: float | None
     ) -> None:
-        """Schedules the poll after an answer that is not valid."""
+        """Schedules the poll after an invalid or unconfirmed answer."""
         self._log_failure(str(error))
         if status == HTTP_SERVICE_UNAVAILABLE:
-            # An overloaded service is not polled again at once: gateways take turns within the rate of all.
-            # With shorter delays its queue would stay longer than its clients wait.
+            # An overloaded service is not polled again at once: the delays spread the polls of all gateways
+            # over time, within the rate that they may have together. With shorter delays its queue would stay
+            # longer than its clients wait.
             delay_s = self.scheduler.record_rejection(retry_after_s, self.version is not None)
         else:
             delay_s = self.scheduler.record_failure()
@@ -331,7 +345,7 @@
         self._reset_timer()
 
     def _apply_restriction(self, confirmation: ListConfirmation, received: EndpointList) -> None:
-        """Brings into force at once what an unconfirmed list withdraws."""
+        """Brings into force at once which endpoints an unconfirmed list withdraws."""
         withdrawn = confirmation.withdraw_endpoints(received)
         if withdrawn:
             changes = EndpointList(EndpointListKind.CHANGES, withdrawn)
@@ -340,11 +354,15 @@
             self.on_restriction(update)
 
     def _log_failure(self, reason: str) -> None:
-        """Logs the first failure in a row: from then on the list in force may be out of date."""
+        """Counts a failure; logs the first one in a row, as the list in force may be out of date from then
+        on."""
         self.failed_polls += 1
         if self.failed_polls == 1:
             log.warning(
-                "discovery fails (%.80s): the list of version %s stays in force", reason, self.version
+                "discovery fails at %s:%d (%.80s): polls go on, and the list of version %s stays in force",
+                *self.address,
+                reason,
+                self.version,
             )
 
 
--- a/tests/clients/manual_discovery.py
+++ b/tests/clients/manual_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service whose answers a test writes by hand, and what the decision engine received of it."""
+"""A discovery service that a test answers by itself, and the endpoint states that the engine received."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ManualDiscovery(Peer):
-    """Keeps each poll with its connection until the test answers it."""
+    """Collects the polls with their connections; the test answers them by index."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,7 +24,7 @@
             self.polls.append((head.split(b" ")[1].decode(), writer))
 
     async def poll(self, index: int) -> asyncio.StreamWriter:
-        """The connection of a poll, once it has arrived."""
+        """Waits for a poll and returns the writer of its connection."""
         await until(lambda: len(self.polls) > index)
         return self.polls[index][1]
 
@@ -43,7 +43,7 @@
 
 
 def endpoint_states(script: Script) -> dict[str, str]:
-    """The last reported state of each endpoint, by address."""
+    """Returns the last state of each endpoint that the decision engine received, by address."""
     return {
         endpoint.address: endpoint.state.value
         for event in script.of(EndpointList)
--- a/tests/clients/test_discovery.py
+++ b/tests/clients/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client over loopback sockets: versions, errors, addresses."""
+"""The discovery client over loopback sockets: versions, errors, changes of its address."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def test_an_older_version_than_the_one_in_force_requests_the_complete_list() -> None:
-    """Discovery has reset its versions: the changes in between are not known."""
+    """As after discovery has reset its versions: the changes since the version in force are unknown."""
 
     async def scenario() -> None:
         rows = [row("a", 80), row("b", 81)]
@@ -84,12 +84,12 @@
 def test_an_address_that_refuses_connections_after_a_503_is_polled_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Discovery moves to an address that refuses connections while the delay after a 503 runs."""
+    """The address changes to one that refuses connections during the delay after a 503."""
 
     async def scenario() -> None:
         overloaded = DiscoveryPeer(http(b"", "503 Service Unavailable"))
         with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))  # nothing listens there, and nothing else can
+            taken.bind(("127.0.0.1", 0))  # reserves a port on which nothing listens
             async with site(discovery=overloaded) as one:
                 await until(lambda: one.program.discovery.failed_polls == 1)
                 one.program.discovery.change_address(taken.getsockname())
@@ -106,7 +106,7 @@
         async with site(discovery=discovery, cached_endpoints=saved) as one:
             await until(lambda: len(discovery.targets) == 2)
             assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
-            # A start must not wait for a change that may not come.
+            # The first poll must not wait for a change, as the start of the process waits for its answer.
             assert discovery.targets[0].endswith("timeout_ms=1")
             assert not discovery.targets[1].endswith("timeout_ms=1")
             assert one.program.servers.server_ids() == ["b"]
@@ -142,7 +142,8 @@
             one.program.discovery.change_address(("127.0.0.1", new.port))
             old.answers.append(listing(10, [], full=True))
             await until(lambda: new.targets)
-            assert list(one.program.servers.pools) == ["a"]  # the list in force stays until the new one comes
+            # The list in force stays until one is received from the new address.
+            assert list(one.program.servers.pools) == ["a"]
             new.answers.append(listing(2, [row("b", 81)]))
             await until(lambda: list(one.program.servers.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -1,4 +1,5 @@
-"""The discovery client on sockets: silent, late, reset, crossing and moved polls, and forms of the list."""
+"""The discovery client on sockets: polls without an answer, late, reset or concurrent ones, changes of the
+address, and lists in different JSON and HTTP encodings."""
 
 from __future__ import annotations
 
@@ -23,7 +24,7 @@
 
 @pytest.fixture
 def short_deadlines(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The deadlines at a tenth of their size."""
+    """Sets the deadlines to a tenth of their values."""
     for name, value in (
         ("NOTIFIED_AFTER_S", 0.6),
         ("NOTIFIED_AFTER_WAIT_S", 0.2),
@@ -37,7 +38,7 @@
 DRAIN_OF_A = listing(9, [row("a", 80, "Terminating")], full=False)
 BOTH_ACTIVE = listing(5, [row("a", 80), row("b", 81)])
 STALE = listing(6, [row("a", 80)], full=False)
-# Rows that cannot be decoded: by the address, a missing field, the type, a number.
+# Rows that cannot be decoded: an invalid address, a missing field, a wrong type, an invalid number.
 UNREADABLE = [
     row("b", 81) | {"addr": "nowhere"},
     {"id": "b", "state": "Ready"},
@@ -48,7 +49,7 @@
 
 async def serve_first_list(discovery: ManualDiscovery) -> None:
     """Brings a list into force and leaves a watch in flight: the poll of index 1. On a loaded machine the
-    first poll is hedged before the process reads its answer; those polls are removed."""
+    first poll may be hedged before the process reads its answer; such polls are removed."""
     number = 0
     while "since=5&" not in (await discovery.poll(number), discovery.polls[number][0])[1]:
         if not discovery.polls[number][1].transport.is_closing():
@@ -58,17 +59,17 @@
 
 
 async def silent_then_hedged(discovery: ManualDiscovery, script: Script) -> None:
-    """Both polls are answered at one moment, the older last: it reverts nothing."""
+    """Both polls are answered at the same time; the older version in the older one must revert nothing."""
     await discovery.poll(2)
     discovery.polls[2][1].write(DRAIN_OF_A)
-    discovery.polls[1][1].write(STALE)  # both are read in one round of the loop, in either order
+    discovery.polls[1][1].write(STALE)  # read in the same event loop iteration as the other
     await until(lambda: endpoint_states(script)["a"] == "draining")
     assert "since=9&" in (await discovery.poll(3), discovery.polls[3][0])[1]
     await until(lambda: discovery.open_connections == 1)
 
 
 async def late_answer_before_hedged(discovery: ManualDiscovery, script: Script) -> None:
-    """The late poll is answered while the hedged one is in flight, which is closed."""
+    """The late poll is answered while the hedged one is in flight; the connection of the latter is closed."""
     await discovery.poll(2)
     discovery.polls[1][1].write(DRAIN_OF_A)
     await until(lambda: endpoint_states(script)["a"] == "draining")
@@ -85,7 +86,7 @@
 
 
 def without_length(data: bytes) -> bytes:
-    """An answer that has no length: the end of the connection is its end."""
+    """Returns the answer without Content-Length, so that the end of the connection ends its body."""
     return b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + data.partition(b"\r\n\r\n")[2]
 
 
@@ -95,7 +96,7 @@
 
 
 async def answer_ended_by_reset(discovery: ManualDiscovery, script: Script) -> None:
-    """A reset does not end an answer, however complete it looks."""
+    """A body that is ended by a connection reset is invalid, even if its JSON is complete."""
     discovery.polls[1][1].write(without_length(STALE.replace(b'"version": 6', b'"version": 8')))
     await asyncio.sleep(0.02)
     discovery.reset(1)
@@ -105,13 +106,13 @@
 
 
 async def silent_within_answer(discovery: ManualDiscovery, script: Script) -> None:
-    """Half of an answer, then silence: the poll is hedged once its wait is over."""
+    """A part of an answer and then nothing: the poll is hedged once its time is over."""
     discovery.polls[1][1].write(DRAIN_OF_A[:-20])
     await discovery.answer(2, DRAIN_OF_A)
 
 
 async def byte_by_byte(discovery: ManualDiscovery, script: Script) -> None:
-    """An answer that arrives a byte at a time, complete in time."""
+    """An answer that is received byte by byte and is complete in time."""
     for start in range(len(DRAIN_OF_A)):
         discovery.polls[1][1].write(DRAIN_OF_A[start : start + 1])
         if start % 20 == 0:
@@ -119,7 +120,7 @@
 
 
 async def silent_for_several_polls(discovery: ManualDiscovery, script: Script) -> None:
-    """Two polls are in flight at most, and the one that is answered after the outage counts."""
+    """At most two polls are in flight; the one that is answered after the outage takes effect."""
     for number in range(2, 7):
         await discovery.poll(number)
         await until(lambda: discovery.open_connections <= watch.MAX_IN_FLIGHT)
@@ -128,7 +129,7 @@
 
 
 async def hedged_connection_refused(discovery: ManualDiscovery, script: Script) -> None:
-    """No connection can be opened for the hedged poll; the first is answered after all."""
+    """The connection for the hedged poll is refused; the first poll is answered late."""
     assert discovery.server is not None
     discovery.server.close()
     await asyncio.sleep(0.5)
@@ -178,9 +179,9 @@
 def test_a_drain_at_the_end_of_an_outage_is_received_in_time_with_a_list_age(
     name: str, short_deadlines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One of 200 gateways, at a service of 15 polls a second and a maximum list age of 30 s. The deadlines
-    are at a tenth of their size and the time to receive at its own, so that a loaded machine is slow
-    enough."""
+    """One of 200 gateways, with a service that takes 15 polls a second and a maximum list age of 30 s. The
+    deadlines are a tenth of their values, but the test waits for the full time, so that it also passes on a
+    loaded machine."""
 
     async def scenario() -> None:
         discovery, script = ManualDiscovery(), Script(lambda event: [])
@@ -203,7 +204,7 @@
                 await discovery.answer(number, DRAIN_OF_A)
                 await until(lambda: endpoint_states(script)["a"] == "draining")
 
-    # Delays of a start and after a change are tested elsewhere.
+    # The delays of a start and after a change have tests of their own.
     monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
     monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
     play(scenario())
@@ -228,7 +229,7 @@
 @pytest.mark.parametrize("padding_rows", [0, 200])
 @pytest.mark.parametrize("form", FORMS)
 def test_a_list_is_decoded_in_any_form_and_in_pieces(form: str, padding_rows: int) -> None:
-    """A short list, and one that is decoded in parts. It lacks `b`, which is thereby removed."""
+    """A short list, and one that is decoded in parts. Both lack `b`, which is thereby removed."""
 
     async def scenario() -> None:
         discovery, script = ManualDiscovery(), Script(lambda event: [])
@@ -275,7 +276,7 @@
 
 
 def test_a_list_without_a_readable_row_is_rejected() -> None:
-    """A list in an unknown form must not end service."""
+    """Guards against a gateway that stops serving because the format of the list has changed."""
     with pytest.raises(EndpointListError):
         decode_list({"version": 1, "full": True, "servers": UNREADABLE}, current=None)
     with pytest.raises(EndpointListError):
@@ -299,7 +300,7 @@
             discovery, first = one.program.discovery, one.program.discovery.address
             last = new
             if case == "silent":
-                await old.poll(2)  # a poll is late, and a hedged one in flight
+                await old.poll(2)  # one poll is late, and a hedged one is in flight
             if case == "connecting":
                 discovery.change_address(("127.0.0.1", other.port))
                 await until(lambda: bool(discovery.connect_tasks))
@@ -312,12 +313,12 @@
                 last = old
             before = len(last.polls)
             discovery.change_address(first if case == "back" else ("127.0.0.1", new.port))
-            # Answers from the former addresses no longer count.
+            # Answers from the former addresses must be ignored.
             for peer in {old, other, new} - {last}:
                 for writer in [one for _, one in peer.polls if not one.transport.is_closing()]:
                     writer.write(listing(99, [row("a", 80, "Terminating"), row("b", 81, "Terminating")]))
             await last.poll(before)
-            assert last.polls[before][0] == "/v1/servers"  # versions are per address
+            assert last.polls[before][0] == "/v1/servers"  # versions of another address mean nothing there
             await last.answer(before, listing(3, [row("a", 80, "Terminating"), row("b", 81)]))
             await until(lambda: endpoint_states(script)["a"] == "draining")
             assert endpoint_states(script)["b"] == "active"
@@ -330,8 +331,8 @@
 
 
 def test_a_start_receives_a_drain_before_it_serves_by_a_saved_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The saved list has an active endpoint that drains by now. The start waits from the moment of the poll
-    on: the time that the process needs to send it, on a fifth of a core, is not the service's."""
+    """The saved list has an active endpoint that drains by now. The wait of the start begins when the poll is
+    sent, so a process that is slow to send it, as on a fifth of a core, does not wait less for the answer."""
 
     async def scenario() -> None:
         discovery, script = ManualDiscovery(), Script(lambda event: [])
@@ -342,9 +343,9 @@
             assert endpoint_states(script)["s0"] == "draining"
         await task
 
-    def late(self: DiscoveryClient, connection_id: int, wait_s: float) -> None:
-        self.loop.call_later(2.0 * LIST_WAIT_S, at_once, self, connection_id, wait_s)
+    def delayed_open_connection(self: DiscoveryClient, connection_id: int, wait_s: float) -> None:
+        self.loop.call_later(2.0 * LIST_WAIT_S, open_connection, self, connection_id, wait_s)
 
-    at_once = DiscoveryClient.open_connection
-    monkeypatch.setattr(DiscoveryClient, "open_connection", late)
+    open_connection = DiscoveryClient.open_connection
+    monkeypatch.setattr(DiscoveryClient, "open_connection", delayed_open_connection)
     play(scenario())
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -1,4 +1,4 @@
-"""Unconfirmed endpoint lists in a gateway process: their drains hold before the confirming answer."""
+"""Unconfirmed endpoint lists in a gateway process: their drains take effect before the confirming answer."""
 
 from __future__ import annotations
 
@@ -31,10 +31,13 @@
 
 
 class ConfirmationCase(NamedTuple):
-    """An unconfirmed list, what holds before its confirmation, the confirming list, and what holds then."""
+    """An unconfirmed list, the answer to the confirming poll, and the states in force after each of them.
+
+    States are those of a, b, c and d: A active, D draining, - removed.
+    """
 
     first: bytes
-    before: str  # states of a, b, c, d: A active, D draining, - removed
+    before: str
     second: bytes
     after: str
 
@@ -71,8 +74,9 @@
 def test_a_drain_in_an_unconfirmed_list_holds_before_its_confirmation(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The confirming answer is held back until the first list has withdrawn endpoints, and is polled for
-    though any delay would be far too long. Members are not sent unconfirmed lists."""
+    """Guards against a drain that waits for the confirming answer: the test sends that answer only after the
+    drain is in force. The confirming poll must be sent at once, as any delay is 1000 s here. Other members
+    must not be sent unconfirmed lists."""
     monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
     monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
     monkeypatch.setattr(PollScheduler, "record_failure", lambda self: 1000.0)
@@ -84,7 +88,7 @@
     )
 
     def recorded(self: GatewayProgram, update: EndpointUpdate) -> None:
-        """Lists that members are sent pass here."""
+        """Records the versions of the lists that are shared with other members."""
         versions_for_members.append(update.version)
         listed(self, update)
 
@@ -106,7 +110,7 @@
 
             def summary() -> str:
                 reported = endpoint_states(script)
-                for name in "abcd":  # the transport and the decision engine agree
+                for name in "abcd":  # the pools and the decision engine must agree
                     assert servers.is_stopping(name) is (
                         name not in servers.server_ids() or reported[name] != "active"
                     )
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -298,7 +298,7 @@
             outcomes = [outcome for load in loads for outcome in load.outcomes]
             answered = [outcome for outcome in outcomes if outcome.answer == "served"]
             assert len(outcomes) == ASKED and len(answered) >= 0.95 * len(outcomes)
-            odd = sum("not believed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
+            odd = sum("not confirmed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
             assert odd == (0 if mode == "silent" else 2)
 
     play(scenario())
