--- a/glenchute/clients/__init__.py
+++ b/glenchute/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the services that gateways use: the counter, discovery, other members, and the other process."""
+"""Clients of the counter, of discovery, of the other members, and of the predecessor process."""
--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -1,7 +1,7 @@
 """Client of the shared counter: pipelined calls, replies matched in order, a timeout for each call.
 
-All calls for one key use the same connection, so that their replies come in the order of the calls. A call
-that was written and has no reply may have been applied: it ends as a timeout and is never repeated.
+All calls for one key use the same connection, so that their replies are received in the order of the calls.
+A call that was sent and has no reply may have been applied: it ends as a timeout and is never repeated.
 """
 
 from __future__ import annotations
@@ -20,26 +20,28 @@
 MAX_TOTAL = 1e12
 MIN_TTL_MS = 1
 MAX_TTL_MS = 60_000
-# Replies on a connection are in order, so a call that an overloaded part of the counter delays holds back the
-# replies of those behind it, and an invalid reply ends them all: several connections contain that.
+# Replies on a connection are in order, so a call that an overloaded part of the counter delays also delays
+# the replies to later calls, and an invalid reply ends all calls in flight. Several connections limit how
+# many calls are affected.
 DEFAULT_CONNECTIONS = MAX_COUNTER_CONNECTIONS
 PING_INTERVAL_S = 3.0  # the counter closes connections that are idle for about 10 s
-REPLY_TIMEOUT_S = 1.5  # after this the peer counts as lost, and the connection is reopened
+REPLY_TIMEOUT_S = 1.5  # the connection is reopened if the oldest call has no reply by then
 HEARTBEAT_INTERVAL_S = 0.5
 CONNECT_TIMEOUT_S = 0.5
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 BACKOFF_FACTOR = 2.0
 
-# Receives the total of the key in units (0 unless the outcome is OK), the outcome, and the latency in ms.
+# A callback that receives the total of the key in units (0 unless the outcome is OK), the outcome, and the
+# latency in ms.
 Completion = Callable[[float, Outcome, float], None]
 
 
 class CounterCall:
-    """One call in flight, or a PING, which has no key.
+    """A call in flight, or a PING, which has no key.
 
-    `on_done` is called once with the result. If that was a timeout, `on_late_reply` is called once more, with
-    the reply that came later, or with another timeout when there will be none.
+    `on_done` is called once, with the result. If that was a timeout, `on_late_reply` is called once after it,
+    with the late reply, or with another timeout once it is certain that there will be none.
     """
 
     __slots__ = ("key", "on_done", "on_late_reply", "sent_at", "timer")
@@ -58,7 +60,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def complete(self, now: float, outcome: Outcome, total: float = 0.0) -> None:
-        """Reports a result: the first time to `on_done`, the second to `on_late_reply`, then to nobody."""
+        """Reports the first result to `on_done` and the second to `on_late_reply`; ignores any others."""
         completion, self.on_done = self.on_done, None
         if completion is None:
             completion, self.on_late_reply = self.on_late_reply, None
@@ -69,7 +71,7 @@
             completion(total, outcome, 1000.0 * (now - self.sent_at))
 
     def abandon(self, now: float) -> None:
-        """Reports that the result will never be known."""
+        """Reports a timeout, also in place of a late reply: the result will never be known."""
         self.complete(now, Outcome.TIMEOUT)
         self.complete(now, Outcome.TIMEOUT)
 
@@ -82,10 +84,11 @@
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.parser = resp.Parser()
-        self.calls: deque[CounterCall] = deque()  # without a reply, expired ones too, so that replies match
+        # Calls without a reply, oldest first, including those that timed out, as their replies still arrive.
+        self.calls: deque[CounterCall] = deque()
         self.backoff_s = MIN_BACKOFF_S
-        self.is_retired = False  # takes no new calls, and is closed once those in flight have ended
-        self.is_closed = False  # is not reopened
+        self.is_retired = False  # whether it is closed as soon as no call is in flight, and gets no new ones
+        self.is_closed = False  # whether it must not be reopened
         self.has_answered = False
         self.last_used_at = 0.0
         self.connect_task: asyncio.Task[None] | None = None
@@ -98,7 +101,7 @@
             self.connect_task = self.loop.create_task(self._try_connect())
 
     async def _try_connect(self) -> None:
-        """One attempt to connect; a failed one is repeated after the backoff."""
+        """Makes one attempt to connect; schedules the next one if it fails."""
         try:
             await asyncio.wait_for(
                 self.loop.create_connection(lambda: self, *self.address), CONNECT_TIMEOUT_S
@@ -107,7 +110,8 @@
             self._reconnect()
 
     def _reconnect(self) -> None:
-        """Connects again: at once if the lost connection had answered, otherwise with growing backoff."""
+        """Connects again: at once if the lost connection had received a reply, otherwise after an exponential
+        backoff."""
         if self.has_answered:
             self.has_answered = False
             self.loop.call_soon(self.connect)
@@ -116,54 +120,54 @@
         self.backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * self.backoff_s)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Sends a PING on the open connection; closes it if it was retired while it was connecting."""
         self.transport = transport  # type: ignore[assignment]
         if self.is_closed:
-            transport.abort()  # type: ignore[attr-defined]  # retired while it was connecting
+            transport.abort()  # type: ignore[attr-defined]
             return
         self.parser = resp.Parser()
         self.write(resp.encode_command(b"PING"), CounterCall(None, self.loop.time()))
 
     def write(self, data: bytes, call: CounterCall) -> None:
-        """Sends a command; its reply completes the call."""
+        """Sends a command, whose reply completes the call."""
         assert self.transport is not None
         self.calls.append(call)
         self.transport.write(data)
 
     def is_ready(self) -> bool:
-        """Whether a command can be sent."""
+        """Returns whether a command can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Handles the replies that are complete; an invalid one aborts the connection."""
         try:
             self.parser.feed(data)
             while (reply := self.parser.next_message()) is not False:
                 self._handle_reply(reply)
         except (resp.ProtocolError, IndexError):
             if self.transport is not None:
-                self.transport.abort()  # replies no longer match calls
+                self.transport.abort()  # further replies could not be matched to calls
         if self.is_retired and not self.calls:
             self.close()
 
     def _handle_reply(self, reply: object) -> None:
-        """The reply to the oldest call. Only the forms of the protocol prove what became of it; after any
-        other (ProtocolError) the amount counts as added and the connection as unusable."""
+        """Completes the oldest call with its reply. Any reply that the protocol does not provide for raises
+        ProtocolError: it is unknown then whether the amount was added, and the connection is unusable."""
         outcome, total = Outcome.TIMEOUT, 0.0
         if self.calls[0].key is None:
             if reply != "PONG":
-                raise resp.ProtocolError("no answer to a ping")
+                raise resp.ProtocolError("reply to PING is not PONG")
         elif isinstance(reply, bytes) and TOTAL_PATTERN.fullmatch(reply) and abs(float(reply)) <= MAX_TOTAL:
             outcome, total = Outcome.OK, float(reply)
         elif isinstance(reply, resp.ReplyError) and (str(reply) == "BUSY" or str(reply)[:4] == "ERR "):
             outcome = Outcome.REJECTED
         else:
-            raise resp.ProtocolError("no total")
+            raise resp.ProtocolError("reply is neither a total nor an error of the protocol")
         self.has_answered, self.backoff_s = True, MIN_BACKOFF_S
         self.calls.popleft().complete(self.loop.time(), outcome, total)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Reconnects, unless the connection was closed for good, and abandons the calls in flight."""
         self.transport = None
         calls, self.calls = self.calls, deque()
         if not self.is_closed:
@@ -171,10 +175,11 @@
         else:
             self.heartbeat_timer.cancel()
         for call in calls:
-            call.abandon(self.loop.time())  # it may have been applied
+            call.abandon(self.loop.time())  # the counter may have applied it
 
     def heartbeat(self) -> None:
-        """Keeps the connection from being closed as idle, and aborts one whose peer has gone silent."""
+        """Sends a PING on an idle connection, so that the counter does not close it; aborts a connection
+        whose oldest call has no reply after `REPLY_TIMEOUT_S`."""
         self.heartbeat_timer = self.loop.call_later(HEARTBEAT_INTERVAL_S, self.heartbeat)
         if self.transport is None:
             return
@@ -187,13 +192,14 @@
             self.write(resp.encode_command(b"PING"), CounterCall(None, now))
 
     def retire(self) -> None:
-        """Takes no new calls, and closes once those in flight have ended, be it by `REPLY_TIMEOUT_S`."""
+        """Closes the connection once all calls in flight have a reply, or after `REPLY_TIMEOUT_S`."""
         self.is_retired = self.is_closed = True
         if not self.calls:
             self.close()
 
     def abandon_key(self, key: int) -> None:
-        """A call for this key is sent on another connection: a late reply here would come out of order."""
+        """Abandons the calls for a key, because a later call for it is sent on another connection: their
+        replies here would be out of order."""
         for call in self.calls:
             if call.key == key:
                 call.abandon(self.loop.time())
@@ -218,15 +224,15 @@
         timeout_s: float,
         connection_count: int = DEFAULT_CONNECTIONS,
     ) -> None:
-        """`timeout_s`: of a call."""
+        """`timeout_s`: of each call, from its sending to its reply."""
         self.loop = loop
         self.timeout_s = timeout_s
         self.address = address
         self.connections = [CounterConnection(loop, address) for _ in range(connection_count)]
-        self.retiring: list[CounterConnection] = []  # to former addresses, with calls in flight
+        self.retiring: list[CounterConnection] = []  # connections to former addresses with calls in flight
 
     def change_address(self, address: Address) -> None:
-        """The counter has another address: new calls are sent there."""
+        """Sends new calls to another address from now on; those in flight may still be answered."""
         if address == self.address:
             return
         self.address = address
@@ -236,18 +242,23 @@
         self.connections = [CounterConnection(self.loop, address) for _ in range(len(self.connections))]
 
     def increment(
-        self, name: int, amount: float, ttl_ms: float, done: Completion, late: Completion | None = None
+        self,
+        key: int,
+        amount: float,
+        ttl_ms: float,
+        on_done: Completion,
+        on_late_reply: Completion | None = None,
     ) -> None:
         """Adds an amount to the total of a key, which expires after `ttl_ms`.
 
-        `done` is called once within the timeout; with UNREACHABLE if nothing was sent. After a timeout `late`
-        is called once with the late reply, or with a timeout again if there is none within `REPLY_TIMEOUT_S`
-        and one heartbeat.
+        `on_done` is called once within the timeout; with UNREACHABLE if nothing was sent. After a timeout
+        `on_late_reply` is called once with the late reply, or with another timeout if there is none within
+        `REPLY_TIMEOUT_S` and one heartbeat.
         """
-        connection, now = self.connections[name % len(self.connections)], self.loop.time()
+        connection, now = self.connections[key % len(self.connections)], self.loop.time()
         if self.retiring:
-            self._abandon_retiring(name)
-        call = CounterCall(done, now, name, late)
+            self._abandon_retiring(key)
+        call = CounterCall(on_done, now, key, on_late_reply)
         if not connection.is_ready():
             call.on_late_reply = None
             call.complete(now, Outcome.UNREACHABLE)
@@ -255,8 +266,9 @@
         call.timer = self.loop.call_later(self.timeout_s, self._expire, call, connection)
         connection.last_used_at = now
         ttl = max(MIN_TTL_MS, min(MAX_TTL_MS, round(ttl_ms)))
-        # Gateways agree on keys in decimal; the decision engine rounds amounts to three places.
-        connection.write(resp.encode_command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
+        # All gateways write keys in decimal, so that they share them. The decision engine rounds amounts to
+        # three decimal places.
+        connection.write(resp.encode_command(b"INCRTTL", b"%d" % key, b"%.3f" % amount, b"%d" % ttl), call)
 
     def _abandon_retiring(self, key: int) -> None:
         for connection in self.retiring:
@@ -264,13 +276,13 @@
         self.retiring = [connection for connection in self.retiring if connection.calls]
 
     def _expire(self, call: CounterCall, connection: CounterConnection) -> None:
-        """A call has timed out. It stays among the calls of its connection, as its reply still comes, unless
-        an incomplete one is in the way: then the connection is aborted."""
+        """Reports the timeout of a call. It stays among the calls of its connection, as its reply may still
+        be received; but if a reply is incomplete at this moment, the connection is aborted."""
         call.complete(self.loop.time(), Outcome.TIMEOUT)
         if connection.parser.has_unparsed() and connection.transport is not None:
             connection.transport.abort()
 
     def close(self) -> None:
-        """The end of the process."""
+        """Closes all connections, as the process ends."""
         for connection in [*self.connections, *self.retiring]:
             connection.close()
--- a/glenchute/clients/http_exchange.py
+++ b/glenchute/clients/http_exchange.py
@@ -17,7 +17,7 @@
 
     status: int
     body: bytes
-    retry_after_s: float | None  # None: not named, or not as a number of seconds
+    retry_after_s: float | None  # None: there is no Retry-After header, or it is not a number of seconds
 
 
 def parse_retry_after_s(text: bytes) -> float | None:
@@ -26,12 +26,13 @@
 
 
 class HttpExchange(asyncio.Protocol):
-    """The connection. It is closed on an invalid response, on one over `MAX_BODY_BYTES`, and after one that
-    does not leave it reusable."""
+    """A connection for one request at a time. It is closed after an invalid response, during one whose body
+    exceeds `MAX_BODY_BYTES`, and after one that does not leave it usable for another request."""
 
     def __init__(self, on_response: Callable[[HttpResponse], None], on_closed: Callable[[], None]) -> None:
-        """`on_closed`: called once the connection has ended, whoever ended it."""
-        import h11  # a tenth of the import time of a start, and not needed before the first request
+        """`on_response`: receives each complete response. `on_closed`: called when the connection has ended,
+        whichever side closed it."""
+        import h11  # takes a tenth of a start's import time and is not needed before the first request
 
         self.h11 = h11
         self.on_response = on_response
@@ -44,13 +45,13 @@
         self.is_aborted = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Keeps the transport; closes it if `abort` was called while it was connecting."""
         self.transport = transport  # type: ignore[assignment]
         if self.is_aborted:
-            transport.abort()  # type: ignore[attr-defined]  # abandoned while it was connecting
+            transport.abort()  # type: ignore[attr-defined]
 
     def get(self, host: str, target: str) -> None:
-        """Sends a GET request. `host`: for the Host header; `target`: path and query."""
+        """Sends a GET request. `host`: the value of the Host header; `target`: path and query."""
         assert self.transport is not None
         head = self.h11.Request(
             method="GET", target=target, headers=[("Host", host), ("Accept", "application/json")]
@@ -58,12 +59,12 @@
         self.transport.write((self.http.send(head) or b"") + (self.http.send(self.h11.EndOfMessage()) or b""))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Passes received bytes to the HTTP parser."""
         self._feed(data)
 
     def eof_received(self) -> None:
-        """The peer has closed its side; whether this side stays open."""
-        self._feed(b"")  # ends a body without a length
+        """Handles the end of the peer's data. Returns None, upon which asyncio closes this side too."""
+        self._feed(b"")  # completes a response whose body has no length
 
     def _feed(self, data: bytes) -> None:
         try:
@@ -74,7 +75,7 @@
             self.abort()
 
     def _handle_next_event(self) -> bool:
-        """One step of the parser; False when it needs more bytes."""
+        """Handles the next event of the parser; returns False if there are no more for now."""
         event = self.http.next_event()
         if isinstance(event, self.h11.Response):
             self.status, self.body = event.status_code, b""
@@ -102,17 +103,17 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Reports the end of the connection."""
         self.transport = None
         self.on_closed()
 
     def is_usable(self) -> bool:
-        """Whether another request may be sent."""
+        """Returns whether another request can be sent."""
         is_idle = self.http.our_state is self.h11.IDLE
         return is_idle and self.transport is not None and not self.transport.is_closing()
 
     def abort(self) -> None:
-        """Closes the connection, now or once it has come up."""
+        """Closes the connection, or cancels it if it is still connecting."""
         self.is_aborted = True
         if self.transport is not None:
             self.transport.abort()
--- a/tests/clients/test_counter.py
+++ b/tests/clients/test_counter.py
@@ -43,7 +43,7 @@
             )
 
         call(2)
-        assert results == [(2, 0.0, Outcome.UNREACHABLE)]  # not connected yet: nothing was sent
+        assert results == [(2, 0.0, Outcome.UNREACHABLE)]  # nothing was sent, as no connection was open
         await until(lambda: all(connection.is_ready() for connection in client.connections))
         call(2)
         await until(lambda: len(results) == 2)
@@ -84,7 +84,7 @@
             count = len(results)
             await until(lambda: len(results) > count)  # noqa: B023
         assert results == [(0.0, Outcome.TIMEOUT), (3.0, Outcome.OK)]
-        assert len(peer.calls()) == 2  # the first was not repeated
+        assert len(peer.calls()) == 2  # the first call was not repeated
         client.close()
         await peer.stop()
 
@@ -205,7 +205,8 @@
         await until(lambda: len(former_peer.calls()) == 2)
         client.change_address(("127.0.0.1", new_peer.port))
         await until(lambda: all(connection.is_ready() for connection in client.connections))
-        call(4)  # its call on the former connection ends now: replies for one key keep their order
+        # Ends the call for this key on the former connection, so that replies for one key keep their order.
+        call(4)
         await until(lambda: len(results) == 2)
         assert results == [(4, 0.0, Outcome.TIMEOUT), (4, 3.0, Outcome.OK)]
         release.set()
