--- a/glenchute/protocol/__init__.py
+++ b/glenchute/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats, fed byte by byte; no sockets."""
+"""Encoding and decoding of wire formats. No I/O."""
--- a/glenchute/protocol/endpoint_list.py
+++ b/glenchute/protocol/endpoint_list.py
@@ -1,8 +1,9 @@
-"""Discovery's JSON form of the endpoint list.
+"""Decoding of discovery's JSON endpoint list.
 
-`decode_list` decodes a parsed answer at once, `decode_list_in_parts` the text of a long one with pauses. Both
-give the same result. Rows that cannot be decoded leave their endpoints as they were in the list in force
-(`CurrentList`), so that a faulty row hides nothing of the others; without such a list they are errors.
+`decode_list` decodes a parsed answer at once, `decode_list_in_parts` the text of a long one in several turns
+of the event loop. Both give the same result. A row that cannot be decoded leaves its endpoint as it is in the
+list in force (`CurrentList`), so that a faulty row does not discard the others; without such a list it is an
+error.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
-if TYPE_CHECKING:  # imported with the first long list: most processes never receive one
+if TYPE_CHECKING:  # imported when the first long list is decoded: most processes never receive one
     from glenchute.policy.balancing.hash_ring import RingBuilder, RingedEndpoints
 
 log = logging.getLogger("glenchute")
@@ -25,8 +26,8 @@
 ROWS_PER_PART = 64  # decoded in one turn of the event loop
 JSON_DECODER = json.JSONDecoder()
 WHITESPACE = re.compile(r"[ \t\n\r]*")
-# The text up to the rows. The key cannot be nested, as no other object or array has been opened before it.
-LIST_HEAD = re.compile(r'\s*\{[^][{}]*"servers"\s*:\s*\[')
+# The text before the rows. The key is not nested, as the pattern allows no other object or array before it.
+LIST_HEAD_PATTERN = re.compile(r'\s*\{[^][{}]*"servers"\s*:\s*\[')
 DECODING_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 ENDPOINT_STATES = {
@@ -35,23 +36,23 @@
     "Gone": EndpointState.REMOVED,
 }
 
-EndpointRow = tuple[Endpoint, Address | None]  # an endpoint, and where it listens if the row says so
+EndpointRow = tuple[Endpoint, Address | None]  # an endpoint, and its address if the row has one
 
 
 class EndpointListError(ValueError):
-    """A list, row or address that cannot be decoded; the text is the reason."""
+    """A list, row or address cannot be decoded; the text is the reason."""
 
 
 def parse_address(text: Any) -> Address:
-    """Parses `host:port`; EndpointListError if it is something else."""
+    """Parses `host:port`; raises EndpointListError if the text is not of this form."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise EndpointListError(f"not an address: {text!r}")
+        raise EndpointListError(f"{text!r} is not an address of the form host:port")
     return host, int(port)
 
 
 def decode_endpoint(row: dict[str, Any]) -> Endpoint:
-    """Decodes the endpoint of a row. An unknown state counts as draining: nothing new is sent there."""
+    """Decodes the endpoint of a row. An unknown state counts as draining, so that it gets no new requests."""
     return Endpoint(
         address=str(row["id"]),
         zone=str(row.get("zone", "")),
@@ -63,33 +64,34 @@
 
 
 def decode_row(row: Any) -> EndpointRow:
-    """Decodes a row; one of `DECODING_ERRORS` if that fails. An active endpoint needs an address."""
+    """Decodes a row; raises one of `DECODING_ERRORS` if it is invalid, as is an active endpoint without an
+    address."""
     endpoint = decode_endpoint(row)
     address = parse_address(row["addr"]) if row.get("addr") else None
     if endpoint.state is EndpointState.ACTIVE and address is None:
-        raise EndpointListError(f"no address for {endpoint.address}")
+        raise EndpointListError(f"active endpoint {endpoint.address} has no address")
     return endpoint, address
 
 
 class CurrentList:
-    """The list in force, and what decoding the last long list left for the next one."""
+    """The list in force, and the decoded rows of the last long list, which speed up decoding the next one."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, EndpointRow] = {}  # by the endpoint's name
+        self.rows: dict[str, EndpointRow] = {}  # by endpoint name
         # The rows of the last long complete list by their text, and the positions of its endpoints on the
-        # hash ring. Both follow from the text alone: they are valid even if that list is not in force.
+        # hash ring. Both depend on the text alone, so they are valid even if that list is not in force.
         self.rows_by_text: dict[str, EndpointRow] = {}
         self.ring_positions: dict[str, tuple[bytes, str]] = {}
 
     def apply(self, update: EndpointUpdate) -> None:
         """Brings a list, or changes to it, into force."""
         is_complete = update.event.kind is not EndpointListKind.CHANGES
-        placed: RingedEndpoints | None = getattr(update.event.endpoints, "as_ringed", None)
-        if placed is not None and is_complete:
-            self.rows = placed.listed_servers  # made while the list was decoded
+        ringed: RingedEndpoints | None = getattr(update.event.endpoints, "as_ringed", None)
+        if ringed is not None and is_complete:
+            self.rows = ringed.listed_servers  # built while the list was decoded
             return
-        if placed is not None and len(placed.listed_servers) == len(placed):
-            self.rows.update(placed.listed_servers)
+        if ringed is not None and len(ringed.listed_servers) == len(ringed):
+            self.rows.update(ringed.listed_servers)
             return
         if is_complete:
             self.rows = {}
@@ -100,8 +102,9 @@
                 self.rows[endpoint.address] = endpoint, update.addresses.get(endpoint.address)
 
     def fallback_rows(self, decoded: set[str], unreadable: list[Any]) -> list[EndpointRow]:
-        """The rows in force in place of unreadable ones: of the endpoints that those name; if any names none,
-        of all endpoints that are not among the `decoded` names."""
+        """Returns the rows in force that replace unreadable ones: those of the endpoints that the unreadable
+        rows name; if one of them has no name, those of all endpoints that are not among the `decoded` names.
+        """
         names = [row.get("id") if isinstance(row, dict) else None for row in unreadable]
         if not all(isinstance(name, str) for name in names):
             names = list(self.rows)
@@ -109,18 +112,18 @@
 
 
 class RowDecoder:
-    """Collects the rows of one list."""
+    """Decodes and collects the rows of one list."""
 
     def __init__(self, current: CurrentList | None, ring_builder: RingBuilder | None = None) -> None:
-        """`current`: the list in force, for unreadable rows; None: they are errors. `ring_builder`: is given
-        each row, so that the tables of a long list are built along with it."""
+        """`current`: the list in force, whose rows replace unreadable ones; None: those are errors.
+        `ring_builder`: receives each row, so that the hash rings of a long list are built along with it."""
         self.current, self.ring_builder = current, ring_builder
         self.rows: list[EndpointRow] = []
         self.addresses: dict[str, Address] = {}
         self.unreadable: list[Any] = []
 
     def decode(self, row: Any) -> EndpointRow | None:
-        """Decodes and adds a row; None if it is unreadable."""
+        """Decodes and adds a row; returns None if it is unreadable."""
         try:
             decoded = decode_row(row)
         except DECODING_ERRORS:
@@ -140,8 +143,8 @@
             self.ring_builder.add(row)
 
     def finish(self, raw: Any, saved: bool = False) -> EndpointUpdate:
-        """The update made of the rows and of the list's other fields in `raw`. `saved`: the list is a saved
-        one and not an answer."""
+        """Returns the update that consists of the rows and of the list's other fields in `raw`. `saved`: the
+        list is a saved one and not an answer."""
         kind = list_kind(raw, saved)
         version = int(raw["version"])
         if self.unreadable and self.current is not None:
@@ -151,15 +154,16 @@
         return EndpointUpdate(version, EndpointList(kind, endpoints), self.addresses)
 
     def _last_rows(self) -> tuple[Endpoint, ...]:
-        """The endpoints, each once; of several rows with one name the last counts."""
+        """Returns each endpoint once; of several rows with the same name the last one applies."""
         return tuple({endpoint.address: endpoint for endpoint, _ in self.rows}.values())
 
     def _replace_unreadable(self, current: CurrentList, kind: EndpointListKind) -> None:
-        """Leaves the endpoints of unreadable rows as they are. A list without a readable row is an error."""
+        """Adds the rows in force of the endpoints whose rows are unreadable, so that a complete list does not
+        remove them. A list without a readable row is an error."""
         if not self.rows:
-            raise EndpointListError(f"none of {len(self.unreadable)} rows can be read")
+            raise EndpointListError(f"none of the {len(self.unreadable)} rows can be decoded")
         log.warning(
-            "%d of %d rows of the list can't be read: their servers stay as they were",
+            "%d of the %d rows of discovery's endpoint list can't be decoded: their endpoints stay unchanged",
             len(self.unreadable),
             len(self.unreadable) + len(self.rows),
         )
@@ -170,15 +174,15 @@
 
 
 def list_kind(raw: Any, saved: bool) -> EndpointListKind:
-    """Whether a list is a saved one, a complete answer, or changes to the list in force."""
+    """Returns the kind of a list: a saved one, a complete answer, or changes to the list in force."""
     if saved:
         return EndpointListKind.CACHED
     return EndpointListKind.FULL if raw["full"] else EndpointListKind.CHANGES
 
 
 def decode_list(raw: Any, saved: bool = False, current: CurrentList | None = None) -> EndpointUpdate:
-    """Decodes a parsed list; EndpointListError if that fails. `saved`: it is a saved list and not an answer;
-    `current`: the list in force, if there is one."""
+    """Decodes a parsed list; raises EndpointListError if it is invalid. `saved`: it is a saved list and not
+    an answer. `current`: the list in force, if there is one."""
     try:
         rows = RowDecoder(current)
         for row in raw["servers"]:
@@ -189,17 +193,18 @@
 
 
 def decode_list_in_parts(body: bytes, current: CurrentList | None) -> Generator[None, None, EndpointUpdate]:
-    """Decodes the body of an answer like `decode_list`, and yields after every `ROWS_PER_PART` rows:
-    thousands of rows at once would delay all requests. ValueError or RecursionError if that fails.
+    """Decodes the body of an answer like `decode_list`, and yields after every `ROWS_PER_PART` rows, as
+    decoding thousands of rows at once would delay all requests. Raises ValueError or RecursionError if the
+    body is invalid.
 
-    Rows are taken out of the text one by one; what remains of it is parsed at the end. The tables of a long
-    list are built on the way. A row whose text was in the previous long list is not parsed again: text that
-    is one JSON object is the same object wherever it stands.
+    Rows are cut out of the text and decoded one by one; the rest of the text is parsed at the end. The hash
+    rings of a long list are built in the same steps. A row whose text was in the previous long list is not
+    parsed again, as the same text of a complete JSON object always gives the same row.
     """
     from glenchute.policy.balancing.hash_ring import RingBuilder
 
     text = body.decode(json.detect_encoding(body), "surrogatepass")
-    head = LIST_HEAD.match(text)
+    head = LIST_HEAD_PATTERN.match(text)
     if head is None:
         return decode_list(json.loads(text), current=current)
     ring_builder = RingBuilder(current.ring_positions if current is not None else {})
@@ -213,7 +218,7 @@
         if current is not None and raw.get("full") and len(rows_by_text) > MAX_SUBSET_SIZE:
             current.rows_by_text, current.ring_positions = rows_by_text, ring_builder.positions
         known_rows = rows_by_text = {}
-        yield  # the previous rows are freed in another turn than the one that brings this list into force
+        yield  # frees the previous rows in a turn before the one that brings this list into force
         return rows.finish(raw) if not raw["servers"] else decode_list(json.loads(text), current=current)
     except DECODING_ERRORS as error:
         raise as_list_error(error) from None
@@ -226,9 +231,9 @@
     known_rows: dict[str, EndpointRow],
     rows_by_text: dict[str, EndpointRow],
 ) -> Generator[None, None, int]:
-    """Decodes the rows of an array into `rows`, yielding after every `ROWS_PER_PART`; returns the index at
-    which they end in the text. `start`: behind the opening bracket; `known_rows`: rows by their text, which
-    need no parsing; `rows_by_text`: is filled with those of this array."""
+    """Decodes the rows of an array into `rows` and yields after every `ROWS_PER_PART`; returns the index in
+    the text at which the rows end. `start`: the index after the opening bracket. `known_rows`: rows by their
+    text, which are not parsed again. `rows_by_text`: is filled with the rows of this array."""
     row_count, position = 0, skip_whitespace(text, start)
     has_more = not text.startswith("]", position)
     while has_more:
@@ -245,7 +250,7 @@
             row_text = text[row_start:position]
         if decoded is not None:
             rows_by_text[row_text] = decoded
-        if not text.startswith(", {", position):  # the usual separator; below, any other
+        if not text.startswith(", {", position):  # the common separator needs no search for whitespace
             position = skip_whitespace(text, position)
             has_more = text.startswith(",", position)
         if has_more:
@@ -257,13 +262,13 @@
 
 
 def as_list_error(error: Exception) -> EndpointListError:
-    """An error of decoding as the error of the list."""
+    """Converts any error of decoding to an EndpointListError."""
     if isinstance(error, EndpointListError):
         return error
-    return EndpointListError(f"not a list of servers ({error!r})")
+    return EndpointListError(f"not an endpoint list ({error!r})")
 
 
 def skip_whitespace(text: str, start: int) -> int:
-    """The index of the first character from `start` on that is no JSON whitespace."""
+    """Returns the index of the first character from `start` on that is not JSON whitespace."""
     found = WHITESPACE.match(text, start)
     return found.end() if found is not None else start
--- a/glenchute/protocol/member_datagrams.py
+++ b/glenchute/protocol/member_datagrams.py
@@ -1,6 +1,7 @@
-"""The datagrams between members: MessagePack by msgspec, a version first, every size bounded.
+"""Encoding and decoding of the datagrams between members: MessagePack, a version first, all sizes limited.
 
-A datagram that is malformed, of another version or of another fleet is dropped as a whole, and counted.
+A datagram that is malformed, of another version or of another fleet raises InvalidDatagram: the caller drops
+it as a whole and counts it by the reason.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 MAX_DATAGRAM_BYTES = 4096  # a longer one is not decoded
 MAX_NAME_LENGTH = 64
 MAX_BOOT = 1 << 63
-MAX_SERIAL = 1 << 62  # of incarnations, ballots and serials
+MAX_SERIAL = 1 << 62  # upper limit, exclusive, of incarnations, ballot numbers and serials
 MAX_LEASE_SPAN_S = 1e4
 HEX_ACCOUNT = re.compile("[0-9a-f]{16}")
 
 
-class Form(IntEnum):
-    """What the body of a datagram holds."""
+class BodyType(IntEnum):
+    """The type of a datagram's body, by its number on the wire."""
 
     SWIM = 0
     DELTA = 1
@@ -44,18 +45,18 @@
 
 
 class Packet(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A datagram; `body` is decoded by its `form`."""
+    """A datagram; `body_type` says how `body` is decoded."""
 
     version: int
     fleet: str
     name: str
     boot: int
-    form: int
+    body_type: int
     body: msgspec.Raw
 
 
 class SwimBody(msgspec.Struct, array_like=True):
-    """A SWIM message; updates are name, state, incarnation and boot."""
+    """The body of a SWIM message; an update is name, state, incarnation and boot."""
 
     kind: int
     serial: int
@@ -64,7 +65,7 @@
 
 
 class InvalidDatagram(Exception):  # noqa: N818
-    """A datagram that is dropped; its text is the reason, for a counter."""
+    """A datagram is invalid; the text is the reason, under which it is counted."""
 
 
 MemberMessage = (
@@ -76,67 +77,71 @@
 )
 
 ENCODER = msgspec.msgpack.Encoder()
-PACKET = msgspec.msgpack.Decoder(Packet)
-SWIM = msgspec.msgpack.Decoder(SwimBody)
-LEASE = msgspec.msgpack.Decoder(tuple[int, str, tuple[int, str, int], tuple[int, str, int], float, bool])
-DELTA = msgspec.msgpack.Decoder(list[tuple[int, str, str, int, float, int]])
-DIGEST = msgspec.msgpack.Decoder(tuple[int, list[int], bool])
-HASHES_OR_BUCKETS = msgspec.msgpack.Decoder(tuple[list[int], bool])
-LEAF_REQUEST = msgspec.msgpack.Decoder(tuple[int, list[int]])
-VERSION_REPLY = msgspec.msgpack.Decoder(tuple[int, int, int])
-LIST_PART = msgspec.msgpack.Decoder(
+PACKET_DECODER = msgspec.msgpack.Decoder(Packet)
+SWIM_DECODER = msgspec.msgpack.Decoder(SwimBody)
+LEASE_DECODER = msgspec.msgpack.Decoder(
+    tuple[int, str, tuple[int, str, int], tuple[int, str, int], float, bool]
+)
+DELTA_DECODER = msgspec.msgpack.Decoder(list[tuple[int, str, str, int, float, int]])
+DIGEST_DECODER = msgspec.msgpack.Decoder(tuple[int, list[int], bool])
+HASHES_OR_BUCKETS_DECODER = msgspec.msgpack.Decoder(tuple[list[int], bool])
+LEAF_REQUEST_DECODER = msgspec.msgpack.Decoder(tuple[int, list[int]])
+VERSION_REPLY_DECODER = msgspec.msgpack.Decoder(tuple[int, int, int])
+LIST_PART_DECODER = msgspec.msgpack.Decoder(
     tuple[int, int, int, int, list[tuple[int, str, str, str, int, float, float, int]]]
 )
-VERSION_QUERY = msgspec.msgpack.Decoder(tuple[int, int])
-USAGE_REQUEST = msgspec.msgpack.Decoder(int)
-# Serial, is first, is complete, the first entry's window. Then by entry: the account, as a number where it is
-# 16 hex digits; the window less the first entry's; version; thousandths of units; the writer's boot where it
-# is not the sender.
-USAGE = msgspec.msgpack.Decoder(tuple[int, bool, bool, int, list[tuple[int | str, int, int, int, int]]])
+VERSION_QUERY_DECODER = msgspec.msgpack.Decoder(tuple[int, int])
+USAGE_REQUEST_DECODER = msgspec.msgpack.Decoder(int)
+# The fields are: serial, is first, is complete, the window of the first entry, and the entries. An entry is
+# the account, as a number if it consists of 16 hex digits; its window minus that of the first entry; version;
+# thousandths of units; and 0, or the boot of the process that admitted the units if that is not the sender.
+USAGE_DECODER = msgspec.msgpack.Decoder(
+    tuple[int, bool, bool, int, list[tuple[int | str, int, int, int, int]]]
+)
 
 
 def encode(fleet: str, name: str, boot: int, message: MemberMessage) -> bytes:
-    """A message of the process `boot` of member `name`, as a datagram."""
-    form, fields = body_fields(message)
+    """Encodes a message as a datagram of the process `boot` of member `name`."""
+    body_type, fields = body_fields(message)
     body = msgspec.Raw(ENCODER.encode(fields))
-    return ENCODER.encode(Packet(VERSION, fleet, name, boot, int(form), body))
+    return ENCODER.encode(Packet(VERSION, fleet, name, boot, int(body_type), body))
 
 
-def body_fields(message: MemberMessage) -> tuple[Form, object]:
-    """A message's form, and its fields as they are encoded."""
+def body_fields(message: MemberMessage) -> tuple[BodyType, object]:
+    """Returns a message's body type, and its fields as they are encoded."""
     match message:
         case members.SwimMessage(kind, serial, target, updates):
             rows = [(update.name, int(update.state), update.incarnation, update.boot) for update in updates]
-            return Form.SWIM, [int(kind), serial, target, rows]
+            return BodyType.SWIM, [int(kind), serial, target, rows]
         case gossip.Delta(rows_with_ages):
-            return Form.DELTA, [
+            return BodyType.DELTA, [
                 (int(row.kind), row.key, row.writer, row.version, row.value, age_ms)
                 for row, age_ms in rows_with_ages
             ]
         case gossip.Digest():
-            return Form.DIGEST, (message.bucket, message.hashes, message.is_complete)
+            return BodyType.DIGEST, (message.bucket, message.hashes, message.is_complete)
         case gossip.LeafRequest():
-            return Form.LEAF_REQUEST, (message.bucket, message.leaves)
+            return BodyType.LEAF_REQUEST, (message.bucket, message.leaves)
         case gossip.RowHashes():
-            return Form.ROW_HASHES, (message.hashes, message.wants_reply)
+            return BodyType.ROW_HASHES, (message.hashes, message.wants_reply)
         case gossip.MatchingBuckets():
-            return Form.MATCHING_BUCKETS, (message.buckets, message.is_complete)
+            return BodyType.MATCHING_BUCKETS, (message.buckets, message.is_complete)
         case direct_messages.UsageMessage():
-            return Form.USAGE, usage_fields(message)
+            return BodyType.USAGE, usage_fields(message)
         case direct_messages.UsageRequest():
-            return Form.USAGE_REQUEST, message.serial
+            return BodyType.USAGE_REQUEST, message.serial
         case leases.LeaseMessage():
-            return Form.LEASE, (int(message.kind), *message[1:])
+            return BodyType.LEASE, (int(message.kind), *message[1:])
         case endpoint_sharing.VersionReply():
-            return Form.VERSION_REPLY, tuple(message)
+            return BodyType.VERSION_REPLY, tuple(message)
         case endpoint_sharing.EndpointListPart():
-            return Form.LIST_PART, tuple(message)
+            return BodyType.LIST_PART, tuple(message)
         case endpoint_sharing.VersionQuery():
-            return Form.VERSION_QUERY, tuple(message)
+            return BodyType.VERSION_QUERY, tuple(message)
 
 
 def usage_fields(message: direct_messages.UsageMessage) -> tuple[object, ...]:
-    """A usage message's fields, 12 to 18 bytes an entry for the platform's accounts."""
+    """Returns a usage message's fields. An entry takes 12 to 18 bytes if its account has 16 hex digits."""
     first_window, rows = None, []
     for entry in message.entries:
         account, _, window = entry.key.rpartition("/")
@@ -148,11 +153,11 @@
 
 
 def decode(fleet: str, data: bytes) -> tuple[str, int, MemberMessage]:
-    """The sender's name, its boot, and its message. InvalidDatagram where any of it is malformed."""
+    """Returns the sender's name, its boot and its message; raises InvalidDatagram if any of it is invalid."""
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagram("too long")
     try:
-        packet = PACKET.decode(data)
+        packet = PACKET_DECODER.decode(data)
     except (msgspec.DecodeError, RecursionError, ValueError):
         raise InvalidDatagram("noise") from None
     if packet.version != VERSION:
@@ -161,7 +166,7 @@
         raise InvalidDatagram("fleet")
     if not 0 < len(packet.name) <= MAX_NAME_LENGTH or not 0 <= packet.boot < MAX_BOOT:
         raise InvalidDatagram("name")
-    decode_body = BODY_DECODERS.get(packet.form)
+    decode_body = BODY_DECODERS.get(packet.body_type)
     if decode_body is None:
         raise InvalidDatagram("body")
     try:
@@ -170,12 +175,12 @@
         raise InvalidDatagram("body") from None
 
 
-# --- bodies, by form; each raises ValueError, or msgspec.DecodeError, where it is malformed --------------
+# --- bodies by type; each function raises ValueError or msgspec.DecodeError if the body is malformed ------
 
 
 def decode_swim(body: msgspec.Raw) -> members.SwimMessage:
-    """A SWIM message with its piggybacked updates."""
-    fields = SWIM.decode(body)
+    """Decodes a SWIM message with its piggybacked updates."""
+    fields = SWIM_DECODER.decode(body)
     if len(fields.updates) > members.MAX_PIGGYBACKED_UPDATES or len(fields.target) > MAX_NAME_LENGTH:
         raise ValueError
     updates = []
@@ -189,8 +194,8 @@
 
 
 def decode_delta(body: msgspec.Raw) -> gossip.Delta:
-    """Rows; whether each is valid, the replica judges."""
-    fields = DELTA.decode(body)
+    """Decodes rows; the replica checks later whether each is valid."""
+    fields = DELTA_DECODER.decode(body)
     if len(fields) > gossip.MAX_ROWS_PER_MESSAGE:
         raise ValueError
     return gossip.Delta(
@@ -202,50 +207,50 @@
 
 
 def decode_digest(body: msgspec.Raw) -> gossip.Digest:
-    """A digest of all buckets, or of one bucket's leaves."""
-    bucket, hashes, is_complete = DIGEST.decode(body)
+    """Decodes a digest of all buckets, or of one bucket's leaves."""
+    bucket, hashes, is_complete = DIGEST_DECODER.decode(body)
     if not gossip.ALL_BUCKETS <= bucket < BUCKETS or len(hashes) != BUCKETS:
         raise ValueError
     return gossip.Digest(bucket, tuple(hashes), is_complete)
 
 
 def decode_leaf_request(body: msgspec.Raw) -> gossip.LeafRequest:
-    """A request for the rows of some leaves."""
-    bucket, leaves = LEAF_REQUEST.decode(body)
+    """Decodes a request for the rows of some leaves."""
+    bucket, leaves = LEAF_REQUEST_DECODER.decode(body)
     if len(leaves) > BUCKETS:
         raise ValueError
     return gossip.LeafRequest(bucket, tuple(leaves))
 
 
 def decode_matching_buckets(body: msgspec.Raw) -> gossip.MatchingBuckets:
-    """Buckets that match the sender's."""
-    buckets, is_complete = HASHES_OR_BUCKETS.decode(body)
+    """Decodes the numbers of buckets that match the sender's."""
+    buckets, is_complete = HASHES_OR_BUCKETS_DECODER.decode(body)
     return gossip.MatchingBuckets(tuple(buckets), is_complete)
 
 
 def decode_row_hashes(body: msgspec.Raw) -> gossip.RowHashes:
-    """Short hashes of rows."""
-    hashes, wants_reply = HASHES_OR_BUCKETS.decode(body)
+    """Decodes short hashes of rows."""
+    hashes, wants_reply = HASHES_OR_BUCKETS_DECODER.decode(body)
     if len(hashes) > gossip.MAX_ROW_HASHES:
         raise ValueError
     return gossip.RowHashes(tuple(hashes), wants_reply)
 
 
 def decode_version_reply(body: msgspec.Raw) -> endpoint_sharing.VersionReply:
-    """A version of the shared list, and its age."""
-    return endpoint_sharing.VersionReply(*VERSION_REPLY.decode(body))
+    """Decodes a version of the shared list and its age."""
+    return endpoint_sharing.VersionReply(*VERSION_REPLY_DECODER.decode(body))
 
 
 def decode_list_part(body: msgspec.Raw) -> endpoint_sharing.EndpointListPart:
-    """A part of the shared list, or of changes to it."""
-    base_version, version, part_number, part_count, rows = LIST_PART.decode(body)
+    """Decodes a part of the shared list or of changes to it."""
+    base_version, version, part_number, part_count, rows = LIST_PART_DECODER.decode(body)
     is_numbered = 0 <= part_number < part_count <= endpoint_sharing.MAX_PARTS
     if len(rows) > endpoint_sharing.MAX_ROWS_PER_PART or not is_numbered:
         raise ValueError
     endpoints = tuple(endpoint_sharing.SharedEndpoint(*row) for row in rows)
     for endpoint in endpoints:
         if endpoint.address:
-            parse_address(endpoint.address)  # a ValueError where it is none
+            parse_address(endpoint.address)  # raises a ValueError if it is invalid
         is_finite = 0.0 < endpoint.weight < math.inf and 0.0 <= endpoint.started_ms < math.inf
         if not is_finite or not 0 <= endpoint.state <= endpoint_sharing.REMOVED_RANK:
             raise ValueError
@@ -253,13 +258,13 @@
 
 
 def decode_version_query(body: msgspec.Raw) -> endpoint_sharing.VersionQuery:
-    """A query for what changed after a version."""
-    return endpoint_sharing.VersionQuery(*VERSION_QUERY.decode(body))
+    """Decodes a query for the changes after a version."""
+    return endpoint_sharing.VersionQuery(*VERSION_QUERY_DECODER.decode(body))
 
 
 def decode_lease(body: msgspec.Raw) -> leases.LeaseMessage:
-    """A message of PaxosLease."""
-    kind, task, ballot, known_ballot, span_s, has_recovered = LEASE.decode(body)
+    """Decodes a message of the PaxosLease algorithm."""
+    kind, task, ballot, known_ballot, span_s, has_recovered = LEASE_DECODER.decode(body)
     names = task, ballot[1], known_ballot[1]
     if max(map(len, names)) > MAX_NAME_LENGTH or not 0.0 <= span_s < MAX_LEASE_SPAN_S:
         raise ValueError
@@ -277,8 +282,8 @@
 
 
 def decode_usage(body: msgspec.Raw) -> direct_messages.UsageMessage:
-    """Usage of accounts' windows."""
-    serial, is_first, is_complete, first_window, rows = USAGE.decode(body)
+    """Decodes the usage of accounts in their windows."""
+    serial, is_first, is_complete, first_window, rows = USAGE_DECODER.decode(body)
     if len(rows) > direct_messages.MAX_ENTRIES_PER_MESSAGE or not 0 <= serial < MAX_SERIAL:
         raise ValueError
     entries = tuple(usage_entry(first_window, *row) for row in rows)
@@ -288,7 +293,7 @@
 def usage_entry(
     first_window: int, account: int | str, window: int, version: int, units: int, boot: int
 ) -> direct_messages.UsageEntry:
-    """One entry. ValueError where its account or a number is out of range."""
+    """Returns an entry of a usage message; raises ValueError if its account or a number is out of range."""
     name = f"{account:016x}" if isinstance(account, int) else account
     if not 0 < len(name) <= MAX_NAME_LENGTH or not 0 <= boot < MAX_BOOT or units < 0 or version < 0:
         raise ValueError
@@ -296,21 +301,21 @@
 
 
 def decode_usage_request(body: msgspec.Raw) -> direct_messages.UsageRequest:
-    """A request for usage after a serial."""
-    return direct_messages.UsageRequest(USAGE_REQUEST.decode(body))
+    """Decodes a request for the usage after a serial."""
+    return direct_messages.UsageRequest(USAGE_REQUEST_DECODER.decode(body))
 
 
 BODY_DECODERS: dict[int, Callable[[msgspec.Raw], MemberMessage]] = {
-    Form.SWIM: decode_swim,
-    Form.DELTA: decode_delta,
-    Form.DIGEST: decode_digest,
-    Form.LEAF_REQUEST: decode_leaf_request,
-    Form.MATCHING_BUCKETS: decode_matching_buckets,
-    Form.VERSION_REPLY: decode_version_reply,
-    Form.LIST_PART: decode_list_part,
-    Form.VERSION_QUERY: decode_version_query,
-    Form.LEASE: decode_lease,
-    Form.ROW_HASHES: decode_row_hashes,
-    Form.USAGE: decode_usage,
-    Form.USAGE_REQUEST: decode_usage_request,
+    BodyType.SWIM: decode_swim,
+    BodyType.DELTA: decode_delta,
+    BodyType.DIGEST: decode_digest,
+    BodyType.LEAF_REQUEST: decode_leaf_request,
+    BodyType.MATCHING_BUCKETS: decode_matching_buckets,
+    BodyType.VERSION_REPLY: decode_version_reply,
+    BodyType.LIST_PART: decode_list_part,
+    BodyType.VERSION_QUERY: decode_version_query,
+    BodyType.LEASE: decode_lease,
+    BodyType.ROW_HASHES: decode_row_hashes,
+    BodyType.USAGE: decode_usage,
+    BodyType.USAGE_REQUEST: decode_usage_request,
 }
