--- a/glenchute/protocol/resp2.py
+++ b/glenchute/protocol/resp2.py
@@ -1,7 +1,7 @@
-"""RESP2: encoding, and strict parsing around hiredis' parser.
+"""RESP2: encoding, and strict parsing in front of hiredis' parser.
 
-hiredis takes any two bytes for the end of a bulk string, allocates for any announced number of array
-elements, and has no limit on what it buffers. So it gets a message only once that is known to be complete,
+hiredis accepts any two bytes as the end of a bulk string, allocates memory for any announced number of array
+elements, and buffers without a limit. So a message is passed to it only when it is known to be complete,
 well-formed and within the limits.
 """
 
@@ -13,11 +13,11 @@
 import hiredis
 
 MAX_VALUE_BYTES = 64 * 1024  # the longest value that the protocol allows
-MAX_PENDING_BYTES = 2 * MAX_VALUE_BYTES  # of a message whose end has not been received
-MAX_LINE_BYTES = 1024  # of a status or an error
-MAX_LENGTH_LINE_BYTES = 24  # of a line with a length or a number
-MAX_ARRAY_ELEMENTS = 99  # elements of an array; the protocol's own have five at most
-MAX_ARRAY_DEPTH = 2  # of arrays in an array: load reports
+MAX_PENDING_BYTES = 2 * MAX_VALUE_BYTES  # the limit for a message whose end has not been received
+MAX_LINE_BYTES = 1024  # the limit for a status or an error
+MAX_LENGTH_LINE_BYTES = 24  # the limit for a line with a length or a number
+MAX_ARRAY_ELEMENTS = 99  # the protocol's own arrays have five elements at most
+MAX_ARRAY_DEPTH = 2  # arrays are nested in load reports only
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
@@ -28,46 +28,46 @@
 
 
 class ProtocolError(Exception):
-    """Bytes that are not RESP, or more of them than a message may have."""
+    """The bytes received are not valid RESP, or a message exceeds a limit."""
 
 
 class ValueTooLongError(ProtocolError):
-    """A value over `MAX_VALUE_BYTES`, which is not buffered."""
+    """A value exceeds `MAX_VALUE_BYTES`; it is not buffered."""
 
 
-def find_line_end(raw: bytes, at: int, most: int) -> int:
-    """The index after the line that begins at `at`, with its line break; 0 if its end has not been
-    received."""
-    end = raw.find(b"\n", at, at + most + 2)
+def find_line_end(raw: bytes, start: int, max_bytes: int) -> int:
+    """Returns the index after the line that begins at `start`, and after its line break; 0 if its end has not
+    been received. `max_bytes`: the limit for the line, without its line break."""
+    end = raw.find(b"\n", start, start + max_bytes + 2)
     if end < 0:
-        if len(raw) - at > most:
+        if len(raw) - start > max_bytes:
             raise ProtocolError("line too long")
         return 0
-    if raw.find(b"\r", at, end) != end - 1:
+    if raw.find(b"\r", start, end) != end - 1:
         raise ProtocolError("bad end of a line")
     return end + 1
 
 
-def parse_integer(raw: bytes, at: int, end: int) -> int:
-    """The number of the line from `at` to `end`."""
-    if INTEGER_PATTERN.fullmatch(raw, at + 1, end - 2) is None:
+def parse_integer(raw: bytes, start: int, end: int) -> int:
+    """Returns the number in the line from `start` to `end`, after its type byte and before its line break."""
+    if INTEGER_PATTERN.fullmatch(raw, start + 1, end - 2) is None:
         raise ProtocolError("bad number")
-    return int(raw[at + 1 : end - 2])
+    return int(raw[start + 1 : end - 2])
 
 
-def find_message_end(raw: bytes, at: int, depth: int = 0) -> int:
-    """The index after the message that begins at `at`; 0 if its end has not been received."""
-    if at >= len(raw):
+def find_message_end(raw: bytes, start: int, depth: int = 0) -> int:
+    """Returns the index after the message that begins at `start`; 0 if its end has not been received."""
+    if start >= len(raw):
         return 0
-    kind = raw[at]
+    kind = raw[start]
     if kind in (STATUS, ERROR) and not depth:
-        return find_line_end(raw, at, MAX_LINE_BYTES)
+        return find_line_end(raw, start, MAX_LINE_BYTES)
     if kind not in (NUMBER, BULK, ARRAY):
         raise ProtocolError("not RESP")
-    end = find_line_end(raw, at, MAX_LENGTH_LINE_BYTES)
+    end = find_line_end(raw, start, MAX_LENGTH_LINE_BYTES)
     if not end:
         return 0
-    count = parse_integer(raw, at, end)
+    count = parse_integer(raw, start, end)
     if kind == NUMBER or count == -1:
         return end
     if kind == ARRAY:
@@ -87,7 +87,7 @@
 
 
 class Parser:
-    """One direction of a connection: bytes in, complete messages out."""
+    """Splits the bytes that are received on a connection into messages."""
 
     __slots__ = ("_at", "_raw")
 
@@ -95,12 +95,12 @@
         self._raw, self._at = b"", 0
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they were received."""
+        """Adds received bytes."""
         self._raw = self._raw[self._at :] + data if self._at < len(self._raw) else data
         self._at = 0
 
     def next_message(self) -> Any:
-        """The next complete message, or False if its end has not been received. A status is a `str`."""
+        """Returns the next message, or False if its end has not been received. A status is a `str`."""
         start, end = self._at, find_message_end(self._raw, self._at)
         if not end:
             if len(self._raw) - start > MAX_PENDING_BYTES:
@@ -112,7 +112,7 @@
         reader = hiredis.Reader()
         reader.feed(self._raw, start, end - start)
         if end == len(self._raw):
-            self._raw, self._at = b"", 0  # an idle connection keeps no buffer
+            self._raw, self._at = b"", 0  # so that an idle connection holds no buffer
         try:
             return reader.gets()
         except hiredis.ProtocolError as error:
@@ -134,21 +134,21 @@
 
 
 def encode_bulk(value: bytes) -> bytes:
-    """A bulk string."""
+    """Encodes a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def encode_command(*parts: bytes) -> bytes:
-    """A command: an array of bulk strings."""
+    """Encodes a command, which is an array of bulk strings."""
     return b"*%d\r\n%b" % (len(parts), b"".join([encode_bulk(part) for part in parts]))
 
 
 def encode_busy(retry_after_ms: float) -> bytes:
-    """A rejection. The time is rounded up, so that no client is told to retry too early."""
+    """Encodes a rejection. The time is rounded up, so that no client is told to retry too early."""
     return b"-BUSY %d\r\n" % -int(-retry_after_ms // 1) if retry_after_ms > 0 else b"-BUSY\r\n"
 
 
 def encode_error(text: str) -> bytes:
-    """An error line; characters that can't stand in one are replaced."""
+    """Encodes an error; characters that are not printable ASCII are replaced."""
     clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:200]
     return b"-ERR " + clean.encode() + b"\r\n"
--- a/glenchute/protocol/streamed_reply.py
+++ b/glenchute/protocol/streamed_reply.py
@@ -7,15 +7,15 @@
 
 from . import resp2 as resp
 
-MAX_STREAMED_BYTES = 4 * 1024 * 1024  # the longest value that is forwarded
+MAX_STREAMED_BYTES = 4 * 1024 * 1024  # the longest value that is forwarded to a client
 HEAD_PATTERN = re.compile(rb"\*3\r\n\$([1-9][0-9]{0,8})\r\n")
 
 
 class StreamedReply:
-    """An array whose first element is a long value, which is passed on as it is received. The elements behind
-    the value are short, and kept in `trailer` once `is_complete`.
+    """An array whose first element is a long value, which is forwarded while it is received.
 
-    Raises ProtocolError where the bytes are no such reply.
+    The elements after the value are short; they are in `trailer` once `is_complete`. Bytes that are no such
+    reply raise ProtocolError.
     """
 
     __slots__ = ("_parser", "_tail", "is_complete", "length_bytes", "remaining_bytes", "trailer")
@@ -24,13 +24,14 @@
         self.length_bytes = self.remaining_bytes = length
         self.is_complete = False
         self.trailer: list[Any] = []
-        self._tail = b""  # the part of the line break behind the value that was received
+        self._tail = b""  # bytes received after the value, until its line break is complete
         self._parser: resp.Parser | None = None
 
     @classmethod
     def parse_head(cls, raw: bytes) -> tuple[StreamedReply, bytes] | None:
-        """The reply that begins with these bytes, and those of them that follow its head; None where they
-        begin no reply with a value of an allowed length in the first place."""
+        """Returns the reply that begins with these bytes, and the bytes after its head; None if they are not
+        the head of an array whose first element is a value too long to be buffered and short enough to be
+        forwarded."""
         head = HEAD_PATTERN.match(raw)
         if head is None or not resp.MAX_VALUE_BYTES < int(head[1]) <= MAX_STREAMED_BYTES:
             return None
@@ -38,11 +39,11 @@
 
     @property
     def has_surplus(self) -> bool:
-        """Whether bytes follow the reply, to which they don't belong."""
+        """Returns whether bytes were received after the end of the reply."""
         return self._parser is not None and self._parser.has_unparsed()
 
     def feed(self, data: bytes) -> bytes:
-        """Takes bytes as they were received; returns those that belong to the value."""
+        """Parses received bytes; returns those that belong to the value."""
         if self.remaining_bytes >= len(data):
             self.remaining_bytes -= len(data)
             return data
@@ -54,7 +55,7 @@
                 raise resp.ProtocolError("a value that is longer than announced")
             if len(self._tail) < 2:
                 return value
-            # What follows is read as an array of its own, by the parser that reads all others.
+            # The elements after the value are parsed as an array of their own.
             self._parser, data = resp.Parser(), b"*2\r\n" + self._tail[2:]
         self._parser.feed(data)
         if not self.is_complete:
