--- a/glenchute/simulator.py
+++ b/glenchute/simulator.py
@@ -1,7 +1,7 @@
-"""The simulator's adapter: hosts decision engines, translates JSON lines, and decides nothing.
+"""Adapter to the simulator: hosts decision engines and translates JSON lines on stdin and stdout.
 
-Run as ``python -m glenchute.simulator``. The wire's words are mapped to the engine's events and actions here
-and nowhere else.
+Run as ``python -m glenchute.simulator``. The names that the wire format has for events, outcomes and actions
+occur in this module only.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
     "warm_copy": EndpointListKind.CACHED,
     "lost": EndpointListKind.FAILED,
 }
-# By event: how many arguments follow its name. Missing ones at the end are read as None.
+# The number of arguments of each event. Missing ones at the end are taken as None.
 ARGUMENT_COUNTS = {
     "create": 3,
     "shutdown": 1,
@@ -78,17 +78,17 @@
     "ledger_reply": 5,
 }
 ENDPOINT_COLUMNS = 7
-EXCERPT_CHARACTERS = 200  # of a message in an error's text
+EXCERPT_CHARACTERS = 200  # the part of a message that an error's text quotes
 AnyEnum = TypeVar("AnyEnum", bound=Enum)
-Row = list[Any]  # an event or an action on the wire: its name and its arguments
+Row = list[Any]  # an event or an action in the wire format: its name and its arguments
 
 
 class WireError(ValueError):
-    """A message that this adapter can't read."""
+    """A message cannot be decoded; the text is the reason."""
 
 
 def lookup(table: dict[str, AnyEnum], value: Any, what: str) -> AnyEnum:
-    """The member that a word of the wire stands for; WireError for an unknown word."""
+    """Returns the enum member for a name of the wire format; raises WireError for an unknown one."""
     try:
         return table[value]
     except (KeyError, TypeError):
@@ -96,12 +96,13 @@
 
 
 def reported_load(value: Any) -> float | None:
-    """A figure of a load report, or None where the server sent none."""
+    """Returns a number of a load report, or None if the server sent none."""
     return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
 class SimulatorHost:
-    """All gateways of one process, by id. They share the numbered endpoint lists of the wire only."""
+    """The decision engines of all gateways in one process, by gateway id. They share only the numbered
+    endpoint lists of the wire format."""
 
     def __init__(self) -> None:
         self.engines: dict[int, DecisionEngine] = {}
@@ -109,46 +110,48 @@
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def answer(self, line: str) -> str:
-        """The reply to one line of the wire; WireError where the line can't be read."""
+        """Returns the reply to a line of events; raises WireError if the line cannot be decoded."""
         try:
             message = json.loads(line)
             now_ms, inbox = float(message["moment_ms"]), message["inbox"]
         except (ValueError, KeyError, TypeError) as error:
-            raise WireError(f"not a batch ({error!r}): {line[:EXCERPT_CHARACTERS]!r}") from error
+            raise WireError(f"not a batch of events ({error!r}): {line[:EXCERPT_CHARACTERS]!r}") from error
         if not isinstance(inbox, list):
             raise WireError(f"inbox is not a list: {line[:EXCERPT_CHARACTERS]!r}")
         actions: list[Row] = []
-        for raw in inbox:
-            actions += self.handle_row(now_ms, raw)
+        for row in inbox:
+            actions += self.handle_row(now_ms, row)
         return json.dumps({"actions": actions}, separators=(",", ":"))
 
-    def handle_row(self, now_ms: float, raw: Any) -> list[Row]:
-        """Hands one event to its gateway and returns the actions in the wire's form."""
+    def handle_row(self, now_ms: float, row: Any) -> list[Row]:
+        """Passes an event to its gateway's engine and returns the actions in the wire format."""
         try:
-            call = self.prepare(now_ms, raw)
+            call = self.prepare(now_ms, row)
         except WireError:
             raise
         except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-            excerpt = json.dumps(raw)[:EXCERPT_CHARACTERS]
-            raise WireError(f"can't read event ({error!r}): {excerpt}") from error
+            excerpt = json.dumps(row)[:EXCERPT_CHARACTERS]
+            raise WireError(f"event cannot be decoded ({error!r}): {excerpt}") from error
         if call is None:
             return []
         try:
             actions = call()
-        except Exception as error:  # the wire wants the text of any failure of the engine
-            return [["die", int(raw[1]), f"{type(error).__name__}: {error}"]]
-        return [encode(int(raw[1]), action) for action in actions]
+        except Exception as error:  # the simulator is sent the text of any failure of the engine
+            return [["die", int(row[1]), f"{type(error).__name__}: {error}"]]
+        return [encode(int(row[1]), action) for action in actions]
 
-    def prepare(self, now_ms: float, raw: Any) -> Callable[[], list[Action]] | None:
-        """The engine call that an event asks for; None where the event needs no engine."""
-        kind, arguments = raw[0], list(raw[1:])
+    def prepare(self, now_ms: float, row: Any) -> Callable[[], list[Action]] | None:
+        """Decodes an event; returns the call of the engine that handles it, or None if it needs none."""
+        kind, arguments = row[0], list(row[1:])
         count = ARGUMENT_COUNTS.get(kind)
         if count is None:
             raise WireError(f"unknown event {kind!r}")
         arguments += [None] * (count - len(arguments))
         if kind == "directory":
-            last_rows = {one.address: one for one in map(endpoint, arguments[1])}
-            self.endpoint_lists[int(arguments[0])] = tuple(last_rows.values())
+            by_address = {
+                one.address: one for one in map(decode_endpoint, arguments[1])
+            }  # the last row applies
+            self.endpoint_lists[int(arguments[0])] = tuple(by_address.values())
             return None
         gateway = int(arguments[0])
         if kind == "create":
@@ -164,7 +167,7 @@
         return lambda: self.engines[gateway].handle(now_ms, event)
 
     def prepare_creation(self, gateway: int, seed: int, raw: dict[str, Any]) -> Callable[[], list[Action]]:
-        """Reads the settings of a new gateway; the call makes its engine."""
+        """Decodes the settings of a new gateway; returns the call that creates its engine."""
         settings = policy_settings(raw)
         self.load_report_fields[gateway] = list((raw.get("reporting") or {}).get("fields") or [])
 
@@ -175,10 +178,11 @@
         return create
 
     def decode(self, kind: str, gateway: int, arguments: Row) -> Event | None:
-        """The engine's event; None for probes and messages to peers, which the engine never asks for."""
+        """Returns the engine's event; None for answers to probes and messages of peers, which the engine
+        never requests."""
         match kind:
             case "accept":
-                return request(arguments)
+                return decode_request(arguments)
             case "ended":
                 return self.attempt_ended(gateway, arguments)
             case "topology":
@@ -197,7 +201,7 @@
         return None
 
     def attempt_ended(self, gateway: int, arguments: Row) -> AttemptEnded:
-        """The event of an attempt's end, with the server's load report under the names of its settings."""
+        """Decodes the end of an attempt; the gateway's settings name the fields of the load report in it."""
         names = self.load_report_fields.get(gateway, [])
         report = dict(zip(names, arguments[9] or [], strict=False))
         return AttemptEnded(
@@ -212,8 +216,8 @@
         )
 
 
-def endpoint(row: Row) -> Endpoint:
-    """One server of an endpoint list."""
+def decode_endpoint(row: Row) -> Endpoint:
+    """Decodes a row of an endpoint list."""
     columns = (list(row) + [None] * ENDPOINT_COLUMNS)[:ENDPOINT_COLUMNS]
     weight, started_ms, zone, cell, _kind, address, state = columns
     return Endpoint(
@@ -226,8 +230,8 @@
     )
 
 
-def request(arguments: Row) -> Request:
-    """The event of a client's request."""
+def decode_request(arguments: Row) -> Request:
+    """Decodes a client's request."""
     return Request(
         request_id=str(arguments[1]),
         class_name=str(arguments[2]),
@@ -240,7 +244,7 @@
 
 
 def encode(gateway: int, action: Action) -> Row:
-    """An action in the wire's form."""
+    """Encodes an action in the wire format."""
     match action:
         case StartAttempt(request_id, address, timeout_ms):
             return ["hand_off", gateway, request_id, timeout_ms, address]
@@ -259,11 +263,11 @@
         case LogMessage(message):
             return ["say_log", gateway, message]
         case SendState():
-            raise WireError("the simulator's gateways have no second process")
+            raise WireError("no successor process in the simulator to send the state to")
 
 
 def serve(lines: Iterable[str], out: TextIO) -> int:
-    """Answers every line until the input ends; returns the exit status: 1 after a line that can't be read."""
+    """Answers every line until the input ends; returns the exit status: 1 if a line cannot be decoded."""
     host = SimulatorHost()
     for line in lines:
         if not line.strip():
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire adapter: every event and action, odd input, and the command that the deploy file starts."""
+"""The adapter to the simulator: all events and actions, invalid input, and the command in the deploy file."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     assert [(a[1], a[2], a[4]) for a in sent] == [(3, "r3", "s3:1"), (5, "r5", "s5:1")]
 
 
-def test_every_event_is_taken() -> None:
+def test_every_event_is_decoded() -> None:
     host = started(3)
     actions(host, 20.0, accept(3, "r"))
     pressure = [9, 4.0, None]
@@ -105,14 +105,14 @@
 @pytest.mark.parametrize(
     "word", ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
 )
-def test_every_outcome_is_taken(word: str) -> None:
+def test_every_outcome_is_decoded(word: str) -> None:
     host = started(3)
     actions(host, 20.0, accept(3, "r"))
     answer = actions(host, 30.0, ["ended", 3, "r", 0, "s3:1", word, 10.0, word == "pass", 0, 0, [1, 2, 3]])
     assert all(a[0] != "die" for a in answer)
 
 
-def test_every_action_is_written() -> None:
+def test_every_action_is_encoded() -> None:
     made: list[tuple[Action, list[Any]]] = [
         (StartAttempt("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
         (Reject("r", 9.0), ["bounce", 1, "r", 9.0]),
@@ -126,7 +126,7 @@
     assert [encode(1, action) for action, _ in made] == [wire for _, wire in made]
 
 
-def test_missing_settings_get_the_safest_reading() -> None:
+def test_missing_settings_get_the_safest_values() -> None:
     bare = policy_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
     assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT and bare.max_attempts == 1
     assert bare.gateway_count == 1 and not bare.has_counter and bare.plans == ()
@@ -144,7 +144,7 @@
         '{"moment_ms": 1, "inbox": [7]}',
     ],
 )
-def test_malformed_line_is_said_and_ends(text: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_malformed_line_is_reported_and_ends_the_run(text: str, capsys: pytest.CaptureFixture[str]) -> None:
     out = io.StringIO()
     assert serve([text], out) == 1
     assert out.getvalue() == "" and "glenchute.simulator: " in capsys.readouterr().err
@@ -152,7 +152,7 @@
         SimulatorHost().answer(text)
 
 
-def test_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_engine_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     host = started(3)
 
     def broken(now_ms: float, event: Event) -> list[Action]:
@@ -162,7 +162,7 @@
     assert actions(host, 20.0, ["alarm", 3, 1]) == [["die", 3, "RuntimeError: out of luck"]]
 
 
-def test_gateways_of_one_process_share_nothing() -> None:
+def test_gateways_in_one_process_do_not_affect_each_other() -> None:
     alone, together = started(3), started(3, 5)
     for now in range(20, 400, 20):
         first = actions(alone, now, accept(3, f"r{now}"))
@@ -172,7 +172,7 @@
 
 def test_deploy_file_starts_the_adapter() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    # That this is every module the engine runs, tests/policy/test_decisions.py holds.
+    # tests/policy/test_decisions.py checks that these are all modules that the engine uses.
     assert deploy["policy"][0] == "glenchute/policy/engine.py"
     assert all((ROOT / name).is_file() for name in deploy["policy"])
     command = deploy["sim"].replace(".venv/bin/python", shlex.quote(sys.executable))
