--- a/tests/messages/__init__.py
+++ b/tests/messages/__init__.py
@@ -1,1 +1,1 @@
-"""The bytes of messages as an older program wrote them, and the inputs that they were made of."""
+"""Bytes of messages as an earlier version of the program wrote them, and the inputs that they encode."""
--- a/tests/messages/__main__.py
+++ b/tests/messages/__main__.py
@@ -1,6 +1,6 @@
-"""Records the bytes of messages: ``python -m tests.messages``; runs on the old program only (commit a44429f).
+"""Records the bytes of messages: ``python -m tests.messages``, to be run at commit a44429f only.
 
-Files that are there stay as they are: a later program has to write and read the same bytes.
+Existing files are never replaced: later versions of the program have to write and read the same bytes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Writes the files, none of which may be there yet."""
+    """Writes the files; fails if one of them exists."""
     requests, replies = control.answers()
     lines, answers = simulator.session()
     files = {
--- a/tests/messages/control.py
+++ b/tests/messages/control.py
@@ -1,4 +1,4 @@
-"""Requests and replies on the control socket, of a member whose clock and process number are fixed."""
+"""Requests and replies on the control socket of a member whose clock and boot are fixed."""
 
 from __future__ import annotations
 
@@ -17,8 +17,7 @@
 from glenchute.control.server import ControlServer
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.membership.endpoint_sharing import SharedEndpoint
-from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage
-from glenchute.policy.membership.members import SwimMessageKind as Probes
+from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage, SwimMessageKind
 from glenchute.policy.membership.replica import Row, RowKind
 from glenchute.policy.settings import Plan, Settings, SlowStart
 from glenchute.protocol.member_datagrams import encode
@@ -51,74 +50,76 @@
 
 
 class FixedLoop:
-    """A loop that only tells the time."""
+    """An event loop that has a time and runs nothing."""
 
     now = 1000.0
 
     def time(self) -> float:
         return self.now
 
-    def call_later(self, *later: object) -> None:
+    def call_later(self, *args: object) -> None:
         return None
 
 
 def member(loop: FixedLoop) -> MemberNode:
-    """A process among members, of which one has answered, one is suspected, and one was never heard."""
+    """Creates a member that has received nothing from the others yet."""
     with mock.patch("os.urandom", lambda count: b"\x5a" * count):
-        fleet = MemberNode(MEMBER, loop, DecisionEngine(SETTINGS, 1), SETTINGS, 1)  # type: ignore[arg-type]
-    return fleet
+        node = MemberNode(MEMBER, loop, DecisionEngine(SETTINGS, 1), SETTINGS, 1)  # type: ignore[arg-type]
+    return node
 
 
-def in_service(loop: FixedLoop, fleet: MemberNode) -> None:
-    """Time passes, members are heard, a lease is held, a task is parked, copies differ."""
+def in_service(loop: FixedLoop, node: MemberNode) -> None:
+    """Brings the member into service: it receives datagrams, a list, a parked task and two different copies
+    of a row, and acquires a lease."""
     now = loop.time()
-    fleet.replica.merge(now, Row(RowKind.TASK, "audit", "", (3 << 20) | 2, 5.0), 1.0, "g1")
-    fleet.replica.merge(now, Row(RowKind.SERVER, "s9", "", 7, 1.0), 1.0, "g1")
-    fleet.replica.merge(now, Row(RowKind.SERVER, "s9", "", 7, 2.0), 1.0, "g2")
-    fleet.replica.merge(now, Row(RowKind.HEALTH, "s1", "g1#ff", 1, 800.0), 0.0, "g1")
+    node.replica.merge(now, Row(RowKind.TASK, "audit", "", (3 << 20) | 2, 5.0), 1.0, "g1")
+    node.replica.merge(now, Row(RowKind.SERVER, "s9", "", 7, 1.0), 1.0, "g1")
+    node.replica.merge(now, Row(RowKind.SERVER, "s9", "", 7, 2.0), 1.0, "g2")
+    node.replica.merge(now, Row(RowKind.HEALTH, "s1", "g1#ff", 1, 800.0), 0.0, "g1")
     updates = (
         MemberUpdate("g1", MemberState.ALIVE, 3, 0xAB),
         MemberUpdate("g2", MemberState.SUSPECT, 0, 0xCD),
     )
-    datagram = encode("lab", "g1", 0xAB, SwimMessage(Probes.ACK, 1, "", updates))
-    fleet.datagram_received(datagram, ("127.0.0.1", 7001))
-    fleet.datagram_received(b"noise", ("127.0.0.1", 7001))
-    shared_list = fleet.endpoint_sync.shared_list
+    datagram = encode("lab", "g1", 0xAB, SwimMessage(SwimMessageKind.ACK, 1, "", updates))
+    node.datagram_received(datagram, ("127.0.0.1", 7001))
+    node.datagram_received(b"noise", ("127.0.0.1", 7001))
+    shared_list = node.endpoint_sync.shared_list
     assert shared_list is not None
     shared_list.version, shared_list.confirmed_at = 170, now - 0.25
     shared_list.endpoints = {"s0": SharedEndpoint(170, "s0", "127.0.0.1:80", "a", 0, 1.0, 0.0, 0)}
-    assert fleet.task_runner is not None
+    assert node.task_runner is not None
     for _ in range(400):
         loop.now += 0.05
-        fleet.task_runner.tick()
+        node.task_runner.tick()
 
 
 def answers(requests: Rows | None = None) -> tuple[Rows, Rows]:
-    """All requests and the replies, in their order, of one member: fresh, and in service."""
+    """Returns the requests and the replies to them of one member, first new and then in service. `requests`:
+    in place of those of `made_requests`."""
     loop = FixedLoop()
     with mock.patch.object(tasks, "clock", loop.time):
-        fleet = member(loop)
+        node = member(loop)
         control = ControlServer("")
-        control.register("fleet", fleet.verbs())
+        control.register("fleet", node.verbs())
         control.register("lab", {"fault": fault})
-        given = requests or made_requests()
+        sent = requests or made_requests()
         assert sorted(control.verbs) == sorted([*(f"fleet {verb}" for verb in VERBS), "lab fault"])
         replies: Rows = []
-        for label, request in given:
+        for label, request in sent:
             if label == "in service: tasks":
-                in_service(loop, fleet)
+                in_service(loop, node)
             (reply,) = asyncio.run(exchange(control, request))
             replies.append((label, reply))
-    return given, replies
+    return sent, replies
 
 
 def fault() -> list[dict[str, Any]]:
-    """A verb that fails."""
+    """Raises an error, as a verb that fails."""
     raise ValueError("on purpose")
 
 
 def made_requests() -> Rows:
-    """The requests as the command line's client writes them, then some that no client writes."""
+    """Returns requests as the control client writes them, and some that it never writes."""
     rows: Rows = []
     for when in ("fresh", "in service"):
         rows += [(f"{when}: {verb}", request_of(f"fleet {verb}")[0]) for verb in VERBS]
@@ -126,7 +127,7 @@
 
 
 async def exchange(control: ControlServer, request: bytes) -> list[bytes]:
-    """One request and all that the server answers, over its socket."""
+    """Sends a request over the server's socket and returns the lines of the reply."""
     with tempfile.TemporaryDirectory() as folder:
         control.path = str(Path(folder) / "socket")
         await control.start()
@@ -140,29 +141,29 @@
 
 
 def request_of(verb: str, reply: bytes = b'{"rows": []}\n') -> tuple[bytes, list[dict[str, Any]]]:
-    """The bytes that the client sends for a verb, and what it reads in this reply."""
-    got = bytearray()
-    with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as door:
+    """Returns the bytes that the client sends for a verb, and the rows that it decodes from this reply."""
+    received = bytearray()
+    with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as listener:
         path = str(Path(folder) / "socket")
-        door.bind(path)
-        door.listen()
+        listener.bind(path)
+        listener.listen()
 
         def serve() -> None:
-            link, _ = door.accept()
-            with link:
-                while not got.endswith(b"\n"):
-                    got.extend(link.recv(4096))
-                link.sendall(reply)
-                got.extend(link.recv(4096))  # the client has no more to say
+            connection, _ = listener.accept()
+            with connection:
+                while not received.endswith(b"\n"):
+                    received.extend(connection.recv(4096))
+                connection.sendall(reply)
+                received.extend(connection.recv(4096))  # the client must send nothing more
 
         thread = threading.Thread(target=serve)
         thread.start()
         rows = ask(path, verb)
         thread.join(5.0)
-    return bytes(got), rows
+    return bytes(received), rows
 
 
 def rows_of(reply: bytes) -> list[dict[str, Any]] | None:
-    """The rows of a reply; None where it has none."""
+    """Returns the rows of a reply; None if it has none."""
     found: list[dict[str, Any]] | None = json.loads(reply).get("rows")
     return found
--- a/tests/messages/counter.py
+++ b/tests/messages/counter.py
@@ -1,4 +1,4 @@
-"""What the decision module puts on the shared counter, and the commands and replies on its connections."""
+"""Calls of the decision engine to the shared counter, and the commands and replies on its connections."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 def counts() -> list[IncrementCounter]:
-    """The calls of one module under a load with all plans: epoch markers, units, units given back."""
-    module = DecisionEngine(EVENING_SETTINGS, 41)
+    """Returns the calls of one engine under a load of all plans: epoch markers, units and refunded units."""
+    engine = DecisionEngine(EVENING_SETTINGS, 41)
     found: list[IncrementCounter] = []
 
-    def tell(now: float, event: Event) -> list[Action]:
-        actions = module.handle(now, event)
+    def handle(now: float, event: Event) -> list[Action]:
+        actions = engine.handle(now, event)
         found.extend(action for action in actions if isinstance(action, IncrementCounter))
         return actions
 
-    environment = Environment(tell, 41, endings=(*MANY, Outcome.UNREACHABLE), others=0.25)
+    environment = Environment(handle, 41, endings=(*MANY, Outcome.UNREACHABLE), others=0.25)
     environment.late_endings = (Outcome.OK, Outcome.REJECTED)
     environment.timeout_share = 0.1
     environment.fleet()
@@ -46,40 +46,40 @@
 
 
 def count_lines() -> Rows:
-    """Each call as text: name, amount and lifetime, to the bit."""
+    """Returns each call as text that holds the exact values of key, amount and time to live."""
     return [
-        (str(at), f"{call.key} {call.amount!r} {call.ttl_ms!r}\n".encode())
-        for at, call in enumerate(counts())
+        (str(number), f"{call.key} {call.amount!r} {call.ttl_ms!r}\n".encode())
+        for number, call in enumerate(counts())
     ]
 
 
-class StillLoop:
-    """An event loop in which nothing happens by itself."""
+class IdleLoop:
+    """An event loop that runs nothing."""
 
     now = 0.0
 
     def time(self) -> float:
         return self.now
 
-    def call_later(self, *later: object) -> asyncio.TimerHandle:
-        return StillTimer()  # type: ignore[return-value]
+    def call_later(self, *args: object) -> asyncio.TimerHandle:
+        return IdleTimer()  # type: ignore[return-value]
 
-    def call_soon(self, *soon: object) -> None:
+    def call_soon(self, *args: object) -> None:
         pass
 
-    def create_task(self, work: Coroutine[Any, Any, None]) -> None:
-        work.close()
+    def create_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        coroutine.close()
 
 
-class StillTimer:
-    """A timer that is never due."""
+class IdleTimer:
+    """A timer that never fires."""
 
     def cancel(self) -> None:
         pass
 
 
-class Kept:
-    """A transport that keeps what is written."""
+class RecordingTransport:
+    """A transport that records the bytes written to it."""
 
     def __init__(self) -> None:
         self.sent = bytearray()
@@ -91,50 +91,50 @@
         return False
 
 
-def connected(links: int) -> tuple[CounterClient, list[Kept]]:
-    """Connections to a counter that never answers by itself."""
-    counter = CounterClient(StillLoop(), ("127.0.0.1", 1), 0.05, links)  # type: ignore[arg-type]
-    transports = [Kept() for _ in counter.connections]
-    for link, transport in zip(counter.connections, transports, strict=True):
-        link.connection_made(transport)  # type: ignore[arg-type]
+def connected_client(count: int) -> tuple[CounterClient, list[RecordingTransport]]:
+    """Returns a client with open connections, and their transports. Nothing answers on them."""
+    counter = CounterClient(IdleLoop(), ("127.0.0.1", 1), 0.05, count)  # type: ignore[arg-type]
+    transports = [RecordingTransport() for _ in counter.connections]
+    for connection, transport in zip(counter.connections, transports, strict=True):
+        connection.connection_made(transport)  # type: ignore[arg-type]
     return counter, transports
 
 
 def commands() -> Rows:
-    """The bytes of each call, and of the first command on a connection."""
-    counter, (transport,) = connected(1)
+    """Returns the bytes of the first command on a connection, and of each call."""
+    counter, (transport,) = connected_client(1)
     rows: Rows = [("ping", bytes(transport.sent))]
-    for at, call in enumerate(counts()):
+    for number, call in enumerate(counts()):
         transport.sent.clear()
-        counter.increment(call.key, call.amount, call.ttl_ms, lambda *done: None)
-        rows.append((str(at), bytes(transport.sent)))
+        counter.increment(call.key, call.amount, call.ttl_ms, lambda *args: None)
+        rows.append((str(number), bytes(transport.sent)))
     return rows
 
 
 def links_used() -> list[int]:
-    """By which of three connections each call goes."""
-    counter, transports = connected(3)
+    """Returns the index of the connection, of three, that each call uses."""
+    counter, transports = connected_client(3)
     found = []
     for call in counts():
         for transport in transports:
             transport.sent.clear()
-        counter.increment(call.key, call.amount, call.ttl_ms, lambda *done: None)
-        found.append(next(at for at, transport in enumerate(transports) if transport.sent))
+        counter.increment(call.key, call.amount, call.ttl_ms, lambda *args: None)
+        found.append(next(index for index, transport in enumerate(transports) if transport.sent))
     return found
 
 
 def outcomes(replies: Rows) -> Rows:
-    """What each reply is read as: ending and total."""
+    """Returns the outcome and the total that each reply gives."""
     rows: Rows = []
     for label, reply in replies:
-        counter, _ = connected(1)
-        told: list[str] = []
+        counter, _ = connected_client(1)
+        results: list[str] = []
 
-        def done(total: float, ending: Outcome, took_ms: float, told: list[str] = told) -> None:
-            told.append(f"{ending.value} {total!r}\n")
+        def on_done(total: float, outcome: Outcome, latency_ms: float, results: list[str] = results) -> None:
+            results.append(f"{outcome.value} {total!r}\n")
 
         counter.connections[0].data_received(b"+PONG\r\n")
-        counter.increment(9, 1.0, 60_000.0, done)
+        counter.increment(9, 1.0, 60_000.0, on_done)
         counter.connections[0].data_received(reply)
-        rows.append((label, told[0].encode()))
+        rows.append((label, results[0].encode()))
     return rows
--- a/tests/messages/handover.py
+++ b/tests/messages/handover.py
@@ -1,4 +1,4 @@
-"""The handover between two processes of a gateway: inputs, and the bytes on the socket."""
+"""The handover between two processes of a gateway: messages, and the bytes on the socket."""
 
 from __future__ import annotations
 
@@ -28,53 +28,53 @@
 NAMES = (("g7", ("127.0.0.1", 7000)), ("zagreb-12", ("0.0.0.0", 65535)))
 
 
-def driven_stocks() -> tuple[QuotaSnapshot, ...]:
-    """What a decision module hands over after a short load."""
-    module = DecisionEngine(EVENING_SETTINGS, 31)
-    environment = Environment(module.handle, 31, others=0.5, timeout_share=0.1)
+def quotas_after_load() -> tuple[QuotaSnapshot, ...]:
+    """Returns the quotas that a decision engine hands over after a short load."""
+    engine = DecisionEngine(EVENING_SETTINGS, 31)
+    environment = Environment(engine.handle, 31, others=0.5, timeout_share=0.1)
     environment.fleet()
     environment.load(2500.0, 25.0, 3)
-    (action,) = module.handle(environment.now, SuccessorStarted())
+    (action,) = engine.handle(environment.now, SuccessorStarted())
     assert isinstance(action, SendState)
     return action.quotas
 
 
 def cases() -> list[tuple[str, float, tuple[QuotaSnapshot, ...]]]:
-    """Label, share and stocks of each message."""
+    """Returns the label, the successor's limit share and the quotas of each message."""
     return [
         ("every field", SHARE, STOCKS),
         ("no customers", 0.25, ()),
-        ("after a load", 0.5, driven_stocks()),
+        ("after a load", 0.5, quotas_after_load()),
     ]
 
 
 def messages() -> Rows:
-    """The messages."""
+    """Returns each message, encoded, with its label."""
     return [(label, encode_handover(GATEWAY, share, stocks)) for label, share, stocks in cases()]
 
 
 def socket_names() -> Rows:
-    """The names of the sockets where two processes meet."""
+    """Returns the path of the handover socket for each gateway of `NAMES`."""
     return [(f"{name} {listen}", f"{socket_path('/t', name, listen)}\n".encode()) for name, listen in NAMES]
 
 
 async def from_predecessor() -> bytes:
-    """All bytes that the process in service sends to one that connects."""
+    """Returns all bytes that the process in service sends to a successor."""
     loop = asyncio.get_running_loop()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "socket"
-        door = HandoverServer(loop, lambda: encode_handover(GATEWAY, SHARE, STOCKS), lambda: None)
-        await door.start(path)
+        server = HandoverServer(loop, lambda: encode_handover(GATEWAY, SHARE, STOCKS), lambda: None)
+        await server.start(path)
         reader, writer = await asyncio.open_unix_connection(str(path))
         raw = await reader.readline()
-        door.close()
+        server.close()
         raw += await reader.read()
         writer.close()
     return raw
 
 
 async def to_successor(raw: bytes) -> tuple[PredecessorConnection | None, bytes]:
-    """What the next process makes of these bytes, and all bytes that it sends meanwhile."""
+    """Returns the connection of a successor that receives these bytes, and all bytes that it sends."""
     loop = asyncio.get_running_loop()
     sent = bytearray()
     closed = asyncio.Event()
@@ -89,10 +89,10 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "socket"
         server = await asyncio.start_unix_server(serve, str(path))
-        found = await request_handover(loop, path, GATEWAY, lambda: None)
-        if found is not None:
-            assert found.transport is not None
-            found.transport.close()
+        connection = await request_handover(loop, path, GATEWAY, lambda: None)
+        if connection is not None:
+            assert connection.transport is not None
+            connection.transport.close()
         await closed.wait()
         server.close()
-    return found, bytes(sent)
+    return connection, bytes(sent)
--- a/tests/messages/simulator.py
+++ b/tests/messages/simulator.py
@@ -1,4 +1,4 @@
-"""A session with the simulator's wire: every kind of event, and each action that can come of them."""
+"""A session with the adapter to the simulator: all kinds of events, and all actions that they can cause."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Session:
-    """Two gateways at the wire. What is written depends on a seed and on the answers."""
+    """A simulator of two gateways. The events that it writes depend on a seed and on the answers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -49,48 +49,60 @@
         self.answers: list[str] = []
         self.now = START
         self.due: list[tuple[float, int, list[Any]]] = []
-        self.order = self.serial = 0
+        self.event_number = self.request_number = 0
         self.attempts: dict[str, int] = {}
         self.totals: dict[int, float] = {}
 
     def write(self, *events: list[Any]) -> None:
-        """A line for the wire, and what its answer brings about."""
+        """Writes events as one line, and handles the actions in the answer."""
         line = json.dumps({"moment_ms": self.now, "inbox": list(events)})
         answer = self.host.answer(line)
         self.lines.append(line)
         self.answers.append(answer)
         for action in json.loads(answer)["actions"]:
-            self.follow(*action)
+            self.handle_action(*action)
 
-    def later(self, ms: float, event: list[Any]) -> None:
-        """An event that comes so much later."""
-        self.order += 1
-        self.due.append((self.now + ms, self.order, event))
+    def schedule(self, delay_ms: float, event: list[Any]) -> None:
+        """Schedules an event after a delay."""
+        self.event_number += 1
+        self.due.append((self.now + delay_ms, self.event_number, event))
 
-    def follow(self, kind: str, gid: int, *args: Any) -> None:
-        """An action of the gateway's."""
+    def handle_action(self, kind: str, gateway: int, *args: Any) -> None:
+        """Schedules the events that an action of a gateway causes."""
         if kind == "hand_off":
-            ref, _, server = args
-            number = self.attempts[ref] = self.attempts.get(ref, -1) + 1
-            word = self.rng.choice(["pass"] * 12 + list(OUTCOMES))
-            took = round(self.rng.uniform(5.0, 200.0), 3)
+            request_id, _, server = args
+            number = self.attempts[request_id] = self.attempts.get(request_id, -1) + 1
+            outcome = self.rng.choice(["pass"] * 12 + list(OUTCOMES))
+            duration_ms = round(self.rng.uniform(5.0, 200.0), 3)
             report = [0, self.rng.randrange(5), self.rng.choice([None, 3])]
             if self.rng.random() < 0.2:
-                self.later(0.5 * took, ["streaming", gid, ref, number, server, 1.0])
-            ended = ["ended", gid, ref, number, server, word, took, word == "pass", 1, 2, report]
-            self.later(took, ended)
+                self.schedule(0.5 * duration_ms, ["streaming", gateway, request_id, number, server, 1.0])
+            ended = [
+                "ended",
+                gateway,
+                request_id,
+                number,
+                server,
+                outcome,
+                duration_ms,
+                outcome == "pass",
+                1,
+                2,
+                report,
+            ]
+            self.schedule(duration_ms, ended)
         elif kind == "remind":
-            self.later(max(0.0, args[1] - self.now), ["alarm", gid, args[0]])
+            self.schedule(max(0.0, args[1] - self.now), ["alarm", gateway, args[0]])
         elif kind == "incr":
-            name, amount, _ = args
-            word = self.rng.choice(["pass"] * 9 + ["too_slow", "no_room", "no_route"])
-            if word == "pass":
-                self.totals[name] = self.totals.get(name, 0.0) + amount + 0.5
-            self.later(3.0, ["ledger_reply", gid, 3.0, name, self.totals.get(name, 0.0), word])
-
-    def run(self, ms: float) -> None:
-        """Lets time pass."""
-        end = self.now + ms
+            key, amount, _ = args
+            outcome = self.rng.choice(["pass"] * 9 + ["too_slow", "no_room", "no_route"])
+            if outcome == "pass":
+                self.totals[key] = self.totals.get(key, 0.0) + amount + 0.5
+            self.schedule(3.0, ["ledger_reply", gateway, 3.0, key, self.totals.get(key, 0.0), outcome])
+
+    def run(self, duration_ms: float) -> None:
+        """Advances the time by a duration and writes the events that become due."""
+        end = self.now + duration_ms
         while self.due and min(self.due)[0] <= end:
             first = min(self.due)
             self.due.remove(first)
@@ -98,56 +110,56 @@
             self.write(first[2])
         self.now = end
 
-    def accept(self, gid: int) -> None:
-        """A request."""
-        self.serial += 1
-        ref = f"r{self.serial}"
-        cls = self.rng.choice(["read", "read", "order", "bid", "charge", "none"])
+    def accept(self, gateway: int) -> None:
+        """Writes a request of random properties, of which some are cancelled at once."""
+        self.request_number += 1
+        request_id = f"r{self.request_number}"
+        class_name = self.rng.choice(["read", "read", "order", "bid", "charge", "none"])
         plan = self.rng.choice(["basic", "hard", "open", "wide", "none"])
         left = self.rng.choice([900.0, 300.0, 0.0, 2000.0, 2000.0])
         units = self.rng.choice([1, 1, 2.5, None])
-        customer = f"c{self.rng.randrange(3)}{plan}"
-        self.write(["accept", gid, ref, cls, plan, customer, left, units, 2, 0, False, False])
+        tenant = f"c{self.rng.randrange(3)}{plan}"
+        self.write(["accept", gateway, request_id, class_name, plan, tenant, left, units, 2, 0, False, False])
         if self.rng.random() < 0.1:
-            self.write(["gone", gid, ref])
+            self.write(["gone", gateway, request_id])
 
 
-def entry(server: str, state: str = "active", started: float | None = None, hint: Any = 1) -> list[Any]:
-    """A server of a list."""
-    return [hint, started, "ab"[int(server[1:]) % 2], 1, "std", server, state]
+def entry(server: str, state: str = "active", started: float | None = None, weight: Any = 1) -> list[Any]:
+    """Returns a row of an endpoint list."""
+    return [weight, started, "ab"[int(server[1:]) % 2], 1, "std", server, state]
 
 
 def session() -> tuple[list[str], list[str]]:
-    """The lines written and the lines answered."""
-    made = Session(52)
+    """Returns the lines written and the lines answered."""
+    recorded = Session(52)
     first = [entry(f"s{n}") for n in range(4)]
-    made.write(["create", 3, 7, SETTINGS], ["create", 5, 8, {}], ["directory", 0, first])
-    made.write(["topology", 3, "warm_copy", 1, 0], ["topology", 5, "total", 1, 0])
+    recorded.write(["create", 3, 7, SETTINGS], ["create", 5, 8, {}], ["directory", 0, first])
+    recorded.write(["topology", 3, "warm_copy", 1, 0], ["topology", 5, "total", 1, 0])
     for step in range(160):
-        made.accept(3 if step % 8 else 5)
-        made.run(made.rng.uniform(1.0, 25.0))
+        recorded.accept(3 if step % 8 else 5)
+        recorded.run(recorded.rng.uniform(1.0, 25.0))
         if step == 40:
-            made.write(["topology", 3, "lost", 0, 0])
+            recorded.write(["topology", 3, "lost", 0, 0])
             changed = [
-                entry("s4", started=made.now),
+                entry("s4", started=recorded.now),
                 entry("s1", "leaving"),
                 entry("s2", "left"),
-                entry("s6", hint=None),
+                entry("s6", weight=None),
             ]
-            made.write(["directory", 1, changed], ["topology", 3, "incr", 2, 1])
+            recorded.write(["directory", 1, changed], ["topology", 3, "incr", 2, 1])
         if step == 90:
-            made.write(["directory", 2, [*first, entry("s5", started=made.now)]])
-            made.write(["topology", 3, "total", 3, 2])
-            made.write(["echo", 3, "s1", "pass", 1.0, [1, 2, 3]], ["whisper", 3, 1, "aGkgNw=="])
-    made.write(["accept", 3, "huge", "read", "wide", "c9", 2000.0, float("inf"), 2, 0, False, False])
-    made.write(["shutdown", 5])
-    made.due = [row for row in made.due if row[2][1] != 5]
-    made.run(3000.0)
-    return made.lines, made.answers
+            recorded.write(["directory", 2, [*first, entry("s5", started=recorded.now)]])
+            recorded.write(["topology", 3, "total", 3, 2])
+            recorded.write(["echo", 3, "s1", "pass", 1.0, [1, 2, 3]], ["whisper", 3, 1, "aGkgNw=="])
+    recorded.write(["accept", 3, "huge", "read", "wide", "c9", 2000.0, float("inf"), 2, 0, False, False])
+    recorded.write(["shutdown", 5])
+    recorded.due = [row for row in recorded.due if row[2][1] != 5]
+    recorded.run(3000.0)
+    return recorded.lines, recorded.answers
 
 
 def answered(lines: list[str]) -> list[str]:
-    """What the program answers to these lines."""
+    """Returns the program's answers to these lines."""
     out = io.StringIO()
     assert serve(lines, out) == 0
     return out.getvalue().splitlines()
