--- a/tests/messages/__main__.py
+++ b/tests/messages/__main__.py
@@ -22,9 +22,9 @@
             [("from the process before", asyncio.run(handover.from_predecessor()))]
         ),
         "datagrams.hex": as_hex(datagrams.datagrams()),
-        "counter_calls.txt": as_text(counter.count_lines()),
+        "counter_calls.txt": as_text(counter.counter_call_rows()),
         "counter_commands.hex": as_hex(counter.commands()),
-        "counter_connections.txt": "".join(f"{at}\n" for at in counter.links_used()),
+        "counter_connections.txt": "".join(f"{at}\n" for at in counter.connections_used()),
         "counter_replies.hex": as_hex(counter.REPLIES),
         "counter_outcomes.txt": as_text(counter.outcomes(counter.REPLIES)),
         "control_requests.txt": as_text(requests),
--- a/tests/messages/counter.py
+++ b/tests/messages/counter.py
@@ -24,7 +24,7 @@
 ]
 
 
-def counts() -> list[IncrementCounter]:
+def counter_calls() -> list[IncrementCounter]:
     """Returns the calls of one engine under a load of all plans: epoch markers, units and refunded units."""
     engine = DecisionEngine(EVENING_SETTINGS, 41)
     found: list[IncrementCounter] = []
@@ -45,11 +45,11 @@
     return found
 
 
-def count_lines() -> Rows:
+def counter_call_rows() -> Rows:
     """Returns each call as text that holds the exact values of key, amount and time to live."""
     return [
         (str(number), f"{call.key} {call.amount!r} {call.ttl_ms!r}\n".encode())
-        for number, call in enumerate(counts())
+        for number, call in enumerate(counter_calls())
     ]
 
 
@@ -104,18 +104,18 @@
     """Returns the bytes of the first command on a connection, and of each call."""
     counter, (transport,) = connected_client(1)
     rows: Rows = [("ping", bytes(transport.sent))]
-    for number, call in enumerate(counts()):
+    for number, call in enumerate(counter_calls()):
         transport.sent.clear()
         counter.increment(call.key, call.amount, call.ttl_ms, lambda *args: None)
         rows.append((str(number), bytes(transport.sent)))
     return rows
 
 
-def links_used() -> list[int]:
+def connections_used() -> list[int]:
     """Returns the index of the connection, of three, that each call uses."""
     counter, transports = connected_client(3)
     found = []
-    for call in counts():
+    for call in counter_calls():
         for transport in transports:
             transport.sent.clear()
         counter.increment(call.key, call.amount, call.ttl_ms, lambda *args: None)
--- a/tests/messages/handover.py
+++ b/tests/messages/handover.py
@@ -17,8 +17,8 @@
 from .files import Rows
 
 GATEWAY = "g7"
-SHARE = 0.625
-STOCKS = (
+LIMIT_SHARE = 0.625
+QUOTAS = (
     QuotaSnapshot(
         "0000000000001092", "basic", 3, 17.25, 4.5, 1.125, 0.375, 12.0, 40.0, 1_700_000_000_123.5, 21.5
     ),
@@ -42,7 +42,7 @@
 def cases() -> list[tuple[str, float, tuple[QuotaSnapshot, ...]]]:
     """Returns the label, the successor's limit share and the quotas of each message."""
     return [
-        ("every field", SHARE, STOCKS),
+        ("every field", LIMIT_SHARE, QUOTAS),
         ("no customers", 0.25, ()),
         ("after a load", 0.5, quotas_after_load()),
     ]
@@ -50,7 +50,7 @@
 
 def messages() -> Rows:
     """Returns each message, encoded, with its label."""
-    return [(label, encode_handover(GATEWAY, share, stocks)) for label, share, stocks in cases()]
+    return [(label, encode_handover(GATEWAY, limit_share, quotas)) for label, limit_share, quotas in cases()]
 
 
 def socket_names() -> Rows:
@@ -63,7 +63,7 @@
     loop = asyncio.get_running_loop()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "socket"
-        server = HandoverServer(loop, lambda: encode_handover(GATEWAY, SHARE, STOCKS), lambda: None)
+        server = HandoverServer(loop, lambda: encode_handover(GATEWAY, LIMIT_SHARE, QUOTAS), lambda: None)
         await server.start(path)
         reader, writer = await asyncio.open_unix_connection(str(path))
         raw = await reader.readline()
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -61,7 +61,7 @@
     ((_, frames),) = hex_rows("handover_frames.hex")
     assert asyncio.run(handover.from_predecessor()) == frames
     found, sent = asyncio.run(handover.to_successor(frames))
-    assert found is not None and found.state == HandoverState(handover.SHARE, handover.STOCKS)
+    assert found is not None and found.state == HandoverState(handover.LIMIT_SHARE, handover.QUOTAS)
     assert sent == b""  # the next process asks by connecting, and says nothing
 
 
@@ -89,7 +89,7 @@
 
 def test_names_and_amounts_on_the_counter_are_what_they_were() -> None:
     stored = text_rows("counter_calls.txt")
-    assert counter.count_lines() == stored
+    assert counter.counter_call_rows() == stored
     amounts = [float(line.split()[1]) for _, line in stored]
     assert min(amounts) < 0.0 and max(amounts) > 100_000.0 and 0.0 in amounts
     assert any(100.0 <= amount < 200.0 for amount in amounts)  # an epoch marker of a smaller plan
@@ -98,10 +98,10 @@
 def test_commands_to_the_counter_are_what_they_were() -> None:
     stored = hex_rows("counter_commands.hex")
     assert counter.commands() == stored
-    assert counter.links_used() == [
+    assert counter.connections_used() == [
         int(line) for line in (HERE / "counter_connections.txt").read_text().split()
     ]
-    for (_, data), call in zip(stored[1:], counter.counts(), strict=True):
+    for (_, data), call in zip(stored[1:], counter.counter_calls(), strict=True):
         parser = resp.Parser()
         parser.feed(data)
         word, name, amount, ttl = parser.next_message()
