--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -1,4 +1,5 @@
-"""Three gateway processes round a counter that is killed, split and replaced; the nodes' log is the truth."""
+"""Three gateway processes with a counter that is killed, split and replaced. The nodes record which requests
+they ran, and the test checks the quota and the ceiling against that record."""
 
 from __future__ import annotations
 
@@ -18,21 +19,22 @@
 GATEWAYS = 3
 RATE = 60.0  # requests a second at each gateway
 SECONDS = 6.0
-LATE_S = 0.15  # the platform's allowance between a decision and the node's clock
+# The platform allows this time between a gateway's decision and the moment that the node records.
+ALLOWED_DELAY_S = 0.15
 READ = Kind("report-read", 1.0, 1500)
 
 
 def overshoot(moments: list[float], rate: float, burst: float) -> float:
-    """How far below nothing a store went that gave a unit at each moment."""
-    level, last, lowest = burst, None, 0.0
+    """Returns by how many units a token bucket would have been overdrawn that granted one at each moment."""
+    tokens, last, lowest = burst, None, 0.0
     for at in sorted(moments):
-        level = min(burst, level + (0.0 if last is None else rate * (at - last))) - 1.0
-        lowest, last = min(lowest, level), at
+        tokens = min(burst, tokens + (0.0 if last is None else rate * (at - last))) - 1.0
+        lowest, last = min(lowest, tokens), at
     return -lowest
 
 
-async def faults(parts: Parts) -> None:
-    """All that can happen to a counter, one after the other."""
+async def inject_faults(parts: Parts) -> None:
+    """Kills, splits, heals and replaces the counter, one after the other."""
     await asyncio.sleep(1.2)
     parts.replace()
     await asyncio.sleep(0.6)
@@ -51,9 +53,11 @@
     async def scenario() -> None:
         site_settings: dict[str, Any] = copy.deepcopy(SETTINGS)
         site_settings["balancers"] = GATEWAYS
-        dear = site_settings["packages"][2]
-        # The quota is as wide as the ceiling, which thus has to hold by itself.
-        dear.update(per_second=40.0, most_at_once=60.0, ceiling_rate=40.0, hard_burst=80.0, ceiling_slack=8.0)
+        plan_settings = site_settings["packages"][2]
+        # The quota's rate equals the ceiling's, so that the quota can't keep the load under the ceiling.
+        plan_settings.update(
+            per_second=40.0, most_at_once=60.0, ceiling_rate=40.0, hard_burst=80.0, ceiling_slack=8.0
+        )
         parts = Parts(2)
         counters = [PartedCounter(parts, lambda _, name=f"g{i}": name) for i in range(GATEWAYS)]  # type: ignore[misc]
         nodes = [Node(f"n{i}", Trade({"report-read": 4.0}, slots=64)) for i in range(3)]
@@ -71,30 +75,30 @@
                 gateways[-1].start()
             try:
                 await asyncio.gather(*(gateway.ready() for gateway in gateways))
-                await asyncio.sleep(1.6)  # the windows of before the start are over
+                await asyncio.sleep(1.6)  # windows that began before the start have ended
                 loads = [
                     Load(lambda port=gateway.port: port, [READ], [account], RATE, number)  # type: ignore[misc]
                     for number, gateway in enumerate(gateways)
                 ]
-                await asyncio.gather(faults(parts), *(load.run(SECONDS) for load in loads))
+                await asyncio.gather(inject_faults(parts), *(load.run(SECONDS) for load in loads))
             finally:
                 statuses = await asyncio.gather(*(gateway.stop() for gateway in gateways))
                 for counter in counters:
                     await counter.stop()
             assert statuses == [0] * GATEWAYS
-        first: dict[bytes, float] = {}
+        first_run_at: dict[bytes, float] = {}
         for node in nodes:
             for run in node.ran:
                 at = node.began + run.at
-                first[run.request_id] = min(at, first.get(run.request_id, at))
-        moments = list(first.values())
+                first_run_at[run.request_id] = min(at, first_run_at.get(run.request_id, at))
+        moments = list(first_run_at.values())
         plan = policy_settings(site_settings).plans[2]
-        found = overshoot_bound(plan, GATEWAYS, 0.0, 1.0)
+        bound = overshoot_bound(plan, GATEWAYS, 0.0, 1.0)
         over = overshoot(moments, plan.ceiling_rate_per_s, plan.ceiling_burst_units)
-        assert over <= ceiling_overshoot_units(found) + plan.ceiling_rate_per_s * LATE_S
+        assert over <= ceiling_overshoot_units(bound) + plan.ceiling_rate_per_s * ALLOWED_DELAY_S
         over = overshoot(moments, plan.rate_per_s, plan.burst_units)
         assert over <= (GATEWAYS - 1) * (plan.burst_units + plan.rate_per_s * SECONDS)
-        # It was a flood, and the gateways served what they could.
+        # The load was a flood, and the gateways served at least half of what the ceiling allows.
         answers = [outcome.answer for load in loads for outcome in load.outcomes]
         assert len(answers) > 0.8 * GATEWAYS * RATE * SECONDS and "lost" not in answers
         assert len(moments) >= 0.5 * (plan.ceiling_burst_units + plan.ceiling_rate_per_s * SECONDS)
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -1,4 +1,5 @@
-"""Long lists are decoded in parts with requests served in between; in force as a whole or not at all."""
+"""Long lists are decoded in parts, with requests served in between, and come into force as a whole or not at
+all."""
 
 from __future__ import annotations
 
@@ -25,7 +26,7 @@
 from lab.peers import DiscoveryPeer, http, listing, play, row, until
 from tests.loopback import Script, Site, site
 
-MANY = [row(f"n{n}", 9) for n in range(1_000)]  # some 100 KB
+MANY = [row(f"n{n}", 9) for n in range(1_000)]  # about 100 KB of JSON
 
 
 def decode_at_once(body: bytes, current: CurrentList | None) -> EndpointUpdate:
@@ -43,11 +44,11 @@
 
 
 def outcome(
-    read: Callable[[bytes, CurrentList | None], EndpointUpdate], body: bytes, current: CurrentList | None
+    decode: Callable[[bytes, CurrentList | None], EndpointUpdate], body: bytes, current: CurrentList | None
 ) -> Any:
-    """The update; None if the list is invalid."""
+    """Returns the update; None if the list is invalid."""
     try:
-        return read(body, current)
+        return decode(body, current)
     except (ValueError, RecursionError):
         return None
 
@@ -89,9 +90,11 @@
     st.sampled_from(BODIES[:4]), st.integers(0, 400), st.integers(0, 3),
     st.text('{}[],:"0 \n', max_size=3), st.booleans(),
 )  # fmt: skip
-def test_parts_decode_corrupted_lists_alike(text: str, at: int, cut: int, put: str, hold: bool) -> None:
-    body = (text[:at] + put + text[at + cut :]).encode()
-    current = CurrentList() if hold else None
+def test_parts_decode_corrupted_lists_alike(
+    text: str, at: int, cut: int, inserted: str, has_list: bool
+) -> None:
+    body = (text[:at] + inserted + text[at + cut :]).encode()
+    current = CurrentList() if has_list else None
     assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, current)
 
 
@@ -105,33 +108,35 @@
     st.integers(0, len(LONG)), st.integers(0, 40), st.text('{}[],:"09 \n', max_size=3),
     st.sampled_from([", ", ",", " , \n"]),
 )  # fmt: skip
-def test_rows_known_by_their_text_are_decoded_alike(at: int, cut: int, put: str, comma: str) -> None:
-    """After a long list whose texts are kept: the same list, corrupted somewhere or formatted differently."""
+def test_rows_known_by_their_text_are_decoded_alike(at: int, cut: int, inserted: str, comma: str) -> None:
+    """A long list whose rows are kept by their text is followed by the same list with an edit or with other
+    separators, which must give the same result as without kept rows."""
     current, other = CurrentList(), CurrentList()
     current.apply(decode_in_parts(LONG.encode(), current))
     other.rows = dict(current.rows)
     assert len(current.rows_by_text) == MAX_SUBSET_SIZE + 9
-    body = (LONG[:at] + put + LONG[at + cut :]).replace("}, {", "}" + comma + "{").encode()
+    body = (LONG[:at] + inserted + LONG[at + cut :]).replace("}, {", "}" + comma + "{").encode()
     assert outcome(decode_in_parts, body, current) == outcome(decode_at_once, body, other)
 
 
 def test_known_rows_are_not_decoded_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of a complete list only the rows that differ are decoded; no more texts are kept than it has rows."""
-    read: list[str] = []
+    """Only the rows of a complete list that differ from the previous one are decoded, and only the texts of
+    the last list are kept."""
+    decoded: list[str] = []
     decode_row = endpoint_list.decode_row
     current, rows = CurrentList(), [row(f"n{n}", 9) for n in range(1_000)]
 
-    def counting_decode_row(one: Any) -> Any:
-        read.append(one["id"])
-        return decode_row(one)
+    def counting_decode_row(raw: Any) -> Any:
+        decoded.append(raw["id"])
+        return decode_row(raw)
 
     monkeypatch.setattr(endpoint_list, "decode_row", counting_decode_row)
     for changed, expected in (([], 1_000), ([], 0), ([3, 999], 2), (list(range(1_000)), 1_000)):
-        read.clear()
+        decoded.clear()
         for n in changed:
             rows[n] = {**rows[n], "weight": 1.5 + len(changed)}
         update = decode_in_parts(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), current)
-        assert len(read) == expected and [entry.address for entry in update.event.endpoints][3] == "n3"
+        assert len(decoded) == expected and [entry.address for entry in update.event.endpoints][3] == "n3"
         assert [entry.weight for entry in update.event.endpoints] == [one.get("weight", 1.0) for one in rows]
         assert len(current.rows_by_text) == len(rows)
 
@@ -144,28 +149,28 @@
         self.one = one
         patch.setattr(one.program.discovery, "decode_next_part", self.pause)
 
-    def pause(self, reading: Any) -> None:
-        self.paused.append(reading)
+    def pause(self, decoding: Any) -> None:
+        self.paused.append(decoding)
 
     async def resume(self, parts: int) -> None:
-        """Decodes so many parts, then pauses again."""
+        """Decodes this many parts, then pauses again."""
         discovery = self.one.program.discovery
         for _ in range(parts):
             await until(lambda: self.paused or discovery.partial_decode is None)
-            waiting, self.paused = self.paused, []
-            for reading in waiting:
-                type(discovery).decode_next_part(discovery, reading)
+            paused, self.paused = self.paused, []
+            for decoding in paused:
+                type(discovery).decode_next_part(discovery, decoding)
 
 
-def lists(script: Script) -> list[EndpointList]:
+def received_lists(script: Script) -> list[EndpointList]:
     return script.of(EndpointList)
 
 
 @pytest.mark.parametrize("end", ["stays", "closes", "moves", "ends", "another"])
 def test_events_between_two_parts(end: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The list comes into force once it is decoded, even if its connection has ended meanwhile; if the
-    address changes, the process ends, or another answer is accepted, it never does. Requests are served in
-    between."""
+    """The list comes into force once it is decoded, even if its connection has ended in between. It never
+    does if the address changes, the process ends, or another answer is accepted before. Requests are served
+    between the parts."""
     script = Script(lambda event: [])
 
     async def scenario() -> None:
@@ -181,9 +186,13 @@
             answers.answers.append(http(body))
             await until(lambda: parts.paused)
             await parts.resume(3)
-            before = len(lists(script))
+            before = len(received_lists(script))
             client = await one.client()
-            assert await client.ask(b"PING") == b"PONG" and parts.paused and len(lists(script)) == before
+            assert (
+                await client.ask(b"PING") == b"PONG"
+                and parts.paused
+                and len(received_lists(script)) == before
+            )
             if end == "closes":
                 connection_id = discovery.partial_decode.connection_id  # type: ignore[union-attr]
                 answers.writers[-1].close()
@@ -204,7 +213,7 @@
                 answers.answers.append(listing(4, [row("s0", 9, "Terminating")], full=False))
                 await until(lambda: discovery.version == 4)
             await parts.resume(40)
-            received = [event for event in lists(script)[before:] if len(event.endpoints) > 100]
+            received = [event for event in received_lists(script)[before:] if len(event.endpoints) > 100]
             if end in ("stays", "closes"):
                 assert discovery.version == 3 and discovery.partial_decode is None
                 assert [event.kind for event in received] == [EndpointListKind.FULL]
@@ -218,7 +227,7 @@
 
 
 def test_drains_in_an_ordinary_answer_are_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Changes of 300 rows, a drain last: decoded in the turn in which they arrive."""
+    """Guards against delayed drains: changes of 300 rows are decoded in the turn that receives them."""
     script = Script(lambda event: [])
 
     async def scenario() -> None:
@@ -236,24 +245,24 @@
 
 def test_the_rows_of_a_part_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """No part decodes more rows than `ROWS_PER_PART`, readable or not."""
-    read, most = 0, 0
+    row_count, most = 0, 0
     decode_row = endpoint_list.decode_row
 
-    def counting_decode_row(one: Any) -> Any:
-        nonlocal read
-        read += 1
-        return decode_row(one)
+    def counting_decode_row(raw: Any) -> Any:
+        nonlocal row_count
+        row_count += 1
+        return decode_row(raw)
 
     monkeypatch.setattr(endpoint_list, "decode_row", counting_decode_row)
     rows = [one if n % 3 else {"id": n} for n, one in enumerate(MANY)]
     for _ in decode_list_in_parts(
         json.dumps({"version": 3, "full": True, "servers": rows}).encode(), CurrentList()
     ):
-        most, read = max(most, read), 0
+        most, row_count = max(most, row_count), 0
     assert 0 < most <= ROWS_PER_PART
 
 
-# --- the cost of a list per turn -----------------------------------------------------------------------
+# --- the cost of a list for each turn of the event loop --------------------------------------------------
 
 
 @pytest.fixture
@@ -265,7 +274,7 @@
 
 @contextmanager
 def counted_calls() -> Iterator[list[int]]:
-    """Counts calls of Python and built-in functions within the context."""
+    """Counts the calls of Python and built-in functions within the context."""
     count = [0]
 
     def count_call(frame: Any, event: str, arg: Any) -> None:
@@ -279,7 +288,7 @@
 
 
 def most_calls_in_a_turn(chain: Chain, rows: list[dict[str, Any]], full: bool = True) -> int:
-    """The calls in the turn with the most."""
+    """Returns the number of calls in the turn that makes the most."""
     most, turns, ended = 0, chain.turns(rows, full), False
     while not ended:
         with counted_calls() as count:
@@ -290,14 +299,14 @@
 
 @pytest.mark.parametrize("name", LISTS)
 def test_no_turn_visits_all_rows_of_a_long_list(name: str, chain: Chain) -> None:
-    """From one list to another: calls in the longest turn. Some 2,300 decode `ROWS_PER_PART` rows; one call
-    or more for each of 5,700 rows would be 20,000. Draining rows have some each, as have those that enter or
-    leave rings by changes."""
+    """Limits the number of calls in the longest turn of a change from one list to another. Decoding
+    `ROWS_PER_PART` rows takes about 2,300; a turn that visits all 5,700 rows would make about 20,000. Rows
+    that drain, and those that changes add to the hash rings or remove from them, may take some calls each."""
     before, after, full = LISTS[name]
     chain.tell(before)
     most = most_calls_in_a_turn(chain, after, full)
-    more = {"half of it drains": 4 * 2_850, "a zone gone": 10_000, "a zone back": 10_000}
-    assert most <= 3_000 + more.get(name, 0)
+    extra_calls = {"half of it drains": 4 * 2_850, "a zone gone": 10_000, "a zone back": 10_000}
+    assert most <= 3_000 + extra_calls.get(name, 0)
     listed = {one["id"] for one in after if one["state"] == "Ready"}
     if full:
         assert chain.used() <= listed
@@ -305,8 +314,8 @@
 
 
 def test_no_row_is_in_force_before_the_list_is_complete(chain: Chain) -> None:
-    """Complete lists and changes: between two turns everything is as before, to requests and to the next
-    list; after the last one all rows are in force, drains included."""
+    """Between two turns, requests and the next list find the state of before; after the last one all rows are
+    in force, including drains. This holds for complete lists and for changes."""
     chain.tell(zoned(0, 5_700))
     used = chain.used()
     drained = sorted(used)[:10]
@@ -323,8 +332,8 @@
 
 
 def test_an_abandoned_list_leaves_no_state(chain: Chain) -> None:
-    """As when its connection is closed, another answer is accepted, or the process ends. The next list takes
-    full effect, even with the same rows."""
+    """A list is abandoned when its connection is closed, another answer is accepted, or the process ends. The
+    next list must take full effect, even with the same rows."""
     chain.tell(zoned(0, 600))
     state = chain.state()
     for stop in (1, 30, 90):
@@ -339,7 +348,7 @@
 
 
 def test_a_name_with_a_lone_surrogate_does_not_affect_other_rows(chain: Chain) -> None:
-    """Half of a surrogate pair, as JSON allows: the list is in force, that server included."""
+    """JSON allows half of a surrogate pair in a server's name: the list comes into force with that server."""
     unusual = {**row("x\ud83d", 9), "zone": "z"}
     chain.tell([*zoned(0, 600), unusual])
     assert (
@@ -350,27 +359,30 @@
 
 
 def test_connections_to_restarted_servers_are_closed(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
-    """By a complete list and by changes: those of the restarted servers, and no others."""
+    """A complete list, and changes, close the connections of the restarted servers and no others."""
     chain.tell(zoned(0, 5_700))
     opened = sorted(chain.used())[:20]
     assert all(chain.servers.open_pool(name) is not None for name in opened)
-    where = {id(pool): name for name, pool in chain.servers.pools.items()}
+    server_of = {id(pool): name for name, pool in chain.servers.pools.items()}
     closed: list[str] = []
     monkeypatch.setattr(
-        ConnectionPool, "close_idle", lambda self, before=None: closed.append(where[id(self)])
+        ConnectionPool, "close_idle", lambda self, before=None: closed.append(server_of[id(self)])
     )
     for step, full in ((1, True), (2, False)):
-        anew = set(opened[:step])
-        rows = [{**one, "started_ms": float(step)} if one["id"] in anew else one for one in zoned(0, 5_700)]
+        restarted = set(opened[:step])
+        rows = [
+            {**one, "started_ms": float(step)} if one["id"] in restarted else one for one in zoned(0, 5_700)
+        ]
         chain.tell(rows, full)
-        chain.tell(rows, full)  # the same again closes none
+        chain.tell(rows, full)  # the same list again closes no connections
         assert closed == opened[:step] and len(chain.servers.pools) == len(opened)
         closed.clear()
 
 
 def test_servers_without_pools_drain_like_others(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing new is sent to them; attempts decided before may start until the grace period is over, which
-    counts from the first list with the drain; and a server that returns is used again."""
+    """A draining server gets no new requests. Attempts that were decided before may start until the end of
+    the grace period, which begins with the first list that has the drain. A server that returns is used
+    again."""
     chain.tell(zoned(0, 5_700))
     now = 100.0
     monkeypatch.setattr(Chain, "time", lambda self: now, raising=False)
@@ -395,7 +407,7 @@
 
 
 def random_rows(rng: random.Random, names: int) -> list[dict[str, Any]]:
-    """Rows of all kinds, including invalid ones."""
+    """Returns random rows of all kinds, including invalid ones."""
     rows: list[Any] = []
     for n in rng.sample(range(names), rng.randint(names // 3, names)):
         one = {**row(f"n{n}", 9 + rng.randint(0, 9) // 9), "zone": rng.choice("aaab")}
@@ -412,8 +424,8 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_parts_and_prebuilt_tables_give_the_same_state(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lists and changes of all lengths, in sequence: decoded in parts with prebuilt tables they leave the
-    same state as decoded at once and applied row by row."""
+    """A sequence of lists and changes of all lengths: decoded in parts with hash rings that are built on the
+    way, they give the same state as decoded at once and applied row by row."""
     rng = random.Random(seed)
     new, old = Chain(), Chain(parted=False)
     for step in range(25):
@@ -423,13 +435,13 @@
         with monkeypatch.context() as patch:
             patch.setattr(endpoint_updates, "BULK_ROWS", 10**9)
             old.tell(rows, full)
-        for name in rng.sample(sorted(new.used()), len(new.used()) // 3):  # pools that are made by use
+        for name in rng.sample(sorted(new.used()), len(new.used()) // 3):  # opens pools as use would
             assert new.servers.open_pool(name) is not None
-        for name in rng.sample(sorted(new.servers.server_ids()), 9):  # ... also of some that drain
+        for name in rng.sample(sorted(new.servers.server_ids()), 9):  # also servers that drain
             first, second = new.servers.open_pool(name), old.servers.open_pool(name)
             assert first is None or second is None or first.address == second.address
-        ours, theirs = new.state(), old.state()
-        assert ours == theirs, step
+        state, expected = new.state(), old.state()
+        assert state == expected, step
     new.close()
     old.close()
 
@@ -461,7 +473,8 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_server_in_use_has_a_draining_pool(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the same fault after any sequence of lists, each a second after the one before."""
+    """Guards against requests decided for a server whose pool drains, after any sequence of lists at
+    intervals of a second."""
     now = 100.0
     rng = random.Random(seed)
     chain = Chain()
