--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -345,7 +345,7 @@
         self._reset_timer()
 
     def _apply_restriction(self, confirmation: ListConfirmation, received: EndpointList) -> None:
-        """Brings into force at once which endpoints an unconfirmed list withdraws."""
+        """Takes out of use at once the endpoints that an unconfirmed list withdraws."""
         withdrawn = confirmation.withdraw_endpoints(received)
         if withdrawn:
             changes = EndpointList(EndpointListKind.CHANGES, withdrawn)
--- a/glenchute/protocol/endpoint_list.py
+++ b/glenchute/protocol/endpoint_list.py
@@ -218,7 +218,7 @@
         if current is not None and raw.get("full") and len(rows_by_text) > MAX_SUBSET_SIZE:
             current.rows_by_text, current.ring_positions = rows_by_text, ring_builder.positions
         known_rows = rows_by_text = {}
-        yield  # frees the previous rows in a turn before the one that brings this list into force
+        yield  # so that the previous rows are freed in an earlier turn than this list comes into force
         return rows.finish(raw) if not raw["servers"] else decode_list(json.loads(text), current=current)
     except DECODING_ERRORS as error:
         raise as_list_error(error) from None
--- a/glenchute/protocol/resp2.py
+++ b/glenchute/protocol/resp2.py
@@ -17,7 +17,7 @@
 MAX_LINE_BYTES = 1024  # the limit for a status or an error
 MAX_LENGTH_LINE_BYTES = 24  # the limit for a line with a length or a number
 MAX_ARRAY_ELEMENTS = 99  # the protocol's own arrays have five elements at most
-MAX_ARRAY_DEPTH = 2  # arrays are nested in load reports only
+MAX_ARRAY_DEPTH = 2  # allows load reports that are an array in the array of a reply
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
@@ -125,11 +125,11 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """What is kept of the input: the bytes that are not parsed, and parsed ones before them."""
+        """Returns the size of the buffer: of the bytes not parsed yet, and of parsed ones before them."""
         return len(self._raw)
 
     def has_unparsed(self) -> bool:
-        """Whether bytes follow the last message."""
+        """Returns whether there are bytes after the last message."""
         return self._at < len(self._raw)
 
 
--- a/glenchute/simulator.py
+++ b/glenchute/simulator.py
@@ -148,9 +148,8 @@
             raise WireError(f"unknown event {kind!r}")
         arguments += [None] * (count - len(arguments))
         if kind == "directory":
-            by_address = {
-                one.address: one for one in map(decode_endpoint, arguments[1])
-            }  # the last row applies
+            # Of several rows with the same address the last one applies.
+            by_address = {one.address: one for one in map(decode_endpoint, arguments[1])}
             self.endpoint_lists[int(arguments[0])] = tuple(by_address.values())
             return None
         gateway = int(arguments[0])
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -62,7 +62,7 @@
     """Both polls are answered at the same time; the older version in the older one must revert nothing."""
     await discovery.poll(2)
     discovery.polls[2][1].write(DRAIN_OF_A)
-    discovery.polls[1][1].write(STALE)  # read in the same event loop iteration as the other
+    discovery.polls[1][1].write(STALE)  # both are read in one loop iteration, in any order
     await until(lambda: endpoint_states(script)["a"] == "draining")
     assert "since=9&" in (await discovery.poll(3), discovery.polls[3][0])[1]
     await until(lambda: discovery.open_connections == 1)
@@ -318,7 +318,7 @@
                 for writer in [one for _, one in peer.polls if not one.transport.is_closing()]:
                     writer.write(listing(99, [row("a", 80, "Terminating"), row("b", 81, "Terminating")]))
             await last.poll(before)
-            assert last.polls[before][0] == "/v1/servers"  # versions of another address mean nothing there
+            assert last.polls[before][0] == "/v1/servers"  # versions are only valid at one address
             await last.answer(before, listing(3, [row("a", 80, "Terminating"), row("b", 81)]))
             await until(lambda: endpoint_states(script)["a"] == "draining")
             assert endpoint_states(script)["b"] == "active"
