--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -45,24 +45,24 @@
 }
 
 
-def entry(server: str, state: str = "active", started: float | None = None) -> list[Any]:
-    return [1, started, "a", 0, "std", server, state]
+def entry(server: str, state: str = "active", started_ms: float | None = None) -> list[Any]:
+    return [1, started_ms, "a", 0, "std", server, state]
 
 
 def line(now: float, *events: list[Any]) -> str:
     return json.dumps({"moment_ms": now, "inbox": events})
 
 
-def accept(gid: int, ref: str) -> list[Any]:
-    return ["accept", gid, ref, "read", "basic", "c1", 900.0, 1, 2, 0, False, False]
+def accept(gateway: int, request_id: str) -> list[Any]:
+    return ["accept", gateway, request_id, "read", "basic", "c1", 900.0, 1, 2, 0, False, False]
 
 
-def started(*gids: int) -> SimulatorHost:
+def host_of(*gateways: int) -> SimulatorHost:
     host = SimulatorHost()
     events: list[list[Any]] = []
-    for gid in gids:
-        events += [["create", gid, 7 + gid, PARAMS], ["directory", 0, [entry(f"s{gid}:1")]]]
-        events += [["topology", gid, "warm_copy", 1, 0]]
+    for gateway in gateways:
+        events += [["create", gateway, 7 + gateway, PARAMS], ["directory", 0, [entry(f"s{gateway}:1")]]]
+        events += [["topology", gateway, "warm_copy", 1, 0]]
     host.answer(line(10.0, *events))
     return host
 
@@ -73,13 +73,13 @@
 
 
 def test_directory_numbers_are_reused_within_a_batch() -> None:
-    host = started(3, 5)
+    host = host_of(3, 5)
     sent = [a for a in actions(host, 20.0, accept(3, "r3"), accept(5, "r5")) if a[0] == "hand_off"]
     assert [(a[1], a[2], a[4]) for a in sent] == [(3, "r3", "s3:1"), (5, "r5", "s5:1")]
 
 
 def test_every_event_is_decoded() -> None:
-    host = started(3)
+    host = host_of(3)
     actions(host, 20.0, accept(3, "r"))
     pressure = [9, 4.0, None]
     events: list[list[Any]] = [
@@ -93,7 +93,7 @@
         ["whisper", 3, 1, "aGkgNw=="],
         ["ledger_reply", 3, 2.15, 9041552, 38, "pass"],
         ["topology", 3, "lost", 0, 0],
-        ["directory", 4, [entry("s4:1", started=15.0)]],
+        ["directory", 4, [entry("s4:1", started_ms=15.0)]],
         ["topology", 3, "incr", 2, 4],
         ["shutdown", 3],
     ]
@@ -103,17 +103,19 @@
 
 
 @pytest.mark.parametrize(
-    "word", ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
+    "outcome", ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
 )
-def test_every_outcome_is_decoded(word: str) -> None:
-    host = started(3)
+def test_every_outcome_is_decoded(outcome: str) -> None:
+    host = host_of(3)
     actions(host, 20.0, accept(3, "r"))
-    answer = actions(host, 30.0, ["ended", 3, "r", 0, "s3:1", word, 10.0, word == "pass", 0, 0, [1, 2, 3]])
+    answer = actions(
+        host, 30.0, ["ended", 3, "r", 0, "s3:1", outcome, 10.0, outcome == "pass", 0, 0, [1, 2, 3]]
+    )
     assert all(a[0] != "die" for a in answer)
 
 
 def test_every_action_is_encoded() -> None:
-    made: list[tuple[Action, list[Any]]] = [
+    cases: list[tuple[Action, list[Any]]] = [
         (StartAttempt("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
         (Reject("r", 9.0), ["bounce", 1, "r", 9.0]),
         (Fail("r"), ["give_up", 1, "r"]),
@@ -123,13 +125,13 @@
         (SubscribeToEndpoints(), ["tail", 1, True]),
         (LogMessage("x"), ["say_log", 1, "x"]),
     ]
-    assert [encode(1, action) for action, _ in made] == [wire for _, wire in made]
+    assert [encode(1, action) for action, _ in cases] == [row for _, row in cases]
 
 
 def test_missing_settings_get_the_safest_values() -> None:
-    bare = policy_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
-    assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT and bare.max_attempts == 1
-    assert bare.gateway_count == 1 and not bare.has_counter and bare.plans == ()
+    settings = policy_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
+    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT and settings.max_attempts == 1
+    assert settings.gateway_count == 1 and not settings.has_counter and settings.plans == ()
 
 
 @pytest.mark.parametrize(
@@ -153,7 +155,7 @@
 
 
 def test_an_exception_of_the_engine_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = started(3)
+    host = host_of(3)
 
     def broken(now_ms: float, event: Event) -> list[Action]:
         raise RuntimeError("out of luck")
@@ -163,7 +165,7 @@
 
 
 def test_gateways_in_one_process_do_not_affect_each_other() -> None:
-    alone, together = started(3), started(3, 5)
+    alone, together = host_of(3), host_of(3, 5)
     for now in range(20, 400, 20):
         first = actions(alone, now, accept(3, f"r{now}"))
         second = actions(together, now, accept(5, f"q{now}"), accept(3, f"r{now}"))
@@ -187,11 +189,11 @@
         line(20.0, accept(3, "r")),
         line(40.0, ["ended", 3, "r", 0, "s:1", "pass", 18.0, True, 0, 0, [1, 2, 3]]),
     ]
-    done = subprocess.run(
+    result = subprocess.run(
         ["/bin/sh", "-c", command], input="\n".join(session) + "\n", cwd=ROOT,
         capture_output=True, text=True, timeout=60, check=True,
     )  # fmt: skip
-    replies = [json.loads(reply)["actions"] for reply in done.stdout.splitlines()]
+    replies = [json.loads(reply)["actions"] for reply in result.stdout.splitlines()]
     assert len(replies) == 4 and replies[0] == []
     assert [a[2] for a in replies[2] if a[0] == "hand_off"] == ["r"]
 
@@ -199,5 +201,7 @@
 def test_readme_example_runs() -> None:
     text = (ROOT / "README.md").read_text()
     code = text.split("```python\n")[1].split("```")[0]
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout == "10.0.0.1:80\n"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout == "10.0.0.1:80\n"
