--- a/tests/messages/__main__.py
+++ b/tests/messages/__main__.py
@@ -1,6 +1,6 @@
-"""Records the bytes of messages: ``python -m tests.messages``; runs on the old program only (commit a44429f).
+"""Records the bytes of messages: ``python -m tests.messages``, to be run at commit a44429f only.
 
-Files that are there stay as they are: a later program has to write and read the same bytes.
+Existing files are never replaced: later versions of the program have to write and read the same bytes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Writes the files, none of which may be there yet."""
+    """Writes the files; fails if one of them exists."""
     requests, replies = control.answers()
     lines, answers = simulator.session()
     files = {
@@ -22,9 +22,9 @@
             [("from the process before", asyncio.run(handover.from_predecessor()))]
         ),
         "datagrams.hex": as_hex(datagrams.datagrams()),
-        "counter_calls.txt": as_text(counter.count_lines()),
+        "counter_calls.txt": as_text(counter.counter_call_rows()),
         "counter_commands.hex": as_hex(counter.commands()),
-        "counter_connections.txt": "".join(f"{at}\n" for at in counter.links_used()),
+        "counter_connections.txt": "".join(f"{at}\n" for at in counter.connections_used()),
         "counter_replies.hex": as_hex(counter.REPLIES),
         "counter_outcomes.txt": as_text(counter.outcomes(counter.REPLIES)),
         "control_requests.txt": as_text(requests),
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -313,7 +313,7 @@
             outcomes = [outcome for load in loads for outcome in load.outcomes]
             answered = [outcome for outcome in outcomes if outcome.answer == "served"]
             assert len(outcomes) == REQUEST_COUNT and len(answered) >= 0.95 * len(outcomes)
-            doubted = sum("not believed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
+            doubted = sum("not confirmed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
             assert doubted == (0 if mode == "silent" else 2)
 
     play(scenario())
