--- a/glenchute/listeners/extproc/__init__.py
+++ b/glenchute/listeners/extproc/__init__.py
@@ -1,1 +1,1 @@
-"""The external processor: proxies ask for each request. Needs the extra `extproc`."""
+"""External processor (ext_proc): proxies ask the gateway about each request. Needs the extra `extproc`."""
--- a/glenchute/listeners/extproc/attempt.py
+++ b/glenchute/listeners/extproc/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt that a proxy makes."""
+"""An attempt that a proxy makes for a request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 class ProxiedAttempt:
-    """An attempt that the proxy makes, from the engine's choice of a server to its one result."""
+    """An attempt that the proxy makes, from the engine's choice of a server to its result, which is reported
+    once."""
 
     __slots__ = (
         "address",
@@ -38,42 +39,47 @@
 
     def __init__(
         self,
-        entry: ProxiedRequest,
+        request: ProxiedRequest,
         server: str,
         address: Address,
         timeout_s: float,
         done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
-        self.request, self.server, self.address = entry, server, format_address(address)
+        self.request, self.server, self.address = request, server, format_address(address)
         self.timeout_s, self.done, self.write_by = timeout_s, done, write_by
-        self.started_at = entry.table.loop.time()
+        self.started_at = request.table.loop.time()
         self.deadline = self.started_at + timeout_s
-        self.is_written = False  # the proxy was allowed to send it: it may have run
+        self.is_written = False  # the proxy has been allowed to send it, so it may have run
         self.has_ended = False
-        # Never called: values pass through the proxy.
+        # The two callbacks of `UpstreamAttempt` are never called: the proxy sends the request and forwards
+        # the response itself.
         self.on_response_started: Callable[[ResponseSource], None] | None = None
-        self.is_wanted: Callable[[], bool] | None = None  # never called: the proxy writes
+        self.is_wanted: Callable[[], bool] | None = None
         self.stream: UpstreamStream | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Tells the proxy, or waits until it asks."""
+        """Starts the timeout and tells the proxy of the chosen server, or waits until the proxy asks."""
         self.timer = self.request.table.loop.call_at(self.deadline, self.stop, Outcome.TIMEOUT)
         self.request.on_attempt_chosen(self)
 
-    def stop(self, why: Outcome) -> None:
-        """A timeout or a cancellation. An attempt that was not allowed never will be; one that was is reset,
-        as far as a processor can, and no other attempt is allowed before its stream has ended."""
+    def stop(self, outcome: Outcome) -> None:
+        """Ends the attempt early, after a timeout or a cancellation.
+
+        An attempt that the proxy was not allowed to send yet is never allowed. If it was allowed, its stream
+        is aborted, which is all that a processor can do to reset it; no other attempt is allowed before that
+        stream has ended.
+        """
         if self.has_ended:
             return
         stream = self.stream
-        self.finish(AttemptResult(why if self.is_written else Outcome.NOT_SENT))
+        self.finish(AttemptResult(outcome if self.is_written else Outcome.NOT_SENT))
         if stream is not None and stream.abort is not None:
             stream.abort()
 
     def finish(self, result: AttemptResult) -> None:
-        """Reports the one result; later ones are dropped."""
+        """Reports the result; only the first call has an effect."""
         if self.has_ended:
             return
         self.has_ended = True
--- a/glenchute/listeners/extproc/events.py
+++ b/glenchute/listeners/extproc/events.py
@@ -1,4 +1,4 @@
-"""The messages of a stream, in both directions. `messages.py` converts them from and to protobufs."""
+"""The messages of a stream, in both directions. `messages.py` converts them from and to protobuf messages."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class RequestHeaders:
-    """A request's headers, by lower-case name; `end_of_stream`: no body follows."""
+    """A request's headers, by lower-case name. With `end_of_stream` no body follows."""
 
     headers: dict[str, list[bytes]]
     end_of_stream: bool = True
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RequestBody:
-    """A buffered body, or a part of one."""
+    """A request's buffered body, or a part of it."""
 
     body: bytes
     end_of_stream: bool
@@ -27,7 +27,8 @@
 
 @dataclass(slots=True)
 class ResponseHeaders:
-    """A response's headers: of an attempt on an upstream stream, for the client on a downstream one."""
+    """A response's headers. On an upstream stream they are those of an attempt's response, on a downstream
+    stream those of the response that the client is about to get."""
 
     headers: dict[str, list[bytes]]
     end_of_stream: bool = False
@@ -36,20 +37,20 @@
 
 @dataclass(slots=True)
 class UnhandledMessage:
-    """A message that needs a response of its own kind and no more: bodies and trailers that were not asked
-    for. `kind` is the field of ProcessingRequest."""
+    """A body or trailers that the processor did not ask for: the response has the same `kind`, which is the
+    name of a field of ProcessingRequest, and changes nothing."""
 
     kind: str
 
 
 @dataclass(slots=True)
 class ObservedMessage:
-    """Observability mode: the proxy does not wait, and a response would have no effect."""
+    """A message in observability mode: the proxy does not wait for a response, which would have no effect."""
 
 
 @dataclass(slots=True)
 class UnknownMessage:
-    """A message without any known field."""
+    """A message without any field that is known here."""
 
 
 ProxyMessage = (
@@ -59,20 +60,23 @@
 
 @dataclass(slots=True)
 class ContinueResponse:
-    """Continue, with header changes. `kind` is the field of ProcessingResponse; `endpoint` goes into the
-    metadata `envoy.lb`."""
+    """Lets the exchange continue, with header changes.
+
+    `kind` is the name of the field of ProcessingResponse. `endpoint`, unless empty, is the server to name in
+    the metadata of the namespace `envoy.lb`.
+    """
 
     kind: str
     set_headers: dict[str, str] = field(default_factory=dict)
     remove_headers: tuple[str, ...] = ()
     endpoint: str = ""
-    wants_response_headers: bool = False  # by mode_override: send the response's headers
-    wants_request_body: bool = False  # by mode_override: send the request's body, buffered
+    wants_response_headers: bool = False  # mode_override asks the proxy for the response's headers
+    wants_request_body: bool = False  # mode_override asks the proxy for the request's body, buffered
 
 
 @dataclass(slots=True)
 class ImmediateResponse:
-    """The proxy responds with this and does nothing else."""
+    """Ends the exchange: the proxy responds with this instead of forwarding anything."""
 
     status: int
     headers: dict[str, str]
@@ -81,4 +85,4 @@
 
 
 ProcessorResponse = ContinueResponse | ImmediateResponse
-RespondCallback = Callable[[ProcessorResponse | None], None]  # None: no response is due
+RespondCallback = Callable[[ProcessorResponse | None], None]  # None if the message needs no response
