--- a/glenchute/listeners/extproc/ratelimit.py
+++ b/glenchute/listeners/extproc/ratelimit.py
@@ -1,7 +1,8 @@
-"""envoy.service.ratelimit.v3 over the same quotas: a proxy that only asks "may this account go on?".
+"""Serves envoy.service.ratelimit.v3 from the same quotas, for proxies that only ask whether an account's
+request is within its quota.
 
-The call takes units of the account's quota as a request does, and nothing more follows from it: the server
-that the engine chooses is not used, and the attempt ends at once.
+A rate limit call takes units of the account's quota as a request does. Nothing is sent to the server that
+the engine chooses, and the call's attempt ends at once.
 """
 
 from __future__ import annotations
@@ -35,19 +36,19 @@
 
 @dataclass(slots=True)
 class RateLimitCall(Call):
-    """A call that only asks; it is the transport of its own attempt."""
+    """A call that only takes quota; it is the transport of its own attempt."""
 
     gateway: RequestExecutor | None = None
     active_request: ActiveRequest | None = None
     on_admitted: Callable[[], None] | None = None
 
     def encode(self, left_ms: int) -> bytes:
-        """Nothing is sent: the proxy forwards the request itself."""
+        """Returns no bytes: the proxy forwards the request itself."""
         return b""
 
     @property
     def transport(self) -> AttemptTransport | None:
-        """What makes the attempts of this call."""
+        """Returns the transport that makes the attempts of this call."""
         return self
 
     def create_attempt(
@@ -59,13 +60,13 @@
         write_by: float,
         context: AttemptContext | None = None,
     ) -> UntrackedAttempt:
-        """The engine admits the call, which is the answer."""
+        """Creates the attempt with which the engine admits the call: starting it reports the admission."""
         return UntrackedAttempt(self, done)
 
 
 class UntrackedAttempt:
-    """The attempt of a rate limit call: whoever asked makes it, unseen from here. It ends as cancelled, which
-    may have run, so that its units stay taken."""
+    """The attempt of a rate limit call. The proxy forwards the request without the gateway seeing it, so the
+    attempt ends as cancelled: a cancelled attempt may have run, and its units stay taken."""
 
     def __init__(self, call: RateLimitCall, done: Callable[[AttemptResult], None]) -> None:
         assert call.gateway is not None
@@ -73,76 +74,77 @@
         self.started_at = call.gateway.loop.time()
         self.is_written = False
         self.on_response_started: Callable[[ResponseSource], None] | None = None
-        self.is_wanted: Callable[[], bool] | None = None  # nothing is written
+        self.is_wanted: Callable[[], bool] | None = None  # never called: nothing is written
         self.has_ended = False
 
     def start(self) -> None:
-        """Reports the admission, and ends."""
+        """Reports the admission and schedules the end of the request."""
         call = self.call
         if call.on_admitted is not None:
             call.on_admitted()
         assert call.gateway is not None
-        # In the loop's next round: the live request is known by then also where it was decided at once.
+        # Deferred to the loop's next iteration: `active_request` is set by then, even if the executor has
+        # decided within `accept`.
         call.gateway.loop.call_soon(self.withdraw_request)
 
     def withdraw_request(self) -> None:
-        """Ends the request before its attempt, so that the engine looks for no other server."""
-        gateway, live = self.call.gateway, self.call.active_request
-        if gateway is not None and live is not None:
-            gateway.client_disconnected(live)
+        """Ends the request before its attempt, so that the engine does not choose another server."""
+        gateway, active_request = self.call.gateway, self.call.active_request
+        if gateway is not None and active_request is not None:
+            gateway.client_disconnected(active_request)
         self.stop(Outcome.CANCELLED)
 
-    def stop(self, ending: Outcome) -> None:
-        """Ends it."""
+    def stop(self, outcome: Outcome) -> None:
+        """Ends the attempt, always as cancelled."""
         if not self.has_ended:
             self.has_ended = True
             self.done(AttemptResult(Outcome.CANCELLED))
 
 
 class RateLimiter:
-    """Answers the calls."""
+    """Decides rate limit calls for one domain."""
 
     def __init__(
         self,
         gateway: RequestExecutor,
         rules: MappingRules,
         domain: str,
-        wait_ms: float,
+        deadline_ms: float,
         counts: dict[str, int],
     ) -> None:
-        self.gateway, self.rules, self.domain, self.deadline_ms = gateway, rules, domain, wait_ms
+        self.gateway, self.rules, self.domain, self.deadline_ms = gateway, rules, domain, deadline_ms
         self.counts = counts
 
-    def check(self, message: Any, answer: Callable[[Any], None]) -> Callable[[], None]:
-        """Decides one call.
+    def check(self, message: Any, send_response: Callable[[Any], None]) -> Callable[[], None]:
+        """Decides one call and returns a function that ends it early, for a proxy that disconnects.
 
-        `answer` gets the response once, now or later; the returned function ends the call early, where the
-        proxy disconnects. A call of another domain, or without a descriptor that the rules can read, is
-        allowed, as the API has it for limits that nobody configured.
+        `send_response` gets the response once, now or later. A call for another domain, or without a
+        descriptor that the rules can read, is allowed, as the API defines it for limits that are not
+        configured.
         """
         if message.domain != self.domain or not 0 < len(message.descriptors) <= MAX_DESCRIPTORS:
-            answer(build_response([OK] * len(message.descriptors)))
+            send_response(build_response([OK] * len(message.descriptors)))
             return lambda: None
-        for at, descriptor in enumerate(message.descriptors):
+        for index, descriptor in enumerate(message.descriptors):
             descriptor_entries = {entry.key: entry.value for entry in descriptor.entries}
             try:
                 fields = self.rules.map_request(RequestView({}, descriptors=descriptor_entries))
             except MappingError:
                 continue
-            return self.check_descriptor(message, at, fields, answer)
+            return self.check_descriptor(message, index, fields, send_response)
         self.counts["ratelimit-unread"] = self.counts.get("ratelimit-unread", 0) + 1
-        answer(build_response([OK] * len(message.descriptors)))
+        send_response(build_response([OK] * len(message.descriptors)))
         return lambda: None
 
     def check_descriptor(
-        self, message: Any, at: int, fields: MappedRequest, answer: Callable[[Any], None]
+        self, message: Any, index: int, fields: MappedRequest, send_response: Callable[[Any], None]
     ) -> Callable[[], None]:
-        """The quota of one descriptor's account decides the call."""
+        """Decides a call by the quota of one descriptor's account. Returns what `check` returns."""
         codes = [OK] * len(message.descriptors)
         units = fields.units * max(1, message.hits_addend or 1)
         if units > self.rules.max_units:
-            codes[at] = OVER_LIMIT
-            answer(build_response(codes, at, 0.0))
+            codes[index] = OVER_LIMIT
+            send_response(build_response(codes, index, 0.0))
             return lambda: None
         call = RateLimitCall(
             b"",
@@ -160,24 +162,31 @@
             nonlocal has_responded
             if not has_responded:
                 has_responded = True
-                answer(response)
-
-        def on_final_response(final: FinalResponse) -> None:
-            codes[at] = OVER_LIMIT
-            respond(build_response(codes, at, final.retry_after_ms if isinstance(final, Rejected) else 0.0))
+                send_response(response)
+
+        def on_final_response(final_response: FinalResponse) -> None:
+            codes[index] = OVER_LIMIT
+            respond(
+                build_response(
+                    codes,
+                    index,
+                    final_response.retry_after_ms if isinstance(final_response, Rejected) else 0.0,
+                )
+            )
 
         call.on_admitted = lambda: respond(build_response(codes))
-        live = call.active_request = self.gateway.accept(call, on_final_response)
-        return lambda: self.gateway.client_disconnected(live)
+        active_request = call.active_request = self.gateway.accept(call, on_final_response)
+        return lambda: self.gateway.client_disconnected(active_request)
 
 
-def build_response(codes: list[int], at: int = 0, retry_after_ms: float | None = None) -> Any:
-    """A RateLimitResponse. Over the limit it says when to retry, for the descriptor `at`."""
-    made = RateLimitResponse(overall_code=OVER_LIMIT if OVER_LIMIT in codes else OK)
+def build_response(codes: list[int], index: int = 0, retry_after_ms: float | None = None) -> Any:
+    """Builds a RateLimitResponse. `retry_after_ms`, if given and not 0, is set for the descriptor `index` and
+    as the header retry-after."""
+    response = RateLimitResponse(overall_code=OVER_LIMIT if OVER_LIMIT in codes else OK)
     for code in codes:
-        made.statuses.add(code=code)
+        response.statuses.add(code=code)
     if retry_after_ms:
-        made.statuses[at].duration_until_reset.FromMilliseconds(int(retry_after_ms))
+        response.statuses[index].duration_until_reset.FromMilliseconds(int(retry_after_ms))
         seconds = str(max(1, -int(-retry_after_ms // 1000)))
-        made.response_headers_to_add.add(key="retry-after", value=seconds)
-    return made
+        response.response_headers_to_add.add(key="retry-after", value=seconds)
+    return response
--- a/glenchute/listeners/extproc/settings.py
+++ b/glenchute/listeners/extproc/settings.py
@@ -11,7 +11,7 @@
 
 
 class ClassLimits(NamedTuple):
-    """What the platform says of one request class."""
+    """The platform's limits of one request class."""
 
     idempotency: Idempotency
     idempotency_window_ms: float
@@ -26,9 +26,10 @@
     class_limits: Mapping[str, ClassLimits]
     max_calls: int = 10_000
     reconnect_grace_s: float = 0.25
-    has_attempt_streams: bool = True  # a filter on the servers' side asks for each attempt
+    has_attempt_streams: bool = True  # the proxy also has an upstream filter, which asks for each attempt
     endpoint_header: str = "x-gateway-destination-endpoint"
     load_header: str = "x-glenchute-load"
     rejected_status: int = 429
-    resumable_classes: frozenset[str] = frozenset()  # may be sent on a decision of an earlier process
+    # Classes whose requests may be sent on the decision of an earlier process.
+    resumable_classes: frozenset[str] = frozenset()
     max_attempts: int = 3
