--- a/glenchute/listeners/extproc/settings.py
+++ b/glenchute/listeners/extproc/settings.py
@@ -24,7 +24,7 @@
 
     mapping_rules: MappingRules
     class_limits: Mapping[str, ClassLimits]
-    max_calls: int = 10_000
+    max_requests: int = 10_000
     reconnect_grace_s: float = 0.25
     has_attempt_streams: bool = True  # the proxy also has an upstream filter, which asks for each attempt
     endpoint_header: str = "x-gateway-destination-endpoint"
--- a/glenchute/listeners/extproc/table.py
+++ b/glenchute/listeners/extproc/table.py
@@ -45,7 +45,7 @@
 
 
 class RequestTable:
-    """All requests of all proxies, limited to `max_calls`."""
+    """All requests of all proxies, limited to `max_requests`."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
             self.counts["unproven"] += 1
             answer(failure_response("not-proven-unsent"))
             return
-        if len(self.requests_by_number) >= self.settings.max_calls:
+        if len(self.requests_by_number) >= self.settings.max_requests:
             self.counts["table-full"] += 1
             answer(rejection_response(1000.0, "table-full"))
             return
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -179,7 +179,7 @@
 
 async def settled(front: ExtProcServer) -> None:
     """Nothing is left in the table, the core or the module."""
-    calls = front.calls
+    calls = front.table
     async with asyncio.timeout(10.0):
         await until(
             lambda: not calls.requests_by_number and not calls.requests_by_id and not front.open_stream_count
@@ -434,7 +434,7 @@
             await stream.stream.send_message(pb.ProcessingRequest())  # nor is one with nothing in it
             await stream.stream.end()
             assert await stream.stream.recv_message() is None
-            assert one.front().calls.last_number == 0
+            assert one.front().table.last_number == 0
             await proxy.stop()
 
     play(scenario())
@@ -496,7 +496,7 @@
                 await stream.open()
                 await stream.stream.send_message(heads(f"r{at}"))  # whose answers nobody reads yet
             async with asyncio.timeout(20.0):
-                await until(lambda: one.front().calls.last_number == 1000)
+                await until(lambda: one.front().table.last_number == 1000)
             told = [await stream.stream.recv_message() for stream in streams]
             admitted = sum(not answer.HasField("immediate_response") for answer in told)
             assert 0 < admitted < 1000  # within the account's quota; the others were refused at once
@@ -540,7 +540,7 @@
                     with pytest.raises((grpc.RpcError, asyncio.InvalidStateError)):
                         await stream.write(heads())
                         await stream.read()
-                    assert one.front().calls.last_number == 0
+                    assert one.front().table.last_number == 0
 
     play(scenario())
 
@@ -568,7 +568,7 @@
                 conn.send_data(stream, b"\0" + len(said).to_bytes(4, "big") + said)
             writer.write(conn.data_to_send())
             async with asyncio.timeout(10.0):
-                await until(lambda: one.front().calls.last_number == 50)
+                await until(lambda: one.front().table.last_number == 50)
                 assert one.front().stream_guards
                 await until(lambda: not one.front().stream_guards)
             await settled(one.front())
--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -462,7 +462,7 @@
 
 def test_the_table_has_a_bound_and_says_so() -> None:
     site = place(1, lambda rng: NEVER)
-    proxy = SimulatedProxy(site, max_calls=10)
+    proxy = SimulatedProxy(site, max_requests=10)
     streams = [opened(proxy, heads(f"r{n}")) for n in range(15)]
     assert len(proxy.calls.requests_by_number) == 10 and proxy.calls.counts["table-full"] == 5
     for _, told in streams[10:]:
