--- a/glenchute/listeners/extproc/streams.py
+++ b/glenchute/listeners/extproc/streams.py
@@ -1,4 +1,5 @@
-"""The two kinds of streams: a proxy opens one for each request and one for each attempt."""
+"""The two kinds of streams. A proxy opens a downstream stream for each request and an upstream stream for
+each attempt."""
 
 from __future__ import annotations
 
@@ -15,149 +16,153 @@
     from .request import ProxiedRequest
     from .table import RequestTable
 
-MAX_BODY_BYTES = 64 * 1024  # of a body that a mapping rule needs
+MAX_BODY_BYTES = 64 * 1024  # limit for a body that a mapping rule needs; larger ones get 413
 
 
 class DownstreamStream:
-    """A stream of the filter on the client's side: the request, then the response that the client gets."""
+    """A stream of the downstream filter, for one request: its headers, and later the response that the client
+    is about to get."""
 
     __slots__ = ("abort", "buffered_body", "partial_request", "request", "table")
 
-    def __init__(self, calls: RequestTable) -> None:
-        self.table = calls
+    def __init__(self, table: RequestTable) -> None:
+        self.table = table
         self.request: ProxiedRequest | None = None
-        self.partial_request: RequestView | None = None  # while a body is awaited
+        self.partial_request: RequestView | None = None  # set while its body is awaited
         self.buffered_body = bytearray()
         self.abort: Callable[[], None] | None = None
 
-    def receive(self, message: ev.ProxyMessage, answer: ev.RespondCallback) -> None:
-        """Takes one message; `answer` is called once, now or later."""
+    def receive(self, message: ev.ProxyMessage, respond: ev.RespondCallback) -> None:
+        """Handles one message; `respond` is called once, now or later."""
         match message:
             case ev.RequestHeaders():
                 if self.request is not None or self.partial_request is not None:
-                    answer(
-                        ev.ContinueResponse("request_headers")
-                    )  # a second time on one stream: changes nothing
+                    # Headers that come a second time on a stream change nothing.
+                    respond(ev.ContinueResponse("request_headers"))
                     return
                 view = RequestView(
                     message.headers, message.metadata, body=b"" if message.end_of_stream else None
                 )
-                self.start_request(view, "request_headers", answer)
+                self.start_request(view, "request_headers", respond)
             case ev.RequestBody():
-                self.buffer_body(message, answer)
+                self.buffer_body(message, respond)
             case ev.ResponseHeaders():
                 if self.request is None:
-                    answer(ev.ContinueResponse("response_headers"))
+                    respond(ev.ContinueResponse("response_headers"))
                     return
                 status, details, load = self.table.read_response(message)
-                self.request.on_client_response(status, details, load, answer)
+                self.request.on_client_response(status, details, load, respond)
             case ev.UnhandledMessage(kind):
-                answer(ev.ContinueResponse(kind))
+                respond(ev.ContinueResponse(kind))
             case _:
-                answer(None)
+                respond(None)
 
-    def buffer_body(self, message: ev.RequestBody, answer: ev.RespondCallback) -> None:
-        """A body, or a part of one, that the mapping rules wait for."""
+    def buffer_body(self, message: ev.RequestBody, respond: ev.RespondCallback) -> None:
+        """Buffers a body, or a part of it, that the mapping rules need; starts the request at its end."""
         if self.partial_request is None:
-            answer(ev.ContinueResponse("request_body"))
+            respond(ev.ContinueResponse("request_body"))
             return
         self.buffered_body += message.body
         if len(self.buffered_body) > MAX_BODY_BYTES:
             self.partial_request = None
-            answer(invalid_request_response(MappingError("body-too-large", 413)))
+            respond(invalid_request_response(MappingError("body-too-large", 413)))
         elif message.end_of_stream:
             view, self.partial_request = self.partial_request, None
             view.body = bytes(self.buffered_body)
-            self.start_request(view, "request_body", answer)
+            self.start_request(view, "request_body", respond)
         else:
-            answer(ev.ContinueResponse("request_body"))
+            respond(ev.ContinueResponse("request_body"))
 
-    def start_request(self, view: RequestView, kind: str, answer: ev.RespondCallback) -> None:
-        """Maps the request and hands it to the table; asks for its body first where a rule needs that."""
+    def start_request(self, view: RequestView, kind: str, respond: ev.RespondCallback) -> None:
+        """Maps the request and passes it to the table. Asks for its body first if a rule needs it."""
         try:
             fields = self.table.settings.mapping_rules.map_request(view)
         except MappingError as error:
             self.table.counts["invalid"] += 1
-            answer(invalid_request_response(error))
+            respond(invalid_request_response(error))
             return
         except BodyRequired:
             self.partial_request = view
-            answer(ev.ContinueResponse(kind, wants_request_body=True))
+            respond(ev.ContinueResponse(kind, wants_request_body=True))
             return
 
-        def after_body(response: ev.ProcessorResponse | None) -> None:
+        def respond_after_body(response: ev.ProcessorResponse | None) -> None:
             if isinstance(response, ev.ContinueResponse):
                 response = ev.ContinueResponse(
                     kind, response.set_headers, response.remove_headers, response.endpoint
                 )
-            answer(response)
+            respond(response)
 
-        plain = kind == "request_headers"
+        is_first_message = kind == "request_headers"
         self.table.accept(
-            self, fields, single_header(view.headers, TOKEN_HEADER), answer if plain else after_body
+            self,
+            fields,
+            single_header(view.headers, TOKEN_HEADER),
+            respond if is_first_message else respond_after_body,
         )
 
     def close(self, clean: bool) -> None:
-        """The stream has ended; `clean`: the proxy ended it in order."""
+        """Handles the stream's end. `clean`: it was closed in order, not reset."""
         if self.request is not None:
             self.request.on_client_stream_closed(self, clean)
 
 
 class UpstreamStream:
-    """A stream of the filter on the server's side: one attempt."""
+    """A stream of the upstream filter, for one attempt."""
 
     __slots__ = ("abort", "attempt", "request", "table")
 
-    def __init__(self, calls: RequestTable) -> None:
-        self.table = calls
+    def __init__(self, table: RequestTable) -> None:
+        self.table = table
         self.request: ProxiedRequest | None = None
         self.attempt: ProxiedAttempt | None = None
         self.abort: Callable[[], None] | None = None
 
-    def receive(self, message: ev.ProxyMessage, answer: ev.RespondCallback) -> None:
-        """Takes one message; `answer` is called once, now or later."""
+    def receive(self, message: ev.ProxyMessage, respond: ev.RespondCallback) -> None:
+        """Handles one message; `respond` is called once, now or later."""
         match message:
             case ev.RequestHeaders():
                 if self.request is not None:
-                    answer(failure_response("asked-twice"))
+                    respond(failure_response("asked-twice"))
                     return
-                self.start_attempt(message, answer)
+                self.start_attempt(message, respond)
             case ev.ResponseHeaders():
                 if self.request is None:
-                    answer(ev.ContinueResponse("response_headers"))
+                    respond(ev.ContinueResponse("response_headers"))
                     return
                 status, details, load = self.table.read_response(message)
-                self.request.on_attempt_response(self, status, details, load, answer)
+                self.request.on_attempt_response(self, status, details, load, respond)
             case ev.RequestBody():
-                answer(ev.ContinueResponse("request_body"))
+                respond(ev.ContinueResponse("request_body"))
             case ev.UnhandledMessage(kind):
-                answer(ev.ContinueResponse(kind))
+                respond(ev.ContinueResponse(kind))
             case _:
-                answer(None)
+                respond(None)
 
-    def start_attempt(self, message: ev.RequestHeaders, answer: ev.RespondCallback) -> None:
-        """An attempt asks whether it may go."""
+    def start_attempt(self, message: ev.RequestHeaders, respond: ev.RespondCallback) -> None:
+        """Decides whether an attempt may be sent, by its token: as its request in the table says, or, for
+        another process's token, if its class allows that."""
         token = self.table.signer.verify(single_header(message.headers, TOKEN_HEADER))
-        entry = (
+        request = (
             self.table.requests_by_number.get(token.request_number)
             if token and token.process_id == self.table.signer.process_id
             else None
         )
-        if entry is not None:
-            self.request = entry
-            entry.request_attempt(self, str(message.attributes.get("upstream.address", "")), answer)
+        if request is not None:
+            self.request = request
+            request.request_attempt(self, str(message.attributes.get("upstream.address", "")), respond)
         elif (
             token is not None
             and token.process_id != self.table.signer.process_id
             and self.table.may_resume(token)
         ):
             self.table.counts["followed"] += 1
-            answer(ev.ContinueResponse("request_headers", remove_headers=(TOKEN_HEADER,)))
+            respond(ev.ContinueResponse("request_headers", remove_headers=(TOKEN_HEADER,)))
         else:
             self.table.counts["unproven"] += 1
-            answer(failure_response("not-proven-unsent"))
+            respond(failure_response("not-proven-unsent"))
 
     def close(self, clean: bool) -> None:
-        """The stream has ended."""
+        """Handles the stream's end; an attempt without a result gets one."""
         if self.request is not None:
             self.request.on_attempt_stream_closed(self)
--- a/glenchute/listeners/extproc/table.py
+++ b/glenchute/listeners/extproc/table.py
@@ -1,7 +1,8 @@
 """The table of the proxies' requests.
 
-A request leaves it when its final response is given and its streams are closed, when its proxy stays away for
-`reconnect_grace_s`, or at the first sweep `EXPIRY_GRACE_S` after its deadline.
+A request is removed when its final response is known and its streams are closed, when its proxy has not
+reopened the downstream stream within `reconnect_grace_s`, or at the first sweep that is at least
+`EXPIRY_GRACE_S` after its deadline.
 """
 
 from __future__ import annotations
@@ -38,116 +39,120 @@
 log = logging.getLogger("glenchute")
 
 SWEEP_INTERVAL_S = 0.25
-EXPIRY_GRACE_S = 1.0  # a request stays this long after its deadline at most
-DEADLINE_MARGIN_S = 0.01  # the proxy's time ends so long before the client's, as the core's attempts do
+EXPIRY_GRACE_S = 1.0  # a request expires this long after its deadline, at the next sweep
+# The proxy's timeout ends this long before the request's deadline, as the core's own attempts do.
+DEADLINE_MARGIN_S = 0.01
 
 UNKNOWN_CLASS = ClassLimits(Idempotency.NON_IDEMPOTENT, 0.0, 0.0)
 
 
 class RequestTable:
-    """All requests of all proxies, limited to `max_requests`."""
+    """The open requests of all proxies, at most `max_requests`."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         gateway: RequestExecutor,
-        ways: ExtProcSettings,
+        settings: ExtProcSettings,
         signer: TokenSigner,
     ) -> None:
-        self.loop, self.gateway, self.settings, self.signer = loop, gateway, ways, signer
+        self.loop, self.gateway, self.settings, self.signer = loop, gateway, settings, signer
         self.requests_by_number: dict[int, ProxiedRequest] = {}
         self.requests_by_id: dict[str, ProxiedRequest] = {}
         self.last_number = 0
         self.sweep_timer: asyncio.TimerHandle | None = None
         self.counts: Counter[str] = Counter()
-        self.used_headers = ways.mapping_rules.used_headers | {
+        self.used_headers = settings.mapping_rules.used_headers | {
             TOKEN_HEADER,
             ":status",
-            ways.load_header,
-        }  # names of the headers that are read
+            settings.load_header,
+        }  # all other headers are ignored
         self.wall_clock = time.time
 
     def open_stream(self, upstream: bool) -> DownstreamStream | UpstreamStream:
-        """A new stream of one of the two filters."""
+        """Returns a new stream of the upstream or the downstream filter."""
         self.counts["streams"] += 1
         return UpstreamStream(self) if upstream else DownstreamStream(self)
 
     def read_response(self, message: ev.ResponseHeaders) -> tuple[int, str, str]:
-        """Status, response code details and load report of a response."""
+        """Returns a response's status (0 if unreadable), response code details and load report."""
         digits = single_header(message.headers, ":status")
         status = int(digits) if digits.isdecimal() and len(digits) == 3 else 0
         details = str(message.attributes.get("response.code_details", ""))
         return status, details, single_header(message.headers, self.settings.load_header)
 
     def accept(
-        self, stream: DownstreamStream, fields: MappedRequest, token_text: str, answer: ev.RespondCallback
+        self, stream: DownstreamStream, fields: MappedRequest, token_text: str, respond: ev.RespondCallback
     ) -> None:
-        """A request: the entry of its id if there is one, else a new one, which the engine decides on."""
-        same = self.requests_by_id.get(fields.request_id) if fields.request_id else None
-        if same is not None:
-            self.reattach(same, stream, fields, answer)
+        """Adds a request and passes it to the engine, or attaches the stream to the request that already has
+        this id."""
+        existing_request = self.requests_by_id.get(fields.request_id) if fields.request_id else None
+        if existing_request is not None:
+            self.reattach(existing_request, stream, fields, respond)
             return
         token = self.signer.verify(token_text) if token_text else None
-        proven = token is not None and token.class_name == fields.class_name and self.may_resume(token)
-        if token_text and not proven:
-            # Another process has decided on it, and nobody here knows what became of it.
+        is_proven = token is not None and token.class_name == fields.class_name and self.may_resume(token)
+        if token_text and not is_proven:
+            # Another process has decided on the request, and an attempt of it may have run.
             self.counts["unproven"] += 1
-            answer(failure_response("not-proven-unsent"))
+            respond(failure_response("not-proven-unsent"))
             return
         if len(self.requests_by_number) >= self.settings.max_requests:
             self.counts["table-full"] += 1
-            answer(rejection_response(1000.0, "table-full"))
+            respond(rejection_response(1000.0, "table-full"))
             return
         max_deadline_ms = self.settings.class_limits[fields.class_name].max_deadline_ms
-        left_ms = min(fields.deadline_ms or max_deadline_ms, max_deadline_ms)
+        time_left_ms = min(fields.deadline_ms or max_deadline_ms, max_deadline_ms)
         self.last_number += 1
-        entry = ProxiedRequest(self, self.last_number, fields, self.loop.time() + left_ms / 1000.0)
-        entry.client_stream, entry.on_first_decision, stream.request = stream, answer, entry
-        self.requests_by_number[entry.number] = entry
+        request = ProxiedRequest(self, self.last_number, fields, self.loop.time() + time_left_ms / 1000.0)
+        request.client_stream, request.on_first_decision, stream.request = stream, respond, request
+        self.requests_by_number[request.number] = request
         if self.sweep_timer is None:
             self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         if fields.request_id:
-            self.requests_by_id[fields.request_id] = entry
+            self.requests_by_id[fields.request_id] = request
         call = ProxiedCall(
-            fields.request_id.encode(), fields.class_name, fields.plan, fields.account, left_ms, fields.units,
-            fields.gateway_spread, entry,
+            fields.request_id.encode(), fields.class_name, fields.plan, fields.account, time_left_ms,
+            fields.units, fields.gateway_spread, request,
         )  # fmt: skip
         try:
-            live = self.gateway.accept(call, entry.on_final_response)
+            active_request = self.gateway.accept(call, request.on_final_response)
         except Exception:
-            log.exception("a call failed")
-            entry.expire()
+            log.exception("admitting a proxy's request failed; the request is expired")
+            request.expire()
             return
-        if not entry.is_finished:
-            entry.active_request = live
+        if not request.is_finished:
+            request.active_request = active_request
 
     def reattach(
         self,
-        entry: ProxiedRequest,
+        request: ProxiedRequest,
         stream: DownstreamStream,
         fields: MappedRequest,
-        answer: ev.RespondCallback,
+        respond: ev.RespondCallback,
     ) -> None:
-        """The id is in the table: the same request whose stream was reset, or another one."""
-        if entry.client_stream is not None or entry.is_detached or entry.fields != fields:
+        """Attaches a stream to the request in the table that has the same id. Responds 409 unless it is the
+        same request and its own stream was reset."""
+        if request.client_stream is not None or request.is_detached or request.fields != fields:
             self.counts["id-in-use"] += 1
-            answer(
+            respond(
                 ev.ImmediateResponse(
                     409, {REASON_HEADER: "id-in-use", EFFECT_HEADER: "unknown"}, "", "glenchute_id_in_use"
                 )
             )
             return
         self.counts["reopened"] += 1
-        entry.client_stream, stream.request = stream, entry
-        if entry.is_finished:
-            answer(entry.final_message())
-        elif entry.first_decision is not None:
-            answer(entry.first_decision)
+        request.client_stream, stream.request = stream, request
+        if request.is_finished:
+            respond(request.build_final_response())
+        elif request.first_decision is not None:
+            respond(request.first_decision)
         else:
-            entry.on_first_decision = answer
+            request.on_first_decision = respond
 
     def may_resume(self, token: Token) -> bool:
-        """Whether a request with this token, which no entry here knows, may be sent."""
+        """Returns whether a request that another process has decided on, and that only its token identifies,
+        may be sent."""
         limits = self.settings.class_limits.get(token.class_name, UNKNOWN_CLASS)
         age_ms = self.wall_clock() * 1000.0 - token.decided_at_ms
         return may_send_after_takeover(
@@ -157,18 +162,18 @@
             limits.idempotency_window_ms,
         )
 
-    def first_decision(self, entry: ProxiedRequest, attempt: ProxiedAttempt) -> ev.ContinueResponse:
-        """The first decision on a request, as the proxy is told of it."""
-        idempotency = self.settings.class_limits[entry.fields.class_name].idempotency
-        left_s = entry.deadline - DEADLINE_MARGIN_S - self.loop.time()
+    def build_first_decision(self, request: ProxiedRequest, attempt: ProxiedAttempt) -> ev.ContinueResponse:
+        """Builds the response that tells the proxy the first decision on a request."""
+        idempotency = self.settings.class_limits[request.fields.class_name].idempotency
+        time_left_s = request.deadline - DEADLINE_MARGIN_S - self.loop.time()
         headers = {
             self.settings.endpoint_header: attempt.address,
-            ROUTE_TIMEOUT_HEADER: format_timeout_ms(left_s),
+            ROUTE_TIMEOUT_HEADER: format_timeout_ms(time_left_s),
             ATTEMPT_TIMEOUT_HEADER: format_timeout_ms(attempt.timeout_s),
             "x-envoy-max-retries": "0",
         }
         if self.settings.has_attempt_streams:
-            token = self.signer.issue(entry.number, self.wall_clock() * 1000.0, entry.fields.class_name)
+            token = self.signer.issue(request.number, self.wall_clock() * 1000.0, request.fields.class_name)
             headers[TOKEN_HEADER] = token
             headers["x-envoy-max-retries"] = str(2 * (self.settings.max_attempts - 1) + MAX_WRONG_SERVERS)
             headers["x-envoy-retry-on"] = "retriable-headers,connect-failure"
@@ -178,8 +183,8 @@
         return ev.ContinueResponse("request_headers", headers, (), attempt.address, True)
 
     def sweep(self) -> None:
-        """Expires requests whose deadline is long past. One timer for all of them, and none while the table
-        is empty."""
+        """Expires requests that are `EXPIRY_GRACE_S` past their deadline. One timer serves all of them; none
+        runs while the table is empty."""
         now = self.loop.time()
         for request in list(self.requests_by_number.values()):
             if request.deadline + EXPIRY_GRACE_S <= now:
@@ -188,11 +193,11 @@
         if self.requests_by_number:
             self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
-    def remove(self, entry: ProxiedRequest) -> None:
-        """Removes an entry; unknown ones are ignored."""
-        if self.requests_by_number.pop(entry.number, None) is None:
+    def remove(self, request: ProxiedRequest) -> None:
+        """Removes a request, if it is in the table."""
+        if self.requests_by_number.pop(request.number, None) is None:
             return
-        if entry.reconnect_timer is not None:
-            entry.reconnect_timer.cancel()
-        if self.requests_by_id.get(entry.fields.request_id) is entry:
-            del self.requests_by_id[entry.fields.request_id]
+        if request.reconnect_timer is not None:
+            request.reconnect_timer.cancel()
+        if self.requests_by_id.get(request.fields.request_id) is request:
+            del self.requests_by_id[request.fields.request_id]
