--- a/glenchute/control/client.py
+++ b/glenchute/control/client.py
@@ -1,4 +1,4 @@
-"""The client of the control socket, for the command line."""
+"""The control socket's client, for the command line."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class ControlError(Exception):
-    """The socket can't be reached, or its answer can't be read."""
+    """The socket can't be reached, or its reply is an error or can't be read."""
 
 
 def ask(path: str, verb: str, timeout_s: float = 5.0) -> list[dict[str, Any]]:
-    """The rows that a verb answers. ControlError where there are none."""
+    """Calls a verb and returns the rows of its reply. Raises ControlError if the reply has no rows."""
     try:
         with socket.socket(socket.AF_UNIX) as connection:
             connection.settimeout(timeout_s)
             connection.connect(path)
             connection.sendall(json.dumps({"verb": verb}).encode() + b"\n")
-            with connection.makefile("rb") as lines:
-                answer = json.loads(lines.readline())
+            with connection.makefile("rb") as reply_lines:
+                reply = json.loads(reply_lines.readline())
     except (OSError, ValueError) as error:
         raise ControlError(f"{path}: {error}") from None
-    if not isinstance(answer, dict) or "rows" not in answer:
-        raise ControlError(f"{path}: {answer}")
-    rows: list[dict[str, Any]] = answer["rows"]
+    if not isinstance(reply, dict) or "rows" not in reply:
+        raise ControlError(f"{path}: {reply}")
+    rows: list[dict[str, Any]] = reply["rows"]
     return rows
--- a/glenchute/listeners/operations/__init__.py
+++ b/glenchute/listeners/operations/__init__.py
@@ -1,6 +1,6 @@
-"""The operations address: staff ask whether the process is ready, and start or cancel a drain.
+"""The operations address: operators ask whether the process is ready, and start or cancel a drain.
 
-`GLENCHUTE_OPERATOR` is unrelated: it names the operator's file.
+The environment variable `GLENCHUTE_OPERATOR` is unrelated: it names the operator's file.
 """
 
 from .server import OperationsServer
--- a/glenchute/listeners/operations/server.py
+++ b/glenchute/listeners/operations/server.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server of the operations address, with one request per connection.
+"""The HTTP/1.1 server of the operations address, with one request per connection.
 
-What a request does is given by the `Routes` of whoever starts the server. It runs in the gateway's event
-loop, so every limit here bounds one turn of it.
+The `Routes` that are passed to the server define what a request does. The server runs in the gateway's event
+loop, so the limits here also bound how long one iteration of the loop takes.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 MAX_CONNECTIONS = 8
 MAX_HEAD_BYTES = 4096
-MAX_BODY_BYTES = 4096  # no request needs a body; a small one is ignored
-REQUEST_TIMEOUT_S = 5.0  # from the connection to the end of the request
+MAX_BODY_BYTES = 4096  # limit for a body, which no request needs; a smaller one is ignored
+REQUEST_TIMEOUT_S = 5.0  # a connection is closed this long after it was accepted
 SWEEP_INTERVAL_S = 0.5
 LISTEN_BACKLOG = 64
 
-Handler = Callable[[], tuple[int, str]]  # executes a request; the status, and a line of text for people
-Routes = Mapping[str, Mapping[str, Handler]]  # by path, then by method
+Handler = Callable[[], tuple[int, str]]  # executes a request and returns its status and a line of text
+Routes = Mapping[str, Mapping[str, Handler]]  # handlers by path, then by method
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One response."""
+    """The response to a request."""
 
     status: int
     text: str
-    allow: str = ""  # the Allow header; empty: none
+    allow: str = ""  # the value of the header Allow, which is left out if this is empty
 
 
 def respond(routes: Routes, method: str, target: str) -> Response:
@@ -49,7 +49,7 @@
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One connection: a request, its response, the end."""
+    """One connection, which is closed after one request and its response."""
 
     def __init__(self, server: OperationsServer) -> None:
         self.server = server
@@ -57,23 +57,23 @@
         self.transport: asyncio.Transport | None = None
         self.request: h11.Request | None = None
         self.body_bytes = 0
-        self.is_answered = False
+        self.has_responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Takes a slot; aborts the connections that are evicted for it."""
         self.transport = transport  # type: ignore[assignment]
         for evicted in self.server.slots.add(self.server.loop.time(), self):
             evicted.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Releases the connection's slot."""
         self.transport = None
         self.server.slots.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
-        if self.is_answered:
-            return  # whatever follows the one request is discarded until the client closes
+        """Parses received bytes; responds 4xx to what is not a valid request."""
+        if self.has_responded:
+            return  # bytes after the first request are discarded until the client closes the connection
         try:
             self.http.receive_data(data)
             self._process_events()
@@ -82,12 +82,12 @@
             self._send_response(Response(status if 400 <= status < 500 else 400, "not a call"))
 
     def eof_received(self) -> bool:
-        """The peer has closed its side; whether this side stays open."""
-        return self.is_answered  # a client that has shut down its side may still read its response
+        """Returns whether this side stays open after the client has shut down its own."""
+        return self.has_responded  # the client may still read its response
 
     def _process_events(self) -> None:
-        """Parses what has been received, until more is needed or the request is answered."""
-        while not self.is_answered:
+        """Parses the received bytes until more are needed or a response has been sent."""
+        while not self.has_responded:
             event = self.http.next_event()
             if isinstance(event, h11.Request):
                 self.request = event
@@ -105,8 +105,8 @@
                 return
 
     def _send_response(self, response: Response) -> None:
-        """Sends the one response and shuts down this side; the client closes the connection."""
-        self.is_answered = True
+        """Sends the response and shuts down this side; the client closes the connection."""
+        self.has_responded = True
         text = f"{response.text}\n".encode("ascii", "replace")
         headers = [("Content-Type", "text/plain"), ("Content-Length", str(len(text)))]
         headers.append(("Connection", "close"))
@@ -124,13 +124,13 @@
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Closes the connection, answered or not."""
+        """Closes the connection at once, also without a response."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class OperationsServer:
-    """The listener at the operations address."""
+    """Listens at the operations address."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, routes: Routes) -> None:
         self.loop = loop
@@ -140,7 +140,7 @@
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listens on this address; OSError if that fails."""
+        """Starts listening on this address. Raises OSError if that fails."""
         self.server = await self.loop.create_server(
             lambda: OperatorConnection(self), host, port, backlog=LISTEN_BACKLOG
         )
@@ -148,26 +148,26 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """Returns the port that the server listens on."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
     def respond(self, method: str, target: str) -> Response:
-        """Executes a request. An exception of its handler is logged and answered with 500."""
+        """Executes a request. If its handler raises, the exception is logged and the status is 500."""
         try:
             return respond(self.routes, method, target)
         except Exception:
-            log.exception("a call at the second address failed")
+            log.exception("a request at the operations address failed; responding with 500")
             return Response(500, "failed")
 
     def _sweep(self) -> None:
-        """Closes connections whose time is up, again and again."""
+        """Closes the connections that have timed out, every `SWEEP_INTERVAL_S`."""
         for connection in self.slots.remove_expired(self.loop.time()):
             connection.abort()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
-        """The end of the process."""
+        """Stops listening and closes all connections."""
         if self.server is not None:
             self.server.close()
         if self.sweep_timer is not None:
