--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -1,4 +1,4 @@
-"""The operations address and the drain, over loopback sockets."""
+"""Tests of the operations address and of drains, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 ANY_PORT: dict[str, Any] = {"operations_address": ("127.0.0.1", 0)}
 
 
-async def raw(port: int, data: bytes, timeout_s: float = 5.0) -> bytes:
-    """Sends bytes to the operations address and reads to the end."""
+async def exchange(port: int, data: bytes, timeout_s: float = 5.0) -> bytes:
+    """Sends bytes to the operations address and returns all that it sends back."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
@@ -46,14 +46,14 @@
 
 
 async def request(port: int, method: str, target: str) -> int:
-    """One request; the status of its response."""
-    answer = await raw(port, f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-    return int(answer.split(b" ")[1])
+    """Sends a request and returns the status of its response."""
+    response = await exchange(port, f"{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    return int(response.split(b" ")[1])
 
 
-def port_of(one: Site) -> int:
-    assert one.program.operations is not None
-    return one.program.operations.port
+def port_of(running: Site) -> int:
+    assert running.program.operations is not None
+    return running.program.operations.port
 
 
 def serving_site() -> Any:
@@ -66,8 +66,8 @@
 
 def test_requests_are_idempotent() -> None:
     async def scenario() -> None:
-        async with serving_site() as one:
-            port = port_of(one)
+        async with serving_site() as running:
+            port = port_of(running)
             assert await request(port, "GET", "/_ready") == 200
             for target, status in (("on", 503), ("on", 503), ("off", 200), ("off", 200)):
                 assert await request(port, "PUT", f"/_lameduck/{target}") == 200
@@ -90,27 +90,27 @@
 )
 def test_an_invalid_request_is_rejected_and_changes_nothing(data: bytes, status: bytes) -> None:
     async def scenario() -> None:
-        async with serving_site() as one:
-            answer = await raw(port_of(one), data)
-            assert answer.split(b" ")[1] == status
-            assert (b"Allow: " in answer) == (status == b"405")
-            assert one.program.listener.lifecycle.is_ready
+        async with serving_site() as running:
+            response = await exchange(port_of(running), data)
+            assert response.split(b" ")[1] == status
+            assert (b"Allow: " in response) == (status == b"405")
+            assert running.program.listener.lifecycle.is_ready
 
     play(scenario())
 
 
 def test_one_request_per_connection_and_bodies_in_pieces() -> None:
     async def scenario() -> None:
-        async with serving_site() as one:
-            twice = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2
-            assert (await raw(port_of(one), twice)).count(b"HTTP/1.1 200") == 1
-            reader, writer = await asyncio.open_connection("127.0.0.1", port_of(one))
+        async with serving_site() as running:
+            two_requests = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n" * 2
+            assert (await exchange(port_of(running), two_requests)).count(b"HTTP/1.1 200") == 1
+            reader, writer = await asyncio.open_connection("127.0.0.1", port_of(running))
             for byte in b"PUT /_lameduck/on HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}":
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
             writer.close()
-            assert not one.program.listener.lifecycle.is_ready
+            assert not running.program.listener.lifecycle.is_ready
 
     play(scenario())
 
@@ -121,18 +121,18 @@
     monkeypatch.setattr(operations_server, "REQUEST_TIMEOUT_S", 0.5)
 
     async def scenario() -> None:
-        async with serving_site() as one:
-            port = port_of(one)
+        async with serving_site() as running:
+            port = port_of(running)
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(20)]
             for _, writer in idle[::2]:
                 writer.write(b"GET /_rea")
             assert await request(port, "GET", "/_ready") == 200
-            operations = one.program.operations
+            operations = running.program.operations
             assert (
                 operations is not None
                 and len(operations.slots.opened_at) <= operations_server.MAX_CONNECTIONS
             )
-            await until(lambda: not operations.slots.opened_at)  # and each one times out
+            await until(lambda: not operations.slots.opened_at)  # each connection times out
             for _, writer in idle:
                 writer.close()
 
@@ -141,28 +141,31 @@
 
 def test_a_drain_closes_idle_connections_and_those_in_use_after_a_response() -> None:
     async def scenario() -> None:
-        async with serving_site() as one:
-            idle, used, fresh = [await one.client() for _ in range(3)]
+        async with serving_site() as running:
+            idle, used, fresh = [await running.client() for _ in range(3)]
             assert await read_value(idle, 1) == await read_value(used, 2) == b"value"
-            await request(port_of(one), "PUT", "/_lameduck/on")
-            probe = await one.client()
-            assert str(await probe.ask(b"PING")) == "ERR lame duck"
+            await request(port_of(running), "PUT", "/_lameduck/on")
+            pinging = await running.client()
+            assert str(await pinging.ask(b"PING")) == "ERR lame duck"
             serial = 10
-            while (answer := await read_value(used, serial)) is not None:  # in use without a pause
-                assert answer == b"value"
+            while (value := await read_value(used, serial)) is not None:  # never idle
+                assert value == b"value"
                 serial += 1
-            # Each of them ended between requests: no admitted request is without a response.
-            for client in (idle, probe, fresh):
+            # Each connection was closed between requests: every admitted request got its response.
+            for client in (idle, pinging, fresh):
                 assert await client.ended()
-            assert one.program.listener.request_count == serial - 8
-            last = await one.client()  # a late client is served, and its connection closed
-            if one.program.listener.lifecycle.admits_requests(one.program.loop.time()):
-                assert await read_value(last, serial + 1) == b"value"
-                assert await last.ended()
-            await request(port_of(one), "PUT", "/_lameduck/off")
-            again = await one.client()
-            assert await again.ask(b"PING") == b"PONG" and await read_value(again, serial + 2) == b"value"
-            assert await read_value(again, serial + 3) == b"value"  # and it stays open
+            assert running.program.listener.request_count == serial - 8
+            late = await running.client()  # a late client is served, then disconnected
+            if running.program.listener.lifecycle.admits_requests(running.program.loop.time()):
+                assert await read_value(late, serial + 1) == b"value"
+                assert await late.ended()
+            await request(port_of(running), "PUT", "/_lameduck/off")
+            reconnected = await running.client()
+            assert (
+                await reconnected.ask(b"PING") == b"PONG"
+                and await read_value(reconnected, serial + 2) == b"value"
+            )
+            assert await read_value(reconnected, serial + 3) == b"value"  # the connection stays open
 
     play(scenario())
 
@@ -175,20 +178,20 @@
             await released.wait()
             return SERVED
 
-        async with site(delayed_reply, decisions=Script(send_to("s0")), **ANY_PORT) as one:
-            client = await one.client()
+        async with site(delayed_reply, decisions=Script(send_to("s0")), **ANY_PORT) as running:
+            client = await running.client()
             ids = numbered()
             for _ in range(3):  # pipelined
                 client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
-            await until(lambda: one.program.listener.request_count == 3)
-            one.program.listener.start_drain()
-            lifecycle = one.program.listener.lifecycle
-            lifecycle.phase_started_at -= 10.0  # the drain began long ago
-            one.program.listener.close_idle()
+            await until(lambda: running.program.listener.request_count == 3)
+            running.program.listener.start_drain()
+            lifecycle = running.program.listener.lifecycle
+            lifecycle.phase_started_at -= 10.0  # as if the drain had started 10 s earlier
+            running.program.listener.close_idle()
             client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
             released.set()
             assert [await client.reply() for _ in range(3)] == [b"value"] * 3
-            assert str(await client.reply()) == "BUSY"  # at once, and no attempt ran
+            assert str(await client.reply()) == "BUSY"  # rejected without an attempt
             assert await client.ended()
 
     play(scenario())
@@ -196,13 +199,13 @@
 
 def test_a_cancelled_drain_keeps_open_connections() -> None:
     async def scenario() -> None:
-        async with serving_site() as one:
-            client = await one.client()
+        async with serving_site() as running:
+            client = await running.client()
             assert await read_value(client, 1) == b"value"
             for target in ("on", "off"):
-                await request(port_of(one), "PUT", f"/_lameduck/{target}")
-            one.program.listener.lifecycle.phase_started_at -= 10.0
-            one.program.listener.close_idle()
+                await request(port_of(running), "PUT", f"/_lameduck/{target}")
+            running.program.listener.lifecycle.phase_started_at -= 10.0
+            running.program.listener.close_idle()
             assert await read_value(client, 2) == b"value"
             assert await read_value(client, 3) == b"value"
 
@@ -222,7 +225,7 @@
             fields = b"c=report-read,t=korporativni,d=2000"
             client.send(b"CALL.GET", CUSTOMER, b"a", fields)
             assert await request(port, "PUT", "/_lameduck/on") == 200
-            gateway.signal(signal.SIGHUP)  # does not affect it
+            gateway.signal(signal.SIGHUP)  # does not affect the drain
             assert await request(port, "GET", "/_ready") == 503
             ending = asyncio.create_task(gateway.stop())
             assert await client.reply() is not None
@@ -234,10 +237,10 @@
 
 
 def test_an_invalid_or_used_operations_address_fails_the_start(tmp_path: Path) -> None:
-    raw_ = raw_config(1, 1, [])
-    assert build(raw_, {}).operations_address is None
-    assert build(raw_, {"EDGE_OPERATOR": "127.0.0.1:7"}).operations_address == ("127.0.0.1", 7)
-    both = build({**raw_, "operator": "127.0.0.1:8"}, {"EDGE_OPERATOR": "1.1.1.1:7"})
+    raw = raw_config(1, 1, [])
+    assert build(raw, {}).operations_address is None
+    assert build(raw, {"EDGE_OPERATOR": "127.0.0.1:7"}).operations_address == ("127.0.0.1", 7)
+    both = build({**raw, "operator": "127.0.0.1:8"}, {"EDGE_OPERATOR": "1.1.1.1:7"})
     assert both.operations_address == ("127.0.0.1", 8)
     path = tmp_path / "config.json"
     path.write_text('{"settings": {}}')
@@ -246,8 +249,8 @@
 
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as taken:
-            made = config(1, 1, [], operations_address=("127.0.0.1", taken.getsockname()[1]))
-            program = GatewayProgram(made, asyncio.get_running_loop())
+            platform_config = config(1, 1, [], operations_address=("127.0.0.1", taken.getsockname()[1]))
+            program = GatewayProgram(platform_config, asyncio.get_running_loop())
             with pytest.raises(OSError):
                 await program.start()
             await program.close()
@@ -257,7 +260,7 @@
 
 def test_without_an_operations_address_there_is_no_server() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
-            assert one.program.operations is None
+        async with site(always(SERVED), decisions=Script(send_to("s0"))) as running:
+            assert running.program.operations is None
 
     play(scenario())
