--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -1,7 +1,7 @@
-"""The table of calls under a simulated clock: the same decisions as inline, and what holds when parts fail.
+"""Tests of the request table under a simulated clock: the decisions are the same as for inline requests, and
+the rules hold when parts fail.
 
-The servers' side keeps the truth and raises where a rule breaks at the moment when bytes leave (see
-`simulated.py`).
+The simulated servers record what ran, and raise when sending an attempt breaks a rule (see `simulated.py`).
 """
 
 from __future__ import annotations
@@ -35,164 +35,174 @@
 
 SERVED = PlannedOutcome(0.0, 0.02, Outcome.OK)
 NEVER = PlannedOutcome(0.0, 1e9, Outcome.OK)
-Draw = Callable[[random.Random], PlannedOutcome]
+DrawOutcome = Callable[[random.Random], PlannedOutcome]
 
 
 def faulty(rng: random.Random) -> PlannedOutcome:
-    """Everything that may go wrong with an attempt."""
-    ending = rng.choice([Outcome.OK] * 5 + [Outcome.ERROR, Outcome.REJECTED, Outcome.RESET])
-    took_s = rng.choice([0.005, 0.02, 0.1, 0.3, 0.7, 1.2, 1e9]) * (0.5 + rng.random())
-    return PlannedOutcome(rng.choice([0.0, 0.0, 0.0, 0.001, 0.004, math.inf]), took_s, ending)
+    """Draws an attempt's outcome from all that can happen, with its delays."""
+    outcome = rng.choice([Outcome.OK] * 5 + [Outcome.ERROR, Outcome.REJECTED, Outcome.RESET])
+    duration_s = rng.choice([0.005, 0.02, 0.1, 0.3, 0.7, 1.2, 1e9]) * (0.5 + rng.random())
+    return PlannedOutcome(rng.choice([0.0, 0.0, 0.0, 0.001, 0.004, math.inf]), duration_s, outcome)
 
 
-def connected(rng: random.Random) -> PlannedOutcome:
-    """The same, before nodes that can always be reached."""
+def faulty_when_reachable(rng: random.Random) -> PlannedOutcome:
+    """Draws an outcome as `faulty` does, but connects at once."""
     return PlannedOutcome(0.0, faulty(rng).duration_s, faulty(rng).outcome)
 
 
-def place(seed: int, draw: Draw) -> SimulatedSite:
-    """A site whose attempts' fates hang on the seed, the request and the attempt's number."""
-    made = SimulatedSite(None, lambda: SERVED, connect_s=0.02, seed=seed)
-    made.servers.planned_outcome = planned_by_seed(seed, draw)
-    return made
+def simulated_site(seed: int, draw_outcome: DrawOutcome) -> SimulatedSite:
+    """Returns a site at which each attempt's outcome depends on the seed, the request and the attempt's
+    number only."""
+    site = SimulatedSite(None, lambda: SERVED, connect_s=0.02, seed=seed)
+    site.servers.planned_outcome = planned_by_seed(seed, draw_outcome)
+    return site
 
 
-Row = tuple[tuple[tuple[str, float, Outcome | None], ...], str, float, int]
+LogRow = tuple[tuple[tuple[str, float, Outcome | None], ...], str, float, int]
 
 
-def played(seed: int, many: int, draw: Draw, proxied: bool, tells: bool = True) -> dict[bytes, Row]:
-    """The decision log of a run: for each request its attempts (node, start, ending), the final answer, when
-    that came, and its retry-after."""
-    site = place(seed, draw)
+def decision_log(
+    seed: int, request_count: int, draw_outcome: DrawOutcome, proxied: bool, tells: bool = True
+) -> dict[bytes, LogRow]:
+    """Returns the decision log of a run: for each request its attempts (server, start, outcome), the type of
+    the final response, its time and its retry-after in milliseconds."""
+    site = simulated_site(seed, draw_outcome)
     proxy = SimulatedProxy(site, tells) if proxied else None
     rng = random.Random(seed)
-    for _ in range(many):
+    for _ in range(request_count):
         site.loop.run(site.loop.now + rng.expovariate(40))
-        name = rng.choice(["report-read", "check-order", "check-charge"])
-        left_ms = float(rng.choice([300, 1000, 3000, 5000]))
+        class_name = rng.choice(["report-read", "check-order", "check-charge"])
+        time_left_ms = float(rng.choice([300, 1000, 3000, 5000]))
         if proxy is not None:
-            proxy.ask(name, left_ms)
+            proxy.ask(class_name, time_left_ms)
         else:
-            site.send_request(name, left_ms)
+            site.send_request(class_name, time_left_ms)
     site.loop.run(site.loop.now + 20.0)
     log = {}
-    for number in range(1, many + 1):
+    for number in range(1, request_count + 1):
         request = b"%d" % number
-        ((at, answer),) = proxy.asked[request].answers if proxy else site.responses[request]
-        tries = tuple(
-            (r.server, round(r.started_at, 6), r.outcome) for r in site.servers.attempts_of(request)
+        ((at, final_response),) = proxy.asked[request].answers if proxy else site.responses[request]
+        attempts = tuple(
+            (record.server, round(record.started_at, 6), record.outcome)
+            for record in site.servers.attempts_of(request)
         )
-        wait = int(answer.retry_after_ms) if isinstance(answer, Rejected) else 0
-        log[request] = tries, type(answer).__name__, round(at, 3), wait
+        retry_after_ms = int(final_response.retry_after_ms) if isinstance(final_response, Rejected) else 0
+        log[request] = attempts, type(final_response).__name__, round(at, 3), retry_after_ms
     if proxy is not None:
-        settled(proxy)
+        assert_nothing_left(proxy)
     return log
 
 
-def settled(proxy: SimulatedProxy) -> None:
-    """Nothing is left of any request, in the table, the core or the module."""
-    calls, gateway = proxy.calls, proxy.site.gateway
-    assert not calls.requests_by_number and not calls.requests_by_id
+def assert_nothing_left(proxy: SimulatedProxy) -> None:
+    """Asserts that the table, the core and the decision engine hold no request any more."""
+    table, gateway = proxy.calls, proxy.site.gateway
+    assert not table.requests_by_number and not table.requests_by_id
     assert not gateway.active_requests and not gateway.attempts_in_flight
-    module: Any = gateway.decisions
-    assert not module.execution.requests and not module.execution.attempts
-    assert all(tenant.attempts_in_flight == 0 for tenant in module.quota.tenants.by_id.values())
+    engine: Any = gateway.decisions
+    assert not engine.execution.requests and not engine.execution.attempts
+    assert all(tenant.attempts_in_flight == 0 for tenant in engine.quota.tenants.by_id.values())
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_proxy_gets_the_decisions_that_the_inline_gateway_makes(seed: int) -> None:
-    inline = played(seed, 2000, faulty, proxied=False)
-    by_proxy = played(seed, 2000, faulty, proxied=True)
+def test_a_proxy_gets_the_same_decisions_as_inline_requests(seed: int) -> None:
+    inline = decision_log(seed, 2000, faulty, proxied=False)
+    by_proxy = decision_log(seed, 2000, faulty, proxied=True)
     assert {r: (inline[r], by_proxy[r]) for r in inline if inline[r] != by_proxy[r]} == {}
     outcomes = [row[1] for row in inline.values()]
     assert min(outcomes.count(kind) for kind in ("Served", "Rejected", "Failed")) > 400
-    assert sum(len(row[0]) > 1 for row in inline.values()) > 200  # of which many were tried again
+    assert sum(len(row[0]) > 1 for row in inline.values()) > 200  # requests with a retry
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_it_does_so_where_the_proxy_says_nothing_of_a_broken_attempt(seed: int) -> None:
-    """Whose streams just end, and who retries after that by itself and to the wrong node. What then can't be
-    told: a failed connection from a reset (nodes can always be reached here), and a reset from a time-out in
-    the attempt's last millisecond (none falls there in these runs)."""
-    inline = played(seed, 2000, connected, proxied=False)
-    by_proxy = played(seed, 2000, connected, proxied=True, tells=False)
+def test_decisions_are_the_same_where_the_proxy_does_not_report_broken_attempts(seed: int) -> None:
+    """The proxy's streams only end, and it then retries by itself and at the wrong server.
+
+    The gateway can't tell a failed connection from a reset then, so servers can always be reached here. It
+    can't tell a reset in an attempt's last millisecond from a timeout either; none falls there in these runs.
+    """
+    inline = decision_log(seed, 2000, faulty_when_reachable, proxied=False)
+    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, tells=False)
     assert {r: (inline[r], by_proxy[r]) for r in inline if inline[r] != by_proxy[r]} == {}
 
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("tells", [True, False])
 def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(seed: int, tells: bool) -> None:
-    """Truth at the nodes: `Servers.check` raises if an unsafe request goes out twice, or two attempts of one
-    are out at once. Each request that was not left has one final answer."""
-    site = place(seed, faulty)
+    """The simulated servers raise if a non-idempotent request is sent twice, or if two attempts of a request
+    are in flight at once. Each request whose client did not disconnect gets one final response."""
+    site = simulated_site(seed, faulty)
     proxy = SimulatedProxy(site, tells)
     rng = random.Random(seed)
-    left: set[bytes] = set()
+    disconnected: set[bytes] = set()
 
-    def die(asker: ProxyClient) -> None:
-        if not asker.answers:
-            left.add(asker.request)
-            asker.leave()
+    def disconnect(client: ProxyClient) -> None:
+        if not client.answers:
+            disconnected.add(client.request)
+            client.leave()
 
     for _ in range(400):
         site.loop.run(site.loop.now + rng.expovariate(40))
-        asker = proxy.ask(rng.choice(["report-read", "check-order", "check-charge"]), 3000.0)
+        client = proxy.ask(rng.choice(["report-read", "check-order", "check-charge"]), 3000.0)
         if rng.random() < 0.4:
-            site.loop.call_later(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]) * rng.random(), die, asker)
-        if rng.random() < 0.01:  # the whole proxy
+            site.loop.call_later(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]) * rng.random(), disconnect, client)
+        if rng.random() < 0.01:  # the proxy dies: all of its clients' requests are lost
             for each in list(proxy.asked.values()):
-                die(each)
+                disconnect(each)
     site.loop.run(site.loop.now + 20.0)
-    for request, asker in proxy.asked.items():
-        assert len(asker.answers) == (request not in left), request
-    assert len(left) > 100
-    settled(proxy)
+    for request, client in proxy.asked.items():
+        assert len(client.answers) == (request not in disconnected), request
+    assert len(disconnected) > 100
+    assert_nothing_left(proxy)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_two_proxies_whose_clocks_differ_break_no_rule(seed: int) -> None:
-    """One gives up attempts and requests long before the module does, the other long after: there the
-    module's own time-outs hold, and no client waits past its deadline."""
-    site = place(seed, faulty)
-    hasty, slow = SimulatedProxy(site, pace=0.3), SimulatedProxy(site, pace=4.0)
-    slow.calls = hasty.calls
+    """One proxy times out attempts and requests long before the gateway does, the other long after. For the
+    slow one the gateway's own timeouts apply, and no client waits past its deadline."""
+    site = simulated_site(seed, faulty)
+    fast, slow = SimulatedProxy(site, pace=0.3), SimulatedProxy(site, pace=4.0)
+    slow.calls = fast.calls
     rng = random.Random(seed)
-    asked: list[tuple[ProxyClient, float]] = []
+    requests: list[tuple[ProxyClient, float]] = []
     for number in range(300):
         site.loop.run(site.loop.now + rng.expovariate(40))
-        proxy = (hasty, slow)[number % 2]
+        proxy = (fast, slow)[number % 2]
         name = rng.choice(["report-read", "check-order", "check-charge"])
-        asked.append((proxy.ask(name, 3000.0, number=number), site.loop.now))
+        requests.append((proxy.ask(name, 3000.0, number=number), site.loop.now))
     site.loop.run(site.loop.now + 20.0)
-    for asker, at in asked:
-        ((when, _),) = asker.answers
+    for client, at in requests:
+        ((when, _),) = client.answers
         assert when - at <= 3.0 + 1e-6
-    settled(hasty)
-
-
-def restarted(site: SimulatedSite, proxy: SimulatedProxy, **changes: Any) -> SimulatedProxy:
-    """The processor is killed and another takes its place: same key, empty table, modules anew. The proxy's
-    streams have broken; what is out at the nodes goes on."""
-    fresh = SimulatedSite(None, lambda: SERVED, connect_s=site.connect_s, seed=site.seed + 1)
-    fresh.loop, fresh.servers = site.loop, site.servers
-    fresh.gateway.loop = site.loop  # type: ignore[assignment]
-    fresh.gateway.upstream = site.servers
-    fresh.gateway.clock = site.gateway.clock
-    after = SimulatedProxy(fresh, proxy.tells, **changes)
-    after.calls = RequestTable(after.loop, fresh.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32))
-    after.calls.wall_clock = lambda: float(site.loop.now)
-    after.asked = proxy.asked
-    return after
-
-
-def let_through(asker: ProxyClient, proxy: SimulatedProxy) -> ev.ProcessorResponse | None:
-    """Asks a processor for an attempt with the token that another one gave."""
-    told: list[ev.ProcessorResponse | None] = []
-    up = UpstreamStream(proxy.calls)
-    said = headers(x_glenchute_token=asker.token, x_envoy_attempt_count="2")
-    up.receive(ev.RequestHeaders(said, attributes={"upstream.address": asker.node}), told.append)
-    up.close(True)
-    return told[0] if told else None
+    assert_nothing_left(fast)
+
+
+def restart_processor(site: SimulatedSite, proxy: SimulatedProxy, **changes: Any) -> SimulatedProxy:
+    """Replaces a killed processor by one with the same key, an empty table and a new decision engine. The
+    proxy's streams are lost; attempts in flight at the servers go on."""
+    new_site = SimulatedSite(None, lambda: SERVED, connect_s=site.connect_s, seed=site.seed + 1)
+    new_site.loop, new_site.servers = site.loop, site.servers
+    new_site.gateway.loop = site.loop  # type: ignore[assignment]
+    new_site.gateway.upstream = site.servers
+    new_site.gateway.clock = site.gateway.clock
+    new_proxy = SimulatedProxy(new_site, proxy.tells, **changes)
+    new_proxy.calls = RequestTable(
+        new_proxy.loop, new_site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
+    )
+    new_proxy.calls.wall_clock = lambda: float(site.loop.now)
+    new_proxy.asked = proxy.asked
+    return new_proxy
+
+
+def request_attempt(client: ProxyClient, proxy: SimulatedProxy) -> ev.ProcessorResponse | None:
+    """Asks a processor to allow an attempt, with the token that another one gave; None while it waits."""
+    responses: list[ev.ProcessorResponse | None] = []
+    upstream = UpstreamStream(proxy.calls)
+    attempt_headers = headers(x_glenchute_token=client.token, x_envoy_attempt_count="2")
+    upstream.receive(
+        ev.RequestHeaders(attempt_headers, attributes={"upstream.address": client.node}), responses.append
+    )
+    upstream.close(True)
+    return responses[0] if responses else None
 
 
 ALL_CLASSES = frozenset({"report-read", "check-order", "check-charge"})
@@ -200,43 +210,47 @@
 
 @pytest.mark.parametrize("resumable_classes", [frozenset(), ALL_CLASSES])
 @pytest.mark.parametrize("age_s", [0.01, 2.6])
-def test_a_fresh_processor_lets_only_pass_what_can_do_no_harm(
+def test_a_restarted_processor_allows_only_harmless_repeats(
     resumable_classes: frozenset[str], age_s: float
 ) -> None:
-    site = place(1, lambda rng: NEVER)
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    askers = {name: proxy.ask(name, 6000.0) for name in ("report-read", "check-order", "check-charge")}
+    clients = {name: proxy.ask(name, 6000.0) for name in ("report-read", "check-order", "check-charge")}
     site.loop.run(site.loop.now + age_s)
-    fresh = restarted(site, proxy, resumable_classes=resumable_classes)
-    passed = {
-        name for name, asker in askers.items() if isinstance(let_through(asker, fresh), ev.ContinueResponse)
+    restarted = restart_processor(site, proxy, resumable_classes=resumable_classes)
+    allowed = {
+        name
+        for name, client in clients.items()
+        if isinstance(request_attempt(client, restarted), ev.ContinueResponse)
     }
-    keyed = {"check-order"} if age_s < 2.5 else set()  # repeats are dropped for 2.5 s
-    assert passed == ({"report-read"} | keyed if resumable_classes else set())
-    for name, asker in askers.items():  # so with the request itself, sent again with its token
-        for given_as in askers:
-            _, told = opened(fresh, heads(f"{name}-{given_as}", given_as, x_glenchute_token=asker.token))
-            if given_as == name and name in passed:
-                assert isinstance(told[0], ev.ContinueResponse)
+    allowed_with_key = {"check-order"} if age_s < 2.5 else set()  # the servers drop repeats for 2.5 s
+    assert allowed == ({"report-read"} | allowed_with_key if resumable_classes else set())
+    for name, client in clients.items():  # the same holds for the request itself, sent again with its token
+        for class_name in clients:
+            _, responses = open_downstream(
+                restarted, request_headers(f"{name}-{class_name}", class_name, x_glenchute_token=client.token)
+            )
+            if class_name == name and name in allowed:
+                assert isinstance(responses[0], ev.ContinueResponse)
             else:
-                assert told[0].status == 500 and told[0].headers["x-glenchute-effect"] == "unknown"
+                assert responses[0].status == 500 and responses[0].headers["x-glenchute-effect"] == "unknown"
 
 
 def test_kills_of_the_processor_at_any_moment_never_repeat_a_charge() -> None:
-    """Charges are out when the processor dies, at every moment of the exchange; the proxy asks the fresh one
-    for all of them again. The nodes' truth is `Servers.check`."""
+    """The processor dies at every moment of the exchange while charges are in flight, and the proxy asks the
+    new one to allow all of them again. The simulated servers raise if a charge runs twice."""
     reissued = 0
     for at_ms in range(0, 400, 7):
-        site = place(at_ms, faulty)
+        site = simulated_site(at_ms, faulty)
         proxy = SimulatedProxy(site)
         for _ in range(5):
             proxy.ask("check-charge", 3000.0)
         site.loop.run(site.loop.now + at_ms / 1000.0)
-        fresh = restarted(site, proxy, resumable_classes=frozenset({"check-charge"}))
-        for asker in list(proxy.asked.values()):
-            if asker.token and not asker.answers:
-                reissued += isinstance(let_through(asker, fresh), ev.ContinueResponse)
-        assert not fresh.calls.requests_by_number
+        restarted = restart_processor(site, proxy, resumable_classes=frozenset({"check-charge"}))
+        for client in list(proxy.asked.values()):
+            if client.token and not client.answers:
+                reissued += isinstance(request_attempt(client, restarted), ev.ContinueResponse)
+        assert not restarted.calls.requests_by_number
     assert reissued == 0
 
 
@@ -244,252 +258,264 @@
 
 
 @pytest.mark.parametrize("token", ["", "x", "A" * 300, "AAAA", FORGED], ids=range(5))
-def test_an_attempt_without_a_token_of_ours_is_not_let_through(token: str) -> None:
-    proxy = SimulatedProxy(place(1, lambda rng: SERVED), resumable_classes=frozenset({"report-read"}))
-    told: list[ev.ProcessorResponse | None] = []
-    up = UpstreamStream(proxy.calls)
-    up.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), told.append)
-    (answer,) = told
+def test_an_attempt_without_a_valid_token_is_refused(token: str) -> None:
+    proxy = SimulatedProxy(
+        simulated_site(1, lambda rng: SERVED), resumable_classes=frozenset({"report-read"})
+    )
+    responses: list[ev.ProcessorResponse | None] = []
+    upstream = UpstreamStream(proxy.calls)
+    upstream.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), responses.append)
+    (response,) = responses
     assert (
-        isinstance(answer, ev.ImmediateResponse)
-        and answer.headers["x-glenchute-reason"] == "not-proven-unsent"
+        isinstance(response, ev.ImmediateResponse)
+        and response.headers["x-glenchute-reason"] == "not-proven-unsent"
     )
 
 
 @given(st.binary(max_size=200), st.integers(0, 2**63), st.floats(0, 1e15), st.text(max_size=60))
 @settings(max_examples=200, deadline=None)
-def test_tokens_are_read_back_and_no_others(noise: bytes, ref: int, first_ms: float, name: str) -> None:
+def test_only_tokens_of_the_own_key_are_verified(
+    noise: bytes, request_number: int, decided_at_ms: float, class_name: str
+) -> None:
     signer = TokenSigner(b"k" * 32)
-    text = signer.issue(ref, first_ms, name)
+    text = signer.issue(request_number, decided_at_ms, class_name)
     token = signer.verify(text)
     assert token is not None and (token.request_number, token.decided_at_ms, token.process_id) == (
-        ref,
-        int(first_ms),
+        request_number,
+        int(decided_at_ms),
         signer.process_id,
     )
-    for at in range(0, len(text), 9):
-        other = "B" if text[at] != "B" else "C"
-        changed = signer.verify(text[:at] + other + text[at + 1 :])
-        assert changed is None or at == len(text) - 1  # whose last bits are padding
+    for index in range(0, len(text), 9):
+        replacement = "B" if text[index] != "B" else "C"
+        verified = signer.verify(text[:index] + replacement + text[index + 1 :])
+        assert verified is None or index == len(text) - 1  # the last character's low bits are padding
     assert signer.verify(noise.decode("latin-1")) is None
     assert TokenSigner(b"z" * 32).verify(text) is None
 
 
-# --- one id, several streams ----------------------------------------------------------------------------
+# --- several streams with one request id ----------------------------------------------------------------
 
 
-def heads(request_id: str = "r1", name: str = "report-read", **more: str) -> ev.RequestHeaders:
-    """A request's headers, as `sites.py` has its classes."""
+def request_headers(
+    request_id: str = "r1", class_name: str = "report-read", **more_headers: str
+) -> ev.RequestHeaders:
+    """Returns a request's headers, for the classes of `sites.py`."""
     return ev.RequestHeaders(
         headers(
-            x_class=name, x_account=ACCOUNT, x_plan="osnovni", x_request_id=request_id, x_deadline_ms="3000",
-            idempotency_key="k1", **more,
+            x_class=class_name, x_account=ACCOUNT, x_plan="osnovni", x_request_id=request_id,
+            x_deadline_ms="3000", idempotency_key="k1", **more_headers,
         )
     )  # fmt: skip
 
 
-def opened(proxy: SimulatedProxy, said: ev.RequestHeaders) -> tuple[DownstreamStream, list[Any]]:
-    """A stream that asks, and what it is told."""
-    told: list[Any] = []
-    down = DownstreamStream(proxy.calls)
-    down.receive(said, told.append)
-    return down, told
+def open_downstream(proxy: SimulatedProxy, message: ev.RequestHeaders) -> tuple[DownstreamStream, list[Any]]:
+    """Opens a downstream stream with a request; returns the stream and the list of its responses."""
+    responses: list[Any] = []
+    downstream = DownstreamStream(proxy.calls)
+    downstream.receive(message, responses.append)
+    return downstream, responses
 
 
 def test_a_stream_opened_again_gets_the_same_decision() -> None:
-    site = place(1, lambda rng: NEVER)
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    first, told = opened(proxy, heads())
+    first, responses = open_downstream(proxy, request_headers())
     first.close(False)
     site.loop.run(site.loop.now + 0.1)
-    again, told_again = opened(proxy, heads())
-    assert told_again == told and isinstance(told[0], ev.ContinueResponse)
+    reopened, reopened_responses = open_downstream(proxy, request_headers())
+    assert reopened_responses == responses and isinstance(responses[0], ev.ContinueResponse)
     assert proxy.calls.counts["reopened"] == 1 and len(proxy.calls.requests_by_number) == 1
     site.loop.run(site.loop.now + 1.0)
-    assert len(proxy.calls.requests_by_number) == 1  # it is held, as its stream is open
-    again.close(False)
+    assert len(proxy.calls.requests_by_number) == 1  # the request stays as its stream is open
+    reopened.close(False)
     site.loop.run(site.loop.now + 1.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
-@pytest.mark.parametrize("change", [{}, {"name": "check-order"}])
-def test_an_id_in_use_is_told_so_without_a_promise(change: dict[str, str]) -> None:
-    site = place(1, lambda rng: NEVER)
+@pytest.mark.parametrize("change", [{}, {"class_name": "check-order"}])
+def test_an_id_in_use_gets_409_with_unknown_effect(change: dict[str, str]) -> None:
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    first, _ = opened(proxy, heads())
+    first, _ = open_downstream(proxy, request_headers())
     if change:
-        first.close(False)  # free to be opened again, but by the same request only
-    _, told = opened(proxy, heads(**change))
-    assert told[0].status == 409 and told[0].headers["x-glenchute-effect"] == "unknown"
+        first.close(False)  # the same request may open it again, another one may not
+    _, responses = open_downstream(proxy, request_headers(**change))
+    assert responses[0].status == 409 and responses[0].headers["x-glenchute-effect"] == "unknown"
     first.close(False)
     site.loop.run(site.loop.now + 1.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
 def test_a_lost_proxy_settles_units_and_open_attempts_once() -> None:
-    site = place(1, lambda rng: NEVER)
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    askers = [proxy.ask("check-charge", 5000.0) for _ in range(20)]
-    module: Any = site.gateway.decisions
-    assert sum(tenant.attempts_in_flight for tenant in module.quota.tenants.by_id.values()) == 20
-    for asker in askers:
-        asker.leave()
+    clients = [proxy.ask("check-charge", 5000.0) for _ in range(20)]
+    engine: Any = site.gateway.decisions
+    assert sum(tenant.attempts_in_flight for tenant in engine.quota.tenants.by_id.values()) == 20
+    for client in clients:
+        client.leave()
     site.loop.run(site.loop.now + 1.0)
-    settled(proxy)
-    assert all(len(site.servers.attempts_of(asker.request)) == 1 for asker in askers)
+    assert_nothing_left(proxy)
+    assert all(len(site.servers.attempts_of(client.request)) == 1 for client in clients)
 
 
-def test_a_response_after_the_deadlines_answer_is_not_shown() -> None:
-    """The proxy's clock is slow: it shows a node's 200 after the request was answered as failed."""
-    site = place(1, lambda rng: NEVER)
+def test_a_response_after_the_final_response_is_replaced() -> None:
+    """The proxy's clock is slow: it reports a server's 200 after the request has failed."""
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    asker = proxy.ask("check-charge", 1000.0)
-    asker.proxy.loop.call_later = site.loop.call_later
-    asker.over = True  # it no longer acts by itself
+    client = proxy.ask("check-charge", 1000.0)
+    client.proxy.loop.call_later = site.loop.call_later
+    client.over = True  # the simulated client does nothing more by itself
     site.loop.run(site.loop.now + 1.5)
-    told: list[Any] = []
-    asker.down.receive(responded(200, "via_upstream"), told.append)
-    assert told[0].status == 500 and told[0].headers["x-glenchute-effect"] == "unknown"
-    asker.down.close(True)
+    responses: list[Any] = []
+    client.down.receive(responded(200, "via_upstream"), responses.append)
+    assert responses[0].status == 500 and responses[0].headers["x-glenchute-effect"] == "unknown"
+    client.down.close(True)
     site.loop.run(site.loop.now + 5.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
-def test_a_node_can_not_ask_for_a_retry_in_the_modules_name() -> None:
-    site = place(1, lambda rng: NEVER)
+def test_a_server_can_not_ask_for_a_retry_in_the_gateways_name() -> None:
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    down, told = opened(proxy, heads())
+    downstream, responses = open_downstream(proxy, request_headers())
     replies: list[Any] = []
-    up = UpstreamStream(proxy.calls)
-    token = told[0].set_headers["x-glenchute-token"]
-    up.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), replies.append)
-    said = responded(200, "via_upstream")
-    said.headers["x-glenchute-retry"] = [b"1"]
-    up.receive(said, replies.append)
-    down.receive(said, replies.append)
+    upstream = UpstreamStream(proxy.calls)
+    token = responses[0].set_headers["x-glenchute-token"]
+    upstream.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), replies.append)
+    message = responded(200, "via_upstream")
+    message.headers["x-glenchute-retry"] = [b"1"]
+    upstream.receive(message, replies.append)
+    downstream.receive(message, replies.append)
     assert all("x-glenchute-retry" in reply.remove_headers for reply in replies[1:]) and len(replies) == 3
-    up.close(True)
-    down.close(True)
-    settled(proxy)
+    upstream.close(True)
+    downstream.close(True)
+    assert_nothing_left(proxy)
 
 
 @pytest.mark.parametrize("first", ["attempt", "client"])
-def test_the_attempts_end_and_the_clients_response_in_either_order(first: str) -> None:
-    site = place(1, lambda rng: NEVER)
+def test_the_attempts_end_and_the_clients_response_come_in_either_order(first: str) -> None:
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    asker = proxy.ask("check-charge", 2000.0)
-    up, asker.up, asker.over = asker.up, None, True
-    assert up is not None
-    told: list[Any] = []
+    client = proxy.ask("check-charge", 2000.0)
+    upstream, client.up, client.over = client.up, None, True
+    assert upstream is not None
+    responses: list[Any] = []
     reset = responded(503, "upstream_reset_before_response_started{connection_termination}")
     if first == "attempt":
-        up.close(False)
-    asker.down.receive(reset, told.append)
+        upstream.close(False)
+    client.down.receive(reset, responses.append)
     if first == "client":
-        up.close(False)
-    (answer,) = told  # 503 would read as a promise that it did not run
-    assert isinstance(answer, ev.ImmediateResponse) and answer.status == 500
-    asker.down.close(True)
+        upstream.close(False)
+    (response,) = responses  # clients would take 503 as proof that the request did not run
+    assert isinstance(response, ev.ImmediateResponse) and response.status == 500
+    client.down.close(True)
     site.loop.run(site.loop.now + 5.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
-def test_a_proxy_that_ignores_the_chosen_node_is_turned_back_and_then_given_up() -> None:
-    site = place(1, lambda rng: SERVED)
+def test_a_proxy_that_ignores_the_chosen_server_gets_a_limited_number_of_retries() -> None:
+    site = simulated_site(1, lambda rng: SERVED)
     proxy = SimulatedProxy(site)
-    down, told = opened(proxy, heads(name="check-charge"))
-    token = told[0].set_headers["x-glenchute-token"]
+    downstream, responses = open_downstream(proxy, request_headers(class_name="check-charge"))
+    token = responses[0].set_headers["x-glenchute-token"]
     replies: list[Any] = []
     for _ in range(4):
-        up = UpstreamStream(proxy.calls)
-        elsewhere = {"upstream.address": "127.0.0.1:9"}
-        said = ev.RequestHeaders(headers(x_glenchute_token=token), attributes=elsewhere)
-        up.receive(said, replies.append)
-        up.close(True)
+        upstream = UpstreamStream(proxy.calls)
+        other_server = {"upstream.address": "127.0.0.1:9"}
+        message = ev.RequestHeaders(headers(x_glenchute_token=token), attributes=other_server)
+        upstream.receive(message, replies.append)
+        upstream.close(True)
     assert [reply.status for reply in replies[:2]] == [503, 503]
-    assert replies[0].headers["x-gateway-destination-endpoint"] == told[0].endpoint
+    assert replies[0].headers["x-gateway-destination-endpoint"] == responses[0].endpoint
     assert "x-glenchute-retry" not in replies[2].headers
     assert replies[3].status == 429 and replies[3].headers["x-glenchute-effect"] == "none"
-    down.close(True)
+    downstream.close(True)
     site.loop.run(site.loop.now + 5.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
-def test_a_node_that_leaves_gets_no_attempt_after_its_grace() -> None:
-    """The choice was told; the proxy asks only after the node is gone, and gets another."""
-    site = place(1, lambda rng: SERVED)
+def test_a_removed_server_gets_no_attempt() -> None:
+    """The proxy was told the chosen server, but asks only after its removal, and is redirected to another."""
+    site = simulated_site(1, lambda rng: SERVED)
     proxy = SimulatedProxy(site)
-    down, told = opened(proxy, heads())
-    gone = proxy.names[told[0].endpoint]
-    site.servers.names.remove(gone)
+    downstream, responses = open_downstream(proxy, request_headers())
+    removed = proxy.names[responses[0].endpoint]
+    site.servers.names.remove(removed)
     site.gateway.post(
-        EndpointList(EndpointListKind.CHANGES, (Endpoint(gone, "a", state=EndpointState.REMOVED),))
+        EndpointList(EndpointListKind.CHANGES, (Endpoint(removed, "a", state=EndpointState.REMOVED),))
     )
     replies: list[Any] = []
-    up = UpstreamStream(proxy.calls)
-    said = headers(x_glenchute_token=told[0].set_headers["x-glenchute-token"])
-    up.receive(ev.RequestHeaders(said, attributes={"upstream.address": told[0].endpoint}), replies.append)
+    upstream = UpstreamStream(proxy.calls)
+    attempt_headers = headers(x_glenchute_token=responses[0].set_headers["x-glenchute-token"])
+    upstream.receive(
+        ev.RequestHeaders(attempt_headers, attributes={"upstream.address": responses[0].endpoint}),
+        replies.append,
+    )
     assert replies[0].status == 503 and replies[0].headers["x-glenchute-retry"] == "1"
-    assert replies[0].headers["x-gateway-destination-endpoint"] != told[0].endpoint
-    up.close(True)
-    down.close(False)
+    assert replies[0].headers["x-gateway-destination-endpoint"] != responses[0].endpoint
+    upstream.close(True)
+    downstream.close(False)
     site.loop.run(site.loop.now + 5.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
-def test_without_attempt_streams_the_response_is_the_attempts_ending() -> None:
-    endings = [
+def test_without_attempt_streams_the_response_is_the_attempts_outcome() -> None:
+    cases = [
         (responded(200, "via_upstream"), "go"),
         (responded(500, "via_upstream"), "go"),
-        (responded(429, "via_upstream"), 429),  # turned away unseen: the module refuses
+        # The server rejected the attempt without running it, so the gateway rejects the request.
+        (responded(429, "via_upstream"), 429),
         (responded(503, "upstream_reset_before_response_started{remote_connection_failure}"), 429),
         (responded(503, "upstream_reset_before_response_started{connection_termination}"), 500),
         (responded(504, "upstream_response_timeout"), "go"),
     ]
-    for said, expected in endings:
-        site = place(1, lambda rng: NEVER)
+    for message, expected in cases:
+        site = simulated_site(1, lambda rng: NEVER)
         proxy = SimulatedProxy(site, has_attempt_streams=False)
-        down, told = opened(proxy, heads(name="check-charge"))
-        assert told[0].set_headers["x-envoy-max-retries"] == "0"
-        assert "x-glenchute-token" not in told[0].set_headers
-        shown: list[Any] = []
-        down.receive(said, shown.append)
-        assert len(shown) == 1
-        assert (shown[0].status if isinstance(shown[0], ev.ImmediateResponse) else "go") == expected, said
-        down.close(True)
-        settled(proxy)
-
-
-def test_the_table_has_a_bound_and_says_so() -> None:
-    site = place(1, lambda rng: NEVER)
+        downstream, responses = open_downstream(proxy, request_headers(class_name="check-charge"))
+        assert responses[0].set_headers["x-envoy-max-retries"] == "0"
+        assert "x-glenchute-token" not in responses[0].set_headers
+        client_responses: list[Any] = []
+        downstream.receive(message, client_responses.append)
+        assert len(client_responses) == 1
+        assert (
+            client_responses[0].status if isinstance(client_responses[0], ev.ImmediateResponse) else "go"
+        ) == expected, message
+        downstream.close(True)
+        assert_nothing_left(proxy)
+
+
+def test_requests_beyond_the_tables_limit_are_rejected() -> None:
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site, max_requests=10)
-    streams = [opened(proxy, heads(f"r{n}")) for n in range(15)]
+    streams = [open_downstream(proxy, request_headers(f"r{n}")) for n in range(15)]
     assert len(proxy.calls.requests_by_number) == 10 and proxy.calls.counts["table-full"] == 5
-    for _, told in streams[10:]:
-        assert told[0].status == 429 and told[0].headers["retry-after"] == "1"
-    for down, _ in streams:
-        down.close(False)
+    for _, responses in streams[10:]:
+        assert responses[0].status == 429 and responses[0].headers["retry-after"] == "1"
+    for downstream, _ in streams:
+        downstream.close(False)
     site.loop.run(site.loop.now + 5.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
 def test_streams_that_are_never_closed_do_not_keep_an_entry() -> None:
-    """A stalled proxy: nothing comes any more, and nothing ends."""
-    site = place(1, lambda rng: NEVER)
+    """A stalled proxy sends nothing any more and ends no stream; its request expires."""
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    asker = proxy.ask("check-charge", 1000.0)
-    asker.over = True
-    waiting: list[Any] = []
+    client = proxy.ask("check-charge", 1000.0)
+    client.over = True
+    upstream_responses: list[Any] = []
     UpstreamStream(proxy.calls).receive(
-        ev.RequestHeaders(headers(x_glenchute_token=asker.token)), waiting.append
+        ev.RequestHeaders(headers(x_glenchute_token=client.token)), upstream_responses.append
     )
-    assert not waiting  # held: the first is out
+    assert not upstream_responses  # waits, as the first attempt is in flight
     site.loop.run(site.loop.now + 1.0 + EXPIRY_GRACE_S + SWEEP_INTERVAL_S + 0.01)
-    assert waiting and waiting[0].headers["x-glenchute-effect"] == "unknown"
-    settled(proxy)
+    assert upstream_responses and upstream_responses[0].headers["x-glenchute-effect"] == "unknown"
+    assert_nothing_left(proxy)
 
 
-# --- bodies, and anything else that may come ------------------------------------------------------------
+# --- bodies and other messages --------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -504,42 +530,44 @@
     ],
 )
 def test_a_rule_that_needs_the_body_waits_for_it(parts: list[bytes], status: int | None) -> None:
-    site = place(1, lambda rng: NEVER)
+    site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
     rules = proxy.calls.settings.mapping_rules
     rules = replace(rules, sources={**rules.sources, "plan": "json:/plan"})
     proxy.calls.settings = replace(proxy.calls.settings, mapping_rules=rules)
-    said = heads()
-    said.end_of_stream = False
-    down, told = opened(proxy, said)
-    assert told[0].wants_request_body and not proxy.calls.requests_by_number
-    for at, part in enumerate(parts):
-        down.receive(ev.RequestBody(part, at == len(parts) - 1), told.append)
-    last = told[-1]
+    message = request_headers()
+    message.end_of_stream = False
+    downstream, responses = open_downstream(proxy, message)
+    assert responses[0].wants_request_body and not proxy.calls.requests_by_number
+    for index, part in enumerate(parts):
+        downstream.receive(ev.RequestBody(part, index == len(parts) - 1), responses.append)
+    last = responses[-1]
     if status is None:
         assert last.kind == "request_body" and last.endpoint
     else:
         assert last.status == status and not proxy.calls.requests_by_number
-    down.close(False)
+    downstream.close(False)
     site.loop.run(site.loop.now + 5.0)
-    settled(proxy)
+    assert_nothing_left(proxy)
 
 
 def test_observability_mode_and_unknown_messages_take_nothing() -> None:
-    proxy = SimulatedProxy(place(1, lambda rng: SERVED))
-    for made in (DownstreamStream(proxy.calls), UpstreamStream(proxy.calls)):
+    proxy = SimulatedProxy(simulated_site(1, lambda rng: SERVED))
+    for stream in (DownstreamStream(proxy.calls), UpstreamStream(proxy.calls)):
         for message in (ev.ObservedMessage(), ev.UnknownMessage()):
-            told: list[Any] = []
-            made.receive(message, told.append)
-            assert told == [None]
+            responses: list[Any] = []
+            stream.receive(message, responses.append)
+            assert responses == [None]
         for kind in ("request_trailers", "response_trailers", "response_body"):
-            made.receive(ev.UnhandledMessage(kind), told.append)
-            assert told[-1] == ev.ContinueResponse(kind)
+            stream.receive(ev.UnhandledMessage(kind), responses.append)
+            assert responses[-1] == ev.ContinueResponse(kind)
     assert not proxy.calls.requests_by_number
 
 
 MESSAGES = st.one_of(
-    st.builds(heads, st.sampled_from(["r1", "r2", ""]), st.sampled_from(["report-read", "check-charge"])),
+    st.builds(
+        request_headers, st.sampled_from(["r1", "r2", ""]), st.sampled_from(["report-read", "check-charge"])
+    ),
     st.builds(
         responded,
         status=st.sampled_from([0, 200, 429, 500, 503, 504]),
@@ -563,53 +591,55 @@
 
 @given(STEPS, st.booleans())
 @settings(max_examples=300, deadline=None)
-def test_no_order_of_messages_breaks_the_table(steps: list[Any], streams: bool) -> None:
-    """Any messages, in any order, on any streams: each is answered at most once, nothing raises, two attempts
-    of one request are never let through side by side, and in the end nothing is left."""
+def test_no_order_of_messages_breaks_the_table(steps: list[Any], has_attempt_streams: bool) -> None:
+    """Sends any messages in any order on any streams: each gets at most one response, nothing raises, two
+    attempts of a request are never allowed at once, and in the end no request is left."""
     site = SimulatedSite(None, lambda: NEVER)
-    proxy = SimulatedProxy(site, has_attempt_streams=streams)
-    downs = [DownstreamStream(proxy.calls) for _ in range(4)]
-    ups = [UpstreamStream(proxy.calls) for _ in range(4)]
+    proxy = SimulatedProxy(site, has_attempt_streams=has_attempt_streams)
+    downstreams = [DownstreamStream(proxy.calls) for _ in range(4)]
+    upstreams = [UpstreamStream(proxy.calls) for _ in range(4)]
     tokens: list[str] = []
-    answers: list[list[Any]] = []
+    all_responses: list[list[Any]] = []
 
-    def hear(told: Any) -> None:
-        if isinstance(told, ev.ContinueResponse) and "x-glenchute-token" in told.set_headers:
-            tokens.append(told.set_headers["x-glenchute-token"])
+    def remember_token(response: Any) -> None:
+        if isinstance(response, ev.ContinueResponse) and "x-glenchute-token" in response.set_headers:
+            tokens.append(response.set_headers["x-glenchute-token"])
 
-    for what, which, given_ in steps:
-        if what == "wait":
-            site.loop.run(site.loop.now + which)
+    for action, target, argument in steps:
+        if action == "wait":
+            site.loop.run(site.loop.now + target)
             continue
-        if what == "close":
-            downs[which].close(given_)
-            downs[which] = DownstreamStream(proxy.calls)
-        elif what == "close-up":
-            ups[which].close(given_)
-            ups[which] = UpstreamStream(proxy.calls)
+        if action == "close":
+            downstreams[target].close(argument)
+            downstreams[target] = DownstreamStream(proxy.calls)
+        elif action == "close-up":
+            upstreams[target].close(argument)
+            upstreams[target] = UpstreamStream(proxy.calls)
         else:
-            stream: DownstreamStream | UpstreamStream = downs[which] if what == "down" else ups[which]
-            if what == "up" and isinstance(given_, ev.RequestHeaders) and tokens:
-                given_ = ev.RequestHeaders(headers(x_glenchute_token=tokens[-1]))
-            told: list[Any] = []
-            answers.append(told)
-
-            def both(answer: Any, told: list[Any] = told) -> None:
-                told.append(answer)
-                hear(answer)
-
-            stream.receive(given_, both)
-        for entry in proxy.calls.requests_by_number.values():
-            assert len(entry.open_attempt_streams) <= 1
-    for down, up in zip(downs, ups, strict=True):
-        down.close(False)
-        up.close(False)
+            stream: DownstreamStream | UpstreamStream = (
+                downstreams[target] if action == "down" else upstreams[target]
+            )
+            if action == "up" and isinstance(argument, ev.RequestHeaders) and tokens:
+                argument = ev.RequestHeaders(headers(x_glenchute_token=tokens[-1]))
+            responses: list[Any] = []
+            all_responses.append(responses)
+
+            def record(response: Any, responses: list[Any] = responses) -> None:
+                responses.append(response)
+                remember_token(response)
+
+            stream.receive(argument, record)
+        for request in proxy.calls.requests_by_number.values():
+            assert len(request.open_attempt_streams) <= 1
+    for downstream, upstream in zip(downstreams, upstreams, strict=True):
+        downstream.close(False)
+        upstream.close(False)
     site.loop.run(site.loop.now + 20.0)
-    assert all(len(told) <= 1 for told in answers)
-    settled(proxy)
+    assert all(len(responses) <= 1 for responses in all_responses)
+    assert_nothing_left(proxy)
 
 
-def test_final_answers_are_the_cores() -> None:
-    """A type for each; a new one must be given its words here. `Streamed` comes from the gateway's own
-    servers alone: the core tells no carrier's attempt where a long answer would go, so no proxy gets one."""
+def test_every_final_response_type_is_known() -> None:
+    """A new type of final response needs a response to proxies here. `Streamed` comes only from attempts that
+    the gateway makes itself: a proxy's attempt has no target for a streamed value."""
     assert {Served, Streamed, Rejected, Failed} == set(FinalResponse.__args__)
