--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -1,4 +1,5 @@
-"""The operators' page of the external processor: its files load, and what it names is what the code has."""
+"""Tests of the operators' page of the external processor: its files load, and it names the headers, reasons
+and keys that the code has."""
 
 from __future__ import annotations
 
@@ -23,7 +24,7 @@
 from tests.sites import FACTS
 
 PAGE = (Path(__file__).resolve().parents[3] / "docs" / "operators" / "extproc.md").read_text()
-# Imported so that their messages are known where the configuration holds them as Any.
+# These modules are imported so that protobuf can resolve their messages in fields of type Any.
 KNOWN = (
     ext_proc_pb2, router_pb2, upstream_codec_pb2, http_connection_manager_pb2, header_mutation_pb2,
     override_host_pb2, round_robin_pb2, http_protocol_options_pb2,
@@ -31,20 +32,20 @@
 
 
 def block(language: str) -> str:
-    """The page's one block in a language."""
+    """Returns the page's only code block in a language."""
     (found,) = re.findall(rf"```{language}\n(.*?)```", PAGE, re.S)
     return str(found)
 
 
 def proxy() -> Any:
-    """The proxy's configuration as the published API reads it; what it does not know raises."""
+    """Parses the page's proxy configuration by the published API; a field that the API lacks raises."""
     made = bootstrap_pb2.Bootstrap()
     json_format.ParseDict(yaml.safe_load(block("yaml")), made)
     return made
 
 
 def inner(packed: Any, kind: Any) -> Any:
-    """What an Any holds."""
+    """Unpacks the message that a field of type Any holds."""
     made = kind()
     assert packed.Unpack(made), packed.type_url
     return made
@@ -70,7 +71,7 @@
         modes = ext_proc_pb2.ExternalProcessor.DESCRIPTOR.fields_by_name["processing_mode"].message_type
         send = modes.fields_by_name["response_header_mode"].enum_type.values_by_name["SEND"].number
         assert each.processing_mode.response_header_mode == send
-    assert down.mutation_rules.allow_envoy.value  # or no time-out of the processor's would count
+    assert down.mutation_rules.allow_envoy.value  # without it the proxy ignores the processor's timeouts
     assert down.metadata_options.receiving_namespaces.untyped == [messages.LB_METADATA_NAMESPACE]
     role = {each.key: each.value for each in up.grpc_service.initial_metadata}
     assert role == {server.ROLE_METADATA: "upstream"} and not down.grpc_service.initial_metadata
