--- a/glenchute/cli/fleet.py
+++ b/glenchute/cli/fleet.py
@@ -7,14 +7,14 @@
 import sys
 from typing import Any
 
-from glenchute.control.client import ControlError, ask
+from glenchute.control.client import ControlError, call_verb
 
 
 def command(args: argparse.Namespace) -> int:
     """Prints a verb's rows. The exit code: 1 where the socket can't be read."""
     try:
         verb = f"fleet {args.what} {args.task}" if args.task else f"fleet {args.what}"
-        rows = ask(args.control, verb)
+        rows = call_verb(args.control, verb)
     except ControlError as error:
         print(f"glenchute: {error}", file=sys.stderr)
         return 1
--- a/glenchute/control/client.py
+++ b/glenchute/control/client.py
@@ -11,7 +11,7 @@
     """The socket can't be reached, or its reply is an error or can't be read."""
 
 
-def ask(path: str, verb: str, timeout_s: float = 5.0) -> list[dict[str, Any]]:
+def call_verb(path: str, verb: str, timeout_s: float = 5.0) -> list[dict[str, Any]]:
     """Calls a verb and returns the rows of its reply. Raises ControlError if the reply has no rows."""
     try:
         with socket.socket(socket.AF_UNIX) as connection:
--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from glenchute.control.client import ControlError, ask
+from glenchute.control.client import ControlError, call_verb
 from lab.coldstart import ListService
 from lab.counter import PartedCounter, Parts
 from lab.links import DatagramLink, StreamLink
@@ -141,7 +141,7 @@
     def ask(self, number: int, verb: str) -> list[dict[str, Any]]:
         """A verb of a gateway's control socket; nothing where it can't be asked now."""
         try:
-            return ask(str(self.folder / f"g{number}" / "control"), f"fleet {verb}", 1.0)
+            return call_verb(str(self.folder / f"g{number}" / "control"), f"fleet {verb}", 1.0)
         except ControlError:
             return []
 
--- a/tests/messages/control.py
+++ b/tests/messages/control.py
@@ -13,7 +13,7 @@
 
 from glenchute.clients.membership import lease_tasks as tasks
 from glenchute.clients.membership.node import MemberNode
-from glenchute.control.client import ask
+from glenchute.control.client import call_verb
 from glenchute.control.server import ControlServer
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.membership.endpoint_sharing import SharedEndpoint
@@ -157,7 +157,7 @@
 
         thread = threading.Thread(target=serve)
         thread.start()
-        rows = ask(path, verb)
+        rows = call_verb(path, verb)
         thread.join(5.0)
     return bytes(got), rows
 
