--- a/glenchute/capture/__init__.py
+++ b/glenchute/capture/__init__.py
@@ -1,2 +1,1 @@
-"""Capture and replay: the events that the decision engine took and the actions it returned, replayed to the
-bit."""
+"""Capture and replay: records the decision engine's events and actions, and replays them exactly."""
--- a/glenchute/capture/codec.py
+++ b/glenchute/capture/codec.py
@@ -1,12 +1,14 @@
-"""The form of a capture: records, batches of them, frames, segments. Sans I/O.
+"""The capture format: encodes and decodes segments, frames and records, without I/O.
 
-A segment is a sequence of frames; a frame is its payload's length and CRC-32 (both little-endian, 32 bits)
-and the payload, MessagePack. The first frame of a segment is its `SegmentHeader`; the others are batches of
-records. A segment can be replayed alone: its header holds the settings and the seed, and, unless the engine
-was new, a snapshot of the engine's state.
+A segment is a sequence of frames. A frame is the length and the CRC-32 of its payload (both little-endian,
+32 bits), followed by the payload in MessagePack. The first frame of a segment is its `SegmentHeader`; each
+other frame is a batch of records. A segment can be replayed alone: its header holds the settings and the
+seed, and a snapshot of the engine's state unless the engine was new.
 
-A record is ``[now_ms, kind, fields, actions]``; actions are ``[kind, fields]`` each, None where the engine
-failed. Times are whole floats, not differences: a rounded clock would not replay to the bit.
+A record is ``[now_ms, kind, fields, actions]``, where `kind` is an index of `EVENTS`. Each action is
+``[kind, fields]``, where `kind` is an index of `ACTIONS`; `actions` is None where the engine raised an
+exception. Times are stored as full floats, not as differences, because rounded times would not replay
+exactly.
 """
 
 from __future__ import annotations
@@ -64,9 +66,10 @@
 
 FORMAT = 2
 MAGIC = "glenchute-capture"
-ENGINE_SOURCES = ("*.py", "admission/*.py", "balancing/*.py", "retries/*.py")  # below `glenchute/policy`
-FRAME = struct.Struct("<II")
-MAX_FRAME_BYTES = 64 * 1024 * 1024  # a longer one is damage
+# Source files of the engine, relative to `glenchute/policy`.
+ENGINE_SOURCES = ("*.py", "admission/*.py", "balancing/*.py", "retries/*.py")
+FRAME_HEADER = struct.Struct("<II")
+MAX_FRAME_BYTES = 64 * 1024 * 1024  # a greater length is taken for damage
 
 EVENTS: tuple[type[Any], ...] = (
     EndpointList,
@@ -95,7 +98,7 @@
     LogMessage,
     SendState,
 )
-SEND_STATE = ACTIONS.index(SendState)
+SEND_STATE_KIND = ACTIONS.index(SendState)
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder()
 
@@ -103,13 +106,13 @@
 
 
 def field_getter(kind: type[Any]) -> Any:
-    """Takes all fields of an object at once, always as a tuple."""
+    """Returns a function that returns the field values of an instance of `kind` as a tuple."""
     names = [field.name for field in fields_of(kind)]
     if not names:
-        return lambda found: ()
+        return lambda instance: ()
     if len(names) == 1:
-        one = attrgetter(names[0])
-        return lambda found: (one(found),)
+        get_field = attrgetter(names[0])
+        return lambda instance: (get_field(instance),)
     return attrgetter(*names)
 
 
@@ -121,19 +124,23 @@
 
 
 def encode_actions(actions: Sequence[Action]) -> list[tuple[int, Any]]:
-    """The number of each action's kind, and its fields."""
-    return [(number, take(action)) for action in actions for number, take in (ACTION_ENCODERS[type(action)],)]
+    """Returns the kind and the field values of each action."""
+    return [
+        (kind, values_of(action))
+        for action in actions
+        for kind, values_of in (ACTION_ENCODERS[type(action)],)
+    ]
 
 
 def encode_record(now_ms: float, event: Event, actions: Sequence[Action] | None) -> tuple[Any, ...]:
-    """A record as a plain tuple; cheap, as it is made for every event. `actions`: None where the engine
-    failed."""
-    number, fields = EVENT_ENCODERS[type(event)]
-    return now_ms, number, fields(event), None if actions is None else encode_actions(actions)
+    """Returns a record as a plain tuple, which is cheap, since this runs for every event. `actions` is None
+    where the engine raised an exception."""
+    kind, values_of = EVENT_ENCODERS[type(event)]
+    return now_ms, kind, values_of(event), None if actions is None else encode_actions(actions)
 
 
 def decode_event(record: Record) -> Event:
-    """The event of a record that was read."""
+    """Returns the event of a decoded record."""
     kind, values = EVENTS[record[1]], record[2]
     if kind is UsageUpdate:
         return UsageUpdate(Request(**values[0]), *values[1:])
@@ -143,111 +150,114 @@
         return EndpointList(EndpointListKind(values[0]), entries, *values[2:])
     if kind is StateReceived:
         return StateReceived(tuple(QuotaSnapshot(**row) for row in values[0]))
-    at = OUTCOME_INDEX.get(kind)
-    if at is not None:
-        values = [*values[:at], Outcome(values[at]), *values[at + 1 :]]
+    index = OUTCOME_INDEX.get(kind)
+    if index is not None:
+        values = [*values[:index], Outcome(values[index]), *values[index + 1 :]]
     event: Event = kind(*values)
     return event
 
 
 def stored_actions(actions: Sequence[Action]) -> list[Any]:
-    """Actions in the form of a record that was read, to be compared with one."""
-    stored = [[number, list(values)] for number, values in encode_actions(actions)]
+    """Returns actions in the form in which a decoded record holds them, for comparison."""
+    stored = [[kind, list(values)] for kind, values in encode_actions(actions)]
     for row in stored:
-        if row[0] == SEND_STATE:  # the one action with rows inside
+        if row[0] == SEND_STATE_KIND:  # the only action whose fields hold further objects
             row[1] = DECODER.decode(ENCODER.encode(row[1]))
     return stored
 
 
 def describe_action(action: list[Any]) -> str:
-    """An action of a record for a person."""
-    number, values = action
-    names = [field.name for field in fields_of(ACTIONS[number])]
-    inside = ", ".join(f"{name}={value!r}" for name, value in zip(names, values, strict=True))
-    return f"{ACTIONS[number].__name__}({inside})"
+    """Returns an action of a decoded record as readable text."""
+    kind, values = action
+    names = [field.name for field in fields_of(ACTIONS[kind])]
+    arguments = ", ".join(f"{name}={value!r}" for name, value in zip(names, values, strict=True))
+    return f"{ACTIONS[kind].__name__}({arguments})"
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """A payload with its length and checksum."""
-    return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
+    """Returns a frame: a payload preceded by its length and checksum."""
+    return FRAME_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
 def encode_batch(records: Sequence[tuple[Any, ...]]) -> bytes:
-    """A frame of records."""
+    """Returns a frame that holds a batch of records."""
     return encode_frame(ENCODER.encode(records))
 
 
 class SegmentHeader(NamedTuple):
-    """What a segment begins with. The names of its fields are stored."""
+    """The header of a segment. Captures store the names of its fields."""
 
-    run: str
-    number: int  # of the segment in its run
-    at: int  # records of the run before this segment
+    run: str  # identifies the run of the recorder, which may consist of several segments
+    number: int  # index of the segment in its run
+    at: int  # number of records of the run before this segment
     began_ms: float
-    module: str  # `engine_digest` of the engine that was captured
+    module: str  # `engine_digest` of the captured engine
     settings: Settings
     seed: int
-    snapshot: bytes | None  # None: the engine was new
+    snapshot: bytes | None  # state of the engine before the first record; None if the engine was new
     format: int = FORMAT
 
     def encode(self) -> bytes:
-        """The header's frame."""
-        about = {"magic": MAGIC, "settings": self.settings}
-        return encode_frame(ENCODER.encode({**self._asdict(), **about}))
+        """Returns the frame of the header."""
+        extra = {"magic": MAGIC, "settings": self.settings}
+        return encode_frame(ENCODER.encode({**self._asdict(), **extra}))
 
 
 def decode_header(raw: Any) -> SegmentHeader:
-    """A header that was read. CaptureError where it is none."""
+    """Returns the header in the first payload of a segment; raises `CaptureError` if there is none."""
     if not isinstance(raw, dict) or raw.get("magic") != MAGIC:
         raise CaptureError("not a capture")
     if raw.get("format") not in (FORMAT, format_1.FORMAT):
-        raise CaptureError(f"format {raw.get('format')!r}; this program reads {format_1.FORMAT} and {FORMAT}")
+        raise CaptureError(
+            f"unknown format {raw.get('format')!r}; this program reads {format_1.FORMAT} and {FORMAT}"
+        )
     try:
         settings = raw["settings"]
         if raw["format"] == format_1.FORMAT:
             settings = format_1.settings(settings)
-        given = {name: raw[name] for name in SegmentHeader._fields if name != "settings"}
-        return SegmentHeader(settings=msgspec.convert(settings, Settings), **given)
+        others = {name: raw[name] for name in SegmentHeader._fields if name != "settings"}
+        return SegmentHeader(settings=msgspec.convert(settings, Settings), **others)
     except (AttributeError, KeyError, TypeError, msgspec.ValidationError) as error:
-        raise CaptureError(f"a head that can't be read ({error})") from None
+        raise CaptureError(f"the segment header can't be read ({error})") from None
 
 
 class Truncation(NamedTuple):
-    """Where reading had to stop, and why."""
+    """The offset at which a segment stopped being readable, and the reason."""
 
     offset: int
     reason: str
 
 
 def decode_frames(data: bytes) -> Iterator[Any | Truncation]:
-    """The payloads of a segment, as far as they are intact; a `Truncation` at the end where that is not
-    all."""
-    at = 0
-    while at < len(data):
-        if len(data) - at < FRAME.size:
-            yield Truncation(at, "torn in a frame's head")
+    """Yields the decoded payloads of a segment up to the first frame that is incomplete or damaged, and for
+    that frame a `Truncation`."""
+    offset = 0
+    while offset < len(data):
+        if len(data) - offset < FRAME_HEADER.size:
+            yield Truncation(offset, "torn in a frame's head")
             return
-        length, crc = FRAME.unpack_from(data, at)
-        body = data[at + FRAME.size : at + FRAME.size + length]
+        length, crc = FRAME_HEADER.unpack_from(data, offset)
+        payload = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
         if length > MAX_FRAME_BYTES or not length:
-            yield Truncation(at, "a frame's length is damaged")
+            yield Truncation(offset, "a frame's length is damaged")
             return
-        if len(body) < length:
-            yield Truncation(at, "torn in a frame")
+        if len(payload) < length:
+            yield Truncation(offset, "torn in a frame")
             return
-        if zlib.crc32(body) != crc:
-            yield Truncation(at, "a frame's checksum is wrong")
+        if zlib.crc32(payload) != crc:
+            yield Truncation(offset, "a frame's checksum is wrong")
             return
         try:
-            yield DECODER.decode(body)
+            yield DECODER.decode(payload)
         except msgspec.DecodeError:
-            yield Truncation(at, "a frame that can't be decoded")
+            yield Truncation(offset, "a frame that can't be decoded")
             return
-        at += FRAME.size + length
+        offset += FRAME_HEADER.size + length
 
 
 def engine_digest(folder: Path | None = None) -> str:
-    """The version of the engine: a digest of its sources. `folder`: another `glenchute/policy`."""
+    """Returns the version of the engine: a digest of its source files. `folder` holds them; the default is
+    this program's `glenchute/policy`."""
     folder = folder or Path(str(policy.__file__)).parent
     digest = hashlib.blake2b(digest_size=8)
     for pattern in ENGINE_SOURCES:
--- a/glenchute/capture/errors.py
+++ b/glenchute/capture/errors.py
@@ -1,4 +1,4 @@
-"""Errors of captures."""
+"""Exceptions raised when captures are read or replayed."""
 
 from __future__ import annotations
 
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -20,7 +20,7 @@
 from glenchute.capture.codec import (
     ACTIONS,
     FORMAT,
-    FRAME,
+    FRAME_HEADER,
     MAGIC,
     Truncation,
     decode_event,
@@ -204,7 +204,7 @@
     whole = len(read_segment(file).records)
     ends, at = [], 0
     while at < len(data):
-        at += FRAME.size + FRAME.unpack_from(data, at)[0]
+        at += FRAME_HEADER.size + FRAME_HEADER.unpack_from(data, at)[0]
         ends.append(at)
     assert len(ends) >= 2
     cuts = sorted({*range(0, len(data), 97), *(end + d for end in ends for d in (-1, 0, 1, 7, 8, 9))})
@@ -258,7 +258,7 @@
             read_segment(bad)
     with pytest.raises(CaptureError, match="format 99"):
         decode_header({"magic": MAGIC, "format": FORMAT + 97})
-    with pytest.raises(CaptureError, match="head"):
+    with pytest.raises(CaptureError, match="segment header"):
         decode_header({"magic": MAGIC, "format": FORMAT})
     assert replay([bad]).notes and "glenchute" in capsys.readouterr().err
 
