--- a/glenchute/capture/recorder.py
+++ b/glenchute/capture/recorder.py
@@ -45,9 +45,9 @@
     ring: bool = True
     segment_s: float = 10.0
     segment_bytes: int = 4 * 1024 * 1024
-    segments: int = 12  # kept; the oldest goes
-    refusal_share: float = 1.0  # a trigger; 1: none
-    account_key: bytes | None = None  # the engine is told a keyed hash of each account in its place
+    max_segments: int = 12  # kept; the oldest goes
+    rejection_trigger_fraction: float = 1.0  # a trigger; 1: none
+    pseudonym_key: bytes | None = None  # the engine is told a keyed hash of each account in its place
 
 
 class SegmentWriter:
@@ -124,7 +124,7 @@
         self.rule, self.clock = rule, clock
         self.run = secrets.token_hex(4)
         self.engine_version = engine_digest()
-        self.writer = SegmentWriter(Path(rule.folder), rule.segments)
+        self.writer = SegmentWriter(Path(rule.folder), rule.max_segments)
         self.segment_number = 0
         self.record_count = 0
         self.pending_records: list[tuple[Any, ...]] = []
@@ -141,8 +141,8 @@
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """One event. The snapshot of a new segment holds the state before it."""
         rule = self.rule
-        if rule.account_key is not None and type(event) is Request:
-            event = replace(event, tenant=tenant_pseudonym(event.tenant, rule.account_key))
+        if rule.pseudonym_key is not None and type(event) is Request:
+            event = replace(event, tenant=tenant_pseudonym(event.tenant, rule.pseudonym_key))
         full = self.segment_size_bytes > rule.segment_bytes or self.clock() - self.opened_s > rule.segment_s
         if full or not self.segment_name:
             self.open_segment(now_ms)
@@ -154,7 +154,7 @@
             self.segment_name = ""  # what the fault left behind is in the next snapshot
             raise
         self.add_record(encode_record(now_ms, event, actions))
-        if self.rule.refusal_share < 1.0:
+        if self.rule.rejection_trigger_fraction < 1.0:
             self.check_rejections(event, actions)
         return actions
 
@@ -205,7 +205,7 @@
         data = head.encode()
         if self.rule.ring:
             self.ring_segments.append((self.segment_name, [data]))
-            while len(self.ring_segments) > self.rule.segments:
+            while len(self.ring_segments) > self.rule.max_segments:
                 self.ring_segments.popleft()
         elif not self.writer.enqueue(self.segment_name, data):
             self.drop(0)
@@ -234,7 +234,7 @@
         window.rejections += sum(1 for action in actions if isinstance(action, Reject))
         if now_s - window.since_s >= REJECTION_WINDOW_S:
             self.rejection_window = RejectionWindow(now_s)
-            is_over = window.rejections > self.rule.refusal_share * window.requests
+            is_over = window.rejections > self.rule.rejection_trigger_fraction * window.requests
             if window.since_s and window.requests >= MIN_REQUESTS_IN_WINDOW and is_over:
                 self.trigger("refusals")
 
--- a/glenchute/cli/subsystems.py
+++ b/glenchute/cli/subsystems.py
@@ -72,9 +72,9 @@
         ring=raw.get("mode", "ring") == "ring",
         segment_s=raw.get("segment_s", DEFAULT_SEGMENT_S),
         segment_bytes=int(raw.get("segment_mb", DEFAULT_SEGMENT_MB) * 1024 * 1024),
-        segments=raw.get("segments", DEFAULT_SEGMENTS),
-        refusal_share=raw.get("refusal_share", 1.0),
-        account_key=secret_key(key_file, "account_key_file") if key_file else None,
+        max_segments=raw.get("segments", DEFAULT_SEGMENTS),
+        rejection_trigger_fraction=raw.get("refusal_share", 1.0),
+        pseudonym_key=secret_key(key_file, "account_key_file") if key_file else None,
     )
     return Recorder(decisions, config.settings, config.seed, rule, clock)
 
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -92,7 +92,7 @@
     plain, hidden = tmp_path / "plain", tmp_path / "hidden"
     for folder, key in ((plain, None), (hidden, b"k" * 32)):
         folder.mkdir()
-        recorded(folder, account_key=key)
+        recorded(folder, pseudonym_key=key)
     accounts = {
         event.tenant
         for file in only_run(plain)
@@ -370,7 +370,7 @@
 def test_the_ring_is_bounded_and_written_on_a_trigger_once_a_minute(tmp_path: Path) -> None:
     made = fleet_settings(1)
     clock = [0.0]
-    rule = CaptureRule(str(tmp_path), segment_s=1.0, segments=3, refusal_share=0.5)
+    rule = CaptureRule(str(tmp_path), segment_s=1.0, max_segments=3, rejection_trigger_fraction=0.5)
     keeper = Recorder(DecisionEngine(made, 1), made, 1, rule, lambda: clock[0])
     for step in range(100):
         clock[0] = step * 0.1
@@ -403,7 +403,7 @@
 
 
 def test_old_segments_are_removed(tmp_path: Path) -> None:
-    kept = recorded(tmp_path, 1, segments=2)
+    kept = recorded(tmp_path, 1, max_segments=2)
     assert len(list(tmp_path.glob("*.glcap"))) == 2 and kept.segment_number >= 4
     report = replay(only_run(tmp_path))  # from a snapshot, as the beginning is gone
     assert not report.differences and report.records > 100
