--- a/glenchute/capture/replay.py
+++ b/glenchute/capture/replay.py
@@ -1,7 +1,8 @@
-"""Replay: a capture through a module, each decision compared.
+"""Replay: feeds a capture to an engine and compares each decision with the captured one.
 
-Segments of one run are read in order. Where one is missing or cut short, the next goes on from its
-snapshot, and what lies between is told as not sure. Memory is that of one segment, however long the run.
+The segments of a run are read in order, one at a time, so memory use does not grow with the run. If a segment
+is missing or truncated, the replay continues from the snapshot of the next one, and the gap is noted in the
+report.
 """
 
 from __future__ import annotations
@@ -33,13 +34,14 @@
 )
 from .errors import CaptureError
 
-FINAL_ACTIONS = {actions.StartAttempt: "send", actions.Reject: "refuse", actions.Fail: "fail"}
-OTHER_ENGINES = itertools.count()
+FINAL_ACTION_NAMES = {actions.StartAttempt: "send", actions.Reject: "refuse", actions.Fail: "fail"}
+ENGINE_NUMBERS = itertools.count()
 EngineFactory = Callable[[Settings, int], Any]
 
 
 class Segment(NamedTuple):
-    """One file, read. `cut`: why its end is not sure."""
+    """The content of one segment file. `truncation`: where its readable part ends, if that is not all of
+    it."""
 
     file: Path
     header: SegmentHeader
@@ -48,9 +50,9 @@
 
 
 class Difference(NamedTuple):
-    """A decision that came out otherwise."""
+    """A record whose replayed actions differ from the captured ones."""
 
-    record_index: int  # records of the run before it
+    record_index: int  # number of records of the run before this one
     now_ms: float
     event: Event
     captured: list[Any]
@@ -58,24 +60,24 @@
 
 
 class Report(NamedTuple):
-    """What came of a replay."""
+    """The result of a replay."""
 
     records: int
     differences: list[Difference]
-    fault_count: int  # records at which the engine had failed, and failed again
-    notes: list[str]  # what is not sure
+    fault_count: int  # records at which the captured and the replayed engine both raised an exception
+    notes: list[str]  # parts of the capture that are missing, damaged or not replayed
 
 
 def read_segment(file: Path) -> Segment:
-    """A segment, as far as it is intact. CaptureError where not even its header is."""
-    found = decode_frames(file.read_bytes())
-    first = next(found, None)
+    """Reads a segment up to the first damaged frame. Raises `CaptureError` if its header can't be read."""
+    payloads = decode_frames(file.read_bytes())
+    first = next(payloads, None)
     if first is None or isinstance(first, Truncation):
         raise CaptureError(f"{file.name}: {first.reason if first else 'empty'}")
     header = decode_header(first)
     records: list[Record] = []
     truncation = None
-    for payload in found:
+    for payload in payloads:
         if isinstance(payload, Truncation):
             truncation = payload
         elif header.format == format_1.FORMAT:
@@ -86,38 +88,40 @@
 
 
 def find_runs(path: Path) -> dict[str, list[Path]]:
-    """The segments in a file or a folder, by run and in order. File names tell both; headers are checked
-    later."""
+    """Returns the segment files in a folder, or the one file given, in order and by run, both taken from the
+    file names. Raises `CaptureError` if there are none; headers are checked later."""
     files = sorted(path.glob("*.glcap")) if path.is_dir() else [path]
     if not files or not all(file.is_file() for file in files):
         raise CaptureError(f"no capture at {path}")
-    found: dict[str, list[Path]] = {}
+    runs: dict[str, list[Path]] = {}
     for file in files:
-        found.setdefault(file.name.rpartition("-")[0], []).append(file)
-    return found
+        runs.setdefault(file.name.rpartition("-")[0], []).append(file)
+    return runs
 
 
 def read_segments(files: Sequence[Path], notes: list[str]) -> Iterator[Segment]:
-    """The segments of one run, one at a time; what can't be read is noted and left out."""
-    expected: int | None = None
+    """Yields the segments of one run. Segments that can't be read are skipped; these and other gaps are added
+    to `notes`."""
+    expected_index: int | None = None
     for file in files:
         try:
             segment = read_segment(file)
         except CaptureError as error:
             notes.append(str(error))
             continue
-        if expected is not None and segment.header.at != expected:
-            notes.append(f"records {expected} to {segment.header.at} are missing before {file.name}")
+        if expected_index is not None and segment.header.at != expected_index:
+            notes.append(f"records {expected_index} to {segment.header.at} are missing before {file.name}")
         if segment.truncation is not None:
             notes.append(
                 f"{file.name} is sure up to byte {segment.truncation.offset}: {segment.truncation.reason}"
             )
-        expected = segment.header.at + len(segment.records)
+        expected_index = segment.header.at + len(segment.records)
         yield segment
 
 
 class Replayer:
-    """Feeds the segments of one run to an engine, and compares its actions with the captured ones."""
+    """Feeds the segments of one run to an engine, and compares its actions with the captured ones. For the
+    parameters see `replay`."""
 
     def __init__(
         self,
@@ -132,10 +136,10 @@
         self.max_differences, self.use_snapshots, self.observe = max_differences, use_snapshots, observe
         self.engine: Any = None
         self.report = Report(0, [], 0, [])
-        self.next_index = -1  # of the record that follows, counted from the run's beginning
+        self.next_index = -1  # index in the run of the record that is replayed next
 
     def begin(self, segment: Segment) -> bool:
-        """An engine in the state before a segment; False where there is none."""
+        """Brings the engine into the state before a segment; returns False if the capture allows none."""
         header = segment.header
         is_continued = self.engine is not None and self.next_index == header.at
         if header.snapshot is None:
@@ -150,30 +154,30 @@
         return True
 
     def feed(self, segment: Segment) -> bool:
-        """The records of a segment; False where the replay is over."""
+        """Replays the records of a segment; returns False if the replay has reached its end."""
         for record in segment.records:
             if record[0] > self.until_ms or not self.feed_record(record):
                 return False
         return True
 
     def feed_record(self, record: Record) -> bool:
-        """One event; False after the last difference that is wanted. A record without actions is one at which
-        the captured engine failed."""
+        """Replays one record; returns False once `max_differences` are found. In a record without actions the
+        captured engine raised an exception; one that only the replayed engine raises is passed on."""
         event, report = decode_event(record), self.report
         if self.observe is not None:
             self.observe(self.engine, record)
         self.next_index += 1
         try:
-            found = stored_actions(self.engine.handle(record[0], event))
+            replayed = stored_actions(self.engine.handle(record[0], event))
         except Exception:
             if record[3] is not None:
                 raise
             self.report = report._replace(fault_count=report.fault_count + 1)
             return True
         self.report = report = report._replace(records=report.records + 1)
-        if found != record[3] and record[0] >= self.since_ms:
+        if replayed != record[3] and record[0] >= self.since_ms:
             index = self.next_index - 1
-            report.differences.append(Difference(index, record[0], event, record[3] or [], found))
+            report.differences.append(Difference(index, record[0], event, record[3] or [], replayed))
         return len(report.differences) < self.max_differences
 
 
@@ -188,8 +192,9 @@
 ) -> Report:
     """Replays the segments of one run, up to `max_differences` differences.
 
-    `use_snapshots`: the engine is of the version that was captured; else only a run's beginning can be
-    replayed. `observe` is called with the engine and the record before each event.
+    Differences before `since_ms` are not reported, and the replay ends at the first record after `until_ms`.
+    `use_snapshots` requires an engine of the captured version; without it a run can be replayed only from its
+    beginning and up to the first gap. `observe` is called with the engine and the record before each event.
     """
     replayer = Replayer(make_engine, since_ms, until_ms, max_differences, use_snapshots, observe)
     for segment in read_segments(files, replayer.report.notes):
@@ -199,24 +204,26 @@
 
 
 def load_other_engine(folder: Path) -> EngineFactory:
-    """The engine of another tree: a folder like `glenchute/policy`."""
-    name = f"other_policy_{next(OTHER_ENGINES)}"  # never one that was loaded before from the same place
+    """Loads another version of the engine from a folder with the layout of `glenchute/policy`. Raises
+    `CaptureError` if it holds no engine."""
+    # A new package name for each call: modules that an earlier call loaded must not be reused.
+    name = f"other_policy_{next(ENGINE_NUMBERS)}"
     spec = importlib.util.spec_from_file_location(
         name, folder / "__init__.py", submodule_search_locations=[str(folder)]
     )
     if spec is None or spec.loader is None or not (folder / "engine.py").is_file():
-        raise CaptureError(f"no decision module in {folder}")
+        raise CaptureError(f"no decision engine in {folder}")
     package = importlib.util.module_from_spec(spec)
     sys.modules[name] = package
-    # The other version must know this program's events: they are what it gets.
+    # The other version is passed this program's events and settings, so it must use the same classes.
     for shared in (actions, events, policy_settings):
         sys.modules[f"{name}.{shared.__name__.rpartition('.')[2]}"] = shared
     spec.loader.exec_module(package)
-    made: EngineFactory = importlib.import_module(f"{name}.engine").DecisionEngine
-    return made
+    engine_class: EngineFactory = importlib.import_module(f"{name}.engine").DecisionEngine
+    return engine_class
 
 
 def summarize(actions: Sequence[list[Any]]) -> str:
-    """What actions decide, in a word: `send`, `refuse`, `fail`, or nothing final."""
-    found = {ACTIONS[number] for number, _ in actions}
-    return next((word for kind, word in FINAL_ACTIONS.items() if kind in found), "nothing final")
+    """Returns what actions decide: "send", "refuse", "fail" or "nothing final"."""
+    classes = {ACTIONS[kind] for kind, _ in actions}
+    return next((name for kind, name in FINAL_ACTION_NAMES.items() if kind in classes), "nothing final")
