--- a/glenchute/capture/rejections.py
+++ b/glenchute/capture/rejections.py
@@ -1,7 +1,8 @@
-"""Why requests were rejected: a replay that observes what the engine counts.
+"""Causes of rejections, observed during a replay.
 
-The engine's action says only that a request is rejected. Which limit rejected it, the engine counts for its
-log; on the replayed instance these counts are observed, and nothing of the engine changes.
+The engine's action says only that a request is rejected. The limit that rejected it appears only in the
+counts that the engine keeps for its log, so the observer reads those counts on the replayed engine. It
+changes no decision.
 """
 
 from __future__ import annotations
@@ -15,33 +16,33 @@
 from .codec import ACTIONS, EVENTS, Record
 from .errors import CaptureError
 
-REQUEST = EVENTS.index(Request)
-REJECT = ACTIONS.index(Reject)
-REJECTED_PREFIX = "refused: "  # before a limit, in what the engine counts
+REQUEST_KIND = EVENTS.index(Request)
+REJECT_KIND = ACTIONS.index(Reject)
+REJECTED_PREFIX = "refused: "  # prefix of the engine's counts of rejections; the cause follows it
 CAUSE_TEXTS = {
-    "ceiling": "the ceiling's own store is short, and the count does not vouch for it",
-    "empty": "the account's store is empty by all that is known",
-    "lot": "the store holds enough, but this gateway's lot is used up, and its call to the counter failed",
-    "mute": "the same, while the counter is mute or there is none",
-    "share": "of more demand than quota only a share goes on, and this one's credit is short",
+    "ceiling": "the ceiling's bucket holds too few units, and the counter's total does not grant them",
+    "empty": "the tenant's token bucket holds too few units by this gateway's estimate",
+    "lot": "the bucket holds enough, but the local share is used up and no recent counter total is known",
+    "mute": "the same, while the counter is unavailable or there is none",
+    "share": "demand exceeds the quota, and this request is not in the fraction that is admitted",
     "open": "the cap on open attempts",
-    "overload": "the servers can't take it in time, or dearer requests fill them (V)",
-    "no attempt": "no server, no time, or no attempt left, and nothing ran",
-    "at the door": "no time left, or too many requests are held",
+    "overload": "the backlog takes too long, or requests of higher value use the estimated capacity (V)",
+    "no attempt": "no server, time or attempt was left, and no attempt can have run",
+    "at the door": "no time was left on arrival, or too many requests were pending",
 }
 
 
 class CauseRow(NamedTuple):
-    """Rejections of one cause."""
+    """The rejections with one cause."""
 
     cause: str
     rejections: int
     units: float
-    bucket_left_units: float  # mean units in the tenant's bucket by this gateway's accounts
+    bucket_left_units: float  # mean units in the tenant's bucket, as estimated by this gateway
 
 
 class RejectionCauses:
-    """An observer for `replay`; `rows` has the result."""
+    """An observer for `replay` that counts rejections by cause; `rows` returns the result."""
 
     def __init__(self) -> None:
         self.request_count = 0
@@ -50,51 +51,52 @@
         self.bucket_units: defaultdict[str, float] = defaultdict(float)
         self.engine: Any = None
         self.cause = "no attempt"
-        self.last: tuple[float, float] = (0.0, 0.0)  # units asked for, and left in the bucket
-        self.rejected = 0  # by the event at hand
+        self.admission_units: tuple[float, float] = (0.0, 0.0)  # the request's units, and those in the bucket
+        self.event_rejections = 0  # captured rejections at the current event
 
     def __call__(self, engine: Any, record: Record) -> None:
-        """Takes the engine before an event. The captured decision is counted once its cause is known."""
+        """Observes the engine before an event. A captured rejection is counted at the next call, when its
+        cause is known."""
         self.count_previous()
         if engine is not self.engine:
             self.attach(engine)
-        self.request_count += record[1] == REQUEST
-        self.rejected = sum(1 for action in record[3] or () if action[0] == REJECT)
+        self.request_count += record[1] == REQUEST_KIND
+        self.event_rejections = sum(1 for action in record[3] or () if action[0] == REJECT_KIND)
 
     def count_previous(self) -> None:
-        """Counts the event before."""
-        if self.rejected:
-            units, left = self.last
-            self.counts[self.cause] += self.rejected
+        """Counts the rejections of the previous event."""
+        if self.event_rejections:
+            units, bucket_units = self.admission_units
+            self.counts[self.cause] += self.event_rejections
             self.units[self.cause] += units
-            self.bucket_units[self.cause] += left
-        # Where today's engine would not have rejected, no limit of its own can be named.
-        self.rejected, self.cause, self.last = 0, "no attempt", (0.0, 0.0)
+            self.bucket_units[self.cause] += bucket_units
+        # The default is counted if a rejection was captured and the replayed engine does not reject.
+        self.event_rejections, self.cause, self.admission_units = 0, "no attempt", (0.0, 0.0)
 
     def attach(self, engine: Any) -> None:
-        """Observes an instance. CaptureError where its version names no limits."""
+        """Attaches to an engine. Raises `CaptureError` if its version does not count rejections by cause."""
         self.engine = engine
         if not hasattr(engine, "reports"):
-            raise CaptureError("this version of the module does not name the limits that refuse")
+            raise CaptureError("this engine version does not count rejections by cause")
         admit, count = engine.quota.admit, engine.reports.count
 
         def observed_admit(
             now_ms: float, tenant: Any, units: float, has_total: bool, is_total_missing: bool
         ) -> Any:
-            self.last = units, tenant.bucket_units
+            self.admission_units = units, tenant.bucket_units
             return admit(now_ms, tenant, units, has_total, is_total_missing)
 
-        def observed_count(what: str) -> None:
-            if what.startswith(REJECTED_PREFIX):
-                self.cause = what.removeprefix(REJECTED_PREFIX)
-            count(what)
+        def observed_count(name: str) -> None:
+            if name.startswith(REJECTED_PREFIX):
+                self.cause = name.removeprefix(REJECTED_PREFIX)
+            count(name)
 
         engine.quota.admit, engine.reports.count = observed_admit, observed_count
 
     def rows(self) -> list[CauseRow]:
-        """The causes, the most frequent first."""
+        """Returns the causes, the most frequent first."""
         self.count_previous()
         return [
-            CauseRow(cause, n, self.units[cause], self.bucket_units[cause] / n)
-            for cause, n in self.counts.most_common()
+            CauseRow(cause, count, self.units[cause], self.bucket_units[cause] / count)
+            for cause, count in self.counts.most_common()
         ]
--- a/glenchute/capture/snapshot.py
+++ b/glenchute/capture/snapshot.py
@@ -1,4 +1,5 @@
-"""The engine's whole state as bytes, and back. Reading makes known classes only and runs nothing else."""
+"""Snapshots: the engine's whole state as bytes. Loading one creates instances of known classes and runs no
+other code."""
 
 from __future__ import annotations
 
@@ -108,41 +109,50 @@
     TenantTable,
     WindowCounter,
 )
-PLAIN = (("collections", "deque"), ("random", "Random"), ("builtins", "set"), ("builtins", "frozenset"))
-KNOWN = frozenset((kind.__module__, kind.__qualname__) for kind in POLICY_CLASSES) | frozenset(PLAIN)
+STANDARD_CLASSES = (
+    ("collections", "deque"),
+    ("random", "Random"),
+    ("builtins", "set"),
+    ("builtins", "frozenset"),
+)
+ALLOWED_CLASSES = frozenset((kind.__module__, kind.__qualname__) for kind in POLICY_CLASSES) | frozenset(
+    STANDARD_CLASSES
+)
 
 
 class RestrictedUnpickler(pickle.Unpickler):
-    """Loads the engine's own classes and a few plain ones, nothing that could do anything."""
+    """An unpickler that loads the engine's classes and a few of the standard library, and nothing that could
+    run other code."""
 
     def find_class(self, module: str, name: str) -> Any:
-        """A class by name; `SnapshotError` for an unknown one."""
+        """Returns a class by its name; raises `SnapshotError` if it is not allowed."""
         if (module, name) == ("builtins", "getattr"):
-            return enum_member  # this is how Python 3.11 pickles a member of an Enum
-        if (module, name) in KNOWN:
+            return enum_member  # Python 3.11 before 3.11.4 pickles an Enum member as a call of `getattr`
+        if (module, name) in ALLOWED_CLASSES:
             return super().find_class(module, name)
-        raise SnapshotError(f"a snapshot that asks for {module}.{name}")
+        raise SnapshotError(f"the snapshot refers to {module}.{name}, which may not be loaded")
 
 
 def enum_member(kind: Any, name: str) -> Any:
-    """A member of an Enum, and no other attribute of anything."""
+    """Replaces `getattr` in a snapshot: returns a member of an Enum, and refuses any other attribute."""
     if not (isinstance(kind, type) and issubclass(kind, Enum)):
-        raise SnapshotError(f"a snapshot that asks for {name} of {kind!r}")
+        raise SnapshotError(f"the snapshot refers to {name} of {kind!r}, which is not an Enum")
     return kind[name]
 
 
 def dump(engine: Any) -> bytes:
-    """The engine's whole state."""
+    """Returns the engine's whole state as bytes."""
     return pickle.dumps(engine, protocol=5)
 
 
 def load(state: bytes, capture_format: int) -> Any:
-    """An engine in that state, which a capture of this format holds; `SnapshotError` where there is none."""
+    """Returns the engine of a snapshot from a capture of this format. Raises `SnapshotError` if it can't be
+    loaded."""
     try:
         if capture_format == format_1.FORMAT:
             return format_1_snapshot.load_snapshot(state)
         return RestrictedUnpickler(io.BytesIO(state)).load()
     except SnapshotError:
         raise
-    except Exception as error:  # a state of other classes, or damage: whatever it is, there is no engine
-        raise SnapshotError(f"a snapshot that can't be read ({error!r})") from None
+    except Exception as error:  # unpickling damaged bytes may raise any exception
+        raise SnapshotError(f"the snapshot can't be loaded ({error!r})") from None
