--- a/glenchute/capture/codec.py
+++ b/glenchute/capture/codec.py
@@ -214,7 +214,7 @@
     try:
         settings = raw["settings"]
         if raw["format"] == format_1.FORMAT:
-            settings = format_1.settings(settings)
+            settings = format_1.convert_settings(settings)
         others = {name: raw[name] for name in SegmentHeader._fields if name != "settings"}
         return SegmentHeader(settings=msgspec.convert(settings, Settings), **others)
     except (AttributeError, KeyError, TypeError, msgspec.ValidationError) as error:
--- a/glenchute/capture/format_1.py
+++ b/glenchute/capture/format_1.py
@@ -1,7 +1,7 @@
-"""Captures of format 1, which hold the names of programs before the present layout: read, never written.
+"""Captures of format 1, which hold field and class names of older programs. They are read, never written.
 
-Field names of settings, events and actions are mapped when a segment is read; `format_1_snapshot` loads its
-snapshots.
+The field names of settings, events and actions are mapped to the present ones when a segment is read;
+`format_1_snapshot` loads the snapshots.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     "total": "window_total_units",
 }
 
-# By the number of a kind in `codec.EVENTS` and `codec.ACTIONS`: where rows of fields by name stand.
+# Indexes in `codec.EVENTS` and `codec.ACTIONS` of the kinds that hold objects, stored with field names.
 ENDPOINT_LIST_EVENT = 0
 STATE_RECEIVED_EVENT = 10
 USAGE_UPDATE_EVENT = 12
@@ -66,36 +66,36 @@
 State = dict[str, Any]
 
 
-def renamed(row: Mapping[str, Any], names: Mapping[str, str]) -> State:
-    """The row under the names of today."""
+def rename_fields(row: Mapping[str, Any], names: Mapping[str, str]) -> State:
+    """Returns the row with its keys mapped by `names`; other keys stay."""
     return {names.get(name, name): value for name, value in row.items()}
 
 
-def settings(raw: Mapping[str, Any]) -> State:
-    """A head's settings under the names of today."""
-    made = renamed(raw, SETTINGS)
-    made["classes"] = [renamed(row, REQUEST_CLASS) for row in made["classes"]]
-    made["plans"] = [renamed(row, PLAN) for row in made["plans"]]
-    made["slow_start"] = renamed(made["slow_start"], SLOW_START)
-    return made
+def convert_settings(raw: Mapping[str, Any]) -> State:
+    """Returns the settings of a segment header under the present names."""
+    converted = rename_fields(raw, SETTINGS)
+    converted["classes"] = [rename_fields(row, REQUEST_CLASS) for row in converted["classes"]]
+    converted["plans"] = [rename_fields(row, PLAN) for row in converted["plans"]]
+    converted["slow_start"] = rename_fields(converted["slow_start"], SLOW_START)
+    return converted
 
 
-def record(raw: list[Any]) -> list[Any]:
-    """A record ``[now_ms, kind, fields, actions]`` under the names of today."""
+def convert_record(raw: list[Any]) -> list[Any]:
+    """Returns a record ``[now_ms, kind, fields, actions]`` under the present names."""
     now_ms, kind, values, actions = raw
     if kind == ENDPOINT_LIST_EVENT:
-        values = [values[0], [renamed(row, ENDPOINT) for row in values[1]], *values[2:]]
+        values = [values[0], [rename_fields(row, ENDPOINT) for row in values[1]], *values[2:]]
     elif kind == STATE_RECEIVED_EVENT:
-        values = [[renamed(row, QUOTA_SNAPSHOT) for row in values[0]]]
+        values = [[rename_fields(row, QUOTA_SNAPSHOT) for row in values[0]]]
     elif kind == USAGE_UPDATE_EVENT:
-        values = [renamed(values[0], REQUEST), *values[1:]]
+        values = [rename_fields(values[0], REQUEST), *values[1:]]
     if actions is not None:
-        actions = [action(number, fields) for number, fields in actions]
+        actions = [convert_action(action_kind, fields) for action_kind, fields in actions]
     return [now_ms, kind, values, actions]
 
 
-def action(number: int, values: list[Any]) -> list[Any]:
-    """One action of a record under the names of today."""
-    if number == SEND_STATE_ACTION:
-        values = [[renamed(row, QUOTA_SNAPSHOT) for row in values[0]]]
-    return [number, values]
+def convert_action(kind: int, values: list[Any]) -> list[Any]:
+    """Returns an action of a record under the present names."""
+    if kind == SEND_STATE_ACTION:
+        values = [[rename_fields(row, QUOTA_SNAPSHOT) for row in values[0]]]
+    return [kind, values]
--- a/glenchute/capture/format_1_snapshot.py
+++ b/glenchute/capture/format_1_snapshot.py
@@ -1,8 +1,8 @@
-"""Snapshots of captures of format 1: the state of an older engine as one of today.
+"""Snapshots in captures of format 1: converts the state of an older engine to the present classes.
 
-A snapshot is unpickled into inert `OldState` objects first, so that nothing of it runs, and then converted to
-the classes of today, shared references kept. Where an old class has become several, a function makes their
-objects.
+A snapshot is first unpickled into `OldState` objects, so that none of its code runs, and these are then
+converted to the present classes; shared references stay shared. If an old class has been split, a function
+creates the objects of the new classes.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
     SETTINGS,
     SLOW_START,
     State,
-    renamed,
+    rename_fields,
 )
 
 TENANT = {
@@ -176,15 +176,16 @@
 
 @dataclass(frozen=True)
 class Conversion:
-    """How the state of one old class becomes an object of today: new names, and an optional last step."""
+    """How an object of an old class is converted: the present class, the present names of
+    attributes, and an optional function that is then applied to the state."""
 
     target: type[Any]
     names: Mapping[str, str] = field(default_factory=dict)
     finish: Callable[[State], State] | None = None
 
 
-def made(target: type[Any], **state: Any) -> Any:
-    """An object of a class with this state, without a call of its `__init__`."""
+def create_object(target: type[Any], **state: Any) -> Any:
+    """Creates an object with these attributes, without calling `__init__`."""
     new = object.__new__(target)
     for name, value in state.items():
         object.__setattr__(new, name, value)
@@ -192,14 +193,14 @@
 
 
 def quota_accounting(old: State) -> State:
-    """One object kept tenants, calls, and the pace of calls."""
+    """Splits the old quota object, which also held the tenants, the counter calls and their pacing."""
     settings, pacing = old["settings"], call_pacing(old)
     calls = CounterCalls()
     for key, rows in old["calls_out"].items():
         calls.in_flight[key] = deque(CounterCall(*row) for row in rows)
     for key, rows in old["timed_out"].items():
         calls.timed_out[key] = deque(timed_out_call(*row) for row in rows)
-    tenants = made(
+    tenants = create_object(
         TenantTable,
         settings=settings,
         pacing=pacing,
@@ -212,7 +213,7 @@
         process_count=old["processes"],
         mean_attempt_s=old["hold_s"],
     )
-    counter = made(
+    counter = create_object(
         CounterSync,
         settings=settings,
         rng=old["rng"],
@@ -235,13 +236,14 @@
 def timed_out_call(
     tenant: Tenant, window_counter: WindowCounter, units: float, marker: float, had_request: bool
 ) -> CounterCall:
-    """Which request had waited was not kept: only whether one had matters for such a call."""
+    """Returns a call that had timed out. The old engine kept only whether a request had waited for it, which
+    is all that matters for such a call, so the request id is empty, or None if none waited."""
     return CounterCall(tenant, window_counter, units, marker, "" if had_request else None, True, 0.0)
 
 
 def call_pacing(old: State) -> CallPacing:
-    """The pace of calls, of the same object."""
-    pacing: CallPacing = made(
+    """Returns the pacing of counter calls, which the old quota object also held."""
+    pacing: CallPacing = create_object(
         CallPacing,
         settings=old["settings"],
         monitor=old["watch"],
@@ -254,7 +256,7 @@
 
 
 def server_pool(old: State) -> State:
-    """One object kept the servers and all estimates."""
+    """Splits the old server pool, which also held all estimates of the servers' load and health."""
     settings = old["settings"]
     warming_up, warm = old["crowd"]
     return {
@@ -262,10 +264,10 @@
         "rng": old["rng"],
         "servers": old["servers"],
         "total_servers": old["of"],
-        "latency": made(LatencyEstimates, mean_ms=old["means"], load_factor=old["load"]),
-        "outliers": made(OutlierDetector, median_failure_rate=old["usual"]),
-        "peer_load": made(PeerLoad, mean_requests_warming_up=warming_up, mean_requests_warm=warm),
-        "slow_start": made(
+        "latency": create_object(LatencyEstimates, mean_ms=old["means"], load_factor=old["load"]),
+        "outliers": create_object(OutlierDetector, median_failure_rate=old["usual"]),
+        "peer_load": create_object(PeerLoad, mean_requests_warming_up=warming_up, mean_requests_warm=warm),
+        "slow_start": create_object(
             SlowStartLimiter,
             rules=settings.slow_start,
             gateway_count=settings.gateway_count,
@@ -275,8 +277,8 @@
 
 
 def load_shedder(old: State) -> State:
-    """One object kept the capacity estimate, the backlog, and the credit of the marginal value."""
-    capacity = made(
+    """Splits the old load shedder, which also held the capacity estimate and the backlog."""
+    capacity = create_object(
         CapacityEstimate,
         capacity_per_s=old["capacity"],
         window_start_ms=old["at"],
@@ -288,7 +290,7 @@
         mean_request_units=old["size"],
         good_windows=old["well"],
     )
-    backlog = made(
+    backlog = create_object(
         Backlog,
         in_flight_ms=old["backlog"],
         completed_ms_per_s=old["done"],
@@ -300,9 +302,9 @@
 
 
 def decision_engine(old: State) -> State:
-    """One object kept the requests, the retry budget, and the reports."""
-    states = {what: ReportedState(*state) for what, state in old["told"].items()}
-    reports = made(Reports, counts=old["tally"], counts_since_ms=old["tallied_at"], states=states)
+    """Splits the old engine, which also held the requests, the retry budget and the reports."""
+    states = {name: ReportedState(*state) for name, state in old["told"].items()}
+    reports = create_object(Reports, counts=old["tally"], counts_since_ms=old["tallied_at"], states=states)
     pool = old["fleet"]
     return {
         "settings": old["settings"],
@@ -319,9 +321,9 @@
 
 
 def request_execution(old: State, pool: ServerPool, reports: Reports) -> RequestExecution:
-    """The part of an engine that sends requests."""
+    """Returns the request execution of an engine, whose state the old engine held itself."""
     settings = old["settings"]
-    chooser = made(
+    chooser = create_object(
         EndpointChooser,
         settings=settings,
         rng=old["rng"],
@@ -330,7 +332,7 @@
         peer_load=pool.peer_load,
         outliers=pool.outliers,
     )
-    execution: RequestExecution = made(
+    execution: RequestExecution = create_object(
         RequestExecution,
         settings=settings,
         quota=old["quota"],
@@ -338,8 +340,8 @@
         shedder=old["pressure"],
         reports=reports,
         chooser=chooser,
-        retry_policy=made(RetryPolicy, settings=settings, latency=pool.latency),
-        retry_budget=made(RetryBudget, tokens=old["retries"]),
+        retry_policy=create_object(RetryPolicy, settings=settings, latency=pool.latency),
+        retry_budget=create_object(RetryBudget, tokens=old["retries"]),
         requests=old["requests"],
         attempts=old["attempts"],
         waiting=old["held"],
@@ -390,76 +392,79 @@
     ("heathglade.policy", "Pressure"): Conversion(LoadShedder, finish=load_shedder),
     ("heathglade.policy", "Gateway"): Conversion(DecisionEngine, finish=decision_engine),
 }
-PLAIN = (("collections", "deque"), ("builtins", "set"), ("builtins", "frozenset"))
+STANDARD_CLASSES = (("collections", "deque"), ("builtins", "set"), ("builtins", "frozenset"))
 
 
 class OldState:
-    """An object of an old class: its name and attributes, no behaviour."""
+    """An object of an old class: its attributes, without behaviour. Each old class has a subclass with its
+    name."""
 
     conversion: Conversion
     attributes: State
 
     def __setstate__(self, state: Any) -> None:
-        """Keeps the attributes, of a plain class or of one with slots."""
+        """Stores the attributes, which a class with slots pickles as a pair."""
         plain, slots = state if isinstance(state, tuple) else (state, None)
         self.attributes = {**(plain or {}), **(slots or {})}
 
 
 @dataclass(frozen=True)
 class OldEnum:
-    """An old enumeration: only its members can be asked for, by value as Python 3.11.4 and later pickle them,
-    or by name as earlier ones do. The values are those of today."""
+    """An old enumeration, which gives access to its members only: by value, as Python 3.11.4 and later pickle
+    them, or by name, as earlier versions do. The values have not changed."""
 
     target: type[Enum]
     members: Mapping[str, str]
 
     def __call__(self, value: object) -> Enum:
-        """Takes one more."""
+        """Returns the present member with this value."""
         return self.target(value)
 
 
-def member(enumeration: Any, name: str) -> Enum:
-    """The member of today for an old name."""
+def enum_member(enumeration: Any, name: str) -> Enum:
+    """Replaces `getattr` in a snapshot: returns the present member for an old name, and refuses any other
+    attribute."""
     if not isinstance(enumeration, OldEnum):
-        raise SnapshotError(f"{name} of {enumeration!r}")
+        raise SnapshotError(f"the snapshot refers to {name} of {enumeration!r}, which is not an Enum")
     return enumeration.target[enumeration.members.get(name, name)]
 
 
 class OldUnpickler(pickle.Unpickler):
-    """Loads the classes of format 1 as `OldState`, a few plain ones as they are, and nothing else."""
+    """An unpickler that loads the classes of format 1 as `OldState`, a few of the standard library as they
+    are, and nothing else."""
 
     def find_class(self, module: str, name: str) -> Any:
-        """What stands for a class in the pickle; `SnapshotError` for any other."""
+        """Returns what replaces a class of the pickle; raises `SnapshotError` if the class is not allowed."""
         if (module, name) == ("builtins", "getattr"):
-            return member
+            return enum_member
         if (module, name) == ("random", "Random"):
             return random.Random
-        if (module, name) in PLAIN:
+        if (module, name) in STANDARD_CLASSES:
             return super().find_class(module, name)
         if (module, name) in ENUMS:
             return OldEnum(*ENUMS[module, name])
         if (module, name) in CLASSES:
             return type(name, (OldState,), {"conversion": CLASSES[module, name]})
-        raise SnapshotError(f"{module}.{name}")
+        raise SnapshotError(f"the snapshot refers to {module}.{name}, which may not be loaded")
 
 
 class Converter:
-    """Old objects to those of today. An object that is referred to twice stays one object."""
+    """Converts old objects to the present classes. An object that is referred to twice stays one object."""
 
     def __init__(self) -> None:
-        self.made: dict[int, Any] = {}
-        self.seen: list[Any] = []  # keeps what `made` names by id alive
+        self.converted: dict[int, Any] = {}  # new objects by the id of the old one
+        self.originals: list[Any] = []  # references that keep the ids in `converted` from being reused
 
     def convert(self, value: Any) -> Any:
-        """The value, with every old object in it replaced."""
-        if id(value) in self.made:
-            return self.made[id(value)]
+        """Returns the value with all old objects in it converted."""
+        if id(value) in self.converted:
+            return self.converted[id(value)]
         if isinstance(value, OldState):
             return self.convert_object(value)
         if isinstance(value, list | deque):
-            kept = self.remember(value, type(value)())
-            kept.extend(self.convert(item) for item in value)
-            return kept
+            sequence = self.remember(value, type(value)())
+            sequence.extend(self.convert(item) for item in value)
+            return sequence
         if isinstance(value, dict):
             table = self.remember(value, {})
             table.update((self.convert(key), self.convert(item)) for key, item in value.items())
@@ -469,17 +474,17 @@
         return value
 
     def remember(self, old: Any, new: Any) -> Any:
-        """Records what an old object becomes, before its parts are converted."""
-        self.seen.append(old)
-        self.made[id(old)] = new
+        """Stores the new object for an old one, before its parts are converted, and returns it."""
+        self.originals.append(old)
+        self.converted[id(old)] = new
         return new
 
     def convert_object(self, old: OldState) -> Any:
-        """An object of today's class with the old one's state."""
+        """Returns an object of the present class with the old one's state."""
         conversion = old.conversion
         new = self.remember(old, object.__new__(conversion.target))
         state = {name: self.convert(value) for name, value in old.attributes.items()}
-        state = renamed(state, conversion.names)
+        state = rename_fields(state, conversion.names)
         if conversion.finish is not None:
             state = conversion.finish(state)
         for name, value in state.items():
@@ -488,5 +493,6 @@
 
 
 def load_snapshot(state: bytes) -> Any:
-    """The engine of a snapshot. `SnapshotError` or an unpickling error where there is none."""
+    """Returns the engine of a snapshot. Raises `SnapshotError` or any unpickling error if it can't be
+    loaded."""
     return Converter().convert(OldUnpickler(io.BytesIO(state)).load())
--- a/glenchute/capture/replay.py
+++ b/glenchute/capture/replay.py
@@ -81,7 +81,7 @@
         if isinstance(payload, Truncation):
             truncation = payload
         elif header.format == format_1.FORMAT:
-            records += [format_1.record(row) for row in payload]
+            records += [format_1.convert_record(row) for row in payload]
         else:
             records += payload
     return Segment(file, header, records, truncation)
