--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -15,14 +15,14 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event
 
-from .scenarios import EVENING_SETTINGS, SCENARIOS, SETTINGS_OF, START, Tell
+from .scenarios import DEFAULT_SETTINGS, SCENARIOS, SETTINGS_OF, START, Tell
 
 HERE = Path(__file__).resolve().parent
 
 
 def record(scenario: str, play: Callable[[Tell], None], seed: int) -> bytes:
     """A scenario's capture."""
-    settings = SETTINGS_OF.get(scenario, EVENING_SETTINGS)
+    settings = SETTINGS_OF.get(scenario, DEFAULT_SETTINGS)
     module = DecisionEngine(settings, seed)
     notes = []
 
--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -39,7 +39,7 @@
 
 Tell = Callable[[float, Event], list[Action]]
 START = 1_700_000_000_000.0
-MANY = (Outcome.OK,) * 12 + (Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET)
+MIXED_OUTCOMES = (Outcome.OK,) * 12 + (Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET)
 KINDS = (("read", "wide"), ("read", "rate"), ("order", "hard"), ("bid", "wide"), ("charge", "rate"),
          ("read", "open"), ("charge", "hard"))  # fmt: skip
 
@@ -51,9 +51,9 @@
     tell: Tell
     seed: int
     counter: Outcome = Outcome.OK
-    endings: tuple[Outcome, ...] = (Outcome.OK,)
+    outcomes: tuple[Outcome, ...] = (Outcome.OK,)
     took_ms: float = 25.0
-    others: float = 0.0  # units that other gateways add with each call
+    others_units: float = 0.0  # units that other gateways add with each call
     now: float = START
     serial: int = 0
     queue: list[tuple[float, int, Event]] = field(default_factory=list)
@@ -79,7 +79,7 @@
 
     def count(self, call: IncrementCounter) -> None:
         if self.counter is Outcome.OK:
-            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others
+            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others_units
         total = self.totals.get(call.key, 0.0) if self.counter is Outcome.OK else 0.0
         took = 2.0 if self.counter is Outcome.OK else 50.0
         self.at(self.now + took, CounterReply(call.key, total, self.counter, took))
@@ -87,7 +87,7 @@
     def send(self, action: StartAttempt) -> None:
         number = self.attempts.get(action.request_id, -1) + 1
         self.attempts[action.request_id] = number
-        ending = self.rng.choice(self.endings)
+        ending = self.rng.choice(self.outcomes)
         took = self.took_ms * self.rng.uniform(0.5, 2.0)
         if ending is Outcome.TIMEOUT:
             took = action.timeout_ms or 1200.0
@@ -128,7 +128,7 @@
         entries = tuple(Endpoint(n, zone, i % 2, 1.0, t, s) for i, (n, zone, t, s) in enumerate(rows))
         self.feed(EndpointList(kind, entries))
 
-    def fleet(self, count: int = 4) -> None:
+    def announce_servers(self, count: int = 4) -> None:
         active = EndpointState.ACTIVE
         self.servers(EndpointListKind.CACHED, *[(f"s{i}", "ab"[i % 2], 0.0, active) for i in range(count)])
 
@@ -138,8 +138,8 @@
     """Further surroundings: counter calls that time out and are answered late, load reports, usage updates of
     members, placements, and all units in a window as the gateway's peers report them."""
 
-    timeout_share: float = 0.0  # of the counter calls
-    late_endings: tuple[Outcome, ...] = (Outcome.OK,)  # what became of a call that timed out
+    timeout_fraction: float = 0.0  # of the counter calls
+    late_outcomes: tuple[Outcome, ...] = (Outcome.OK,)  # what became of a call that timed out
     late_after_ms: tuple[float, float] = (5.0, 400.0)  # beyond the timeout
     settled: dict[int, float] = field(default_factory=dict)  # by name: replies before have come by then
     service_ms: float = 0.0  # servers take one request at a time, each so long; 0: as an Evening's
@@ -153,17 +153,17 @@
     def count(self, call: IncrementCounter) -> None:
         """Replies for one name come in the order of the calls, late ones included."""
         pending = self.settled.get(call.key, 0.0)
-        if pending <= self.now + 2.0 and self.rng.random() >= self.timeout_share:
+        if pending <= self.now + 2.0 and self.rng.random() >= self.timeout_fraction:
             if self.counter is not Outcome.OK or self.reply_ms == 2.0:
                 super().count(call)
                 return
-            total = self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others
+            total = self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others_units
             reply = CounterReply(call.key, total, Outcome.OK, self.reply_ms)
             self.at(self.now + self.reply_ms, reply)
             return
-        ending = self.rng.choice(self.late_endings)
+        ending = self.rng.choice(self.late_outcomes)
         if ending is Outcome.OK:
-            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others
+            self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + self.others_units
         total = self.totals.get(call.key, 0.0) if ending is Outcome.OK else 0.0
         self.at(self.now + 50.0, CounterReply(call.key, 0.0, Outcome.TIMEOUT, 50.0))
         late = max(pending, self.now + 50.0 + self.rng.uniform(*self.late_after_ms))
@@ -178,11 +178,11 @@
         if self.service_ms:
             self.serve(action, number)
         else:
-            endings = self.endings
+            outcomes = self.outcomes
             if action.address in self.by_server:
-                self.endings = (self.by_server[action.address],)
+                self.outcomes = (self.by_server[action.address],)
             super().send(action)
-            self.endings = endings
+            self.outcomes = outcomes
         if self.active:
             row = next(row for row in reversed(self.queue_of(action.request_id)) if row[2].attempt == number)
             at = self.queue.index(row)
@@ -194,7 +194,7 @@
         free = max(self.now, self.free_at.get(action.address, 0.0))
         waiting = round((free - self.now) / self.service_ms, 2)
         done = free + self.service_ms * self.rng.uniform(0.6, 1.4)
-        took, ending = done - self.now, self.rng.choice(self.endings)
+        took, ending = done - self.now, self.rng.choice(self.outcomes)
         if 0.0 < action.timeout_ms < took:
             took, ending = action.timeout_ms, Outcome.TIMEOUT
         else:
@@ -242,17 +242,17 @@
 
 def half_of_the_gateways_die(tell: Tell) -> None:
     """The others' use ends at once, and their customers come here."""
-    evening = Evening(tell, 1, others=2.0)
-    evening.fleet()
+    evening = Evening(tell, 1, others_units=2.0)
+    evening.announce_servers()
     evening.load(3000.0, 25.0)
-    evening.others = 0.0
+    evening.others_units = 0.0
     evening.load(3000.0, 12.0)
 
 
 def flood_with_the_counter_mute(tell: Tell) -> None:
     """No word for two seconds in a flood on a plan with a ceiling and one without, then words again."""
     evening = Evening(tell, 2)
-    evening.fleet()
+    evening.announce_servers()
     evening.load(2000.0, 30.0)
     evening.counter = Outcome.TIMEOUT
     for plan in ("hard", "rate"):
@@ -263,8 +263,8 @@
 
 def counter_replaced(tell: Tell) -> None:
     """A fresh counter under open connections, twice, while a customer floods."""
-    evening = Evening(tell, 3, others=0.5)
-    evening.fleet()
+    evening = Evening(tell, 3, others_units=0.5)
+    evening.announce_servers()
     for _ in range(3):
         evening.flood(1500.0, 40.0, "hard")
         evening.flood(1500.0, 40.0, "rate")
@@ -273,15 +273,15 @@
 
 def spoilt_answers(tell: Tell) -> None:
     """Errors, time-outs, resets and full servers among good answers, of all classes."""
-    evening = Evening(tell, 4, endings=MANY)
-    evening.fleet()
+    evening = Evening(tell, 4, outcomes=MIXED_OUTCOMES)
+    evening.announce_servers()
     evening.load(8000.0, 25.0)
 
 
 def keyed_retry_at_the_memorys_border(tell: Tell) -> None:
     """Attempts that end just before and just after servers forget a key."""
-    evening = Evening(tell, 5, endings=(Outcome.ERROR,))
-    evening.fleet()
+    evening = Evening(tell, 5, outcomes=(Outcome.ERROR,))
+    evening.announce_servers()
     for took in (950.0, 990.0, 1000.0, 1010.0, 1200.0):
         evening.took_ms = took
         evening.ask("order", "wide", "keyed", left=5000.0)
@@ -291,8 +291,8 @@
 
 def drain_in_the_middle_of_an_attempt(tell: Tell) -> None:
     """Servers drain, go and come while attempts are out to them."""
-    evening = Evening(tell, 6, endings=MANY, took_ms=200.0)
-    evening.fleet()
+    evening = Evening(tell, 6, outcomes=MIXED_OUTCOMES, took_ms=200.0)
+    evening.announce_servers()
     active, draining, gone = EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED
     for turn in range(6):
         evening.load(700.0, 20.0)
@@ -303,7 +303,7 @@
         evening.servers(EndpointListKind.CHANGES, (f"t{turn}", "b", evening.now, active))
     evening.servers(EndpointListKind.FULL)
     evening.load(1500.0, 40.0)
-    evening.fleet()
+    evening.announce_servers()
     evening.load(1000.0, 40.0)
 
 
@@ -320,7 +320,7 @@
 def an_overloaded_fleet(tell: Tell) -> None:
     """Answers come later and later; V binds, and the cheap give way."""
     evening = Evening(tell, 8, took_ms=100.0)
-    evening.fleet(2)
+    evening.announce_servers(2)
     for took in (100.0, 500.0, 900.0, 1500.0, 300.0, 50.0):
         evening.took_ms = took
         evening.load(1500.0, 15.0)
@@ -328,8 +328,8 @@
 
 def clients_leave(tell: Tell) -> None:
     """Requests that are gone before their attempt ends, ids that come twice, no time left."""
-    evening = Evening(tell, 9, endings=MANY, took_ms=120.0)
-    evening.fleet()
+    evening = Evening(tell, 9, outcomes=MIXED_OUTCOMES, took_ms=120.0)
+    evening.announce_servers()
     for turn in range(120):
         cls, plan = evening.rng.choice(KINDS)
         evening.ask(cls, plan, "leaver", left=evening.rng.choice((0.0, 60.0, 400.0, 3000.0)))
@@ -342,8 +342,8 @@
 
 def operators_routes(tell: Tell) -> None:
     """Bounds on time-outs and pauses between attempts."""
-    evening = Evening(tell, 10, endings=(Outcome.REJECTED,))
-    evening.fleet()
+    evening = Evening(tell, 10, outcomes=(Outcome.REJECTED,))
+    evening.announce_servers()
     for bound in (0.0, 40.0, 300.0):
         for wait in (0.0, 30.0, 400.0, float("inf")):
             evening.serial += 1
@@ -359,8 +359,8 @@
 
 def counter_crowded(tell: Tell) -> None:
     """Calls turned away, late, and answered in time again; then no word for long, on plans of all kinds."""
-    evening = Evening(tell, 11, others=0.3)
-    evening.fleet()
+    evening = Evening(tell, 11, others_units=0.3)
+    evening.announce_servers()
     for ending in (Outcome.OK, Outcome.REJECTED, Outcome.OK, Outcome.TIMEOUT, Outcome.UNREACHABLE):
         evening.counter = ending
         evening.load(1800.0, 18.0, 3)
@@ -374,8 +374,8 @@
 
 def customers_come_back(tell: Tell) -> None:
     """Idle for longer than they are remembered, and with windows, rates and fails that have faded."""
-    evening = Evening(tell, 12, endings=MANY, others=1.0)
-    evening.fleet(3)
+    evening = Evening(tell, 12, outcomes=MIXED_OUTCOMES, others_units=1.0)
+    evening.announce_servers(3)
     for pause in (500.0, 3000.0, 20_000.0, 70_000.0):
         evening.load(900.0, 22.0, 4)
         evening.run(pause)
@@ -384,7 +384,7 @@
 def second_copies(tell: Tell) -> None:
     """Slow first attempts beside which a copy may go out, of each class."""
     evening = Evening(tell, 13, took_ms=400.0)
-    evening.fleet()
+    evening.announce_servers()
     for cls in ("read", "order", "bid", "charge") * 4:
         evening.serial += 1
         evening.feed(Request(f"r{evening.serial}", cls, "wide", "copied", 2500.0, 1.0, 2, 0.0, 60.0))
@@ -394,12 +394,12 @@
 def one_server_fails(tell: Tell) -> None:
     """One of five answers errors, another nothing: they are avoided, and come back."""
     evening = Evening(tell, 14)
-    evening.fleet(5)
+    evening.announce_servers(5)
     send = evening.send
 
     def by_server(action: StartAttempt) -> None:
         bad = {"s1": Outcome.ERROR, "s3": Outcome.TIMEOUT}
-        evening.endings = (bad.get(action.address, Outcome.OK) if evening.now < turn else Outcome.OK,)
+        evening.outcomes = (bad.get(action.address, Outcome.OK) if evening.now < turn else Outcome.OK,)
         send(action)
 
     evening.send = by_server  # type: ignore[method-assign]
@@ -412,22 +412,22 @@
 
 def retry_budget_exhausted(tell: Tell) -> None:
     """All attempts fail at once until no retry is left; then the budget fills by a fifth for each request."""
-    made = Environment(tell, 21, endings=(Outcome.ERROR,), took_ms=4.0)
-    made.fleet(6)
+    made = Environment(tell, 21, outcomes=(Outcome.ERROR,), took_ms=4.0)
+    made.announce_servers(6)
     for _ in range(12):  # the start's budget is spent within the first requests
         made.feed(made.request("read", "wide", "first"))
         made.run(60.0)
     for good in (10, 24, 40, 70):
-        made.endings = (Outcome.OK,)
+        made.outcomes = (Outcome.OK,)
         for _ in range(good):
             made.feed(made.request("read", "wide", "well"))
             made.run(12.0)
         for ending in (Outcome.ERROR, Outcome.UNREACHABLE, Outcome.REJECTED):
-            made.endings = (ending,)
+            made.outcomes = (ending,)
             for _ in range(8):
                 made.feed(made.request("read", "wide", "failing"))
                 made.run(25.0)
-    made.endings = (Outcome.TIMEOUT, Outcome.RESET, Outcome.NOT_SENT, Outcome.CANCELLED)
+    made.outcomes = (Outcome.TIMEOUT, Outcome.RESET, Outcome.NOT_SENT, Outcome.CANCELLED)
     made.mix(2500.0, 30.0)
 
 
@@ -435,7 +435,7 @@
     """More is offered than two servers can do: V falls, binds, and the cheaper requests give way."""
     made = Environment(tell, 22, service_ms=24.0)
     made.kinds = (("read", "wide"), ("read", "dear"), ("order", "wide"), ("read", "cheap"), ("order", "dear"))
-    made.fleet(2)
+    made.announce_servers(2)
     for ms, gap, service in (
         (2500.0, 30.0, 24.0), (4500.0, 9.0, 24.0), (2000.0, 25.0, 24.0), (2500.0, 9.0, 60.0),
         (3000.0, 30.0, 12.0), (2500.0, 25.0, 150.0), (3000.0, 40.0, 10.0),
@@ -465,8 +465,8 @@
 
 def usage_updates_of_members(tell: Tell) -> None:
     """Members tell of their use, beside a counter that answers, is mute, and answers again."""
-    made = Environment(tell, 24, others=0.4, took_ms=40.0)
-    made.fleet()
+    made = Environment(tell, 24, others_units=0.4, took_ms=40.0)
+    made.announce_servers()
     plans = ("rate", "hard", "rate", "soft")
     for ending in (Outcome.OK, Outcome.TIMEOUT, Outcome.OK, Outcome.UNREACHABLE):
         made.counter = ending
@@ -499,7 +499,7 @@
 def usage_updates_without_a_counter(tell: Tell) -> None:
     """There is no counter: what members tell is all that is known."""
     made = Environment(tell, 25, took_ms=40.0)
-    made.fleet()
+    made.announce_servers()
     used = 0.0
     for turn in range(420):
         plan = ("rate", "hard", "soft", "rate")[turn % 4]
@@ -527,9 +527,9 @@
 
 def late_counter_replies(tell: Tell) -> None:
     """Calls time out and are answered later, or turned away, or never known, in their window or after it."""
-    made = Environment(tell, 26, others=0.3, took_ms=40.0)
-    made.fleet()
-    made.late_endings = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)
+    made = Environment(tell, 26, others_units=0.3, took_ms=40.0)
+    made.announce_servers()
+    made.late_outcomes = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)
     made.kinds = (("read", "rate"), ("read", "hard"), ("read", "soft"), ("order", "open"))
     for share, after in (
         (0.3, (5.0, 200.0)),
@@ -537,7 +537,7 @@
         (0.4, (1500.0, 4000.0)),
         (0.0, (1.0, 2.0)),
     ):
-        made.timeout_share, made.late_after_ms = share, after
+        made.timeout_fraction, made.late_after_ms = share, after
         made.mix(3500.0, 30.0, 2)
     made.feed(CounterReply(12345, 3.0, Outcome.OK, 60.0, True))  # of a name that nobody knows
     made.feed(CounterReply(12345, 3.0, Outcome.OK, 2.0))
@@ -545,15 +545,15 @@
 
 def handover_between_processes(tell: Tell) -> None:
     """The next process comes up beside this one, goes, comes again; names are marked by one of them only."""
-    made = Environment(tell, 27, others=0.4, took_ms=60.0, timeout_share=0.05)
-    made.fleet()
+    made = Environment(tell, 27, others_units=0.4, took_ms=60.0, timeout_fraction=0.05)
+    made.announce_servers()
     made.mix(2500.0, 25.0)
     for _ in range(2):
         made.feed(SuccessorStarted())
         made.mix(2500.0, 25.0)
         made.feed(OtherProcessEnded())
         made.mix(2500.0, 25.0)
-    made.timeout_share = 0.4
+    made.timeout_fraction = 0.4
     for _ in range(6):  # own units may be added that no answer has told of
         made.feed(SuccessorStarted())
         made.mix(250.0, 25.0)
@@ -566,7 +566,7 @@
 
 def handover_taken_from_another_process(tell: Tell) -> None:
     """This process begins with what the one before knew, serves beside it, and is then alone."""
-    made = Environment(tell, 28, others=0.4, took_ms=60.0)
+    made = Environment(tell, 28, others_units=0.4, took_ms=60.0)
     # A customer that is known here already: what was told of it is not taken.
     made.feed(Request("r0", "read", "rate", "m0rate", 2000.0, 1.0, 4))
     stocks = []
@@ -580,7 +580,7 @@
             4.0 + number, (3.0, 30.0)[number % 2], start, total))  # fmt: skip
     stocks.append(QuotaSnapshot("x", "none", 1, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0))
     made.feed(StateReceived(tuple(stocks)))
-    made.fleet()
+    made.announce_servers()
     made.kinds = (("read", "rate"), ("read", "hard"), ("order", "soft"), ("read", "open"), ("read", "wide"))
     made.mix(3500.0, 18.0, gateway_spread=4)
     made.feed(OtherProcessEnded())
@@ -593,7 +593,7 @@
 def stalled_process(tell: Tell) -> None:
     """The process stands still for less and for more than the limit while attempts are out."""
     made = Environment(tell, 29, took_ms=150.0)
-    made.fleet()
+    made.announce_servers()
     made.kinds = (("read", "wide"), ("order", "wide"), ("read", "rate"))
     for ms in (900.0, 1100.0, 1260.0, 1500.0, 4000.0, 20_000.0):
         made.mix(1000.0, 24.0)
@@ -608,8 +608,10 @@
 
 def hedged_requests(tell: Tell) -> None:
     """Second attempts beside first ones, of each class, by time and as an attempt is held up."""
-    made = Environment(tell, 30, took_ms=250.0, endings=(*MANY, Outcome.UNREACHABLE), placements=True)
-    made.fleet(5)
+    made = Environment(
+        tell, 30, took_ms=250.0, outcomes=(*MIXED_OUTCOMES, Outcome.UNREACHABLE), placements=True
+    )
+    made.announce_servers(5)
     for turn in range(212):
         cls = ("read", "order", "bid", "charge", "cell")[turn % 5]
         copy = made.rng.choice((0.0, 30.0, 120.0, 400.0))
@@ -632,7 +634,7 @@
                 bounds = {"attempt_timeout_ms": bound, "hedge_after_ms": copy}
                 made.feed(made.request(cls, "wide", "hedged", **bounds))
                 made.run(60.0)
-    made.fleet(1)  # nowhere to hedge to
+    made.announce_servers(1)  # nowhere to hedge to
     for cls in ("read", "order", "bid", "cell"):
         made.feed(made.request(cls, "wide", "hedged", hedge_after_ms=30.0))
         made.run(400.0)
@@ -641,7 +643,7 @@
 def servers_avoided(tell: Tell) -> None:
     """Servers that can't be reached, here or by the words of other gateways, and that can again."""
     made = Environment(tell, 31, took_ms=30.0)
-    made.fleet(6)
+    made.announce_servers(6)
     made.kinds = (("read", "wide"), ("order", "wide"), ("bid", "wide"))
     for turn in range(5):
         name = f"s{turn % 6}"
@@ -674,7 +676,7 @@
             for n, size in enumerate(sizes)
         )
         made.feed(EndpointList(EndpointListKind.FULL if turn else EndpointListKind.CACHED, rows, of))
-        made.endings = MANY if turn % 2 else (Outcome.OK,)
+        made.outcomes = MIXED_OUTCOMES if turn % 2 else (Outcome.OK,)
         made.mix(2300.0, 18.0)
     made.feed(EndpointList(EndpointListKind.FAILED))
     made.servers(EndpointListKind.FULL)
@@ -685,7 +687,7 @@
     """Servers start one after the other under a load near what warm ones can do; then all at once."""
     made = Environment(tell, 33, service_ms=15.0)
     made.kinds = (("read", "wide"), ("order", "wide"))
-    made.fleet(4)
+    made.announce_servers(4)
     made.mix(2000.0, 9.0)
     for n in range(2):
         made.servers(EndpointListKind.CHANGES, (f"s{n}", "a", made.now, EndpointState.ACTIVE))
@@ -702,8 +704,8 @@
 
 def many_gateways(tell: Tell) -> None:
     """One of 120 gateways: customers are seen seldom, and a request's spread varies."""
-    made = Environment(tell, 34, others=3.0, took_ms=30.0, timeout_share=0.03)
-    made.fleet()
+    made = Environment(tell, 34, others_units=3.0, took_ms=30.0, timeout_fraction=0.03)
+    made.announce_servers()
     for ending in (Outcome.OK, Outcome.TIMEOUT, Outcome.OK, Outcome.REJECTED, Outcome.OK):
         made.counter = ending
         for _ in range(115):
@@ -717,7 +719,7 @@
             made.run(made.rng.expovariate(1.0 / 30.0))
     made.kinds = (("read", "soft"), ("order", "soft"))
     for down, ms in ((6, 2500.0), (2, 2500.0), (6, 2500.0), (2, 14_000.0)):  # servers out of reach, of six
-        made.fleet(6)
+        made.announce_servers(6)
         made.by_server = {f"s{n}": Outcome.UNREACHABLE for n in range(down)}
         made.mix(ms, ms / 75.0)
 
@@ -726,7 +728,7 @@
     """One slow server: refusals for a backlog begin with the fifth attempt out."""
     made = Environment(tell, 44, service_ms=200.0)
     made.kinds = (("read", "wide"), ("read", "dear"))
-    made.fleet(1)
+    made.announce_servers(1)
     for gap in (300.0, 150.0, 90.0, 220.0):
         made.mix(4000.0, gap)
 
@@ -734,7 +736,7 @@
 def counter_split_in_two(tell: Tell) -> None:
     """A busy customer's windows hear of all gateways' epoch markers, then of half of them, then of all."""
     made = Environment(tell, 35, took_ms=20.0)
-    made.fleet()
+    made.announce_servers()
     marked: set[int] = set()
     heard = [3.0]
     count = made.count
@@ -755,7 +757,7 @@
         (9.0, 3000.0),
     ):
         heard[0] = max(0.0, others)
-        made.timeout_share = 1.0 if others < 0.0 else 0.0  # windows in which no word comes
+        made.timeout_fraction = 1.0 if others < 0.0 else 0.0  # windows in which no word comes
         end = made.now + ms
         while made.now < end:
             made.feed(made.request("read", "brisk", f"b{made.rng.randrange(2)}", gateway_spread=4))
@@ -771,7 +773,7 @@
         made.feed(made.request(("read", "none")[turn % 2], ("rate", "none", "free")[turn % 3], "early"))
         made.run(15.0)
     made.run(2000.0)
-    made.fleet(2)
+    made.announce_servers(2)
     for turn in range(160):
         cls = ("read", "none", "charge", "bid")[turn % 4]
         plan = ("none", "free", "rate", "hard", "open")[turn % 5]
@@ -787,7 +789,7 @@
 def counter_totals_of_all_kinds(tell: Tell) -> None:
     """Totals that hold more epoch markers than gateways, or fewer than before, and units below 0."""
     made = Environment(tell, 37, took_ms=15.0)
-    made.fleet()
+    made.announce_servers()
     markers = {"hard": 100.0, "even": 1000.0, "brisk": 1000.0, "rate": 100.0}
 
     heard: dict[int, int] = {}  # markers of others, by name
@@ -811,8 +813,8 @@
 
 def slow_counter(tell: Tell) -> None:
     """The counter answers late but in time, some calls are turned away, and units are parts of one."""
-    made = Environment(tell, 38, others=0.2, took_ms=25.0)
-    made.fleet()
+    made = Environment(tell, 38, others_units=0.2, took_ms=25.0)
+    made.announce_servers()
     plans = ("rate", "soft", "open", "single", "even", "hard")
     for reply_ms, ending in (
         (2.0, Outcome.OK), (30.0, Outcome.OK), (25.0, Outcome.OK), (2.0, Outcome.REJECTED),
@@ -830,8 +832,8 @@
 
 def usage_updates_after_pauses(tell: Tell) -> None:
     """Customers come back after one window, two, or five, with what members used before."""
-    made = Environment(tell, 39, took_ms=15.0, others=0.1)
-    made.fleet()
+    made = Environment(tell, 39, took_ms=15.0, others_units=0.1)
+    made.announce_servers()
     plans = {plan.name: plan for plan in WIDE_SETTINGS.plans if plan.rate_per_s and plan.burst_units < 100.0}
     for turn in range(212):
         plan = plans[made.rng.choice(("rate", "soft", "even", "brisk"))]
@@ -852,7 +854,7 @@
 def pauses_between_attempts(tell: Tell) -> None:
     """Attempts end with a pause before the next; the retry budget is filled up in between."""
     made = Environment(tell, 40, took_ms=5.0)
-    made.fleet()
+    made.announce_servers()
     for wait in (0.5, 1.0, 1.5, 40.0, 300.0, 1200.0, 2900.0, float("inf")):
         for cls in ("read", "order", "bid", "charge", "cell"):
             for ending in (Outcome.REJECTED, Outcome.ERROR):
@@ -871,7 +873,7 @@
 
 def cold_server_for_retries(tell: Tell) -> None:
     """A cold server is the dearest one: only retries come to it, when it has a turn."""
-    made = Environment(tell, 41, took_ms=12.0, endings=(Outcome.OK, Outcome.ERROR))
+    made = Environment(tell, 41, took_ms=12.0, outcomes=(Outcome.OK, Outcome.ERROR))
     made.kinds = (("read", "wide"),)
     made.servers(EndpointListKind.CACHED, *[(f"s{i}", "a", 0.0, EndpointState.ACTIVE) for i in range(2)])
     made.mix(3000.0, 25.0)
@@ -883,7 +885,7 @@
 def counter_replaced_with_open_plans_only(tell: Tell) -> None:
     """No plan has a rate; the counter's memory is lost, and lost again a few seconds later."""
     made = Environment(tell, 42, took_ms=30.0)
-    made.fleet()
+    made.announce_servers()
     for losses in ((8, 12, 54), (9, 50), (7, 51, 53)):  # in tenths of a second
         for tenth in range(100):
             if tenth in losses:
@@ -896,7 +898,7 @@
 def exact_moments(tell: Tell) -> None:
     """Figures that meet a limit to the bit: ages of words, store and units, an attempt's end and a tick."""
     made = Environment(tell, 43, took_ms=8.0)
-    made.fleet(5)
+    made.announce_servers(5)
     for number, units in enumerate((6.0, 5.0, 3.0, 2.0)):
         customer = f"e{number}"
         made.feed(made.request("read", "rate", customer, units=units))
@@ -905,7 +907,7 @@
             made.feed(made.request("read", "rate", customer, units=units))
             made.run(wait)
     for number in range(6):  # a word of much use by others, then a full store
-        made.others = 45.0
+        made.others_units = 45.0
         customer = f"f{number}"
         made.feed(made.request("read", "rate", customer, units=1.0))
         made.run(50.0)
@@ -915,7 +917,7 @@
             made.feed(made.request("read", "rate", customer, units=units, time_left_ms=340.0))
         made.run(1000.0)
     made.run(6000.0)
-    made.others = 0.0
+    made.others_units = 0.0
     for _ in range(3):  # a tick that comes late by the limit
         made.mix(400.0, 20.0)
         tick = min(when for when, _, event in made.queue if event == TimerFired(0))
@@ -946,7 +948,7 @@
 def ceilings_that_bind(tell: Tell) -> None:
     """The ceiling's guard is empty before the quota's store is; totals tell of few, all, or more gateways."""
     made = Environment(tell, 45, took_ms=10.0)
-    made.fleet()
+    made.announce_servers()
     heard: dict[int, int] = {}
 
     def counted(call: IncrementCounter) -> None:
@@ -968,7 +970,7 @@
 def counter_mute_from_the_start(tell: Tell) -> None:
     """No word comes from the first call on; requests come in pairs, and some reach no server."""
     made = Environment(tell, 46, took_ms=60.0, counter=Outcome.TIMEOUT)
-    made.fleet()
+    made.announce_servers()
     for turn in range(150):
         plan = ("rate", "open", "soft", "hard", "trickle")[turn % 5]
         down = turn % 30 >= 18
@@ -982,10 +984,10 @@
 def shares_of_large_requests(tell: Tell) -> None:
     """Requests of many units and of small parts of one, with and without time to ask the counter."""
     made = Environment(tell, 47, took_ms=10.0, reply_ms=45.0)
-    made.fleet()
+    made.announce_servers()
     for turn in range(420):
         plan = ("rate", "soft", "even", "trickle", "even")[turn % 5]
-        made.others = made.rng.choice((0.0, 0.5, 2.0)) if plan != "trickle" else 0.0
+        made.others_units = made.rng.choice((0.0, 0.5, 2.0)) if plan != "trickle" else 0.0
         units = made.rng.choice((0.125, 0.25) if plan == "trickle" else (0.5, 1.0, 2.0, 4.0, 6.0))
         request = made.request(
             "read", plan, f"l{made.rng.randrange(2)}{plan}", units=units,
@@ -1002,7 +1004,7 @@
 def handover_without_a_counter(tell: Tell) -> None:
     """What was handed over counts by this gateway's part alone, as there is no counter."""
     made = Environment(tell, 48, took_ms=20.0)
-    made.fleet()
+    made.announce_servers()
     stocks = []
     for number, plan in enumerate(("rate", "soft", "hard", "open", "rate", "soft")):
         told_own, told_all = ((0.0, 0.0), (2.0, 30.0))[number % 2]
@@ -1023,16 +1025,16 @@
     """The first answers of all are late, and V binds before anything was learned."""
     made = Environment(tell, 49, took_ms=650.0)
     made.kinds = (("read", "wide"), ("read", "cheap"), ("order", "dear"))
-    made.fleet(1)
+    made.announce_servers(1)
     made.mix(1300.0, 140.0)
     made.mix(4000.0, 25.0)
 
 
 def two_attempts_at_most(tell: Tell) -> None:
     """Settings that allow one further attempt."""
-    made = Environment(tell, 50, took_ms=300.0, endings=(Outcome.OK, Outcome.TIMEOUT, Outcome.ERROR))
+    made = Environment(tell, 50, took_ms=300.0, outcomes=(Outcome.OK, Outcome.TIMEOUT, Outcome.ERROR))
     made.kinds = (("read", "wide"), ("order", "wide"), ("bid", "wide"), ("charge", "wide"))
-    made.fleet()
+    made.announce_servers()
     made.mix(5000.0, 50.0)
 
 
@@ -1082,16 +1084,16 @@
     capacity_estimate_from_the_start,
     two_attempts_at_most,
 )
-EVENING_SETTINGS = replace(
+DEFAULT_SETTINGS = replace(
     SETTINGS, cross_zone_price=0.02, allows_hedging=True, must_subscribe=True, max_requests=60
 )
 SOFT = Plan("soft", price=2.0, rate_per_s=8.0, burst_units=10.0)
 CELL = RequestClass(
     "cell", 900.0, 1.5, Idempotency.WITH_KEY, IdempotencyScope.CELL, 1500.0, late_weight_fraction=0.3
 )
-MEMBERS_SETTINGS = replace(EVENING_SETTINGS, gateway_count=4, plans=(*SETTINGS.plans, SOFT), max_requests=400)
+MEMBERS_SETTINGS = replace(DEFAULT_SETTINGS, gateway_count=4, plans=(*SETTINGS.plans, SOFT), max_requests=400)
 WIDE_SETTINGS = replace(
-    EVENING_SETTINGS,
+    DEFAULT_SETTINGS,
     classes=(*SETTINGS.classes, CELL),
     plans=(
         *SETTINGS.plans,
@@ -1116,7 +1118,7 @@
     ),
     max_requests=2000,
 )
-SETTINGS_OF: dict[str, Settings] = {  # those that are not here have EVENING_SETTINGS
+SETTINGS_OF: dict[str, Settings] = {  # those that are not here have DEFAULT_SETTINGS
     "retry_budget_exhausted": WIDE_SETTINGS,
     "capacity_estimate_binds": WIDE_SETTINGS,
     "capacity_estimate_follows_slow_answers": WIDE_SETTINGS,
@@ -1138,7 +1140,7 @@
     "pauses_between_attempts": WIDE_SETTINGS,
     "cold_server_for_retries": WIDE_SETTINGS,
     "counter_replaced_with_open_plans_only": replace(
-        EVENING_SETTINGS, plans=(Plan("open", max_concurrent=2), Plan("single", max_concurrent=1))
+        DEFAULT_SETTINGS, plans=(Plan("open", max_concurrent=2), Plan("single", max_concurrent=1))
     ),
     "exact_moments": WIDE_SETTINGS,
     "few_attempts_out": WIDE_SETTINGS,
--- a/tests/messages/counter.py
+++ b/tests/messages/counter.py
@@ -11,7 +11,7 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event, Outcome
 
-from ..captures.scenarios import EVENING_SETTINGS, MANY, Environment
+from ..captures.scenarios import DEFAULT_SETTINGS, MIXED_OUTCOMES, Environment
 from .files import Rows
 
 REPLIES: Rows = [
@@ -26,7 +26,7 @@
 
 def counts() -> list[IncrementCounter]:
     """The calls of one module under a load with all plans: epoch markers, units, units given back."""
-    module = DecisionEngine(EVENING_SETTINGS, 41)
+    module = DecisionEngine(DEFAULT_SETTINGS, 41)
     found: list[IncrementCounter] = []
 
     def tell(now: float, event: Event) -> list[Action]:
@@ -34,13 +34,13 @@
         found.extend(action for action in actions if isinstance(action, IncrementCounter))
         return actions
 
-    environment = Environment(tell, 41, endings=(*MANY, Outcome.UNREACHABLE), others=0.25)
-    environment.late_endings = (Outcome.OK, Outcome.REJECTED)
-    environment.timeout_share = 0.1
-    environment.fleet()
+    environment = Environment(tell, 41, outcomes=(*MIXED_OUTCOMES, Outcome.UNREACHABLE), others_units=0.25)
+    environment.late_outcomes = (Outcome.OK, Outcome.REJECTED)
+    environment.timeout_fraction = 0.1
+    environment.announce_servers()
     environment.load(4000.0, 20.0, 3)
     environment.run(3000.0)
-    environment.endings = (Outcome.UNREACHABLE,)
+    environment.outcomes = (Outcome.UNREACHABLE,)
     environment.load(2500.0, 20.0, 3)
     return found
 
--- a/tests/messages/handover.py
+++ b/tests/messages/handover.py
@@ -13,7 +13,7 @@
 from glenchute.policy.events import QuotaSnapshot, SuccessorStarted
 from glenchute.policy.lifecycle.handover import encode_handover
 
-from ..captures.scenarios import EVENING_SETTINGS, Environment
+from ..captures.scenarios import DEFAULT_SETTINGS, Environment
 from .files import Rows
 
 GATEWAY = "g7"
@@ -30,9 +30,9 @@
 
 def driven_stocks() -> tuple[QuotaSnapshot, ...]:
     """What a decision module hands over after a short load."""
-    module = DecisionEngine(EVENING_SETTINGS, 31)
-    environment = Environment(module.handle, 31, others=0.5, timeout_share=0.1)
-    environment.fleet()
+    module = DecisionEngine(DEFAULT_SETTINGS, 31)
+    environment = Environment(module.handle, 31, others_units=0.5, timeout_fraction=0.1)
+    environment.announce_servers()
     environment.load(2500.0, 25.0, 3)
     (action,) = module.handle(environment.now, SuccessorStarted())
     assert isinstance(action, SendState)
