--- a/tests/captures/__init__.py
+++ b/tests/captures/__init__.py
@@ -1,1 +1,1 @@
-"""Past failures as captures: each is replayed, and fails if a decision changes."""
+"""Captures of past failures; tests replay each and fail if a decision changes."""
--- a/tests/captures/__main__.py
+++ b/tests/captures/__main__.py
@@ -1,6 +1,6 @@
-"""Records the captures of this folder anew: ``python -m tests.captures --why "what changed and why"``.
+"""Records the captures in this folder again: ``python -m tests.captures --why "what changed and why"``.
 
-The reason is kept in WHY.md; without one nothing is recorded.
+The reason is required, and is appended to WHY.md.
 """
 
 from __future__ import annotations
@@ -15,29 +15,31 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Event
 
-from .scenarios import DEFAULT_SETTINGS, SCENARIOS, SETTINGS_OF, START, Tell
+from .scenarios import DEFAULT_SETTINGS, SCENARIOS, SETTINGS_BY_SCENARIO, START_MS, HandleEvent
 
 HERE = Path(__file__).resolve().parent
 
 
-def record(scenario: str, play: Callable[[Tell], None], seed: int) -> bytes:
-    """A scenario's capture."""
-    settings = SETTINGS_OF.get(scenario, DEFAULT_SETTINGS)
-    module = DecisionEngine(settings, seed)
-    notes = []
+def record(scenario: str, play: Callable[[HandleEvent], None], seed: int) -> bytes:
+    """Returns the capture of a scenario as bytes."""
+    settings = SETTINGS_BY_SCENARIO.get(scenario, DEFAULT_SETTINGS)
+    engine = DecisionEngine(settings, seed)
+    records = []
 
-    def tell(now: float, event: Event) -> list[Action]:
-        actions = module.handle(now, event)
-        notes.append(encode_record(now, event, actions))
+    def handle(now_ms: float, event: Event) -> list[Action]:
+        actions = engine.handle(now_ms, event)
+        records.append(encode_record(now_ms, event, actions))
         return actions
 
-    play(tell)
-    head = SegmentHeader(scenario, 0, 0, START, engine_digest(), settings, seed, None)
-    return head.encode() + b"".join(encode_batch(notes[at : at + 512]) for at in range(0, len(notes), 512))
+    play(handle)
+    header = SegmentHeader(scenario, 0, 0, START_MS, engine_digest(), settings, seed, None)
+    return header.encode() + b"".join(
+        encode_batch(records[index : index + 512]) for index in range(0, len(records), 512)
+    )
 
 
 def main() -> None:
-    """Writes all files and the reason."""
+    """Writes all capture files and the reason."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--why", required=True)
     args = parser.parse_args()
