--- a/glenchute/capture/rejections.py
+++ b/glenchute/capture/rejections.py
@@ -23,7 +23,7 @@
     "ceiling": "the ceiling's bucket holds too few units, and the counter's total does not grant them",
     "empty": "the tenant's token bucket holds too few units by this gateway's estimate",
     "lot": "the bucket holds enough, but the local share is used up and no recent counter total is known",
-    "mute": "the same, while the counter is unavailable or there is none",
+    "mute": "the bucket holds enough, but no local share is left while the counter is unavailable or absent",
     "share": "demand exceeds the quota, and this request is not in the fraction that is admitted",
     "open": "the cap on open attempts",
     "overload": "the backlog takes too long, or requests of higher value use the estimated capacity (V)",
