--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -218,7 +218,7 @@
             rows[name][0] for name in servers.server_ids() if name in rows and not servers.is_stopping(name)
         ]
         if self.fleet is not None:
-            self.fleet.reporter.module = self.create_subset(self.fleet.reporter.module, {}, listed)
+            self.fleet.reporter.engine = self.create_subset(self.fleet.reporter.engine, {}, listed)
         else:
             self.gateway.decisions = self.create_subset(self.gateway.decisions, {}, listed)
         log.info("more than %d servers are listed: from now on a part of them is used", MAX_SUBSET_SIZE)
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -59,10 +59,10 @@
     """This process among the members."""
 
     def __init__(
-        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, module: DecisionHandler,
+        self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, engine: DecisionHandler,
         settings: Settings, seed: int, number: int | None = None,
     ) -> None:  # fmt: skip
-        """`raw`: the checked table `[fleet]`. `module`: the decision engine. `number`: this gateway's, where
+        """`raw`: the checked table `[fleet]`. `engine`: the decision engine. `number`: this gateway's, where
         the platform states it: members' numbers are used only if its own is the same there, as usage would
         else go to others than those that share its accounts."""
         rng = random.Random(seed)
@@ -88,7 +88,7 @@
         )
         health = EndpointHealth(writer, random.Random(rng.getrandbits(60)))
         self.reporter = UsageReporter(
-            module, settings, self.usage, health, self.publish, self.known_share, loop.time
+            engine, settings, self.usage, health, self.publish, self.known_share, loop.time
         )
         shared_list = SharedEndpointList(self.name, now, rng) if raw.get("share_list") else None
         self.endpoint_sync = EndpointSync(
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -34,15 +34,15 @@
     """Handles events in the place of the decision engine, and passes them on to it."""
 
     def __init__(
-        self, module: DecisionHandler, settings: Settings, usage: AccountUsage, health: EndpointHealth,
+        self, engine: DecisionHandler, settings: Settings, usage: AccountUsage, health: EndpointHealth,
         publish: Callable[[Row], None], known_share: Callable[[int], float], clock: Callable[[], float],
     ) -> None:  # fmt: skip
-        """`module`: the decision engine. `publish` sends a row to the members that need it. `known_share`: of
+        """`engine`: the decision engine. `publish` sends a row to the members that need it. `known_share`: of
         a subset of so many gateways, the share whose usage is known here. `clock`: seconds, by which the ages
         of rows are counted."""
         self.note_account: Callable[[str, Plan], None] = lambda customer, plan: None  # for the usage audit
         self.now_ms = 0.0  # at the last event, by the clock that names windows
-        self.module, self.usage, self.health, self.clock = module, usage, health, clock
+        self.engine, self.usage, self.health, self.clock = engine, usage, health, clock
         self.publish, self.known_share = publish, known_share
         self.active_endpoints: set[str] = set()
         self.plans = {plan.name: plan for plan in settings.plans}
@@ -61,7 +61,7 @@
                 self.publish(row)
         elif isinstance(event, EndpointList):
             self.apply_endpoint_list(event)
-        actions = self.module.handle(now_ms, event)
+        actions = self.engine.handle(now_ms, event)
         for action in actions:
             if isinstance(action, StartAttempt | Reject | Fail):
                 request = self.pending_requests.pop(action.request_id, None)
@@ -73,7 +73,7 @@
         """Before a request: the engine is given the avoided endpoints and the account's usage elsewhere, of
         this window and the one before."""
         for avoid in self.health.take_changes(self.clock(), len(self.active_endpoints)):
-            self.module.handle(now_ms, avoid)
+            self.engine.handle(now_ms, avoid)
         plan = self.plans.get(request.plan)
         if plan is None or not plan.rate_per_s or len(self.pending_requests) >= MAX_PENDING_REQUESTS:
             return
@@ -83,7 +83,7 @@
         units = self.usage.admitted_by_peers(request.tenant, window)
         previous_window = window_start_ms(window - 1.0, request.tenant, plan)
         previous_units = self.usage.admitted_by_peers(request.tenant, previous_window)
-        self.module.handle(now_ms, UsageUpdate(request, window, units, previous_units, share))
+        self.engine.handle(now_ms, UsageUpdate(request, window, units, previous_units, share))
         self.pending_requests[request.request_id] = request
 
     def report_admitted(self, now_ms: float, request: Request) -> None:
