--- a/glenchute/clients/membership/audit_task.py
+++ b/glenchute/clients/membership/audit_task.py
@@ -1,6 +1,7 @@
-"""The audit, a leased task: replicas that stay diverged, and usage that the shared counter does not confirm.
+"""The audit, a task under a lease: finds replicas that stay diverged, and usage that the shared counter does
+not confirm.
 
-It only reads and logs, so its effects need no fencing token.
+The audit only reads and logs, so it needs no fencing token.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from .log_events import log_event
 from .usage_reports import UsageReporter
 
-MAX_DIVERGENCE_S = 10.0  # a replica that differs for longer is logged
+MAX_DIVERGENCE_S = 10.0  # gossip has converged by then; a replica that still differs is logged
 READ_TTL_MS = 1000.0
 
 
 class AuditTask:
-    """The audit of one process; `step` runs while it holds the task's lease."""
+    """The audit in one process. `step` is called while the process holds the task's lease."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, gossip: Gossip, replica: Replica, reporter: UsageReporter
@@ -34,13 +35,13 @@
         self.reported_diverged: set[str] = set()
 
     async def step(self, guard: LeaseGuard) -> None:
-        """One round of both audits. LeaseLost where the counter answers nothing here."""
+        """Runs one round of both audits. Raises LeaseLost where the counter answers none of its reads."""
         self.audit_replicas()
         if self.counter is not None and self.gossip.is_complete:
             await self.audit_usage(guard)
 
     def audit_replicas(self) -> None:
-        """Logs, once, each member whose replica has differed for longer than convergence takes."""
+        """Logs, once, each member whose replica has differed for longer than `MAX_DIVERGENCE_S`."""
         now = self.loop.time()
         diverged = {
             name: divergence.bucket_count
@@ -52,31 +53,34 @@
         self.reported_diverged = set(diverged)
 
     async def audit_usage(self, guard: LeaseGuard) -> None:
-        """Compares windows that are over with the counter, and logs accounts that differ."""
+        """Compares members' usage in past windows with the counter's totals; logs accounts that differ."""
         rows = (self.replica.rows[key].row for key in self.replica.keys_by_age[RowKind.USE])
+        # Windows with less usage are left out: members need not report all of it.
         queries = [
             query
             for query in self.usage_audit.due_queries(self.reporter.now_ms, rows)
             if query.reported_units >= REPORTED_SHARE * window_allowance_units(query.plan)
-        ]  # of windows with less not all usage is reported
+        ]
         totals = await asyncio.gather(*map(self.read_total, queries))
-        if queries and guard.step and totals.count(None) == len(totals):
-            raise LeaseLost  # another may reach the counter; a first step that fails would count
+        if queries and guard.completed_steps and totals.count(None) == len(totals):
+            # Another member may reach the counter. Not before this process has completed a step: the failure
+            # that is recorded ahead of a holder's first step would stand, and could park the task.
+            raise LeaseLost
         for query, total in zip(queries, totals, strict=True):
-            found = self.usage_audit.receive_total(query, total)
-            if found is not None:
-                log_event("audit.use", account=found.account, counter=round(found.counter_units, 1),
-                          members=round(found.member_units, 1),
-                          holds="less" if found.is_counter_lower else "more")  # fmt: skip
+            mismatch = self.usage_audit.receive_total(query, total)
+            if mismatch is not None:
+                log_event("audit.use", account=mismatch.account, counter=round(mismatch.counter_units, 1),
+                          members=round(mismatch.member_units, 1),
+                          holds="less" if mismatch.is_counter_lower else "more")  # fmt: skip
 
     async def read_total(self, query: CounterQuery) -> float | None:
-        """The counter's total; None where it does not answer. It is read by adding nothing."""
+        """Returns the counter's total, read by an increment of 0; None where the counter does not answer."""
         assert self.counter is not None
         answer: asyncio.Future[float | None] = self.loop.create_future()
 
-        def done(total: float, outcome: Outcome, took_ms: float) -> None:
+        def on_reply(total: float, outcome: Outcome, duration_ms: float) -> None:
             if not answer.done():
                 answer.set_result(total if outcome is Outcome.OK else None)
 
-        self.counter.increment(query.counter_name, 0.0, READ_TTL_MS, done, lambda *late: None)
+        self.counter.increment(query.counter_name, 0.0, READ_TTL_MS, on_reply, lambda *late_reply: None)
         return await answer
--- a/glenchute/clients/membership/lease_tasks.py
+++ b/glenchute/clients/membership/lease_tasks.py
@@ -1,11 +1,11 @@
-"""Tasks that one member runs for all: this process' acceptor, its candidates, and the steps of its tasks.
-
-A step gets a `LeaseGuard`: `begin_effect(longest_s)` just before each effect returns the fencing token that
-the effect has to carry, or raises `LeaseLost`. A step is cancelled when its lease ends, or when it takes
-longer than its limit. One that raises, or is cancelled by its limit, releases the lease; a task whose holders
-failed more than `MAX_FAILED_HOLDERS` times in a row is parked, with an alarm, until an operator unparks it.
-The first step of a holder is recorded as failed before it runs, and that record is gossiped: so a step that
-kills its process counts too.
+"""Runs leased tasks, each on one member for all: the acceptor, candidates and steps of this process.
+
+A step gets a `LeaseGuard` and calls `begin_effect(longest_s)` just before each effect. The call returns the
+fencing token that the effect has to carry, or raises `LeaseLost`. A step is cancelled when its lease ends or
+when it exceeds its time limit. A step that raises or exceeds its limit releases the lease. A task whose
+holders failed more than `MAX_FAILED_HOLDERS` times in a row is parked and logged as an error, until an
+operator unparks it. The first step of a holder is recorded as failed before it runs, and that record is
+gossiped, so that a step that kills its process counts as a failure too.
 """
 
 from __future__ import annotations
@@ -30,34 +30,34 @@
 
 from .log_events import log_event
 
-SETTLE_S = 0.3  # for the record of a first step to reach other members before it runs
+FIRST_STEP_DELAY_S = 0.3  # a new holder's record reaches the other members before its first step runs
 
 
 def clock() -> float:
-    """Seconds of a monotonic clock that runs on while the machine is suspended."""
+    """Returns the seconds of a monotonic clock that also counts while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LeaseLost(Exception):  # noqa: N818
-    """This process no longer holds the lease: no effect may start."""
+    """Raised where this process no longer holds the lease, so that no effect may start."""
 
 
 class LeaseGuard:
-    """A step's access to its lease. `step`: how many steps this process completed before."""
+    """A step's access to its lease. `completed_steps`: steps of the task that this process has completed."""
 
-    def __init__(self, candidate: TaskCandidate, step: int) -> None:
-        self.candidate, self.step = candidate, step
+    def __init__(self, candidate: TaskCandidate, completed_steps: int) -> None:
+        self.candidate, self.completed_steps = candidate, completed_steps
 
     def begin_effect(self, longest_s: float) -> int:
-        """The fencing token for an effect that starts now and takes at most `longest_s`. LeaseLost where it
-        may not start."""
+        """Returns the fencing token for an effect that starts now and takes at most `longest_s`. Raises
+        LeaseLost where the effect may not start."""
         token = self.candidate.fencing_token(clock(), longest_s)
         if token is None:
             raise LeaseLost
         return token
 
     def note_effects_ended(self) -> None:
-        """All effects that were started are over, so the lease may be released."""
+        """Notes that all started effects are over, so that the lease may be released."""
         self.candidate.note_effects_ended(clock())
 
 
@@ -65,12 +65,12 @@
 
 
 class TaskSettings(NamedTuple):
-    """One task of the operator's file."""
+    """The settings of one task in the operator's file."""
 
     name: str
     interval_s: float
     max_step_s: float  # a step that takes longer is cancelled
-    step: Step | None  # None: the task is only to hold the lease
+    step: Step | None  # None: the process only holds the lease
 
 
 class LeaseTask:
@@ -101,8 +101,10 @@
         read_row: Callable[[str], Row | None],
         present_members: Callable[[], Sequence[str]],
     ) -> None:
-        """`send` sends a message to a member, `publish` gossips a task's record, `read_row` returns the
-        task's record as gossiped, `present_members` the other members that are not known to be gone."""
+        """Creates the candidates of `tasks`, and the acceptor where `terms` name this process as one.
+
+        `send` sends a message to a member, `publish` gossips a task's record, `read_row` returns the gossiped
+        record of a task, `present_members` the other members that are not known to be gone."""
         self.loop, self.name, self.send, self.publish = loop, name, send, publish
         self.read_row, self.present_members = read_row, present_members
         now = clock()
@@ -112,14 +114,14 @@
             proposer = Proposer(name, boot, settings.name, terms, terms.max_span_s)
             candidate = TaskCandidate(proposer, random.Random(rng.random()), now)
             self.tasks[settings.name] = LeaseTask(settings, candidate)
-        self.known_members: tuple[str, ...] | None = None  # by which candidates were last chosen
+        self.known_members: tuple[str, ...] | None = None  # those that the candidates were last chosen from
         self.is_leaving = False
-        self.own_messages: list[Outgoing[LeaseMessage]] = []  # of this process to itself
+        self.own_messages: list[Outgoing[LeaseMessage]] = []  # from this process to itself
 
     # --- messages and time -------------------------------------------------------------------------------
 
     def receive(self, sender: str, message: LeaseMessage) -> None:
-        """A message of a member, or of this process."""
+        """Handles a message from a member or from this process, and sends the replies."""
         now = clock()
         if message.kind in ACCEPTOR_MESSAGE_KINDS:
             if self.acceptor is not None:
@@ -130,7 +132,7 @@
             self.send_all(task.candidate.receive(now, sender, message))
 
     def send_all(self, out: list[Outgoing[LeaseMessage]]) -> None:
-        """Sends messages. Those to this process are received before this returns, one after the other."""
+        """Sends messages. Those to this process are handled one after the other before this returns."""
         is_outermost = not self.own_messages
         for outgoing in out:
             if outgoing.to == self.name:
@@ -142,7 +144,8 @@
             self.own_messages.pop(0)
 
     def tick(self) -> None:
-        """All that is due; to be called several times a second."""
+        """Does all that is due: lease messages, and the start and cancellation of steps. To be called several
+        times a second."""
         now = clock()
         if self.acceptor is not None:
             self.send_all(self.acceptor.tick(now))
@@ -152,24 +155,24 @@
             for task in self.tasks.values():
                 task.candidate.update_members(present)
         for task in self.tasks.values():
-            self.follow_record(task)
+            self.adopt_record(task)
             task.candidate.is_paused = task.record.is_parked or self.is_leaving
             self.send_all(task.candidate.tick(now))
             is_holder = task.candidate.proposer.is_holder(now)
             if not is_holder and task.step_job is not None:
-                task.step_job.cancel()  # its effects end before the lease did
+                task.step_job.cancel()  # its effects were over before the lease ended
             elif is_holder and task.step_job is None and now >= task.next_step_at and not self.is_leaving:
                 self.begin_step(task, now)
 
     def is_holder(self, task: str) -> bool:
         """Whether this process holds a task's lease."""
-        found = self.tasks.get(task)
-        return found is not None and found.candidate.proposer.is_holder(clock())
+        lease_task = self.tasks.get(task)
+        return lease_task is not None and lease_task.candidate.proposer.is_holder(clock())
 
     # --- steps -------------------------------------------------------------------------------------------
 
-    def follow_record(self, task: LeaseTask) -> None:
-        """Adopts the task's record as gossiped, where it is newer."""
+    def adopt_record(self, task: LeaseTask) -> None:
+        """Adopts the gossiped record of the task where it is newer than the one here."""
         row = self.read_row(task.settings.name)
         if row is not None and row.version > task.record.version():
             was_parked, task.record = task.record.is_parked, TaskRecord.from_row(row.version, row.value)
@@ -177,19 +180,19 @@
                 log_event("task.parked", task=task.settings.name, failures=task.record.failures)
 
     def publish_record(self, task: LeaseTask, record: TaskRecord) -> None:
-        """Gossips the task's new record."""
+        """Stores the task's new record and gossips it."""
         task.record = record
         self.publish(Row(RowKind.TASK, task.settings.name, "", record.version(), float(record.failures)))
 
     def begin_step(self, task: LeaseTask, now: float) -> None:
-        """Starts a step, where the task has any."""
+        """Starts the task's step, where it has one."""
         if task.settings.step is None:
             return
         task.next_step_at = now + task.settings.interval_s
         task.step_job = self.loop.create_task(self.run_step(task))
 
     async def run_step(self, task: LeaseTask) -> None:
-        """Runs one step, and records how it ended."""
+        """Runs one step and records its outcome."""
         lease = task.candidate.proposer.lease
         try:
             if lease is not None and task.record.token < lease.token:
@@ -197,7 +200,7 @@
                 if task.record.is_parked:
                     log_event("task.parked", task=task.settings.name, failures=task.record.failures)
                     raise LeaseLost
-                await asyncio.sleep(SETTLE_S)
+                await asyncio.sleep(FIRST_STEP_DELAY_S)
             assert task.settings.step is not None
             async with asyncio.timeout(task.settings.max_step_s):
                 await task.settings.step(LeaseGuard(task.candidate, task.completed_steps))
@@ -206,7 +209,7 @@
             self.release_lease(task)
         except asyncio.CancelledError:
             task.last_result = "cancelled: the lease ended"
-        except Exception as error:  # whatever a step raises, the lease has to be released
+        except Exception as error:  # the lease has to be released whatever a step raises
             task.failed_steps += 1
             task.last_result = f"failed: {error!r:.100}"
             log_event("task.failed", task=task.settings.name, error=repr(error)[:200])
@@ -222,21 +225,22 @@
             task.step_job = None
 
     def release_lease(self, task: LeaseTask) -> None:
-        """Releases the lease, for another candidate to acquire it."""
+        """Releases the lease once no effect may still run, so that another candidate can acquire it."""
         self.send_all(task.candidate.release(clock()))
 
     def leave(self) -> None:
-        """This process ends: no step starts, and leases are released when effects in progress are over."""
+        """Prepares for the end of this process: starts no more steps, and releases each lease once its
+        effects are over."""
         self.is_leaving = True
         for task in self.tasks.values():
             self.release_lease(task)
 
     def resume(self) -> None:
-        """This process does not end after all."""
+        """Undoes `leave` where this process does not end after all: it competes for leases again."""
         self.is_leaving = False
 
     def is_releasing(self) -> bool:
-        """Whether a lease waits for an effect to end before it is released."""
+        """Whether the release of a lease waits for an effect to end."""
         return any(task.candidate.is_releasing for task in self.tasks.values())
 
     def close(self) -> None:
@@ -245,10 +249,10 @@
             if task.step_job is not None:
                 task.step_job.cancel()
 
-    # --- for operators -----------------------------------------------------------------------------------
+    # --- operator commands -------------------------------------------------------------------------------
 
     def show_tasks(self) -> list[dict[str, Any]]:
-        """A row per task, for `fleet tasks`."""
+        """Returns a row per task, for `fleet tasks`."""
         now = clock()
         rows = []
         for task in self.tasks.values():
@@ -256,7 +260,7 @@
             is_holder = proposer.is_holder(now)
             remaining_s = proposer.lease.expires_at - now if is_holder and proposer.lease is not None else 0.0
             other_holder = proposer.other_holder.proposer if proposer.other_holder_until > now else ""
-            why = "" if is_holder or other_holder else self.why_no_holder(task)
+            reason = "" if is_holder or other_holder else self.no_holder_reason(task)
             rows.append(
                 {
                     "task": task.settings.name,
@@ -272,13 +276,13 @@
                     "steps": task.completed_steps,
                     "failed": task.failed_steps,
                     "last": task.last_result,
-                    "nobody": why,
+                    "nobody": reason,
                 }
             )
         return rows
 
-    def why_no_holder(self, task: LeaseTask) -> str:
-        """Why this process knows no holder of the task's lease."""
+    def no_holder_reason(self, task: LeaseTask) -> str:
+        """Returns why this process knows no holder of the task's lease."""
         if task.record.is_parked:
             return "parked"
         if not task.candidate.is_candidate:
@@ -288,7 +292,8 @@
         return "no majority has answered yet"
 
     def show_leases(self) -> list[dict[str, Any]]:
-        """A row per lease that this process accepted as an acceptor, for `fleet leases`."""
+        """Returns a row per lease that this process accepted as an acceptor, for `fleet leases`. Where there
+        is none, one row tells whether the acceptor has recovered."""
         if self.acceptor is None:
             return []
         now = clock()
@@ -300,37 +305,38 @@
                "ready": self.acceptor.has_recovered, "anew": self.acceptor.has_lost_history}]  # fmt: skip
 
     def release(self, task: str) -> list[dict[str, Any]]:
-        """`fleet release`: an operator takes the lease from this process."""
-        found = self.tasks.get(task)
-        if found is None or not found.candidate.proposer.is_holder(clock()):
+        """Handles `fleet release`: releases the lease where this process holds it."""
+        lease_task = self.tasks.get(task)
+        if lease_task is None or not lease_task.candidate.proposer.is_holder(clock()):
             return [{"released": False}]
-        self.release_lease(found)
+        self.release_lease(lease_task)
         return [{"released": True}]
 
     def unpark(self, task: str) -> list[dict[str, Any]]:
-        """`fleet unpark`: an operator lets a parked task run again."""
-        found = self.tasks.get(task)
-        if found is None or not found.record.is_parked:
+        """Handles `fleet unpark`: lets a parked task run again."""
+        lease_task = self.tasks.get(task)
+        if lease_task is None or not lease_task.record.is_parked:
             return [{"unparked": False}]
-        self.publish_record(found, found.record.unparked())
+        self.publish_record(lease_task, lease_task.record.unparked())
         return [{"unparked": True}]
 
 
 def call_service_step(task: str, holder: str, address: tuple[str, int], longest_s: float) -> Step:
-    """A step that calls a service: a line of JSON with task, token, holder and step, and the answer is "ok".
-    The service has to refuse a token lower than one that it has seen; see docs/operators/leases.md."""
+    """Returns a step that calls a service: it sends a line of JSON with task, token, holder and step, and
+    expects the reply "ok". The service has to reject a token lower than the highest that it has seen; see
+    docs/operators/leases.md."""
 
     async def step(guard: LeaseGuard) -> None:
-        # Connecting has no effect on the service, so it needs no token.
+        # A connection has no effect on the service, so it needs no token.
         reader, writer = await asyncio.open_connection(*address)
         try:
             token = guard.begin_effect(longest_s)
-            request = {"task": task, "token": token, "holder": holder, "step": guard.step}
+            request = {"task": task, "token": token, "holder": holder, "step": guard.completed_steps}
             writer.write(json.dumps(request).encode() + b"\n")
             async with asyncio.timeout(longest_s):
-                answer = await reader.readline()
-            if answer.strip() != b"ok":
-                raise RuntimeError(f"the service says {answer[:100]!r}")
+                reply = await reader.readline()
+            if reply.strip() != b"ok":
+                raise RuntimeError(f"the service replied {reply[:100]!r}, expected b'ok'")
             guard.note_effects_ended()
         finally:
             writer.close()
--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -1,9 +1,9 @@
-"""A member's socket and timer.
+"""The UDP socket and timer of a member.
 
 `MemberNode` owns the socket, the state machines of `policy/membership` and their timer, and passes messages
-between them. The core is reached through `UsageReporter`, in front of the decision engine, and
-`EndpointSync`, beside discovery. Nothing here delays a request: all of it is memory, and datagrams that the
-kernel does not accept are lost, as any may be.
+between them. It is connected to the core by `UsageReporter`, in front of the decision engine, and by
+`EndpointSync`, beside discovery. Nothing here delays a request: all state is in memory, and a datagram that
+the kernel does not accept at once is dropped, as the network may drop any.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 from . import status
 from .audit_task import AuditTask
 from .endpoint_sync import EndpointSync, parse_address
-from .lease_tasks import SETTLE_S, LeaseTaskRunner, TaskSettings, call_service_step
+from .lease_tasks import FIRST_STEP_DELAY_S, LeaseTaskRunner, TaskSettings, call_service_step
 from .log_events import log_event
 from .usage_reports import UsageReporter
 
@@ -56,20 +56,22 @@
 
 
 class MemberNode(asyncio.DatagramProtocol):
-    """This process among the members."""
+    """This process as a member of the fleet."""
 
     def __init__(
         self, raw: dict[str, Any], loop: asyncio.AbstractEventLoop, engine: DecisionHandler,
         settings: Settings, seed: int, number: int | None = None,
     ) -> None:  # fmt: skip
-        """`raw`: the checked table `[fleet]`. `engine`: the decision engine. `number`: this gateway's, where
-        the platform states it: members' numbers are used only if its own is the same there, as usage would
-        else go to others than those that share its accounts."""
+        """Creates the state machines; `start` opens the socket.
+
+        `raw`: the validated table `[fleet]`. `engine`: the decision engine. `number`: this gateway's number,
+        where the platform states it. The members' numbers are used only if they give this gateway the same
+        number: otherwise usage would be sent to other gateways than those that share its accounts."""
         rng = random.Random(seed)
         self.loop, self.fleet_name, self.name = loop, raw["fleet"], raw["name"]
         self.gateway_count = settings.gateway_count
-        # Not of the seed: a platform that restarts a process with an old file gives it the old seed, and two
-        # processes would be taken for one.
+        # Not derived from the seed: a platform that restarts a process with an old file gives it the old
+        # seed, and the two processes would be taken for one.
         self.boot = int.from_bytes(os.urandom(8), "big") >> 2
         writer = f"{self.name}#{self.boot:x}"
         self.listen_address = parse_address(raw["listen"])
@@ -77,11 +79,13 @@
         self.names_by_address = {address: name for name, address in self.addresses.items()}
         now = loop.time()
         self.members = MemberList(self.name, self.boot, list(self.addresses), swim_settings(raw), rng, now)
-        self.alive: list[str] = []  # suspects included
+        self.alive: list[str] = []  # includes suspected members
         self.replica = Replica()
         self.gossip = Gossip(self.replica, gossip_settings(raw), rng, now)
         self.usage = AccountUsage(writer)
-        ring = GatewayRing(self.name, list(self.addresses), self.numbers(raw, number), self.gateway_count)
+        ring = GatewayRing(
+            self.name, list(self.addresses), self.member_numbers(raw, number), self.gateway_count
+        )
         usage_budget = raw.get("use_kib_s", 6.0) * 1024.0
         self.messenger = DirectMessenger(
             self.usage, self.replica, ring, self.is_alive, rng, now, usage_budget
@@ -102,11 +106,12 @@
         self.dropped_datagrams: Counter[str] = Counter()  # by reason
         self.datagram_count = 0
         self.last_datagram_at = -1e9
-        self.is_handing_over = False  # the next process waits for the address
+        self.is_handing_over = False  # the successor waits for this process' address
         self.logged_conflicts = 0
 
-    def numbers(self, raw: dict[str, Any], platform_number: int | None) -> dict[str, int] | None:
-        """The members' numbers; None where they are not the platform's."""
+    def member_numbers(self, raw: dict[str, Any], platform_number: int | None) -> dict[str, int] | None:
+        """Returns the members' gateway numbers; None where they are incomplete or ambiguous, or where the
+        platform gives this gateway another number."""
         numbers = gateway_numbers({row["name"]: row.get("number") for row in (raw, *raw["members"])})
         if numbers is None or platform_number is None or numbers[self.name] == platform_number:
             return numbers
@@ -114,7 +119,7 @@
         return None
 
     def make_task_runner(self, raw: dict[str, Any], rng: random.Random) -> LeaseTaskRunner:
-        """The leases and tasks of this process, from `[fleet.leases]`."""
+        """Creates the runner of leases and tasks from `[fleet.leases]`."""
         terms = LeaseTerms(tuple(raw["voters"]), raw.get("longest_s", 10.0), raw.get("drift", 0.01))
         holder = f"{self.name}#{self.boot:x}"
         tasks = []
@@ -126,7 +131,7 @@
             elif row["kind"] == "audit":
                 step = self.audit.step
                 self.reporter.note_account = self.audit.usage_audit.note_account
-            max_step_s = 2.0 * max_effect_s + SETTLE_S
+            max_step_s = 2.0 * max_effect_s + FIRST_STEP_DELAY_S
             tasks.append(TaskSettings(row["name"], row.get("interval_s", 1.0), max_step_s, step))
         return LeaseTaskRunner(
             self.loop, self.name, self.boot, terms, tasks, rng, self.send, self.publish,
@@ -136,17 +141,17 @@
     # --- start and end -----------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Opens the socket and starts probing. Where the address is in use, as by the previous process until
-        it leaves, binding is retried: without its socket this gateway uses its local share alone."""
+        """Opens the socket and starts the timer. Where the address is in use, as by the predecessor until it
+        leaves, binding is retried; until then this gateway admits by its local share alone."""
         await self.bind()
         self.tick()
 
     async def bind(self) -> None:
-        """One attempt to open the socket. OSError where it fails other than by an address in use."""
+        """Tries to open the socket, and again later where the address is in use. Raises any other OSError."""
         udp_socket = socket.socket(type=socket.SOCK_DGRAM)
         udp_socket.setblocking(False)
         try:
-            udp_socket.bind(self.listen_address)  # by hand: the loop's error has no errno
+            udp_socket.bind(self.listen_address)  # not by the loop, whose error has no errno
         except OSError as error:
             udp_socket.close()
             if error.errno != errno.EADDRINUSE:
@@ -159,16 +164,17 @@
         await self.loop.create_datagram_endpoint(lambda: self, sock=udp_socket)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Stores the transport of the opened socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is no subclass of it
 
     def error_received(self, exc: Exception) -> None:
-        """The system reports an error of the socket."""
-        self.dropped_datagrams["refused by the machine"] += 1  # a closed port; the probes find it
+        """Counts an error that the system reports for an earlier datagram."""
+        self.dropped_datagrams["refused by the machine"] += 1  # a closed port; probes detect the member
 
     def leave(self, replaced: bool) -> None:
-        """Announces once that this process ends; members that miss it find out by probes. `replaced`: the
-        next process waits for the address, and gets it as soon as leases are released."""
+        """Announces once that this process ends; members that miss the message find out by probes.
+        `replaced`: a successor waits for the address, and the socket is closed as soon as all leases are
+        released."""
         self.pause_tasks()
         for outgoing in self.members.leave(self.loop.time()):
             self.send(outgoing.to, outgoing.message)
@@ -176,22 +182,22 @@
         self.close_when_released()
 
     def pause_tasks(self) -> None:
-        """No task starts a step from now on; leases are released when effects in progress are over."""
+        """Stops tasks from starting steps; leases are released once effects in progress are over."""
         if self.task_runner is not None:
             self.task_runner.leave()
 
     def resume_tasks(self) -> None:
-        """This process does not end after all."""
+        """Lets tasks start steps again, where this process does not end after all."""
         if self.task_runner is not None:
             self.task_runner.resume()
 
     def close_when_released(self) -> None:
-        """Closes the socket for the next process, once no lease waits for an effect."""
+        """Closes the socket for the successor, once no release of a lease waits for an effect."""
         if self.is_handing_over and (self.task_runner is None or not self.task_runner.is_releasing()):
             self.close()
 
     def close(self) -> None:
-        """Closes the socket and stops the timer."""
+        """Closes the socket, and cancels the timers and the running steps."""
         if self.task_runner is not None:
             self.task_runner.close()
         for timer in (self.timer, self.bind_timer):
@@ -203,7 +209,7 @@
     # --- queries and publication -------------------------------------------------------------------------
 
     def known_share(self, spread: int) -> float:
-        """The share of a subset of `spread` gateways whose usage is known here, this one's included."""
+        """Returns the share of a subset of `spread` gateways whose usage is known here, this one included."""
         now, spread = self.loop.time(), min(spread, self.gateway_count)
         known_peers = self.messenger.known_gateways(now, spread)
         silent_s = now - self.last_datagram_at
@@ -212,15 +218,15 @@
         )
 
     def is_alive(self, name: str) -> bool:
-        """Whether a member is alive beyond suspicion."""
+        """Whether a member is alive and not suspected."""
         return self.members.members[name].state is MemberState.ALIVE
 
     def present_members(self) -> list[str]:
-        """Members that are not known to be gone."""
+        """Returns the other members, without those known to be dead or to have left."""
         return [member.name for member in self.members.members.values() if member.state not in GONE_STATES]
 
     def publish(self, row: Row) -> None:
-        """Sends a row of this process to the members that need it."""
+        """Sends a row of this process to the members that need it: usage directly, all else by gossip."""
         if row.kind is RowKind.USE:
             self.messenger.report(self.loop.time(), row)
             return
@@ -229,7 +235,8 @@
     # --- socket ------------------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """One datagram. Only configured addresses are accepted, each under its own name."""
+        """Decodes and handles a datagram. Only those from configured addresses are accepted, each under its
+        own name."""
         self.datagram_count += 1
         name = self.names_by_address.get((addr[0], addr[1]))
         if name is None:
@@ -246,26 +253,26 @@
         self.receive(self.last_datagram_at, name, boot, message)
 
     def receive(self, now: float, name: str, boot: int, message: MemberMessage) -> None:
-        """Passes a message to the state machine that it is for, and sends the answers."""
+        """Passes a message to the state machine that handles it, and sends the replies."""
         if isinstance(message, SwimMessage):
-            for swim_answer in self.members.receive(now, name, boot, message):
-                self.send(swim_answer.to, swim_answer.message)
+            for swim_reply in self.members.receive(now, name, boot, message):
+                self.send(swim_reply.to, swim_reply.message)
         elif isinstance(message, VersionReply | EndpointListPart | VersionQuery):
             self.endpoint_sync.receive(now, name, message)
         elif isinstance(message, LeaseMessage):
             if self.task_runner is not None:
                 self.task_runner.receive(name, message)
         elif isinstance(message, UsageMessage | UsageRequest):
-            for usage_answer in self.messenger.receive(now, name, boot, message):
-                self.send(usage_answer.to, usage_answer.message)
+            for usage_reply in self.messenger.receive(now, name, boot, message):
+                self.send(usage_reply.to, usage_reply.message)
         else:
-            for gossip_answer in self.gossip.receive(now, name, message, len(self.members.members)):
-                self.send(gossip_answer.to, gossip_answer.message)
+            for gossip_reply in self.gossip.receive(now, name, message, len(self.members.members)):
+                self.send(gossip_reply.to, gossip_reply.message)
             if isinstance(message, Delta):
                 self.apply_received_rows()
 
     def apply_received_rows(self) -> None:
-        """Passes rows that gossip received on: drains to the endpoint list, others to the reporter."""
+        """Passes on the rows that gossip received: drains to the endpoint list, others to the reporter."""
         rows = self.gossip.take_received()
         drains = [received for received in rows if received.row.kind is RowKind.SERVER]
         for received in rows:
@@ -274,7 +281,7 @@
         self.endpoint_sync.receive_drains(drains)
 
     def send(self, to: str, message: MemberMessage) -> None:
-        """One datagram; lost where the kernel does not accept it now."""
+        """Sends a message in one datagram. It is dropped where the kernel does not accept it now."""
         if self.transport is not None and not self.transport.is_closing():
             data = encode(self.fleet_name, self.name, self.boot, message)
             self.transport.sendto(data, self.addresses[to])
@@ -282,7 +289,7 @@
     # --- timer -------------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """All that is due; runs every `TICK_S`."""
+        """Does all that is due, and schedules itself after `TICK_S`."""
         self.timer = self.loop.call_later(TICK_S, self.tick)
         now = self.loop.time()
         for probe in self.members.tick(now):
@@ -304,7 +311,7 @@
         self.log_conflicts()
 
     def apply_member_changes(self) -> None:
-        """Logs members' changes; only then the list of the alive is made anew."""
+        """Logs changes of members' states, and rebuilds the list of alive members where there are any."""
         changes = self.members.take_changes()
         if changes:
             self.alive = self.members.alive_names()
@@ -312,7 +319,7 @@
             self.log_member_change(change)
 
     def log_member_change(self, change: MemberChange) -> None:
-        """A line for a change, or for two processes under one name."""
+        """Logs one change, or that two processes run under one name."""
         if change.is_name_conflict:
             log_event("member.doubled", member=change.name)
             return
@@ -320,7 +327,7 @@
         log_event("member.changed", member=change.name, now=after, was=before)
 
     def log_conflicts(self) -> None:
-        """A line for the latest conflict of replicas, where there is a new one."""
+        """Logs the latest conflict between replicas, where there is a new one."""
         if self.logged_conflicts >= self.replica.conflict_count:
             return
         self.logged_conflicts = self.replica.conflict_count
@@ -333,7 +340,7 @@
     # --- control socket ----------------------------------------------------------------------------------
 
     def verbs(self) -> dict[str, Callable[[], status.Rows]]:
-        """The verbs of `glenchute fleet`, with the functions that answer them."""
+        """Returns the handlers of `glenchute fleet`, by verb."""
         verbs: dict[str, Callable[[], status.Rows]] = {}
         runner = self.task_runner
         if runner is not None:
@@ -351,12 +358,12 @@
 
 
 def swim_settings(raw: dict[str, Any]) -> SwimSettings:
-    """The failure detector's settings, from `[fleet]`."""
+    """Returns the failure detector's settings from `[fleet]`."""
     return SwimSettings(raw.get("period_ms", 200.0) / 1000.0, raw.get("patience_ms", 2500.0) / 1000.0)
 
 
 def gossip_settings(raw: dict[str, Any]) -> GossipSettings:
-    """Gossip's settings, from `[fleet]`."""
+    """Returns the gossip settings from `[fleet]`."""
     return GossipSettings(
         raw.get("push_ms", 50.0) / 1000.0,
         raw.get("compare_ms", 500.0) / 1000.0,
