--- a/glenchute/clients/membership/__init__.py
+++ b/glenchute/clients/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets of members; only where `[fleet]` is in the operator's file."""
+"""Members' gossip over UDP. Imported only where the operator's file has a `[fleet]` table."""
--- a/glenchute/clients/membership/endpoint_sync.py
+++ b/glenchute/clients/membership/endpoint_sync.py
@@ -1,7 +1,7 @@
-"""Endpoint lists between discovery, the members and the core.
+"""Synchronizes endpoint lists between discovery, the members and the core.
 
-Discovery's answers go to the members as drains and, with `share_list`, as the whole list; what members send
-goes to the core, as far as discovery does not contradict it.
+Discovery's answers are sent to the members as drains and, with `share_list`, as the whole list. What members
+send is passed to the core, as far as discovery does not contradict it.
 """
 
 from __future__ import annotations
@@ -33,27 +33,28 @@
 
 
 class EndpointSync:
-    """The endpoint list of one process among members."""
+    """The endpoint list of this process, as discovery and the members report it."""
 
     def __init__(
         self, shared_list: SharedEndpointList | None, clock: Callable[[], float],
         publish: Callable[[Row], None], send: Callable[[str, Any], None],
         present_members: Callable[[], list[str]],
     ) -> None:  # fmt: skip
-        """`shared_list`: None where lists are not shared. `clock`: seconds. `publish` gossips a row, `send`
-        sends a message to a member. `present_members`: those that are not known to be dead."""
+        """`shared_list`: None where lists are not shared. `clock` returns seconds. `publish` gossips a row,
+        `send` sends a message to a member, `present_members` returns the other members that are not known to
+        be gone."""
         self.shared_list, self.clock, self.publish, self.send = shared_list, clock, publish, send
         self.present_members = present_members
         self.drains = GossipedDrains()
         self.discovery: DiscoveryClient | None = None
-        self.apply_update: Callable[[EndpointUpdate], None] | None = None  # the core's
-        self.addresses: dict[str, Address] = {}  # by endpoint, as discovery sent them
+        self.apply_update: Callable[[EndpointUpdate], None] | None = None  # passes an update to the core
+        self.addresses: dict[str, Address] = {}  # by endpoint, as discovery or a poller sent them
 
     # --- discovery ---------------------------------------------------------------------------------------
 
     def attach_discovery(self, cached: EndpointUpdate | None, discovery: DiscoveryClient) -> bool:
-        """Before discovery is polled, with the cached list. Whether this gateway polls for all members, and
-        does so at once."""
+        """Connects to the discovery client before its first poll, and adopts the cached list. Returns whether
+        this gateway polls for all members, and thus has to poll at once."""
         discovery.on_confirmed = self.confirm_version
         if cached is not None:
             self.apply_discovery(cached)
@@ -69,12 +70,13 @@
         return self.shared_list.is_poller(self.present_members())
 
     def poll_delay_s(self) -> float:
-        """How long discovery need not be polled, as members confirm the list."""
+        """Returns how long discovery need not be polled because members confirm the list."""
         assert self.shared_list is not None
         return self.shared_list.poll_delay_s(self.clock(), self.present_members())
 
     def confirm_version(self, version: int) -> None:
-        """Discovery has answered that it has nothing newer: drains that it does not confirm are revoked."""
+        """Handles an answer of discovery that `version` is its newest: revokes the gossiped drains that it
+        does not confirm."""
         if self.shared_list is not None and version == self.shared_list.version:
             self.shared_list.confirmed_at = self.clock()
         restored, revoked = self.drains.confirm_version(self.clock(), version)
@@ -84,7 +86,7 @@
         self.apply_changes([entry for entry in restored if entry.address in self.addresses])
 
     def receive_discovery(self, update: EndpointUpdate) -> None:
-        """An answer of discovery, before the core has it: members are sent the list, and drains."""
+        """Handles an answer of discovery before the core does: sends the list and its drains to members."""
         self.apply_discovery(update)
         is_full = update.event.kind is EndpointListKind.FULL
         if self.shared_list is not None:
@@ -101,7 +103,7 @@
                 self.publish(Row(RowKind.SERVER, entry.address, "", update.version, rank))
 
     def apply_discovery(self, update: EndpointUpdate) -> None:
-        """Takes over what discovery has answered here."""
+        """Adopts an answer of discovery: the addresses, and the state that settles gossiped drains."""
         is_full = update.event.kind is not EndpointListKind.CHANGES
         self.drains.apply_discovery_list(update.version, is_full, update.event.endpoints)
         self.addresses = update.addresses if is_full else self.addresses | update.addresses
@@ -109,17 +111,17 @@
     # --- members -----------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """A query to one of the members that poll, where it is due."""
+        """Sends a query to one of the members that poll, where it is due."""
         if self.shared_list is not None:
             self.handle_shared(self.shared_list.tick(now, self.present_members()), [])
 
     def receive(self, now: float, sender: str, message: SharingMessage) -> None:
-        """A member's message on the shared list."""
+        """Handles a member's message on the shared list."""
         if self.shared_list is not None:
             self.handle_shared(*self.shared_list.receive(now, sender, message))
 
     def set_lease_holder(self, is_holder: bool) -> None:
-        """Whether this process holds the lease to poll; a new holder polls at once."""
+        """Sets whether this process holds the lease to poll. A new holder polls at once."""
         if self.shared_list is None:
             return
         was_holder, self.shared_list.is_lease_holder = self.shared_list.is_lease_holder, is_holder
@@ -127,7 +129,7 @@
             self.discovery.resume_polling()
 
     def handle_shared(self, out: Sequence[Outgoing[SharingMessage]], rows: Sequence[SharedEndpoint]) -> None:
-        """Sends messages of the shared list, and applies the rows that changed in it."""
+        """Sends messages on the shared list, and applies the rows that changed in it."""
         for outgoing in out:
             self.send(outgoing.to, outgoing.message)
         if not rows or self.apply_update is None or self.shared_list is None or self.discovery is None:
@@ -148,7 +150,7 @@
         self.apply_update(EndpointUpdate(version, EndpointList(EndpointListKind.CHANGES, entries), addresses))
 
     def receive_drains(self, rows: Sequence[ReceivedRow]) -> None:
-        """Gossiped drains: their endpoints get nothing new, on trial."""
+        """Applies gossiped drains: their endpoints get no new requests unless discovery revokes the drain."""
         now, entries = self.clock(), []
         for received in rows:
             row = received.row
@@ -157,14 +159,14 @@
         self.apply_changes(entries)
 
     def apply_changes(self, entries: list[Endpoint]) -> None:
-        """Passes changes that are not discovery's on to the core."""
+        """Passes changes that did not come from discovery to the core."""
         if entries and self.apply_update is not None:
             changes = EndpointList(EndpointListKind.CHANGES, tuple(entries))
             self.apply_update(EndpointUpdate(self.drains.version, changes, self.addresses))
 
 
 def shared_endpoints(update: EndpointUpdate) -> list[SharedEndpoint]:
-    """An answer of discovery as rows for the members."""
+    """Returns an answer of discovery as rows for the members."""
     rows = []
     for entry in update.event.endpoints:
         host, port = update.addresses.get(entry.address, ("", 0))
@@ -184,6 +186,6 @@
 
 
 def parse_address(text: str) -> Address:
-    """`127.0.0.1:9000`, which was checked before."""
+    """Parses an address such as `127.0.0.1:9000`, which has been validated before."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/glenchute/clients/membership/log_events.py
+++ b/glenchute/clients/membership/log_events.py
@@ -1,5 +1,7 @@
-"""What the fleet's part of a process logs: a catalogue, so that each event has one name, one level and known
-fields, and nothing else is logged. Lines are `event key=value ...`, by structlog through the program's log.
+"""The log events of the members' gossip: a catalogue of every event with its name, level and fields.
+
+Nothing outside the catalogue is logged. Lines have the form `event key=value ...` and go through structlog to
+the program's log.
 """
 
 from __future__ import annotations
@@ -11,11 +13,11 @@
 
 
 class Event(NamedTuple):
-    """One kind of line."""
+    """One kind of log line."""
 
     level: int
     fields: tuple[str, ...]
-    means: str
+    description: str
 
 
 CATALOGUE: dict[str, Event] = {
@@ -61,10 +63,10 @@
 
 
 def render(_: Any, __: str, event: Any) -> str:
-    """`event key=value ...`; text that has a space or a quote is shown as Python shows it."""
+    """Formats an event as `event key=value ...`. A value that contains a space is written as its `repr`."""
     name = event.pop("event")
-    words = [f"{key}={value!r}" if " " in str(value) else f"{key}={value}" for key, value in event.items()]
-    return " ".join([name, *words])
+    pairs = [f"{key}={value!r}" if " " in str(value) else f"{key}={value}" for key, value in event.items()]
+    return " ".join([name, *pairs])
 
 
 _log = structlog.wrap_logger(
@@ -73,7 +75,7 @@
 
 
 def log_event(name: str, **fields: Any) -> None:
-    """Logs an event of the catalogue. KeyError, ValueError where it is not one, or not with these fields."""
+    """Logs an event of the catalogue. Raises KeyError for an unknown event, ValueError for other fields."""
     known = CATALOGUE[name]
     if tuple(fields) != known.fields:
         raise ValueError(f"{name} has the fields {', '.join(known.fields)}")
--- a/glenchute/clients/membership/status.py
+++ b/glenchute/clients/membership/status.py
@@ -1,4 +1,4 @@
-"""Answers of a member on the control socket: rows of plain values, with names that operators rely on."""
+"""A member's replies on the control socket: rows of plain values, by column names that operators rely on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def show_members(node: MemberNode) -> Rows:
-    """A row per member, this process first."""
+    """Returns a row per member, this process first."""
     now, members = node.loop.time(), node.members
     own_row = {"name": node.name, "state": members.own_state().name.lower(), "for_s": 0.0,
                "incarnation": members.incarnation, "boot": f"{node.boot:x}",
@@ -30,7 +30,7 @@
 
 
 def show_list(node: MemberNode) -> Rows:
-    """One row on the shared endpoint list; none where it is not shared."""
+    """Returns one row on the shared endpoint list, or none where it is not shared."""
     shared_list = node.endpoint_sync.shared_list
     if shared_list is None:
         return []
@@ -41,12 +41,12 @@
 
 
 def show_state(node: MemberNode) -> Rows:
-    """One row on what is stored, sent and received."""
+    """Returns one row on what this process stores, has sent and has received."""
     replica, gossip, messenger = node.replica, node.gossip, node.messenger
     stored = {kind.name.lower(): len(replica.keys_by_age[kind]) for kind in RowKind}
     evicted = {f"evicted_{kind.name.lower()}": replica.evicted_counts[kind] for kind in RowKind}
     drains, usage_audit = node.endpoint_sync.drains, node.audit.usage_audit
-    stored["health_rows"] = stored.pop(RowKind.HEALTH.name.lower())  # `health` is this process's own
+    stored["health_rows"] = stored.pop(RowKind.HEALTH.name.lower())  # `health` is this process' local health
     stored |= {"denied": drains.revoked_count, "on_trial": len(drains.on_trial),
                "avoided": len(node.reporter.health.peer_reports), "audited": usage_audit.compared_count,
                "use_apart": len(usage_audit.mismatches)}  # fmt: skip
@@ -62,7 +62,7 @@
 
 
 def show_conflicts(node: MemberNode) -> Rows:
-    """A row per conflict, the latest last."""
+    """Returns a row per conflict between replicas, the latest last."""
     return [
         {"kind": conflict.kept.kind.name.lower(), "key": conflict.kept.key, "writer": conflict.kept.writer,
          "version": conflict.kept.version, "kept": conflict.kept.value, "other": conflict.other.value,
@@ -72,7 +72,7 @@
 
 
 def show_digest(node: MemberNode) -> Rows:
-    """One hash over all compared rows: the same at members whose replicas agree."""
+    """Returns one hash over all compared rows. It is equal at members whose replicas agree."""
     digest = 0
     for bucket_hash in node.replica.child_hashes(node.loop.time(), None):
         digest ^= bucket_hash
--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -1,7 +1,7 @@
-"""The decision engine with the members' usage and endpoint health in front of it.
+"""Exchanges usage and endpoint health between the decision engine and the members.
 
-What is admitted, and which endpoints could not be reached, is published for the other members; before each
-request the engine is given what they reported. No socket of its own.
+Admitted units and unreachable endpoints are published to the other members. Before each request the engine is
+given what they reported. This module does no I/O of its own.
 """
 
 from __future__ import annotations
@@ -31,25 +31,25 @@
 
 
 class UsageReporter:
-    """Handles events in the place of the decision engine, and passes them on to it."""
+    """A decision handler in front of the decision engine, to which it passes all events."""
 
     def __init__(
         self, engine: DecisionHandler, settings: Settings, usage: AccountUsage, health: EndpointHealth,
         publish: Callable[[Row], None], known_share: Callable[[int], float], clock: Callable[[], float],
     ) -> None:  # fmt: skip
-        """`engine`: the decision engine. `publish` sends a row to the members that need it. `known_share`: of
-        a subset of so many gateways, the share whose usage is known here. `clock`: seconds, by which the ages
-        of rows are counted."""
-        self.note_account: Callable[[str, Plan], None] = lambda customer, plan: None  # for the usage audit
-        self.now_ms = 0.0  # at the last event, by the clock that names windows
+        """`engine`: the decision engine. `publish` sends a row to the members that need it. `known_share`
+        returns, for a subset of so many gateways, the share whose usage is known here. `clock` returns the
+        seconds by which the ages of rows are measured."""
+        self.note_account: Callable[[str, Plan], None] = lambda account, plan: None  # for the usage audit
+        self.now_ms = 0.0  # wall-clock time of the last event; windows are named by it
         self.engine, self.usage, self.health, self.clock = engine, usage, health, clock
         self.publish, self.known_share = publish, known_share
         self.active_endpoints: set[str] = set()
         self.plans = {plan.name: plan for plan in settings.plans}
-        self.pending_requests: dict[str, Request] = {}  # neither admitted nor rejected yet
+        self.pending_requests: dict[str, Request] = {}  # not yet admitted or rejected
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """One event for the engine; its actions."""
+        """Passes an event to the engine, publishes what follows from it, and returns the engine's actions."""
         self.now_ms = now_ms
         if isinstance(event, Request):
             self.prepare_request(now_ms, event)
@@ -70,8 +70,8 @@
         return actions
 
     def prepare_request(self, now_ms: float, request: Request) -> None:
-        """Before a request: the engine is given the avoided endpoints and the account's usage elsewhere, of
-        this window and the one before."""
+        """Gives the engine what it needs before a request: the endpoints to avoid, and the account's usage at
+        other gateways in this window and the one before."""
         for avoid in self.health.take_changes(self.clock(), len(self.active_endpoints)):
             self.engine.handle(now_ms, avoid)
         plan = self.plans.get(request.plan)
@@ -87,14 +87,14 @@
         self.pending_requests[request.request_id] = request
 
     def report_admitted(self, now_ms: float, request: Request) -> None:
-        """The request's first attempt starts: its units are used."""
+        """Publishes the usage of a request whose first attempt starts."""
         plan = self.plans[request.plan]
         window = window_start_ms(now_ms, request.tenant, plan)
         row = self.usage.add_admitted(request.tenant, window, request.units, request.gateway_spread, plan)
         self.publish(row)
 
     def apply_endpoint_list(self, event: EndpointList) -> None:
-        """The list, or changes to it."""
+        """Updates the active endpoints from a list or from changes to it."""
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             self.active_endpoints.clear()
         for entry in event.endpoints:
@@ -104,6 +104,6 @@
                 self.active_endpoints.discard(entry.address)
 
     def receive(self, received: ReceivedRow) -> None:
-        """A row of another process; only endpoint health concerns the engine."""
+        """Handles a gossiped row of another process. Only rows on endpoint health concern the engine."""
         if received.row.kind is RowKind.HEALTH:
             self.health.receive(self.clock(), received.row, received.age_s)
