--- a/tests/clients/membership/test_hundreds.py
+++ b/tests/clients/membership/test_hundreds.py
@@ -1,4 +1,4 @@
-"""Many gateways before one fleet: each sees a customer seldom, and what each may do alone adds up."""
+"""Decisions of one of hundreds of gateways: each sees a tenant seldom, and what each may do alone adds up."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from glenchute.policy.events import CounterReply, Endpoint, EndpointList, EndpointListKind, Outcome
 from tests.rig import SETTINGS, Rig, entries, finals, only, with_
 
-MANY = with_(SETTINGS, gateway_count=300)
+MANY_GATEWAYS = with_(SETTINGS, gateway_count=300)
 
 
-def test_one_of_hundreds_asks_and_lets_in_what_the_store_holds() -> None:
-    # A store over its spread never holds a request; all were refused.
-    rig = Rig(entries(4), MANY)
+def test_one_of_hundreds_admits_what_the_shared_bucket_holds() -> None:
+    # Guards against a bucket divided by the gateway spread: it never holds a request, so all were rejected.
+    rig = Rig(entries(4), MANY_GATEWAYS)
     for i in range(20):
         name, actions = rig.ask(plan="rate", customer=f"c{i}", spread=200)
         assert only(actions, IncrementCounter)
@@ -23,15 +23,15 @@
         rig.end(name, 0, Outcome.OK)
 
 
-def test_a_word_of_the_moment_refuses_what_the_others_have_used() -> None:
-    rig = Rig(entries(4), MANY)
+def test_a_counter_reply_rejects_what_the_others_have_used() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.others = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
     assert only(actions, Reject) and not only(actions, StartAttempt)
 
 
-def test_a_request_waits_for_its_own_word_and_is_answered_once() -> None:
-    rig = Rig(entries(4), MANY)
+def test_a_request_that_waits_for_the_counter_is_answered_once() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.ending = Outcome.TIMEOUT
     name, actions = rig.ask(plan="rate", spread=200)
     assert [a.request_id for a in only(actions, StartAttempt)] == [name]
@@ -39,23 +39,23 @@
     assert not rig.feed(CounterReply(call.key, 3.0, Outcome.OK))
 
 
-def test_no_word_is_waited_for_with_little_time_left() -> None:
-    rig = Rig(entries(4), MANY)
+def test_a_request_with_little_time_left_does_not_wait_for_the_counter() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     _, actions = rig.ask(plan="rate", spread=200, left=60.0)
     assert only(actions, StartAttempt) or finals(actions)
 
 
-def test_a_name_holds_one_window() -> None:
-    rig = Rig(entries(4), MANY)
+def test_a_counter_key_covers_one_window() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.ask(plan="rate", spread=200)
     rig.advance(10_000.0)
     rig.ask(plan="rate", spread=200)
-    names = [a.key for _, a in rig.log if isinstance(a, IncrementCounter)]
-    assert len(names) == 2 and len(set(names)) == 2
+    keys = [a.key for _, a in rig.log if isinstance(a, IncrementCounter)]
+    assert len(keys) == 2 and len(set(keys)) == 2
 
 
-def test_under_a_ceiling_a_refused_request_is_taken_off_by_the_next_call() -> None:
-    rig = Rig(entries(4), MANY)
+def test_under_a_ceiling_the_next_call_leaves_out_a_rejected_request() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.others = 7.0
     _, actions = rig.ask(plan="hard", spread=200)
     assert only(actions, Reject)
@@ -63,48 +63,51 @@
     rig.advance(1050.0)
     rig.ask(plan="hard", spread=200)
     amounts = [a.amount for _, a in rig.log if isinstance(a, IncrementCounter)]
-    assert amounts in ([1.0, 0.0], [1.0, 1.0])  # the second where a new window began
+    # [1.0, 1.0] where a new window began between the two calls.
+    assert amounts in ([1.0, 0.0], [1.0, 1.0])
 
 
-def test_asking_falls_while_calls_are_turned_away_and_comes_back() -> None:
-    rig = Rig(entries(4), MANY)
+def test_the_call_rate_falls_while_the_counter_rejects_calls_and_recovers() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
 
-    def asked(count: int, turned_away: bool = False) -> int:
+    def count_calls(requests: int, rejects_half: bool = False) -> int:
         before = sum(isinstance(a, IncrementCounter) for _, a in rig.log)
-        for i in range(count):
-            rig.ending = Outcome.REJECTED if turned_away and i % 2 else Outcome.OK
+        for i in range(requests):
+            rig.ending = Outcome.REJECTED if rejects_half and i % 2 else Outcome.OK
             name, actions = rig.ask(plan="rate", customer=f"{rig.serial}", spread=200)
             if only(actions, StartAttempt):
                 rig.end(name, 0, Outcome.OK)
             rig.advance(5.0)
         return sum(isinstance(a, IncrementCounter) for _, a in rig.log) - before
 
-    most = asked(50)
-    asked(40, turned_away=True)
-    least = asked(50)
-    asked(400)
-    assert most == 50 and least < 0.7 * most and asked(50) > 0.8 * most
+    full_count = count_calls(50)
+    count_calls(40, rejects_half=True)
+    reduced_count = count_calls(50)
+    count_calls(400)
+    assert full_count == 50 and reduced_count < 0.7 * full_count and count_calls(50) > 0.8 * full_count
 
 
-def test_a_mute_counter_lets_two_requests_in_then_the_part() -> None:
-    rig = Rig(entries(4), MANY)
+def test_an_unavailable_counter_admits_two_requests_then_the_local_share() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.ending = Outcome.UNREACHABLE
     for i in range(6):
         rig.end(rig.ask(plan="rate", customer=f"x{i}", spread=200)[0], 0, Outcome.OK)
     assert rig.gateway.quota.counter.pacing.is_unavailable
-    went = 0
+    admitted = 0
     for _ in range(40):
         name, actions = rig.ask(plan="rate", spread=200)
         if only(actions, StartAttempt):
-            went += 1
+            admitted += 1
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.advance(500.0)
-    assert went == 2  # 20 s of a two-hundredth of two a second make no third
+    # The local share of 2 units/s over 200 gateways gains 0.2 units in the 20 s: too little for a third.
+    assert admitted == 2
 
 
 @pytest.mark.parametrize("restarted", [False, True])
-def test_hundreds_do_not_push_a_cold_server_over_together(restarted: bool) -> None:
-    """Each gateway's first turn was free: as many requests as gateways in one moment."""
+def test_many_gateways_together_do_not_overload_a_cold_server(restarted: bool) -> None:
+    """Guards against a free first slow-start token at each gateway: a cold server then got as many requests
+    at once as there are gateways."""
     gateways, total = 60, 0
     for seed in range(gateways):
         settings = with_(SETTINGS, gateway_count=gateways)
@@ -112,18 +115,22 @@
         rig = Rig([*entries(2), cold] if restarted else entries(2), settings, seed=seed)
         if not restarted:
             rig.feed(EndpointList(EndpointListKind.CHANGES, (cold,)))
-        for _ in range(2):  # more than the two warm servers get at ease
+        for _ in range(
+            2
+        ):  # 16 attempts in flight at each of the two warm servers make the cold one attractive
             for server in rig.gateway.pool.servers.values():
                 server.in_flight += 0 if server.endpoint.address == "cold" else 8
         _, actions = rig.ask()
         total += sum(send.address == "cold" for send in only(actions, StartAttempt))
-    # Warm at ten a second, it starts at a quarter and falls at twice that, over a second.
+    # A warm server serves 10 requests/s. A cold one starts at a quarter of that and is overloaded by twice
+    # its rate over one second: 5 requests.
     assert total <= 5
 
 
-def test_late_answers_bind_capacity_where_few_are_heard() -> None:
-    # The median over servers, most of them not heard of lately, called a late fleet early.
-    rig = Rig(entries(60), MANY)
+def test_slow_responses_limit_capacity_where_few_servers_were_heard() -> None:
+    # Guards against a median latency over all servers: a gateway among hundreds has no recent response of
+    # most of them, so that an overloaded fleet passed for a fast one.
+    rig = Rig(entries(60), MANY_GATEWAYS)
     for i in range(16):
         name, actions = rig.ask(customer=f"c{i}", left=4000.0)
         rig.advance(500.0)
@@ -133,15 +140,16 @@
     assert rig.gateway.shedder.capacity.capacity_per_s < math.inf
 
 
-def test_a_handful_out_is_no_backlog() -> None:
-    # Two attempts a server over all gateways is less than one here; half of all was refused.
-    rig = Rig(entries(60), MANY)
+def test_a_few_attempts_in_flight_are_no_backlog() -> None:
+    # Guards against a backlog threshold of two attempts per server over all gateways: that is less than one
+    # attempt at each, and half of all requests were rejected.
+    rig = Rig(entries(60), MANY_GATEWAYS)
     rig.warm_up()
-    went = [bool(only(rig.ask(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
-    assert all(went)
+    admitted = [bool(only(rig.ask(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
+    assert all(admitted)
 
 
-def test_a_spread_beyond_the_gateways_is_read_as_all_of_them() -> None:
+def test_a_gateway_spread_above_the_number_of_gateways_means_all_of_them() -> None:
     rig = Rig(entries(4), SETTINGS)
     rig.ask(plan="rate", spread=5000)
     assert rig.gateway.quota.tenants.by_id["c"].gateway_spread == SETTINGS.gateway_count
@@ -149,8 +157,9 @@
 
 @pytest.mark.parametrize("counter", [Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE])
 def test_a_ceiling_holds_over_its_gateways_whatever_the_counter_does(counter: Outcome) -> None:
-    """Half of it is held by the count, half by even parts; a flood comes through all gateways at once."""
-    rigs = [Rig(entries(4), MANY, seed=i) for i in range(6)]
+    """Half of the ceiling is granted by the counter, half by even shares; the overload comes through all
+    gateways at once."""
+    rigs = [Rig(entries(4), MANY_GATEWAYS, seed=i) for i in range(6)]
     shared: dict[int, float] = {}
     sent = 0.0
     for rig in rigs:
@@ -168,18 +177,18 @@
     assert 4.0 <= sent <= 12.0 + 4.0 * (rigs[0].now - start) / 1000.0 + 2.0
 
 
-@pytest.mark.parametrize(("heard", "least", "most"), [(11, 2, 3), (0, 0, 1)])
-def test_the_count_lets_a_busy_gateway_past_its_even_part_of_a_ceiling(
-    heard: int, least: int, most: int
+@pytest.mark.parametrize(("marker_count", "min_sent", "max_sent"), [(11, 2, 3), (0, 0, 1)])
+def test_the_counter_lets_a_busy_gateway_exceed_its_even_share_of_a_ceiling(
+    marker_count: int, min_sent: int, max_sent: int
 ) -> None:
-    """As far as the gateways of the customer's set are heard: of a counter that may have lost its memory, or
-    holds a half of them, no more than that may be granted."""
+    """The counter grants only as much as the epoch markers that it holds allow: it may have lost its memory,
+    or count half of the tenant's gateways."""
     rig = Rig(entries(4), with_(SETTINGS, gateway_count=40))
     rig.advance(20_000.0)
     rig.ask(plan="hard", spread=12, units=0.001)
-    customer = rig.gateway.quota.tenants.by_id["c"]
-    assert customer.window_counter is not None
-    rig._totals[customer.counter_key] = heard * customer.window_counter.marker
+    tenant = rig.gateway.quota.tenants.by_id["c"]
+    assert tenant.window_counter is not None
+    rig._totals[tenant.counter_key] = marker_count * tenant.window_counter.marker
     rig.answer_calls()
     sent = 0
     for _ in range(3):
@@ -188,12 +197,13 @@
         if only(actions, StartAttempt):
             sent += 1
             rig.end(name, 0, Outcome.OK, 1.0)
-    assert least <= sent <= most
+    assert min_sent <= sent <= max_sent
 
 
-def test_time_outs_lengthen_with_the_load_of_all_kinds() -> None:
-    # Each kind's mean takes half a minute to learn among hundreds; second attempts buried the fleet.
-    rig = Rig(entries(60), MANY)
+def test_timeouts_lengthen_with_the_load_of_all_classes() -> None:
+    # Guards against timeouts by the mean latency of each class alone: at one of hundreds of gateways it takes
+    # half a minute to follow the load, and meanwhile retries overloaded the fleet further.
+    rig = Rig(entries(60), MANY_GATEWAYS)
     for i in range(12):
         name, actions = rig.ask(cls="order", customer=f"c{i}", left=4000.0)
         if only(actions, StartAttempt):
@@ -203,22 +213,24 @@
     assert sends and sends[0].timeout_ms == 0.0
 
 
-def test_unsure_requests_without_a_word_keep_to_the_part() -> None:
-    # Each gateway took a flooding customer's whole quota for its own until a call of its got through.
-    rig = Rig(entries(4), MANY)
+def test_requests_without_a_counter_reply_keep_to_the_local_share() -> None:
+    # Guards against a gateway that takes a tenant's whole quota for its own until one of its calls to the
+    # counter gets through: under overload each gateway admitted as much.
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.gateway.quota.counter.pacing.call_fraction = 0.0001
-    went = 0
+    admitted = 0
     for _ in range(20):
         name, actions = rig.ask(plan="rate", spread=200)
         if only(actions, StartAttempt):
-            went += 1
+            admitted += 1
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.advance(50.0)
-    assert went == 2
+    assert admitted == 2
 
 
-def test_own_use_does_not_run_a_part_into_debt() -> None:
-    # The busiest gateway of a customer refused it for long once the counter fell silent.
+def test_own_usage_does_not_make_the_local_share_negative() -> None:
+    # Guards against a negative local share: the busiest gateway of a tenant rejected it for long once the
+    # counter stopped answering.
     rig = Rig(entries(4))
     for _ in range(60):
         name, actions = rig.ask(plan="rate")
@@ -229,9 +241,10 @@
     assert rig.gateway.quota.tenants.by_id["c"].local_units >= 0.0
 
 
-def test_an_overdriven_fleet_does_not_raise_a_cold_servers_turns() -> None:
-    # Turns followed what warm servers were sent, three times what they could do; a cold one fell with them.
-    rig = Rig(entries(4), MANY)
+def test_an_overloaded_fleet_does_not_raise_the_slow_start_rate() -> None:
+    # Guards against a slow-start rate by the requests that warm servers are sent: under overload it was three
+    # times what they could serve, and a cold server was overloaded with them.
+    rig = Rig(entries(4), MANY_GATEWAYS)
     for i in range(40):
         name, actions = rig.ask(customer=f"c{i}")
         if only(actions, StartAttempt):
@@ -240,22 +253,22 @@
     assert rig.gateway.pool.slow_start.warm_response_rate_per_s == 0.0
 
 
-def test_a_refused_request_is_given_back_while_the_counter_has_calls_to_spare() -> None:
-    # Of many gateways each sees a customer once in a while: what was asked for and refused stayed on the
-    # total for the rest of the window, passed for use, and had the next ones refused.
-    rig = Rig(entries(4), MANY)
+def test_a_rejected_request_is_subtracted_while_the_counter_has_calls_to_spare() -> None:
+    # Guards against rejected units that stay in the counter's total for the rest of the window: among many
+    # gateways each sees a tenant seldom, and these units counted as usage and had the next requests rejected.
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.others = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
     assert only(actions, Reject)
     rig.others = 0.0
     rig.advance(500.0)
     amounts = [a.amount for _, a in rig.log if isinstance(a, IncrementCounter)]
-    assert [round(amount) for amount in amounts[1:]] in ([-1], [])  # none where a new window began
+    assert [round(amount) for amount in amounts[1:]] in ([-1], [])  # [] where a new window began
     assert len(amounts) == 2
 
 
-def test_a_crowded_counter_gets_no_calls_to_give_back() -> None:
-    rig = Rig(entries(4), MANY)
+def test_an_overloaded_counter_gets_no_calls_that_subtract_rejected_requests() -> None:
+    rig = Rig(entries(4), MANY_GATEWAYS)
     rig.gateway.quota.counter.pacing.call_fraction = 0.5
     rig.gateway.quota.rng.random = lambda: 0.0  # type: ignore[method-assign]
     rig.others = 7.0
