--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -1,4 +1,7 @@
-"""Tasks of five processes behind scripted links: stops, kills, cuts, ends. A service books every act."""
+"""Leased tasks of five gateway processes that are stopped, killed, partitioned and ended.
+
+A service records each call of a task, an act, with its holder, begin and end.
+"""
 
 from __future__ import annotations
 
@@ -22,71 +25,72 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_two_act_at_once_through_stops_kills_cuts_and_ends(seed: int, tmp_path: Path) -> None:
+def test_acts_never_overlap_through_stops_kills_partitions_and_ends(seed: int, tmp_path: Path) -> None:
     async def scenario() -> None:
         service = EffectService()
         async with Acting(tmp_path, seed, service) as one:
             site, rng = one.site, random.Random(seed)
             began = asyncio.get_running_loop().time()
             first = await one.acts(5)
-            # Stopped in mid-act, it goes on when its heir acts, with old beliefs.
+            # A holder that was stopped during an act goes on, with outdated state, when its successor acts.
             stopped = await one.stop_in_mid_act()
-            heir = await one.another(stopped)
+            next_holder = await one.another(stopped)
             await one.acts()
             site.send_signal(stopped, signal.SIGCONT)
             await one.acts(10)
-            # Cut off from the voters and not from what it acts on.
-            cut = one.holder
-            site.split([[cut], [n for n in EVERY if n != cut]])
-            await one.another(cut)
+            # A holder is partitioned from the voters, but not from the service.
+            isolated = one.holder
+            site.split([[isolated], [n for n in EVERY if n != isolated]])
+            await one.another(isolated)
             await one.acts(5)
-            site.split([[cut], [n for n in EVERY if n != cut]], cut=False)
-            # Killed, and back under its name at once: a voter that remembers nothing.
+            site.split([[isolated], [n for n in EVERY if n != isolated]], cut=False)
+            # A killed holder restarts at once under its name, as a voter that has lost its state.
             killed = one.holder
             site.send_signal(killed, signal.SIGKILL)
             await site.start([killed])
             await one.acts(5)
-            # Stopped at any moment, two of five; the three that are left act.
-            both = [*rng.sample([n for n in EVERY if n != one.holder], 1), one.holder]
-            for number in both:
+            # The holder and one other are stopped at any moment; the remaining three act.
+            stopped_pair = [*rng.sample([n for n in EVERY if n != one.holder], 1), one.holder]
+            for number in stopped_pair:
                 site.send_signal(number, signal.SIGSTOP)
-            await one.another(both[1])
-            for number in both:
+            await one.another(stopped_pair[1])
+            for number in stopped_pair:
                 site.send_signal(number, signal.SIGCONT)
             await one.acts(5)
-            # A lame duck gives back, and is there again.
-            duck = one.holder
-            await one.lame_duck(duck, True)
-            await one.another(duck)
+            # A draining holder releases the lease, and competes again after the drain.
+            draining = one.holder
+            await one.lame_duck(draining, True)
+            await one.another(draining)
             await one.acts(5)
-            assert duck not in {int(act.by[1:].partition("#")[0]) for act in service.acts[-4:]}
-            await one.lame_duck(duck, False)
-            # A planned end hands over.
+            assert draining not in {int(act.by[1:].partition("#")[0]) for act in service.acts[-4:]}
+            await one.lame_duck(draining, False)
+            # A holder that is told to end releases the lease.
             ended = one.holder
             site.send_signal(ended, signal.SIGTERM)
             await one.another(ended)
             await one.acts(5)
             assert overlaps(service.acts) == []
-            assert first in EVERY and heir != stopped
+            assert first in EVERY and next_holder != stopped
             assert longest_gap(service.acts, "close", began, asyncio.get_running_loop().time()) < NOBODY_S
 
     play(scenario())
 
 
-def test_a_stopped_majority_lets_nobody_act_and_its_return_does(tmp_path: Path) -> None:
+def test_nobody_acts_until_a_majority_of_voters_is_back(tmp_path: Path) -> None:
     async def scenario() -> None:
         service = EffectService(fencing=True)
         async with Acting(tmp_path, 3, service) as one:
             holder = await one.acts()
-            quiet = [n for n in EVERY if n != holder][:3]
-            for number in quiet:
+            silent = [n for n in EVERY if n != holder][:3]
+            for number in silent:
                 one.site.send_signal(number, signal.SIGSTOP)
             loop = asyncio.get_running_loop()
-            while loop.time() - service.acts[-1].began < 1.5 * LONGEST:  # its lease ends: it must not act on
+            # The holder's lease expires within this time; then it must not act any more.
+            while loop.time() - service.acts[-1].began < 1.5 * LONGEST:
                 await asyncio.sleep(0.02)
             rows = await one.site.asked(holder, "tasks")
             assert rows and rows[0]["holder"] == "" and rows[0]["nobody"], rows
-            for number in quiet:
+            for number in silent:
                 one.site.send_signal(number, signal.SIGCONT)
             await one.acts()
             assert overlaps(service.acts) == [] and service.refused == []
@@ -94,24 +98,25 @@
     play(scenario())
 
 
-def test_a_task_that_fails_at_each_holder_is_parked_and_others_go_on(tmp_path: Path) -> None:
+def test_a_task_that_fails_at_each_holder_is_parked_and_other_tasks_go_on(tmp_path: Path) -> None:
     async def scenario() -> None:
         service = EffectService()
         service.poison = "bad"
         async with Acting(tmp_path, 4, service, "bad", "good") as one:
 
-            async def parked() -> bool:
+            async def is_parked() -> bool:
                 rows = [await one.site.asked(n, "tasks") for n in EVERY]
                 return all(row and row[0]["parked"] for row in rows)
 
-            await one.site.until(parked)
+            await one.site.until(is_parked)
             await one.acts(5)
-            bad = [act for act in service.acts if act.task == "bad"]
-            assert 3 <= len(bad) <= 4 and len({act.by for act in bad}) >= 2, bad  # no holder kept it
-            freed = one.site.ask(0, "unpark bad")
-            assert freed == [{"unparked": True}]
+            failed_acts = [act for act in service.acts if act.task == "bad"]
+            # The acts of more than one holder: each released the lease after its failure.
+            assert 3 <= len(failed_acts) <= 4 and len({act.by for act in failed_acts}) >= 2, failed_acts
+            reply = one.site.ask(0, "unpark bad")
+            assert reply == [{"unparked": True}]
             service.poison = ""
-            before = len(bad)
+            before = len(failed_acts)
             async with asyncio.timeout(NOBODY_S):
                 while sum(act.task == "bad" for act in service.acts) < before + 3:
                     await asyncio.sleep(0.02)
@@ -120,49 +125,52 @@
     play(scenario())
 
 
-def test_one_gateway_asks_discovery_for_all_by_a_lease(tmp_path: Path) -> None:
-    """Killed, it is replaced; a change in the meantime reaches all."""
+def test_the_holder_of_a_lease_polls_discovery_for_all(tmp_path: Path) -> None:
+    """A killed poller is replaced, and a change in the meantime reaches all gateways."""
 
     async def scenario() -> None:
-        ask = tasks(1).partition("[[")[0] + '[[fleet.leases.tasks]]\nname = "ask"\nkind = "ask"\n'
-        async with FleetSite(tmp_path, 5, more=MORE + "share_list = true\n", tail=ask, lists=50.0) as site:
+        poll_task = tasks(1).partition("[[")[0] + '[[fleet.leases.tasks]]\nname = "ask"\nkind = "ask"\n'
+        async with FleetSite(
+            tmp_path, 5, more=MORE + "share_list = true\n", tail=poll_task, lists=50.0
+        ) as site:
             lists = site.lists
             assert lists is not None
 
-            async def askers(numbers: Iterable[int] = EVERY) -> list[int]:
-                told = {n: await site.asked(n, "list") for n in numbers}
-                return [n for n, rows in told.items() if rows and rows[0]["asks"]]
+            async def pollers(numbers: Iterable[int] = EVERY) -> list[int]:
+                replies = {n: await site.asked(n, "list") for n in numbers}
+                return [n for n, rows in replies.items() if rows and rows[0]["asks"]]
 
-            async def newest() -> bool:
-                told = [await site.asked(n, "list") for n in rest]
-                return all(rows and rows[0]["version"] == lists.version for rows in told)
+            async def have_newest() -> bool:
+                replies = [await site.asked(n, "list") for n in rest]
+                return all(rows and rows[0]["version"] == lists.version for rows in replies)
 
-            async def one() -> bool:
-                return len(await askers()) == 1
+            async def has_one_poller() -> bool:
+                return len(await pollers()) == 1
 
             await site.start()
-            await site.until(one)
+            await site.until(has_one_poller)
             first = lists.calls[-1].at
             while lists.calls[-1].at < first + 7.0:
                 await asyncio.sleep(0.02)
-            assert busiest(lists.calls, first + 3.0) <= 3  # before that, those that asked at their start
-            asker = (await askers())[0]
-            rest = [n for n in EVERY if n != asker]
-            site.send_signal(asker, signal.SIGKILL)
+            # Earlier polls are left out: each gateway may poll when it starts.
+            assert busiest(lists.calls, first + 3.0) <= 3
+            poller = (await pollers())[0]
+            rest = [n for n in EVERY if n != poller]
+            site.send_signal(poller, signal.SIGKILL)
             lists.update(row("s1", site.site.nodes[1].port, "Terminating"))
-            await site.until(newest, 10.0)
+            await site.until(have_newest, 10.0)
 
-            async def replaced() -> bool:
-                return len(await askers(rest)) == 1
+            async def is_replaced() -> bool:
+                return len(await pollers(rest)) == 1
 
-            await site.until(replaced)
+            await site.until(is_replaced)
 
     play(scenario())
 
 
 def test_a_holder_that_is_replaced_hands_over(tmp_path: Path) -> None:
-    """Its successor is there, under one name and at one listening socket, before it is told to end; and the
-    successor of a stopped holder, which goes on after the address is another's."""
+    """The successor runs, under the same name and with the same socket, before the holder is told to end.
+    The second time the holder is stopped meanwhile, and goes on once another gateway has acted."""
 
     async def scenario() -> None:
         service = EffectService()
@@ -171,22 +179,22 @@
             for stopped in (False, True):
                 number = await one.acts(3)
                 old = site.gateways[number]
-                with socket.create_server(("127.0.0.1", free_port()), backlog=512) as door:
-                    # Begun anew at a passed socket, as a platform that replaces processes has it.
+                with socket.create_server(("127.0.0.1", free_port()), backlog=512) as listener:
+                    # Restarted with a passed socket, as by a platform that replaces processes.
                     site.send_signal(number, signal.SIGKILL)
-                    old.platform["listen"] = f"127.0.0.1:{door.getsockname()[1]}"
-                    old.port = door.getsockname()[1]
+                    old.platform["listen"] = f"127.0.0.1:{listener.getsockname()[1]}"
+                    old.port = listener.getsockname()[1]
                     old.config.write_text(json.dumps(old.platform))
-                    old.passed, old.shared = door, tmp_path
+                    old.passed, old.shared = listener, tmp_path
                     await site.start([number])
-                    await wait_until_it_holds(one, number)
+                    await wait_until_holder(one, number)
                     folder = tmp_path / f"next{number}{stopped}"
                     folder.mkdir()
                     platform = {**old.platform, "operator": f"127.0.0.1:{free_port()}"}
                     new = GatewayProcess(folder, platform, old.operator.read_text())
-                    new.passed, new.shared = door, tmp_path
+                    new.passed, new.shared = listener, tmp_path
                     new.start()
-                    await site.until(lambda new=new: shows(new, "address.taken"))  # type: ignore[misc]
+                    await site.until(lambda new=new: has_logged(new, "address.taken"))  # type: ignore[misc]
                     began = asyncio.get_running_loop().time()
                     if stopped:
                         site.send_signal(number, signal.SIGSTOP)
@@ -200,11 +208,11 @@
                     site.gateways[number] = new
             assert overlaps(service.acts) == []
 
-    async def shows(one: GatewayProcess, line: str) -> bool:
-        return line in one.log.read_text()
+    async def has_logged(gateway: GatewayProcess, text: str) -> bool:
+        return text in gateway.log.read_text()
 
-    async def wait_until_it_holds(one: Acting, number: int) -> None:
-        """All others are lame ducks until it acts."""
+    async def wait_until_holder(one: Acting, number: int) -> None:
+        """Drains all other gateways until this one acts."""
         for other in EVERY:
             if other != number:
                 await one.lame_duck(other, True)
