--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,4 +1,4 @@
-"""What the tests of crossing events share; docs/design/crossings.md has the table."""
+"""Helpers for the tests of events that cross each other; docs/design/crossings.md has the table of cases."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def end(client: Client, how: str) -> None:
-    """The ways in which a client can leave."""
+    """Disconnects a client by one of `ENDS`."""
     sock = client.writer.get_extra_info("socket")
     if how == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -43,7 +43,7 @@
 
 @asynccontextmanager
 async def deaf() -> AsyncIterator[int]:
-    """A port whose connections never come up: the line of those that wait to be accepted is full."""
+    """Yields a port whose connections are never established, as its accept queue is full."""
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
         server.listen(0)
@@ -61,14 +61,15 @@
 
 
 async def reset(writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(0.02)  # what was written has been read; a reset may overtake it else, to the same end
+    # By then the peer has read what was written. Otherwise the reset may overtake it, with the same outcome.
+    await asyncio.sleep(0.02)
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class Heard:
-    """The real module, and what it was told."""
+    """The real decision engine, with the outcomes of attempts that it was told."""
 
     def __init__(self, decisions: Policy) -> None:
         self.decisions = decisions
@@ -82,8 +83,8 @@
 
 @asynccontextmanager
 async def crowd(one: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
-    """So many connections. As much of their commands as fits is in the machine before the loop's next turn;
-    what is left of each follows as there is room."""
+    """Opens `count` connections. As much of their commands as socket buffers hold is written before the loop
+    runs again; the rest of each follows as there is room."""
     before = len(one.program.listener.clients)
     socks = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(count)]
     await until(lambda: len(one.program.listener.clients) == before + count)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,7 +1,7 @@
-"""Gateways of real module instances round one failing counter, in simulated time.
+"""Real decision engines of several gateways that share one failing counter, in simulated time.
 
-An account floods; every try that a gateway sends on first is written down, by the true clock. The overshoot
-is what that log says, whatever the gateways believe.
+An account sends more than its quota. The first attempt of each request is recorded by the true clock, and the
+overshoot is computed from these records alone, not from the gateways' state.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
         ceiling_burst_units=50.0,
         ceiling_slack_units=5.0,
     ),
-    # The quota is as wide as the ceiling, which thus has to hold by itself.
+    # The quota's rate equals the ceiling's, so that the ceiling has to hold by itself.
     Plan(
         "bare",
         rate_per_s=20.0,
@@ -55,7 +55,7 @@
 
 
 def settings(gateways: int) -> Settings:
-    """One class, three plans."""
+    """Returns settings with one request class and three plans."""
     return Settings(
         zone="a",
         gateway_count=gateways,
@@ -70,14 +70,14 @@
 
 @dataclass
 class Fleet:
-    """So many gateways; `skew_ms` is how far each one's clock is off."""
+    """A number of gateways. `skew_ms`: the largest offset of a gateway's clock."""
 
     gateways: int
     seed: int
     parts: int = 2
     skew_ms: float = 0.0
     make: Callable[[Settings, int], Any] = DecisionEngine
-    reset_share: float = 0.0  # of the calls, that the counter adds and answers with a reset or an error
+    reset_share: float = 0.0  # share of counter calls that are added but answered with a reset or an error
     sent: list[tuple[float, str, float]] = field(default_factory=list)  # true time, plan, units
     refusals: list[tuple[float, str]] = field(default_factory=list)  # true time, plan
     asked: int = 0
@@ -107,18 +107,18 @@
         self.now = until
 
     def start(self, number: int) -> None:
-        """A gateway starts, knowing nothing."""
+        """Starts a gateway without any state."""
         self.incarnation[number] += 1
         self.modules[number] = self.make(settings(self.gateways), self.rng.randrange(1 << 30))
         self.feed(number, self.incarnation[number], EndpointList(EndpointListKind.CACHED, SERVERS))
 
     def restart(self, number: int) -> None:
-        """It dies and starts again from nothing; what was out to it is gone."""
+        """Restarts a gateway without any state; events for the old process are dropped."""
         self.restarts += 1
         self.start(number)
 
     def feed(self, number: int, incarnation: int, event: Event) -> None:
-        """One event for a gateway, unless it has died since."""
+        """Passes an event to a gateway, unless that process has ended since."""
         if incarnation != self.incarnation[number]:
             return
         for action in self.modules[number].handle(self.now + self.skews[number], event):
@@ -142,7 +142,7 @@
                 self.refusals.append((self.now, request.plan))
 
     def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
-        """A call reaches the counter, whatever has become of its gateway."""
+        """Handles a call at the counter, even if its gateway has restarted since."""
         told = self.counter.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         late = told is None or told[1] + 2 * NET_MS > TIMEOUT_MS
         if told is None or late:
@@ -153,14 +153,14 @@
             reply = CounterReply(call.key, 0.0, outcome, told[1] + 2 * NET_MS)
             self.at(self.now + told[1] + NET_MS, self.feed, number, incarnation, reply)
         else:
-            total = float(f"{told[0]:.7g}")  # seven digits are exact
+            total = float(f"{told[0]:.7g}")  # the counter replies with seven significant digits
             reply = CounterReply(call.key, total, Outcome.OK, told[1] + 2 * NET_MS)
             self.at(self.now + told[1] + NET_MS, self.feed, number, incarnation, reply)
 
     def flood(
         self, plan: str, rate: float, seconds: float, weights: Sequence[float], units: float = 1.0
     ) -> None:
-        """An account asks so often a second, through the gateways by their weights."""
+        """Schedules an account's requests: `rate` per second, distributed over the gateways by `weights`."""
         at, end, serial = self.now, self.now + 1000.0 * seconds, 0
         while True:
             at += self.rng.expovariate(rate / 1000.0)
@@ -177,7 +177,7 @@
         self.feed(number, self.incarnation[number], request)
 
     def overshoot(self, plan: str, rate: float, burst: float) -> float:
-        """How far below nothing a store of this rate and burst went, by the true log."""
+        """Returns the units by which the recorded attempts overdrew a token bucket of this rate and burst."""
         level, last, lowest = burst, None, 0.0
         for at, name, units in self.sent:
             if name == plan:
@@ -186,7 +186,7 @@
         return -lowest
 
     def refused_with_room(self, plan: str, rate: float, burst: float) -> float:
-        """The share of the tries that was refused while half of the true store or more was there."""
+        """Returns the share of requests rejected while the true token bucket was at least half full."""
         level, last, asked, blamed = burst, None, 0, 0
         tries = [(at, units) for at, name, units in self.sent if name == plan]
         tries += [(at, 0.0) for at, name in self.refusals if name == plan]
@@ -198,5 +198,5 @@
         return blamed / max(1, asked)
 
     def units(self, plan: str) -> float:
-        """Units sent on."""
+        """Returns the units of all first attempts of a plan."""
         return sum(units for _, name, units in self.sent if name == plan)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A gateway under test on loopback sockets, with scripted peers (`lab/peers.py`) and scripted decisions."""
+"""A gateway on loopback sockets, with scripted peers (`lab/peers.py`) and scripted decisions."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class Script:
-    """Decisions made by a test: `decide` turns each event into actions. All events are kept."""
+    """A decision handler for tests: `decide` turns each event into actions. All events are recorded."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
@@ -89,7 +89,7 @@
 
 
 def send_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
-    """Sends each request once; what was not served fails."""
+    """Returns decisions that send each request to `server` once, and fail it if it was not served."""
 
     def decide(event: Event) -> list[Action]:
         if isinstance(event, Request):
@@ -102,7 +102,7 @@
 
 
 class Site:
-    """A gateway with its peers."""
+    """A running gateway with its servers and its counter."""
 
     def __init__(self, program: GatewayProgram, servers: list[RespPeer], counter: RespPeer) -> None:
         self.program, self.servers, self.counter = program, servers, counter
@@ -118,7 +118,7 @@
 
 
 def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
-    """A configuration as the platform writes it."""
+    """Returns the platform's file as parsed JSON."""
     return {
         "name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}",
         "counter": f"127.0.0.1:{counter}", "seed": "8c1f30d27a5be964", "settings": SETTINGS,
@@ -128,7 +128,7 @@
 
 
 def config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> PlatformConfig:
-    """The same, read; the gateway listens on a free port."""
+    """Returns the validated configuration of `raw_config`, with a free port to listen at."""
     raw = raw_config(discovery, counter, rows, free_port())
     raw["limits"]["sockets"] = changes.pop("sockets", raw["limits"]["sockets"])
     return replace(build(raw, {}), **changes)
@@ -143,7 +143,7 @@
     operator: str | None = None,
     **changes: Any,
 ) -> AsyncIterator[Site]:
-    """A gateway that serves, with one server s0, s1, ... for each reply."""
+    """Runs a gateway with servers s0, s1, ..., one for each reply, until the context ends."""
     totals: dict[bytes, float] = {}
 
     async def add(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -1,8 +1,8 @@
-"""A proxy under the simulated clock of `simulated.py`, before the table of calls of the external processor.
+"""A proxy under the simulated clock of `simulated.py`, in front of the external processor's request table.
 
-It does what the operators' page has a proxy do: asks for each request and each attempt, retries only where it
-is told to (or, where it `tells` nothing of how an attempt ended, after a reset), and gives its client what
-the downstream stream says. Its records are the servers' truth, checked as those of the inline gateway are.
+It behaves as the operators' page asks of a proxy: it asks for each request and each attempt, retries only
+where it is told to (or, where it does not report how an attempt ended, after a reset), and sends its client
+what the downstream stream says. The rules are checked on the servers' records, as for the inline gateway.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def extproc_settings(**changes: Any) -> ExtProcSettings:
-    """The listener's settings, for the platform of `sites.py`."""
+    """Returns the listener's settings for the platform of `sites.py`."""
     classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
     rules = MappingRules(SOURCES, (), classes, FACTS.plans, 1)
     limits = {
@@ -51,19 +51,19 @@
 
 
 def headers(**named: str) -> dict[str, list[bytes]]:
-    """Headers by their names, with - for _."""
+    """Returns headers by name, with `_` replaced by `-`."""
     return {name.replace("_", "-"): [value.encode()] for name, value in named.items()}
 
 
 def responded(status: int, details: str) -> ev.ResponseHeaders:
-    """A response, with the attribute that says where it comes from."""
+    """Returns a response with the attribute that tells its origin."""
     given = headers(**{":status": str(status)})
     return ev.ResponseHeaders(given, attributes={"response.code_details": details})
 
 
 @dataclass
 class ProxyClient:
-    """One request at the proxy."""
+    """One client request at the proxy."""
 
     proxy: SimulatedProxy
     request: bytes
@@ -79,7 +79,7 @@
     answers: list[tuple[float, FinalResponse]] = field(default_factory=list)
 
     def decided(self, told: ev.ProcessorResponse | None) -> None:
-        """The first decision has come."""
+        """Handles the decision on the request: starts the first attempt, or ends with the given response."""
         if self.over:
             return
         if isinstance(told, ev.ImmediateResponse):
@@ -107,7 +107,7 @@
         )
 
     def let_through(self, up: UpstreamStream, told: ev.ProcessorResponse | None) -> None:
-        """Whether the attempt may go."""
+        """Handles the decision on an attempt: sends it, tries another endpoint, or gives up."""
         if self.up is not up or self.over:
             return
         if isinstance(told, ev.ImmediateResponse):
@@ -131,7 +131,7 @@
         loop.call_later(min(fate.connect_s, connect_s), self.connected, up, record, connects)
 
     def connected(self, up: UpstreamStream, record: AttemptRecord, fate: PlannedOutcome | None) -> None:
-        """The connection is up, or won't come up; the request's bytes are sent."""
+        """Sends the request's bytes, or ends the attempt where the connection failed (`fate` is None)."""
         if record.outcome is not None:
             return
         if fate is None:
@@ -143,7 +143,7 @@
             self.proxy.loop.call_later(fate.duration_s, self.ended, up, record, fate.outcome)
 
     def ended(self, up: UpstreamStream, record: AttemptRecord, ending: Outcome) -> None:
-        """The attempt's outcome, reported as a response or by the stream's end alone."""
+        """Ends the attempt, and reports its outcome as a response or only by the end of the stream."""
         if record.outcome is not None:
             return
         record.ended_at, record.outcome = self.proxy.loop.now, ending
@@ -161,7 +161,7 @@
     def follow(
         self, up: UpstreamStream, told: ev.ProcessorResponse | None, status: int, details: str
     ) -> None:
-        """What follows from an attempt's response."""
+        """Handles the decision on an attempt's response: retries, or responds to the client."""
         if self.up is not up:
             return
         self.up = None
@@ -174,13 +174,13 @@
             self.show(status, details)
 
     def aborted(self, up: UpstreamStream) -> None:
-        """The processor reset the attempt's stream: the attempt is reset."""
+        """Handles a reset of the attempt's stream by the processor: ends the attempt with status 500."""
         if self.up is up:
             self.cut()
             self.show(500, "")
 
     def cut(self, why: Outcome = Outcome.CANCELLED) -> None:
-        """Closes the connection of an attempt that is in flight."""
+        """Closes the connection of the attempt in flight, if any."""
         up, self.up = self.up, None
         if self.record is not None and self.record.outcome is None:
             self.record.ended_at, self.record.outcome = self.proxy.loop.now, why
@@ -188,13 +188,13 @@
             up.close(False)
 
     def route_timeout(self) -> None:
-        """The proxy's own timeout for the request."""
+        """Handles the proxy's own timeout for the request."""
         if not self.over and not self.answers:
             self.cut(Outcome.TIMEOUT)
             self.show(504, "response_timeout")
 
     def show(self, status: int, details: str) -> None:
-        """The client's response, as the downstream stream lets it pass."""
+        """Responds to the client with what the downstream stream makes of a response."""
         if self.over:
             return
         self.over = True
@@ -209,20 +209,20 @@
         self.down.receive(responded(status, details), shown)
 
     def finish(self, answer: FinalResponse) -> None:
-        """The client has its response."""
+        """Records the client's final response."""
         self.over = True
         self.answers.append((self.proxy.loop.now, answer))
 
     def leave(self, clean: bool = False) -> None:
-        """The client, or the whole proxy, disconnects."""
+        """Disconnects the client, or the whole proxy."""
         self.over = True
         self.cut()
         self.down.close(clean)
 
 
 class SimulatedProxy:
-    """A proxy. `tells`: it reports by a local reply how an attempt without a response ended. `pace`: how long
-    its clock takes for a second."""
+    """A proxy. `tells`: it reports by a local reply how an attempt without a response ended. `pace`: the
+    simulated seconds in which the proxy's clock counts one."""
 
     def __init__(self, site: SimulatedSite, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
         self.site, self.tells, self.pace = site, tells, pace
@@ -237,7 +237,7 @@
     def ask(
         self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
     ) -> ProxyClient:
-        """A client's request; its number is the next one, unless another proxy counts too."""
+        """Sends a client's request. `number`: its id, where several proxies share one sequence of ids."""
         request = b"%d" % (len(self.asked) + 1 if number is None else number)
         order = SimulatedCall(
             request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
@@ -252,7 +252,7 @@
         return asker
 
     def read(self, told: ev.ImmediateResponse) -> FinalResponse:
-        """An immediate response in the core's terms."""
+        """Returns an immediate response as a final response of the core."""
         if told.status == 429:
             assert told.headers["x-glenchute-effect"] == "none"
             return Rejected(float(told.headers.get("x-glenchute-retry-after-ms", 0)))
@@ -262,7 +262,7 @@
 def planned_by_seed(
     seed: int, draw: Callable[[Any], PlannedOutcome]
 ) -> Callable[[bytes, int], PlannedOutcome]:
-    """Outcomes that depend only on the seed, the request and the attempt's number."""
+    """Returns a plan of outcomes that depend only on the seed, the request and the attempt's number."""
     import random
 
     return lambda request, number: draw(random.Random(f"{seed}-{request.decode()}-{number}"))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,7 @@
-"""A scripted gateway: feeds events, keeps what comes back. It models no server, network or clock."""
+"""A scripted decision engine: tests pass it events and read its actions.
+
+No server, network or clock is modelled.
+"""
 
 from __future__ import annotations
 
@@ -55,12 +58,12 @@
 
 
 def entries(count: int, zones: str = "a", started: float = 0.0) -> tuple[Endpoint, ...]:
-    """Servers s0, s1, ... spread over the zones."""
+    """Returns servers s0, s1, ..., distributed over the zones in turn."""
     return tuple(Endpoint(f"s{i}", zones[i % len(zones)], started_ms=started) for i in range(count))
 
 
 class Rig:
-    """One gateway under script."""
+    """The decision engine of one gateway, with a scripted counter and scripted time."""
 
     def __init__(
         self, servers: Sequence[Endpoint] = (), settings: Settings = SETTINGS, seed: int = 1
@@ -79,7 +82,7 @@
             self.feed(EndpointList(EndpointListKind.CACHED, tuple(servers)))
 
     def feed(self, event: Event) -> list[Action]:
-        """Hands over one event."""
+        """Passes one event to the engine, and records and returns its actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
@@ -90,7 +93,7 @@
         return actions
 
     def advance(self, ms: float) -> list[Action]:
-        """Lets time pass; due timers fire in order."""
+        """Advances the time by `ms`, and fires due timers in order. Returns the resulting actions."""
         end, out = self.now + ms, []
         while self.timers and min(self.timers)[0] <= end:
             at, token = min(self.timers)
@@ -110,7 +113,8 @@
         spread: int = 2,
         name: str = "",
     ) -> tuple[str, list[Action]]:
-        """A client's request; where it waits for the counter, that answers at once."""
+        """Sends a client's request. Where it waits for the counter, the counter replies at once. Returns the
+        request's id and the actions."""
         self.serial += 1
         name = name or f"r{self.serial}"
         actions = self.feed(Request(name, cls, plan, customer, left, units, spread))
@@ -121,13 +125,13 @@
     def end(
         self, name: str, attempt: int, ending: Outcome, took: float = 20.0, final: bool | None = None
     ) -> list[Action]:
-        """An attempt's outcome."""
+        """Ends an attempt with an outcome."""
         server = self.sent[name][attempt]
         done = ending is Outcome.OK if final is None else final
         return self.feed(AttemptEnded(name, attempt, server, ending, took, done))
 
     def answer_calls(self) -> list[Action]:
-        """Answers every call to the counter that was not answered yet; returns what that brought about."""
+        """Answers all pending calls to the counter. Returns the resulting actions."""
         calls = [action for _, action in self.log if isinstance(action, IncrementCounter)]
         fresh, self._answered = calls[self._answered :], len(calls)
         actions: list[Action] = []
@@ -138,7 +142,7 @@
         return actions
 
     def warm_up(self, seconds: float = 4.0) -> None:
-        """Ordinary traffic, each request served at once, so that means and rates are learned."""
+        """Sends ordinary traffic and serves each request, so that means and rates are known."""
         for _ in range(int(seconds * 20)):
             name, actions = self.ask(customer="warm-up")
             self.now += 20.0
@@ -149,15 +153,15 @@
 
 
 def only(actions: Sequence[Action], kind: type[A]) -> list[A]:
-    """The actions of one kind."""
+    """Returns the actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def finals(actions: Sequence[Action]) -> list[Reject | Fail]:
-    """The final answers."""
+    """Returns the final responses among the actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
 def with_(settings: Settings, **changes: object) -> Settings:
-    """Settings with other values."""
+    """Returns the settings with other values."""
     return replace(settings, **changes)  # type: ignore[arg-type]
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -1,7 +1,7 @@
 """The core, the engine and the routes under a simulated clock, with servers whose outcomes are planned.
 
 The servers record when the bytes of each attempt were sent and how it ended. The rules are checked on these
-records, not on what the gateway knows.
+records, not on the gateway's state.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class SimulatedLoop:
-    """As much of an event loop as the core uses; time passes only in `run`."""
+    """The part of an event loop that the core uses. Time passes only in `run`."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -63,7 +63,7 @@
         return self.call_at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """Runs all calls up to this time; none may raise."""
+        """Runs all calls that are due until this time, in order. An exception of a call ends the run."""
         while self.queue and self.queue[0][0] <= until:
             at, _, handle, call, args = heapq.heappop(self.queue)
             self.now = max(self.now, at)
@@ -73,7 +73,7 @@
 
 
 class SimulatedClock:
-    """The engine's clock."""
+    """The engine's clock, which follows the simulated loop."""
 
     def __init__(self, loop: SimulatedLoop) -> None:
         self.loop = loop
@@ -84,8 +84,8 @@
 
 @dataclass(frozen=True)
 class PlannedOutcome:
-    """How an attempt will end: `connect_s` until its bytes are sent (inf: never), then `outcome` after
-    `duration_s` (over 1e6: no response)."""
+    """How an attempt will end: its bytes are sent after `connect_s` (inf: never), and `outcome` follows after
+    `duration_s` (over 1e6: there is no response)."""
 
     connect_s: float
     duration_s: float
@@ -94,7 +94,7 @@
 
 @dataclass
 class AttemptRecord:
-    """What really happened to one attempt."""
+    """What happened to one attempt, as the server saw it."""
 
     request: bytes
     server: str
@@ -107,7 +107,7 @@
 
 @dataclass
 class SimulatedCall(Call):
-    """A request whose bytes are its id."""
+    """A request that is encoded as its id."""
 
     idempotency: Idempotency = Idempotency.IDEMPOTENT
 
@@ -116,7 +116,8 @@
 
 
 class SimulatedAttempt:
-    """An attempt as the real upstream makes it: its own timeout, no bytes after `write_by`, one result."""
+    """An attempt that behaves as those of the real upstreams: it has its own timeout, sends nothing after
+    `write_by`, and reports one result."""
 
     def __init__(
         self,
@@ -163,7 +164,7 @@
 
 
 class SimulatedServers:
-    """The servers, with the five rules as they see them."""
+    """All servers, which check the rules on attempts by their own records."""
 
     def __init__(
         self, loop: SimulatedLoop, fates: Callable[[], PlannedOutcome], overlap: bool, connect_s: float
@@ -179,9 +180,8 @@
         self.orders: dict[bytes, SimulatedCall] = {}
         self.names: list[str] = []
         self.idempotency_window_s = 0.0
-        self.planned_outcome: Callable[[bytes, int], PlannedOutcome] | None = (
-            None  # by request and attempt, in place of `fates`
-        )
+        # Plans outcomes by request and attempt number, in place of `fates`.
+        self.planned_outcome: Callable[[bytes, int], PlannedOutcome] | None = None
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
         if server not in self.names:
@@ -221,14 +221,13 @@
         if server not in self.names:
             return None
         if self.planned_outcome is not None:
-            timeout_s = (
-                max(1, int(1000.0 * timeout_s + 1e-6)) / 1000.0
-            )  # in whole milliseconds, as servers and proxies get it
+            # Servers and proxies get the timeout in whole milliseconds.
+            timeout_s = max(1, int(1000.0 * timeout_s + 1e-6)) / 1000.0
         record = AttemptRecord(payload(0), server, self.loop.now, timeout_s=timeout_s)
         return SimulatedAttempt(self, record, self.plan_attempt(record), done, write_by)
 
     def plan_attempt(self, record: AttemptRecord) -> PlannedOutcome:
-        """Records an attempt and plans its outcome."""
+        """Records an attempt and returns its planned outcome."""
         number = len(self.attempts_of(record.request)) if self.planned_outcome is not None else 0
         self.records.append(record)
         self.by_request.setdefault(record.request, []).append(record)
@@ -239,7 +238,7 @@
         )
 
     def check_sent(self, record: AttemptRecord) -> None:
-        """The bytes of an attempt are sent: the attempts before it must allow that."""
+        """Checks, as an attempt's bytes are sent, that the earlier attempts of the request allow it."""
         order = self.orders[record.request]
         before = [r for r in self.attempts_of(record.request) if r is not record]
         if not self.allows_concurrent_attempts:
@@ -261,7 +260,7 @@
 
 @dataclass
 class SimulatedSite:
-    """One gateway and its servers; `responses` are each request's final responses and when they came."""
+    """One gateway and its servers. `responses`: the final responses to each request, with their times."""
 
     routes: RouteTable | None
     fates: Callable[[], PlannedOutcome]
@@ -300,7 +299,7 @@
         self.gateway.post(EndpointList(EndpointListKind.CACHED, entries))
 
     def send_request(self, class_name: str, left_ms: float, plan: str = "osnovni") -> bytes:
-        """A client's request; returns its id."""
+        """Sends a client's request and returns its id."""
         request = b"%d" % (len(self.responses) + 1)
         repeat = self.idempotency_by_class[class_name]
         order = SimulatedCall(request, class_name, plan, "c1", left_ms, 1.0, 1, repeat)
@@ -310,7 +309,8 @@
         return request
 
     def check_response(self, request: bytes, asked: float, left_ms: float) -> None:
-        """Exactly one final response in time, and a rejection is true."""
+        """Checks that the request got exactly one final response in time. A rejection is valid only if no
+        attempt may have run."""
         ((at, answer),) = self.responses[request]
         assert at <= asked + left_ms / 1000.0 + 1e-6
         ran = [
