--- a/glenchute/__init__.py
+++ b/glenchute/__init__.py
@@ -1,3 +1,3 @@
-"""glenchute: a quota-keeping gateway on real sockets, driven by the decisions of `glenchute.policy`."""
+"""glenchute: a gateway that enforces quotas and balances load. `glenchute.policy` makes its decisions."""
 
 __version__ = "0.2.0"
--- a/glenchute/__main__.py
+++ b/glenchute/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the command line: ``python -m glenchute``."""
+"""Runs the command line interface: ``python -m glenchute``."""
 
 from __future__ import annotations
 
--- a/glenchute/core/__init__.py
+++ b/glenchute/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of each request; knows no wire."""
+"""The lifecycle of requests, independent of protocols and sockets."""
--- a/glenchute/core/active_request.py
+++ b/glenchute/core/active_request.py
@@ -8,12 +8,12 @@
 
 from .types import Call, FinalResponse, UpstreamAttempt
 
-if TYPE_CHECKING:  # only an operator's file brings routes in
+if TYPE_CHECKING:  # at run time imported only for an operator's file, as only that has routes
     from glenchute.policy.retries.route_limits import RequestRetries
 
 
 class ActiveRequest:
-    """One accepted request. `deadline` is in seconds of the event loop's clock."""
+    """One accepted request. `deadline`: seconds of the event loop's clock."""
 
     __slots__ = (
         "attempt_count",
@@ -21,7 +21,7 @@
         "call",
         "deadline",
         "deadline_timer",
-        "has_client_left",
+        "has_client_disconnected",
         "may_have_run",
         "on_final_response",
         "request_id",
@@ -35,22 +35,23 @@
         call: Call,
         deadline: float,
         on_final_response: Callable[[FinalResponse], None],
-        has_client_left: Callable[[], bool] | None = None,
+        has_client_disconnected: Callable[[], bool] | None = None,
     ) -> None:
-        """`on_final_response` is called once. `has_client_left` tells whether the client has closed its
-        connection, though the listener may not have read that yet."""
+        """Creates a request. `on_final_response` is called once. `has_client_disconnected` returns whether
+        the client has closed its connection, even if the listener has not processed the close yet."""
         self.request_id = request_id
         self.call = call
         self.deadline = deadline
         self.on_final_response = on_final_response
-        self.has_client_left = has_client_left
+        self.has_client_disconnected = has_client_disconnected
         self.attempt_count = 0
-        self.attempts_in_flight: list[UpstreamAttempt] = []  # two at most, where one is hedged
-        self.retries: RequestRetries | None = None  # None: no route limits this request
+        self.attempts_in_flight: list[UpstreamAttempt] = []  # at most two: the first and a hedged one
+        self.retries: RequestRetries | None = None  # None if no route applies to this request
         self.may_have_run = False
-        self.time_to_first_byte_ms: float | None = None  # of a streamed response, from its attempt's start
+        # Set once a streamed response has begun; measured from the start of its attempt.
+        self.time_to_first_byte_ms: float | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     def may_have_executed(self) -> bool:
-        """Whether an attempt may have run at a server, or still may."""
+        """Returns whether an attempt may have run at a server or may still run."""
         return self.may_have_run or any(attempt.is_written for attempt in self.attempts_in_flight)
--- a/glenchute/core/clock.py
+++ b/glenchute/core/clock.py
@@ -6,11 +6,12 @@
 
 
 class Clock:
-    """Unix time in milliseconds, read once and advanced by the monotonic clock: it never goes back."""
+    """Unix time in milliseconds, read once and advanced by the monotonic clock, so that it never
+    decreases."""
 
     def __init__(self) -> None:
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now_ms(self) -> float:
-        """The current time."""
+        """Returns the current time in milliseconds."""
         return self._offset_ms + time.monotonic() * 1000.0
--- a/glenchute/core/endpoint_updates.py
+++ b/glenchute/core/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint updates to the upstream's servers before the decision engine hears of them."""
+"""Applies endpoint updates to the upstream's servers before the decision engine receives them."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 if TYPE_CHECKING:
     from glenchute.policy.balancing.hash_ring import RingedEndpoints
 
-BULK_ROWS = 256  # updates of more rows go to the upstream in one call
+BULK_ROWS = 256  # larger updates are applied to the upstream in one call
 
 
 class EndpointUpdater:
-    """Keeps the upstream's servers equal to the endpoint list."""
+    """Keeps the upstream's servers in sync with the endpoint list."""
 
     def __init__(self, upstream: UpstreamServers) -> None:
         self.upstream = upstream
-        self.started_ms: dict[str, float] = {}  # by server: Unix time of its last start
-        # Called once, when the list grows past `server_limit` and before the engine hears of that.
+        self.started_ms: dict[str, float] = {}  # Unix time of each server's last start
+        # Called once, when the list exceeds `server_limit`, before the engine receives that list.
         self.server_limit: float = math.inf
         self.on_server_limit_exceeded: Callable[[], None] = lambda: None
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Applies an update. An entry that is ACTIVE must have an address in it."""
+        """Applies an update, which must hold an address for each ACTIVE entry."""
         event = update.event
         is_bulk = len(event.endpoints) > BULK_ROWS
         is_bulk |= event.kind is not EndpointListKind.CHANGES and len(self.started_ms) > BULK_ROWS
@@ -42,7 +42,7 @@
                 self.upstream.drain_server(entry.address)
             else:
                 self.upstream.remove_server(entry.address)
-                self.started_ms.pop(entry.address, None)  # its id is never used again
+                self.started_ms.pop(entry.address, None)  # a removed server's id is never reused
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             listed = {entry.address for entry in event.endpoints}
             for server in [name for name in self.upstream.server_ids() if name not in listed]:
@@ -53,15 +53,16 @@
     def _apply_bulk(self, update: EndpointUpdate) -> bool:
         """Applies an update of many rows: draining and removed servers first, then all others in one call.
 
-        Its cost follows the pools that exist and what the list's reader has not prepared (`placed`). Returns
-        False, with nothing done, where a server has several rows.
+        The cost grows with the number of existing pools and, unless the list's decoder has already indexed
+        the rows (`as_ringed`), with the number of rows. Returns False and does nothing if a server has
+        several rows.
         """
-        event, before, addresses = update.event, self.started_ms, update.addresses
-        placed: RingedEndpoints | None = getattr(event.endpoints, "as_ringed", None)
+        event, previous_started_ms, addresses = update.event, self.started_ms, update.addresses
+        ringed: RingedEndpoints | None = getattr(event.endpoints, "as_ringed", None)
         entries = event.endpoints
-        if placed is not None:
-            listed: Collection[str] = placed.listed_servers
-            started = placed.started_ms
+        if ringed is not None:
+            listed: Collection[str] = ringed.listed_servers
+            started = ringed.started_ms
         else:
             listed = {entry.address for entry in entries}
             if len(listed) < len(entries):
@@ -73,21 +74,23 @@
             self._stop_servers(entries)
         retained = None
         if event.kind is EndpointListKind.CHANGES:
-            self.started_ms = before | started
+            self.started_ms = previous_started_ms | started
         else:
             retained = listed
             draining = listed if len(started) < len(listed) else ()
-            self.started_ms = {name: before[name] for name in draining if name in before} | started
+            self.started_ms = {
+                name: previous_started_ms[name] for name in draining if name in previous_started_ms
+            } | started
         self._check_server_limit()
-        if placed is None or len(addresses) != len(started):  # active servers always have an address
+        if ringed is None or len(addresses) != len(started):  # drops addresses of servers that are not active
             addresses = {name: addresses[name] for name in started}
         self.upstream.activate_servers(
-            addresses, lambda name: before.get(name, started[name]) != started[name], retained
+            addresses, lambda name: previous_started_ms.get(name, started[name]) != started[name], retained
         )
         return True
 
     def _stop_servers(self, entries: Iterable[Endpoint]) -> None:
-        """Drains or removes the servers among these that are not active."""
+        """Drains or removes those of the servers that are not active."""
         for entry in entries:
             if entry.state is EndpointState.DRAINING:
                 self.upstream.drain_server(entry.address)
@@ -96,7 +99,7 @@
                 self.started_ms.pop(entry.address, None)
 
     def _check_server_limit(self) -> None:
-        """Reports the first time that the list is longer than the limit."""
+        """Reports the first list that is longer than the limit."""
         if len(self.started_ms) > self.server_limit:
             self.server_limit = math.inf
             self.on_server_limit_exceeded()
--- a/glenchute/core/executor.py
+++ b/glenchute/core/executor.py
@@ -1,8 +1,8 @@
-"""Executes the decision engine's actions and reports events to it: one request's life, whatever the protocol.
+"""Executes the decision engine's actions and reports events to it, independent of the client protocol.
 
 Executing an action never calls the engine: outcomes, counter replies and timers are queued and dispatched
-one by one, each after the actions of the event before it. Whatever the engine does, each request gets
-exactly one final response, in time.
+one by one, each after the actions of the previous event. Whatever the engine does, each request gets
+exactly one final response by its deadline.
 """
 
 from __future__ import annotations
@@ -62,22 +62,24 @@
     UpstreamServers,
 )
 
-if TYPE_CHECKING:  # only an operator's file brings routes in
+if TYPE_CHECKING:  # at run time imported only for an operator's file, as only that has routes
     from glenchute.policy.retries.route_limits import RouteTable
 
 log = logging.getLogger("glenchute")
 
-# Attempts end this long before the client's deadline, to leave time for the response.
+# Attempts end this long before the client's deadline, to leave time to write the response.
 RESPONSE_MARGIN_S = 0.01
-ENGINE_RETRY_MS = 250.0  # after a fault in the engine's timer, which it would else never set again
-MIN_TIMER_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
+# A timer whose handling raised is set again after this delay, since the engine did not set its next one.
+ENGINE_RETRY_MS = 250.0
+MIN_TIMER_S = 0.001  # added to each delay: the loop's clock is coarse, and timers must not fire early
 
 
 class RequestExecutor:
     """Connects listeners and upstreams to the decision engine.
 
-    Requests and attempts are named by an id of this class: an attempt may outlive its request, whose own id
-    a client may then use again. Times whose names have no unit are seconds of the event loop's clock.
+    Requests and attempts are identified by ids that this class assigns: an attempt may outlive its request,
+    and the client may then reuse its own request id. Times without a unit in their names are seconds of the
+    event loop's clock.
     """
 
     def __init__(
@@ -97,19 +99,22 @@
         self.attempts_in_flight: dict[tuple[str, int], UpstreamAttempt] = {}
         self.last_request_number = 0
         self.routes: RouteTable | None = None
-        self.send_state: Callable[[tuple[QuotaSnapshot, ...]], None] | None = None  # to the next process
-        self.last_response_at = loop.time()  # of any server; at first the start of this process
-        self.last_failure_at = -math.inf  # when an attempt last failed
-        self.allows_concurrent_attempts = False  # hedged requests are enabled
-        self.max_attempts = 0  # of a request; 0 unless attempts share connections
-        self.reports_assignments = False  # captures keep on which connection an attempt was written
+        # Set if a successor process may connect: takes the quotas for the handover to it.
+        self.send_state: Callable[[tuple[QuotaSnapshot, ...]], None] | None = None
+        self.last_response_at = (
+            loop.time()
+        )  # time of the last response of any server; initially the start time
+        self.last_failure_at = -math.inf  # time of the last failed attempt
+        self.allows_concurrent_attempts = False  # whether hedged requests are enabled
+        self.max_attempts = 0  # per request; 0 unless attempts share connections
+        self.reports_assignments = False  # whether connection assignments are captured
         self.pending_events: deque[Event] = deque()
         self.is_dispatching = False
 
-    # --- events in ---------------------------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------------------------------
 
     def post(self, event: Event) -> None:
-        """Queues an event, and dispatches it unless another event is being handled."""
+        """Queues an event and, unless another event is being handled, dispatches the queue."""
         self.pending_events.append(event)
         if self.is_dispatching:
             return
@@ -121,12 +126,12 @@
             self.is_dispatching = False
 
     def dispatch(self, event: Event) -> None:
-        """Handles one event and executes its actions. A fault in either is logged, and the request that it
-        concerns still gets its final response."""
+        """Passes one event to the engine and executes the resulting actions. An exception in either is
+        logged, and the request concerned still gets its final response."""
         try:
             actions = self.decisions.handle(self.clock.now_ms(), event)
         except Exception:
-            log.exception("the decisions failed on %s", type(event).__name__)
+            log.exception("the decision engine failed on %s", type(event).__name__)
             if isinstance(event, Request | AttemptEnded):
                 self.abort_request(event.request_id)
             elif isinstance(event, TimerFired):
@@ -136,7 +141,7 @@
             try:
                 self.execute(action)
             except Exception:
-                log.exception("carrying out %s failed", type(action).__name__)
+                log.exception("executing %s failed", type(action).__name__)
                 if isinstance(action, StartAttempt | Reject | Fail):
                     self.abort_request(action.request_id)
 
@@ -144,17 +149,17 @@
         self,
         call: Call,
         on_final_response: Callable[[FinalResponse], None],
-        has_client_left: Callable[[], bool] | None = None,
+        has_client_disconnected: Callable[[], bool] | None = None,
     ) -> ActiveRequest:
-        """Takes over a request that has been received completely.
+        """Accepts a request that has been received completely.
 
-        `on_final_response` is called exactly once, perhaps within this call. `has_client_left` is asked
-        right before each attempt whether the client has closed its connection.
+        `on_final_response` is called exactly once, possibly within this call. `has_client_disconnected` is
+        called right before each attempt and returns whether the client has closed its connection.
         """
         self.last_request_number += 1
         request_id = str(self.last_request_number)
         deadline = self.loop.time() + call.time_left_ms / 1000.0
-        request = ActiveRequest(request_id, call, deadline, on_final_response, has_client_left)
+        request = ActiveRequest(request_id, call, deadline, on_final_response, has_client_disconnected)
         self.active_requests[request_id] = request
         request.deadline_timer = self.loop.call_at(deadline, self.deadline_expired, request_id)
         attempt_timeout_ms = hedge_after_ms = 0.0
@@ -179,7 +184,8 @@
         return request
 
     def client_disconnected(self, request: ActiveRequest) -> None:
-        """No response is owed any more: attempts of which nothing is written are ended."""
+        """Drops a request whose client has disconnected, and ends its attempts of which nothing is
+        written."""
         if self.release(request):
             self.post(ClientDisconnected(request.request_id))
             if request.call.transport is None:
@@ -187,24 +193,24 @@
                     attempt.stop(Outcome.NOT_SENT)
 
     def is_client_connected(self, request: ActiveRequest) -> bool:
-        """Whether the client is still connected. If it is not, though its listener has yet to read that, the
-        request ends here."""
-        if request.has_client_left is None or not request.has_client_left():
+        """Returns whether the client is still connected. If it is not, the request is dropped, even if the
+        listener has not processed the close yet."""
+        if request.has_client_disconnected is None or not request.has_client_disconnected():
             return True
         self.client_disconnected(request)
         return False
 
     def deadline_expired(self, request_id: str) -> None:
-        """The client's deadline has come without a final response from the engine."""
+        """Aborts a request that the engine has not answered by the client's deadline."""
         self.abort_request(request_id)
 
     def update_endpoints(self, update: EndpointUpdate) -> None:
-        """The endpoint list changed. The upstream is updated first, so that nothing is sent to a server that
-        takes nothing any more."""
+        """Applies a change of the endpoint list. The upstream is updated first, so that nothing is sent to a
+        server that no longer accepts attempts."""
         self.endpoints.apply(update)
         self.post(update.event)
 
-    # --- actions out -------------------------------------------------------------------------------------
+    # --- actions -----------------------------------------------------------------------------------------
 
     def execute(self, action: Action) -> None:
         """Executes one action."""
@@ -224,7 +230,7 @@
             case IncrementCounter(name, amount, ttl_ms):
                 self.increment_counter(name, amount, ttl_ms)
             case SubscribeToEndpoints():
-                pass  # the discovery client does so from the start
+                pass  # the discovery client is subscribed from its start
             case LogMessage(message):
                 log.info("%s", message)
             case SendState(quotas):
@@ -232,12 +238,12 @@
                     self.send_state(quotas)
 
     def set_timer(self, token: int, at_ms: float) -> None:
-        """Posts `TimerFired` at `at_ms` or after."""
+        """Posts `TimerFired` at `at_ms` or later."""
         delay = max(0.0, at_ms - self.clock.now_ms()) / 1000.0
         self.loop.call_later(delay + MIN_TIMER_S, self.post, TimerFired(token))
 
     def increment_counter(self, key: int, amount: float, ttl_ms: float) -> None:
-        """Calls the shared counter; without one the call ends as unreachable."""
+        """Calls the shared counter; if none is configured, the call ends as unreachable."""
 
         def on_reply(total: float, outcome: Outcome, duration_ms: float) -> None:
             self.post(CounterReply(key, total, outcome, duration_ms))
@@ -253,7 +259,7 @@
     # --- attempts ----------------------------------------------------------------------------------------
 
     def start_attempt(self, action: StartAttempt) -> None:
-        """Starts an attempt, or ends it unsent where it must not run."""
+        """Starts an attempt, or ends it unsent if it must not run."""
         request_id, server = action.request_id, action.address
         request = self.active_requests.get(request_id)
         number = request.attempt_count if request is not None else 0
@@ -282,8 +288,8 @@
     def create_attempt(
         self, request: ActiveRequest, number: int, action: StartAttempt, timeout_s: float
     ) -> UpstreamAttempt | None:
-        """Has the request's transport, or else the upstream, make an attempt; None if the server takes
-        nothing (any more)."""
+        """Creates an attempt on the request's transport, or else on the upstream; None if the server does not
+        accept attempts."""
 
         def on_ended(result: AttemptResult) -> None:
             self.attempt_ended(request, number, action.address, result)
@@ -301,7 +307,7 @@
         return transport.create_attempt(action.address, encode, timeout_s, on_ended, write_by)
 
     def attempt_context(self, request: ActiveRequest, number: int) -> AttemptContext:
-        """What the upstream needs to place an attempt on a connection that others share."""
+        """Returns what the upstream needs to assign an attempt to a shared connection."""
         call, retries = request.call, request.retries
         may_retry = request.attempt_count < self.max_attempts and (
             retries is None or retries.may_retry_after(Outcome.RESET)
@@ -324,7 +330,7 @@
         )
 
     def may_start(self, request: ActiveRequest) -> bool:
-        """Whether an attempt may start now, given those in flight and the request's route."""
+        """Returns whether an attempt may start now, given those in flight and the request's route."""
         if request.attempts_in_flight and not self.allows_concurrent_attempts:
             return False
         return request.retries is None or request.retries.try_start_attempt(
@@ -332,16 +338,16 @@
         )
 
     def retry_delay_ms(self, request: ActiveRequest, outcome: Outcome) -> float:
-        """The backoff of the request's route after this outcome; inf: no retry."""
+        """Returns the backoff of the request's route after this outcome; inf if there is no retry."""
         if request.retries is None or request.attempts_in_flight:
             return 0.0
         return request.retries.reserve_retry(self.clock.now_ms(), outcome)
 
     def response_started(self, request: ActiveRequest, number: int, source: ResponseSource) -> None:
-        """A streamed response has begun. It is the final response, however it ends: after its first byte
+        """Makes a streamed response that has begun the final response, however it ends: after its first byte
         nothing else can be written to the client."""
         if request.request_id not in self.active_requests:
-            source.discard()  # the deadline has expired, or another attempt was first
+            source.discard()  # the deadline has expired, or another attempt has responded first
             return
         attempt = self.attempts_in_flight[request.request_id, number]
         request.time_to_first_byte_ms = 1000.0 * (self.loop.time() - attempt.started_at)
@@ -351,12 +357,13 @@
         self.post(ResponseStarted(request.request_id, number))
 
     def attempt_ended(self, request: ActiveRequest, number: int, server: str, result: AttemptResult) -> None:
-        """An attempt's one outcome. A value is sent to the client before the engine hears of it."""
+        """Handles the single result of an attempt. A value is sent to the client before the engine is
+        notified."""
         attempt = self.attempts_in_flight.pop((request.request_id, number))
         request.attempts_in_flight.remove(attempt)
         if result.outcome not in DID_NOT_RUN:
             request.may_have_run = True
-        # Of a streamed response only the time to the first byte tells of the server's load.
+        # For a streamed response only the time to the first byte indicates the server's load.
         duration_ms = request.time_to_first_byte_ms
         if duration_ms is None:
             duration_ms = 1000.0 * (self.loop.time() - attempt.started_at)
@@ -385,23 +392,23 @@
             )
         )
 
-    # --- the one final response --------------------------------------------------------------------------
+    # --- final responses ---------------------------------------------------------------------------------
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
-        """Rejects a request. A rejection promises that no attempt ran: where one may have, the final response
-        is a failure, whoever asked for the rejection."""
+        """Rejects a request. A rejection guarantees that no attempt ran, so if one may have, the final
+        response is a failure instead."""
         request = self.active_requests.get(request_id)
         if request is not None:
             self.respond(request_id, Failed() if request.may_have_executed() else Rejected(retry_after_ms))
 
     def respond(self, request_id: str, response: FinalResponse) -> None:
-        """Gives the final response; later ones for the same request are dropped."""
+        """Sends the final response; later ones for the same request are ignored."""
         request = self.active_requests.get(request_id)
         if request is not None and self.release(request):
             request.on_final_response(response)
 
     def abort_request(self, request_id: str) -> None:
-        """Ends a request that the engine has not answered, and tells the engine that it is over."""
+        """Ends a request that the engine has not answered, and notifies the engine."""
         request = self.active_requests.get(request_id)
         if request is not None:
             self.reject(request_id, 0.0)
@@ -410,7 +417,7 @@
             self.post(ClientDisconnected(request_id))
 
     def release(self, request: ActiveRequest) -> bool:
-        """Removes a request and its timer; False if it was removed before."""
+        """Removes a request and cancels its timer. Returns False if it had already been removed."""
         if self.active_requests.pop(request.request_id, None) is None:
             return False
         if request.deadline_timer is not None:
@@ -421,6 +428,6 @@
         return True
 
     def close_all(self) -> None:
-        """Answers all open requests, at the end of the process."""
+        """Ends all open requests, at the end of the process."""
         for request_id in list(self.active_requests):
             self.abort_request(request_id)
--- a/glenchute/core/limits.py
+++ b/glenchute/core/limits.py
@@ -1,4 +1,4 @@
-"""Limits that the platform states, as values: of connections to servers, and of requests."""
+"""Limits set by the platform, on connections to servers and on requests."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 @record(frozen=True, slots=True)
 class UpstreamLimits:
-    """Timeouts in seconds, and the most connections and streamed values of a gateway at the same time.
+    """Timeouts in seconds, and the maximum number of concurrent connections and streamed values of a gateway.
 
-    `drain_grace_s`: nothing is written to a server for longer than this after it began to drain.
+    `drain_grace_s`: time after the start of a server's drain within which requests may still be written to
+    it.
     """
 
     connect_timeout_s: float
@@ -21,7 +22,7 @@
 
 @record(frozen=True, slots=True)
 class RequestBounds:
-    """The most that a request may ask for. Longer deadlines are reduced to `max_deadline_ms`."""
+    """Upper bounds on a request. Longer deadlines are reduced to `max_deadline_ms`."""
 
     max_units: float
     max_deadline_ms: float
--- a/glenchute/core/load_report.py
+++ b/glenchute/core/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports: what a server says of its own load with each response."""
+"""Parses load reports, which servers send with their responses."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 def parse_load_report(report: bytes | None) -> tuple[float | None, float | None]:
-    """The queued and the active requests of a report such as ``queue=3,inflight=9``; None where not named.
+    """Returns the queued and the active requests of a report such as ``queue=3,inflight=9``, or None if
+    absent.
 
-    Values that can't be parsed or can't be true are ignored: one `nan` would remain in every mean for ever.
+    Malformed and implausible values are ignored: a single `nan` would stay in every moving mean for ever.
     """
     queued = active = None
     for part in report.split(b",") if report and len(report) <= MAX_REPORT_BYTES else ():
--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -1,4 +1,5 @@
-"""The types that pass between listeners, core, upstreams and clients. No sockets, no protocol."""
+"""Types and interfaces shared by listeners, core, upstreams and clients, independent of sockets and
+protocols."""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 @record(slots=True)
 class Call:
-    """A client's request as the core needs it; each listener adds what its upstream is to be sent."""
+    """A client's request as the core sees it. Each listener's subclass adds the data to be sent upstream."""
 
     request_id: bytes
     class_name: str
@@ -26,72 +27,74 @@
     gateway_spread: int
 
     def encode(self, left_ms: int) -> bytes:
-        """The bytes for a server, which is told that the gateway waits `left_ms` for the response."""
+        """Returns the bytes for a server, with `left_ms` as the time that the gateway waits for the
+        response."""
         raise NotImplementedError
 
     @property
     def transport(self) -> AttemptTransport | None:
-        """What makes this request's attempts instead of the gateway's own upstream, as the proxy that it came
-        from; None for the upstream."""
+        """Returns the transport of this request's attempts, such as the proxy that the request came from;
+        None for the gateway's own upstream."""
         return None
 
 
 @record(frozen=True, slots=True)
 class Served:
-    """Final response: the value as a server gave it for this request."""
+    """Final response: the value that a server returned for this request."""
 
     value: bytes
 
 
 @record(frozen=True, slots=True)
 class Rejected:
-    """Final response: no attempt ran. The client may retry after `retry_after_ms`; 0: no advice."""
+    """Final response: no attempt ran. The client may retry after `retry_after_ms`; 0 if no time is
+    suggested."""
 
     retry_after_ms: float
 
 
 @record(frozen=True, slots=True)
 class Failed:
-    """Final response: no promise about the effect."""
+    """Final response: the request failed and may or may not have taken effect."""
 
 
 class ResponseSink(Protocol):
-    """A client connection that receives a streamed value. None of these methods is called from within a call
-    to the source, except from `ResponseSource.start`."""
+    """A client connection that receives a streamed value. A source calls these methods from the event loop
+    and from `ResponseSource.start`, never from within its other methods."""
 
     def write_chunk(self, data: bytes) -> None:
         """Writes the next bytes."""
 
     def finish(self) -> None:
-        """All bytes have been written."""
+        """Ends the value after its last byte."""
 
     def abort(self) -> None:
-        """The value ends early, and the client must be able to tell."""
+        """Ends the value early, in a way that the client can detect."""
 
 
 class ResponseSource(Protocol):
-    """A streamed value of `length_bytes`. One that `has_failed` has written nothing and never will."""
+    """A streamed value of `length_bytes`. A source that `has_failed` has written nothing and never will."""
 
     length_bytes: int
     has_failed: bool
 
     def start(self, sink: ResponseSink) -> None:
-        """The reply is next in the connection's order: writes everything to the sink, as fast as the client
-        reads. To be called once."""
+        """Writes the value to the sink, as fast as the client reads. Called once, when the reply is next in
+        the connection's order."""
 
     def pause(self) -> None:
-        """The client does not read: writes nothing until `resume`."""
+        """Stops writing until `resume`, since the client does not read."""
 
     def resume(self) -> None:
-        """The client reads again."""
+        """Continues writing, since the client reads again."""
 
     def discard(self) -> None:
-        """Nobody wants the value any more. The sink is not called after this."""
+        """Drops the value. The sink is not called after this."""
 
 
 @record(frozen=True, slots=True)
 class Streamed:
-    """Final response: a value too long to be buffered, as a server sends it for this request."""
+    """Final response: a value too long to be buffered, forwarded as the server sends it."""
 
     source: ResponseSource
 
@@ -101,7 +104,7 @@
 
 @record(slots=True)
 class AttemptResult:
-    """How an attempt ended. `is_last_attempt`: its transport makes no further one for this request."""
+    """How an attempt ended. `is_last_attempt`: the transport makes no further attempt for this request."""
 
     outcome: Outcome
     value: bytes | None = None
@@ -112,7 +115,7 @@
 
 @record(slots=True)
 class EndpointUpdate:
-    """An endpoint list or changes to it. The addresses are for the upstream only."""
+    """An endpoint list or changes to it. Only the upstream uses the addresses."""
 
     version: int
     event: EndpointList
@@ -120,42 +123,44 @@
 
 
 class DecisionHandler(Protocol):
-    """The decision engine, or what stands before it, as far as the core needs it."""
+    """The interface of the decision engine, and of the wrappers around it, that the core uses."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """The actions that answer one event."""
+        """Handles one event and returns the resulting actions."""
 
 
 class UpstreamAttempt(Protocol):
-    """One attempt at one server. Whoever creates it passes a callback; it is called once."""
+    """One attempt at one server. The callback passed at its creation is called once, with the result."""
 
     started_at: float  # seconds of the loop's clock
-    is_written: bool  # a byte may have been sent: it may have run
-    on_response_started: Callable[[ResponseSource], None] | None  # called before the result, for long values
-    is_wanted: Callable[[], bool] | None  # asked right before it is written; if False, it has ended unsent
+    is_written: bool  # whether a byte may have been sent, so that the attempt may have run
+    # Called for a value too long to be buffered, before the result.
+    on_response_started: Callable[[ResponseSource], None] | None
+    # Called right before the attempt is written; if it returns False, the attempt has ended unsent.
+    is_wanted: Callable[[], bool] | None
 
     def start(self) -> None:
-        """Sends it, or begins to."""
+        """Starts sending the attempt."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Ends it early. The result is reported once its connection is closed."""
+        """Ends the attempt early. The result is reported once its connection is closed."""
 
 
 class AttemptContext(NamedTuple):
-    """What an upstream needs to place an attempt on a shared connection. Times are seconds of the loop's
-    clock."""
+    """What an upstream needs to assign an attempt to a shared connection. Times are seconds of the event
+    loop's clock."""
 
     class_name: str
-    received_at: float  # when the request was received
-    deadline: float  # attempts end by then
-    may_retry: bool  # after a reset, as far as the number of attempts and the route allow
-    max_depth: int  # most attempts in flight on its connection, by its route; 0: not limited by it
-    on_stalled: Callable[[], None]  # it waits behind a response that does not come
-    on_assigned: Callable[[str], None] | None  # gets the connection and the reason, for captures
+    received_at: float  # time at which the request was received
+    deadline: float  # time by which the attempt must have ended
+    may_retry: bool  # whether the attempt limit and the route allow a retry after a reset
+    max_depth: int  # the route's limit of attempts in flight on the connection; 0: no limit
+    on_stalled: Callable[[], None]  # called if a response ahead on the connection stalls
+    on_assigned: Callable[[str], None] | None  # receives the chosen connection and the reason, for captures
 
 
 class AttemptTransport(Protocol):
-    """Makes attempts."""
+    """Creates attempts."""
 
     def create_attempt(
         self,
@@ -166,15 +171,15 @@
         write_by: float,
         about: AttemptContext | None = None,
     ) -> UpstreamAttempt | None:
-        """Creates an attempt, not started yet; None if the server takes nothing (any more).
+        """Creates an attempt without starting it; None if the server does not accept attempts.
 
-        `payload` makes the bytes, given the milliseconds that the gateway waits. `done` is called once. Not a
-        byte is sent after `write_by` (loop time): the attempt then ends as NOT_SENT.
+        `payload` returns the bytes to send, given the milliseconds that the gateway waits. `done` is called
+        once. No byte is sent after `write_by` (loop time): an attempt not written by then ends as NOT_SENT.
         """
 
 
 class UpstreamServers(AttemptTransport, Protocol):
-    """The servers, by their ids."""
+    """An upstream's servers, by id."""
 
     def activate_server(self, server: str, address: Address, started_anew: bool) -> None:
         """A server is active. `started_anew`: its process is not the one that was known."""
@@ -186,20 +191,20 @@
         `stay` remain as they are and the rest is removed; None: all remain."""
 
     def drain_server(self, server: str) -> None:
-        """A server is draining: no new attempts, those in flight may finish."""
+        """Drains a server: it gets no new attempts, and those in flight may finish."""
 
     def remove_server(self, server: str) -> None:
-        """A server has left the endpoint list."""
+        """Removes a server, which has left the endpoint list."""
 
     def server_ids(self) -> list[str]:
-        """All servers that are active or draining."""
+        """Returns the ids of all active and draining servers."""
 
     def address(self, server: str) -> Address | None:
-        """Where the server listens; None if it takes nothing (any more)."""
+        """Returns a server's address; None if the server does not accept attempts."""
 
 
 class SharedCounter(Protocol):
-    """The counter that all gateways share."""
+    """The client interface of the counter that all gateways share."""
 
     def increment(
         self,
@@ -209,9 +214,9 @@
         done: Callable[[float, Outcome, float], None],
         late: Callable[[float, Outcome, float], None],
     ) -> None:
-        """Adds an amount to the key `name`, which expires `ttl_ms` after its first call.
+        """Adds an amount to the key `name`, which expires `ttl_ms` after its first increment.
 
-        `done` gets total, outcome and duration in milliseconds, once, within the timeout. After a timeout
-        `late` gets what became of the call, once, within a bounded time; a timeout again where that stays
-        unknown.
+        `done` is called once, within the timeout, with the total, the outcome and the duration in
+        milliseconds. After a timeout `late` is called once, within a bounded time, with the final outcome of
+        the call, which is again a timeout if it remains unknown.
         """
