--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -1,4 +1,4 @@
-"""One process's part in a replacement: connects the handover to the decision engine and to the limits."""
+"""Connects the handover between processes to the decision engine and to the descriptor limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger("glenchute")
 
-DESCRIPTORS_PER_CLIENT = 2  # its connection, and one to a server
+DESCRIPTORS_PER_CLIENT = 2  # the client's connection and one to a server
 
 
 class ProcessHandover:
@@ -49,15 +49,15 @@
         listener: Listener,
         servers: ServerPools,
     ) -> ProcessHandover | None:
-        """None, with a warning, where there is no usable folder for the socket."""
+        """Creates the handover; returns None, with a warning, if there is no usable folder for the socket."""
         path = socket_path(folder, config.name, config.listen) if folder else None
         if path is None:
-            log.warning("nothing is handed over: TMPDIR is not set, or its name is too long")
+            log.warning("no handover between processes: TMPDIR is not set, or its path is too long")
             return None
         return cls(path, config, loop, gateway, listener, servers)
 
     async def request_state(self) -> None:
-        """Applies the state of the predecessor, if there is one. Called before clients are accepted."""
+        """Requests and applies the state of the predecessor, if any. Called before clients are accepted."""
         self.predecessor = await request_handover(self.loop, self.path, self.config.name, self.on_other_ended)
         if self.predecessor is None or self.predecessor.state is None:
             return
@@ -66,28 +66,29 @@
         self.apply_limit_share(state.limit_share)
         self.gateway.post(StateReceived(state.quotas))
         if self.predecessor.transport is None:
-            self.on_other_ended()  # it ended meanwhile
+            self.on_other_ended()  # the predecessor has ended in the meantime
 
     async def start_serving(self) -> None:
-        """Accepts a successor from now on."""
+        """Starts accepting a successor."""
         await self.server.start(self.path)
 
     def make_message(self) -> bytes:
-        """A successor has connected: reduces the limits of this process, and returns the message to it."""
+        """Reduces the limits of this process for a successor that has connected, and returns the message to
+        it."""
         in_use = DESCRIPTORS_PER_CLIENT * max(len(self.listener.clients), self.servers.connection_count())
         share = retained_limit_share(in_use, self.config.max_descriptors)
         self.apply_limit_share(share)
         self.quotas = ()
-        self.gateway.post(SuccessorStarted())  # answered by `set_quotas` before it returns
+        self.gateway.post(SuccessorStarted())  # the engine calls `set_quotas` before this returns
         log.info("the next process is up beside this one: %d customers handed over", len(self.quotas))
         return encode_handover(self.config.name, 1.0 - share, self.quotas)
 
     def set_quotas(self, quotas: tuple[QuotaSnapshot, ...]) -> None:
-        """The decision engine's part of the message."""
+        """Sets the decision engine's part of the message."""
         self.quotas = quotas
 
     def on_other_ended(self) -> None:
-        """A process that overlapped has ended; if it was the last, this one has all limits again."""
+        """Restores all limits of this process once the last overlapping process has ended."""
         if self.is_closed:
             return
         has_predecessor = self.predecessor is not None and self.predecessor.transport is not None
@@ -97,12 +98,12 @@
             self.gateway.post(OtherProcessEnded())
 
     def apply_limit_share(self, share: float) -> None:
-        """Restricts this process to a share of the gateway's descriptors, 0 to 1."""
+        """Restricts this process to a share of the gateway's descriptors, from 0 to 1."""
         self.listener.set_share(share)
         self.servers.set_process_share(share)
 
     def close(self) -> None:
-        """The end of the process."""
+        """Closes the sockets at the end of the process."""
         self.is_closed = True
         self.server.close()
         if self.predecessor is not None:
--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -1,4 +1,4 @@
-"""One gateway process: its parts put together, started, reloaded, and shut down in order."""
+"""Assembles, starts, reloads and shuts down one gateway process."""
 
 from __future__ import annotations
 
@@ -37,10 +37,12 @@
     from .handover import ProcessHandover
     from .operator_reload import OperatorReload
 
-LIST_WAIT_S = 0.3  # a start waits this long for today's endpoint list before it serves by the cached one ...
-CALL_WAIT_S = 2.0  # ... from when it was asked for, which takes the process this long at most
-OUTAGE_S = 5.0  # attempts that fail so long after the last response show that no server responds
-LINGER_S = 0.05  # for the last replies to leave
+# A start waits this long, once discovery has been polled, for a current endpoint list before it serves from
+# the cached one.
+LIST_WAIT_S = 0.3
+FIRST_POLL_WAIT_S = 2.0  # a start waits this long for the first poll to be sent
+OUTAGE_S = 5.0  # attempts that fail this long after the last response show that no server responds
+FLUSH_S = 0.05  # time to write the last replies
 ACCEPT_POLL_S = 0.002
 CLIENTS_POLL_S = 0.02
 GC_THRESHOLDS = (20_000, 20, 20)
@@ -51,8 +53,8 @@
 class GatewayProgram:
     """One gateway process, from start to end.
 
-    The engine stands, from the inside out, behind the recorder, the subset of servers, and the members' usage
-    updates, as far as the operator's file has them."""
+    The engine is wrapped, from the inside out, by the capture recorder, the subsetting and the usage updates
+    of the members' gossip, as far as the operator's file enables them."""
 
     def __init__(
         self,
@@ -96,20 +98,20 @@
         self.operator_reload: OperatorReload | None = None
         self.tables_at_start = operator.restart_tables() if operator is not None else None
 
-    # --- parts -------------------------------------------------------------------------------------------
+    # --- components --------------------------------------------------------------------------------------
 
     def create_upstream(self, pipelined: dict[str, Any] | None) -> ServerPools:
-        """The connections to the servers."""
+        """Creates the connections to the servers."""
         return subsystems.create_upstream(pipelined, self.config, self.loop)
 
     def create_subset(
         self, engine: DecisionHandler, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
     ) -> DecisionHandler:
-        """The engine behind a subset of the servers."""
+        """Wraps the engine so that it uses a subset of the servers."""
         return subsystems.create_subsetting(engine, self.config, raw, listed)
 
     def create_counter(self) -> CounterClient | None:
-        """The client of the shared counter, if there is one."""
+        """Creates the client of the shared counter; None if none is configured."""
         config = self.config
         if config.counter is None:
             return None
@@ -117,7 +119,7 @@
         return CounterClient(self.loop, config.counter, timeout_s, config.budget.counter_connections)
 
     def wrap_engine(self, engine: DecisionHandler, operator: OperatorConfig | None) -> DecisionHandler:
-        """The engine behind what the operator's file puts before it."""
+        """Wraps the engine with the components that the operator's file enables."""
         if operator is None:
             return engine
         if operator.capture is not None:
@@ -132,7 +134,7 @@
         return engine
 
     def create_control(self, members: MemberNode, raw: dict[str, Any]) -> ControlServer | None:
-        """The control socket with the members' verbs, where the operator's file names one."""
+        """Creates the control socket with the members' verbs; None if the operator's file names no socket."""
         from glenchute.control.server import ControlServer
 
         if "control" not in raw:
@@ -142,7 +144,7 @@
         return control
 
     def create_listener(self, pipelined: dict[str, Any] | None) -> Listener:
-        """The listener for clients."""
+        """Creates the listener for clients."""
         settings = self.config.settings
         parser = CommandParser(settings, self.config.request_bounds)
         listener = Listener(self.loop, self.gateway, parser, self.config.budget, self.config.max_client_bytes)
@@ -153,7 +155,7 @@
         return listener
 
     def create_discovery(self, raw: dict[str, Any]) -> DiscoveryClient:
-        """The client of discovery."""
+        """Creates the discovery client."""
         if raw.get("doubt"):
             self.list_confirmation = self.create_list_confirmation()
         discovery = DiscoveryClient(
@@ -169,14 +171,15 @@
         return discovery
 
     def create_list_confirmation(self) -> ListConfirmation:
-        """What holds back implausible endpoint lists; imported only where the operator asks for it."""
+        """Creates the check that holds back implausible endpoint lists; imported only if the operator enables
+        it."""
         from glenchute.policy.endpoints.list_confirmation import ListConfirmation
 
         return ListConfirmation()
 
     def create_handover(self) -> ProcessHandover | None:
-        """The socket to the processes before and after; imported only where the platform replaces
-        processes."""
+        """Creates the handover between predecessor and successor processes; imported only if the platform
+        replaces processes."""
         from .handover import ProcessHandover
 
         folder = self.environ.get("TMPDIR")
@@ -185,13 +188,13 @@
         )
 
     def apply_routes(self, operator: OperatorConfig) -> None:
-        """The operator's routes hold for requests from the start on."""
+        """Applies the operator's routes, at the start."""
         from glenchute.policy.retries.route_limits import RouteTable
 
         self.gateway.routes = RouteTable(operator.bindings, self.config.seed)
 
     def reread_operator_file(self, path: str, config: PlatformConfig) -> None:
-        """Reads the operator's file again beside the loop, and applies its routes if it is valid."""
+        """Reads the operator's file again in a background thread, and applies its routes if it is valid."""
         from .operator_reload import OperatorReload
 
         if self.operator_reload is None:
@@ -201,18 +204,18 @@
     # --- endpoints ---------------------------------------------------------------------------------------
 
     def are_servers_responding(self) -> bool:
-        """Whether servers respond, as far as requests have shown."""
+        """Returns whether servers respond, judged by recent requests."""
         return self.gateway.last_failure_at - self.gateway.last_response_at < OUTAGE_S
 
     def update_endpoints(self, update: EndpointUpdate) -> None:
-        """An endpoint list, or changes, from discovery."""
+        """Applies an endpoint list, or changes to it, from discovery."""
         if self.fleet is not None:
             self.fleet.endpoint_sync.receive_discovery(update)
         self.gateway.update_endpoints(update)
 
     def use_subset(self) -> None:
-        """The list has become longer than a gateway can use completely: from the next update on the engine
-        knows a subset. It stands as with `[subset]`: inside the members' updates, outside the recorder."""
+        """Restricts the engine to a subset of the servers, from the next update on, since the list has grown
+        past the number that a gateway can use. The order of wrappers is that of `wrap_engine`."""
         rows, servers = self.discovery.current_list.rows, self.servers
         listed = [
             rows[name][0] for name in servers.server_ids() if name in rows and not servers.is_stopping(name)
@@ -221,12 +224,12 @@
             self.fleet.reporter.module = self.create_subset(self.fleet.reporter.module, {}, listed)
         else:
             self.gateway.decisions = self.create_subset(self.gateway.decisions, {}, listed)
-        log.info("more than %d servers are listed: from now on a part of them is used", MAX_SUBSET_SIZE)
+        log.info("more than %d servers are listed: from now on a subset of them is used", MAX_SUBSET_SIZE)
 
-    # --- life --------------------------------------------------------------------------------------------
+    # --- lifecycle ---------------------------------------------------------------------------------------
 
     async def run(self, early_signals: list[int]) -> None:
-        """Serves until told to stop. `early_signals` came before the loop ran."""
+        """Serves until a signal ends it. `early_signals`: those received before the loop ran."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stopping.set)
         if signal.SIGTERM in early_signals:
@@ -235,13 +238,13 @@
         if self.recorder is not None:
             self.loop.add_signal_handler(signal.SIGUSR1, self.recorder.trigger, "asked for")
         await self.start()
-        if self.stopping.is_set():  # told to end before it took any client
+        if self.stopping.is_set():  # a signal came before any client was accepted
             await self.close()
             return
         if signal.SIGHUP in early_signals:
             self.reload()
         gc.collect()
-        gc.freeze()  # what was loaded lives for ever; no collection needs to look at it again
+        gc.freeze()  # objects loaded at the start are permanent, so no collection needs to scan them
         gc.set_threshold(*GC_THRESHOLDS)
         gc.enable()
         log.info("%s serves", self.config.name)
@@ -250,7 +253,7 @@
         log.info("%s has ended", self.config.name)
 
     async def start(self) -> None:
-        """Starts the parts; clients come last."""
+        """Starts the components; clients are accepted last."""
         if self.operations is not None and self.config.operations_address is not None:
             await self.operations.start(*self.config.operations_address)
         cached = self.config.cached_endpoints
@@ -277,14 +280,15 @@
             await self.extproc.start()
 
     async def wait_for_list(self) -> None:
-        """Gives discovery a moment: the cached list may be old, but no start depends on discovery. A process
-        that gets little of its core makes the call late, which is not the service's delay."""
-        await wait(self.discovery.first_poll_made, CALL_WAIT_S)
-        await wait(self.discovery.first_answer, LIST_WAIT_S)
+        """Waits briefly for discovery, since the cached list may be old, but a start must not depend on
+        discovery. Sending the poll has a timeout of its own: a process that gets little of its processor
+        sends it late, which is no delay of the service."""
+        await wait_for_event(self.discovery.first_poll_made, FIRST_POLL_WAIT_S)
+        await wait_for_event(self.discovery.first_answer, LIST_WAIT_S)
 
     def reload(self) -> None:
-        """Reads the platform's file again and follows its addresses; everything else waits for a restart. The
-        operator's file is read again too, beside the loop."""
+        """Reads the platform's file again and applies its addresses; all other changes wait for a restart.
+        The operator's file is read again too, in a background thread."""
         try:
             config = load(self.environ)
         except ConfigError as error:
@@ -309,38 +313,38 @@
             self.reread_operator_file(self.environ[OPERATOR_FILE_VARIABLE], config)
 
     async def shut_down(self) -> None:
-        """A graceful shutdown: accepts what still comes, finishes what is in flight, and has ended before the
-        platform's kill."""
+        """Shuts down gracefully: accepts late connections, finishes requests in flight, and ends before the
+        platform kills the process."""
         lifecycle, is_replaced = self.listener.lifecycle, self.passed is not None
         began = self.loop.time()
         proxies = None
         if self.extproc is not None:
-            # GOAWAY at once: a proxy opens its next stream elsewhere, and what is open is served to its end.
+            # GOAWAY at once: proxies open new streams elsewhere, and open streams are served to their end.
             proxies = self.loop.create_task(self.extproc.stop(lifecycle.shutdown_grace_s))
         if self.fleet is not None:
             self.fleet.leave(replaced=is_replaced)
         self.listener.start_shutdown(replaced=is_replaced)
-        end = began + lifecycle.shutdown_grace_s  # what is in flight then is answered and abandoned
+        end = began + lifecycle.shutdown_grace_s  # requests still in flight then are answered and abandoned
         if not is_replaced:
             await self.accept_until(end)
-        self.listener.stop()  # connections that wait at a passed socket are the next process's
+        self.listener.stop()  # connections pending on a passed socket are left to the successor
         while self.listener.clients and self.loop.time() < end:
             await asyncio.sleep(CLIENTS_POLL_S)
         if proxies is not None:
             await proxies
         self.gateway.close_all()
-        await asyncio.sleep(LINGER_S)
+        await asyncio.sleep(FLUSH_S)
         await self.close()
 
     async def accept_until(self, end: float) -> None:
-        """Accepts for a moment, and while connections wait: closing the socket resets those, with requests
-        that clients have sent on them."""
+        """Accepts connections for `SHUTDOWN_ACCEPT_S`, and longer while some are pending: closing the socket
+        would reset those, and lose requests that clients have sent on them."""
         await asyncio.sleep(SHUTDOWN_ACCEPT_S)
         while self.listener.has_pending_accept() and self.loop.time() < end:
             await asyncio.sleep(ACCEPT_POLL_S)
 
     async def close(self) -> None:
-        """Closes all sockets."""
+        """Closes all components and their sockets."""
         self.listener.close()
         if self.operations is not None:
             self.operations.close()
@@ -361,9 +365,9 @@
         await asyncio.sleep(0)
 
 
-async def wait(event: asyncio.Event, seconds: float) -> None:
-    """Waits for an event, but no longer than that."""
+async def wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
+    """Waits for an event, for at most `timeout_s`."""
     try:
-        await asyncio.wait_for(event.wait(), seconds)
+        await asyncio.wait_for(event.wait(), timeout_s)
     except TimeoutError:
         return
--- a/glenchute/cli/run.py
+++ b/glenchute/cli/run.py
@@ -1,4 +1,4 @@
-"""``glenchute run``: reads the configuration, starts a gateway, and ends on a signal."""
+"""``glenchute run``: loads the configuration and runs a gateway until a signal ends it."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class LogRateLimit(logging.Filter):
-    """At most `MAX_LOG_LINES_PER_S` lines a second: the log must not become the load."""
+    """Drops log lines beyond `MAX_LOG_LINES_PER_S`, so that logging can't overload the process."""
 
     def __init__(self) -> None:
         super().__init__()
         self.second, self.lines = 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is written."""
+        """Returns whether the line is written."""
         second = int(record.created)
         if second != self.second:
             self.second, self.lines = second, 0
@@ -41,13 +41,14 @@
 async def serve(
     config: PlatformConfig, environ: dict[str, str], operator: OperatorConfig | None, early_signals: list[int]
 ) -> None:
-    """Runs the gateway in the loop that is running."""
+    """Runs the gateway in the running event loop."""
     loop = asyncio.get_running_loop()
     await GatewayProgram(config, loop, environ=environ, operator=operator).run(early_signals)
 
 
 def collect_early_signals() -> list[int]:
-    """The signals that come before the loop runs: without handlers they would end the process at once."""
+    """Returns a list that collects SIGHUP and SIGTERM until the event loop handles them: without handlers
+    they would end the process."""
     early: list[int] = []
     for number in (signal.SIGHUP, signal.SIGTERM):
         signal.signal(number, lambda received, frame: early.append(received))
@@ -55,14 +56,15 @@
 
 
 def configure_log() -> None:
-    """Lines on standard error, limited in rate."""
+    """Configures logging to standard error, with a rate limit."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=LOG_FORMAT)
     for handler in logging.getLogger().handlers:
         handler.addFilter(LogRateLimit())
 
 
 def load_operator(environ: dict[str, str], config: PlatformConfig) -> OperatorConfig | None:
-    """The operator's file that the environment names, if it names one. ConfigError with all that is wrong."""
+    """Reads the operator's file if the environment names one. Raises ConfigError with all findings if it is
+    invalid."""
     path = environ.get(OPERATOR_FILE_VARIABLE)
     if not path:
         return None
@@ -72,8 +74,8 @@
 
 
 def run(operator_file: str | None = None) -> int:
-    """Runs a gateway until told to stop. `operator_file` goes before the variable that names one. The exit
-    status: 0 after a signal, 1 where it could not start, 2 where a file can't be used."""
+    """Runs a gateway until a signal ends it. `operator_file` takes precedence over the environment variable.
+    Returns the exit status: 0 after a signal, 1 if the gateway could not start, 2 if a file is invalid."""
     early_signals = collect_early_signals()
     configure_log()
     environ = dict(os.environ)
--- a/glenchute/cli/subsystems.py
+++ b/glenchute/cli/subsystems.py
@@ -1,6 +1,6 @@
-"""Makes the parts of a gateway that the platform's or the operator's file switches on.
+"""Creates the components of a gateway that the platform's or the operator's file enables.
 
-Each is imported only where a file asks for it; a library that is missing then is a `ConfigError`.
+Each is imported only if a file enables it; a missing library then raises `ConfigError`.
 """
 
 from __future__ import annotations
@@ -25,19 +25,20 @@
     from glenchute.listeners.operations import OperationsServer
     from glenchute.policy.events import Endpoint
 
-# The operator's keys of [subset] -> fields of `SubsetTerms`.
+# Keys of the operator's table [subset], mapped to fields of `SubsetTerms`.
 SUBSET_KEYS = {"servers": "min_servers", "busy": "busy_attempts", "calm": "calm_attempts"}
 DEFAULT_SEGMENT_S = 10.0
 DEFAULT_SEGMENT_MB = 4.0
 DEFAULT_SEGMENTS = 12
 
-Status = tuple[int, str]  # of a response at the operations address: its HTTP status and its body
+Status = tuple[int, str]  # HTTP status and body of a response at the operations address
 
 
 def create_upstream(
     pipelined: dict[str, Any] | None, config: PlatformConfig, loop: asyncio.AbstractEventLoop
 ) -> ServerPools:
-    """The connections to the servers: one for each attempt, or shared where the operator's file says so."""
+    """Creates the connections to the servers: one per attempt, or pipelined if the operator's file says
+    so."""
     if pipelined is None:
         return ServerPools(loop, config.limits)
     from .pipelined_upstream import pipelined_upstream
@@ -48,8 +49,8 @@
 def create_subsetting(
     decisions: DecisionHandler, config: PlatformConfig, raw: dict[str, Any], listed: Iterable[Endpoint] = ()
 ) -> DecisionHandler:
-    """The engine behind a subset of the servers. A gateway that does not know its number takes one from its
-    seed; the servers are then balanced by chance alone."""
+    """Wraps the engine so that it uses a subset of the servers. A gateway without a number takes one from its
+    seed, so that servers are spread over the gateways at random only."""
     from glenchute.policy.balancing.subset import SubsetTerms
     from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 
@@ -62,7 +63,7 @@
 def create_recorder(
     decisions: DecisionHandler, config: PlatformConfig, raw: dict[str, Any], clock: Callable[[], float]
 ) -> Recorder:
-    """The engine behind a recorder."""
+    """Wraps the engine with a capture recorder."""
     from glenchute.capture.recorder import CaptureRule, Recorder
     from glenchute.config.files import secret_key
 
@@ -85,7 +86,7 @@
     raw: dict[str, Any],
     loop: asyncio.AbstractEventLoop,
 ) -> MemberNode:
-    """The socket among the members, and the engine behind their usage updates."""
+    """Creates the member's gossip node, which also wraps the engine to send and apply usage updates."""
     try:
         from glenchute.clients.membership.node import MemberNode
     except ImportError as error:
@@ -99,7 +100,7 @@
     loop: asyncio.AbstractEventLoop,
     executor: RequestExecutor,
 ) -> ExtProcServer:
-    """The listener for proxies."""
+    """Creates the listener for ext_proc proxies."""
     try:
         from glenchute.listeners.extproc.start import create_server
     except ImportError as error:
@@ -110,7 +111,8 @@
 def create_operations(
     loop: asyncio.AbstractEventLoop, listener: Listener, members: MemberNode | None
 ) -> OperationsServer:
-    """The operations address: readiness, and drains. The paths are the platform's."""
+    """Creates the server of the operations address, for readiness and drains. The platform defines the
+    paths."""
     from glenchute.listeners.operations import OperationsServer
 
     lifecycle = listener.lifecycle
@@ -139,8 +141,9 @@
 
 
 def polling_terms(config: PlatformConfig, raw: dict[str, Any], has_members: bool) -> PollingTerms:
-    """Who shares discovery, and what it bears. An operator who states what the service bears, or has members
-    ask for each other, has a shared one; else lists are pushed by an agent of this gateway's own."""
+    """Returns how many gateways share discovery, and its rate limit. Discovery is a shared service if the
+    operator states its rate limit or configures members; otherwise an agent local to this gateway pushes the
+    lists, unless the platform requires a subscription."""
     is_pushed = not config.settings.must_subscribe and not raw and not has_members
     terms = PollingTerms(config.settings.gateway_count, config.gateway_number, is_pushed=is_pushed)
     return terms._replace(
