--- a/glenchute/cli/background_reload.py
+++ b/glenchute/cli/background_reload.py
@@ -1,12 +1,12 @@
-"""Reads the operator's file again in a thread beside the event loop: tomllib takes 0.2 s and more for
-thousands of routes.
-
-Both share one processor by the interpreter lock. Where both want it, it changes hands after
-`SWITCH_INTERVAL_S`, so a turn of the loop waits about that long and not the default of 5 ms. Work in parts
-calls `TimeSlices.yield_if_over` after each, and so leaves most of the processor to the loop. The cyclic
-garbage collector is disabled meanwhile: it would traverse what is being read, some ms at a time, in which
-nothing else runs. The thread touches nothing that the loop changes and writes no log, and ends with the
-process.
+"""Reads the operator's file again in a background thread: tomllib takes 0.2 s and more for thousands of
+routes, which would block the event loop.
+
+Both threads share the interpreter lock. While both contend for it, it is handed over every
+`SWITCH_INTERVAL_S`, so an iteration of the loop waits about that long instead of the default of 5 ms. Work
+done in parts calls `TimeSlices.yield_if_over` after each part, which leaves most of the processor to the
+loop. The cyclic garbage collector is disabled in the meantime: its traversal of the objects being read takes
+several ms at a time, during which nothing else runs. The thread accesses nothing that the loop modifies,
+writes no log, and ends with the process.
 """
 
 from __future__ import annotations
@@ -24,37 +24,37 @@
     from glenchute.policy.retries.route_limits import RouteTable
 
 SWITCH_INTERVAL_S = 0.0001
-WORK_SLICE_S = 0.0004  # of work in parts, between sleeps ...
-SLEEP_S = 0.001  # ... of this length
+WORK_SLICE_S = 0.0004  # length of a slice of work, after which the thread sleeps
+SLEEP_S = 0.001  # length of the sleep between two slices
 THREAD_NAME = "operator-file-reload"
 
 Result = TypeVar("Result")
 
 
 class ReloadedFile(NamedTuple):
-    """What a valid operator's file brought when it was read again."""
+    """The contents of a valid operator's file that was read again."""
 
     routes: RouteTable
-    started: tuple[Any, ...]  # the settings that take effect at a start only
+    restart_tables: tuple[Any, ...]  # the settings that take effect only at a start
     warnings: list[str]
 
 
 class TimeSlices:
-    """Limits the share of the processor that work in parts takes."""
+    """Limits the share of the processor that work done in parts takes."""
 
     def __init__(self) -> None:
         self.slice_end = time.perf_counter() + WORK_SLICE_S
 
     def yield_if_over(self) -> None:
-        """Sleeps if the slice is over, which releases the interpreter lock."""
+        """Sleeps, and so releases the interpreter lock, if the slice is over."""
         if time.perf_counter() >= self.slice_end:
             time.sleep(SLEEP_S)
             self.slice_end = time.perf_counter() + WORK_SLICE_S
 
 
 class InterpreterSettings:
-    """The switch interval and the garbage collector of the interpreter, changed while any thread is
-    active."""
+    """The switch interval and the garbage collector of the interpreter, changed while any background thread
+    is active."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -63,7 +63,7 @@
         self.saved_gc_enabled = True
 
     def begin(self) -> None:
-        """One more thread; the first changes both settings."""
+        """Registers a thread; the first one changes both settings."""
         with self.lock:
             if not self.active:
                 self.saved_interval_s, self.saved_gc_enabled = sys.getswitchinterval(), gc.isenabled()
@@ -72,7 +72,7 @@
             self.active += 1
 
     def end(self) -> None:
-        """One thread less; the last restores both settings."""
+        """Unregisters a thread; the last one restores both settings."""
         with self.lock:
             self.active -= 1
             if not self.active:
@@ -85,12 +85,11 @@
 
 
 class BackgroundReload(Generic[Result]):
-    """Runs one piece of work at a time in a thread.
+    """Runs one task at a time in a thread.
 
-    `on_result` is called on the loop with each result, or with the exception. Of the work submitted while
-    some is running only the latest is kept: it starts after that has ended, so its result is the last.
-    Nothing is reported once the loop has been closed, and the end of the process does not wait for the
-    thread.
+    `on_result` is called on the event loop with each result or exception. Of the tasks submitted while one
+    is running, only the latest is kept and runs next, so that its result is reported last. Nothing is
+    reported once the loop is closed, and the process exits without waiting for the thread.
     """
 
     def __init__(
@@ -101,13 +100,13 @@
         self.is_busy = False
 
     def submit(self, work: Callable[[], Result]) -> None:
-        """Starts the work now, or after what is running."""
+        """Runs the work now, or after the running task."""
         self.pending = work
         if not self.is_busy:
             self._start_next()
 
     def _start_next(self) -> None:
-        """Starts the thread for the pending work, if any. If the system has no thread, that is the result."""
+        """Starts a thread for the pending work, if any. Reports the exception if no thread can be started."""
         work, self.pending = self.pending, None
         if work is None:
             return
@@ -119,22 +118,22 @@
             self._finish(error)
 
     def _run(self, work: Callable[[], Result]) -> None:
-        """In the thread."""
+        """Runs the work in the thread, and passes the result to the loop."""
         result: Result | Exception
         try:
             result = work()
         except Exception as error:
             result = error
-        with contextlib.suppress(RuntimeError):  # the loop is closed: nothing waits for the result
+        with contextlib.suppress(RuntimeError):  # the loop is closed, so the result is dropped
             self.loop.call_soon_threadsafe(self._finish, result)
 
     def _finish(self, result: Result | Exception) -> None:
-        """On the loop: reports the result, and starts the work submitted meanwhile."""
+        """Reports the result on the loop, and starts the work submitted in the meantime."""
         interpreter_settings.end()
         self.is_busy = False
         try:
             self.on_result(result)
         finally:
             if isinstance(result, Exception):
-                result.__traceback__ = None  # its frames refer to the result: a reference cycle
+                result.__traceback__ = None  # breaks the reference cycle through its frames
             self._start_next()
--- a/glenchute/cli/main.py
+++ b/glenchute/cli/main.py
@@ -1,6 +1,6 @@
-"""The command line: ``glenchute`` or ``python -m glenchute``; without a command it runs a gateway.
+"""The command line: ``glenchute`` or ``python -m glenchute``. Without a command it runs a gateway.
 
-A bare ``run`` imports no argument parser, as every restart would pay for it.
+``run`` without arguments imports no argument parser, which would delay every restart.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 COMMANDS = {
     "run": "serve as one gateway (the default)",
     "check": "check the operator's file; exit 0, or 2 with what is wrong",
-    "explain": "tell which route binds a kind of request, and the attempts that it allows",
-    "replay": "feed a capture to the decision module and compare each decision",
-    "quota": "state what quotas and ceilings may be overshot by when the counter fails",
-    "pipeline": "print which classes may share a connection to a node, and within what",
-    "fleet": "ask a running gateway what it knows of the others",
-    "demo": "play a small site on loopback, with a node that fails midway",
+    "explain": "print which route applies to a kind of request, and the attempts that it allows",
+    "replay": "feed a capture to the decision engine and compare each decision",
+    "quota": "print by how much quotas and ceilings may be exceeded when the counter fails",
+    "pipeline": "print which classes may share a connection to a server, and within which limits",
+    "fleet": "query what a running gateway knows of the other members",
+    "demo": "run a small site on loopback, with a server that fails temporarily",
     "schema": "print the JSON Schema of the operator's file",
 }
 FLEET = ("members", "state", "list", "conflicts", "digest", "tasks", "leases", "release", "unpark")
-CLOSED_PIPE_STATUS = 128 + signal.SIGPIPE  # as a shell reports a program that ended by the signal
+CLOSED_PIPE_STATUS = 128 + signal.SIGPIPE  # the status that a shell reports for a program ended by SIGPIPE
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs a command; the exit status: 0 done, 1 could not start, 2 unusable arguments or files."""
+    """Runs a command. Returns the exit status: 0 success, 1 could not start, 2 invalid arguments or files."""
     argv = sys.argv[1:] if argv is None else argv
     if not argv or argv == ["run"]:
         return run_gateway(None)
@@ -39,15 +39,16 @@
         status = run_command(parse_arguments(argv))
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever read the output has closed it. What is still buffered has nowhere to go at the exit.
+        # The reader has closed the pipe: the rest of the buffer is written to /dev/null at the exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return CLOSED_PIPE_STATUS
     return status
 
 
 def run_gateway(operator_file: str | None) -> int:
-    """Runs a gateway; the exit status. Collections are off until it serves (`GatewayProgram.run`): what is
-    imported and read at a start stays, and looking at it for garbage takes a twentieth of the start."""
+    """Runs a gateway and returns the exit status. Garbage collection is off until it serves
+    (`GatewayProgram.run`): objects imported and loaded at the start are permanent, and scanning them takes 5
+    % of the start-up time."""
     gc.disable()
     from .run import run
 
@@ -55,7 +56,7 @@
 
 
 def run_command(args: argparse.Namespace) -> int:
-    """The exit status of the command that the arguments name; without one a gateway runs."""
+    """Runs the command that the arguments name, by default a gateway, and returns the exit status."""
     if args.command == "run" or args.command is None:
         return run_gateway(getattr(args, "operator", None))
     status: int = import_module(f"glenchute.cli.{args.command}").command(args)
@@ -63,7 +64,7 @@
 
 
 def parse_arguments(argv: list[str]) -> argparse.Namespace:
-    """The arguments of a command. SystemExit with a message where they can't be used."""
+    """Parses the arguments. Raises SystemExit with a message if they are invalid."""
     import argparse
 
     from glenchute import __version__
@@ -82,7 +83,7 @@
 
 
 def add_file_arguments(parsers: dict[str, argparse.ArgumentParser]) -> None:
-    """The files that a command reads."""
+    """Adds the arguments that name configuration files."""
     for name in ("run", "check", "explain", "pipeline"):
         parsers[name].add_argument(
             "--operator", metavar="FILE", help="the operator's file; else GLENCHUTE_OPERATOR names it"
@@ -94,34 +95,40 @@
 
 
 def add_query_arguments(parsers: dict[str, argparse.ArgumentParser]) -> None:
-    """What `check`, `explain`, `quota` and `fleet` are asked."""
-    parsers["check"].add_argument("--json", action="store_true", help="findings for a program")
+    """Adds the arguments of `check`, `explain`, `quota` and `fleet`."""
+    parsers["check"].add_argument("--json", action="store_true", help="print findings as JSON")
     parsers["explain"].add_argument("--class", dest="class_name", required=True, help="the request's class")
-    parsers["explain"].add_argument("--plan", required=True, help="its customer's plan")
+    parsers["explain"].add_argument("--plan", required=True, help="the tenant's plan")
     parsers["explain"].add_argument("--command", dest="verb", choices=("GET", "POST"))
     parsers["quota"].add_argument("what", choices=("bound",))
-    parsers["quota"].add_argument("--spread", type=int, default=0, help="gateways of an account; else all")
-    parsers["quota"].add_argument("--clocks-ms", type=float, default=100.0, help="by which clocks differ")
-    parsers["quota"].add_argument("--asked", type=float, default=0.0, help="units a second; members' bound")
+    parsers["quota"].add_argument(
+        "--spread", type=int, default=0, help="number of gateways that an account uses; default: all"
+    )
+    parsers["quota"].add_argument(
+        "--clocks-ms", type=float, default=100.0, help="maximum difference between clocks"
+    )
+    parsers["quota"].add_argument(
+        "--asked", type=float, default=0.0, help="requested units per second, for the bound with members"
+    )
     parsers["fleet"].add_argument("what", choices=FLEET)
     parsers["fleet"].add_argument("task", nargs="?", help="for release and unpark")
     parsers["fleet"].add_argument("--control", metavar="PATH", required=True, help="the gateway's socket")
-    parsers["fleet"].add_argument("--json", action="store_true", help="rows for a program")
+    parsers["fleet"].add_argument("--json", action="store_true", help="print rows as JSON")
 
 
 def add_replay_arguments(parser: argparse.ArgumentParser) -> None:
-    """Which part of a capture is replayed, and what is printed."""
+    """Adds the arguments of `replay`: which part of a capture is replayed, and what is printed."""
     parser.add_argument("path", help="a segment, or a folder of them")
     parser.add_argument("--from", dest="since", type=float, default=0.0, metavar="MS")
     parser.add_argument("--until", type=float, default=float("inf"), metavar="MS")
-    parser.add_argument("--diff", action="store_true", help="all differences, not the first")
+    parser.add_argument("--diff", action="store_true", help="print all differences, not only the first")
     parser.add_argument("--explain", metavar="REQUEST", help="the story of one request")
     parser.add_argument("--refusals", action="store_true", help="which limits refused, how often")
     parser.add_argument("--against", metavar="FOLDER", help="another version of the module")
 
 
 def add_demo_arguments(parser: argparse.ArgumentParser) -> None:
-    """The size of the demonstration."""
-    parser.add_argument("--seconds", type=float, default=8.0, help="length, 2 to 600 (default 8)")
-    parser.add_argument("--rate", type=float, default=80.0, help="requests a second, 1 to 500")
-    parser.add_argument("--seed", type=int, default=1, help="of load and faults")
+    """Adds the arguments of `demo`: duration, rate and seed."""
+    parser.add_argument("--seconds", type=float, default=8.0, help="duration, 2 to 600 (default 8)")
+    parser.add_argument("--rate", type=float, default=80.0, help="requests per second, 1 to 500")
+    parser.add_argument("--seed", type=int, default=1, help="seed of load and faults")
--- a/glenchute/cli/operator_reload.py
+++ b/glenchute/cli/operator_reload.py
@@ -1,5 +1,4 @@
-"""The operator's file in a gateway that runs: read at the start, and again on SIGHUP beside the event
-loop."""
+"""Reads the operator's file at the start of a gateway, and again in a background thread on SIGHUP."""
 
 from __future__ import annotations
 
@@ -17,7 +16,7 @@
 
     from .background_reload import BackgroundReload, ReloadedFile
 
-WARNINGS_PER_TURN = 50  # logged in one turn of the event loop: a file may have a warning for each route
+WARNINGS_PER_TURN = 50  # logged per iteration of the event loop: a file may cause a warning for each route
 RESTART_TABLES = "[capture], [discovery], [fleet], [fronts], [pipeline] and [subset]"
 
 log = logging.getLogger("glenchute")
@@ -26,8 +25,8 @@
 def load_operator_file(
     path: str, config: PlatformConfig, yield_processor: Callable[[], None] | None = None
 ) -> tuple[OperatorConfig, list[str]]:
-    """The operator's file and its warnings. ConfigError with all that is wrong. `yield_processor` is called
-    between parts of the reading."""
+    """Returns the operator's file and its warnings. Raises ConfigError with all findings if it is invalid.
+    `yield_processor` is called between parts of the reading."""
     from glenchute.config.operator import read
 
     result = read(path, config.facts, yield_processor)
@@ -38,7 +37,8 @@
 
 
 def read_operator(path: str, config: PlatformConfig) -> OperatorConfig:
-    """The operator's file; its warnings are logged. ConfigError with all that is wrong."""
+    """Returns the operator's file and logs its warnings. Raises ConfigError with all findings if it is
+    invalid."""
     operator, warnings = load_operator_file(path, config)
     for line in warnings:
         log.warning("%s", line)
@@ -46,8 +46,8 @@
 
 
 def reload_operator_file(path: str, config: PlatformConfig) -> ReloadedFile:
-    """What a valid operator's file brings to a gateway that serves; ConfigError for another. Touches nothing
-    else, so that it may run in a thread beside the loop."""
+    """Reads the operator's file for a running gateway. Raises ConfigError if it is invalid. Accesses no
+    shared state, so that it may run in a background thread."""
     from glenchute.policy.retries.route_limits import RouteTable
 
     from .background_reload import ReloadedFile, TimeSlices
@@ -55,13 +55,15 @@
     try:
         operator, warnings = load_operator_file(path, config, TimeSlices().yield_if_over)
     except ConfigError as error:
-        raise error.with_traceback(None) from None  # that holds all findings, to be freed on the loop
+        raise error.with_traceback(
+            None
+        ) from None  # the traceback would hold all findings, to be freed on the loop
     routes = RouteTable(operator.bindings, config.seed)
     return ReloadedFile(routes, operator.restart_tables(), warnings)
 
 
 class OperatorReload:
-    """Applies the routes of the operator's file when it is read again; a file with errors changes nothing."""
+    """Reads the operator's file again and applies its routes; a file with errors changes nothing."""
 
     def __init__(
         self,
@@ -74,7 +76,8 @@
         self.background: BackgroundReload[ReloadedFile] | None = None
 
     def request(self, path: str, config: PlatformConfig) -> None:
-        """Reads the file beside the loop. Requested again meanwhile, it is read once more afterwards."""
+        """Reads the file in the background. If requested again in the meantime, it is read once more
+        afterwards."""
         from .background_reload import BackgroundReload
 
         if self.background is None:
@@ -82,7 +85,7 @@
         self.background.submit(partial(reload_operator_file, path, config))
 
     def apply(self, result: ReloadedFile | Exception) -> None:
-        """The routes of a valid file hold for requests from now on."""
+        """Applies the routes of a valid file to all further requests, or logs why the file was rejected."""
         if isinstance(result, Exception):
             fault = None if isinstance(result, ConfigError) else result
             log.error("the operator's file in force stays: %s", result, exc_info=fault)
@@ -92,12 +95,13 @@
         self.log_result(result, 0)
 
     def log_result(self, result: ReloadedFile, first: int) -> None:
-        """Logs the warnings from number `first` on, some in each turn of the loop, then what was applied."""
+        """Logs the warnings from index `first` on, some per iteration of the loop, then that the file was
+        applied."""
         for line in result.warnings[first : first + WARNINGS_PER_TURN]:
             log.warning("%s", line)
         if first + WARNINGS_PER_TURN < len(result.warnings):
             self.loop.call_soon(self.log_result, result, first + WARNINGS_PER_TURN)
             return
         log.info("the operator's file was read again")
-        if self.tables_at_start is not None and result.started != self.tables_at_start:
+        if self.tables_at_start is not None and result.restart_tables != self.tables_at_start:
             log.warning("what changed in %s waits for a restart", RESTART_TABLES)
