--- a/glenchute/cli/fleet.py
+++ b/glenchute/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``glenchute fleet``: what a running gateway knows of the other members, read from its control socket."""
+"""``glenchute fleet``: prints what a running gateway knows of the other members, from its control socket."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def command(args: argparse.Namespace) -> int:
-    """Prints a verb's rows. The exit code: 1 where the socket can't be read."""
+    """Prints a verb's rows. Returns 0, or 1 if the control socket gives no answer."""
     try:
         verb = f"fleet {args.what} {args.task}" if args.task else f"fleet {args.what}"
         rows = ask(args.control, verb)
@@ -26,7 +26,7 @@
 
 
 def rich_table(rows: list[dict[str, Any]]) -> bool:
-    """Prints rows as a table of rich, for a terminal. False where rich is not installed."""
+    """Prints rows as a table on a terminal. Returns False if the library rich is not installed."""
     try:
         from rich.console import Console
         from rich.table import Table
@@ -48,7 +48,7 @@
 
 
 def text_table(rows: list[dict[str, Any]]) -> list[str]:
-    """Rows as aligned columns of text; a single row as a list of its fields."""
+    """Formats rows as aligned columns of text, or a single row as a list of its fields."""
     if not rows:
         return ["none"]
     if len(rows) == 1:
--- a/glenchute/cli/pipelined_upstream.py
+++ b/glenchute/cli/pipelined_upstream.py
@@ -1,4 +1,4 @@
-"""Builds the pipelined upstream from the operator's `[pipeline]`. Imported only for a file that has the
+"""Creates the pipelined upstream from the operator's table `[pipeline]`. Imported only for a file with that
 table."""
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 def pipeline_rules(raw: Mapping[str, Any], config: PlatformConfig) -> PipelineRules:
-    """The rules that a checked table makes on this platform."""
+    """Returns the rules of a validated table on this platform."""
     max_idle_ms = 1000.0 * config.limits.max_idle_s
     return rules_of(raw)._replace(max_idle_ms=max_idle_ms, may_hedge=config.settings.allows_hedging)
 
 
 def class_compatibility(raw: Mapping[str, Any], config: PlatformConfig) -> ClassCompatibility:
-    """Which classes may share a connection."""
+    """Returns which classes may share a connection."""
     return ClassCompatibility(config.settings.classes, raw["classes"], raw.get("behind_unsafe", False))
 
 
 def pipelined_upstream(
     raw: Mapping[str, Any], config: PlatformConfig, loop: asyncio.AbstractEventLoop
 ) -> PipelinedServers:
-    """The upstream that a checked table describes."""
+    """Creates the upstream of a validated table."""
     default = WriteLimits()
     write_limits = WriteLimits(
         raw.get("gather", default.max_commands), raw.get("gather_bytes", default.max_bytes)
--- a/glenchute/cli/schema.py
+++ b/glenchute/cli/schema.py
@@ -1,4 +1,4 @@
-"""``glenchute schema``: the JSON Schema of the operator's file, as checked in under deploy/."""
+"""``glenchute schema``: prints the JSON Schema of the operator's file, which is checked in under deploy/."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def text() -> str:
-    """The schema as a file."""
+    """Returns the schema as the text of a file."""
     return json.dumps(json_schema(), indent=2) + "\n"
 
 
 def command(args: argparse.Namespace) -> int:
-    """Prints it."""
+    """Prints the schema."""
     print(text(), end="")
     return 0
