--- a/glenchute/cli/demo.py
+++ b/glenchute/cli/demo.py
@@ -1,7 +1,8 @@
-"""``glenchute demo``: stand-ins and one gateway on loopback, a mixed load, a node that fails midway, a table.
+"""``glenchute demo``: runs a gateway and simulated servers on loopback under a mixed load, and prints a
+table. One of the servers fails for a third of the time.
 
-The gateway is a process in a process group of its own; the stand-ins and the load run here. It ends by
-itself, or cleanly on SIGINT and SIGTERM.
+The gateway is a process in a process group of its own; the simulated servers and the load run in this
+process. The demo ends by itself, or cleanly on SIGINT and SIGTERM.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 NODES = 4
 FOREVER = 1e9
-TRADE = Trade({"report-read": 25.0, "check-order": 45.0, "check-charge": 60.0})
+SERVICE_TIMES = Trade({"report-read": 25.0, "check-order": 45.0, "check-charge": 60.0})
 WORDS = ("served", "refused", "failed", "lost")
 OPERATOR = """\
 [defaults]
@@ -48,70 +49,75 @@
 
 
 def command(args: argparse.Namespace) -> int:
-    """0 where each request had one answer and no charge ran twice, else 1; 2 for unusable arguments."""
+    """Runs the demo. Returns 0 if each request had one answer and no charge ran twice, else 1; 2 for invalid
+    arguments."""
     if not 2.0 <= args.seconds <= 600.0 or not 1.0 <= args.rate <= 500.0:
-        print("glenchute: seconds from 2 to 600 and a rate from 1 to 500", file=sys.stderr)
+        print("glenchute: --seconds must be from 2 to 600, --rate from 1 to 500", file=sys.stderr)
         return 2
-    return int(uvloop.run(play(args.seconds, args.rate, args.seed)))
+    return int(uvloop.run(run_demo(args.seconds, args.rate, args.seed)))
 
 
-def nodes(seconds: float, seed: int) -> list[Node]:
-    """Four nodes; a third of the way through, the second one fails: a part of its commands goes unanswered, a
-    part is reset, a part is answered with errors. It recovers after another third."""
+def create_nodes(seconds: float, seed: int) -> list[Node]:
+    """Creates four nodes. In the middle third of the demo the second one fails: some of its commands go
+    unanswered, some connections are reset, and the rest is answered with errors."""
     begin, end = seconds / 3.0, 2.0 * seconds / 3.0
     faults = [Fault(kind, begin, end, share) for kind, share in
               ((Kind.VANISH, 0.3), (Kind.RESET, 0.4), (Kind.FAIL, 1.0))]  # fmt: skip
-    return [Node(f"node-{i}", TRADE, Script(faults if i == 1 else (), seed + i)) for i in range(NODES)]
+    return [Node(f"node-{i}", SERVICE_TIMES, Script(faults if i == 1 else (), seed + i)) for i in range(NODES)]
 
 
-async def play(seconds: float, rate: float, seed: int) -> int:
-    """The whole demo; the exit status."""
+async def run_demo(seconds: float, rate: float, seed: int) -> int:
+    """Runs the demo and returns the exit status."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for sign in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(sign, stop.set)
+    for number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(number, stop.set)
     with tempfile.TemporaryDirectory(prefix="glenchute-demo-") as folder:
-        async with LabSite(nodes(seconds, seed)) as site:
+        async with LabSite(create_nodes(seconds, seed)) as site:
             gateway = GatewayProcess(Path(folder), site.platform(), OPERATOR)
             gateway.start()
             try:
                 await gateway.ready()
                 for node in site.nodes:
-                    node.began = loop.time()  # faults are timed from here
+                    node.began = loop.time()  # the start time of the fault schedule
                 load = Load(lambda: gateway.port, KINDS, accounts(), rate, seed)
                 print(f"{NODES} nodes, one gateway on 127.0.0.1:{gateway.port}, {rate:g} requests a second")
                 begin, end = seconds / 3, 2 * seconds / 3
                 print(f"for {seconds:g} s; node-1 fails from {begin:.1f} to {end:.1f} s", flush=True)
-                await watch(load, site, seconds, stop)
+                await run_load(load, site, seconds, stop)
             finally:
                 status = await gateway.stop()
-    return table(load, site, status, stop.is_set())
+    return print_results(load, site, status, stop.is_set())
 
 
-async def watch(load: Load, site: LabSite, seconds: float, stop: asyncio.Event) -> None:
-    """Runs the load and shows where it stands, until its end or a signal."""
-    playing = asyncio.create_task(load.run(seconds))
+async def run_load(load: Load, site: LabSite, seconds: float, stop: asyncio.Event) -> None:
+    """Runs the load and prints its progress, until its end or a signal."""
+    running = asyncio.create_task(load.run(seconds))
     stopping = asyncio.create_task(stop.wait())
-    began, live = asyncio.get_running_loop().time(), sys.stdout.isatty()
-    while not playing.done() and not stopping.done():
-        await asyncio.wait({playing, stopping}, timeout=0.25 if live else 1.0,
+    began, is_terminal = asyncio.get_running_loop().time(), sys.stdout.isatty()
+    while not running.done() and not stopping.done():
+        await asyncio.wait({running, stopping}, timeout=0.25 if is_terminal else 1.0,
                            return_when=asyncio.FIRST_COMPLETED)  # fmt: skip
         counts = {word: sum(1 for o in load.outcomes if o.answer == word) for word in WORDS}
         told = "  ".join(f"{word} {count}" for word, count in counts.items())
         line = f"{asyncio.get_running_loop().time() - began:5.1f} s  {told}"
         per_node = " ".join(f"{node.name}:{node.inflight}" for node in site.nodes)
-        print(f"\r{line}  in work {per_node}   " if live else line, end="" if live else "\n", flush=True)
-    if live:
+        print(
+            f"\r{line}  in work {per_node}   " if is_terminal else line,
+            end="" if is_terminal else "\n",
+            flush=True,
+        )
+    if is_terminal:
         print()
-    for task in (playing, stopping):
+    for task in (running, stopping):
         task.cancel()
-    for task in (playing, stopping):
+    for task in (running, stopping):
         with contextlib.suppress(asyncio.CancelledError):
             await task
 
 
-def table(load: Load, site: LabSite, status: int, stopped: bool) -> int:
-    """Prints what became of each class; the exit status."""
+def print_results(load: Load, site: LabSite, status: int, stopped: bool) -> int:
+    """Prints the results of each class, and returns the exit status."""
     columns = "".join(f"{word:>9}" for word in ("asked", *WORDS, "p50 ms", "p99 ms"))
     print(f"{'class':14}{columns}")
     lost = 0
--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -1,4 +1,4 @@
-"""``glenchute replay``: a capture through the engine, equal or not, and why a request went as it did."""
+"""``glenchute replay``: replays a capture through the engine, compares the decisions, and traces requests."""
 
 from __future__ import annotations
 
@@ -29,24 +29,27 @@
 
 
 def command(args: argparse.Namespace) -> int:
-    """0 where every decision is equal, 1 where one is not, 2 where the capture can't be used."""
+    """Replays and prints. Returns 0 if all decisions are equal, 1 if one differs, 2 if the capture is
+    unusable."""
     try:
-        found = find_runs(Path(args.path))
-        make = load_other_engine(Path(args.against)) if args.against else DecisionEngine
+        runs = find_runs(Path(args.path))
+        create_engine = load_other_engine(Path(args.against)) if args.against else DecisionEngine
         equal = True
-        for run, files in found.items():
+        for run, files in runs.items():
             causes = RejectionCauses() if args.refusals else None
-            observer = RequestStory(args.explain) if args.explain else causes
-            most = MAX_COMPARED if args.against or args.diff else 1
+            observer = RequestTrace(args.explain) if args.explain else causes
+            max_differences = MAX_COMPARED if args.against or args.diff else 1
             version = captured_version(files)
-            own = args.against is None and version == engine_digest()
+            is_captured_engine = args.against is None and version == engine_digest()
             if args.against is None and version not in ("", engine_digest()):
                 print(f"{run}: captured by module {version}, replayed by {engine_digest()}")
-            report = replay(files, make, args.since, args.until, most, own, observer)
+            report = replay(
+                files, create_engine, args.since, args.until, max_differences, is_captured_engine, observer
+            )
             equal = equal and not report.differences
             lines = (
                 observer.lines
-                if isinstance(observer, RequestStory)
+                if isinstance(observer, RequestTrace)
                 else describe_causes(causes)
                 if causes
                 else ()
@@ -59,10 +62,10 @@
     return 0 if equal else 1
 
 
-def describe_causes(found: RejectionCauses) -> Iterator[str]:
-    """Rejections by cause."""
-    rows = found.rows()
-    yield f"{found.request_count} requests, {sum(row.rejections for row in rows)} refused"
+def describe_causes(causes: RejectionCauses) -> Iterator[str]:
+    """Yields a table of the rejections by cause."""
+    rows = causes.rows()
+    yield f"{causes.request_count} requests, {sum(row.rejections for row in rows)} refused"
     for row in rows:
         left = f"{row.bucket_left_units:.1f} units left in the store" if row.units else ""
         text = CAUSE_TEXTS[row.cause]
@@ -70,7 +73,7 @@
 
 
 def captured_version(files: list[Path]) -> str:
-    """The engine's version by the first segment that can be read."""
+    """Returns the engine's digest from the first readable segment; empty if none is readable."""
     for file in files:
         try:
             return read_segment(file).header.module
@@ -80,7 +83,7 @@
 
 
 def describe_report(run: str, report: Report, against: bool) -> Iterator[str]:
-    """The result in lines."""
+    """Yields the lines that describe the result of a replay."""
     for note in report.notes:
         yield f"{run}: {note}"
     if against:
@@ -95,8 +98,8 @@
 
 
 def describe_changes(differences: list[Difference]) -> Iterator[str]:
-    """Which decisions changed into which, how often, for how many units. After the first the two versions are
-    in different states, so later ones are consequences as well."""
+    """Yields which decisions changed into which, how often, and for how many units. After the first
+    difference the two versions are in different states, so later differences may be consequences of it."""
     changed: Counter[tuple[str, str]] = Counter()
     units: Counter[tuple[str, str]] = Counter()
     for difference in differences:
@@ -108,8 +111,9 @@
         yield f"  {was:14} -> {now:14} {count:7} times, {units[was, now]} units of new requests"
 
 
-class RequestStory:
-    """An observer for `replay`: all events of one request, with the state that each decision was made in."""
+class RequestTrace:
+    """An observer for `replay`: collects all events of one request, with the state in which each decision was
+    made."""
 
     def __init__(self, request: str) -> None:
         self.request = request
@@ -117,13 +121,13 @@
         self.tenant_id = ""
 
     def __call__(self, engine: Any, record: Record) -> None:
-        """Takes one more."""
+        """Adds the lines of one record."""
         event = decode_event(record)
         is_own = getattr(event, "request_id", None) == self.request
         actions = [action for action in record[3] or () if action[1] and action[1][0] == self.request]
         if not is_own and not actions:
             return
-        if isinstance(event, AttemptAssigned):  # decides nothing: its state is shown with the event before
+        if isinstance(event, AttemptAssigned):  # no decision: the previous event shows the state
             self.lines.append(f"{record[0]:.3f}  attempt {event.attempt} to {event.reason}")
             return
         self.lines.append(f"{record[0]:.3f}  {event}")
@@ -135,7 +139,7 @@
 
 
 def describe_state(engine: Any, tenant_id: str) -> Iterator[str]:
-    """What the engine believed of a tenant, the counter and the servers."""
+    """Yields the engine's state of a tenant, the counter and the servers."""
     quota, pacing = engine.quota, engine.quota.counter.pacing
     tenant = quota.tenants.by_id.get(tenant_id)
     if tenant is not None:
