--- a/glenchute/cli/demo.py
+++ b/glenchute/cli/demo.py
@@ -63,7 +63,9 @@
     begin, end = seconds / 3.0, 2.0 * seconds / 3.0
     faults = [Fault(kind, begin, end, share) for kind, share in
               ((Kind.VANISH, 0.3), (Kind.RESET, 0.4), (Kind.FAIL, 1.0))]  # fmt: skip
-    return [Node(f"node-{i}", SERVICE_TIMES, Script(faults if i == 1 else (), seed + i)) for i in range(NODES)]
+    return [
+        Node(f"node-{i}", SERVICE_TIMES, Script(faults if i == 1 else (), seed + i)) for i in range(NODES)
+    ]
 
 
 async def run_demo(seconds: float, rate: float, seed: int) -> int:
