--- a/glenchute/config/__init__.py
+++ b/glenchute/config/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's file, the operator's file, and their rules."""
+"""Loads and validates the platform's file and the operator's file."""
--- a/glenchute/config/extproc_shape.py
+++ b/glenchute/config/extproc_shape.py
@@ -1,6 +1,6 @@
-"""The shape of `[fronts.extproc]` in the operator's file.
+"""Declares the structure of `[fronts.extproc]` in the operator's file.
 
-What it means is checked in `extproc.py`, which is imported only for a file that has this table.
+Its values are checked by `extproc.py`, which is imported only for a file that has this table.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 MAX_OPERATIONS = 500
 SOURCE = String("[a-z]{4,10}:[^\\x00-\\x1f]{0,200}", "a source, as header:x-account")
 FILE = String("[^\\x00-\\x1f]{1,400}", "the path of a file")
-HEADER = String("[!#$%&'*+.^_`|~0-9a-z-]{1,100}", "the name of a header in small letters")
+HEADER = String("[!#$%&'*+.^_`|~0-9a-z-]{1,100}", "the name of a header in lower case")
 NAMED = String("[^\\x00-\\x1f]{1,100}", "a name")
 MAPPED_FIELDS = ("class", "account", "plan", "units", "spread", "id", "key", "deadline_ms")
 MAP = Table(dict.fromkeys(MAPPED_FIELDS, SOURCE), ("account", "plan"))
 OPERATION = Table(
     {
         "class": NAMED,
-        "method": String("[A-Z]{1,20}", "a method in capitals"),
+        "method": String("[A-Z]{1,20}", "a method in upper case"),
         "path": String("/[^\\x00-\\x20?#]{0,199}", "a path template, as /v1/checks/{account}"),
     },
     ("class", "path"),
@@ -29,13 +29,13 @@
             "a loopback address with its port, or unix: and the path of a socket",
         ),
         "token_key_file": FILE,
-        "most_calls": Number(1, 1_000_000, whole=True),
-        "most_streams": Number(1, 1_000_000, whole=True),
+        "most_calls": Number(1, 1_000_000, is_integer=True),
+        "most_streams": Number(1, 1_000_000, is_integer=True),
         "reopen_ms": Number(0, 10_000),
         "attempt_streams": Boolean(),
         "endpoint_header": HEADER,
         "load_header": HEADER,
-        "full_status": Number(0, 599, whole=True),
+        "full_status": Number(0, 599, is_integer=True),
         "restart_open": Strings(),
         "tls": Table({"certificate": FILE, "key": FILE, "client_ca": FILE}, ("certificate", "key")),
         "map": MAP,
--- a/glenchute/config/facts.py
+++ b/glenchute/config/facts.py
@@ -1,4 +1,4 @@
-"""What of the platform's file the rules of the operator's file are about."""
+"""The facts of the platform's file against which the operator's file is checked."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @record(frozen=True, slots=True)
 class ClassFacts:
-    """One class of the platform's file."""
+    """The facts of one request class."""
 
     idempotency: Idempotency
     deadline_ms: float
@@ -19,18 +19,18 @@
 
     @property
     def command(self) -> str:
-        """The command that it comes by."""
+        """Returns the command by which requests of this class arrive."""
         return "GET" if self.idempotency is Idempotency.IDEMPOTENT else "POST"
 
 
 @record(frozen=True, slots=True)
 class PlatformFacts:
-    """What of the platform's file the rules are about."""
+    """The facts of the platform's file that the rules use."""
 
     classes: Mapping[str, ClassFacts]
     plans: tuple[str, ...]
     max_attempts: int
     allows_hedging: bool
     connect_timeout_ms: float
-    max_streams: int = 0  # commands of one connection that a server begins at once; 0: not told
-    idle_timeout_ms: float = 15_000.0  # connections are closed after this long without use
+    max_streams: int = 0  # commands of one connection that a server runs concurrently; 0: not stated
+    idle_timeout_ms: float = 15_000.0  # unused time after which servers close a connection
--- a/glenchute/config/files.py
+++ b/glenchute/config/files.py
@@ -1,4 +1,4 @@
-"""Small files that a configuration names: keys, certificates."""
+"""Reads small files that a configuration names, such as keys and certificates."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 
 
 def read_file(path: str, what: str, secret: bool = False) -> bytes:
-    """A small file; a secret one must be its owner's alone. ConfigError with `what` it was to be."""
+    """Reads a small file, described as `what` in errors. Raises ConfigError if it is unreadable, or if it is
+    secret and accessible to others."""
     try:
         with open(path, "rb") as file:
-            about = os.fstat(file.fileno())
-            if secret and stat.S_IMODE(about.st_mode) & 0o077:
+            status = os.fstat(file.fileno())
+            if secret and stat.S_IMODE(status.st_mode) & 0o077:
                 raise ConfigError(f"{what} {path} can be read by others; chmod 600 it")
             return file.read(MAX_FILE_BYTES)
     except (OSError, ValueError) as error:
@@ -24,8 +25,8 @@
 
 
 def secret_key(path: str, what: str) -> bytes:
-    """A key of 32 bytes at least."""
+    """Reads a key of at least `KEY_BYTES`. Raises ConfigError if it is shorter."""
     key = read_file(path, what, secret=True)
     if len(key) < KEY_BYTES:
-        raise ConfigError(f"{what} has {len(key)} bytes; write {KEY_BYTES} random ones at least")
+        raise ConfigError(f"{what} has {len(key)} bytes; write at least {KEY_BYTES} random ones")
     return key
--- a/glenchute/config/findings.py
+++ b/glenchute/config/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong with a file, where, and how to mend it."""
+"""Findings: errors and warnings in a file, with their location and the fix."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 class Finding(NamedTuple):
-    """One thing wrong. `code` is stable; `line` counts from 1, 0 where the file as a whole is meant. A
-    warning does not keep the file from loading."""
+    """One error or warning. `code` is stable; `line` counts from 1, and is 0 for the file as a whole. A file
+    with warnings only can be loaded."""
 
     code: str
     line: int
@@ -17,14 +17,14 @@
     is_warning: bool = False
 
     def render(self, file: str) -> str:
-        """One line for a person."""
+        """Formats the finding as one line of text."""
         where = f"{file}:{self.line}" if self.line else file
         kind = "warning" if self.is_warning else "error"
         place = f"{self.location}: " if self.location else ""
         return f"{where}: {kind} {self.code}: {place}{self.message}"
 
     def record(self) -> dict[str, Any]:
-        """The same for a program; the keys are what `glenchute check --json` prints."""
+        """Returns the finding as an object, as `glenchute check --json` prints it."""
         return {
             "code": self.code,
             "line": self.line,
@@ -35,10 +35,10 @@
 
 
 def sort_findings(findings: Iterable[Finding]) -> list[Finding]:
-    """By line, each once. Findings come nearly in order, and sorting them from there is short."""
+    """Sorts findings by line and drops duplicates. The input is nearly sorted, which makes sorting cheap."""
     return sorted(dict.fromkeys(findings), key=lambda f: (f.line, f.location, f.code, f.message))
 
 
 def has_errors(findings: Iterable[Finding]) -> bool:
-    """Whether the file must not be loaded."""
+    """Returns whether any finding prevents loading the file."""
     return any(not finding.is_warning for finding in findings)
--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -22,7 +22,7 @@
 NAME = String("[A-Za-z0-9_.-]{1,64}", "1 to 64 letters, digits, '_', '.' or '-'")
 LEASES = Table(
     {
-        "voters": Strings(alone=False),
+        "voters": Strings(allows_single=False),
         "changing": Boolean(),
         "longest_s": Number(0.5, 300),
         "drift": Number(0, 0.1),
@@ -47,10 +47,10 @@
         "fleet": NAME,
         "name": NAME,
         "listen": ADDRESS,
-        "number": Number(0, MAX_NUMBER, whole=True),
+        "number": Number(0, MAX_NUMBER, is_integer=True),
         "members": TableArray(
             Table(
-                {"name": NAME, "address": ADDRESS, "number": Number(0, MAX_NUMBER, whole=True)},
+                {"name": NAME, "address": ADDRESS, "number": Number(0, MAX_NUMBER, is_integer=True)},
                 ("name", "address"),
             ),
             MAX_MEMBERS,
--- a/glenchute/config/locate.py
+++ b/glenchute/config/locate.py
@@ -1,7 +1,7 @@
-"""Where the keys of a TOML file stand. tomllib tells no positions, and a parser that does costs ten times the
-start-up, so the lines are looked up here, and only once something is wrong.
+"""Finds the lines of the keys of a TOML file, for findings. tomllib reports no positions, and a parser that
+does makes the start ten times as long, so the lines are looked up here, and only if there is a finding.
 
-The text has been read by tomllib already: this scanner only has to agree with valid TOML 1.0.
+tomllib has parsed the text already, so this scanner only has to handle valid TOML 1.0.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def parse_dotted_key(text: str, at: int) -> tuple[list[str], int]:
-    """The parts of a key that begins here, and where it ends."""
+    """Returns the parts of the dotted key that begins at `at`, and the position after it."""
     parts = []
     while (found := KEY.match(text, at)) is not None:
         parts.append(next(group for group in found.groups() if group is not None))
@@ -27,7 +27,7 @@
 
 
 def value_end(text: str, at: int) -> int:
-    """Where the value that begins here ends: the line break after it, outside of strings and brackets."""
+    """Returns the end of the value that begins at `at`: the next line break outside strings and brackets."""
     depth = 0
     while at < len(text):
         char = text[at]
@@ -43,7 +43,7 @@
             while at < len(text) and not text.startswith(quote, at):
                 at += 2 if char == '"' and text[at] == "\\" else 1
             at += len(quote)
-            if quote == long:  # up to two quotes may stand right before the closing ones
+            if quote == long:  # a multi-line string may end with up to two quotes of its own
                 while at < len(text) and text[at] == char:
                     at += 1
             continue
@@ -58,7 +58,7 @@
 
 
 def line_numbers(text: str) -> dict[Path, int]:
-    """The line of each table and key. Keys inside an inline table count as on their table's line."""
+    """Returns the line of each table and key, except keys inside inline tables."""
     found: dict[Path, int] = {}
     counts: dict[Path, int] = {}
     table: Path = ()
@@ -94,7 +94,7 @@
 
 
 def resolve_header(parts: tuple[str, ...], counts: dict[Path, int]) -> Path:
-    """A header's path, through the last entry of each array of tables on its way."""
+    """Returns a header's path, with the index of the last entry of each array of tables in it."""
     path: Path = ()
     for part in parts[:-1]:
         path = (*path, part)
@@ -105,7 +105,7 @@
 
 
 def line_of(path: Path, found: dict[Path, int]) -> int:
-    """The line of the nearest thing that has one; 0 for the file as a whole."""
+    """Returns the line of a path or of its nearest known ancestor; 0 for the file as a whole."""
     while path:
         if path in found:
             return found[path]
--- a/glenchute/config/operator_text.py
+++ b/glenchute/config/operator_text.py
@@ -1,7 +1,7 @@
-"""The operator's file as text: read within bounds, parsed as TOML, freed in small steps.
+"""Reads the text of the operator's file, up to a size limit, and parses it as TOML.
 
-A gateway reads its file again in a thread beside the event loop. `yield_processor` is called between parts of
-the work, so that the loop gets its turn.
+A running gateway reads its file again in a background thread. `yield_processor` is called between parts of
+the work, so that the event loop can run.
 """
 
 from __future__ import annotations
@@ -15,53 +15,53 @@
 from typing import Any
 
 from .findings import Finding, sort_findings
-from .schema import Path, label
+from .schema import Path, format_path
 
 MAX_BYTES = 1024 * 1024
 ROUTE_HEADER = r"^\[\[route\]\]"
 
 
 class FindingCollector:
-    """Collects findings by path; lines are looked up at the end, and only where there are any."""
+    """Collects findings by path. Lines are looked up at the end, and only if there are findings."""
 
     def __init__(self, yield_processor: Callable[[], None] | None = None) -> None:
         self.rows: list[tuple[str, Path, str, bool]] = []
         self.yield_processor = yield_processor or do_not_yield
 
     def __call__(self, code: str, path: Path, message: str, warning: bool = False) -> None:
-        """Takes one more."""
+        """Adds a finding."""
         self.rows.append((code, path, message, warning))
 
     def findings(self, text: str) -> list[Finding]:
-        """What was collected, in the order of the lines of the text."""
+        """Returns the findings in the order of the lines of the text."""
         if not self.rows:
             return []
-        from .locate import line_numbers, line_of  # only where something is wrong
+        from .locate import line_numbers, line_of  # imported only if there are findings
 
         lines = line_numbers(text)
         found: list[Finding] = []
         for code, path, message, warning in self.rows:
-            found.append(Finding(code, line_of(path, lines), label(path), message, warning))
+            found.append(Finding(code, line_of(path, lines), format_path(path), message, warning))
             self.yield_processor()
         found = sort_findings(found)
-        while lines:  # see `free_entries`
+        while lines:  # freed entry by entry, as in `free_entries`
             lines.popitem()
         return found
 
 
 def do_not_yield() -> None:
-    """For a reading that nobody waits beside."""
+    """Replaces `yield_processor` where no event loop waits for the processor."""
 
 
 def read_text(path: str) -> str | Finding:
-    """The text of the file, or why there is none. The size is bounded before anything is read, and a pipe or
-    a device is not opened, as that might block for ever."""
+    """Returns the text of the file, or a finding. The read is limited in size, and a pipe or a device is not
+    opened, as that might block for ever."""
     try:
-        about = os.stat(path)
-        if stat.S_ISDIR(about.st_mode):
+        status = os.stat(path)
+        if stat.S_ISDIR(status.st_mode):
             return Finding("is-directory", 0, "", "is a directory; name a file")
-        if not stat.S_ISREG(about.st_mode):
-            return Finding("not-a-file", 0, "", "is no regular file; name one")
+        if not stat.S_ISREG(status.st_mode):
+            return Finding("not-a-file", 0, "", "is not a regular file; name one")
         with open(path, "rb") as file:
             raw = file.read(MAX_BYTES + 1)
     except (OSError, ValueError) as error:
@@ -77,7 +77,7 @@
 
 
 def parse_toml(text: str, yield_processor: Callable[[], None] | None) -> dict[str, Any] | Finding:
-    """The tables of the text, or why it has none."""
+    """Returns the tables of the text, or a finding if it is not valid TOML."""
     try:
         by_route = load_by_route(text, yield_processor) if yield_processor is not None else None
         return by_route or tomllib.loads(text)
@@ -88,10 +88,10 @@
 
 
 def load_by_route(text: str, yield_processor: Callable[[], None]) -> dict[str, Any] | None:
-    """What tomllib makes of a text, read route by route; None where it has to be read whole.
+    """Parses a text route by route, with the result of tomllib; None if it has to be parsed as a whole.
 
-    A line that looks like a route's header may stand in a string, and a table may stand in two parts: then a
-    part is no TOML or repeats a key, and reading the whole tells what is wrong with its line."""
+    A line that looks like a route's header may be part of a string, and a table may span two parts. A part is
+    then invalid TOML or repeats a key, and parsing the whole text decides, with the right line in errors."""
     starts = [found.start() for found in re.finditer(ROUTE_HEADER, text, re.MULTILINE)]
     rows: list[Any] = []
     try:
@@ -111,7 +111,7 @@
 
 
 def free_entries(rows: object) -> None:
-    """Frees a list entry by entry. Thousands of tables freed at once take milliseconds in which no other
-    thread runs."""
+    """Empties a list entry by entry. Freeing thousands of tables at once takes milliseconds, during which no
+    other thread runs."""
     while isinstance(rows, list) and rows:
         rows.pop()
--- a/glenchute/config/schema.py
+++ b/glenchute/config/schema.py
@@ -1,8 +1,8 @@
-"""The shape of a configuration file, declared once: checks and a JSON Schema come from the same declaration.
+"""Declares the structure of a configuration file; validation and the JSON Schema use the same declaration.
 
-Why not msgspec or pydantic: see docs/design/routes.md (start-up time, and both stop or speak without a code
-where a file has several faults). Kinds take a value as TOML gives it and report what does not fit; what fits
-is handed on, so that one fault does not hide the next.
+Why not msgspec or pydantic: see docs/design/routes.md (start-up time; in a file with several errors both stop
+at the first one or report errors without a code). A kind takes a parsed TOML value, reports its errors and
+returns the valid parts, so that one error does not hide the next.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from typing import Any
 
 Path = tuple[str | int, ...]
-Report = Callable[[str, Path, str], None]  # code, path, sentence
+Report = Callable[[str, Path, str], None]  # called with code, path and message
 MISSING = object()
 
 
-def label(path: Path) -> str:
-    """`route[2].backoff.first_ms`."""
+def format_path(path: Path) -> str:
+    """Formats a path, as `route[2].backoff.first_ms`."""
     text = ""
     for step in path:
         text += f"[{step}]" if isinstance(step, int) else f".{step}" if text else step
@@ -26,28 +26,35 @@
 
 
 def toml_type(value: Any) -> str:
-    """What TOML calls the type of a value."""
+    """Returns the TOML name of a value's type."""
     names = {bool: "a boolean", int: "a whole number", float: "a number", str: "a string", list: "an array"}
     return names.get(type(value), "a table" if isinstance(value, dict) else "a date or time")
 
 
 class Kind:
-    """What a key may hold."""
+    """The type of values that a key accepts."""
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
-        """The value in its final form, or MISSING after a report."""
+        """Returns the converted value, or MISSING after reporting an error."""
         raise NotImplementedError
 
     def schema(self) -> dict[str, Any]:
-        """In JSON Schema's terms (draft 2020-12)."""
+        """Returns the JSON Schema of the values (draft 2020-12)."""
         raise NotImplementedError
 
 
 class Number(Kind):
-    """A finite number in a range; `above` leaves the lower end out."""
-
-    def __init__(self, least: float, most: float, above: bool = False, whole: bool = False) -> None:
-        self.minimum, self.maximum, self.excludes_minimum, self.is_integer = least, most, above, whole
+    """A finite number from `minimum` to `maximum`."""
+
+    def __init__(
+        self, minimum: float, maximum: float, excludes_minimum: bool = False, is_integer: bool = False
+    ) -> None:
+        self.minimum, self.maximum, self.excludes_minimum, self.is_integer = (
+            minimum,
+            maximum,
+            excludes_minimum,
+            is_integer,
+        )
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         """See `Kind.check`."""
@@ -90,10 +97,10 @@
 
 
 class String(Kind):
-    """A string of a form."""
+    """A string that matches `pattern`, which `expected` describes in errors."""
 
-    def __init__(self, pattern: str, wanted: str) -> None:
-        self.pattern, self.expected = pattern, wanted
+    def __init__(self, pattern: str, expected: str) -> None:
+        self.pattern, self.expected = pattern, expected
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         """See `Kind.check`."""
@@ -111,11 +118,13 @@
 
 
 class Strings(Kind):
-    """One string or an array of them, none twice; from `options` where these are given. `alone`: a single
-    word may stand without brackets."""
+    """An array of distinct strings, from `options` if any are given. `allows_single`: a single string is
+    accepted without brackets. `code`: of the finding for a string that is not an option."""
 
-    def __init__(self, options: tuple[str, ...] = (), alone: bool = True, code: str = "unknown-word") -> None:
-        self.options, self.allows_single, self.code = options, alone, code
+    def __init__(
+        self, options: tuple[str, ...] = (), allows_single: bool = True, code: str = "unknown-word"
+    ) -> None:
+        self.options, self.allows_single, self.code = options, allows_single, code
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         """See `Kind.check`."""
@@ -127,18 +136,18 @@
         if not rows:
             report("empty-list", path, "is empty; name at least one, or leave the key out")
             return MISSING
-        good: dict[str, None] = {}  # in order, and looked up at once in a long list too
+        valid: dict[str, None] = {}  # keeps the order, with fast lookups in long lists
         for at, row in enumerate(rows):
             here = path if rows is not value else (*path, at)
             if not isinstance(row, str):
                 report("wrong-type", here, f"is {toml_type(row)}; write a string")
             elif self.options and row not in self.options:
                 report(self.code, here, f"is {row[:40]!r}; write one of {', '.join(self.options)}")
-            elif row in good:
-                report("named-twice", here, f"{row!r} stands there already; name it once")
+            elif row in valid:
+                report("named-twice", here, f"{row!r} is listed already; name it once")
             else:
-                good[row] = None
-        return tuple(good) if good else MISSING
+                valid[row] = None
+        return tuple(valid) if valid else MISSING
 
     def schema(self) -> dict[str, Any]:
         """See `Kind.schema`."""
@@ -150,7 +159,7 @@
 
 
 class Table(Kind):
-    """A table; keys that are not named are refused."""
+    """A table; unknown keys are errors."""
 
     def __init__(self, keys: dict[str, Kind], required: tuple[str, ...] = ()) -> None:
         self.keys, self.required = keys, required
@@ -160,19 +169,19 @@
         if not isinstance(value, dict):
             report("wrong-type", path, f"is {toml_type(value)}; write a table")
             return MISSING
-        good: dict[str, Any] = {}
+        valid: dict[str, Any] = {}
         for key, given in value.items():
             kind = self.keys.get(key)
             if kind is None:
-                report("unknown-key", (*path, key), f"is not known here; known are {', '.join(self.keys)}")
+                report("unknown-key", (*path, key), f"is not a known key; known are {', '.join(self.keys)}")
                 continue
             found = kind.check(given, (*path, key), report)
             if found is not MISSING:
-                good[key] = found
+                valid[key] = found
         for key in self.required:
             if key not in value:
                 report("missing-key", path, f"has no {key}; add it")
-        return good
+        return valid
 
     def schema(self) -> dict[str, Any]:
         """See `Kind.schema`."""
@@ -187,18 +196,19 @@
 
 
 class TableArray(Kind):
-    """An array of tables; each row keeps its number, also where one before it was dropped."""
+    """An array of at most `max_rows` tables. Invalid rows become MISSING, so that the others keep their
+    index."""
 
-    def __init__(self, of: Table, most: int) -> None:
-        self.table, self.max_rows = of, most
+    def __init__(self, table: Table, max_rows: int) -> None:
+        self.table, self.max_rows = table, max_rows
 
     def check(self, value: Any, path: Path, report: Report) -> Any:
         """See `Kind.check`."""
         if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
-            report("wrong-type", path, f"is {toml_type(value)}; write [[{label(path)}]] for each")
+            report("wrong-type", path, f"is {toml_type(value)}; write [[{format_path(path)}]] for each")
             return MISSING
         if len(value) > self.max_rows:
-            report("too-many", path, f"has {len(value)} entries; {self.max_rows} at most are allowed")
+            report("too-many", path, f"has {len(value)} entries; at most {self.max_rows} are allowed")
             return MISSING
         return [self.table.check(row, (*path, at), report) for at, row in enumerate(value)]
 
