--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -1,6 +1,6 @@
-"""The operator's file: TOML, checked whole at load against its own shape and the platform's rules.
+"""Loads the operator's file: TOML, validated completely against its own structure and the platform's rules.
 
-`read` never raises on what a file holds: it returns what is wrong, all of it, in the order of the lines.
+`read` never raises on account of a file's content: it returns all findings, in the order of the lines.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class OperatorConfig(NamedTuple):
-    """A file that may be loaded: the route that binds each class and plan, and the optional tables."""
+    """A valid file: the route that binds each class and plan, and the optional tables."""
 
     bindings: dict[tuple[str, str], RouteLimits]
     routes: tuple[MatchedRoute, ...] = ()
@@ -39,12 +39,12 @@
     subset: dict[str, Any] | None = None
 
     def restart_tables(self) -> RestartTables:
-        """The tables whose changes wait for a restart."""
+        """Returns the tables whose changes wait for a restart."""
         return (self.capture, self.fronts, self.pipeline, self.fleet, self.discovery, self.subset)
 
 
 class ReadResult(NamedTuple):
-    """What came of reading a file; `config` is None where it must not be loaded."""
+    """The result of reading a file. `config` is None if the file is invalid."""
 
     file: str
     config: OperatorConfig | None
@@ -54,8 +54,8 @@
 def read(
     path: str, facts: PlatformFacts | None, yield_processor: Callable[[], None] | None = None
 ) -> ReadResult:
-    """Reads and checks a file. Without `facts` only its own shape is checked. `yield_processor` is called
-    between parts of the reading, where others wait for the processor."""
+    """Reads and checks a file; without `facts` only its own structure is checked. `yield_processor` is called
+    between parts of the work, so that other threads can run."""
     text = read_text(path)
     if isinstance(text, Finding):
         return ReadResult(path, None, (text,))
@@ -68,7 +68,7 @@
     file: str = "operator.toml",
     yield_processor: Callable[[], None] | None = None,
 ) -> ReadResult:
-    """The same for a text."""
+    """Checks the text of a file, as `read` does."""
     raw = parse_toml(text, yield_processor)
     if isinstance(raw, Finding):
         return ReadResult(file, None, (raw,))
@@ -79,14 +79,14 @@
     may_load = not has_errors(findings)
     unused_routes = [] if may_load else list(config.routes)
     result = ReadResult(file, config if may_load else None, findings)
-    del config  # the parts of a rejected file are freed below
+    del config  # so that the parts of a rejected file are freed below, in small steps
     for rows in (raw.get("route"), values.get("route"), report.rows, unused_routes):
         free_entries(rows)
     return result
 
 
 def build(values: dict[str, Any], facts: PlatformFacts | None, report: FindingCollector) -> OperatorConfig:
-    """The configuration of the checked values; reports what breaks a rule between or about them."""
+    """Builds the configuration from the validated values, and reports the rules that they break."""
     check_optional_tables(values, facts, report)
     base = route_from_table("defaults", values["defaults"]) if "defaults" in values else None
     if base is not None:
@@ -94,11 +94,11 @@
     routes = build_routes(values.get("route", []), base, report)
     subset = values.get("subset", {})
     if subset.get("calm", DEFAULT_SUBSET_CALM) >= subset.get("busy", DEFAULT_SUBSET_BUSY):
-        message = "calm is not under busy, so servers would come and go; lower it"
+        message = "calm is not below busy, so servers would be added and removed in turn; lower it"
         report("subset-order", ("subset",), message)
     bindings = {} if facts is None else bind(routes, base, facts, report)
     if facts is None:
-        overlaps = ((one, other, "a request") for one, other in equal_rank_overlaps(routes))
+        overlaps = ((route, other, "a request") for route, other in equal_rank_overlaps(routes))
         report_equal_ranks(overlaps, report)
     return OperatorConfig(
         bindings,
@@ -115,10 +115,10 @@
 def check_optional_tables(
     values: dict[str, Any], facts: PlatformFacts | None, report: FindingCollector
 ) -> None:
-    """The rules of the tables that switch on a subsystem."""
+    """Checks the tables that enable a subsystem."""
     listeners = values.get("fronts", {})
     if "extproc" in listeners:
-        from .extproc import check  # only for a file that names this listener
+        from .extproc import check  # imported only for a file with this listener
 
         check(listeners["extproc"], facts, report)
     if "fleet" in values:
@@ -131,7 +131,7 @@
 
 
 def build_routes(rows: list[Any], base: RouteLimits | None, report: FindingCollector) -> list[MatchedRoute]:
-    """The routes of the checked rows; rows that were rejected as a whole are left out."""
+    """Builds the routes from the validated rows, without rows that are invalid as a whole."""
     routes: list[MatchedRoute] = []
     first_with_name: dict[str, int] = {}
     shared_values: dict[Any, Any] = {}
@@ -155,8 +155,8 @@
 def route_from_table(
     name: str, raw: dict[str, Any], base: RouteLimits | None = None, shared: dict[Any, Any] | None = None
 ) -> RouteLimits:
-    """The route that a table's keys make; keys that it leaves out are those of `base`. Routes made with the
-    same `shared` hold equal values once."""
+    """Builds a route from a table; keys that it leaves out are taken from `base`. Routes built with the same
+    `shared` share equal values, which saves memory."""
     intern = (shared if shared is not None else {}).setdefault
     route = base._replace(name=name) if base is not None else RouteLimits(name)
     if "attempt_timeout_ms" in raw:
@@ -182,7 +182,7 @@
 
 
 def backoff_from_table(raw: dict[str, Any]) -> Backoff:
-    """The backoff of a route's `backoff` table."""
+    """Builds the backoff from a route's `backoff` table."""
     first_ms = raw["first_ms"]
     longest_ms = raw.get("most_ms", max(first_ms, DEFAULT_MAX_BACKOFF_MS))
     return Backoff(first_ms, raw.get("factor", DEFAULT_BACKOFF_FACTOR), longest_ms, raw.get("jitter", 0.0))
@@ -191,7 +191,8 @@
 def bind(
     routes: list[MatchedRoute], base: RouteLimits | None, facts: PlatformFacts, report: FindingCollector
 ) -> dict[tuple[str, str], RouteLimits]:
-    """Which route binds each class and plan of the platform; reports what is wrong with any of them."""
+    """Returns the route that binds each class and plan of the platform, and reports findings on the
+    routes."""
     coverage = RouteCoverage(routes, facts)
     if not report_unknown_names(coverage, facts, report):
         overlaps = ((found[0], found[1], describe_request(coverage, found)) for found in coverage.overlaps)
@@ -202,7 +203,7 @@
 def resolve_bindings(
     coverage: RouteCoverage, base: RouteLimits | None, facts: PlatformFacts, report: FindingCollector
 ) -> dict[tuple[str, str], RouteLimits]:
-    """Which route binds each class and plan; reports routes that bind nothing and rules that are broken."""
+    """Returns the route that binds each class and plan. Reports routes that bind nothing and broken rules."""
     bindings: dict[tuple[str, str], RouteLimits] = {}
     classes_by_route: dict[int, set[str]] = {}
     classes_by_defaults: set[str] = set()
@@ -213,13 +214,13 @@
         elif base is not None:
             bindings[name, plan] = base
             classes_by_defaults.add(name)
-    for index, one in enumerate(coverage.routes):
+    for index, route in enumerate(coverage.routes):
         report.yield_processor()
-        path: Path = ("route", one.position)
-        if one.rank and one.position not in classes_by_route and coverage.has_known_names(one):
+        path: Path = ("route", route.position)
+        if route.rank and route.position not in classes_by_route and coverage.has_known_names(route):
             report_unused(coverage, index, path, report)
-        for name in sorted(classes_by_route.get(one.position, ())):
-            report_violations(one.route, name, path, facts, report)
+        for name in sorted(classes_by_route.get(route.position, ())):
+            report_violations(route.route, name, path, facts, report)
     for name in sorted(classes_by_defaults):
         if base is not None:
             report_violations(base, name, ("defaults",), facts, report)
@@ -227,7 +228,7 @@
 
 
 def report_unused(coverage: RouteCoverage, index: int, path: Path, report: FindingCollector) -> None:
-    """Reports why the route at `index` binds no class and plan."""
+    """Reports the reason for which the route at `index` binds no class and plan."""
     shadowing = coverage.shadowing(index)
     classes, plans = coverage.spans[index]
     if shadowing:
@@ -241,7 +242,7 @@
 def report_duplicate_name(
     name: str, first_with_name: dict[str, int], path: Path, report: FindingCollector
 ) -> None:
-    """Reports a route's name that another route or the defaults have already."""
+    """Reports a route's name that is already the name of another route or of the defaults."""
     if name in first_with_name:
         message = f"{name!r} is route[{first_with_name[name]}]'s; choose another"
         report("duplicate-name", (*path, "name"), message)
@@ -250,7 +251,7 @@
 
 
 def report_unknown_names(coverage: RouteCoverage, facts: PlatformFacts, report: FindingCollector) -> int:
-    """Reports classes and plans that the platform doesn't have; returns how many names these are."""
+    """Reports classes and plans that the platform doesn't have, and returns their number."""
     count = 0
     kinds = (
         ("class", coverage.class_index, facts.classes, 0),
@@ -258,49 +259,54 @@
     )
     for key, index, names, field in kinds:
         known = ", ".join(names)
-        for one in coverage.routes:
-            for word in match_fields(one)[field]:
+        for route in coverage.routes:
+            for word in match_fields(route)[field]:
                 if word not in index:
                     count += 1
                     message = f"{word[:40]!r} is no {key} of the platform; write one of {known}"
-                    report(f"unknown-{key}", ("route", one.position, "match", key), message)
+                    report(f"unknown-{key}", ("route", route.position, "match", key), message)
     return count
 
 
 def report_inconsistencies(raw: dict[str, Any], path: Path, report: FindingCollector) -> None:
-    """Reports values of one table that contradict each other, whatever the platform."""
+    """Reports values of one table that contradict each other on any platform."""
     backoff, budget = raw.get("backoff", {}), raw.get("retry_budget", {})
     if "most_ms" in backoff and backoff.get("first_ms", 0.0) > backoff["most_ms"]:
-        report("backoff-order", (*path, "backoff"), "first_ms is over most_ms; swap or raise most_ms")
+        report("backoff-order", (*path, "backoff"), "first_ms is above most_ms; swap them or raise most_ms")
     if "backoff" in raw and raw.get("attempts") == 1:
-        report("backoff-unused", (*path, "backoff"), "attempts = 1 leaves no pause; drop one of them", True)
+        report(
+            "backoff-unused",
+            (*path, "backoff"),
+            "attempts = 1 leaves no retry to delay; drop one of them",
+            True,
+        )
     if budget.get("share") == 0.0 and not budget.get("least_per_s", 0.0):
-        report("budget-of-nothing", (*path, "retry_budget"), "allows no further attempt; write attempts = 1")
+        report("budget-of-nothing", (*path, "retry_budget"), "allows no retries; write attempts = 1 instead")
 
 
 def report_equal_ranks(
     overlaps: Iterable[tuple[MatchedRoute, MatchedRoute, str]], report: FindingCollector
 ) -> None:
-    """Reports two routes that name equally many things and can match the same request: none of them is the
-    more specific, and the order in the file must not decide."""
-    for one, other, request in overlaps:
+    """Reports two routes of equal rank that can match the same request: neither is more specific, and the
+    order in the file must not decide."""
+    for route, other, request in overlaps:
         message = (
             f"{request} matches route[{other.position}] ({other.route.name}) too, and neither names more; "
             "name more in one of them, or take the common part out"
         )
-        report("equal-rank", ("route", one.position, "match"), message)
+        report("equal-rank", ("route", route.position, "match"), message)
 
 
 def report_violations(
     route: RouteLimits, name: str, path: Path, facts: PlatformFacts, report: FindingCollector
 ) -> None:
-    """Reports what a route breaks for a class."""
+    """Reports the rules that a route breaks for a class."""
     for found in violations(route, name, facts):
         report(found.code, (*path, found.key), found.message, found.is_warning)
 
 
 def describe_request(coverage: RouteCoverage, overlap: Overlap) -> str:
-    """A request that both routes match, in words."""
+    """Describes a request that both routes match."""
     _, _, class_index, plan_index = overlap
     command, name = coverage.commands[class_index], coverage.classes[class_index]
     return f"{command} of class {name}, plan {coverage.plans[plan_index]}"
--- a/glenchute/config/rules.py
+++ b/glenchute/config/rules.py
@@ -1,7 +1,7 @@
-"""The rules that a route must keep on this platform, each with a code, checked at load.
+"""The rules that a route must comply with on this platform, each with a code, checked at load.
 
-Two kinds of rule: those that keep the gateway's promises (no request takes effect twice) and those that find
-a route that can't mean what it says. All are stated against `PlatformFacts`, what the platform's file says.
+There are two kinds of rule: those that keep the gateway's guarantees (no request takes effect twice) and
+those that find a route whose settings can't take effect as written. All are checked against `PlatformFacts`.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 
 from .facts import ClassFacts, PlatformFacts
 
-# Of every wait: timers are a millisecond coarse and end up to one late, twice (the backoff and the timeout).
+# Maximum delay of each retry by timers, which have a resolution of 1 ms and fire up to 1 ms late; a retry
+# waits for two of them, the backoff and the timeout.
 TIMER_ERROR_MS = 4.0
 IDEMPOTENCY_MARGIN_MS = 5.0  # the engine starts no attempt in the last 5 ms of an idempotency window
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT)
-ONLY_UNRUN = 'write ["full", "unreachable"]'
+SAFE_CAUSES_FIX = 'write ["full", "unreachable"]'
 
 
 class Violation(NamedTuple):
-    """A rule that a route breaks: a stable code, the key of the route, and one sentence with the fix."""
+    """A rule that a route breaks: a stable code, the key of the route, and a message with the fix."""
 
     code: str
     key: str
@@ -32,7 +33,7 @@
 
 
 def backoff_delays_ms(route: RouteLimits, attempts: int, longest: bool) -> list[float]:
-    """The delays before attempts 1, 2, ... at their longest or shortest."""
+    """Returns the longest or shortest delay before each attempt after the first."""
     if route.backoff is None:
         return [0.0] * (attempts - 1)
     pick = route.backoff.max_delay_ms if longest else route.backoff.min_delay_ms
@@ -40,13 +41,13 @@
 
 
 def max_attempts(route: RouteLimits, facts: PlatformFacts) -> int:
-    """How many attempts of a request the route allows."""
+    """Returns how many attempts per request the route allows."""
     return min(route.max_attempts or facts.max_attempts, facts.max_attempts)
 
 
 def latest_write_ms(route: RouteLimits, facts: PlatformFacts) -> float | None:
-    """How long after the first attempt's start a byte of the last one can leave; None where the route sets no
-    timeout, so that the engine spaces its attempts by the idempotency window itself."""
+    """Returns how long after the start of the first attempt a byte of the last attempt can be written. None
+    if the route sets no timeout, so that the engine itself keeps attempts within the idempotency window."""
     attempts = max_attempts(route, facts)
     if attempts < 2 or not route.attempt_timeout_ms:
         return None
@@ -56,12 +57,12 @@
 
 
 def retry_window_ms(cls: ClassFacts) -> float:
-    """How long after the first byte of a request with an idempotency key a repeat may leave."""
+    """Returns how long after the first byte of a request with an idempotency key a repeat may be written."""
     return cls.idempotency_window_ms - IDEMPOTENCY_MARGIN_MS
 
 
 def violations(route: RouteLimits, name: str, facts: PlatformFacts) -> list[Violation]:
-    """What this route breaks for the class `name`."""
+    """Returns the rules that this route breaks for the class `name`."""
     return [
         *hedging_violations(route, name, facts),
         *repeat_violations(route, name, facts),
@@ -70,7 +71,7 @@
 
 
 def hedging_violations(route: RouteLimits, name: str, facts: PlatformFacts) -> Iterator[Violation]:
-    """A hedged request must be allowed, harmless, and of use."""
+    """Yields violations by hedged requests, which must be allowed, safe, and able to start."""
     cls, delay_ms, key = facts.classes[name], route.hedge_after_ms, "second_copy_after_ms"
     if not delay_ms:
         return
@@ -78,10 +79,10 @@
     if cls.idempotency is Idempotency.NON_IDEMPOTENT:
         yield Violation("copy-unsafe", key, f"{name} must never run twice; leave the second copy out")
     elif not facts.allows_hedging:
-        yield Violation("copy-no-overlap", key, "the platform allows one attempt at a time; drop it")
+        yield Violation("copy-no-overlap", key, "the platform allows one attempt at a time; remove it")
     elif cls.idempotency is Idempotency.WITH_KEY and latest_ms > retry_window_ms(cls):
         message = (
-            f"a copy of {name} could leave {latest_ms:g} ms after the first, and "
+            f"a copy of {name} could be written {latest_ms:g} ms after the first, and "
             f"repeats are dropped for {cls.idempotency_window_ms:g} ms; shorten it"
         )
         yield Violation("copy-beyond-memory", key, message)
@@ -95,25 +96,27 @@
 
 
 def repeat_violations(route: RouteLimits, name: str, facts: PlatformFacts) -> Iterator[Violation]:
-    """No retry may make a request take effect twice."""
+    """Yields violations by retries that might make a request take effect twice."""
     cls, attempts = facts.classes[name], max_attempts(route, facts)
-    risky = sorted(cause.value for cause in route.retryable_outcomes or () if cause in MAY_HAVE_RUN)
-    if risky and cls.idempotency is Idempotency.NON_IDEMPOTENT:
-        message = f"after {', '.join(risky)} {name} may have run and must not run again; {ONLY_UNRUN}"
+    unsafe_causes = sorted(cause.value for cause in route.retryable_outcomes or () if cause in MAY_HAVE_RUN)
+    if unsafe_causes and cls.idempotency is Idempotency.NON_IDEMPOTENT:
+        message = (
+            f"after {', '.join(unsafe_causes)} {name} may have run and must not run again; {SAFE_CAUSES_FIX}"
+        )
         yield Violation("cause-may-have-run", "retry_on", message)
     if cls.idempotency is not Idempotency.WITH_KEY or attempts < 2:
         return
-    if not risky and route.retryable_outcomes is not None:
+    if not unsafe_causes and route.retryable_outcomes is not None:
         return
     if not cls.is_scope_known:
-        message = f"the platform's file does not say which servers drop repeats of {name}; {ONLY_UNRUN}"
+        message = f"the platform's file does not say which servers drop repeats of {name}; {SAFE_CAUSES_FIX}"
         yield Violation("keyed-scope", "retry_on", message)
     latest_ms = latest_write_ms(route, facts)
     if latest_ms is not None and latest_ms > retry_window_ms(cls):
         connecting = min(facts.connect_timeout_ms, route.attempt_timeout_ms)
         message = (
-            f"attempt {attempts} of {name} can leave {latest_ms:g} ms after the first (time-outs, pauses at "
-            f"their longest, {connecting:g} ms to connect), and repeats are dropped "
+            f"attempt {attempts} of {name} can be written {latest_ms:g} ms after the first (timeouts, "
+            f"longest backoffs, {connecting:g} ms to connect), and repeats are dropped "
             f"for {cls.idempotency_window_ms:g} ms; shorten attempt_timeout_ms or backoff, "
             "or allow fewer attempts"
         )
@@ -121,7 +124,7 @@
 
 
 def timing_violations(route: RouteLimits, name: str, facts: PlatformFacts) -> Iterator[Violation]:
-    """Attempts must fit the platform's cap and the time that clients wait."""
+    """Yields violations by attempts that exceed the platform's limit or the clients' deadline."""
     cls, timeout_ms = facts.classes[name], route.attempt_timeout_ms
     attempts = max_attempts(route, facts)
     if route.max_attempts > facts.max_attempts:
@@ -139,7 +142,7 @@
     shortest_ms = sum(backoff_delays_ms(route, attempts, False))
     if attempts > 1 and shortest_ms >= cls.deadline_ms:
         message = (
-            f"the pauses before attempt {attempts} take {shortest_ms:g} ms at least, "
-            f"and clients of {name} wait {cls.deadline_ms:g} ms; allow fewer attempts or shorter pauses"
+            f"the backoffs before attempt {attempts} take at least {shortest_ms:g} ms, "
+            f"and clients of {name} wait {cls.deadline_ms:g} ms; allow fewer attempts or shorter backoffs"
         )
         yield Violation("attempts-never-fit", "backoff" if route.backoff else "attempts", message)
