--- a/glenchute/cli/pipelined_upstream.py
+++ b/glenchute/cli/pipelined_upstream.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from glenchute.config.pipeline import rules_of
+from glenchute.config.pipeline import rules_from_table
 from glenchute.config.platform import PlatformConfig
 from glenchute.policy.connections.class_compatibility import ClassCompatibility
 from glenchute.policy.connections.pipeline_types import PipelineRules
@@ -18,7 +18,7 @@
 def pipeline_rules(raw: Mapping[str, Any], config: PlatformConfig) -> PipelineRules:
     """Returns the rules of a validated table on this platform."""
     max_idle_ms = 1000.0 * config.limits.max_idle_s
-    return rules_of(raw)._replace(max_idle_ms=max_idle_ms, may_hedge=config.settings.allows_hedging)
+    return rules_from_table(raw)._replace(max_idle_ms=max_idle_ms, may_hedge=config.settings.allows_hedging)
 
 
 def class_compatibility(raw: Mapping[str, Any], config: PlatformConfig) -> ClassCompatibility:
--- a/glenchute/config/fleet.py
+++ b/glenchute/config/fleet.py
@@ -1,6 +1,6 @@
-"""The table `[fleet]` of the operator's file: the schema of its keys, and the checks across keys.
+"""The table `[fleet]` of the operator's file: the structure of its keys, and the checks across keys.
 
-Each check reports findings with a stable code, a location and a sentence on the fix.
+Each check reports findings with a stable code, a location and a message with the fix.
 """
 
 from __future__ import annotations
@@ -69,24 +69,26 @@
 )
 LOCATION: Path = ("fleet",)
 MIN_PATIENCE_PERIODS = 5.0
-MAX_STEP_SHARE = 0.5  # of a lease's usable time: a longer step might never be allowed to start
+MAX_STEP_SHARE = 0.5  # share of a lease's usable time; a longer step might never be allowed to start
 
 
 def check(raw: dict[str, Any], facts: PlatformFacts | None, report: FindingCollector) -> None:
-    """The checks across the table's keys."""
+    """Runs the checks across the table's keys."""
     names = check_members(raw, report)
     if raw.get("patience_ms", 2500.0) < MIN_PATIENCE_PERIODS * raw.get("period_ms", 200.0):
-        message = "patience_ms is under 5 periods: one lost answer could bury a member; raise it"
+        message = (
+            "patience_ms is under 5 periods, so that one lost answer could declare a member dead; raise it"
+        )
         report("impatient", LOCATION, message)
     check_numbers(raw, report)
     if "leases" in raw:
         check_leases(raw, names, report)
     if not names and "members" in raw:
-        report("no-members", LOCATION, "has no members; list them, or leave [fleet] out", True)
+        report("no-members", LOCATION, "has no members; list them, or remove [fleet]", True)
 
 
 def check_members(raw: dict[str, Any], report: FindingCollector) -> set[str]:
-    """Names and addresses are unique, and none is this gateway's. The members' names."""
+    """Checks that names and addresses are unique and not this gateway's. Returns the members' names."""
     names: dict[str, int] = {}
     addresses: dict[str, int] = {}
     for index, row in enumerate(raw.get("members", [])):
@@ -95,23 +97,23 @@
             if value is None:
                 continue
             if value in seen:
-                message = f"{value!r} is members[{seen[value]}]'s; each {key} stands once"
+                message = f"{value!r} is used by members[{seen[value]}]; each {key} must be unique"
                 report("member-twice", (*LOCATION, "members", index, key), message)
             seen.setdefault(value, index)
             if key == "address" and int(value.rpartition(":")[2]) not in range(1, 65_536):
-                message = "has no port from 1 to 65535; mend it"
+                message = "has no port from 1 to 65535; correct it"
                 report("bad-port", (*LOCATION, "members", index, key), message)
     if raw.get("name") in names:
         location = (*LOCATION, "members", names[raw["name"]])
-        report("names-itself", location, "is this gateway; list the others")
+        report("names-itself", location, "is this gateway; list only the others")
     if raw.get("listen") in addresses:
-        message = "is also a member's; a gateway does not talk to itself"
+        message = "is also a member's address; list only the other gateways"
         report("member-twice", (*LOCATION, "listen"), message)
     return set(names)
 
 
 def check_numbers(raw: dict[str, Any], report: FindingCollector) -> None:
-    """Either all gateways have a number, each its own, or none has one."""
+    """Checks that either all gateways have unique numbers or none has one."""
     members = enumerate(raw.get("members", []))
     rows = [(LOCATION, raw), *(((*LOCATION, "members", index), row) for index, row in members)]
     owners: dict[int, str] = {}
@@ -119,17 +121,17 @@
         number = row.get("number")
         if number is None:
             if any("number" in other for _, other in rows):
-                report("number-missing", location, "has no number; number all gateways, or none")
+                report("number-missing", location, "has no number; state one for all gateways, or for none")
         elif number in owners:
-            message = f"{number} is {owners[number]}'s; each gateway has a number of its own, the platform's"
+            message = f"{number} is used by {owners[number]}; each gateway has its own number, the platform's"
             report("number-twice", (*location, "number"), message)
         else:
             owners[number] = row.get("name", "this gateway")
 
 
 def check_leases(raw: dict[str, Any], names: set[str], report: FindingCollector) -> None:
-    """The acceptors (`voters`) and the tasks of `[fleet.leases]`. `names`: the members'."""
-    from glenchute.policy.membership.leases import (  # only for a file that has it
+    """Checks the acceptors (`voters`) and the tasks of `[fleet.leases]`. `names`: those of the members."""
+    from glenchute.policy.membership.leases import (  # imported only for a file with leases
         LeaseTerms,
         acceptor_set_problem,
     )
@@ -147,7 +149,7 @@
         task_location = (*location, "tasks", index)
         name = row.get("name")
         if name in seen:
-            message = f"{name!r} is tasks[{seen[name]}]'s; each name stands once"
+            message = f"{name!r} is used by tasks[{seen[name]}]; each name must be unique"
             report("task-twice", (*task_location, "name"), message)
         seen.setdefault(name, index)
         check_task(row, bool(raw.get("share_list")), max_step_s, task_location, report)
@@ -156,14 +158,18 @@
 def check_task(
     row: dict[str, Any], shares_list: bool, max_step_s: float, location: Path, report: FindingCollector
 ) -> None:
-    """One task: its keys fit its kind, and its step fits into a lease."""
+    """Checks that a task's keys match its kind, and that its step fits into a lease."""
     name, kind = row.get("name"), row.get("kind")
     if (kind == "call") is not ("address" in row) and kind is not None:
-        report("task-address", location, "kind call wants an address, and no other kind has one")
+        report("task-address", location, "kind call needs an address, and no other kind has one")
     if (kind == "ask") is not (name == "ask") and kind is not None:
-        report("task-ask", location, "the task that asks discovery is of kind ask and named ask")
+        report("task-ask", location, "the task that polls discovery must be of kind ask and named ask")
     if kind == "ask" and not shares_list:
-        report("task-ask", location, "asks for a list that nobody is told of; set share_list = true")
+        report(
+            "task-ask", location, "polls a list that is not shared with the members; set share_list = true"
+        )
     if kind == "call" and row.get("longest_step_s", 1.0) > max_step_s:
-        message = f"longest_step_s is over {max_step_s:.2f}, half of what a lease of longest_s lasts"
-        report("long-step", location, f"{message}: it might never begin; raise longest_s, or cut the step")
+        message = f"longest_step_s is over {max_step_s:.2f}, half of the usable time of a lease of longest_s"
+        report(
+            "long-step", location, f"{message}: it might never start; raise longest_s, or shorten the step"
+        )
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -127,7 +127,7 @@
     if values.get("pipeline") is not None:
         pipeline.check(values["pipeline"], routes, defaults, facts, report)
     else:
-        pipeline.unused(routes, defaults, report)
+        pipeline.report_unused_depths(routes, defaults, report)
 
 
 def build_routes(rows: list[Any], base: RouteLimits | None, report: FindingCollector) -> list[MatchedRoute]:
--- a/glenchute/config/pipeline.py
+++ b/glenchute/config/pipeline.py
@@ -1,6 +1,7 @@
-"""`[pipeline]` of the operator's file: its shape, its mapping to `PipelineRules`, and its checks.
+"""The table `[pipeline]` of the operator's file: its structure, its checks, and its mapping to
+`PipelineRules`.
 
-The shape is needed for every operator's file; what the table maps to is imported only for those that have it.
+The structure is needed for every operator's file; `PipelineRules` is imported only for a file with the table.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 if TYPE_CHECKING:
     from glenchute.policy.connections.pipeline_types import PipelineRules
 
-HERE: Path = ("pipeline",)
+LOCATION: Path = ("pipeline",)
 MAX_DEPTH = 1000
 
 PIPELINE = Table(
@@ -39,8 +40,8 @@
     ("classes",),
 )
 
-# The file's keys -> fields of `PipelineRules`.
-RULE_OF_KEY = {
+# Keys of the table, mapped to fields of `PipelineRules`.
+RULE_FIELDS = {
     "depth": "max_depth",
     "at_risk": "max_queued_per_server",
     "wait_ms": "max_wait_ms",
@@ -53,13 +54,13 @@
 }
 
 
-def rules_of(raw: Mapping[str, Any]) -> PipelineRules:
-    """The rules that a checked table states; those it leaves out have their defaults. What the platform's
-    file contributes is not among them."""
+def rules_from_table(raw: Mapping[str, Any]) -> PipelineRules:
+    """Returns the rules of a validated table, with defaults for those that it leaves out. Rules that depend
+    on the platform's file are not set."""
     # Imported only for a file with the table.
     from glenchute.policy.connections.pipeline_types import PipelineRules
 
-    return PipelineRules(**{field: raw[key] for key, field in RULE_OF_KEY.items() if key in raw})
+    return PipelineRules(**{field: raw[key] for key, field in RULE_FIELDS.items() if key in raw})
 
 
 def check(
@@ -69,37 +70,37 @@
     facts: PlatformFacts | None,
     report: Report,
 ) -> None:
-    """Reports violations of a table whose shape is right, and of the routes' depths.
+    """Reports violations by a table whose structure is valid, and by the depths of routes.
 
-    `rows`, `defaults`: the routes' checked tables. `facts`: None where the platform is unknown, so that only
-    the table itself can be checked.
+    `rows` and `defaults` are the validated tables of the routes. If `facts` is None, the platform is unknown
+    and only the table itself is checked.
     """
-    rules = rules_of(raw)
+    rules = rules_from_table(raw)
     if rules.max_depth == 1:
-        report("depth-of-one", (*HERE, "depth"), "lets nothing share a connection; write 2 or more, or take "
-               "[pipeline] out")  # fmt: skip
+        report("depth-of-one", (*LOCATION, "depth"), "lets no attempts share a connection; write 2 or more, "
+               "or remove [pipeline]")  # fmt: skip
     if facts is None:
         return
     check_platform_limits(raw, rules, facts, report)
     for index, name in enumerate(raw.get("classes", ())):
-        check_class(name, (*HERE, "classes", index), rules, facts, report)
+        check_class(name, (*LOCATION, "classes", index), rules, facts, report)
     check_routes(raw, rules.max_wait_ms, rows, defaults, facts, report)
 
 
 def check_platform_limits(
     raw: dict[str, Any], rules: PipelineRules, facts: PlatformFacts, report: Report
 ) -> None:
-    """Reports rules that the platform's limits contradict."""
+    """Reports rules that contradict the platform's limits."""
     depth = rules.max_depth
     if facts.max_streams and depth > facts.max_streams:
-        path = (*HERE, "depth") if "depth" in raw else HERE
-        report("depth-over-settings", path, f"is {depth}; the platform begins {facts.max_streams} commands "
-               "of a connection at once, and the rest would only wait; write that or less")  # fmt: skip
+        path = (*LOCATION, "depth") if "depth" in raw else LOCATION
+        report("depth-over-settings", path, f"is {depth}; servers run {facts.max_streams} commands "
+               "of a connection concurrently, and the rest would only wait; write that or less")  # fmt: skip
     if facts.max_attempts < 2:
-        report("no-second-attempt", HERE, "the platform allows one attempt a request, so nothing may be put "
-               "where it can be cut; take [pipeline] out")  # fmt: skip
+        report("no-second-attempt", LOCATION, "the platform allows one attempt per request, so none may "
+               "share a connection that may be reset; remove [pipeline]")  # fmt: skip
     if rules.settle_ms >= facts.idle_timeout_ms:
-        report("settle-over-idle", (*HERE, "settle_ms"), f"connections are closed after "
+        report("settle-over-idle", (*LOCATION, "settle_ms"), f"connections are closed after "
                f"{facts.idle_timeout_ms:g} ms without use, so none would be used again; "
                "write less")  # fmt: skip
 
@@ -111,14 +112,14 @@
         known = ", ".join(facts.classes)
         report("unknown-class", path, f"{name[:40]!r} is no class of the platform; write one of {known}")
     elif cls.idempotency is Idempotency.NON_IDEMPOTENT:
-        report("unsafe-shares", path, f"{name} must never run twice, and a line that is cut would leave "
-               "it unknown; take it out")  # fmt: skip
+        report("unsafe-shares", path, f"{name} must never run twice, and a reset of a shared connection "
+               "leaves unknown whether it ran; remove it")  # fmt: skip
     elif cls.idempotency is Idempotency.WITH_KEY and not cls.is_scope_known:
         report("keyed-scope", path, "the platform's file does not say which servers drop repeats of "
-               f"{name}; take it out")  # fmt: skip
+               f"{name}; remove it")  # fmt: skip
     elif cls.idempotency is Idempotency.WITH_KEY and cls.idempotency_window_ms <= rules.min_stall_ms:
         report("keyed-beyond-memory", path, f"repeats of {name} are dropped for "
-               f"{cls.idempotency_window_ms:g} ms, in which no stall is found; take it out, or lower "
+               f"{cls.idempotency_window_ms:g} ms, in which no stall is detected; remove it, or lower "
                "least_stall_ms")  # fmt: skip
 
 
@@ -130,7 +131,7 @@
     facts: PlatformFacts,
     report: Report,
 ) -> None:
-    """Reports routes whose depth can't apply, and a wait that leaves an attempt no time."""
+    """Reports routes whose depth can't apply, and a maximum wait that leaves an attempt no time."""
     shared = [name for name in raw.get("classes", ()) if name in facts.classes]
     timeouts_ms: list[float] = []
     for path, row in table_rows(rows, defaults):
@@ -140,7 +141,7 @@
     timeouts_ms += [facts.classes[name].deadline_ms for name in shared]
     shortest_ms = min(timeouts_ms, default=0.0)
     if timeouts_ms and max_wait_ms >= shortest_ms:
-        path = (*HERE, "wait_ms") if "wait_ms" in raw else HERE
+        path = (*LOCATION, "wait_ms") if "wait_ms" in raw else LOCATION
         report("wait-over-timeout", path, f"lets an attempt wait {max_wait_ms:g} ms for a connection; one is "
                f"given up after {shortest_ms:g} ms; write less")  # fmt: skip
 
@@ -154,22 +155,22 @@
         return
     if facts.max_streams and depth > facts.max_streams:
         report("depth-over-settings", (*path, "pipeline_depth"),
-               f"is {depth}; the platform begins {facts.max_streams} commands of a connection at once; "
+               f"is {depth}; servers run {facts.max_streams} commands of a connection concurrently; "
                "write that or less")  # fmt: skip
     named = row.get("match", {}).get("class", ())
     if depth > 1 and named and not set(named) & set(shared):
         report("depth-unused", (*path, "pipeline_depth"), f"{', '.join(named)} is not in "
-               "pipeline.classes; name it there, or take this out")  # fmt: skip
+               "pipeline.classes; name it there, or remove this")  # fmt: skip
 
 
 def table_rows(rows: list[Any], defaults: dict[str, Any]) -> list[tuple[Path, dict[str, Any]]]:
-    """The tables in which a depth or a timeout may be set, with their paths."""
+    """Returns the tables in which a depth or a timeout may be set, with their paths."""
     found: list[tuple[Path, dict[str, Any]]] = [(("defaults",), defaults)] if defaults else []
     return found + [(("route", index), row) for index, row in enumerate(rows) if row is not MISSING]
 
 
-def unused(rows: list[Any], defaults: dict[str, Any], report: Report) -> None:
-    """Reports depths in a file without the table that they are for."""
+def report_unused_depths(rows: list[Any], defaults: dict[str, Any], report: Report) -> None:
+    """Reports depths in a file without the table `[pipeline]`."""
     for path, row in table_rows(rows, defaults):
         if "pipeline_depth" in row:
-            report("depth-unused", (*path, "pipeline_depth"), "needs [pipeline]; add it, or take this out")
+            report("depth-unused", (*path, "pipeline_depth"), "needs [pipeline]; add it, or remove this")
--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -1,6 +1,7 @@
-"""The platform's configuration: the JSON file that EDGE_CONFIG names, with single variables as a fallback.
+"""Loads the platform's configuration: the JSON file that EDGE_CONFIG names, with environment variables as
+fallbacks for single values.
 
-The platform's field names are mapped here and in `policy_settings`, nowhere else.
+Only this module and `policy_settings` use the platform's field names.
 """
 
 from __future__ import annotations
@@ -20,39 +21,39 @@
 from .policy_settings import IDEMPOTENCY_SCOPES, number, policy_settings, table
 
 OPERATOR_FILE_VARIABLE = "GLENCHUTE_OPERATOR"
-MAX_GATEWAYS = 1_000_000  # gateways are numbered from 0 to below this
+MAX_GATEWAYS = 1_000_000  # gateway numbers are from 0 to below this
 MIN_DESCRIPTORS = 64
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192.0
 MIN_STREAMED_VALUES = 4
-STREAMING_MEMORY_FRACTION = 0.25  # of the memory, for long values on their way through
+STREAMING_MEMORY_FRACTION = 0.25  # share of the memory for streamed values
 MIN_CLIENT_BYTES = 1024 * 1024
-CLIENT_MEMORY_FRACTION = 0.2  # of the memory, for clients' commands and unread replies
+CLIENT_MEMORY_FRACTION = 0.2  # share of the memory for clients' commands and unread replies
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 DEFAULT_DRAIN_GRACE_MS = 250.0
 DEFAULT_DEADLINE_MS = 60_000.0
-DEFAULT_MAX_UNITS = 1e6  # of one request
-STREAM_BYTES = 192 * 1024  # of one such value: what waits for the client, and what comes in one read
-IDLE_MARGIN_S = 2.0  # connections are given up this long before the servers close them as idle
+DEFAULT_MAX_UNITS = 1e6  # per request
+STREAM_BYTES = 192 * 1024  # memory of one streamed value: bytes that wait for the client, and one read
+IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the servers close them
 MIN_IDLE_S = 0.5
 
 
 class ConfigError(Exception):
-    """A configuration that no gateway can run on."""
+    """An invalid configuration, on which a gateway does not start."""
 
 
 @record(frozen=True, slots=True)
 class PlatformConfig:
-    """What the platform tells a gateway.
-
-    operations_address: the second address, which the platform calls `operator`
-    max_descriptors: of the process; `budget` divides them
-    cached_endpoints: the endpoint list from before the start
-    passed_descriptor: of the clients' listening socket, where the platform holds that socket
-    gateway_number: of this gateway among `settings.gateway_count`; None where the platform does not say
-    max_client_bytes: what may be buffered for all clients together
-    stated_number: the number that the platform gave, though it may not be below `settings.gateway_count`
+    """The platform's configuration of a gateway.
+
+    operations_address: the operations address, which the platform's file calls `operator`
+    max_descriptors: descriptors of the process, which `budget` divides
+    cached_endpoints: an endpoint list from before the start
+    passed_descriptor: the descriptor of the clients' listening socket, if the platform holds that socket
+    gateway_number: this gateway's number, below `settings.gateway_count`; None if the platform states none
+    stated_number: the number that the platform states, even if it is not below `settings.gateway_count`
+    max_client_bytes: limit of the bytes buffered for all clients together
     """
 
     name: str
@@ -75,7 +76,8 @@
 
 
 def load(environ: dict[str, str]) -> PlatformConfig:
-    """The configuration; the single variables count where the file is silent."""
+    """Loads the configuration; environment variables provide values that the file omits. Raises
+    ConfigError."""
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG is not set")
@@ -85,22 +87,22 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"can't read {path}: {error}") from None
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ConfigError(f"{path} holds no settings")
+        raise ConfigError(f"{path} has no object `settings`")
     try:
         return build(raw, environ)
     except (ValueError, TypeError, AttributeError, KeyError) as error:
-        raise ConfigError(f"bad configuration in {path}: {error}") from None
+        raise ConfigError(f"invalid configuration in {path}: {error}") from None
 
 
 def build(raw: dict[str, Any], environ: dict[str, str]) -> PlatformConfig:
-    """The parts of the configuration, checked. ValueError, TypeError, AttributeError or KeyError where one is
-    wrong."""
+    """Builds and checks the configuration. Raises ValueError, TypeError, AttributeError or KeyError if a part
+    is invalid."""
     settings = policy_settings(raw["settings"])
     if not settings.classes or not settings.plans:
-        raise EndpointListError("the settings name no classes or no plans")
+        raise EndpointListError("the settings have no classes or no plans")
     descriptors = int(number(table(raw, "limits").get("sockets"), DEFAULT_DESCRIPTORS))
     if descriptors < MIN_DESCRIPTORS:
-        raise EndpointListError(f"{descriptors} sockets are too few")
+        raise EndpointListError(f"{descriptors} sockets are too few; {MIN_DESCRIPTORS} are needed")
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     budget = divide_descriptors(descriptors, bool(operations))
     return PlatformConfig(
@@ -125,12 +127,12 @@
 
 
 def memory_bytes(raw: dict[str, Any]) -> float:
-    """The memory that the process may use."""
+    """Returns the memory that the process may use, in bytes."""
     return number(table(raw, "limits").get("memory_mb"), DEFAULT_MEMORY_MB) * 1e6
 
 
 def connection_limits(raw: dict[str, Any], budget: DescriptorBudget) -> UpstreamLimits:
-    """The limits of connections to servers."""
+    """Returns the limits of connections to servers."""
     limits, safety = table(raw["settings"], "limits"), table(raw["settings"], "safety")
     streamed_values = int(memory_bytes(raw) * STREAMING_MEMORY_FRACTION / STREAM_BYTES)
     server_idle_s = number(limits.get("conn_idle_ms"), DEFAULT_IDLE_TIMEOUT_MS) / 1000.0
@@ -144,7 +146,7 @@
 
 
 def request_bounds(raw: dict[str, Any]) -> RequestBounds:
-    """The most that a request may ask for."""
+    """Returns the upper bounds on a request."""
     deadlines_ms = [number(row.get("hard_limit_ms")) for row in raw["profiles"]]
     return RequestBounds(
         max_units=number((raw.get("domain") or {}).get("max_units")) or DEFAULT_MAX_UNITS,
@@ -153,23 +155,23 @@
 
 
 def gateway_number(me: Any, gateways: int) -> int | None:
-    """This gateway's number among them, if it is one."""
+    """Returns this gateway's number if it is an integer below `gateways`, else None."""
     return me if isinstance(me, int) and not isinstance(me, bool) and 0 <= me < gateways else None
 
 
 def descriptor(text: str | None) -> int | None:
-    """A descriptor's number, in decimal; None where the variable is not set."""
+    """Parses a descriptor's number, in decimal; None if the variable is not set."""
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 6:
-        raise ValueError(f"EDGE_PASSED_SOCKET is no descriptor: {text!r}")
+        raise ValueError(f"EDGE_PASSED_SOCKET is not a descriptor: {text!r}")
     return int(text)
 
 
 def passed_socket(config: PlatformConfig) -> socket.socket | None:
-    """The clients' listening socket that was passed on, checked to be what `listen` names; None where none
-    was. ConfigError where it is anything else: a process that accepts somewhere else, or not at all, must
-    not say that it serves."""
+    """Returns the clients' listening socket that the platform passed, or None if it passed none. Raises
+    ConfigError if the socket does not listen at `listen`: a process that accepts elsewhere, or not at all,
+    must not report that it serves."""
     if config.passed_descriptor is None:
         return None
     what = f"EDGE_PASSED_SOCKET: descriptor {config.passed_descriptor}"
@@ -186,14 +188,14 @@
         if name != config.listen:
             raise ConfigError(f"{what} listens at {name[0]}:{name[1]}, not at `listen`")
     except ConfigError:
-        found.detach()  # it is not ours to close
+        found.detach()  # the descriptor belongs to the platform and stays open
         raise
     return found
 
 
 def platform_facts(settings: Settings, raw: dict[str, Any]) -> PlatformFacts:
-    """What the rules of the operator's file need to know. The raw settings still tell an unknown group from a
-    known one; the engine's settings read an unknown one as the narrowest."""
+    """Returns the facts that the rules of the operator's file need. Whether a group is known is taken from
+    the raw settings, since the engine's settings treat an unknown one as the narrowest."""
     rows = {str(row.get("name")): row for row in raw["profiles"] if isinstance(row, dict)}
     classes = {
         cls.name: ClassFacts(
--- a/glenchute/config/policy_settings.py
+++ b/glenchute/config/policy_settings.py
@@ -1,6 +1,6 @@
-"""The engine's settings from the platform's `settings` object, whose field names are mapped here only.
+"""Builds the decision engine's settings from the object `settings` of the platform's file.
 
-Unknown keys are ignored, missing ones get the safest reading.
+Unknown keys are ignored, and missing ones get the safest value.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 
 
 def number(value: Any, default: float = 0.0) -> float:
-    """A number, or the default where the platform states none."""
+    """Returns a value as a number, or the default if the platform states none."""
     return default if value is None or isinstance(value, bool) else float(value)
 
 
 def table(raw: dict[str, Any], key: str) -> dict[str, Any]:
-    """A nested object, or an empty one where there is none."""
+    """Returns a nested object, or an empty one if there is none."""
     found = raw.get(key)
     return found if isinstance(found, dict) else {}
 
 
 def rows(raw: dict[str, Any], key: str) -> list[dict[str, Any]]:
-    """A list of objects; whatever else stands in it is left out."""
+    """Returns a list of objects, without values of other types."""
     found = raw.get(key)
     return [row for row in found if isinstance(row, dict)] if isinstance(found, list) else []
 
 
 def policy_settings(raw: dict[str, Any]) -> Settings:
-    """The settings of one gateway. ValueError or TypeError where a figure is none."""
+    """Builds the settings of one gateway. Raises ValueError or TypeError if a value is not a number."""
     limits, counter = table(raw, "limits"), table(raw, "domain")
     return Settings(
         zone=str(raw.get("my_zone")),
@@ -60,7 +60,7 @@
 
 
 def request_class(row: dict[str, Any]) -> RequestClass:
-    """One row of `profiles`."""
+    """Builds a request class from a row of `profiles`."""
     return RequestClass(
         name=str(row.get("name")),
         latency_objective_ms=number(row.get("aim_ms"), number(row.get("hard_limit_ms"), 1000.0)),
@@ -73,7 +73,7 @@
 
 
 def plan(row: dict[str, Any]) -> Plan:
-    """One row of `packages`."""
+    """Builds a plan from a row of `packages`."""
     return Plan(
         name=str(row.get("name")),
         price=number(row.get("price"), 1.0),
@@ -89,7 +89,7 @@
 
 
 def slow_start(safety: dict[str, Any]) -> SlowStart:
-    """The table `safety`."""
+    """Builds the slow start settings from the table `safety`."""
     defaults = SlowStart()
     return SlowStart(
         initial_fraction=number(safety.get("cold_from"), defaults.initial_fraction),
