--- a/glenchute/cli/quota.py
+++ b/glenchute/cli/quota.py
@@ -22,7 +22,7 @@
 +restore: for each part that comes back with an older state. silent: past the quota, once, the counter known
 to be mute; replaced: once for each replacement; split /s: a second, for each half after the first.
 !: more than the platform's slack. Tighter: a smaller spread (all but ceiling), closer clocks (ceiling),
-neither of which costs calls; every word that fails is a call that was made anyway."""
+neither of which costs calls: epoch markers travel in calls that are made anyway."""
 
 
 def command(args: argparse.Namespace) -> int:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line as other programs call it."""
+"""The command line, run as a process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 def test_a_reader_that_closes_its_end_of_the_pipe_ends_the_command_quietly() -> None:
-    """`glenchute replay PATH --diff | head -1` used to end in a traceback."""
+    """A pipe closed by its reader, as in `glenchute replay PATH --diff | head -1`, once caused a
+    traceback."""
     calls = [sys.executable, "-m", "glenchute", "replay", "tests/captures", "--refusals"]
     command = subprocess.Popen(calls, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
     assert command.stdout is not None and command.stderr is not None
--- a/tests/cli/test_process.py
+++ b/tests/cli/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own: configuration and signals."""
+"""The gateway as a process: configuration and signals."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def start(path: Path, **environ: str) -> asyncio.subprocess.Process:
-    """The program as a process of its own."""
+    """Starts the gateway as a process."""
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "glenchute", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "EDGE_CONFIG": str(path), **environ},
@@ -65,8 +65,8 @@
             await release.wait()
             return SERVED
 
-        server, counts, discovery = RespPeer(reply), RespPeer(always(b"+PONG\r\n")), DiscoveryPeer()
-        for peer in (server, counts, discovery):
+        server, counter_peer, discovery = RespPeer(reply), RespPeer(always(b"+PONG\r\n")), DiscoveryPeer()
+        for peer in (server, counter_peer, discovery):
             await peer.start()
         rows = [row("s0", server.port)]
         discovery.answers.append(listing(1, rows))
@@ -75,7 +75,7 @@
         port_holder.close()
         await port_holder.wait_closed()
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
+        path.write_text(json.dumps(raw_config(discovery.port, counter_peer.port, rows, listen)))
         process = await start(path)
         open_client = await connect_when_ready(listen)
         idle = await Client.connect(listen)
@@ -83,22 +83,22 @@
         open_client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
         await until(lambda: len(server.calls()) == 1)
         process.send_signal(signal.SIGTERM)
-        late = await Client.connect(listen)
-        late.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
+        late_client = await Client.connect(listen)
+        late_client.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
         await until(lambda: len(server.calls()) == 2)
-        assert await idle.ended()  # between requests: closed once new connections no longer come
+        assert await idle.ended()  # idle, so it is closed once no new connections arrive
         release.set()
-        assert [await open_client.reply(), await late.reply()] == [b"value", b"value"]
+        assert [await open_client.reply(), await late_client.reply()] == [b"value", b"value"]
         assert await open_client.reply() is None
         assert await process.wait() == 0
-        for peer in (server, counts, discovery):
+        for peer in (server, counter_peer, discovery):
             await peer.stop()
 
     play(scenario())
 
 
-def test_sighup_follows_the_addresses_of_the_file(tmp_path: Path) -> None:
-    """Also several in a row; a file that cannot be read changes nothing."""
+def test_sighup_applies_the_addresses_of_the_file(tmp_path: Path) -> None:
+    """Several changes in a row are applied; an unreadable file changes nothing."""
 
     async def scenario() -> None:
         server = RespPeer(always(SERVED))
@@ -109,9 +109,9 @@
             return b"+PONG\r\n" if command[0] == b"PING" else b"$1\r\n2\r\n"
 
         addresses = [(DiscoveryPeer(listing(version, rows)), RespPeer(reply_two)) for version in (9, 5, 3)]
-        for discovery, counts in addresses:
+        for discovery, counter_peer in addresses:
             await discovery.start()
-            await counts.start()
+            await counter_peer.start()
         port_holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         listen = int(port_holder.sockets[0].getsockname()[1])
         port_holder.close()
@@ -119,8 +119,8 @@
         path = tmp_path / "config.json"
 
         def write(index: int) -> None:
-            discovery, counts = addresses[index]
-            path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
+            discovery, counter_peer = addresses[index]
+            path.write_text(json.dumps(raw_config(discovery.port, counter_peer.port, rows, listen)))
 
         write(0)
         process = await start(path)
@@ -137,11 +137,13 @@
             process.send_signal(signal.SIGHUP)
             while b"read again" not in await process.stderr.readline():
                 pass
-        discovery, counts = addresses[2]
-        await until(lambda: len(discovery.targets) > 1 and len(counts.writers) == counter.DEFAULT_CONNECTIONS)
+        discovery, counter_peer = addresses[2]
+        await until(
+            lambda: len(discovery.targets) > 1 and len(counter_peer.writers) == counter.DEFAULT_CONNECTIONS
+        )
         assert discovery.targets[0] == "/v1/servers" and "since=3&" in discovery.targets[1]
         ids = (b"%016x" % number for number in range(100, 10_000))
-        while not counts.calls():
+        while not counter_peer.calls():
             assert await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) == b"value"
             await asyncio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
@@ -153,7 +155,7 @@
 
 
 async def connect_when_ready(port: int) -> Client:
-    """A connection to a process that is starting."""
+    """Connects to a process that is starting, once it accepts."""
     while True:
         try:
             return await Client.connect(port)
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -1,5 +1,5 @@
-"""The operator's file read again in the background: what is served meanwhile, which file wins, how it
-ends."""
+"""Reading the operator's file again in the background: requests in the meantime, several reloads, errors,
+and shutdown."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def reload_of(program: GatewayProgram) -> OperatorReload:
-    """What has read the operator's file again."""
+    """Returns the program's reload, which must have been requested."""
     assert program.operator_reload is not None
     return program.operator_reload
 
@@ -59,17 +59,19 @@
         patch.setattr(operators, "read", self.read)
 
     def read(
-        self, path: str, facts: PlatformFacts | None, rest: Callable[[], None] | None = None
+        self, path: str, facts: PlatformFacts | None, yield_processor: Callable[[], None] | None = None
     ) -> ReadResult:
-        reading = self.real(path, facts, rest)
+        result = self.real(path, facts, yield_processor)
         self.started += 1
-        self.was_released &= self.released.wait(20.0)  # False: it was not released, as on the loop
-        return reading
+        self.was_released &= self.released.wait(
+            20.0
+        )  # False if it was never released, as if it ran on the loop
+        return result
 
 
-def bound(one: Site) -> str:
-    """The name of the route in force."""
-    routes = one.program.gateway.routes
+def bound_route(gateway_site: Site) -> str:
+    """Returns the name of the route that binds reads."""
+    routes = gateway_site.program.gateway.routes
     assert routes is not None
     return routes.limits_by_binding["read", "basic"].name
 
@@ -80,8 +82,8 @@
     file = tmp_path / "operator.toml"
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as one:
-            program = one.program
+        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+            program = gateway_site.program
             blocked = BlockedRead(monkeypatch)
 
             def reread(text: str) -> None:
@@ -93,11 +95,11 @@
             assert sys.getswitchinterval() == pytest.approx(SWITCH_INTERVAL_S) and not gc.isenabled()
             reread(reads("third"))
             reread(reads("fourth"))
-            client = await one.client()
+            client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            assert bound(one) == "first" and blocked.started == 1
+            assert bound_route(gateway_site) == "first" and blocked.started == 1
             blocked.released.set()
-            await until(lambda: bound(one) == "fourth")
+            await until(lambda: bound_route(gateway_site) == "fourth")
             assert (
                 blocked.started == 2 and blocked.was_released
             )  # the third was superseded, none is read twice
@@ -111,13 +113,13 @@
 def test_an_invalid_file_changes_nothing_and_all_errors_are_logged(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Also where reading raises, or no thread can be started; the next file is applied."""
+    """So does an exception while reading, or a thread that can't be started. The next file is applied."""
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as one:
-            program = one.program
+        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+            program = gateway_site.program
 
             def reported() -> list[str]:
                 return [record.getMessage() for record in caplog.records if REJECTED in record.getMessage()]
@@ -128,7 +130,9 @@
                 program.reread_operator_file(str(file), program.config)
                 await until(lambda: len(reported()) > before)
                 assert (
-                    bound(one) == "first" and sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
+                    bound_route(gateway_site) == "first"
+                    and sys.getswitchinterval() > SWITCH_INTERVAL_S
+                    and gc.isenabled()
                 )
                 return reported()[-1]
 
@@ -152,7 +156,7 @@
                 patch.setattr(threading.Thread, "start", none)
                 assert "can't start new thread" in await rejected(reads("second"))
             program.reread_operator_file(str(file), program.config)
-            await until(lambda: bound(one) == "second")
+            await until(lambda: bound_route(gateway_site) == "second")
 
     play(scenario())
 
@@ -164,8 +168,8 @@
     file.write_text(reads("r0", attempts=1) + "backoff = { first_ms = 5 }\n")
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as one:
-            program = one.program
+        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+            program = gateway_site.program
             program.reread_operator_file(str(file), program.config)
             await until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
             (line,) = [r.getMessage() for r in caplog.records if "warning" in r.getMessage()]
@@ -174,7 +178,7 @@
             found = reload_operator_file(str(file), program.config)
             found = found._replace(warnings=[f"w{n}" for n in range(count)])
             reload_of(program).apply(found)
-            assert len(caplog.records) == WARNINGS_PER_TURN and bound(one) == "r0"
+            assert len(caplog.records) == WARNINGS_PER_TURN and bound_route(gateway_site) == "r0"
             await until(lambda: len(caplog.records) > count)
             assert [r.getMessage() for r in caplog.records] == [*found.warnings, READ_AGAIN]
 
@@ -182,18 +186,19 @@
 
 
 def test_the_loop_runs_while_thousands_of_routes_are_read(tmp_path: Path) -> None:
-    """Turns of the loop while the file is being read; read on the loop there would be none."""
+    """Counts iterations of the loop while the file is being read; if it were read on the loop, there would be
+    none."""
     file = tmp_path / "operator.toml"
     file.write_text("".join(reads(f"r{n}") for n in range(2_700)))
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as one:
-            program, turns = one.program, 0
+        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+            program, turns = gateway_site.program, 0
             program.reread_operator_file(str(file), program.config)
             while (background := reload_of(program).background) is not None and background.is_busy:
                 turns += 1
                 await asyncio.sleep(0)
-            assert turns > 20 and bound(one) == "first"
+            assert turns > 20 and bound_route(gateway_site) == "first"
 
     play(scenario())
 
@@ -201,8 +206,8 @@
 def test_no_result_is_reported_to_a_closed_loop() -> None:
     reported: list[bool | Exception] = []
     loop, go = asyncio.new_event_loop(), threading.Event()
-    one: BackgroundReload[bool] = BackgroundReload(loop, reported.append)
-    one.submit(lambda: go.wait(20.0))
+    background: BackgroundReload[bool] = BackgroundReload(loop, reported.append)
+    background.submit(lambda: go.wait(20.0))
     loop.close()
     go.set()
     for thread in [t for t in threading.enumerate() if t.name == THREAD_NAME]:
@@ -236,7 +241,7 @@
     global count
     count += 1
     if count > 1:
-        print("a reading that does not end", file=sys.stderr, flush=True)
+        print("a read that does not end", file=sys.stderr, flush=True)
         threading.Event().wait()
     return real(path, facts, rest)
 operators.read = read
@@ -257,7 +262,7 @@
                 gateway.signal(signal.SIGHUP)
                 await until(lambda: "does not end" in gateway.log.read_text())
                 gateway.signal(signal.SIGHUP)
-                await gateway.ready()  # still answers
+                await gateway.ready()  # the gateway still responds
             finally:
                 assert await gateway.stop(15.0) == 0
             log = gateway.log.read_text()
--- a/tests/core/test_executor.py
+++ b/tests/core/test_executor.py
@@ -1,4 +1,5 @@
-"""The life of a request over loopback sockets: endings, deadlines, order, answers, faults."""
+"""Requests over loopback sockets: outcomes of attempts, deadlines, order of replies, load reports,
+exceptions."""
 
 from __future__ import annotations
 
@@ -37,26 +38,26 @@
 
 def test_a_request_is_served_and_goes_on_unchanged_but_for_the_time_left() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
-            client = await one.client()
+        async with site(always(SERVED)) as gateway_site:
+            client = await gateway_site.client()
             assert await client.ask(b"PING") == b"PONG"
             assert await client.ask(b"CALL.POST", CUSTOMER, b"id-1", ORDER, b"body\r\n*1") == b"value"
-            verb, customer, name, fields, body = one.servers[0].calls()[0]
+            verb, customer, name, fields, body = gateway_site.servers[0].calls()[0]
             assert (verb, customer, name, body) == (b"CALL.POST", CUSTOMER, b"id-1", b"body\r\n*1")
-            before, _, rest = fields.partition(b"d=")
-            left, _, after = rest.partition(b",")
-            assert (before, after) == (b"c=order,t=basic,", b"k=5c0f6e1a2b3d4c59")
-            assert 0 < int(left) < 20000
+            prefix, _, rest = fields.partition(b"d=")
+            left_ms, _, suffix = rest.partition(b",")
+            assert (prefix, suffix) == (b"c=order,t=basic,", b"k=5c0f6e1a2b3d4c59")
+            assert 0 < int(left_ms) < 20000
 
     play(scenario())
 
 
-async def hang_up(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+async def close_connection(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
     writer.close()
     return None
 
 
-ENDINGS: list[tuple[Reply, Outcome]] = [
+OUTCOMES: list[tuple[Reply, Outcome]] = [
     (always(SERVED), Outcome.OK),
     (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), Outcome.OK),
     (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), Outcome.OK),
@@ -67,7 +68,10 @@
     (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Outcome.ERROR),
     (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
     (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), Outcome.ERROR),
-    (always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),  # and nothing more comes
+    (
+        always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"),
+        Outcome.ERROR,
+    ),  # shorter than its stated length, and nothing follows
     (always(b"*3\r\n*999999999\r\n"), Outcome.ERROR),
     (always(b"-BUSY or not\r\n"), Outcome.ERROR),
     (always(b"-BUSY\r\nnoise"), Outcome.ERROR),
@@ -78,23 +82,23 @@
     (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), Outcome.ERROR),
     (always(b"$5\r\nvalue\r\n"), Outcome.ERROR),
     (always(b"what is this?\r\n"), Outcome.ERROR),
-    (hang_up, Outcome.RESET),
+    (close_connection, Outcome.RESET),
     (always(None), Outcome.TIMEOUT),
 ]
 
 
-@pytest.mark.parametrize(("reply", "ending"), ENDINGS)
-def test_each_ending_is_told_once_as_the_protocol_reads_it(reply: Reply, ending: Outcome) -> None:
+@pytest.mark.parametrize(("reply", "outcome"), OUTCOMES)
+def test_each_attempt_outcome_is_reported_once(reply: Reply, outcome: Outcome) -> None:
     async def scenario() -> None:
-        # The time-out is long enough not to cut in where an answer comes, on any machine.
-        script = Script(send_to("s0", 200.0 if ending is Outcome.TIMEOUT else 0.0))
-        async with site(reply, decisions=script) as one:
-            client = await one.client()
+        # Where an answer comes, there is no timeout, so that a slow machine can't cause one.
+        script = Script(send_to("s0", 200.0 if outcome is Outcome.TIMEOUT else 0.0))
+        async with site(reply, decisions=script) as gateway_site:
+            client = await gateway_site.client()
             answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
             ended = script.of(AttemptEnded)
-            assert [event.outcome for event in ended] == [ending]
-            assert ended[0].is_final is (ending is Outcome.OK)
-            assert isinstance(answer, bytes) is (ending is Outcome.OK)
+            assert [event.outcome for event in ended] == [outcome]
+            assert ended[0].is_final is (outcome is Outcome.OK)
+            assert isinstance(answer, bytes) is (outcome is Outcome.OK)
             assert ended[0].duration_ms >= 0.0
 
     play(scenario())
@@ -103,9 +107,9 @@
 def test_a_refused_connection_did_not_run() -> None:
     async def scenario() -> None:
         script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
-            await one.servers[0].stop()
-            client = await one.client()
+        async with site(always(SERVED), decisions=script) as gateway_site:
+            await gateway_site.servers[0].stop()
+            client = await gateway_site.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
             assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
 
@@ -113,7 +117,7 @@
 
 
 def test_a_second_attempt_goes_only_once_the_first_is_closed() -> None:
-    """Two copies of a request must never be out together: the time-out is told after the closing."""
+    """Two copies of a request must never be in flight together: the timeout is reported after the close."""
 
     async def scenario() -> None:
         seen: list[str] = []
@@ -122,16 +126,16 @@
             if isinstance(event, Request):
                 return [StartAttempt(event.request_id, "s0", 100.0)]
             if isinstance(event, AttemptEnded) and not event.is_final:
-                first = one.program.servers.pools["s0"].open
+                first = gateway_site.program.servers.pools["s0"].open
                 seen.append(f"{event.outcome.value} with {len(first)} open")
                 return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
-        async with site(always(None), always(SERVED), decisions=Script(decide)) as one:
-            client = await one.client()
+        async with site(always(None), always(SERVED), decisions=Script(decide)) as gateway_site:
+            client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert seen == ["timeout with 0 open"]
-            await until(lambda: ("closed", 1, []) in one.servers[0].log)
+            await until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
 
     play(scenario())
 
@@ -142,15 +146,15 @@
             if isinstance(event, Request):
                 return [StartAttempt(event.request_id, "s0"), SetTimer(5, 0.0)]
             if isinstance(event, TimerFired):
-                return [CancelAttempt("1", 0)] if one.servers[0].calls() else [SetTimer(5, 0.0)]
+                return [CancelAttempt("1", 0)] if gateway_site.servers[0].calls() else [SetTimer(5, 0.0)]
             return [Fail(event.request_id)] if isinstance(event, AttemptEnded) else []
 
         script = Script(decide)
-        async with site(always(None), decisions=script) as one:
-            client = await one.client()
+        async with site(always(None), decisions=script) as gateway_site:
+            client = await gateway_site.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
             assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.CANCELLED]
-            await until(lambda: ("closed", 1, []) in one.servers[0].log)
+            await until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
 
     play(scenario())
 
@@ -163,18 +167,18 @@
             return []
 
         script = Script(decide)
-        async with site(always(None), always(SERVED), decisions=script) as one:
-            client = await one.client()
+        async with site(always(None), always(SERVED), decisions=script) as gateway_site:
+            client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             await until(lambda: script.of(AttemptEnded))
             assert [(e.attempt, e.outcome) for e in script.of(AttemptEnded)] == [(1, Outcome.NOT_SENT)]
-            assert one.servers[1].calls() == []
+            assert gateway_site.servers[1].calls() == []
 
     play(scenario())
 
 
 def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
-    """-BUSY promises that no try ran, whatever the module says."""
+    """-BUSY guarantees that no attempt ran, whatever the decision engine says."""
 
     async def scenario() -> None:
         def decide(event: Event) -> list[Action]:
@@ -183,22 +187,22 @@
             return [Reject(event.request_id, 7.0)] if isinstance(event, AttemptEnded) else []
 
         for reply, answer in ((b"-ERR failed\r\n", "ERR failed"), (b"-BUSY\r\n", "BUSY 7")):
-            async with site(always(reply), decisions=Script(decide)) as one:
-                client = await one.client()
+            async with site(always(reply), decisions=Script(decide)) as gateway_site:
+                client = await gateway_site.client()
                 assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == answer
 
     play(scenario())
 
 
 @pytest.mark.parametrize(("sent", "answer"), [(False, "BUSY"), (True, "ERR failed")])
-def test_a_request_that_the_module_forgets_is_answered_at_its_deadline(sent: bool, answer: str) -> None:
+def test_a_request_that_the_engine_never_answers_is_answered_at_its_deadline(sent: bool, answer: str) -> None:
     async def scenario() -> None:
         def decide(event: Event) -> list[Action]:
             return [StartAttempt(event.request_id, "s0")] if sent and isinstance(event, Request) else []
 
         script = Script(decide)
-        async with site(always(None), decisions=script) as one:
-            client = await one.client()
+        async with site(always(None), decisions=script) as gateway_site:
+            client = await gateway_site.client()
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
             assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
@@ -207,7 +211,7 @@
     play(scenario())
 
 
-def test_a_fault_in_the_decisions_costs_nobody_the_answer() -> None:
+def test_each_request_is_answered_although_the_engine_raises() -> None:
     async def scenario() -> None:
         def decide(event: Event) -> list[Action]:
             if isinstance(event, Request) and event.class_name == "read":
@@ -221,8 +225,8 @@
             return decide(event)
 
         script.handle = handle  # type: ignore[method-assign]
-        async with site(always(SERVED), decisions=script) as one:
-            client = await one.client()
+        async with site(always(SERVED), decisions=script) as gateway_site:
+            client = await gateway_site.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "BUSY"
             assert await client.ask(b"CALL.POST", CUSTOMER, b"2", CHARGE) == b"value"
 
@@ -239,8 +243,8 @@
             return b"*3\r\n$1\r\n%b\r\n*-1\r\n$-1\r\n" % words[2]
 
         script = Script(send_to("s0"))
-        async with site(reply, decisions=script) as one:
-            client = await one.client()
+        async with site(reply, decisions=script) as gateway_site:
+            client = await gateway_site.client()
             for name in (b"1", b"2", b"3"):
                 client.send(b"CALL.GET", CUSTOMER, name, GET)
             client.send(b"PING")
@@ -251,16 +255,16 @@
     play(scenario())
 
 
-def test_a_client_that_leaves_is_told_to_the_module() -> None:
+def test_a_client_disconnect_is_reported_to_the_engine() -> None:
     async def scenario() -> None:
         script = Script(send_to("s0"))
-        async with site(always(None), decisions=script) as one:
-            client = await one.client()
+        async with site(always(None), decisions=script) as gateway_site:
+            client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: one.servers[0].calls())
+            await until(lambda: gateway_site.servers[0].calls())
             client.writer.close()
             await until(lambda: script.of(ClientDisconnected))
-            assert one.program.gateway.active_requests == {}
+            assert gateway_site.program.gateway.active_requests == {}
 
     play(scenario())
 
@@ -271,13 +275,13 @@
 
         def decide(event: Event) -> list[Action]:
             if isinstance(event, EndpointList) and not script.of(EndpointList)[1:]:
-                return [SetTimer(3, one_clock.now_ms() + 5.0)]
+                return [SetTimer(3, clock.now_ms() + 5.0)]
             if isinstance(event, TimerFired):
-                fired.append(one_clock.now_ms())
+                fired.append(clock.now_ms())
             return []
 
-        one_clock, script = Clock(), Script(decide)
-        start = one_clock.now_ms()
+        clock, script = Clock(), Script(decide)
+        start = clock.now_ms()
         async with site(decisions=script):
             await until(lambda: fired)
             assert fired[0] >= start + 5.0 and script.of(TimerFired) == [TimerFired(3)]
--- a/tests/core/test_routes_loopback.py
+++ b/tests/core/test_routes_loopback.py
@@ -1,4 +1,4 @@
-"""Routes over loopback sockets, and the program with an operator's file."""
+"""Routes over loopback sockets, and the whole program with an operator's file."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.loopback import CHARGE, CUSTOMER, GET, ORDER, SERVED, always, site
 
 ROOT = Path(__file__).resolve().parents[2]
-TWO = """\
+TWO_ROUTES = """\
 [[route]]
 name = "reads"
 match = { class = "read" }
@@ -35,15 +35,15 @@
 
 
 def test_two_routes_really_differ_on_the_sockets() -> None:
-    """What nodes are told that the gateway waits, when their connection ends, and when the client hears."""
+    """In the timeout stated to servers, the close of the connection, and the time of the client's reply."""
 
     async def scenario() -> None:
-        async with site(always(None), operator=TWO) as one:
+        async with site(always(None), operator=TWO_ROUTES) as gateway_site:
             loop = asyncio.get_running_loop()
             waited: dict[str, float] = {}
 
             async def ask(name: str, *words: bytes) -> None:
-                client, began = await one.client(), loop.time()
+                client, began = await gateway_site.client(), loop.time()
                 assert str(await client.ask(*words)) == "ERR failed"
                 waited[name] = loop.time() - began
 
@@ -52,32 +52,32 @@
                 ask("charge", b"CALL.POST", CUSTOMER, b"2", CHARGE, b"body"),
             )
             assert 0.145 <= waited["read"] < waited["charge"] and waited["charge"] >= 0.44
-            calls = one.servers[0].calls()
-            told = {words[2]: int(words[3].split(b"d=")[1].split(b",")[0]) for words in calls}
-            assert told[b"1"] <= 150 < told[b"2"] <= 450
-            await until(lambda: sum(1 for what, _, _ in one.servers[0].log if what == "closed") == 2)
+            calls = gateway_site.servers[0].calls()
+            stated_ms = {words[2]: int(words[3].split(b"d=")[1].split(b",")[0]) for words in calls}
+            assert stated_ms[b"1"] <= 150 < stated_ms[b"2"] <= 450
+            await until(lambda: sum(1 for what, _, _ in gateway_site.servers[0].log if what == "closed") == 2)
 
     play(scenario())
 
 
-def test_pauses_and_causes_hold_on_the_sockets() -> None:
-    """Turned away: again after the pause. An error: no more, as the route leaves that cause out."""
+def test_backoffs_and_retryable_causes_hold_on_the_wire() -> None:
+    """A rejection is retried after the backoff; an error is not, since the route does not name that cause."""
     rows = "attempts = 3\nbackoff = { first_ms = 120, factor = 1.0 }\nretry_on = ['full']\n"
     text = f"[[route]]\nname = 'reads'\nmatch = {{ class = 'read' }}\n{rows}"
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        came: list[float] = []
+        arrivals: list[float] = []
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            came.append(loop.time())
-            return b"-BUSY\r\n" if len(came) < 3 else b"-ERR failed\r\n"
+            arrivals.append(loop.time())
+            return b"-BUSY\r\n" if len(arrivals) < 3 else b"-ERR failed\r\n"
 
-        async with site(reply, operator=text) as one:
-            client = await one.client()
+        async with site(reply, operator=text) as gateway_site:
+            client = await gateway_site.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
-            assert len(came) == 3
-            assert all(two - one >= 0.12 for one, two in pairwise(came))
+            assert len(arrivals) == 3
+            assert all(later - earlier >= 0.12 for earlier, later in pairwise(arrivals))
 
     play(scenario())
 
@@ -86,10 +86,10 @@
     text = "[[route]]\nname = 'charges'\nmatch = { class = 'charge' }\nattempts = 4\n"
 
     async def scenario() -> None:
-        async with site(always(b"-ERR failed\r\n"), operator=text) as one:
-            client = await one.client()
+        async with site(always(b"-ERR failed\r\n"), operator=text) as gateway_site:
+            client = await gateway_site.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE, b"x")) == "ERR failed"
-            assert len(one.servers[0].calls()) == 1
+            assert len(gateway_site.servers[0].calls()) == 1
 
     play(scenario())
 
@@ -102,25 +102,25 @@
         ((b"CALL.POST", CUSTOMER, b"7", CHARGE, b""), b"c=charge,t=basic,d=%d"),
     ],
 )
-def test_without_the_file_the_commands_to_nodes_are_what_they_were(
+def test_without_an_operators_file_commands_are_forwarded_unchanged(
     words: tuple[bytes, ...], sent: bytes
 ) -> None:
-    """Byte for byte, but for the time left, which only shrinks."""
+    """Byte for byte, except for the time left, which only decreases."""
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
-            client = await one.client()
+        async with site(always(SERVED)) as gateway_site:
+            client = await gateway_site.client()
             assert await client.ask(*words) == b"value"
-            (got,) = one.servers[0].calls()
-            left = int(got[3].split(b"d=")[1].split(b",")[0])
+            (received,) = gateway_site.servers[0].calls()
+            left = int(received[3].split(b"d=")[1].split(b",")[0])
             assert 1 <= left <= 20_000
-            assert got == [*words[:3], sent % left, *words[4:]]
+            assert received == [*words[:3], sent % left, *words[4:]]
 
     play(scenario())
 
 
-def vanishing() -> list[Node]:
-    """A node that takes commands and says nothing."""
+def silent_node() -> list[Node]:
+    """A node that accepts commands and never replies."""
     faults = [Fault(Kind.VANISH, 0.0, 1e9)]
     return [Node("n0", Trade({"report-read": 1.0}), Script(faults))]
 
@@ -130,10 +130,10 @@
     return f"[[route]]\nname = 'r'\nmatch = {{ class = 'report-read' }}\n{rows}"
 
 
-def test_sighup_follows_a_sound_operators_file_and_keeps_the_old_one_else(tmp_path: Path) -> None:
+def test_sighup_applies_a_valid_operators_file_and_ignores_an_invalid_one(tmp_path: Path) -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with LabSite(vanishing()) as lab:
+        async with LabSite(silent_node()) as lab:
             platform = lab.platform({**SETTINGS, **patient()})
             gateway = GatewayProcess(tmp_path, platform, reads(100))
             gateway.start()
@@ -162,8 +162,8 @@
                 mapped = "account = 'header:a'\nplan = 'header:p'\nclass = 'header:c'\nkey = 'header:k'\n"
                 gateway.operator.write_text(f"{more}[fronts.extproc.map]\n{mapped}{reads(500)}")
                 gateway.signal(signal.SIGHUP)
-                told = "[fronts], [pipeline] and [subset] waits for a restart"
-                await until(lambda: told in gateway.log.read_text())
+                message = "[fronts], [pipeline] and [subset] waits for a restart"
+                await until(lambda: message in gateway.log.read_text())
             finally:
                 assert await gateway.stop() == 0
 
@@ -197,7 +197,7 @@
     assert "stopped early" in out and "Traceback" not in out
 
 
-def test_the_demo_turns_down_what_it_can_not_play() -> None:
+def test_the_demo_rejects_arguments_out_of_range() -> None:
     process = demo("--rate", "100000")
     process.communicate(timeout=20)
     assert process.returncode == 2
