--- a/glenchute/cli/background_reload.py
+++ b/glenchute/cli/background_reload.py
@@ -58,24 +58,24 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.active = 0
+        self.active_threads = 0
         self.saved_interval_s = 0.0
         self.saved_gc_enabled = True
 
     def begin(self) -> None:
         """Registers a thread; the first one changes both settings."""
         with self.lock:
-            if not self.active:
+            if not self.active_threads:
                 self.saved_interval_s, self.saved_gc_enabled = sys.getswitchinterval(), gc.isenabled()
                 sys.setswitchinterval(SWITCH_INTERVAL_S)
                 gc.disable()
-            self.active += 1
+            self.active_threads += 1
 
     def end(self) -> None:
         """Unregisters a thread; the last one restores both settings."""
         with self.lock:
-            self.active -= 1
-            if not self.active:
+            self.active_threads -= 1
+            if not self.active_threads:
                 sys.setswitchinterval(self.saved_interval_s)
                 if self.saved_gc_enabled:
                     gc.enable()
--- a/glenchute/cli/demo.py
+++ b/glenchute/cli/demo.py
@@ -25,7 +25,7 @@
 NODES = 4
 FOREVER = 1e9
 SERVICE_TIMES = Trade({"report-read": 25.0, "check-order": 45.0, "check-charge": 60.0})
-WORDS = ("served", "refused", "failed", "lost")
+ANSWERS = ("served", "refused", "failed", "lost")
 OPERATOR = """\
 [defaults]
 retry_on = ["full", "unreachable"]
@@ -94,15 +94,15 @@
 
 async def run_load(load: Load, site: LabSite, seconds: float, stop: asyncio.Event) -> None:
     """Runs the load and prints its progress, until its end or a signal."""
-    running = asyncio.create_task(load.run(seconds))
-    stopping = asyncio.create_task(stop.wait())
+    load_task = asyncio.create_task(load.run(seconds))
+    stop_task = asyncio.create_task(stop.wait())
     began, is_terminal = asyncio.get_running_loop().time(), sys.stdout.isatty()
-    while not running.done() and not stopping.done():
-        await asyncio.wait({running, stopping}, timeout=0.25 if is_terminal else 1.0,
+    while not load_task.done() and not stop_task.done():
+        await asyncio.wait({load_task, stop_task}, timeout=0.25 if is_terminal else 1.0,
                            return_when=asyncio.FIRST_COMPLETED)  # fmt: skip
-        counts = {word: sum(1 for o in load.outcomes if o.answer == word) for word in WORDS}
-        told = "  ".join(f"{word} {count}" for word, count in counts.items())
-        line = f"{asyncio.get_running_loop().time() - began:5.1f} s  {told}"
+        counts = {answer: sum(1 for o in load.outcomes if o.answer == answer) for answer in ANSWERS}
+        summary = "  ".join(f"{answer} {count}" for answer, count in counts.items())
+        line = f"{asyncio.get_running_loop().time() - began:5.1f} s  {summary}"
         per_node = " ".join(f"{node.name}:{node.inflight}" for node in site.nodes)
         print(
             f"\r{line}  in work {per_node}   " if is_terminal else line,
@@ -111,31 +111,37 @@
         )
     if is_terminal:
         print()
-    for task in (running, stopping):
+    for task in (load_task, stop_task):
         task.cancel()
-    for task in (running, stopping):
+    for task in (load_task, stop_task):
         with contextlib.suppress(asyncio.CancelledError):
             await task
 
 
 def print_results(load: Load, site: LabSite, status: int, stopped: bool) -> int:
     """Prints the results of each class, and returns the exit status."""
-    columns = "".join(f"{word:>9}" for word in ("asked", *WORDS, "p50 ms", "p99 ms"))
+    columns = "".join(f"{heading:>9}" for heading in ("asked", *ANSWERS, "p50 ms", "p99 ms"))
     print(f"{'class':14}{columns}")
     lost = 0
     for kind in KINDS:
-        done = [o for o in load.of(kind.class_name) if o.answer]
-        by = {
-            word: sum(1 for o in done if o.answer == word) for word in ("served", "refused", "failed", "lost")
+        answered = [o for o in load.of(kind.class_name) if o.answer]
+        counts = {
+            answer: sum(1 for o in answered if o.answer == answer)
+            for answer in ("served", "refused", "failed", "lost")
         }
-        lost += by["lost"]
-        took = [o.took_ms for o in done if o.answer == "served"]
-        figures = [len(done), *by.values(), percentile(took, 50), percentile(took, 99)]
+        lost += counts["lost"]
+        durations_ms = [o.took_ms for o in answered if o.answer == "served"]
+        figures = [
+            len(answered),
+            *counts.values(),
+            percentile(durations_ms, 50),
+            percentile(durations_ms, 99),
+        ]
         print(f"{kind.class_name:14}" + "".join(f"{figure:9.0f}" for figure in figures))
-    taken = sum(1 for o in load.outcomes if o.answer in ("served", "failed"))
+    forwarded = sum(1 for o in load.outcomes if o.answer in ("served", "failed"))
     received = sum(node.received for node in site.nodes)
     twice = site.charged_twice()
-    print(f"attempts per request sent on: {received / max(1, taken):.2f}")
+    print(f"attempts per request sent on: {received / max(1, forwarded):.2f}")
     print(f"charges run twice: {twice}; answers lost: {lost}; the gateway's exit status: {status}"
           + (" (stopped early)" if stopped else ""))  # fmt: skip
     return 0 if not twice and not lost and not status else 1
--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -66,7 +66,7 @@
     ) -> None:
         self.config, self.loop = config, loop
         self.environ = environ or {}
-        self.passed = passed_socket(config)
+        self.passed_socket = passed_socket(config)
         self.stopping = asyncio.Event()
         pipelined = operator.pipeline if operator is not None else None
         self.servers = self.create_upstream(pipelined)
@@ -86,7 +86,7 @@
         self.extproc: ExtProcServer | None = None
         if operator is not None and operator.fronts and "extproc" in operator.fronts:
             self.extproc = subsystems.create_extproc(operator.fronts["extproc"], config, loop, self.gateway)
-        self.handover = self.create_handover() if self.passed is not None else None
+        self.handover = self.create_handover() if self.passed_socket is not None else None
         self.operations = None
         if config.operations_address is not None:
             self.operations = subsystems.create_operations(loop, self.listener, self.fleet)
@@ -261,19 +261,21 @@
             self.gateway.update_endpoints(cached)
             if self.list_confirmation is not None:
                 self.list_confirmation.apply(cached.version, cached.event)
-        polls = self.fleet is not None and self.fleet.endpoint_sync.attach_discovery(cached, self.discovery)
-        is_polled_now = self.discovery.start(cached, LIST_WAIT_S, polls)
+        polls_at_once = self.fleet is not None and self.fleet.endpoint_sync.attach_discovery(
+            cached, self.discovery
+        )
+        should_wait_for_list = self.discovery.start(cached, LIST_WAIT_S, polls_at_once)
         if self.fleet is not None:
             await self.fleet.start()
         if self.control is not None:
             await self.control.start()
         if self.handover is not None:
             await self.handover.request_state()
-        if is_polled_now:
+        if should_wait_for_list:
             await self.wait_for_list()
         if self.stopping.is_set():
             return
-        await self.listener.start(*self.config.listen, self.passed)
+        await self.listener.start(*self.config.listen, self.passed_socket)
         if self.handover is not None:
             await self.handover.start_serving()
         if self.extproc is not None:
@@ -315,7 +317,7 @@
     async def shut_down(self) -> None:
         """Shuts down gracefully: accepts late connections, finishes requests in flight, and ends before the
         platform kills the process."""
-        lifecycle, is_replaced = self.listener.lifecycle, self.passed is not None
+        lifecycle, is_replaced = self.listener.lifecycle, self.passed_socket is not None
         began = self.loop.time()
         proxies = None
         if self.extproc is not None:
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -233,9 +233,12 @@
     classes, plans = coverage.spans[index]
     if shadowing:
         names = ", ".join(sorted(shadowing))
-        report("never-matches", path, f"is shadowed by {names}; drop it or name less there")
+        report("never-matches", path, f"is shadowed by {names}; remove it, or name less there")
     elif not classes or not plans:
-        message = "matches no class of the platform: safe classes come by GET, the others by POST; mend match"
+        message = (
+            "matches no class of the platform: idempotent classes arrive by GET, the others by POST; "
+            "correct match"
+        )
         report("never-matches", path, message)
 
 
--- a/glenchute/core/executor.py
+++ b/glenchute/core/executor.py
@@ -189,7 +189,7 @@
         if self.release(request):
             self.post(ClientDisconnected(request.request_id))
             if request.call.transport is None:
-                for attempt in [one for one in request.attempts_in_flight if not one.is_written]:
+                for attempt in [attempt for attempt in request.attempts_in_flight if not attempt.is_written]:
                     attempt.stop(Outcome.NOT_SENT)
 
     def is_client_connected(self, request: ActiveRequest) -> bool:
@@ -352,7 +352,7 @@
         attempt = self.attempts_in_flight[request.request_id, number]
         request.time_to_first_byte_ms = 1000.0 * (self.loop.time() - attempt.started_at)
         self.respond(request.request_id, Streamed(source))
-        for other in [one for one in request.attempts_in_flight if one is not attempt]:
+        for other in [other for other in request.attempts_in_flight if other is not attempt]:
             other.stop(Outcome.CANCELLED)
         self.post(ResponseStarted(request.request_id, number))
 
--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -115,13 +115,14 @@
             higher = {o.route.name for combo in matched for o in above if covers(o, combo)}
             if higher:
                 report("never-matches", ("route", one.position),
-                       f"is shadowed by {', '.join(sorted(higher))}; drop it or name less there")  # fmt: skip
+                       f"is shadowed by {', '.join(sorted(higher))}; "
+                       "remove it, or name less there")  # fmt: skip
             elif not matched:
                 report(
                     "never-matches",
                     ("route", one.position),
-                    "matches no class of the platform: safe classes "
-                    "come by GET, the others by POST; mend match",
+                    "matches no class of the platform: idempotent classes "
+                    "arrive by GET, the others by POST; correct match",
                 )
         for name in classes_by_route.get(one.position, ()):
             report_violations(one.route, name, ("route", one.position))
