--- a/glenchute/cli/operator_reload.py
+++ b/glenchute/cli/operator_reload.py
@@ -55,9 +55,8 @@
     try:
         operator, warnings = load_operator_file(path, config, TimeSlices().yield_if_over)
     except ConfigError as error:
-        raise error.with_traceback(
-            None
-        ) from None  # the traceback would hold all findings, to be freed on the loop
+        # The traceback would hold all findings until they are freed at once on the loop.
+        raise error.with_traceback(None) from None
     routes = RouteTable(operator.bindings, config.seed)
     return ReloadedFile(routes, operator.restart_tables(), warnings)
 
--- a/glenchute/config/extproc.py
+++ b/glenchute/config/extproc.py
@@ -108,7 +108,6 @@
     ratelimit = raw.get("ratelimit")
     if ratelimit is None:
         return made, None
-    unkeyed = dict.fromkeys(
-        classes, False
-    )  # rate limit calls run no request, so they need no idempotency key
+    # Rate limit calls run no request, so they need no idempotency key.
+    unkeyed = dict.fromkeys(classes, False)
     return made, MappingRules(ratelimit["map"], (), unkeyed, facts.plans, gateways, most_units)
--- a/glenchute/core/executor.py
+++ b/glenchute/core/executor.py
@@ -101,9 +101,8 @@
         self.routes: RouteTable | None = None
         # Set if a successor process may connect: takes the quotas for the handover to it.
         self.send_state: Callable[[tuple[QuotaSnapshot, ...]], None] | None = None
-        self.last_response_at = (
-            loop.time()
-        )  # time of the last response of any server; initially the start time
+        # Time of the last response of any server; initially the start time.
+        self.last_response_at = loop.time()
         self.last_failure_at = -math.inf  # time of the last failed attempt
         self.allows_concurrent_attempts = False  # whether hedged requests are enabled
         self.max_attempts = 0  # per request; 0 unless attempts share connections
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -63,9 +63,8 @@
     ) -> ReadResult:
         result = self.real(path, facts, yield_processor)
         self.started += 1
-        self.was_released &= self.released.wait(
-            20.0
-        )  # False if it was never released, as if it ran on the loop
+        # False if it was not released in time, as when the read blocks the loop that runs the test.
+        self.was_released &= self.released.wait(20.0)
         return result
 
 
@@ -100,9 +99,8 @@
             assert bound_route(gateway_site) == "first" and blocked.started == 1
             blocked.released.set()
             await until(lambda: bound_route(gateway_site) == "fourth")
-            assert (
-                blocked.started == 2 and blocked.was_released
-            )  # the third was superseded, none is read twice
+            # The third file was superseded, and none is read twice.
+            assert blocked.started == 2 and blocked.was_released
             reload = reload_of(program).background
             await until(lambda: reload is not None and not reload.is_busy)
             assert sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -289,9 +289,8 @@
     assert names["report-read", "agencija"] == "dear" and names["report-read", "osnovni"] == "reads"
     assert names["check-charge", "osnovni"] == "defaults"
     assert operator.bindings["report-read", "osnovni"].max_attempts == 2
-    assert (
-        operator.bindings["report-read", "agencija"].attempt_timeout_ms == 0.0
-    )  # not inherited from another route
+    # A route inherits from the defaults alone, not from another route.
+    assert operator.bindings["report-read", "agencija"].attempt_timeout_ms == 0.0
 
 
 def test_a_list_may_overlap_with_a_route_that_names_more() -> None:
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -152,9 +152,8 @@
         "glenchute.policy.connections.pipeline_types",
         "glenchute.policy.connections.service_times",
     )
-    assert all(
-        importlib.util.find_spec(name) for name in unused
-    )  # otherwise the check below would pass for misspelled names
+    # Otherwise the check below would pass for misspelled names.
+    assert all(importlib.util.find_spec(name) for name in unused)
     code = f"import sys, glenchute.cli.run; sys.exit(not sys.modules.keys().isdisjoint({unused!r}))"
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
