--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -1,7 +1,8 @@
-"""Crossing events, each order forced on real sockets: clients that leave while the event loop is busy.
+"""Crossing events, each order forced on real sockets: clients that disconnect while the event loop is
+blocked.
 
-docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
-for are conditions.
+docs/design/crossings.md lists the cases. A peer delays one event until the other has happened; the tests wait
+for conditions, not for fixed times.
 """
 
 from __future__ import annotations
@@ -35,18 +36,20 @@
     site,
 )
 
-BUSY_S = 1.5 * MAX_DETECTION_S  # the loop stands still for longer than an attempt may follow its client's end
+# How long the tests block the event loop: longer than a client's close may stay undetected.
+BUSY_S = 1.5 * MAX_DETECTION_S
 
 
-def raw_client(one: Site, *commands: bytes) -> socket.socket:
-    """A connection whose bytes and end are in the machine before the loop's next turn."""
+def connect_raw(one: Site, *commands: bytes) -> socket.socket:
+    """Opens a connection whose bytes and close are in the kernel before the next iteration of the event
+    loop."""
     sock = socket.create_connection(("127.0.0.1", one.port))
     sock.sendall(b"".join(commands))
     return sock
 
 
-def end_raw(sock: socket.socket, how: str) -> None:
-    """As `end`, at once."""
+def close_raw(sock: socket.socket, how: str) -> None:
+    """Closes a raw socket in one of the ways of `tests.crossings.end`, without the event loop."""
     if how == "half-close":
         sock.shutdown(socket.SHUT_WR)
         return
@@ -55,8 +58,8 @@
     sock.close()
 
 
-async def rested(one: Site, count: int = 4) -> Client:
-    """Leaves so many connections to the servers open and unused, so that an attempt is written at once."""
+async def open_idle_connections(one: Site, count: int = 4) -> Client:
+    """Leaves `count` connections to the servers open and idle, so that an attempt is written at once."""
     script = one.program.gateway.decisions
     steady = await one.client()
     if isinstance(script, Script):
@@ -77,14 +80,15 @@
 @pytest.mark.parametrize("how", ENDS)
 @pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_left_while_the_loop_was_busy_is_not_sent_on(how: str, pending: int) -> None:
-    """Requests wait; the client goes while the loop stands still; then, before any socket is looked at, the
-    module sends them. With 64 pending the connection is not even read from."""
+    """The client disconnects while the loop is blocked and its requests wait for a decision; the decision
+    code then starts their attempts before the loop polls any socket. With 64 pending commands the gateway has
+    stopped reading from the connection, so reading can't show the close."""
 
     async def scenario() -> None:
         script = Script(lambda event: [])
         async with site(always(SERVED), decisions=script) as one:
-            steady = await rested(one)
-            sock = raw_client(one, *reads(pending))
+            steady = await open_idle_connections(one)
+            sock = connect_raw(one, *reads(pending))
             taken = min(pending, MAX_PENDING_COMMANDS)
             await until(lambda: len(script.of(Request)) == taken)
             _, held = one.program.listener.clients
@@ -93,7 +97,7 @@
             script.decide = lambda event: (
                 [StartAttempt(ref, "s0") for ref in refs] if isinstance(event, TimerFired) else []
             )
-            end_raw(sock, how)
+            close_raw(sock, how)
             time.sleep(BUSY_S)
             one.program.gateway.post(TimerFired(1))
             await until(lambda: len(script.of(ClientDisconnected)) == taken)
@@ -103,7 +107,9 @@
             await until(lambda: held not in one.program.listener.clients)
             script.decide = send_to("s0")
             assert await steady.ask(*READ, b"0", GET) == b"value"
-            assert len(one.servers[0].calls()) == 4 + 1, "what the gone client had asked was sent on"
+            assert len(one.servers[0].calls()) == 4 + 1, (
+                "requests of the disconnected client were sent to a server"
+            )
             sock.close()
 
     play(scenario())
@@ -111,17 +117,17 @@
 
 @pytest.mark.parametrize("how", ENDS)
 def test_a_request_that_came_with_its_clients_end_is_not_begun(how: str) -> None:
-    """Both are in the machine when the loop, busy till then, reads: the request comes first to it."""
+    """Both are in the kernel when the blocked loop reads again, and it reads the request first."""
 
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script) as one:
-            steady = await rested(one)
-            sock = raw_client(one)
+            steady = await open_idle_connections(one)
+            sock = connect_raw(one)
             await until(lambda: len(one.program.listener.clients) == 2)
             for command in reads(3):
                 sock.sendall(command)
-            end_raw(sock, how)
+            close_raw(sock, how)
             time.sleep(BUSY_S)
             await until(lambda: len(one.program.listener.clients) == 1)
             assert await steady.ask(*READ, b"0", GET) == b"value"
@@ -133,16 +139,17 @@
 
 @pytest.mark.parametrize("how", ENDS)
 def test_a_connection_and_its_end_that_waited_to_be_accepted_begin_nothing(how: str) -> None:
-    """The machine took it, its request and its end while the loop was busy; another's request, taken in the
-    same turn, has just had the ends looked for."""
+    """The kernel took the connection, its request and its close while the loop was blocked. Another client's
+    request, handled in the same iteration, has just made the gateway poll for closed connections, so the new
+    one must be checked again."""
 
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script) as one:
-            steady = await rested(one)
+            steady = await open_idle_connections(one)
             accepted = one.program.listener.accepted_count
             steady.send(*READ, b"steady", GET)
-            end_raw(sock := raw_client(one, *reads(1)), how)
+            close_raw(sock := connect_raw(one, *reads(1)), how)
             time.sleep(BUSY_S)
             assert await steady.reply() == b"value"
             await until(lambda: one.program.listener.accepted_count == accepted + 1)
@@ -156,7 +163,7 @@
 
 @pytest.mark.parametrize("how", ENDS)
 def test_no_further_attempt_where_the_answer_is_read_before_the_clients_end(how: str) -> None:
-    """The server turns a request away in the moment in which its client goes; both wait for a busy loop."""
+    """The server rejects a request as its client disconnects; both events wait for the blocked loop."""
 
     async def scenario() -> None:
         socks: list[socket.socket] = []
@@ -164,17 +171,17 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             if len(socks) == 1:
                 writer.write(b"-BUSY\r\n")
-                end_raw(socks.pop(), how)
+                close_raw(socks.pop(), how)
                 time.sleep(BUSY_S)
                 return b""
             return SERVED
 
         heard = Heard(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
-            steady = await rested(one, 12)
-            await asyncio.sleep(2.0 * REUSE_DELAY_S)  # before that they are not used again
+            steady = await open_idle_connections(one, 12)
+            await asyncio.sleep(2.0 * REUSE_DELAY_S)  # idle connections are not reused before that
             heard.endings.clear()
-            socks.append(raw_client(one, *reads(1)))
+            socks.append(connect_raw(one, *reads(1)))
             await until(lambda: not socks)
             await until(
                 lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.attempts_in_flight
@@ -195,20 +202,20 @@
 def test_a_connection_that_came_up_while_the_loop_was_busy_writes_nothing_for_who_left(
     how: str, operator: str | None, turns: int
 ) -> None:
-    """The attempt has begun to connect so many turns of the loop before its client goes, and the loop stands
-    still: what was not written by then is not."""
+    """The attempt began to connect `turns` iterations of the loop before its client disconnects and the loop
+    is blocked: what was not written by then must not be written afterwards."""
 
     async def scenario() -> None:
         script = Script(send_to("s0"))
         async with site(always(SERVED), decisions=script, operator=operator) as one:
-            sock = raw_client(one, *reads(MAX_PENDING_COMMANDS))
+            sock = connect_raw(one, *reads(MAX_PENDING_COMMANDS))
             while not one.program.servers.connecting:
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
             out = one.program.gateway.attempts_in_flight.values()
             written = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in out)
-            end_raw(sock, how)
+            close_raw(sock, how)
             time.sleep(BUSY_S)
             await until(
                 lambda: not one.program.listener.clients and not one.program.gateway.attempts_in_flight
@@ -220,37 +227,42 @@
     play(scenario())
 
 
-def told_ms(one: Site, server: int) -> int:
-    """What time the last attempt at a server told to be left."""
+def stated_remaining_ms(one: Site, server: int) -> int:
+    """Returns the remaining time that the last attempt at a server stated, in ms."""
     fields = one.servers[server].calls()[-1][3]
     return int(fields.partition(b"d=")[2].partition(b",")[0])
 
 
-FIRST_S = 0.2  # until the first attempt is over, in what follows
+FIRST_ATTEMPT_S = 0.2  # duration of the first attempt in the tests below
 
 
-async def silent(writer: asyncio.StreamWriter) -> None:
-    """Nothing comes: the attempt's own time is up."""
+async def send_nothing(writer: asyncio.StreamWriter) -> None:
+    """Sends nothing, so that the attempt runs into its own time limit."""
 
 
-async def failing(writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(FIRST_S)
+async def fail_late(writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(FIRST_ATTEMPT_S)
     writer.write(b"-ERR failed\r\n")
 
 
-async def late_reset(writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(FIRST_S)
+async def reset_late(writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(FIRST_ATTEMPT_S)
     await reset(writer)
 
 
-@pytest.mark.parametrize("first", [silent, failing, late_reset])
+@pytest.mark.parametrize("first", [send_nothing, fail_late, reset_late])
 def test_a_further_attempt_tells_no_more_time_than_is_left(first: Callable[..., Awaitable[None]]) -> None:
-    """By how long the first has taken at least, which its client has waited already."""
+    """The second attempt must state less by at least the duration of the first, which its client has
+    waited."""
 
     async def scenario() -> None:
         def decide(event: Event) -> list[Action]:
             if isinstance(event, Request):
-                return [StartAttempt(event.request_id, "s0", 1000.0 * FIRST_S if first is silent else 0.0)]
+                return [
+                    StartAttempt(
+                        event.request_id, "s0", 1000.0 * FIRST_ATTEMPT_S if first is send_nothing else 0.0
+                    )
+                ]
             if isinstance(event, AttemptEnded) and not event.is_final:
                 return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
@@ -260,7 +272,7 @@
 
         async with site(reply, always(SERVED), decisions=Script(decide)) as one:
             assert await (await one.client()).ask(*READ, b"1", GET) == b"value"
-            assert told_ms(one, 1) <= 20_000 - 1000.0 * FIRST_S + 1.0
+            assert stated_remaining_ms(one, 1) <= 20_000 - 1000.0 * FIRST_ATTEMPT_S + 1.0
 
     play(scenario())
 
@@ -274,32 +286,33 @@
                 await asyncio.sleep(0)
             time.sleep(BUSY_S)
             assert await client.reply() == b"value"
-            assert told_ms(one, 0) <= 20_000 - 1000.0 * BUSY_S + 1.0
+            assert stated_remaining_ms(one, 0) <= 20_000 - 1000.0 * BUSY_S + 1.0
 
     play(scenario())
 
 
 def test_ends_are_told_by_one_call_for_all_and_cost_none_within_its_time() -> None:
-    """Also more at once than one call tells; who stays is not taken for gone."""
+    """One poll finds the closed connections of all clients, also more than one poll call returns, and none is
+    made within its interval. A client that stays connected must not be reported as closed."""
 
     async def scenario() -> None:
         script = Script(lambda event: [])
         async with site(always(SERVED), decisions=script) as one:
-            ends, count = one.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
-            socks = [raw_client(one) for _ in range(count)]
+            closed_peers, count = one.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
+            socks = [connect_raw(one) for _ in range(count)]
             await until(lambda: len(one.program.listener.clients) == count)
             stays, *others = one.program.listener.clients
-            assert not ends.has_closed(stays)
+            assert not closed_peers.has_closed(stays)
             for sock in socks[1:]:
                 sock.close()
-            ends.checked_at = time.monotonic() + 60.0
-            assert not any(ends.has_closed(other) for other in others)
-            ends.checked_at = -float("inf")
-            assert not ends.has_closed(stays) and all(other.is_closed_by_peer for other in others)
-            assert list(ends.clients.values()) == [stays]
+            closed_peers.checked_at = time.monotonic() + 60.0
+            assert not any(closed_peers.has_closed(other) for other in others)
+            closed_peers.checked_at = -float("inf")
+            assert not closed_peers.has_closed(stays) and all(other.is_closed_by_peer for other in others)
+            assert list(closed_peers.clients.values()) == [stays]
             await until(lambda: len(one.program.listener.clients) == 1)
             socks[0].close()
             await until(lambda: not one.program.listener.clients)
-            assert not ends.clients
+            assert not closed_peers.clients
 
     play(scenario())
--- a/tests/system/test_crossings_clients.py
+++ b/tests/system/test_crossings_clients.py
@@ -1,7 +1,8 @@
-"""Crossing events, each order forced on real sockets: clients that leave, and closes of their connections.
+"""Crossing events, each order forced on real sockets: clients that disconnect, and how connections are
+closed.
 
-docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
-for are conditions.
+docs/design/crossings.md lists the cases. A peer delays one event until the other has happened; the tests wait
+for conditions, not for fixed times.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
 @pytest.mark.parametrize("how", ENDS)
 @pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_leaves_while_waiting_is_gone_also_where_nothing_is_read(how: str, pending: int) -> None:
-    """Requests wait for a decision. With 64 pending the connection is not read from, and its end is not seen
-    by reading; commands that were not read are never begun."""
+    """Requests wait for a decision. With 64 pending commands the gateway has stopped reading from the
+    connection, so reading can't show its close; commands that were not read must never be started."""
 
     async def scenario() -> None:
         script = Script(lambda event: [])
@@ -48,7 +49,7 @@
             await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MAX_PENDING_COMMANDS))
             assert len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS)
             assert not one.program.gateway.active_requests and not one.program.listener.open_ids
-            again = await one.client()  # its ids may be used again at once
+            again = await one.client()  # request ids of the closed connection may be reused at once
             again.send(*READ, b"0", GET)
             await until(lambda: len(one.program.gateway.active_requests) == 1)
 
@@ -57,18 +58,18 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_who_leaves_without_reading_replies_is_gone(how: str) -> None:
-    """The write buffer is full, so that nothing is read; a request on it waits for its decision."""
+    """The write buffer is full, so the gateway reads nothing more; a further request stays unread."""
 
     async def scenario() -> None:
         big = b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n*-1\r\n*-1\r\n"
         script = Script(send_to("s0"))
         async with site(always(big), decisions=script) as one:
-            client, held = await slow_reader(one)
-            for number in range(60):  # of which some go on, until the buffer is full
+            client, held = await connect_slow_reader(one)
+            for number in range(60):  # more than fit in the buffers
                 client.send(*READ, b"%d" % number, GET)
             await until(lambda: held.is_write_blocked and not held.slots)
             script.decide = lambda event: []
-            client.send(*READ, b"more", GET)  # stays unread
+            client.send(*READ, b"more", GET)  # not read by the gateway
             taken = len(script.of(Request))
             end(client, how)
             await until(lambda: not one.program.listener.clients)
@@ -79,7 +80,7 @@
 
 @pytest.mark.parametrize("how", ENDS)
 def test_who_leaves_while_a_connection_comes_up_is_not_sent_on(how: str) -> None:
-    """The attempt is over at once, and has told nothing against the server."""
+    """The attempt ends at once as not sent, which does not count against the server."""
 
     async def scenario() -> None:
         script = Script(send_to("s0"))
@@ -98,7 +99,7 @@
 
 @pytest.mark.parametrize("how", ENDS)
 def test_who_leaves_during_an_attempt_changes_nothing_about_what_may_have_run(how: str) -> None:
-    """The server has the request: no other attempt goes, whatever it answers."""
+    """The server has the request: no further attempt may start, whatever the server answers."""
 
     async def scenario() -> None:
         release = asyncio.Event()
@@ -122,7 +123,7 @@
 
 
 def test_a_burst_of_thousands_leaves_nothing_behind() -> None:
-    """Each with a request that waits; another client is served meanwhile."""
+    """Thousands of clients disconnect, each with a pending request; another client is served meanwhile."""
 
     async def scenario() -> None:
         script = Script(lambda event: [])
@@ -150,8 +151,9 @@
     play(scenario())
 
 
-async def slow_reader(one: Site) -> tuple[Client, Any]:
-    """A client that does not read, with little room in the machine; and the gateway's end of it."""
+async def connect_slow_reader(one: Site) -> tuple[Client, Any]:
+    """Returns a client that does not read, with small socket buffers, and the gateway's side of its
+    connection."""
     client = await one.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     await until(lambda: one.program.listener.clients)
@@ -163,15 +165,15 @@
 
 
 def test_replies_in_our_buffer_are_not_cut_off_by_the_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A slow reader asks for its connection's end behind replies that wait in our buffer: the time in which a
-    client has to close runs for those that have got all."""
+    """A slow reader sends QUIT while replies to it wait in the gateway's write buffer. The time limit for the
+    client's close must start only when all replies have left the buffer; else it cuts them off."""
     monkeypatch.setattr("glenchute.policy.connections.client_slots.LINGER_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         value = b"v" * 60000
         big = b"*3\r\n$60000\r\n" + value + b"\r\n*-1\r\n*-1\r\n"
         async with site(always(big), decisions=Script(send_to("s0"))) as one:
-            client, held = await slow_reader(one)
+            client, held = await connect_slow_reader(one)
             number = 0
             while not held.transport.get_write_buffer_size():
                 number += 1
@@ -180,7 +182,7 @@
             assert 0 < held.transport.get_write_buffer_size() < WRITE_BUFFER_BYTES
             client.send(b"QUIT")
             await until(lambda: held.is_write_shut)
-            await asyncio.sleep(0.3)  # several times what others have
+            await asyncio.sleep(0.3)  # several times LINGER_TIMEOUT_S
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert [len(await client.reply()) for _ in range(number)] == [60000] * number
             assert await client.reply() == b"OK" and await client.ended()
@@ -189,7 +191,8 @@
 
 
 def test_small_replies_are_not_held_back_by_the_machine() -> None:
-    """A close over unread bytes resets the connection, and takes what the machine held back with it."""
+    """Closing a socket with unread bytes resets the connection and drops what Nagle's algorithm has delayed,
+    so TCP_NODELAY must be set on both sides."""
 
     async def scenario() -> None:
         async with site(always(SERVED)) as one:
