--- a/tests/system/test_crossings_servers.py
+++ b/tests/system/test_crossings_servers.py
@@ -1,7 +1,8 @@
-"""Crossing events, each order forced on real sockets: what servers send, and which attempts may follow.
+"""Crossing events, each order forced on real sockets: server responses, and the further attempts that may
+follow.
 
-docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
-for are conditions.
+docs/design/crossings.md lists the cases. A peer delays one event until the other has happened; the tests wait
+for conditions, not for fixed times.
 """
 
 from __future__ import annotations
@@ -30,58 +31,59 @@
 )
 
 
-async def held_open(writer: asyncio.StreamWriter) -> None:
-    """The connection stays open, and nothing more comes."""
+async def keep_open(writer: asyncio.StreamWriter) -> None:
+    """Keeps the connection open and sends nothing more."""
 
 
-async def closed(writer: asyncio.StreamWriter) -> None:
+async def close_connection(writer: asyncio.StreamWriter) -> None:
     writer.close()
 
 
-HALF, ENDLESS = SERVED[:9], SERVED.replace(b"$5", b"$9000", 1)
+PARTIAL_REPLY, UNFINISHED_REPLY = SERVED[:9], SERVED.replace(b"$5", b"$9000", 1)
 
-AGAIN = {b"read": True, b"order": True, b"charge": False}
+IS_RETRIED = {b"read": True, b"order": True, b"charge": False}
 
 
 SERVERS: dict[str, tuple[list[bytes], Callable[[asyncio.StreamWriter], Awaitable[None]], Outcome]] = {
-    "half a line, silence": ([HALF], held_open, Outcome.ERROR),
-    "half a line, end": ([HALF], closed, Outcome.RESET),
-    "half a line, reset": ([HALF], reset, Outcome.RESET),
-    "an answer without an end": ([ENDLESS], held_open, Outcome.ERROR),
-    "no answer, end": ([], closed, Outcome.RESET),
+    "half a line, silence": ([PARTIAL_REPLY], keep_open, Outcome.ERROR),
+    "half a line, end": ([PARTIAL_REPLY], close_connection, Outcome.RESET),
+    "half a line, reset": ([PARTIAL_REPLY], reset, Outcome.RESET),
+    "an answer without an end": ([UNFINISHED_REPLY], keep_open, Outcome.ERROR),
+    "no answer, end": ([], close_connection, Outcome.RESET),
     "no answer, reset": ([], reset, Outcome.RESET),
-    "an error": ([b"-ERR failed\r\n"], held_open, Outcome.ERROR),
-    "a null": ([b"$-1\r\n"], held_open, Outcome.ERROR),
-    "no RESP": ([b"HTTP/1.1 200\r\n\r\n"], held_open, Outcome.ERROR),
-    "turned away": ([b"-BUSY\r\n"], held_open, Outcome.REJECTED),
-    "turned away, in pieces": ([b"-BU", b"SY\r", b"\n"], held_open, Outcome.REJECTED),
-    "turned away, with bytes behind it": ([b"-BUSY\r\nx"], held_open, Outcome.ERROR),
-    "turned away in part, end": ([b"-BUSY\r"], closed, Outcome.RESET),
-    "turned away in part, silence": ([b"-BUSY"], held_open, Outcome.ERROR),
-    "an answer": ([SERVED], held_open, Outcome.OK),
-    "an answer in pieces": ([SERVED[:4], SERVED[4:11], SERVED[11:]], held_open, Outcome.OK),
-    "an answer, end": ([SERVED], closed, Outcome.OK),
-    "an answer with bytes behind it": ([SERVED + b"+more\r\n"], held_open, Outcome.OK),
-    "two answers": ([SERVED + SERVED], held_open, Outcome.OK),
-    "an answer, a second later": ([SERVED, SERVED], held_open, Outcome.OK),
+    "an error": ([b"-ERR failed\r\n"], keep_open, Outcome.ERROR),
+    "a null": ([b"$-1\r\n"], keep_open, Outcome.ERROR),
+    "no RESP": ([b"HTTP/1.1 200\r\n\r\n"], keep_open, Outcome.ERROR),
+    "turned away": ([b"-BUSY\r\n"], keep_open, Outcome.REJECTED),
+    "turned away, in pieces": ([b"-BU", b"SY\r", b"\n"], keep_open, Outcome.REJECTED),
+    "turned away, with bytes behind it": ([b"-BUSY\r\nx"], keep_open, Outcome.ERROR),
+    "turned away in part, end": ([b"-BUSY\r"], close_connection, Outcome.RESET),
+    "turned away in part, silence": ([b"-BUSY"], keep_open, Outcome.ERROR),
+    "an answer": ([SERVED], keep_open, Outcome.OK),
+    "an answer in pieces": ([SERVED[:4], SERVED[4:11], SERVED[11:]], keep_open, Outcome.OK),
+    "an answer, end": ([SERVED], close_connection, Outcome.OK),
+    "an answer with bytes behind it": ([SERVED + b"+more\r\n"], keep_open, Outcome.OK),
+    "two answers": ([SERVED + SERVED], keep_open, Outcome.OK),
+    "an answer, a second later": ([SERVED, SERVED], keep_open, Outcome.OK),
 }
 
 
 @pytest.mark.parametrize("name", [b"read", b"order", b"charge"])
 @pytest.mark.parametrize("what", SERVERS)
 def test_what_comes_back_and_what_may_follow(what: str, name: bytes) -> None:
-    """The first attempt meets this, a further one an answer. An unsafe request that may have run goes
-    nowhere again; one that never ran does, as all do; effects come from the settings, not from names."""
+    """The first attempt gets the given response, a further one a value. A non-idempotent request that may
+    have run must not be sent again; any request that was rejected unexecuted is. Whether a request is
+    idempotent comes from the settings, not from the verb."""
     pieces, then, ending = SERVERS[what]
-    follows = ending is Outcome.REJECTED or (ending is not Outcome.OK and AGAIN[name])
+    is_sent_again = ending is Outcome.REJECTED or (ending is not Outcome.OK and IS_RETRIED[name])
 
     async def scenario() -> None:
-        came = 0
+        attempt_count = 0
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-            nonlocal came
-            came += 1
-            if came > 1:
+            nonlocal attempt_count
+            attempt_count += 1
+            if attempt_count > 1:
                 return SERVED
             for piece in pieces:
                 writer.write(piece)
@@ -95,18 +97,18 @@
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
             fields = {b"read": GET, b"order": ORDER, b"charge": CHARGE}[name]
             client.send(verb, CUSTOMER, b"1", fields)
-            served = ending is Outcome.OK or follows
+            served = ending is Outcome.OK or is_sent_again
             assert (await client.reply() == b"value") is served
-            assert came == 1 + follows
-            assert heard.endings == [ending, Outcome.OK][:came]
-            # What was spoilt is not used again, and another request gets no other's answer.
+            assert attempt_count == 1 + is_sent_again
+            assert heard.endings == [ending, Outcome.OK][:attempt_count]
+            # A connection in an unknown state is not reused, and no request gets the reply of another.
             assert await client.ask(*READ, b"2", GET) == b"value"
 
     play(scenario())
 
 
 def test_a_server_that_returns_at_another_address_is_met_there_alone() -> None:
-    """It drains, is gone, and comes back elsewhere, while an attempt connects to the old place."""
+    """The server drains, is removed and returns at a new address while an attempt connects to the old one."""
 
     async def scenario() -> None:
         agent, script = ManualDiscovery(), Script(send_to("s0"))
@@ -124,7 +126,8 @@
             await agent.answer(4, listing(6, [row("s0", new.port, started_ms=5.0)], full=False))
             await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", new.port))
             assert await client.ask(*READ, b"2", GET) is not None
-            assert await client.reply() == b"value"  # after the first, which found nobody
+            # The reply to the first request, which reached no server, came before this one.
+            assert await client.reply() == b"value"
             assert len(new.calls()) == 1 and not one.servers[0].calls()
         await new.stop()
 
--- a/tests/system/test_crossings_shutdown.py
+++ b/tests/system/test_crossings_shutdown.py
@@ -1,7 +1,8 @@
-"""Crossing events, each order forced on real sockets: a SIGTERM and what is open or arrives around it.
+"""Crossing events, each order forced on real sockets: requests and connections that are open or arrive around
+a SIGTERM.
 
-docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
-for are conditions.
+docs/design/crossings.md lists the cases. A peer delays one event until the other has happened; the tests wait
+for conditions, not for fixed times.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
     raw_config,
 )
 
-Scene = Callable[["Whole"], Awaitable[None]]
+Scene = Callable[["RunningGateway"], Awaitable[None]]
 
 
-class Whole:
-    """A gateway as a process, with one server that answers when it is released."""
+class RunningGateway:
+    """A gateway process with one server, whose replies wait until `release` is set."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen: int, server: RespPeer) -> None:
         self.process, self.listen, self.server = process, listen, server
@@ -48,109 +49,110 @@
     def signal(self, number: int) -> None:
         self.process.send_signal(number)
 
-    async def leaving(self, asker: Client) -> None:
-        """The signal has been taken notice of."""
+    async def until_shutting_down(self, asker: Client) -> None:
+        """Waits until PING reports that the process has handled the signal."""
         while "leaving" not in str(await asker.ask(b"PING")):
             await asyncio.sleep(0.005)
 
 
 @asynccontextmanager
-async def whole(
-    tmp_path: Path, agent: Peer | None = None, longest_ms: float = 2e4,
+async def running_gateway(
+    tmp_path: Path, agent: Peer | None = None, max_deadline_ms: float = 2e4,
     counter: bytes | None = b"+PONG\r\n", saved: bool = True,
-) -> AsyncIterator[Whole]:  # fmt: skip
-    made: list[Whole] = []
+) -> AsyncIterator[RunningGateway]:  # fmt: skip
+    started: list[RunningGateway] = []
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-        await made[0].release.wait()
+        await started[0].release.wait()
         return SERVED
 
-    server, counts = RespPeer(reply), RespPeer(always(counter))
+    server, counter_peer = RespPeer(reply), RespPeer(always(counter))
     discovery = agent or DiscoveryPeer()
-    for peer in (server, counts, discovery):
+    for peer in (server, counter_peer, discovery):
         await peer.start()
     rows = [row("s0", server.port)]
     if isinstance(discovery, DiscoveryPeer):
         discovery.answers.append(listing(1, rows))
     listen = free_port()
-    raw = raw_config(discovery.port, counts.port, rows, listen)
+    raw = raw_config(discovery.port, counter_peer.port, rows, listen)
     raw["settings"] = SETTINGS | {
-        "profiles": [one | {"hard_limit_ms": longest_ms} for one in SETTINGS["profiles"]]
+        "profiles": [one | {"hard_limit_ms": max_deadline_ms} for one in SETTINGS["profiles"]]
     }
     if not saved:
         del raw["known"]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     process = await start(path)
-    made.append(Whole(process, listen, server))
+    started.append(RunningGateway(process, listen, server))
     try:
-        yield made[0]
+        yield started[0]
     finally:
         if process.returncode is None:
             process.kill()
         await process.wait()
-        for peer in (server, counts, discovery):
+        for peer in (server, counter_peer, discovery):
             await peer.stop()
 
 
-async def queued_while_it_stood(one: Whole) -> None:
-    """A connection and its request wait to be accepted while the process stands still past the accept time:
-    the machine has taken them, and closing the listening socket would reset them."""
+async def queued_while_stopped(one: RunningGateway) -> None:
+    """A connection and its request wait in the listen backlog while the process is stopped for longer than
+    SHUTDOWN_ACCEPT_S. The kernel has acknowledged them, and closing the listening socket would reset them."""
     asker = await connect_when_ready(one.listen)
     one.signal(signal.SIGTERM)
-    await one.leaving(asker)
+    await one.until_shutting_down(asker)
     one.signal(signal.SIGSTOP)
-    late = await Client.connect(one.listen)  # by the machine: the process does not run
+    late = await Client.connect(one.listen)  # completed by the kernel: the process is stopped
     late.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # its timer is due before its sockets are looked at
+    await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # its shutdown timer is due before it polls its sockets
     one.release.set()
     one.signal(signal.SIGCONT)
     assert await late.reply() == b"value"
 
 
-async def twice(one: Whole) -> None:
-    """The second signal neither ends it sooner nor begins the end anew."""
+async def signalled_twice(one: RunningGateway) -> None:
+    """A second SIGTERM neither ends the process sooner nor restarts its shutdown."""
     held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
-    await one.leaving(await Client.connect(one.listen))
+    await one.until_shutting_down(await Client.connect(one.listen))
     one.signal(signal.SIGTERM)
-    one.signal(signal.SIGHUP)  # nor does a reload in the middle
+    one.signal(signal.SIGHUP)  # a reload during the shutdown must not do so either
     one.release.set()
     assert await held.reply() == b"value" and await held.ended()
 
 
-async def half_a_command(one: Whole) -> None:
-    """Its end comes after the signal: it is taken and answered."""
+async def half_a_command(one: RunningGateway) -> None:
+    """The rest of a command arrives after the signal: the command is accepted and answered."""
     half = await connect_when_ready(one.listen)
     data = packed(b"CALL.POST", CUSTOMER, b"1", ORDER)
     half.writer.write(data[:-9])
     await asyncio.sleep(0.05)
     one.signal(signal.SIGTERM)
-    await one.leaving(await Client.connect(one.listen))
+    await one.until_shutting_down(await Client.connect(one.listen))
     half.writer.write(data[-9:])
     await until(lambda: one.server.calls())
     one.release.set()
     assert await half.reply() == b"value" and await half.ended()
 
 
-async def pipelined_behind_the_last(one: Whole) -> None:
-    """A second command waits behind one that is open at the signal: both are answered before the end."""
+async def pipelined_behind_the_last(one: RunningGateway) -> None:
+    """A second command follows one that is open at the signal: both are answered before the connection
+    closes."""
     both = await connect_when_ready(one.listen)
     both.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
     asker = await Client.connect(one.listen)
-    await one.leaving(asker)
+    await one.until_shutting_down(asker)
     both.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
     await until(lambda: len(one.server.calls()) == 2)
     one.release.set()
     assert [await both.reply(), await both.reply()] == [b"value", b"value"] and await both.ended()
 
 
-async def hanging_server(one: Whole) -> None:
-    """Nothing answers: what is held gets its final answer before the kill."""
+async def hanging_server(one: RunningGateway) -> None:
+    """The server never answers: the open request gets its final response before the kill."""
     held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await until(lambda: one.server.calls())
@@ -159,11 +161,12 @@
 
 
 @pytest.mark.parametrize(
-    "scene", [queued_while_it_stood, twice, half_a_command, pipelined_behind_the_last, hanging_server]
+    "scene",
+    [queued_while_stopped, signalled_twice, half_a_command, pipelined_behind_the_last, hanging_server],
 )
 def test_what_was_taken_round_sigterm_is_answered(scene: Scene, tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with whole(tmp_path) as one:
+        async with running_gateway(tmp_path) as one:
             await scene(one)
             assert await one.process.wait() == 0
 
@@ -171,11 +174,11 @@
 
 
 def test_sigterm_before_it_serves_ends_it_with_nobody_taken(tmp_path: Path) -> None:
-    """Discovery holds the start's call until the signal has been sent."""
+    """Discovery delays its first reply until the signal has been sent."""
 
     async def scenario() -> None:
         agent = ManualDiscovery()
-        async with whole(tmp_path, agent) as one:
+        async with running_gateway(tmp_path, agent) as one:
             await agent.poll(0)
             one.signal(signal.SIGTERM)
             assert await one.process.wait() == 0
@@ -186,20 +189,21 @@
 
 
 def test_a_restart_is_ready_at_a_fifth_of_a_core_with_nobody_to_ask(tmp_path: Path) -> None:
-    """Discovery and counter say nothing, no list is saved; the process runs for 20 ms of each 100."""
+    """Discovery and the counter are silent and no list is saved; the process gets 20 ms of CPU time in each
+    100."""
 
     async def scenario() -> None:
         agent = ManualDiscovery()
-        async with whole(tmp_path, agent, counter=None, saved=False) as one:
+        async with running_gateway(tmp_path, agent, counter=None, saved=False) as one:
 
-            async def fifth() -> None:
+            async def limit_cpu() -> None:
                 while one.process.returncode is None:
                     one.signal(signal.SIGSTOP)
                     await asyncio.sleep(0.08)
                     one.signal(signal.SIGCONT)
                     await asyncio.sleep(0.02)
 
-            task = asyncio.create_task(fifth())
+            task = asyncio.create_task(limit_cpu())
             async with asyncio.timeout(10.0):
                 asker = await connect_when_ready(one.listen)
                 assert await asker.ask(b"PING") == b"PONG"
@@ -209,26 +213,27 @@
     play(scenario())
 
 
-@pytest.mark.parametrize("longest_s", [0.05, 0.15, 0.8, 1.5, 3.0, 6.0, 60.0])
-def test_all_is_over_before_the_kill_however_short_deadlines_are(longest_s: float) -> None:
-    """The kill comes no sooner than the longest deadline, three seconds at most, and 0.7 s more."""
-    life = ProcessLifecycle(longest_s)
-    kill = min(longest_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
+@pytest.mark.parametrize("max_deadline_s", [0.05, 0.15, 0.8, 1.5, 3.0, 6.0, 60.0])
+def test_all_is_over_before_the_kill_however_short_deadlines_are(max_deadline_s: float) -> None:
+    """The earliest kill comes KILL_DELAY_S (0.7 s) after the longest deadline, of which 3 s count at most."""
+    life = ProcessLifecycle(max_deadline_s)
+    kill = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
     assert SHUTDOWN_ACCEPT_S < life.shutdown_grace_s <= kill - 0.2
     life.begin_serving(0.0)
     life.begin_shutdown(1.0, False)
     assert life.idle_limit_s(1.0 + life.shutdown_grace_s) == 0.0, (
-        "an idle connection would be open at the end"
+        "an idle connection would still be open when the shutdown ends"
     )
     assert life.idle_limit_s(1.0 + SHUTDOWN_ACCEPT_S - 0.01) == float("inf")
 
 
 def test_with_short_deadlines_idle_connections_go_before_the_kill(tmp_path: Path) -> None:
-    """What is asked on one that is open is answered or sent again, never killed: with deadlines of 0.2 s the
-    process has ended in time, idle connections and a request that nobody answers included."""
+    """A request on a connection that was idle is answered, or sent again by its client on another connection;
+    it must not be lost by the kill. With deadlines of 0.2 s the process must have ended in time, also with
+    idle connections and a request that no server answers."""
 
     async def scenario() -> None:
-        async with whole(tmp_path, longest_ms=200.0) as one:
+        async with running_gateway(tmp_path, max_deadline_ms=200.0) as one:
             held, idle = await connect_when_ready(one.listen), await Client.connect(one.listen)
             assert await idle.ask(b"PING") == b"PONG"
             held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
@@ -238,7 +243,7 @@
             one.signal(signal.SIGTERM)
             assert str(await held.reply()) == "ERR failed"
             assert await idle.ended() and await one.process.wait() == 0
-            # The kill comes after 0.9 s; a process that took 1.5 s for its idle connections was ended by it.
+            # The kill comes after 0.9 s. A process that took 1.5 s to close its idle connections was killed.
             assert loop.time() - began < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
 
     play(scenario())
--- a/tests/system/test_crossings_turns.py
+++ b/tests/system/test_crossings_turns.py
@@ -1,7 +1,7 @@
-"""Crossing events, each order forced on real sockets: what one iteration of the event loop may bring.
+"""Crossing events, each order forced on real sockets: limits on what one iteration of the event loop handles.
 
-docs/design/crossings.md has the table. A peer holds one event until the other has happened; what is waited
-for are conditions.
+docs/design/crossings.md lists the cases. A peer delays one event until the other has happened; the tests wait
+for conditions, not for fixed times.
 """
 
 from __future__ import annotations
@@ -40,13 +40,14 @@
 
 
 async def half_closed_idle(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
-    """The client shuts its side, with nothing open."""
+    """The client shuts down its sending side with no request open."""
     sock.shutdown(socket.SHUT_WR)
     await until(lambda: held.transport is None or held.transport.is_closing())
 
 
 async def half_closed_with_a_request_open(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
-    """... and with a request that waits for its decision: over at once, though the transport is not."""
+    """The client shuts down its sending side with a request pending: the request ends at once, though the
+    transport stays until its buffer is empty."""
     script.decide = lambda event: []
     sock.send(packed(*READ, b"open", GET))
     await until(lambda: one.program.gateway.active_requests)
@@ -57,7 +58,8 @@
 
 
 async def left_full_then_read_in_part(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
-    """The gateway closes behind a full buffer, of which the client then reads some and no more."""
+    """The gateway closes a connection with a full write buffer, of which the client then reads only a
+    part."""
     for number in range(1000, 1100):
         if held.is_write_blocked:
             break
@@ -69,7 +71,7 @@
     assert held.is_write_shut and held.transport.is_closing()
     while held.is_write_blocked:
         try:
-            sock.recv(2000)  # in small pieces: the rest stays in our buffer
+            sock.recv(2000)  # in small pieces, so that the rest stays in the gateway's buffer
         except BlockingIOError:
             await asyncio.sleep(0.001)
 
@@ -80,8 +82,8 @@
 def test_a_connection_that_closes_behind_unread_replies_has_its_time(
     scene: Callable[[Site, Script, socket.socket, Any], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The transport waits for its buffer to empty, and the peer never reads: the place is given up all the
-    same, and the descriptor with it."""
+    """The transport waits for its buffer to drain and the peer never reads: the connection slot and the file
+    descriptor must be released all the same, at the time limit."""
     for name in ("MAX_IDLE_S", "WRITE_BLOCKED_TIMEOUT_S"):
         monkeypatch.setattr(f"glenchute.policy.connections.client_slots.{name}", 0.2)
 
@@ -101,7 +103,7 @@
                 number += 1
                 sock.send(packed(*READ, b"%d" % number, GET))
                 await until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
-                await asyncio.sleep(0)  # the write happens at the turn's end
+                await asyncio.sleep(0)  # replies are written at the end of the iteration
             await scene(one, script, sock, held)
             async with asyncio.timeout(20.0):
                 await until(lambda: not one.program.listener.clients and held.transport is None)
@@ -111,7 +113,7 @@
     play(scenario())
 
 
-ONE_READ = 256 * 1024  # of one call for what has come, at most
+MAX_READ_BYTES = 256 * 1024  # most that asyncio reads from a socket in one call
 
 
 @pytest.mark.parametrize(
@@ -119,8 +121,9 @@
     ids=["large", "small"],
 )  # fmt: skip
 def test_megabytes_that_wait_in_the_machine_are_not_all_taken_in(command: bytes, count: int) -> None:
-    """A turn of the loop may read them in many calls, and the transport tells only at its end that the client
-    reads nothing. They are there before the loop's next turn; another client is served meanwhile."""
+    """One iteration of the loop may read received data in many calls, and the transport reports only at its
+    end that the client reads no replies. The data is in the kernel before the next iteration; the gateway
+    must buffer a bounded part of it and serve another client meanwhile."""
 
     async def scenario() -> None:
         async with site(always(SERVED)) as one:
@@ -143,7 +146,7 @@
                 turns += 1
                 left = len(held.parser._raw) - held.parser._at
                 most = max(most, left + held.transport.get_write_buffer_size())
-            assert 0 < most <= WRITE_BUFFER_BYTES + MAX_QUEUED_REPLY_BYTES + ONE_READ, (
+            assert 0 < most <= WRITE_BUFFER_BYTES + MAX_QUEUED_REPLY_BYTES + MAX_READ_BYTES, (
                 f"{most} bytes held for one client"
             )
             assert held.is_reading_paused
@@ -154,18 +157,18 @@
 
 
 async def received(sock: socket.socket, wanted: int) -> bytes:
-    """So many bytes, read as they come."""
+    """Reads `wanted` bytes from a non-blocking socket."""
     loop, found = asyncio.get_running_loop(), bytearray()
     while len(found) < wanted:
         data = await loop.sock_recv(sock, 1 << 20)
-        assert data, "ended"
+        assert data, "the gateway closed the connection"
         found += data
     return bytes(found)
 
 
 def test_what_all_connections_are_answered_in_one_turn_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each alone takes no more than its part of a turn; forty of them must not take forty parts, as every
-    request of others takes some turns. All get all of their replies, in order."""
+    """Each connection keeps its own limit per iteration; forty of them must not use forty times that, as the
+    requests of other clients need several iterations each. All get all of their replies, in order."""
     word, count, each = b"x" * 60_000, 40, 10
     made, most = 0, 0
     bulk = resp.encode_bulk
@@ -186,11 +189,11 @@
                     made = 0
                     await asyncio.sleep(0)
                     most, total, turns = max(most, made), total + made, turns + 1
-                assert total >= 4 * MAX_TURN_REPLY_BYTES  # they are many, and go on
+                assert total >= 4 * MAX_TURN_REPLY_BYTES  # the work spans several iterations
                 assert await other.ask(b"PING") == b"PONG"
                 expected = bulk(word) * each
                 assert all([(await received(sock, len(expected))) == expected for sock in socks])
-            # A part that has begun is ended; a read after it may bring another.
+            # A connection finishes the part that it began, and a read after that may add another.
             assert most <= MAX_TURN_REPLY_BYTES + 2 * (MAX_QUEUED_REPLY_BYTES + len(word)), (
                 f"{most} bytes of replies in one turn"
             )
@@ -198,22 +201,22 @@
     play(scenario())
 
 
-def turns_of(monkeypatch: pytest.MonkeyPatch) -> list[Connection]:
-    """The connections that go on with what is left of their commands, as they do."""
-    turn, gone_on = Connection.run_turn, list[Connection]()
+def record_turns(monkeypatch: pytest.MonkeyPatch) -> list[Connection]:
+    """Returns a list that grows by each connection whose `run_turn` is called for its remaining commands."""
+    turn, continued = Connection.run_turn, list[Connection]()
 
     def counted(self: Connection) -> None:
-        gone_on.append(self)
+        continued.append(self)
         turn(self)
 
     monkeypatch.setattr(Connection, "run_turn", counted)
-    return gone_on
+    return continued
 
 
 def test_what_is_left_of_all_connections_has_a_time_in_each_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With no time at all one connection goes on in each turn of the loop, and all come to their end."""
+    """With a time limit of 0 one connection runs in each iteration of the loop, and all finish."""
     monkeypatch.setattr(listener_module, "MAX_TURN_S", 0.0)
-    gone_on, most = turns_of(monkeypatch), 0
+    continued, most = record_turns(monkeypatch), 0
 
     async def scenario() -> None:
         nonlocal most
@@ -222,9 +225,9 @@
             crowd(one, 20, packed(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
         ):
             for _ in range(400):
-                gone_on.clear()
+                continued.clear()
                 await asyncio.sleep(0)
-                most = max(most, len(gone_on))
+                most = max(most, len(continued))
             expected = b"+PONG\r\n" * 10 * MAX_COMMANDS_PER_TURN
             assert all([(await received(sock, len(expected))) == expected for sock in socks])
             assert most == 1
@@ -241,7 +244,7 @@
         if not at_fault:
             at_fault.append(self)
         if self is at_fault[0]:
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("injected fault")
         turn(self)
 
     monkeypatch.setattr(Connection, "run_turn", faulty)
@@ -263,9 +266,10 @@
 
 
 def test_turns_are_short_while_connections_wait_to_be_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The loop accepts one in a turn: behind a crowd's large turns a newcomer would wait for all of them."""
+    """The loop accepts one connection per iteration: with long iterations for many busy connections a new
+    client would wait for all of them."""
     monkeypatch.setattr(listener_module, "MAX_TURN_S", 60.0)
-    gone_on = turns_of(monkeypatch)
+    continued = record_turns(monkeypatch)
 
     async def scenario() -> None:
         async with site(always(SERVED)) as one, crowd(one, 20, packed(b"PING") * 40 * MAX_COMMANDS_PER_TURN):
@@ -274,12 +278,12 @@
             newcomers = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(10)]
             waited = 0
             while listener.has_pending_accept():
-                gone_on.clear()
+                continued.clear()
                 await asyncio.sleep(0)
-                if listener.has_pending_accept():  # as before: they waited all the time
-                    assert len(gone_on) <= 1
+                if listener.has_pending_accept():  # also after the iteration: connections waited throughout
+                    assert len(continued) <= 1
                     waited += 1
-            assert waited and listener.scheduled_clients  # there was more to do than that
+            assert waited and listener.scheduled_clients  # there was more work than the short iterations did
             for sock in newcomers:
                 sock.close()
 
@@ -287,23 +291,24 @@
 
 
 def test_a_command_that_waits_for_its_turn_keeps_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """However long the others' turns take: it has come whole, and its client is not late."""
+    """A complete command waits for the turns of other connections: its client is not late, so no time limit
+    may close the connection."""
     for name in ("MIN_FIRST_COMMAND_S", "MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.01)
     turn, end, held, reasons = Listener.run_turns, Connection.close_for, True, list[CloseReason]()
 
-    def later(self: Listener) -> None:
+    def run_or_postpone(self: Listener) -> None:
         if held:
             self.loop.call_later(0.005, self.run_turns)
         else:
             turn(self)
 
-    def told(self: Connection, reason: CloseReason) -> bool:
+    def record_reason(self: Connection, reason: CloseReason) -> bool:
         reasons.append(reason)
         return end(self, reason)
 
-    monkeypatch.setattr(Listener, "run_turns", later)
-    monkeypatch.setattr(Connection, "close_for", told)
+    monkeypatch.setattr(Listener, "run_turns", run_or_postpone)
+    monkeypatch.setattr(Connection, "close_for", record_reason)
     word = b"x" * 60_000
 
     async def scenario() -> None:
