--- a/tests/system/test_known_red.py
+++ b/tests/system/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt names tests that exist, with all that the next sitting needs to play them again."""
+"""KNOWN-RED.txt names existing tests, each with the command to run it again, the failure and an issue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def problems(text: str) -> list[str]:
-    """What is wrong with a list."""
+    """Returns what is wrong with the text of a list."""
     found = []
     entries = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     for entry in entries:
@@ -30,7 +30,7 @@
 
 
 def is_defined(file: Path, name: str) -> bool:
-    """Whether the file has a function of this name."""
+    """Tells whether the file defines a function of this name."""
     if not file.is_file():
         return False
     tree = ast.parse(file.read_text())
@@ -42,10 +42,10 @@
 
 
 def test_wrong_entries_are_found() -> None:
-    this = "tests/system/test_known_red.py::test_each_entry_names_a_test_and_an_issue"
-    assert problems(f"# a comment\n{this} | pytest | seen | 52\n") == []
-    assert len(problems(f"{this} | pytest | seen\n")) == 1
-    assert len(problems(f"{this} | pytest | seen | soon\n")) == 1
+    existing_test = "tests/system/test_known_red.py::test_each_entry_names_a_test_and_an_issue"
+    assert problems(f"# a comment\n{existing_test} | pytest | seen | 52\n") == []
+    assert len(problems(f"{existing_test} | pytest | seen\n")) == 1
+    assert len(problems(f"{existing_test} | pytest | seen | soon\n")) == 1
     assert len(problems("tests/system/test_known_red.py::test_gone | pytest | seen | 52\n")) == 1
     assert len(problems("tests/nowhere.py::test_gone | pytest | seen | 52\n")) == 1
-    assert problems(f"{this} | pytest | seen | 52\n" * 2) == ["a test is listed twice"]
+    assert problems(f"{existing_test} | pytest | seen | 52\n" * 2) == ["a test is listed twice"]
--- a/tests/system/test_layers.py
+++ b/tests/system/test_layers.py
@@ -1,5 +1,5 @@
-"""Dependencies between the packages of `glenchute` point down, and no modules import each other in a
-circle."""
+"""Dependencies between the packages of `glenchute` go from higher to lower layers only, and no modules import
+each other in a cycle."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-BELOW = {
+ALLOWED_DEPENDENCIES = {
     "policy": set(),
     "protocol": {"core", "policy"},
     "core": {"policy"},
@@ -27,7 +27,7 @@
     },
     "__main__": {"cli"},
 }  # fmt: skip
-INPUT_AND_OUTPUT = {
+IO_MODULES = {
     "asyncio",
     "os",
     "pathlib",
@@ -41,13 +41,13 @@
 
 
 def module_of(path: Path) -> str:
-    """The dotted name of a source file."""
+    """Returns the dotted module name of a source file."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def type_checking_only(tree: ast.AST) -> set[int]:
-    """The imports under `if TYPE_CHECKING`, by identity: they don't run."""
+    """Returns the identities of the nodes under `if TYPE_CHECKING`, which don't run."""
     blocks = (node for node in ast.walk(tree) if isinstance(node, ast.If))
     return {
         id(child)
@@ -58,7 +58,7 @@
 
 
 def imports(path: Path) -> Iterator[str]:
-    """The modules that a source file imports when it runs, now or later."""
+    """Yields the modules that a source file imports at runtime, at its top level or in a function."""
     tree = ast.parse(path.read_text())
     skipped = type_checking_only(tree)
     own = module_of(path)
@@ -83,13 +83,12 @@
 
 
 def layer(module: str) -> str:
-    """The package below `glenchute` that a module belongs to."""
+    """Returns the package below `glenchute` that a module belongs to."""
     return module.split(".")[1] if "." in module else module
 
 
 def cycles(graph: dict[str, set[str]]) -> list[list[str]]:
-    """Modules that import each other in a circle, each circle once (Tarjan's strongly connected
-    components)."""
+    """Returns each import cycle once, as the sorted modules of a strongly connected component (Tarjan)."""
     order: dict[str, int] = {}
     low: dict[str, int] = {}
     stack: list[str] = []
@@ -117,29 +116,29 @@
     return found
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
+def test_no_modules_import_each_other_in_a_cycle() -> None:
     assert cycles(GRAPH) == []
 
 
-def test_a_circle_is_found() -> None:
+def test_a_cycle_is_found() -> None:
     graph = defaultdict(set, {"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set()})
     assert cycles(graph) == [["a", "b", "c"]]
 
 
-@pytest.mark.parametrize("package", sorted(BELOW))
-def test_dependencies_point_down(package: str) -> None:
+@pytest.mark.parametrize("package", sorted(ALLOWED_DEPENDENCIES))
+def test_packages_import_lower_layers_only(package: str) -> None:
     upward = {
         (module, other)
         for module, others in GRAPH.items()
         if layer(module) == package
         for other in others
-        if other.startswith("glenchute.") and layer(other) not in BELOW[package] | {package}
+        if other.startswith("glenchute.") and layer(other) not in ALLOWED_DEPENDENCIES[package] | {package}
     }
     assert upward == set()
 
 
 def test_each_package_has_its_layer() -> None:
-    assert {layer(module) for module in GRAPH} - {"glenchute"} == set(BELOW)
+    assert {layer(module) for module in GRAPH} - {"glenchute"} == set(ALLOWED_DEPENDENCIES)
 
 
 def test_decisions_do_no_input_or_output() -> None:
@@ -148,12 +147,12 @@
         for module, others in GRAPH.items()
         if layer(module) == "policy"
         for other in others
-        if other.split(".")[0] in INPUT_AND_OUTPUT
+        if other.split(".")[0] in IO_MODULES
     }
     assert forbidden == set()
 
 
-def test_the_program_does_not_import_the_test_bed() -> None:
+def test_only_the_demo_imports_the_lab() -> None:
     users = {
         module
         for module, others in GRAPH.items()
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -1,6 +1,6 @@
-"""The bytes of messages are as an older program wrote them, and are read as it read them.
+"""Messages are encoded to the same bytes, and decoded to the same values, as by an earlier version.
 
-`tests/messages` holds what it wrote, and builds the same inputs anew.
+`tests/messages` holds the stored bytes and builds the same inputs again.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from glenchute.protocol import resp2 as resp
 from glenchute.protocol.member_datagrams import VERSION, decode
 from glenchute.simulator import ARGUMENT_COUNTS, LISTS, OUTCOMES, STATES
-from glenchute.simulator import encode as wire_form
+from glenchute.simulator import encode as encode_action
 from tests.messages import control, counter, datagrams, handover, simulator
 from tests.messages.files import HERE, hex_rows, text_rows
 
@@ -62,7 +62,7 @@
     assert asyncio.run(handover.from_predecessor()) == frames
     found, sent = asyncio.run(handover.to_successor(frames))
     assert found is not None and found.state == HandoverState(handover.LIMIT_SHARE, handover.QUOTAS)
-    assert sent == b""  # the next process asks by connecting, and says nothing
+    assert sent == b""  # a successor requests the handover by connecting and sends nothing
 
 
 # --- datagrams between members ---------------------------------------------------------------------------
@@ -136,11 +136,11 @@
     assert found == 2 * len(control.VERBS)
 
 
-# --- the simulator's wire --------------------------------------------------------------------------------
+# --- the simulator's protocol ----------------------------------------------------------------------------
 
 
 def stored_session() -> tuple[list[str], list[str]]:
-    """The lines of the stored session, in and out."""
+    """Returns the lines of the stored session: requests and responses."""
     told = (HERE / "simulator_in.txt").read_text().splitlines()
     return told, (HERE / "simulator_out.txt").read_text().splitlines()
 
@@ -153,11 +153,11 @@
 
 def test_the_simulators_program_answers_the_same_on_its_streams() -> None:
     told, answered = (HERE / name for name in ("simulator_in.txt", "simulator_out.txt"))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "glenchute.simulator"], input=told.read_bytes(), capture_output=True, cwd=ROOT,
         check=True, timeout=60.0,
     )  # fmt: skip
-    assert done.stdout == answered.read_bytes() and done.stderr == b""
+    assert completed.stdout == answered.read_bytes() and completed.stderr == b""
 
 
 def test_the_session_holds_every_event_and_action() -> None:
@@ -169,7 +169,7 @@
     states = {row[6] for event in events if event[0] == "directory" for row in event[2]}
     assert states == set(STATES)
     actions = {action[0] for line in answered for action in json.loads(line)["actions"]}
-    # "recall" needs a hedged request, which nothing on this wire asks for.
+    # "recall" cancels an attempt of a hedged request, which no message of this protocol can ask for.
     assert actions == {"hand_off", "bounce", "give_up", "remind", "incr", "tail", "say_log", "die"}
 
 
@@ -187,4 +187,4 @@
     ],
 )
 def test_actions_on_the_simulators_wire(action: Action, wire: str) -> None:
-    assert json.dumps(wire_form(3, action), separators=(",", ":")) == wire
+    assert json.dumps(encode_action(3, action), separators=(",", ":")) == wire
--- a/tests/system/test_readiness.py
+++ b/tests/system/test_readiness.py
@@ -1,5 +1,5 @@
-"""A start depends on no other service: ready with discovery and the counter silent, the saved list empty or
-missing."""
+"""A start depends on no other service: the gateway gets ready while discovery and the counter are silent,
+also with an empty saved list or none."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
     row,
 )
 
-READY_S = 10.0  # nine in ten restarted processes are ready by then
-PROCESSES = 4  # started at one moment
+READY_S = 10.0  # 90 % of restarted processes must be ready within this time
+PROCESSES = 4  # all started at once
 
 
 @contextmanager
 def unreachable() -> Iterator[int]:
-    """A port where connections are neither accepted nor refused, as its backlog is full."""
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", free_port()))
-        full.listen(0)
-        waiting = [socket.socket() for _ in range(4)]
-        for one in waiting:
+    """Yields a port whose connections are neither accepted nor refused, as its listen backlog is full."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", free_port()))
+        listener.listen(0)
+        connecting = [socket.socket() for _ in range(4)]
+        for one in connecting:
             one.setblocking(False)
-            one.connect_ex(full.getsockname())
+            one.connect_ex(listener.getsockname())
         try:
-            yield full.getsockname()[1]
+            yield listener.getsockname()[1]
         finally:
-            for one in waiting:
+            for one in connecting:
                 one.close()
 
 
@@ -55,8 +55,8 @@
 def test_a_start_is_ready_with_discovery_and_counter_silent(
     tmp_path: Path, saved: str, connects: bool
 ) -> None:
-    """It then serves by the saved list; without one it rejects requests until discovery answers. Not
-    `connects`: no connection to discovery is accepted."""
+    """The gateway then serves with the saved list; without one it rejects requests until discovery answers.
+    With `connects` false no connection to discovery is accepted."""
 
     async def scenario(unreachable_port: int) -> None:
         discovery_peer, silent_counter, server = (
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -1,4 +1,4 @@
-"""A process that takes over from another on the same listening socket: real processes, under load."""
+"""Replacement of a gateway process by a successor on the same listening socket: real processes under load."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ReplacementSite:
-    """A site whose platform holds the clients' socket, and the processes started on it."""
+    """A site whose platform holds the clients' listening socket, and the gateway processes started on it."""
 
     def __init__(self, lab: LabSite, folder: Path) -> None:
         self.lab, self.folder = lab, folder
@@ -33,7 +33,7 @@
         self.sent = self.answered = self.repeated = self.rejected = 0
 
     async def start(self) -> GatewayProcess:
-        """Starts another process beside those that run, and waits until it is ready."""
+        """Starts another gateway process beside those running and waits until it is ready."""
         folder = self.folder / str(len(self.processes))
         folder.mkdir()
         platform = self.lab.platform()
@@ -49,8 +49,8 @@
         return one
 
     async def client(self, stopped: asyncio.Event) -> None:
-        """Sends requests without a pause on one connection, and opens another if that was closed: a request
-        on a closed connection is sent once more, as PROTOCOL's clients do."""
+        """Sends requests one after the other on one connection until `stopped` is set. A request on a closed
+        connection is sent once more on a new one, as the protocol tells clients to do."""
         client = await Client.connect(self.port)
         while not stopped.is_set():
             self.sent += 1
@@ -60,7 +60,7 @@
                 client.writer.close()
                 client = await Client.connect(self.port)
                 answer = await self.ask(client)
-            assert answer is not None, "lost"
+            assert answer is not None, "the repeated request was lost too"
             if isinstance(answer, bytes):
                 self.answered += 1
             else:
@@ -117,8 +117,8 @@
             stopped.set()
             await asyncio.gather(*clients)
             assert one.sent == one.answered + one.rejected and one.answered > 0
-            # How many requests cross a close depends on the machine's load, so no number is asserted: each of
-            # them was answered on its second connection, or `client` would have reported it as lost.
+            # The number of requests that meet a closed connection depends on the machine's load, so none is
+            # asserted. Each was answered on its second connection, or `client` would have failed.
             assert await old.stop() == 0
             for process in one.processes:
                 assert "Traceback" not in process.log.read_text()
@@ -134,7 +134,7 @@
             stopped = asyncio.Event()
             if after_ready:
                 new = await one.start()
-                new.signal(signal.SIGKILL)  # no request was sent yet, so none is lost
+                new.signal(signal.SIGKILL)  # no request was sent yet, so none can be lost
                 assert new.process is not None
                 new.process.wait()
             else:
@@ -181,7 +181,9 @@
         ):
             with pytest.raises(ConfigError, match=reason):
                 passed_socket(invalid)
-        assert listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # and it was not closed
+        assert listener.getsockopt(
+            socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+        )  # the listening socket was not closed
     for text in ("-1", "x", "4 ", "٤"):
         with pytest.raises(ValueError):
             build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": text})
@@ -189,7 +191,7 @@
     assert build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": "4"}).passed_descriptor == 4
 
 
-def test_an_invalid_descriptor_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_an_invalid_descriptor_ends_the_start_with_one_log_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         one = GatewayProcess(tmp_path, raw_config(1, 1, [], listen=1))
         one.passed = listener
