--- a/tests/lab/test_cold_fleet.py
+++ b/tests/lab/test_cold_fleet.py
@@ -1,4 +1,8 @@
-"""A cold server falls under the sum of what all gateways send it: N + 2 x root of N + 2 in a while."""
+"""The slow start of all gateways together keeps a cold server below its overload limit.
+
+A cold server is overloaded by the work of more than N + 2 * sqrt(N) + 2 mean requests in one window, where N
+follows from the slow start settings and the age of the server.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +10,18 @@
 
 from lab.sim.cold import LENGTH_MS, SITES, Case, Cold, drawn, pressed
 
-SITE = SITES["zagreb, depot"]  # the least that a site of ours allows
+SITE = SITES["zagreb, depot"]  # has the smallest overload factor of the named sites
 
 
 @pytest.mark.parametrize(("gateways", "seeds"), [(20, 4), (30, 4), (200, 1)])
 @pytest.mark.parametrize("uneven", [1.0, 10.0])
 def test_all_turns_together_stay_within_the_budget(gateways: int, seeds: int, uneven: float) -> None:
-    """Every gateway takes each turn, after lulls all at once; told at different moments, some restarted."""
+    """Every gateway sends whenever its slow start allows, after lulls all at once. They learn of the server
+    at different times, and some are restarted."""
     for seed in range(seeds):
         rows = pressed(seed, Case(gateways, 1, SITE, uneven=uneven))
         assert max(row.ratio for row in rows) < 1.0, max(rows)
-        assert max(row.requests / row.allowed for row in rows) > 0.3  # and the share is used
+        assert max(row.requests / row.allowed for row in rows) > 0.3  # and the budget is used
 
 
 MILD = drawn(2, 30, 11, SITE)
@@ -25,10 +30,11 @@
 
 @pytest.mark.parametrize(("seed", "case"), [(2, MILD), (0, HARD)], ids=["mild", "full"])
 def test_servers_that_come_under_a_burst_do_not_fall(seed: int, case: Case) -> None:
-    """They join or come back cold; gateways are told one after the other, and others start anew."""
+    """Servers join or return cold during a burst; gateways learn of them one after the other, and some
+    restart."""
     world = Cold(seed, case)
     world.run(LENGTH_MS)
     told, falls = world.judged()
     assert not falls, falls
     assert len(world.came) >= 4 and world.restarts
-    assert max(row.requests for row in told) >= 8  # they got work while cold
+    assert max(row.requests for row in told) >= 8  # cold servers got work
--- a/tests/lab/test_quota_errors.py
+++ b/tests/lab/test_quota_errors.py
@@ -1,4 +1,4 @@
-"""The measure of errors at quotas keeps true books, and what it hands the module is the truth."""
+"""The measurement of quota errors counts them correctly, and gives the decision engine the true values."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return quotas.demand(SITES[site], seed, 8, 9.0, 120.0)
 
 
-def of(tries: list[Try], gateways: int = 32) -> Day:
+def day_of(tries: list[Try], gateways: int = 32) -> Day:
     return Day(TURKU, gateways, (PLAN,), [ACCOUNT], tries)
 
 
@@ -42,12 +42,12 @@
 def test_the_books_count_whole_tries_by_the_true_store() -> None:
     books = Books(0.0)
     assert all(books.sent(0.0, ACCOUNT, 1.0) for _ in range(10))
-    assert not books.sent(0.0, ACCOUNT, 1.0)  # beyond: it takes nothing
+    assert not books.sent(0.0, ACCOUNT, 1.0)  # beyond the quota: takes nothing from the bucket
     assert books.sent(500.0 * (1.0 - BLUR) + 1.0, ACCOUNT, 1.0)
     assert (books.units, books.beyond) == (12.0, 1.0)
     books.tries = 10
-    books.refused(500.0, ACCOUNT, 1.0, "empty")  # nothing there: right
-    books.refused(1500.0, ACCOUNT, 1.0, "empty")  # 2 of 10: room, less than half
+    books.refused(500.0, ACCOUNT, 1.0, "empty")  # the bucket was empty: a correct refusal
+    books.refused(1500.0, ACCOUNT, 1.0, "empty")  # 2 of 10 units left: room, but less than half of the burst
     books.refused(3100.0, ACCOUNT, 1.0, "lot")
     assert (books.wrong, books.roomy, dict(books.causes)) == (2, 1, {"lot": 1})
     assert books.shares() == pytest.approx((1 / 12, 0.1, 0.2, 0.0))
@@ -57,7 +57,7 @@
     books = Books(0.0, owed=True)
     for _ in range(12):
         books.sent(0.0, ACCOUNT, 1.0)
-    assert not books.sent(1000.0, ACCOUNT, 1.0)  # two were owed
+    assert not books.sent(1000.0, ACCOUNT, 1.0)  # the bucket owed two units
     assert books.beyond == 3.0
     assert books.store(ACCOUNT).level == pytest.approx(-1.0)
 
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("site", sorted(SITES))
 def test_told_the_true_store_it_makes_no_errors(site: str) -> None:
-    """So what is booked is caused by what gateways don't know, and by the ceiling's guard."""
+    """So all errors that are counted come from what gateways don't know, and from the ceiling's guard."""
     books = quotas.play(small(site), 5, frozenset({"store", "ceiling", "answers"}))
     assert books.beyond == 0.0
     assert books.roomy == 0
@@ -124,8 +124,8 @@
 
 @pytest.mark.parametrize("cause", EXACT)
 def test_each_truth_reaches_the_module(cause: str) -> None:
-    """A truth that changes nothing would tell of no cause. What is owed is owed by the exact stores only;
-    the share of the demand decides too seldom for so short a day."""
+    """A true value that changes no result could not identify its cause. "owed" has an effect only with exact
+    buckets; "fraction", the share of the demand, decides too few requests in so short a run to be checked."""
     day = small("zagreb")
     beside = frozenset({"window", "overflow"} if cause == "owed" else ())
     told, base = quotas.play(day, 5, beside | {cause}), quotas.play(day, 5, beside)
@@ -141,7 +141,7 @@
 
 
 def model(tries: list[Try], scheme: Scheme, lost: float = 0.0) -> Model:
-    found = Model(of(tries), 3, scheme, lost, retry=0.0)
+    found = Model(day_of(tries), 3, scheme, lost, retry=0.0)
     found.skew = [0.0] * 32
     found.books.warm = 0.0
     return found
@@ -152,15 +152,16 @@
     return [Try(at + rng.random(), ACCOUNT, 1.0, n % 32, 0.9) for n in range(count)]
 
 
-ONE = 1e9  # an epoch that does not end meanwhile
+ENDLESS_EPOCH_MS = 1e9  # longer than any run
 
 
-@pytest.mark.parametrize("epoch_ms", [ONE, 7_000.0])
+@pytest.mark.parametrize("epoch_ms", [ENDLESS_EPOCH_MS, 7_000.0])
 @pytest.mark.parametrize("silence", [40.0, 9_000.0, 70_000.0])
 def test_a_crowd_in_one_millisecond_passes_by_no_more_than_what_overflowed(
     silence: float, epoch_ms: float
 ) -> None:
-    """Those that ask before the overflow is added can't know of each other; what they pass by is owed."""
+    """Gateways that ask before the overflow is added can't know of each other; what they admit beyond the
+    quota is owed by the bucket."""
     scheme = Scheme(0.0, epoch_ms=epoch_ms)
     first = [Try(0.0, ACCOUNT, 1.0, 0, 0.9), *crowd(silence)]
     overflow = max(0.0, 2.0 * silence / 1000.0 - 1.0)
@@ -173,21 +174,22 @@
 
 def test_two_that_find_one_overflow_add_it_once() -> None:
     first = [Try(0.0, ACCOUNT, 1.0, 0, 0.9), *crowd(2_000.0, 3)]
-    found = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ONE))
+    found = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ENDLESS_EPOCH_MS))
     books = found.run()
     assert found.corrections > 1
     assert found.taken_back == found.corrections - 1
-    assert (books.beyond, books.units) == (0.0, 1.0 + 3.0 + 8.0)  # a half second fills one
+    assert (books.beyond, books.units) == (0.0, 1.0 + 3.0 + 8.0)  # half a second adds one unit
 
 
 @pytest.mark.parametrize("hidden", [0.0, 0.25, 0.5])
 def test_what_is_left_of_an_overflow_hides_no_more_than_its_share(hidden: float) -> None:
-    """One after another, so that no two cross: what is hidden is all that can be passed by, and what a last
-    request asks for beyond it, as the books count whole requests."""
+    """Requests come one after the other, so that no two calls overlap: no more than the hidden part can be
+    admitted beyond the quota, plus what the last request exceeds it by, as whole requests are counted."""
     tries = [Try(0.0, ACCOUNT, 1.0, 0, 0.9)]
-    full = 1000.0 * (1.0 + 0.99 * hidden * PLAN.burst_units) / PLAN.rate_per_s  # just too little too much
-    tries += [Try(full + 10.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(32)]
-    books = model(tries, Scheme(hidden, epoch_ms=ONE)).run()
+    # After this time the overflow is just below the amount that is added to the counter.
+    refill_ms = 1000.0 * (1.0 + 0.99 * hidden * PLAN.burst_units) / PLAN.rate_per_s
+    tries += [Try(refill_ms + 10.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(32)]
+    books = model(tries, Scheme(hidden, epoch_ms=ENDLESS_EPOCH_MS)).run()
     assert books.beyond < hidden * PLAN.burst_units + 1.0
     assert hidden == 0.0 or books.beyond > 0.0
 
@@ -201,9 +203,10 @@
 
 
 def test_reads_near_empty_leave_nothing_behind() -> None:
-    """One after another; a crowd that reads in one moment passes by what it asks for at most, and owes it."""
+    """One after the other, reads cause no errors. A crowd that reads at one moment exceeds the quota by at
+    most what it asks for, and owes that."""
     tries = [Try(70.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(300)]
-    scheme = Scheme(0.0, refuse=False, epoch_ms=ONE)
+    scheme = Scheme(0.0, refuse=False, epoch_ms=ENDLESS_EPOCH_MS)
     adds = model(tries, scheme).run()
     reads = model(tries, replace(scheme, read_below=0.5)).run()
     assert reads.calls < adds.calls
@@ -213,8 +216,8 @@
 
 
 def test_a_refused_ask_that_is_never_taken_back_leaves_room_unused() -> None:
-    """Why lost calls matter more here than in windows: nothing forgets them but a store that fills."""
+    """Lost calls matter more here than with windowed counts: only a bucket that is full forgets them."""
     tries = [Try(70.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(600)]
-    scheme = Scheme(0.0, refuse=False, epoch_ms=ONE)
+    scheme = Scheme(0.0, refuse=False, epoch_ms=ENDLESS_EPOCH_MS)
     assert model(tries, scheme, 0.0).run().wrong == 0
     assert model(tries, scheme, 0.2).run().wrong > 0
--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -1,4 +1,4 @@
-"""The simulated site: the rules hold over seeds, runs repeat, and bugs that were put in are found."""
+"""The simulated site: the rules hold over seeds, runs are reproducible, and injected bugs are found."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 BUGS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {}
 
 
-def bug(put_in: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
-    """A bug to be found."""
-    BUGS[put_in.__name__] = put_in
-    return put_in
+def bug(inject: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
+    """Registers an injected bug, which the search must find."""
+    BUGS[inject.__name__] = inject
+    return inject
 
 
 @bug
 def unsafe_requests_are_repeated(patch: pytest.MonkeyPatch) -> None:
-    sound = RetryPolicy.may_retry
+    original = RetryPolicy.may_retry
 
     def repeat(self: RetryPolicy, now: float, opened: PendingRequest, event: Any) -> bool:
-        return sound(self, now, opened, event) or opened.attempt_count < 2
+        return original(self, now, opened, event) or opened.attempt_count < 2
 
     patch.setattr(RetryPolicy, "may_retry", repeat)
 
@@ -54,33 +54,33 @@
 
 @bug
 def any_zone_will_do(patch: pytest.MonkeyPatch) -> None:
-    sound = EndpointChooser.pick
+    original = EndpointChooser.pick
 
     def pick(self: EndpointChooser, now: float, opened: PendingRequest) -> Any:
         opened.pinned_endpoint = None
-        return sound(self, now, opened)
+        return original(self, now, opened)
 
     patch.setattr(EndpointChooser, "pick", pick)
 
 
 @bug
 def refusals_after_a_try(patch: pytest.MonkeyPatch) -> None:
-    sound = RequestExecution.finish
+    original = RequestExecution.finish
 
     def finish(self: RequestExecution, opened: PendingRequest) -> None:
         opened.may_have_run_ms = None
-        sound(self, opened)
+        original(self, opened)
 
     patch.setattr(RequestExecution, "finish", finish)
 
 
 @bug
 def draining_servers_are_kept(patch: pytest.MonkeyPatch) -> None:
-    sound = ServerPool.update
+    original = ServerPool.update
 
     def update(self: ServerPool, news: EndpointList, now: float) -> None:
         before = dict(self.servers)
-        sound(self, news, now)
+        original(self, news, now)
         for entry in news.endpoints:
             if entry.state is not EndpointState.ACTIVE and entry.address in before:
                 self.servers[entry.address] = before[entry.address]
@@ -90,11 +90,11 @@
 
 @bug
 def open_counts_leak(patch: pytest.MonkeyPatch) -> None:
-    sound = RequestExecution.end_attempt
+    original = RequestExecution.end_attempt
 
     def ended(self: RequestExecution, now: float, event: AttemptEnded) -> None:
         attempt = self.attempts.get((event.request_id, event.attempt))
-        sound(self, now, event)
+        original(self, now, event)
         if attempt is not None and attempt.pending.tenant and event.outcome is Outcome.RESET:
             attempt.pending.tenant.attempts_in_flight += 1
 
@@ -103,10 +103,10 @@
 
 @bug
 def stores_overflow(patch: pytest.MonkeyPatch) -> None:
-    sound = QuotaAccounting.charge
+    original = QuotaAccounting.charge
 
     def take(self: QuotaAccounting, c: Any, units: float, counted: bool, asked: bool) -> None:
-        sound(self, c, units, counted, asked)
+        original(self, c, units, counted, asked)
         c.bucket_units += 3.0 * units
 
     patch.setattr(QuotaAccounting, "charge", take)
@@ -117,32 +117,32 @@
     patch.setattr(quota, "is_granted_by_counter", lambda tenant, has_total: True)
     patch.setattr(CounterSync, "needs_total", lambda self, now_ms, tenant, units: False)
     patch.setattr(TenantTable, "headroom", lambda self, tenant: 1e9)
-    sound = QuotaAccounting.admit
+    original = QuotaAccounting.admit
 
     def admit(self: QuotaAccounting, now: float, c: Any, units: float, asked: bool, blind: bool) -> Any:
-        return None if c.plan.ceiling_rate_per_s else sound(self, now, c, units, asked, blind)
+        return None if c.plan.ceiling_rate_per_s else original(self, now, c, units, asked, blind)
 
     patch.setattr(QuotaAccounting, "admit", admit)
 
 
 @bug
 def some_requests_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    sound = RequestExecution.end_attempt
+    original = RequestExecution.end_attempt
 
     def ended(self: RequestExecution, now: float, event: AttemptEnded) -> None:
         if event.outcome is Outcome.ERROR:
             self.requests.pop(event.request_id, None)
-        sound(self, now, event)
+        original(self, now, event)
 
     patch.setattr(RequestExecution, "end_attempt", ended)
 
 
 @bug
 def an_answer_is_given_twice(patch: pytest.MonkeyPatch) -> None:
-    sound = RequestExecution.finish
+    original = RequestExecution.finish
 
     def finish(self: RequestExecution, opened: PendingRequest) -> None:
-        sound(self, opened)
+        original(self, opened)
         self.actions.append(Fail(opened.request.request_id))
 
     patch.setattr(RequestExecution, "finish", finish)
@@ -150,10 +150,10 @@
 
 @bug
 def newcomers_look_idle_and_get_it_all(patch: pytest.MonkeyPatch) -> None:
-    sound = EndpointChooser.expected_delay
+    original = EndpointChooser.expected_delay
 
     def delay(self: EndpointChooser, server: Server, now: float, mean: float, warmth: float) -> float:
-        return 0.0 if server.endpoint.started_ms > 0 else sound(self, server, now, mean, warmth)
+        return 0.0 if server.endpoint.started_ms > 0 else original(self, server, now, mean, warmth)
 
     patch.setattr(EndpointChooser, "expected_delay", delay)
     patch.setattr(SlowStartLimiter, "weight", lambda self, server, now: 1.0)
@@ -161,10 +161,10 @@
 
 @bug
 def a_time_out_raises(patch: pytest.MonkeyPatch) -> None:
-    sound = WindowCounter.apply_total
+    original = WindowCounter.apply_total
 
     def heard(self: WindowCounter, total: float, units: float, toll: float) -> Any:
-        found = sound(self, total, units, toll)
+        found = original(self, total, units, toll)
         if found is not None:
             raise ZeroDivisionError("lost")
         return found
@@ -198,14 +198,14 @@
     assert failure is not None, f"{name} was not found"
     assert len(failure.script.faults) <= len(drawn(failure.script.seed).faults)
     again = tried(failure.script, DecisionEngine)
-    assert again is not None and again.rule == failure.rule  # the seed and its faults show it again
+    assert again is not None and again.rule == failure.rule  # the seed and its faults reproduce it
     print(f"{name}: seed {failure.script.seed}, {failure.rule}, {failure.script.faults}")
 
 
 def test_a_run_becomes_captures_that_replay(tmp_path: Path) -> None:
     script = Script(2, (Fault(1500.0, "half die", 0.5, 1), Fault(3000.0, "counter replaced", 0.9, 9)))
     files = captured(script, tmp_path)
-    assert len(files) >= 5  # each gateway, and the lives after
+    assert len(files) >= 5  # one for each gateway, and one for each of its restarts
     for found in find_runs(tmp_path).values():
         report = replay(found)
         assert not report.differences and not report.notes
--- a/tests/lab/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -1,4 +1,4 @@
-"""The simulated site with members: the rules hold over seeds, quotas under the bound that is stated."""
+"""The simulated site with members: the rules hold over seeds, and quotas stay within the stated bound."""
 
 from __future__ import annotations
 
@@ -33,32 +33,33 @@
     assert mute_run(1, 40, 20.0, False, False)[0] > 3.0 * mute_run(1, 40, 20.0, False, True)[0]
 
 
-def deaf(patch: pytest.MonkeyPatch) -> None:
-    """Words of the others are not added up."""
+def reports_ignored(patch: pytest.MonkeyPatch) -> None:
+    """The usage that other members report is ignored."""
     patch.setattr(AccountUsage, "receive", lambda self, row: None)
 
 
-def no_window_before(patch: pytest.MonkeyPatch) -> None:
-    """What came late of a window is forgotten; found at ten gateways, where each asks seldom."""
-    sound = AccountUsage.admitted_by_peers
+def late_reports_dropped(patch: pytest.MonkeyPatch) -> None:
+    """Late reports for an earlier window are dropped. Ten gateways show it, as each of them reports
+    seldom."""
+    original = AccountUsage.admitted_by_peers
     last: dict[str, float] = {}
 
     def by_others(self: AccountUsage, customer: str, window_ms: float) -> float:
         newest = max(last.get(customer, 0.0), window_ms)
         last[customer] = newest
-        return sound(self, customer, window_ms) if window_ms == newest else 0.0
+        return original(self, customer, window_ms) if window_ms == newest else 0.0
 
     patch.setattr(AccountUsage, "admitted_by_peers", by_others)
 
 
-def whole_at_once(patch: pytest.MonkeyPatch) -> None:
-    """Each half of a split fleet takes its copy for the fleet's."""
+def partial_copy_trusted(patch: pytest.MonkeyPatch) -> None:
+    """Each half of a partitioned fleet takes its copy of the usage for the whole fleet's."""
     patch.setattr("lab.sim.members.known_usage_share", lambda *args: 1.0)
 
 
 @pytest.mark.parametrize(
     ("bug", "split", "most"),
-    [(deaf, False, 14.8), (no_window_before, False, 5.0), (whole_at_once, True, 5.0)],
+    [(reports_ignored, False, 14.8), (late_reports_dropped, False, 5.0), (partial_copy_trusted, True, 5.0)],
 )
 def test_a_bug_that_was_put_in_is_found(
     bug: Any, split: bool, most: float, monkeypatch: pytest.MonkeyPatch
@@ -71,4 +72,4 @@
 def test_a_copy_that_is_not_whole_lends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Gossip, "has_matched_all", lambda self, alive: False)
     alone, among = mute_run(1, 10, 12.0, False, False), mute_run(1, 10, 12.0, False, True)
-    assert among[0] <= alone[0] + 0.5  # even parts as without members, and what is heard only tightens
+    assert among[0] <= alone[0] + 0.5  # equal shares as without members; reported usage only tightens them
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -26,24 +26,24 @@
 
 
 def bug(rule: str) -> Callable[[Callable[[pytest.MonkeyPatch], None]], Callable[[pytest.MonkeyPatch], None]]:
-    """Registers a bug, by the rule that it breaks."""
+    """Registers an injected bug by the rule that it breaks."""
 
-    def keep(inject: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
+    def register(inject: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
         BUGS[inject.__name__] = rule, inject
         return inject
 
-    return keep
+    return register
 
 
 @bug("nothing twice")
 def sent_commands_are_reported_as_never_sent(patch: pytest.MonkeyPatch) -> None:
-    sound = CommandPipeline.close
+    original = CommandPipeline.close
 
     def cut(
         self: CommandPipeline[Any], cause: Any = None, ending: Outcome = Outcome.RESET
     ) -> list[CommandOutcome[Any]]:
         never = {Outcome.RESET: Outcome.UNREACHABLE}
-        return [CommandOutcome(item, never.get(how, how)) for item, how in sound(self, cause, ending)]
+        return [CommandOutcome(item, never.get(how, how)) for item, how in original(self, cause, ending)]
 
     patch.setattr(CommandPipeline, "close", cut)
 
@@ -51,19 +51,21 @@
 @bug("pairing")
 def a_partly_sent_batch_counts_as_unsent(patch: pytest.MonkeyPatch) -> None:
     """While some of a batch is buffered, none of it counts as sent."""
-    sound = CommandPipeline.update_sent
+    original = CommandPipeline.update_sent
     patch.setattr(
-        CommandPipeline, "update_sent", lambda self, buffered: sound(self, buffered) if not buffered else None
+        CommandPipeline,
+        "update_sent",
+        lambda self, buffered: original(self, buffered) if not buffered else None,
     )
 
 
 @bug("one answer")
 def crossed_replies_are_trusted(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(piped, "NETWORK_DELAY_MS", 0.0)
-    sound = CommandPipeline.match_reply
+    original = CommandPipeline.match_reply
 
     def reply(self: CommandPipeline[Any], now: float) -> Any:
-        found = sound(self, now)
+        found = original(self, now)
         return None if found is None else MatchedReply(found.command, True)
 
     patch.setattr(CommandPipeline, "match_reply", reply)
@@ -72,10 +74,10 @@
 @bug("sharing")
 def non_idempotent_attempts_are_queued(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ClassCompatibility, "between", lambda self, ahead, behind: Compatibility.UNTIL_STALL)
-    sound = pipeline_types.placement_request
+    original = pipeline_types.placement_request
 
     def placement_request(*args: Any) -> Any:
-        job = sound(*args)
+        job = original(*args)
         return job._replace(retry_by_ms=job.expires_at_ms) if job.retry_by_ms == -math.inf else job
 
     patch.setattr(piped, "placement_request", placement_request)
@@ -97,24 +99,24 @@
 
 @bug("drains")
 def drains_are_ignored_when_writing(patch: pytest.MonkeyPatch) -> None:
-    sound = PipedWorld.still_stuck
+    original = PipedWorld.still_stuck
 
     def still_stuck(self: PipedWorld, conn: Any) -> None:
         if any(self.now >= entry.item.write_by - 2.0 for entry in conn.pipeline.in_flight):
-            sound(self, conn)
+            original(self, conn)
 
     patch.setattr(PipedWorld, "still_stuck", still_stuck)
 
 
 @bug("depth")
 def depth_is_unlimited(patch: pytest.MonkeyPatch) -> None:
-    sound = PlacementChooser.joinable
+    original = PlacementChooser.joinable
 
     def joinable(self: PlacementChooser, now: float, node: Any, job: Any) -> Any:
         rules, limit = self.rules, node.depth_limit.limit
         self.rules, node.depth_limit.limit = rules._replace(max_depth=50, max_queued_per_server=100), 50.0
         try:
-            return sound(self, now, node, job)
+            return original(self, now, node, job)
         finally:
             self.rules, node.depth_limit.limit = rules, limit
 
@@ -123,11 +125,11 @@
 
 @bug("pairing")
 def replies_go_to_the_newest_command(patch: pytest.MonkeyPatch) -> None:
-    sound = CommandPipeline.match_reply
+    original = CommandPipeline.match_reply
 
     def reply(self: CommandPipeline[Any], now: float) -> Any:
         self.in_flight = deque(reversed(self.in_flight))
-        return sound(self, now)
+        return original(self, now)
 
     patch.setattr(CommandPipeline, "match_reply", reply)
 
@@ -144,7 +146,8 @@
             for scheduler in world.schedulers.values()
             for connection in scheduler.connections.values()
         ]
-        assert not any(len(connection.attempts) > 1 for connection in connections)  # all is over at the end
+        # No connection has queued attempts at the end.
+        assert not any(len(connection.attempts) > 1 for connection in connections)
     assert joined > 1000 and aborted > 20
 
 
@@ -157,7 +160,7 @@
 
 
 def hard(seed: int) -> Script:
-    """Bytes that stay behind, surplus replies, drains and hangs all the time, under bursts."""
+    """Builds a script of stuck bytes, surplus replies, drains and hangs throughout, under bursts."""
     stuck, extra = "stuck lines", "extra replies"
     kinds = [
         ("volley", stuck, "volley", "drain", stuck, "burst", "volley", "hang"),
