--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""Tests that KNOWN-RED.txt names may fail by an assertion, or by the error that their entry names; how each
-ended is printed after the run."""
+"""Lets the tests that KNOWN-RED.txt lists fail by an assertion, or by an error class that their entry names,
+and prints the result of each after the run."""
 
 from __future__ import annotations
 
@@ -7,21 +7,26 @@
 
 import pytest
 
-LIST = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-ENDS = {"xfailed": "failed", "xpassed": "PASSED, so its entry may go", "failed": "failed in another way"}
+KNOWN_RED_FILE = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
+RESULT_TEXTS = {
+    "xfailed": "failed",
+    "xpassed": "PASSED, so its entry may go",
+    "failed": "failed in another way",
+}
 
 
 def known_red() -> dict[str, str]:
-    """The entries, by the node ids of their tests."""
-    if not LIST.is_file():
+    """Returns the list's entries by the node ids of their tests."""
+    if not KNOWN_RED_FILE.is_file():
         return {}
-    lines = LIST.read_text().splitlines()
+    lines = KNOWN_RED_FILE.read_text().splitlines()
     entries = [line for line in lines if line.strip() and not line.startswith("#")]
     return {entry.partition(" | ")[0].strip(): entry for entry in entries}
 
 
 def errors_of(entry: str) -> type[BaseException]:
-    """Stands for the errors that an entry lets pass: failed assertions, and those whose class it names."""
+    """Returns a class whose instances are the errors that an entry allows: failed assertions, and errors
+    whose class it names."""
 
     class Listed(type):
         def __instancecheck__(cls, error: object) -> bool:
@@ -31,7 +36,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Marks them: they run, and the listed failure does not fail the run. Any other error does."""
+    """Marks listed tests as expected failures: they run, and only errors that their entry does not allow fail
+    the run."""
     listed = known_red()
     for item in items:
         if item.nodeid in listed:
@@ -40,10 +46,10 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints how each of them ended."""
+    """Prints the result of each listed test."""
     ended = {
-        report.nodeid: told
-        for outcome, told in ENDS.items()
+        report.nodeid: text
+        for outcome, text in RESULT_TEXTS.items()
         for report in terminalreporter.stats.get(outcome, [])
         if hasattr(report, "nodeid")
     }
