--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of planned restarts; the long one is started by hand (``python -m lab.soak``)."""
+"""A short soak test of planned restarts; ``python -m lab.soak`` runs a long one."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from lab.soak.play import play
 from lab.soak.schedule import Ending, draw
 
-SHORT = range(1, 13)
+SEEDS = range(1, 13)
 
 
 @pytest.fixture(autouse=True)
 def alone() -> Iterator[None]:
-    """One soak at a time: the parallel workers of one test run would starve each other's processes."""
+    """Runs one soak at a time: the parallel workers of a test run would starve each other's processes."""
     with (Path(tempfile.gettempdir()) / "soak-of-planned-restarts.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
 
 
-@pytest.mark.parametrize("seed", SHORT)
+@pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_across_a_planned_restart(seed: int) -> None:
-    """To play one again: ``python -m lab.soak --first SEED --seeds 1``."""
+    """Repeat one with ``python -m lab.soak --first SEED --seeds 1``."""
     schedule = draw(seed)
     books = asyncio.run(play(schedule))
     assert books.violations() == [], schedule.describe()
 
 
 def test_the_soak_finds_a_process_that_cuts_its_clients_off() -> None:
-    """Else nothing above would show anything."""
+    """Without this, the tests above could pass because the soak detects nothing."""
     seed = next(seed for seed in range(1, 50) if draw(seed).ending is Ending.TERM)
     assert asyncio.run(play(draw(seed), "raises_while_ending")).violations()
 
@@ -45,12 +45,12 @@
 
 
 def request(**changes: object) -> AskedRequest:
-    made = AskedRequest(
+    asked = AskedRequest(
         b"r", "check-charge", 1.0, sent_at=10.0, answered_at=10.5, answer="served", answer_count=1
     )
     for name, value in changes.items():
-        setattr(made, name, value)
-    return made
+        setattr(asked, name, value)
+    return asked
 
 
 @pytest.mark.parametrize(
