--- a/tests/docs/test_capacity_page.py
+++ b/tests/docs/test_capacity_page.py
@@ -1,4 +1,5 @@
-"""The page of capacity: each command, file and mechanism that it names is there; slopes on known data."""
+"""The capacity page names only commands, files and mechanisms that exist; slopes are checked on known
+data."""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
 
 
 def program(words: list[str]) -> bool:
-    """A module that runs, with arguments that its source knows; those of the page's own command exactly."""
+    """Tells whether a module can be run with these arguments, which must occur in its source. Those of
+    `benchmarks.capacity` must be its options or roles."""
     name, *rest = words
     if name == "benchmarks.capacity":
         return set(rest) <= {"--quick", *capacity.ROLES}
@@ -37,13 +39,14 @@
 
 
 def verb(words: list[str]) -> bool:
-    """A command of `glenchute`, and what `fleet` can be asked."""
+    """Tells whether this is a command of `glenchute`, or of its subcommand `fleet`."""
     name, *rest = words
     return name in COMMANDS and (not rest or (name == "fleet" and rest[0] in FLEET and len(rest) == 1))
 
 
 def key(text: str) -> bool:
-    """`[table] key = value, key`, by the schema of the operator's file."""
+    """Tells whether the schema of the operator's file has the table and keys of `[table] key = value,
+    key`."""
     head, _, tail = text.partition("]")
     at: Any = json_schema()
     keys = [part.split("=")[0].strip() for part in tail.split(",") if part.strip()]
@@ -56,7 +59,7 @@
 
 
 def defined(text: str) -> bool:
-    """A class, a function, `Class.method`, or a constant of the sources."""
+    """Tells whether the sources define this class, function, `Class.method` or constant."""
     first, _, second = text.partition(".")
     if second:
         bodies = [body for source in SOURCES
@@ -67,7 +70,7 @@
 
 
 def there(span: str) -> bool:
-    """Whether what a span of code names exists. A span of no known form does not."""
+    """Tells whether what a code span names exists; False for a span of unknown form."""
     words = span.split()
     if words[:2] == ["python", "-m"]:
         return program(words[2:])
@@ -81,14 +84,14 @@
 
 
 def tables(text: str) -> Iterator[list[dict[str, str]]]:
-    """Each table's rows by its heads."""
+    """Yields each table as a list of rows, each a dict by column heading."""
     for block in re.findall(r"(?:^\|.*\n)+", text, re.M):
         heads, _, *rows = [row.strip("| ").split(" | ") for row in block.splitlines()]
         yield [dict(zip(heads, row, strict=True)) for row in rows]
 
 
 def wrong(text: str) -> list[str]:
-    """What the page says that can't be found."""
+    """Returns the names on the page that can't be found, and the rows without a command or mechanism."""
     found = [span for span in re.findall(r"`([^`\n]+)`", text) if not there(span)]
     found += [link for link in re.findall(r"\]\(([^)#:]+)\)", text) if not (ROOT / "docs" / link).exists()]
     for rows in tables(text):
--- a/tests/docs/test_journal.py
+++ b/tests/docs/test_journal.py
@@ -1,4 +1,4 @@
-"""The roadmap tells no score of a run that has no finished record in `journal/`."""
+"""Each score on the roadmap comes from a run with a finished record in `journal/`."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 ROOT = Path(__file__).resolve().parents[2]
 SCORE = re.compile(r"(?<![\d.])[01]\.\d{3}(?!\d)")
 RECORD = re.compile(r"`([0-9a-f]{8})`")
-ROUNDING = 0.000501  # a half may have been rounded either way
+ROUNDING = 0.000501  # a half may be rounded up or down
 
 Records = dict[str, tuple[list[float], str | None]]
 
 
 def records(folder: Path) -> Records:
-    """By identity: the scores that a run's record tells, and why it is none of a whole run."""
+    """Returns by record id the scores of a run, and why the run does not count, or None if it finished."""
     found: Records = {}
     for path in sorted(folder.glob("*.json")):
         entry: dict[str, Any] = json.loads(path.read_text())
         figures = entry.get("figures") or {}
-        told = [entry.get("score"), figures.get("real_score"), *(figures.get(k) for k in ("score", "site"))]
-        scores = [value for value in told if isinstance(value, int | float)]
+        stated = [entry.get("score"), figures.get("real_score"), *(figures.get(k) for k in ("score", "site"))]
+        scores = [value for value in stated if isinstance(value, int | float)]
         unfinished = entry.get("error") == "the run did not finish" or not entry["at"][1]
         found[entry["id"]] = scores, "the run did not finish" if unfinished else None
     return found
 
 
 def claims(page: str) -> Iterator[str]:
-    """The lines of the roadmap's tables that tell scores of the bench's runs."""
+    """Yields the lines of the roadmap's tables that state scores of benchmark runs."""
     for line in page.splitlines():
         if line.startswith("|") and (re.match(r"\| 20\d\d-", line) or "--panel" in line or "--quick" in line
                                      or "full" in line or RECORD.search(line)):  # fmt: skip
@@ -40,7 +40,8 @@
 
 
 def unproven(page: str, known: Records) -> list[str]:
-    """What the page claims and no finished record tells. A line that names records is held to just these."""
+    """Returns the claims of the page that no finished record supports. A line that names records is checked
+    against these records only."""
     wrong = []
     for line in claims(page):
         named = RECORD.findall(line)
@@ -49,8 +50,8 @@
                 wrong.append(f"{name}: no such record")
             elif reason := known[name][1]:
                 wrong.append(f"{name}: {reason}")
-        able = [known[name] for name in named if name in known] if named else list(known.values())
-        proven = [score for scores, reason in able if reason is None for score in scores]
+        candidates = [known[name] for name in named if name in known] if named else list(known.values())
+        proven = [score for scores, reason in candidates if reason is None for score in scores]
         wrong += [
             f"{score} in {line[:60]!r}"
             for score in SCORE.findall(line)
@@ -81,7 +82,7 @@
         ("| brink | `0000aaaa` 0.411 |", 1),  # another run's score
         ("| brink | `0000bbbb` not shown |", 1),
         ("| brink | `0000dddd` 0.552 |", 2),
-        ("| day, score | herd 0.59 |", 0),  # a day has two digits
+        ("| day, score | herd 0.59 |", 0),  # scores of single days have two digits and are not checked
         ("a sentence with 0.999 of something", 0),
     ],
 )
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,4 +1,4 @@
-"""Modules that the pages name exist."""
+"""The modules that documentation pages name exist."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def sources_named(text: str) -> set[str]:
-    """Source files and modules in the code spans of a page."""
+    """Returns the source files and modules in the code spans of a page."""
     found: set[str] = set()
     for span in SPAN.findall(text):
         found |= {path for path in SOURCE_PATH.findall(span) if "/" in path}
@@ -25,7 +25,8 @@
 
 
 def exists(name: str) -> bool:
-    """Whether a path is there, from the root or below `glenchute`, or a dotted name is a module or in one."""
+    """Tells whether a path exists below the root or `glenchute`, or a dotted name is a module or a name in
+    one."""
     if name.endswith(".py"):
         return any((folder / name).is_file() for folder in (ROOT, ROOT / "glenchute"))
     parts = name.split(".")
