--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -41,24 +41,24 @@
 def unsafe_requests_are_repeated(patch: pytest.MonkeyPatch) -> None:
     original = RetryPolicy.may_retry
 
-    def repeat(self: RetryPolicy, now: float, opened: PendingRequest, event: Any) -> bool:
-        return original(self, now, opened, event) or opened.attempt_count < 2
+    def may_retry(self: RetryPolicy, now_ms: float, pending: PendingRequest, event: Any) -> bool:
+        return original(self, now_ms, pending, event) or pending.attempt_count < 2
 
-    patch.setattr(RetryPolicy, "may_retry", repeat)
+    patch.setattr(RetryPolicy, "may_retry", may_retry)
 
 
 @bug
 def keys_are_never_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(RetryPolicy, "idempotency_expiry_ms", lambda self, opened: 1e18)
+    patch.setattr(RetryPolicy, "idempotency_expiry_ms", lambda self, pending: 1e18)
 
 
 @bug
 def any_zone_will_do(patch: pytest.MonkeyPatch) -> None:
     original = EndpointChooser.pick
 
-    def pick(self: EndpointChooser, now: float, opened: PendingRequest) -> Any:
-        opened.pinned_endpoint = None
-        return original(self, now, opened)
+    def pick(self: EndpointChooser, now_ms: float, pending: PendingRequest) -> Any:
+        pending.pinned_endpoint = None
+        return original(self, now_ms, pending)
 
     patch.setattr(EndpointChooser, "pick", pick)
 
@@ -67,9 +67,9 @@
 def refusals_after_a_try(patch: pytest.MonkeyPatch) -> None:
     original = RequestExecution.finish
 
-    def finish(self: RequestExecution, opened: PendingRequest) -> None:
-        opened.may_have_run_ms = None
-        original(self, opened)
+    def finish(self: RequestExecution, pending: PendingRequest) -> None:
+        pending.may_have_run_ms = None
+        original(self, pending)
 
     patch.setattr(RequestExecution, "finish", finish)
 
@@ -78,9 +78,9 @@
 def draining_servers_are_kept(patch: pytest.MonkeyPatch) -> None:
     original = ServerPool.update
 
-    def update(self: ServerPool, news: EndpointList, now: float) -> None:
+    def update(self: ServerPool, news: EndpointList, now_ms: float) -> None:
         before = dict(self.servers)
-        original(self, news, now)
+        original(self, news, now_ms)
         for entry in news.endpoints:
             if entry.state is not EndpointState.ACTIVE and entry.address in before:
                 self.servers[entry.address] = before[entry.address]
@@ -92,24 +92,24 @@
 def open_counts_leak(patch: pytest.MonkeyPatch) -> None:
     original = RequestExecution.end_attempt
 
-    def ended(self: RequestExecution, now: float, event: AttemptEnded) -> None:
+    def end_attempt(self: RequestExecution, now_ms: float, event: AttemptEnded) -> None:
         attempt = self.attempts.get((event.request_id, event.attempt))
-        original(self, now, event)
+        original(self, now_ms, event)
         if attempt is not None and attempt.pending.tenant and event.outcome is Outcome.RESET:
             attempt.pending.tenant.attempts_in_flight += 1
 
-    patch.setattr(RequestExecution, "end_attempt", ended)
+    patch.setattr(RequestExecution, "end_attempt", end_attempt)
 
 
 @bug
 def stores_overflow(patch: pytest.MonkeyPatch) -> None:
     original = QuotaAccounting.charge
 
-    def take(self: QuotaAccounting, c: Any, units: float, counted: bool, asked: bool) -> None:
-        original(self, c, units, counted, asked)
-        c.bucket_units += 3.0 * units
+    def charge(self: QuotaAccounting, tenant: Any, units: float, is_counted: bool, has_total: bool) -> None:
+        original(self, tenant, units, is_counted, has_total)
+        tenant.bucket_units += 3.0 * units
 
-    patch.setattr(QuotaAccounting, "charge", take)
+    patch.setattr(QuotaAccounting, "charge", charge)
 
 
 @bug
@@ -119,8 +119,19 @@
     patch.setattr(TenantTable, "headroom", lambda self, tenant: 1e9)
     original = QuotaAccounting.admit
 
-    def admit(self: QuotaAccounting, now: float, c: Any, units: float, asked: bool, blind: bool) -> Any:
-        return None if c.plan.ceiling_rate_per_s else original(self, now, c, units, asked, blind)
+    def admit(
+        self: QuotaAccounting,
+        now_ms: float,
+        tenant: Any,
+        units: float,
+        has_total: bool,
+        is_total_missing: bool,
+    ) -> Any:
+        return (
+            None
+            if tenant.plan.ceiling_rate_per_s
+            else original(self, now_ms, tenant, units, has_total, is_total_missing)
+        )
 
     patch.setattr(QuotaAccounting, "admit", admit)
 
@@ -129,21 +140,21 @@
 def some_requests_are_forgotten(patch: pytest.MonkeyPatch) -> None:
     original = RequestExecution.end_attempt
 
-    def ended(self: RequestExecution, now: float, event: AttemptEnded) -> None:
+    def end_attempt(self: RequestExecution, now_ms: float, event: AttemptEnded) -> None:
         if event.outcome is Outcome.ERROR:
             self.requests.pop(event.request_id, None)
-        original(self, now, event)
+        original(self, now_ms, event)
 
-    patch.setattr(RequestExecution, "end_attempt", ended)
+    patch.setattr(RequestExecution, "end_attempt", end_attempt)
 
 
 @bug
 def an_answer_is_given_twice(patch: pytest.MonkeyPatch) -> None:
     original = RequestExecution.finish
 
-    def finish(self: RequestExecution, opened: PendingRequest) -> None:
-        original(self, opened)
-        self.actions.append(Fail(opened.request.request_id))
+    def finish(self: RequestExecution, pending: PendingRequest) -> None:
+        original(self, pending)
+        self.actions.append(Fail(pending.request.request_id))
 
     patch.setattr(RequestExecution, "finish", finish)
 
@@ -152,32 +163,34 @@
 def newcomers_look_idle_and_get_it_all(patch: pytest.MonkeyPatch) -> None:
     original = EndpointChooser.expected_delay
 
-    def delay(self: EndpointChooser, server: Server, now: float, mean: float, warmth: float) -> float:
-        return 0.0 if server.endpoint.started_ms > 0 else original(self, server, now, mean, warmth)
+    def expected_delay(
+        self: EndpointChooser, server: Server, now_ms: float, mean_ms: float, weight: float
+    ) -> float:
+        return 0.0 if server.endpoint.started_ms > 0 else original(self, server, now_ms, mean_ms, weight)
 
-    patch.setattr(EndpointChooser, "expected_delay", delay)
-    patch.setattr(SlowStartLimiter, "weight", lambda self, server, now: 1.0)
+    patch.setattr(EndpointChooser, "expected_delay", expected_delay)
+    patch.setattr(SlowStartLimiter, "weight", lambda self, server, now_ms: 1.0)
 
 
 @bug
 def a_time_out_raises(patch: pytest.MonkeyPatch) -> None:
     original = WindowCounter.apply_total
 
-    def heard(self: WindowCounter, total: float, units: float, toll: float) -> Any:
-        found = original(self, total, units, toll)
+    def apply_total(self: WindowCounter, total: float, units: float, marker: float) -> Any:
+        found = original(self, total, units, marker)
         if found is not None:
             raise ZeroDivisionError("lost")
         return found
 
-    patch.setattr(WindowCounter, "apply_total", heard)
+    patch.setattr(WindowCounter, "apply_total", apply_total)
 
 
 @bug
 def attempts_have_no_end(patch: pytest.MonkeyPatch) -> None:
-    def repeat(self: RetryPolicy, now: float, opened: PendingRequest, event: Any) -> bool:
-        return opened.may_have_run_ms is None or opened.request_class.idempotency is Idempotency.IDEMPOTENT
+    def may_retry(self: RetryPolicy, now_ms: float, pending: PendingRequest, event: Any) -> bool:
+        return pending.may_have_run_ms is None or pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
-    patch.setattr(RetryPolicy, "may_retry", repeat)
+    patch.setattr(RetryPolicy, "may_retry", may_retry)
 
 
 def test_the_rules_hold_over_seeds() -> None:
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -64,8 +64,8 @@
     patch.setattr(piped, "NETWORK_DELAY_MS", 0.0)
     original = CommandPipeline.match_reply
 
-    def reply(self: CommandPipeline[Any], now: float) -> Any:
-        found = original(self, now)
+    def reply(self: CommandPipeline[Any], now_ms: float) -> Any:
+        found = original(self, now_ms)
         return None if found is None else MatchedReply(found.command, True)
 
     patch.setattr(CommandPipeline, "match_reply", reply)
@@ -85,15 +85,15 @@
 
 @bug("hold-back")
 def no_connection_is_aborted(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(PipelineScheduler, "check", lambda self, now: [])
+    patch.setattr(PipelineScheduler, "check", lambda self, now_ms: [])
 
 
 @bug("hold-back")
 def any_connection_may_be_joined(patch: pytest.MonkeyPatch) -> None:
     """Whether an attempt can wait for those ahead is not checked, and no connection is aborted for it."""
-    patch.setattr(PlacementChooser, "blocked_until_ms", lambda self, now, connection, request: now)
-    patch.setattr(StallDetector, "is_stalled", lambda self, now, connection: False)
-    patch.setattr(PipelineScheduler, "is_worth_aborting", lambda self, now, connection: False)
+    patch.setattr(PlacementChooser, "blocked_until_ms", lambda self, now_ms, connection, request: now_ms)
+    patch.setattr(StallDetector, "is_stalled", lambda self, now_ms, connection: False)
+    patch.setattr(PipelineScheduler, "is_worth_aborting", lambda self, now_ms, connection: False)
     patch.setattr(ConnectionQueue, "abort_by_ms", lambda self: math.inf)
 
 
@@ -112,11 +112,11 @@
 def depth_is_unlimited(patch: pytest.MonkeyPatch) -> None:
     original = PlacementChooser.joinable
 
-    def joinable(self: PlacementChooser, now: float, node: Any, job: Any) -> Any:
+    def joinable(self: PlacementChooser, now_ms: float, node: Any, job: Any) -> Any:
         rules, limit = self.rules, node.depth_limit.limit
         self.rules, node.depth_limit.limit = rules._replace(max_depth=50, max_queued_per_server=100), 50.0
         try:
-            return original(self, now, node, job)
+            return original(self, now_ms, node, job)
         finally:
             self.rules, node.depth_limit.limit = rules, limit
 
@@ -127,9 +127,9 @@
 def replies_go_to_the_newest_command(patch: pytest.MonkeyPatch) -> None:
     original = CommandPipeline.match_reply
 
-    def reply(self: CommandPipeline[Any], now: float) -> Any:
+    def reply(self: CommandPipeline[Any], now_ms: float) -> Any:
         self.in_flight = deque(reversed(self.in_flight))
-        return original(self, now)
+        return original(self, now_ms)
 
     patch.setattr(CommandPipeline, "match_reply", reply)
 
