--- a/lab/soak/__init__.py
+++ b/lab/soak/__init__.py
@@ -1,1 +1,4 @@
-"""A soak of planned restarts: real processes, schedules drawn by seed, judged by the peers' own books."""
+"""Soak test of planned restarts with real processes and seeded schedules.
+
+Runs are judged by what the clients and servers recorded.
+"""
--- a/lab/soak/books.py
+++ b/lab/soak/books.py
@@ -1,37 +1,40 @@
-"""What clients and servers saw, and which rules it breaks. Times are of one event loop, in seconds."""
+"""Records what clients and servers observed and finds broken rules.
+
+All times are seconds of one event loop's clock.
+"""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-LATE_S = 0.5  # after its deadline an answer counts as lost
-LEFT_S = 0.1  # after its client closed, no attempt may begin
+LATE_RESPONSE_S = 0.5  # a response that is later than this after its deadline counts as lost
+DISCONNECT_GRACE_S = 0.1  # no attempt may begin later than this after its client disconnected
 DRAIN_GRACE_S = 0.25
-SLACK_S = 0.05  # of every limit on sockets, as the protocol page has it
+TOLERANCE_S = 0.05  # allowed by the protocol page on each time limit that is measured on sockets
 
 
 @dataclass(slots=True)
 class AskedRequest:
-    """A request as its client sees it."""
+    """State of a request as its client sees it."""
 
     request_id: bytes
     class_name: str
     deadline_s: float
     key: bytes | None = None
-    sent_at: float | None = None  # its last byte was handed to the kernel
-    due_from: float = 0.0  # when the answers before it on its connection had come
+    sent_at: float | None = None  # when its last byte was handed to the kernel
+    due_from: float = 0.0  # when the previous answer on its connection arrived
     answered_at: float | None = None
-    answer: str = ""  # served, rejected, failed
+    answer: str = ""  # "served", "rejected", "failed", or empty without an answer
     answer_count: int = 0
-    left_at: float | None = None  # its client closed the connection
+    left_at: float | None = None  # when its client closed the connection
     is_unreachable: bool = False  # no process accepted its connection
     is_cut: bool = False  # its connection ended without an answer
 
 
 @dataclass(slots=True)
 class ArrivedAttempt:
-    """A command as a server received it."""
+    """A command that a server received."""
 
     at: float
     server: str
@@ -40,20 +43,20 @@
 
 @dataclass(slots=True)
 class Books:
-    """All of one run."""
+    """Observations of one run."""
 
     requests: dict[bytes, AskedRequest] = field(default_factory=dict)
     attempts: list[ArrivedAttempt] = field(default_factory=list)
-    executed: Counter[bytes] = field(default_factory=Counter)  # requests by id, each effect
-    executed_keys: Counter[bytes] = field(default_factory=Counter)
-    drained_at: dict[str, float] = field(default_factory=dict)  # when discovery had written it
-    lag_s: float = 0.0  # the longest time for which this process itself did not run
+    executed: Counter[bytes] = field(default_factory=Counter)  # effects by request id
+    executed_keys: Counter[bytes] = field(default_factory=Counter)  # effects by idempotency key
+    drained_at: dict[str, float] = field(default_factory=dict)  # when discovery wrote the drain, by server
+    lag_s: float = 0.0  # longest time for which this process did not run
     exit_status: int | None = None
     killed_at_end: bool = False
     log: str = ""
 
     def violations(self) -> list[str]:
-        """The rules that were broken."""
+        """Returns a description of each broken rule."""
         return [
             *self.lost_requests(),
             *self.repeated_effects(),
@@ -62,7 +65,7 @@
         ]
 
     def lost_requests(self) -> list[str]:
-        """Requests without exactly one final response in time."""
+        """Finds requests without exactly one final response in time."""
         found = []
         for request in self.requests.values():
             if request.sent_at is None or request.is_unreachable or request.left_at is not None:
@@ -71,16 +74,16 @@
             if request.answer_count != 1:
                 found.append(f"lost: {name} has {request.answer_count} responses")
             elif request.answered_at is not None:
-                began = max(request.sent_at, request.due_from)
-                took_s = request.answered_at - began
-                if took_s > request.deadline_s + LATE_S + SLACK_S + self.lag_s:
+                started = max(request.sent_at, request.due_from)
+                took_s = request.answered_at - started
+                if took_s > request.deadline_s + LATE_RESPONSE_S + TOLERANCE_S + self.lag_s:
                     found.append(
                         f"lost: {name} was answered after {took_s:.2f} of {request.deadline_s:.2f} s"
                     )
         return found
 
     def repeated_effects(self) -> list[str]:
-        """Effects that happened twice, or although the client was promised none."""
+        """Finds effects that happened twice, or although the request was rejected."""
         found = []
         for request_id, count in self.executed.items():
             request = self.requests.get(request_id)
@@ -96,12 +99,12 @@
         return found
 
     def late_attempts(self) -> list[str]:
-        """Attempts that began after their client had left, or at a server that had drained."""
+        """Finds attempts that began after their client disconnected or their server drained."""
         found = []
-        slack_s = SLACK_S + self.lag_s
+        tolerance_s = TOLERANCE_S + self.lag_s
         for attempt in self.attempts:
             drained_at = self.drained_at.get(attempt.server)
-            if drained_at is not None and attempt.at > drained_at + DRAIN_GRACE_S + slack_s:
+            if drained_at is not None and attempt.at > drained_at + DRAIN_GRACE_S + tolerance_s:
                 found.append(
                     f"drain: an attempt at {attempt.server} {attempt.at - drained_at:.2f} s after its drain"
                 )
@@ -109,13 +112,13 @@
             if (
                 request is not None
                 and request.left_at is not None
-                and attempt.at > request.left_at + LEFT_S + slack_s
+                and attempt.at > request.left_at + DISCONNECT_GRACE_S + tolerance_s
             ):
                 found.append(f"lost: an attempt {attempt.at - request.left_at:.2f} s after its client left")
         return found
 
     def process_faults(self) -> list[str]:
-        """What the process itself did wrong."""
+        """Finds faults of the gateway process: a bad exit status, a traceback, or a forced kill."""
         found = []
         if self.killed_at_end:
             found.append("process: had not ended at the kill")
@@ -126,6 +129,6 @@
         return found
 
     def summary(self) -> str:
-        """Counts of what came of the requests."""
+        """Counts requests by their answer."""
         counts = Counter(request.answer or "none" for request in self.requests.values())
         return " ".join(f"{name}={count}" for name, count in sorted(counts.items()))
--- a/lab/soak/clients.py
+++ b/lab/soak/clients.py
@@ -1,4 +1,7 @@
-"""The soak's clients: they use open connections until these end, and keep books of their answers."""
+"""Clients of the soak test.
+
+They reuse each connection until it ends, and record the answers to their requests.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,16 @@
 from lab.soak.books import AskedRequest, Books
 from lab.soak.schedule import Schedule
 
-CLASSES = (("report-read", 0.6), ("check-order", 0.25), ("check-charge", 0.15))
+CLASSES = (("report-read", 0.6), ("check-order", 0.25), ("check-charge", 0.15))  # name, share of requests
 PLANS = (b"osnovni", b"standard", b"korporativni")
 ANSWERS = {"served": "served", "refused": "rejected", "failed": "failed"}
-PIECE_PAUSE_S = 0.02
-CONNECT_PATIENCE_S = 0.3  # a connection that is not accepted by then finds no process
+PIECE_PAUSE_S = 0.02  # between the writes of a batch that is sent in pieces
+CONNECT_TIMEOUT_S = 0.3  # after this time without a connection, no process is considered to listen
 LARGE_COMMAND = resp2.encode_command(b"PING", b"x" * 60_000)
 
 
-def new_requests(rng: random.Random, longest_ms: int) -> Iterator[tuple[AskedRequest, bytes]]:
-    """Requests of all classes, each with its command."""
+def random_requests(rng: random.Random, longest_ms: int) -> Iterator[tuple[AskedRequest, bytes]]:
+    """Yields random requests of all classes, each with its encoded command."""
     number = 0
     while True:
         number += 1
@@ -42,7 +45,7 @@
 
 
 class SoakConnection(asyncio.Protocol):
-    """One client connection and the requests on it."""
+    """A client connection and the requests that are pending on it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -61,13 +64,13 @@
         self.parser.feed(data)
         now = self.loop.time()
         while (reply := self.parser.gets()) is not False:
-            self.take_answer(now, reply)
+            self.record_answer(now, reply)
         self.on_answer()
 
-    def take_answer(self, now: float, reply: Any) -> None:
-        """The answer to the oldest request."""
+    def record_answer(self, now: float, reply: Any) -> None:
+        """Records a reply as the answer to the oldest pending request."""
         if not self.pending:
-            return  # the gateway's word on the connection itself
+            return  # the reply concerns the connection, not a request
         request = self.pending.popleft()
         request.due_from = self.last_answer_at
         request.answered_at = self.last_answer_at = now
@@ -85,58 +88,58 @@
         self.on_answer()
 
     def is_open(self) -> bool:
-        """Whether another request may be sent."""
+        """Returns whether another request can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
 
 class SoakClients:
-    """All clients of one run."""
+    """The clients of one run."""
 
     def __init__(self, schedule: Schedule, books: Books, port: Callable[[], int]) -> None:
         self.schedule, self.books, self.port = schedule, books, port
         self.rng = random.Random(f"clients {schedule.seed}")
         self.loop = asyncio.get_running_loop()
-        self.requests = new_requests(self.rng, schedule.longest_deadline_ms)
-        self.accepts_new = True  # new connections are made
+        self.requests = random_requests(self.rng, schedule.longest_deadline_ms)
+        self.may_connect = True  # whether clients open new connections
         self.is_over = False
         self.tasks: set[asyncio.Task[None]] = set()
-        self.asking: set[asyncio.Task[None]] = set()  # of these, the clients whose requests are judged
+        self.requesting: set[asyncio.Task[None]] = set()  # tasks of the clients whose requests are checked
 
     def start(self) -> None:
-        """All clients begin."""
-        each_s = self.schedule.clients / self.schedule.rate_per_s
+        """Starts all clients."""
+        interval_s = self.schedule.clients / self.schedule.rate_per_s
         for _ in range(self.schedule.clients):
-            self.asking.add(self.spawn(self.client(each_s)))
-        for _ in range(self.schedule.crowd):
-            self.spawn(self.one_of_the_crowd())
+            self.requesting.add(self.spawn(self.client(interval_s)))
+        for _ in range(self.schedule.idle_clients):
+            self.spawn(self.idle_client())
         for _ in range(self.schedule.slow_readers):
             self.spawn(self.slow_reader())
 
-    def spawn(self, work: Any) -> asyncio.Task[None]:
-        """Runs a client in a task of its own."""
-        task = self.loop.create_task(work)
+    def spawn(self, client: Any) -> asyncio.Task[None]:
+        """Runs a client coroutine in a task of its own."""
+        task = self.loop.create_task(client)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def finish(self) -> None:
-        """Sends nothing more, and waits for what is under way."""
-        self.is_over, self.accepts_new = True, False
-        most_s = self.schedule.longest_deadline_ms / 1000.0
-        if self.asking:
-            await asyncio.wait(self.asking, timeout=2.0 * most_s + 4.0)
+        """Stops sending requests and waits for the pending ones."""
+        self.is_over, self.may_connect = True, False
+        longest_s = self.schedule.longest_deadline_ms / 1000.0
+        if self.requesting:
+            await asyncio.wait(self.requesting, timeout=2.0 * longest_s + 4.0)
 
     async def stop(self) -> None:
-        """All clients end."""
+        """Cancels all clients and waits for them."""
         self.is_over = True
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def connect(self) -> SoakConnection | None:
-        """A new connection; None where no process accepts it."""
+        """Opens a connection; None if no process accepts it."""
         try:
-            async with asyncio.timeout(CONNECT_PATIENCE_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.loop.create_connection(
                     lambda: SoakConnection(self.loop), "127.0.0.1", self.port()
                 )
@@ -144,57 +147,65 @@
         except (OSError, TimeoutError):
             return None
 
-    async def client(self, each_s: float) -> None:
-        """A client that uses one connection as long as it is open, then the next."""
+    async def client(self, interval_s: float) -> None:
+        """Sends batches of requests on one connection while it is open, then on the next.
+
+        `interval_s` is the mean pause before a batch.
+        """
         connection: SoakConnection | None = None
         while not self.is_over:
-            await asyncio.sleep(self.rng.expovariate(1.0 / each_s))
+            await asyncio.sleep(self.rng.expovariate(1.0 / interval_s))
             if connection is None or not connection.is_open():
-                connection = await self.connect() if self.accepts_new else None
+                connection = await self.connect() if self.may_connect else None
             if connection is None:
                 continue
             depth = self.rng.randint(2, 6) if self.rng.random() < self.schedule.pipelined_share else 1
             batch = [next(self.requests) for _ in range(depth)]
-            leaves = self.rng.random() < self.schedule.leaving_share
-            await self.exchange(connection, batch, leaves)
+            disconnects = self.rng.random() < self.schedule.disconnecting_share
+            await self.exchange(connection, batch, disconnects)
 
     async def exchange(
-        self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]], leaves: bool
+        self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]], disconnects: bool
     ) -> None:
-        """Some requests at once, until all are answered or the connection ends."""
+        """Sends a batch and waits until all of it is answered or the connection ends.
+
+        A client that `disconnects` closes the connection shortly after sending instead.
+        """
         requests = [request for request, _ in batch]
         if not await self.send(connection, batch):
             requests = [request for request in requests if request.sent_at is not None]
         if not requests:
             return
-        if leaves:
+        if disconnects:
             await asyncio.sleep(self.rng.uniform(0.0, 0.03))
-            self.leave(connection, requests)
+            self.disconnect(connection, requests)
             return
-        patience_s = max(request.deadline_s for request in requests) + 2.0
-        await self.wait(connection, requests, patience_s)
-        cut = [request for request in requests if request.answer_count == 0]
-        if cut:
-            await self.repeat(connection, cut)
+        timeout_s = max(request.deadline_s for request in requests) + 2.0
+        await self.wait(connection, requests, timeout_s)
+        unanswered = [request for request in requests if request.answer_count == 0]
+        if unanswered:
+            await self.repeat(connection, unanswered)
 
     async def send(self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]]) -> bool:
-        """Writes them, some in pieces; False where the connection ended before the last byte."""
+        """Writes a batch, sometimes in pieces; False if the connection ended before the last byte."""
         data = b"".join(command for _, command in batch)
-        in_pieces = self.rng.random() < self.schedule.in_pieces_share
-        cuts = sorted(self.rng.sample(range(1, len(data)), 2)) if in_pieces else []
+        is_split = self.rng.random() < self.schedule.split_share
+        offsets = sorted(self.rng.sample(range(1, len(data)), 2)) if is_split else []
         begin = 0
-        for end in [*cuts, len(data)]:
+        for end in [*offsets, len(data)]:
             if connection.transport is None or connection.transport.is_closing():
                 return False
-            self.record(connection, batch, end)
+            self.record_sent(connection, batch, end)
             connection.transport.write(data[begin:end])
             begin = end
-            if cuts and end < len(data):
+            if offsets and end < len(data):
                 await asyncio.sleep(PIECE_PAUSE_S)
         return True
 
-    def record(self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]], end: int) -> None:
-        """The bytes of a batch up to this one are about to be written: requests that are whole are sent."""
+    def record_sent(
+        self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]], end: int
+    ) -> None:
+        """Records the requests whose last byte is before `end`, just before the write."""
         request_end = 0
         for request, command in batch:
             request_end += len(command)
@@ -203,18 +214,20 @@
                 self.books.requests[request.request_id] = request
                 connection.pending.append(request)
 
-    async def wait(self, connection: SoakConnection, requests: list[AskedRequest], patience_s: float) -> None:
-        """Until all are answered, or the connection has ended, or no longer than the patience."""
+    async def wait(self, connection: SoakConnection, requests: list[AskedRequest], timeout_s: float) -> None:
+        """Waits until all requests are answered, the connection ends, or the time is up."""
         changed = asyncio.Event()
         connection.on_answer = changed.set
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(patience_s):
-                while connection.transport is not None and any(one.answer_count == 0 for one in requests):
+            async with asyncio.timeout(timeout_s):
+                while connection.transport is not None and any(
+                    request.answer_count == 0 for request in requests
+                ):
                     changed.clear()
                     await changed.wait()
 
-    def leave(self, connection: SoakConnection, requests: list[AskedRequest]) -> None:
-        """The client closes its connection without waiting."""
+    def disconnect(self, connection: SoakConnection, requests: list[AskedRequest]) -> None:
+        """Closes the connection without waiting for answers."""
         now = self.loop.time()
         for request in requests:
             if request.answer_count == 0:
@@ -224,36 +237,40 @@
             connection.transport.abort()
 
     async def repeat(self, connection: SoakConnection, requests: list[AskedRequest]) -> None:
-        """Requests whose connection ended without an answer. On a connection that had carried requests before
-        that may be a crossing: what is sent once more, alone, on a new connection, has to be answered."""
+        """Repeats requests whose connection ended without an answer.
+
+        A connection that has carried requests before may be closed by the gateway while a command is on
+        its way. Each request is then sent once more, alone on a new connection, and must be answered.
+        Other requests without an answer are recorded as cut.
+        """
         was_used = connection.answered_count > 0
         if connection.transport is not None or not was_used:
             for request in requests:
                 request.is_cut = True
             return
         for request in requests:
-            again = await self.connect()
-            if again is None or again.transport is None:
+            retry = await self.connect()
+            if retry is None or retry.transport is None:
                 request.is_unreachable = True
                 continue
-            fields = {b"report-read": b"CALL.GET"}.get(request.class_name.encode(), b"CALL.POST")
-            words = [fields, b"%016x" % 1000, request.request_id]
-            text = b"c=%b,t=osnovni,d=%d" % (request.class_name.encode(), int(1000 * request.deadline_s))
-            words.append(text + (b",k=" + request.key if request.key else b""))
-            if fields == b"CALL.POST":
+            verb = {b"report-read": b"CALL.GET"}.get(request.class_name.encode(), b"CALL.POST")
+            words = [verb, b"%016x" % 1000, request.request_id]
+            fields = b"c=%b,t=osnovni,d=%d" % (request.class_name.encode(), int(1000 * request.deadline_s))
+            words.append(fields + (b",k=" + request.key if request.key else b""))
+            if verb == b"CALL.POST":
                 words.append(b"body")
             request.sent_at = self.loop.time()
-            again.pending.append(request)
-            again.transport.write(resp2.encode_command(*words))
-            await self.wait(again, [request], request.deadline_s + 2.0)
-            if again.transport is not None:
-                again.transport.abort()
-
-    async def one_of_the_crowd(self) -> None:
-        """Asks once on a connection of its own, keeps it, and comes again."""
+            retry.pending.append(request)
+            retry.transport.write(resp2.encode_command(*words))
+            await self.wait(retry, [request], request.deadline_s + 2.0)
+            if retry.transport is not None:
+                retry.transport.abort()
+
+    async def idle_client(self) -> None:
+        """Sends one PING on a connection, holds it for up to a second, and connects again."""
         while not self.is_over:
             await asyncio.sleep(self.rng.uniform(0.0, 1.0))
-            if not self.accepts_new or (connection := await self.connect()) is None:
+            if not self.may_connect or (connection := await self.connect()) is None:
                 continue
             if connection.transport is not None:
                 connection.transport.write(resp2.encode_command(b"PING"))
@@ -264,10 +281,10 @@
                 connection.transport.abort()
 
     async def slow_reader(self) -> None:
-        """Asks for megabytes and reads none of them."""
+        """Requests megabytes of replies and reads none of them."""
         while not self.is_over:
             await asyncio.sleep(self.rng.uniform(0.0, 0.5))
-            if not self.accepts_new or (connection := await self.connect()) is None:
+            if not self.may_connect or (connection := await self.connect()) is None:
                 continue
             if connection.transport is not None:
                 connection.transport.pause_reading()
--- a/lab/soak/mutants.py
+++ b/lab/soak/mutants.py
@@ -1,4 +1,7 @@
-"""The program with a fault put in on purpose: ``python -m lab.soak.mutants NAME``, for `--mutant`."""
+"""Runs the gateway with a deliberate fault: ``python -m lab.soak.mutants NAME``.
+
+The `--mutant` option of `lab.soak` starts the gateway this way.
+"""
 
 from __future__ import annotations
 
@@ -18,32 +21,32 @@
 
 
 def drops_each_fiftieth_response() -> None:
-    """Responses are lost now and then."""
-    complete, counts = ReplySlot.complete, [0]
+    """Drops every 50th response."""
+    complete, calls = ReplySlot.complete, [0]
 
-    def dropping(self: ReplySlot, answer: Any) -> None:
-        counts[0] += 1
-        if counts[0] % 50:
+    def drop_each_fiftieth(self: ReplySlot, answer: Any) -> None:
+        calls[0] += 1
+        if calls[0] % 50:
             complete(self, answer)
 
-    ReplySlot.complete = dropping  # type: ignore[method-assign]
+    ReplySlot.complete = drop_each_fiftieth  # type: ignore[method-assign]
 
 
 def answers_twice() -> None:
-    """A second final response follows now and then."""
-    flush, counts = ClientConnection.flush, [0]
+    """Appends a second final response after every 40th flush with open requests."""
+    flush, calls = ClientConnection.flush, [0]
 
-    def twice(self: ClientConnection) -> None:
-        counts[0] += 1
+    def flush_twice(self: ClientConnection) -> None:
+        calls[0] += 1
         flush(self)
-        if counts[0] % 40 == 0 and self.transport is not None and self.slots:
+        if calls[0] % 40 == 0 and self.transport is not None and self.slots:
             self.transport.write(b"-ERR failed\r\n")
 
-    ClientConnection.flush = twice  # type: ignore[method-assign]
+    ClientConnection.flush = flush_twice  # type: ignore[method-assign]
 
 
 def forgets_drains() -> None:
-    """Draining servers are used on."""
+    """Ignores drains, so that draining servers still get requests."""
     apply = EndpointUpdater.apply
 
     def without_drains(self: EndpointUpdater, update: Any) -> None:
@@ -51,72 +54,72 @@
             None if any(e.state.value == "draining" for e in update.event.endpoints) else apply(self, update)
         )
 
-    def unheard(self: RequestExecutor, update: Any) -> None:
+    def ignore_drains(self: RequestExecutor, update: Any) -> None:
         if not any(endpoint.state.value == "draining" for endpoint in update.event.endpoints):
-            heard(self, update)
+            update_endpoints(self, update)
 
-    heard = RequestExecutor.update_endpoints
+    update_endpoints = RequestExecutor.update_endpoints
     EndpointUpdater.apply = without_drains  # type: ignore[method-assign]
-    RequestExecutor.update_endpoints = unheard  # type: ignore[method-assign]
+    RequestExecutor.update_endpoints = ignore_drains  # type: ignore[method-assign]
 
 
 def repeats_charges() -> None:
-    """What may have run is sent again."""
+    """Retries requests that may already have run."""
     RetryPolicy.may_retry = lambda self, now_ms, pending, event: pending.attempt_count < 4  # type: ignore[method-assign]
 
 
 def ends_at_once() -> None:
-    """SIGTERM closes everything without waiting for responses."""
+    """Closes all client connections at SIGTERM without waiting for responses."""
 
-    def cut(self: Listener, replaced: bool = False) -> None:
+    def abort_clients(self: Listener, replaced: bool = False) -> None:
         for client in list(self.clients):
             if client.transport is not None:
                 client.transport.abort()
 
-    Listener.start_shutdown = cut  # type: ignore[method-assign]
+    Listener.start_shutdown = abort_clients  # type: ignore[method-assign]
 
 
 def never_ends() -> None:
-    """The process waits past the kill."""
+    """Waits for responses until after the platform's SIGKILL."""
     draining.ANSWER_MARGIN_S = -5.0
 
 
 def ignores_disconnects() -> None:
-    """Requests of clients that left are sent on."""
+    """Continues to send requests of disconnected clients."""
     ClientConnection.has_disconnected = lambda self: False  # type: ignore[method-assign]
     RequestExecutor.client_disconnected = lambda self, request: None  # type: ignore[method-assign]
 
 
 def accepts_no_connection_while_ending() -> None:
-    """Connections that come after SIGTERM are reset."""
-    made = ClientConnection.connection_made
+    """Resets connections that are opened after SIGTERM."""
+    connection_made = ClientConnection.connection_made
 
-    def refusing(self: ClientConnection, transport: Any) -> None:
-        made(self, transport)
+    def reset_while_leaving(self: ClientConnection, transport: Any) -> None:
+        connection_made(self, transport)
         if self.listener.lifecycle.phase.value == "leaving":
             transport.abort()
 
-    ClientConnection.connection_made = refusing  # type: ignore[method-assign]
+    ClientConnection.connection_made = reset_while_leaving  # type: ignore[method-assign]
 
 
 def raises_while_ending() -> None:
-    """An exception in the shutdown."""
+    """Raises an exception in the shutdown."""
 
-    def broken(self: Listener, replaced: bool = False) -> None:
-        raise RuntimeError("on purpose")
+    def fail_shutdown(self: Listener, replaced: bool = False) -> None:
+        raise RuntimeError("deliberate failure of the shutdown")
 
-    Listener.start_shutdown = broken  # type: ignore[method-assign]
+    Listener.start_shutdown = fail_shutdown  # type: ignore[method-assign]
 
 
 def answers_late() -> None:
-    """No request ends at its deadline, and attempts go on past it."""
+    """Ignores deadlines: requests do not end at theirs, and attempts continue past it."""
     executor.RESPONSE_MARGIN_S = -2.0
     RequestExecutor.deadline_expired = lambda self, request_id: None  # type: ignore[method-assign]
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
-    made.__name__: made
-    for made in (
+    mutant.__name__: mutant
+    for mutant in (
         drops_each_fiftieth_response,
         answers_twice,
         forgets_drains,
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -1,4 +1,7 @@
-"""Plays one schedule: real processes of the program, stand-ins and clients in this process."""
+"""Plays one schedule.
+
+The gateways are real processes; the stand-in services and the clients run in this process.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +24,16 @@
 from lab.soak.clients import SoakClients
 from lab.soak.schedule import SERVERS, Ending, Schedule
 
-READY_PATIENCE_S = 20.0
-LAG_CHECK_S = 0.01
-SPACING_S = 0.02  # between signals of one series
-TAKES_OVER = "takes over beside the process before"  # in the log of a process that replaces another
-SETTLE_S = 0.3  # until it serves
-START_DELAY_S = 0.05  # of a process, before it is told to end
+READY_TIMEOUT_S = 20.0
+LAG_CHECK_INTERVAL_S = 0.01
+SIGNAL_INTERVAL_S = 0.02  # between repeated signals
+TAKEOVER_MESSAGE = "takes over beside the process before"  # logged by a process that replaces another
+SERVING_DELAY_S = 0.3  # from the takeover message until the successor serves
+START_DELAY_STEP_S = 0.05  # unit of the delay from process start to SIGTERM in `DURING_START`
 
 
 class RecordingNode(Node):
-    """A server that writes down when each command came."""
+    """A server that records when each command arrived."""
 
     books: Books
 
@@ -42,7 +45,7 @@
 
 
 class SoakGateway(GatewayProcess):
-    """The program, or one with a fault put in on purpose."""
+    """A gateway process, optionally with a deliberate fault."""
 
     def __init__(self, folder: Path, platform: dict[str, Any], mutant: str = "") -> None:
         super().__init__(folder, platform)
@@ -51,38 +54,38 @@
 
 
 class Run:
-    """One run of a schedule."""
+    """A run of one schedule."""
 
     def __init__(self, schedule: Schedule, mutant: str = "") -> None:
         self.schedule, self.mutant = schedule, mutant
         self.books = Books()
         self.loop = asyncio.get_running_loop()
         self.extra_discovery: DiscoveryService | None = None
-        self.retired: list[SoakGateway] = []
+        self.successors: list[SoakGateway] = []
 
     async def play(self) -> Books:
-        """The whole run."""
+        """Starts the stand-in services, plays the schedule and returns the observations."""
         schedule, nodes = self.schedule, list[RecordingNode]()
         keys, order = dict[bytes, float](), deque[bytes]()
         trade = Trade({name: schedule.service_ms for name in ("report-read", "check-order", "check-charge")})
         for number in range(SERVERS):
             node = RecordingNode(f"n{number}", trade, Script(schedule.server_faults[number], schedule.seed))
             node.books = self.books
-            node.keys, node.order = keys, order  # servers of one group drop each other's repeats
+            node.keys, node.order = keys, order  # servers of one group share their idempotency keys
             nodes.append(node)
         counter = CounterService(Script(schedule.counter_faults, schedule.seed))
-        lag = asyncio.create_task(self.watch_lag())
+        lag_task = asyncio.create_task(self.watch_lag())
         try:
             async with LabSite(nodes, counter) as site:
                 with tempfile.TemporaryDirectory() as folder, socket.socket() as listening:
                     await self.play_site(site, Path(folder), listening)
             self.count_effects(nodes)
         finally:
-            lag.cancel()
+            lag_task.cancel()
         return self.books
 
     async def play_site(self, site: LabSite, folder: Path, listening: socket.socket) -> None:
-        """With stand-ins that run."""
+        """Plays the schedule against stand-in services that are already running."""
         gateway = SoakGateway(folder, site.platform(self.settings()), self.mutant)
         if self.schedule.ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -94,58 +97,59 @@
         try:
             gateway.start()
             if self.schedule.ending is Ending.DURING_START:
-                await asyncio.sleep(START_DELAY_S * (1 + self.schedule.seed % 4))
+                await asyncio.sleep(START_DELAY_STEP_S * (1 + self.schedule.seed % 4))
             else:
-                await gateway.ready(READY_PATIENCE_S)
+                await gateway.ready(READY_TIMEOUT_S)
                 await self.wait_for_list(site, gateway)
                 clients.start()
-                background = [asyncio.create_task(work) for work in self.troubles(site)]
+                background = [asyncio.create_task(event) for event in self.scheduled_events(site)]
                 await asyncio.sleep(self.schedule.terminate_at_s)
             await self.end(site, gateway, clients, folder)
         finally:
             for task in background:
                 task.cancel()
             await clients.stop()
-            for one in (gateway, *self.retired):
-                one.signal(signal.SIGKILL)
-                if one.process is not None:
-                    one.process.wait()
+            for launched in (gateway, *self.successors):
+                launched.signal(signal.SIGKILL)
+                if launched.process is not None:
+                    launched.process.wait()
             self.books.log = gateway.log.read_text(errors="replace")
             if self.extra_discovery is not None:
                 await self.extra_discovery.stop()
 
     def settings(self) -> dict[str, Any]:
-        """The platform's settings with this run's deadlines."""
+        """Returns the platform's settings with the deadlines and quotas of this run."""
         longest_ms = float(self.schedule.longest_deadline_ms)
         profiles = [
-            one | {"hard_limit_ms": longest_ms, "aim_ms": 0.5 * longest_ms} for one in SETTINGS["profiles"]
+            profile | {"hard_limit_ms": longest_ms, "aim_ms": 0.5 * longest_ms}
+            for profile in SETTINGS["profiles"]
         ]
-        packages = [one | {"per_second": 200.0, "most_at_once": 400.0} for one in SETTINGS["packages"]]
+        packages = [plan | {"per_second": 200.0, "most_at_once": 400.0} for plan in SETTINGS["packages"]]
         packages[2] |= {"ceiling_rate": 400.0, "hard_burst": 800.0, "ceiling_slack": 80.0}
         return SETTINGS | {"profiles": profiles, "packages": packages}
 
     async def wait_for_list(self, site: LabSite, gateway: SoakGateway) -> None:
-        """Until the gateway has asked discovery once."""
-        async with asyncio.timeout(READY_PATIENCE_S):
+        """Waits until discovery has answered the gateway once."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not site.discovery.told:
                 await asyncio.sleep(0.01)
 
-    # --- what goes on beside the load --------------------------------------------------------------------
+    # --- scheduled events during the load ----------------------------------------------------------------
 
-    def troubles(self, site: LabSite) -> list[Any]:
-        """The schedule's events, as coroutines."""
+    def scheduled_events(self, site: LabSite) -> list[Any]:
+        """Returns a coroutine for each event of the schedule."""
         schedule = self.schedule
-        works: list[Any] = [
-            self.change(site, change.at_s, change.server, change.states) for change in schedule.changes
+        events: list[Any] = [
+            self.change_server(site, change.at_s, change.server, change.states) for change in schedule.changes
         ]
-        if schedule.counter_forgets_at_s is not None:
-            works.append(self.forget(site, schedule.counter_forgets_at_s))
-        if schedule.discovery_down_s is not None:
-            works.append(self.discovery_down(site, *schedule.discovery_down_s))
-        return works
-
-    async def change(self, site: LabSite, at_s: float, server: int, states: tuple[str, ...]) -> None:
-        """A server's rows come in one answer; its drain counts from when that was written."""
+        if schedule.counter_reset_at_s is not None:
+            events.append(self.reset_counter(site, schedule.counter_reset_at_s))
+        if schedule.discovery_outage_s is not None:
+            events.append(self.interrupt_discovery(site, *schedule.discovery_outage_s))
+        return events
+
+    async def change_server(self, site: LabSite, at_s: float, server: int, states: tuple[str, ...]) -> None:
+        """Publishes a server's rows in one answer and records when discovery wrote it as the drain time."""
         await asyncio.sleep(at_s)
         node = site.nodes[server]
         for discovery in (site.discovery, self.extra_discovery):
@@ -156,13 +160,13 @@
                 await asyncio.sleep(0.001)
             self.books.drained_at.setdefault(node.name, discovery.told[version])
 
-    async def forget(self, site: LabSite, at_s: float) -> None:
-        """The counter comes back with nothing."""
+    async def reset_counter(self, site: LabSite, at_s: float) -> None:
+        """Resets all totals of the counter to zero."""
         await asyncio.sleep(at_s)
         site.counter.forget()
 
-    async def discovery_down(self, site: LabSite, from_s: float, until_s: float) -> None:
-        """Discovery is away for a while."""
+    async def interrupt_discovery(self, site: LabSite, from_s: float, until_s: float) -> None:
+        """Stops discovery at `from_s` and restarts it on the same port at `until_s`."""
         await asyncio.sleep(from_s)
         port = site.discovery.port
         await site.discovery.stop()
@@ -170,20 +174,25 @@
         await site.discovery.start(port)
 
     async def watch_lag(self) -> None:
-        """How long this process itself does not run: its own clock readings are off by as much."""
+        """Records the longest time for which this process did not run.
+
+        The times that it records for requests and attempts may be late by as much.
+        """
         while True:
-            began = self.loop.time()
-            await asyncio.sleep(LAG_CHECK_S)
-            self.books.lag_s = max(self.books.lag_s, self.loop.time() - began - LAG_CHECK_S)
+            started = self.loop.time()
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
+            self.books.lag_s = max(self.books.lag_s, self.loop.time() - started - LAG_CHECK_INTERVAL_S)
 
-    # --- the end -----------------------------------------------------------------------------------------
+    # --- the end of the run ------------------------------------------------------------------------------
 
     async def end(self, site: LabSite, gateway: SoakGateway, clients: SoakClients, folder: Path) -> None:
-        """The signals, then the platform's earliest kill."""
+        """Sends the signals of the ending, and SIGKILL at the platform's earliest time for it."""
         ending = self.schedule.ending
         if ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             gateway = await self.replace(gateway, folder, 1 + (ending is Ending.REPLACED_TWICE))
-            await clients.finish()  # the passed socket stays open without a process behind it
+            await (
+                clients.finish()
+            )  # before SIGTERM, as connections to the passed socket are accepted even without a process
         if ending is Ending.RELOAD_BEFORE:
             gateway.signal(signal.SIGHUP)
         elif ending is Ending.BROKEN_FILE:
@@ -193,46 +202,53 @@
             await self.move_discovery(site, gateway)
         elif ending is Ending.STOPPED:
             gateway.signal(signal.SIGSTOP)
-            await asyncio.sleep(self.schedule.stop_s)
-            self.books.lag_s += self.schedule.stop_s  # the process's own time stood still for so long
+            await asyncio.sleep(self.schedule.paused_s)
+            self.books.lag_s += self.schedule.paused_s  # the gateway was late by this time
             gateway.signal(signal.SIGCONT)
         await self.terminate(gateway, clients)
 
     async def terminate(self, gateway: SoakGateway, clients: SoakClients) -> None:
-        """SIGTERM, connections for a while more, and SIGKILL where the process is still there."""
-        began = self.loop.time()
+        """Sends SIGTERM, lets clients connect a while longer, and kills the process if it is too slow."""
+        terminated_at = self.loop.time()
         gateway.signal(signal.SIGTERM)
-        more = {Ending.TERM_TWICE: 1, Ending.TERM_FIVE_TIMES: 4}.get(self.schedule.ending, 0)
-        for _ in range(more):
-            await asyncio.sleep(SPACING_S)
+        repeat_count = {Ending.TERM_TWICE: 1, Ending.TERM_FIVE_TIMES: 4}.get(self.schedule.ending, 0)
+        for _ in range(repeat_count):
+            await asyncio.sleep(SIGNAL_INTERVAL_S)
             gateway.signal(signal.SIGTERM)
         if self.schedule.ending is Ending.RELOAD_AFTER:
             gateway.signal(signal.SIGHUP)
-        await asyncio.sleep(max(0.0, began + self.schedule.arrivals_after_s - self.loop.time()))
-        clients.accepts_new = False
+        await asyncio.sleep(max(0.0, terminated_at + self.schedule.arrivals_after_s - self.loop.time()))
+        clients.may_connect = False
         assert gateway.process is not None
-        while gateway.process.poll() is None and self.loop.time() - began < self.schedule.kill_after_s:
+        while (
+            gateway.process.poll() is None and self.loop.time() - terminated_at < self.schedule.kill_after_s
+        ):
             await asyncio.sleep(0.005)
         self.books.killed_at_end = gateway.process.poll() is None
         gateway.signal(signal.SIGKILL)
         status = gateway.process.wait()
-        is_told_during_start = self.schedule.ending is Ending.DURING_START and status == -signal.SIGTERM
-        self.books.exit_status = 0 if is_told_during_start else status
+        is_killed_during_start = self.schedule.ending is Ending.DURING_START and status == -signal.SIGTERM
+        self.books.exit_status = 0 if is_killed_during_start else status
         await clients.finish()
 
     async def replace(self, gateway: SoakGateway, folder: Path, times: int) -> SoakGateway:
-        """Each new process listens on the passed socket before the one before it is told to end."""
+        """Replaces the gateway process `times` times and returns the last successor.
+
+        Each successor listens on the passed socket before its predecessor receives SIGTERM.
+        """
         for _ in range(times):
             successor = SoakGateway(folder, gateway.platform, self.mutant)
             successor.passed, successor.shared = gateway.passed, gateway.shared
             successor.log = folder / "gateway.log"
-            before = gateway.log.read_text(errors="replace").count(TAKES_OVER)
-            self.retired.append(successor)  # ended with the run, whatever becomes of it here
+            takeover_count = gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE)
+            self.successors.append(
+                successor
+            )  # so that it is killed at the end of the run even after an error
             successor.start()
-            async with asyncio.timeout(READY_PATIENCE_S):
-                while gateway.log.read_text(errors="replace").count(TAKES_OVER) == before:
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE) == takeover_count:
                     await asyncio.sleep(0.02)
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(SERVING_DELAY_S)
             gateway.signal(signal.SIGTERM)
             assert gateway.process is not None
             began = self.loop.time()
@@ -246,7 +262,7 @@
         return gateway
 
     async def move_discovery(self, site: LabSite, gateway: SoakGateway) -> None:
-        """A file with another address, then SIGHUP."""
+        """Starts a second discovery service, writes its address to the platform's file and sends SIGHUP."""
         self.extra_discovery = DiscoveryService(list(site.discovery.rows.values()))
         await self.extra_discovery.start()
         platform = gateway.platform | {"discovery": f"127.0.0.1:{self.extra_discovery.port}"}
@@ -254,7 +270,7 @@
         gateway.signal(signal.SIGHUP)
 
     def count_effects(self, nodes: list[RecordingNode]) -> None:
-        """The servers' own books of what ran."""
+        """Adds the effects that the servers recorded to the observations."""
         for node in nodes:
             for run in node.ran:
                 self.books.executed[run.request_id] += 1
@@ -263,7 +279,7 @@
 
 
 async def play(schedule: Schedule, mutant: str = "") -> Books:
-    """One run."""
+    """Plays a schedule and returns the observations."""
     with contextlib.suppress(asyncio.CancelledError):
         return await Run(schedule, mutant).play()
     raise RuntimeError("the run was cancelled")
--- a/lab/soak/schedule.py
+++ b/lab/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What one run of the soak does: drawn from its seed alone, so that one command plays it again."""
+"""Schedules of soak runs, each drawn from its seed alone so that a run can be repeated."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from lab.faults import Fault, Kind
 
-DEADLINES_MS = (150, 300, 900, 3000)  # the longest of a run
-KILL_DELAY_S = 0.7  # after the longest deadline, the platform's earliest kill
-PLATFORM_MAX_DEADLINE_S = 3.0  # of the longest deadline, that counts for the kill
+LONGEST_DEADLINES_MS = (150, 300, 900, 3000)  # a run uses one of these as its longest deadline
+KILL_DELAY_S = 0.7  # from the longest deadline to the platform's earliest SIGKILL
+PLATFORM_MAX_DEADLINE_S = 3.0  # longer deadlines do not delay the platform's SIGKILL further
 SERVERS = 5
 
 
 class Ending(Enum):
-    """The signals of a run's end, in their order."""
+    """How a run ends: the signals in the order in which they are sent."""
 
     TERM = "SIGTERM"
     TERM_TWICE = "SIGTERM twice"
@@ -35,57 +35,62 @@
 
     at_s: float
     server: int
-    states: tuple[str, ...]  # rows of one answer; more than one: the list names the server so often
+    states: tuple[
+        str, ...
+    ]  # one row per state in a single answer; several rows name the server several times
 
 
 class Schedule(NamedTuple):
-    """One run. Times are seconds after the load began, but for `terminate_at_s`, which ends it."""
+    """Schedule of one run.
+
+    Points in time are seconds after the load began; SIGTERM is sent at `terminate_at_s`.
+    """
 
     seed: int
     ending: Ending
     longest_deadline_ms: int
     terminate_at_s: float
-    arrivals_after_s: float  # new connections go on for so long after SIGTERM
-    stop_s: float
+    arrivals_after_s: float  # how long clients open new connections after SIGTERM
+    paused_s: float  # between SIGSTOP and SIGCONT
     clients: int
     rate_per_s: float
-    pipelined_share: float
-    in_pieces_share: float
-    leaving_share: float
-    crowd: int
+    pipelined_share: float  # of the batches, those with several requests
+    split_share: float  # of the batches, those that are written in several pieces
+    disconnecting_share: float  # of the batches, those whose client disconnects without waiting
+    idle_clients: int  # each holds a connection and sends one PING on it
     slow_readers: int
     service_ms: float
     server_faults: tuple[tuple[Fault, ...], ...]  # by server
     counter_faults: tuple[Fault, ...]
-    counter_forgets_at_s: float | None
+    counter_reset_at_s: float | None
     changes: tuple[ServerChange, ...]
-    discovery_down_s: tuple[float, float] | None
+    discovery_outage_s: tuple[float, float] | None  # its begin and end
 
     @property
     def kill_after_s(self) -> float:
-        """From SIGTERM to the platform's earliest SIGKILL."""
+        """Seconds from SIGTERM to the platform's earliest SIGKILL."""
         return min(self.longest_deadline_ms / 1000.0, PLATFORM_MAX_DEADLINE_S) + KILL_DELAY_S
 
     def describe(self) -> str:
-        """One line for the report."""
+        """Describes the run in one line of the report."""
         faults = sorted({fault.kind.value for faults in self.server_faults for fault in faults})
         counter = sorted({fault.kind.value for fault in self.counter_faults})
         changes = [f"{'+'.join(change.states)}@{change.at_s:.1f}" for change in self.changes]
         return (
             f"{self.ending.value}; deadlines to {self.longest_deadline_ms} ms; {self.clients} clients,"
-            f" {self.rate_per_s:.0f}/s, crowd {self.crowd}, slow readers {self.slow_readers};"
+            f" {self.rate_per_s:.0f}/s, crowd {self.idle_clients}, slow readers {self.slow_readers};"
             f" servers {faults or 'well'}; counter {counter or 'well'}"
-            f"{', forgets' if self.counter_forgets_at_s is not None else ''}; list {changes or 'stays'}"
-            f"{', discovery down' if self.discovery_down_s else ''}"
+            f"{', forgets' if self.counter_reset_at_s is not None else ''}; list {changes or 'stays'}"
+            f"{', discovery down' if self.discovery_outage_s else ''}"
         )
 
 
-SERVER_KINDS = (Kind.VANISH, Kind.RESET, Kind.DELAY, Kind.FAIL, Kind.REFUSE, Kind.STALL, Kind.DOWN)
-COUNTER_KINDS = (Kind.VANISH, Kind.DELAY, Kind.REFUSE)
+SERVER_FAULT_KINDS = (Kind.VANISH, Kind.RESET, Kind.DELAY, Kind.FAIL, Kind.REFUSE, Kind.STALL, Kind.DOWN)
+COUNTER_FAULT_KINDS = (Kind.VANISH, Kind.DELAY, Kind.REFUSE)
 
 
 def draw_server_faults(rng: random.Random, end_s: float) -> tuple[tuple[Fault, ...], ...]:
-    """Trouble at some servers, often across SIGTERM."""
+    """Draws faults of some servers, many of which last beyond SIGTERM."""
     faults: list[tuple[Fault, ...]] = []
     for _ in range(SERVERS):
         if rng.random() > 0.3:
@@ -94,12 +99,14 @@
         from_s = rng.uniform(0.0, end_s)
         until_s = from_s + rng.uniform(0.3, 4.0)
         share = rng.choice((0.1, 0.5, 1.0))
-        faults.append((Fault(rng.choice(SERVER_KINDS), from_s, until_s, share, rng.uniform(0.05, 0.6)),))
+        faults.append(
+            (Fault(rng.choice(SERVER_FAULT_KINDS), from_s, until_s, share, rng.uniform(0.05, 0.6)),)
+        )
     return tuple(faults)
 
 
 def draw_changes(rng: random.Random, end_s: float) -> tuple[ServerChange, ...]:
-    """Drains, some of servers that one answer names twice."""
+    """Draws drains, some of them of servers that one discovery answer names twice."""
     changes = []
     for server in rng.sample(range(SERVERS), rng.choice((0, 0, 1, 2))):
         states = ("Ready", "Terminating") if rng.random() < 0.3 else ("Terminating",)
@@ -108,36 +115,40 @@
 
 
 def draw(seed: int) -> Schedule:
-    """The run of a seed."""
+    """Draws the schedule of a seed."""
     rng = random.Random(f"soak {seed}")
     end_s = rng.uniform(0.8, 2.0)
-    crowd = rng.choice((150, 300, 800)) if rng.random() < 0.2 else 0
+    idle_clients = rng.choice((150, 300, 800)) if rng.random() < 0.2 else 0
     counter_faults: tuple[Fault, ...] = ()
     if rng.random() < 0.4:
         from_s = rng.uniform(0.0, end_s)
         fault = Fault(
-            rng.choice(COUNTER_KINDS), from_s, from_s + rng.uniform(0.3, 3.0), rng.choice((0.3, 1.0)), 0.2
+            rng.choice(COUNTER_FAULT_KINDS),
+            from_s,
+            from_s + rng.uniform(0.3, 3.0),
+            rng.choice((0.3, 1.0)),
+            0.2,
         )
         counter_faults = (fault,)
-    down_s = rng.uniform(0.2, end_s)
+    outage_at_s = rng.uniform(0.2, end_s)
     return Schedule(
         seed=seed,
         ending=rng.choice(list(Ending)),
-        longest_deadline_ms=rng.choice(DEADLINES_MS),
+        longest_deadline_ms=rng.choice(LONGEST_DEADLINES_MS),
         terminate_at_s=end_s,
         arrivals_after_s=rng.uniform(0.2, 0.4),
-        stop_s=rng.uniform(0.1, 1.0),
+        paused_s=rng.uniform(0.1, 1.0),
         clients=rng.randint(6, 30),
         rate_per_s=rng.choice((60.0, 150.0, 300.0)),
         pipelined_share=rng.choice((0.0, 0.3, 0.7)),
-        in_pieces_share=rng.choice((0.0, 0.2, 0.5)),
-        leaving_share=rng.choice((0.0, 0.1, 0.3)),
-        crowd=crowd,
+        split_share=rng.choice((0.0, 0.2, 0.5)),
+        disconnecting_share=rng.choice((0.0, 0.1, 0.3)),
+        idle_clients=idle_clients,
         slow_readers=rng.choice((5, 40)) if rng.random() < 0.25 else 0,
         service_ms=rng.choice((5.0, 20.0, 60.0)),
         server_faults=draw_server_faults(rng, end_s),
         counter_faults=counter_faults,
-        counter_forgets_at_s=rng.uniform(0.2, end_s) if rng.random() < 0.2 else None,
+        counter_reset_at_s=rng.uniform(0.2, end_s) if rng.random() < 0.2 else None,
         changes=draw_changes(rng, end_s),
-        discovery_down_s=(down_s, down_s + rng.uniform(0.2, 1.5)) if rng.random() < 0.2 else None,
+        discovery_outage_s=(outage_at_s, outage_at_s + rng.uniform(0.2, 1.5)) if rng.random() < 0.2 else None,
     )
