--- a/lab/links.py
+++ b/lab/links.py
@@ -1,8 +1,9 @@
-"""Links between processes that can be cut, stalled, slowed, and made to lose, repeat and reorder. Seeded.
+"""Links between processes with injected faults: cuts, stalls, delay, loss, repetition and reordering.
 
-A `DatagramLink` stands between two members: each knows the other by the link's address on its own side, so
-that what comes through has the source that the receiver lists. A `StreamLink` stands before a listener.
-Both have a `Way` each direction, which a script may change at any moment.
+A `DatagramLink` connects two members. Each knows the other by the link's address on its own side, so that
+forwarded datagrams have the source address that the receiver expects. A `StreamLink` forwards connections to
+a listener. Both have a `LinkDirection` per direction, which a script may change at any time. Random choices
+are seeded.
 """
 
 from __future__ import annotations
@@ -15,65 +16,65 @@
 
 from lab.peers import Peer
 
-PIECE = 4096
+CHUNK_BYTES = 4096
 
 
 @dataclass(slots=True)
-class Way:
-    """What becomes of what goes one way. Shares are of datagrams; bytes a second 0: as they come."""
+class LinkDirection:
+    """Faults and counts of one direction of a link."""
 
-    cut: bool = False  # nothing comes through, and nobody is told
-    lose: float = 0.0
-    repeat: float = 0.0
+    cut: bool = False  # drops or holds all data without an error to either end
+    lose: float = 0.0  # fraction of datagrams that are dropped
+    repeat: float = 0.0  # fraction of datagrams that are delivered twice
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # beside the delay; more than the gap between two reorders them
-    bytes_s: float = 0.0
-    passed: int = 0
-    lost: int = 0
-    size: int = 0  # bytes that were given to this way
+    jitter_s: float = 0.0  # upper bound of the random extra delay, which may reorder datagrams
+    bytes_s: float = 0.0  # bytes per second of a stream; 0 is unlimited
+    passed: int = 0  # datagrams or chunks delivered
+    lost: int = 0  # datagrams dropped
+    size: int = 0  # bytes received for this direction
 
 
-class Side(asyncio.DatagramProtocol):
-    """One side's socket of a datagram link."""
+class LinkSocket(asyncio.DatagramProtocol):
+    """The socket on one side of a datagram link."""
 
     def __init__(self, link: DatagramLink, number: int) -> None:
         self.link, self.number = link, number
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's is none by its class
+        self.transport = cast(asyncio.DatagramTransport, transport)  # uvloop's class is not a subclass
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         self.link.carry(self.number, data, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        pass  # nobody listens there now: the datagram is lost
+        pass  # no process listens at the destination, so the datagram is lost
 
 
 class DatagramLink:
-    """Between two members; `ways[0]` goes from the first to the second."""
+    """Forwards datagrams between two members; `ways[0]` goes from the first to the second."""
 
     def __init__(
         self, ends: tuple[tuple[str, int], tuple[str, int]], ports: tuple[int, int], seed: int
     ) -> None:
         self.ends, self.ports = ends, ports
-        self.ways = (Way(), Way())
+        self.ways = (LinkDirection(), LinkDirection())
         self.rng = random.Random(seed)
-        self.sides: list[Side] = []
-        self.strangers = 0
+        self.sides: list[LinkSocket] = []
+        self.unexpected = 0  # datagrams from addresses other than the member's
 
     async def start(self) -> None:
         """Opens both sides. The first member sends to `ports[0]`, the second to `ports[1]`."""
         loop = asyncio.get_running_loop()
         for number in (0, 1):
-            side = Side(self, number)
+            side = LinkSocket(self, number)
             await loop.create_datagram_endpoint(lambda side=side: side, ("127.0.0.1", self.ports[number]))  # type: ignore[misc]
             self.sides.append(side)
 
     def carry(self, number: int, data: bytes, source: tuple[str, int]) -> None:
-        """A datagram from the member on this side, to the other one."""
+        """Forwards a datagram from the member on side `number` to the other member, subject to faults."""
         if source != self.ends[number]:
-            self.strangers += 1
+            self.unexpected += 1
             return
         way = self.ways[number]
         way.size += len(data)
@@ -81,25 +82,25 @@
             way.lost += 1
             return
         for _ in range(1 + (self.rng.random() < way.repeat)):
-            delay = way.delay_s + way.jitter_s * self.rng.random()
-            if delay > 0.0:
-                asyncio.get_running_loop().call_later(delay, self.give, number, data)
+            delay_s = way.delay_s + way.jitter_s * self.rng.random()
+            if delay_s > 0.0:
+                asyncio.get_running_loop().call_later(delay_s, self.give, number, data)
             else:
                 self.give(number, data)
 
     def give(self, number: int, data: bytes) -> None:
-        """It comes out at the other side."""
+        """Delivers a datagram to the member on the other side."""
         transport = self.sides[1 - number].transport
         if transport is not None and not transport.is_closing():
             self.ways[number].passed += 1
             transport.sendto(data, self.ends[1 - number])
 
     def send_as(self, number: int, data: bytes) -> None:
-        """Sends a datagram to the member on the other side as if it came from this one: noise, lies."""
+        """Sends a forged datagram to the other member as if it came from the member on side `number`."""
         self.give(number, data)
 
     def cut(self, *numbers: int, cut: bool = True) -> None:
-        """Cuts these ways, or both, or mends them."""
+        """Cuts or restores the given directions, or both if none is given."""
         for number in numbers or (0, 1):
             self.ways[number].cut = cut
 
@@ -111,21 +112,27 @@
 
 
 class StreamLink(Peer):
-    """Before a listener at `target`. `ways[0]` goes to it. A way that is cut keeps connections open and
-    silent, as a machine that vanished would; `reset` breaks those that are open."""
+    """Forwards connections to a listener at port `target`; `ways[0]` goes to the listener.
+
+    A cut direction keeps connections open and silent, as a vanished machine would. `reset` aborts all open
+    connections.
+    """
 
     def __init__(self, target: int) -> None:
         super().__init__()
         self.target = target
-        self.ways = (Way(), Way())
-        self.mended = asyncio.Event()
+        self.ways = (LinkDirection(), LinkDirection())
+        self.restored = asyncio.Event()
         self.open: set[asyncio.StreamWriter] = set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        there, out = await asyncio.open_connection("127.0.0.1", self.target)
+        target_reader, out = await asyncio.open_connection("127.0.0.1", self.target)
         self.open |= {writer, out}
         try:
-            both = [asyncio.create_task(self.pump(*row)) for row in ((reader, out, 0), (there, writer, 1))]
+            both = [
+                asyncio.create_task(self.pump(*stream))
+                for stream in ((reader, out, 0), (target_reader, writer, 1))
+            ]
             try:
                 await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
             finally:
@@ -136,12 +143,12 @@
             out.close()
 
     async def pump(self, source: asyncio.StreamReader, sink: asyncio.StreamWriter, number: int) -> None:
-        """Bytes of one way, in order."""
+        """Copies the bytes of one direction in order."""
         way = self.ways[number]
-        while data := await source.read(PIECE):
+        while data := await source.read(CHUNK_BYTES):
             while way.cut:
-                self.mended.clear()
-                await self.mended.wait()
+                self.restored.clear()
+                await self.restored.wait()
             if way.delay_s:
                 await asyncio.sleep(way.delay_s)
             if way.bytes_s:
@@ -152,14 +159,17 @@
             await sink.drain()
 
     def cut(self, *numbers: int, cut: bool = True) -> None:
-        """Cuts these ways, or both, or mends them; what was on its way comes through then."""
+        """Cuts or restores the given directions, or both if none is given.
+
+        Data that was held by the cut is delivered once the direction is restored.
+        """
         for number in numbers or (0, 1):
             self.ways[number].cut = cut
         if not cut:
-            self.mended.set()
+            self.restored.set()
 
     def reset(self) -> None:
-        """Breaks all connections that are open."""
+        """Aborts all open connections."""
         for writer in self.open:
             with contextlib.suppress(Exception):
                 writer.transport.abort()
--- a/lab/load.py
+++ b/lab/load.py
@@ -1,8 +1,7 @@
-"""Clients: an open load of requests at drawn moments, and the truth about what each was answered.
+"""Open-loop load: requests at random times, each with a record of its outcome.
 
-A request is sent once more on a new connection where the old one ended with no answer on it before a byte of
-one came, as the protocol has it for a command that crosses a close; only a connection that had carried a
-request before can end that way.
+If a reused connection ends before any byte of a reply, its request is sent again on another connection. The
+protocol demands this of clients, as a command may cross the gateway's close of an idle connection.
 """
 
 from __future__ import annotations
@@ -20,41 +19,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One class of requests: its share of the load, how long clients wait, and how it is sent."""
+    """A request class: its share of the load, its deadline, and how its requests are sent."""
 
     class_name: str
     share: float
     deadline_ms: int
-    post: bool = False
-    keyed: bool = False
+    post: bool = False  # sent as CALL.POST with a body
+    keyed: bool = False  # carries an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """One customer; `weight` is its share of the load against the others'."""
+    """A customer; `weight` is its part of the load relative to other customers."""
 
     customer: bytes
     plan: str
     weight: float = 1.0
-    more: str = ""  # further fields of its commands: `,spread=3,first=0`
+    more: str = ""  # further fields of its commands, such as `,spread=3,first=0`
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a request."""
+    """The outcome of a request."""
 
     kind: Kind
     account: Account
     request_id: bytes
-    asked: float
+    asked: float  # scheduled send time on the event loop's clock
     took_ms: float = 0.0
-    answer: str = ""  # served, refused, failed, lost
+    answer: str = ""  # "served", "refused", "failed" or "lost"
     retry_after_ms: int | None = None
 
 
 @dataclass
 class Load:
-    """A load on one gateway."""
+    """Load generator for one gateway; `rate` is in requests per second."""
 
     port: Callable[[], int]
     kinds: Sequence[Kind]
@@ -65,15 +64,15 @@
     idle: list[Client] = field(default_factory=list)
 
     async def run(self, seconds: float) -> None:
-        """Sends for so long, then waits for the last answers."""
+        """Sends requests for `seconds`, then waits for the last answers."""
         rng = random.Random(self.seed)
         loop = asyncio.get_running_loop()
-        began = at = loop.time()
+        started = at = loop.time()
         tasks: set[asyncio.Task[None]] = set()
         number = 0
         while True:
             at += rng.expovariate(self.rate)
-            if at - began >= seconds:
+            if at - started >= seconds:
                 break
             kind = rng.choices(self.kinds, [k.share for k in self.kinds])[0]
             account = rng.choices(self.accounts, [a.weight for a in self.accounts])[0]
@@ -89,7 +88,7 @@
             client.writer.close()
 
     async def ask(self, outcome: Outcome) -> None:
-        """One request to its end."""
+        """Sends one request and records its outcome."""
         self.outcomes.append(outcome)
         loop, kind = asyncio.get_running_loop(), outcome.kind
         fields = f"c={kind.class_name},t={outcome.account.plan},d={kind.deadline_ms}{outcome.account.more}"
@@ -105,12 +104,12 @@
         outcome.took_ms = 1000.0 * (loop.time() - outcome.asked)
 
     async def exchange(self, words: list[bytes]) -> tuple[str, int | None]:
-        """Sends on a kept connection, or on a new one."""
+        """Sends a command on an idle connection or a new one, and returns the outcome."""
         while True:
-            kept = bool(self.idle)
+            is_reused = bool(self.idle)
             client = None
             try:
-                client = self.idle.pop() if kept else await Client.connect(self.port())
+                client = self.idle.pop() if is_reused else await Client.connect(self.port())
                 client.send(*words)
                 reply = await client.reply()
             except ConnectionError:
@@ -122,20 +121,20 @@
             if reply is None:
                 if client is not None:
                     client.writer.close()
-                if kept:
-                    continue  # it crossed the end of the connection
+                if is_reused:
+                    continue  # the command crossed the close of the connection
                 return "lost", None
             assert client is not None
             self.idle.append(client)
             return read(reply)
 
     def of(self, class_name: str) -> list[Outcome]:
-        """The outcomes of a class."""
+        """Returns the outcomes of a class."""
         return [outcome for outcome in self.outcomes if outcome.kind.class_name == class_name]
 
 
 def read(reply: object) -> tuple[str, int | None]:
-    """An answer as the protocol's table reads it, with the time after which to come back."""
+    """Classifies a reply; also returns the milliseconds to wait before a retry, if given."""
     if isinstance(reply, bytes):
         return "served", None
     if isinstance(reply, hiredis.ReplyError) and str(reply).split(" ")[0] == "BUSY":
@@ -145,7 +144,7 @@
 
 
 def percentile(values: Sequence[float], percent: int) -> float:
-    """The value that this percentage of them (1 to 99) does not pass; 0 of none."""
+    """Returns a percentile of the values, `percent` from 1 to 99; 0.0 without values."""
     if len(values) < 2:
         return values[0] if values else 0.0
     return statistics.quantiles(values, n=100, method="inclusive")[percent - 1]
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -1,8 +1,8 @@
-"""A check node: runs commands of the platform's protocol, keeps the truth about what ran, fails by a script.
+"""Stand-in server of the platform's protocol that records what ran and fails according to a script.
 
-It serves `slots` commands at once and lets `queue` more wait; beyond that it turns away unseen. Repeats of a
-key within `memory_s` are dropped: they are answered as the first was, and have no further effect. A command
-that is written behind another on its connection is begun at once, up to `streams`, and answered after it.
+It runs `slots` commands at once and queues up to `queue` more; further commands are rejected without running.
+A repeat of an idempotency key within `memory_s` is answered as the first command was and has no effect.
+Pipelined commands start at once, up to `streams` per connection, and are answered in order.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from lab.faults import Kind, Script
 from lab.peers import Peer
 
-FIELDS = re.compile(rb"[a-z]+=[^,=]+(,[a-z]+=[^,=]+)*")
-MOST_KEYS = 10_000
-NOISE = b"\x00\xffnoise\r\n$3\r\n"
+FIELDS_PATTERN = re.compile(rb"[a-z]+=[^,=]+(,[a-z]+=[^,=]+)*")
+MAX_KEYS = 10_000
+GARBLED_REPLY = b"\x00\xffnoise\r\n$3\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One effect, by this node's clock."""
+    """An effect of a command; `at` is in seconds since the server started."""
 
     at: float
     class_name: str
@@ -36,33 +36,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Trade:
-    """How a node serves: milliseconds of service by class (the mean; drawn exponentially around half of it),
-    commands at once, and commands that may wait."""
+    """How a server works: mean service time by class, and its limits on concurrent and queued commands.
+
+    Half of the service time is fixed and the other half is exponentially distributed.
+    """
 
     service_ms: Mapping[str, float]
     slots: int = 8
     queue: int = 64
-    memory_s: float = 2.5
-    streams: int = 32
-    keyed: frozenset[str] = frozenset({"check-order"})
+    memory_s: float = 2.5  # how long an idempotency key is remembered
+    streams: int = 32  # commands in progress on one connection
+    keyed: frozenset[str] = frozenset({"check-order"})  # classes whose repeats are dropped by key
 
 
 class Node(Peer):
-    """One node."""
+    """A stand-in server."""
 
     def __init__(self, name: str, trade: Trade, script: Script | None = None) -> None:
         super().__init__()
         self.name, self.trade, self.script = name, trade, script or Script()
         self.began = 0.0
         self.ran: list[Run] = []
-        self.received = 0  # commands of clients that came whole
+        self.received = 0  # complete and valid commands
         self.turned_away = 0
-        self.links = self.most_links = self.made = 0  # connections: open, the most at once, ever made
-        self.segments = 0  # reads in which these came, and all else
+        self.links = self.most_links = self.made = (
+            0  # connections: open now, most open at once, total accepted
+        )
+        self.segments = 0  # reads from all connections
         self.inflight = self.waiting = 0
         self.free = asyncio.Semaphore(trade.slots)
         self.running: set[asyncio.Task[bytes | None]] = set()
-        self.keys: dict[bytes, float] = {}  # when each key first ran
+        self.keys: dict[bytes, float] = {}  # when each key last ran
         self.order: deque[bytes] = deque()
 
     async def start(self, port: int = 0) -> None:
@@ -70,15 +74,15 @@
         await super().start(port)
 
     def age(self) -> float:
-        """Seconds since the start."""
+        """Returns the seconds since the start."""
         return asyncio.get_running_loop().time() - self.began
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.script.fault(self.age(), (Kind.DOWN,)) is not None:
             writer.transport.abort()
             return
-        line: asyncio.Queue[asyncio.Task[bytes | None]] = asyncio.Queue(self.trade.streams)
-        writing = asyncio.create_task(self.write_in_order(line, writer))
+        replies: asyncio.Queue[asyncio.Task[bytes | None]] = asyncio.Queue(self.trade.streams)
+        writing = asyncio.create_task(self.write_in_order(replies, writer))
         self.serving.add(writing)
         writing.add_done_callback(self.serving.discard)
         parser = hiredis.Reader()
@@ -91,21 +95,21 @@
                 parser.feed(data)
                 while (words := parser.gets()) is not False:
                     task = asyncio.create_task(self.answer(words, writer))
-                    self.running.add(task)  # it runs to its end, whatever becomes of its connection
+                    self.running.add(task)  # the command completes even if its connection ends
                     task.add_done_callback(self.running.discard)
-                    await line.put(task)
+                    await replies.put(task)
         finally:
             self.links -= 1
             writing.cancel()
 
     async def write_in_order(
-        self, line: asyncio.Queue[asyncio.Task[bytes | None]], writer: asyncio.StreamWriter
+        self, replies: asyncio.Queue[asyncio.Task[bytes | None]], writer: asyncio.StreamWriter
     ) -> None:
-        """Answers in the order of the commands, together where several are ready."""
+        """Writes replies in the order of the commands."""
         while True:
-            reply = await (await line.get())
+            reply = await (await replies.get())
             if reply is None:
-                return  # the connection has ended, or has nothing more to say
+                return  # the connection ended, or sends nothing more
             writer.write(reply)
 
     async def stop(self) -> None:
@@ -114,7 +118,7 @@
             task.cancel()
 
     async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        """One command; None where the connection has ended or has nothing more to say."""
+        """Runs a command and returns its reply; None if the connection ended or sends nothing more."""
         verb = words[0].upper()
         if verb in (b"CLIENT", b"SELECT"):
             return b"+OK\r\n"
@@ -122,7 +126,7 @@
             return b"+PONG\r\n"
         if verb not in (b"CALL.GET", b"CALL.POST"):
             return b"-ERR unknown command\r\n"
-        if not 4 <= len(words) <= 5 or FIELDS.fullmatch(words[3]) is None:
+        if not 4 <= len(words) <= 5 or FIELDS_PATTERN.fullmatch(words[3]) is None:
             return b"-SYNTAX\r\n"
         fields = dict(part.split(b"=", 1) for part in words[3].split(b","))
         if b"c" not in fields or b"d" not in fields:
@@ -144,19 +148,19 @@
             writer.transport.abort()
             return None
         if kind is Kind.VANISH:
-            await asyncio.Event().wait()  # until the stand-in stops
+            await asyncio.Event().wait()  # until the server stops
         value = b"report of " + words[2]
         report = b"inflight=%d,queue=%d" % (self.inflight, self.waiting)
         reply = b"*3\r\n$%d\r\n%b\r\n*-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
         if kind is Kind.GARBLE:
-            return NOISE
+            return GARBLED_REPLY
         if kind is Kind.STALL:
             writer.write(reply[: len(reply) // 2])
             await asyncio.Event().wait()
         return reply
 
     async def work(self, words: list[bytes], fields: dict[bytes, bytes]) -> None:
-        """Waits for a slot and runs; a key that ran already has no further effect."""
+        """Waits for a slot and runs the command; a repeated key has no further effect."""
         class_name = fields[b"c"].decode("ascii", "replace")
         self.waiting += 1
         try:
@@ -171,16 +175,16 @@
                 self.ran.append(Run(now, class_name, words[1], words[2], key))
                 if key is not None:
                     self.remember(key, now)
-            half = 0.0005 * self.trade.service_ms.get(class_name, 20.0)
-            await asyncio.sleep(half + self.script.rng.expovariate(1.0 / half))
+            half_s = 0.0005 * self.trade.service_ms.get(class_name, 20.0)
+            await asyncio.sleep(half_s + self.script.rng.expovariate(1.0 / half_s))
         finally:
             self.inflight -= 1
             self.free.release()
 
     def remember(self, key: bytes, now: float) -> None:
-        """Keeps a key, and drops the oldest past a bound."""
+        """Remembers a key, and forgets the oldest one above `MAX_KEYS`."""
         if key not in self.keys:
             self.order.append(key)
         self.keys[key] = now
-        if len(self.order) > MOST_KEYS:
+        if len(self.order) > MAX_KEYS:
             self.keys.pop(self.order.popleft(), None)
--- a/lab/peers.py
+++ b/lab/peers.py
@@ -1,6 +1,6 @@
-"""Peers on loopback sockets: servers, counter, discovery and client that do what a script tells them.
+"""Scripted peers on loopback sockets: servers, counter, discovery and clients.
 
-They model nothing of themselves. Waits are for conditions, never for a time to pass.
+They have no behavior beyond their script. They wait for conditions and never for a fixed time.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 def play(scenario: Coroutine[Any, Any, None]) -> None:
-    """Runs a scenario; the limit only keeps a broken test from hanging."""
+    """Runs a scenario, with a time limit that keeps a broken test from hanging."""
     uvloop.run(asyncio.wait_for(scenario, 60.0))
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Waits until something holds."""
+    """Waits until a condition holds."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 class Peer:
-    """A TCP server on a free port; `script` gets each connection."""
+    """A TCP server on a free port; subclasses handle each connection in `serve`."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
@@ -48,7 +48,7 @@
         try:
             await self.serve(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the other end has gone, or the stand-in stops: both are ordinary
+            pass  # expected when the other end disconnects or this peer stops
         finally:
             self.serving.discard(task)
             writer.close()
@@ -68,7 +68,7 @@
 
 
 async def commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
-    """The commands that come on a connection."""
+    """Yields the commands that arrive on a connection."""
     parser = hiredis.Reader()
     while data := await reader.read(65536):
         parser.feed(data)
@@ -80,7 +80,10 @@
 
 
 class RespPeer(Peer):
-    """Answers each command with what `reply` returns; None leaves it unanswered. `log` keeps the order."""
+    """Answers each command with the result of `reply`; None leaves it unanswered.
+
+    `log` has the commands and closed connections in their order.
+    """
 
     def __init__(self, reply: Reply) -> None:
         super().__init__()
@@ -99,12 +102,12 @@
             self.log.append(("closed", number, []))
 
     def calls(self) -> list[list[bytes]]:
-        """The commands that came, pings left out."""
+        """Returns the received commands without pings."""
         return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
 
 
 def always(reply: bytes | None) -> Reply:
-    """The same reply to everything."""
+    """Returns a reply function that answers every command alike."""
 
     async def answer(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         return reply
@@ -113,7 +116,7 @@
 
 
 class DiscoveryPeer(Peer):
-    """Discovery: `answers` are given out one for each call; when they run out, calls are left waiting."""
+    """Discovery that gives one of `answers` to each call; further calls wait until answers are added."""
 
     def __init__(self, *answers: bytes) -> None:
         super().__init__()
@@ -156,20 +159,20 @@
         self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]
 
     async def reply(self) -> Any:
-        """The next reply; None at the end of the connection."""
-        while (found := self.parser.gets()) is False:
+        """Returns the next reply; None at the end of the connection."""
+        while (reply := self.parser.gets()) is False:
             data = await self.reader.read(65536)
             if not data:
                 return None
             self.parser.feed(data)
-        return found
+        return reply
 
     async def ask(self, *words: bytes) -> Any:
         self.send(*words)
         return await self.reply()
 
     async def ended(self) -> bool:
-        """Whether the gateway closed the connection, with nothing more on it."""
+        """Returns whether the gateway closed the connection without sending more."""
         try:
             return not await self.reader.read(1)
         except ConnectionError:
@@ -177,7 +180,7 @@
 
 
 def numbered() -> Iterator[bytes]:
-    """Fresh request ids."""
+    """Yields unique request ids."""
     serial = 0
     while True:
         serial += 1
--- a/lab/site.py
+++ b/lab/site.py
@@ -1,4 +1,4 @@
-"""A small site on loopback: nodes, counter, discovery, the platform's file, a gateway in its own process."""
+"""A small site on loopback: servers, counter, discovery, and gateways in processes of their own."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lab.load import Account, Kind
 from lab.nodes import Node
 from lab.peers import Client, row
-from lab.ports import free_port as free_port  # for those that know it from here
+from lab.ports import free_port as free_port  # also imported from this module
 from lab.services import CounterService, DiscoveryService
 
 KINDS = (
@@ -49,13 +49,17 @@
 
 
 def patient(times: float = 10.0) -> dict[str, Any]:
-    """Profiles with so many times the time for a request, so that none runs out for want of a processor."""
-    spans = ("aim_ms", "hard_limit_ms")
-    return {"profiles": [one | {span: times * one[span] for span in spans} for one in SETTINGS["profiles"]]}
+    """Returns profiles with time limits multiplied by `times`, so that a busy machine causes no timeouts."""
+    limits = ("aim_ms", "hard_limit_ms")
+    return {
+        "profiles": [
+            profile | {limit: times * profile[limit] for limit in limits} for profile in SETTINGS["profiles"]
+        ]
+    }
 
 
 def accounts(count: int = 40) -> list[Account]:
-    """Customers of all plans; the dear ones ask more."""
+    """Returns accounts of all plans; those of the more expensive plans send more requests."""
     plans = (("osnovni", 1.0), ("standard", 2.0), ("korporativni", 8.0))
     return [
         Account(b"%016x" % (1000 + i), *plans[0 if i % 10 < 6 else 1 if i % 10 < 9 else 2])
@@ -64,7 +68,7 @@
 
 
 class GatewayProcess:
-    """A gateway in a process and a process group of its own."""
+    """A gateway in a process and process group of its own."""
 
     def __init__(self, folder: Path, platform: dict[str, Any], operator: str | None = None) -> None:
         self.folder, self.platform = folder, platform
@@ -74,39 +78,41 @@
         self.operator = folder / "operator.toml"
         if operator is not None:
             self.operator.write_text(operator)
-        self.program: tuple[str, ...] = ("-m", "glenchute")  # what the interpreter runs
+        self.program: tuple[str, ...] = ("-m", "glenchute")  # arguments of the interpreter
         self.process: subprocess.Popen[bytes] | None = None
-        self.passed: socket.socket | None = None  # the platform's listening socket, on days of replacement
-        self.shared = folder  # its $TMPDIR, which a process and its replacement share
+        self.passed: socket.socket | None = (
+            None  # the platform's listening socket, if it passes one to the process
+        )
+        self.shared = folder  # $TMPDIR of the process, which it shares with its successor
         self.log = folder / "gateway.log"
 
     def start(self, *arguments: str) -> None:
-        """Starts it; `ready` waits for its first answer."""
+        """Starts the process; `ready` waits until it answers."""
         environ = {
             key: value for key, value in os.environ.items() if not key.startswith(("EDGE_", "GLENCHUTE_"))
         }
         environ["EDGE_CONFIG"] = str(self.config)
         environ["TMPDIR"] = str(self.shared)
-        kept: tuple[int, ...] = ()
+        inherited: tuple[int, ...] = ()
         if self.passed is not None:
-            kept = (self.passed.fileno(),)
-            environ["EDGE_PASSED_SOCKET"] = str(kept[0])
+            inherited = (self.passed.fileno(),)
+            environ["EDGE_PASSED_SOCKET"] = str(inherited[0])
         if self.operator.exists():
             environ["GLENCHUTE_OPERATOR"] = str(self.operator)
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, *self.program, *arguments], env=environ, stdin=subprocess.DEVNULL,
-                stdout=log, stderr=log, start_new_session=True, pass_fds=kept,
+                stdout=log, stderr=log, start_new_session=True, pass_fds=inherited,
                 cwd=Path(__file__).resolve().parent.parent,
             )  # fmt: skip
 
     async def ready(self, patience_s: float = 15.0) -> None:
-        """Waits until it answers a PING."""
+        """Waits until the gateway answers a PING."""
         async with asyncio.timeout(patience_s):
             while True:
                 assert self.process is not None
                 if self.process.poll() is not None:
-                    raise RuntimeError(f"the gateway ended: {self.log.read_text()}")
+                    raise RuntimeError(f"the gateway exited before it was ready: {self.log.read_text()}")
                 with contextlib.suppress(ConnectionError):
                     client = await Client.connect(self.port)
                     try:
@@ -117,24 +123,24 @@
                 await asyncio.sleep(0.005)
 
     def signal(self, number: int) -> None:
-        """To the program and all that it started."""
+        """Sends a signal to the process group of the gateway, if the gateway runs."""
         if self.process is not None and self.process.poll() is None:
             os.killpg(self.process.pid, number)
 
     async def stop(self, patience_s: float = 5.0) -> int:
-        """SIGTERM, then SIGKILL where that is not heeded; the exit status."""
+        """Sends SIGTERM, and SIGKILL after `patience_s`; returns the exit status."""
         assert self.process is not None
         self.signal(signal.SIGTERM)
         loop = asyncio.get_running_loop()
-        end = loop.time() + patience_s
-        while self.process.poll() is None and loop.time() < end:
+        deadline = loop.time() + patience_s
+        while self.process.poll() is None and loop.time() < deadline:
             await asyncio.sleep(0.01)
         self.signal(signal.SIGKILL)
         return self.process.wait()
 
 
 class LabSite:
-    """The stand-ins of one site."""
+    """The stand-in services of one site."""
 
     def __init__(self, nodes: Sequence[Node], counter: CounterService | None = None) -> None:
         self.nodes, self.counter = list(nodes), counter or CounterService()
@@ -152,11 +158,11 @@
             await peer.stop()
 
     def rows(self) -> list[dict[str, Any]]:
-        """The list of servers."""
+        """Returns discovery's rows of the servers."""
         return [row(node.name, node.port) for node in self.nodes]
 
     def platform(self, settings: dict[str, Any] | None = None) -> dict[str, Any]:
-        """The platform's file for one gateway of this site."""
+        """Returns the platform's file for one gateway of this site."""
         return {
             "name": "g0", "listen": f"127.0.0.1:{free_port()}",
             "discovery": f"127.0.0.1:{self.discovery.port}",
@@ -166,11 +172,11 @@
         }  # fmt: skip
 
     def charged_twice(self, class_name: str = "check-charge") -> int:
-        """Requests of an unsafe class that ran more than once, by the nodes' own books."""
+        """Returns how many requests of an unsafe class ran more than once, as recorded by the servers."""
         seen: set[bytes] = set()
-        twice: set[bytes] = set()
+        repeated: set[bytes] = set()
         for node in self.nodes:
             for run in node.ran:
                 if run.class_name == class_name:
-                    (twice if run.request_id in seen else seen).add(run.request_id)
-        return len(twice)
+                    (repeated if run.request_id in seen else seen).add(run.request_id)
+        return len(repeated)
