--- a/lab/bursts.py
+++ b/lab/bursts.py
@@ -1,8 +1,7 @@
-"""Portals that pipeline: bursts of reads on one connection, at drawn moments, whatever became of those
-before.
+"""Open-loop load of pipelining clients: bursts of reads at random times, independent of earlier answers.
 
-An open load: each read's time counts from the moment at which its burst was due, also where the sender itself
-was late, so that a stall is felt by all that would have come during it (no coordinated omission).
+Latency is measured from the scheduled time of a burst, even if the sender was late, so that a stall counts
+for all bursts that were due during it (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -20,8 +19,10 @@
 
 @dataclass
 class Bursts:
-    """So many reads a second on average, in bursts of 1 to `most`. `took` is called with the milliseconds of
-    each read that was served."""
+    """Load generator with `rate` reads per second on average, in bursts of 1 to `most`.
+
+    `took` is called with the latency in milliseconds of each read that was served.
+    """
 
     port: int
     rate: float
@@ -37,16 +38,16 @@
     portals: int = 0  # connections opened
 
     async def run(self, seconds: float) -> None:
-        """Sends for so long, then waits for the last answers."""
+        """Sends bursts for `seconds`, then waits for the last answers."""
         rng = random.Random(self.seed)
         loop = asyncio.get_running_loop()
-        began = at = loop.time()
+        started = at = loop.time()
         serial = itertools.count()
         tasks: set[asyncio.Task[None]] = set()
-        mean = (1 + self.most) / 2.0
+        mean_size = (1 + self.most) / 2.0
         while True:
-            at += rng.expovariate(self.rate / mean)
-            if at - began >= seconds:
+            at += rng.expovariate(self.rate / mean_size)
+            if at - started >= seconds:
                 break
             words = [self.words(rng, next(serial)) for _ in range(rng.randint(1, self.most))]
             await asyncio.sleep(max(0.0, at - loop.time()))
@@ -58,29 +59,29 @@
             client.writer.close()
 
     def words(self, rng: random.Random, number: int) -> list[bytes]:
-        """One read."""
+        """Returns the words of a read command."""
         fields = f"c={self.class_name},t={self.plan},d={self.deadline_ms}"
         return [b"CALL.GET", b"%016x" % rng.randrange(self.accounts), b"%08x%08x" % (self.seed, number),
                 fields.encode()]  # fmt: skip
 
     async def ask(self, due: float, burst: list[list[bytes]]) -> None:
-        """One burst, on a portal connection of its own for as long as it takes."""
+        """Sends a burst on a connection that it does not share meanwhile, and records the answers."""
         answered = 0
         try:
             async with asyncio.timeout(self.deadline_ms / 1000.0 + 0.5):
                 while answered < len(burst):
-                    kept, before = bool(self.idle), answered
-                    if not kept:
+                    is_reused, answered_before = bool(self.idle), answered
+                    if not is_reused:
                         self.portals += 1
-                    client = self.idle.pop() if kept else await Client.connect(self.port)
+                    client = self.idle.pop() if is_reused else await Client.connect(self.port)
                     try:
                         async for answer in self.answered(client, burst[answered:]):
                             answered += 1
-                            self.note(answer, due)
+                            self.record(answer, due)
                     except ConnectionError:
                         client.writer.close()
-                        if not kept or answered > before:
-                            raise  # else the burst crossed the end of the connection: once more on another
+                        if not is_reused or answered > answered_before:
+                            raise  # otherwise the burst crossed the close of the connection: retry
                     except asyncio.CancelledError:
                         client.writer.close()
                         raise
@@ -90,7 +91,7 @@
             self.answers["lost"] += len(burst) - answered
 
     async def answered(self, client: Client, burst: list[list[bytes]]) -> AsyncIterator[object]:
-        """The replies to a burst, which goes out in one write."""
+        """Sends a burst and yields the replies to it."""
         for words in burst:
             client.send(*words)
         for _ in burst:
@@ -99,8 +100,8 @@
                 raise ConnectionError
             yield reply
 
-    def note(self, reply: object, due: float) -> None:
-        """Books a reply."""
+    def record(self, reply: object, due: float) -> None:
+        """Counts a reply, and reports the latency of a served read."""
         answer = read(reply)[0]
         self.answers[answer] += 1
         if answer == "served":
--- a/lab/explore.py
+++ b/lab/explore.py
@@ -1,7 +1,7 @@
-"""Explicit-state exploration: every order of events to a depth, over the real decider and not a model of it.
+"""Explicit-state exploration of all orders of events up to a depth, with the real decision code.
 
-A system is copied for each event (`pickle`) and checked after each. Breadth first, so that the history told
-of a failure is a shortest one.
+The system is copied with `pickle` for each event and checked after it. The search is breadth-first, so that
+the reported history of a failure is as short as possible.
 """
 
 from __future__ import annotations
@@ -15,25 +15,28 @@
 
 
 class Found(NamedTuple):
-    """A failure and the events that lead to it."""
+    """A failure and the events that led to it."""
 
     what: str
     history: tuple[str, ...]
 
 
 class Explored(NamedTuple):
-    """What was looked at, and what failed, if anything did."""
+    """Result of an exploration: its size, and the first failure if there was one."""
 
     states: int
     events: int
     depth: int
-    whole: bool  # no state was left for want of room
+    whole: bool  # False if the limit on states ended the exploration
     found: Found | None
 
 
 class Explorer(Generic[System]):
-    """`events` names what may happen next and how; `check` returns what is wrong, or nothing; `key` tells
-    what two systems have in common that are one state."""
+    """Explores the states of a system.
+
+    `events` yields the name and function of each possible next event. `check` returns a description of a
+    broken rule, or an empty string. Systems with equal `key` are the same state.
+    """
 
     def __init__(
         self,
@@ -44,32 +47,32 @@
         self.events, self.check, self.key = events, check, key
 
     def run(self, first: System, depth: int, most: int = 1_000_000) -> Explored:
-        """All states to this depth, or so many."""
-        seen = {self.name(first)}
+        """Explores the states up to a depth, and `most` states at the most."""
+        seen = {self.digest(first)}
         layer: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(first), ())]
         events = 0
         for level in range(depth):
-            following: list[tuple[bytes, tuple[str, ...]]] = []
-            for raw, history in layer:
-                for label, event in self.events(pickle.loads(raw)):
-                    system = pickle.loads(raw)
+            next_layer: list[tuple[bytes, tuple[str, ...]]] = []
+            for pickled, history in layer:
+                for label, event in self.events(pickle.loads(pickled)):
+                    system = pickle.loads(pickled)
                     event(system)
                     events += 1
-                    if wrong := self.check(system):
-                        found = Found(wrong, (*history, label))
+                    if problem := self.check(system):
+                        found = Found(problem, (*history, label))
                         return Explored(len(seen), events, level + 1, True, found)
-                    name = self.name(system)
-                    if name in seen:
+                    digest = self.digest(system)
+                    if digest in seen:
                         continue
-                    seen.add(name)
+                    seen.add(digest)
                     if len(seen) > most:
                         return Explored(len(seen), events, level + 1, False, None)
-                    following.append((pickle.dumps(system), (*history, label)))
-            layer = following
+                    next_layer.append((pickle.dumps(system), (*history, label)))
+            layer = next_layer
             if not layer:
                 break
         return Explored(len(seen), events, depth, True, None)
 
-    def name(self, system: System) -> bytes:
-        """A state's name."""
+    def digest(self, system: System) -> bytes:
+        """Returns the digest that identifies a state."""
         return blake2b(self.key(system), digest_size=16).digest()
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -1,4 +1,4 @@
-"""Scripts of faults: what goes wrong at a stand-in, when, and for which share of what comes. Seeded."""
+"""Seeded scripts of the faults of a stand-in service: their kinds, times and shares of the commands."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class Kind(Enum):
-    """What goes wrong with one command."""
+    """The effect of a fault on a command or connection."""
 
-    DELAY = "delay"  # runs, and is answered `delay_s` later
-    STALL = "stall"  # runs; half of the answer comes, and no more
-    GARBLE = "garble"  # runs; noise comes in place of the answer
-    RESET = "reset"  # runs; the connection is reset in place of the answer
-    FAIL = "fail"  # does not run; an error line comes that does not say so
-    REFUSE = "refuse"  # does not run; is turned away
-    VANISH = "vanish"  # runs; nothing comes, and the connection stays open
-    DOWN = "down"  # connections are reset as they come
-    FREEZE = "freeze"  # runs, and is answered only at the end of this entry: the node stands still
+    DELAY = "delay"  # runs; the reply comes `delay_s` later
+    STALL = "stall"  # runs; only half of the reply is sent
+    GARBLE = "garble"  # runs; invalid bytes are sent instead of the reply
+    RESET = "reset"  # runs; the connection is reset instead of a reply
+    FAIL = "fail"  # does not run; the error reply does not say so
+    REFUSE = "refuse"  # does not run; is rejected
+    VANISH = "vanish"  # runs; no reply is sent, and the connection stays open
+    DOWN = "down"  # new connections are reset
+    FREEZE = "freeze"  # runs; the reply comes at the end of the fault, as from a paused process
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One entry: from `from_s` to `to_s` after the start, a share of the commands."""
+    """A fault of a share of the commands, from `from_s` to `to_s` after the start."""
 
     kind: Kind
     from_s: float
@@ -34,14 +34,14 @@
 
 
 class Script:
-    """A stand-in's faults. The same seed and order of commands give the same faults."""
+    """The faults of a stand-in service. The same seed and order of commands give the same faults."""
 
     def __init__(self, faults: Sequence[Fault] = (), seed: int = 0) -> None:
         self.faults = tuple(faults)
         self.rng = random.Random(seed)
 
     def fault(self, after_s: float, kinds: Sequence[Kind] = tuple(Kind)) -> Fault | None:
-        """What goes wrong with a command that comes so long after the start; the first that fits."""
+        """Returns the first matching fault for a command received `after_s` after the start, or None."""
         for fault in self.faults:
             if (
                 fault.kind in kinds
--- a/lab/http_nodes.py
+++ b/lab/http_nodes.py
@@ -1,7 +1,7 @@
-"""A check node that speaks HTTP/1.1 (RFC 9112): runs what comes, keeps the truth about it, fails by a script.
+"""Stand-in server for HTTP/1.1 (RFC 9112) that records what ran and fails according to a script.
 
-Requests carry `x-class`, `x-request-id` and, where the class is keyed, `idempotency-key`, whose repeats are
-dropped for `memory_s`. Turned away unseen is told as 429.
+Requests carry `x-class`, `x-request-id` and, for keyed classes, `idempotency-key`; repeats of a key within
+`memory_s` have no effect. Status 429 rejects a request that did not run.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from lab.peers import Peer
 
 REASONS = {200: b"OK", 429: b"Too Many Requests", 500: b"Internal Server Error"}
-MOST_BODY = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 
 
 async def received(conn: h11.Connection, reader: asyncio.StreamReader) -> Any:
-    """The next event of the other end; h11's own events and errors."""
+    """Returns the next h11 event of the other end; raises h11's errors."""
     while True:
         event = conn.next_event()
         if event is not h11.NEED_DATA:
@@ -29,7 +29,7 @@
 
 
 async def whole(conn: h11.Connection, reader: asyncio.StreamReader) -> tuple[Any, bytes] | None:
-    """A request or response with its body; None where the other end is done."""
+    """Reads a request or response with its body; None if the other end sends nothing more."""
     head = await received(conn, reader)
     while isinstance(head, h11.InformationalResponse):
         head = await received(conn, reader)
@@ -40,16 +40,19 @@
         event = await received(conn, reader)
         if isinstance(event, h11.Data):
             body += event.data
-            if len(body) > MOST_BODY:
-                raise h11.RemoteProtocolError("too large a body")
+            if len(body) > MAX_BODY_BYTES:
+                raise h11.RemoteProtocolError("message body is too large")
         elif isinstance(event, h11.EndOfMessage):
             return head, bytes(body)
         else:
-            raise h11.RemoteProtocolError("the message broke off")
+            raise h11.RemoteProtocolError("connection ended inside a message body")
 
 
 class HttpNode(Peer):
-    """One node. `ran` holds each effect; `received` each request that came whole, in order."""
+    """A stand-in HTTP server.
+
+    `ran` holds each effect; `received` holds each complete request with its time, in order.
+    """
 
     def __init__(self, name: str, trade: Trade, script: Script | None = None) -> None:
         super().__init__()
@@ -83,11 +86,11 @@
             conn.start_next_cycle()
 
     async def answer(self, conn: h11.Connection, writer: asyncio.StreamWriter, head: Any) -> bool:
-        """Serves one request; whether the connection goes on."""
+        """Serves one request; returns whether the connection stays open."""
         loop = asyncio.get_running_loop()
-        given = {name.decode(): value for name, value in head.headers}
-        request = given.get("x-request-id", b"").decode()
-        self.received.append((loop.time(), request))
+        headers = {name.decode(): value for name, value in head.headers}
+        request_id = headers.get("x-request-id", b"").decode()
+        self.received.append((loop.time(), request_id))
         fault = self.script.fault(loop.time() - self.began)
         kind = fault.kind if fault is not None else None
         if kind is Kind.REFUSE or self.inflight >= self.trade.slots + self.trade.queue:
@@ -97,9 +100,9 @@
         self.inflight += 1
         try:
             async with self.free:
-                name = given.get("x-class", b"").decode()
-                self.run(name, given, loop.time())
-                await asyncio.sleep(self.trade.service_ms.get(name, 1.0) / 1000.0)
+                class_name = headers.get("x-class", b"").decode()
+                self.run(class_name, headers, loop.time())
+                await asyncio.sleep(self.trade.service_ms.get(class_name, 1.0) / 1000.0)
         finally:
             self.inflight -= 1
         if fault is not None and kind is Kind.DELAY:
@@ -110,19 +113,19 @@
         elif kind in (Kind.VANISH, Kind.STALL):
             if kind is Kind.STALL:
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-le")
-            await asyncio.sleep(60.0)  # until the other end gives up
+            await asyncio.sleep(60.0)  # longer than the other end waits
             return False
-        return await self.reply(conn, writer, 200, request.encode())
+        return await self.reply(conn, writer, 200, request_id.encode())
 
-    def run(self, name: str, given: dict[str, bytes], now: float) -> None:
-        """The effect, unless it is a repeat that is dropped."""
-        key = given.get("idempotency-key") if name in self.trade.keyed else None
+    def run(self, class_name: str, headers: dict[str, bytes], now: float) -> None:
+        """Records the effect of a request, unless its key was used within `memory_s`."""
+        key = headers.get("idempotency-key") if class_name in self.trade.keyed else None
         if key is not None:
             if now - self.keys.get(key, -1e9) < self.trade.memory_s:
                 return
             self.keys[key] = now
-        request = given.get("x-request-id", b"")
-        self.ran.append(Run(now, name, given.get("x-account", b""), request, key))
+        request_id = headers.get("x-request-id", b"")
+        self.ran.append(Run(now, class_name, headers.get("x-account", b""), request_id, key))
 
     async def reply(
         self, conn: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes
@@ -138,6 +141,6 @@
 
 
 def charged_twice(nodes: list[HttpNode], class_name: str = "check-charge") -> list[bytes]:
-    """Requests of a class that ran more than once, by the nodes' own books."""
+    """Returns the requests of a class that ran more than once, as recorded by the servers."""
     ran = [run.request_id for node in nodes for run in node.ran if run.class_name == class_name]
     return sorted({request for request in ran if ran.count(request) > 1})
--- a/lab/ports.py
+++ b/lab/ports.py
@@ -1,7 +1,7 @@
-"""Ports for what listens: none that the system gives to an outgoing connection, or to whoever asks for any.
+"""Free listening ports outside the range from which the system assigns ephemeral ports.
 
-A port of that range is soon another's: a gateway of some other test or run that has lost a peer there goes on
-calling it, and comes to whoever listens there next.
+Ephemeral ports are soon reused. A gateway of another test or run that has lost a peer at such a port
+continues to call it, and would reach whichever process listens there next.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-SPREAD = 9973  # ports between where two processes of neighbouring numbers begin
+PROCESS_STRIDE = 9973  # ports between the first candidates of processes with consecutive ids
 
 
 def outgoing_ports() -> tuple[int, int]:
-    """The range from which the system takes ports for outgoing connections."""
+    """Returns the lowest and highest port that the system assigns to outgoing connections."""
     try:
         low, high = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
         return int(low), int(high)
@@ -26,10 +26,10 @@
 
 @functools.cache
 def allowed() -> tuple[int, ...]:
-    """The ports outside that range, from the first that this process tries on."""
+    """Returns the ports outside that range, in the order in which this process tries them."""
     low, high = outgoing_ports()
     ports = [port for port in range(10_000, 65_000) if not low <= port <= high]
-    first = os.getpid() * SPREAD % len(ports)
+    first = os.getpid() * PROCESS_STRIDE % len(ports)
     return (*ports[first:], *ports[:first])
 
 
@@ -37,9 +37,11 @@
 
 
 def free_port() -> int:
-    """A port that nobody has, for TCP and UDP, and that no outgoing connection is given: it is still free
-    when a process listens on it. Each is handed out once by this process until all have been; others begin
-    elsewhere, far enough that those of one test run do not come to each other's."""
+    """Returns a port that is free for TCP and UDP and is never assigned to an outgoing connection.
+
+    This process returns each port once before it returns one again. Other processes start at another port,
+    far enough away that parallel processes of one test run do not reach the same ports.
+    """
     global _ports
     for _ in range(len(allowed()) + 1):
         port = next(_ports, 0)
@@ -54,4 +56,4 @@
             except OSError:
                 continue
         return port
-    raise OSError("no port is free")
+    raise OSError("no listening port is free")
--- a/lab/services.py
+++ b/lab/services.py
@@ -1,4 +1,4 @@
-"""The quota counter and discovery, as the platform's protocol page has them."""
+"""Stand-ins of the quota counter and discovery, as the platform's protocol page defines them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from lab.faults import Kind, Script
 from lab.peers import Peer, commands, http
 
-AMOUNT = re.compile(rb"-?[0-9]{1,10}(\.[0-9]+)?")
+AMOUNT_PATTERN = re.compile(rb"-?[0-9]{1,10}(\.[0-9]+)?")
 
 
 class CounterService(Peer):
-    """``INCRTTL NAME AMOUNT TTL``. A name starts at 0 and is forgotten when its first call's time is up.
+    """Counter with the call ``INCRTTL NAME AMOUNT TTL``.
 
-    Of the faults, VANISH is a counter that is mute (the amount is added), REFUSE one that is crowded, DELAY
-    one that is slow, GARBLE one whose answer holds no number. `forget` is a replacement that starts at zero.
+    A name starts at 0 and expires when the TTL of its first call is over. The faults are VANISH (counts
+    without an answer), REFUSE (overloaded), DELAY (slow) and GARBLE (the answer is not a number). `forget`
+    simulates a replacement that starts at zero.
     """
 
     def __init__(self, script: Script | None = None) -> None:
@@ -35,7 +36,7 @@
         await super().start(port)
 
     def forget(self) -> None:
-        """All totals are gone."""
+        """Deletes all totals."""
         self.memory = Memory()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -44,8 +45,13 @@
             if words[0].upper() == b"PING":
                 writer.write(b"+PONG\r\n")
                 continue
-            good = len(words) == 4 and words[0].upper() == b"INCRTTL" and 1 <= len(words[1]) <= 64
-            if not good or AMOUNT.fullmatch(words[2]) is None or not words[3].isdigit() or not int(words[3]):
+            is_valid = len(words) == 4 and words[0].upper() == b"INCRTTL" and 1 <= len(words[1]) <= 64
+            if (
+                not is_valid
+                or AMOUNT_PATTERN.fullmatch(words[2]) is None
+                or not words[3].isdigit()
+                or not int(words[3])
+            ):
                 writer.write(b"-ERR no such call\r\n")
                 continue
             self.calls += 1
@@ -65,22 +71,22 @@
 
 
 class DiscoveryService(Peer):
-    """The list of servers and the watch on it. `update` is what the fleet tells it."""
+    """Discovery with its list of servers and long polls for changes."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         super().__init__()
         self.rows = {str(row["id"]): row for row in rows}
         self.version = 1
-        self.changed = asyncio.Event()
-        self.log: list[tuple[int, dict[str, Any]]] = []  # changes by version; bounded in `update_rows`
-        self.told: dict[int, float] = {}  # when an answer with this version was first written, in loop time
+        self.changed = asyncio.Event()  # set at the next change, then replaced
+        self.log: list[tuple[int, dict[str, Any]]] = []  # changed rows by version; bounded in `update_rows`
+        self.told: dict[int, float] = {}  # loop time of the first answer with each version
 
     def update(self, row: dict[str, Any]) -> None:
-        """One server changed; state Gone takes it off the list."""
+        """Changes one server; the state Gone removes it from the list."""
         self.update_rows([row])
 
     def update_rows(self, rows: list[dict[str, Any]]) -> int:
-        """Rows of one answer, which may name a server more than once; the version that has them."""
+        """Publishes rows in one answer and returns its version; the rows may name a server more than once."""
         self.version += 1
         for row in rows:
             if row["state"] == "Gone":
@@ -110,7 +116,7 @@
             self.told.setdefault(self.version, asyncio.get_running_loop().time())
 
     def kept(self, since: int) -> bool:
-        """Whether all changes since a version are still known."""
+        """Returns whether all changes since a version are still in the log."""
         return since <= self.version and (
             since == self.version or (bool(self.log) and self.log[0][0] <= since + 1)
         )
