--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -1,7 +1,7 @@
-"""Hundreds of gateways that start at once, beside a list service that bears so many calls a second.
+"""Simultaneous starts of hundreds of gateways with a discovery service of limited call rate.
 
-`Crowd` plays the pacing of many gateways against a service in simulated time. `ListService` is the service
-for real processes, and `Herd` starts these. The service's books tell what it was asked and turned away.
+`Crowd` simulates the polling of many gateways against a service in simulated time. `ListService` is the
+service for real gateway processes, and `Herd` runs these. The service records answered and rejected calls.
 """
 
 from __future__ import annotations
@@ -27,38 +27,42 @@
 
 
 class Call(NamedTuple):
-    """One call as the service books it; seconds since it began."""
+    """A call as the service recorded it; `at` is in seconds since the service started."""
 
     at: float
-    how: str  # answered, turned away, unheard
-    since: int | None = None
+    how: str  # "answered", "turned away" (rejected) or "unheard" (service unavailable)
+    since: int | None = None  # version of the list that the caller already has
 
 
 def busiest_second(times: Iterable[float]) -> tuple[int, float]:
-    """The most calls in any one second, and that second's beginning; 0 and 0.0 without calls."""
+    """Returns the most calls in any one second and the start of that second; 0 and 0.0 without calls."""
     ordered = sorted(times)
-    most, begin, low = 0, 0.0, 0
+    max_count, begin, low = 0, 0.0, 0
     for high, at in enumerate(ordered):
         while ordered[low] <= at - 1.0:
             low += 1
-        if high - low + 1 > most:
-            most, begin = high - low + 1, ordered[low]
-    return most, begin
+        if high - low + 1 > max_count:
+            max_count, begin = high - low + 1, ordered[low]
+    return max_count, begin
 
 
 def busiest(calls: Iterable[Call], first: float = 0.0, last: float = float("inf")) -> int:
-    """The most calls in any one second from `first` to `last`."""
+    """Returns the most calls in any one second from `first` to `last`."""
     return busiest_second(call.at for call in calls if first <= call.at < last)[0]
 
 
 def turned_away(calls: Iterable[Call], first: float = 0.0) -> float:
-    """The share of the calls that were."""
-    kinds = Counter(call.how for call in calls if call.at >= first)
-    return kinds["turned away"] / max(1, sum(kinds.values()))
+    """Returns the fraction of calls since `first` that were rejected."""
+    counts = Counter(call.how for call in calls if call.at >= first)
+    return counts["turned away"] / max(1, sum(counts.values()))
 
 
 class Crowd:
-    """So many pacings and one service with a line, in simulated time."""
+    """Poll schedulers of `count` gateways and one service with a queue, in simulated time.
+
+    `rate` is the service's calls per second, `line` the length of its queue; `listed` tells whether a gateway
+    starts with a list.
+    """
 
     def __init__(
         self, count: int, terms: Callable[[int], PollingTerms], rate: float, line: int = 30, seed: int = 1,
@@ -69,91 +73,93 @@
         self.now = self.free_at = 0.0
         self.down = False
         self.calls: list[Call] = []
-        self.heard: dict[int, float] = {}  # when each had its first answer since it started
-        self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.heard: dict[int, float] = {}  # time of each gateway's first answer since its start
+        self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
-        self.life = [0] * count  # a start ends all that was due of the process before
-        self.pacing: list[PollScheduler] = [self.made(number) for number in range(count)]
-        self.parked: dict[int, int] = {}  # watches; by gateway, its life
+        self.generation = [0] * count  # starts of each gateway; events of earlier generations are void
+        self.pollers: list[PollScheduler] = [self.new_poller(number) for number in range(count)]
+        self.watches: dict[int, int] = {}  # generation of each gateway with an open watch
 
-    def made(self, number: int) -> PollScheduler:
+    def new_poller(self, number: int) -> PollScheduler:
         return PollScheduler(self.terms(number), random.Random(self.rng.getrandbits(60)))
 
-    def at(self, seconds: float, act: Callable[..., None], *args: Any) -> None:
-        """Something due in so many seconds."""
-        heapq.heappush(self.due, (self.now + seconds, next(self.order), act, args))
+    def schedule(self, seconds: float, action: Callable[..., None], *args: Any) -> None:
+        """Schedules an action `seconds` from now."""
+        heapq.heappush(self.events, (self.now + seconds, next(self.order), action, args))
 
     def start(self, numbers: Iterable[int]) -> None:
-        """These start, or start again."""
+        """Starts or restarts gateways."""
         for number in numbers:
-            self.life[number] += 1
-            self.pacing[number] = self.made(number)
-            self.parked.pop(number, None)
+            self.generation[number] += 1
+            self.pollers[number] = self.new_poller(number)
+            self.watches.pop(number, None)
             self.heard.pop(number, None)
-            pause = self.pacing[number].first_poll_delay_s(self.has_list(number))
-            self.at(pause, self.call, number, self.life[number])
+            delay_s = self.pollers[number].first_poll_delay_s(self.has_list(number))
+            self.schedule(delay_s, self.call, number, self.generation[number])
 
-    def call(self, number: int, life: int) -> None:
-        """A call comes to the service."""
-        if life != self.life[number]:
+    def call(self, number: int, generation: int) -> None:
+        """Handles a gateway's call at the service."""
+        if generation != self.generation[number]:
             return
-        pacing = self.pacing[number]
+        poller = self.pollers[number]
         if self.down:
             self.calls.append(Call(self.now, "unheard"))
-            self.at(pacing.record_failure(), self.call, number, life)
+            self.schedule(poller.record_failure(), self.call, number, generation)
             return
         self.free_at = max(self.now, self.free_at)
         if (self.free_at - self.now) * self.rate > self.line:
             self.calls.append(Call(self.now, "turned away"))
-            listed = self.has_list(number) or number in self.heard
-            self.at(pacing.record_rejection(None, listed), self.call, number, life)
+            has_list = self.has_list(number) or number in self.heard
+            self.schedule(poller.record_rejection(None, has_list), self.call, number, generation)
             return
         self.calls.append(Call(self.now, "answered"))
         self.free_at += 1.0 / self.rate
-        # The wait goes with the call, so that it is drawn before it is known that the service answers.
-        self.at(self.free_at - self.now, self.answer, number, life, pacing.watch_wait_s())
+        # The wait is a parameter of the call, so it is drawn before the service answers.
+        self.schedule(self.free_at - self.now, self.answer, number, generation, poller.watch_wait_s())
 
-    def answer(self, number: int, life: int, wait_s: float) -> None:
-        """The answer to a first call, or none yet to a watch."""
-        if life == self.life[number]:
-            self.pacing[number].record_answer()
+    def answer(self, number: int, generation: int, wait_s: float) -> None:
+        """Handles the answer to a first call, or the begin of a watch, which has no answer yet."""
+        if generation == self.generation[number]:
+            self.pollers[number].record_answer()
             self.heard.setdefault(number, self.now)
-            self.parked[number] = life
-            self.at(wait_s, self.wait_ends, number, life, self.now)
+            self.watches[number] = generation
+            self.schedule(wait_s, self.end_watch, number, generation, self.now)
 
-    def wait_ends(self, number: int, life: int, since: float) -> None:
-        """A watch without news."""
-        if self.parked.get(number) == life:
-            del self.parked[number]
-            self.call(number, life)
+    def end_watch(self, number: int, generation: int, since: float) -> None:
+        """Ends a watch without changes, and polls again."""
+        if self.watches.get(number) == generation:
+            del self.watches[number]
+            self.call(number, generation)
 
     def news(self) -> None:
-        """The list changes: all watches end in the same moment."""
-        parked, self.parked = self.parked, {}
-        for number, life in parked.items():
-            self.at(self.pacing[number].synchronized_delay_s(), self.call, number, life)
+        """Changes the list, which ends all watches at once."""
+        watches, self.watches = self.watches, {}
+        for number, generation in watches.items():
+            self.schedule(self.pollers[number].synchronized_delay_s(), self.call, number, generation)
 
     def lose(self) -> None:
-        """The service has started again: all watches break off."""
-        parked, self.parked = self.parked, {}
-        for number, life in parked.items():
-            self.at(self.pacing[number].record_failure(), self.call, number, life)
+        """Breaks all watches, as a restart of the service does."""
+        watches, self.watches = self.watches, {}
+        for number, generation in watches.items():
+            self.schedule(self.pollers[number].record_failure(), self.call, number, generation)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Runs the simulation for `seconds`."""
         end = self.now + seconds
-        while self.due and self.due[0][0] <= end:
-            self.now, _, act, args = heapq.heappop(self.due)
-            act(*args)
+        while self.events and self.events[0][0] <= end:
+            self.now, _, action, args = heapq.heappop(self.events)
+            action(*args)
         self.now = end
 
 
 def starts(crowd: Crowd) -> None:
+    """Starts all gateways and runs for a minute."""
     crowd.start(range(crowd.count))
     crowd.run(60.0)
 
 
 def outage(crowd: Crowd) -> None:
+    """Interrupts the service for 30 s; only the calls after the interruption are kept."""
     starts(crowd)
     crowd.down = True
     crowd.lose()
@@ -164,7 +170,7 @@
 
 
 def release(crowd: Crowd) -> None:
-    """Seven in ten die and come back while the list changes."""
+    """Restarts 70 % of the gateways while the list changes."""
     starts(crowd)
     crowd.calls.clear()
     crowd.start(range(0, crowd.count, 10))
@@ -174,10 +180,10 @@
 
 
 class ListService(DiscoveryService):
-    """Discovery that takes calls up at a rate and turns those away that find a line before them.
+    """Discovery with a limited call rate that rejects calls when its queue is full.
 
-    `mode`: "" sound, "silent" (takes calls, never answers), "empty", or "half" and "older", which are every
-    other answer on a connection.
+    `mode` is "" for correct answers, "silent" for none, and "empty" for empty lists. In the modes "half" and
+    "older", every other answer on a connection has half of the list or an older version.
     """
 
     def __init__(self, rows: list[dict[str, Any]], rate: float, line: int) -> None:
@@ -192,7 +198,7 @@
         self.writers, self.serving = [], set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        loop, lie = asyncio.get_running_loop(), False
+        loop, is_wrong = asyncio.get_running_loop(), False
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             now = loop.time()
@@ -205,20 +211,20 @@
                 continue
             self.calls.append(Call(now - self.began, "answered", since))
             self.free_at += 1.0 / self.rate
-            await asyncio.sleep(self.free_at - now)  # the service's work, not a test's wait
+            await asyncio.sleep(self.free_at - now)  # simulated processing time of the service
             if self.mode == "silent":
                 await asyncio.Event().wait()
-            lie = not lie
-            writer.write(http(json.dumps(await self.answer(since, query, lie)).encode()))
+            is_wrong = not is_wrong
+            writer.write(http(json.dumps(await self.answer(since, query, is_wrong)).encode()))
 
-    async def answer(self, since: int | None, query: dict[str, list[str]], lie: bool) -> dict[str, Any]:
-        """What the list has to say, true or not."""
+    async def answer(self, since: int | None, query: dict[str, list[str]], is_wrong: bool) -> dict[str, Any]:
+        """Returns the body of an answer; an `is_wrong` one is wrong in the modes "half" and "older"."""
         rows = list(self.rows.values())
         if self.mode == "empty":
             return {"version": self.version, "full": True, "servers": []}
-        if self.mode == "half" and lie:
+        if self.mode == "half" and is_wrong:
             return {"version": self.version, "full": True, "servers": rows[: len(rows) // 2 - 1]}
-        if self.mode == "older" and lie:
+        if self.mode == "older" and is_wrong:
             return {"version": self.version - 1, "full": True, "servers": rows[:1]}
         if since is None or not self.kept(since):
             return {"version": self.version, "full": True, "servers": rows}
@@ -231,7 +237,7 @@
 
 
 class Herd:
-    """Real gateways beside three nodes, a counter and a list service."""
+    """Real gateway processes with stand-in servers, a counter and a `ListService`."""
 
     def __init__(
         self, folder: Path, count: int, rate: float, line: int = 30,
@@ -250,15 +256,15 @@
         self.lists = ListService(self.site.rows(), self.rate, self.line)
         await self.lists.start()
         for number in range(self.count):
-            own = self.folder / f"g{number}"
-            own.mkdir()
+            folder = self.folder / f"g{number}"
+            folder.mkdir()
             platform = self.site.platform({**self.settings, "me": number})
             platform |= {"name": f"g{number}", "discovery": f"127.0.0.1:{self.lists.port}"}
             platform["seed"] = f"{7919 * number + 17:x}"
             if not self.known:
                 del platform["known"]
             operator = self.operator(number) if callable(self.operator) else self.operator
-            self.gateways.append(GatewayProcess(own, platform, operator))
+            self.gateways.append(GatewayProcess(folder, platform, operator))
         return self
 
     async def __aexit__(self, *failure: object) -> None:
@@ -272,17 +278,17 @@
         await self.site.__aexit__()
 
     async def start(self, numbers: Iterable[int], patience_s: float = 60.0) -> float:
-        """Starts these; the seconds until all serve."""
+        """Starts gateways and returns the seconds until all of them serve."""
         loop = asyncio.get_running_loop()
-        began, chosen = loop.time(), [self.gateways[n] for n in numbers]
-        for gateway in chosen:
+        started_at, gateways = loop.time(), [self.gateways[n] for n in numbers]
+        for gateway in gateways:
             gateway.start()
-            await asyncio.sleep(0)  # the service has to answer meanwhile
-        await asyncio.gather(*(gateway.ready(patience_s) for gateway in chosen))
-        return loop.time() - began
+            await asyncio.sleep(0)  # lets the discovery service answer between starts
+        await asyncio.gather(*(gateway.ready(patience_s) for gateway in gateways))
+        return loop.time() - started_at
 
     def kill(self, numbers: Iterable[int]) -> None:
-        """SIGKILL, waited for."""
+        """Kills gateways with SIGKILL and waits for them to exit."""
         for number in numbers:
             self.gateways[number].signal(signal.SIGKILL)
         for number in numbers:
@@ -292,11 +298,11 @@
 
     @property
     def now(self) -> float:
-        """Seconds since the service began."""
+        """Seconds since the discovery service started."""
         return asyncio.get_running_loop().time() - self.lists.began
 
     async def until(self, condition: Callable[[], object], patience_s: float = 40.0) -> None:
-        """Waits until something holds."""
+        """Waits until a condition holds."""
         async with asyncio.timeout(patience_s):
             while not condition():
                 await asyncio.sleep(0.01)
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -1,11 +1,10 @@
-"""A stand-in proxy: HTTP/1.1 in and out, with an external processor that it asks at each request and attempt.
+"""Stand-in HTTP/1.1 proxy that calls an external processor for each request and each attempt.
 
-Written from the published API of envoy.service.ext_proc.v3 and the documentation of its filter, with a gRPC
-client (grpclib) that shares nothing with the processor's server; for what h2, below that, can't do (go on
-with open streams after a GOAWAY), grpcio's client can be put in its place. It does what it is told and no
-more: retries only where the processor says so or, after a broken attempt, where `x-envoy-retry-on` has
-"reset". It can be made to misbehave: see `Habits`. A process of its own can be killed by itself at any point
-of the exchange:
+It follows the published API of envoy.service.ext_proc.v3 and the documentation of its filter. Its gRPC client
+(grpclib) shares no code with the processor's server. grpcio's client can replace it, since h2, which grpclib
+uses, cannot continue open streams after a GOAWAY. The proxy retries only if the processor asks for it or,
+after a broken attempt, if `x-envoy-retry-on` contains "reset". `Habits` makes it misbehave. As a process it
+can kill itself at any point of the exchange:
 
     python -m lab.proxy --processor 127.0.0.1:9300 --die attempt-allowed:3
 """
@@ -35,13 +34,13 @@
 from lab.peers import Peer
 
 METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-TRY_TIMEOUT = "x-envoy-upstream-rq-per-try-timeout-ms"
-RETRY = "x-glenchute-retry"
+ATTEMPT_TIMEOUT_HEADER = "x-envoy-upstream-rq-per-try-timeout-ms"
+RETRY_HEADER = "x-glenchute-retry"
 POINTS = (
     "asked", "decided", "attempt-asked", "attempt-allowed", "bytes-left", "answered", "told", "shown",
 )  # fmt: skip
-BROKEN = (OSError, EOFError, h11.ProtocolError, TimeoutError)
-# RuntimeError: what uvloop raises where grpclib writes to a connection that has just closed.
+UPSTREAM_ERRORS = (OSError, EOFError, h11.ProtocolError, TimeoutError)
+# uvloop raises RuntimeError when grpclib writes to a connection that has just closed.
 GRPC_BROKEN = (
     GRPCError, StreamTerminatedError, ProtocolError, OSError, TimeoutError, RuntimeError,
     h2.exceptions.ProtocolError, grpc.RpcError, asyncio.InvalidStateError,
@@ -51,21 +50,24 @@
 
 @dataclass
 class Habits:
-    """What it does that a good proxy would not. Shares are of requests, by the order of their coming."""
+    """Settings of a proxy, most of which make it misbehave.
 
-    message_timeout_s: float = 5.0  # it gives up a stream that does not answer for so long
-    other_node: int = 0  # each so many-th attempt goes to a node of its own choice; 0: none
-    half: int = 0  # each so many-th request leaves its stream after half of it
-    stall: int = 0  # each so many-th request stops reading its stream for a second
-    tells: bool = True  # it shows local replies for broken attempts to the attempt's stream
-    retries_alone: bool = False  # it tries again whenever an attempt fails, told or not
-    dies: tuple[str, int] | None = None  # kills its process at the n-th passing of a point
-    at: Callable[[str, str], None] | None = None  # told of each point passed, with the request's id
+    `n` in the comments is the value of the field; 0 disables the misbehavior.
+    """
+
+    message_timeout_s: float = 5.0  # time limit on the processor's answer to a message
+    other_node: int = 0  # sends every n-th attempt to a server of its own choice
+    half: int = 0  # resets the stream of every n-th request after the processor's first answer
+    stall: int = 0  # pauses every n-th request for a second after the processor's first answer
+    tells: bool = True  # reports local replies for broken attempts on the attempt's stream
+    retries_alone: bool = False  # retries every failed attempt, also without the processor's request
+    dies: tuple[str, int] | None = None  # (point, n): kills its process at the n-th passing of the point
+    at: Callable[[str, str], None] | None = None  # called at each point with the request's id
 
 
 @dataclass
 class Row:
-    """One request in its log: nodes that an attempt's bytes went to, and the status that the client got."""
+    """Log entry of a request: the servers that received attempts, and the client's response."""
 
     request: str
     nodes: list[str] = field(default_factory=list)
@@ -74,29 +76,29 @@
 
 
 def message(kind: str, headers: Headers, attributes: dict[str, str] | None = None) -> Any:
-    """A ProcessingRequest with headers."""
-    made = pb.ProcessingRequest()
-    part = getattr(made, kind)
+    """Returns a ProcessingRequest of a kind with headers and attributes."""
+    request = pb.ProcessingRequest()
+    part = getattr(request, kind)
     for name, value in headers:
         part.headers.headers.add(key=name, raw_value=value)
     part.end_of_stream = True
     if attributes:
-        fields = made.attributes["envoy.filters.http.ext_proc"].fields
+        fields = request.attributes["envoy.filters.http.ext_proc"].fields
         for name, text in attributes.items():
             fields[name].string_value = text
-    return made
+    return request
 
 
 class Exchange:
-    """One stream to the processor, by grpclib."""
+    """A stream to the processor with grpclib's client."""
 
     def __init__(self, proxy: Proxy, upstream: bool) -> None:
         self.proxy = proxy
-        given = {"x-glenchute-role": "upstream"} if upstream else {}
+        metadata = {"x-glenchute-role": "upstream"} if upstream else {}
         method = grpclib.client.StreamStreamMethod(
             proxy.channel, METHOD, pb.ProcessingRequest, pb.ProcessingResponse
         )
-        self.context = method.open(metadata=given)
+        self.context = method.open(metadata=metadata)
         self.stream: Any = None
         self.live = False
 
@@ -104,16 +106,16 @@
         self.stream = await self.context.__aenter__()
         self.live = True
 
-    async def ask(self, said: Any) -> Any:
-        """One message and its answer; None where the stream is over."""
+    async def ask(self, request: Any) -> Any:
+        """Sends a message and returns its answer; None if the stream is over."""
         if not self.live:
             return None
         async with asyncio.timeout(self.proxy.habits.message_timeout_s):
-            await self.stream.send_message(said)
+            await self.stream.send_message(request)
             return await self.stream.recv_message()
 
     async def close(self, clean: bool = True) -> None:
-        """Ends it: half-closed in order, or reset."""
+        """Half-closes the stream, or resets it if not `clean`."""
         if not self.live:
             return
         self.live = False
@@ -129,7 +131,7 @@
 
 
 class CoreExchange(Exchange):
-    """The same by grpcio."""
+    """A stream to the processor with grpcio's client."""
 
     def __init__(self, proxy: Proxy, upstream: bool) -> None:
         self.proxy = proxy
@@ -145,13 +147,13 @@
     async def open(self) -> None:
         self.live = True
 
-    async def ask(self, said: Any) -> Any:
+    async def ask(self, request: Any) -> Any:
         if not self.live:
             return None
         async with asyncio.timeout(self.proxy.habits.message_timeout_s):
-            await self.call.write(said)
-            told = await self.call.read()
-            return None if told is grpc.aio.EOF else told
+            await self.call.write(request)
+            answer = await self.call.read()
+            return None if answer is grpc.aio.EOF else answer
 
     async def close(self, clean: bool = True) -> None:
         self.live = False
@@ -164,33 +166,33 @@
 
 
 def changed(headers: Headers, mutation: Any) -> Headers:
-    """Headers after a HeaderMutation."""
-    gone = {name.lower() for name in mutation.remove_headers}
-    set_ = {option.header.key.lower(): option.header.raw_value for option in mutation.set_headers}
-    kept = [(name, value) for name, value in headers if name not in gone and name not in set_]
-    return kept + list(set_.items())
+    """Applies a HeaderMutation to headers."""
+    removed = {name.lower() for name in mutation.remove_headers}
+    replaced = {option.header.key.lower(): option.header.raw_value for option in mutation.set_headers}
+    kept = [(name, value) for name, value in headers if name not in removed and name not in replaced]
+    return kept + list(replaced.items())
 
 
 def value(headers: Headers, name: str) -> str:
-    """A header's value, "" without one."""
+    """Returns a header's value, or an empty string without one."""
     return next((found.decode("latin-1") for key, found in headers if key == name), "")
 
 
 def plain(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """As h11 has them, without what HTTP/2 alone has."""
+    """Converts headers for h11, without HTTP/2 pseudo-headers."""
     return [(name.encode(), given) for name, given in headers if not name.startswith(":")]
 
 
 class Proxy(Peer):
-    """The proxy. `log` has a row for each request that came, in the order of their coming."""
+    """The proxy. `log` has a row for each request, in order of arrival."""
 
     def __init__(
         self, processor: str, habits: Habits | None = None, nodes: list[str] | None = None, core: bool = False
     ) -> None:
-        """`processor`: host:port or unix:/path. `core`: by grpcio's client."""
+        """Connects to `processor`, a host:port or unix:/path, with grpcio's client if `core`."""
         super().__init__()
         self.habits = habits or Habits()
-        self.nodes = nodes or []  # that it may choose by itself
+        self.nodes = nodes or []  # servers that it may choose by itself
         self.log: list[Row] = []
         self.passed: dict[str, int] = {}
         self.serial = self.attempts = 0
@@ -208,18 +210,18 @@
             await self.core.close()
 
     def exchange(self, upstream: bool) -> Exchange:
-        """A stream to the processor."""
+        """Creates a stream to the processor."""
         return CoreExchange(self, upstream) if self.core is not None else Exchange(self, upstream)
 
     def point(self, name: str, request: str) -> None:
-        """A point of the exchange is passed."""
+        """Records that a request passes a point of the exchange; kills the process if it `dies` there."""
         self.passed[name] = self.passed.get(name, 0) + 1
         if self.habits.dies == (name, self.passed[name]):
             os.kill(os.getpid(), signal.SIGKILL)
         if self.habits.at is not None:
             self.habits.at(name, request)
 
-    # --- a client's connection ---------------------------------------------------------------------------
+    # --- client connections ------------------------------------------------------------------------------
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         conn = h11.Connection(h11.SERVER)
@@ -235,9 +237,9 @@
                 self.log.append(row)
                 status, extra, answer = await self.request(headers, body, row)
                 row.status, row.reason = status, value(extra, "x-glenchute-reason")
-                shown = plain([*extra, ("content-length", b"%d" % len(answer))])
+                fields = plain([*extra, ("content-length", b"%d" % len(answer))])
                 parts = [
-                    conn.send(h11.Response(status_code=status, headers=shown, reason=b"")),
+                    conn.send(h11.Response(status_code=status, headers=fields, reason=b"")),
                     conn.send(h11.Data(data=answer)),
                     conn.send(h11.EndOfMessage()),
                 ]
@@ -250,34 +252,36 @@
                 return
 
     async def request(self, headers: Headers, body: bytes, row: Row) -> tuple[int, Headers, bytes]:
-        """Asks, forwards, and asks again with the response."""
+        """Asks the processor, forwards the request, and asks again with the response if wanted."""
         self.serial += 1
-        down = self.exchange(upstream=False)
+        stream = self.exchange(upstream=False)
         number = self.serial
         try:
-            await down.open()
+            await stream.open()
             self.point("asked", row.request)
-            told = await down.ask(message("request_headers", headers))
+            told = await stream.ask(message("request_headers", headers))
             if told is None:
                 return 500, [("x-glenchute-reason", b"no-processor")], b""
             self.point("decided", row.request)
             if told.HasField("immediate_response"):
                 return self.immediate(told.immediate_response)
             if self.habits.half and number % self.habits.half == 0:
-                await down.close(clean=False)
+                await stream.close(clean=False)
                 return 499, [], b""
             if self.habits.stall and number % self.habits.stall == 0:
                 await asyncio.sleep(1.0)
             headers = changed(headers, told.request_headers.response.header_mutation)
-            wants = told.mode_override.response_header_mode == processing_mode_pb2.ProcessingMode.SEND
+            wants_response = (
+                told.mode_override.response_header_mode == processing_mode_pb2.ProcessingMode.SEND
+            )
             status, given, answer, details = await self.forward(headers, body, row)
-            if not wants:
+            if not wants_response:
                 return status, given, answer
             self.point("told", row.request)
             said = message(
                 "response_headers", [(":status", b"%d" % status), *given], {"response.code_details": details}
             )
-            told = await down.ask(said)
+            told = await stream.ask(said)
             self.point("shown", row.request)
             if told is None:
                 return status, given, answer
@@ -285,20 +289,20 @@
                 return self.immediate(told.immediate_response)
             return status, changed(given, told.response_headers.response.header_mutation), answer
         except GRPC_BROKEN:
-            return 500, [("x-glenchute-reason", b"no-processor")], b""  # failure_mode_allow is off
+            return 500, [("x-glenchute-reason", b"no-processor")], b""  # as with failure_mode_allow off
         finally:
-            await down.close()
+            await stream.close()
 
     def immediate(self, told: Any) -> tuple[int, Headers, bytes]:
-        """An immediate response."""
+        """Returns status, headers and body of an immediate response."""
         return int(told.status.code), changed([], told.headers), told.body
 
     # --- attempts ----------------------------------------------------------------------------------------
 
     async def forward(self, headers: Headers, body: bytes, row: Row) -> tuple[int, Headers, bytes, str]:
-        """Attempts as the processor and its headers have them; status, headers, body and code details."""
-        most = int(value(headers, "x-envoy-max-retries") or 0)
-        gated = bool(value(headers, "x-glenchute-token"))
+        """Makes the attempts that the processor allows; returns status, headers, body and code details."""
+        max_retries = int(value(headers, "x-envoy-max-retries") or 0)
+        has_token = bool(value(headers, "x-glenchute-token"))
         node = value(headers, "x-gateway-destination-endpoint")
         left_ms = int(value(headers, "x-envoy-upstream-rq-timeout-ms"))
         end = asyncio.get_running_loop().time() + left_ms / 1000.0
@@ -306,53 +310,53 @@
         while True:
             number += 1
             self.attempts += 1
-            going_to = node
+            target = node
             if self.habits.other_node and self.attempts % self.habits.other_node == 0 and self.nodes:
-                going_to = self.nodes[self.attempts % len(self.nodes)]
-            if gated:
-                tried = self.attempt(headers, body, row, going_to, number, end)
+                target = self.nodes[self.attempts % len(self.nodes)]
+            if has_token:
+                attempt = self.attempt(headers, body, row, target, number, end)
             else:
-                tried = self.direct(headers, body, row, going_to, value(headers, TRY_TIMEOUT))
-            status, given, answer, details, again = await tried
+                attempt = self.direct(headers, body, row, target, value(headers, ATTEMPT_TIMEOUT_HEADER))
+            status, given, answer, details, wants_retry = await attempt
             node = value(given, "x-gateway-destination-endpoint") or node
-            if number > most or asyncio.get_running_loop().time() >= end:
+            if number > max_retries or asyncio.get_running_loop().time() >= end:
                 return status, given, answer, details
-            if not again and not (self.habits.retries_alone and status >= 500):
+            if not wants_retry and not (self.habits.retries_alone and status >= 500):
                 return status, given, answer, details
 
     async def attempt(
         self, headers: Headers, body: bytes, row: Row, node: str, number: int, end: float
     ) -> tuple[int, Headers, bytes, str, bool]:
-        """One attempt, with its own stream. The last is whether to try again."""
-        up = self.exchange(upstream=True)
+        """Makes an attempt with its own stream; the last result is whether to retry."""
+        stream = self.exchange(upstream=True)
         loop = asyncio.get_running_loop()
         clean = True
         try:
-            await up.open()
-            counted = [*headers, ("x-envoy-attempt-count", b"%d" % number)]
+            await stream.open()
+            numbered = [*headers, ("x-envoy-attempt-count", b"%d" % number)]
             self.point("attempt-asked", row.request)
             async with asyncio.timeout(max(0.001, end - loop.time())):
-                told = await up.ask(message("request_headers", counted, {"upstream.address": node}))
+                told = await stream.ask(message("request_headers", numbered, {"upstream.address": node}))
             if told is None:
                 return 500, [], b"", "ext_proc_error", False
             if told.HasField("immediate_response"):
                 status, given, answer = self.immediate(told.immediate_response)
-                return status, given, answer, "ext_proc", bool(value(given, RETRY))
+                return status, given, answer, "ext_proc", bool(value(given, RETRY_HEADER))
             self.point("attempt-allowed", row.request)
             sent = changed(headers, told.request_headers.response.header_mutation)
-            left = value(sent, TRY_TIMEOUT)
-            status, given, answer, details, _ = await self.direct(sent, body, row, node, left)
+            left_ms = value(sent, ATTEMPT_TIMEOUT_HEADER)
+            status, given, answer, details, _ = await self.direct(sent, body, row, node, left_ms)
             if details != "via_upstream" and not self.habits.tells:
                 clean = False
                 return status, given, answer, details, "reset" in value(headers, "x-envoy-retry-on")
             said = message(
                 "response_headers", [(":status", b"%d" % status), *given], {"response.code_details": details}
             )
-            told = await up.ask(said)
+            told = await stream.ask(said)
             if told is None:
                 return status, given, answer, details, False
             given = changed(given, told.response_headers.response.header_mutation)
-            return status, given, answer, details, bool(value(given, RETRY))
+            return status, given, answer, details, bool(value(given, RETRY_HEADER))
         except TimeoutError:
             clean = False
             return 504, [], b"", "response_timeout", False
@@ -360,12 +364,12 @@
             clean = False
             return 500, [], b"", "ext_proc_error", self.habits.retries_alone
         finally:
-            await up.close(clean)
+            await stream.close(clean)
 
     async def direct(
         self, headers: Headers, body: bytes, row: Row, node: str, left_ms: str
     ) -> tuple[int, Headers, bytes, str, bool]:
-        """Sends the request to a node."""
+        """Sends the request to a server; the last result is False, as for no retry."""
         host, _, port = node.rpartition(":")
         writer: asyncio.StreamWriter | None = None
         try:
@@ -392,16 +396,16 @@
             return head.status_code, given, answer, "via_upstream", False
         except TimeoutError:
             return 504, [], b"", "upstream_per_try_timeout", False
-        except BROKEN:
-            why = "connection_termination" if writer is not None else "remote_connection_failure"
-            return 503, [], b"", f"upstream_reset_before_response_started{{{why}}}", False
+        except UPSTREAM_ERRORS:
+            cause = "connection_termination" if writer is not None else "remote_connection_failure"
+            return 503, [], b"", f"upstream_reset_before_response_started{{{cause}}}", False
         finally:
             if writer is not None:
                 writer.transport.abort()
 
 
-async def served(processor: str, habits: Habits) -> None:
-    """Serves until stdin ends, so that it never outlives whoever started it."""
+async def serve_until_stdin_ends(processor: str, habits: Habits) -> None:
+    """Serves until stdin ends, so that the proxy does not outlive its parent process."""
     proxy = Proxy(processor, habits)
     await proxy.start()
     print(proxy.port, flush=True)
@@ -409,16 +413,16 @@
 
 
 def main() -> None:
-    """The command."""
+    """Runs the command line."""
     parser = argparse.ArgumentParser(description="a stand-in proxy")
     parser.add_argument("--processor", required=True, help="host:port or unix:/path")
     parser.add_argument("--die", default="", help=f"POINT:N, a point of {', '.join(POINTS)}")
-    given = parser.parse_args()
-    point, _, number = given.die.partition(":")
+    args = parser.parse_args()
+    point, _, number = args.die.partition(":")
     if point and point not in POINTS:
         parser.error(f"no such point: {point}")
     habits = Habits(dies=(point, int(number or 1)) if point else None)
-    asyncio.run(served(given.processor, habits))
+    asyncio.run(serve_until_stdin_ends(args.processor, habits))
 
 
 if __name__ == "__main__":
