--- a/lab/site.py
+++ b/lab/site.py
@@ -80,9 +80,7 @@
             self.operator.write_text(operator)
         self.program: tuple[str, ...] = ("-m", "glenchute")  # arguments of the interpreter
         self.process: subprocess.Popen[bytes] | None = None
-        self.passed: socket.socket | None = (
-            None  # the platform's listening socket, if it passes one to the process
-        )
+        self.passed: socket.socket | None = None  # the platform's listening socket, if it passes one
         self.shared = folder  # $TMPDIR of the process, which it shares with its successor
         self.log = folder / "gateway.log"
 
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -190,9 +190,8 @@
         ending = self.schedule.ending
         if ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             gateway = await self.replace(gateway, folder, 1 + (ending is Ending.REPLACED_TWICE))
-            await (
-                clients.finish()
-            )  # before SIGTERM, as connections to the passed socket are accepted even without a process
+            # The clients finish before SIGTERM, as the passed socket stays open without a process behind it.
+            await clients.finish()
         if ending is Ending.RELOAD_BEFORE:
             gateway.signal(signal.SIGHUP)
         elif ending is Ending.BROKEN_FILE:
@@ -203,7 +202,7 @@
         elif ending is Ending.STOPPED:
             gateway.signal(signal.SIGSTOP)
             await asyncio.sleep(self.schedule.paused_s)
-            self.books.lag_s += self.schedule.paused_s  # the gateway was late by this time
+            self.books.lag_s += self.schedule.paused_s  # the gateway did not run during this time
             gateway.signal(signal.SIGCONT)
         await self.terminate(gateway, clients)
 
@@ -241,9 +240,8 @@
             successor.passed, successor.shared = gateway.passed, gateway.shared
             successor.log = folder / "gateway.log"
             takeover_count = gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE)
-            self.successors.append(
-                successor
-            )  # so that it is killed at the end of the run even after an error
+            # The end of the run kills all successors, also after an error here.
+            self.successors.append(successor)
             successor.start()
             async with asyncio.timeout(READY_TIMEOUT_S):
                 while gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE) == takeover_count:
