--- a/tests/lab/test_cold_fleet.py
+++ b/tests/lab/test_cold_fleet.py
@@ -1,4 +1,7 @@
-"""A cold server falls under the sum of what all gateways send it: N + 2 x root of N + 2 in a while."""
+"""Cold servers are not overloaded by the sum of what all gateways send them.
+
+The bound in each overload window is N + 2 sqrt(N) + 2 requests, where N follows from the settings.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,20 @@
 
 from lab.sim.cold import LENGTH_MS, SITES, Case, Cold, drawn, pressed
 
-SITE = SITES["zagreb, depot"]  # the least that a site of ours allows
+SITE = SITES["zagreb, depot"]  # the site with the smallest allowance
 
 
 @pytest.mark.parametrize(("gateways", "seeds"), [(20, 4), (30, 4), (200, 1)])
 @pytest.mark.parametrize("uneven", [1.0, 10.0])
 def test_all_turns_together_stay_within_the_budget(gateways: int, seeds: int, uneven: float) -> None:
-    """Every gateway takes each turn, after lulls all at once; told at different moments, some restarted."""
+    """Every gateway sends whenever it may, and all at once after a lull.
+
+    Gateways learn of the server at different times, and some restart meanwhile.
+    """
     for seed in range(seeds):
         rows = pressed(seed, Case(gateways, 1, SITE, uneven=uneven))
         assert max(row.ratio for row in rows) < 1.0, max(rows)
-        assert max(row.requests / row.allowed for row in rows) > 0.3  # and the share is used
+        assert max(row.requests / row.allowed for row in rows) > 0.3  # the allowance is used
 
 
 MILD = drawn(2, 30, 11, SITE)
@@ -25,10 +31,13 @@
 
 @pytest.mark.parametrize(("seed", "case"), [(2, MILD), (0, HARD)], ids=["mild", "full"])
 def test_servers_that_come_under_a_burst_do_not_fall(seed: int, case: Case) -> None:
-    """They join or come back cold; gateways are told one after the other, and others start anew."""
+    """Servers join or return cold during a burst.
+
+    Gateways learn of them one after the other, and some gateways restart.
+    """
     world = Cold(seed, case)
     world.run(LENGTH_MS)
-    told, falls = world.judged()
-    assert not falls, falls
+    windows, overloads = world.judged()
+    assert not overloads, overloads
     assert len(world.came) >= 4 and world.restarts
-    assert max(row.requests for row in told) >= 8  # they got work while cold
+    assert max(row.requests for row in windows) >= 8  # cold servers received requests
--- a/tests/lab/test_quota_errors.py
+++ b/tests/lab/test_quota_errors.py
@@ -1,4 +1,4 @@
-"""The measure of errors at quotas keeps true books, and what it hands the module is the truth."""
+"""The simulation of quota errors counts correctly, and gives the engine true values."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 ACCOUNT = Account("c", PLAN, tuple(range(32)))
 
 
-def small(site: str = "turku", seed: int = 5) -> Day:
+def short_day(site: str = "turku", seed: int = 5) -> Day:
     return quotas.demand(SITES[site], seed, 8, 9.0, 120.0)
 
 
-def of(tries: list[Try], gateways: int = 32) -> Day:
+def day_of(tries: list[Try], gateways: int = 32) -> Day:
     return Day(TURKU, gateways, (PLAN,), [ACCOUNT], tries)
 
 
@@ -33,7 +33,7 @@
     assert store.fill(5000.0) == 10.0
     assert store.over == pytest.approx(4.0)
     store.take(5000.0, 12.0)
-    assert store.level == pytest.approx(-2.0)  # owed
+    assert store.level == pytest.approx(-2.0)  # a negative level is owed
     assert store.was(1000.0) == pytest.approx((6.0, 0.0))
     assert store.was(4000.0) == pytest.approx((10.0, 2.0))
     assert Store(2.0, 10.0, 0.0, 10.0).was(500.0) == pytest.approx((10.0, 1.0))
@@ -42,12 +42,12 @@
 def test_the_books_count_whole_tries_by_the_true_store() -> None:
     books = Books(0.0)
     assert all(books.sent(0.0, ACCOUNT, 1.0) for _ in range(10))
-    assert not books.sent(0.0, ACCOUNT, 1.0)  # beyond: it takes nothing
+    assert not books.sent(0.0, ACCOUNT, 1.0)  # over the quota, so it takes no units
     assert books.sent(500.0 * (1.0 - BLUR) + 1.0, ACCOUNT, 1.0)
     assert (books.units, books.beyond) == (12.0, 1.0)
     books.tries = 10
-    books.refused(500.0, ACCOUNT, 1.0, "empty")  # nothing there: right
-    books.refused(1500.0, ACCOUNT, 1.0, "empty")  # 2 of 10: room, less than half
+    books.refused(500.0, ACCOUNT, 1.0, "empty")  # correct, as the store is empty
+    books.refused(1500.0, ACCOUNT, 1.0, "empty")  # wrong, as 2 of 10 units are left, but less than `ROOM`
     books.refused(3100.0, ACCOUNT, 1.0, "lot")
     assert (books.wrong, books.roomy, dict(books.causes)) == (2, 1, {"lot": 1})
     assert books.shares() == pytest.approx((1 / 12, 0.1, 0.2, 0.0))
@@ -57,7 +57,7 @@
     books = Books(0.0, owed=True)
     for _ in range(12):
         books.sent(0.0, ACCOUNT, 1.0)
-    assert not books.sent(1000.0, ACCOUNT, 1.0)  # two were owed
+    assert not books.sent(1000.0, ACCOUNT, 1.0)  # two units are owed
     assert books.beyond == 3.0
     assert books.store(ACCOUNT).level == pytest.approx(-1.0)
 
@@ -95,7 +95,7 @@
             super().refused(now, account, units, cause)
 
     monkeypatch.setattr(quotas, "Books", Counting)
-    books = quotas.play(small(site), 5)
+    books = quotas.play(short_day(site), 5)
     assert ended["sent"] + ended["refused"] == books.tries
     assert min(ended.values()) > 50
     assert books.calls > 0
@@ -103,9 +103,9 @@
 
 @pytest.mark.parametrize("site", sorted(SITES))
 def test_told_nothing_it_is_the_module(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    day = small(site)
+    day = short_day(site)
     informed = quotas.play(day, 5)
-    assert quotas.play(day, 5) == informed  # a seed is a run
+    assert quotas.play(day, 5) == informed  # a seed determines the run
     monkeypatch.setattr(
         quotas.QuotaWorld, "module", lambda self, settings, seed: DecisionEngine(settings, seed)
     )
@@ -116,19 +116,21 @@
 
 @pytest.mark.parametrize("site", sorted(SITES))
 def test_told_the_true_store_it_makes_no_errors(site: str) -> None:
-    """So what is booked is caused by what gateways don't know, and by the ceiling's guard."""
-    books = quotas.play(small(site), 5, frozenset({"store", "ceiling", "answers"}))
+    """All counted errors are due to what gateways do not know, and to the ceiling's guard."""
+    books = quotas.play(short_day(site), 5, frozenset({"store", "ceiling", "answers"}))
     assert books.beyond == 0.0
     assert books.roomy == 0
 
 
 @pytest.mark.parametrize("cause", EXACT)
 def test_each_truth_reaches_the_module(cause: str) -> None:
-    """A truth that changes nothing would tell of no cause. What is owed is owed by the exact stores only;
-    the share of the demand decides too seldom for so short a day."""
-    day = small("zagreb")
-    beside = frozenset({"window", "overflow"} if cause == "owed" else ())
-    told, base = quotas.play(day, 5, beside | {cause}), quotas.play(day, 5, beside)
+    """A true value that changes nothing would not show that its absence causes errors.
+
+    "owed" applies to exact stores only. "fraction" is exempt, as it decides too seldom in so short a day.
+    """
+    day = short_day("zagreb")
+    others = frozenset({"window", "overflow"} if cause == "owed" else ())
+    told, base = quotas.play(day, 5, others | {cause}), quotas.play(day, 5, others)
     assert cause == "fraction" or told != base
 
 
@@ -141,59 +143,63 @@
 
 
 def model(tries: list[Try], scheme: Scheme, lost: float = 0.0) -> Model:
-    found = Model(of(tries), 3, scheme, lost, retry=0.0)
+    found = Model(day_of(tries), 3, scheme, lost, retry=0.0)
     found.skew = [0.0] * 32
     found.books.warm = 0.0
     return found
 
 
-def crowd(at: float, count: int = 32) -> list[Try]:
+def simultaneous_tries(at: float, count: int = 32) -> list[Try]:
     rng = random.Random(7)
     return [Try(at + rng.random(), ACCOUNT, 1.0, n % 32, 0.9) for n in range(count)]
 
 
-ONE = 1e9  # an epoch that does not end meanwhile
+ENDLESS_EPOCH_MS = 1e9  # longer than any of these tests
 
 
-@pytest.mark.parametrize("epoch_ms", [ONE, 7_000.0])
+@pytest.mark.parametrize("epoch_ms", [ENDLESS_EPOCH_MS, 7_000.0])
 @pytest.mark.parametrize("silence", [40.0, 9_000.0, 70_000.0])
 def test_a_crowd_in_one_millisecond_passes_by_no_more_than_what_overflowed(
     silence: float, epoch_ms: float
 ) -> None:
-    """Those that ask before the overflow is added can't know of each other; what they pass by is owed."""
+    """Requests before the overflow is counted cannot know of each other; what they exceed is owed."""
     scheme = Scheme(0.0, epoch_ms=epoch_ms)
-    first = [Try(0.0, ACCOUNT, 1.0, 0, 0.9), *crowd(silence)]
+    first = [Try(0.0, ACCOUNT, 1.0, 0, 0.9), *simultaneous_tries(silence)]
     overflow = max(0.0, 2.0 * silence / 1000.0 - 1.0)
     books = model(first, scheme).run()
     assert books.units - books.beyond == (10.0 if silence < 100.0 else 11.0)
     assert books.beyond <= min(22.0, overflow)
-    again = model([*first, *crowd(silence + 1000.0)], scheme).run()
+    again = model([*first, *simultaneous_tries(silence + 1000.0)], scheme).run()
     assert again.beyond == books.beyond
 
 
 def test_two_that_find_one_overflow_add_it_once() -> None:
-    first = [Try(0.0, ACCOUNT, 1.0, 0, 0.9), *crowd(2_000.0, 3)]
-    found = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ONE))
+    first = [Try(0.0, ACCOUNT, 1.0, 0, 0.9), *simultaneous_tries(2_000.0, 3)]
+    found = model([*first, *simultaneous_tries(2_500.0)], Scheme(0.0, epoch_ms=ENDLESS_EPOCH_MS))
     books = found.run()
     assert found.corrections > 1
     assert found.taken_back == found.corrections - 1
-    assert (books.beyond, books.units) == (0.0, 1.0 + 3.0 + 8.0)  # a half second fills one
+    assert (books.beyond, books.units) == (0.0, 1.0 + 3.0 + 8.0)  # half a second fills one unit
 
 
 @pytest.mark.parametrize("hidden", [0.0, 0.25, 0.5])
 def test_what_is_left_of_an_overflow_hides_no_more_than_its_share(hidden: float) -> None:
-    """One after another, so that no two cross: what is hidden is all that can be passed by, and what a last
-    request asks for beyond it, as the books count whole requests."""
+    """Only the hidden part, and the rest of one last request, can go over the quota.
+
+    Requests come one after another, so that no two cross. The last one is counted whole.
+    """
     tries = [Try(0.0, ACCOUNT, 1.0, 0, 0.9)]
-    full = 1000.0 * (1.0 + 0.99 * hidden * PLAN.burst_units) / PLAN.rate_per_s  # just too little too much
+    full = (
+        1000.0 * (1.0 + 0.99 * hidden * PLAN.burst_units) / PLAN.rate_per_s
+    )  # slightly less overflow than the hidden share
     tries += [Try(full + 10.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(32)]
-    books = model(tries, Scheme(hidden, epoch_ms=ONE)).run()
+    books = model(tries, Scheme(hidden, epoch_ms=ENDLESS_EPOCH_MS)).run()
     assert books.beyond < hidden * PLAN.burst_units + 1.0
     assert hidden == 0.0 or books.beyond > 0.0
 
 
 def test_an_emptied_counter_costs_a_burst_at_most() -> None:
-    tries = [row for n in range(80) for row in crowd(500.0 * n, 4)]
+    tries = [row for n in range(80) for row in simultaneous_tries(500.0 * n, 4)]
     whole = model(tries, Scheme(0.0)).run()
     emptied = model(tries, Scheme(0.0, empty_at=15_250.0)).run()
     assert whole.beyond <= 1.0
@@ -201,20 +207,23 @@
 
 
 def test_reads_near_empty_leave_nothing_behind() -> None:
-    """One after another; a crowd that reads in one moment passes by what it asks for at most, and owes it."""
+    """Reads one after another cause no errors.
+
+    Simultaneous reads exceed the quota by their units at most, and owe them.
+    """
     tries = [Try(70.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(300)]
-    scheme = Scheme(0.0, refuse=False, epoch_ms=ONE)
+    scheme = Scheme(0.0, refuse=False, epoch_ms=ENDLESS_EPOCH_MS)
     adds = model(tries, scheme).run()
     reads = model(tries, replace(scheme, read_below=0.5)).run()
     assert reads.calls < adds.calls
     assert (reads.beyond, reads.roomy, adds.beyond, adds.roomy) == (0.0, 0, 0.0, 0)
-    books = model([*tries[:9], *crowd(800.0)], replace(scheme, read_below=0.5)).run()
+    books = model([*tries[:9], *simultaneous_tries(800.0)], replace(scheme, read_below=0.5)).run()
     assert 0.0 < books.beyond <= 32.0
 
 
 def test_a_refused_ask_that_is_never_taken_back_leaves_room_unused() -> None:
-    """Why lost calls matter more here than in windows: nothing forgets them but a store that fills."""
+    """Lost calls matter more here than in windows, as only a store that fills up forgets them."""
     tries = [Try(70.0 * n, ACCOUNT, 1.0, n % 32, 0.9) for n in range(600)]
-    scheme = Scheme(0.0, refuse=False, epoch_ms=ONE)
+    scheme = Scheme(0.0, refuse=False, epoch_ms=ENDLESS_EPOCH_MS)
     assert model(tries, scheme, 0.0).run().wrong == 0
     assert model(tries, scheme, 0.2).run().wrong > 0
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: hollow gateways send what real ones send, a seed is a site, and all ends by itself."""
+"""The scale run: hollow gateways send what real ones do, seeds determine sites, and all processes end."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_a_hollow_gateway_sends_what_a_real_one_sends(tmp_path: Path) -> None:
-    """Calls and bytes, to the list service and the counter, for the same requests and the same news."""
+    """Compares calls and bytes to discovery and the counter for the same requests and list changes."""
 
     async def play() -> None:
         async with Scale(twins(SMALL, 120), tmp_path, 0.6) as scale:
@@ -42,7 +42,7 @@
 
 
 def alive(pids: Iterable[int]) -> list[int]:
-    """Those of these processes that run."""
+    """Returns the processes that still run."""
     found = []
     for pid in pids:
         try:
@@ -55,7 +55,7 @@
 
 
 def children(parent: int) -> list[int]:
-    """Its processes."""
+    """Returns the child processes of a process."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -83,28 +83,28 @@
 
 
 def test_all_ends_where_the_run_is_killed() -> None:
-    """Real gateways are process groups of their own: one of the parts ends them."""
+    """One of the run's processes ends the real gateways, as these are process groups of their own."""
     sizes = ["--gateways", "2", "--real", "1", "--rate", "5", "--seconds", "60", "--warm", "0"]
     with subprocess.Popen(
         [sys.executable, "-m", "benchmarks.scale", *sizes], cwd=ROOT, stdout=subprocess.DEVNULL
     ) as run:
         try:
-            end = time.monotonic() + 30.0
+            deadline = time.monotonic() + 30.0
             while not any(b"lab.scale\0hollow" in arguments(pid) for pid in children(run.pid)):
-                assert run.poll() is None and time.monotonic() < end
+                assert run.poll() is None and time.monotonic() < deadline
                 time.sleep(0.02)
-            pids = children(run.pid)  # the hollow ones come last
+            pids = children(run.pid)  # the hollow gateways start last
         finally:
             run.kill()
     assert len(pids) >= 6
-    end = time.monotonic() + 20.0
+    deadline = time.monotonic() + 20.0
     while left := alive(pids):
-        assert time.monotonic() < end, [arguments(pid) for pid in left]
+        assert time.monotonic() < deadline, [arguments(pid) for pid in left]
         time.sleep(0.02)
 
 
 def arguments(pid: int) -> bytes:
-    """Its command line."""
+    """Returns the command line of a process."""
     try:
         return Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
@@ -130,10 +130,10 @@
 
 @pytest.mark.parametrize("site", [SMALL, BIG, replace(BIG, half=True), replace(BIG, zipf=0.6, spread=1)])
 def test_a_seed_is_a_site(site: Site) -> None:
-    """The same in each process, from the description that was handed over."""
+    """A site is the same in each process that receives its description."""
     other = Site.of(site.raw())
     number = site.real_numbers()[-1]
-    draws = [Draw(one, [number]) for one in (site, other)]
+    draws = [Draw(described, [number]) for described in (site, other)]
     assert other == site and draws[0].accounts == draws[1].accounts
     first, second = (list(itertools.islice(arrivals(site, draw, number, 50.0), 500)) for draw in draws)
     assert first == second
@@ -143,7 +143,7 @@
     shares = site.shares()
     assert sum(shares) == pytest.approx(1.0) and shares == sorted(shares, reverse=True)
     assert shares[0] == pytest.approx(0.5) or not site.half
-    # No gateway spends more than its part on one tenant, as far as sets can grow.
+    # No gateway gives one tenant more than `SET_SHARE`, unless its set has all gateways.
     for share, account in zip(shares, draws[0].accounts, strict=True):
         spread, _ = sets(account)
         assert spread == site.gateways or share * site.gateways / spread <= SET_SHARE + 1e-9
--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -1,4 +1,4 @@
-"""The simulated site: the rules hold over seeds, runs repeat, and bugs that were put in are found."""
+"""The simulated site: rules hold over seeds, runs are reproducible, and injected bugs are found."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 BUGS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {}
 
 
-def bug(put_in: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
-    """A bug to be found."""
-    BUGS[put_in.__name__] = put_in
-    return put_in
+def bug(inject: Callable[[pytest.MonkeyPatch], None]) -> Callable[[pytest.MonkeyPatch], None]:
+    """Registers a bug that the simulation must find."""
+    BUGS[inject.__name__] = inject
+    return inject
 
 
 @bug
@@ -187,8 +187,8 @@
 
 
 def test_a_seed_is_a_run() -> None:
-    one, two = play(drawn(3)), play(drawn(3))
-    assert one.sent == two.sent and one.steps == two.steps and len(one.sent) > 200
+    first, second = play(drawn(3)), play(drawn(3))
+    assert first.sent == second.sent and first.steps == second.steps and len(first.sent) > 200
 
 
 @pytest.mark.parametrize("name", sorted(BUGS))
@@ -197,15 +197,15 @@
     failure = search(range(40))
     assert failure is not None, f"{name} was not found"
     assert len(failure.script.faults) <= len(drawn(failure.script.seed).faults)
-    again = tried(failure.script, DecisionEngine)
-    assert again is not None and again.rule == failure.rule  # the seed and its faults show it again
+    repeated = tried(failure.script, DecisionEngine)
+    assert repeated is not None and repeated.rule == failure.rule  # the script reproduces the failure
     print(f"{name}: seed {failure.script.seed}, {failure.rule}, {failure.script.faults}")
 
 
 def test_a_run_becomes_captures_that_replay(tmp_path: Path) -> None:
     script = Script(2, (Fault(1500.0, "half die", 0.5, 1), Fault(3000.0, "counter replaced", 0.9, 9)))
     files = captured(script, tmp_path)
-    assert len(files) >= 5  # each gateway, and the lives after
-    for found in find_runs(tmp_path).values():
-        report = replay(found)
+    assert len(files) >= 5  # one of each gateway, and one of each restart
+    for run in find_runs(tmp_path).values():
+        report = replay(run)
         assert not report.differences and not report.notes
--- a/tests/lab/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -1,4 +1,4 @@
-"""The simulated site with members: the rules hold over seeds, quotas under the bound that is stated."""
+"""The simulated site with members: rules hold over seeds, and quotas stay within the stated bound."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 
 
 def deaf(patch: pytest.MonkeyPatch) -> None:
-    """Words of the others are not added up."""
+    """Ignores the usage that other members report."""
     patch.setattr(AccountUsage, "receive", lambda self, row: None)
 
 
 def no_window_before(patch: pytest.MonkeyPatch) -> None:
-    """What came late of a window is forgotten; found at ten gateways, where each asks seldom."""
+    """Forgets usage that is reported after its window; found at ten gateways, as each sends seldom."""
     sound = AccountUsage.admitted_by_peers
-    last: dict[str, float] = {}
+    newest_ms: dict[str, float] = {}
 
     def by_others(self: AccountUsage, customer: str, window_ms: float) -> float:
-        newest = max(last.get(customer, 0.0), window_ms)
-        last[customer] = newest
+        newest = max(newest_ms.get(customer, 0.0), window_ms)
+        newest_ms[customer] = newest
         return sound(self, customer, window_ms) if window_ms == newest else 0.0
 
     patch.setattr(AccountUsage, "admitted_by_peers", by_others)
 
 
 def whole_at_once(patch: pytest.MonkeyPatch) -> None:
-    """Each half of a split fleet takes its copy for the fleet's."""
+    """Lets each half of a split fleet take its copy for that of the whole fleet."""
     patch.setattr("lab.sim.members.known_usage_share", lambda *args: 1.0)
 
 
@@ -71,4 +71,4 @@
 def test_a_copy_that_is_not_whole_lends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Gossip, "has_matched_all", lambda self, alive: False)
     alone, among = mute_run(1, 10, 12.0, False, False), mute_run(1, 10, 12.0, False, True)
-    assert among[0] <= alone[0] + 0.5  # even parts as without members, and what is heard only tightens
+    assert among[0] <= alone[0] + 0.5  # equal shares as without members; reports can only lower them
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -144,7 +144,8 @@
             for scheduler in world.schedulers.values()
             for connection in scheduler.connections.values()
         ]
-        assert not any(len(connection.attempts) > 1 for connection in connections)  # all is over at the end
+        # No connection is shared at the end.
+        assert not any(len(connection.attempts) > 1 for connection in connections)
     assert joined > 1000 and aborted > 20
 
 
@@ -157,7 +158,7 @@
 
 
 def hard(seed: int) -> Script:
-    """Bytes that stay behind, surplus replies, drains and hangs all the time, under bursts."""
+    """Returns a script with constant faults: stuck bytes, surplus replies, drains and hangs, under bursts."""
     stuck, extra = "stuck lines", "extra replies"
     kinds = [
         ("volley", stuck, "volley", "drain", stuck, "burst", "volley", "hang"),
@@ -179,7 +180,7 @@
     rule, inject = BUGS[name]
     inject(monkeypatch)
     found = (tried(hard(seed), site=PipedWorld) for seed in range(24))
-    failure = next((one for one in found if one is not None), None)
+    failure = next((candidate for candidate in found if candidate is not None), None)
     failure = failure or search(range(10), site=PipedWorld, of=PIPED_KINDS)
     assert failure is not None, f"{name} was not found"
     assert failure.rule == rule, failure
