--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -1,8 +1,7 @@
-"""Overshoot against the promised bound, refusals with room and calls a request, by what befalls the counter.
+"""Measures overshoot against its bound, refusals with quota left and calls per request, by counter fault.
 
-``python -m benchmarks.counter_loss [RUNS]``: so many seeded runs of each fault, real module instances in
-simulated time, in all processes that the machine bears. Writes the plot that docs/design/counter-loss.md
-shows.
+``python -m benchmarks.counter_loss [RUNS]`` makes RUNS seeded runs of each fault, with real module instances
+in simulated time, in one process per core. Writes the plot that docs/design/counter-loss.md shows.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 
 
 class Row(NamedTuple):
-    """One run: units past the ceiling and the quota, their bounds, refusals with room, calls a request."""
+    """Units past the ceiling and the quota, their bounds, refusals with quota left, calls per request."""
 
     ceiling: float
     ceiling_bound: float
@@ -35,16 +34,19 @@
 
 
 def sound(fleet: Fleet, rng: object) -> None:
-    """Nothing befalls it."""
+    """Injects no fault."""
 
 
-KINDS: dict[str, Callable[..., None]] = {"sound": sound, **{fault.__name__: fault for fault in FAULTS}}
+FAULTS_BY_NAME: dict[str, Callable[..., None]] = {
+    "sound": sound,
+    **{fault.__name__: fault for fault in FAULTS},
+}
 
 
 def run(kind: str, seed: int) -> Row:
-    """One run."""
+    """Plays one seeded run of a fault."""
     gateways = SIZES[seed % len(SIZES)]
-    fleet = played(KINDS[kind], seed, gateways, 100.0 * (seed % 2))
+    fleet = played(FAULTS_BY_NAME[kind], seed, gateways, 100.0 * (seed % 2))
     soft, _, bare = PLANS
     found = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
@@ -58,8 +60,8 @@
 
 
 def plot(rows: dict[str, list[Row]]) -> str:
-    """Each run's quota overshoot as a share of its bound, a column of dots for each fault; the line is the
-    bound."""
+    """Returns an SVG of each run's quota overshoot as a share of its bound: a column of dots for each fault,
+    and a line for the bound."""
     width, height, left = 110 * len(rows) + 60, 320, 50
     parts = [
         f'<svg xmlns="http://www.w3.org/2000/svg" width="{width}" height="{height}" '
@@ -82,18 +84,18 @@
 
 
 def main(runs: int) -> None:
-    """Prints the table."""
+    """Prints the table and writes the plot."""
     print(machine())
     print(f"{runs} runs of each, 3 to 12 gateways, half with clocks 100 ms apart; units past, the worst run")
     heads = ("ceiling", "bound", "quota", "bound", "with room", "calls")
     print(f"{'counter':12}" + "".join(f"{head:>11}" for head in heads))
     rows: dict[str, list[Row]] = {}
     with ProcessPoolExecutor() as pool:
-        for kind in KINDS:
+        for kind in FAULTS_BY_NAME:
             rows[kind] = list(pool.map(run, [kind] * runs, range(runs), chunksize=4))
             worst = max(rows[kind], key=lambda row: row.quota / row.quota_bound)
-            over = max(row.ceiling - row.ceiling_bound for row in rows[kind])
-            assert over <= 1e-6, f"{kind}: a ceiling was passed by {over} more than promised"
+            excess = max(row.ceiling - row.ceiling_bound for row in rows[kind])
+            assert excess <= 1e-6, f"{kind}: a ceiling was passed by {excess} more than promised"
             mean = [sum(column) / runs for column in zip(*rows[kind], strict=True)]
             figures = [max(r.ceiling for r in rows[kind]), max(r.ceiling_bound for r in rows[kind]),
                        worst.quota, worst.quota_bound]  # fmt: skip
