--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,11 +1,11 @@
-"""Slopes of state, messages, processor time and memory by role, each with a larger size that it foretells.
+"""Measures how state, messages, CPU and memory grow by role, and checks each forecast at a larger size.
 
 ``python -m benchmarks.capacity [--quick] [gateway] [lists] [counter] [member] [lease] [config] [tools]``
-prints a table a role; without a role all of them, and draws ``docs/capacity-calls.svg``. Each probe drives
-the real decider in this process. A slope is a least-squares line through the medians of its sizes; the
-forecast for the check point is printed before that size is run. CPU is `time.process_time`, so that other
-programs on the machine take no part in it but by caches, frequency and cores that share their parts. Probes
-stand here, in `capacity_gateway` and in `capacity_members`.
+prints a table for each role; without a role it prints all of them and draws ``docs/capacity-calls.svg``.
+Each probe drives the real decision code in this process. A slope is a least-squares line through the medians
+of its sizes; the forecast for the check point is printed before that size is run. CPU is `time.process_time`,
+so other programs on the machine affect it only through caches, clock frequency and shared cores. The probes
+are defined here, in `capacity_gateway` and in `capacity_members`.
 """
 
 from __future__ import annotations
@@ -29,18 +29,24 @@
     PLAN,
     RATE,
     TENANTS,
-    changed,
-    choice,
-    counted,
-    customers_kib,
+    changed_row_cpu,
+    counter_traffic,
+    idle_cpu,
     list_kib,
     list_text,
     longest_part,
-    quiet,
-    unreachable,
+    request_cpu,
+    tenants_kib,
+    unreachable_ending_cpu,
     whole_list,
 )
-from benchmarks.capacity_members import lease_messages, members_kib, replica_kib, talk, telling
+from benchmarks.capacity_members import (
+    gossip_cost,
+    lease_messages,
+    members_kib,
+    replica_kib,
+    usage_update_cost,
+)
 from benchmarks.machine import machine
 from benchmarks.slopes import Measure, Probe, cpu_ms, kib, table
 from glenchute.cli.fleet import text_table
@@ -54,72 +60,73 @@
 from glenchute.policy.settings import Idempotency
 
 SERVERS, ROUTES = 5_700, 2_700
-NAMES_KEPT_S = 60.0  # a customer unseen for this long is forgotten, here and at the counter
-STATED = PollingTerms(
-    GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0
-)  # `[discovery] calls_per_s = 20, list_age_s = 17`
+NAMES_KEPT_S = 60.0  # gateway and counter forget a tenant not seen for this long
+# Terms of an operator's file with `[discovery] calls_per_s = 20, list_age_s = 17`.
+STATED = PollingTerms(GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0)
 UNSTATED = PollingTerms(GATEWAYS)
 
 
-def pacings(count: int, seed: int, terms: PollingTerms) -> Iterator[PollScheduler]:
+def poll_schedulers(count: int, seed: int, terms: PollingTerms) -> Iterator[PollScheduler]:
     for number in range(count):
         yield PollScheduler(
             terms._replace(gateway_count=count, gateway_index=number), random.Random(seed * 100_000 + number)
         )
 
 
-def quiet_calls(terms: PollingTerms) -> Measure:
-    """Ends of watches a second, over 200 s without news."""
+def idle_calls(terms: PollingTerms) -> Measure:
+    """Measures long polls that end per second, over 200 s without a change of the list."""
 
     def measure(count: int, seed: int) -> float:
         ends = 0
-        for pacing in pacings(count, seed, terms):
-            at = pacing.watch_wait_s() * pacing.rng.random()
+        for scheduler in poll_schedulers(count, seed, terms):
+            at = scheduler.watch_wait_s() * scheduler.rng.random()
             while at < 200.0:
                 ends += 1
-                at += pacing.watch_wait_s()
+                at += scheduler.watch_wait_s()
         return ends / 200.0
 
     return measure
 
 
-def worst_second(pauses: Sequence[float]) -> float:
-    """Calls in the densest second, whole ones from the start."""
-    return float(max(Tally(int(pause) for pause in pauses).values()))
+def worst_second(delays_s: Sequence[float]) -> float:
+    """Returns the calls in the busiest second; seconds are counted from the start."""
+    return float(max(Tally(int(pause) for pause in delays_s).values()))
 
 
 def start_calls(terms: PollingTerms, listed: bool) -> Measure:
     return lambda count, seed: worst_second(
-        [p.first_poll_delay_s(listed) for p in pacings(count, seed, terms)]
+        [p.first_poll_delay_s(listed) for p in poll_schedulers(count, seed, terms)]
     )
 
 
-def zone_back(back: int, seed: int) -> float:
-    """Some of the 520, numbered in a row, start at once without saved lists."""
-    first = itertools.islice(pacings(GATEWAYS, seed, STATED), back)
-    return worst_second([pacing.first_poll_delay_s(False) for pacing in first])
+def zone_back(returning: int, seed: int) -> float:
+    """Measures the busiest second when consecutive gateways of the 520 start at once without saved lists."""
+    first = itertools.islice(poll_schedulers(GATEWAYS, seed, STATED), returning)
+    return worst_second([scheduler.first_poll_delay_s(False) for scheduler in first])
 
 
 def news_calls(terms: PollingTerms) -> Measure:
-    return lambda count, seed: worst_second([p.synchronized_delay_s() for p in pacings(count, seed, terms)])
+    return lambda count, seed: worst_second(
+        [p.synchronized_delay_s() for p in poll_schedulers(count, seed, terms)]
+    )
 
 
-def facts(plans: int) -> PlatformFacts:
+def platform_facts(plans: int) -> PlatformFacts:
     return PlatformFacts({f"class-{n}": ClassFacts(Idempotency.IDEMPOTENT, 4e3) for n in range(10)},
                  tuple(f"plan-{n}" for n in range(plans)), 5, False, 250.0)  # fmt: skip
 
 
 def routes_text(count: int) -> str:
-    """A route for each class and plan, ten classes."""
+    """Returns an operator's file with a route for each pair of class and plan, ten classes."""
     return "".join(f'[[route]]\nname = "r{n}"\nmatch.class = ["class-{n % 10}"]\n'
                    f'match.plan = ["plan-{n // 10}"]\nattempts = 2\n' for n in range(count))  # fmt: skip
 
 
 @functools.cache
-def loaded(count: int, seed: int) -> tuple[float, OperatorConfig]:
-    """Milliseconds for reading and checking an operator's file, which SIGHUP does beside the loop; and what
-    is read."""
-    text, known = routes_text(count), facts(-(-count // 10))
+def load_operator_file(count: int, seed: int) -> tuple[float, OperatorConfig]:
+    """Returns the milliseconds for reading and checking an operator's file, which SIGHUP does outside the
+    event loop, and the configuration read."""
+    text, known = routes_text(count), platform_facts(-(-count // 10))
     readings: list[ReadResult] = []
     spent = cpu_ms(lambda: readings.append(parse(text, known)))
     if readings[0].config is None:
@@ -127,19 +134,19 @@
     return spent, readings[0].config
 
 
-def match(count: int, seed: int) -> float:
-    """Microseconds for finding the route of a request."""
-    routes, plan = RouteTable(loaded(count, seed)[1].bindings, seed), f"plan-{(count - 1) // 10}"
+def route_match_us(count: int, seed: int) -> float:
+    """Measures the microseconds for finding the route of a request."""
+    routes, plan = RouteTable(load_operator_file(count, seed)[1].bindings, seed), f"plan-{(count - 1) // 10}"
     return 1e3 * cpu_ms(lambda: routes.start_request(1.0, "class-3", plan), 50_000)
 
 
 def routes_kib(count: int, seed: int) -> float:
-    text, known = routes_text(count), facts(-(-count // 10))
+    text, known = routes_text(count), platform_facts(-(-count // 10))
     return kib(lambda: parse(text, known).config)
 
 
-def refusals() -> None:
-    """What this size is refused by: the bounds of the operator's file, tried."""
+def print_refusals() -> None:
+    """Prints which bounds of the operator's file refuse the sizes of the design."""
     head = '[fleet]\nfleet = "f"\nname = "g"\nlisten = "127.0.0.1:1999"\n'
     row = '[[fleet.members]]\nname = "m{0}"\naddress = "127.0.0.1:{0}"\n'
     members = head + "".join(row.format(2_000 + n) for n in range(GATEWAYS - 1))
@@ -150,16 +157,16 @@
 
 
 def answer_kib(count: int, seed: int) -> float:
-    """The answer to `glenchute fleet members`, as JSON."""
-    return len(json.dumps(shown(count))) / 1024.0
+    """Measures the KiB of the answer to `glenchute fleet members`, as JSON."""
+    return len(json.dumps(member_rows(count))) / 1024.0
 
 
-def printed(count: int, seed: int) -> float:
-    rows = shown(count)
+def member_table_ms(count: int, seed: int) -> float:
+    rows = member_rows(count)
     return cpu_ms(lambda: text_table(rows), 3)
 
 
-def shown(count: int) -> list[dict[str, Any]]:
+def member_rows(count: int) -> list[dict[str, Any]]:
     names = [f"gateway-{n:03d}" for n in range(count)]
     node: Any = SimpleNamespace(
         loop=SimpleNamespace(time=lambda: 1.0),
@@ -172,35 +179,37 @@
 
 SERVERS_ARE = (400, 1_200, 2_800), SERVERS, SERVERS
 GATEWAYS_ARE = (65, 130, 260), GATEWAYS, GATEWAYS
-BEYOND = (290, 350, 410), GATEWAYS, GATEWAYS  # what is stated binds from 240 and 275 gateways on
+# Sizes at which the stated rate and list age determine the calls: they do so from 240 and 275 gateways on.
+BEYOND = (290, 350, 410), GATEWAYS, GATEWAYS
 RATES = (20, 40, 80), round(RATE), round(RATE)
 TALKING = (30, 60, 120), 240, GATEWAYS
 TOLD = (20, 40, 80), 163, 163
 ROUTES_ARE = (300, 600, 1_200), MAX_ROUTES, ROUTES
-ADDED, CPU, MEMORY, BYTES = 3.9, 2.4, 32e6 / 1024.0, 11.0 / 1.024  # ms, percent, KiB, KiB/s: the limits
+# Limits of a probe, in ms, percent of a core, KiB and KiB/s.
+ADDED, CPU, MEMORY, BYTES = 3.9, 2.4, 32e6 / 1024.0, 11.0 / 1.024
 LISTED, MEMBERS_, ASKED, CORE = "servers listed", "members", "requests/s", "% of a core"
 ALL = "all listed used"
 ROLES: dict[str, list[Probe]] = {
     "gateway": [
-        Probe("CPU of a request", LISTED, "ms", choice(), *SERVERS_ARE, ADDED),
-        Probe(f"the same, {ALL}", LISTED, "ms", choice(True), *SERVERS_ARE, ADDED),
-        Probe("quiet", LISTED, CORE, quiet(), *SERVERS_ARE, CPU),
-        Probe(f"the same, {ALL}", LISTED, CORE, quiet(True), *SERVERS_ARE, CPU),
-        Probe("an ending without a connection", LISTED, "us", unreachable(), *SERVERS_ARE),
-        Probe(f"the same, {ALL}", LISTED, "us", unreachable(True), *SERVERS_ARE),
-        Probe("a changed row", LISTED, "ms", changed, *SERVERS_ARE, 1.0),
+        Probe("CPU of a request", LISTED, "ms", request_cpu(), *SERVERS_ARE, ADDED),
+        Probe(f"the same, {ALL}", LISTED, "ms", request_cpu(True), *SERVERS_ARE, ADDED),
+        Probe("quiet", LISTED, CORE, idle_cpu(), *SERVERS_ARE, CPU),
+        Probe(f"the same, {ALL}", LISTED, CORE, idle_cpu(True), *SERVERS_ARE, CPU),
+        Probe("an ending without a connection", LISTED, "us", unreachable_ending_cpu(), *SERVERS_ARE),
+        Probe(f"the same, {ALL}", LISTED, "us", unreachable_ending_cpu(True), *SERVERS_ARE),
+        Probe("a changed row", LISTED, "ms", changed_row_cpu, *SERVERS_ARE, 1.0),
         Probe("a whole list read and applied", LISTED, "ms", whole_list, *SERVERS_ARE, 100.0),
         Probe("its longest part", LISTED, "ms", longest_part, *SERVERS_ARE, 5.0),
         Probe("memory of a list", LISTED, "KiB", list_kib, *SERVERS_ARE, MEMORY),
         Probe("memory of tenants", "tenants seen in 60 s", "KiB",
-              customers_kib, (500, 1_000, 2_000), 10_000, TENANTS, MEMORY),
+              tenants_kib, (500, 1_000, 2_000), 10_000, TENANTS, MEMORY),
         Probe("memory of routes", "routes", "KiB", routes_kib, *ROUTES_ARE, MEMORY),
-        Probe("match of a route", "routes", "us", match, *ROUTES_ARE),
+        Probe("match of a route", "routes", "us", route_match_us, *ROUTES_ARE),
     ],
     "lists": [
         Probe("calls at quiet, nothing stated", "gateways", "calls/s",
-              quiet_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate_per_s),
-        Probe("the same, stated", "gateways", "calls/s", quiet_calls(STATED), *BEYOND, STATED.rate_per_s),
+              idle_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate_per_s),
+        Probe("the same, stated", "gateways", "calls/s", idle_calls(STATED), *BEYOND, STATED.rate_per_s),
         Probe("worst second after news, nothing stated", "gateways", "calls",
               news_calls(UNSTATED), *GATEWAYS_ARE, STATED.rate_per_s),
         Probe("the same, stated", "gateways", "calls", news_calls(STATED), *BEYOND, STATED.rate_per_s),
@@ -217,29 +226,33 @@
     ],
     "counter": [
         Probe("calls of a gateway", "requests/s", "calls/s",
-              lambda n, s: counted(TENANTS, n, s).calls, *RATES),
+              lambda n, s: counter_traffic(TENANTS, n, s).calls, *RATES),
         Probe("sent by a gateway", "requests/s", "KiB/s",
-              lambda n, s: counted(TENANTS, n, s).sent_kib, *RATES, BYTES),
+              lambda n, s: counter_traffic(TENANTS, n, s).sent_kib, *RATES, BYTES),
         Probe("heard by a gateway", "requests/s", "KiB/s",
-              lambda n, s: counted(TENANTS, n, s).heard_kib, *RATES),
+              lambda n, s: counter_traffic(TENANTS, n, s).heard_kib, *RATES),
         Probe("the module, 20 servers, all counted", "requests/s", CORE,
-              lambda n, s: counted(TENANTS, n, s).cpu_percent, *RATES),
+              lambda n, s: counter_traffic(TENANTS, n, s).cpu_percent, *RATES),
     ],
     "member": [
-        Probe("probes, quiet", MEMBERS_, "messages/s", lambda n, s: talk(n, s, False).messages, *TALKING),
+        Probe("probes, quiet", MEMBERS_, "messages/s",
+              lambda n, s: gossip_cost(n, s, False).messages, *TALKING),
         Probe("probes, quiet", MEMBERS_, "bytes/s",
-              lambda n, s: talk(n, s, False).mean, *TALKING, 1024 * BYTES),
-        Probe("probes, quiet", MEMBERS_, CORE, lambda n, s: talk(n, s, False).cpu_percent, *TALKING, CPU),
+              lambda n, s: gossip_cost(n, s, False).mean, *TALKING, 1024 * BYTES),
+        Probe("probes, quiet", MEMBERS_, CORE,
+              lambda n, s: gossip_cost(n, s, False).cpu_percent, *TALKING, CPU),
         Probe("a zone gone, worst second of any", MEMBERS_, "bytes",
-              lambda n, s: talk(n, s, True).worst, *TALKING, 1024 * BYTES),
-        Probe("a zone gone", MEMBERS_, CORE, lambda n, s: talk(n, s, True).cpu_percent, *TALKING, CPU),
+              lambda n, s: gossip_cost(n, s, True).worst, *TALKING, 1024 * BYTES),
+        Probe("a zone gone", MEMBERS_, CORE, lambda n, s: gossip_cost(n, s, True).cpu_percent, *TALKING, CPU),
         Probe("memory of members", MEMBERS_, "KiB", members_kib, *GATEWAYS_ARE, MEMORY),
-        Probe("words of use, sets of 3", ASKED, CORE, lambda n, s: telling(n, s)[0], *TOLD, CPU),
-        Probe("words of use, sets of 3", ASKED, "words/s", lambda n, s: telling(n, s)[2], *TOLD),
-        Probe("words of use, sets of 3", ASKED, "KiB/s sent", lambda n, s: telling(n, s)[1], *TOLD, BYTES),
-        Probe("words of use, sets by share", ASKED, CORE, lambda n, s: telling(n, s, True)[0], *TOLD, CPU),
+        Probe("words of use, sets of 3", ASKED, CORE, lambda n, s: usage_update_cost(n, s)[0], *TOLD, CPU),
+        Probe("words of use, sets of 3", ASKED, "words/s", lambda n, s: usage_update_cost(n, s)[2], *TOLD),
+        Probe("words of use, sets of 3", ASKED, "KiB/s sent",
+              lambda n, s: usage_update_cost(n, s)[1], *TOLD, BYTES),
+        Probe("words of use, sets by share", ASKED, CORE,
+              lambda n, s: usage_update_cost(n, s, True)[0], *TOLD, CPU),
         Probe("words of use, sets by share", ASKED, "KiB/s sent",
-              lambda n, s: telling(n, s, True)[1], *TOLD, BYTES),
+              lambda n, s: usage_update_cost(n, s, True)[1], *TOLD, BYTES),
         Probe("memory of words", "rows held", "KiB",
               replica_kib, (1_000, 2_000, 4_000), 8_000, 8_000, MEMORY),
     ],
@@ -251,19 +264,19 @@
     ],
     "config": [
         Probe("load of an operator's file", "routes", "ms",
-              lambda n, s: loaded(n, s)[0], *ROUTES_ARE),
+              lambda n, s: load_operator_file(n, s)[0], *ROUTES_ARE),
         Probe("620 loads a day", "routes", CORE,
-              lambda n, s: loaded(n, s)[0] * 620 / 864_000, *ROUTES_ARE, CPU),
+              lambda n, s: load_operator_file(n, s)[0] * 620 / 864_000, *ROUTES_ARE, CPU),
     ],
     "tools": [
         Probe("answer of `glenchute fleet members`", MEMBERS_, "KiB", answer_kib, *GATEWAYS_ARE),
-        Probe("its table", MEMBERS_, "ms", printed, *GATEWAYS_ARE),
+        Probe("its table", MEMBERS_, "ms", member_table_ms, *GATEWAYS_ARE),
     ],
 }  # fmt: skip
 
 
-def drawn() -> None:
-    """What follows from the Zipf law alone: tenants that a gateway knows, names that the counter holds."""
+def print_zipf_figures() -> None:
+    """Prints what follows from Zipf's law alone: tenants known to a gateway, names held by the counter."""
     shares = [1.0 / rank for rank in range(1, TENANTS + 1)]
     total, span = sum(shares), PLAN.burst_units / PLAN.rate_per_s
     known = sum(1.0 - math.exp(-RATE * NAMES_KEPT_S * share / total) for share in shares)
@@ -275,7 +288,7 @@
 
 
 def plot() -> None:
-    """Calls to the counter bend: by tenants they grow to one a request."""
+    """Plots the calls to the counter by tenants: the curve approaches one call per request."""
     import pygal
 
     tenants = [10, 30, 100, 300, 1_000, 3_000, 10_000, TENANTS]
@@ -283,7 +296,7 @@
     law = "tenants (Zipf, exponent 1)"
     chart = pygal.Line(title=title, x_title=law, range=(0, None), js=[], no_prefix=True)
     chart.x_labels = [f"{count:,}" for count in tenants]
-    found = [statistics.median(counted(n, RATE, s).calls for s in range(3)) for n in tenants]
+    found = [statistics.median(counter_traffic(n, RATE, s).calls for s in range(3)) for n in tenants]
     chart.add("median of 3 seeds", [round(calls, 1) for calls in found])
     chart.add("requests", [RATE] * len(tenants))
     chart.render_to_file("docs/capacity-calls.svg")
@@ -292,7 +305,7 @@
 
 
 def main() -> int:
-    """The roles named, or all."""
+    """Measures the roles named on the command line, or all."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity")
     parser.add_argument("roles", nargs="*", metavar="ROLE", help=", ".join(ROLES))
     parser.add_argument("--quick", action="store_true", help="one repeat, no plot: no spread")
@@ -304,9 +317,9 @@
     for role in args.roles or ROLES:
         table(role, ROLES[role], 1 if args.quick else 3)
     if not args.roles or "counter" in args.roles:
-        drawn()
+        print_zipf_figures()
     if not args.roles or "config" in args.roles:
-        refusals()
+        print_refusals()
     if not args.roles and not args.quick:
         plot()
     print(f"\n{time.process_time() - began:.0f} s of CPU")
--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -1,4 +1,4 @@
-"""Probes of `benchmarks.capacity`: one gateway's choosing, lists, tenants, and its calls to the counter."""
+"""Probes of `benchmarks.capacity`: endpoint choice, lists, tenants and counter calls of one gateway."""
 
 from __future__ import annotations
 
@@ -37,33 +37,33 @@
     return Settings("z0", GATEWAYS, (READ,), (plan, Plan("free")), SlowStart(), has_counter=counter)
 
 
-def rows_of(count: int) -> list[dict[str, Any]]:
-    """Discovery's rows, in seven zones."""
+def discovery_rows(count: int) -> list[dict[str, Any]]:
+    """Returns rows as discovery sends them, in seven zones."""
     same = {"weight": 1.0, "state": "Ready", "started_ms": 0}
     return [{"id": f"server-{n:05d}", "addr": f"10.0.{n >> 8}.{n & 255}:9000", "zone": f"z{n % 7}",
              "cell": n % 4, **same} for n in range(count)]  # fmt: skip
 
 
 def list_text(count: int, full: bool = True) -> str:
-    return json.dumps({"version": 1, "full": full, "servers": rows_of(count)})
+    return json.dumps({"version": 1, "full": full, "servers": discovery_rows(count)})
 
 
 def entries(count: int) -> tuple[Endpoint, ...]:
     return decode_list(json.loads(list_text(count))).event.endpoints
 
 
-def module(listed: int, seed: int, all_used: bool = False) -> DecisionEngine | SubsettingEngine:
-    """A module that has heard the list, as plain `run` has it; or one that is told of all servers."""
-    made = settings()
-    gateway: DecisionEngine | SubsettingEngine = DecisionEngine(made, seed)
+def gateway_with_list(listed: int, seed: int, all_used: bool = False) -> DecisionEngine | SubsettingEngine:
+    """Returns the module after a full list, with a subset of the servers, as under `run`, or with all."""
+    gateway_settings = settings()
+    gateway: DecisionEngine | SubsettingEngine = DecisionEngine(gateway_settings, seed)
     if not all_used:
-        gateway = SubsettingEngine(gateway, made, SubsetTerms(GATEWAYS, seed * 37 % GATEWAYS))
+        gateway = SubsettingEngine(gateway, gateway_settings, SubsetTerms(GATEWAYS, seed * 37 % GATEWAYS))
     gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(listed)))
     return gateway
 
 
-def served(gateway: DecisionEngine | SubsettingEngine, count: int, first: int = 0) -> None:
-    """So many requests at one gateway's share of the peak, each answered before the next comes."""
+def serve_requests(gateway: DecisionEngine | SubsettingEngine, count: int, first: int = 0) -> None:
+    """Plays `count` requests at one gateway's share of the peak; each is answered before the next arrives."""
     for number in range(first, first + count):
         now, name = 1000.0 + number * 1000.0 / RATE, str(number)
         for action in gateway.handle(now, Request(name, "read", "free", "c", 4000.0)):
@@ -72,42 +72,45 @@
                 gateway.handle(now + 4.0, ended)
 
 
-def choice(all_used: bool = False) -> Measure:
+def request_cpu(all_used: bool = False) -> Measure:
     def measure(listed: int, seed: int) -> float:
-        gateway, count = module(listed, seed, all_used), 100 if listed > 1_000 and all_used else 400
-        served(gateway, 10)
-        return cpu_ms(lambda: served(gateway, count, 10)) / count
+        gateway, count = (
+            gateway_with_list(listed, seed, all_used),
+            100 if listed > 1_000 and all_used else 400,
+        )
+        serve_requests(gateway, 10)
+        return cpu_ms(lambda: serve_requests(gateway, count, 10)) / count
 
     return measure
 
 
-def quiet(all_used: bool = False) -> Measure:
-    """Percent of a core: four ticks and four looks a second, without requests."""
+def idle_cpu(all_used: bool = False) -> Measure:
+    """Measures the percent of a core spent without requests, at four ticks a second."""
 
     def measure(listed: int, seed: int) -> float:
-        gateway = module(listed, seed, all_used)
+        gateway = gateway_with_list(listed, seed, all_used)
         at = iter(range(1, 10**6))
         return cpu_ms(lambda: gateway.handle(250.0 * next(at), TimerFired(0)), 40) * 4.0 / 10.0
 
     return measure
 
 
-def unreachable(all_used: bool = False) -> Measure:
-    """Microseconds of an ending without a connection, beyond its choice."""
+def unreachable_ending_cpu(all_used: bool = False) -> Measure:
+    """Measures the microseconds to record an attempt that ended without a connection, without its choice."""
 
     def measure(listed: int, seed: int) -> float:
-        made, gateway = settings(), module(listed, seed, all_used)
+        gateway_settings, gateway = settings(), gateway_with_list(listed, seed, all_used)
         inner: Any = gateway.engine if isinstance(gateway, SubsettingEngine) else gateway
         server = next(iter(inner.pool.servers))
         event = AttemptEnded("1", 0, server, Outcome.UNREACHABLE, 1.0, False)
-        return 1e3 * cpu_ms(lambda: inner.pool.record_end(1.0, event, made.classes[0], 1.0), 400)
+        return 1e3 * cpu_ms(lambda: inner.pool.record_end(1.0, event, gateway_settings.classes[0], 1.0), 400)
 
     return measure
 
 
-def changed(listed: int, seed: int) -> float:
-    """A row whose server starts to drain, and later is back."""
-    gateway, rows, at = module(listed, seed), entries(listed), iter(range(1, 10**6))
+def changed_row_cpu(listed: int, seed: int) -> float:
+    """Measures the milliseconds to apply one changed row: a server starts to drain, or is active again."""
+    gateway, rows, at = gateway_with_list(listed, seed), entries(listed), iter(range(1, 10**6))
 
     def change() -> None:
         number = next(at)
@@ -119,10 +122,10 @@
     return cpu_ms(change, 40)
 
 
-def parts_of(count: int, seed: int) -> list[float]:
-    """Processor milliseconds of each part in which a whole list is read and applied, the scale not yet on."""
-    body, held, took = list_text(count).encode(), CurrentList(), []
-    gateway, parts = module(0, seed), decode_list_in_parts(body, held)
+def part_costs_ms(count: int, seed: int) -> list[float]:
+    """Returns the CPU milliseconds of each part in which a whole list is read and applied, not normalized."""
+    body, held, part_ms = list_text(count).encode(), CurrentList(), []
+    gateway, parts = gateway_with_list(0, seed), decode_list_in_parts(body, held)
     while True:
         began, end = time.process_time(), None
         try:
@@ -131,25 +134,26 @@
             end = stop.value
             held.apply(end)
             gateway.handle(0.0, end.event)
-        took.append(1e3 * (time.process_time() - began))
+        part_ms.append(1e3 * (time.process_time() - began))
         if end is not None:
-            return took
+            return part_ms
 
 
 def whole_list(count: int, seed: int) -> float:
-    """Reading and applying a whole list, all parts together; sockets and pools are left out."""
-    return cpu_ms(lambda: parts_of(count, seed), 3)
+    """Measures reading and applying a whole list, all parts together, without sockets and pools."""
+    return cpu_ms(lambda: part_costs_ms(count, seed), 3)
 
 
 def longest_part(count: int, seed: int) -> float:
-    """The longest of them: so long a request may wait. The least of five, as it is one short moment."""
+    """Measures the longest part of reading a list, which is how long a request may wait for the event loop.
+    Takes the least of five runs, as a single short interval is easily disturbed."""
     before = reference_ms()
-    least = min(max(parts_of(count, seed)) for _ in range(5))
+    least = min(max(part_costs_ms(count, seed)) for _ in range(5))
     return least * REFERENCE_MS / (0.5 * (before + reference_ms()))
 
 
 def list_kib(count: int, seed: int) -> float:
-    """What a gateway keeps of a list: discovery's rows, addresses, the module's servers."""
+    """Measures what a gateway keeps of a list: discovery's rows, addresses, the module's servers."""
     text = list_text(count)
 
     def keep() -> object:
@@ -161,8 +165,8 @@
     return kib(keep)
 
 
-def customers_kib(count: int, seed: int) -> float:
-    """Customers that the module has seen within a minute."""
+def tenants_kib(count: int, seed: int) -> float:
+    """Measures the memory of tenants that the module has seen within a minute."""
 
     def keep() -> DecisionEngine:
         gateway = DecisionEngine(settings(True), seed)
@@ -176,7 +180,7 @@
 
 
 def zipf(tenants: int) -> list[float]:
-    """Cumulated shares of tenants by a Zipf law of exponent 1."""
+    """Returns cumulative weights of tenants by Zipf's law with exponent 1, not normalized."""
     shares, total = [], 0.0
     for rank in range(1, tenants + 1):
         total += 1.0 / rank
@@ -184,33 +188,33 @@
     return shares
 
 
-class Counted(NamedTuple):
-    """What one gateway's requests brought the counter, a second."""
+class CounterTraffic(NamedTuple):
+    """Traffic between one gateway and the counter, per second."""
 
     calls: float
     sent_kib: float
     heard_kib: float
-    cpu_percent: float  # of the whole module, the calls' own bytes not among it
+    cpu_percent: float  # CPU of the whole module, without encoding and sending the calls
 
 
 @functools.cache
-def counted(tenants: int, rate: float, seed: int, seconds: float = 20.0) -> Counted:
-    """One gateway of 520 alone at its counter, which answers a millisecond later."""
+def counter_traffic(tenants: int, rate: float, seed: int, seconds: float = 20.0) -> CounterTraffic:
+    """Measures one gateway of 520 that has the counter to itself; the counter answers after 1 ms."""
     rng, gateway, shares = random.Random(seed), DecisionEngine(settings(True), seed), zipf(tenants)
     totals: dict[int, float] = {}
-    calls = out = back = 0
+    calls = sent_bytes = received_bytes = 0
     gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(20)))
 
     def carry_out(now: float, actions: list[Action]) -> None:
-        nonlocal calls, out, back
+        nonlocal calls, sent_bytes, received_bytes
         for action in actions:
             if isinstance(action, IncrementCounter):
                 total = totals[action.key] = totals.get(action.key, 0.0) + action.amount
                 amount, ttl = b"%.3f" % action.amount, b"%d" % action.ttl_ms
                 calls += 1
-                out += len(resp.encode_command(b"INCRTTL", b"%d" % action.key, amount, ttl))
+                sent_bytes += len(resp.encode_command(b"INCRTTL", b"%d" % action.key, amount, ttl))
                 text = b"%.3f" % total
-                back += len(b"$%d\r\n%s\r\n" % (len(text), text))
+                received_bytes += len(b"$%d\r\n%s\r\n" % (len(text), text))
                 reply = CounterReply(action.key, total, Outcome.OK, 1.0)
                 carry_out(now + 1.0, gateway.handle(now + 1.0, reply))
             elif isinstance(action, StartAttempt):
@@ -232,4 +236,6 @@
             carry_out(now, gateway.handle(now, request))
 
     spent = cpu_ms(run) / 10.0 / seconds
-    return Counted(calls / seconds, out / seconds / 1024.0, back / seconds / 1024.0, spent)
+    return CounterTraffic(
+        calls / seconds, sent_bytes / seconds / 1024.0, received_bytes / seconds / 1024.0, spent
+    )
--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -1,4 +1,4 @@
-"""Probes of `benchmarks.capacity`: members, the copies that they exchange, leases."""
+"""Probes of `benchmarks.capacity`: members' gossip, usage updates, replicas and leases."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 from lab.fleet.simulated import SwimNetwork
 
 
-class Watched(SwimNetwork):
-    """A network that books what each member sends, in bytes as they are on the wire."""
+class ByteCountingNetwork(SwimNetwork):
+    """Simulated network that counts the encoded bytes that each member sends."""
 
     def __init__(self, count: int, seed: int) -> None:
-        self.bytes: Tally[tuple[str, int]] = Tally()  # by sender and second
+        self.bytes: Tally[tuple[str, int]] = Tally()  # keyed by sender and second
         super().__init__(count, seed)
-        for node in self.nodes.values():  # all have met long ago
+        for node in self.nodes.values():
+            # Starts from a converged fleet: all members know each other and have no updates left to pass on.
             node.piggyback_counts.clear()
             for member in node.members.values():
                 member.state, member.incarnation, member.boot = (
@@ -44,9 +45,9 @@
         super().post(sender, outs)
 
 
-class Talk(NamedTuple):
-    """What a member spends: percent of a core (with the simulation's own part), messages and bytes a second,
-    bytes in the worst second of any one."""
+class GossipCost(NamedTuple):
+    """Costs of a member: percent of a core (with the simulation's own part), messages and bytes per second,
+    and the bytes in the busiest second of any member."""
 
     cpu_percent: float
     messages: float
@@ -55,42 +56,44 @@
 
 
 @functools.cache
-def talk(count: int, seed: int, gone: bool) -> Talk:
-    """Eight seconds of a fleet; where told, a seventh of it stops dead in the first."""
-    net = Watched(count, seed)
+def gossip_cost(count: int, seed: int, gone: bool) -> GossipCost:
+    """Measures eight seconds of a fleet; with `gone`, a seventh of it is stopped from the start."""
+    net = ByteCountingNetwork(count, seed)
     if gone:
         net.stopped = set(net.names[: count // 7])
-    there = [name for name in net.names if name not in net.stopped]
+    running = [name for name in net.names if name not in net.stopped]
     spent = cpu_ms(lambda: net.run(8.0)) / 1e3
-    per = 8.0 * len(there)
-    sent = sum(net.sent[name] for name in there)
-    total = sum(size for (name, _), size in net.bytes.items() if name in there)
-    worst = max(size for (name, _), size in net.bytes.items() if name in there)
-    return Talk(100.0 * spent / per, sent / per, total / per, worst)
+    per = 8.0 * len(running)
+    sent = sum(net.sent[name] for name in running)
+    total = sum(size for (name, _), size in net.bytes.items() if name in running)
+    worst = max(size for (name, _), size in net.bytes.items() if name in running)
+    return GossipCost(100.0 * spent / per, sent / per, total / per, worst)
 
 
 class Tenant(NamedTuple):
-    """Whose set reaches into the neighbourhood."""
+    """Tenant whose gateways include some of the block that is simulated."""
 
     name: str
-    share: float  # of the fleet's requests
+    share: float  # fraction of the fleet's requests
     first: int
     spread: int
     plan: Plan
 
 
-BLOCK = 9  # gateways played: one, those that may share a set of three with it, and those of these
-CENTRE = BLOCK // 2
+# Gateways that are simulated: the measured one, the four that may share a set of three gateways with it, and
+# the four that may share one with those.
+BLOCK = 9
+CENTRE = BLOCK // 2  # number of the measured gateway
 TENANTS, PEAK = 41_000, 85_000
 
 
 def tenants(seed: int, wide: bool) -> list[Tenant]:
-    """Those that the block meets: Zipf's law with exponent 1, sets of three, or as large as they have to be
-    for a gateway to spend a quarter of its requests on one at most. Plans of 4 units a second and 12 at once;
-    with large sets at least a quarter over what is asked at the peak."""
-    rng, whole, found = random.Random(seed), sum(1.0 / n for n in range(1, TENANTS + 1)), []
+    """Returns the tenants that use gateways of the block, by Zipf's law with exponent 1. A tenant uses three
+    gateways; with `wide`, as many as keep its share of a gateway's requests at a quarter or less. Plans have
+    4 units a second and 12 at once; with `wide`, at least a quarter more than the tenant's peak demand."""
+    rng, zipf_total, found = random.Random(seed), sum(1.0 / n for n in range(1, TENANTS + 1)), []
     for number in range(1, TENANTS + 1):
-        share = 1.0 / number / whole
+        share = 1.0 / number / zipf_total
         spread = max(3, min(GATEWAYS, math.ceil(share * GATEWAYS / 0.25))) if wide else 3
         first = rng.randrange(GATEWAYS)
         if any((gateway - first) % GATEWAYS < spread for gateway in range(BLOCK)):
@@ -107,23 +110,23 @@
     return found
 
 
-class Played(NamedTuple):
-    """What goes on, by step of 50 ms: requests let in (gateway, tenant), datagrams to the centre."""
+class BlockTraffic(NamedTuple):
+    """Traffic by steps of 50 ms: requests admitted (gateway, tenant), datagrams to the measured gateway."""
 
     let_in: list[list[tuple[int, Tenant]]]
     heard: list[list[bytes]]
 
 
-def post_of(number: int, seed: int) -> DirectMessenger:
-    """A gateway's part; all others take part."""
+def messenger_for(number: int, seed: int) -> DirectMessenger:
+    """Returns the messenger of a gateway in a fleet where every other gateway is reachable."""
     names = [f"g{n}" for n in range(GATEWAYS)]
     ring = GatewayRing(names[number], names, gateway_numbers(dict.fromkeys(names)), GATEWAYS)
     use = AccountUsage(f"{names[number]}#1")
     return DirectMessenger(use, Replica(), ring, lambda name: True, random.Random(seed * 100 + number))
 
 
-def turn(post: DirectMessenger, number: int, at: float, rows: list[tuple[int, Tenant]]) -> None:
-    """A gateway's requests of one step: what is looked up and written down for each."""
+def admit_requests(post: DirectMessenger, number: int, at: float, rows: list[tuple[int, Tenant]]) -> None:
+    """Performs the look-ups and reports of usage for a gateway's requests of one step."""
     for gateway, tenant in rows:
         if gateway == number:
             window = window_start_ms(1000.0 * at, tenant.name, tenant.plan)
@@ -133,12 +136,13 @@
 
 
 @functools.cache
-def played(requests_s: int, seed: int, wide: bool) -> Played:
-    """Ten seconds after ten of getting there; an account's quota lets in what its store holds."""
+def play_block(requests_s: int, seed: int, wide: bool) -> BlockTraffic:
+    """Simulates the block for 20 s, of which the first ten are warm-up; a token bucket admits each account's
+    requests."""
     rng, known = random.Random(seed), tenants(seed, wide)
-    posts = {number: post_of(number, seed) for number in range(BLOCK)}
+    messengers = {number: messenger_for(number, seed) for number in range(BLOCK)}
     stores = {tenant.name: (0.0, tenant.plan.burst_units) for tenant in known}
-    # By what each asks of the block: its share of the requests that come through gateways that are played.
+    # A tenant is drawn by the part of its requests that arrives at gateways of the block.
     inside = [sum((g - t.first) % GATEWAYS < t.spread for g in range(BLOCK)) for t in known]
     weights = [t.share / t.spread * n for t, n in zip(known, inside, strict=True)]
     rate = requests_s * GATEWAYS * sum(weights)
@@ -147,7 +151,7 @@
         at, rows, to_centre = 0.05 * step, [], []
         asked += rate * 0.05
         for tenant in rng.choices(known, weights, k=int(asked)):
-            # The rest of its set asks for its part of the quota.
+            # The tenant's gateways outside the block use their part of the quota.
             number = sum((g - tenant.first) % GATEWAYS < tenant.spread for g in range(BLOCK))
             fill = tenant.plan.rate_per_s * number / tenant.spread
             since, store = stores[tenant.name]
@@ -157,54 +161,54 @@
                 ours = [g for g in range(BLOCK) if (g - tenant.first) % GATEWAYS < tenant.spread]
                 rows.append((rng.choice(ours), tenant))
         asked -= int(asked)
-        for number, post in posts.items():
-            turn(post, number, at, rows)
-            for letter in post.tick(at):
-                other = int(letter.to[1:])
-                if other in posts:
-                    data = encode("site", f"g{number}", 1, letter.message)
+        for number, post in messengers.items():
+            admit_requests(post, number, at, rows)
+            for outgoing in post.tick(at):
+                other = int(outgoing.to[1:])
+                if other in messengers:
+                    data = encode("site", f"g{number}", 1, outgoing.message)
                     if other == CENTRE:
                         to_centre.append(data)
                     else:
-                        for answer in posts[other].receive(at, f"g{number}", 1, letter.message):
+                        for answer in messengers[other].receive(at, f"g{number}", 1, outgoing.message):
                             if answer.to == f"g{CENTRE}":
                                 to_centre.append(encode("site", f"g{other}", 1, answer.message))
-                            elif int(answer.to[1:]) in posts:
-                                posts[int(answer.to[1:])].receive(at, f"g{other}", 1, answer.message)
+                            elif int(answer.to[1:]) in messengers:
+                                messengers[int(answer.to[1:])].receive(at, f"g{other}", 1, answer.message)
             post.replica.expire(at)
             post.expire()
         let_in.append(rows)
         heard.append(to_centre)
-        deliver(posts, at, to_centre)
-    return Played(let_in, heard)
+        deliver(messengers, at, to_centre)
+    return BlockTraffic(let_in, heard)
 
 
-def deliver(posts: dict[int, DirectMessenger], at: float, datagrams: list[bytes]) -> None:
-    """The centre's mail, and its answers."""
+def deliver(messengers: dict[int, DirectMessenger], at: float, datagrams: list[bytes]) -> None:
+    """Delivers datagrams to the measured gateway and its answers to the block."""
     for data in datagrams:
         sender, boot, body = decode("site", data)
-        for answer in posts[CENTRE].receive(at, sender, boot, body):  # type: ignore[arg-type]
-            if int(answer.to[1:]) in posts:
-                posts[int(answer.to[1:])].receive(at, f"g{CENTRE}", 1, answer.message)
+        for answer in messengers[CENTRE].receive(at, sender, boot, body):  # type: ignore[arg-type]
+            if int(answer.to[1:]) in messengers:
+                messengers[int(answer.to[1:])].receive(at, f"g{CENTRE}", 1, answer.message)
 
 
 @functools.cache
-def telling(requests_s: int, seed: int, wide: bool = False) -> tuple[float, float, float]:
-    """One gateway that lets in its part of so many requests a second, among 520: percent of a core, KiB a
-    second that it sends as they are on the wire, words a second."""
-    block, post = played(requests_s, seed, wide), post_of(CENTRE, seed)
+def usage_update_cost(requests_s: int, seed: int, wide: bool = False) -> tuple[float, float, float]:
+    """Measures one gateway of 520 that admits `requests_s` requests a second: percent of a core, KiB a second
+    of encoded datagrams sent, usage updates a second."""
+    block, post = play_block(requests_s, seed, wide), messenger_for(CENTRE, seed)
     sent: Tally[str] = Tally()
 
     def run(first: int, last: int) -> None:
         for step in range(first, last):
             at = 0.05 * (step + 1)
-            turn(post, CENTRE, at, block.let_in[step])
+            admit_requests(post, CENTRE, at, block.let_in[step])
             out = post.tick(at)
             for data in block.heard[step]:
                 sender, boot, body = decode("site", data)
                 out += post.receive(at, sender, boot, body)  # type: ignore[arg-type]
-            for letter in out:
-                sent["bytes"] += len(encode("site", f"g{CENTRE}", 1, letter.message))
+            for outgoing in out:
+                sent["bytes"] += len(encode("site", f"g{CENTRE}", 1, outgoing.message))
             post.replica.expire(at)
             post.expire()
 
@@ -216,7 +220,7 @@
 
 
 def replica_kib(rows: int, seed: int) -> float:
-    """What so many rows of use take."""
+    """Measures the memory of `rows` rows of usage."""
 
     def keep() -> Replica:
         replica, rng = Replica(), random.Random(seed)
@@ -236,9 +240,9 @@
 
 @functools.cache
 def lease_messages(members: int, tasks: int, seed: int) -> float:
-    """Messages a second of all together, five voters, nothing wrong."""
-    swarm = LeaseCluster(members, seed, tasks=tasks)
-    swarm.run(5.0)
-    before = swarm.sent
-    swarm.run(10.0)
-    return (swarm.sent - before) / 10.0
+    """Measures the messages per second of the whole cluster, with five voters and no faults."""
+    cluster = LeaseCluster(members, seed, tasks=tasks)
+    cluster.run(5.0)
+    before = cluster.sent
+    cluster.run(10.0)
+    return (cluster.sent - before) / 10.0
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes by size, with their spread, and a larger size that each has to foretell."""
+"""Fits costs by size to a line, with its spread, and checks the forecast of the line at a larger size."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-REFERENCE_MS = 7.5  # what the reference loop takes in the moment for which CPU is stated
-Measure = Callable[[int, int], float]  # of a size and a seed
+REFERENCE_MS = 7.5  # duration of the reference loop to which CPU figures are normalized
+Measure = Callable[[int, int], float]  # takes a size and a seed
 
 
 class Slope(NamedTuple):
-    """A line, and how far the lines of the single repeats lie apart."""
+    """Line through the medians, and the least and greatest slope of the single repeats."""
 
     base: float
     least: float
@@ -24,37 +24,38 @@
     most: float
 
     def forecast(self, size: float) -> float:
-        """What the line says of a size."""
+        """Returns the value of the line at a size."""
         return self.base + self.slope * size
 
     def reaches(self, limit: float, power: int = 1) -> str:
-        """The size at which the line comes to a limit."""
+        """Returns the size at which the line reaches a limit, as text."""
         if self.base >= limit:
             return "any size"
         return f"{((limit - self.base) / self.slope) ** (1.0 / power):,.0f}" if self.slope > 0.0 else "none"
 
 
-def line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
-    """Base and slope by least squares."""
+def least_squares(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
+    """Returns base and slope by least squares."""
     slope, base = statistics.linear_regression(sizes, values)
     return base, slope
 
 
 def fitted(sizes: Sequence[float], repeats: Sequence[Sequence[float]]) -> Slope:
-    """The line through the medians at each of three sizes or more; a row of `repeats` is one repeat. Where
-    these don't agree on the sign there is no slope."""
+    """Fits a line through the medians at each of three sizes or more; a row of `repeats` is one repeat. The
+    slope is 0 where the repeats disagree on its sign."""
     if len(sizes) < 3:
-        raise ValueError("a slope wants three sizes")
+        raise ValueError("a slope needs at least three sizes")
     medians = [statistics.median(column) for column in zip(*repeats, strict=True)]
-    base, slope = line(sizes, medians)
-    slopes = [line(sizes, row)[1] for row in repeats]
+    base, slope = least_squares(sizes, medians)
+    slopes = [least_squares(sizes, row)[1] for row in repeats]
     if min(slopes) < 0.0 < max(slopes):
         base, slope = statistics.median(medians), 0.0
     return Slope(base, min(slopes), slope, max(slopes))
 
 
 class Probe(NamedTuple):
-    """What grows, by what, in which unit; the sizes measured, the larger check point, the operators' size."""
+    """Quantity, the size that it grows by, its unit; the sizes measured, the larger size that checks the
+    forecast, and the size that the design has to carry."""
 
     what: str
     by: str
@@ -63,12 +64,12 @@
     sizes: tuple[int, ...]
     check: int
     design: int
-    limit: float = math.inf  # of the figure
-    power: int = 1  # of the size in which the line is straight
+    limit: float = math.inf  # greatest value allowed, in `unit`
+    power: int = 1  # the quantity is linear in size ** power
 
 
 def table(role: str, probes: Sequence[Probe], repeats: int) -> None:
-    """A role's rows. The forecast is printed before its size is run."""
+    """Prints the rows of a role. Each forecast is printed before its size is measured."""
     heads = ("what", "by", "range", "slope: least repeat, medians, most repeat", "base",
              "check point: forecast", "measured: least, median, most", "measured / forecast", "at the size",
              "limit: reached at")  # fmt: skip
@@ -78,22 +79,24 @@
         sizes = [float(size**probe.power) for size in probe.sizes]
         rows = [[probe.measure(size, seed) for size in probe.sizes] for seed in range(repeats)]
         found = fitted(sizes, rows)
-        foretold = found.forecast(probe.check**probe.power)
+        forecast_value = found.forecast(probe.check**probe.power)
         by = probe.by + (f"^{probe.power}" if probe.power > 1 else "")
         print(f"| {probe.what}, {probe.unit} | {by} | {probe.sizes[0]:,} to {probe.sizes[-1]:,} | "
               f"{found.least:.3g}, {found.slope:.3g}, {found.most:.3g} | {found.base:.3g} | "
-              f"{probe.check:,}: {foretold:.4g} | ", end="", flush=True)  # fmt: skip
-        seen = sorted(probe.measure(probe.check, 100 + seed) for seed in range(repeats))
+              f"{probe.check:,}: {forecast_value:.4g} | ", end="", flush=True)  # fmt: skip
+        measured = sorted(probe.measure(probe.check, 100 + seed) for seed in range(repeats))
         limit = probe.limit
         reached = f"{limit:.4g}: {found.reaches(limit, probe.power)}" if limit < math.inf else "none stated"
-        middle, full = statistics.median(seen), found.forecast(probe.design**probe.power)
-        print(f"{seen[0]:.4g}, {middle:.4g}, {seen[-1]:.4g} | {middle / foretold if foretold else 1.0:.2f} | "
+        median, full = statistics.median(measured), found.forecast(probe.design**probe.power)
+        print(f"{measured[0]:.4g}, {median:.4g}, {measured[-1]:.4g} | "
+              f"{median / forecast_value if forecast_value else 1.0:.2f} | "
               f"{probe.design:,}: {full:.4g} | {reached} |", flush=True)  # fmt: skip
 
 
 def cpu_ms(run: Callable[[], object], times: int = 1) -> float:
-    """Processor milliseconds of one call, as of a moment in which the reference loop takes `REFERENCE_MS`:
-    it runs before and after, as cores that share their parts make the same work cost up to twice as much."""
+    """Returns the CPU milliseconds of one call, normalized to a reference loop of `REFERENCE_MS`. The loop
+    runs before and after, as logical cores that share a physical core make the same work cost up to twice as
+    much."""
     gc.collect()
     before, began = reference_ms(), time.process_time()
     for _ in range(times):
@@ -103,7 +106,7 @@
 
 
 def reference_ms() -> float:
-    """A loop that is always the same."""
+    """Returns the CPU milliseconds of a fixed loop, median of five."""
     took = []
     for _ in range(5):
         began = time.process_time()
@@ -113,7 +116,7 @@
 
 
 def kib(make: Callable[[], object]) -> float:
-    """KiB that what is made keeps."""
+    """Returns the KiB that the object made keeps allocated."""
     gc.collect()
     tracemalloc.start()
     kept = make()
