--- a/benchmarks/machine.py
+++ b/benchmarks/machine.py
@@ -1,4 +1,4 @@
-"""What a measurement was taken on."""
+"""Describes the machine of a measurement, and reads the CPU time of a process."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor seconds of a process so far, user and system, to a clock tick."""
+    """Returns the CPU seconds of a process so far, user and system, with the resolution of a clock tick."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def machine() -> str:
-    """Processor, cores, interpreter."""
+    """Returns processor, cores and interpreter as text."""
     model = platform.processor() or platform.machine()
     try:
         with open("/proc/cpuinfo", encoding="ascii", errors="replace") as file:
             names = [line.split(":", 1)[1].strip() for line in file if line.startswith("model name")]
             model = names[0] if names else model
     except OSError:
-        pass  # another system: the module's word has to do
+        pass  # no /proc on this system: keeps the name that the platform module reports
     return f"{model}, {os.cpu_count()} cores, Python {platform.python_version()}"
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,7 +1,8 @@
-"""Whether service comes back at real processes: each trouble, and what is served in the 10 s after it.
+"""Measures whether real processes recover: requests served in the 10 s after each trouble.
 
-``python -m benchmarks.recovery [TROUBLE ...]`` starts two gateways and three nodes on loopback for each; the
-second gateway has no trouble of its own, and tells what the first should serve. Refusals count by the log.
+``python -m benchmarks.recovery [TROUBLE ...]`` starts two gateways and three nodes on loopback for each. The
+second gateway has no trouble of its own and shows what the first should serve. Refusals by overload are
+counted from the log.
 """
 
 from __future__ import annotations
@@ -29,17 +30,17 @@
 RATE = 20.0
 
 
-class After(NamedTuple):
-    """What one gateway did in the time after a trouble."""
+class RecoveryFigures(NamedTuple):
+    """Requests of one gateway in the time after a trouble."""
 
     asked: int
     served: int
     refused: int
-    overload: int  # refused as overload over its whole life, by its log
+    overload: int  # refusals by overload since the process started, from its log
 
 
 class Pair:
-    """Two gateways before the same nodes; the first one has the trouble."""
+    """Two gateways in front of the same nodes; the trouble affects the first."""
 
     def __init__(self, folder: Path, site: LabSite) -> None:
         settings = {**SETTINGS, "balancers": 2}
@@ -52,7 +53,7 @@
         self.seed = 0
 
     async def load(self, number: int, seconds: float, rate: float = RATE) -> list[str]:
-        """A load on one gateway, of many small accounts; how each request ended."""
+        """Loads one gateway with many small accounts; returns the answer of each request."""
         self.seed += 1
         port = self.gateways[number].port
         accounts = [Account(b"%016x" % (5000 + i), "korporativni", 1.0) for i in range(40)]
@@ -61,18 +62,18 @@
         return [outcome.answer for outcome in load.outcomes]
 
     async def both(self, seconds: float, rate: float = RATE) -> None:
-        """The same on both."""
+        """Puts the same load on both gateways."""
         await asyncio.gather(self.load(0, seconds, rate), self.load(1, seconds, rate))
 
 
 async def drained(pair: Pair) -> None:
-    """The front sends it nothing for 4 s."""
+    """Sends the first gateway no requests for 4 s."""
     await pair.both(3.0)
     await pair.load(1, 4.0)
 
 
 async def stopped(pair: Pair) -> None:
-    """SIGSTOP for 3.5 s, under load."""
+    """Stops the first gateway with SIGSTOP for 3.5 s, under load."""
     await pair.both(3.0)
     pair.gateways[0].signal(signal.SIGSTOP)
     held = asyncio.create_task(pair.load(0, 3.5))
@@ -82,7 +83,7 @@
 
 
 async def killed(pair: Pair) -> None:
-    """SIGKILL and a new start."""
+    """Ends the first gateway with SIGKILL and starts it again."""
     await pair.both(3.0)
     one = pair.gateways[0]
     one.signal(signal.SIGKILL)
@@ -93,7 +94,7 @@
 
 
 async def quiet(pair: Pair) -> None:
-    """All nodes are slow in their first 6 s, at two requests a second; then 8 s of silence."""
+    """Sends two requests a second while all nodes are slow, in their first 6 s; then none for 8 s."""
     await pair.both(0.9, 2.0)
     await asyncio.sleep(8.0)
 
@@ -103,11 +104,13 @@
 }  # fmt: skip
 
 
-async def measure(name: str, folder: Path, after_s: float = AFTER_S, rate: float = RATE) -> list[After]:
-    """Both gateways' figures for the time after a trouble."""
+async def measure(
+    name: str, folder: Path, after_s: float = AFTER_S, rate: float = RATE
+) -> list[RecoveryFigures]:
+    """Returns both gateways' figures for the time after a trouble."""
     trouble, slow_s = TROUBLES[name]
-    late = Fault(Kind.DELAY, 0.0, slow_s, 1.0, 1.9)
-    nodes = [Node(f"s{i}", Trade({"report-read": 30.0}), Script((late,), seed=i)) for i in range(3)]
+    slow_replies = Fault(Kind.DELAY, 0.0, slow_s, 1.0, 1.9)
+    nodes = [Node(f"s{i}", Trade({"report-read": 30.0}), Script((slow_replies,), seed=i)) for i in range(3)]
     async with LabSite(nodes) as site:
         pair = Pair(folder, site)
         for gateway in pair.gateways:
@@ -118,16 +121,16 @@
         await trouble(pair)
         answers = await asyncio.gather(pair.load(0, after_s, rate), pair.load(1, after_s, rate))
         figures = []
-        for gateway, told in zip(pair.gateways, answers, strict=True):
+        for gateway, answers_of_one in zip(pair.gateways, answers, strict=True):
             await gateway.stop()
             lines = re.findall(r"refused: overload (\d+)", gateway.log.read_text())
-            served, refused = told.count("served"), told.count("refused")
-            figures.append(After(len(told), served, refused, sum(map(int, lines))))
+            served, refused = answers_of_one.count("served"), answers_of_one.count("refused")
+            figures.append(RecoveryFigures(len(answers_of_one), served, refused, sum(map(int, lines))))
         return figures
 
 
 def main() -> int:
-    """A row for each trouble and gateway."""
+    """Prints a row for each trouble and gateway."""
     print(machine())
     for name in sys.argv[1:] or TROUBLES:
         with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,7 +1,8 @@
-"""A whole site, hollow beside real: what each role costs at a size.
+"""Measures what each role of a site costs at a size, with simulated (hollow) gateways beside real ones.
 
 ``python -m benchmarks.scale --servers 5700 --tenants 41000 --gateways 520 --real 4 --rate 163 --seconds 20``;
-``--compare``: what a hollow gateway sends against a real one, on a small site; ``--scene``: a bad moment.
+``--compare`` compares what a hollow gateway sends with a real one, on a small site; ``--scene`` injects a
+trouble in the middle of the run.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def scenes(site: Site, seconds: float) -> dict[str, Site]:
-    """The bad moments, in the middle of the measured time."""
+    """Returns the site with each scripted trouble, in the middle of the measured time."""
     at, to = 0.25 * seconds, 0.6 * seconds
     return {
         "zone back": replace(site, troubles=(Trouble("restart", at, to),)),
@@ -41,14 +42,14 @@
 
 
 async def play(site: Site, seconds: float, warm_s: float) -> Figures:
-    """One run."""
+    """Starts the site, runs the measurement and returns its figures."""
     with tempfile.TemporaryDirectory() as folder:
         async with Scale(site, Path(folder), warm_s) as scale:
             return await scale.run(seconds)
 
 
 def twins(site: Site, requests: int) -> Site:
-    """The site whose gateways are all asked the same, and whose list changes as often as all can hear."""
+    """Returns the site with equal load on each gateway and a list that changes as fast as all can follow."""
     return replace(
         site, twins=True, requests=requests, spread=site.gateways, hollow_rate=site.rate, most_known=0,
         changes=20.0,
@@ -56,7 +57,7 @@
 
 
 def compare(figures: Figures) -> list[str]:
-    """Hollow against real."""
+    """Returns the table that compares a hollow gateway with a real one."""
     out = [f"{'one gateway':24} {'real':>10} {'hollow':>10} {'ratio':>7}"]
     for what in COMPARED:
         real, hollow = figures.per["real"][what], figures.per["hollow"][what]
@@ -65,7 +66,7 @@
 
 
 def main() -> int:
-    """The run that the flags describe."""
+    """Performs the run that the flags describe."""
     parser = argparse.ArgumentParser(description=__doc__)
     for one in fields(Site):
         if one.name in ("troubles", "half", "hollow_rate", "twins", "requests"):
