--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -1,9 +1,10 @@
-"""What a decision costs inline, by ext_proc and by a rate limit call, beside a bare echo of the same streams.
+"""Measures the cost of a decision inline, by ext_proc and by a rate limit call, against a bare echo server.
 
     python -m benchmarks.extproc [--requests N] [--streams N]
 
-Each server is a process of its own on one core, measured by its CPU time as the kernel books it; the proxy's
-side is played here. CPU and the rate come from closed loops of 16, latencies from one request at a time.
+Each server is a process of its own pinned to one core and measured by its CPU time from the kernel; this
+process plays the proxy. CPU and rate come from 16 concurrent closed loops, latencies from one request at a
+time.
 """
 
 from __future__ import annotations
@@ -32,10 +33,10 @@
 from lab.site import SETTINGS, GatewayProcess, free_port
 
 CORE = 1
-AT_ONCE = 16
-BATCH = 480
+CONCURRENCY = 16
+BATCH_REQUESTS = 480
 ACCOUNT = b"00000000000003e8"
-SERVED = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
+SERVED_REPLY = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 OPERATOR = """\
 [fronts.extproc]
 listen = "127.0.0.1:{port}"
@@ -64,13 +65,13 @@
 
 
 def rss_kb(pid: int) -> int:
-    """Resident memory."""
+    """Returns the resident memory of a process."""
     line = next(line for line in Path(f"/proc/{pid}/status").read_text().splitlines() if "VmRSS" in line)
     return int(line.split()[1])
 
 
-class Ask:
-    """Plays the proxy's side of one request: the client's stream, and with `streams` the attempt's."""
+class ProxySide:
+    """Plays the proxy for one request: opens the client's stream and, with `streams`, the attempt's."""
 
     def __init__(self, channel: Any, streams: bool) -> None:
         self.method = channel.stream_stream(
@@ -106,12 +107,13 @@
         await down.read()
 
 
-Found = tuple[float, float, list[float]]
+Measurement = tuple[float, float, list[float]]
 
 
-async def measured(pid: int, ask: Callable[[], Awaitable[None]], many: int) -> Found:
-    """CPU microseconds a request, requests a second, and latencies in ms of half as many, one by one."""
-    left = many
+async def measure_requests(pid: int, ask: Callable[[], Awaitable[None]], request_count: int) -> Measurement:
+    """Returns CPU microseconds per request, requests per second, and sorted latencies in ms. The latencies
+    are those of half as many requests, one at a time."""
+    left = request_count
 
     async def worker() -> None:
         nonlocal left
@@ -122,27 +124,27 @@
     for _ in range(200):
         await ask()
     cpu, began = cpu_s(pid), time.perf_counter()
-    await asyncio.gather(*(worker() for _ in range(AT_ONCE)))
+    await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
     took = time.perf_counter() - began
     used = cpu_s(pid) - cpu
     times = []
-    for _ in range(many // 2):
+    for _ in range(request_count // 2):
         at = time.perf_counter()
         await ask()
         times.append(1000.0 * (time.perf_counter() - at))
-    return 1e6 * used / many, many / took, sorted(times)
+    return 1e6 * used / request_count, request_count / took, sorted(times)
 
 
-def line(name: str, found: Found) -> None:
-    """A row of the table."""
+def print_row(name: str, found: Measurement) -> None:
+    """Prints a row of the table."""
     cpu, rate, times = found
     p50, p99, p999 = (times[int(share * (len(times) - 1))] for share in (0.5, 0.99, 0.999))
     print(f"{name:<34} {cpu:7.0f} {rate:8.0f} {p50:8.2f} {p99:8.2f} {p999:8.2f}", flush=True)
 
 
 @asynccontextmanager
-async def echo(library: str, streams: bool) -> AsyncIterator[tuple[int, Ask]]:
-    """The floor: its process, and the proxy's side of a request to it."""
+async def echo(library: str, streams: bool) -> AsyncIterator[tuple[int, ProxySide]]:
+    """Starts a bare echo server, the lower bound of the cost; yields its pid and the proxy's side."""
     command = [sys.executable, "-m", "benchmarks.extproc_echo", library]
     process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     assert process.stdout is not None and process.stdin is not None
@@ -150,33 +152,35 @@
         port = int(process.stdout.readline())
         os.sched_setaffinity(process.pid, {CORE})
         async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
-            yield process.pid, Ask(channel, streams)
+            yield process.pid, ProxySide(channel, streams)
     finally:
         process.stdin.close()
         process.wait()
 
 
-async def paired(ours: tuple[int, Ask], floor: tuple[int, Ask], many: int) -> float:
-    """CPU of ours to that of the floor, in small batches by turns, as this kind of machine changes its pace
-    from one second to the next: the median of the batches' quotients."""
+async def median_cpu_ratio(
+    gateway_side: tuple[int, ProxySide], floor: tuple[int, ProxySide], request_count: int
+) -> float:
+    """Returns the CPU of the gateway divided by that of the echo server, as the median over small batches.
+    The batches alternate, as the speed of the machine may change from one second to the next."""
     quotients = []
-    for _ in range(max(5, many // BATCH)):
+    for _ in range(max(5, request_count // BATCH_REQUESTS)):
         used = []
-        for pid, ask in (ours, floor):
+        for pid, ask in (gateway_side, floor):
             before = cpu_s(pid)
-            for _ in range(BATCH // AT_ONCE):
-                await asyncio.gather(*(ask() for _ in range(AT_ONCE)))
+            for _ in range(BATCH_REQUESTS // CONCURRENCY):
+                await asyncio.gather(*(ask() for _ in range(CONCURRENCY)))
             used.append(cpu_s(pid) - before)
         quotients.append(used[0] / max(0.001, used[1]))
     return statistics.median(quotients)
 
 
 class Site:
-    """A gateway process with one instant node, a counter and a plan that refuses nothing."""
+    """Gateway process with a node that answers at once, a counter and a plan that refuses nothing."""
 
     def __init__(self, folder: Path, streams: bool) -> None:
         self.folder, self.streams = folder, streams
-        self.node, self.counter = RespPeer(always(SERVED)), CounterService()
+        self.node, self.counter = RespPeer(always(SERVED_REPLY)), CounterService()
         self.port = free_port()
 
     async def __aenter__(self) -> Site:
@@ -212,17 +216,17 @@
             await peer.stop()
 
 
-async def inline(many: int) -> Found:
-    """A request of RESP2, forwarded and answered, at a gateway of its own."""
+async def inline_requests(request_count: int) -> Measurement:
+    """Measures RESP2 requests, forwarded and answered, at a new gateway."""
     with tempfile.TemporaryDirectory() as folder:
         async with Site(Path(folder), False) as site:
-            return await asked_inline(site, many)
+            return await inline_requests_at(site, request_count)
 
 
-async def asked_inline(site: Site, many: int) -> Found:
-    """The same, at this gateway."""
+async def inline_requests_at(site: Site, request_count: int) -> Measurement:
+    """Measures RESP2 requests, forwarded and answered, at the gateway of `site`."""
     clients: asyncio.Queue[Client] = asyncio.Queue()
-    for _ in range(AT_ONCE):
+    for _ in range(CONCURRENCY):
         clients.put_nowait(await Client.connect(site.listen))
     serial = 0
 
@@ -234,11 +238,11 @@
         assert told == b"value", told
         clients.put_nowait(client)
 
-    return await measured(site.pid, ask, many)
+    return await measure_requests(site.pid, ask, request_count)
 
 
-async def limit(site: Site, many: int) -> Found:
-    """A rate limit call."""
+async def rate_limit_calls(site: Site, request_count: int) -> Measurement:
+    """Measures rate limit calls."""
     async with grpc.aio.insecure_channel(f"127.0.0.1:{site.port}") as channel:
         ask = channel.unary_unary(
             "/envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit",
@@ -254,11 +258,12 @@
             told = await ask(said)
             assert told.overall_code == rls_pb2.RateLimitResponse.OK
 
-        return await measured(site.pid, once, many)
+        return await measure_requests(site.pid, once, request_count)
 
 
-async def open_streams(site: Site, many: int) -> tuple[float, float]:
-    """KiB a stream that is open and decided, all on one connection; and seconds until all were decided."""
+async def open_streams(site: Site, stream_count: int) -> tuple[float, float]:
+    """Returns the KiB per open stream after its decision, all on one connection, and the seconds until all
+    were decided."""
     before = rss_kb(site.pid)
     channel = grpc.aio.insecure_channel(f"127.0.0.1:{site.port}")
     calls = []
@@ -274,24 +279,24 @@
         await call.write(message("request_headers", [*HEADERS, ("x-request-id", b"%d" % number)]))
         await call.read()
 
-    for start in range(0, many, 200):
-        await asyncio.gather(*(one(number) for number in range(start, min(many, start + 200))))
+    for start in range(0, stream_count, 200):
+        await asyncio.gather(*(one(number) for number in range(start, min(stream_count, start + 200))))
     took = time.perf_counter() - began
     used = rss_kb(site.pid) - before
     for call in calls:
         call.cancel()
     await channel.close()
-    return used / many, took
+    return used / stream_count, took
 
 
-async def main(many: int, streams: int) -> None:
-    """The table."""
+async def main(request_count: int, streams: int) -> None:
+    """Prints the table."""
     os.sched_setaffinity(0, set(range(2, os.cpu_count() or 3)) or {0})
-    print(f"{machine()}; {many} requests a row")
+    print(f"{machine()}; {request_count} requests a row")
     print(f"{'':<34} {'CPU us':>7} {'per s':>8} {'p50 ms':>8} {'p99':>8} {'p99.9':>8}")
     for library in ("grpclib", "h2", "grpcio"):
         async with echo(library, False) as (pid, ask):
-            line(f"echo, {library}, 1 stream", await measured(pid, ask, many))
+            print_row(f"echo, {library}, 1 stream", await measure_requests(pid, ask, request_count))
     for streams_each in (False, True):
         label = "2 streams" if streams_each else "1 stream"
         with tempfile.TemporaryDirectory() as folder:
@@ -300,16 +305,16 @@
                 grpc.aio.insecure_channel(f"127.0.0.1:{site.port}") as channel,
                 echo("grpcio", streams_each) as floor,
             ):
-                ours = Ask(channel, streams_each)
+                gateway_side = ProxySide(channel, streams_each)
                 if streams_each:
-                    line(f"echo, grpcio, {label}", await measured(*floor, many))
-                line(f"ext_proc, {label}", await measured(site.pid, ours, many))
-                quotient = await paired((site.pid, ours), floor, many)
-                assert not ours.refused
+                    print_row(f"echo, grpcio, {label}", await measure_requests(*floor, request_count))
+                print_row(f"ext_proc, {label}", await measure_requests(site.pid, gateway_side, request_count))
+                quotient = await median_cpu_ratio((site.pid, gateway_side), floor, request_count)
+                assert not gateway_side.refused
                 print(f"{'':<6}{quotient:.2f} times the CPU of the echo, in turn with it (aim: under 2)")
                 if not streams_each:
-                    line("rate limit call", await limit(site, many))
-                    line("inline (RESP2, with its forwarding)", await inline(many))
+                    print_row("rate limit call", await rate_limit_calls(site, request_count))
+                    print_row("inline (RESP2, with its forwarding)", await inline_requests(request_count))
     with tempfile.TemporaryDirectory() as folder:
         async with Site(Path(folder), False) as site:
             kib, took = await open_streams(site, streams)
