--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -1,12 +1,12 @@
-"""Where the time goes that one gateway adds to a request at its share of the peak: each request's moments, in
-client, gateway and server, by the machine's one monotonic clock.
-
-``python -m benchmarks.added [LISTED ...]``. The gateway runs as it is, but for a probe that notes the moment
-at which a request has been read (`taken`), its attempt is written (`written`), the server's answer has come
-whole (`answered`) and the client's has been written (`told`). For each part: p50 and p99, and its mean among
-the slowest 2 in 100 by what was added; parts at clients and servers are this measurement's own process.
-Before and after, the same load goes through a bare relay, a process that only passes bytes on to one of the
-servers: what is added there is the machine's.
+"""Breaks down the latency that one gateway adds to a request at its share of the peak. Timestamps in client,
+gateway and server come from the machine's monotonic clock.
+
+``python -m benchmarks.added [LISTED ...]``. The gateway is unchanged but for a probe that records when
+a request has been read (`taken`), its attempt is written (`written`), the server's answer is complete
+(`answered`) and the client's has been written (`told`). Prints for each part p50, p99 and the mean over the
+2% of requests with the most added latency. Clients and servers run in this process. Before and after, the
+same load goes through a bare relay, a process that only forwards bytes to one of the servers: the latency
+added there is the machine's.
 """
 
 from __future__ import annotations
@@ -40,35 +40,35 @@
     ("back to the gateway, read", "ended", "answered"), ("told", "answered", "told"),
     ("to the client", "told", "got"),
 )  # fmt: skip
-Moments = dict[str, dict[str, float]]  # s, by request
+Moments = dict[str, dict[str, float]]  # timestamps in seconds, by request id and name
 
 
 def probe() -> None:
-    """In the gateway's process, before it starts: notes moments, written out at its end."""
+    """Patches the gateway's classes before it starts, to record timestamps and write them at exit."""
     from glenchute.core.executor import RequestExecutor
     from glenchute.upstreams.connection import Connection
     from glenchute.upstreams.exclusive_attempt import ExclusiveAttempt
 
     moments: Moments = {}
     accept, respond = RequestExecutor.accept, RequestExecutor.respond
-    write, answered = ExclusiveAttempt.write, Connection.complete_response
+    write, original_complete = ExclusiveAttempt.write, Connection.complete_response
 
     def note(call: Any, name: str) -> None:
         moments.setdefault(call.request_id.decode(), {})[name] = time.monotonic()
 
-    def noted_accept(self: Any, call: Any, *more: Any) -> Any:
+    def timed_accept(self: Any, call: Any, *more: Any) -> Any:
         note(call, "taken")
         return accept(self, call, *more)
 
-    def noted_write(self: Any, conn: Any) -> None:
+    def timed_write(self: Any, conn: Any) -> None:
         write(self, conn)
         note(self.payload.__self__, "written")
 
-    def noted_answered(self: Any, attempt: Any, *more: Any) -> None:
+    def timed_complete_response(self: Any, attempt: Any, *more: Any) -> None:
         note(attempt.payload.__self__, "answered")
-        answered(self, attempt, *more)
+        original_complete(self, attempt, *more)
 
-    def noted_respond(self: Any, ref: str, reply: Any) -> None:
+    def timed_respond(self: Any, ref: str, reply: Any) -> None:
         live = self.active_requests.get(ref)
         respond(self, ref, reply)
         if live is not None:
@@ -77,33 +77,32 @@
     core: Any = RequestExecutor
     attempt: Any = ExclusiveAttempt
     connection: Any = Connection
-    core.accept, core.respond = noted_accept, noted_respond
-    attempt.write, connection.complete_response = noted_write, noted_answered
+    core.accept, core.respond = timed_accept, timed_respond
+    attempt.write, connection.complete_response = timed_write, timed_complete_response
     atexit.register(lambda: Path(os.environ["ADDED_PROBE"]).write_text(json.dumps(moments)))
 
 
 async def relay(ports: list[int]) -> None:
-    """Passes bytes on, each connection to one of the servers in turn; prints its port, ends with its
-    input."""
-    turn = itertools.cycle(ports)
+    """Forwards bytes, each connection to the next server; prints its port, serves until stdin ends."""
+    next_port = itertools.cycle(ports)
 
-    async def passed(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def copy_bytes(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(65536):
             writer.write(data)
         writer.close()
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        beyond = await asyncio.open_connection("127.0.0.1", next(turn))
-        with contextlib.suppress(asyncio.CancelledError, ConnectionError):  # the end
-            await asyncio.gather(passed(reader, beyond[1]), passed(beyond[0], writer))
+        upstream = await asyncio.open_connection("127.0.0.1", next(next_port))
+        with contextlib.suppress(asyncio.CancelledError, ConnectionError):  # one side has closed
+            await asyncio.gather(copy_bytes(reader, upstream[1]), copy_bytes(upstream[0], writer))
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
 
 
-class NotedNode(Node):
-    """A server that notes when a command came and when its answer was ready."""
+class TimedNode(Node):
+    """Server that records when a command arrived and when its answer was ready."""
 
     moments: Moments
 
@@ -115,8 +114,8 @@
         return reply
 
 
-class NotedLoad(Load):
-    """A load that notes when each request was sent and its answer had come."""
+class TimedLoad(Load):
+    """Load that records when each request was sent and when its answer arrived."""
 
     moments: Moments
 
@@ -128,34 +127,34 @@
         return found
 
 
-async def relayed(nodes: Sequence[Node], accounts: Sequence[Account], seed: int) -> str:
-    """What a bare relay adds to the same load."""
+async def measure_relay(nodes: Sequence[Node], accounts: Sequence[Account], seed: int) -> str:
+    """Returns a line with the latency that a bare relay adds under the same load."""
     ports = [str(node.port) for node in nodes]
     process = subprocess.Popen([sys.executable, "-m", "benchmarks.added", "relay", *ports],
                                stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)  # fmt: skip
     assert process.stdout is not None
     port = int(process.stdout.readline())
-    await NotedLoad(lambda: port, READS, accounts, RATE, seed).run(1.0)
-    load = NotedLoad(lambda: port, READS, accounts, RATE, seed + 1)
+    await TimedLoad(lambda: port, READS, accounts, RATE, seed).run(1.0)
+    load = TimedLoad(lambda: port, READS, accounts, RATE, seed + 1)
     waits = waited_s(process.pid)
     await load.run(SECONDS / 2.0)
     waits = 1000.0 * (waited_s(process.pid) - waits) / len(load.outcomes)
     process.communicate()
     added = []
     for outcome in load.outcomes:
-        one = NotedLoad.moments[outcome.request_id.decode()]
+        one = TimedLoad.moments[outcome.request_id.decode()]
         added.append(1000.0 * (one["got"] - outcome.asked - one["ended"] + one["began"]))
     return (f"  through a bare relay: added p50, p99 {percentile(added, 50):.1f}, "
             f"{percentile(added, 99):.1f} ms; waits {waits:.2f} ms for a core")  # fmt: skip
 
 
 async def measure(listed: int, folder: Path) -> None:
-    """One gateway before so many names; prints its table."""
+    """Measures one gateway with `listed` servers in its list; prints its table."""
     moments: Moments = {}
-    NotedNode.moments = NotedLoad.moments = moments
+    TimedNode.moments = TimedLoad.moments = moments
     (folder / "sitecustomize.py").write_text("from benchmarks.added import probe\nprobe()\n")
     os.environ["ADDED_PROBE"] = str(folder / "moments.json")
-    nodes = [NotedNode(f"n{i}", Trade({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
+    nodes = [TimedNode(f"n{i}", Trade({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
     async with LabSite(nodes) as site:
         lists = Lists(rows(site, listed))
         await lists.start()
@@ -174,14 +173,14 @@
             assert gateway.process is not None
             pid = gateway.process.pid
             accounts = [Account(b"%016x" % (1000 + i), "korporativni") for i in range(400)]
-            beside = [await relayed(nodes, accounts, 10)]
-            await NotedLoad(lambda: gateway.port, READS, accounts, RATE, 1).run(2.0)
-            load = NotedLoad(lambda: gateway.port, READS, accounts, RATE, 2)
+            relay_lines = [await measure_relay(nodes, accounts, 10)]
+            await TimedLoad(lambda: gateway.port, READS, accounts, RATE, 1).run(2.0)
+            load = TimedLoad(lambda: gateway.port, READS, accounts, RATE, 2)
             before, waits = cpu_s(pid), waited_s(pid)
             await load.run(SECONDS)
             used = 1000.0 * (cpu_s(pid) - before) / len(load.outcomes)
             waits = 1000.0 * (waited_s(pid) - waits) / len(load.outcomes)
-            beside.append(await relayed(nodes, accounts, 20))
+            relay_lines.append(await measure_relay(nodes, accounts, 20))
         finally:
             await gateway.stop()
             await lists.stop()
@@ -198,7 +197,7 @@
     print(f"{listed} listed: {len(found)} of {len(load.outcomes)} served; added p50, p99 "
           f"{percentile(added, 50):.1f}, {percentile(added, 99):.1f} ms; a request has {used:.2f} ms of CPU, "
           f"and waits {waits:.2f} ms for a core")  # fmt: skip
-    print("\n".join(beside))
+    print("\n".join(relay_lines))
     for at, (name, _, _) in enumerate(PARTS):
         own = [parts[at] for _, parts in found]
         mean = sum(parts[at] for _, parts in slow) / len(slow)
@@ -209,7 +208,7 @@
 
 
 def main() -> int:
-    """A table for each size."""
+    """Prints a table for each size of the list."""
     if sys.argv[1:2] == ["relay"]:
         uvloop.run(relay([int(port) for port in sys.argv[2:]]))
         return 0
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -1,14 +1,14 @@
-"""What a long list costs one real gateway without an operator's file: processor time a request, while quiet,
-for a changed row and for a whole list; who was served, and when.
+"""Measures the cost of a long list at one real gateway without an operator's file: CPU per request, while
+idle, per changed row and per whole list; requests served and their latency.
 
-``python -m benchmarks.choosing [LISTED ...]``. Twenty real servers stand behind all the names that are
-listed, so that each does more than a server of a site of that size. The PINGs that wait for a turn of the
-loop go from a process of their own, one each `PING_EVERY_S`: while whole lists come, and as long without,
-which tells what of it is the machine's. A whole list's processor time is taken without them.
+``python -m benchmarks.choosing [LISTED ...]``. Twenty real servers stand behind all the names
+listed, so each has more load than a server of a site of that size. PINGs that wait for the event loop are
+sent by a separate process, one each `PING_EVERY_S`: while whole lists arrive, and for as long without,
+which shows the machine's part. CPU per whole list is measured without PINGs.
 
-"Added" is what a client waited beyond the time from a command's arrival at its server to its answer's
-leaving. Load, servers and discovery are one process: what holds that up is in it too. The last figure is
-how long the gateway was ready to run without a core, of a request: the kernel's word (schedstat).
+"Added" is what a client waited beyond the time from a command's arrival at its server to the answer's
+departure. Load, servers and discovery share one process, whose delays are included. The last figure is the
+time per request that the gateway was runnable without a core, from the kernel's schedstat.
 """
 
 from __future__ import annotations
@@ -36,33 +36,33 @@
 
 READS = (Kind("report-read", 1.0, 2000),)
 SERVERS, GATEWAYS, RATE, SECONDS = 20, 520, 163.0, 10.0
-QUIET_S = 10.0
-ROWS = 200  # changed one by one
-WHOLE = 5  # whole lists, one after another
+IDLE_S = 10.0
+ROWS = 200  # rows changed one by one
+WHOLE = 5  # whole lists sent one after another
 PING_EVERY_S = 0.002
 
 
-class Waits(NamedTuple):
-    """What PINGs waited, ms."""
+class PingWaits(NamedTuple):
+    """Waits of PINGs, in ms."""
 
     most: float
-    over: int  # 5 ms
-    of: int
+    over: int  # PINGs that waited over 5 ms
+    of: int  # all PINGs
 
     @classmethod
-    def made(cls, took: list[float]) -> Waits:
-        """These."""
+    def made(cls, took: list[float]) -> PingWaits:
+        """Summarizes the waits of PINGs."""
         return cls(max(took), sum(ms > 5.0 for ms in took), len(took))
 
 
 class Row(NamedTuple):
-    """What one size cost; milliseconds, shares of a core, MB."""
+    """Figures of one size of the list; milliseconds, fractions of a core, MB."""
 
     request_ms: float
     quiet: float
     row_ms: float
-    whole_ms: list[float]  # of the same list again, and of one with other rows
-    pings: list[Waits]  # beside these two, and without any
+    whole_ms: list[float]  # CPU for the same list again, and for one with other rows
+    pings: list[PingWaits]  # during each of these two lists, and without a list
     memory: float
     asked: int
     served: int
@@ -71,11 +71,11 @@
     p99_ms: float
     added_median_ms: float
     added_p99_ms: float
-    waits_ms: float  # ready to run, of a request
+    waits_ms: float  # time per request that the gateway was runnable without a core
 
 
 def rows(site: LabSite, listed: int) -> list[dict[str, Any]]:
-    """So many names in seven zones; the addresses are those of the real servers."""
+    """Returns rows of `listed` names in seven zones, with the addresses of the real servers."""
     return [
         {**row(f"10.{n // 2500}.{n // 250 % 10}.{n % 250}:80", site.nodes[n % SERVERS].port),
          "zone": "abcdefg"[n % 7]}
@@ -84,18 +84,18 @@
 
 
 def memory_mb(pid: int) -> float:
-    """Resident, now."""
+    """Returns the resident memory of a process."""
     text = Path(f"/proc/{pid}/status").read_text()
     return int(text.split("VmRSS:")[1].split()[0]) / 1000.0
 
 
 def ping(port: int) -> None:
-    """PINGs until its input ends; prints how long each waited, ms."""
+    """Sends PINGs until stdin ends; prints the wait of each in ms."""
     sock = socket.create_connection(("127.0.0.1", port))
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     took: list[float] = []
     print("begun", flush=True)
-    while not took or not select.select([0], [], [], PING_EVERY_S)[0]:  # until its input has ended
+    while not took or not select.select([0], [], [], PING_EVERY_S)[0]:  # stdin is readable at its end
         began = time.perf_counter()
         sock.sendall(b"*1\r\n$4\r\nPING\r\n")
         sock.recv(64)
@@ -104,7 +104,7 @@
 
 
 class Pings:
-    """The process of `ping`."""
+    """Process that runs `ping`."""
 
     def __init__(self, port: int) -> None:
         self.process = subprocess.Popen(
@@ -114,22 +114,22 @@
         assert self.process.stdout is not None
         self.process.stdout.readline()
 
-    def end(self) -> Waits:
-        """What they waited."""
-        return Waits.made(json.loads(self.process.communicate()[0]))
+    def end(self) -> PingWaits:
+        """Ends the process; returns the waits."""
+        return PingWaits.made(json.loads(self.process.communicate()[0]))
 
 
 def waited_s(pid: int) -> float:
-    """For how long a process has been ready to run without a core so far."""
+    """Returns the seconds that a process has been runnable without a core so far."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
 
 
-class Timed(Node):
-    """A server that keeps how long each command took it."""
+class TimedNode(Node):
+    """Server that records how long it took for each command."""
 
     def __init__(self, name: str, trade: Trade) -> None:
         super().__init__(name, trade)
-        self.took: dict[bytes, float] = {}  # ms, by request
+        self.took: dict[bytes, float] = {}  # ms, by request id
 
     async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         began = time.perf_counter()
@@ -140,8 +140,8 @@
 
 
 class Lists(DiscoveryService):
-    """Discovery that tells which version was asked from last, and can answer with whole lists only: the same
-    again or, with `other`, with a new weight in each row."""
+    """Discovery service that records the version that a poll last asked from, and can answer with whole lists
+    only: the same again or, with `other`, with a new weight in each row."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         super().__init__(rows)
@@ -156,17 +156,17 @@
         return not self.whole and super().kept(since)
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Waits until something holds of what it was asked."""
+        """Waits until a condition on the polls received holds; raises TimeoutError after 30 s."""
         async with asyncio.timeout(30.0):
             while not condition():
                 await asyncio.sleep(0.002)
 
 
-async def wholes(lists: Lists, gateway: GatewayProcess, other: bool) -> tuple[float, float, Waits]:
-    """Whole lists, one after another: processor time of each, ms; how long they took without PINGs, s; what
-    PINGs waited beside more of them."""
+async def wholes(lists: Lists, gateway: GatewayProcess, other: bool) -> tuple[float, float, PingWaits]:
+    """Sends whole lists one after another. Returns the CPU of each in ms, the seconds they took without
+    PINGs, and the waits of PINGs during more of them."""
     assert gateway.process is not None
-    lists.other, first = other, lists.wholes + 1  # of another kind than the list before
+    lists.other, first = other, lists.wholes + 1  # the next list differs in kind from the one before it
     await lists.until(lambda: lists.wholes > first)
     before, began = cpu_s(gateway.process.pid), time.perf_counter()
     await lists.until(lambda: lists.wholes > first + WHOLE)
@@ -178,8 +178,8 @@
 
 
 async def measure(listed: int, folder: Path) -> Row:
-    """One gateway before so many names."""
-    nodes = [Timed(f"n{i}", Trade({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
+    """Measures one gateway with `listed` servers in its list."""
+    nodes = [TimedNode(f"n{i}", Trade({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
     async with LabSite(nodes) as site:
         all_rows = rows(site, listed)
         lists = Lists(all_rows)
@@ -195,36 +195,37 @@
             assert gateway.process is not None
             pid = gateway.process.pid
             accounts = [Account(b"%016x" % (1000 + i), "korporativni") for i in range(400)]
-            warm = Load(lambda: gateway.port, READS, accounts, RATE, 1)
-            await warm.run(2.0)
+            warm_up = Load(lambda: gateway.port, READS, accounts, RATE, 1)
+            await warm_up.run(2.0)
             load = Load(lambda: gateway.port, READS, accounts, RATE, 2)
             before, waits = cpu_s(pid), waited_s(pid)
             await load.run(SECONDS)
             request_ms = 1000.0 * (cpu_s(pid) - before) / len(load.outcomes)
             waits_ms = 1000.0 * (waited_s(pid) - waits) / len(load.outcomes)
             before = cpu_s(pid)
-            await asyncio.sleep(QUIET_S)
-            quiet = (cpu_s(pid) - before) / QUIET_S
+            await asyncio.sleep(IDLE_S)
+            quiet = (cpu_s(pid) - before) / IDLE_S
             before = cpu_s(pid)
             for number in range(ROWS):
                 lists.update({**all_rows[number * 7919 % listed], "weight": 1.0 + number})
                 await lists.until(lambda: lists.watched == lists.version)
             row_ms = 1000.0 * (cpu_s(pid) - before) / ROWS
             lists.whole = True
-            lists.update(all_rows[0])  # ends the watch; whole lists follow
+            lists.update(all_rows[0])  # ends the long poll, after which whole lists follow
             same, other = [await wholes(lists, gateway, rows) for rows in (False, True)]
             lists.whole = False
             await lists.until(lambda: lists.watched == lists.version)
             watch = Pings(gateway.port)
             await asyncio.sleep(2.0 * same[1])
-            beside = watch.end()
+            without_lists = watch.end()
             served = [outcome for outcome in load.outcomes if outcome.answer == "served"]
             took = [outcome.took_ms for outcome in served]
             service = {ref: ms for node in nodes for ref, ms in node.took.items()}
             added = [outcome.took_ms - service[outcome.request_id] for outcome in served]
             told = [outcome.answer for outcome in load.outcomes]
             return Row(
-                request_ms, quiet, row_ms, [same[0], other[0]], [same[2], other[2], beside], memory_mb(pid),
+                request_ms, quiet, row_ms, [same[0], other[0]], [same[2], other[2], without_lists],
+                memory_mb(pid),
                 len(told), told.count("served"), told.count("lost"),
                 percentile(took, 50), percentile(took, 99), percentile(added, 50), percentile(added, 99),
                 waits_ms,
@@ -235,7 +236,7 @@
 
 
 def main() -> int:
-    """A row for each size."""
+    """Prints a row for each size of the list."""
     if sys.argv[1:2] == ["ping"]:
         ping(int(sys.argv[2]))
         return 0
