--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -1,6 +1,7 @@
-"""CPU a request with the capture off, in memory and on disk; bytes a request; replay speed against real time.
+"""Measures the CPU per request by capture mode, the bytes per request, and replay speed against real time.
 
-``python -m benchmarks.capture [SECONDS]``. The CPU is that of the gateway's process, rounds in turn.
+``python -m benchmarks.capture [SECONDS]``. The modes are off, in memory and on disk; they
+take turns by rounds. The CPU is that of the gateway's process.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def operator(mode: str, folder: str) -> str | None:
-    """The operator's file for a mode; None for off."""
+    """Returns the operator's file for a mode; None for off."""
     return None if mode == "off" else f'[capture]\nfolder = "{folder}"\nmode = "{mode}"\nsegments = 1000\n'
 
 
--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -1,12 +1,12 @@
-"""What all gateways together send a cold server, against what the settings allow it: N + 2 x root of N + 2.
+"""Compares what all gateways send to a cold server with what the settings allow: N + 2 x root of N + 2.
 
     python -m benchmarks.cold_fleet [--days N] [--large N] [--turns N]
 
-`days`: whole modules before servers that join and return under a burst (`lab/sim/cold.py`), so many seeds
-for each deployment's figures with twenty and thirty gateways, `large` seeds with 200. `turns`: a cold server
-to which every turn goes at once, which no demand does. Each row: the fullest window, of those with over two
-thirds from gateways that knew, by drawn work and by requests; then how many servers fell, and how many of
-them so that the rule is broken.
+`days` runs whole modules in front of servers that join and return under a burst (`lab/sim/cold.py`), with
+that number of seeds for each deployment's figures with twenty and thirty gateways and `large` seeds with 200.
+`turns` lets every gateway use each slow start token of a cold server at once, which no demand does. Each row
+has the fullest window, among those with over two thirds from gateways that knew of the server's start, by
+work and by requests; then the servers that failed, and those whose failure breaks the rule.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def row(what: str, site: str, gateways: int, starts: int, told: Iterable[Most], falls: list[Most]) -> None:
-    """Prints one, where there is any."""
+    """Prints a row, unless there were no cold starts."""
     if not starts:
         return
     told = list(told)
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -1,9 +1,9 @@
-"""What a turn of the loop costs while a long list is read and comes into force: processor time of the longest
-turn, of the one that brings it into force, and of all, from discovery's answer to the decision module.
+"""Measures the event loop turns in which a long list is read and applied: CPU of the longest turn, of the one
+that applies the list, and of all, from discovery's answer to the decision module.
 
-``python -m benchmarks.list_turns``: each change of the list `PLAYS` times, in one process, without sockets;
-the median and the most of the plays. The interpreter's collector works as in the gateway: where it has its
-turn, that is the longest.
+``python -m benchmarks.list_turns``: plays each change of the list `PLAYS` times in one process without
+sockets, and prints median and maximum. The garbage collector is set up as in the gateway; a turn in which it
+runs is the longest.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Chain:
-    """Discovery's answers through list, pools and subset to the decision module, turn by turn; no sockets."""
+    """Path of discovery's answers through list, pools and subset to the decision module, without sockets."""
 
     def __init__(self, parted: bool = True) -> None:
         self.loop = asyncio.new_event_loop()
@@ -62,11 +62,11 @@
         return json.dumps({"version": self.version, "full": full, "servers": rows}).encode()
 
     def turns(self, rows: list[dict[str, Any]], full: bool = True) -> Generator[None, None, None]:
-        """An answer, turn by turn, the last of which brings it into force."""
+        """Encodes a list and yields between the turns that read it; the last turn applies it."""
         return self.bring(self.body(rows, full))
 
     def bring(self, body: bytes) -> Generator[None, None, None]:
-        """An answer's body, turn by turn."""
+        """Yields between the turns that read a body; the last turn applies it."""
         news: EndpointUpdate
         if self.parted:
             news = yield from decode_list_in_parts(body, self.held)
@@ -83,7 +83,7 @@
         return set(self.policy.pool.servers)
 
     def state(self) -> Any:
-        """All that a later request or list could find different."""
+        """Returns all state that a later request or list depends on."""
         names, servers, decisions = sorted(self.servers.server_ids()), self.servers, self.gateway.decisions
         subset = decisions.subset if isinstance(decisions, SubsettingEngine) else None
         where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
@@ -120,9 +120,9 @@
 
 
 def play(name: str) -> tuple[float, float, float]:
-    """Milliseconds of processor time: the longest turn, the last, all."""
+    """Returns the CPU milliseconds of the longest turn, of the last, and of all."""
     before, after, full = LISTS[name]
-    gc.collect()  # what the play before left behind
+    gc.collect()  # frees the objects of the previous play
     chain = Chain()
     chain.tell(before)
     turns, took, ended = chain.turns(after, full), [], False
@@ -135,7 +135,7 @@
 
 
 def main() -> int:
-    """A row for each change."""
+    """Prints a row for each change of the list."""
     print(machine())
     print(f"{'':18}  longest turn: median, most  last turn  all (ms of CPU)")
     gc.collect()
