--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,10 +1,11 @@
-"""What a start of the whole fleet costs the list service, and how long it takes to serve.
+"""Measures the load on the list service when a whole fleet starts, and the time until all gateways serve.
 
-``python -m benchmarks.cold_start processes [COUNT]``: real gateways beside a service that answers 20 calls a
-second and turns away past a line of 30, all started at once, then seven in ten killed and started again; with
-nothing stated, with rate and age stated, and (a third of them) with members that share the list.
+``python -m benchmarks.cold_start processes [COUNT]``: real gateways and a service that answers 20 calls a
+second and rejects calls beyond a queue of 30. All start at once; then 70% are killed and started again. Runs
+with nothing stated, with rate and age stated, and (with a third of the gateways) with members that share the
+list.
 ``python -m benchmarks.cold_start start``: CPU of a start.
-``python -m benchmarks.cold_start simulated``: the same, and outages, at 200 and 500 gateways, no processes.
+``python -m benchmarks.cold_start simulated``: starts, releases and outages at 200 and 500 simulated gateways.
 """
 
 from __future__ import annotations
@@ -28,7 +29,8 @@
 
 
 def shared(count: int) -> Callable[[int], str]:
-    """Operators' files of members that share the list; no links between them are scripted."""
+    """Returns a function from a gateway's number to its operator's file, for members that share the list. The
+    links between members are direct, without injected faults."""
     ports = [free_port() for _ in range(count)]
 
     def of(number: int) -> str:
@@ -43,39 +45,39 @@
     return of
 
 
-def told(name: str, count: int, what: str, calls: list[Call], serve: float) -> None:
-    """A line of the table."""
+def print_row(name: str, count: int, what: str, calls: list[Call], serve: float) -> None:
+    """Prints a line of the table."""
     print(f"{name:9} {count:4} {what:8} busiest second {busiest(calls):4}, away {turned_away(calls):.3f}"
           f" of {len(calls):4}, all serve after {serve:.1f} s", flush=True)  # fmt: skip
 
 
-async def herd(name: str, count: int, operator: str | Callable[[int], str] | None) -> None:
-    """Starts all, then seven in ten again while the list changes; a line each."""
+async def measure_fleet(name: str, count: int, operator: str | Callable[[int], str] | None) -> None:
+    """Starts all gateways, then restarts 70% of them while the list changes; prints a line for each."""
     with tempfile.TemporaryDirectory() as folder:
         async with Herd(Path(folder), count, RATE, LINE, operator) as one:
             serve = await one.start(range(count), 120.0)
             await asyncio.sleep(AGE + 5.0)
             calls = list(one.lists.calls)
-            told(name, count, "start", calls, serve)
+            print_row(name, count, "start", calls, serve)
             killed = [n for n in range(count) if n % 10 < 7]
             one.kill(killed)
             began = one.now
             one.lists.update(row("s9", 9, "Gone"))
             serve = await one.start(killed, 120.0)
             await asyncio.sleep(AGE + 5.0)
-            again = [call for call in one.lists.calls if call.at >= began]
-            told(name, count, "restart", again, serve)
+            restart_calls = [call for call in one.lists.calls if call.at >= began]
+            print_row(name, count, "restart", restart_calls, serve)
 
 
 async def processes(count: int) -> None:
-    """All variants in turn."""
-    await herd("unstated", count, None)
-    await herd("stated", count, STATED)
-    await herd("members", count // 3, shared(count // 3))
+    """Measures all variants in turn."""
+    await measure_fleet("unstated", count, None)
+    await measure_fleet("stated", count, STATED)
+    await measure_fleet("members", count // 3, shared(count // 3))
 
 
 def simulated() -> None:
-    """Starts, releases, outages at sizes that processes do not reach."""
+    """Simulates starts, releases and outages at sizes that real processes do not reach."""
     print("gateways  scene    busiest second  turned away  bound of a start")
     for count in (200, 500):
         rate = count / 15.0
@@ -88,7 +90,7 @@
 
 
 def start() -> None:
-    """CPU and peak memory of a process that imports all that `run` does, the interpreter's own beside it."""
+    """Prints the CPU time of a process that imports what `run` imports, and that of the bare interpreter."""
     for name, text in (("interpreter", "pass"), ("run", "import glenchute.cli.run")):
         rows = []
         for _ in range(15):
@@ -100,7 +102,7 @@
 
 
 def main() -> int:
-    """The part that is named."""
+    """Runs the part named on the command line."""
     print(machine())
     what = sys.argv[1] if len(sys.argv) > 1 else "simulated"
     if what == "processes":
--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -1,11 +1,11 @@
-"""What requests of 150 ms come to where a third of the new connections to servers come up late.
+"""Measures requests with a deadline of 150 ms while a third of new connections to servers are slow to open.
 
     python -m benchmarks.connecting [SECONDS] [SEED ...]
 
 A whole gateway and nine servers on loopback sockets in one process. Servers answer after 12 to 24 ms and
-close a connection after three answers, so that new ones are opened all the time; a share of the connects is
-held for 0.3 to 1.5 s before it begins. Columns, each a request: served in time, refused, failed, answered too
-late, connects begun, of these beside a late one, attempts that reached a server.
+close a connection after three answers, so that new ones are opened all the time; some connects are delayed by
+0.3 to 1.5 s. Columns, per request: served in time, refused, failed, answered too late, connects begun, hedged
+connects, attempts that reached a server.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 RATE = 60.0  # requests a second
 DEADLINE_MS = 150
-ANSWERS = 3  # on a connection
+ANSWERS = 3  # answers of a server before it closes the connection
 LATE_S = (0.3, 1.5)
 LIMITS = {"attempts_cap": 3, "connect_timeout_ms": 250.0}
 
 
 class LateLoop(uvloop.Loop):
-    """Holds some of the connects that are made to the servers."""
+    """Event loop that delays some of the connects to the servers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +52,7 @@
 
 
 async def run(loop: LateLoop, share: float, seconds: float, seed: int) -> str:
-    """One row."""
+    """Returns a row of the table."""
     rng = random.Random(seed)
     served: dict[Any, int] = {}
 
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -1,11 +1,11 @@
-"""What floods and trickling peers cost a gateway and its other clients: memory, descriptors, latency.
+"""Measures what floods and slow peers cost a gateway and its other clients: memory, descriptors, latency.
 
 ``python -m benchmarks.floods [SECONDS] [--rate N]``. Each scene has a gateway process of its own, four nodes
 and an open load of well-behaved clients (`lab/load.py`) in this process, and the flood in a third. Memory and
-descriptors are the gateway's own, read from /proc; times are the well-behaved clients', from the moment at
-which a request was due. The load runs before the flood begins; what was due in the flood's first `ARRIVAL_S`
-is told apart, as a flood costs most while it comes. A quiet run comes first and last, so that the machine's
-own noise shows. ``--only`` names scenes by their numbers, from 0.
+descriptors are the gateway's, read from /proc; latencies are the well-behaved clients', from the moment at
+which a request was due. The load starts before the flood; requests due in the flood's first `ARRIVAL_S` are
+reported apart, as a flood costs most while its clients connect. A quiet run comes first and last, to show the
+machine's own noise. ``--only`` selects scenes by their numbers, from 0.
 """
 
 from __future__ import annotations
@@ -34,26 +34,26 @@
 
 NODES = 4
 SERVICE_MS = 10.0
-BEFORE_S = 1.0  # of the load, before the flood begins
-ARRIVAL_S = 2.0  # of the flood: what was due then is told apart
+BEFORE_S = 1.0  # duration of the load before the flood begins
+ARRIVAL_S = 2.0  # first part of the flood, whose requests are reported apart
 ROOM = {"per_second": 1e5, "most_at_once": 1e6, "ceiling_rate": 0.0}
-WORD = b"x" * 60_000
-LARGE = resp.encode_command(b"PING", WORD)
+PING_ARGUMENT = b"x" * 60_000
+LARGE = resp.encode_command(b"PING", PING_ARGUMENT)
 PLAIN = resp.encode_command(b"CALL.GET", b"%016x" % 7, b"slow", b"c=report-read,t=standard,d=2000")
 
 
 class Scene(NamedTuple):
-    """A flood: how many at once, and what each does over and over; or nodes that trickle."""
+    """Flood: concurrent clients and what each repeats; or nodes that answer a byte a second."""
 
     name: str
     clients: int = 0
     each: Callable[[int, int], Awaitable[None]] | None = None
     trickling: int = 0
-    spread_s: float = 1.0  # over which its clients come; 0: all in one moment
+    spread_s: float = 1.0  # time over which the clients start; 0: all at once
 
 
 class Row(NamedTuple):
-    """What came of one."""
+    """Figures of a scene."""
 
     name: str
     rss_mb: float
@@ -67,14 +67,14 @@
     arrival_p99: float
     arrival_served: int
     arrival_asked: int
-    cpu_s: float  # the gateway's, from the flood's beginning to the end of the load
+    cpu_s: float  # CPU of the gateway from the start of the flood to the end of the load
 
 
-# --- the floods: one client's turn, given the gateway's port and the client's number ----------------------
+# --- the floods: one round of a client, given the gateway's port and the client's number ------------------
 
 
-async def sent_and_gone(port: int, number: int) -> None:
-    """Six megabytes of whole commands, none of whose replies is read, and a reset."""
+async def send_and_reset(port: int, number: int) -> None:
+    """Sends 6 MB of whole commands without reading a reply, then resets the connection."""
     client = await Client.connect(port)
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     try:
@@ -86,8 +86,8 @@
         client.writer.transport.abort()
 
 
-async def never_asking(port: int, number: int) -> None:
-    """Connects, says nothing until it is turned out, and comes back."""
+async def stay_idle(port: int, number: int) -> None:
+    """Connects and sends nothing until the gateway closes the connection."""
     client = await Client.connect(port)
     try:
         await client.ended()
@@ -95,8 +95,8 @@
         client.writer.close()
 
 
-async def writing_slowly(port: int, number: int) -> None:
-    """A command at a byte a second, until it is turned out."""
+async def write_slowly(port: int, number: int) -> None:
+    """Sends a command at a byte a second until the gateway closes the connection."""
     client = await Client.connect(port)
     try:
         for byte in PLAIN:
@@ -108,8 +108,8 @@
         client.writer.transport.abort()
 
 
-async def reading_slowly(port: int, number: int) -> None:
-    """Asks for megabytes, and reads a byte a second."""
+async def read_slowly(port: int, number: int) -> None:
+    """Requests megabytes of replies, and reads a byte a second."""
     client = await Client.connect(port)
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     sock = client.writer.get_extra_info("socket")
@@ -126,7 +126,7 @@
 
 
 class Trickling(Node):
-    """Answers a byte a second."""
+    """Node that sends its answers at a byte a second."""
 
     async def write_in_order(
         self, line: asyncio.Queue[asyncio.Task[bytes | None]], writer: asyncio.StreamWriter
@@ -139,25 +139,26 @@
 
 SCENES = (
     Scene("quiet"),
-    Scene("6 MB sent and gone, 8 at once", 8, sent_and_gone),
-    Scene("700 that never ask", 700, never_asking),
-    Scene("300 write a byte a second", 300, writing_slowly),
-    Scene("200 read a byte a second", 200, reading_slowly),
-    Scene("the same, all in one moment", 200, reading_slowly, spread_s=0.0),
+    Scene("6 MB sent and gone, 8 at once", 8, send_and_reset),
+    Scene("700 that never ask", 700, stay_idle),
+    Scene("300 write a byte a second", 300, write_slowly),
+    Scene("200 read a byte a second", 200, read_slowly),
+    Scene("the same, all in one moment", 200, read_slowly, spread_s=0.0),
     Scene("one node of four trickles", trickling=1),
     Scene("quiet again"),
-    Scene("450 read a byte a second", 450, reading_slowly),
-    Scene("800 read a byte a second, all in one moment", 800, reading_slowly, spread_s=0.0),
+    Scene("450 read a byte a second", 450, read_slowly),
+    Scene("800 read a byte a second, all in one moment", 800, read_slowly, spread_s=0.0),
 )
 
 
 def flood(number: int, port: int, up: Event, go: Event) -> None:
-    """A scene's flood, in a process of its own, until that is ended: `up` once it can begin, at `go`."""
+    """Runs the flood of a scene in a process of its own, until that is killed. Sets `up` when it is ready,
+    and begins when `go` is set."""
     scene = SCENES[number]
     up.set()
     go.wait()
 
-    async def again(client: int) -> None:
+    async def repeat_client(client: int) -> None:
         assert scene.each is not None
         await asyncio.sleep(scene.spread_s * random.Random(client).random())
         while True:
@@ -165,20 +166,20 @@
                 await scene.each(port, client)
             await asyncio.sleep(0.05)
 
-    async def all_of_them() -> None:
-        await asyncio.gather(*(again(client) for client in range(scene.clients)))
+    async def run_clients() -> None:
+        await asyncio.gather(*(repeat_client(client) for client in range(scene.clients)))
 
-    uvloop.run(all_of_them())
+    uvloop.run(run_clients())
 
 
 def status_mb(pid: int, name: str) -> float:
-    """A figure of /proc/PID/status that is told in kB."""
+    """Returns the MB of a field of /proc/PID/status that is in kB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith(name + ":")) / 1024.0
 
 
 async def play(number: int, seconds: float, rate: float) -> Row:
-    """One scene."""
+    """Plays one scene."""
     scene = SCENES[number]
     trade = Trade({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
     nodes = [(Trickling if i < scene.trickling else Node)(f"n{i}", trade) for i in range(NODES)]
@@ -219,11 +220,13 @@
                     flooding.join()
                 await gateway.stop()
     since = [one for one in load.outcomes if one.asked >= began]
-    coming = [one for one in since if one.asked < began + ARRIVAL_S]
-    took, arrival = ([one.took_ms for one in some if one.answer == "served"] for some in (since, coming))
+    during_arrival = [one for one in since if one.asked < began + ARRIVAL_S]
+    took, arrival = (
+        [one.took_ms for one in some if one.answer == "served"] for some in (since, during_arrival)
+    )
     return Row(
         scene.name, rss, peak, descriptors, percentile(took, 50), percentile(took, 99), len(took), len(since),
-        percentile(arrival, 50), percentile(arrival, 99), len(arrival), len(coming), cpu,
+        percentile(arrival, 50), percentile(arrival, 99), len(arrival), len(during_arrival), cpu,
     )  # fmt: skip
 
 
@@ -243,12 +246,12 @@
     print("| --- |" + " ---: |" * 9)
     for number in args.only:
         row = uvloop.run(play(number, args.seconds, args.rate))
-        share, coming = (
+        share, during_arrival = (
             f"{served} of {asked} ({100.0 * served / max(1, asked):.1f} %)"
             for served, asked in ((row.served, row.asked), (row.arrival_served, row.arrival_asked))
         )
         print(f"| {row.name} | {row.rss_mb:.0f} | {row.peak_mb:.0f} | {row.descriptors} | {row.p50:.1f} |"
-              f" {row.p99:.1f} | {share} | {row.arrival_p50:.1f}, {row.arrival_p99:.1f} | {coming} |"
+              f" {row.p99:.1f} | {share} | {row.arrival_p50:.1f}, {row.arrival_p99:.1f} | {during_arrival} |"
               f" {row.cpu_s:.2f} |", flush=True)  # fmt: skip
 
 
--- a/benchmarks/floors.py
+++ b/benchmarks/floors.py
@@ -1,10 +1,11 @@
-"""The lowest margins over the standing test's floors, from the bench's journal.
+"""Prints the lowest margins over the floors of the standing test, from the journal of its runs.
 
     python -m benchmarks.floors [JOURNAL] [--since ID]
 
-For each deployment and panel: days, lowest score, what was served over what the gate wants (of all, of the
-class and of the plan that came nearest), and the highest price of units beyond quotas on calm days. Over 1
-holds on that day alone; on short days the gate adds all days up, so that one of them may be under 1.
+A row for each deployment and panel has the number of days, the lowest score, what was served divided by what
+the gate requires (of all, of the class and of the plan with the least margin), and the highest price of units
+beyond quotas on calm days. A ratio over 1 passes on that day alone; on short days the gate sums all days, so
+a single one may be under 1.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 
 def ratio(served: float, wanted: float | None) -> float:
-    """Served over wanted; what wants nothing has all the room there is."""
+    """Returns served divided by required; infinite where nothing is required."""
     return served / wanted if wanted else float("inf")
 
 
 def nearest(days: Iterable[dict[str, Any]], key: str) -> tuple[float, str]:
-    """The class or plan that came nearest to its floor, and on which day."""
+    """Returns the least ratio of a class or plan to its floor, with its name and day."""
     found = [
         (ratio(row[1], row[2]), f"{row[0]} on {day['name']}") for day in days for row in day.get(key) or ()
     ]
