--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,9 +1,9 @@
-"""Leases: how long nobody holds one, what they cost, and whether two ever act at once.
+"""Measures leases: time without a holder, cost, and whether two holders ever act at once.
 
 ``python -m benchmarks.leases simulated``: takeovers, messages and time without a holder, without processes.
-``python -m benchmarks.leases swarm [SEEDS]``: drawn faults; overlaps by the book of what is acted on.
+``python -m benchmarks.leases swarm [SEEDS]``: random faults; overlaps by the record of the effects.
 ``python -m benchmarks.leases runs [RUNS] [AT_ONCE] [FIRST] [PROCESSES]``: seeded runs of real
-processes, eight if not told, of which five vote; five drawn faults each.
+processes, eight by default, of which five vote; five random faults each.
 ``python -m benchmarks.leases follower``: CPU of processes with leases, and without `[fleet.leases]`.
 """
 
@@ -28,7 +28,7 @@
 
 
 def takeovers(kind: str, longest: float) -> list[float]:
-    """Seconds from a trouble of the holder to the first act of another."""
+    """Returns the seconds from a fault of the holder to the first act of another, sorted over seeds."""
     found = []
     for seed in range(100):
         swarm = LeaseCluster(15, seed, longest=longest)
@@ -52,7 +52,7 @@
 
 
 def simulated() -> None:
-    """Tables."""
+    """Prints the tables of takeovers, messages and lost messages."""
     print("takeover in seconds, lease of 3 s     p50    p99")
     for kind in ("kill", "stop", "cut", "release"):
         found = takeovers(kind, 3.0)
@@ -77,30 +77,30 @@
         print(f"{lose:4.1f} {sum(gaps) / 300.0:8.4f}  longest {longest:.2f} s")
 
 
-def one_swarm(seed: int) -> tuple[int, int, int]:
-    """Acts, messages, overlaps of a seed."""
+def run_cluster(seed: int) -> tuple[int, int, int]:
+    """Returns acts, messages and overlaps of a seed."""
     swarm = run_with_faults(seed, (5, 15, 60)[seed % 3], (5, 5, 9)[seed % 3], tasks=1 + seed % 3)
     return len(swarm.effects), swarm.sent, len(overlaps(swarm.effects))
 
 
 def swarm(seeds: int) -> int:
-    """Over seeds."""
+    """Simulates clusters with random faults over seeds; returns the exit status."""
     began = time.monotonic()
     with ProcessPoolExecutor(6) as pool:
-        rows = list(pool.map(one_swarm, range(seeds), chunksize=10))
+        rows = list(pool.map(run_cluster, range(seeds), chunksize=10))
     acts, sent, wrong = (sum(column) for column in zip(*rows, strict=True))
     print(f"{seeds} seeds: {acts} acts, {sent} messages, {wrong} overlaps, {time.monotonic() - began:.0f} s")
     return 1 if wrong else 0
 
 
 def one_run(seed: int, processes: int) -> tuple[int, int, list[str], float]:
-    """A run of real processes, five of which vote."""
+    """Runs real processes, five of which vote; returns seed, acts, errors, longest time without an act."""
     with tempfile.TemporaryDirectory() as folder:
         return seed, *uvloop.run(drawn(Path(folder), seed, processes, 5))
 
 
 def runs(count: int, at_once: int, first: int, processes: int) -> int:
-    """Over seeds; a line for each that went wrong."""
+    """Runs real processes over seeds; prints a line for each error, returns the exit status."""
     began, acts, bad, longest = time.monotonic(), 0, 0, []
     with ProcessPoolExecutor(at_once) as pool:
         seeds = range(first, first + count)
@@ -117,7 +117,7 @@
 
 
 async def follower() -> None:
-    """CPU a second of eight gateways without load."""
+    """Prints the CPU share of eight gateways without load, with leases and with members alone."""
     for name in ("leases", "members alone"):
         service = EffectService()
         await service.start()
@@ -136,7 +136,7 @@
 
 
 def main() -> int:
-    """The part that is named."""
+    """Runs the part named on the command line."""
     print(machine())
     what, *rest = sys.argv[1:] or ["simulated"]
     numbers = [int(text) for text in rest]
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,7 +1,8 @@
-"""The share of small changes to the decision module that the captures of past failures catch.
+"""Measures the share of mutants of the decision module that the captures of past failures catch.
 
-``python -m benchmarks.mutants [COUNT]``: so many seeded changes of one number, comparison or sign, each
-through all captures. A mutant is caught if a decision differs, or the module fails.
+``python -m benchmarks.mutants [COUNT]``: COUNT seeded changes of one number, comparison, sign or
+logical operator, each replayed through all captures. A mutant is caught if a decision differs or the module
+raises.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 
 class Mutant(NamedTuple):
-    """One change."""
+    """One change to one file, with the changed source."""
 
     file: str
     line: int
@@ -69,7 +70,7 @@
 
 
 def places(tree: ast.AST) -> Iterator[tuple[ast.AST, str]]:
-    """What may be changed, in a fixed order."""
+    """Yields the nodes that may be changed and their kind, in a fixed order."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and isinstance(node.value, int | float):
             if not isinstance(node.value, bool):
@@ -83,7 +84,7 @@
 
 
 def mutants(count: int) -> list[Mutant]:
-    """Seeded changes of the modules with decisions."""
+    """Returns seeded changes of the decision modules."""
     rng = random.Random(1)
     made = []
     sources = {name: (ROOT / "glenchute" / "policy" / name).read_text() for name in MUTATED}
@@ -103,7 +104,7 @@
 
 
 def caught(mutant: Mutant) -> bool:
-    """Whether any capture tells it from the module."""
+    """Returns whether the replay of any capture differs from the original module."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "policy"
         shutil.copytree(ROOT / "glenchute" / "policy", copy, ignore=shutil.ignore_patterns("__pycache__"))
@@ -113,12 +114,12 @@
             return any(
                 replay(files, make, use_snapshots=False).differences for files in find_runs(CAPTURES).values()
             )
-        except Exception:  # a module that fails is told as well
+        except Exception:  # a mutant that raises counts as caught
             return True
 
 
 def main(count: int) -> None:
-    """Prints the share, and the mutants that live."""
+    """Prints the share of mutants caught, and those that survive."""
     found = mutants(count)
     with ProcessPoolExecutor(WORKERS) as pool:
         told = list(pool.map(caught, found))
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,10 +1,10 @@
-"""Days of operation on loopback: `_ready`'s wait under load, and short requests beside long values.
+"""Measures the wait for `_ready` under load, and short requests beside long streamed values, on loopback.
 
 ``python -m benchmarks.operations [STREAMS]``
 
-One gateway in a process of its own. First a closed load of short requests alone, then the same beside STREAMS
-long values of 4 MiB, each given at 1 MiB/s. Printed: the short requests' times, the wait for `_ready`, asked
-every 20 ms, and the process' peak memory.
+One gateway in a process of its own serves a closed load of short requests alone, then the same beside STREAMS
+long values of 4 MiB, each sent at 1 MiB/s. Prints the latency of short requests, the wait for `_ready`,
+polled every 20 ms, and the peak memory of the process.
 """
 
 from __future__ import annotations
@@ -25,51 +25,51 @@
 from lab.peers import Client
 from lab.site import GatewayProcess, LabSite, free_port
 
-LONG = 4 * 1024 * 1024
-PIECE = 64 * 1024
+LONG_VALUE_BYTES = 4 * 1024 * 1024
+PIECE_BYTES = 64 * 1024
 SECONDS = 5.0
 CLIENTS = 16
-SHORT = b"c=report-read,t=korporativni,d=2000,units=0.001"
+SHORT_FIELDS = b"c=report-read,t=korporativni,d=2000,units=0.001"
 
 
 class LongNode(Node):
-    """Answers requests whose id begins with L with a long value, slowly."""
+    """Node that answers requests whose id begins with L with a long value, at 1 MiB/s."""
 
     async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         if len(words) < 4 or not words[2].startswith(b"L"):
             return await super().answer(words, writer)
-        writer.write(b"*3\r\n$%d\r\n" % LONG)
-        for _ in range(LONG // PIECE):
-            writer.write(b"x" * PIECE)
+        writer.write(b"*3\r\n$%d\r\n" % LONG_VALUE_BYTES)
+        for _ in range(LONG_VALUE_BYTES // PIECE_BYTES):
+            writer.write(b"x" * PIECE_BYTES)
             await writer.drain()
-            await asyncio.sleep(PIECE / 2**20)
+            await asyncio.sleep(PIECE_BYTES / 2**20)
         return b"\r\n*-1\r\n$-1\r\n"
 
 
-async def short(port: int, number: int, until: float, took: list[float]) -> None:
-    """One client of short requests, in a closed loop."""
+async def send_short_requests(port: int, number: int, until: float, took: list[float]) -> None:
+    """Sends short requests from one client in a closed loop, and records their latency."""
     client = await Client.connect(port)
     serial = 0
     while time.monotonic() < until:
         serial += 1
         began = time.monotonic()
         name = b"s%d-%d" % (number, serial)
-        if isinstance(await client.ask(b"CALL.GET", b"%016x" % (2000 + number), name, SHORT), bytes):
+        if isinstance(await client.ask(b"CALL.GET", b"%016x" % (2000 + number), name, SHORT_FIELDS), bytes):
             took.append(time.monotonic() - began)
         await asyncio.sleep(0.005)
     client.writer.close()
 
 
-async def long(port: int, number: int, counts: list[int]) -> None:
-    """One client that takes a long value."""
+async def take_long_value(port: int, number: int, counts: list[int]) -> None:
+    """Requests one long value, and counts whether it arrived whole."""
     client = await Client.connect(port)
-    got = await client.ask(b"CALL.GET", b"%016x" % (9000 + number), b"L%d" % number, SHORT)
-    counts[isinstance(got, bytes) and len(got) == LONG] += 1
+    got = await client.ask(b"CALL.GET", b"%016x" % (9000 + number), b"L%d" % number, SHORT_FIELDS)
+    counts[isinstance(got, bytes) and len(got) == LONG_VALUE_BYTES] += 1
     client.writer.close()
 
 
-async def ready(port: int, until: float, took: list[float]) -> None:
-    """Asks whether it is ready."""
+async def poll_readiness(port: int, until: float, took: list[float]) -> None:
+    """Polls `_ready`; records the wait for each answer, and 9 s where it was not 200."""
     while time.monotonic() < until:
         began = time.monotonic()
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -80,15 +80,15 @@
         await asyncio.sleep(0.02)
 
 
-def told(took: list[float]) -> str:
-    """Median, 99th percentile and most, in milliseconds."""
+def latency_summary(took: list[float]) -> str:
+    """Returns count, median, 99th percentile and maximum in milliseconds, as text."""
     found = sorted(1000.0 * value for value in took)
     most, late = found[-1], found[int(0.99 * len(found))]
     return f"n={len(found)} p50={statistics.median(found):.1f} p99={late:.1f} most={most:.1f} ms"
 
 
 async def main(streams: int) -> None:
-    """Both phases."""
+    """Runs both phases and prints their figures."""
     async with LabSite([LongNode(f"n{i}", Trade({"report-read": 10.0}, slots=64)) for i in range(4)]) as site:
         with tempfile.TemporaryDirectory() as folder:
             platform = site.platform()
@@ -104,16 +104,18 @@
                 waits: list[float] = []
                 counts = [0, 0]
                 end = time.monotonic() + SECONDS
-                values = [asyncio.create_task(long(gateway.port, n, counts)) for n in range(count)]
+                values = [asyncio.create_task(take_long_value(gateway.port, n, counts)) for n in range(count)]
                 await asyncio.gather(
-                    ready(second, end, waits), *[short(gateway.port, n, end, took) for n in range(CLIENTS)]
+                    poll_readiness(second, end, waits),
+                    *[send_short_requests(gateway.port, n, end, took) for n in range(CLIENTS)],
                 )
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(asyncio.gather(*values), 60.0)
                 status = Path(f"/proc/{gateway.process.pid}/status").read_text()
                 peak = re.search(r"VmHWM:\s+(\d+)", status)
-                print(f"{count} long values ({counts[True]} whole): short {told(took)}")
-                print(f"  _ready {told(waits)}; peak memory {int(peak[1]) // 1024 if peak else 0} MiB")
+                print(f"{count} long values ({counts[True]} whole): short {latency_summary(took)}")
+                print(f"  _ready {latency_summary(waits)}; "
+                      f"peak memory {int(peak[1]) // 1024 if peak else 0} MiB")  # fmt: skip
             await gateway.stop()
 
 
--- a/benchmarks/pipelining.py
+++ b/benchmarks/pipelining.py
@@ -1,8 +1,8 @@
-"""Latency with shared connections and without, under stalls; the gateway's CPU a request by depth.
+"""Measures latency with pipelined and exclusive connections under stalls, and the gateway's CPU by depth.
 
-``python -m benchmarks.pipelining [SECONDS] [--svg FILE]``. Each cell is a gateway process and, in another,
-its nodes and an open load of read bursts; the two ways of one cell run side by side on cores of their own.
-Times count from the moment at which a burst was due. Needs glenchute[bench].
+``python -m benchmarks.pipelining [SECONDS] [--svg FILE]``. Each cell is a gateway process and a second
+process with its nodes and an open load of read bursts; the two modes of a cell run side by side on separate
+cores. Latencies count from the moment at which a burst was due. Needs glenchute[bench].
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
 NODES = 4
-OFFERED = 300.0  # reads a second: one times the offered load
+OFFERED = 300.0  # reads a second at a load of 1
 LOADS = (0.5, 1.0, 2.0)
 SERVICE_MS = 20.0
 ROOM = {"per_second": 1e5, "most_at_once": 1e6, "ceiling_rate": 0.0}
 PLANS = [{**plan, **ROOM} for plan in SETTINGS["packages"]]
 STALL_S = 0.5
-SCARCE, PLENTY = 80, 1024  # descriptors of the gateway: 24 and 307 connections to nodes
+SCARCE, PLENTY = 80, 1024  # descriptors of the gateway, which allow 24 and 307 connections to nodes
 SHARED = '[pipeline]\nclasses = ["report-read"]\ndepth = {depth}\nat_risk = {risk}\nsettle_ms = 0\n'
 
 
 class Cell(NamedTuple):
-    """One run."""
+    """Parameters of one run."""
 
     stall: str
     load: float
@@ -49,7 +49,7 @@
 
 
 class Row(NamedTuple):
-    """What came of it."""
+    """Figures of one run."""
 
     cell: Cell
     p50: float
@@ -66,7 +66,7 @@
 
 
 def faults(stall: str) -> list[tuple[Fault, ...]]:
-    """What each node is told to do."""
+    """Returns the faults of each node for a kind of stall."""
     if stall in ("1 in 1,000", "1 in 100"):
         share = 0.001 if stall == "1 in 1,000" else 0.01
         return [(Fault(Kind.DELAY, 0.0, 1e6, share, STALL_S),)] * NODES
@@ -76,14 +76,14 @@
 
 
 def platform(site: LabSite, sockets: int) -> dict[str, Any]:
-    """The platform's file: quotas that bind nothing, so many descriptors, connections kept for a while."""
+    """Returns the platform's file, with `sockets` descriptors and quotas that never refuse."""
     limits = {**SETTINGS["limits"], "max_streams": 32}
     made = site.platform({**SETTINGS, "packages": PLANS, "limits": limits})
     return {**made, "limits": {**made["limits"], "sockets": sockets}}
 
 
 async def play(cell: Cell) -> Row:
-    """One cell."""
+    """Plays one cell."""
     histogram = HdrHistogram(1, 60_000_000, 3)  # microseconds
     trade = Trade({"report-read": SERVICE_MS}, slots=64, queue=1000)
     nodes = [Node(f"n{i}", trade, Script(rows, i)) for i, rows in enumerate(faults(cell.stall))]
@@ -122,27 +122,27 @@
 
 
 def run_cell(cell: Cell) -> Row:
-    """In a process of its own."""
+    """Plays a cell; called in a worker process."""
     return uvloop.run(play(cell))
 
 
 class Depth(NamedTuple):
-    """CPU at one depth."""
+    """Figures at one depth."""
 
     depth: int
     alone: bool
     cpu_us: float
     rate: float
-    writes: float  # commands in one write
+    writes: float  # mean commands per segment that a node received
     held: int
 
 
-async def closed(depth: int, seconds: float) -> Depth:
-    """A closed load that keeps so many out on each of the gateway's 19 connections to two quick nodes. Depth
-    0: the backend that shares nothing, with as many out as it has connections."""
+async def run_closed_load(depth: int, seconds: float) -> Depth:
+    """Runs a closed load that keeps `depth` requests in flight on each of the gateway's 19 connections to two
+    fast nodes. Depth 0 is the mode with exclusive connections, one request in flight on each."""
     trade = Trade({"report-read": 2.0}, slots=1000, queue=10_000)
     nodes = [Node(f"n{i}", trade) for i in range(2)]
-    out = 19 * max(1, depth)
+    in_flight = 19 * max(1, depth)
     answered = 0
     async with LabSite(nodes) as site:
         with tempfile.TemporaryDirectory() as folder:
@@ -154,19 +154,21 @@
                 assert gateway.process is not None
                 loop = asyncio.get_running_loop()
                 end = loop.time() + 1.0 + seconds
-                clients = min(10, out)
+                clients = min(10, in_flight)
 
-                async def portal(number: int) -> None:
+                async def ask_in_loop(number: int) -> None:
                     nonlocal answered
                     load = Bursts(gateway.port, 1.0, lambda ms: None, seed=number + 1)
-                    mine = out // clients + (number < out % clients)
+                    burst_size = in_flight // clients + (number < in_flight % clients)
                     serial = itertools.count()
                     rng = random.Random(number)
                     while loop.time() < end:
-                        await load.ask(loop.time(), [load.words(rng, next(serial)) for _ in range(mine)])
-                        answered += mine
+                        await load.ask(
+                            loop.time(), [load.words(rng, next(serial)) for _ in range(burst_size)]
+                        )
+                        answered += burst_size
 
-                tasks = [asyncio.create_task(portal(number)) for number in range(clients)]
+                tasks = [asyncio.create_task(ask_in_loop(number)) for number in range(clients)]
                 await asyncio.sleep(1.0)
                 before, first = cpu_s(gateway.process.pid), answered
                 await asyncio.sleep(seconds)
@@ -182,12 +184,12 @@
 
 
 def run_depth(job: tuple[int, float]) -> Depth:
-    """In a process of its own."""
-    return uvloop.run(closed(*job))
+    """Measures one depth; called in a worker process."""
+    return uvloop.run(run_closed_load(*job))
 
 
 def plot(rows: list[Row], path: Path) -> None:
-    """Percentiles at twice the load, one chart for each stall, all in one file."""
+    """Draws percentiles at twice the load, a line for each stall and mode."""
     import pygal
 
     chart = pygal.Line(
