--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements. None runs in continuous integration; docs quote them with their command."""
+"""Benchmarks. None of them runs in continuous integration; the docs quote figures with their command."""
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,11 +1,11 @@
-"""CPU a request with 0, 1 and 50 routes, and attempts sent to a wholly failing fleet, with a budget or none.
+"""Measures CPU per request with 0, 1 and 50 routes, and attempts at a failing fleet by retry budget.
 
-``python -m benchmarks.routes [SECONDS]``. The CPU is that of the gateway's process alone, over rounds in
-which the three take turns.
+``python -m benchmarks.routes [SECONDS]``. The CPU is that of the gateway's process alone; the three
+numbers of routes take turns by rounds.
 
-``python -m benchmarks.routes reload [ROUTES] [ROUNDS]``: what SIGHUP holds up while a file of so many routes
-is read, each with all its keys, and while nothing is read, in turn. A PING goes every 2 ms on one connection;
-requests come at one gateway's share of the operators' peak.
+``python -m benchmarks.routes reload [ROUTES] [ROUNDS]``: measures delays by SIGHUP while a file of ROUTES
+routes with all their keys is read, in turn with times in which nothing is read. A PING is sent every 2 ms on
+one connection; requests arrive at one gateway's share of the operators' peak.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 ROOM = {"per_second": 1e4, "most_at_once": 1e5, "ceiling_rate": 0.0}
 PLANS = [{**plan, **ROOM} for plan in SETTINGS["packages"]]
 MANY = [*PLANS, *({**PLANS[0], "name": f"plan-{i}"} for i in range(47))]
-SHARE = 163.0  # requests a second of one gateway of 520, at 85,000 of all
-AGAIN, STAYS = "operator's file was read again", "operator's file in force stays"
-FULL = """\
+GATEWAY_RATE = 163.0  # requests a second at one gateway of 520, of 85,000 at all
+RELOADED, RELOAD_REJECTED = "operator's file was read again", "operator's file in force stays"
+FULL_ROUTE = """\
 attempt_timeout_ms = 700
 attempts = 2
 backoff = { first_ms = 20, factor = 2.0, most_ms = 200, jitter = 0.2 }
 retry_on = ["full", "unreachable"]
 retry_budget = { share = 0.1, least_per_s = 2 }
 """
-READ = """\
+READ_ROUTE = """\
 match = {{ class = "report-read"{} }}
 attempt_timeout_ms = 500
 attempts = 3
@@ -54,21 +54,24 @@
 
 
 def routes(count: int) -> str | None:
-    """So many routes; the load uses three plans of fifty."""
+    """Returns an operator's file with 0, 1 or 50 routes; the load uses three of fifty plans."""
     if not count:
         return None
     if count == 1:
-        return '[[route]]\nname = "r"\n' + READ.format("")
+        return '[[route]]\nname = "r"\n' + READ_ROUTE.format("")
     names = [str(plan["name"]) for plan in MANY]
-    text = (f'[[route]]\nname = "r{i}"\n' + READ.format(f', plan = "{name}"') for i, name in enumerate(names))
+    text = (
+        f'[[route]]\nname = "r{i}"\n' + READ_ROUTE.format(f', plan = "{name}"')
+        for i, name in enumerate(names)
+    )
     return "".join(text)
 
 
 @asynccontextmanager
-async def serving(
+async def ready_gateway(
     site: LabSite, operator: str | None, plans: Sequence[Mapping[str, Any]] = MANY
 ) -> AsyncIterator[GatewayProcess]:
-    """A gateway that is ready, with fifty plans or those given."""
+    """Yields a gateway that is ready, with fifty plans or those given."""
     with tempfile.TemporaryDirectory() as folder:
         gateway = GatewayProcess(Path(folder), site.platform({**SETTINGS, "packages": plans}), operator)
         gateway.start()
@@ -82,8 +85,11 @@
 
 
 async def cost(operator: str | None, seconds: float, seed: int) -> float:
-    """Microseconds of the gateway's processor for each request."""
-    async with LabSite([Node(f"n{i}", TRADE) for i in range(4)]) as site, serving(site, operator) as gateway:
+    """Returns the microseconds of the gateway's CPU per request."""
+    async with (
+        LabSite([Node(f"n{i}", TRADE) for i in range(4)]) as site,
+        ready_gateway(site, operator) as gateway,
+    ):
         assert gateway.process is not None
         load = Load(lambda: gateway.port, KINDS, accounts(), RATE, seed)
         before = cpu_s(gateway.process.pid)
@@ -93,54 +99,56 @@
     return 1e6 * used / len(load.outcomes)
 
 
-async def buried(operator: str | None, seconds: float) -> tuple[int, int]:
-    """Requests and attempts at a fleet that fails wholly."""
+async def attempts_at_failing_fleet(operator: str | None, seconds: float) -> tuple[int, int]:
+    """Returns the requests, and the attempts at a fleet of which every server resets each request."""
     faults = [Fault(Kind.RESET, 0.0, 1e9)]
     nodes = [Node(f"n{i}", TRADE, Script(faults, i)) for i in range(4)]
-    async with LabSite(nodes) as site, serving(site, operator) as gateway:
+    async with LabSite(nodes) as site, ready_gateway(site, operator) as gateway:
         load = Load(lambda: gateway.port, KINDS[:1], accounts(), RATE / 2, 5)
         await load.run(seconds)
     return len(load.outcomes), sum(node.received for node in nodes)
 
 
-def full(classes: Sequence[str], plans: Sequence[str], wrong: bool = False) -> str:
-    """A route for each class and plan with all its keys; `wrong`: each a finding or two."""
+def full_routes(classes: Sequence[str], plans: Sequence[str], wrong: bool = False) -> str:
+    """Returns a file with a route for each class and plan, with all keys; `wrong` gives each a
+    finding or two."""
     more = "pipeline_depth = 2\n" if wrong else ""
     row = '[[route]]\nname = "r{}.{}"\nmatch = {{ class = "{}", plan = "{}" }}\n'
-    return "".join(row.format(a, b, one, plan) + FULL + more
+    return "".join(row.format(a, b, one, plan) + FULL_ROUTE + more
                    for b, plan in enumerate(plans) for a, one in enumerate(classes))  # fmt: skip
 
 
-def told(log: Path, seen: int, word: str) -> bool:
-    """Whether a line of the log after its first `seen` bytes says so; all of them are short but the last."""
+def log_contains(log: Path, seen: int, word: str) -> bool:
+    """Returns whether the log contains a word in the 4 KiB after its first `seen` bytes. All lines but the
+    last are short."""
     with log.open("rb") as file:
         file.seek(seen)
         return word.encode() in file.read(4096)
 
 
 async def pings(port: int, took: list[tuple[float, float]]) -> None:
-    """When each was sent, and how long its answer took, s, until cancelled."""
+    """Sends PINGs until cancelled; records for each the time sent and the wait for its answer, in seconds."""
     loop, client = asyncio.get_running_loop(), await Client.connect(port)
     while True:
-        at, began = loop.time(), time.perf_counter()  # the loop's own clock tells whole milliseconds
+        at, began = loop.time(), time.perf_counter()  # the loop's clock has a resolution of 1 ms
         if await client.ask(b"PING") == b"PONG":
             took.append((at, time.perf_counter() - began))
-        else:  # the gateway has closed what brings no requests
+        else:  # the gateway closes connections without requests
             client = await Client.connect(port)
         await asyncio.sleep(0.002)
 
 
 async def reloads(count: int, rounds: int) -> None:
-    """Prints what was held up during readings and between them."""
+    """Prints the delays of PINGs and requests during readings of the file and between them."""
     names = [kind.class_name for kind in KINDS]
     plans = [*PLANS, *({**PLANS[0], "name": f"plan-{i}"} for i in range(-(-count // 3) - len(PLANS)))]
-    text = full(names, [str(plan["name"]) for plan in plans])
-    wrong = full(names, [str(plan["name"]) for plan in plans], wrong=True)
+    text = full_routes(names, [str(plan["name"]) for plan in plans])
+    wrong = full_routes(names, [str(plan["name"]) for plan in plans], wrong=True)
     loop = asyncio.get_running_loop()
     nodes = [Node(f"n{i}", TRADE) for i in range(4)]
-    async with LabSite(nodes) as site, serving(site, text, plans) as gateway:
+    async with LabSite(nodes) as site, ready_gateway(site, text, plans) as gateway:
         assert gateway.process is not None
-        load = Load(lambda: gateway.port, KINDS, accounts(), SHARE, 3)
+        load = Load(lambda: gateway.port, KINDS, accounts(), GATEWAY_RATE, 3)
         took: list[tuple[float, float]] = []
         asking = loop.create_task(load.run(rounds * 6.0))
         pinging = loop.create_task(pings(gateway.port, took))
@@ -148,7 +156,10 @@
         windows: dict[str, list[tuple[float, float]]]
         windows = {"nothing read": [], "a sound file": [], "a wrong one": []}
         while not asking.done():
-            for what, now, word in (("a sound file", text, AGAIN), ("a wrong one", wrong, STAYS)):
+            for what, now, word in (
+                ("a sound file", text, RELOADED),
+                ("a wrong one", wrong, RELOAD_REJECTED),
+            ):
                 gateway.operator.write_text(now)
                 began = loop.time()
                 await asyncio.sleep(1.0)
@@ -156,14 +167,14 @@
                 seen = gateway.log.stat().st_size
                 began = loop.time()
                 gateway.signal(signal.SIGHUP)
-                while not told(gateway.log, seen, word) and not asking.done():
+                while not log_contains(gateway.log, seen, word) and not asking.done():
                     await asyncio.sleep(0.02)
                 windows[what].append((began, loop.time()))
         pinging.cancel()
         served = sum(outcome.answer == "served" for outcome in load.outcomes)
     print(machine())
-    print(f"{len(names) * len(plans):,} routes, {len(text) / 1024:,.0f} KiB; {SHARE:g} requests a second, "
-          f"{served} of {len(load.outcomes)} served")  # fmt: skip
+    print(f"{len(names) * len(plans):,} routes, {len(text) / 1024:,.0f} KiB; "
+          f"{GATEWAY_RATE:g} requests a second, {served} of {len(load.outcomes)} served")  # fmt: skip
     asked = [(outcome.asked, outcome.took_ms / 1000.0) for outcome in load.outcomes]
     print("ms while ...       windows, median       PINGs      p50      p99     most  requests, the same")
     for what, spans in windows.items():
@@ -196,7 +207,7 @@
     head = '[[route]]\nname = "r"\nmatch = { class = "report-read" }\n'
     for name, operator in (("no file", None), ("route, no budget", head + "attempts = 4\n"),
                            ("budget 0.02 and 1/s", head + "attempts = 4\n" + tight)):  # fmt: skip
-        asked, sent = await buried(operator, seconds)
+        asked, sent = await attempts_at_failing_fleet(operator, seconds)
         print(f"{name:22}{asked:6} requests {sent:6} attempts  {sent / asked:.2f} each")
 
 
--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -1,4 +1,4 @@
-"""Time from the start of the process to the first PONG, without an operator's file and with one, in turn.
+"""Measures the time from process start to the first PONG, without and with an operator's file, in turn.
 
 ``python -m benchmarks.start_up [ROUNDS]``
 """
@@ -23,8 +23,8 @@
 OPERATOR = Path(__file__).resolve().parent.parent / "deploy" / "operator.toml"
 
 
-async def one(site: LabSite, operator: str | None) -> tuple[float, float]:
-    """One start; milliseconds on the clock and of the processor."""
+async def measure_start(site: LabSite, operator: str | None) -> tuple[float, float]:
+    """Starts a gateway once; returns the milliseconds elapsed and those of CPU."""
     with tempfile.TemporaryDirectory() as folder:
         gateway = GatewayProcess(Path(folder), site.platform(), operator)
         began = time.monotonic()
@@ -41,17 +41,17 @@
 
 
 async def main(rounds: int) -> None:
-    """Prints the medians of pairs."""
+    """Prints median, least and most, without the file and with it."""
     os.environ.pop("PYTHONDONTWRITEBYTECODE", None)
     compileall.compile_dir("glenchute", quiet=2)  # as the platform's build does
     text = OPERATOR.read_text()
     bare: list[tuple[float, float]] = []
     filed: list[tuple[float, float]] = []
     async with LabSite([Node("n0", Trade({}))]) as site:
-        await one(site, None)
+        await measure_start(site, None)
         for turn in range(rounds):
             for operator in (None, text) if turn % 2 else (text, None):
-                (filed if operator else bare).append(await one(site, operator))
+                (filed if operator else bare).append(await measure_start(site, operator))
     print(machine())
     print(f"{rounds} starts of each in turn, to the first PONG, milliseconds: median (least, most)")
     for at, what in enumerate(("clock", "processor")):
