--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -1,7 +1,7 @@
-"""What members' words are worth and cost: five real processes with members and without, then simulated sizes.
+"""Measures benefit and cost of usage shared among members: five real processes, then simulated sizes.
 
-``python -m benchmarks.replication [quota] [heal] [detect] [cost] [gone] [large] [sixty]`` prints these, or
-all; `plot` draws the heals.
+``python -m benchmarks.replication [quota] [heal] [detect] [cost] [gone] [large] [sixty]`` prints these
+parts, or all; `plot` draws the times to agree after a partition heals.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from lab.sim.members import gone_run
 from lab.site import free_port
 
-ONE = Account(b"%016x" % 77, "standard", 1.0, ",spread=5,first=0")
+ACCOUNT = Account(b"%016x" % 77, "standard", 1.0, ",spread=5,first=0")
 RATE, BURST, SECONDS = 4.0, 12.0, 8.0
 LOADS = {"even": (2.0, 2.0, 2.0, 2.0, 2.0), "skewed": (6.0, 1.0, 0.5, 0.5, 0.0)}
 
 
 async def quota(trouble: str, load: str, on: bool, seed: int) -> tuple[float, float]:
-    """Refused with room and overshoot of one account at five gateways."""
+    """Returns the share refused with quota left and the overshoot, for one account at five gateways."""
     with tempfile.TemporaryDirectory() as folder:
         async with FleetSite(Path(folder), 5, seed, fleet=on) as site:
             await site.start()
@@ -42,29 +42,30 @@
                 await site.until(lambda: site.whole(range(5), 1.0))
             if trouble == "slow":
                 for link in site.to_counter:
-                    link.ways[1].delay_s = 0.045  # with the way there, about half come too late
+                    # Together with the delay of the request, about half of the replies are late.
+                    link.ways[1].delay_s = 0.045
             elif trouble != "sound":
                 for link in site.to_counter:
                     link.cut()
             if trouble == "split" and on:
                 site.split([[0, 1], [2, 3, 4]])
             rates = [(n, rate) for n, rate in enumerate(LOADS[load]) if rate]
-            parts = await asyncio.gather(*(site.load(SECONDS, rate, [ONE], [n]) for n, rate in rates))
+            parts = await asyncio.gather(*(site.load(SECONDS, rate, [ACCOUNT], [n]) for n, rate in rates))
             told = [outcome for part in parts for outcome in part]
             assert checks.lost(told) == 0 and checks.refused_and_ran(site.site.nodes, told) == 0
             return (
-                checks.refused_with_room(told, ONE.customer, RATE, BURST),
-                checks.overshoot(site.site.nodes, ONE.customer, RATE, BURST),
+                checks.refused_with_room(told, ACCOUNT.customer, RATE, BURST),
+                checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST),
             )
 
 
 async def seeds(trouble: str, load: str, on: bool) -> list[tuple[float, float]]:
-    """Three seeds beside each other."""
+    """Runs three seeds concurrently."""
     return await asyncio.gather(*(quota(trouble, load, on, seed) for seed in (1, 2, 3)))
 
 
 def quotas() -> None:
-    """The worth of members' words, three seeds each."""
+    """Prints refusals and overshoot with members and without, three seeds each."""
     print(f"five processes, one account of {RATE:g} a second and {BURST:g} at once, 8 to 10 a second asked")
     for trouble in ("sound", "slow", "mute", "split"):
         for load in LOADS:
@@ -76,8 +77,8 @@
             print(f"{trouble:6} {load:7} refused with room {'; '.join(row)}", flush=True)
 
 
-def healed(count: int) -> list[float]:
-    """Seconds from a heal to copies that agree, over seeds."""
+def heal_times_s(count: int) -> list[float]:
+    """Returns the seconds from the end of a partition until all copies agree, over seeds."""
     took = []
     for seed in range(5):
         mesh = GossipNetwork(count, seed)
@@ -92,11 +93,11 @@
 
 
 def plot() -> None:
-    """Heals by the number of copies, drawn into the design note's folder; needs glenchute[bench]."""
+    """Plots the time to agree by the number of copies for the design note; needs glenchute[bench]."""
     import pygal
 
     counts = [3, 5, 10, 20, 40, 70, 100]
-    took = [healed(count) for count in counts]
+    took = [heal_times_s(count) for count in counts]
     chart = pygal.Line(title="Seconds from a heal to copies that agree (5 rows each)", range=(0, None))
     chart.x_labels = [str(count) for count in counts]
     chart.add("median of 5 seeds", [round(statistics.median(row), 2) for row in took])
@@ -107,17 +108,17 @@
 
 
 def heals() -> None:
-    """How long copies take to agree after a heal, each side having written 5 rows a member meanwhile."""
+    """Prints the time until copies agree after a partition in which 5 rows were written for each member."""
     for count in (5, 40, 100):
-        took = healed(count)
+        took = heal_times_s(count)
         print(f"heal at {count:3} copies, {5 * count} rows: agreed after {statistics.median(took):.1f} s, "
               f"at most {max(took):.1f} s")  # fmt: skip
 
 
 def detections() -> None:
-    """A member dies: suspected by the first, buried by all; false burials in 20 s before. A share of members
-    is slow: all that they say comes 0.5 s late, two periods and a half. SWIM's expectation for the first
-    failed probe is e / (e - 1) periods, and a probe has failed at its period's end."""
+    """Prints the time until a dead member is first suspected and until all declare it dead, and the members
+    declared dead falsely in 20 s before. Messages of slow members arrive 0.5 s late, 2.5 periods. SWIM's
+    expectation for the first failed probe is e / (e - 1) periods, and a probe fails at its period's end."""
     cases = ((10, 0.0, 0.0), (40, 0.0, 0.0), (40, 0.1, 0.0), (100, 0.0, 0.01), (100, 0.0, 0.1),
              (200, 0.02, 0.0), (500, 0.0, 0.0), (500, 0.0, 0.01), (500, 0.0, 0.1))  # fmt: skip
     for count, lose, slow in cases:
@@ -139,7 +140,8 @@
 
 
 def gone() -> None:
-    """Tries that found nobody while a third of twenty servers was gone, and how long until all were used."""
+    """Prints attempts without a connection while a third of twenty servers is gone, and the time until all
+    are used again."""
     for count, rate in ((10, 200.0), (40, 200.0), (40, 800.0), (100, 400.0)):
         runs = [[gone_run(seed, count, on, rate) for seed in (1, 2, 3)] for on in (False, True)]
         cells = (
@@ -151,7 +153,8 @@
 
 
 def costs() -> None:
-    """A comparison of copies at 10,000 rows, and two processes' CPU and bytes beside ones without members."""
+    """Prints the CPU of a comparison of copies with 10,000 rows, then CPU and bytes of processes with members
+    and without."""
     replica, rng = Replica(), random.Random(1)
     for _ in range(10_000):
         replica.merge(0.0, Row(RowKind.USE, f"{rng.getrandbits(32):016x}/1", "g1#1", 1, 1.0))
@@ -160,11 +163,11 @@
         replica.child_hashes(0.0, None)
     print(f"one root of hashes over 10,000 rows: {50.0 * (time.process_time() - began):.1f} ms")
     for count in (2, 10, 30):
-        print(uvloop.run(cost(count)), flush=True)
+        print(uvloop.run(measure_cpu(count)), flush=True)
 
 
-async def cost(count: int) -> str:
-    """CPU of an idle and of a busy gateway with members and without."""
+async def measure_cpu(count: int) -> str:
+    """Returns a line with the CPU of idle and busy gateways, with members and without."""
     figures = []
     for on in (False, True):
         with tempfile.TemporaryDirectory() as folder:
@@ -190,14 +193,14 @@
 
 
 def large() -> None:
-    """One process among 200 members, the others played by sockets, 10,000 accounts in use: CPU and bytes.
-    Sets of three gateways, and sets of all."""
+    """Prints CPU and bytes of one process among up to 200 members, which are simulated over sockets, with
+    10,000 accounts in use. Accounts use three gateways, then all."""
     for count, rows_s, spread in ((20, 200.0, 3), (200, 200.0, 3), (200, 400.0, 3), (200, 200.0, 200)):
-        print(uvloop.run(one_of(count, 10_000, rows_s, spread)), flush=True)
+        print(uvloop.run(measure_one_of(count, 10_000, rows_s, spread)), flush=True)
 
 
-async def one_of(count: int, accounts: int, rows_s: float, spread: int) -> str:
-    """CPU of one process with 100 requests a second, and what it sends."""
+async def measure_one_of(count: int, accounts: int, rows_s: float, spread: int) -> str:
+    """Returns a line with the CPU of one process at 100 requests a second, and what it sends."""
     figures = []
     for on in (False, True):
         with tempfile.TemporaryDirectory() as folder:
@@ -215,7 +218,7 @@
                 assert gateway.process is not None
                 pid = gateway.process.pid
                 talk = asyncio.create_task(others.talk(30.0, rows_s)) if on else None
-                await asyncio.sleep(20.0 if on else 1.0)  # copies are as full as they get
+                await asyncio.sleep(20.0 if on else 1.0)  # lets the copies reach their full size
                 more = f",spread={spread},first=0"
                 many = [Account(b"%016x" % i, "standard", 1.0, more) for i in range(400)]
                 was, sent, words = cpu_s(pid), others.received, others.words
@@ -235,12 +238,13 @@
 
 
 def sixty() -> None:
-    """Sixty processes, a tenth of whose links are cut both ways and another tenth lose three in ten."""
-    print(uvloop.run(among(60)), flush=True)
+    """Prints the figures of sixty processes, with 10% of the links cut both ways and 10% losing 30%."""
+    print(uvloop.run(measure_lossy_fleet(60)), flush=True)
 
 
-async def among(count: int) -> str:
-    """How long until all take part and know of all use, and who is buried in 20 s by mistake."""
+async def measure_lossy_fleet(count: int) -> str:
+    """Returns a line with the time until all take part and know all usage, and members falsely declared
+    dead."""
     rng, every = random.Random(1), range(count)
     with tempfile.TemporaryDirectory() as folder:
         async with FleetSite(Path(folder), count) as site:
@@ -272,7 +276,7 @@
 
 
 def main() -> int:
-    """The parts named, or all."""
+    """Runs the parts named on the command line, or all."""
     print(machine())
     for name in sys.argv[1:] or PARTS:
         (PARTS | MORE)[name]()
