--- a/benchmarks/quota_errors.py
+++ b/benchmarks/quota_errors.py
@@ -1,11 +1,12 @@
-"""Errors at quotas of many gateways beside a sound counter, and their causes. Simulated time, real modules.
+"""Measures quota errors of many gateways with a working counter, and their causes, in simulated time.
 
-    python -m benchmarks.quota_errors causes          # which truth, handed to it, takes which error away
-    python -m benchmarks.quota_errors options         # other ways to keep the store, on the same tries
-    python -m benchmarks.quota_errors owed            # the main rows where a try beyond is owed
+    python -m benchmarks.quota_errors causes          # which exact input removes which error
+    python -m benchmarks.quota_errors options         # other ways to keep the token bucket, on the same tries
+    python -m benchmarks.quota_errors owed            # the main rows with units beyond quotas owed
 
-Each row tells units beyond quotas (share of the units sent on), tries refused with half of the store or more
-unused, tries refused though the store held them (shares of all tries), and calls to the counter for each try.
+The modules are real. Each row has units beyond quotas (as a share of the units sent on), tries refused with
+half of the token bucket or more unused, tries refused though the bucket held their units (as shares of all
+tries), and calls to the counter per try.
 """
 
 from __future__ import annotations
@@ -23,19 +24,19 @@
 
 
 def row(name: str, books: Books) -> str:
-    """One line of a table."""
+    """Returns a line of a table."""
     beyond, roomy, wrong, calls = books.shares()
     return f"| {name} | {100 * beyond:.1f} % | {100 * roomy:.1f} % | {100 * wrong:.1f} % | {calls:.2f} |"
 
 
-def about(day: Day, seed: int) -> str:
-    """What a day is."""
+def describe_day(day: Day, seed: int) -> str:
+    """Returns a headline with the day's site, seed and sizes."""
     sizes = f"{day.gateways} gateways, {len(day.accounts)} customers, {len(day.tries)} first tries"
     return f"\n{day.site.name}, seed {seed}: {sizes}"
 
 
 def causes(day: Day, seed: int, lost: float) -> Iterable[str]:
-    """Each thing exact by itself; all but it exact; all; the true store itself."""
+    """Yields rows with one input exact, with all but one, with all, and with the true bucket itself."""
     whole = frozenset(EXACT)
     base = play(day, seed, frozenset(), lost)
     yield row("the module as it is", base)
@@ -51,11 +52,12 @@
     yield row("the same, no ceiling", play(day, seed, frozenset({"store", "ceiling"}), lost))
 
 
-STATE = frozenset({"window", "overflow"})  # what the bucket's state at the counter tells each gateway
+# Inputs that each gateway learns if the counter holds the bucket's state.
+STATE = frozenset({"window", "overflow"})
 
 
 def options(day: Day, seed: int, lost: float) -> Iterable[str]:
-    """Changes to the module, played; then small models without the ceiling's guard and without the cap."""
+    """Yields rows for changes to the module, then for models without the ceiling's guard and the cap."""
 
     def module(
         name: str, *exact: str, counted: float = COUNTED_FRACTION, spans: float = 1.0, state: bool = False
@@ -89,7 +91,7 @@
 
 
 def owed(day: Day, seed: int, lost: float) -> Iterable[str]:
-    """The main rows by the other book: what goes beyond is owed."""
+    """Yields the main rows with units beyond quotas counted as owed."""
     for name, exact in (
         ("module: as it is", frozenset[str]()),
         ("module: exact: window", frozenset({"window"})),
@@ -120,7 +122,7 @@
     for site in args.site or sorted(SITES):
         for seed in args.seed or SEEDS:
             day = demand(SITES[site], seed, args.gateways, args.seconds, args.tries)
-            print(about(day, seed))
+            print(describe_day(day, seed))
             print(HEAD.format(args.what), flush=True)
             for line in rows(day, seed, args.lost):
                 print(line, flush=True)
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -1,10 +1,10 @@
-"""Time from the start of a process to its first PONG: ten of thirty killed at once and started again.
+"""Measures the time from a process start to its first PONG when ten of thirty gateways restart at once.
 
 ``python -m benchmarks.readiness [ROUNDS]``
 
-The ten share two cores, so that each has a fifth of one; the other twenty serve on the rest of the machine.
-In turn: discovery and counter answer; discovery takes calls and stays silent, the counter is mute; the same
-with an empty saved list; and no connection to discovery comes up, nor is refused.
+The ten share two cores, so each has a fifth of one; the other twenty serve on the rest of the machine. Four
+cases take turns: discovery and counter answer; discovery accepts calls but does not answer, nor does the
+counter; the same with an empty saved list; and connections to discovery are neither accepted nor refused.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 GATEWAYS, KILLED, CORES = 30, 10, 2
 PATIENCE_S = 30.0
-PAUSE_S = 0.05  # of a client between two requests
-SHORT = b"c=report-read,t=korporativni,d=2000,units=0.001"
+PAUSE_S = 0.05  # pause of a client between two requests
+SHORT_FIELDS = b"c=report-read,t=korporativni,d=2000,units=0.001"
 
 
-async def load(gateway: GatewayProcess, number: int, counts: list[int]) -> None:
-    """One client of short requests, for good."""
+async def run_client(gateway: GatewayProcess, number: int, counts: list[int]) -> None:
+    """Sends short requests from one client until cancelled."""
     serial = 0
     while True:
         with contextlib.suppress(ConnectionError):
@@ -44,7 +44,7 @@
             while True:
                 serial += 1
                 name = b"%016x" % (number * 1_000_000 + serial)
-                answer = await client.ask(b"CALL.GET", b"%016x" % (2000 + number), name, SHORT)
+                answer = await client.ask(b"CALL.GET", b"%016x" % (2000 + number), name, SHORT_FIELDS)
                 if answer is None:
                     break
                 counts[isinstance(answer, bytes)] += 1
@@ -52,8 +52,8 @@
             client.writer.close()
 
 
-async def again(gateway: GatewayProcess, cores: set[int]) -> float:
-    """Starts one on these cores; seconds to its first PONG."""
+async def start_gateway(gateway: GatewayProcess, cores: set[int]) -> float:
+    """Starts a gateway on these cores; returns the seconds to its first PONG."""
     began = time.monotonic()
     gateway.start()
     assert gateway.process is not None
@@ -62,8 +62,8 @@
     return time.monotonic() - began
 
 
-def kill(gateways: list[GatewayProcess]) -> None:
-    """Ends them at once."""
+def kill_all(gateways: list[GatewayProcess]) -> None:
+    """Kills all of the gateways and waits for their ends."""
     for gateway in gateways:
         gateway.signal(signal.SIGKILL)
     for gateway in gateways:
@@ -72,22 +72,22 @@
 
 
 async def main(rounds: int) -> None:
-    """Prints a row for each way in which the peers are."""
+    """Prints a row for each state of the peers."""
     silent, mute = DiscoveryPeer(), RespPeer(always(None))
     for peer in (silent, mute):
         await peer.start()
     nodes = [Node(f"n{i}", Trade({"report-read": 10.0}, slots=64)) for i in range(4)]
     cores = sorted(os.sched_getaffinity(0))
-    few, rest = set(cores[:CORES]), set(cores[CORES:])
+    shared_cores, other_cores = set(cores[:CORES]), set(cores[CORES:])
     ways = ("answering", "silent", "silent, empty saved list", "no connection")
     took: dict[str, list[float]] = {way: [] for way in ways}
-    counts = [0, 0]  # requests not served, served, at the others
+    counts = [0, 0]  # requests at the other gateways: not served, served
     gateways: list[GatewayProcess] = []
-    full = socket.create_server(("127.0.0.1", free_port()), backlog=0)
-    waiting = [socket.socket() for _ in range(4)]  # to be accepted: no more come up
+    full_listener = socket.create_server(("127.0.0.1", free_port()), backlog=0)
+    waiting = [socket.socket() for _ in range(4)]  # fill the accept queue, so that further connects hang
     for one in waiting:
         one.setblocking(False)
-        one.connect_ex(full.getsockname())
+        one.connect_ex(full_listener.getsockname())
     async with LabSite(nodes) as site:
         with tempfile.TemporaryDirectory() as folder:
             for number in range(GATEWAYS):
@@ -97,29 +97,31 @@
                 gateways.append(GatewayProcess(own, site.platform(settings) | {"name": f"g{number}"}))
             try:
                 for gateway in gateways:
-                    await again(gateway, rest)
+                    await start_gateway(gateway, other_cores)
                 others = gateways[KILLED:]
-                clients = [asyncio.create_task(load(one, n, counts)) for n, one in enumerate(others)]
+                clients = [asyncio.create_task(run_client(one, n, counts)) for n, one in enumerate(others)]
                 for _ in range(rounds):
                     for way, found in took.items():
-                        kill(gateways[:KILLED])
+                        kill_all(gateways[:KILLED])
                         for gateway in gateways[:KILLED]:
                             raw = dict(gateway.platform)
                             if way != "answering":
-                                port = silent.port if way != ways[-1] else full.getsockname()[1]
+                                port = silent.port if way != ways[-1] else full_listener.getsockname()[1]
                                 raw["discovery"] = f"127.0.0.1:{port}"
                                 raw["counter"] = f"127.0.0.1:{mute.port}"
                             if way.endswith("list"):
                                 raw["known"] = {"version": 1, "full": True, "servers": []}
                             gateway.config.write_text(json.dumps(raw))
-                        found += await asyncio.gather(*(again(one, few) for one in gateways[:KILLED]))
+                        found += await asyncio.gather(
+                            *(start_gateway(one, shared_cores) for one in gateways[:KILLED])
+                        )
                 for client in clients:
                     client.cancel()
             finally:
-                kill(gateways)
+                kill_all(gateways)
     for peer in (silent, mute):
         await peer.stop()
-    for held in (full, *waiting):
+    for held in (full_listener, *waiting):
         held.close()
     print(machine())
     print(f"{rounds} times {KILLED} of {GATEWAYS} on {CORES} cores; seconds to the first PONG")
