--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -1,4 +1,4 @@
-"""The clients of the real gateways: an open load on each, tenants drawn as the hollow ones' are."""
+"""Clients of the real gateways: an open load on each, with tenants drawn as for hollow gateways."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Traffic(Load):
-    """The load on one real gateway. `run` of `Load` draws an account by a walk over all of them."""
+    """Load on one real gateway. Unlike `Load.run`, it draws an account without a scan of all of them."""
 
     def __init__(self, site: Site, number: int, port: int, draw: Draw, line: Timeline) -> None:
         super().__init__(lambda: port, KINDS, draw.accounts, site.rate, 1000 * site.seed + number)
@@ -20,7 +20,7 @@
         self.stopped = False
 
     async def run(self, seconds: float = float("inf")) -> None:
-        """Sends until stopped or all have been sent, then waits for the last answers."""
+        """Sends requests until stopped or all are sent, then waits for the last answers."""
         loop, tasks = asyncio.get_running_loop(), set[asyncio.Task[None]]()
         began = self.line.zero(loop.time())
         for serial, (at, kind, account) in enumerate(arrivals(self.site, self.draw, self.number, self.rate)):
@@ -38,7 +38,7 @@
 
 
 class Clients:
-    """All of them."""
+    """Loads on all real gateways."""
 
     def __init__(self, site: Site, ports: dict[int, int]) -> None:
         self.site, self.line = site, Timeline(site)
@@ -47,17 +47,17 @@
         self.running: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """They begin to ask."""
+        """Starts the loads."""
         self.running = [asyncio.create_task(load.run()) for load in self.loads]
 
     async def stop(self) -> None:
-        """They ask no more, and have their last answers."""
+        """Stops the loads and waits for the last answers."""
         for load in self.loads:
             load.stopped = not self.site.requests
         await asyncio.gather(*self.running)
 
     def outcomes(self) -> list[dict[str, Any]]:
-        """What became of each request that came within the measured time, and after."""
+        """Returns the answer and time of each request due at second 0 or later."""
         zero = self.line.began or 0.0
         return [
             {"id": one.request_id.decode(), "at": one.asked - zero, "took": one.took_ms,
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -1,4 +1,4 @@
-"""The description of a site. One seed gives the same tenants, rows, settings and faults in every process."""
+"""Description of a site. One seed gives the same tenants, rows, settings and faults in every process."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from lab.load import Account, Kind
 from lab.site import KINDS, SETTINGS
 
-LADDER = (2.0, 8.0, 32.0, 128.0, 512.0, 2048.0, 8192.0, 32768.0)  # units a second of the plans
-ROOM = 1.5  # of a plan's rate over what its tenants ask
-SET_SHARE = 0.25  # of a gateway's requests that one tenant makes at most: its set is as large as that needs
-CEILED = 2  # the largest plans have a ceiling
+PLAN_RATES = (2.0, 8.0, 32.0, 128.0, 512.0, 2048.0, 8192.0, 32768.0)  # units a second
+PLAN_HEADROOM = 1.5  # least ratio of a plan's rate to the demand of its tenant
+SET_SHARE = 0.25  # greatest share of a gateway's requests from one tenant, which sets the size of its set
+CEILED_PLANS = 2  # number of the largest plans that have a ceiling
 
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """One fault, in seconds from when measuring begins. `what`: rack, zone (its servers are gone at `at_s`,
-    and back, started anew, at `to_s`), lists silent, counter slow (by `value` ms), restart (the hollow
-    gateways of the zone end at `at_s` and are all back at `to_s`)."""
+    """Fault, with times in seconds from the start of the measurement. Values of `what`: rack and zone (the
+    servers are gone at `at_s`, and back after a restart at `to_s`), lists silent, counter slow (by `value`
+    ms), restart (the hollow gateways of the zone end at `at_s` and start again at `to_s`)."""
 
     what: str
     at_s: float
@@ -35,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """Sizes, shares and faults.
-
-    `absent`: gateways that the settings count and nobody plays; `spread`: the least number of gateways that a
-    tenant's requests come through; `rate`: requests a second of a real gateway, `hollow_rate`: of a hollow
-    one; `changes`: rows of the list that change a second; `most_known`: servers that a hollow one chooses
-    among, at most (0: all); `calls_per_s`: what the list service is said to bear (0: not said; each gateway
-    has an agent of its own then); `subset`: `[subset] servers`, 0 for none. `twins`: all gateways are asked
-    the same at the same moments, `requests` each (0: without end), and a row of the list changes only while
-    all watch, so that what they send can be compared.
+    """Sizes, load and faults of a site.
+
+    `absent`: gateways that the settings count but that do not run; `spread`: the least number of gateways
+    that a tenant's requests come through; `rate`: requests a second at a real gateway; `hollow_rate`: at a
+    hollow one; `changes`: rows of the list that change per second; `most_known`: most servers that a hollow
+    gateway chooses among (0: all); `calls_per_s`: stated capacity of the list service (0: not stated; each
+    gateway then has a discovery agent of its own); `subset`: `[subset] servers`, 0 for none. `twins`: all
+    gateways get the same requests at the same times, `requests` each (0: no limit), and a row of the list
+    changes only while all gateways have a long poll open, so that what they send can be compared.
     """
 
     gateways: int = 6
@@ -56,7 +56,7 @@
     racks: int = 2
     tenants: int = 1000
     zipf: float = 1.0
-    half: bool = False  # the first tenant asks half of all
+    half: bool = False  # the first tenant makes half of all requests
     spread: int = 3
     rate: float = 20.0
     hollow_rate: float = 20.0
@@ -73,46 +73,46 @@
 
     @property
     def hollow(self) -> int:
-        """Hollow gateways."""
+        """Returns the number of hollow gateways."""
         return self.gateways - self.real - self.absent
 
     def raw(self) -> dict[str, Any]:
-        """For another process."""
+        """Returns the site as JSON data for another process."""
         return asdict(self)
 
     @classmethod
     def of(cls, raw: dict[str, Any]) -> Site:
-        """From another process."""
+        """Builds a site from the data of another process."""
         return cls(**{**raw, "troubles": tuple(Trouble(**one) for one in raw["troubles"])})
 
     # --- places ------------------------------------------------------------------------------------------
 
     def zone_name(self, zone: int) -> str:
-        """Region and zone."""
+        """Returns the name of a zone, with its region."""
         return f"r{zone % self.regions}z{zone}"
 
     def zone_of(self, server: int) -> int:
-        """Servers go round the zones."""
+        """Returns the zone of a server; servers are spread over zones in turn."""
         return server % self.zones
 
     def rack_of(self, server: int) -> int:
-        """... and within a zone round its racks."""
+        """Returns the rack of a server; the servers of a zone are spread over its racks in turn."""
         return server // self.zones % self.racks
 
     def gateway_zone(self, number: int) -> int:
-        """Gateways too."""
+        """Returns the zone of a gateway; gateways are spread over zones in turn."""
         return number % self.zones
 
     def is_real(self, number: int) -> bool:
-        """Real ones stand evenly among the others."""
+        """Returns whether a gateway is real; real ones are spaced evenly among all numbers."""
         return number in self.real_numbers()
 
     def real_numbers(self) -> list[int]:
-        """Of the real gateways."""
+        """Returns the numbers of the real gateways."""
         return [i * self.gateways // self.real for i in range(self.real)] if self.real else []
 
     def struck(self, trouble: Trouble, server: int) -> bool:
-        """Whether it takes this server away."""
+        """Returns whether a trouble takes this server away."""
         zone = self.zone_of(server) == trouble.zone
         return zone and (
             trouble.what == "zone" or (trouble.what == "rack" and self.rack_of(server) == trouble.rack)
@@ -121,7 +121,7 @@
     # --- the list ----------------------------------------------------------------------------------------
 
     def row(self, server: int, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
-        """One row of the list."""
+        """Returns a row of the list."""
         service, zone = server % self.services, self.zone_name(self.zone_of(server))
         return {"id": f"s-{server:06x}", "addr": f"127.0.0.1:{port}", "zone": zone,
                 "kind": f"svc{service:03d}",
@@ -131,7 +131,7 @@
     # --- tenants -----------------------------------------------------------------------------------------
 
     def shares(self) -> list[float]:
-        """Of the tenants, the dearest first."""
+        """Returns the tenants' shares of the requests, the largest first."""
         raw = [1.0 / (n + 1) ** self.zipf for n in range(self.tenants)]
         if self.half and self.tenants > 1:
             raw[0] = sum(raw[1:])
@@ -139,12 +139,13 @@
         return [one / whole for one in raw]
 
     def accounts(self) -> list[Account]:
-        """All tenants. A plan gives `ROOM` times what its tenant asks of the whole site at the real ones'
-        rate, and 2 a second at least; a set is so large that no gateway spends over `SET_SHARE` on it."""
+        """Returns all tenants. A plan allows `PLAN_HEADROOM` times the tenant's demand of the whole site at
+        the rate of real gateways, and at least 2 a second. A set is large enough that no gateway has more
+        than `SET_SHARE` of its requests from the tenant."""
         rng, found = random.Random(self.seed), []
         for number, share in enumerate(self.shares()):
-            need = ROOM * share * self.gateways * self.rate
-            plan = min(bisect.bisect_left(LADDER, need), len(LADDER) - 1)
+            need = PLAN_HEADROOM * share * self.gateways * self.rate
+            plan = min(bisect.bisect_left(PLAN_RATES, need), len(PLAN_RATES) - 1)
             spread = min(self.gateways, max(self.spread, math.ceil(share * self.gateways / SET_SHARE)))
             first = rng.randrange(self.gateways)
             found.append(
@@ -155,18 +156,18 @@
         return found
 
     def settings(self, number: int) -> dict[str, Any]:
-        """The platform's settings for one gateway."""
+        """Returns the platform's settings for one gateway."""
         plans = [
             {"name": f"p{n}", "per_second": rate, "most_at_once": 3.0 * rate, "price": 1.0 + 0.25 * n}
             | ({"ceiling_rate": 2.0 * rate, "hard_burst": 4.0 * rate, "ceiling_slack": 0.4 * rate}
-               if n >= len(LADDER) - CEILED else {})
-            for n, rate in enumerate(LADDER)
+               if n >= len(PLAN_RATES) - CEILED_PLANS else {})
+            for n, rate in enumerate(PLAN_RATES)
         ]  # fmt: skip
         return {**SETTINGS, "packages": plans, "balancers": self.gateways, "me": number,
                 "my_zone": self.zone_name(self.gateway_zone(number))}  # fmt: skip
 
     def operator(self) -> str | None:
-        """The operator's file, the same for all; None for a plain run."""
+        """Returns the operator's file, the same for all gateways; None for a run without one."""
         parts = []
         if self.calls_per_s:
             parts.append(f"[discovery]\ncalls_per_s = {self.calls_per_s}\n")
@@ -178,7 +179,7 @@
 
 
 class Arrival(NamedTuple):
-    """A request: seconds after the first moment, its class, who asks."""
+    """Request: seconds after the start of the load, request class, tenant."""
 
     at: float
     kind: Kind
@@ -186,7 +187,7 @@
 
 
 def arrivals(site: Site, draw: Draw, number: int, rate: float) -> Iterator[Arrival]:
-    """The requests that come to a gateway, real or hollow, by its number and the site's seed."""
+    """Yields the requests to a gateway, real or hollow, which its number and the site's seed determine."""
     rng = random.Random(f"{site.seed} {0 if site.twins else number}")
     edges = list(itertools.accumulate(kind.share for kind in KINDS))
     at = 0.0
@@ -197,7 +198,7 @@
 
 
 class Draw:
-    """Draws the tenant of a gateway's next request: by its share, over the gateways of its set."""
+    """Draws the tenant of a gateway's next request, by its share divided among the gateways of its set."""
 
     def __init__(self, site: Site, numbers: list[int]) -> None:
         self.accounts = site.accounts()
@@ -218,12 +219,12 @@
 
     def __call__(self, number: int, rng: random.Random) -> Account:
         sums = self.sums[number]
-        if not sums:  # so few tenants that none comes this way
+        if not sums:  # no tenant's set includes this gateway, as there are few tenants
             return self.accounts[rng.randrange(len(self.accounts))]
         return self.accounts[self.who[number][bisect.bisect_left(sums, rng.random() * sums[-1])]]
 
 
 def sets(account: Account) -> tuple[int, int]:
-    """Of an account: spread and first."""
+    """Returns the spread and first gateway of an account's set."""
     fields = dict(part.split("=") for part in account.more.split(",") if part)
     return int(fields["spread"]), int(fields["first"])
--- a/lab/scale/stand_ins.py
+++ b/lab/scale/stand_ins.py
@@ -1,6 +1,6 @@
-"""The list service, the counter and the servers of a scale run, with books of what each role's callers cost.
+"""List service, counter and servers of a scale run, which count the traffic of each role of callers.
 
-A role (real, hollow) is told apart by the port that it calls. Bytes are those of payloads on the sockets.
+The port that is called tells the role (real or hollow). Bytes are those of payloads on the sockets.
 """
 
 from __future__ import annotations
@@ -24,68 +24,68 @@
 
 SINCE = re.compile(rb"[?&]since=(\d+)")
 TIMEOUT = re.compile(rb"[?&]timeout_ms=(\d+)")
-KEPT = 20_000  # changes of the list that are known one by one
+MAX_LOGGED_CHANGES = 20_000  # older versions get a whole list
 ROLES = ("real", "hollow")
 
 
 @dataclass
 class Book:
-    """What callers of one role sent and got."""
+    """Traffic of the callers of one role."""
 
     calls: int = 0
-    took: int = 0  # bytes from them
-    gave: int = 0  # bytes to them
+    took: int = 0  # bytes received from the callers
+    gave: int = 0  # bytes sent to the callers
     whole: int = 0  # whole lists among the answers
     links: int = 0  # connections ever made
     pings: int = 0
-    times: list[float] = field(default_factory=list)  # of the calls, where kept
+    times: list[float] = field(default_factory=list)  # times of the calls, where recorded
 
     def told(self) -> dict[str, int]:
-        """For another process."""
+        """Returns the counts as JSON data for another process."""
         return {"calls": self.calls, "took": self.took, "gave": self.gave, "whole": self.whole,
                 "links": self.links, "pings": self.pings}  # fmt: skip
 
 
 class Timeline:
-    """The site's troubles by this process's clock; `begin` gives it its zero."""
+    """Schedule of the site's troubles by this process's clock; `begin` sets its second 0."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
         self.began: float | None = None  # loop time of second 0
 
     def begin(self, unix: float) -> None:
-        """Second 0 is at this Unix time."""
+        """Sets second 0 to a Unix time."""
         self.began = asyncio.get_running_loop().time() + unix - time.time()
 
     def now(self) -> float:
-        """Seconds since measuring began; negative before."""
+        """Returns the seconds since the measurement began; negative before."""
         return asyncio.get_running_loop().time() - self.began if self.began is not None else -1e9
 
     def zero(self, now: float) -> float:
-        """When requests begin: with the measuring, where so many are to be asked, else at once."""
+        """Returns when requests begin: with the measurement if their number is fixed, else at once."""
         return self.began if self.site.requests and self.began is not None else now
 
     def on(self, what: str) -> Trouble | None:
-        """The trouble of this kind that is on."""
+        """Returns the trouble of this kind that is in effect, or None."""
         now = self.now()
         return next((t for t in self.site.troubles if t.what == what and t.at_s <= now < t.to_s), None)
 
     def gone(self, server: int) -> bool:
-        """Whether a server's rack or zone is away."""
+        """Returns whether a server's rack or zone is away."""
         if not self.site.troubles:
             return False
         now = self.now()
         return any(t.at_s <= now < t.to_s and self.site.struck(t, server) for t in self.site.troubles)
 
     async def until(self, second: float) -> None:
-        """Waits for that second."""
+        """Waits until a second of the timeline."""
         while self.began is None:
             await asyncio.sleep(0.01)
         await asyncio.sleep(max(0.0, second - self.now()))
 
 
 class ListCalls(asyncio.Protocol):
-    """One connection to the list service."""
+    """Connection to the list service."""
 
     def __init__(self, lists: Lists, book: Book) -> None:
         self.lists, self.book = lists, book
@@ -115,7 +115,7 @@
         self.lists.forget(self)
 
     def answer(self, body: bytes) -> None:
-        """Sends one answer."""
+        """Sends an answer."""
         if self.transport is not None:
             data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             self.book.gave += len(data)
@@ -123,20 +123,21 @@
 
 
 class Lists:
-    """The list of servers and the watches on it; answers are made once a version and sent to all."""
+    """List of servers and the long polls on it. An answer is encoded once per version and sent to all."""
 
     def __init__(self, site: Site, rows: list[dict[str, Any]]) -> None:
         self.rows = {str(row["id"]): row for row in rows}
         self.line = Timeline(site)
         self.version = 1
-        self.log: deque[tuple[int, dict[str, Any]]] = deque(maxlen=KEPT)
+        self.log: deque[tuple[int, dict[str, Any]]] = deque(maxlen=MAX_LOGGED_CHANGES)
         self.waiting: set[ListCalls] = set()
-        self.made: dict[int | None, bytes] = {}  # bodies of the present version
+        # Encoded answers of the current version, by the version that a call asked from.
+        self.encoded: dict[int | None, bytes] = {}
         self.books = {role: Book() for role in ROLES}
-        self.told = 0  # rows that changed
+        self.told = 0  # number of rows that changed
 
     def update(self, rows: list[dict[str, Any]]) -> None:
-        """These changed in one moment; state Gone takes a row off the list."""
+        """Applies changed rows at once; the state Gone removes a row."""
         for row in rows:
             self.version += 1
             if row["state"] == "Gone":
@@ -145,21 +146,21 @@
                 self.rows[str(row["id"])] = row
             self.log.append((self.version, row))
         self.told += len(rows)
-        self.made.clear()
+        self.encoded.clear()
         if self.line.on("lists silent") is None:
             self.release()
 
     def release(self) -> None:
-        """Answers all that wait and for whom there is news."""
+        """Answers all waiting polls for which there is a newer version."""
         for call in [one for one in self.waiting if one.since != self.version]:
             self.reply(call)
 
     def called(self, call: ListCalls, wait_s: float) -> None:
-        """A call: answered at once if there is news, else when there is, or after its wait."""
+        """Answers a call at once if there is a newer version, else when there is one or after its wait."""
         self.forget(call)
         silent = self.line.on("lists silent")
         if silent is not None:
-            self.waiting.add(call)  # its answer comes with the service, if it is still wanted then
+            self.waiting.add(call)  # answered when the service is back, if the caller still waits then
             call.wait = asyncio.get_running_loop().call_later(
                 silent.to_s - self.line.now() + 0.01, self.reply, call
             )
@@ -170,28 +171,28 @@
             call.wait = asyncio.get_running_loop().call_later(wait_s, self.over, call)
 
     def over(self, call: ListCalls) -> None:
-        """A wait has ended without news."""
+        """Answers a call whose wait has ended without a newer version."""
         if self.line.on("lists silent") is None:
             self.reply(call)
 
     def forget(self, call: ListCalls) -> None:
-        """It waits no more."""
+        """Removes a call from those that wait."""
         self.waiting.discard(call)
         if call.wait is not None:
             call.wait.cancel()
             call.wait = None
 
     def reply(self, call: ListCalls) -> None:
-        """What is new since its version."""
+        """Answers a call with the changes since its version."""
         self.forget(call)
-        body = self.made.get(call.since)
+        body = self.encoded.get(call.since)
         if body is None:
-            body = self.made[call.since] = json.dumps(self.body(call.since)).encode()
+            body = self.encoded[call.since] = json.dumps(self.body(call.since)).encode()
         call.book.whole += call.since is None
         call.answer(body)
 
     def body(self, since: int | None) -> dict[str, Any]:
-        """Changes where they are known, else all."""
+        """Returns the changes since a version where they are logged, else the whole list."""
         kept = (
             since is not None
             and since <= self.version
@@ -207,21 +208,21 @@
         return {"version": self.version, "full": False, "servers": changes[::-1]}
 
     async def serve(self) -> dict[str, int]:
-        """Listens; the port for each role."""
+        """Listens; returns the port for each role."""
         return await listen({role: partial(ListCalls, self, book) for role, book in self.books.items()})
 
 
-async def listen(made: dict[str, Callable[[], asyncio.Protocol]]) -> dict[str, int]:
-    """A port for each role."""
+async def listen(factories: dict[str, Callable[[], asyncio.Protocol]]) -> dict[str, int]:
+    """Listens on a port for each role; returns the ports."""
     loop, ports = asyncio.get_running_loop(), {}
-    for role, factory in made.items():
+    for role, factory in factories.items():
         server = await loop.create_server(factory, "127.0.0.1", 0, backlog=4096)
         ports[role] = int(server.sockets[0].getsockname()[1])
     return ports
 
 
 class CounterCalls(asyncio.Protocol):
-    """One connection to the counter."""
+    """Connection to the counter."""
 
     def __init__(self, totals: Totals, book: Book) -> None:
         self.totals, self.book = totals, book
@@ -245,24 +246,24 @@
         self.transport = None
 
     def write(self, data: bytes) -> None:
-        """Answers leave."""
+        """Sends answers."""
         if self.transport is not None:
             self.book.gave += len(data)
             self.transport.write(data)
 
 
 class Totals:
-    """The counter: a name starts at 0 and is forgotten when its first call's time is up."""
+    """Counter: a name starts at 0 and expires after the time to live of its first call."""
 
     def __init__(self, site: Site) -> None:
         self.line = Timeline(site)
         self.names: dict[bytes, tuple[float, float]] = {}
         self.swept = 0.0
-        self.most = 0  # names held at once
+        self.most = 0  # most names held at once
         self.books = {role: Book() for role in ROLES}
 
     def call(self, words: list[bytes], book: Book) -> bytes:
-        """One call's answer."""
+        """Performs a call; returns its answer."""
         verb = words[0].upper()
         if verb == b"PING":
             book.pings += 1
@@ -284,7 +285,7 @@
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
     def send(self, call: CounterCalls, data: bytes) -> None:
-        """Answers, late where the counter is slow. One delay for all keeps their order."""
+        """Sends answers, delayed while the counter is slow. The same delay for all keeps their order."""
         slow = self.line.on("counter slow")
         if slow is None:
             call.write(data)
@@ -292,12 +293,12 @@
             asyncio.get_running_loop().call_later(slow.value / 1000.0, call.write, data)
 
     async def serve(self) -> dict[str, int]:
-        """Listens; the port for each role."""
+        """Listens; returns the port for each role."""
         return await listen({role: partial(CounterCalls, self, book) for role, book in self.books.items()})
 
 
 class Reading:
-    """A reader that books what it read."""
+    """Reader that counts the bytes read."""
 
     def __init__(self, reader: asyncio.StreamReader, book: Book) -> None:
         self.reader, self.book = reader, book
@@ -309,7 +310,7 @@
 
 
 class Writing:
-    """A writer that books what it wrote."""
+    """Writer that counts the bytes written."""
 
     def __init__(self, writer: asyncio.StreamWriter, book: Book) -> None:
         self.writer, self.book, self.transport = writer, book, writer.transport
@@ -320,18 +321,18 @@
 
 
 class Rack(Node):
-    """The stand-in of all servers of one rack. It keeps the time that each command took here, and is away
-    while its rack or zone is."""
+    """Stand-in for all servers of one rack. It records the duration of each command, and refuses connections
+    while its rack or zone is away."""
 
     def __init__(self, site: Site, zone: int, rack: int) -> None:
         means = {kind.class_name: site.service_ms for kind in KINDS}
         super().__init__(f"r{zone}.{rack}", Trade(means, slots=4096, queue=4096))
         self.site, self.zone, self.rack, self.line = site, zone, rack, Timeline(site)
         self.book = Book()
-        self.took_ms: dict[str, float] = {}  # by request, of its last attempt here
+        self.took_ms: dict[str, float] = {}  # duration of the last attempt here, by request id
 
     def away(self) -> bool:
-        """Whether it is."""
+        """Returns whether the rack or its zone is away."""
         return self.line.gone(self.zone + self.rack * self.site.zones)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -352,7 +353,7 @@
         return reply
 
     async def fall(self) -> None:
-        """Its connections end when its rack or zone goes."""
+        """Resets its connections when its rack or zone goes away."""
         for trouble in self.site.troubles:
             if self.site.struck(trouble, self.zone + self.rack * self.site.zones):
                 await self.line.until(trouble.at_s)
