--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow gateways: the program of `glenchute run` with all its parts but clients' and servers' sockets."""
+"""Hollow gateways: the program of `glenchute run` without the sockets of clients and servers."""
 
 from __future__ import annotations
 
@@ -35,31 +35,31 @@
 from lab.scale.site import Arrival, Draw, Site, arrivals, sets
 from lab.scale.stand_ins import Timeline
 
-LATE_S = 1.0  # requests that this process is behind with by more are left out, and told
+LATE_S = 1.0  # requests that are late by more than this are skipped, and counted as "not asked"
 
 
-class Asked(Call):
-    """A request without its bytes."""
+class HollowCall(Call):
+    """Request without its bytes."""
 
     def encode(self, left_ms: int) -> bytes:
         return b""
 
 
-class Trial:
-    """An attempt at a hollow server, from a hollow gateway: it ends after a drawn time."""
+class HollowAttempt:
+    """Attempt of a hollow gateway at a hollow server; it ends after a random time."""
 
     def __init__(
-        self, servers: Hollows, server: str, timeout_s: float, done: Callable[[AttemptResult], None]
+        self, servers: HollowServers, server: str, timeout_s: float, done: Callable[[AttemptResult], None]
     ) -> None:
         self.servers, self.server, self.timeout_s, self.done = servers, server, timeout_s, done
         self.started_at = servers.loop.time()
         self.is_written = False
         self.on_response_started: Callable[[ResponseSource], None] | None = None
-        self.is_wanted: Callable[[], bool] | None = None  # nobody leaves: clients are not there
+        self.is_wanted: Callable[[], bool] | None = None  # no clients, so none can disconnect
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Sends nothing."""
+        """Starts the timer in place of sending a request."""
         self.started_at = self.servers.loop.time()
         if self.servers.away(self.server):
             self.timer = self.servers.loop.call_later(0.0005, self.end, Outcome.UNREACHABLE)
@@ -73,7 +73,7 @@
         )
 
     def end(self, ending: Outcome) -> None:
-        """Tells its one ending."""
+        """Reports the result, once."""
         if self.timer is None:
             return
         self.timer = None
@@ -85,14 +85,14 @@
             self.done(AttemptResult(ending))
 
     def stop(self, ending: Outcome) -> None:
-        """Ended early."""
+        """Ends the attempt early."""
         if self.timer is not None:
             self.timer.cancel()
             self.servers.loop.call_soon(self.end, ending)
 
 
-class Hollows:
-    """The servers of a hollow gateway."""
+class HollowServers:
+    """Stands in for `ServerPools` in a hollow gateway."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, rng: random.Random, mean_s: float, away: Callable[[str], bool]
@@ -103,7 +103,7 @@
         self.out = 0
 
     def service_s(self) -> float:
-        """As the stand-ins draw theirs."""
+        """Returns a random service time, distributed as at the stand-ins of servers."""
         return self.half + self.rng.expovariate(1.0 / self.half)
 
     def create_attempt(
@@ -115,13 +115,13 @@
         write_by: float,
         context: AttemptContext | None = None,
     ) -> UpstreamAttempt | None:
-        """Makes one."""
+        """Returns an attempt, or None if the server is not listed or the time to write is over."""
         if server not in self.at or self.loop.time() >= write_by:
             return None
-        return Trial(self, server, timeout_s, done)
+        return HollowAttempt(self, server, timeout_s, done)
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
-        """It takes work."""
+        """Adds a server that takes requests."""
         self.at[server] = address
         self.draining.discard(server)
 
@@ -131,7 +131,7 @@
         has_restarted: Callable[[str], bool],
         retained: Collection[str] | None,
     ) -> None:
-        """They take work."""
+        """Adds servers that take requests; with `retained`, forgets all others."""
         if retained is not None:
             self.at = {}
             self.draining.intersection_update(retained)
@@ -139,42 +139,42 @@
         self.draining.difference_update(addresses)
 
     def drain_server(self, server: str) -> None:
-        """It drains."""
+        """Marks a server as draining."""
         self.at.pop(server, None)
         self.draining.add(server)
 
     def remove_server(self, server: str) -> None:
-        """It left."""
+        """Removes a server."""
         self.at.pop(server, None)
         self.draining.discard(server)
 
     def is_stopping(self, server: str) -> bool:
-        """Whether it takes nothing new."""
+        """Returns whether a server takes no new requests."""
         return server not in self.at
 
     def server_ids(self) -> list[str]:
-        """All."""
+        """Returns the ids of all servers, draining ones included."""
         return [*self.at, *self.draining]
 
     def address(self, server: str) -> Address | None:
-        """Where it would be."""
+        """Returns the address of a server that takes requests."""
         return self.at.get(server)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing, as no connections are open."""
 
 
-class Part:
-    """Tells the module of a part of the servers only, where the list is longer than `most`: choosing among
-    all is what a real gateway is measured for, and would be most of the run's processor time here. Without
-    `most`, and on lists no longer than that, the module is told all."""
+class PartialList:
+    """Passes on only part of the servers to the decision module where the list is longer than `most`. Real
+    gateways measure the choice among all servers; here it would be most of the run's CPU. Without `most`, or
+    with a shorter list, the module gets all servers."""
 
     def __init__(self, module: DecisionHandler, number: int, most: int) -> None:
         self.module, self.number, self.most, self.step = module, number, most, 1
         self.ended = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """As the module, which is no more after `ended`."""
+        """Handles an event as the module does, and nothing after `ended`."""
         if self.ended:
             return []
         if isinstance(event, EndpointList) and self.most and event.kind is not EndpointListKind.FAILED:
@@ -193,7 +193,7 @@
 
 
 class HollowGateway(GatewayProgram):
-    """One. `up` and `down` are its start and end."""
+    """Hollow gateway. `up` starts it, `down` ends it."""
 
     def __init__(
         self,
@@ -205,31 +205,33 @@
     ) -> None:
         self.site, self.line = site, line
         self.rng = random.Random(config.seed)
-        self.part = Part(Policy(config.settings, config.seed), config.gateway_number or 0, site.most_known)
+        self.part = PartialList(
+            Policy(config.settings, config.seed), config.gateway_number or 0, site.most_known
+        )
         super().__init__(config, loop, self.part, operator=operator)
 
     def create_upstream(self, pipelined: dict[str, Any] | None) -> ServerPools:
-        hollow = Hollows(self.loop, self.rng, self.site.service_ms / 1000.0, self.away)
+        hollow = HollowServers(self.loop, self.rng, self.site.service_ms / 1000.0, self.away)
         return hollow  # type: ignore[return-value]
 
     def create_subset(self, *args: Any, **kwargs: Any) -> DecisionHandler:
-        """Subsets are left out where a part is taken anyway (`most_known`): a start of one before 5,700
-        servers and each change of the list would cost as much here as at a real one, 500 times."""
+        """Skips the subset where `most_known` limits the servers anyway. Its start with 5,700 servers and
+        each change of the list would cost as much as at a real gateway, times 500 hollow ones."""
         module: DecisionHandler = args[0]
         return module if self.site.most_known else super().create_subset(*args, **kwargs)
 
     def away(self, server: str) -> bool:
-        """Whether its rack or zone is."""
+        """Returns whether a server's rack or zone is away."""
         return bool(self.site.troubles) and self.line.gone(int(server[2:], 16))
 
     def up(self) -> None:
-        """As `Program.start` without listener."""
+        """Starts the gateway as `GatewayProgram.start` does, without its listener."""
         if self.config.cached_endpoints is not None:
             self.gateway.update_endpoints(self.config.cached_endpoints)
         self.discovery.start(self.config.cached_endpoints, LIST_WAIT_S, False)
 
     def down(self) -> None:
-        """Its connections end, and its module hears no more."""
+        """Closes the connections; the module gets no further events."""
         self.part.ended = True
         self.listener.close()
         self.discovery.close()
@@ -238,7 +240,7 @@
 
 
 class Crowd:
-    """The hollow gateways of one process, and their requests."""
+    """Hollow gateways of one process, and their requests."""
 
     def __init__(
         self, site: Site, numbers: list[int], config: PlatformConfig, operator_path: str | None
@@ -253,8 +255,8 @@
         self.draw = Draw(site, numbers)
         self.serial = 0
 
-    def made(self, number: int) -> HollowGateway:
-        """One of them, with its own settings and seed; the saved list is shared."""
+    def create_gateway(self, number: int) -> HollowGateway:
+        """Creates a gateway with its own settings and seed; the saved list is shared."""
         config = self.config
         settings = replace(config.settings, zone=self.site.zone_name(self.site.gateway_zone(number)))
         config = replace(
@@ -263,15 +265,15 @@
         return HollowGateway(self.site, config, self.loop, self.line, self.operator)
 
     async def begin(self, numbers: list[int]) -> None:
-        """These start in one moment, as far as one process can."""
+        """Starts gateways as close together as one process can."""
         for number in numbers:
-            self.gateways[number] = self.made(number)
+            self.gateways[number] = self.create_gateway(number)
         for number in numbers:
             self.gateways[number].up()
             await asyncio.sleep(0)
 
     async def restarts(self) -> None:
-        """The site's restarts, in their order."""
+        """Plays the site's restarts in order of time."""
         for trouble in sorted((t for t in self.site.troubles if t.what == "restart"), key=lambda t: t.at_s):
             await self.line.until(trouble.at_s)
             struck = [n for n in self.numbers if self.site.gateway_zone(n) == trouble.zone]
@@ -281,47 +283,47 @@
             await self.begin(struck)
 
     async def load(self) -> None:
-        """Requests of all, in the order of their moments."""
+        """Sends the requests of all gateways in order of time."""
         rate = self.site.hollow_rate
         if rate <= 0 or not self.numbers:
             return
         began = self.line.zero(self.loop.time())
-        rows = [self.coming(number, rate) for number in self.numbers]
+        rows = [self.numbered_arrivals(number, rate) for number in self.numbers]
         for number, (at, kind, account) in heapq.merge(*rows, key=lambda row: row[1].at):
             pause = began + at - self.loop.time()
             if pause > 0:
                 await asyncio.sleep(pause)
             elif pause < -LATE_S and not self.site.requests:
-                self.answers["not asked"] += 1  # this process can't keep up
+                self.answers["not asked"] += 1  # the process is too slow for the load
                 continue
             self.ask(number, kind, account)
 
-    def coming(self, number: int, rate: float) -> Iterator[tuple[int, Arrival]]:
-        """The requests to one."""
+    def numbered_arrivals(self, number: int, rate: float) -> Iterator[tuple[int, Arrival]]:
+        """Yields the requests to a gateway, with its number."""
         return ((number, arrival) for arrival in arrivals(self.site, self.draw, number, rate))
 
     def ask(self, number: int, kind: Kind, account: Account) -> None:
-        """One request."""
+        """Sends one request to a gateway."""
         gateway = self.gateways.get(number)
         if gateway is None:
-            return  # it restarts: its clients go elsewhere
+            return  # the gateway restarts; its clients use others meanwhile
         self.serial += 1
         spread, _ = sets(account)
-        call = Asked(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
+        call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
                      float(kind.deadline_ms), 1.0, spread)  # fmt: skip
         self.answers["asked"] += 1
         gateway.gateway.accept(call, self.answered)
 
     @property
     def open(self) -> int:
-        """Requests without an answer."""
+        """Returns the number of requests without an answer."""
         return self.answers["asked"] - sum(self.answers[what] for what in ("served", "refused", "failed"))
 
     def answered(self, answer: FinalResponse) -> None:
-        """Books how it ended."""
+        """Counts how a request ended."""
         self.answers[{Rejected: "refused", Failed: "failed"}.get(type(answer), "served")] += 1
 
     def close(self) -> None:
-        """All end."""
+        """Ends all gateways."""
         for gateway in self.gateways.values():
             gateway.down()
