--- a/lab/scale/__init__.py
+++ b/lab/scale/__init__.py
@@ -1,18 +1,18 @@
-"""A whole site at the operators' size: hollow gateways, servers and tenants beside a few real processes.
+"""Simulates a whole site at the operators' size: hollow gateways and servers beside a few real processes.
 
-`site.Site` is the one seeded description; `run.Scale` plays it; `benchmarks/scale.py` prints it. All ends by
-itself: each process of it ends when the one that began it does.
+`site.Site` is the seeded description; `run.Scale` runs it; `benchmarks/scale.py` prints the figures. Every
+process ends when the one that started it does.
 
-**Real**: some processes of `python -m glenchute`, their clients' sockets, the list service and the counter as
-the platform's protocol has them, with the load of the whole fleet.
+**Real**: some processes of `python -m glenchute` and their clients' sockets; the list service and the
+counter, which speak the platform's protocol and bear the load of the whole fleet.
 
-**Hollow gateways** share processes. Each is the `Program` of `glenchute run` without its listener: the real
-decision module, core, discovery (`Watch`, `Pacing`, HTTP) and counter (links, pings, time-outs), over sockets
-of its own to the same list service and counter as the real ones. In place of its connections to servers and
-clients: requests drawn in the process, and attempts that end after a drawn time.
+**Hollow gateways** share processes. Each is the `GatewayProgram` of `glenchute run` without its listener: the
+real decision module, core, discovery (long polls, pacing, HTTP) and counter (connections, pings, time-outs),
+over sockets of its own to the same list service and counter as the real ones. Connections to servers and
+clients are replaced by requests generated in the process and attempts that end after a random time.
 
-**Hollow servers** are names in the list, with zones, racks, services and starts, which share a few listening
-stand-ins: one for each rack.
+**Hollow servers** are rows of the list, with zones, racks, services and start times, which share a few
+listening stand-ins, one for each rack.
 
-What hollow ones leave out is told in docs/design/scale-run.md.
+docs/design/scale-run.md describes what hollow gateways and servers leave out.
 """
--- a/lab/scale/__main__.py
+++ b/lab/scale/__main__.py
@@ -1,9 +1,9 @@
-"""One process of a scale run: ``python -m lab.scale ROLE``, begun by `run.Scale` only.
+"""One process of a scale run: ``python -m lab.scale ROLE``, started by `run.Scale` only.
 
-It is spoken to in lines of JSON. The first tells what it is to be; it answers with one line when it stands.
-`begin` gives the Unix time of second 0, `mark` asks for the books so far, `end` for what is told at the end.
-When the one that speaks has gone, it ends, and kills the process groups that it was told to `keep`: so
-nothing of a run is left behind, whatever ends that one.
+It receives lines of JSON on stdin. The first configures it; it answers with one line when it is ready.
+`begin` gives the Unix time of second 0, `mark` asks for the counts so far, `end` for the final figures. At
+the end of stdin it ends, and kills the process groups that it was told to `keep`, so that no process of a run
+is left behind, however the run ends.
 """
 
 from __future__ import annotations
@@ -25,42 +25,42 @@
 from lab.scale.site import Site
 from lab.scale.stand_ins import Lists, Rack, Timeline, Totals
 
-LONGEST_S = 3.2  # over the longest deadline
+LONGEST_S = 3.2  # wait for the last answers: more than the longest deadline of a request
 
 
 class Worker:
-    """What all roles share."""
+    """Base class of the roles."""
 
     def __init__(self, site: Site, told: dict[str, Any]) -> None:
         self.site, self.told = site, told
         self.tasks: list[asyncio.Task[Any]] = []
 
     async def start(self) -> dict[str, Any]:
-        """Stands up; what the run needs to know."""
+        """Starts the role; returns what the run needs, such as ports."""
         return {}
 
     def lines(self) -> list[Timeline]:
-        """Clocks to set."""
+        """Returns the timelines to set at `begin`."""
         return []
 
     def begun(self) -> None:
-        """The clocks are set."""
+        """Starts the load and the troubles, after the timelines are set."""
 
     def mark(self) -> dict[str, Any]:
-        """The books."""
+        """Returns the counts so far."""
         return {}
 
     async def end(self) -> dict[str, Any]:
-        """What is told at the end."""
+        """Ends the role; returns its final figures."""
         return {}
 
     def go(self, what: Any) -> None:
-        """Runs beside."""
+        """Runs a coroutine in the background."""
         self.tasks.append(asyncio.create_task(what))
 
 
 class ListWorker(Worker):
-    """The list service, its changes, and what it has to say of the site's troubles."""
+    """Runs the list service, with its changes and the troubles that it reports."""
 
     async def start(self) -> dict[str, Any]:
         self.lists = Lists(self.site, self.told["rows"])
@@ -77,7 +77,7 @@
                 self.go(self.struck(trouble))
 
     async def change(self) -> None:
-        """Rows that change, a weight each time, from before the measured time on; many a second in one go."""
+        """Changes weights of rows, from before the measured time on; at high rates several rows at once."""
         names, step = list(self.lists.rows), max(1, round(self.site.changes / 50.0))
         serial = 0
         while True:
@@ -93,7 +93,7 @@
             self.lists.update(rows)
 
     async def struck(self, trouble: Any) -> None:
-        """Servers that are away leave the list two seconds later, and come back cold."""
+        """Removes the servers that a trouble takes away, 2 s later; lists them as restarted when it ends."""
         await self.lists.line.until(trouble.at_s + 2.0)
         gone = [row for row in self.lists.rows.values() if self.site.struck(trouble, int(row["id"][2:], 16))]
         self.lists.update([{**row, "state": "Gone"} for row in gone])
@@ -109,7 +109,7 @@
 
 
 class CounterWorker(Worker):
-    """The counter."""
+    """Runs the counter."""
 
     async def start(self) -> dict[str, Any]:
         self.totals = Totals(self.site)
@@ -123,7 +123,7 @@
 
 
 class ServerWorker(Worker):
-    """The stand-ins of the hollow servers."""
+    """Runs stand-ins of the hollow servers."""
 
     async def start(self) -> dict[str, Any]:
         self.racks = [Rack(self.site, zone, rack) for zone, rack in self.told["racks"]]
@@ -147,7 +147,7 @@
 
 
 class HollowWorker(Worker):
-    """A share of the hollow gateways."""
+    """Runs a part of the hollow gateways."""
 
     async def start(self) -> dict[str, Any]:
         from glenchute.config.platform import build
@@ -159,7 +159,7 @@
         await self.crowd.begin(self.crowd.numbers)
         gc.collect()
         gc.freeze()
-        gc.set_threshold(20_000, 20, 20)  # as `glenchute run` has it
+        gc.set_threshold(20_000, 20, 20)  # the same setting as in `glenchute run`
         return {}
 
     def lines(self) -> list[Timeline]:
@@ -186,7 +186,7 @@
 
 
 class ClientWorker(Worker):
-    """The clients of the real gateways."""
+    """Runs the clients of the real gateways."""
 
     async def start(self) -> dict[str, Any]:
         from lab.scale.clients import Clients
@@ -212,13 +212,13 @@
 
 
 def say(what: dict[str, Any]) -> None:
-    """A line to the run."""
+    """Writes a line to the run."""
     sys.stdout.write(json.dumps(what) + "\n")
     sys.stdout.flush()
 
 
 async def serve(role: str) -> None:
-    """Speaks with the run until that ends."""
+    """Serves the run's commands until stdin ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=64 * 1024 * 1024)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""Plays a site: begins the processes, lets them run, reads books and clocks, ends all."""
+"""Runs a site: starts the processes, lets them run, collects their figures and CPU, ends all."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from lab.scale.site import Site
 from lab.site import GatewayProcess, free_port
 
-WARM_S = 4.0  # before measuring begins
-PATIENCE_S = 240.0  # for an answer of a part: hundreds of hollow gateways start before one
-MOST_HOLLOW = 90  # gateways of one process, unless that makes more than MOST_WORKERS
+WARM_S = 4.0  # warm-up before the measurement
+PATIENCE_S = 240.0  # longest wait for an answer of a part, which may start hundreds of hollow gateways first
+MOST_HOLLOW = 90  # hollow gateways in one process, more if MOST_WORKERS processes are not enough
 MOST_WORKERS = 6
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
 class Use(NamedTuple):
-    """Of a process: processor seconds so far, seconds that it stood ready and had no core, resident MB."""
+    """Use of a process so far: CPU seconds, seconds runnable without a core; and its resident MB."""
 
     cpu_s: float
     waited_s: float
@@ -34,7 +34,7 @@
 
 
 def used(pid: int) -> Use:
-    """Zeros for one that has gone."""
+    """Returns the use of a process; zeros if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         waited = int(Path(f"/proc/{pid}/schedstat").read_text().split()[1])
@@ -45,14 +45,14 @@
 
 
 class Part:
-    """A process of `lab.scale`."""
+    """Process of `lab.scale`."""
 
     def __init__(self, role: str) -> None:
         self.role = role
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self, site: Site, **more: Any) -> dict[str, Any]:
-        """Begins it and waits until it stands."""
+        """Starts the process and waits until it is ready; returns its first answer."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "lab.scale", self.role, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE, limit=256 * 1024 * 1024, cwd=ROOT,
@@ -60,13 +60,13 @@
         return await self.ask(site=site.raw(), **more)
 
     async def tell(self, **what: Any) -> None:
-        """A line to it."""
+        """Sends a message to the process."""
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(json.dumps(what).encode() + b"\n")
         await self.process.stdin.drain()
 
     async def ask(self, **what: Any) -> dict[str, Any]:
-        """... and its answer."""
+        """Sends a message and returns the answer; raises RuntimeError if the process has ended."""
         await self.tell(**what)
         assert self.process is not None and self.process.stdout is not None
         async with asyncio.timeout(PATIENCE_S):
@@ -78,12 +78,12 @@
 
     @property
     def pid(self) -> int:
-        """Its id."""
+        """Returns the process id."""
         assert self.process is not None
         return self.process.pid
 
     async def stop(self) -> None:
-        """Its end, waited for."""
+        """Kills the process and waits for its end."""
         if self.process is None:
             return
         if self.process.returncode is None:
@@ -94,8 +94,8 @@
 
 @dataclass
 class Role:
-    """What one role cost in the measured time; CPU in cores, memory in MB (of all its processes). `waited`:
-    the share of the time that one of its processes stood ready and had no core, on average."""
+    """Cost of one role in the measured time; CPU in cores, memory in MB (of all its processes). `waited` is
+    the fraction of the time that its processes were runnable without a core, on average."""
 
     name: str
     count: int
@@ -103,29 +103,30 @@
     cores: float
     waited: float
     memory: float
-    calls: dict[str, float] = field(default_factory=dict)  # messages a second, by what they are
-    took: float = 0.0  # bytes a second that came in
-    gave: float = 0.0
+    calls: dict[str, float] = field(default_factory=dict)  # messages a second, by kind
+    took: float = 0.0  # bytes received a second
+    gave: float = 0.0  # bytes sent a second
 
 
 @dataclass
 class Figures:
-    """All of a run. Bytes of gateways are those of control: lists and counter."""
+    """Figures of a run. Bytes of gateways are those of lists and counter, without requests."""
 
     site: Site
     seconds: float
     roles: list[Role]
-    added: tuple[float, float] = (0.0, 0.0)  # p50 and p99 at real gateways, ms
-    answers: dict[str, int] = field(default_factory=dict)  # of the real ones
-    hollow: dict[str, int] = field(default_factory=dict)  # of the hollow ones
-    per: dict[str, dict[str, float]] = field(default_factory=dict)  # by kind of gateway: what one sends
+    added: tuple[float, float] = (0.0, 0.0)  # p50 and p99 of the latency added by real gateways, ms
+    answers: dict[str, int] = field(default_factory=dict)  # answers of the real gateways
+    hollow: dict[str, int] = field(default_factory=dict)  # answers of the hollow gateways
+    # Traffic of one gateway, by kind of gateway.
+    per: dict[str, dict[str, float]] = field(default_factory=dict)
     worst: int = 0  # calls to the list service in the worst second
     worst_at: float = 0.0
-    names: int = 0  # held by the counter at once
+    names: int = 0  # most names held by the counter at once
     back: int = 0  # calls to the list service in the worst second of the five after a trouble's end
 
     def lines(self) -> list[str]:
-        """The table."""
+        """Returns the lines of the table."""
         site = self.site
         shares = f"Zipf {site.zipf}{', one asks half' if site.half else ''}, set {site.spread} at least"
         out = [
@@ -164,12 +165,12 @@
 
 
 def worst(times: list[float], first: float, last: float) -> tuple[int, float]:
-    """The most calls in a second, and that second's beginning."""
+    """Returns the most calls in a second, and the start of that second."""
     return busiest_second(at for at in times if first <= at < last)
 
 
 class Scale:
-    """A run in a folder of its own."""
+    """Run of a site in a folder of its own."""
 
     def __init__(self, site: Site, folder: Path, warm_s: float = WARM_S) -> None:
         self.site, self.folder, self.warm_s = site, folder, warm_s
@@ -190,11 +191,11 @@
         await self.stop()
 
     def parts(self) -> list[Part]:
-        """All processes but the real gateways."""
+        """Returns all processes but the real gateways."""
         return [self.lists, self.counter, *self.servers, *self.hollow, self.clients]
 
     async def stand(self) -> None:
-        """Everything up."""
+        """Starts all processes."""
         site = self.site
         racks = [(zone, rack) for zone in range(site.zones) for rack in range(site.racks)]
         count = 2 if site.real * site.rate > 200 else 1
@@ -246,7 +247,7 @@
         )  # fmt: skip
 
     async def stop(self) -> None:
-        """Ends all that was begun."""
+        """Ends all processes that were started."""
         for gateway in self.gateways.values():
             gateway.signal(signal.SIGKILL)
         await asyncio.gather(*(part.stop() for part in self.parts()))
@@ -255,7 +256,7 @@
                 gateway.process.wait()
 
     def use(self) -> dict[str, list[Use]]:
-        """Processor and memory by role."""
+        """Returns CPU and memory by role."""
         real = [g.process.pid for g in self.gateways.values() if g.process is not None]
         return {
             "real": [used(pid) for pid in real],
@@ -265,7 +266,7 @@
         }  # fmt: skip
 
     async def books(self) -> dict[str, list[dict[str, Any]]]:
-        """All books of one moment."""
+        """Returns the counts of all parts at one moment, by role."""
         parts = [self.lists, self.counter, *self.servers, *self.hollow]
         told = await asyncio.gather(*(part.ask(do="mark") for part in parts))
         found: dict[str, list[dict[str, Any]]] = {}
@@ -274,14 +275,14 @@
         return found
 
     async def run(self, seconds: float) -> Figures:
-        """Warms up, measures for so long, and ends the load."""
+        """Warms up, measures for a time, and ends the load; returns the figures."""
         zero = time.time() + self.warm_s
         for part in self.parts():
             await part.tell(do="begin", at=zero)
         await asyncio.sleep(max(0.0, zero - 0.2 * bool(self.site.requests) - time.time()))
         before, use, began = await self.books(), self.use(), time.time()
         ends: list[dict[str, Any]] = []
-        if self.site.requests:  # all are asked, then all are answered
+        if self.site.requests:  # with a fixed number of requests, the run ends with the last answer
             ends = await asyncio.gather(*(part.ask(do="end") for part in (self.clients, *self.hollow)))
         else:
             await asyncio.sleep(seconds)
@@ -325,7 +326,7 @@
         self, before: dict[str, list[dict[str, Any]]], after: dict[str, list[dict[str, Any]]],
         use: dict[str, list[Use]], then: dict[str, list[Use]], span: float,
     ) -> list[Role]:  # fmt: skip
-        """The table's rows."""
+        """Returns the cost of each role, from the counts and use before and after."""
         counts = {"real": self.site.real, "hollow": self.site.hollow, "servers": self.site.servers}
         found = {}
         for name, rows in then.items():
@@ -355,7 +356,7 @@
         span: float,
         asked: int,
     ) -> dict[str, dict[str, float]]:
-        """What one gateway of each kind sends: the comparison of hollow and real."""
+        """Returns the traffic of one gateway of each kind, to compare hollow and real ones."""
         hollow = sum(
             now.get("asked", 0) - was.get("asked", 0)
             for was, now in zip(before.get("hollow", []), after.get("hollow", []), strict=True)
