--- a/lab/scale/__main__.py
+++ b/lab/scale/__main__.py
@@ -23,7 +23,7 @@
 import uvloop
 
 from lab.scale.site import Site
-from lab.scale.stand_ins import Lists, Rack, Timeline, Totals
+from lab.scale.stand_ins import CounterService, ListService, Rack, Timeline
 
 LONGEST_S = 3.2  # wait for the last answers: more than the longest deadline of a request
 
@@ -31,19 +31,19 @@
 class Worker:
     """Base class of the roles."""
 
-    def __init__(self, site: Site, told: dict[str, Any]) -> None:
-        self.site, self.told = site, told
+    def __init__(self, site: Site, parameters: dict[str, Any]) -> None:
+        self.site, self.parameters = site, parameters
         self.tasks: list[asyncio.Task[Any]] = []
 
     async def start(self) -> dict[str, Any]:
         """Starts the role; returns what the run needs, such as ports."""
         return {}
 
-    def lines(self) -> list[Timeline]:
+    def timelines(self) -> list[Timeline]:
         """Returns the timelines to set at `begin`."""
         return []
 
-    def begun(self) -> None:
+    def on_begin(self) -> None:
         """Starts the load and the troubles, after the timelines are set."""
 
     def mark(self) -> dict[str, Any]:
@@ -54,27 +54,27 @@
         """Ends the role; returns its final figures."""
         return {}
 
-    def go(self, what: Any) -> None:
+    def run_in_background(self, coroutine: Any) -> None:
         """Runs a coroutine in the background."""
-        self.tasks.append(asyncio.create_task(what))
+        self.tasks.append(asyncio.create_task(coroutine))
 
 
 class ListWorker(Worker):
     """Runs the list service, with its changes and the troubles that it reports."""
 
     async def start(self) -> dict[str, Any]:
-        self.lists = Lists(self.site, self.told["rows"])
+        self.lists = ListService(self.site, self.parameters["rows"])
         return {"ports": await self.lists.serve()}
 
-    def lines(self) -> list[Timeline]:
-        return [self.lists.line]
+    def timelines(self) -> list[Timeline]:
+        return [self.lists.timeline]
 
-    def begun(self) -> None:
+    def on_begin(self) -> None:
         if self.site.changes > 0:
-            self.go(self.change())
+            self.run_in_background(self.change())
         for trouble in self.site.troubles:
             if trouble.what in ("rack", "zone"):
-                self.go(self.struck(trouble))
+                self.run_in_background(self.take_servers_away(trouble))
 
     async def change(self) -> None:
         """Changes weights of rows, from before the measured time on; at high rates several rows at once."""
@@ -92,55 +92,61 @@
                     rows.append({**row, "weight": 1.0 + 0.001 * (serial % 7)})
             self.lists.update(rows)
 
-    async def struck(self, trouble: Any) -> None:
+    async def take_servers_away(self, trouble: Any) -> None:
         """Removes the servers that a trouble takes away, 2 s later; lists them as restarted when it ends."""
-        await self.lists.line.until(trouble.at_s + 2.0)
+        await self.lists.timeline.until(trouble.at_s + 2.0)
         gone = [row for row in self.lists.rows.values() if self.site.struck(trouble, int(row["id"][2:], 16))]
         self.lists.update([{**row, "state": "Gone"} for row in gone])
-        await self.lists.line.until(trouble.to_s)
+        await self.lists.timeline.until(trouble.to_s)
         now = 1000.0 * time.time()
         self.lists.update([{**row, "started_ms": now} for row in gone])
 
     def mark(self) -> dict[str, Any]:
-        return {role: book.told() for role, book in self.lists.books.items()} | {"changed": self.lists.told}
+        return {role: counts.to_dict() for role, counts in self.lists.counts_by_role.items()} | {
+            "changed": self.lists.changed_rows
+        }
 
     async def end(self) -> dict[str, Any]:
-        return {role: [round(at, 3) for at in book.times] for role, book in self.lists.books.items()}
+        return {
+            role: [round(at, 3) for at in counts.times] for role, counts in self.lists.counts_by_role.items()
+        }
 
 
 class CounterWorker(Worker):
     """Runs the counter."""
 
     async def start(self) -> dict[str, Any]:
-        self.totals = Totals(self.site)
-        return {"ports": await self.totals.serve()}
+        self.counter = CounterService(self.site)
+        return {"ports": await self.counter.serve()}
 
-    def lines(self) -> list[Timeline]:
-        return [self.totals.line]
+    def timelines(self) -> list[Timeline]:
+        return [self.counter.timeline]
 
     def mark(self) -> dict[str, Any]:
-        return {role: book.told() for role, book in self.totals.books.items()} | {"names": self.totals.most}
+        return {role: counts.to_dict() for role, counts in self.counter.counts_by_role.items()} | {
+            "names": self.counter.most
+        }
 
 
 class ServerWorker(Worker):
     """Runs stand-ins of the hollow servers."""
 
     async def start(self) -> dict[str, Any]:
-        self.racks = [Rack(self.site, zone, rack) for zone, rack in self.told["racks"]]
+        self.racks = [Rack(self.site, zone, rack) for zone, rack in self.parameters["racks"]]
         for rack in self.racks:
             await rack.start()
         return {"ports": [[rack.zone, rack.rack, rack.port] for rack in self.racks]}
 
-    def lines(self) -> list[Timeline]:
-        return [rack.line for rack in self.racks]
+    def timelines(self) -> list[Timeline]:
+        return [rack.timeline for rack in self.racks]
 
-    def begun(self) -> None:
+    def on_begin(self) -> None:
         for rack in self.racks:
-            self.go(rack.fall())
+            self.run_in_background(rack.reset_connections())
 
     def mark(self) -> dict[str, Any]:
-        books = [rack.book.told() for rack in self.racks]
-        return {key: sum(book[key] for book in books) for key in books[0]}
+        rack_counts = [rack.counts.to_dict() for rack in self.racks]
+        return {key: sum(counts[key] for counts in rack_counts) for key in rack_counts[0]}
 
     async def end(self) -> dict[str, Any]:
         return {name: round(took, 3) for rack in self.racks for name, took in rack.took_ms.items()}
@@ -154,20 +160,20 @@
         from lab.scale.hollow import Crowd
 
         logging.disable(logging.CRITICAL)
-        raw = json.loads(Path(self.told["platform"]).read_text())
-        self.crowd = Crowd(self.site, self.told["numbers"], build(raw, {}), self.told["operator"])
+        raw = json.loads(Path(self.parameters["platform"]).read_text())
+        self.crowd = Crowd(self.site, self.parameters["numbers"], build(raw, {}), self.parameters["operator"])
         await self.crowd.begin(self.crowd.numbers)
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 20)  # the same setting as in `glenchute run`
         return {}
 
-    def lines(self) -> list[Timeline]:
-        return [self.crowd.line]
+    def timelines(self) -> list[Timeline]:
+        return [self.crowd.timeline]
 
-    def begun(self) -> None:
+    def on_begin(self) -> None:
         self.asking = asyncio.create_task(self.crowd.load())
-        self.go(self.crowd.restarts())
+        self.run_in_background(self.crowd.restarts())
 
     def mark(self) -> dict[str, Any]:
         return dict(self.crowd.answers)
@@ -191,13 +197,13 @@
     async def start(self) -> dict[str, Any]:
         from lab.scale.clients import Clients
 
-        self.clients = Clients(self.site, {int(n): port for n, port in self.told["ports"].items()})
+        self.clients = Clients(self.site, {int(n): port for n, port in self.parameters["ports"].items()})
         return {}
 
-    def lines(self) -> list[Timeline]:
-        return [self.clients.line]
+    def timelines(self) -> list[Timeline]:
+        return [self.clients.timeline]
 
-    def begun(self) -> None:
+    def on_begin(self) -> None:
         self.clients.start()
 
     async def end(self) -> dict[str, Any]:
@@ -211,9 +217,9 @@
 }  # fmt: skip
 
 
-def say(what: dict[str, Any]) -> None:
+def send_line(message: dict[str, Any]) -> None:
     """Writes a line to the run."""
-    sys.stdout.write(json.dumps(what) + "\n")
+    sys.stdout.write(json.dumps(message) + "\n")
     sys.stdout.flush()
 
 
@@ -224,24 +230,24 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     first = json.loads(await reader.readline())
     worker = ROLES[role](Site.of(first["site"]), first)
-    say(await worker.start())
-    kept: list[int] = []
+    send_line(await worker.start())
+    groups: list[int] = []
     try:
         while line := await reader.readline():
-            told = json.loads(line)
-            match told["do"]:
+            message = json.loads(line)
+            match message["do"]:
                 case "begin":
-                    for clock in worker.lines():
-                        clock.begin(told["at"])
-                    worker.begun()
+                    for clock in worker.timelines():
+                        clock.begin(message["at"])
+                    worker.on_begin()
                 case "keep":
-                    kept = told["groups"]
+                    groups = message["groups"]
                 case "mark":
-                    say(worker.mark())
+                    send_line(worker.mark())
                 case "end":
-                    say(await worker.end())
+                    send_line(await worker.end())
     finally:
-        for group in kept:
+        for group in groups:
             with contextlib.suppress(ProcessLookupError, PermissionError):
                 os.killpg(group, signal.SIGKILL)
 
--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -14,15 +14,15 @@
 class Traffic(Load):
     """Load on one real gateway. Unlike `Load.run`, it draws an account without a scan of all of them."""
 
-    def __init__(self, site: Site, number: int, port: int, draw: Draw, line: Timeline) -> None:
+    def __init__(self, site: Site, number: int, port: int, draw: Draw, timeline: Timeline) -> None:
         super().__init__(lambda: port, KINDS, draw.accounts, site.rate, 1000 * site.seed + number)
-        self.site, self.number, self.draw, self.line = site, number, draw, line
+        self.site, self.number, self.draw, self.timeline = site, number, draw, timeline
         self.stopped = False
 
     async def run(self, seconds: float = float("inf")) -> None:
         """Sends requests until stopped or all are sent, then waits for the last answers."""
         loop, tasks = asyncio.get_running_loop(), set[asyncio.Task[None]]()
-        began = self.line.zero(loop.time())
+        began = self.timeline.zero(loop.time())
         for serial, (at, kind, account) in enumerate(arrivals(self.site, self.draw, self.number, self.rate)):
             await asyncio.sleep(max(0.0, began + at - loop.time()))
             if self.stopped or at > seconds:
@@ -41,9 +41,9 @@
     """Loads on all real gateways."""
 
     def __init__(self, site: Site, ports: dict[int, int]) -> None:
-        self.site, self.line = site, Timeline(site)
+        self.site, self.timeline = site, Timeline(site)
         draw = Draw(site, list(ports))
-        self.loads = [Traffic(site, number, port, draw, self.line) for number, port in ports.items()]
+        self.loads = [Traffic(site, number, port, draw, self.timeline) for number, port in ports.items()]
         self.running: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -58,7 +58,7 @@
 
     def outcomes(self) -> list[dict[str, Any]]:
         """Returns the answer and time of each request due at second 0 or later."""
-        zero = self.line.began or 0.0
+        zero = self.timeline.began or 0.0
         return [
             {"id": one.request_id.decode(), "at": one.asked - zero, "took": one.took_ms,
              "answer": one.answer or "lost"}
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -200,10 +200,10 @@
         site: Site,
         config: PlatformConfig,
         loop: asyncio.AbstractEventLoop,
-        line: Timeline,
+        timeline: Timeline,
         operator: Any,
     ) -> None:
-        self.site, self.line = site, line
+        self.site, self.timeline = site, timeline
         self.rng = random.Random(config.seed)
         self.part = PartialList(
             Policy(config.settings, config.seed), config.gateway_number or 0, site.most_known
@@ -222,7 +222,7 @@
 
     def away(self, server: str) -> bool:
         """Returns whether a server's rack or zone is away."""
-        return bool(self.site.troubles) and self.line.gone(int(server[2:], 16))
+        return bool(self.site.troubles) and self.timeline.gone(int(server[2:], 16))
 
     def up(self) -> None:
         """Starts the gateway as `GatewayProgram.start` does, without its listener."""
@@ -246,7 +246,7 @@
         self, site: Site, numbers: list[int], config: PlatformConfig, operator_path: str | None
     ) -> None:
         self.site, self.numbers = site, numbers
-        self.line = Timeline(site)
+        self.timeline = Timeline(site)
         self.loop = asyncio.get_running_loop()
         self.config = config
         self.operator = read_operator(operator_path, config) if operator_path else None
@@ -262,7 +262,7 @@
         config = replace(
             config, name=f"h{number}", settings=settings, gateway_number=number, seed=7919 * number + 17
         )
-        return HollowGateway(self.site, config, self.loop, self.line, self.operator)
+        return HollowGateway(self.site, config, self.loop, self.timeline, self.operator)
 
     async def begin(self, numbers: list[int]) -> None:
         """Starts gateways as close together as one process can."""
@@ -275,11 +275,11 @@
     async def restarts(self) -> None:
         """Plays the site's restarts in order of time."""
         for trouble in sorted((t for t in self.site.troubles if t.what == "restart"), key=lambda t: t.at_s):
-            await self.line.until(trouble.at_s)
+            await self.timeline.until(trouble.at_s)
             struck = [n for n in self.numbers if self.site.gateway_zone(n) == trouble.zone]
             for number in struck:
                 self.gateways.pop(number).down()
-            await self.line.until(trouble.to_s)
+            await self.timeline.until(trouble.to_s)
             await self.begin(struck)
 
     async def load(self) -> None:
@@ -287,7 +287,7 @@
         rate = self.site.hollow_rate
         if rate <= 0 or not self.numbers:
             return
-        began = self.line.zero(self.loop.time())
+        began = self.timeline.zero(self.loop.time())
         rows = [self.numbered_arrivals(number, rate) for number in self.numbers]
         for number, (at, kind, account) in heapq.merge(*rows, key=lambda row: row[1].at):
             pause = began + at - self.loop.time()
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -33,7 +33,7 @@
     memory: float
 
 
-def used(pid: int) -> Use:
+def process_use(pid: int) -> Use:
     """Returns the use of a process; zeros if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -181,7 +181,7 @@
 
     async def __aenter__(self) -> Scale:
         try:
-            await self.stand()
+            await self.start_processes()
         except BaseException:
             await self.stop()
             raise
@@ -194,7 +194,7 @@
         """Returns all processes but the real gateways."""
         return [self.lists, self.counter, *self.servers, *self.hollow, self.clients]
 
-    async def stand(self) -> None:
+    async def start_processes(self) -> None:
         """Starts all processes."""
         site = self.site
         racks = [(zone, rack) for zone in range(site.zones) for rack in range(site.racks)]
@@ -259,13 +259,14 @@
         """Returns CPU and memory by role."""
         real = [g.process.pid for g in self.gateways.values() if g.process is not None]
         return {
-            "real": [used(pid) for pid in real],
-            "hollow": [used(part.pid) for part in self.hollow],
-            "lists": [used(self.lists.pid)], "counter": [used(self.counter.pid)],
-            "servers": [used(part.pid) for part in self.servers], "clients": [used(self.clients.pid)],
+            "real": [process_use(pid) for pid in real],
+            "hollow": [process_use(part.pid) for part in self.hollow],
+            "lists": [process_use(self.lists.pid)], "counter": [process_use(self.counter.pid)],
+            "servers": [process_use(part.pid) for part in self.servers],
+            "clients": [process_use(self.clients.pid)],
         }  # fmt: skip
 
-    async def books(self) -> dict[str, list[dict[str, Any]]]:
+    async def collect_counts(self) -> dict[str, list[dict[str, Any]]]:
         """Returns the counts of all parts at one moment, by role."""
         parts = [self.lists, self.counter, *self.servers, *self.hollow]
         told = await asyncio.gather(*(part.ask(do="mark") for part in parts))
@@ -280,13 +281,13 @@
         for part in self.parts():
             await part.tell(do="begin", at=zero)
         await asyncio.sleep(max(0.0, zero - 0.2 * bool(self.site.requests) - time.time()))
-        before, use, began = await self.books(), self.use(), time.time()
+        before, use, began = await self.collect_counts(), self.use(), time.time()
         ends: list[dict[str, Any]] = []
         if self.site.requests:  # with a fixed number of requests, the run ends with the last answer
             ends = await asyncio.gather(*(part.ask(do="end") for part in (self.clients, *self.hollow)))
         else:
             await asyncio.sleep(seconds)
-        after, used_then, ended = await self.books(), self.use(), time.time()
+        after, used_then, ended = await self.collect_counts(), self.use(), time.time()
         span = ended - began
         if not ends:
             ends = await asyncio.gather(*(part.ask(do="end") for part in (self.clients, *self.hollow)))
--- a/lab/scale/stand_ins.py
+++ b/lab/scale/stand_ins.py
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Book:
+class TrafficCounts:
     """Traffic of the callers of one role."""
 
     calls: int = 0
@@ -40,7 +40,7 @@
     pings: int = 0
     times: list[float] = field(default_factory=list)  # times of the calls, where recorded
 
-    def told(self) -> dict[str, int]:
+    def to_dict(self) -> dict[str, int]:
         """Returns the counts as JSON data for another process."""
         return {"calls": self.calls, "took": self.took, "gave": self.gave, "whole": self.whole,
                 "links": self.links, "pings": self.pings}  # fmt: skip
@@ -84,11 +84,11 @@
         await asyncio.sleep(max(0.0, second - self.now()))
 
 
-class ListCalls(asyncio.Protocol):
+class ListConnection(asyncio.Protocol):
     """Connection to the list service."""
 
-    def __init__(self, lists: Lists, book: Book) -> None:
-        self.lists, self.book = lists, book
+    def __init__(self, lists: ListService, counts: TrafficCounts) -> None:
+        self.lists, self.counts = lists, counts
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
         self.wait: asyncio.TimerHandle | None = None
@@ -96,15 +96,15 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.book.links += 1
+        self.counts.links += 1
 
     def data_received(self, data: bytes) -> None:
-        self.book.took += len(data)
+        self.counts.took += len(data)
         self.buffer += data
         while b"\r\n\r\n" in self.buffer:
             head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
-            self.book.calls += 1
-            self.book.times.append(self.lists.line.now())
+            self.counts.calls += 1
+            self.counts.times.append(self.lists.timeline.now())
             line = head.partition(b"\r\n")[0]
             since, wait = SINCE.search(line), TIMEOUT.search(line)
             self.since = int(since[1]) if since else None
@@ -118,23 +118,23 @@
         """Sends an answer."""
         if self.transport is not None:
             data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-            self.book.gave += len(data)
+            self.counts.gave += len(data)
             self.transport.write(data)
 
 
-class Lists:
+class ListService:
     """List of servers and the long polls on it. An answer is encoded once per version and sent to all."""
 
     def __init__(self, site: Site, rows: list[dict[str, Any]]) -> None:
         self.rows = {str(row["id"]): row for row in rows}
-        self.line = Timeline(site)
+        self.timeline = Timeline(site)
         self.version = 1
         self.log: deque[tuple[int, dict[str, Any]]] = deque(maxlen=MAX_LOGGED_CHANGES)
-        self.waiting: set[ListCalls] = set()
+        self.waiting: set[ListConnection] = set()
         # Encoded answers of the current version, by the version that a call asked from.
         self.encoded: dict[int | None, bytes] = {}
-        self.books = {role: Book() for role in ROLES}
-        self.told = 0  # number of rows that changed
+        self.counts_by_role = {role: TrafficCounts() for role in ROLES}
+        self.changed_rows = 0  # number of rows that changed
 
     def update(self, rows: list[dict[str, Any]]) -> None:
         """Applies changed rows at once; the state Gone removes a row."""
@@ -145,9 +145,9 @@
             else:
                 self.rows[str(row["id"])] = row
             self.log.append((self.version, row))
-        self.told += len(rows)
+        self.changed_rows += len(rows)
         self.encoded.clear()
-        if self.line.on("lists silent") is None:
+        if self.timeline.on("lists silent") is None:
             self.release()
 
     def release(self) -> None:
@@ -155,40 +155,40 @@
         for call in [one for one in self.waiting if one.since != self.version]:
             self.reply(call)
 
-    def called(self, call: ListCalls, wait_s: float) -> None:
+    def called(self, call: ListConnection, wait_s: float) -> None:
         """Answers a call at once if there is a newer version, else when there is one or after its wait."""
         self.forget(call)
-        silent = self.line.on("lists silent")
+        silent = self.timeline.on("lists silent")
         if silent is not None:
             self.waiting.add(call)  # answered when the service is back, if the caller still waits then
             call.wait = asyncio.get_running_loop().call_later(
-                silent.to_s - self.line.now() + 0.01, self.reply, call
+                silent.to_s - self.timeline.now() + 0.01, self.reply, call
             )
         elif call.since != self.version or wait_s <= 0:
             self.reply(call)
         else:
             self.waiting.add(call)
-            call.wait = asyncio.get_running_loop().call_later(wait_s, self.over, call)
+            call.wait = asyncio.get_running_loop().call_later(wait_s, self.end_wait, call)
 
-    def over(self, call: ListCalls) -> None:
+    def end_wait(self, call: ListConnection) -> None:
         """Answers a call whose wait has ended without a newer version."""
-        if self.line.on("lists silent") is None:
+        if self.timeline.on("lists silent") is None:
             self.reply(call)
 
-    def forget(self, call: ListCalls) -> None:
+    def forget(self, call: ListConnection) -> None:
         """Removes a call from those that wait."""
         self.waiting.discard(call)
         if call.wait is not None:
             call.wait.cancel()
             call.wait = None
 
-    def reply(self, call: ListCalls) -> None:
+    def reply(self, call: ListConnection) -> None:
         """Answers a call with the changes since its version."""
         self.forget(call)
         body = self.encoded.get(call.since)
         if body is None:
             body = self.encoded[call.since] = json.dumps(self.body(call.since)).encode()
-        call.book.whole += call.since is None
+        call.counts.whole += call.since is None
         call.answer(body)
 
     def body(self, since: int | None) -> dict[str, Any]:
@@ -209,7 +209,9 @@
 
     async def serve(self) -> dict[str, int]:
         """Listens; returns the port for each role."""
-        return await listen({role: partial(ListCalls, self, book) for role, book in self.books.items()})
+        return await listen(
+            {role: partial(ListConnection, self, counts) for role, counts in self.counts_by_role.items()}
+        )
 
 
 async def listen(factories: dict[str, Callable[[], asyncio.Protocol]]) -> dict[str, int]:
@@ -221,26 +223,26 @@
     return ports
 
 
-class CounterCalls(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """Connection to the counter."""
 
-    def __init__(self, totals: Totals, book: Book) -> None:
-        self.totals, self.book = totals, book
+    def __init__(self, counter: CounterService, counts: TrafficCounts) -> None:
+        self.counter, self.counts = counter, counts
         self.transport: asyncio.Transport | None = None
         self.parser = hiredis.Reader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.book.links += 1
+        self.counts.links += 1
 
     def data_received(self, data: bytes) -> None:
-        self.book.took += len(data)
+        self.counts.took += len(data)
         self.parser.feed(data)
         out: list[bytes] = []
         while (words := self.parser.gets()) is not False:
-            out.append(self.totals.call(words, self.book))
+            out.append(self.counter.call(words, self.counts))
         if out:
-            self.totals.send(self, b"".join(out))
+            self.counter.send(self, b"".join(out))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -248,29 +250,29 @@
     def write(self, data: bytes) -> None:
         """Sends answers."""
         if self.transport is not None:
-            self.book.gave += len(data)
+            self.counts.gave += len(data)
             self.transport.write(data)
 
 
-class Totals:
+class CounterService:
     """Counter: a name starts at 0 and expires after the time to live of its first call."""
 
     def __init__(self, site: Site) -> None:
-        self.line = Timeline(site)
+        self.timeline = Timeline(site)
         self.names: dict[bytes, tuple[float, float]] = {}
         self.swept = 0.0
         self.most = 0  # most names held at once
-        self.books = {role: Book() for role in ROLES}
+        self.counts_by_role = {role: TrafficCounts() for role in ROLES}
 
-    def call(self, words: list[bytes], book: Book) -> bytes:
+    def call(self, words: list[bytes], counts: TrafficCounts) -> bytes:
         """Performs a call; returns its answer."""
         verb = words[0].upper()
         if verb == b"PING":
-            book.pings += 1
+            counts.pings += 1
             return b"+PONG\r\n"
         if verb != b"INCRTTL" or len(words) != 4:
             return b"-ERR no such call\r\n"
-        book.calls += 1
+        counts.calls += 1
         now = time.monotonic()
         if now - self.swept > 5.0:
             self.swept = now
@@ -284,9 +286,9 @@
         text = b"%.3f" % total
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
-    def send(self, call: CounterCalls, data: bytes) -> None:
+    def send(self, call: CounterConnection, data: bytes) -> None:
         """Sends answers, delayed while the counter is slow. The same delay for all keeps their order."""
-        slow = self.line.on("counter slow")
+        slow = self.timeline.on("counter slow")
         if slow is None:
             call.write(data)
         else:
@@ -294,29 +296,31 @@
 
     async def serve(self) -> dict[str, int]:
         """Listens; returns the port for each role."""
-        return await listen({role: partial(CounterCalls, self, book) for role, book in self.books.items()})
+        return await listen(
+            {role: partial(CounterConnection, self, counts) for role, counts in self.counts_by_role.items()}
+        )
 
 
-class Reading:
+class CountingReader:
     """Reader that counts the bytes read."""
 
-    def __init__(self, reader: asyncio.StreamReader, book: Book) -> None:
-        self.reader, self.book = reader, book
+    def __init__(self, reader: asyncio.StreamReader, counts: TrafficCounts) -> None:
+        self.reader, self.counts = reader, counts
 
     async def read(self, most: int) -> bytes:
         data = await self.reader.read(most)
-        self.book.took += len(data)
+        self.counts.took += len(data)
         return data
 
 
-class Writing:
+class CountingWriter:
     """Writer that counts the bytes written."""
 
-    def __init__(self, writer: asyncio.StreamWriter, book: Book) -> None:
-        self.writer, self.book, self.transport = writer, book, writer.transport
+    def __init__(self, writer: asyncio.StreamWriter, counts: TrafficCounts) -> None:
+        self.writer, self.counts, self.transport = writer, counts, writer.transport
 
     def write(self, data: bytes) -> None:
-        self.book.gave += len(data)
+        self.counts.gave += len(data)
         self.writer.write(data)
 
 
@@ -327,24 +331,24 @@
     def __init__(self, site: Site, zone: int, rack: int) -> None:
         means = {kind.class_name: site.service_ms for kind in KINDS}
         super().__init__(f"r{zone}.{rack}", Trade(means, slots=4096, queue=4096))
-        self.site, self.zone, self.rack, self.line = site, zone, rack, Timeline(site)
-        self.book = Book()
+        self.site, self.zone, self.rack, self.timeline = site, zone, rack, Timeline(site)
+        self.counts = TrafficCounts()
         self.took_ms: dict[str, float] = {}  # duration of the last attempt here, by request id
 
     def away(self) -> bool:
         """Returns whether the rack or its zone is away."""
-        return self.line.gone(self.zone + self.rack * self.site.zones)
+        return self.timeline.gone(self.zone + self.rack * self.site.zones)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.away():
             writer.transport.abort()
             return
-        self.book.links += 1
-        await super().serve(Reading(reader, self.book), Writing(writer, self.book))  # type: ignore[arg-type]
+        self.counts.links += 1
+        await super().serve(CountingReader(reader, self.counts), CountingWriter(writer, self.counts))  # type: ignore[arg-type]
 
     async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         if words[0].upper().startswith(b"CALL."):
-            self.book.calls += 1
+            self.counts.calls += 1
         loop = asyncio.get_running_loop()
         began = loop.time()
         reply = await super().answer(words, writer)
@@ -352,11 +356,11 @@
             self.took_ms[words[2].decode("latin-1")] = 1000.0 * (loop.time() - began)
         return reply
 
-    async def fall(self) -> None:
+    async def reset_connections(self) -> None:
         """Resets its connections when its rack or zone goes away."""
         for trouble in self.site.troubles:
             if self.site.struck(trouble, self.zone + self.rack * self.site.zones):
-                await self.line.until(trouble.at_s)
+                await self.timeline.until(trouble.at_s)
                 for writer in self.writers:
                     with contextlib.suppress(Exception):
                         writer.transport.abort()
