--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -48,7 +48,7 @@
             return await scale.run(seconds)
 
 
-def twins(site: Site, requests: int) -> Site:
+def equal_load_site(site: Site, requests: int) -> Site:
     """Returns the site with equal load on each gateway and a list that changes as fast as all can follow."""
     return replace(
         site, twins=True, requests=requests, spread=site.gateways, hollow_rate=site.rate, most_known=0,
@@ -88,7 +88,7 @@
     if scene:
         site = scenes(site, seconds)[scene]
     if compared:
-        site = twins(site, round(site.rate * seconds))
+        site = equal_load_site(site, round(site.rate * seconds))
     print(f"{machine()}, load average {os.getloadavg()[0]:.1f}")
     figures = asyncio.run(play(site, seconds, warm))
     print("\n".join(figures.lines()))
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: hollow gateways send what real ones send, a seed is a site, and all ends by itself."""
+"""Tests of the scale run: traffic of hollow gateways, reproducible sites, and the end of all processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 import pytest
 
-from benchmarks.scale import COMPARED, twins
+from benchmarks.scale import COMPARED, equal_load_site
 from lab.scale.run import Scale
 from lab.scale.site import SET_SHARE, Draw, Site, Trouble, arrivals, sets
 
@@ -26,10 +26,10 @@
 
 
 def test_a_hollow_gateway_sends_what_a_real_one_sends(tmp_path: Path) -> None:
-    """Calls and bytes, to the list service and the counter, for the same requests and the same news."""
+    """Compares calls and bytes to the list service and the counter, for equal requests and list changes."""
 
     async def play() -> None:
-        async with Scale(twins(SMALL, 120), tmp_path, 0.6) as scale:
+        async with Scale(equal_load_site(SMALL, 120), tmp_path, 0.6) as scale:
             figures = await scale.run(0.0)
         assert figures.answers["served"] > 200 and "lost" not in figures.answers
         assert figures.hollow["asked"] == 240 and figures.hollow["no answer"] == 0
@@ -42,7 +42,7 @@
 
 
 def alive(pids: Iterable[int]) -> list[int]:
-    """Those of these processes that run."""
+    """Returns the processes that still run."""
     found = []
     for pid in pids:
         try:
@@ -55,7 +55,7 @@
 
 
 def children(parent: int) -> list[int]:
-    """Its processes."""
+    """Returns the child processes of a process."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -83,7 +83,8 @@
 
 
 def test_all_ends_where_the_run_is_killed() -> None:
-    """Real gateways are process groups of their own: one of the parts ends them."""
+    """Guards against real gateways that outlive a killed run: they are process groups of their own, so the
+    process for the clients has to end them."""
     sizes = ["--gateways", "2", "--real", "1", "--rate", "5", "--seconds", "60", "--warm", "0"]
     with subprocess.Popen(
         [sys.executable, "-m", "benchmarks.scale", *sizes], cwd=ROOT, stdout=subprocess.DEVNULL
@@ -93,7 +94,7 @@
             while not any(b"lab.scale\0hollow" in arguments(pid) for pid in children(run.pid)):
                 assert run.poll() is None and time.monotonic() < end
                 time.sleep(0.02)
-            pids = children(run.pid)  # the hollow ones come last
+            pids = children(run.pid)  # hollow gateways start last, so all processes are listed
         finally:
             run.kill()
     assert len(pids) >= 6
@@ -104,7 +105,7 @@
 
 
 def arguments(pid: int) -> bytes:
-    """Its command line."""
+    """Returns the command line of a process, or nothing if it has ended."""
     try:
         return Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
@@ -130,7 +131,7 @@
 
 @pytest.mark.parametrize("site", [SMALL, BIG, replace(BIG, half=True), replace(BIG, zipf=0.6, spread=1)])
 def test_a_seed_is_a_site(site: Site) -> None:
-    """The same in each process, from the description that was handed over."""
+    """Checks that a description sent to another process gives the same accounts and requests there."""
     other = Site.of(site.raw())
     number = site.real_numbers()[-1]
     draws = [Draw(one, [number]) for one in (site, other)]
@@ -143,7 +144,7 @@
     shares = site.shares()
     assert sum(shares) == pytest.approx(1.0) and shares == sorted(shares, reverse=True)
     assert shares[0] == pytest.approx(0.5) or not site.half
-    # No gateway spends more than its part on one tenant, as far as sets can grow.
+    # One tenant has at most SET_SHARE of a gateway's requests, unless its set already has all gateways.
     for share, account in zip(shares, draws[0].accounts, strict=True):
         spread, _ = sets(account)
         assert spread == site.gateways or share * site.gateways / spread <= SET_SHARE + 1e-9
