--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from benchmarks.scale import COMPARED, twins
+from benchmarks.scale import COMPARED, equal_load_site
 from lab.scale.run import Scale
 from lab.scale.site import SET_SHARE, Draw, Site, Trouble, arrivals, sets
 
@@ -32,7 +32,7 @@
     changes."""
 
     async def play() -> None:
-        async with Scale(twins(SMALL, 120), tmp_path, 0.6) as scale:
+        async with Scale(equal_load_site(SMALL, 120), tmp_path, 0.6) as scale:
             figures = await scale.run(0.0)
         assert figures.answers["served"] > 200 and "lost" not in figures.answers
         assert figures.hollow["asked"] == 240 and figures.hollow["no answer"] == 0
