--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -17,7 +17,7 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind
 from glenchute.policy.settings import Plan, Settings, SlowStart
-from lab.sim.world import SERVICE_MS, SETTINGS, Asked, Node, World
+from lab.sim.world import SERVICE_MS, SETTINGS, Node, SimulatedRequest, World
 
 TOLD_MS = 6000.0  # a change counts as told by then
 TOLD_SHARE = 2.0 / 3.0  # a fall breaks the rule if more of the work came from gateways that knew
@@ -196,12 +196,21 @@
         self.came[node.name, node.started_ms] = []
         for number in range(self.case.gateways):
             delay = self.rng.uniform(0.0, TOLD_MS)
-            self.at(delay, self.tell, number, self.incarnation[number], EndpointListKind.CHANGES, [node])
+            self.at(
+                delay,
+                self.deliver_endpoints,
+                number,
+                self.incarnation[number],
+                EndpointListKind.CHANGES,
+                [node],
+            )
 
-    def tell(self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]) -> None:
+    def deliver_endpoints(
+        self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]
+    ) -> None:
         for node in nodes:
             self.told_at.setdefault((number, incarnation, node.name, node.started_ms), self.now)
-        super().tell(number, incarnation, kind, nodes)
+        super().deliver_endpoints(number, incarnation, kind, nodes)
 
     def arrive(self, node: Node, back: tuple[Any, ...]) -> None:
         number, incarnation, asked, _, _, began = back
@@ -211,7 +220,7 @@
             self.came[node.name, node.started_ms].append((self.now, asked.work, told))
         super().arrive(node, back)
 
-    def work(self, asked: Asked) -> float:
+    def draw_service_ms(self, asked: SimulatedRequest) -> float:
         return SERVICE_MS * asked.work
 
     def check_cold(self, node: Node) -> None:
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -69,10 +69,10 @@
     def tick(self) -> None:
         """What is due, again and again as long as this life goes on."""
         world, now = self.world, self.world.now / 1000.0
-        if not world.lives(self.number, self.life):
+        if not world.is_current(self.number, self.life):
             return
         world.at(TICK_MS, self.tick)
-        if self.number in world.stopped:
+        if self.number in world.deferred_events:
             return
         for out in self.members.tick(now):
             world.carry(self, out.to, out.message)
@@ -87,7 +87,7 @@
     def take(self, sender: str, boot: int, body: Any) -> None:
         """A message of another."""
         world = self.world
-        if not world.lives(self.number, self.life) or self.number in world.stopped:
+        if not world.is_current(self.number, self.life) or self.number in world.deferred_events:
             return
         now = self.heard_at = world.now / 1000.0
         if isinstance(body, SwimMessage):
@@ -165,7 +165,7 @@
         if self.alive[number]:
             self.peers[number].take(sender, boot, body)
 
-    def strike(self, kind: str, node: Node, size: float, span_ms: float) -> None:
+    def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Faults between members."""
         count = len(self.modules)
         if kind == "fleet split":
@@ -183,7 +183,7 @@
             self.parts.kill()
             self.at(span_ms, self.parts.replace)
         else:
-            super().strike(kind, node, size, span_ms)
+            super().start_fault(kind, node, size, span_ms)
 
     def block(self, pairs: set[tuple[int, int]], span_ms: float) -> None:
         """These ways carry nothing for a while."""
@@ -206,7 +206,7 @@
     world.run(8000.0)
     plan = world.settings.plans[0]
     if split and isinstance(world, MembersWorld):
-        world.at(4000.0, world.strike, "fleet split", next(iter(world.nodes.values())), 0.5, 4000.0)
+        world.at(4000.0, world.start_fault, "fleet split", next(iter(world.nodes.values())), 0.5, 4000.0)
     world.flood(12_000.0, rate, plan.name)
     world.run(16_000.0)
     served = sum(units for _, _, name, units in world.sent if name == plan.name)
@@ -233,10 +233,10 @@
     some = list(world.nodes.values())[:7]
     for node in some:
         node.alive = False
-    world.unreached.clear()
+    world.unreachable_attempts.clear()
     began = world.now
     world.run(gone_ms)
-    lost = [at for at, _ in world.unreached]
+    lost = [at for at, _ in world.unreachable_attempts]
     for node in some:
         node.alive, node.busy, node.queue = True, 0, []
     back = world.now
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -35,7 +35,7 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import CounterReply, Outcome, Request
 from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
-from lab.sim.world import NET_MS, Asked, World
+from lab.sim.world import NET_MS, SimulatedRequest, World
 
 COUNTER_LATENCY_MS = 2.0  # processing time of a call at the counter
 WARM_MS = 6000.0  # start of a run that is not counted, since the gateways have just started
@@ -608,7 +608,9 @@
         life = self.incarnation[gateway]
         deadline = self.now + 4000.0
         cls = self.settings.classes[0]
-        self.asked[ref] = Asked(ref, gateway, life, cls, account.plan.name, deadline, ref, units=units)
+        self.open_requests[ref] = SimulatedRequest(
+            ref, gateway, life, cls, account.plan.name, deadline, ref, units=units
+        )
         self.request_details[ref] = account, luck, again
         self.books.tries += self.now >= self.books.warm
         spread = len(account.gateways)
@@ -616,37 +618,37 @@
         self.feed(gateway, life, event)
 
     def send(self, number: int, incarnation: int, action: StartAttempt) -> None:
-        asked = self.asked[action.request_id]
-        account = self.request_details[asked.ref][0]
-        if asked.attempts == 0:
-            inside = self.books.sent(self.now, account, asked.units)
+        request = self.open_requests[action.request_id]
+        account = self.request_details[request.ref][0]
+        if request.attempts == 0:
+            inside = self.books.sent(self.now, account, request.units)
             if not inside and "owed" in self.exact:
                 store = self.counter_store(account.key)
                 store.fill(self.now)
-                store.level, store.over = store.level + asked.units, store.over - asked.units
+                store.level, store.over = store.level + request.units, store.over - request.units
                 store.history.append((self.now, store.level, store.over))
         self.books.out[account.key] += 1
         super().send(number, incarnation, action)
 
-    def ended(self, *back: Any) -> None:
-        asked, attempt = back[2], back[3]
-        if attempt in asked.out:
-            self.books.out[self.request_details[asked.ref][0].key] -= 1
-        super().ended(*back)
+    def on_attempt_ended(self, *context: Any) -> None:
+        request, attempt = context[2], context[3]
+        if attempt in request.in_flight:
+            self.books.out[self.request_details[request.ref][0].key] -= 1
+        super().on_attempt_ended(*context)
 
     def perform(self, number: int, incarnation: int, action: Action) -> None:
         if isinstance(action, Reject):
-            asked = self.asked[action.request_id]
-            account, luck, again = self.request_details[asked.ref]
+            request = self.open_requests[action.request_id]
+            account, luck, again = self.request_details[request.ref]
             rejected = self.modules[number].quota.rejection_cause
             known = rejected.value if rejected else ""
-            cause = known if not asked.attempts else "no attempt"
-            self.books.refused(self.now, account, asked.units, cause)
+            cause = known if not request.attempts else "no attempt"
+            self.books.refused(self.now, account, request.units, cause)
             if again < 2 and luck < self.retry:
                 honours = luck < 0.6 * self.retry
                 wait = action.retry_after_ms if honours else 0.2 * self.day.site.retry_after_ms
                 other = account.gateways[int(luck * 7919 + again) % len(account.gateways)]
-                self.at(wait + 1.0, self.handle_request, account, asked.units, other, luck, again + 1)
+                self.at(wait + 1.0, self.handle_request, account, request.units, other, luck, again + 1)
         elif isinstance(action, IncrementCounter):
             self.books.calls += self.now >= self.books.warm
             row = self.modules[number].quota.counter.calls.in_flight[action.key][-1]
--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -24,7 +24,7 @@
 from glenchute.policy.events import EndpointListKind, EndpointState
 from glenchute.policy.settings import Settings
 from lab.sim.swarm import Failure, Fault, Script
-from lab.sim.world import SERVICE_MS, Asked, BrokenRule, Node, World
+from lab.sim.world import SERVICE_MS, BrokenRule, Node, SimulatedRequest, World
 
 from . import swarm
 
@@ -65,27 +65,27 @@
         self.served_in_tail: Counter[tuple[int, str, str]] = Counter()
         super().__init__(seed, shape.gateways, shape.nodes, make)
 
-    def answered(self, asked: Asked, how: str) -> None:
+    def record_answer(self, asked: SimulatedRequest, how: str) -> None:
         if (row := self.tail.pop(asked.ref, None)) is not None and how == "Served":
             self.served_in_tail[row] += 1
-        super().answered(asked, how)
+        super().record_answer(asked, how)
 
-    def booked(self, asked: Asked) -> None:
+    def on_request_accepted(self, asked: SimulatedRequest) -> None:
         row = (asked.number, asked.cls.name, asked.plan)
         if self.counting:
             self.asked_in_tail[row] += 1
             self.tail[asked.ref] = row
 
-    def strike(self, kind: str, node: Node, size: float, span_ms: float) -> None:
+    def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Faults and silences that this site has beside the swarm's."""
         which = self.rng.randrange(len(self.modules))
         if kind == "drained":
-            self.away.add(which)
-            self.at(4000.0, self.away.discard, which)
+            self.unrouted_gateways.add(which)
+            self.at(4000.0, self.unrouted_gateways.discard, which)
         elif kind in ("no traffic", "trickle", "slow in the quiet"):
-            self.away.update(range(len(self.modules)))
+            self.unrouted_gateways.update(range(len(self.modules)))
             span = 60_000.0 if kind == "no traffic" else 10_000.0
-            self.at(span, self.away.clear)
+            self.at(span, self.unrouted_gateways.clear)
             if kind != "no traffic":
                 for number in range(len(self.modules)):
                     self.at(span / 2.0, self.trickle, number)
@@ -103,20 +103,20 @@
         elif kind == "list empty":
             for number in range(len(self.modules)):
                 back = (number, self.incarnation[number], EndpointListKind.FULL)
-                self.tell(*back, [])
+                self.deliver_endpoints(*back, [])
                 self.at(span_ms, self.told_all, *back)
         else:
-            super().strike(kind, node, size, span_ms)
+            super().start_fault(kind, node, size, span_ms)
 
     def told_all(self, number: int, incarnation: int, kind: EndpointListKind) -> None:
         """The whole list again."""
-        self.tell(number, incarnation, kind, list(self.nodes.values()))
+        self.deliver_endpoints(number, incarnation, kind, list(self.nodes.values()))
 
     def trickle(self, number: int) -> None:
         """One request in a silence."""
-        self.away.discard(number)
+        self.unrouted_gateways.discard(number)
         self.ask("read", "wide", "wide0", at=number)
-        self.away.add(number)
+        self.unrouted_gateways.add(number)
 
     def all(self, span_ms: float, what: str, value: Any, after: Any) -> None:
         """All nodes are so for a while."""
@@ -126,7 +126,7 @@
 
     def heal(self) -> None:
         """All faults are over."""
-        self.away.clear()
+        self.unrouted_gateways.clear()
         self.parts.heal()
         self.parts.revive()
         self.parts.slow(0.0)
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -68,7 +68,14 @@
     for number in range(len(world.modules)):
         delay = world.rng.uniform(0.0, rng_ms)
         copies = [Node(n.name, n.zone, n.started_ms, n.state) for n in changed]
-        world.at(delay, world.tell, number, world.incarnation[number], EndpointListKind.CHANGES, copies)
+        world.at(
+            delay,
+            world.deliver_endpoints,
+            number,
+            world.incarnation[number],
+            EndpointListKind.CHANGES,
+            copies,
+        )
 
 
 def strike(world: World, fault: Fault) -> None:
@@ -135,7 +142,7 @@
         case "clock step":
             world.skew[fault.which % count] += 100.0 * fault.size  # forward only: clocks never go back
         case kind:
-            world.strike(kind, node, fault.size, span)
+            world.start_fault(kind, node, fault.size, span)
 
 
 def restarted(world: World, node: Node) -> None:
@@ -159,7 +166,7 @@
     del world.nodes[node.name]
     node.state, node.alive = EndpointState.REMOVED, False
     node.queue.clear()
-    fresh = Node(f"s{next(world.names)}", node.zone, world.now)
+    fresh = Node(f"s{next(world.node_serial)}", node.zone, world.now)
     world.nodes[fresh.name] = fresh
     told(world, [node])
     told(world, [fresh])
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -1,8 +1,8 @@
-"""The simulated site: gateways with real module instances, nodes, counter, discovery, clients and network.
+"""Simulates a site: gateways with real decision engines, nodes, counter, discovery, clients and network.
 
-One scheduler owns time and every draw, and orders what is due at the same moment by a draw too, so that a
-seed is a run. The site keeps its own books (what ran, who was told what, who was answered); `BrokenRule` is
-raised at the step at which a rule breaks, by those books alone.
+One scheduler owns the time and the random numbers, and orders events of the same time at random, so that a
+seed determines a run. The site records what ran, which endpoint lists each gateway got and which requests
+were answered. It raises `BrokenRule` at the step at which a rule is broken, from these records alone.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 
 MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
 GRACE_MS = 250.0
-MARGIN_MS = 10.0  # attempts end this long before the client's time does
+MARGIN_MS = 10.0  # attempts end this long before the client's deadline
 NET_MS = 1.0
-SERVICE_MS = 25.0  # the mean, by a warm node
+SERVICE_MS = 25.0  # mean service time of a warm node
 COUNT_TIMEOUT_MS = 50.0
 
 SETTINGS = Settings(
@@ -74,7 +74,7 @@
 
 
 class BrokenRule(AssertionError):  # noqa: N818
-    """A rule was broken; `rule` names it."""
+    """Raised when a rule is broken; `rule` is its name."""
 
     def __init__(self, rule: str, detail: str) -> None:
         super().__init__(f"{rule}: {detail}")
@@ -83,7 +83,7 @@
 
 @dataclass
 class Node:
-    """A check node of a few slots and a short queue."""
+    """A node with a few slots and a bounded queue."""
 
     name: str
     zone: str
@@ -91,22 +91,24 @@
     state: EndpointState = EndpointState.ACTIVE
     alive: bool = True
     hung: bool = False
-    errors: float = 0.0  # share of commands that fail after they ran
-    resets: float = 0.0
-    slow: float = 1.0
+    errors: float = 0.0  # fraction of commands that fail after they ran
+    resets: float = 0.0  # fraction of commands whose connection is reset after they ran
+    slow: float = 1.0  # factor of the service time
     slots: int = 6
     limit: int = 30
     busy: int = 0
     queue: list[Callable[[], None]] = field(default_factory=list)
-    came: deque[float] = field(default_factory=deque)  # commands of the last moments, while cold
+    arrivals: deque[float] = field(
+        default_factory=deque
+    )  # arrival times of recent commands while the node is cold
 
 
 @dataclass
-class Asked:
-    """A request, in the site's books."""
+class SimulatedRequest:
+    """A request as the site records it."""
 
     ref: str
-    number: int  # of the gateway
+    number: int  # number of the gateway
     incarnation: int
     cls: RequestClass
     plan: str
@@ -114,19 +116,19 @@
     key: str
     answers: int = 0
     attempts: int = 0
-    out: set[int] = field(default_factory=set)
-    until: dict[int, float] = field(default_factory=dict)  # by attempt: how long the gateway waits
-    sent_zone: str | None = None  # where the first attempt went that may have run
-    first_left: float | None = None  # when its bytes left
+    in_flight: set[int] = field(default_factory=set)
+    wait_until: dict[int, float] = field(default_factory=dict)  # end of the gateway's wait, by attempt
+    sent_zone: str | None = None  # zone of the first attempt that may have run
+    first_sent_ms: float | None = None  # when the bytes of that attempt were sent
     ran: int = 0
     may_have_run: bool = False
     units: float = 1.0
-    came: float = 0.0
-    work: float = 1.0  # for sites that draw it
+    accepted_ms: float = 0.0
+    work: float = 1.0  # relative cost, for sites that draw it
 
 
 class World:
-    """One run. `make` builds a module; `watch` sees each event and its actions."""
+    """One run. `make` builds a decision engine; `watch` is called with each event and its actions."""
 
     def __init__(
         self,
@@ -143,39 +145,43 @@
         self.now = 1_700_000_000_000.0
         self.began = self.now
         self.order = itertools.count()
-        self.due: list[tuple[float, float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.event_queue: list[tuple[float, float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.nodes = {f"s{i}": Node(f"s{i}", "ab"[i % 2]) for i in range(nodes)}
-        self.names = itertools.count(nodes)
+        self.node_serial = itertools.count(nodes)
         self.parts = Parts(2)
         self.skew = [self.rng.uniform(0.0, 50.0) for _ in range(gateways)]
         self.incarnation = [0] * gateways
         self.alive = [True] * gateways
         self.modules: list[Any] = [None] * gateways
-        self.told: list[dict[str, float]] = [{} for _ in range(gateways)]  # server: from when nothing may go
-        self.away: set[int] = set()  # gateways to which the front sends nothing
-        self.stopped: dict[int, list[tuple[bool, Callable[..., None], tuple[Any, ...]]]] = {}
-        self.asked: dict[str, Asked] = {}
-        self.zones: dict[str, str] = {}  # of all nodes that there ever were
+        self.endpoint_stop_times: list[dict[str, float]] = [
+            {} for _ in range(gateways)
+        ]  # by server: when sending stops
+        self.unrouted_gateways: set[int] = set()  # gateways that get no requests
+        self.deferred_events: dict[int, list[tuple[bool, Callable[..., None], tuple[Any, ...]]]] = {}
+        self.open_requests: dict[str, SimulatedRequest] = {}
+        self.zone_by_node: dict[str, str] = {}  # of all nodes, also removed ones
         self.serial = itertools.count(1)
-        self.sent: list[tuple[float, str, str, float]] = []  # time, customer, plan, units
-        self.keys: dict[tuple[str, str], float] = {}  # (group, key): when it last ran as new
-        self.unreached: list[tuple[float, str]] = []  # when an attempt found no server, and which
+        self.sent: list[
+            tuple[float, str, str, float]
+        ] = []  # time, customer, plan and units of each first attempt
+        self.last_run_by_key: dict[tuple[str, str], float] = {}  # by group and key
+        self.unreachable_attempts: list[tuple[float, str]] = []  # time and server of each
         self.steps = self.checks = self.restarts = 0
         for number in range(gateways):
             self.start(number)
 
-    # --- the scheduler -----------------------------------------------------------------------------------
+    # --- scheduler -----------------------------------------------------------------------------------
 
     def at(self, delay_ms: float, call: Callable[..., None], *args: Any) -> None:
-        """Later; what is due at one moment goes in a drawn order."""
+        """Schedules a call; calls of the same time are run in random order."""
         row = (self.now + max(0.0, delay_ms), self.rng.random(), next(self.order), call, args)
-        heapq.heappush(self.due, row)
+        heapq.heappush(self.event_queue, row)
 
     def run(self, ms: float) -> None:
-        """Lets time pass, with a check of the books now and then."""
+        """Runs the simulation for a time, and checks the records at regular steps and at the end."""
         end = self.now + ms
-        while self.due and self.due[0][0] <= end:
-            when, _, _, call, args = heapq.heappop(self.due)
+        while self.event_queue and self.event_queue[0][0] <= end:
+            when, _, _, call, args = heapq.heappop(self.event_queue)
             self.now = max(self.now, when)
             call(*args)
             self.steps += 1
@@ -187,71 +193,78 @@
     # --- gateways ----------------------------------------------------------------------------------------
 
     def start(self, number: int) -> None:
-        """A gateway starts from nothing, with the list of the moment."""
+        """Starts a gateway without state, with the current endpoint list."""
         self.incarnation[number] += 1
         self.alive[number] = True
-        self.told[number] = {}
+        self.endpoint_stop_times[number] = {}
         self.modules[number] = self.make(self.settings, self.rng.randrange(1 << 30))
-        self.tell(number, self.incarnation[number], EndpointListKind.CACHED, list(self.nodes.values()))
+        self.deliver_endpoints(
+            number, self.incarnation[number], EndpointListKind.CACHED, list(self.nodes.values())
+        )
 
     def die(self, number: int, back_ms: float) -> None:
-        """It dies with all that it held, and comes back."""
+        """Kills a gateway, which loses its state, and restarts it after `back_ms`."""
         if not self.alive[number]:
             return
         self.alive[number] = False
-        self.stopped.pop(number, None)
+        self.deferred_events.pop(number, None)
         self.restarts += 1
-        for ref in [r for r, asked in self.asked.items() if asked.number == number]:
-            del self.asked[ref]  # its clients try again by themselves
+        for ref in [r for r, request in self.open_requests.items() if request.number == number]:
+            del self.open_requests[ref]  # no answer is checked: the clients retry on their own
         self.at(back_ms, self.start, number)
 
-    def tell(self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]) -> None:
-        """Discovery's word reaches a gateway."""
-        if not self.lives(number, incarnation):
+    def deliver_endpoints(
+        self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]
+    ) -> None:
+        """Delivers an endpoint list from discovery to a gateway."""
+        if not self.is_current(number, incarnation):
             return
         entries = []
         for node in nodes:
-            self.zones[node.name] = node.zone
+            self.zone_by_node[node.name] = node.zone
             entries.append(Endpoint(node.name, node.zone, 0, 1.0, node.started_ms, node.state))
             if node.state is EndpointState.ACTIVE:
-                self.told[number].pop(node.name, None)
+                self.endpoint_stop_times[number].pop(node.name, None)
             else:
-                self.told[number].setdefault(node.name, self.now + GRACE_MS)
+                self.endpoint_stop_times[number].setdefault(node.name, self.now + GRACE_MS)
         self.feed(number, incarnation, EndpointList(kind, tuple(entries)))
 
     def stop(self, number: int, ms: float) -> None:
-        """A gateway's process stands still. What comes for it waits; its own timers are first when it goes
-        on, as in an event loop, and clients' time counts from when it reads what they sent."""
-        if self.alive[number] and number not in self.stopped:
-            self.stopped[number] = []
-            self.at(ms, self.go_on, number, ms)
-
-    def go_on(self, number: int, ms: float) -> None:
-        """It goes on, if it has not died."""
-        waited = self.stopped.pop(number, [])
-        for asked in self.asked.values():
-            if asked.number == number:
-                asked.deadline += ms
+        """Stops a gateway's process for a time.
+
+        Its events wait. On resumption its own timers are first, as in an event loop, and the deadlines of its
+        requests count from when it reads them.
+        """
+        if self.alive[number] and number not in self.deferred_events:
+            self.deferred_events[number] = []
+            self.at(ms, self.resume, number, ms)
+
+    def resume(self, number: int, ms: float) -> None:
+        """Resumes a stopped process, unless it has died."""
+        waited = self.deferred_events.pop(number, [])
+        for request in self.open_requests.values():
+            if request.number == number:
+                request.deadline += ms
         for _, call, args in sorted(waited, key=lambda row: not row[0]):
             call(*args)
 
-    def waits(self, number: int, own: bool, call: Callable[..., None], *args: Any) -> bool:
-        """Whether this process stands still, so that the call has to wait; `own`: a timer of its own."""
-        if (waiting := self.stopped.get(number)) is None:
+    def defer_if_stopped(self, number: int, own: bool, call: Callable[..., None], *args: Any) -> bool:
+        """Defers a call if the process is stopped; returns whether it did. `own` marks its timers."""
+        if (waiting := self.deferred_events.get(number)) is None:
             return False
         waiting.append((own, call, args))
         return True
 
-    def lives(self, number: int, incarnation: int) -> bool:
-        """Whether this life of the gateway goes on."""
+    def is_current(self, number: int, incarnation: int) -> bool:
+        """Returns whether this incarnation of the gateway is still running."""
         return self.alive[number] and incarnation == self.incarnation[number]
 
     def feed(self, number: int, incarnation: int, event: Event) -> None:
-        """One event for a module, and its actions."""
+        """Passes an event to a gateway's engine and performs the resulting actions."""
         own = isinstance(event, TimerFired)
-        if not self.lives(number, incarnation):
+        if not self.is_current(number, incarnation):
             return
-        if self.waits(number, own, self.feed, number, incarnation, event):
+        if self.defer_if_stopped(number, own, self.feed, number, incarnation, event):
             return
         now = self.now + self.skew[number]
         actions = self.modules[number].handle(now, event)
@@ -261,16 +274,16 @@
             self.perform(number, incarnation, action)
 
     def perform(self, number: int, incarnation: int, action: Action) -> None:
-        """Carries out an action, as the core does."""
+        """Performs an action of the engine."""
         if isinstance(action, StartAttempt):
             self.send(number, incarnation, action)
         elif isinstance(action, Reject | Fail):
-            asked = self.asked.get(action.request_id)
-            if asked is None:
-                raise BrokenRule("one answer", f"{action} for a request that is over")
-            if isinstance(action, Reject) and (asked.may_have_run or asked.out):
-                raise BrokenRule("nothing twice", f"{action} after a try that may have run")
-            self.answered(asked, type(action).__name__)
+            request = self.open_requests.get(action.request_id)
+            if request is None:
+                raise BrokenRule("one answer", f"{action} for a finished request")
+            if isinstance(action, Reject) and (request.may_have_run or request.in_flight):
+                raise BrokenRule("nothing twice", f"{action} after an attempt that may have run")
+            self.record_answer(request, type(action).__name__)
         elif isinstance(action, SetTimer):
             delay = action.at_ms - self.skew[number] - self.now
             self.at(delay, self.feed, number, incarnation, TimerFired(action.token))
@@ -278,7 +291,7 @@
             self.at(NET_MS, self.count, number, incarnation, action, self.now)
 
     def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
-        """A call reaches the counter."""
+        """Applies a call at the counter and schedules its reply."""
         told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         if told is None or told[1] + 2 * NET_MS > COUNT_TIMEOUT_MS:
             reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNT_TIMEOUT_MS)
@@ -288,131 +301,155 @@
             reply = CounterReply(call.key, float(f"{told[0]:.7g}"), Outcome.OK, took)
             self.at(told[1] + NET_MS, self.feed, number, incarnation, reply)
 
-    def answered(self, asked: Asked, how: str) -> None:
-        """The one final answer, by the name of what gave it."""
-        asked.answers += 1
-        if asked.answers > 1:
-            raise BrokenRule("one answer", f"{asked.ref} has {asked.answers}")
-        if self.now > asked.deadline + 1.0:
-            raise BrokenRule("one answer", f"{asked.ref}: {self.now - asked.deadline:.0f} ms late")
-        del self.asked[asked.ref]
+    def record_answer(self, request: SimulatedRequest, how: str) -> None:
+        """Records the final answer of a request; `how` is the kind of the answer."""
+        request.answers += 1
+        if request.answers > 1:
+            raise BrokenRule("one answer", f"{request.ref} has {request.answers} answers")
+        if self.now > request.deadline + 1.0:
+            raise BrokenRule("one answer", f"{request.ref}: {self.now - request.deadline:.0f} ms late")
+        del self.open_requests[request.ref]
 
     # --- attempts ----------------------------------------------------------------------------------------
 
     def send(self, number: int, incarnation: int, action: StartAttempt) -> None:
-        """An attempt starts, and the books say whether it may."""
-        asked = self.asked.get(action.request_id)
-        if asked is None:
-            raise BrokenRule("one answer", f"{action} for a request that is over")
-        attempt = asked.attempts
-        asked.attempts += 1
-        if asked.out:
-            raise BrokenRule("no overlap", f"attempt {attempt} of {asked.ref} beside {sorted(asked.out)}")
+        """Starts an attempt after checking that the rules allow it."""
+        request = self.open_requests.get(action.request_id)
+        if request is None:
+            raise BrokenRule("one answer", f"{action} for a finished request")
+        attempt = request.attempts
+        request.attempts += 1
+        if request.in_flight:
+            raise BrokenRule(
+                "no overlap", f"attempt {attempt} of {request.ref} beside {sorted(request.in_flight)}"
+            )
         if attempt >= self.settings.max_attempts:
-            raise BrokenRule("attempts", f"attempt {attempt} of {asked.ref}")
-        stop = self.told[number].get(action.address)
+            raise BrokenRule("attempts", f"attempt {attempt} of {request.ref}")
+        stop = self.endpoint_stop_times[number].get(action.address)
         if stop is not None and self.now > stop:
-            raise BrokenRule("drains", f"{asked.ref} to {action.address}, {self.now - stop:.0f} ms late")
-        if asked.may_have_run and asked.cls.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise BrokenRule("nothing twice", f"unsafe {asked.ref} went out again after it may have run")
+            raise BrokenRule("drains", f"{request.ref} to {action.address}, {self.now - stop:.0f} ms late")
+        if request.may_have_run and request.cls.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise BrokenRule(
+                "nothing twice", f"non-idempotent {request.ref} was sent again after it may have run"
+            )
         node = self.nodes.get(action.address)
-        if asked.may_have_run and asked.cls.idempotency is Idempotency.WITH_KEY:
-            if asked.first_left is not None and self.now - asked.first_left > asked.cls.idempotency_window_ms:
-                raise BrokenRule("nothing twice", f"{asked.ref} went out again when its key was forgotten")
+        if request.may_have_run and request.cls.idempotency is Idempotency.WITH_KEY:
+            if (
+                request.first_sent_ms is not None
+                and self.now - request.first_sent_ms > request.cls.idempotency_window_ms
+            ):
+                raise BrokenRule("nothing twice", f"{request.ref} was sent again after its key had expired")
             if (
-                asked.cls.idempotency_scope is IdempotencyScope.ZONE
+                request.cls.idempotency_scope is IdempotencyScope.ZONE
                 and node is not None
-                and node.zone != asked.sent_zone
+                and node.zone != request.sent_zone
             ):
-                raise BrokenRule("nothing twice", f"{asked.ref} went out again in another zone")
+                raise BrokenRule("nothing twice", f"{request.ref} was sent again in another zone")
         if attempt == 0:
-            self.sent.append((self.now, f"c-{asked.plan}", asked.plan, asked.units))
-        asked.out.add(attempt)
-        left = asked.deadline - MARGIN_MS - self.now
+            self.sent.append((self.now, f"c-{request.plan}", request.plan, request.units))
+        request.in_flight.add(attempt)
+        left = request.deadline - MARGIN_MS - self.now
         timeout = min(action.timeout_ms or left, left)
-        asked.until[attempt] = self.now + max(0.0, timeout)
-        back = (number, incarnation, asked, attempt, action.address, self.now)
-        self.dispatch(node, back, max(0.0, timeout), action)
+        request.wait_until[attempt] = self.now + max(0.0, timeout)
+        context = (number, incarnation, request, attempt, action.address, self.now)
+        self.dispatch(node, context, max(0.0, timeout), action)
 
     def dispatch(
-        self, node: Node | None, back: tuple[Any, ...], timeout: float, action: StartAttempt
+        self, node: Node | None, context: tuple[Any, ...], timeout: float, action: StartAttempt
     ) -> None:
-        """An attempt that may start goes out, on a connection of its own."""
+        """Sends an attempt on a connection of its own."""
         if node is None or not node.alive:
-            self.unreached.append((self.now, action.address))
-            self.at(NET_MS, self.ended, *back, Outcome.UNREACHABLE)
+            self.unreachable_attempts.append((self.now, action.address))
+            self.at(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
             return
-        self.at(timeout, self.ended, *back, Outcome.TIMEOUT)
-        self.at(NET_MS, self.arrive, node, back)
+        self.at(timeout, self.on_attempt_ended, *context, Outcome.TIMEOUT)
+        self.at(NET_MS, self.arrive, node, context)
 
-    def arrive(self, node: Node, back: tuple[Any, ...]) -> None:
-        """A command comes to a node."""
-        asked, attempt = back[2], back[3]
+    def arrive(self, node: Node, context: tuple[Any, ...]) -> None:
+        """Handles a command that arrives at a node."""
+        request, attempt = context[2], context[3]
         if not node.alive:
-            self.at(NET_MS, self.ended, *back, Outcome.UNREACHABLE)
+            self.at(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
             return
         self.check_cold(node)
         if node.busy + len(node.queue) >= node.limit:
-            self.at(NET_MS, self.ended, *back, Outcome.REJECTED)  # did not run: its zone binds nothing
+            self.at(
+                NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED
+            )  # it did not run, so retries are not bound to its zone
             return
-        if attempt in asked.out and asked.first_left is None:
-            asked.first_left, asked.sent_zone = back[5], node.zone
+        if attempt in request.in_flight and request.first_sent_ms is None:
+            request.first_sent_ms, request.sent_zone = context[5], node.zone
         came = self.now
-        node.queue.append(lambda: self.serve(node, back, came))
-        self.turn(node)
+        node.queue.append(lambda: self.serve(node, context, came))
+        self.start_queued(node)
 
     def check_cold(self, node: Node) -> None:
-        """A cold node that is sent more than `overload_factor` times what it can do for `overload_ms` falls
-        over."""
+        """Raises BrokenRule if a cold node gets more than `overload_factor` times its capacity over
+        `overload_window_ms`."""
         safety = self.settings.slow_start
         if node.started_ms <= 0 or self.warmth(node) >= 1.0:
-            node.came.clear()
+            node.arrivals.clear()
             return
-        node.came.append(self.now)
-        while node.came[0] < self.now - safety.overload_window_ms:
-            node.came.popleft()
+        node.arrivals.append(self.now)
+        while node.arrivals[0] < self.now - safety.overload_window_ms:
+            node.arrivals.popleft()
         age = self.now - node.started_ms
         mean = 0.5 * (self.warmth(node) + self.warmth(node, safety.overload_window_ms))
         able = node.slots / SERVICE_MS * mean * safety.overload_window_ms
-        if age >= safety.overload_window_ms and len(node.came) > safety.overload_factor * able:
-            raise BrokenRule("cold servers", f"{len(node.came)} commands to {node.name}, {age:.0f} ms old")
+        if age >= safety.overload_window_ms and len(node.arrivals) > safety.overload_factor * able:
+            raise BrokenRule(
+                "cold servers", f"{len(node.arrivals)} commands sent to {node.name}, {age:.0f} ms old"
+            )
 
     def warmth(self, node: Node, before_ms: float = 0.0) -> float:
-        """The share of its capacity that a node has, or had a while before."""
+        """Returns the fraction of its capacity that a node has, or had `before_ms` ago."""
         safety = self.settings.slow_start
         age = max(0.0, self.now - before_ms - node.started_ms) / safety.warm_up_ms
         return min(1.0, safety.initial_fraction + (1.0 - safety.initial_fraction) * age)
 
-    def turn(self, node: Node) -> None:
-        """Free slots take what waits."""
+    def start_queued(self, node: Node) -> None:
+        """Starts queued commands in free slots."""
         while node.alive and node.queue and node.busy < node.slots:
             node.busy += 1
             node.queue.pop(0)()
 
-    def serve(self, node: Node, back: tuple[Any, ...], came: float) -> None:
-        """A command runs. Whether its key is remembered was looked at when it came: the rule is about when a
-        repeat is sent, however long it then waits here."""
-        asked = back[2]
-        if self.now > asked.until.get(back[3], asked.deadline):  # its `d` is over: nothing is begun then
+    def serve(self, node: Node, context: tuple[Any, ...], came: float) -> None:
+        """Runs a command.
+
+        Whether its idempotency key has expired depends on `came`, when it arrived: the rule is about when a
+        retry is sent, however long it waits in the queue.
+        """
+        request = context[2]
+        if self.now > request.wait_until.get(
+            context[3], request.deadline
+        ):  # its deadline `d` has passed: it is not run
             node.busy -= 1
-            self.at(NET_MS, self.ended, *back, Outcome.REJECTED)
+            self.at(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
             return
-        group = "all" if asked.cls.idempotency_scope is IdempotencyScope.ALL else node.zone
-        if asked.cls.idempotency is not Idempotency.WITH_KEY:
-            asked.ran += 1
-        elif came - self.keys.get((group, asked.key), -1e12) > asked.cls.idempotency_window_ms:
-            self.keys[group, asked.key] = self.now
-            asked.ran += 1
-        if asked.cls.idempotency is not Idempotency.IDEMPOTENT and asked.ran > 1:
-            raise BrokenRule("nothing twice", f"{asked.ref} of class {asked.cls.name} ran {asked.ran} times")
-        self.at(self.work(asked) * node.slow / self.warmth(node), self.served, node, back, self.rng.random())
-
-    def work(self, asked: Asked) -> float:
-        """What a command takes of a warm node's slot, in ms."""
+        group = "all" if request.cls.idempotency_scope is IdempotencyScope.ALL else node.zone
+        if request.cls.idempotency is not Idempotency.WITH_KEY:
+            request.ran += 1
+        elif came - self.last_run_by_key.get((group, request.key), -1e12) > request.cls.idempotency_window_ms:
+            self.last_run_by_key[group, request.key] = self.now
+            request.ran += 1
+        if request.cls.idempotency is not Idempotency.IDEMPOTENT and request.ran > 1:
+            raise BrokenRule(
+                "nothing twice", f"{request.ref} of class {request.cls.name} ran {request.ran} times"
+            )
+        self.at(
+            self.draw_service_ms(request) * node.slow / self.warmth(node),
+            self.finish_command,
+            node,
+            context,
+            self.rng.random(),
+        )
+
+    def draw_service_ms(self, request: SimulatedRequest) -> float:
+        """Draws the time that a command takes in a slot of a warm node, in ms."""
         return self.rng.expovariate(1.0 / SERVICE_MS)
 
-    def served(self, node: Node, back: tuple[Any, ...], luck: float) -> None:
-        """It is done; what the gateway hears of it."""
+    def finish_command(self, node: Node, context: tuple[Any, ...], luck: float) -> None:
+        """Ends a command and schedules its outcome at the gateway."""
         node.busy -= 1
         if node.alive and not node.hung:
             ending = Outcome.OK
@@ -420,66 +457,77 @@
                 ending = Outcome.ERROR
             elif luck < node.errors + node.resets:
                 ending = Outcome.RESET
-            self.at(NET_MS, self.ended, *back, ending)
-        self.turn(node)
+            self.at(NET_MS, self.on_attempt_ended, *context, ending)
+        self.start_queued(node)
 
-    def ended(
-        self, number: int, incarnation: int, asked: Asked, attempt: int, server: str, began: float,
-        ending: Outcome,
+    def on_attempt_ended(
+        self, number: int, incarnation: int, request: SimulatedRequest, attempt: int, server: str,
+        began: float, ending: Outcome,
     ) -> None:  # fmt: skip
-        """An attempt's one ending, at the gateway."""
+        """Passes the end of an attempt to the gateway; later ends of the same attempt are ignored."""
         own = ending is Outcome.TIMEOUT
-        back = (number, incarnation, asked, attempt, server, began, ending)
-        if self.waits(number, own, self.ended, *back):
+        context = (number, incarnation, request, attempt, server, began, ending)
+        if self.defer_if_stopped(number, own, self.on_attempt_ended, *context):
             return
-        if attempt not in asked.out or not self.lives(number, incarnation):
+        if attempt not in request.in_flight or not self.is_current(number, incarnation):
             return
-        asked.out.discard(attempt)
+        request.in_flight.discard(attempt)
         if ending in MAY_HAVE_RUN:
-            asked.may_have_run = True
-            if asked.first_left is None:
-                asked.first_left, asked.sent_zone = began, self.zones.get(server)
-        final = ending is Outcome.OK and asked.ref in self.asked
+            request.may_have_run = True
+            if request.first_sent_ms is None:
+                request.first_sent_ms, request.sent_zone = began, self.zone_by_node.get(server)
+        final = ending is Outcome.OK and request.ref in self.open_requests
         if final:
-            self.answered(asked, "Served")
-        done = asked.ref not in self.asked
+            self.record_answer(request, "Served")
+        done = request.ref not in self.open_requests
         node = self.nodes.get(server)
         told = node is not None and ending in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
         held = float(node.busy + len(node.queue)) if node is not None and told else None
-        event = AttemptEnded(asked.ref, attempt, server, ending, self.now - began, done, active_requests=held)
+        event = AttemptEnded(
+            request.ref, attempt, server, ending, self.now - began, done, active_requests=held
+        )
         self.feed(number, incarnation, event)
 
     # --- clients -----------------------------------------------------------------------------------------
 
     def ask(self, cls: str, plan: str, customer: str, units: float = 1.0, at: int | None = None) -> None:
-        """A client's request, at this gateway, or at one that lives and is sent any."""
-        living = [number for number, alive in enumerate(self.alive) if alive and number not in self.away]
-        if not (living if at is None else self.alive[at] and at not in self.away):
+        """Sends a client's request to gateway `at`, or to a random running one that gets requests."""
+        living = [
+            number
+            for number, alive in enumerate(self.alive)
+            if alive and number not in self.unrouted_gateways
+        ]
+        if not (living if at is None else self.alive[at] and at not in self.unrouted_gateways):
             return
         number = self.rng.choice(living) if at is None else at
         kind = next(c for c in self.settings.classes if c.name == cls)
         ref = str(next(self.serial))
         deadline = self.now + DEADLINES[cls] * self.rng.choice((0.1, 0.5, 1.0, 1.0))
-        asked = Asked(ref, number, self.incarnation[number], kind, plan, deadline, ref, 0, 0, units=units)
-        asked.came = self.now
-        self.asked[ref] = asked
-        self.booked(asked)
+        request = SimulatedRequest(
+            ref, number, self.incarnation[number], kind, plan, deadline, ref, 0, 0, units=units
+        )
+        request.accepted_ms = self.now
+        self.open_requests[ref] = request
+        self.on_request_accepted(request)
         left = deadline - self.now
         event = Request(ref, cls, plan, customer, left, units, self.settings.gateway_count)
         self.feed(number, self.incarnation[number], event)
-        if ref in self.asked and self.rng.random() < 0.02:
-            self.at(self.rng.uniform(1.0, 300.0), self.leave, asked)
+        if ref in self.open_requests and self.rng.random() < 0.02:
+            self.at(self.rng.uniform(1.0, 300.0), self.disconnect_client, request)
 
-    def booked(self, asked: Asked) -> None:
-        """A request has been taken; for sites that keep further books."""
+    def on_request_accepted(self, request: SimulatedRequest) -> None:
+        """Called for each accepted request; subclasses keep further records."""
 
-    def leave(self, asked: Asked) -> None:
-        """The client has gone; no answer is owed."""
-        if asked.number not in self.stopped and self.asked.pop(asked.ref, None) is not None:
-            self.feed(asked.number, asked.incarnation, ClientDisconnected(asked.ref))
+    def disconnect_client(self, request: SimulatedRequest) -> None:
+        """Disconnects the client, so that no answer is expected."""
+        if (
+            request.number not in self.deferred_events
+            and self.open_requests.pop(request.ref, None) is not None
+        ):
+            self.feed(request.number, request.incarnation, ClientDisconnected(request.ref))
 
     def load(self, ms: float, rate: float, plans: tuple[str, ...] = ("small", "small", "open")) -> None:
-        """A mixed load of ordinary customers."""
+        """Schedules a mixed load of customers, with `rate` requests per second for `ms`."""
         at = 0.0
         while (at := at + self.rng.expovariate(rate / 1000.0)) < ms:
             cls = self.rng.choice(("read", "read", "read", "order", "bid", "charge"))
@@ -487,25 +535,28 @@
             self.at(at, self.ask, cls, plan, f"{plan}{self.rng.randrange(30)}")
 
     def flood(self, ms: float, rate: float, plan: str = "hard") -> None:
-        """One account asks far past its quota."""
+        """Schedules the load of one account, far above its quota."""
         at = 0.0
         while (at := at + self.rng.expovariate(rate / 1000.0)) < ms:
             self.at(at, self.ask, "read", plan, f"c-{plan}")
 
-    def strike(self, kind: str, node: Node, size: float, span_ms: float) -> None:
-        """A fault that only some kind of site has; each knows its own."""
-        raise ValueError(f"no fault {kind!r} on this site")
+    def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
+        """Starts a fault of a specific kind of site; subclasses handle theirs."""
+        raise ValueError(f"unknown fault {kind!r} for this site")
 
-    # --- the books ---------------------------------------------------------------------------------------
+    # --- checks ---------------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """What must hold at every step."""
+        """Checks the rules that hold at every step."""
         self.checks += 1
-        for asked in self.asked.values():
-            runs = self.lives(asked.number, asked.incarnation) and asked.number not in self.stopped
-            if runs and self.now > asked.deadline + 300.0:
-                late = self.now - asked.deadline
-                raise BrokenRule("one answer", f"{asked.ref} has none, {late:.0f} ms late")
+        for request in self.open_requests.values():
+            runs = (
+                self.is_current(request.number, request.incarnation)
+                and request.number not in self.deferred_events
+            )
+            if runs and self.now > request.deadline + 300.0:
+                late = self.now - request.deadline
+                raise BrokenRule("one answer", f"{request.ref} has no answer, {late:.0f} ms late")
         for number, module in enumerate(self.modules):
             if not self.alive[number]:
                 continue
@@ -517,16 +568,17 @@
             for key, tenant in module.quota.tenants.by_id.items():
                 if tenant.attempts_in_flight != out.get(key, 0):
                     raise BrokenRule(
-                        "open counts", f"{key}: {tenant.attempts_in_flight} booked, {out.get(key, 0)} out"
+                        "open counts",
+                        f"{key}: {tenant.attempts_in_flight} counted, {out.get(key, 0)} in flight",
                     )
                 if tenant.bucket_units > tenant.plan.burst_units + 1e-6 or tenant.local_units < -1e-6:
                     raise BrokenRule(
-                        "stores", f"{key}: store {tenant.bucket_units}, part {tenant.local_units}"
+                        "stores", f"{key}: bucket {tenant.bucket_units}, local share {tenant.local_units}"
                     )
         self.check_ceiling()
 
     def check_ceiling(self) -> None:
-        """The ceiling of the flooded account, by what was sent on first."""
+        """Checks the ceiling of the flooded account against the first attempts of its requests."""
         plan = self.settings.plans[1]
         level, last = plan.ceiling_burst_units, None
         most = plan.ceiling_slack_units + plan.ceiling_rate_per_s * 0.15
@@ -537,4 +589,4 @@
                 filled = 0.0 if last is None else plan.ceiling_rate_per_s * (at - last) / 1000.0
                 level, last = min(plan.ceiling_burst_units, level + filled) - units, at
                 if level < -most:
-                    raise BrokenRule("ceilings", f"{-level:.1f} units past, {most:.1f} allowed")
+                    raise BrokenRule("ceilings", f"{-level:.1f} units over the ceiling, {most:.1f} allowed")
