--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -1,6 +1,8 @@
-"""The simulated site with members: each gateway's real module behind the real deciders of the fleet, which
-talk over links that the script cuts and that lose. The rules are the site's, by books that no decider feeds;
-beside them an account's quota must not be passed by more than the bound stated for the run's troubles.
+"""Simulates a site with members: real engines with the real membership, gossip and usage reports.
+
+The members' links lose messages and are cut by the script. The rules are those of the site, checked with
+records that no membership component writes. In addition, an account's quota must not be exceeded by more than
+the bound for the faults of the run.
 """
 
 from __future__ import annotations
@@ -31,11 +33,11 @@
 
 
 class Peer:
-    """One gateway's part among the members, for one life."""
+    """The membership components of one gateway, for one incarnation."""
 
     def __init__(self, world: MembersWorld, number: int, module: Any, seed: int) -> None:
         rng = random.Random(seed)
-        self.world, self.number, self.life = world, number, world.incarnation[number]
+        self.world, self.number, self.incarnation = world, number, world.incarnation[number]
         names = [f"g{i}" for i in range(world.settings.gateway_count)]
         now = world.now / 1000.0
         self.members = MemberList(names[number], rng.getrandbits(60), names, SwimSettings(), rng, now)
@@ -43,83 +45,89 @@
         writer = f"{names[number]}#{self.members.boot:x}"
         self.use = AccountUsage(writer)
         ring = GatewayRing(names[number], names, gateway_numbers(dict.fromkeys(names)), len(names))
-        self.post = DirectMessenger(self.use, self.gossip.replica, ring, self.takes_part, rng, now)
+        self.messenger = DirectMessenger(self.use, self.gossip.replica, ring, self.is_alive, rng, now)
         self.heard_at = -1e9
         health = EndpointHealth(writer, random.Random(seed + 1))
-        self.telling = UsageReporter(
-            module, world.settings, self.use, health, self.told, self.share, lambda: world.now / 1000.0
+        self.usage_reporter = UsageReporter(
+            module,
+            world.settings,
+            self.use,
+            health,
+            self.publish,
+            self.usage_share,
+            lambda: world.now / 1000.0,
         )
 
-    def told(self, row: Any) -> None:
+    def publish(self, row: Any) -> None:
         if row.kind is RowKind.USE:
-            self.post.report(self.world.now / 1000.0, row)
+            self.messenger.report(self.world.now / 1000.0, row)
             return
         self.gossip.publish(self.world.now / 1000.0, row, len(self.members.members))
 
-    def takes_part(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         return self.members.members[name].state is MemberState.ALIVE
 
-    def share(self, spread: int) -> float:
+    def usage_share(self, spread: int) -> float:
         now = self.world.now / 1000.0
-        known = self.post.known_gateways(now, spread)
+        known = self.messenger.known_gateways(now, spread)
         return known_usage_share(
             self.gossip.is_complete, self.members.local_health, known, spread, now - self.heard_at
         )
 
     def tick(self) -> None:
-        """What is due, again and again as long as this life goes on."""
+        """Sends the due messages; repeats every `TICK_MS` until this incarnation ends."""
         world, now = self.world, self.world.now / 1000.0
-        if not world.is_current(self.number, self.life):
+        if not world.is_current(self.number, self.incarnation):
             return
         world.at(TICK_MS, self.tick)
         if self.number in world.deferred_events:
             return
         for out in self.members.tick(now):
-            world.carry(self, out.to, out.message)
+            world.send_message(self, out.to, out.message)
         for sent in self.gossip.tick(now, self.members.alive_names()):
-            world.carry(self, sent.to, sent.message)
-        for letter in self.post.tick(now):
-            world.carry(self, letter.to, letter.message)
+            world.send_message(self, sent.to, sent.message)
+        for outgoing in self.messenger.tick(now):
+            world.send_message(self, outgoing.to, outgoing.message)
         self.gossip.replica.expire(now)
-        self.post.expire()
-        self.telling.health.expire(now)
+        self.messenger.expire()
+        self.usage_reporter.health.expire(now)
 
-    def take(self, sender: str, boot: int, body: Any) -> None:
-        """A message of another."""
+    def receive(self, sender: str, boot: int, body: Any) -> None:
+        """Handles a message of another member."""
         world = self.world
-        if not world.is_current(self.number, self.life) or self.number in world.deferred_events:
+        if not world.is_current(self.number, self.incarnation) or self.number in world.deferred_events:
             return
         now = self.heard_at = world.now / 1000.0
         if isinstance(body, SwimMessage):
             for out in self.members.receive(now, sender, boot, body):
-                world.carry(self, out.to, out.message)
+                world.send_message(self, out.to, out.message)
             return
         if isinstance(body, UsageMessage | UsageRequest):
-            for letter in self.post.receive(now, sender, boot, body):
-                world.carry(self, letter.to, letter.message)
+            for outgoing in self.messenger.receive(now, sender, boot, body):
+                world.send_message(self, outgoing.to, outgoing.message)
             return
         for sent in self.gossip.receive(now, sender, body, len(self.members.members)):
-            world.carry(self, sent.to, sent.message)
+            world.send_message(self, sent.to, sent.message)
         if isinstance(body, Delta):
             for taken in self.gossip.take_received():
-                self.telling.receive(taken)
+                self.usage_reporter.receive(taken)
 
 
 class Module:
-    """What the site takes for a module: the real one, behind what members tell it."""
+    """A decision engine whose events pass through the member's usage reporter."""
 
     def __init__(self, peer: Peer, inner: Any) -> None:
         self.peer, self.inner = peer, inner
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        return self.peer.telling.handle(now_ms, event)
+        return self.peer.usage_reporter.handle(now_ms, event)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
 
 class MembersWorld(World):
-    """The site; `links` tells whether a message from one gateway reaches another."""
+    """A site with members. `blocked_links` has the blocked pairs of sender and receiver."""
 
     def __init__(
         self, seed: int, gateways: int = 3, nodes: int = 5,
@@ -127,80 +135,82 @@
         watch: Callable[[int, float, Event, list[Action]], None] | None = None,
     ) -> None:  # fmt: skip
         self.peers: dict[int, Peer] = {}
-        self.blocked: set[tuple[int, int]] = set()
-        self.lose = 0.0
-        self.net = random.Random(seed + 5)
-        self.inner = make
+        self.blocked_links: set[tuple[int, int]] = set()
+        self.loss = 0.0
+        self.network_rng = random.Random(seed + 5)
+        self.make_engine = make
         super().__init__(seed, gateways, nodes, make, watch)
 
     def start(self, number: int) -> None:
-        """A gateway starts, and its part among the members."""
-        sound, self.make = self.make, self.made(number)
+        """Starts a gateway with its membership components."""
+        make, self.make = self.make, self.engine_factory(number)
         try:
             super().start(number)
         finally:
-            self.make = sound
+            self.make = make
 
-    def made(self, number: int) -> Callable[[Settings, int], Any]:
-        """Makes a module behind its members' words."""
+    def engine_factory(self, number: int) -> Callable[[Settings, int], Any]:
+        """Returns a factory of engines with membership components for a gateway."""
 
         def make(settings: Settings, seed: int) -> Any:
-            inner = self.inner(settings, seed)
+            inner = self.make_engine(settings, seed)
             self.peers[number] = peer = Peer(self, number, inner, seed ^ 0x5EED)
-            self.at(self.net.uniform(0.0, TICK_MS), peer.tick)
+            self.at(self.network_rng.uniform(0.0, TICK_MS), peer.tick)
             return Module(peer, inner)
 
         return make
 
-    def carry(self, sender: Peer, to: str, body: Any) -> None:
-        """A message on its way."""
+    def send_message(self, sender: Peer, to: str, body: Any) -> None:
+        """Sends a message, unless the link is blocked or loses it."""
         number = int(to[1:])
-        if (sender.number, number) in self.blocked or self.net.random() < self.lose:
+        if (sender.number, number) in self.blocked_links or self.network_rng.random() < self.loss:
             return
         source = sender.members.name, sender.members.boot
-        self.at(self.net.uniform(0.5, 5.0), self.arrives, number, *source, body)
+        self.at(self.network_rng.uniform(0.5, 5.0), self.deliver_message, number, *source, body)
 
-    def arrives(self, number: int, sender: str, boot: int, body: Any) -> None:
-        """It comes to whoever lives under that name by now."""
+    def deliver_message(self, number: int, sender: str, boot: int, body: Any) -> None:
+        """Delivers a message to the current incarnation of a gateway."""
         if self.alive[number]:
-            self.peers[number].take(sender, boot, body)
+            self.peers[number].receive(sender, boot, body)
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
-        """Faults between members."""
+        """Starts a fault between members."""
         count = len(self.modules)
         if kind == "fleet split":
             cut = max(1, round(size * (count - 1)))
             every = range(count)
-            self.block({(a, b) for a in every for b in every if (a < cut) != (b < cut)}, span_ms)
+            self.block_links({(a, b) for a in every for b in every if (a < cut) != (b < cut)}, span_ms)
         elif kind == "one way":
-            self.block({(0, b) for b in range(1, count)}, span_ms)
+            self.block_links({(0, b) for b in range(1, count)}, span_ms)
         elif kind == "links lose":
-            self.lose = 0.4 * size
-            self.at(span_ms, setattr, self, "lose", 0.0)
+            self.loss = 0.4 * size
+            self.at(span_ms, setattr, self, "loss", 0.0)
         elif kind == "stopped":
-            self.stop(self.net.randrange(count), span_ms)
+            self.stop(self.network_rng.randrange(count), span_ms)
         elif kind == "counter gone":
             self.parts.kill()
             self.at(span_ms, self.parts.replace)
         else:
             super().start_fault(kind, node, size, span_ms)
 
-    def block(self, pairs: set[tuple[int, int]], span_ms: float) -> None:
-        """These ways carry nothing for a while."""
-        self.blocked |= pairs
-        self.at(span_ms, self.blocked.difference_update, pairs)
+    def block_links(self, pairs: set[tuple[int, int]], span_ms: float) -> None:
+        """Blocks these links for a time; pairs are of sender and receiver."""
+        self.blocked_links |= pairs
+        self.at(span_ms, self.blocked_links.difference_update, pairs)
 
 
 def overshoot(sent: list[tuple[float, str, str, float]], plan: Plan) -> float:
-    """Units by which the store of a plan's only account went below nothing, by what was sent on first."""
+    """Returns the units by which a plan's only account exceeded its quota, by its first attempts."""
     taken = [(at / 1000.0, units) for at, _, name, units in sent if name == plan.name]
     return checks.passed(taken, plan.rate_per_s, plan.burst_units)
 
 
 def mute_run(seed: int, gateways: int, rate: float, split: bool, members: bool) -> tuple[float, float]:
-    """A counter that is mute and one account that is asked for `rate` a second over all gateways, whose links
-    are cut into halves for the middle third if `split`: the overshoot, and the share served of what the quota
-    allows."""
+    """Runs one account at `rate` requests per second over all gateways while the counter does not answer.
+
+    With `split`, the members' links are cut into halves for the middle third. Returns the overshoot in units
+    and the admitted units as a fraction of those that the quota allows.
+    """
     world = (MembersWorld if members else World)(seed, gateways, 6)
     world.parts.kill()
     world.run(8000.0)
@@ -214,18 +224,18 @@
 
 
 class Gone(NamedTuple):
-    """Servers that went while the list still had them, and came back."""
+    """The result of a run in which listed servers are down for a while."""
 
-    lost: int  # attempts that found nobody there, while they were gone
-    late: int  # ... in the last quarter of that time
-    back_ms: float  # until each of them had run a request again
+    lost: int  # attempts that found a server down
+    late: int  # such attempts in the last quarter of the downtime
+    back_ms: float  # time until each of them had run a request again
 
 
 def gone_run(
     seed: int, gateways: int, members: bool, rate: float = 200.0, gone_ms: float = 8000.0,
     back_ms: float = 20_000.0,
 ) -> Gone:  # fmt: skip
-    """A third of twenty servers is gone for a while under a steady load; by the site's books."""
+    """Stops a third of twenty servers for a while under a steady load, and measures by the site's records."""
     world = (MembersWorld if members else World)(seed, gateways, 20)
     world.run(3000.0)
     world.load(gone_ms + back_ms + 5000.0, rate, ("wide",))
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -1,5 +1,6 @@
-"""Swarm runs: each seed draws which faults there are at all, then when. A failure is shrunk and told by its
-seed.
+"""Swarm testing: each seed draws the kinds of faults of a run, then their times.
+
+A failing script is shrunk and reported with its seed.
 
 ``python -m lab.sim.swarm [SEEDS] [--first N] [--capture FOLDER]``
 """
@@ -29,7 +30,7 @@
 
 
 class Fault(NamedTuple):
-    """One entry of a script: at so many ms, so strong (0 to 1), on so many."""
+    """A fault of a script: its time, kind, strength (0 to 1), and a number that selects its target."""
 
     at_ms: float
     kind: str
@@ -38,14 +39,14 @@
 
 
 class Script(NamedTuple):
-    """A run: its seed, and what goes wrong."""
+    """A run: its seed and its faults."""
 
     seed: int
     faults: tuple[Fault, ...]
 
 
 class Failure(NamedTuple):
-    """A rule that broke, with the script that shows it."""
+    """A broken rule, with the script that reproduces it."""
 
     script: Script
     rule: str
@@ -53,7 +54,7 @@
 
 
 def drawn(seed: int, of: Sequence[str] = KINDS) -> Script:
-    """A seed's script. Half of the kinds are left out of each run, so that rare ones meet undisturbed."""
+    """Draws the script of a seed. It omits half of the kinds or more, so that rare ones are not masked."""
     rng = random.Random(seed * 2_654_435_761 % (1 << 32))
     kinds = rng.sample(of, rng.randint(1, len(of) // 2))
     faults = [
@@ -63,10 +64,10 @@
     return Script(seed, tuple(sorted(faults)))
 
 
-def told(world: World, changed: list[Node], rng_ms: float = 60.0) -> None:
-    """Discovery tells each gateway of changes, at moments of its own."""
+def announce(world: World, changed: list[Node], max_delay_ms: float = 60.0) -> None:
+    """Announces changed nodes to the gateways, with a random delay for each."""
     for number in range(len(world.modules)):
-        delay = world.rng.uniform(0.0, rng_ms)
+        delay = world.rng.uniform(0.0, max_delay_ms)
         copies = [Node(n.name, n.zone, n.started_ms, n.state) for n in changed]
         world.at(
             delay,
@@ -78,8 +79,8 @@
         )
 
 
-def strike(world: World, fault: Fault) -> None:
-    """A fault begins; most end by themselves."""
+def start_fault(world: World, fault: Fault) -> None:
+    """Starts a fault; most end on their own."""
     names = sorted(world.nodes)
     node = world.nodes[names[fault.which % len(names)]]
     span = 200.0 + 3000.0 * fault.size
@@ -110,14 +111,14 @@
                 world.at(span, setattr, each, "slow", 1.0)
         case "drain":
             node.state = EndpointState.DRAINING
-            told(world, [node])
-            world.at(span, back, world, node)
+            announce(world, [node])
+            world.at(span, return_to_service, world, node)
         case "gone":
             gone(world, node)
         case "restart node":
             node.alive = False
             node.queue.clear()
-            world.at(300.0, risen, world, node)
+            world.at(300.0, start_cold, world, node)
         case "flood":
             world.flood(span, 60.0 + 120.0 * fault.size)
         case "burst":
@@ -134,33 +135,33 @@
         case "counter slow":
             world.parts.slow(20.0 + 200.0 * fault.size)
             world.at(span, world.parts.slow, 0.0)
-        case "cold in a rush":  # new processes while so much comes that an even share would push them over
+        case "cold in a rush":  # nodes restart under a load whose even share overloads them
             warm = 240.0 * len(world.nodes)
             world.load(2500.0, (0.6 + 0.2 * fault.size) * warm, ("wide",))
             for at, name in enumerate(names[: 1 + fault.which % 2]):
-                world.at(300.0 + 10.0 * at, restarted, world, world.nodes[name])
+                world.at(300.0 + 10.0 * at, restart, world, world.nodes[name])
         case "clock step":
-            world.skew[fault.which % count] += 100.0 * fault.size  # forward only: clocks never go back
+            world.skew[fault.which % count] += 100.0 * fault.size  # forward only, as clocks are monotonic
         case kind:
             world.start_fault(kind, node, fault.size, span)
 
 
-def restarted(world: World, node: Node) -> None:
-    """A node's process is replaced within a moment."""
+def restart(world: World, node: Node) -> None:
+    """Replaces a node's process, which is down for 100 ms."""
     node.alive = False
     node.queue.clear()
-    world.at(100.0, risen, world, node)
+    world.at(100.0, start_cold, world, node)
 
 
-def back(world: World, node: Node) -> None:
-    """A node that drained is there again, under a new start."""
+def return_to_service(world: World, node: Node) -> None:
+    """Returns a drained node to service with a new start time."""
     if node.name in world.nodes and node.state is EndpointState.DRAINING:
         node.state, node.started_ms = EndpointState.ACTIVE, world.now
-        told(world, [node])
+        announce(world, [node])
 
 
 def gone(world: World, node: Node) -> None:
-    """A node goes for good, and one with a new name comes."""
+    """Removes a node and adds one with a new name."""
     if len(world.nodes) < 2 or node.name not in world.nodes:
         return
     del world.nodes[node.name]
@@ -168,15 +169,15 @@
     node.queue.clear()
     fresh = Node(f"s{next(world.node_serial)}", node.zone, world.now)
     world.nodes[fresh.name] = fresh
-    told(world, [node])
-    told(world, [fresh])
+    announce(world, [node])
+    announce(world, [fresh])
 
 
-def risen(world: World, node: Node) -> None:
-    """A node's process is up again, cold."""
+def start_cold(world: World, node: Node) -> None:
+    """Starts a node's process again, cold."""
     if node.name in world.nodes:
         node.alive, node.busy, node.hung, node.started_ms = True, 0, False, world.now
-        told(world, [node])
+        announce(world, [node])
 
 
 def play(
@@ -185,11 +186,11 @@
     watch: Callable[[int, float, Event, list[Action]], None] | None = None,
     site: Callable[..., World] = World,
 ) -> World:
-    """One run on a site of this kind; raises BrokenRule, or what a module raises."""
+    """Runs a script on a site of this kind; raises BrokenRule, or what an engine raises."""
     world = site(script.seed, 2 + script.seed % 4, 3 + script.seed % 5, make, watch)
     world.load(LENGTH_MS, 90.0)
     for fault in script.faults:
-        world.at(fault.at_ms, strike, world, fault)
+        world.at(fault.at_ms, start_fault, world, fault)
     world.run(LENGTH_MS + 4000.0)
     return world
 
@@ -197,20 +198,20 @@
 def tried(
     script: Script, make: Callable[[Settings, int], Any] = DecisionEngine, site: Callable[..., World] = World
 ) -> Failure | None:
-    """What broke, if anything did."""
+    """Runs a script; returns its failure, or None."""
     try:
         play(script, make, site=site)
     except BrokenRule as broken:
         return Failure(script, broken.rule, str(broken))
-    except Exception as error:  # a module that raises has failed its requests
+    except Exception as error:  # an engine that raises has failed its requests
         return Failure(script, "module fault", repr(error))
     return None
 
 
 def shrunk(failure: Failure, again: Callable[[Script], Failure | None]) -> Failure:
-    """The same rule broken by as few faults as will do; `again` plays a script once more."""
+    """Removes faults as long as the same rule is broken; `again` runs a script."""
     best, at, kept = failure, 0, 0
-    while best.script.faults and kept < len(best.script.faults):  # until each has been tried in vain
+    while best.script.faults and kept < len(best.script.faults):  # until no fault can be removed
         at %= len(best.script.faults)
         fewer = best.script.faults[:at] + best.script.faults[at + 1 :]
         found = again(best.script._replace(faults=fewer))
@@ -225,7 +226,7 @@
     seeds: Sequence[int], make: Callable[[Settings, int], Any] = DecisionEngine,
     site: Callable[..., World] = World, of: Sequence[str] = KINDS,
 ) -> Failure | None:  # fmt: skip
-    """The first failure among the seeds, shrunk."""
+    """Returns the first failure of the seeds, shrunk, or None."""
     for seed in seeds:
         failure = tried(drawn(seed, of), make, site)
         if failure is not None:
@@ -234,38 +235,40 @@
 
 
 def captured(script: Script, folder: Path) -> list[Path]:
-    """A run as capture files, one for each life of a gateway, for ``glenchute replay``."""
+    """Writes a run as capture files for ``glenchute replay``, one for each incarnation of a gateway."""
     from glenchute.capture.codec import SegmentHeader, encode_batch, encode_record, engine_digest
 
-    lives: list[tuple[Settings, int, list[Any]]] = []
+    incarnations: list[tuple[Settings, int, list[Any]]] = []
     current: dict[int, int] = {}
     modules: list[Any] = []
 
     def make(settings: Settings, seed: int) -> Any:
-        lives.append((settings, seed, []))
+        incarnations.append((settings, seed, []))
         modules.append(DecisionEngine(settings, seed))
         return modules[-1]
 
     def watch(number: int, now: float, event: Event, actions: list[Action]) -> None:
         if isinstance(event, EndpointList) and event.kind is EndpointListKind.CACHED:
-            current[number] = len(lives) - 1
-        lives[current[number]][2].append(encode_record(now, event, actions))
+            current[number] = len(incarnations) - 1
+        incarnations[current[number]][2].append(encode_record(now, event, actions))
 
     try:
         play(script, make, watch)
     except BrokenRule as broken:
         print(broken, file=sys.stderr)
     files = []
-    for life, (settings, seed, notes) in enumerate(lives):
-        run = f"seed{script.seed}-life{life}"
-        head = SegmentHeader(run, 0, 0, notes[0][0] if notes else 0.0, engine_digest(), settings, seed, None)
+    for index, (settings, seed, records) in enumerate(incarnations):
+        run = f"seed{script.seed}-life{index}"
+        head = SegmentHeader(
+            run, 0, 0, records[0][0] if records else 0.0, engine_digest(), settings, seed, None
+        )
         files.append(folder / f"{run}-000000.glcap")
-        files[-1].write_bytes(head.encode() + (encode_batch(notes) if notes else b""))
+        files[-1].write_bytes(head.encode() + (encode_batch(records) if records else b""))
     return files
 
 
 def main() -> int:
-    """Prints what was played; 1 where a rule broke."""
+    """Runs the seeds and prints a summary; returns 1 if a rule was broken."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("seeds", type=int, nargs="?", default=50)
     parser.add_argument("--first", type=int, default=0)
@@ -276,9 +279,9 @@
         script = drawn(seed)
         try:
             world = play(script)
-        except Exception:  # a rule that broke, or a module that raised: `tried` tells which
+        except Exception:  # a broken rule, or an exception of an engine: `tried` tells which
             failure = tried(script, DecisionEngine)
-            assert failure is not None, "a seed is a run: it must break again"
+            assert failure is not None, "a seed determines a run, so it must fail again"
             failure = shrunk(failure, tried)
             print(f"seed {seed}: {failure.detail}")
             for fault in failure.script.faults:
