--- a/lab/fleet/acting.py
+++ b/lab/fleet/acting.py
@@ -1,4 +1,4 @@
-"""Gateways whose tasks act on a service, behind scripted links; and drawn scripts of faults for them."""
+"""Runs gateways whose leased tasks call a service over scripted links, with random faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 VOTERS = 5
 EVERY = range(VOTERS)
 MORE = "period_ms = 100\npatience_ms = 1000\n"
-# A kill of the holder, the silence of a voter that starts, tries: the longest time without anybody acting.
+# The longest time without an act: expiry of a killed holder's lease, start-up silence of a voter, retries.
 NOBODY_S = 2.0 * LONGEST + 3.0
 
 
@@ -32,7 +32,7 @@
 
 
 class Acting:
-    """So many gateways, of which the first are voters, and what they act on."""
+    """A fleet of gateways, of which the first are voters, and the service that their tasks call."""
 
     def __init__(
         self, folder: Path, seed: int, service: EffectService, *names: str, count: int = VOTERS
@@ -47,7 +47,7 @@
         )
         await self.site.__aenter__()
         for gateway in self.site.gateways:
-            gateway.platform["operator"] = f"127.0.0.1:{free_port()}"  # its second address
+            gateway.platform["operator"] = f"127.0.0.1:{free_port()}"  # its operations address
             gateway.config.write_text(json.dumps(gateway.platform))
         await self.site.start()
         return self
@@ -57,7 +57,7 @@
         await self.service.stop()
 
     async def acts(self, more: int = 3, patience_s: float = NOBODY_S) -> int:
-        """Waits for acts from now on; who acted last."""
+        """Waits for `more` further acts; returns the gateway that acted last."""
         before = len(self.service.acts)
         async with asyncio.timeout(patience_s):
             while len(self.service.acts) < before + more:
@@ -65,14 +65,14 @@
         return self.holder
 
     async def another(self, than: int, patience_s: float = NOBODY_S) -> int:
-        """Waits until somebody else acts."""
+        """Waits until a gateway other than `than` acts; returns it."""
         async with asyncio.timeout(patience_s):
             while self.holder == than:
                 await asyncio.sleep(0.01)
         return self.holder
 
     async def lame_duck(self, number: int, on: bool) -> None:
-        """Tells a gateway, by its second address, to take no more work, or to take it again."""
+        """Switches a gateway's lame duck state over its operations address."""
         host, _, port = self.site.gateways[number].platform["operator"].rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(f"PUT /_lameduck/{'on' if on else 'off'} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -81,11 +81,11 @@
 
     @property
     def holder(self) -> int:
-        """The number of the gateway that acted last."""
+        """Number of the gateway that acted last."""
         return int(self.service.acts[-1].by[1:].partition("#")[0])
 
     def stop_in_mid_act(self) -> asyncio.Future[int]:
-        """The next that acts is stopped while the act is under way."""
+        """Stops the next gateway that acts during the act; the result is its number."""
         stopped: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
         def stop(name: str) -> None:
@@ -98,8 +98,11 @@
 
 
 async def drawn(folder: Path, seed: int, count: int, faults: int) -> tuple[int, list[str], float]:
-    """A run with so many drawn faults; the acts, what was wrong by the service's book, the longest time
-    without an act while a majority could talk."""
+    """Runs gateways with random faults.
+
+    Returns the number of acts, the errors by the service's records, and the longest time without an act while
+    a majority could communicate.
+    """
     rng, service, wrong, longest = random.Random(seed), EffectService(act_s=0.1), [], 0.0
     loop = asyncio.get_running_loop()
     async with Acting(folder, seed, service, count=count) as one:
@@ -112,7 +115,7 @@
             if kind == "mid act":
                 who = await one.stop_in_mid_act()
             elif kind in ("stop", "two"):
-                await asyncio.sleep(rng.random() * 0.3)  # at any point of a step, or of a renewal
+                await asyncio.sleep(rng.random() * 0.3)  # at any point of a step or of a lease renewal
                 who = one.holder
                 site.send_signal(who, signal.SIGSTOP)
             elif kind == "kill":
@@ -123,7 +126,7 @@
                 site.split([[who], others])
             else:
                 for (first, second_end), link in site.links.items():
-                    if who in (first, second_end):  # it hears all, and nobody hears it
+                    if who in (first, second_end):  # the gateway receives messages, and its own are lost
                         link.cut(0 if first == who else 1)
             second = rng.choice([n for n in EVERY if n != who]) if kind == "two" else None
             if second is not None:
--- a/lab/fleet/checks.py
+++ b/lab/fleet/checks.py
@@ -1,4 +1,4 @@
-"""Checkers over the books of clients and nodes. The gateways feed none of them."""
+"""Checks the records of clients and nodes, to which the gateways do not contribute."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 def lost(outcomes: Sequence[Outcome]) -> int:
-    """Requests without a final answer in time, by the clients' book."""
+    """Counts the requests without a final answer in time, by the clients' records."""
     return sum(outcome.answer == "lost" for outcome in outcomes)
 
 
 def ran_twice(nodes: Sequence[Node], class_name: str) -> int:
-    """Requests of a class that had more than one effect, by the nodes' books."""
+    """Counts the requests of a class that ran more than once, by the nodes' records."""
     runs = Counter(run.request_id for node in nodes for run in node.ran if run.class_name == class_name)
     return sum(count > 1 for count in runs.values())
 
 
 def refused_and_ran(nodes: Sequence[Node], outcomes: Sequence[Outcome]) -> int:
-    """Requests that were refused, which promises that no try ran, and did run."""
+    """Counts the requests that were rejected and ran, although a rejection means that no attempt ran."""
     ran = {run.request_id for node in nodes for run in node.ran}
     return sum(outcome.answer == "refused" and outcome.request_id in ran for outcome in outcomes)
 
 
 def overshoot(nodes: Sequence[Node], customer: bytes, rate: float, burst: float) -> float:
-    """Units by which a store of this rate and burst went below nothing, by what ran at the nodes."""
+    """Returns the units by which a customer exceeded a bucket, by the nodes' records."""
     moments = sorted(run.at + node.began for node in nodes for run in node.ran if run.customer == customer)
     return passed([(at, 1.0) for at in moments], rate, burst)
 
 
 def passed(taken: Iterable[tuple[float, float]], rate: float, burst: float) -> float:
-    """The same for moments, in seconds and in order, and the units that were taken at each."""
+    """Returns the units by which a bucket was exceeded; `taken` has times in s, ascending, and units."""
     level, last, lowest = burst, None, 0.0
     for at, units in taken:
         level = min(burst, level + (0.0 if last is None else rate * (at - last))) - units
@@ -42,13 +42,13 @@
 
 
 def refused_with_room(outcomes: Sequence[Outcome], customer: bytes, rate: float, burst: float) -> float:
-    """The share of an account's requests that was refused while half of its true store was there, by the
-    clients' book."""
-    level, last, asked, blamed = burst, None, 0, 0
+    """Returns the fraction of an account's requests that were rejected while half of its exact bucket or more
+    was unused, by the clients' records."""
+    level, last, asked, rejected_with_room = burst, None, 0, 0
     mine = sorted((o for o in outcomes if o.account.customer == customer), key=lambda o: o.asked)
     for outcome in mine:
         level = min(burst, level + (0.0 if last is None else rate * (outcome.asked - last)))
         last, asked = outcome.asked, asked + 1
-        blamed += outcome.answer == "refused" and level >= 0.5 * burst
+        rejected_with_room += outcome.answer == "refused" and level >= 0.5 * burst
         level = max(0.0, level - (outcome.answer == "served"))
-    return blamed / max(1, asked)
+    return rejected_with_room / max(1, asked)
--- a/lab/fleet/crowd.py
+++ b/lab/fleet/crowd.py
@@ -1,9 +1,9 @@
-"""Two hundred members of which one is a process: the others are sockets that say to it what that many would.
+"""Emulates the other members of a large fleet for one real process, with one socket for each.
 
-In a fleet of n each member gets as much as it sends: mail of use, probes. So the others together say to the
-process what one member sends, and answer its probes, its questions about use and, with nothing to tell, its
-comparisons; among themselves they are mute. Use comes from those that share sets with the process, who are
-its neighbours by number.
+In a fleet each member receives as much as it sends: usage messages and probes. So the emulated members
+together send to the process what one member sends. They answer its probes, usage requests and digests, and
+do not communicate with each other. Usage messages come from the members that share gateway sets with the
+process, which are its neighbours by number.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class Other(asyncio.DatagramProtocol):
-    """One of the others."""
+    """One emulated member."""
 
     def __init__(self, crowd: Others, number: int) -> None:
         self.crowd, self.name, self.boot = crowd, f"g{number}", number + 1
         self.transport: asyncio.DatagramTransport | None = None
-        self.serial, self.began = 1000 * number, True
+        self.serial, self.is_first = 1000 * number, True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -40,38 +40,38 @@
         except InvalidDatagram:
             return
         if isinstance(body, SwimMessage) and body.kind in (Said.PING, Said.PING_REQ):
-            self.say(SwimMessage(Said.ACK, body.serial, "", (self.alive(),)))
+            self.send(SwimMessage(Said.ACK, body.serial, "", (self.alive_update(),)))
         elif isinstance(body, Digest) and not body.is_complete:
-            self.say(MatchingBuckets(tuple(range(BUCKETS)), True))
+            self.send(MatchingBuckets(tuple(range(BUCKETS)), True))
         elif isinstance(body, UsageMessage):
             self.crowd.words += len(body.entries)
         elif isinstance(body, UsageRequest):
-            self.mail((), next_one=body.serial != self.serial)
+            self.send_usage((), is_next=body.serial != self.serial)
 
-    def alive(self) -> MemberUpdate:
-        """This member is there, by its own word."""
+    def alive_update(self) -> MemberUpdate:
+        """Returns this member's update that it is alive."""
         return MemberUpdate(self.name, MemberState.ALIVE, 0, self.boot)
 
-    def mail(self, words: tuple[UsageEntry, ...], next_one: bool = True) -> None:
-        """Use that this member let in; the next message, or the last one again."""
-        self.serial += next_one
-        self.say(UsageMessage(self.serial, self.began, True, words))
-        self.began = False
+    def send_usage(self, entries: tuple[UsageEntry, ...], is_next: bool = True) -> None:
+        """Sends the usage that this member admitted, as the next message or with the last serial again."""
+        self.serial += is_next
+        self.send(UsageMessage(self.serial, self.is_first, True, entries))
+        self.is_first = False
 
-    def say(self, body: Any) -> None:
-        """One datagram to the process."""
+    def send(self, body: Any) -> None:
+        """Sends a datagram to the process."""
         if self.transport is not None:
             self.transport.sendto(encode("lab", self.name, self.boot, body), ("127.0.0.1", self.crowd.port))
 
 
 class Others:
-    """All but one of `count` members, with so many accounts in use."""
+    """All but one of `count` members, which report usage of `accounts` accounts."""
 
     def __init__(self, count: int, accounts: int, port: int, seed: int = 1, spread: int = 3) -> None:
-        """`spread`: gateways of an account's set."""
+        """Creates the members; `spread` is the number of gateways that an account uses."""
         near = [*range(1, spread), *range(count - spread + 1, count)]
         self.near = sorted({number for number in near if 0 < number < count})
-        self.words = 0  # that the process told
+        self.words = 0  # usage entries received from the process
         self.count, self.accounts, self.port = count, accounts, port
         self.rng = random.Random(seed)
         self.ports = {number: free_port() for number in range(1, count)}
@@ -87,15 +87,17 @@
             await loop.create_datagram_endpoint(lambda other=other: other, ("127.0.0.1", port))  # type: ignore[misc]
 
     def members(self) -> str:
-        """The rows of `[[fleet.members]]`."""
+        """Returns the rows of `[[fleet.members]]`."""
         return "".join(
             f'[[fleet.members]]\nname = "g{number}"\naddress = "127.0.0.1:{port}"\n'
             for number, port in self.ports.items()
         )
 
     async def talk(self, seconds: float, rows_s: float, probes_s: float = 5.0) -> None:
-        """Says what so many members would say to one, for so long: use of the accounts, a few rows a message,
-        and probes."""
+        """Sends for `seconds` what the members would send to one of them.
+
+        This is `rows_s` usage entries per second, in messages of several, and `probes_s` probes per second.
+        """
         loop = asyncio.get_running_loop()
         began, told, probed = loop.time(), 0.0, 0.0
         while (passed := loop.time() - began) < seconds:
@@ -107,11 +109,11 @@
                     batch.append(UsageEntry(key, next(self.version), 1.0))
                 told += len(batch)
                 self.rows += len(batch)
-                self.others[self.rng.choice(self.near) - 1].mail(tuple(batch))
+                self.others[self.rng.choice(self.near) - 1].send_usage(tuple(batch))
             while probed < probes_s * passed:
                 probed += 1.0
                 other = self.rng.choice(self.others)
-                other.say(SwimMessage(Said.PING, next(self.serials), "", (other.alive(),)))
+                other.send(SwimMessage(Said.PING, next(self.serials), "", (other.alive_update(),)))
             await asyncio.sleep(0.02)
 
     def stop(self) -> None:
--- a/lab/fleet/holders.py
+++ b/lab/fleet/holders.py
@@ -1,6 +1,7 @@
-"""Leases among hundreds of simulated processes, in no real time: clocks that drift, messages lost, late and
-twice, cuts, stops, restarts. Each act is booked by what it acts on, with its token, begin and end; nothing
-that the deciders say of themselves is believed.
+"""Simulates leases among hundreds of processes in simulated time.
+
+Clocks drift; messages are lost, delayed and duplicated; links are cut; processes stop and restart. Each act
+is recorded by the target of the act, with its fencing token, start and end, and not by the lease components.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 from lab.fleet.simulated import apart
 
 TICK_S = 0.05
-ACT_S = 0.2  # the longest an effect takes, by its own word
+ACT_S = 0.2  # longest duration of an act, as the task declares it
 
 
 class Act(NamedTuple):
-    """One effect as the one acted on books it. Real seconds."""
+    """One act as its target records it, in seconds of real time."""
 
     task: str
     token: int
@@ -38,8 +39,10 @@
 
 
 def overlaps(acts: Sequence[Act]) -> list[tuple[Act, Act]]:
-    """Acts of one task by different processes at one moment, and acts with a token lower than one before. An
-    act and a restart of its own process are different ones."""
+    """Returns pairs of acts of a task that overlap at different processes or whose tokens decrease.
+
+    A restarted process counts as a different one.
+    """
     found = []
     for task in {act.task for act in acts}:
         rows = sorted((act for act in acts if act.task == task), key=lambda act: act.began)
@@ -52,25 +55,27 @@
 
 
 def longest_gap(acts: Sequence[Act], task: str, first: float, last: float) -> float:
-    """The longest time without an act of a task."""
+    """Returns the longest time from `first` to `last` without a new act of a task."""
     times = sorted(act.began for act in acts if act.task == task and first <= act.began < last)
     return max(later - at for at, later in itertools.pairwise([first, *times, last]))
 
 
 class Process:
-    """One process: its clock, its vote, its tasks."""
+    """One process with its clock, its acceptor if it is a voter, and its task candidates."""
 
     def __init__(self, name: str, boot: int, cluster: LeaseCluster, rate: float) -> None:
         self.name, self.boot, self.cluster, self.rate = name, boot, cluster, rate
-        self.offset = cluster.rng.uniform(0.0, 1e6)  # clocks have nothing in common but their rate
+        self.offset = cluster.rng.uniform(0.0, 1e6)  # clocks agree only in their approximate rate
         self.stopped = False
-        self.buffer: list[tuple[str, LeaseMessage]] = []  # what came while it stood
+        self.buffer: list[
+            tuple[str, LeaseMessage]
+        ] = []  # messages that arrived while the process was stopped
         now = self.clock()
         self.acceptor = Acceptor(name, cluster.terms, now) if name in cluster.terms.acceptors else None
         self.candidates = {}
         for task in cluster.tasks:
-            seeker = Proposer(name, boot, task, cluster.terms, cluster.terms.max_span_s)
-            self.candidates[task] = TaskCandidate(seeker, random.Random(cluster.rng.getrandbits(60)), now)
+            proposer = Proposer(name, boot, task, cluster.terms, cluster.terms.max_span_s)
+            self.candidates[task] = TaskCandidate(proposer, random.Random(cluster.rng.getrandbits(60)), now)
 
     def clock(self) -> float:
         return self.offset + self.cluster.now * self.rate
@@ -83,16 +88,16 @@
     def tick(self) -> list[Outgoing[LeaseMessage]]:
         now = self.clock()
         outs = self.acceptor.tick(now) if self.acceptor is not None else []
-        for keeper in self.candidates.values():
-            outs += keeper.tick(now)
-            token = keeper.fencing_token(now, ACT_S)
+        for candidate in self.candidates.values():
+            outs += candidate.tick(now)
+            token = candidate.fencing_token(now, ACT_S)
             if token is not None and self.cluster.rng.random() < 0.5:
-                self.cluster.act(keeper.proposer.task, token, self)
+                self.cluster.act(candidate.proposer.task, token, self)
         return outs
 
 
 class LeaseCluster:
-    """So many processes, of which the first are voters."""
+    """A cluster of `count` processes, of which the first `voters` are voters."""
 
     def __init__(
         self, count: int, seed: int, voters: int = 5, tasks: int = 1, longest: float = 3.0,
@@ -111,26 +116,26 @@
         self.processes = {name: self.make_process(name) for name in self.names}
         for name in self.names:
             voter = self.processes[name].acceptor
-            if voter is not None:  # they have run for long
+            if voter is not None:  # as if they had run for a long time
                 voter.has_recovered = True
         self.update_members()
 
     def make_process(self, name: str) -> Process:
         self.boots += 1
         drift = self.terms.max_clock_drift
-        # At their bounds as often as between them.
+        # Draws each bound of the drift as often as a rate between them.
         rate = self.rng.choice([1.0 - drift, 1.0 + drift, self.rng.uniform(1.0 - drift, 1.0 + drift)])
         return Process(name, self.boots, self, rate)
 
     def update_members(self) -> None:
-        """Members know who has gone; who is stopped or cut off they do not."""
+        """Tells all candidates which members are down; stopped or cut off members are not reported."""
         there = [name for name in self.names if name not in self.down]
         for name, process in self.processes.items():
-            for keeper in process.candidates.values():
-                keeper.update_members(one for one in there if one != name)
+            for candidate in process.candidates.values():
+                candidate.update_members(one for one in there if one != name)
 
     def act(self, task: str, token: int, by: Process) -> None:
-        """An effect begins now; what it acts on books it."""
+        """Records an act that starts now, with a random duration."""
         took = self.rng.choice([0.0, 0.5, 1.0]) * ACT_S
         self.effects.append(Act(task, token, f"{by.name}#{by.boot}", self.now, self.now + took))
 
@@ -144,7 +149,7 @@
                     heapq.heappush(self.in_flight, row)
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Runs the simulation for `seconds`."""
         end = self.now + seconds
         while self.now < end:
             step = self.now + TICK_S
@@ -169,7 +174,7 @@
         self.processes[name].stopped = True
 
     def resume(self, name: str) -> None:
-        """What it has not read comes first: it was there before the clock is looked at again."""
+        """Resumes a process, which handles its buffered messages before it reads its clock again."""
         process = self.processes[name]
         process.stopped, buffer, process.buffer = False, process.buffer, []
         for sender, message in buffer:
@@ -185,21 +190,21 @@
         self.update_members()
 
     def holder(self, task: str) -> str | None:
-        """Who acted last."""
+        """Returns the process that acted last for a task, or None."""
         acts = [act for act in self.effects if act.task == task]
         return acts[-1].by.partition("#")[0] if acts else None
 
     def release(self, name: str) -> None:
-        """SIGTERM: all that it holds is given back."""
+        """Releases all leases of a process, as on SIGTERM."""
         process = self.processes[name]
-        for keeper in process.candidates.values():
-            self.post(name, keeper.release(process.clock()))
+        for candidate in process.candidates.values():
+            self.post(name, candidate.release(process.clock()))
 
 
 def run_with_faults(
     seed: int, count: int, voters: int, seconds: float = 60.0, tasks: int = 1
 ) -> LeaseCluster:
-    """A run with drawn faults, most of them at whoever holds; then a calm time."""
+    """Runs a cluster with random faults, most of them at a lease holder, and then ends all faults."""
     rng = random.Random(seed)
     longest, lose = rng.choice([1.0, 3.0]), rng.choice([0.0, 0.1, 0.3])
     cluster = LeaseCluster(count, seed, voters, tasks, longest, lose=lose)
@@ -241,8 +246,11 @@
 
 
 def run_acceptor_changes(seed: int, sets: Sequence[Sequence[int]]) -> LeaseCluster:
-    """Voters' sets in service, one after the other: all processes are restarted with the next, in any order
-    and a while apart, among stops and cuts; then a lease passes before the one after."""
+    """Changes the set of voters in service, through each of `sets` in turn.
+
+    For each set all processes are restarted in random order with pauses, among stops and cuts. Then a lease
+    time passes before the next set.
+    """
     rng = random.Random(seed)
     cluster = LeaseCluster(8, seed, len(sets[0]), longest=1.0, lose=rng.choice([0.0, 0.2]))
     for at, voters in enumerate(sets):
--- a/lab/fleet/leasing.py
+++ b/lab/fleet/leasing.py
@@ -1,5 +1,7 @@
-"""Voters and seekers of one lease as a system to be explored: any order of messages, drops, repeats,
-restarts, and time at the bounds of the drift. The books are the system's own: who held what when.
+"""Models the acceptors and proposers of one lease for state space exploration.
+
+The explored events are messages in any order, lost and repeated messages, restarts, and time with clocks at
+the bounds of the drift. The model itself records who held the lease when.
 """
 
 from __future__ import annotations
@@ -13,38 +15,39 @@
 from glenchute.policy.membership.outgoing import Outgoing
 
 LONGEST, DRIFT = 10.0, 0.1
-STEP = LONGEST  # voters' clocks are past a lease's end then, and a holder's without its margin is not
+# After this time a lease has ended by the voters' clocks, but not by a holder's clock without its margin.
+STEP = LONGEST
 TERMS = LeaseTerms(("v0", "v1", "v2"), LONGEST, DRIFT)
 
 
 @dataclass
 class System:
-    """Three voters, two seekers, and what may still happen."""
+    """Three voters, two proposers, and the budgets of events that may still happen."""
 
     voters: dict[str, Acceptor] = field(default_factory=dict)
     seekers: dict[str, Proposer] = field(default_factory=dict)
-    net: list[tuple[str, str, LeaseMessage]] = field(default_factory=list)  # to, from, what
-    now: float = 0.0  # real time
-    tries: int = 2  # of each seeker
+    net: list[tuple[str, str, LeaseMessage]] = field(default_factory=list)  # receiver, sender and message
+    now: float = 0.0  # real time in s
+    tries: int = 2  # rounds of each proposer
     restarts: int = 1
     repeats: int = 0
     steps: int = 4
     tried: dict[str, int] = field(default_factory=dict)
-    tokens: list[tuple[str, int]] = field(default_factory=list)  # holdings in the order of real time
+    tokens: list[tuple[str, int]] = field(default_factory=list)  # holders and tokens in order of time
 
     def clock(self, name: str) -> float:
-        """Voters' clocks run as fast, seekers' as slow as the drift allows: the worst case for safety."""
+        """Returns a clock: fastest for voters, slowest for proposers, which is the worst case for safety."""
         return self.now * (1.0 + DRIFT if name in self.voters or name.startswith("v") else 1.0 - DRIFT)
 
     def post(self, sender: str, outs: list[Outgoing[LeaseMessage]]) -> None:
-        """Messages on their way, each once."""
+        """Adds messages in flight, without duplicates."""
         for out in outs:
             row = (out.to, sender, out.message)
             if row not in self.net:
                 self.net.append(row)
 
     def deliver(self, row: tuple[str, str, LeaseMessage], keep: bool) -> None:
-        """One message comes; `keep`: it comes again later."""
+        """Delivers a message; with `keep` it is delivered again later."""
         if keep:
             self.repeats -= 1
         else:
@@ -52,10 +55,10 @@
         to, sender, message = row
         found = self.voters.get(to) or self.seekers[to]
         self.post(to, found.receive(self.clock(to), sender, message))
-        self.note()
+        self.record_holders()
 
     def seek(self, name: str) -> None:
-        """A seeker tries, or renews."""
+        """Starts a round of a proposer, which acquires or renews the lease."""
         self.tried[name] = self.tried.get(name, 0) + 1
         self.post(name, self.seekers[name].start_round(self.clock(name)))
 
@@ -63,12 +66,12 @@
         self.post(name, self.seekers[name].release(self.clock(name)))
 
     def restart(self, name: str) -> None:
-        """A voter's process is another one, which remembers nothing."""
+        """Replaces a voter by one without state."""
         self.restarts -= 1
         self.voters[name] = Acceptor(name, TERMS, self.clock(name))
 
     def pass_time(self) -> None:
-        """All clocks run on; voters that have to recover ask the others, who answer at once."""
+        """Advances all clocks by `STEP`; recovering voters ask the others, which answer at once."""
         self.steps -= 1
         self.now += STEP
         for name, voter in self.voters.items():
@@ -78,11 +81,11 @@
             voter.tick(self.clock(name))
 
     def holding(self) -> list[str]:
-        """Who may act at this moment."""
+        """Returns the proposers that may act now."""
         return [name for name, seeker in self.seekers.items() if seeker.is_holder(self.clock(name))]
 
-    def note(self) -> None:
-        """Books a new holding."""
+    def record_holders(self) -> None:
+        """Records a new holder or token."""
         for name in self.holding():
             held = self.seekers[name].lease
             assert held is not None
@@ -90,7 +93,7 @@
                 self.tokens.append((name, held.token))
 
     def key(self) -> bytes:
-        """What makes two systems one: not the order of messages on their way."""
+        """Returns a key that is equal for equal states; the order of messages in flight does not count."""
         rows = sorted(self.net)
         voters = [
             (
@@ -122,7 +125,7 @@
 
 
 def check(system: System) -> str:
-    """The invariants."""
+    """Checks the invariants; returns the violation, or an empty string."""
     holding = system.holding()
     if len(holding) > 1:
         return f"two may act: {', '.join(holding)}"
@@ -133,7 +136,7 @@
 
 
 def events(system: System) -> Iterator[tuple[str, Callable[[System], None]]]:
-    """All that may happen next. A message that is never delivered is lost."""
+    """Yields all possible next events. A message that is never delivered is lost."""
     for row in system.net:
         to, sender, message = row
         label = f"{sender} to {to}: {message.kind.name.lower()} {message.ballot.number}"
@@ -153,7 +156,7 @@
 
 
 def fresh(tries: int = 1, restarts: int = 0, repeats: int = 0, steps: int = 1) -> System:
-    """Voters that have recovered, two seekers, nothing held."""
+    """Returns a system with recovered voters and two proposers that hold no lease."""
     system = System(tries=tries, restarts=restarts, repeats=repeats, steps=steps)
     for name in TERMS.acceptors:
         voter = Acceptor(name, TERMS, -100.0)
@@ -164,12 +167,14 @@
     return system
 
 
-def through(system: System, name: str, voters: tuple[str, ...], upto: leases.LeaseMessageKind) -> System:
-    """One seeker's try with these voters, until messages of a kind are on their way; the rest is lost."""
+def run_round(
+    system: System, name: str, voters: tuple[str, ...], until_kind: leases.LeaseMessageKind
+) -> System:
+    """Runs a round with these voters until messages of kind `until_kind` are in flight; others are lost."""
     system.seek(name)
     while True:
         rows = [row for row in system.net if row[0] in voters or (row[0] == name and row[1] in voters)]
-        ours = [row for row in rows if row[2].kind < upto and row[2].ballot.proposer == name]
+        ours = [row for row in rows if row[2].kind < until_kind and row[2].ballot.proposer == name]
         if not ours:
             break
         system.deliver(ours[0], False)
@@ -178,28 +183,28 @@
 
 
 def tied(**budgets: int) -> System:
-    """Seeker a holds by v0 and v1, and b has heard nothing of it."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.REJECTED)
+    """Returns a system in which a holds the lease by v0 and v1, and b does not know of it."""
+    system = run_round(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.REJECTED)
     assert system.holding() == ["a"]
     return system
 
 
 def held(**budgets: int) -> System:
-    """The same, and b has heard of a's number."""
+    """Returns the system of `tied` in which b also knows a's ballot number."""
     system = tied(**budgets)
     system.seekers["b"].highest_number = 1
     return system
 
 
 def racing(**budgets: int) -> System:
-    """Both have been promised by v0 and v1, a before b, and both proposals are on their way."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
+    """Returns a system in which v0 and v1 promised to a, then to b, and both proposals are in flight."""
+    system = run_round(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
     system.seekers["b"].highest_number = 1
-    return through(system, "b", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
+    return run_round(system, "b", ("v0", "v1"), leases.LeaseMessageKind.PROPOSE)
 
 
 def late(**budgets: int) -> System:
-    """Seeker a has been accepted by v0 and v1, and does not know yet; b has heard of its number."""
-    system = through(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.ACCEPTED)
+    """Returns a system in which v0 and v1 accepted a, which does not know yet; b knows its ballot number."""
+    system = run_round(fresh(**budgets), "a", ("v0", "v1"), leases.LeaseMessageKind.ACCEPTED)
     system.seekers["b"].highest_number = 1
     return system
--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -1,4 +1,4 @@
-"""Use told straight, over a simulated network, at sizes that processes do not reach. Seeded."""
+"""Simulates direct usage messages over a network, for fleets too large for real processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DirectMessageNetwork:
-    """So many gateways that let in as told, and what happens to their mail."""
+    """Gateways that admit requests as the caller says, and the network for their usage messages."""
 
     def __init__(
         self, count: int, seed: int, names: Sequence[str] = (), gateways: int = 0, budget: float = 6_144.0,
@@ -29,11 +29,11 @@
         self.names = list(names) or [f"g{n}" for n in range(count)]
         self.budget, self.numbered = budget, numbered
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
-        self.dead: set[str] = set()  # by the probes of all
+        self.dead: set[str] = set()  # members that all others consider dead
         self.in_flight: list[tuple[float, int, str, str, int, UsageMessage | UsageRequest]] = []
         self.order = itertools.count()
         self.boots = dict.fromkeys(self.names, 1)
-        self.sent: Counter[tuple[str, str]] = Counter()  # words, by sender and receiver
+        self.sent: Counter[tuple[str, str]] = Counter()  # usage entries, by sender and receiver
         self.message_counts: Counter[str] = Counter()
         self.messengers = {name: self.make_messenger(name) for name in self.names}
 
@@ -42,11 +42,11 @@
         ring = GatewayRing(name, self.names, numbers, self.gateways)
         use = AccountUsage(f"{name}#{self.boots[name]:x}")
         rng = random.Random(self.rng.getrandbits(60))
-        there = lambda other: other not in self.dead  # noqa: E731
-        return DirectMessenger(use, Replica(), ring, there, rng, self.now, self.budget)
+        is_alive = lambda other: other not in self.dead  # noqa: E731
+        return DirectMessenger(use, Replica(), ring, is_alive, rng, self.now, self.budget)
 
     def restart(self, name: str) -> None:
-        """Another process under the name, which knows nothing."""
+        """Replaces a gateway by a new process without state."""
         self.boots[name] += 1
         self.messengers[name] = self.make_messenger(name)
 
@@ -54,19 +54,19 @@
         self, name: str, account: str, units: float = 1.0, spread: int = 3, plan: Plan | None = None,
         window: float = 0.0,
     ) -> None:  # fmt: skip
-        """A request goes on."""
-        post = self.messengers[name]
-        post.report(self.now, post.usage.add_admitted(account, window, units, spread, plan))
+        """Records an admitted request at a gateway and reports it to the others."""
+        messenger = self.messengers[name]
+        messenger.report(self.now, messenger.usage.add_admitted(account, window, units, spread, plan))
 
     def units_of_peers(self, name: str, account: str, window: float = 0.0) -> float:
-        """What a gateway knows of the others."""
+        """Returns the units that a gateway knows its peers to have admitted."""
         return self.messengers[name].usage.admitted_by_peers(account, window)
 
     def known(self, name: str, spread: int) -> int:
         return self.messengers[name].known_gateways(self.now, spread)
 
-    def carry(self, sender: str, letters: list[Outgoing[UsageMessage | UsageRequest]]) -> None:
-        for to, body in letters:
+    def send_messages(self, sender: str, messages: list[Outgoing[UsageMessage | UsageRequest]]) -> None:
+        for to, body in messages:
             self.message_counts[sender] += 1
             if isinstance(body, UsageMessage):
                 self.sent[sender, to] += len(body.entries)
@@ -75,17 +75,17 @@
                 heapq.heappush(self.in_flight, (at, next(self.order), sender, to, self.boots[sender], body))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Lets time pass; how long it took until the condition held."""
+        """Runs until the condition holds or `seconds` have passed; returns the time taken."""
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
             step = self.now + TICK
             while self.in_flight and self.in_flight[0][0] <= step:
                 when, _, sender, to, boot, body = heapq.heappop(self.in_flight)
                 self.now = max(self.now, when)
-                self.carry(to, self.messengers[to].receive(self.now, sender, boot, body))
+                self.send_messages(to, self.messengers[to].receive(self.now, sender, boot, body))
             self.now = step
-            for name, post in self.messengers.items():
-                self.carry(name, post.tick(self.now))
-                post.replica.expire(self.now)
-                post.expire()
+            for name, messenger in self.messengers.items():
+                self.send_messages(name, messenger.tick(self.now))
+                messenger.replica.expire(self.now)
+                messenger.expire()
         return self.now - began
--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -1,8 +1,8 @@
-"""A fleet of real processes behind scripted links, and one history of what happened to them.
+"""Runs a fleet of real processes behind scripted links, and records the history of events.
 
-Each gateway is a process of ``python -m glenchute`` with `[fleet]` in its operator's file; each pair of
-them has a `DatagramLink`, and each one a `StreamLink` to the counter. Faults are calls at moments of a
-script; the history is written by the rig and by the clients and nodes, never by the gateways.
+Each gateway is a process of ``python -m glenchute`` with `[fleet]` in its operator's file. Each pair of
+gateways has a `DatagramLink`, and each gateway a `StreamLink` to the counter. A test causes faults by calls;
+the history is written by this class, never by the gateways.
 """
 
 from __future__ import annotations
@@ -26,15 +26,18 @@
 
 
 class FleetSite:
-    """So many gateways, three nodes, a counter, discovery."""
+    """Gateway processes, three nodes, a counter, and optionally discovery."""
 
     def __init__(
         self, folder: Path, gateways: int, seed: int = 1, fleet: bool = True,
         settings: dict[str, Any] | None = None, more: str = "", lists: float = 0.0,
         tail: str = "",
     ) -> None:  # fmt: skip
-        """`more`, `tail`: lines of `[fleet]`, and tables after it. `lists`: calls a second that discovery
-        bears, by its own books; 0: any."""
+        """Creates a fleet.
+
+        `more` has further lines of `[fleet]`, `tail` the tables after it. `lists` is the number of calls per
+        second that discovery can serve, or 0 for no limit.
+        """
         self.tail = tail
         self.folder, self.count, self.seed, self.on, self.more = folder, gateways, seed, fleet, more
         self.settings = {**(settings or SETTINGS), "balancers": gateways}
@@ -47,7 +50,7 @@
         self.gateways: list[GatewayProcess] = []
         self.links: dict[tuple[int, int], DatagramLink] = {}
         self.to_counter: list[StreamLink] = []
-        self.history: list[tuple[float, str, str]] = []  # seconds, who, what
+        self.history: list[tuple[float, str, str]] = []  # seconds since the start, subject, event
         self.outcomes: list[Outcome] = []
         self.began = 0.0
         self.serial = 0
@@ -61,7 +64,9 @@
             await self.lists.start()
         names = [f"g{i}" for i in range(self.count)]
         listens = [("127.0.0.1", free_port()) for _ in names]
-        heard_at: list[dict[int, int]] = [{} for _ in names]  # the others' ports, as each reaches them
+        heard_at: list[dict[int, int]] = [
+            {} for _ in names
+        ]  # by gateway: the ports at which it reaches the others
         if self.on:
             for one, other in itertools.combinations(range(self.count), 2):
                 ports = (free_port(), free_port())
@@ -86,7 +91,7 @@
         return self
 
     def operator(self, name: str, port: int, others: dict[int, int], own: Path) -> str:
-        """A gateway's operator's file."""
+        """Returns the operator's file of a gateway."""
         rows = "".join(
             f'[[fleet.members]]\nname = "g{other}"\naddress = "127.0.0.1:{at}"\n'
             for other, at in others.items()
@@ -107,13 +112,13 @@
         await self.site.__aexit__()
 
     def note(self, who: str, what: str) -> None:
-        """A line of the history."""
+        """Adds an event to the history."""
         self.history.append((asyncio.get_running_loop().time() - self.began, who, what))
 
-    # --- processes ---------------------------------------------------------------------------------------
+    # --- processes ----------------------------------------------------------------------------------------
 
     async def start(self, numbers: Iterable[int] | None = None) -> None:
-        """Starts these, or all, and waits until they serve."""
+        """Starts these gateways, or all, and waits until they are ready."""
         chosen = [self.gateways[n] for n in (range(self.count) if numbers is None else numbers)]
         for gateway in chosen:
             gateway.start()
@@ -121,7 +126,7 @@
         await asyncio.gather(*(gateway.ready(30.0) for gateway in chosen))
 
     def send_signal(self, number: int, which: signal.Signals) -> None:
-        """A signal to a process; SIGKILL is waited for."""
+        """Sends a signal to a process; after SIGKILL, waits for its end."""
         gateway = self.gateways[number]
         self.note(f"g{number}", which.name)
         gateway.signal(which)
@@ -129,41 +134,43 @@
             gateway.process.wait()
 
     def split(self, groups: Sequence[Sequence[int]], cut: bool = True) -> None:
-        """Cuts, or mends, every link between members of different groups."""
+        """Cuts, or restores, every link between members of different groups."""
         group_of = {number: at for at, group in enumerate(groups) for number in group}
         for (one, other), link in self.links.items():
             if group_of[one] != group_of[other]:
                 link.cut(cut=cut)
         self.note("links", f"{'split' if cut else 'healed'} {groups}")
 
-    # --- what they say -----------------------------------------------------------------------------------
+    # --- state of the gateways ----------------------------------------------------------------------------
 
     def ask(self, number: int, verb: str) -> list[dict[str, Any]]:
-        """A verb of a gateway's control socket; nothing where it can't be asked now."""
+        """Calls a `fleet` verb over a gateway's control socket; returns an empty list on failure."""
         try:
             return call_verb(str(self.folder / f"g{number}" / "control"), f"fleet {verb}", 1.0)
         except ControlError:
             return []
 
     async def asked(self, number: int, verb: str) -> list[dict[str, Any]]:
-        """The same, without holding up the links."""
+        """Calls `ask` in a thread, so that the links are not blocked."""
         return await asyncio.get_running_loop().run_in_executor(None, self.ask, number, verb)
 
     async def states(self, number: int) -> dict[str, str]:
-        """Members' states as one gateway sees them, itself left out."""
+        """Returns the states of the other members as one gateway sees them."""
         return {row["name"]: row["state"] for row in (await self.asked(number, "members"))[1:]}
 
     async def until(self, condition: Callable[[], Any], patience_s: float = 20.0) -> float:
-        """Waits until an awaited condition holds; the seconds that took. AssertionError past the patience."""
+        """Waits until a condition holds; returns the seconds taken, or raises AssertionError on timeout."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         while not await condition():
-            assert loop.time() - began < patience_s, f"not within {patience_s} s: {condition}"
+            assert loop.time() - began < patience_s, (
+                f"condition does not hold within {patience_s} s: {condition}"
+            )
             await asyncio.sleep(0.02)
         return loop.time() - began
 
     async def agree(self, numbers: Sequence[int], state: str = "alive") -> bool:
-        """Whether all of these think so of all others of them."""
+        """Returns whether each of these gateways sees all others of them in this state."""
         for number in numbers:
             seen = await self.states(number)
             if any(seen.get(f"g{other}") != state for other in numbers if other != number):
@@ -171,32 +178,34 @@
         return True
 
     async def same_digest(self, numbers: Sequence[int]) -> bool:
-        """Whether the copies of these agree."""
+        """Returns whether the replicas of these gateways have the same digest."""
         rows = [await self.asked(number, "digest") for number in numbers]
         return all(rows) and len({row[0]["digest"] for row in rows}) == 1
 
     async def complete(self, numbers: Sequence[int]) -> bool:
-        """Whether each of these says that its replica is complete."""
+        """Returns whether each of these gateways reports a complete replica."""
         rows = [await self.asked(number, "state") for number in numbers]
         return all(row and row[0]["known"] is True for row in rows)
 
     async def whole(self, numbers: Sequence[int], share: float) -> bool:
-        """Whether each of these knows the use of such a share of the fleet."""
+        """Returns whether each of these gateways knows the usage of this fraction of the fleet."""
         rows = [await self.asked(number, "state") for number in numbers]
         return all(row and row[0]["share"] >= share - 0.001 for row in rows)
 
-    # --- load --------------------------------------------------------------------------------------------
+    # --- load ---------------------------------------------------------------------------------------------
 
     async def load(
         self, seconds: float, rate: float, accounts: Sequence[Account], numbers: Iterable[int] | None = None,
         kinds: Sequence[Kind] = READS,
     ) -> list[Outcome]:  # fmt: skip
-        """The same load on each of these gateways at once; what became of it."""
+        """Runs the same load on each of these gateways concurrently; returns the outcomes."""
         loads = []
         for number in range(self.count) if numbers is None else numbers:
             port = self.gateways[number].port
             self.serial += 1
-            seed = self.seed * 7919 + self.serial  # a new one each time: it is in the requests' ids
+            seed = (
+                self.seed * 7919 + self.serial
+            )  # a new seed for each load, as it is part of the request ids
             loads.append(Load(lambda port=port: port, kinds, accounts, rate, seed))  # type: ignore[misc]
         await asyncio.gather(*(load.run(seconds) for load in loads))
         outcomes = [outcome for load in loads for outcome in load.outcomes]
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -1,6 +1,7 @@
-"""Members and copies over a simulated network, at sizes that processes do not reach. Seeded, in no real time.
+"""Simulates members and replicas over a network, for fleets too large for real processes.
 
-`Net` carries the messages of membership, `Mesh` those of the copies; both lose, delay and cut as told.
+`SwimNetwork` carries the messages of membership, `GossipNetwork` those of the replicas. Both lose, delay and
+cut messages as configured, in simulated time.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 
 def apart(some: Container[str]) -> Callable[[str, str], bool]:
-    """A cut between these and all others, both ways."""
+    """Returns a cut between these members and all others, in both directions."""
     return lambda sender, to: (sender in some) != (to in some)
 
 
 class SwimNetwork:
-    """So many members, and what happens to their messages."""
+    """Members and the network between them."""
 
     def __init__(self, count: int, seed: int, lose: float = 0.0, delay: float = 0.01) -> None:
         self.rng = random.Random(seed)
@@ -35,18 +36,18 @@
         self.in_flight: list[tuple[float, int, str, str, int, SwimMessage]] = []
         self.order = itertools.count()
         self.stopped: set[str] = set()
-        self.lag: dict[str, float] = {}  # seconds by which all that some say comes later
+        self.lag: dict[str, float] = {}  # additional delay of a member's messages in s
         self.nodes = {name: self.make_member(name) for name in self.names}
-        self.longest = 0  # updates in a message
+        self.longest = 0  # most updates in a message
         self.sent = dict.fromkeys(self.names, 0)
-        self.declared_dead: list[tuple[float, str, str]] = []  # when, by whom, whom
+        self.declared_dead: list[tuple[float, str, str]] = []  # time, reporting member, dead member
 
     def make_member(self, name: str) -> MemberList:
         boot = self.rng.getrandbits(60)
         return MemberList(name, boot, self.names, SwimSettings(), random.Random(boot), self.now)
 
     def restart(self, name: str) -> None:
-        """Another process under the name, which knows nothing."""
+        """Replaces a member by a new process without state."""
         self.nodes[name] = self.make_member(name)
         self.stopped.discard(name)
 
@@ -60,7 +61,7 @@
                 heapq.heappush(self.in_flight, (at, next(self.order), sender, out.to, boot, out.message))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Lets time pass; how long it took until the condition held."""
+        """Runs until the condition holds or `seconds` have passed; returns the time taken."""
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
             step = self.now + TICK
@@ -86,7 +87,7 @@
         return all(self.state_of(name, by) is state for by in others)
 
     def all_participate(self) -> bool:
-        """Nobody is unknown or gone to anybody; where messages are lost some are in doubt at any time."""
+        """Returns whether every member sees all others as alive or, where messages are lost, suspect."""
         here = (MemberState.ALIVE, MemberState.SUSPECT)
         return all(m.state in here for node in self.nodes.values() for m in node.members.values())
 
@@ -95,12 +96,12 @@
 
 
 def rows_of(replica: Replica) -> set[Row]:
-    """All rows of a copy."""
+    """Returns all rows of a replica."""
     return {held.row for held in replica.rows.values()}
 
 
 class GossipNetwork:
-    """Copies that exchange over a network that loses, repeats and delays."""
+    """Replicas that exchange rows over a network that loses, duplicates and delays messages."""
 
     def __init__(self, count: int, seed: int, lose: float = 0.0, rows: int = 0) -> None:
         self.rng, self.loss, self.now = random.Random(seed), lose, 0.0
@@ -119,8 +120,8 @@
     def restart(self, name: str) -> None:
         self.nodes[name] = Gossip(Replica(), self.nodes[name].settings, random.Random(99), self.now)
 
-    def post(self, sender: str, sents: list[Outgoing[GossipMessage]]) -> None:
-        for sent in sents:
+    def post(self, sender: str, messages: list[Outgoing[GossipMessage]]) -> None:
+        for sent in messages:
             for _ in range(1 + (self.rng.random() < 0.05)):
                 if self.rng.random() >= self.loss and not self.cut(sender, sent.to):
                     at = self.now + self.rng.uniform(0.002, 0.02)
@@ -151,7 +152,7 @@
         return all(node.is_complete for name, node in self.nodes.items() if self.alive[name])
 
     def writes(self, count: int) -> None:
-        """Each copy's own words on accounts of this moment."""
+        """Publishes `count` new rows at each replica."""
         for name in self.names:
             for number in range(count):
                 row = Row(RowKind.HEALTH, f"new{number}/1", f"{name}#1", 1, 2.0)
