--- a/tests/policy/connections/test_client_slots.py
+++ b/tests/policy/connections/test_client_slots.py
@@ -53,7 +53,8 @@
 def add_reused(
     slots: ConnectionSlots[str], now: float, key: str, gap_s: float, request_count: int = 4
 ) -> float:
-    """Adds a connection with several requests on it; returns the time of the last response."""
+    """Adds a connection that has carried `request_count + 1` requests, `gap_s` apart; returns the time of the
+    last response."""
     add_all(slots, now, key)
     for _ in range(request_count + 1):
         serve_request(slots, now, key)
@@ -224,13 +225,13 @@
 ) -> None:
     """A partial command or a blocked write in between changes nothing."""
     slots: ConnectionSlots[str] = ConnectionSlots(4, 3, 2)
-    add_all(slots, 0.0, "back")
-    serve_request(slots, 0.0, "back")
-    assert slots.slots["back"].reuse_count == 0
+    add_all(slots, 0.0, "reused")
+    serve_request(slots, 0.0, "reused")
+    assert slots.slots["reused"].reuse_count == 0
     for state in between:
-        slots.set_state(1.0, "back", state)
-    serve_request(slots, 2.0, "back")
-    assert slots.slots["back"].state is ConnectionState.IDLE_REUSED
+        slots.set_state(1.0, "reused", state)
+    serve_request(slots, 2.0, "reused")
+    assert slots.slots["reused"].state is ConnectionState.IDLE_REUSED
 
 
 SlotsMachine.TestCase.settings = settings(
@@ -244,37 +245,37 @@
 def test_a_reused_connection_outlives_one_with_a_single_request(gap_s: float, active: int) -> None:
     """Both become idle at the same time, at any load and for any idle gap."""
     slots: ConnectionSlots[str] = ConnectionSlots(48, 32, 4)
-    now = add_reused(slots, 0.0, "back", gap_s)
+    now = add_reused(slots, 0.0, "reused", gap_s)
     add_all(slots, now, "once", *[f"busy{i}" for i in range(active)])
     for i in range(active):
         slots.on_request(now, f"busy{i}")
     serve_request(slots, now, "once")
-    slots.set_state(now, "back", ConnectionState.ACTIVE)
-    slots.set_state(now, "back", ConnectionState.IDLE_UNUSED)
+    slots.set_state(now, "reused", ConnectionState.ACTIVE)
+    slots.set_state(now, "reused", ConnectionState.IDLE_UNUSED)
     order: list[str] = []
     while len(order) < 2:
         now += 0.001
         order += [close.key for close in slots.close_expired(now) if close.reason is CloseReason.IDLE]
         assert now < 100.0
-    assert order == ["once", "back"]
+    assert order == ["once", "reused"]
 
 
 def test_the_idle_time_limit_falls_smoothly_to_zero() -> None:
     """Each additional connection lowers the limit by no more than the share of one slot."""
     slots: ConnectionSlots[str] = ConnectionSlots(192, 128, 16)
-    now = add_reused(slots, 0.0, "back", 0.01)
+    now = add_reused(slots, 0.0, "reused", 0.01)
     add_all(slots, now, "once")
     serve_request(slots, now, "once")
-    once, back = [], []
+    once, reused = [], []
     for i in range(126):
         once.append(slots.time_limit_s(slots.slots["once"]))
-        back.append(slots.time_limit_s(slots.slots["back"]))
+        reused.append(slots.time_limit_s(slots.slots["reused"]))
         add_all(slots, now, f"b{i}")
         slots.on_request(now, f"b{i}")
     assert once[0] > 0.9 * MAX_IDLE_S and slots.time_limit_s(slots.slots["once"]) == 0.0
-    for row in (once, back):
+    for row in (once, reused):
         assert all(a >= b >= a - 3 * MAX_IDLE_S / 128 - 1e-9 for a, b in pairwise(row))
-    assert all(a <= b for a, b in zip(once, back, strict=True))
+    assert all(a <= b for a, b in zip(once, reused, strict=True))
 
 
 def test_no_more_are_closed_than_the_load_requires() -> None:
--- a/tests/policy/connections/test_response_order.py
+++ b/tests/policy/connections/test_response_order.py
@@ -147,7 +147,7 @@
 
 
 def test_a_non_idempotent_request_is_never_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check comes at which a read in its place would be abandoned for the replies behind it."""
+    """The check is made when a read in its place would be abandoned for the replies behind it."""
 
     async def scenario() -> None:
         server = ScriptedServer()
@@ -179,7 +179,7 @@
             await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 3)
             await asyncio.sleep(2.0 * CHECK_DELAY_S)
             assert len(connection.slots) == 4 and loop.time() > check_at
-            connection.flush()  # another write on the connection does not change that
+            connection.flush()  # a further flush does not abandon the charge either
             assert len(connection.slots) == 4 and not client.reader._buffer  # type: ignore[attr-defined]
             server.send(value(b"ok"), command_numbers[b"x"])
             assert [await client.reply() for _ in range(4)] == [b"ok", b"v0", b"v1", b"v2"]
