--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -1,5 +1,5 @@
-"""Cold start of many gateways at once: load on the discovery service, doubtful lists, quota overshoot,
-sharing of the list among members."""
+"""Cold start of many gateways at once: load on the discovery service, implausible lists, quota overshoot,
+and sharing of the list among members."""
 
 from __future__ import annotations
 
@@ -80,9 +80,9 @@
 }  # fmt: skip
 
 
-# After these, all gateways call again within `notification.max_backoff_s`, which takes precedence over the
-# service's rate.
-LOST = ("the service down for 30 s", "the service loses all watches")
+# After these scenes, all gateways poll again within `notification.max_backoff_s`, which takes precedence over
+# the service's rate.
+OUTAGE_SCENES = ("the service down for 30 s", "the service loses all watches")
 
 
 @pytest.mark.parametrize("count", [200, 500, 520])
@@ -90,7 +90,11 @@
 def test_a_service_with_a_configured_rate_is_not_overloaded(scene: str, count: int) -> None:
     """No second has much more than 1.5 times the service's rate of calls, and at most one call in twenty is
     rejected. After an outage the rate is what the polling terms require of the service."""
-    rate = count / (polling.POLL_RATE_SHARE * notification.max_backoff_s()) if scene in LOST else count / 15.0
+    rate = (
+        count / (polling.POLL_RATE_SHARE * notification.max_backoff_s())
+        if scene in OUTAGE_SCENES
+        else count / 15.0
+    )
     crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
     SCENES[scene](crowd)
     assert len(crowd.heard) == count  # all gateways have their list
@@ -121,7 +125,7 @@
 
 
 def no_delay(self: PollScheduler, *_: object) -> float:
-    """Polls at once, without spreading the gateways' polls over time."""
+    """Replaces a delay of `PollScheduler` that spreads the gateways' polls over time."""
     return 0.0
 
 
@@ -226,25 +230,26 @@
     ] == [accepted for *_, accepted in LISTS[name]]
 
 
-def no_fault(world: World) -> None:
+def available_counter(world: World) -> None:
     """Leaves the counter available; it starts empty like the gateways."""
 
 
-def slow(world: World) -> None:
+def slow_counter(world: World) -> None:
     world.parts.slow(45.0)
 
 
-def mute(world: World) -> None:
+def unavailable_counter(world: World) -> None:
     world.parts.kill()
 
 
-@pytest.mark.parametrize("counter", [no_fault, slow, mute])
+@pytest.mark.parametrize("counter", [available_counter, slow_counter, unavailable_counter])
 @pytest.mark.parametrize(("gateways", "requests_per_s"), [(3, 60.0), (40, 60.0), (300, 300.0)])
 def test_the_quota_overshoot_of_a_simultaneous_start_is_bounded(
     gateways: int, requests_per_s: float, counter: Callable[[World], None]
 ) -> None:
     """Measures the overshoot from the forwarded requests. With an unavailable counter the gateways' shares
-    alone do not bound it: until it has missed three calls, each gateway spends from a full token bucket."""
+    alone do not bound it: until the counter has missed three calls, each gateway spends from a full token
+    bucket."""
     worst = 0.0
     for seed in (1, 2):
         world = World(seed, gateways, 6)
@@ -256,7 +261,7 @@
         timeout_s = world.settings.counter_timeout_ms / 1000.0
         worst = max(worst, overshoot(world.sent, plan))
         assert worst <= start_overshoot_units(plan, found, requests_per_s, gateways, timeout_s)
-    assert counter is not mute or worst > found.unavailable_units
+    assert counter is not unavailable_counter or worst > found.unavailable_units
 
 
 # --- processes -------------------------------------------------------------------------------------------
@@ -313,8 +318,10 @@
             outcomes = [outcome for load in loads for outcome in load.outcomes]
             answered = [outcome for outcome in outcomes if outcome.answer == "served"]
             assert len(outcomes) == REQUEST_COUNT and len(answered) >= 0.95 * len(outcomes)
-            doubted = sum("not confirmed yet" in gateway.log.read_text() for gateway in herd.gateways[:2])
-            assert doubted == (0 if mode == "silent" else 2)
+            unconfirmed_count = sum(
+                "not confirmed yet" in gateway.log.read_text() for gateway in herd.gateways[:2]
+            )
+            assert unconfirmed_count == (0 if mode == "silent" else 2)
 
     play(scenario())
 
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -95,7 +95,8 @@
 def run_windows(
     estimate: CapacityEstimate, windows: int, responses: int, latency_ratio: float, demand: float
 ) -> float:
-    """Feeds this many windows of one second, each with these responses; returns the estimate after them."""
+    """Feeds windows of one second, each with this demand and this number of responses, all of one latency
+    ratio; returns the estimate after them."""
     now = estimate.window_start_ms or 0.0
     estimate.end_window(now, [])
     for _ in range(windows):
@@ -142,17 +143,19 @@
 def test_attempts_in_flight_during_a_stall_say_nothing_of_servers() -> None:
     rig = Rig(entries(3))
     rig.warm_up()
-    out = [
+    in_flight_names = [
         name for name, actions in (rig.ask(customer=f"c{i}") for i in range(6)) if only(actions, StartAttempt)
     ]
     means = dict(rig.gateway.pool.latency.mean_ms)
-    paces = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
+    relative_latencies = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
     rig.now += 3500.0  # no tick in all this time
-    for name in out:
+    for name in in_flight_names:
         rig.end(name, 0, Outcome.TIMEOUT, 3500.0)
     rig.advance(2000.0)
-    assert out and rig.gateway.pool.latency.mean_ms == means
-    assert {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()} == paces
+    assert in_flight_names and rig.gateway.pool.latency.mean_ms == means
+    assert {
+        name: server.relative_latency for name, server in rig.gateway.pool.servers.items()
+    } == relative_latencies
     assert rig.gateway.shedder.capacity.capacity_per_s == math.inf
     assert all(not s.in_flight and s.unanswered_since_ms is None for s in rig.gateway.pool.servers.values())
 
@@ -194,7 +197,7 @@
 
 
 def lower_capacity(rig: Rig) -> None:
-    """The capacity estimate is at its floor, and the credit of the requests' value is spent."""
+    """The capacity estimate is at its floor, and the credit for units of the requests' value is spent."""
     rig.gateway.shedder.capacity.capacity_per_s, rig.gateway.shedder.capacity.mean_latency_s = 0.01, 3.0
     while only((one := rig.ask())[1], StartAttempt):
         rig.end(one[0], 0, Outcome.OK, 900.0)
@@ -287,7 +290,8 @@
     return rig.gateway.quota.counter.pacing.call_fraction == 1.0
 
 
-# By state: what sets it, what tells that it is over, and the seconds without requests after which it must be.
+# By state: a function that causes it, one that returns whether it has ended, and the seconds without requests
+# within which it must end.
 SELF_SUSTAINING: dict[str, tuple[Callable[[Rig], None], Callable[[Rig], bool], float]] = {
     "capacity estimate and credit": (lower_capacity, is_served, 24.0),
     "peak rate and backlog": (fill_backlog, is_served, 0.0),
