--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -134,7 +134,7 @@
         return engine
 
     def create_control(self, members: MemberNode, raw: dict[str, Any]) -> ControlServer | None:
-        """Creates the control socket with the members' verbs; None if the operator's file names no socket."""
+        """Creates the control socket with the members' commands; None if the operator's file names none."""
         from glenchute.control.server import ControlServer
 
         if "control" not in raw:
@@ -283,8 +283,8 @@
 
     async def wait_for_list(self) -> None:
         """Waits briefly for discovery, since the cached list may be old, but a start must not depend on
-        discovery. Sending the poll has a timeout of its own: a process that gets little of its processor
-        sends it late, which is no delay of the service."""
+        discovery. Sending the poll has a timeout of its own: a process that gets little CPU time sends it
+        late, and that must not count as a slow answer of the discovery service."""
         await wait_for_event(self.discovery.first_poll_made, FIRST_POLL_WAIT_S)
         await wait_for_event(self.discovery.first_answer, LIST_WAIT_S)
 
@@ -306,7 +306,7 @@
             seed=current.seed,
         )
         if comparable != replace(current, cached_endpoints=None):
-            log.warning("what changed besides the addresses of discovery and counter waits for a restart")
+            log.warning("a change other than the addresses of discovery and counter waits for a restart")
         self.discovery.change_address(config.discovery)
         if self.counter is not None and config.counter is not None:
             self.counter.change_address(config.counter)
@@ -319,10 +319,10 @@
         platform kills the process."""
         lifecycle, is_replaced = self.listener.lifecycle, self.passed_socket is not None
         began = self.loop.time()
-        proxies = None
+        extproc_stop = None
         if self.extproc is not None:
             # GOAWAY at once: proxies open new streams elsewhere, and open streams are served to their end.
-            proxies = self.loop.create_task(self.extproc.stop(lifecycle.shutdown_grace_s))
+            extproc_stop = self.loop.create_task(self.extproc.stop(lifecycle.shutdown_grace_s))
         if self.fleet is not None:
             self.fleet.leave(replaced=is_replaced)
         self.listener.start_shutdown(replaced=is_replaced)
@@ -332,8 +332,8 @@
         self.listener.stop()  # connections pending on a passed socket are left to the successor
         while self.listener.clients and self.loop.time() < end:
             await asyncio.sleep(CLIENTS_POLL_S)
-        if proxies is not None:
-            await proxies
+        if extproc_stop is not None:
+            await extproc_stop
         self.gateway.close_all()
         await asyncio.sleep(FLUSH_S)
         await self.close()
