--- a/glenchute/cli/replay.py
+++ b/glenchute/cli/replay.py
@@ -24,8 +24,8 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import AttemptAssigned, Request
 
-MAX_SHOWN = 20
-MAX_COMPARED = 1_000_000
+MAX_SHOWN = 20  # differences printed per run
+MAX_COMPARED = 1_000_000  # differences collected per run with --against or --diff
 
 
 def command(args: argparse.Namespace) -> int:
--- a/glenchute/config/operator_text.py
+++ b/glenchute/config/operator_text.py
@@ -88,10 +88,11 @@
 
 
 def load_by_route(text: str, yield_processor: Callable[[], None]) -> dict[str, Any] | None:
-    """Parses a text route by route, with the result of tomllib; None if it has to be parsed as a whole.
+    """Parses a text route by route, with the same result as tomllib; None if it has to be parsed as a whole.
 
     A line that looks like a route's header may be part of a string, and a table may span two parts. A part is
-    then invalid TOML or repeats a key, and parsing the whole text decides, with the right line in errors."""
+    then invalid TOML or repeats a key. The caller parses the whole text instead, which also gives the right
+    line in errors."""
     starts = [found.start() for found in re.finditer(ROUTE_HEADER, text, re.MULTILINE)]
     rows: list[Any] = []
     try:
