--- a/glenchute/policy/balancing/latency.py
+++ b/glenchute/policy/balancing/latency.py
@@ -18,7 +18,8 @@
 
     def __init__(self) -> None:
         self.mean_ms: dict[tuple[str, int], float] = {}  # by class and units
-        self.load_factor = 1.0  # duration of recent responses relative to the slower means
+        # Duration of recent responses relative to `mean_ms`, which follows changes more slowly.
+        self.load_factor = 1.0
 
     def expected_ms(self, request_class: RequestClass, units: float) -> float:
         """Returns the mean duration of a response of this class and size."""
--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -43,8 +43,10 @@
 
     gateway_count: int
     gateway_number: int  # from 0; any number that no other gateway has
-    min_servers: int = 0  # sum of the weights in use at least; 0: `subset_size`, and only of long lists
-    busy_attempts: float = 2.0  # mean attempts in flight per server, from which servers are added
+    # Least sum of the weights of the servers in use. 0: the result of `subset_size`, and short lists are used
+    # whole.
+    min_servers: int = 0
+    busy_attempts: float = 2.0  # mean attempts in flight per server at which servers are added
     calm_attempts: float = 0.5  # mean attempts in flight per server, below which servers are released
 
 
--- a/glenchute/policy/services/routing.py
+++ b/glenchute/policy/services/routing.py
@@ -1,7 +1,7 @@
 """Mapping of requests to services. No I/O; built once at load, consulted for each request.
 
 A rule matches by an authority (a host, or `*.` and a domain), a path prefix of whole segments, a class, a
-command, and the listener. The most specific rule wins, by an order that does not depend on the file's: host
+command, and the listener. The most specific rule wins, wherever it stands in the file: host
 before domain before none, the longer path before the shorter, then class, command and listener. Two rules
 that can match the same request and are equally specific are rejected at load, as is a class that no rule
 matches. The cost of a look-up depends on the host's labels and the path's segments, not on the number of
@@ -157,8 +157,8 @@
 def unreached_classes(
     router: ServiceRouter, classes: Iterable[str], fronts: Iterable[str]
 ) -> list[RequestOrigin]:
-    """Returns requests without host and path that match no rule: requests of that class would be rejected for
-    RESP2 clients."""
+    """Returns a request without host and path for each listener and class that no rule matches: RESP2
+    requests have neither, and would be rejected."""
     return [
         origin
         for front in fronts
--- a/glenchute/policy/settings.py
+++ b/glenchute/policy/settings.py
@@ -79,11 +79,12 @@
     slow_start: SlowStart
     max_attempts: int = 3  # per request
     max_requests: int = 20000  # pending requests at this gateway
-    max_retry_after_ms: float = 1000.0
+    max_retry_after_ms: float = 1000.0  # longest time after which a rejected client is told to retry
     has_counter: bool = False  # the shared counter can be called
     counter_timeout_ms: float = 50.0
     must_subscribe: bool = False  # endpoint changes are sent only after `SubscribeToEndpoints`
     weights_known: bool = False  # `Endpoint.weight` is the server's relative capacity; not used yet
-    # Price of a request to another zone: each 0.1 adds the expected delay once more to such a server's cost.
+    # Price of a request to another zone. In the endpoint choice, each 0.1 raises the cost of a server there
+    # by its cost without this price.
     cross_zone_price: float = 0.0
     allows_hedging: bool = False  # two attempts of one request may be in flight at once
