--- a/glenchute/policy/lifecycle/draining.py
+++ b/glenchute/policy/lifecycle/draining.py
@@ -58,7 +58,7 @@
         self.idle_close_period_s = min(IDLE_CLOSE_PERIOD_S, self.shutdown_grace_s - SHUTDOWN_ACCEPT_S)
         self.phase = Phase.STARTING
         self.phase_started_at = 0.0
-        self.close_delay_s = 0.0  # no connection is closed for so long after the start of the phase
+        self.close_delay_s = 0.0  # time from the start of the phase in which no connection is closed
         self.drain_count = 0  # drains so far, reported to operators
 
     @property
@@ -72,8 +72,8 @@
             self._enter(now, Phase.SERVING, 0.0)
 
     def begin_drain(self, now: float) -> bool:
-        """Begins a drain; returns False if that changes nothing, as before the process listens, when there
-        are no clients to drain."""
+        """Begins a drain. Returns False, and changes nothing, unless the process is serving: before it
+        listens there are no clients to drain."""
         if self.phase is not Phase.SERVING:
             return False
         self.drain_count += 1
@@ -107,7 +107,7 @@
         return self.phase in (Phase.DRAINING, Phase.SHUTTING_DOWN)
 
     def closes_after_response(self, now: float) -> bool:
-        """Returns whether a connection is closed after its last response."""
+        """Returns whether a connection is closed after the last of its pending responses."""
         return self.is_closing_connections and now - self.phase_started_at >= self.close_delay_s
 
     def idle_limit_s(self, now: float) -> float:
--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -37,7 +37,7 @@
 REQUEST_INTERVAL_S = 0.5  # time between requests to one member
 MAX_REQUESTS_PER_S = 16.0  # rate of requests to all members together
 MAX_MISSED_REQUESTS = 3.0  # request intervals without a complete message after which usage is unknown
-MAX_REQUEST_BACKLOG_S = 0.25  # how far requests held back by the budget are caught up
+MAX_REQUEST_BACKLOG_S = 0.25  # largest backlog of requests that the budget delays; the rest is skipped
 MAX_ENTRIES_PER_MESSAGE = 64
 ENTRY_BYTES, HEADER_BYTES = 18, 48  # sizes charged to the budget for an entry and a header
 ALLOWANCE_DIVISOR = 4.0  # at most the budget of 1/4 s accumulates
@@ -222,8 +222,8 @@
         self.emit(out, Outgoing(name, message))
 
     def send_requests(self, now: float, out: Outbox) -> None:
-        """Sends requests to members that may share a subset in use, round-robin; next to those of which a
-        message was missed."""
+        """Sends requests to members that may share a subset in use, round-robin; first to those from which
+        a message was missed."""
         interval_s = 1.0 / MAX_REQUESTS_PER_S
         while self.byte_allowance > 0.0 and now - self.last_request_at >= interval_s:
             self.last_request_at = max(self.last_request_at + interval_s, now - MAX_REQUEST_BACKLOG_S)
@@ -272,8 +272,8 @@
         return out
 
     def merge_entries(self, now: float, sender: str, boot: int, message: UsageMessage) -> None:
-        """Merges a message's entries. With them, this process' own usage of a window may have to be
-        reported."""
+        """Merges a message's entries. An entry may show that this process' own usage of the same window has
+        to be reported."""
         own_name = self.usage.writer.rpartition("#")[0]
         for entry in message.entries[:MAX_ENTRIES_PER_MESSAGE]:
             writer = f"{own_name}#{entry.boot:x}" if entry.boot else f"{sender}#{boot:x}"
@@ -320,8 +320,8 @@
             del self.reported_windows[oldest]
 
     def known_gateways(self, now: float, spread: int) -> int:
-        """Returns how many of the other gateways of a subset of `spread` certainly have all their usage known
-        here, whatever the subset's position."""
+        """Returns of how many other gateways in a subset of `spread` this process certainly knows all usage,
+        whatever the subset's position."""
         spread = min(spread, self.ring.gateway_count)
         if spread > self.widest_subset:
             self.widest_subset = spread
