--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -30,7 +30,7 @@
 MAX_COMMANDS_PER_TURN = 16  # per connection, before other connections get their turn
 MAX_COMMAND_ERRORS = 8  # invalid commands after which a connection is closed
 MAX_LINGER_BYTES = 4 * 1024 * 1024  # input that is discarded while the connection closes
-MAX_UNUSED_LINGER_BYTES = 256 * 1024  # as MAX_LINGER_BYTES, if it has carried no request
+MAX_UNUSED_LINGER_BYTES = 256 * 1024  # the same for a connection that carried no request
 STREAM_BUFFER_BYTES = 64 * 1024  # unsent bytes of a streamed value at which its source is paused
 # Unsent bytes of replies at which a client's commands are left unread, and at which they are read again.
 WRITE_BUFFER_BYTES = 128 * 1024
@@ -379,7 +379,7 @@
         self.is_closing = True
         self.slots[0].source = None
         if self.transport is not None and not self.transport.is_closing():
-            # Limits the time for a client that does not read them.
+            # Limits the time for a client that does not read the earlier replies.
             self.set_state(ConnectionState.WRITE_BLOCKED)
             self.transport.close()
 
