--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -31,69 +31,73 @@
 )  # fmt: skip
 
 
-def block(language: str) -> str:
+def code_block(language: str) -> str:
     """Returns the page's only code block in a language."""
     (found,) = re.findall(rf"```{language}\n(.*?)```", PAGE, re.S)
     return str(found)
 
 
-def proxy() -> Any:
+def proxy_config() -> Any:
     """Parses the page's proxy configuration by the published API; a field that the API lacks raises."""
-    made = bootstrap_pb2.Bootstrap()
-    json_format.ParseDict(yaml.safe_load(block("yaml")), made)
-    return made
+    bootstrap = bootstrap_pb2.Bootstrap()
+    json_format.ParseDict(yaml.safe_load(code_block("yaml")), bootstrap)
+    return bootstrap
 
 
-def inner(packed: Any, kind: Any) -> Any:
+def unpack(packed: Any, kind: Any) -> Any:
     """Unpacks the message that a field of type Any holds."""
-    made = kind()
-    assert packed.Unpack(made), packed.type_url
-    return made
+    message = kind()
+    assert packed.Unpack(message), packed.type_url
+    return message
 
 
 def test_the_operators_file_of_the_page_loads() -> None:
-    reading = parse(block("toml"), FACTS)
+    reading = parse(code_block("toml"), FACTS)
     assert reading.findings == () and reading.config is not None
 
 
 def test_the_proxys_configuration_is_of_the_published_api() -> None:
-    (listener,) = proxy().static_resources.listeners
+    (listener,) = proxy_config().static_resources.listeners
     (network,) = listener.filter_chains[0].filters
-    manager = inner(network.typed_config, http_connection_manager_pb2.HttpConnectionManager)
+    manager = unpack(network.typed_config, http_connection_manager_pb2.HttpConnectionManager)
     request, router = manager.http_filters
-    down = inner(request.typed_config, ext_proc_pb2.ExternalProcessor)
-    attempt, codec = inner(router.typed_config, router_pb2.Router).upstream_http_filters
-    up = inner(attempt.typed_config, ext_proc_pb2.ExternalProcessor)
-    inner(codec.typed_config, upstream_codec_pb2.UpstreamCodec)
-    for each in (down, up):
+    downstream_filter = unpack(request.typed_config, ext_proc_pb2.ExternalProcessor)
+    attempt, codec = unpack(router.typed_config, router_pb2.Router).upstream_http_filters
+    upstream_filter = unpack(attempt.typed_config, ext_proc_pb2.ExternalProcessor)
+    unpack(codec.typed_config, upstream_codec_pb2.UpstreamCodec)
+    for each in (downstream_filter, upstream_filter):
         assert not each.failure_mode_allow and not each.observability_mode
         assert each.response_attributes == ["response.code_details"]
         modes = ext_proc_pb2.ExternalProcessor.DESCRIPTOR.fields_by_name["processing_mode"].message_type
         send = modes.fields_by_name["response_header_mode"].enum_type.values_by_name["SEND"].number
         assert each.processing_mode.response_header_mode == send
-    assert down.mutation_rules.allow_envoy.value  # without it the proxy ignores the processor's timeouts
-    assert down.metadata_options.receiving_namespaces.untyped == [messages.LB_METADATA_NAMESPACE]
-    role = {each.key: each.value for each in up.grpc_service.initial_metadata}
-    assert role == {server.ROLE_METADATA: "upstream"} and not down.grpc_service.initial_metadata
-    assert up.request_attributes == ["upstream.address"]
+    # Without this rule the proxy ignores the processor's timeouts.
+    assert downstream_filter.mutation_rules.allow_envoy.value
+    assert downstream_filter.metadata_options.receiving_namespaces.untyped == [messages.LB_METADATA_NAMESPACE]
+    role = {each.key: each.value for each in upstream_filter.grpc_service.initial_metadata}
+    assert role == {server.ROLE_METADATA: "upstream"} and not downstream_filter.grpc_service.initial_metadata
+    assert upstream_filter.request_attributes == ["upstream.address"]
     (host,) = manager.route_config.virtual_hosts
     assert host.include_request_attempt_count
 
 
 def test_clients_can_not_bring_what_only_the_processor_may_say() -> None:
-    (listener,) = proxy().static_resources.listeners
-    manager = inner(
+    (listener,) = proxy_config().static_resources.listeners
+    manager = unpack(
         listener.filter_chains[0].filters[0].typed_config, http_connection_manager_pb2.HttpConnectionManager
     )
-    (early,) = manager.early_header_mutation_extensions
-    gone = {each.remove for each in inner(early.typed_config, header_mutation_pb2.HeaderMutation).mutations}
-    assert gone == {responses.TOKEN_HEADER, messages.LB_ENDPOINT_KEY}
+    (mutation_extension,) = manager.early_header_mutation_extensions
+    removed_headers = {
+        each.remove
+        for each in unpack(mutation_extension.typed_config, header_mutation_pb2.HeaderMutation).mutations
+    }
+    assert removed_headers == {responses.TOKEN_HEADER, messages.LB_ENDPOINT_KEY}
 
 
 def test_the_nodes_are_chosen_by_the_processor() -> None:
-    nodes, processor = proxy().static_resources.clusters
+    nodes, processor = proxy_config().static_resources.clusters
     (policy,) = nodes.load_balancing_policy.policies
-    override = inner(policy.typed_extension_config.typed_config, override_host_pb2.OverrideHost)
+    override = unpack(policy.typed_extension_config.typed_config, override_host_pb2.OverrideHost)
     by_metadata, by_header = override.override_host_sources
     assert (
         by_metadata.metadata.key == messages.LB_METADATA_NAMESPACE
@@ -101,7 +105,7 @@
     )
     assert by_header.header == messages.LB_ENDPOINT_KEY
     (packed,) = processor.typed_extension_protocol_options.values()
-    options = inner(packed, http_protocol_options_pb2.HttpProtocolOptions)
+    options = unpack(packed, http_protocol_options_pb2.HttpProtocolOptions)
     assert options.explicit_http_config.HasField("http2_protocol_options")
 
 
@@ -127,6 +131,6 @@
     from glenchute.config.extproc_shape import EXTPROC
 
     for key in EXTPROC.keys:
-        assert re.search(rf"\b{key}\b", block("toml")), key
+        assert re.search(rf"\b{key}\b", code_block("toml")), key
     for module in KNOWN:
         assert module.DESCRIPTOR.name.startswith("envoy/")
