--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -30,7 +30,7 @@
 from benchmarks.choosing import GATEWAYS, RATE, READS, SERVERS, Lists, rows, waited_s
 from benchmarks.machine import cpu_s, machine
 from lab.load import Account, Load, percentile
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
 SECONDS = 20.0
@@ -154,7 +154,7 @@
     TimedNode.moments = TimedLoad.moments = moments
     (folder / "sitecustomize.py").write_text("from benchmarks.added import probe\nprobe()\n")
     os.environ["ADDED_PROBE"] = str(folder / "moments.json")
-    nodes = [TimedNode(f"n{i}", Trade({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
+    nodes = [TimedNode(f"n{i}", ServiceProfile({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
     async with LabSite(nodes) as site:
         lists = Lists(rows(site, listed))
         await lists.start()
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -28,13 +28,13 @@
 import uvloop
 
 from benchmarks.machine import cpu_s, machine
-from lab.load import Account, Kind, Load, percentile
-from lab.nodes import Node, Trade
-from lab.peers import row
+from lab.load import Account, Load, RequestKind, percentile
+from lab.nodes import Node, ServiceProfile
+from lab.peers import server_row
 from lab.services import DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
-READS = (Kind("report-read", 1.0, 2000),)
+READS = (RequestKind("report-read", 1.0, 2000),)
 SERVERS, GATEWAYS, RATE, SECONDS = 20, 520, 163.0, 10.0
 IDLE_S = 10.0
 ROWS = 200  # rows changed one by one
@@ -77,7 +77,7 @@
 def rows(site: LabSite, listed: int) -> list[dict[str, Any]]:
     """Returns rows of `listed` names in seven zones, with the addresses of the real servers."""
     return [
-        {**row(f"10.{n // 2500}.{n // 250 % 10}.{n % 250}:80", site.nodes[n % SERVERS].port),
+        {**server_row(f"10.{n // 2500}.{n // 250 % 10}.{n % 250}:80", site.nodes[n % SERVERS].port),
          "zone": "abcdefg"[n % 7]}
         for n in range(listed)
     ]  # fmt: skip
@@ -127,7 +127,7 @@
 class TimedNode(Node):
     """Server that records how long it took for each command."""
 
-    def __init__(self, name: str, trade: Trade) -> None:
+    def __init__(self, name: str, trade: ServiceProfile) -> None:
         super().__init__(name, trade)
         self.took: dict[bytes, float] = {}  # ms, by request id
 
@@ -179,7 +179,7 @@
 
 async def measure(listed: int, folder: Path) -> Row:
     """Measures one gateway with `listed` servers in its list."""
-    nodes = [TimedNode(f"n{i}", Trade({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
+    nodes = [TimedNode(f"n{i}", ServiceProfile({"report-read": 5.0}, slots=64)) for i in range(SERVERS)]
     async with LabSite(nodes) as site:
         all_rows = rows(site, listed)
         lists = Lists(all_rows)
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -20,8 +20,17 @@
 
 from benchmarks.machine import machine
 from glenchute.policy.endpoints.polling import PollingTerms, max_first_polls_per_s
-from lab.coldstart import Call, Crowd, Herd, busiest, outage, release, starts, turned_away
-from lab.peers import row
+from lab.coldstart import (
+    Call,
+    GatewayFleet,
+    PollSimulation,
+    busiest,
+    rejection_rate,
+    run_outage,
+    run_release,
+    run_start,
+)
+from lab.peers import server_row
 from lab.site import free_port
 
 RATE, LINE, AGE = 20.0, 30, 30.0
@@ -47,14 +56,14 @@
 
 def print_row(name: str, count: int, what: str, calls: list[Call], serve: float) -> None:
     """Prints a line of the table."""
-    print(f"{name:9} {count:4} {what:8} busiest second {busiest(calls):4}, away {turned_away(calls):.3f}"
+    print(f"{name:9} {count:4} {what:8} busiest second {busiest(calls):4}, away {rejection_rate(calls):.3f}"
           f" of {len(calls):4}, all serve after {serve:.1f} s", flush=True)  # fmt: skip
 
 
 async def measure_fleet(name: str, count: int, operator: str | Callable[[int], str] | None) -> None:
     """Starts all gateways, then restarts 70% of them while the list changes; prints a line for each."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Herd(Path(folder), count, RATE, LINE, operator) as one:
+        async with GatewayFleet(Path(folder), count, RATE, LINE, operator) as one:
             serve = await one.start(range(count), 120.0)
             await asyncio.sleep(AGE + 5.0)
             calls = list(one.lists.calls)
@@ -62,7 +71,7 @@
             killed = [n for n in range(count) if n % 10 < 7]
             one.kill(killed)
             began = one.now
-            one.lists.update(row("s9", 9, "Gone"))
+            one.lists.update(server_row("s9", 9, "Gone"))
             serve = await one.start(killed, 120.0)
             await asyncio.sleep(AGE + 5.0)
             restart_calls = [call for call in one.lists.calls if call.at >= began]
@@ -82,11 +91,11 @@
     for count in (200, 500):
         rate = count / 15.0
         bound = max_first_polls_per_s(PollingTerms(count, 0, rate, AGE))
-        for scene in (starts, release, outage):
-            crowd = Crowd(count, lambda n, c=count, r=rate: PollingTerms(c, n, r, AGE), rate)  # type: ignore[misc]
+        for scene in (run_start, run_release, run_outage):
+            crowd = PollSimulation(count, lambda n, c=count, r=rate: PollingTerms(c, n, r, AGE), rate)  # type: ignore[misc]
             scene(crowd)
             print(f"{count:8}  {scene.__name__:8} {busiest(crowd.calls):8} of {rate:.1f}"
-                  f" {turned_away(crowd.calls):10.3f} {bound:10.1f}")  # fmt: skip
+                  f" {rejection_rate(crowd.calls):10.3f} {bound:10.1f}")  # fmt: skip
 
 
 def start() -> None:
--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -21,7 +21,7 @@
 from benchmarks.machine import machine
 from glenchute.config.policy_settings import policy_settings as read
 from glenchute.core.limits import UpstreamLimits
-from lab.peers import Client, numbered
+from lab.peers import Client, generate_request_ids
 from tests.loopback import CUSTOMER, SERVED, SETTINGS, site
 
 RATE = 60.0  # requests a second
@@ -76,7 +76,7 @@
         loop.rng, loop.share, loop.connects = random.Random(seed), share, 0
         loop.held_ports = {peer.port for peer in one.servers}
         clients: list[Client] = []
-        ids = numbered()
+        ids = generate_request_ids()
 
         async def ask() -> None:
             client = clients.pop() if clients else await one.client()
--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -27,7 +27,7 @@
 from envoy.service.ratelimit.v3 import rls_pb2
 
 from benchmarks.machine import cpu_s, machine
-from lab.peers import Client, RespPeer, always, row
+from lab.peers import Client, RespPeer, reply_with, server_row
 from lab.proxy import METHOD, message
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, free_port
@@ -180,13 +180,13 @@
 
     def __init__(self, folder: Path, streams: bool) -> None:
         self.folder, self.streams = folder, streams
-        self.node, self.counter = RespPeer(always(SERVED_REPLY)), CounterService()
+        self.node, self.counter = RespPeer(reply_with(SERVED_REPLY)), CounterService()
         self.port = free_port()
 
     async def __aenter__(self) -> Site:
         for peer in (self.node, self.counter):
             await peer.start()
-        rows = [row("s0", self.node.port)]
+        rows = [server_row("s0", self.node.port)]
         self.discovery = DiscoveryService(rows)
         await self.discovery.start()
         wide = {"name": "wide", "per_second": 1e6, "most_at_once": 1e6, "price": 1.0}
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -28,7 +28,7 @@
 from benchmarks.machine import cpu_s, machine
 from glenchute.protocol import resp2 as resp
 from lab.load import Load, percentile
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.peers import Client
 from lab.site import KINDS, SETTINGS, GatewayProcess, LabSite, accounts
 
@@ -181,7 +181,7 @@
 async def play(number: int, seconds: float, rate: float) -> Row:
     """Plays one scene."""
     scene = SCENES[number]
-    trade = Trade({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
+    trade = ServiceProfile({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
     nodes = [(Trickling if i < scene.trickling else Node)(f"n{i}", trade) for i in range(NODES)]
     rss, descriptors = 0.0, 0
     plans = [plan | ROOM for plan in SETTINGS["packages"]]
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -28,7 +28,7 @@
 from glenchute.policy.settings import Settings, SlowStart
 from glenchute.protocol.endpoint_list import CurrentList, decode_list, decode_list_in_parts
 from glenchute.upstreams.server_pools import ServerPools
-from lab.peers import row
+from lab.peers import server_row
 
 GATEWAYS, PLAYS = 520, 9
 
@@ -99,7 +99,7 @@
 
 
 def zoned(first: int, count: int, **more: Any) -> list[dict[str, Any]]:
-    return [{**row(f"n{n}", 9), "zone": "abcdefg"[n % 7], **more} for n in range(first, first + count)]
+    return [{**server_row(f"n{n}", 9), "zone": "abcdefg"[n % 7], **more} for n in range(first, first + count)]
 
 
 ZONE = [one for one in zoned(0, 5_700) if one["zone"] == "c"]
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from benchmarks.machine import machine
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.peers import Client
 from lab.site import GatewayProcess, LabSite, free_port
 
@@ -89,7 +89,9 @@
 
 async def main(streams: int) -> None:
     """Runs both phases and prints their figures."""
-    async with LabSite([LongNode(f"n{i}", Trade({"report-read": 10.0}, slots=64)) for i in range(4)]) as site:
+    async with LabSite(
+        [LongNode(f"n{i}", ServiceProfile({"report-read": 10.0}, slots=64)) for i in range(4)]
+    ) as site:
         with tempfile.TemporaryDirectory() as folder:
             platform = site.platform()
             second = free_port()
--- a/benchmarks/pipelining.py
+++ b/benchmarks/pipelining.py
@@ -22,9 +22,9 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.machine import cpu_s, machine
-from lab.bursts import Bursts
-from lab.faults import Fault, Kind, Script
-from lab.nodes import Node, Trade
+from lab.bursts import BurstLoad
+from lab.faults import Fault, FaultKind, FaultScript
+from lab.nodes import Node, ServiceProfile
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
 NODES = 4
@@ -69,9 +69,9 @@
     """Returns the faults of each node for a kind of stall."""
     if stall in ("1 in 1,000", "1 in 100"):
         share = 0.001 if stall == "1 in 1,000" else 0.01
-        return [(Fault(Kind.DELAY, 0.0, 1e6, share, STALL_S),)] * NODES
+        return [(Fault(FaultKind.DELAY, 0.0, 1e6, share, STALL_S),)] * NODES
     if stall == "a node for 2 s":
-        return [(Fault(Kind.FREEZE, 4.0, 6.0),), *[()] * (NODES - 1)]
+        return [(Fault(FaultKind.FREEZE, 4.0, 6.0),), *[()] * (NODES - 1)]
     return [()] * NODES
 
 
@@ -85,8 +85,8 @@
 async def play(cell: Cell) -> Row:
     """Plays one cell."""
     histogram = HdrHistogram(1, 60_000_000, 3)  # microseconds
-    trade = Trade({"report-read": SERVICE_MS}, slots=64, queue=1000)
-    nodes = [Node(f"n{i}", trade, Script(rows, i)) for i, rows in enumerate(faults(cell.stall))]
+    trade = ServiceProfile({"report-read": SERVICE_MS}, slots=64, queue=1000)
+    nodes = [Node(f"n{i}", trade, FaultScript(rows, i)) for i, rows in enumerate(faults(cell.stall))]
     most = 0
     async with LabSite(nodes) as site:
         with tempfile.TemporaryDirectory() as folder:
@@ -96,11 +96,11 @@
             try:
                 await gateway.ready()
                 assert gateway.process is not None
-                warm = Bursts(gateway.port, OFFERED, lambda ms: None, seed=9)
+                warm = BurstLoad(gateway.port, OFFERED, lambda ms: None, seed=9)
                 await warm.run(2.0)
                 for node in nodes:
                     node.began = asyncio.get_running_loop().time()
-                load = Bursts(gateway.port, cell.load * OFFERED,
+                load = BurstLoad(gateway.port, cell.load * OFFERED,
                               lambda ms: histogram.record_value(max(1, int(1000 * ms))))  # fmt: skip
                 before = cpu_s(gateway.process.pid)
                 running = asyncio.create_task(load.run(cell.seconds))
@@ -140,7 +140,7 @@
 async def run_closed_load(depth: int, seconds: float) -> Depth:
     """Runs a closed load that keeps `depth` requests in flight on each of the gateway's 19 connections to two
     fast nodes. Depth 0 is the mode with exclusive connections, one request in flight on each."""
-    trade = Trade({"report-read": 2.0}, slots=1000, queue=10_000)
+    trade = ServiceProfile({"report-read": 2.0}, slots=1000, queue=10_000)
     nodes = [Node(f"n{i}", trade) for i in range(2)]
     in_flight = 19 * max(1, depth)
     answered = 0
@@ -158,7 +158,7 @@
 
                 async def ask_in_loop(number: int) -> None:
                     nonlocal answered
-                    load = Bursts(gateway.port, 1.0, lambda ms: None, seed=number + 1)
+                    load = BurstLoad(gateway.port, 1.0, lambda ms: None, seed=number + 1)
                     burst_size = in_flight // clients + (number < in_flight % clients)
                     serial = itertools.count()
                     rng = random.Random(number)
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -25,8 +25,8 @@
 import uvloop
 
 from benchmarks.machine import machine
-from lab.nodes import Node, Trade
-from lab.peers import Client, DiscoveryPeer, RespPeer, always
+from lab.nodes import Node, ServiceProfile
+from lab.peers import Client, DiscoveryPeer, RespPeer, reply_with
 from lab.site import SETTINGS, GatewayProcess, LabSite, free_port
 
 GATEWAYS, KILLED, CORES = 30, 10, 2
@@ -73,10 +73,10 @@
 
 async def main(rounds: int) -> None:
     """Prints a row for each state of the peers."""
-    silent, mute = DiscoveryPeer(), RespPeer(always(None))
+    silent, mute = DiscoveryPeer(), RespPeer(reply_with(None))
     for peer in (silent, mute):
         await peer.start()
-    nodes = [Node(f"n{i}", Trade({"report-read": 10.0}, slots=64)) for i in range(4)]
+    nodes = [Node(f"n{i}", ServiceProfile({"report-read": 10.0}, slots=64)) for i in range(4)]
     cores = sorted(os.sched_getaffinity(0))
     shared_cores, other_cores = set(cores[:CORES]), set(cores[CORES:])
     ways = ("answering", "silent", "silent, empty saved list", "no connection")
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -19,10 +19,10 @@
 import uvloop
 
 from benchmarks.machine import machine
-from lab.faults import Fault, Kind, Script
+from lab.faults import Fault, FaultKind, FaultScript
 from lab.load import Account, Load
-from lab.load import Kind as Asked
-from lab.nodes import Node, Trade
+from lab.load import RequestKind as Asked
+from lab.nodes import Node, ServiceProfile
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
 READS = (Asked("report-read", 1.0, 2000),)
@@ -109,8 +109,11 @@
 ) -> list[RecoveryFigures]:
     """Returns both gateways' figures for the time after a trouble."""
     trouble, slow_s = TROUBLES[name]
-    slow_replies = Fault(Kind.DELAY, 0.0, slow_s, 1.0, 1.9)
-    nodes = [Node(f"s{i}", Trade({"report-read": 30.0}), Script((slow_replies,), seed=i)) for i in range(3)]
+    slow_replies = Fault(FaultKind.DELAY, 0.0, slow_s, 1.0, 1.9)
+    nodes = [
+        Node(f"s{i}", ServiceProfile({"report-read": 30.0}), FaultScript((slow_replies,), seed=i))
+        for i in range(3)
+    ]
     async with LabSite(nodes) as site:
         pair = Pair(folder, site)
         for gateway in pair.gateways:
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -24,13 +24,13 @@
 import uvloop
 
 from benchmarks.machine import cpu_s, machine
-from lab.faults import Fault, Kind, Script
+from lab.faults import Fault, FaultKind, FaultScript
 from lab.load import Load
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.peers import Client
 from lab.site import KINDS, SETTINGS, GatewayProcess, LabSite, accounts
 
-TRADE = Trade({"report-read": 5.0, "check-order": 5.0, "check-charge": 5.0}, slots=64)
+TRADE = ServiceProfile({"report-read": 5.0, "check-order": 5.0, "check-charge": 5.0}, slots=64)
 ROUNDS = 4
 RATE = 300.0
 ROOM = {"per_second": 1e4, "most_at_once": 1e5, "ceiling_rate": 0.0}
@@ -101,8 +101,8 @@
 
 async def attempts_at_failing_fleet(operator: str | None, seconds: float) -> tuple[int, int]:
     """Returns the requests, and the attempts at a fleet of which every server resets each request."""
-    faults = [Fault(Kind.RESET, 0.0, 1e9)]
-    nodes = [Node(f"n{i}", TRADE, Script(faults, i)) for i in range(4)]
+    faults = [Fault(FaultKind.RESET, 0.0, 1e9)]
+    nodes = [Node(f"n{i}", TRADE, FaultScript(faults, i)) for i in range(4)]
     async with LabSite(nodes) as site, ready_gateway(site, operator) as gateway:
         load = Load(lambda: gateway.port, KINDS[:1], accounts(), RATE / 2, 5)
         await load.run(seconds)
--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from benchmarks.machine import machine
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.site import GatewayProcess, LabSite
 
 OPERATOR = Path(__file__).resolve().parent.parent / "deploy" / "operator.toml"
@@ -47,7 +47,7 @@
     text = OPERATOR.read_text()
     bare: list[tuple[float, float]] = []
     filed: list[tuple[float, float]] = []
-    async with LabSite([Node("n0", Trade({}))]) as site:
+    async with LabSite([Node("n0", ServiceProfile({}))]) as site:
         await measure_start(site, None)
         for turn in range(rounds):
             for operator in (None, text) if turn % 2 else (text, None):
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -21,8 +21,8 @@
 from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetTerms, walk_ring
 from glenchute.policy.events import Endpoint, EndpointState
 from glenchute.policy.settings import SlowStart
-from lab.coldstart import Herd
-from lab.load import Account, Kind, Load
+from lab.coldstart import GatewayFleet
+from lab.load import Account, Load, RequestKind
 
 Chosen = list[set[str]]
 # Maps the number of gateways, the servers, the size of a subset and the subsets before a change of the list
@@ -152,9 +152,9 @@
     """Starts real processes under an even load; prints connections at the servers and requests served."""
     for operator in (None, "[subset]\nservers = 4\n"):
         with tempfile.TemporaryDirectory() as folder:
-            async with Herd(Path(folder), count, 500.0, 500, operator, servers=servers) as herd:
+            async with GatewayFleet(Path(folder), count, 500.0, 500, operator, servers=servers) as herd:
                 await herd.start(range(count), 120.0)
-                reads = (Kind("report-read", 1.0, 2000),)
+                reads = (RequestKind("report-read", 1.0, 2000),)
                 loads = []
                 for at, one in enumerate(herd.gateways):
                     accounts = [Account(b"%016x" % (1000 * at + n), "korporativni") for n in range(40)]
@@ -166,7 +166,7 @@
                 took = sorted(outcome.took_ms for outcome in outcomes_all if outcome.answer == "served")
                 nodes = herd.site.nodes  # no two gateways share an account
                 gateway_counts = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in nodes]
-                made, most = sum(node.made for node in nodes), max(node.most_links for node in nodes)
+                made, most = sum(node.made for node in nodes), max(node.peak_connections for node in nodes)
                 which = "4 each" if operator else "all"
                 print(f"{count} processes of {rate:.0f} a second, {servers} servers, {which}: {made} "
                       f"connections made, {most} at most at once at a server, "
--- a/glenchute/cli/demo.py
+++ b/glenchute/cli/demo.py
@@ -17,14 +17,14 @@
 
 import uvloop
 
-from lab.faults import Fault, Kind, Script
+from lab.faults import Fault, FaultKind, FaultScript
 from lab.load import Load, percentile
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.site import KINDS, GatewayProcess, LabSite, accounts
 
 NODES = 4
 FOREVER = 1e9
-SERVICE_TIMES = Trade({"report-read": 25.0, "check-order": 45.0, "check-charge": 60.0})
+SERVICE_TIMES = ServiceProfile({"report-read": 25.0, "check-order": 45.0, "check-charge": 60.0})
 ANSWERS = ("served", "refused", "failed", "lost")
 OPERATOR = """\
 [defaults]
@@ -62,9 +62,10 @@
     unanswered, some connections are reset, and the rest is answered with errors."""
     begin, end = seconds / 3.0, 2.0 * seconds / 3.0
     faults = [Fault(kind, begin, end, share) for kind, share in
-              ((Kind.VANISH, 0.3), (Kind.RESET, 0.4), (Kind.FAIL, 1.0))]  # fmt: skip
+              ((FaultKind.VANISH, 0.3), (FaultKind.RESET, 0.4), (FaultKind.FAIL, 1.0))]  # fmt: skip
     return [
-        Node(f"node-{i}", SERVICE_TIMES, Script(faults if i == 1 else (), seed + i)) for i in range(NODES)
+        Node(f"node-{i}", SERVICE_TIMES, FaultScript(faults if i == 1 else (), seed + i))
+        for i in range(NODES)
     ]
 
 
--- a/lab/bursts.py
+++ b/lab/bursts.py
@@ -13,12 +13,12 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 
-from lab.load import read
+from lab.load import classify_reply
 from lab.peers import Client
 
 
 @dataclass
-class Bursts:
+class BurstLoad:
     """Load generator with `rate` reads per second on average, in bursts of 1 to `most`.
 
     `took` is called with the latency in milliseconds of each read that was served.
@@ -102,7 +102,7 @@
 
     def record(self, reply: object, due: float) -> None:
         """Counts a reply, and reports the latency of a served read."""
-        answer = read(reply)[0]
+        answer = classify_reply(reply)[0]
         self.answers[answer] += 1
         if answer == "served":
             self.took(1000.0 * (asyncio.get_running_loop().time() - due))
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -1,7 +1,8 @@
 """Simultaneous starts of hundreds of gateways with a discovery service of limited call rate.
 
-`Crowd` simulates the polling of many gateways against a service in simulated time. `ListService` is the
-service for real gateway processes, and `Herd` runs these. The service records answered and rejected calls.
+`PollSimulation` simulates the polling of many gateways against a service in simulated time. `ListService` is
+the service for real gateway processes, and `GatewayFleet` runs these. The service records answered and
+rejected calls.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from urllib.parse import parse_qs, urlsplit
 
 from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
-from lab.nodes import Node, Trade
-from lab.peers import http
+from lab.nodes import Node, ServiceProfile
+from lab.peers import http_response
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
@@ -51,13 +52,13 @@
     return busiest_second(call.at for call in calls if first <= call.at < last)[0]
 
 
-def turned_away(calls: Iterable[Call], first: float = 0.0) -> float:
+def rejection_rate(calls: Iterable[Call], first: float = 0.0) -> float:
     """Returns the fraction of calls since `first` that were rejected."""
     counts = Counter(call.how for call in calls if call.at >= first)
     return counts["turned away"] / max(1, sum(counts.values()))
 
 
-class Crowd:
+class PollSimulation:
     """Poll schedulers of `count` gateways and one service with a queue, in simulated time.
 
     `rate` is the service's calls per second, `line` the length of its queue; `listed` tells whether a gateway
@@ -152,15 +153,15 @@
         self.now = end
 
 
-def starts(crowd: Crowd) -> None:
+def run_start(crowd: PollSimulation) -> None:
     """Starts all gateways and runs for a minute."""
     crowd.start(range(crowd.count))
     crowd.run(60.0)
 
 
-def outage(crowd: Crowd) -> None:
+def run_outage(crowd: PollSimulation) -> None:
     """Interrupts the service for 30 s; only the calls after the interruption are kept."""
-    starts(crowd)
+    run_start(crowd)
     crowd.down = True
     crowd.lose()
     crowd.run(30.0)
@@ -169,9 +170,9 @@
     crowd.run(60.0)
 
 
-def release(crowd: Crowd) -> None:
+def run_release(crowd: PollSimulation) -> None:
     """Restarts 70 % of the gateways while the list changes."""
-    starts(crowd)
+    run_start(crowd)
     crowd.calls.clear()
     crowd.start(range(0, crowd.count, 10))
     crowd.start(n for n in range(crowd.count) if n % 10 > 3)
@@ -207,7 +208,7 @@
             self.free_at = max(self.free_at, now)
             if (self.free_at - now) * self.rate > self.line:
                 self.calls.append(Call(now - self.began, "turned away", since))
-                writer.write(http(b"", "503 Service Unavailable"))
+                writer.write(http_response(b"", "503 Service Unavailable"))
                 continue
             self.calls.append(Call(now - self.began, "answered", since))
             self.free_at += 1.0 / self.rate
@@ -215,7 +216,7 @@
             if self.mode == "silent":
                 await asyncio.Event().wait()
             is_wrong = not is_wrong
-            writer.write(http(json.dumps(await self.answer(since, query, is_wrong)).encode()))
+            writer.write(http_response(json.dumps(await self.answer(since, query, is_wrong)).encode()))
 
     async def answer(self, since: int | None, query: dict[str, list[str]], is_wrong: bool) -> dict[str, Any]:
         """Returns the body of an answer; an `is_wrong` one is wrong in the modes "half" and "older"."""
@@ -236,7 +237,7 @@
         return {"version": self.version, "full": False, "servers": changes}
 
 
-class Herd:
+class GatewayFleet:
     """Real gateway processes with stand-in servers, a counter and a `ListService`."""
 
     def __init__(
@@ -244,14 +245,14 @@
         operator: str | Callable[[int], str] | None = None,
         settings: dict[str, Any] | None = None, known: bool = True, servers: int = 4,
     ) -> None:  # fmt: skip
-        nodes = [Node(f"s{i}", Trade({"report-read": 4.0}, slots=64)) for i in range(servers)]
+        nodes = [Node(f"s{i}", ServiceProfile({"report-read": 4.0}, slots=64)) for i in range(servers)]
         self.site = LabSite(nodes, CounterService())
         self.folder, self.count, self.rate, self.line = folder, count, rate, line
         self.operator, self.known = operator, known
         self.settings = {**SETTINGS, "balancers": count, **(settings or {})}
         self.gateways: list[GatewayProcess] = []
 
-    async def __aenter__(self) -> Herd:
+    async def __aenter__(self) -> GatewayFleet:
         await self.site.__aenter__()
         self.lists = ListService(self.site.rows(), self.rate, self.line)
         await self.lists.start()
--- a/lab/counter.py
+++ b/lab/counter.py
@@ -2,7 +2,8 @@
 
 `Parts` is the model without I/O. A hash assigns each name to a partition. A partition can be unavailable,
 slow, split into two halves that serve different callers, or replaced by one with another state.
-`PartedCounter` serves `Parts` on a socket. `CounterService` in `services.py` is a counter without partitions.
+`PartitionedCounter` serves `Parts` on a socket. `CounterService` in `services.py` is a counter without
+partitions.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from lab.peers import Peer, commands
+from lab.peers import Peer, read_commands
 
 MAX_LIFE_MS = 60_000.0
 MAX_NAMES = 10_000  # above this number, expired names are deleted
@@ -134,7 +135,7 @@
         self.each(which, lambda part: setattr(part, "deaf", deaf))
 
 
-class PartedCounter(Peer):
+class PartitionedCounter(Peer):
     """Serves `Parts` on a socket. `caller` maps the serial number of a connection to its caller's name."""
 
     def __init__(self, parts: Parts, caller: Callable[[int], str] = str) -> None:
@@ -144,7 +145,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         caller = self.caller(len(self.writers) - 1)
         loop = asyncio.get_running_loop()
-        async for words in commands(reader):
+        async for words in read_commands(reader):
             if words[0].upper() != b"INCRTTL":
                 writer.write(b"+PONG\r\n" if words[0].upper() == b"PING" else b"-ERR no such call\r\n")
                 continue
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """The effect of a fault on a command or connection."""
 
     DELAY = "delay"  # runs; the reply comes `delay_s` later
@@ -26,21 +26,21 @@
 class Fault:
     """A fault of a share of the commands, from `from_s` to `to_s` after the start."""
 
-    kind: Kind
+    kind: FaultKind
     from_s: float
     to_s: float
     share: float = 1.0
     delay_s: float = 0.0
 
 
-class Script:
+class FaultScript:
     """The faults of a stand-in service. The same seed and order of commands give the same faults."""
 
     def __init__(self, faults: Sequence[Fault] = (), seed: int = 0) -> None:
         self.faults = tuple(faults)
         self.rng = random.Random(seed)
 
-    def fault(self, after_s: float, kinds: Sequence[Kind] = tuple(Kind)) -> Fault | None:
+    def fault(self, after_s: float, kinds: Sequence[FaultKind] = tuple(FaultKind)) -> Fault | None:
         """Returns the first matching fault for a command received `after_s` after the start, or None."""
         for fault in self.faults:
             if (
--- a/lab/fleet/acting.py
+++ b/lab/fleet/acting.py
@@ -71,7 +71,7 @@
                 await asyncio.sleep(0.01)
         return self.holder
 
-    async def lame_duck(self, number: int, on: bool) -> None:
+    async def set_draining(self, number: int, on: bool) -> None:
         """Switches a gateway's lame duck state over its operations address."""
         host, _, port = self.site.gateways[number].platform["operator"].rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -16,13 +16,13 @@
 
 from glenchute.control.client import ControlError, call_verb
 from lab.coldstart import ListService
-from lab.counter import PartedCounter, Parts
+from lab.counter import PartitionedCounter, Parts
 from lab.links import DatagramLink, StreamLink
-from lab.load import Account, Kind, Load, Outcome
-from lab.nodes import Node, Trade
+from lab.load import Account, Load, Outcome, RequestKind
+from lab.nodes import Node, ServiceProfile
 from lab.site import SETTINGS, GatewayProcess, LabSite, free_port
 
-READS = (Kind("report-read", 1.0, 2000),)
+READS = (RequestKind("report-read", 1.0, 2000),)
 
 
 class FleetSite:
@@ -44,8 +44,11 @@
         self.calls_per_s = lists
         self.lists: ListService | None = None
         self.parts = Parts(1)
-        self.counter = PartedCounter(self.parts)
-        nodes = [Node(f"s{i}", Trade({"report-read": 4.0, "check-charge": 4.0}, slots=32)) for i in range(3)]
+        self.counter = PartitionedCounter(self.parts)
+        nodes = [
+            Node(f"s{i}", ServiceProfile({"report-read": 4.0, "check-charge": 4.0}, slots=32))
+            for i in range(3)
+        ]
         self.site = LabSite(nodes)
         self.gateways: list[GatewayProcess] = []
         self.links: dict[tuple[int, int], DatagramLink] = {}
@@ -196,7 +199,7 @@
 
     async def load(
         self, seconds: float, rate: float, accounts: Sequence[Account], numbers: Iterable[int] | None = None,
-        kinds: Sequence[Kind] = READS,
+        kinds: Sequence[RequestKind] = READS,
     ) -> list[Outcome]:  # fmt: skip
         """Runs the same load on each of these gateways concurrently; returns the outcomes."""
         loads = []
--- a/lab/http_nodes.py
+++ b/lab/http_nodes.py
@@ -11,8 +11,8 @@
 
 import h11
 
-from lab.faults import Kind, Script
-from lab.nodes import Run, Trade
+from lab.faults import FaultKind, FaultScript
+from lab.nodes import Effect, ServiceProfile
 from lab.peers import Peer
 
 REASONS = {200: b"OK", 429: b"Too Many Requests", 500: b"Internal Server Error"}
@@ -28,7 +28,7 @@
         conn.receive_data(await reader.read(64 * 1024))
 
 
-async def whole(conn: h11.Connection, reader: asyncio.StreamReader) -> tuple[Any, bytes] | None:
+async def read_message(conn: h11.Connection, reader: asyncio.StreamReader) -> tuple[Any, bytes] | None:
     """Reads a request or response with its body; None if the other end sends nothing more."""
     head = await received(conn, reader)
     while isinstance(head, h11.InformationalResponse):
@@ -54,11 +54,11 @@
     `ran` holds each effect; `received` holds each complete request with its time, in order.
     """
 
-    def __init__(self, name: str, trade: Trade, script: Script | None = None) -> None:
+    def __init__(self, name: str, trade: ServiceProfile, script: FaultScript | None = None) -> None:
         super().__init__()
-        self.name, self.trade, self.script = name, trade, script or Script()
+        self.name, self.trade, self.script = name, trade, script or FaultScript()
         self.began = 0.0
-        self.ran: list[Run] = []
+        self.ran: list[Effect] = []
         self.received: list[tuple[float, str]] = []
         self.inflight = 0
         self.free = asyncio.Semaphore(trade.slots)
@@ -70,13 +70,13 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
-        if self.script.fault(loop.time() - self.began, (Kind.DOWN,)) is not None:
+        if self.script.fault(loop.time() - self.began, (FaultKind.DOWN,)) is not None:
             writer.transport.abort()
             return
         conn = h11.Connection(h11.SERVER)
         while True:
             try:
-                found = await whole(conn, reader)
+                found = await read_message(conn, reader)
             except (h11.ProtocolError, ConnectionError):
                 return
             if found is None or not await self.answer(conn, writer, found[0]):
@@ -93,9 +93,9 @@
         self.received.append((loop.time(), request_id))
         fault = self.script.fault(loop.time() - self.began)
         kind = fault.kind if fault is not None else None
-        if kind is Kind.REFUSE or self.inflight >= self.trade.slots + self.trade.queue:
+        if kind is FaultKind.REFUSE or self.inflight >= self.trade.slots + self.trade.queue:
             return await self.reply(conn, writer, 429, b"")
-        if kind is Kind.FAIL:
+        if kind is FaultKind.FAIL:
             return await self.reply(conn, writer, 500, b"")
         self.inflight += 1
         try:
@@ -105,13 +105,13 @@
                 await asyncio.sleep(self.trade.service_ms.get(class_name, 1.0) / 1000.0)
         finally:
             self.inflight -= 1
-        if fault is not None and kind is Kind.DELAY:
+        if fault is not None and kind is FaultKind.DELAY:
             await asyncio.sleep(fault.delay_s)
-        elif kind is Kind.RESET:
+        elif kind is FaultKind.RESET:
             writer.transport.abort()
             return False
-        elif kind in (Kind.VANISH, Kind.STALL):
-            if kind is Kind.STALL:
+        elif kind in (FaultKind.VANISH, FaultKind.STALL):
+            if kind is FaultKind.STALL:
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-le")
             await asyncio.sleep(60.0)  # longer than the other end waits
             return False
@@ -125,7 +125,7 @@
                 return
             self.keys[key] = now
         request_id = headers.get("x-request-id", b"")
-        self.ran.append(Run(now, class_name, headers.get("x-account", b""), request_id, key))
+        self.ran.append(Effect(now, class_name, headers.get("x-account", b""), request_id, key))
 
     async def reply(
         self, conn: h11.Connection, writer: asyncio.StreamWriter, status: int, body: bytes
@@ -140,7 +140,7 @@
         return True
 
 
-def charged_twice(nodes: list[HttpNode], class_name: str = "check-charge") -> list[bytes]:
+def repeated_requests(nodes: list[HttpNode], class_name: str = "check-charge") -> list[bytes]:
     """Returns the requests of a class that ran more than once, as recorded by the servers."""
     ran = [run.request_id for node in nodes for run in node.ran if run.class_name == class_name]
     return sorted({request for request in ran if ran.count(request) > 1})
--- a/lab/load.py
+++ b/lab/load.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A request class: its share of the load, its deadline, and how its requests are sent."""
 
     class_name: str
@@ -42,7 +42,7 @@
 class Outcome:
     """The outcome of a request."""
 
-    kind: Kind
+    kind: RequestKind
     account: Account
     request_id: bytes
     asked: float  # scheduled send time on the event loop's clock
@@ -56,7 +56,7 @@
     """Load generator for one gateway; `rate` is in requests per second."""
 
     port: Callable[[], int]
-    kinds: Sequence[Kind]
+    kinds: Sequence[RequestKind]
     accounts: Sequence[Account]
     rate: float
     seed: int = 1
@@ -126,14 +126,14 @@
                 return "lost", None
             assert client is not None
             self.idle.append(client)
-            return read(reply)
+            return classify_reply(reply)
 
     def of(self, class_name: str) -> list[Outcome]:
         """Returns the outcomes of a class."""
         return [outcome for outcome in self.outcomes if outcome.kind.class_name == class_name]
 
 
-def read(reply: object) -> tuple[str, int | None]:
+def classify_reply(reply: object) -> tuple[str, int | None]:
     """Classifies a reply; also returns the milliseconds to wait before a retry, if given."""
     if isinstance(reply, bytes):
         return "served", None
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -15,7 +15,7 @@
 
 import hiredis
 
-from lab.faults import Kind, Script
+from lab.faults import FaultKind, FaultScript
 from lab.peers import Peer
 
 FIELDS_PATTERN = re.compile(rb"[a-z]+=[^,=]+(,[a-z]+=[^,=]+)*")
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class Effect:
     """An effect of a command; `at` is in seconds since the server started."""
 
     at: float
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trade:
+class ServiceProfile:
     """How a server works: mean service time by class, and its limits on concurrent and queued commands.
 
     Half of the service time is fixed and the other half is exponentially distributed.
@@ -52,14 +52,14 @@
 class Node(Peer):
     """A stand-in server."""
 
-    def __init__(self, name: str, trade: Trade, script: Script | None = None) -> None:
+    def __init__(self, name: str, trade: ServiceProfile, script: FaultScript | None = None) -> None:
         super().__init__()
-        self.name, self.trade, self.script = name, trade, script or Script()
+        self.name, self.trade, self.script = name, trade, script or FaultScript()
         self.began = 0.0
-        self.ran: list[Run] = []
+        self.ran: list[Effect] = []
         self.received = 0  # complete and valid commands
-        self.turned_away = 0
-        self.links = self.most_links = self.made = (
+        self.rejected_count = 0
+        self.links = self.peak_connections = self.made = (
             0  # connections: open now, most open at once, total accepted
         )
         self.segments = 0  # reads from all connections
@@ -78,7 +78,7 @@
         return asyncio.get_running_loop().time() - self.began
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.script.fault(self.age(), (Kind.DOWN,)) is not None:
+        if self.script.fault(self.age(), (FaultKind.DOWN,)) is not None:
             writer.transport.abort()
             return
         replies: asyncio.Queue[asyncio.Task[bytes | None]] = asyncio.Queue(self.trade.streams)
@@ -88,7 +88,7 @@
         parser = hiredis.Reader()
         self.links += 1
         self.made += 1
-        self.most_links = max(self.most_links, self.links)
+        self.peak_connections = max(self.peak_connections, self.links)
         try:
             while data := await reader.read(65536):
                 self.segments += 1
@@ -132,29 +132,29 @@
         if b"c" not in fields or b"d" not in fields:
             return b"-SYNTAX\r\n"
         self.received += 1
-        fault = self.script.fault(self.age(), [kind for kind in Kind if kind is not Kind.DOWN])
+        fault = self.script.fault(self.age(), [kind for kind in FaultKind if kind is not FaultKind.DOWN])
         kind = fault.kind if fault is not None else None
-        if kind is Kind.REFUSE or self.waiting >= self.trade.queue:
-            self.turned_away += 1
+        if kind is FaultKind.REFUSE or self.waiting >= self.trade.queue:
+            self.rejected_count += 1
             return b"-BUSY\r\n"
-        if kind is Kind.FAIL:
+        if kind is FaultKind.FAIL:
             return b"-ERR failed\r\n"
         await self.work(words, fields)
-        if kind is Kind.DELAY and fault is not None:
+        if kind is FaultKind.DELAY and fault is not None:
             await asyncio.sleep(fault.delay_s)
-        if kind is Kind.FREEZE and fault is not None:
+        if kind is FaultKind.FREEZE and fault is not None:
             await asyncio.sleep(max(0.0, fault.to_s - self.age()))
-        if kind is Kind.RESET:
+        if kind is FaultKind.RESET:
             writer.transport.abort()
             return None
-        if kind is Kind.VANISH:
+        if kind is FaultKind.VANISH:
             await asyncio.Event().wait()  # until the server stops
         value = b"report of " + words[2]
         report = b"inflight=%d,queue=%d" % (self.inflight, self.waiting)
         reply = b"*3\r\n$%d\r\n%b\r\n*-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
-        if kind is Kind.GARBLE:
+        if kind is FaultKind.GARBLE:
             return GARBLED_REPLY
-        if kind is Kind.STALL:
+        if kind is FaultKind.STALL:
             writer.write(reply[: len(reply) // 2])
             await asyncio.Event().wait()
         return reply
@@ -172,7 +172,7 @@
             now = self.age()
             key = fields.get(b"k") if class_name in self.trade.keyed else None
             if key is None or now - self.keys.get(key, -1e9) > self.trade.memory_s:
-                self.ran.append(Run(now, class_name, words[1], words[2], key))
+                self.ran.append(Effect(now, class_name, words[1], words[2], key))
                 if key is not None:
                     self.remember(key, now)
             half_s = 0.0005 * self.trade.service_ms.get(class_name, 20.0)
--- a/lab/peers.py
+++ b/lab/peers.py
@@ -16,12 +16,12 @@
 from lab.ports import free_port
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Runs a scenario, with a time limit that keeps a broken test from hanging."""
     uvloop.run(asyncio.wait_for(scenario, 60.0))
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Waits until a condition holds."""
     while not condition():
         await asyncio.sleep(0.002)
@@ -67,7 +67,7 @@
             await asyncio.wait(self.serving, timeout=1.0)
 
 
-async def commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
+async def read_commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
     """Yields the commands that arrive on a connection."""
     parser = hiredis.Reader()
     while data := await reader.read(65536):
@@ -93,7 +93,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         number = len(self.writers)
         try:
-            async for words in commands(reader):
+            async for words in read_commands(reader):
                 self.log.append(("command", number, words))
                 reply = await self.reply(words, writer)
                 if reply is not None:
@@ -106,7 +106,7 @@
         return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
 
 
-def always(reply: bytes | None) -> Reply:
+def reply_with(reply: bytes | None) -> Reply:
     """Returns a reply function that answers every command alike."""
 
     async def answer(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -127,19 +127,19 @@
         while head := await reader.readuntil(b"\r\n\r\n"):
             self.targets.append(head.split(b" ")[1].decode())
             number = len(self.targets) - 1
-            await until(lambda: len(self.answers) > number)  # noqa: B023
+            await wait_until(lambda: len(self.answers) > number)  # noqa: B023
             writer.write(self.answers[number])
 
 
-def http(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
 
 
-def listing(version: int, rows: list[dict[str, Any]], full: bool = True) -> bytes:
-    return http(json.dumps({"version": version, "full": full, "servers": rows}).encode())
+def discovery_answer(version: int, rows: list[dict[str, Any]], full: bool = True) -> bytes:
+    return http_response(json.dumps({"version": version, "full": full, "servers": rows}).encode())
 
 
-def row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
+def server_row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
     return {"id": server, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m", "cell": 0, "state": state,
             "weight": 1.0, "started_ms": started_ms}  # fmt: skip
 
@@ -179,7 +179,7 @@
             return True
 
 
-def numbered() -> Iterator[bytes]:
+def generate_request_ids() -> Iterator[bytes]:
     """Yields unique request ids."""
     serial = 0
     while True:
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -3,8 +3,8 @@
 It follows the published API of envoy.service.ext_proc.v3 and the documentation of its filter. Its gRPC client
 (grpclib) shares no code with the processor's server. grpcio's client can replace it, since h2, which grpclib
 uses, cannot continue open streams after a GOAWAY. The proxy retries only if the processor asks for it or,
-after a broken attempt, if `x-envoy-retry-on` contains "reset". `Habits` makes it misbehave. As a process it
-can kill itself at any point of the exchange:
+after a broken attempt, if `x-envoy-retry-on` contains "reset". `ProxySettings` makes it misbehave. As a
+process it can kill itself at any point of the exchange:
 
     python -m lab.proxy --processor 127.0.0.1:9300 --die attempt-allowed:3
 """
@@ -30,7 +30,7 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2 as pb
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
-from lab.http_nodes import whole
+from lab.http_nodes import read_message
 from lab.peers import Peer
 
 METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Habits:
+class ProxySettings:
     """Settings of a proxy, most of which make it misbehave.
 
     `n` in the comments is the value of the field; 0 disables the misbehavior.
@@ -187,11 +187,15 @@
     """The proxy. `log` has a row for each request, in order of arrival."""
 
     def __init__(
-        self, processor: str, habits: Habits | None = None, nodes: list[str] | None = None, core: bool = False
+        self,
+        processor: str,
+        habits: ProxySettings | None = None,
+        nodes: list[str] | None = None,
+        core: bool = False,
     ) -> None:
         """Connects to `processor`, a host:port or unix:/path, with grpcio's client if `core`."""
         super().__init__()
-        self.habits = habits or Habits()
+        self.habits = habits or ProxySettings()
         self.nodes = nodes or []  # servers that it may choose by itself
         self.log: list[Row] = []
         self.passed: dict[str, int] = {}
@@ -227,7 +231,7 @@
         conn = h11.Connection(h11.SERVER)
         while True:
             try:
-                found = await whole(conn, reader)
+                found = await read_message(conn, reader)
                 if found is None:
                     return
                 head, body = found
@@ -387,7 +391,7 @@
                 row.nodes.append(node)
                 writer.write(b"".join(part for part in parts if part))
                 self.point("bytes-left", row.request)
-                found = await whole(conn, reader)
+                found = await read_message(conn, reader)
             self.point("answered", row.request)
             if found is None:
                 return 503, [], b"", "upstream_reset_before_response_started{connection_termination}", False
@@ -404,7 +408,7 @@
                 writer.transport.abort()
 
 
-async def serve_until_stdin_ends(processor: str, habits: Habits) -> None:
+async def serve_until_stdin_ends(processor: str, habits: ProxySettings) -> None:
     """Serves until stdin ends, so that the proxy does not outlive its parent process."""
     proxy = Proxy(processor, habits)
     await proxy.start()
@@ -421,7 +425,7 @@
     point, _, number = args.die.partition(":")
     if point and point not in POINTS:
         parser.error(f"no such point: {point}")
-    habits = Habits(dies=(point, int(number or 1)) if point else None)
+    habits = ProxySettings(dies=(point, int(number or 1)) if point else None)
     asyncio.run(serve_until_stdin_ends(args.processor, habits))
 
 
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -31,7 +31,7 @@
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import EndpointList, EndpointListKind, Event, Outcome
 from glenchute.upstreams.server_pools import ServerPools
-from lab.load import Account, Kind
+from lab.load import Account, RequestKind
 from lab.scale.site import Arrival, Draw, Site, arrivals, sets
 from lab.scale.stand_ins import Timeline
 
@@ -302,7 +302,7 @@
         """Yields the requests to a gateway, with its number."""
         return ((number, arrival) for arrival in arrivals(self.site, self.draw, number, rate))
 
-    def ask(self, number: int, kind: Kind, account: Account) -> None:
+    def ask(self, number: int, kind: RequestKind, account: Account) -> None:
         """Sends one request to a gateway."""
         gateway = self.gateways.get(number)
         if gateway is None:
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -10,7 +10,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any, NamedTuple
 
-from lab.load import Account, Kind
+from lab.load import Account, RequestKind
 from lab.site import KINDS, SETTINGS
 
 PLAN_RATES = (2.0, 8.0, 32.0, 128.0, 512.0, 2048.0, 8192.0, 32768.0)  # units a second
@@ -182,7 +182,7 @@
     """Request: seconds after the start of the load, request class, tenant."""
 
     at: float
-    kind: Kind
+    kind: RequestKind
     account: Account
 
 
--- a/lab/scale/stand_ins.py
+++ b/lab/scale/stand_ins.py
@@ -18,7 +18,7 @@
 
 import hiredis
 
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.scale.site import Site, Trouble
 from lab.site import KINDS
 
@@ -330,7 +330,7 @@
 
     def __init__(self, site: Site, zone: int, rack: int) -> None:
         means = {kind.class_name: site.service_ms for kind in KINDS}
-        super().__init__(f"r{zone}.{rack}", Trade(means, slots=4096, queue=4096))
+        super().__init__(f"r{zone}.{rack}", ServiceProfile(means, slots=4096, queue=4096))
         self.site, self.zone, self.rack, self.timeline = site, zone, rack, Timeline(site)
         self.counts = TrafficCounts()
         self.took_ms: dict[str, float] = {}  # duration of the last attempt here, by request id
--- a/lab/services.py
+++ b/lab/services.py
@@ -10,8 +10,8 @@
 from urllib.parse import parse_qs, urlsplit
 
 from lab.counter import Memory
-from lab.faults import Kind, Script
-from lab.peers import Peer, commands, http
+from lab.faults import FaultKind, FaultScript
+from lab.peers import Peer, http_response, read_commands
 
 AMOUNT_PATTERN = re.compile(rb"-?[0-9]{1,10}(\.[0-9]+)?")
 
@@ -24,9 +24,9 @@
     simulates a replacement that starts at zero.
     """
 
-    def __init__(self, script: Script | None = None) -> None:
+    def __init__(self, script: FaultScript | None = None) -> None:
         super().__init__()
-        self.script = script or Script()
+        self.script = script or FaultScript()
         self.memory = Memory()
         self.began = 0.0
         self.calls = 0
@@ -41,7 +41,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
-        async for words in commands(reader):
+        async for words in read_commands(reader):
             if words[0].upper() == b"PING":
                 writer.write(b"+PONG\r\n")
                 continue
@@ -57,17 +57,17 @@
             self.calls += 1
             fault = self.script.fault(loop.time() - self.began)
             kind = fault.kind if fault is not None else None
-            if kind is Kind.REFUSE:
+            if kind is FaultKind.REFUSE:
                 writer.write(b"-BUSY\r\n")
                 continue
             name = words[1].decode("latin-1")
             total = self.memory.add(1000.0 * loop.time(), name, float(words[2]), int(words[3]))
-            if kind is Kind.VANISH:
+            if kind is FaultKind.VANISH:
                 await asyncio.Event().wait()
-            if kind is Kind.DELAY and fault is not None:
+            if kind is FaultKind.DELAY and fault is not None:
                 await asyncio.sleep(fault.delay_s)
             text = b"%.3f" % total
-            writer.write(b"+what\r\n" if kind is Kind.GARBLE else b"$%d\r\n%b\r\n" % (len(text), text))
+            writer.write(b"+what\r\n" if kind is FaultKind.GARBLE else b"$%d\r\n%b\r\n" % (len(text), text))
 
 
 class DiscoveryService(Peer):
@@ -112,7 +112,7 @@
                         await asyncio.wait_for(self.changed.wait(), wait_s)
                 rows, full = [row for version, row in self.log if version > since], False
             body = {"version": self.version, "full": full, "servers": rows}
-            writer.write(http(json.dumps(body).encode()))
+            writer.write(http_response(json.dumps(body).encode()))
             self.told.setdefault(self.version, asyncio.get_running_loop().time())
 
     def kept(self, since: int) -> bool:
--- a/lab/site.py
+++ b/lab/site.py
@@ -14,16 +14,16 @@
 from pathlib import Path
 from typing import Any
 
-from lab.load import Account, Kind
+from lab.load import Account, RequestKind
 from lab.nodes import Node
-from lab.peers import Client, row
+from lab.peers import Client, server_row
 from lab.ports import free_port as free_port  # also imported from this module
 from lab.services import CounterService, DiscoveryService
 
 KINDS = (
-    Kind("report-read", 0.6, 2000),
-    Kind("check-order", 0.25, 3000, post=True, keyed=True),
-    Kind("check-charge", 0.15, 3000, post=True),
+    RequestKind("report-read", 0.6, 2000),
+    RequestKind("check-order", 0.25, 3000, post=True, keyed=True),
+    RequestKind("check-charge", 0.15, 3000, post=True),
 )
 SETTINGS: dict[str, Any] = {
     "my_zone": "a", "balancers": 1, "me": 0,
@@ -48,7 +48,7 @@
 }  # fmt: skip
 
 
-def patient(times: float = 10.0) -> dict[str, Any]:
+def with_longer_deadlines(times: float = 10.0) -> dict[str, Any]:
     """Returns profiles with time limits multiplied by `times`, so that a busy machine causes no timeouts."""
     limits = ("aim_ms", "hard_limit_ms")
     return {
@@ -157,7 +157,7 @@
 
     def rows(self) -> list[dict[str, Any]]:
         """Returns discovery's rows of the servers."""
-        return [row(node.name, node.port) for node in self.nodes]
+        return [server_row(node.name, node.port) for node in self.nodes]
 
     def platform(self, settings: dict[str, Any] | None = None) -> dict[str, Any]:
         """Returns the platform's file for one gateway of this site."""
--- a/lab/soak/clients.py
+++ b/lab/soak/clients.py
@@ -15,7 +15,7 @@
 import hiredis
 
 from glenchute.protocol import resp2
-from lab.load import read
+from lab.load import classify_reply
 from lab.soak.books import AskedRequest, Books
 from lab.soak.schedule import Schedule
 
@@ -74,7 +74,7 @@
         request = self.pending.popleft()
         request.due_from = self.last_answer_at
         request.answered_at = self.last_answer_at = now
-        request.answer = ANSWERS[read(reply)[0]]
+        request.answer = ANSWERS[classify_reply(reply)[0]]
         request.answer_count += 1
         self.answered_count += 1
 
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from lab.faults import Script
-from lab.nodes import Node, Trade
-from lab.peers import row
+from lab.faults import FaultScript
+from lab.nodes import Node, ServiceProfile
+from lab.peers import server_row
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
 from lab.soak.books import ArrivedAttempt, Books
@@ -67,13 +67,17 @@
         """Starts the stand-in services, plays the schedule and returns the observations."""
         schedule, nodes = self.schedule, list[RecordingNode]()
         keys, order = dict[bytes, float](), deque[bytes]()
-        trade = Trade({name: schedule.service_ms for name in ("report-read", "check-order", "check-charge")})
+        trade = ServiceProfile(
+            {name: schedule.service_ms for name in ("report-read", "check-order", "check-charge")}
+        )
         for number in range(SERVERS):
-            node = RecordingNode(f"n{number}", trade, Script(schedule.server_faults[number], schedule.seed))
+            node = RecordingNode(
+                f"n{number}", trade, FaultScript(schedule.server_faults[number], schedule.seed)
+            )
             node.books = self.books
             node.keys, node.order = keys, order  # servers of one group share their idempotency keys
             nodes.append(node)
-        counter = CounterService(Script(schedule.counter_faults, schedule.seed))
+        counter = CounterService(FaultScript(schedule.counter_faults, schedule.seed))
         lag_task = asyncio.create_task(self.watch_lag())
         try:
             async with LabSite(nodes, counter) as site:
@@ -155,7 +159,7 @@
         for discovery in (site.discovery, self.extra_discovery):
             if discovery is None:
                 continue
-            version = discovery.update_rows([row(node.name, node.port, state) for state in states])
+            version = discovery.update_rows([server_row(node.name, node.port, state) for state in states])
             while version not in discovery.told:
                 await asyncio.sleep(0.001)
             self.books.drained_at.setdefault(node.name, discovery.told[version])
--- a/lab/soak/schedule.py
+++ b/lab/soak/schedule.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from lab.faults import Fault, Kind
+from lab.faults import Fault, FaultKind
 
 LONGEST_DEADLINES_MS = (150, 300, 900, 3000)  # a run uses one of these as its longest deadline
 KILL_DELAY_S = 0.7  # from the longest deadline to the platform's earliest SIGKILL
@@ -85,8 +85,16 @@
         )
 
 
-SERVER_FAULT_KINDS = (Kind.VANISH, Kind.RESET, Kind.DELAY, Kind.FAIL, Kind.REFUSE, Kind.STALL, Kind.DOWN)
-COUNTER_FAULT_KINDS = (Kind.VANISH, Kind.DELAY, Kind.REFUSE)
+SERVER_FAULT_KINDS = (
+    FaultKind.VANISH,
+    FaultKind.RESET,
+    FaultKind.DELAY,
+    FaultKind.FAIL,
+    FaultKind.REFUSE,
+    FaultKind.STALL,
+    FaultKind.DOWN,
+)
+COUNTER_FAULT_KINDS = (FaultKind.VANISH, FaultKind.DELAY, FaultKind.REFUSE)
 
 
 def draw_server_faults(rng: random.Random, end_s: float) -> tuple[tuple[Fault, ...], ...]:
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -52,8 +52,8 @@
 )
 from glenchute.policy.settings import Settings
 from lab.load import Account, Load
-from lab.nodes import Node, Trade
-from lab.peers import play, until
+from lab.nodes import Node, ServiceProfile
+from lab.peers import run_scenario, wait_until
 from lab.site import KINDS, GatewayProcess, LabSite
 from tests.fleet import Fleet
 from tests.fleet import settings as fleet_settings
@@ -426,7 +426,7 @@
         folder = tmp_path / "captures"
         folder.mkdir()
         operator = f'[capture]\nfolder = "{folder}"\nmode = "disk"\nsegment_s = 0.5\n'
-        nodes = [Node(f"n{i}", Trade({"report-read": 5.0, "check-order": 5.0})) for i in range(2)]
+        nodes = [Node(f"n{i}", ServiceProfile({"report-read": 5.0, "check-order": 5.0})) for i in range(2)]
         async with LabSite(nodes) as site:
             gateway = GatewayProcess(tmp_path, site.platform(), operator)
             gateway.start()
@@ -440,8 +440,8 @@
             gateway.process.wait()
             task.cancel()
             await asyncio.wait([task])
-            await until(lambda: any(folder.iterdir()))
+            await wait_until(lambda: any(folder.iterdir()))
         report = replay(only_run(folder))
         assert report.records > 100 and not report.differences
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/cli/test_process.py
+++ b/tests/cli/test_process.py
@@ -20,12 +20,12 @@
     Client,
     DiscoveryPeer,
     RespPeer,
-    always,
-    listing,
-    play,
+    discovery_answer,
     raw_config,
-    row,
-    until,
+    reply_with,
+    run_scenario,
+    server_row,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -54,7 +54,7 @@
         assert process.returncode == 2
         assert err.startswith(b"glenchute: ") and err.count(b"\n") == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_sigterm_finishes_open_requests_and_exits_cleanly(tmp_path: Path) -> None:
@@ -65,11 +65,11 @@
             await release.wait()
             return SERVED
 
-        server, counter_peer, discovery = RespPeer(reply), RespPeer(always(b"+PONG\r\n")), DiscoveryPeer()
+        server, counter_peer, discovery = RespPeer(reply), RespPeer(reply_with(b"+PONG\r\n")), DiscoveryPeer()
         for peer in (server, counter_peer, discovery):
             await peer.start()
-        rows = [row("s0", server.port)]
-        discovery.answers.append(listing(1, rows))
+        rows = [server_row("s0", server.port)]
+        discovery.answers.append(discovery_answer(1, rows))
         port_holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         listen = int(port_holder.sockets[0].getsockname()[1])
         port_holder.close()
@@ -81,11 +81,11 @@
         idle = await Client.connect(listen)
         assert await idle.ask(b"PING") == b"PONG"
         open_client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-        await until(lambda: len(server.calls()) == 1)
+        await wait_until(lambda: len(server.calls()) == 1)
         process.send_signal(signal.SIGTERM)
         late_client = await Client.connect(listen)
         late_client.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
-        await until(lambda: len(server.calls()) == 2)
+        await wait_until(lambda: len(server.calls()) == 2)
         assert await idle.ended()  # idle, so it is closed once no new connections arrive
         release.set()
         assert [await open_client.reply(), await late_client.reply()] == [b"value", b"value"]
@@ -94,21 +94,23 @@
         for peer in (server, counter_peer, discovery):
             await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_sighup_applies_the_addresses_of_the_file(tmp_path: Path) -> None:
     """Several changes in a row are applied; an unreadable file changes nothing."""
 
     async def scenario() -> None:
-        server = RespPeer(always(SERVED))
+        server = RespPeer(reply_with(SERVED))
         await server.start()
-        rows = [row("s0", server.port)]
+        rows = [server_row("s0", server.port)]
 
         async def reply_two(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if command[0] == b"PING" else b"$1\r\n2\r\n"
 
-        addresses = [(DiscoveryPeer(listing(version, rows)), RespPeer(reply_two)) for version in (9, 5, 3)]
+        addresses = [
+            (DiscoveryPeer(discovery_answer(version, rows)), RespPeer(reply_two)) for version in (9, 5, 3)
+        ]
         for discovery, counter_peer in addresses:
             await discovery.start()
             await counter_peer.start()
@@ -138,7 +140,7 @@
             while b"read again" not in await process.stderr.readline():
                 pass
         discovery, counter_peer = addresses[2]
-        await until(
+        await wait_until(
             lambda: len(discovery.targets) > 1 and len(counter_peer.writers) == counter.DEFAULT_CONNECTIONS
         )
         assert discovery.targets[0] == "/v1/servers" and "since=3&" in discovery.targets[1]
@@ -151,7 +153,7 @@
         for peer in (server, *(peer for index in addresses for peer in index)):
             await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def connect_when_ready(port: int) -> Client:
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -29,10 +29,10 @@
 from glenchute.cli.program import GatewayProgram
 from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import ReadResult
-from lab.faults import Fault, Kind, Script
-from lab.nodes import Node, Trade
+from lab.faults import Fault, FaultKind, FaultScript
+from lab.nodes import Node, ServiceProfile
 from lab.site import GatewayProcess, LabSite
-from tests.loopback import CUSTOMER, GET, SERVED, Site, always, play, site, until
+from tests.loopback import CUSTOMER, GET, SERVED, Site, reply_with, run_scenario, site, wait_until
 
 ROOT = Path(__file__).resolve().parents[2]
 REJECTED = "the operator's file in force stays"
@@ -81,7 +81,7 @@
     file = tmp_path / "operator.toml"
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
             program = gateway_site.program
             blocked = BlockedRead(monkeypatch)
 
@@ -90,7 +90,7 @@
                 program.reread_operator_file(str(file), program.config)
 
             reread(reads("second"))
-            await until(lambda: blocked.started == 1)
+            await wait_until(lambda: blocked.started == 1)
             assert sys.getswitchinterval() == pytest.approx(SWITCH_INTERVAL_S) and not gc.isenabled()
             reread(reads("third"))
             reread(reads("fourth"))
@@ -98,14 +98,14 @@
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert bound_route(gateway_site) == "first" and blocked.started == 1
             blocked.released.set()
-            await until(lambda: bound_route(gateway_site) == "fourth")
+            await wait_until(lambda: bound_route(gateway_site) == "fourth")
             # The third file was superseded, and none is read twice.
             assert blocked.started == 2 and blocked.was_released
             reload = reload_of(program).background
-            await until(lambda: reload is not None and not reload.is_busy)
+            await wait_until(lambda: reload is not None and not reload.is_busy)
             assert sys.getswitchinterval() > SWITCH_INTERVAL_S and gc.isenabled()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_invalid_file_changes_nothing_and_all_errors_are_logged(
@@ -116,7 +116,7 @@
     caplog.set_level(logging.INFO, "glenchute")
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
             program = gateway_site.program
 
             def reported() -> list[str]:
@@ -126,7 +126,7 @@
                 before = len(reported())
                 file.write_text(text)
                 program.reread_operator_file(str(file), program.config)
-                await until(lambda: len(reported()) > before)
+                await wait_until(lambda: len(reported()) > before)
                 assert (
                     bound_route(gateway_site) == "first"
                     and sys.getswitchinterval() > SWITCH_INTERVAL_S
@@ -154,9 +154,9 @@
                 patch.setattr(threading.Thread, "start", none)
                 assert "can't start new thread" in await rejected(reads("second"))
             program.reread_operator_file(str(file), program.config)
-            await until(lambda: bound_route(gateway_site) == "second")
+            await wait_until(lambda: bound_route(gateway_site) == "second")
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_warnings_are_logged_some_lines_per_turn(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
@@ -166,10 +166,10 @@
     file.write_text(reads("r0", attempts=1) + "backoff = { first_ms = 5 }\n")
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
             program = gateway_site.program
             program.reread_operator_file(str(file), program.config)
-            await until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
+            await wait_until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
             (line,) = [r.getMessage() for r in caplog.records if "warning" in r.getMessage()]
             assert "backoff-unused: route[0].backoff" in line
             caplog.clear()
@@ -177,10 +177,10 @@
             found = found._replace(warnings=[f"w{n}" for n in range(count)])
             reload_of(program).apply(found)
             assert len(caplog.records) == WARNINGS_PER_TURN and bound_route(gateway_site) == "r0"
-            await until(lambda: len(caplog.records) > count)
+            await wait_until(lambda: len(caplog.records) > count)
             assert [r.getMessage() for r in caplog.records] == [*found.warnings, READ_AGAIN]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_loop_runs_while_thousands_of_routes_are_read(tmp_path: Path) -> None:
@@ -190,7 +190,7 @@
     file.write_text("".join(reads(f"r{n}") for n in range(2_700)))
 
     async def scenario() -> None:
-        async with site(always(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
             program, turns = gateway_site.program, 0
             program.reread_operator_file(str(file), program.config)
             while (background := reload_of(program).background) is not None and background.is_busy:
@@ -198,7 +198,7 @@
                 await asyncio.sleep(0)
             assert turns > 20 and bound_route(gateway_site) == "first"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_no_result_is_reported_to_a_closed_loop() -> None:
@@ -249,7 +249,9 @@
 def test_a_stop_while_a_file_is_read_exits_cleanly(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     (tmp_path / "sitecustomize.py").write_text(BLOCK_SECOND_READ)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
-    quiet = [Node("n0", Trade({"report-read": 1.0}), Script([Fault(Kind.VANISH, 0.0, 1e9)]))]
+    quiet = [
+        Node("n0", ServiceProfile({"report-read": 1.0}), FaultScript([Fault(FaultKind.VANISH, 0.0, 1e9)]))
+    ]
 
     async def scenario() -> None:
         async with LabSite(quiet) as lab:
@@ -258,7 +260,7 @@
             try:
                 await gateway.ready()
                 gateway.signal(signal.SIGHUP)
-                await until(lambda: "does not end" in gateway.log.read_text())
+                await wait_until(lambda: "does not end" in gateway.log.read_text())
                 gateway.signal(signal.SIGHUP)
                 await gateway.ready()  # the gateway still responds
             finally:
@@ -266,4 +268,4 @@
             log = gateway.log.read_text()
             assert "has ended" in log and "Traceback" not in log and "Fatal" not in log
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/manual_discovery.py
+++ b/tests/clients/manual_discovery.py
@@ -7,9 +7,9 @@
 import struct
 
 from glenchute.policy.events import EndpointList
-from lab.peers import Peer, until
+from lab.peers import Peer, wait_until
 
-from ..loopback import Script
+from ..loopback import ScriptedEngine
 
 
 class ManualDiscovery(Peer):
@@ -25,7 +25,7 @@
 
     async def poll(self, index: int) -> asyncio.StreamWriter:
         """Waits for a poll and returns the writer of its connection."""
-        await until(lambda: len(self.polls) > index)
+        await wait_until(lambda: len(self.polls) > index)
         return self.polls[index][1]
 
     async def answer(self, index: int, data: bytes) -> None:
@@ -42,7 +42,7 @@
         return sum(not writer.transport.is_closing() for writer in self.writers)
 
 
-def endpoint_states(script: Script) -> dict[str, str]:
+def endpoint_states(script: ScriptedEngine) -> dict[str, str]:
     """Returns the last state of each endpoint that the decision engine received, by address."""
     return {
         endpoint.address: endpoint.state.value
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -23,7 +23,7 @@
 from lab.fleet import checks
 from lab.fleet.processes import FleetSite
 from lab.load import Account
-from lab.peers import play
+from lab.peers import run_scenario
 from lab.sim.members import gone_run
 
 NAMES = [f"s{n}" for n in range(6)]
@@ -272,7 +272,7 @@
             assert checks.lost(outcomes) == 0
             assert "word.denied" in site.gateways[0].log.read_text()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_server_unreachable_to_one_is_avoided_by_all_and_used_again(tmp_path: Path) -> None:
@@ -308,7 +308,7 @@
             await site.until(is_used, 30.0)
             assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -28,14 +28,14 @@
 from glenchute.protocol.member_datagrams import encode
 from lab.fleet import checks
 from lab.fleet.processes import FleetSite
-from lab.load import Account, Kind
-from lab.peers import play
+from lab.load import Account, RequestKind
+from lab.peers import run_scenario
 from lab.site import GatewayProcess
 
 ACCOUNT = Account(b"%016x" % 77, "standard", 1.0, ",spread=5,first=0")  # RATE and BURST are its plan's
 RATE, BURST = 4.0, 12.0
 OTHER_ACCOUNTS = [Account(b"%016x" % (500 + i), "korporativni", 1.0, ",spread=5,first=0") for i in range(30)]
-CHARGE_KINDS = (Kind("report-read", 0.5, 2000), Kind("check-charge", 0.5, 3000, post=True))
+CHARGE_KINDS = (RequestKind("report-read", 0.5, 2000), RequestKind("check-charge", 0.5, 3000, post=True))
 GATEWAYS = range(5)
 
 
@@ -83,7 +83,7 @@
             partitioned_overshoot,
         )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_partitioned_fleet_keeps_to_its_shares_and_converges_after_the_heal(tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
             )
             assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_cut_link_between_two_members_lowers_their_known_share_alone(tmp_path: Path) -> None:
@@ -144,7 +144,7 @@
         shares = [float((await site.asked(number, "state"))[0]["share"]) for number in (0, 1)]
         return max(shares) < 1.0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_stops_kills_departures_and_invalid_datagrams_among_five(tmp_path: Path) -> None:
@@ -181,7 +181,7 @@
     async def has_ended(process: subprocess.Popen[bytes]) -> bool:
         return process.poll() is not None
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_rolling_restart_while_links_lose_a_fifth(tmp_path: Path) -> None:
@@ -213,7 +213,7 @@
                     way.lose, way.repeat, way.jitter_s = 0.0, 0.0, 0.0
             await site.until(lambda: site.whole(GATEWAYS, 1.0))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("imports_node", [False, True])
@@ -275,7 +275,7 @@
         rows = [row for row in await site.asked(1, "members") if row["name"] == "g0"]
         return bool(rows) and rows[0]["boot"] != boot and rows[0]["state"] == "alive"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_successive_faults_among_six(tmp_path: Path) -> None:
@@ -320,7 +320,7 @@
             assert (await site.asked(0, "state"))[0]["use"] > 0  # received from the member that kept running
             assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_slow_misreporting_stopped_and_dying_peers_break_no_rule(tmp_path: Path) -> None:
@@ -393,7 +393,7 @@
     async def has_state(site: FleetSite, observer: int, name: str, state: str) -> bool:
         return (await site.states(observer)).get(name) == state
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_what_is_logged_is_in_the_catalogue_and_on_the_operators_page(
--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -20,7 +20,7 @@
 from lab.fleet.effects import EffectService
 from lab.fleet.holders import longest_gap, overlaps
 from lab.fleet.processes import FleetSite
-from lab.peers import play, row
+from lab.peers import run_scenario, server_row
 from lab.site import GatewayProcess, free_port
 
 
@@ -59,11 +59,11 @@
             await one.acts(5)
             # A draining holder releases the lease, and competes again after the drain.
             draining = one.holder
-            await one.lame_duck(draining, True)
+            await one.set_draining(draining, True)
             await one.another(draining)
             await one.acts(5)
             assert draining not in {int(act.by[1:].partition("#")[0]) for act in service.acts[-4:]}
-            await one.lame_duck(draining, False)
+            await one.set_draining(draining, False)
             # A holder that is told to end releases the lease.
             ended = one.holder
             site.send_signal(ended, signal.SIGTERM)
@@ -73,7 +73,7 @@
             assert first in EVERY and next_holder != stopped
             assert longest_gap(service.acts, "close", began, asyncio.get_running_loop().time()) < NOBODY_S
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_nobody_acts_until_a_majority_of_voters_is_back(tmp_path: Path) -> None:
@@ -95,7 +95,7 @@
             await one.acts()
             assert overlaps(service.acts) == [] and service.refused == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_task_that_fails_at_each_holder_is_parked_and_other_tasks_go_on(tmp_path: Path) -> None:
@@ -122,7 +122,7 @@
                     await asyncio.sleep(0.02)
             assert overlaps(service.acts) == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_holder_of_a_lease_polls_discovery_for_all(tmp_path: Path) -> None:
@@ -157,7 +157,7 @@
             poller = (await pollers())[0]
             rest = [n for n in EVERY if n != poller]
             site.send_signal(poller, signal.SIGKILL)
-            lists.update(row("s1", site.site.nodes[1].port, "Terminating"))
+            lists.update(server_row("s1", site.site.nodes[1].port, "Terminating"))
             await site.until(have_newest, 10.0)
 
             async def is_replaced() -> bool:
@@ -165,7 +165,7 @@
 
             await site.until(is_replaced)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_holder_that_is_replaced_hands_over(tmp_path: Path) -> None:
@@ -215,12 +215,12 @@
         """Drains all other gateways until this one acts."""
         for other in EVERY:
             if other != number:
-                await one.lame_duck(other, True)
+                await one.set_draining(other, True)
         async with asyncio.timeout(NOBODY_S + 10.0):
             while not one.service.acts or one.holder != number:
                 await asyncio.sleep(0.02)
         for other in EVERY:
             if other != number:
-                await one.lame_duck(other, False)
+                await one.set_draining(other, False)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/test_counter.py
+++ b/tests/clients/test_counter.py
@@ -12,9 +12,9 @@
 from glenchute.policy.events import Outcome
 from tests.loopback import (
     RespPeer,
-    always,
-    play,
-    until,
+    reply_with,
+    run_scenario,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -44,20 +44,20 @@
 
         call(2)
         assert results == [(2, 0.0, Outcome.UNREACHABLE)]  # nothing was sent, as no connection was open
-        await until(lambda: all(connection.is_ready() for connection in client.connections))
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
         call(2)
-        await until(lambda: len(results) == 2)
+        await wait_until(lambda: len(results) == 2)
         client.timeout_s = 30.0
         call(4)
         call(6)
         release.set()
-        await until(lambda: len(results) == 4)
+        await wait_until(lambda: len(results) == 4)
         assert results[1:] == [(2, 0.0, Outcome.TIMEOUT), (4, 4.0, Outcome.OK), (6, 0.0, Outcome.REJECTED)]
         assert peer.calls()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
         client.close()
         await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_call_on_a_lost_connection_times_out_and_the_next_uses_a_new_one() -> None:
@@ -79,16 +79,16 @@
         client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
         results: list[tuple[float, Outcome]] = []
         for _ in range(2):
-            await until(lambda: all(connection.is_ready() for connection in client.connections))
+            await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
             client.increment(2, 1.0, 1.0, lambda total, outcome, latency_ms: results.append((total, outcome)))
             count = len(results)
-            await until(lambda: len(results) > count)  # noqa: B023
+            await wait_until(lambda: len(results) > count)  # noqa: B023
         assert results == [(0.0, Outcome.TIMEOUT), (3.0, Outcome.OK)]
         assert len(peer.calls()) == 2  # the first call was not repeated
         client.close()
         await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 INVALID_REPLIES = [
@@ -119,16 +119,16 @@
         client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
         results: list[tuple[float, Outcome]] = []
         for _ in range(2):
-            await until(lambda: all(connection.is_ready() for connection in client.connections))
+            await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
             client.increment(5, 1.0, 1.0, lambda total, outcome, latency_ms: results.append((total, outcome)))
             count = len(results)
-            await until(lambda: len(results) > count)  # noqa: B023
+            await wait_until(lambda: len(results) > count)  # noqa: B023
         assert results == [(0.0, Outcome.TIMEOUT), (4.5, Outcome.OK)]
         assert len(peer.writers) == counter.DEFAULT_CONNECTIONS + 1
         client.close()
         await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_slow_key_delays_only_the_calls_on_its_connection() -> None:
@@ -145,7 +145,7 @@
         peer = RespPeer(reply)
         await peer.start()
         client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        await until(lambda: all(connection.is_ready() for connection in client.connections))
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
         results: list[int] = []
 
         def call(key: int) -> None:
@@ -153,27 +153,27 @@
 
         for key in (0, 2, 4, 6, 8):
             call(key)
-        await until(lambda: sorted(results) == [2, 4, 6, 8])
+        await wait_until(lambda: sorted(results) == [2, 4, 6, 8])
         release.set()
-        await until(lambda: len(results) == 5)
+        await wait_until(lambda: len(results) == 5)
         client.close()
         await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_silent_connection_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        peer = RespPeer(always(None))
+        peer = RespPeer(reply_with(None))
         await peer.start()
         client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
-        await until(lambda: len(peer.writers) > 2 * counter.DEFAULT_CONNECTIONS)
+        await wait_until(lambda: len(peer.writers) > 2 * counter.DEFAULT_CONNECTIONS)
         client.close()
         await peer.stop()
 
     monkeypatch.setattr(counter, "REPLY_TIMEOUT_S", 0.0)
     monkeypatch.setattr(counter, "PING_INTERVAL_S", 0.01)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_calls_in_flight_end_on_the_connections_to_the_former_address() -> None:
@@ -199,19 +199,19 @@
                 key, 1.0, 1.0, lambda total, outcome, latency_ms: results.append((key, total, outcome))
             )
 
-        await until(lambda: all(connection.is_ready() for connection in client.connections))
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
         call(2)
         call(4)
-        await until(lambda: len(former_peer.calls()) == 2)
+        await wait_until(lambda: len(former_peer.calls()) == 2)
         client.change_address(("127.0.0.1", new_peer.port))
-        await until(lambda: all(connection.is_ready() for connection in client.connections))
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
         # Ends the call for this key on the former connection, so that replies for one key keep their order.
         call(4)
-        await until(lambda: len(results) == 2)
+        await wait_until(lambda: len(results) == 2)
         assert results == [(4, 0.0, Outcome.TIMEOUT), (4, 3.0, Outcome.OK)]
         release.set()
-        await until(lambda: len(results) == 3)
-        await until(
+        await wait_until(lambda: len(results) == 3)
+        await wait_until(
             lambda: [what for what, *_ in former_peer.log].count("closed") == counter.DEFAULT_CONNECTIONS
         )
         assert results[2] == (2, 7.0, Outcome.OK) and len(new_peer.calls()) == 1
@@ -219,4 +219,4 @@
         await former_peer.stop()
         await new_peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -10,10 +10,10 @@
 
 from glenchute.config.policy_settings import policy_settings
 from glenchute.policy.admission.quota_bounds import ceiling_overshoot_units, overshoot_bound
-from lab.counter import PartedCounter, Parts
-from lab.load import Account, Kind, Load
-from lab.nodes import Node, Trade
-from lab.peers import play
+from lab.counter import PartitionedCounter, Parts
+from lab.load import Account, Load, RequestKind
+from lab.nodes import Node, ServiceProfile
+from lab.peers import run_scenario
 from lab.site import SETTINGS, GatewayProcess, LabSite, free_port
 
 GATEWAYS = 3
@@ -21,7 +21,7 @@
 SECONDS = 6.0
 # The platform allows this time between a gateway's decision and the moment that the node records.
 ALLOWED_DELAY_S = 0.15
-READ = Kind("report-read", 1.0, 1500)
+READ = RequestKind("report-read", 1.0, 1500)
 
 
 def overshoot(moments: list[float], rate: float, burst: float) -> float:
@@ -59,8 +59,8 @@
             per_second=40.0, most_at_once=60.0, ceiling_rate=40.0, hard_burst=80.0, ceiling_slack=8.0
         )
         parts = Parts(2)
-        counters = [PartedCounter(parts, lambda _, name=f"g{i}": name) for i in range(GATEWAYS)]  # type: ignore[misc]
-        nodes = [Node(f"n{i}", Trade({"report-read": 4.0}, slots=64)) for i in range(3)]
+        counters = [PartitionedCounter(parts, lambda _, name=f"g{i}": name) for i in range(GATEWAYS)]  # type: ignore[misc]
+        nodes = [Node(f"n{i}", ServiceProfile({"report-read": 4.0}, slots=64)) for i in range(3)]
         account = Account(b"%016x" % 77, "korporativni", more=f",spread={GATEWAYS},first=0")
         async with LabSite(nodes) as lab:
             gateways = []
@@ -103,4 +103,4 @@
         assert len(answers) > 0.8 * GATEWAYS * RATE * SECONDS and "lost" not in answers
         assert len(moments) >= 0.5 * (plan.ceiling_burst_units + plan.ceiling_rate_per_s * SECONDS)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/test_discovery.py
+++ b/tests/clients/test_discovery.py
@@ -16,14 +16,14 @@
     GET,
     SERVED,
     DiscoveryPeer,
-    Script,
-    always,
-    http,
-    listing,
-    play,
-    row,
+    ScriptedEngine,
+    discovery_answer,
+    http_response,
+    reply_with,
+    run_scenario,
+    server_row,
     site,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -31,22 +31,22 @@
 
 def test_the_watch_survives_errors_and_continues_from_the_version_in_force() -> None:
     async def scenario() -> None:
-        rows = [row("a", 80), row("b", 81)]
+        rows = [server_row("a", 80), server_row("b", 81)]
         discovery = DiscoveryPeer(
-            http(b"oops", "503 Service Unavailable"),
-            http(b"{not json"),
-            http(b'{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}'),
-            http(b"[]"),
-            listing(5, rows),
-            listing(5, [], full=False),
-            listing(9, [row("a", 80, "Terminating")], full=False),
-            http(b"", "500 Internal Server Error"),
-            listing(3, rows[:1]),
-            listing(4, [row("c", 82, started_ms=5.0)], full=False),
+            http_response(b"oops", "503 Service Unavailable"),
+            http_response(b"{not json"),
+            http_response(b'{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}'),
+            http_response(b"[]"),
+            discovery_answer(5, rows),
+            discovery_answer(5, [], full=False),
+            discovery_answer(9, [server_row("a", 80, "Terminating")], full=False),
+            http_response(b"", "500 Internal Server Error"),
+            discovery_answer(3, rows[:1]),
+            discovery_answer(4, [server_row("c", 82, started_ms=5.0)], full=False),
         )
-        script = Script(lambda event: [])
+        script = ScriptedEngine(lambda event: [])
         async with site(decisions=script, discovery=discovery):
-            await until(lambda: len(discovery.targets) == 11)
+            await wait_until(lambda: len(discovery.targets) == 11)
             received = [
                 (event.kind, [endpoint.address for endpoint in event.endpoints])
                 for event in script.of(EndpointList)
@@ -61,24 +61,27 @@
             since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
             assert since == ["1", "1", "1", "1", "1", "5", "5", "9", "9", "3", "4"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_older_version_than_the_one_in_force_requests_the_complete_list() -> None:
     """As after discovery has reset its versions: the changes since the version in force are unknown."""
 
     async def scenario() -> None:
-        rows = [row("a", 80), row("b", 81)]
+        rows = [server_row("a", 80), server_row("b", 81)]
         discovery = DiscoveryPeer(
-            listing(9, rows), listing(2, [], full=False), listing(2, rows[:1]), listing(3, [], full=False)
+            discovery_answer(9, rows),
+            discovery_answer(2, [], full=False),
+            discovery_answer(2, rows[:1]),
+            discovery_answer(3, [], full=False),
         )
-        script = Script(lambda event: [])
+        script = ScriptedEngine(lambda event: [])
         async with site(decisions=script, discovery=discovery):
-            await until(lambda: len(discovery.targets) == 5)
+            await wait_until(lambda: len(discovery.targets) == 5)
             since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
             assert since == ["1", "9", "", "2", "3"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_address_that_refuses_connections_after_a_503_is_polled_again(
@@ -87,66 +90,66 @@
     """The address changes to one that refuses connections during the delay after a 503."""
 
     async def scenario() -> None:
-        overloaded = DiscoveryPeer(http(b"", "503 Service Unavailable"))
+        overloaded = DiscoveryPeer(http_response(b"", "503 Service Unavailable"))
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))  # reserves a port on which nothing listens
             async with site(discovery=overloaded) as one:
-                await until(lambda: one.program.discovery.failed_polls == 1)
+                await wait_until(lambda: one.program.discovery.failed_polls == 1)
                 one.program.discovery.change_address(taken.getsockname())
-                await until(lambda: one.program.discovery.failed_polls > 3)
+                await wait_until(lambda: one.program.discovery.failed_polls > 3)
 
     monkeypatch.setattr(polling, "RATE_DECREASE_FACTOR", 1e6)  # the delay lasts for seconds
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_start_requests_only_changes_to_the_saved_list() -> None:
     async def scenario() -> None:
-        discovery = DiscoveryPeer(listing(8, [row("b", 81)], full=False))
+        discovery = DiscoveryPeer(discovery_answer(8, [server_row("b", 81)], full=False))
         saved = decode_list({"version": 7, "full": True, "servers": []}, saved=True)
         async with site(discovery=discovery, cached_endpoints=saved) as one:
-            await until(lambda: len(discovery.targets) == 2)
+            await wait_until(lambda: len(discovery.targets) == 2)
             assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
             # The first poll must not wait for a change, as the start of the process waits for its answer.
             assert discovery.targets[0].endswith("timeout_ms=1")
             assert not discovery.targets[1].endswith("timeout_ms=1")
             assert one.program.servers.server_ids() == ["b"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_gateway_serves_while_discovery_is_unavailable() -> None:
     async def scenario() -> None:
-        discovery = DiscoveryPeer(listing(1, []))
+        discovery = DiscoveryPeer(discovery_answer(1, []))
         discovery.answers.clear()
-        async with site(always(SERVED), discovery=discovery) as one:
+        async with site(reply_with(SERVED), discovery=discovery) as one:
             client = await one.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("addr", ["x", "x:", ":5", "h:0", "h:99999", "h:p", None])
 def test_lists_with_invalid_addresses_are_rejected(addr: Any) -> None:
-    unreadable = {"version": 1, "full": True, "servers": [row("a", 1) | {"addr": addr}]}
+    unreadable = {"version": 1, "full": True, "servers": [server_row("a", 1) | {"addr": addr}]}
     with pytest.raises(EndpointListError):
         decode_list(unreadable)
 
 
 def test_answers_from_a_former_address_are_dropped() -> None:
     async def scenario() -> None:
-        old, new = DiscoveryPeer(listing(9, [row("a", 80)])), DiscoveryPeer()
+        old, new = DiscoveryPeer(discovery_answer(9, [server_row("a", 80)])), DiscoveryPeer()
         await new.start()
-        script = Script(lambda event: [])
+        script = ScriptedEngine(lambda event: [])
         async with site(decisions=script, discovery=old) as one:
-            await until(lambda: len(old.targets) == 2)
+            await wait_until(lambda: len(old.targets) == 2)
             one.program.discovery.change_address(("127.0.0.1", new.port))
-            old.answers.append(listing(10, [], full=True))
-            await until(lambda: new.targets)
+            old.answers.append(discovery_answer(10, [], full=True))
+            await wait_until(lambda: new.targets)
             # The list in force stays until one is received from the new address.
             assert list(one.program.servers.pools) == ["a"]
-            new.answers.append(listing(2, [row("b", 81)]))
-            await until(lambda: list(one.program.servers.pools) == ["b"])
+            new.answers.append(discovery_answer(2, [server_row("b", 81)]))
+            await wait_until(lambda: list(one.program.servers.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
         await new.stop()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -16,8 +16,8 @@
 from glenchute.policy.endpoints import notification, watch
 from glenchute.policy.endpoints.polling import PollScheduler
 from glenchute.protocol.endpoint_list import CurrentList, EndpointListError, decode_list
-from lab.peers import always, http, listing, play, row, until
-from tests.loopback import Script, config, site
+from lab.peers import discovery_answer, http_response, reply_with, run_scenario, server_row, wait_until
+from tests.loopback import ScriptedEngine, config, site
 
 from .manual_discovery import ManualDiscovery, endpoint_states
 
@@ -35,15 +35,15 @@
         monkeypatch.setattr(notification, name, value)
 
 
-DRAIN_OF_A = listing(9, [row("a", 80, "Terminating")], full=False)
-BOTH_ACTIVE = listing(5, [row("a", 80), row("b", 81)])
-STALE = listing(6, [row("a", 80)], full=False)
+DRAIN_OF_A = discovery_answer(9, [server_row("a", 80, "Terminating")], full=False)
+BOTH_ACTIVE = discovery_answer(5, [server_row("a", 80), server_row("b", 81)])
+STALE = discovery_answer(6, [server_row("a", 80)], full=False)
 # Rows that cannot be decoded: an invalid address, a missing field, a wrong type, an invalid number.
 UNREADABLE = [
-    row("b", 81) | {"addr": "nowhere"},
+    server_row("b", 81) | {"addr": "nowhere"},
     {"id": "b", "state": "Ready"},
     ["b"],
-    row("b", 81) | {"started_ms": "soon"},
+    server_row("b", 81) | {"started_ms": "soon"},
 ]
 
 
@@ -58,26 +58,26 @@
     del discovery.polls[1:number]
 
 
-async def silent_then_hedged(discovery: ManualDiscovery, script: Script) -> None:
+async def silent_then_hedged(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """Both polls are answered at the same time; the older version in the older one must revert nothing."""
     await discovery.poll(2)
     discovery.polls[2][1].write(DRAIN_OF_A)
     discovery.polls[1][1].write(STALE)  # both are read in one loop iteration, in any order
-    await until(lambda: endpoint_states(script)["a"] == "draining")
+    await wait_until(lambda: endpoint_states(script)["a"] == "draining")
     assert "since=9&" in (await discovery.poll(3), discovery.polls[3][0])[1]
-    await until(lambda: discovery.open_connections == 1)
+    await wait_until(lambda: discovery.open_connections == 1)
 
 
-async def late_answer_before_hedged(discovery: ManualDiscovery, script: Script) -> None:
+async def late_answer_before_hedged(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """The late poll is answered while the hedged one is in flight; the connection of the latter is closed."""
     await discovery.poll(2)
     discovery.polls[1][1].write(DRAIN_OF_A)
-    await until(lambda: endpoint_states(script)["a"] == "draining")
+    await wait_until(lambda: endpoint_states(script)["a"] == "draining")
     assert (await discovery.poll(3)) is discovery.polls[1][1]
-    await until(lambda: discovery.open_connections == 1)
+    await wait_until(lambda: discovery.open_connections == 1)
 
 
-async def reset_within_answer(discovery: ManualDiscovery, script: Script) -> None:
+async def reset_within_answer(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     discovery.polls[1][1].write(DRAIN_OF_A[:-20])
     await asyncio.sleep(0.01)
     discovery.reset(1)
@@ -90,12 +90,12 @@
     return b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + data.partition(b"\r\n\r\n")[2]
 
 
-async def answer_ended_by_close(discovery: ManualDiscovery, script: Script) -> None:
+async def answer_ended_by_close(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     discovery.polls[1][1].write(without_length(DRAIN_OF_A))
     discovery.polls[1][1].close()
 
 
-async def answer_ended_by_reset(discovery: ManualDiscovery, script: Script) -> None:
+async def answer_ended_by_reset(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """A body that is ended by a connection reset is invalid, even if its JSON is complete."""
     discovery.polls[1][1].write(without_length(STALE.replace(b'"version": 6', b'"version": 8')))
     await asyncio.sleep(0.02)
@@ -105,13 +105,13 @@
     await discovery.answer(2, DRAIN_OF_A)
 
 
-async def silent_within_answer(discovery: ManualDiscovery, script: Script) -> None:
+async def silent_within_answer(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """A part of an answer and then nothing: the poll is hedged once its time is over."""
     discovery.polls[1][1].write(DRAIN_OF_A[:-20])
     await discovery.answer(2, DRAIN_OF_A)
 
 
-async def byte_by_byte(discovery: ManualDiscovery, script: Script) -> None:
+async def byte_by_byte(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """An answer that is received byte by byte and is complete in time."""
     for start in range(len(DRAIN_OF_A)):
         discovery.polls[1][1].write(DRAIN_OF_A[start : start + 1])
@@ -119,16 +119,16 @@
             await asyncio.sleep(0)
 
 
-async def silent_for_several_polls(discovery: ManualDiscovery, script: Script) -> None:
+async def silent_for_several_polls(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """At most two polls are in flight; the one that is answered after the outage takes effect."""
     for number in range(2, 7):
         await discovery.poll(number)
-        await until(lambda: discovery.open_connections <= watch.MAX_IN_FLIGHT)
+        await wait_until(lambda: discovery.open_connections <= watch.MAX_IN_FLIGHT)
     last = len(discovery.polls) - 1
     discovery.polls[last][1].write(DRAIN_OF_A)
 
 
-async def hedged_connection_refused(discovery: ManualDiscovery, script: Script) -> None:
+async def hedged_connection_refused(discovery: ManualDiscovery, script: ScriptedEngine) -> None:
     """The connection for the hedged poll is refused; the first poll is answered late."""
     assert discovery.server is not None
     discovery.server.close()
@@ -152,26 +152,30 @@
 )
 def test_a_drain_is_received_whatever_becomes_of_the_poll(scene: Any, short_deadlines: None) -> None:
     async def scenario() -> None:
-        discovery, script = ManualDiscovery(), Script(lambda event: [])
+        discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(serve_first_list(discovery))
         async with site(decisions=script, discovery=discovery):  # type: ignore[arg-type]
             await task
             await scene(discovery, script)
-            await until(lambda: endpoint_states(script)["a"] == "draining")
+            await wait_until(lambda: endpoint_states(script)["a"] == "draining")
             assert endpoint_states(script)["b"] == "active"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-REJECTED = http(b"", "503 Service Unavailable").replace(b"\r\n", b"\r\nRetry-After: 30\r\n", 1)
+REJECTED = http_response(b"", "503 Service Unavailable").replace(b"\r\n", b"\r\nRetry-After: 30\r\n", 1)
 # Results of the polls from the watch on, until the outage ends; the next poll reports the drain.
 OUTAGES: dict[str, list[bytes | type[ConnectionResetError] | None]] = {
     "rejected": [REJECTED, REJECTED, REJECTED],
     "reset": [ConnectionResetError, ConnectionResetError, ConnectionResetError],
-    "invalid": [http(b"{}"), http(b"[1, 2"), http(b"\xff", "500 Internal Server Error")],
+    "invalid": [
+        http_response(b"{}"),
+        http_response(b"[1, 2"),
+        http_response(b"\xff", "500 Internal Server Error"),
+    ],
     "rejected, then silent": [REJECTED, None],
     "reset, then silent": [ConnectionResetError, None],
-    "rejected at last": [ConnectionResetError, http(b"{}"), REJECTED],
+    "rejected at last": [ConnectionResetError, http_response(b"{}"), REJECTED],
 }
 
 
@@ -184,7 +188,7 @@
     loaded machine."""
 
     async def scenario() -> None:
-        discovery, script = ManualDiscovery(), Script(lambda event: [])
+        discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(serve_first_list(discovery))
         operator = "[discovery]\ncalls_per_s = 15\nlist_age_s = 30\n"
         platform_settings = replace(config(1, 1, []).settings, gateway_count=200)
@@ -202,12 +206,12 @@
                 number += 1
             async with asyncio.timeout(6.0):
                 await discovery.answer(number, DRAIN_OF_A)
-                await until(lambda: endpoint_states(script)["a"] == "draining")
+                await wait_until(lambda: endpoint_states(script)["a"] == "draining")
 
     # The delays of a start and after a change have tests of their own.
     monkeypatch.setattr(PollScheduler, "first_poll_delay_s", lambda self, listed: 0.0)
     monkeypatch.setattr(PollScheduler, "synchronized_delay_s", lambda self: 0.0)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def chunked(body: bytes, size: int) -> bytes:
@@ -217,12 +221,12 @@
 
 
 FORMS: dict[str, Callable[[Any], bytes]] = {
-    "indented": lambda raw: http(json.dumps(raw, indent=4).encode()),
+    "indented": lambda raw: http_response(json.dumps(raw, indent=4).encode()),
     "indented by tabs, in chunks": lambda raw: chunked(json.dumps(raw, indent="\t").encode(), 7),
-    "with no space": lambda raw: http(json.dumps(raw, separators=(",", ":")).encode()),
+    "with no space": lambda raw: http_response(json.dumps(raw, separators=(",", ":")).encode()),
     "in small chunks": lambda raw: chunked(json.dumps(raw).encode(), 1 + len(raw["servers"]) // 40),
-    "a line break behind": lambda raw: http(json.dumps(raw, indent=2).encode() + b"\r\n\r\n"),
-    "ended by close": lambda raw: without_length(http(json.dumps(raw, indent=1).encode())),
+    "a line break behind": lambda raw: http_response(json.dumps(raw, indent=2).encode() + b"\r\n\r\n"),
+    "ended by close": lambda raw: without_length(http_response(json.dumps(raw, indent=1).encode())),
 }
 
 
@@ -232,12 +236,12 @@
     """A short list, and one that is decoded in parts. Both lack `b`, which is thereby removed."""
 
     async def scenario() -> None:
-        discovery, script = ManualDiscovery(), Script(lambda event: [])
+        discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(serve_first_list(discovery))
         async with site(decisions=script, discovery=discovery) as one:  # type: ignore[arg-type]
             await task
-            others = [row(f"m{n}", 1000 + n) | {"note": "x" * 400} for n in range(padding_rows)]
-            rows = [row("a", 80, "Terminating"), *others]
+            others = [server_row(f"m{n}", 1000 + n) | {"note": "x" * 400} for n in range(padding_rows)]
+            rows = [server_row("a", 80, "Terminating"), *others]
             data = FORMS[form]({"version": 9, "full": True, "servers": rows})
             assert (len(data) > MAX_UNDIVIDED_BODY_BYTES) is (padding_rows > 0)
             writer = await discovery.poll(1)
@@ -246,11 +250,11 @@
                 await asyncio.sleep(0)
             if form == "ended by close":
                 writer.close()
-            await until(lambda: endpoint_states(script)["a"] == "draining")
+            await wait_until(lambda: endpoint_states(script)["a"] == "draining")
             assert "b" not in one.program.servers.server_ids()
             assert len(one.program.servers.server_ids()) == 1 + padding_rows
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("unreadable_row", UNREADABLE)
@@ -259,20 +263,24 @@
     unreadable_row: Any, full: bool, short_deadlines: None
 ) -> None:
     async def scenario() -> None:
-        discovery, script = ManualDiscovery(), Script(lambda event: [])
+        discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(serve_first_list(discovery))
         async with site(decisions=script, discovery=discovery) as one:  # type: ignore[arg-type]
             await task
-            rows = {"version": 9, "full": full, "servers": [row("a", 80, "Terminating"), unreadable_row]}
-            await discovery.answer(1, http(json.dumps(rows).encode()))
-            await until(lambda: endpoint_states(script)["a"] == "draining")
+            rows = {
+                "version": 9,
+                "full": full,
+                "servers": [server_row("a", 80, "Terminating"), unreadable_row],
+            }
+            await discovery.answer(1, http_response(json.dumps(rows).encode()))
+            await wait_until(lambda: endpoint_states(script)["a"] == "draining")
             assert endpoint_states(script)["b"] == "active" and set(one.program.servers.server_ids()) == {
                 "a",
                 "b",
             }
             assert "since=9&" in (await discovery.poll(2), discovery.polls[2][0])[1]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_list_without_a_readable_row_is_rejected() -> None:
@@ -290,7 +298,7 @@
             ManualDiscovery(),
             ManualDiscovery(),
             ManualDiscovery(),
-            Script(lambda event: []),
+            ScriptedEngine(lambda event: []),
         )
         task = asyncio.create_task(serve_first_list(old))
         async with site(decisions=script, discovery=old) as one:  # type: ignore[arg-type]
@@ -303,7 +311,7 @@
                 await old.poll(2)  # one poll is late, and a hedged one is in flight
             if case == "connecting":
                 discovery.change_address(("127.0.0.1", other.port))
-                await until(lambda: bool(discovery.connect_tasks))
+                await wait_until(lambda: bool(discovery.connect_tasks))
             if case == "twice":
                 discovery.change_address(("127.0.0.1", other.port))
                 await other.poll(0)
@@ -316,18 +324,24 @@
             # Answers from the former addresses must be ignored.
             for peer in {old, other, new} - {last}:
                 for writer in [one for _, one in peer.polls if not one.transport.is_closing()]:
-                    writer.write(listing(99, [row("a", 80, "Terminating"), row("b", 81, "Terminating")]))
+                    writer.write(
+                        discovery_answer(
+                            99, [server_row("a", 80, "Terminating"), server_row("b", 81, "Terminating")]
+                        )
+                    )
             await last.poll(before)
             assert last.polls[before][0] == "/v1/servers"  # versions are only valid at one address
-            await last.answer(before, listing(3, [row("a", 80, "Terminating"), row("b", 81)]))
-            await until(lambda: endpoint_states(script)["a"] == "draining")
+            await last.answer(
+                before, discovery_answer(3, [server_row("a", 80, "Terminating"), server_row("b", 81)])
+            )
+            await wait_until(lambda: endpoint_states(script)["a"] == "draining")
             assert endpoint_states(script)["b"] == "active"
-            await until(lambda: sum(peer.open_connections for peer in (old, other, new)) == 1)
+            await wait_until(lambda: sum(peer.open_connections for peer in (old, other, new)) == 1)
 
             for peer in (other, new):
                 await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_start_receives_a_drain_before_it_serves_by_a_saved_list(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -335,11 +349,11 @@
     sent, so a process that is slow to send it, as on a fifth of a core, does not wait less for the answer."""
 
     async def scenario() -> None:
-        discovery, script = ManualDiscovery(), Script(lambda event: [])
+        discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(
-            discovery.answer(0, listing(2, [row("s0", 80, "Terminating")], full=False))
+            discovery.answer(0, discovery_answer(2, [server_row("s0", 80, "Terminating")], full=False))
         )
-        async with site(always(None), decisions=script, discovery=discovery):  # type: ignore[arg-type]
+        async with site(reply_with(None), decisions=script, discovery=discovery):  # type: ignore[arg-type]
             assert endpoint_states(script)["s0"] == "draining"
         await task
 
@@ -348,4 +362,4 @@
 
     open_connection = DiscoveryClient.open_connection
     monkeypatch.setattr(DiscoveryClient, "open_connection", delayed_open_connection)
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/test_handover_socket.py
+++ b/tests/clients/test_handover_socket.py
@@ -13,7 +13,7 @@
 from glenchute.clients import handover
 from glenchute.policy.events import QuotaSnapshot
 from glenchute.policy.lifecycle.handover import HandoverState, encode_handover
-from tests.loopback import always, play, site, until
+from tests.loopback import reply_with, run_scenario, site, wait_until
 
 QUOTA = QuotaSnapshot("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
 
@@ -42,14 +42,14 @@
             assert not ended
             if side == "successor":
                 connection.close()  # as when the successor ends: the predecessor accepts another
-                await until(lambda: ended)
+                await wait_until(lambda: ended)
                 assert "successor" in ended and "third" not in ended
                 ended.clear()
             else:
                 predecessor.close()
-                await until(lambda: "predecessor" in ended)
+                await wait_until(lambda: "predecessor" in ended)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("raw", [b"", b"{", b"{}\n", encode_handover("h", 0.5, [])])
@@ -69,7 +69,7 @@
         await asyncio.sleep(0.02)
         assert "predecessor" not in ended
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_leftover_socket_is_replaced_and_a_long_path_is_not_used(tmp_path: Path) -> None:
@@ -86,7 +86,7 @@
         # A folder that does not exist raises no error: the process serves without a handover.
         await handover_server(loop, b"", []).start(tmp_path / "no" / "folder")
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_without_process_replacement_no_handover_module_is_imported_and_no_socket_opened(
@@ -106,8 +106,8 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
     async def scenario() -> None:
-        async with site(always(b"")) as one:
+        async with site(reply_with(b"")) as one:
             assert one.program.handover is None and one.program.operations is None
             assert not list(tmp_path.iterdir())
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -23,10 +23,10 @@
 from glenchute.protocol import endpoint_list
 from glenchute.protocol.endpoint_list import ROWS_PER_PART, CurrentList, decode_list, decode_list_in_parts
 from glenchute.upstreams.connection_pool import GRACE_MARGIN_S, ConnectionPool
-from lab.peers import DiscoveryPeer, http, listing, play, row, until
-from tests.loopback import Script, Site, site
+from lab.peers import DiscoveryPeer, discovery_answer, http_response, run_scenario, server_row, wait_until
+from tests.loopback import ScriptedEngine, Site, site
 
-MANY = [row(f"n{n}", 9) for n in range(1_000)]  # about 100 KB of JSON
+MANY = [server_row(f"n{n}", 9) for n in range(1_000)]  # about 100 KB of JSON
 
 
 def decode_at_once(body: bytes, current: CurrentList | None) -> EndpointUpdate:
@@ -53,7 +53,7 @@
         return None
 
 
-ROWS = json.dumps([row(f"n{n}", 9) for n in range(2 * ROWS_PER_PART + 5)])
+ROWS = json.dumps([server_row(f"n{n}", 9) for n in range(2 * ROWS_PER_PART + 5)])
 BODIES = [
     f'{{"version": 3, "full": true, "servers": {ROWS}}}',
     f'{{"servers": {ROWS}, "full": false, "version": "3"}}',
@@ -99,7 +99,7 @@
 
 
 LONG = json.dumps(
-    {"version": 3, "full": True, "servers": [row(f"n{n}", 9) for n in range(MAX_SUBSET_SIZE + 9)]}
+    {"version": 3, "full": True, "servers": [server_row(f"n{n}", 9) for n in range(MAX_SUBSET_SIZE + 9)]}
 )
 
 
@@ -124,7 +124,7 @@
     the last list are kept."""
     decoded: list[str] = []
     decode_row = endpoint_list.decode_row
-    current, rows = CurrentList(), [row(f"n{n}", 9) for n in range(1_000)]
+    current, rows = CurrentList(), [server_row(f"n{n}", 9) for n in range(1_000)]
 
     def counting_decode_row(raw: Any) -> Any:
         decoded.append(raw["id"])
@@ -156,13 +156,13 @@
         """Decodes this many parts, then pauses again."""
         discovery = self.one.program.discovery
         for _ in range(parts):
-            await until(lambda: self.paused or discovery.partial_decode is None)
+            await wait_until(lambda: self.paused or discovery.partial_decode is None)
             paused, self.paused = self.paused, []
             for decoding in paused:
                 type(discovery).decode_next_part(discovery, decoding)
 
 
-def received_lists(script: Script) -> list[EndpointList]:
+def received_lists(script: ScriptedEngine) -> list[EndpointList]:
     return script.of(EndpointList)
 
 
@@ -171,20 +171,20 @@
     """The list comes into force once it is decoded, even if its connection has ended in between. It never
     does if the address changes, the process ends, or another answer is accepted before. Requests are served
     between the parts."""
-    script = Script(lambda event: [])
+    script = ScriptedEngine(lambda event: [])
 
     async def scenario() -> None:
-        first = listing(2, [row("s0", 9)])
+        first = discovery_answer(2, [server_row("s0", 9)])
         answers = DiscoveryPeer(first)
-        other = DiscoveryPeer(listing(9, [row("s1", 9)]))
+        other = DiscoveryPeer(discovery_answer(9, [server_row("s1", 9)]))
         await other.start()
         async with site(decisions=script, discovery=answers) as one:
             discovery = one.program.discovery
-            await until(lambda: discovery.version == 2)
+            await wait_until(lambda: discovery.version == 2)
             parts = PausedDecoding(monkeypatch, one)
             body = json.dumps({"version": 3, "full": True, "servers": MANY}).encode()
-            answers.answers.append(http(body))
-            await until(lambda: parts.paused)
+            answers.answers.append(http_response(body))
+            await wait_until(lambda: parts.paused)
             await parts.resume(3)
             before = len(received_lists(script))
             client = await one.client()
@@ -196,7 +196,7 @@
             if end == "closes":
                 connection_id = discovery.partial_decode.connection_id  # type: ignore[union-attr]
                 answers.writers[-1].close()
-                await until(
+                await wait_until(
                     lambda: (
                         connection_id not in discovery.connections
                         or discovery.connections[connection_id].transport is None
@@ -204,43 +204,43 @@
                 )
             elif end == "moves":
                 discovery.change_address(("127.0.0.1", other.port))
-                await until(lambda: discovery.version == 9)
+                await wait_until(lambda: discovery.version == 9)
             elif end == "ends":
                 discovery.close()
             elif end == "another":
                 discovery.watch.next_poll_at = asyncio.get_running_loop().time()
                 discovery.on_timer()  # hedges the poll whose answer is being decoded
-                answers.answers.append(listing(4, [row("s0", 9, "Terminating")], full=False))
-                await until(lambda: discovery.version == 4)
+                answers.answers.append(discovery_answer(4, [server_row("s0", 9, "Terminating")], full=False))
+                await wait_until(lambda: discovery.version == 4)
             await parts.resume(40)
             received = [event for event in received_lists(script)[before:] if len(event.endpoints) > 100]
             if end in ("stays", "closes"):
                 assert discovery.version == 3 and discovery.partial_decode is None
                 assert [event.kind for event in received] == [EndpointListKind.FULL]
-                answers.answers.append(listing(5, [row("n0", 9, "Terminating")], full=False))
-                await until(lambda: discovery.version == 5)  # the watch goes on
+                answers.answers.append(discovery_answer(5, [server_row("n0", 9, "Terminating")], full=False))
+                await wait_until(lambda: discovery.version == 5)  # the watch goes on
             else:
                 assert discovery.version != 3 and not received and not parts.paused
         await other.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_drains_in_an_ordinary_answer_are_in_force_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against delayed drains: changes of 300 rows are decoded in the turn that receives them."""
-    script = Script(lambda event: [])
+    script = ScriptedEngine(lambda event: [])
 
     async def scenario() -> None:
-        answers = DiscoveryPeer(listing(2, [row("s0", 9)]))
+        answers = DiscoveryPeer(discovery_answer(2, [server_row("s0", 9)]))
         async with site(decisions=script, discovery=answers) as one:
-            await until(lambda: one.program.discovery.version == 2)
+            await wait_until(lambda: one.program.discovery.version == 2)
             parts = PausedDecoding(monkeypatch, one)
-            rows = [*MANY[:300], row("s0", 9, "Terminating")]
-            answers.answers.append(listing(3, rows, full=False))
-            await until(lambda: one.program.discovery.version == 3)
+            rows = [*MANY[:300], server_row("s0", 9, "Terminating")]
+            answers.answers.append(discovery_answer(3, rows, full=False))
+            await wait_until(lambda: one.program.discovery.version == 3)
             assert not parts.paused and one.program.servers.pools["s0"].stop_at is not None
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_rows_of_a_part_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -349,7 +349,7 @@
 
 def test_a_name_with_a_lone_surrogate_does_not_affect_other_rows(chain: Chain) -> None:
     """JSON allows half of a surrogate pair in a server's name: the list comes into force with that server."""
-    unusual = {**row("x\ud83d", 9), "zone": "z"}
+    unusual = {**server_row("x\ud83d", 9), "zone": "z"}
     chain.tell([*zoned(0, 600), unusual])
     assert (
         len(chain.servers.server_ids()) == 601 and len(chain.used()) >= 48 and unusual["id"] in chain.used()
@@ -410,7 +410,7 @@
     """Returns random rows of all kinds, including invalid ones."""
     rows: list[Any] = []
     for n in rng.sample(range(names), rng.randint(names // 3, names)):
-        one = {**row(f"n{n}", 9 + rng.randint(0, 9) // 9), "zone": rng.choice("aaab")}
+        one = {**server_row(f"n{n}", 9 + rng.randint(0, 9) // 9), "zone": rng.choice("aaab")}
         one["started_ms"] = float(rng.randint(0, 9) // 9)
         one["state"] = rng.choice(["Ready"] * 20 + ["Terminating", "Gone", "Odd"])
         rows.append(one)
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -14,20 +14,29 @@
 from glenchute.policy.endpoints import notification
 from glenchute.policy.endpoints.polling import PollScheduler
 from glenchute.policy.events import EndpointList
-from tests.loopback import Script, always, config, http, play, row, site, until
+from tests.loopback import (
+    ScriptedEngine,
+    config,
+    http_response,
+    reply_with,
+    run_scenario,
+    server_row,
+    site,
+    wait_until,
+)
 
 from .manual_discovery import ManualDiscovery, endpoint_states
 
-FOUR = [row(name, 80 + at) for at, name in enumerate("abcd")]
+FOUR = [server_row(name, 80 + at) for at, name in enumerate("abcd")]
 OPERATOR = "[discovery]\ncalls_per_s = 15\nlist_age_s = 30\ndoubt = true\n"
 
 
 def complete_list(version: int, *rows: dict[str, Any]) -> bytes:
-    return http(json.dumps({"version": version, "full": True, "servers": rows}).encode())
+    return http_response(json.dumps({"version": version, "full": True, "servers": rows}).encode())
 
 
 def drain_row(name: str, state: str = "Terminating") -> dict[str, Any]:
-    return row(name, 80 + "abcd".index(name), state)
+    return server_row(name, 80 + "abcd".index(name), state)
 
 
 class ConfirmationCase(NamedTuple):
@@ -95,7 +104,7 @@
     monkeypatch.setattr(GatewayProgram, "update_endpoints", recorded)
 
     async def scenario() -> None:
-        manual, script = ManualDiscovery(), Script(lambda event: [])
+        manual, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(manual.answer(0, complete_list(5, *FOUR)))
         platform_settings = replace(config(1, 1, []).settings, gateway_count=200)
         changes: dict[str, Any] = {
@@ -104,7 +113,7 @@
             "operator": OPERATOR,
             "cached_endpoints": None,
         }
-        async with site(always(None), decisions=script, discovery=manual, **changes) as one:  # type: ignore[arg-type]
+        async with site(reply_with(None), decisions=script, discovery=manual, **changes) as one:  # type: ignore[arg-type]
             await task
             discovery, servers = one.program.discovery, one.program.servers
 
@@ -118,7 +127,7 @@
                     "-" if n not in servers.server_ids() else reported[n][0].upper() for n in "abcd"
                 )
 
-            await until(lambda: discovery.version == 5)
+            await wait_until(lambda: discovery.version == 5)
             await manual.answer(1, case.first)
             await manual.poll(2)
             assert (
@@ -127,8 +136,8 @@
                 and versions_for_members == [5]
             )
             await manual.answer(2, case.second)
-            await until(lambda: discovery.version is not None)
+            await wait_until(lambda: discovery.version is not None)
             assert summary() == case.after and versions_for_members == [5, discovery.version]
             assert len(script.of(EndpointList)) <= 5
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -25,7 +25,7 @@
     RouteLimits,
     RouteRetryBudget,
 )
-from tests.loopback import always, play, raw_config, site
+from tests.loopback import raw_config, reply_with, run_scenario, site
 from tests.sites import FACTS, NO_SCOPE
 from tests.upstreams.test_pipelined_servers import ScriptedServer, burst, pipelined_site, reads
 
@@ -185,7 +185,7 @@
             assert {await client.reply() for _ in range(3)} == {b"a", b"b", b"c"}
             assert lines.scheduler.counts["condemned"] == 1
 
-    play(scenario())
+    run_scenario(scenario())
     events = captured(tmp_path)
     assigned = [event for event in events if isinstance(event, AttemptAssigned)]
     assert len(assigned) >= 6 and "joins line 1 behind 2" in assigned[2].reason
@@ -197,10 +197,10 @@
 
 def test_without_a_capture_assignments_are_not_reported() -> None:
     async def scenario() -> None:
-        async with site(always(b"+x\r\n"), operator='[pipeline]\nclasses = ["read"]\n') as gateway_site:
+        async with site(reply_with(b"+x\r\n"), operator='[pipeline]\nclasses = ["read"]\n') as gateway_site:
             assert (
                 not gateway_site.program.gateway.reports_assignments
                 and gateway_site.program.gateway.max_attempts == 4
             )
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/core/test_executor.py
+++ b/tests/core/test_executor.py
@@ -27,18 +27,18 @@
     ORDER,
     SERVED,
     Reply,
-    Script,
-    always,
-    play,
+    ScriptedEngine,
+    reply_with,
+    run_scenario,
     send_to,
     site,
-    until,
+    wait_until,
 )
 
 
 def test_a_request_is_served_and_goes_on_unchanged_but_for_the_time_left() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED)) as gateway_site:
+        async with site(reply_with(SERVED)) as gateway_site:
             client = await gateway_site.client()
             assert await client.ask(b"PING") == b"PONG"
             assert await client.ask(b"CALL.POST", CUSTOMER, b"id-1", ORDER, b"body\r\n*1") == b"value"
@@ -49,7 +49,7 @@
             assert (prefix, suffix) == (b"c=order,t=basic,", b"k=5c0f6e1a2b3d4c59")
             assert 0 < int(left_ms) < 20000
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def close_connection(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -58,32 +58,32 @@
 
 
 OUTCOMES: list[tuple[Reply, Outcome]] = [
-    (always(SERVED), Outcome.OK),
-    (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), Outcome.OK),
-    (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), Outcome.OK),
-    (always(SERVED + b"noise"), Outcome.OK),
-    (always(b"*1\r\n$0\r\n\r\n"), Outcome.ERROR),
-    (always(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
-    (always(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
-    (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Outcome.ERROR),
-    (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
-    (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), Outcome.ERROR),
+    (reply_with(SERVED), Outcome.OK),
+    (reply_with(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), Outcome.OK),
+    (reply_with(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), Outcome.OK),
+    (reply_with(SERVED + b"noise"), Outcome.OK),
+    (reply_with(b"*1\r\n$0\r\n\r\n"), Outcome.ERROR),
+    (reply_with(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (reply_with(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (reply_with(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (reply_with(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
+    (reply_with(b"*3\r\n$3000000000\r\n" + b"x" * 500), Outcome.ERROR),
     (
-        always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"),
+        reply_with(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"),
         Outcome.ERROR,
     ),  # shorter than its stated length, and nothing follows
-    (always(b"*3\r\n*999999999\r\n"), Outcome.ERROR),
-    (always(b"-BUSY or not\r\n"), Outcome.ERROR),
-    (always(b"-BUSY\r\nnoise"), Outcome.ERROR),
-    (always(b"-BUSY queue=3,inflight=9\r\n"), Outcome.REJECTED),
-    (always(b"-ERR failed queue=3,inflight=9\r\n"), Outcome.ERROR),
-    (always(b"-SYNTAX no\r\n"), Outcome.ERROR),
-    (always(b"-BUSY\r\n"), Outcome.REJECTED),
-    (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), Outcome.ERROR),
-    (always(b"$5\r\nvalue\r\n"), Outcome.ERROR),
-    (always(b"what is this?\r\n"), Outcome.ERROR),
+    (reply_with(b"*3\r\n*999999999\r\n"), Outcome.ERROR),
+    (reply_with(b"-BUSY or not\r\n"), Outcome.ERROR),
+    (reply_with(b"-BUSY\r\nnoise"), Outcome.ERROR),
+    (reply_with(b"-BUSY queue=3,inflight=9\r\n"), Outcome.REJECTED),
+    (reply_with(b"-ERR failed queue=3,inflight=9\r\n"), Outcome.ERROR),
+    (reply_with(b"-SYNTAX no\r\n"), Outcome.ERROR),
+    (reply_with(b"-BUSY\r\n"), Outcome.REJECTED),
+    (reply_with(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), Outcome.ERROR),
+    (reply_with(b"$5\r\nvalue\r\n"), Outcome.ERROR),
+    (reply_with(b"what is this?\r\n"), Outcome.ERROR),
     (close_connection, Outcome.RESET),
-    (always(None), Outcome.TIMEOUT),
+    (reply_with(None), Outcome.TIMEOUT),
 ]
 
 
@@ -91,7 +91,7 @@
 def test_each_attempt_outcome_is_reported_once(reply: Reply, outcome: Outcome) -> None:
     async def scenario() -> None:
         # Where an answer comes, there is no timeout, so that a slow machine can't cause one.
-        script = Script(send_to("s0", 200.0 if outcome is Outcome.TIMEOUT else 0.0))
+        script = ScriptedEngine(send_to("s0", 200.0 if outcome is Outcome.TIMEOUT else 0.0))
         async with site(reply, decisions=script) as gateway_site:
             client = await gateway_site.client()
             answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
@@ -101,19 +101,19 @@
             assert isinstance(answer, bytes) is (outcome is Outcome.OK)
             assert ended[0].duration_ms >= 0.0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_refused_connection_did_not_run() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as gateway_site:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
             await gateway_site.servers[0].stop()
             client = await gateway_site.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
             assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_second_attempt_goes_only_once_the_first_is_closed() -> None:
@@ -131,13 +131,15 @@
                 return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
-        async with site(always(None), always(SERVED), decisions=Script(decide)) as gateway_site:
+        async with site(
+            reply_with(None), reply_with(SERVED), decisions=ScriptedEngine(decide)
+        ) as gateway_site:
             client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert seen == ["timeout with 0 open"]
-            await until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
+            await wait_until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_cancel_closes_the_connection_and_is_told_once() -> None:
@@ -149,14 +151,14 @@
                 return [CancelAttempt("1", 0)] if gateway_site.servers[0].calls() else [SetTimer(5, 0.0)]
             return [Fail(event.request_id)] if isinstance(event, AttemptEnded) else []
 
-        script = Script(decide)
-        async with site(always(None), decisions=script) as gateway_site:
+        script = ScriptedEngine(decide)
+        async with site(reply_with(None), decisions=script) as gateway_site:
             client = await gateway_site.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
             assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.CANCELLED]
-            await until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
+            await wait_until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_two_attempts_at_once_are_not_made() -> None:
@@ -166,15 +168,15 @@
                 return [StartAttempt(event.request_id, "s0"), StartAttempt(event.request_id, "s1")]
             return []
 
-        script = Script(decide)
-        async with site(always(None), always(SERVED), decisions=script) as gateway_site:
+        script = ScriptedEngine(decide)
+        async with site(reply_with(None), reply_with(SERVED), decisions=script) as gateway_site:
             client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: script.of(AttemptEnded))
+            await wait_until(lambda: script.of(AttemptEnded))
             assert [(e.attempt, e.outcome) for e in script.of(AttemptEnded)] == [(1, Outcome.NOT_SENT)]
             assert gateway_site.servers[1].calls() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
@@ -187,11 +189,11 @@
             return [Reject(event.request_id, 7.0)] if isinstance(event, AttemptEnded) else []
 
         for reply, answer in ((b"-ERR failed\r\n", "ERR failed"), (b"-BUSY\r\n", "BUSY 7")):
-            async with site(always(reply), decisions=Script(decide)) as gateway_site:
+            async with site(reply_with(reply), decisions=ScriptedEngine(decide)) as gateway_site:
                 client = await gateway_site.client()
                 assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == answer
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("sent", "answer"), [(False, "BUSY"), (True, "ERR failed")])
@@ -200,15 +202,15 @@
         def decide(event: Event) -> list[Action]:
             return [StartAttempt(event.request_id, "s0")] if sent and isinstance(event, Request) else []
 
-        script = Script(decide)
-        async with site(always(None), decisions=script) as gateway_site:
+        script = ScriptedEngine(decide)
+        async with site(reply_with(None), decisions=script) as gateway_site:
             client = await gateway_site.client()
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
             assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
             assert [e.outcome for e in script.of(AttemptEnded)] == ([Outcome.TIMEOUT] if sent else [])
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_each_request_is_answered_although_the_engine_raises() -> None:
@@ -218,19 +220,19 @@
                 raise RuntimeError("a fault")
             return send_to("s0")(event)
 
-        script = Script(decide)
+        script = ScriptedEngine(decide)
 
         def handle(now_ms: float, event: Event) -> list[Action]:
             script.events.append(event)
             return decide(event)
 
         script.handle = handle  # type: ignore[method-assign]
-        async with site(always(SERVED), decisions=script) as gateway_site:
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
             client = await gateway_site.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "BUSY"
             assert await client.ask(b"CALL.POST", CUSTOMER, b"2", CHARGE) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_replies_come_in_the_order_of_the_commands() -> None:
@@ -242,31 +244,31 @@
                 await release.wait()
             return b"*3\r\n$1\r\n%b\r\n*-1\r\n$-1\r\n" % words[2]
 
-        script = Script(send_to("s0"))
+        script = ScriptedEngine(send_to("s0"))
         async with site(reply, decisions=script) as gateway_site:
             client = await gateway_site.client()
             for name in (b"1", b"2", b"3"):
                 client.send(b"CALL.GET", CUSTOMER, name, GET)
             client.send(b"PING")
-            await until(lambda: len(script.of(AttemptEnded)) == 2)
+            await wait_until(lambda: len(script.of(AttemptEnded)) == 2)
             release.set()
             assert [await client.reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_disconnect_is_reported_to_the_engine() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(None), decisions=script) as gateway_site:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(None), decisions=script) as gateway_site:
             client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: gateway_site.servers[0].calls())
+            await wait_until(lambda: gateway_site.servers[0].calls())
             client.writer.close()
-            await until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.of(ClientDisconnected))
             assert gateway_site.program.gateway.active_requests == {}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_timers_fire_at_their_time_or_after() -> None:
@@ -280,13 +282,13 @@
                 fired.append(clock.now_ms())
             return []
 
-        clock, script = Clock(), Script(decide)
+        clock, script = Clock(), ScriptedEngine(decide)
         start = clock.now_ms()
         async with site(decisions=script):
-            await until(lambda: fired)
+            await wait_until(lambda: fired)
             assert fired[0] >= start + 5.0 and script.of(TimerFired) == [TimerFired(3)]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_clock_is_unix_time_and_never_goes_back() -> None:
--- a/tests/core/test_routes_loopback.py
+++ b/tests/core/test_routes_loopback.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from lab.faults import Fault, Kind, Script
-from lab.nodes import Node, Trade
-from lab.peers import Client, play, until
-from lab.site import SETTINGS, GatewayProcess, LabSite, patient
-from tests.loopback import CHARGE, CUSTOMER, GET, ORDER, SERVED, always, site
+from lab.faults import Fault, FaultKind, FaultScript
+from lab.nodes import Node, ServiceProfile
+from lab.peers import Client, run_scenario, wait_until
+from lab.site import SETTINGS, GatewayProcess, LabSite, with_longer_deadlines
+from tests.loopback import CHARGE, CUSTOMER, GET, ORDER, SERVED, reply_with, site
 
 ROOT = Path(__file__).resolve().parents[2]
 TWO_ROUTES = """\
@@ -38,7 +38,7 @@
     """In the timeout stated to servers, the close of the connection, and the time of the client's reply."""
 
     async def scenario() -> None:
-        async with site(always(None), operator=TWO_ROUTES) as gateway_site:
+        async with site(reply_with(None), operator=TWO_ROUTES) as gateway_site:
             loop = asyncio.get_running_loop()
             waited: dict[str, float] = {}
 
@@ -55,9 +55,11 @@
             calls = gateway_site.servers[0].calls()
             stated_ms = {words[2]: int(words[3].split(b"d=")[1].split(b",")[0]) for words in calls}
             assert stated_ms[b"1"] <= 150 < stated_ms[b"2"] <= 450
-            await until(lambda: sum(1 for what, _, _ in gateway_site.servers[0].log if what == "closed") == 2)
+            await wait_until(
+                lambda: sum(1 for what, _, _ in gateway_site.servers[0].log if what == "closed") == 2
+            )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_backoffs_and_retryable_causes_hold_on_the_wire() -> None:
@@ -79,19 +81,19 @@
             assert len(arrivals) == 3
             assert all(later - earlier >= 0.12 for earlier, later in pairwise(arrivals))
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_unsafe_request_is_not_repeated_whatever_a_route_leaves_open() -> None:
     text = "[[route]]\nname = 'charges'\nmatch = { class = 'charge' }\nattempts = 4\n"
 
     async def scenario() -> None:
-        async with site(always(b"-ERR failed\r\n"), operator=text) as gateway_site:
+        async with site(reply_with(b"-ERR failed\r\n"), operator=text) as gateway_site:
             client = await gateway_site.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE, b"x")) == "ERR failed"
             assert len(gateway_site.servers[0].calls()) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -108,7 +110,7 @@
     """Byte for byte, except for the time left, which only decreases."""
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as gateway_site:
+        async with site(reply_with(SERVED)) as gateway_site:
             client = await gateway_site.client()
             assert await client.ask(*words) == b"value"
             (received,) = gateway_site.servers[0].calls()
@@ -116,13 +118,13 @@
             assert 1 <= left <= 20_000
             assert received == [*words[:3], sent % left, *words[4:]]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def silent_node() -> list[Node]:
     """A node that accepts commands and never replies."""
-    faults = [Fault(Kind.VANISH, 0.0, 1e9)]
-    return [Node("n0", Trade({"report-read": 1.0}), Script(faults))]
+    faults = [Fault(FaultKind.VANISH, 0.0, 1e9)]
+    return [Node("n0", ServiceProfile({"report-read": 1.0}), FaultScript(faults))]
 
 
 def reads(timeout_ms: int) -> str:
@@ -134,7 +136,7 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         async with LabSite(silent_node()) as lab:
-            platform = lab.platform({**SETTINGS, **patient()})
+            platform = lab.platform({**SETTINGS, **with_longer_deadlines()})
             gateway = GatewayProcess(tmp_path, platform, reads(100))
             gateway.start()
             try:
@@ -151,11 +153,11 @@
                 assert 0.09 <= await waited() < 1.48
                 gateway.operator.write_text(reads(100) + "second_copy_after_ms = 50\nattempts = 7\n")
                 gateway.signal(signal.SIGHUP)
-                await until(lambda: "operator's file in force stays" in gateway.log.read_text())
+                await wait_until(lambda: "operator's file in force stays" in gateway.log.read_text())
                 assert 0.09 <= await waited() < 1.48
                 gateway.operator.write_text(reads(1500))
                 gateway.signal(signal.SIGHUP)
-                await until(lambda: "operator's file was read again" in gateway.log.read_text())
+                await wait_until(lambda: "operator's file was read again" in gateway.log.read_text())
                 assert await waited() >= 1.48
                 assert "waits for a restart" not in gateway.log.read_text()
                 more = f"[capture]\nfolder = '{tmp_path}'\n[fronts.extproc]\nlisten = 'unix:/nowhere'\n"
@@ -163,11 +165,11 @@
                 gateway.operator.write_text(f"{more}[fronts.extproc.map]\n{mapped}{reads(500)}")
                 gateway.signal(signal.SIGHUP)
                 message = "[fronts], [pipeline] and [subset] waits for a restart"
-                await until(lambda: message in gateway.log.read_text())
+                await wait_until(lambda: message in gateway.log.read_text())
             finally:
                 assert await gateway.stop() == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def demo(*arguments: str) -> subprocess.Popen[str]:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -13,7 +13,7 @@
 from glenchute.policy.actions import Action
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, Event, Outcome
-from lab.peers import Client, until
+from lab.peers import Client, wait_until
 from tests.loopback import (
     CUSTOMER,
     Site,
@@ -22,12 +22,12 @@
 READ = (b"CALL.GET", CUSTOMER)
 
 
-def packed(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
     return hiredis.pack_command(words)  # type: ignore[arg-type, no-any-return]
 
 
-def end(client: Client, how: str) -> None:
-    """Disconnects a client by one of `ENDS`."""
+def disconnect(client: Client, how: str) -> None:
+    """Disconnects a client by one of `DISCONNECT_KINDS`."""
     sock = client.writer.get_extra_info("socket")
     if how == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -38,11 +38,11 @@
         client.writer.close()
 
 
-ENDS = ["close", "reset", "half-close"]
+DISCONNECT_KINDS = ["close", "reset", "half-close"]
 
 
 @asynccontextmanager
-async def deaf() -> AsyncIterator[int]:
+async def blocked_port() -> AsyncIterator[int]:
     """Yields a port whose connections are never established, as its accept queue is full."""
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
@@ -60,7 +60,7 @@
                 caller.close()
 
 
-async def reset(writer: asyncio.StreamWriter) -> None:
+async def reset_connection(writer: asyncio.StreamWriter) -> None:
     # By then the peer has read what was written. Otherwise the reset may overtake it, with the same outcome.
     await asyncio.sleep(0.02)
     sock = writer.get_extra_info("socket")
@@ -68,7 +68,7 @@
     writer.transport.abort()
 
 
-class Heard:
+class OutcomeRecorder:
     """The real decision engine, with the outcomes of attempts that it was told."""
 
     def __init__(self, decisions: Policy) -> None:
@@ -82,12 +82,12 @@
 
 
 @asynccontextmanager
-async def crowd(one: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
+async def open_connections(one: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
     """Opens `count` connections. As much of their commands as socket buffers hold is written before the loop
     runs again; the rest of each follows as there is room."""
     before = len(one.program.listener.clients)
     socks = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(count)]
-    await until(lambda: len(one.program.listener.clients) == before + count)
+    await wait_until(lambda: len(one.program.listener.clients) == before + count)
     rests = {sock: memoryview(commands) for sock in socks}
     for sock in socks:
         sock.setblocking(False)
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -30,11 +30,11 @@
 from glenchute.config.platform import build
 from glenchute.listeners.extproc import server as server_module
 from glenchute.listeners.extproc.server import ExtProcServer
-from lab.faults import Fault, Kind, Script
-from lab.http_nodes import HttpNode, charged_twice, whole
-from lab.nodes import Trade
-from lab.peers import play, until
-from lab.proxy import METHOD, POINTS, Exchange, Habits, Proxy, message
+from lab.faults import Fault, FaultKind, FaultScript
+from lab.http_nodes import HttpNode, read_message, repeated_requests
+from lab.nodes import ServiceProfile
+from lab.peers import run_scenario, wait_until
+from lab.proxy import METHOD, POINTS, Exchange, Proxy, ProxySettings, message
 from lab.site import SETTINGS, GatewayProcess, LabSite, free_port
 
 OPERATOR = """\
@@ -111,16 +111,16 @@
 
     def proxy(self, core: bool = False, **habits: Any) -> Proxy:
         addresses = [f"127.0.0.1:{node.port}" for node in self.nodes]
-        return Proxy(f"127.0.0.1:{self.port}", Habits(**habits), addresses, core)
+        return Proxy(f"127.0.0.1:{self.port}", ProxySettings(**habits), addresses, core)
 
 
 @asynccontextmanager
 async def extproc_site(
-    scripts: list[Script] | None = None, more: str = "", start: bool = True
+    scripts: list[FaultScript] | None = None, more: str = "", start: bool = True
 ) -> AsyncIterator[ExtProcSite]:
     """Starts a site with a server for each script, and a gateway in this process if `start` is set."""
-    trade = Trade(SERVICE, slots=32)
-    nodes = [HttpNode(f"s{n}", trade, script) for n, script in enumerate(scripts or [Script()] * 3)]
+    trade = ServiceProfile(SERVICE, slots=32)
+    nodes = [HttpNode(f"s{n}", trade, script) for n, script in enumerate(scripts or [FaultScript()] * 3)]
     lab = LabSite(nodes)  # type: ignore[arg-type]  # LabSite only starts, lists and stops them
     async with lab:
         site = ExtProcSite(lab, nodes)
@@ -153,7 +153,7 @@
         connection = h11.Connection(h11.CLIENT)
         head = h11.Request(method=method, target=target, headers=list(headers.items()))
         writer.write((connection.send(head) or b"") + (connection.send(h11.EndOfMessage()) or b""))
-        parts = await whole(connection, reader)
+        parts = await read_message(connection, reader)
         if parts is None:
             return 0, {}
         return parts[0].status_code, {key.decode(): value.decode() for key, value in parts[0].headers}
@@ -188,16 +188,16 @@
     """Waits until the table, the core and the decision engine hold no request any more."""
     table = server.table
     async with asyncio.timeout(10.0):
-        await until(
+        await wait_until(
             lambda: not table.requests_by_number and not table.requests_by_id and not server.open_stream_count
         )
-        await until(lambda: not table.gateway.active_requests and not table.gateway.attempts_in_flight)
+        await wait_until(lambda: not table.gateway.active_requests and not table.gateway.attempts_in_flight)
 
 
-def faulty(seed: int) -> Script:
+def faulty(seed: int) -> FaultScript:
     """Returns the script of a server that resets, fails, refuses and drops requests."""
-    kinds = (Kind.RESET, Kind.FAIL, Kind.REFUSE, Kind.VANISH)
-    return Script([Fault(kind, 0.0, 1e9, 0.06) for kind in kinds], seed)
+    kinds = (FaultKind.RESET, FaultKind.FAIL, FaultKind.REFUSE, FaultKind.VANISH)
+    return FaultScript([Fault(kind, 0.0, 1e9, 0.06) for kind in kinds], seed)
 
 
 @pytest.mark.parametrize("tells", [True, False])
@@ -217,11 +217,11 @@
                     assert f"r{number}" not in ran, "rejected after an attempt that ran"
                 if status == 200:
                     assert f"r{number}" in ran
-            assert charged_twice(site.nodes) == []
+            assert repeated_requests(site.nodes) == []
             await proxy.stop()
             await wait_until_nothing_left(site.server())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def start_dying_proxy(site: ExtProcSite, point: str) -> asyncio.subprocess.Process:
@@ -251,7 +251,7 @@
                 lost_response = await send_request(port, "check-charge", f"{point}-2")
                 assert lost_response == (0, {}) and await dying_proxy.wait() == -signal.SIGKILL
                 await wait_until_nothing_left(site.server())  # the dead proxy's request has ended
-            assert charged_twice(site.nodes) == []
+            assert repeated_requests(site.nodes) == []
             ran = {run.request_id.decode() for node in site.nodes for run in node.ran}
             for point in POINTS:
                 before_sending = POINTS.index(point) < POINTS.index("bytes-left")
@@ -259,7 +259,7 @@
             engine: Any = site.programs[-1].gateway.decisions
             assert all(tenant.attempts_in_flight == 0 for tenant in engine.quota.tenants.by_id.values())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("point", POINTS)
@@ -293,21 +293,21 @@
             assert response_headers.get("x-glenchute-effect") != "none"
             record = next(record for record in proxy.log if record.request == "victim")
             assert len(record.nodes) <= 1, "reissued"
-            assert charged_twice(site.nodes) == []
+            assert repeated_requests(site.nodes) == []
             async with asyncio.timeout(10.0):
                 while (await send_request(proxy.port, "check-charge", "after"))[0] != 200:
                     await asyncio.sleep(0.05)
             await proxy.stop()
             assert await processes[-1].stop() == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_sigterm_lets_open_streams_end(tmp_path: Path) -> None:
     """After GOAWAY open streams are served until they end, and the process exits with 0."""
 
     async def scenario() -> None:
-        slow = Script([Fault(Kind.DELAY, 0.0, 1e9, 1.0, 0.8)])
+        slow = FaultScript([Fault(FaultKind.DELAY, 0.0, 1e9, 1.0, 0.8)])
         async with extproc_site([slow] * 3, start=False) as site:
             process = site.process(tmp_path)
             await process.ready()
@@ -317,12 +317,12 @@
                 asyncio.create_task(send_request(proxy.port, "check-charge", f"r{n}")) for n in range(20)
             ]
             async with asyncio.timeout(10.0):
-                await until(lambda: proxy.passed.get("bytes-left") == 20)
+                await wait_until(lambda: proxy.passed.get("bytes-left") == 20)
             assert await process.stop() == 0
             assert [status for status, _ in await asyncio.gather(*responses)] == [200] * 20
             await proxy.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("habits", [{"other_node": 3}, {"half": 3}, {"stall": 5}, {"retries_alone": True}])
@@ -335,11 +335,11 @@
             requests = [(class_names[number % 3], f"r{number}", number % 5) for number in range(90)]
             responses = await send_all(proxy.port, requests)
             assert all(status for status, _ in responses)
-            assert charged_twice(site.nodes) == []
+            assert repeated_requests(site.nodes) == []
             await proxy.stop()
             await wait_until_nothing_left(site.server())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_unix_socket_and_two_proxies_with_one_id(tmp_path: Path) -> None:
@@ -364,7 +364,7 @@
                 await proxy.stop()
             await wait_until_nothing_left(site.server())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- messages on the wire --------------------------------------------------------------------------------
@@ -419,7 +419,7 @@
             await proxy.stop()
             await wait_until_nothing_left(site.server())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_repeated_header_is_rejected() -> None:
@@ -435,7 +435,7 @@
             await stream.close()
             await proxy.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_observability_mode_takes_no_quota_and_gets_no_response() -> None:
@@ -455,7 +455,7 @@
             assert site.server().table.last_number == 0
             await proxy.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_server_survives_random_bytes() -> None:
@@ -491,7 +491,7 @@
             await proxy.stop()
             await wait_until_nothing_left(site.server())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 class RawMessage:
@@ -517,14 +517,14 @@
                 await stream.open()
                 await stream.stream.send_message(request_headers(f"r{number}"))  # not read until all are sent
             async with asyncio.timeout(20.0):
-                await until(lambda: site.server().table.last_number == 1000)
+                await wait_until(lambda: site.server().table.last_number == 1000)
             responses = [await stream.stream.recv_message() for stream in streams]
             admitted = sum(not response.HasField("immediate_response") for response in responses)
             assert 0 < admitted < 1000  # those within the account's quota; the others are rejected
             await proxy.stop()
             await wait_until_nothing_left(site.server())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("shown", ["none", "another", "signed"])
@@ -570,7 +570,7 @@
                         await stream.read()
                     assert site.server().table.last_number == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_proxy_that_grants_no_flow_control_window_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -596,9 +596,9 @@
                 connection.send_data(stream_id, b"\0" + len(request).to_bytes(4, "big") + request)
             writer.write(connection.data_to_send())
             async with asyncio.timeout(10.0):
-                await until(lambda: site.server().table.last_number == 50)
+                await wait_until(lambda: site.server().table.last_number == 50)
                 assert site.server().stream_guards
-                await until(lambda: not site.server().stream_guards)
+                await wait_until(lambda: not site.server().stream_guards)
             await wait_until_nothing_left(site.server())
             proxy = site.proxy()
             await proxy.start()
@@ -606,7 +606,7 @@
             await proxy.stop()
             writer.transport.abort()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- rate limit calls ------------------------------------------------------------------------------------
@@ -652,11 +652,11 @@
             ).overall_code == ok
             assert (await check_rate_limit(rate_limit_request("not an account"))).overall_code == ok
             engine: Any = site.programs[-1].gateway.decisions
-            await until(lambda: not engine.execution.requests and not engine.execution.attempts)
+            await wait_until(lambda: not engine.execution.requests and not engine.execution.attempts)
             assert all(tenant.attempts_in_flight == 0 for tenant in engine.quota.tenants.by_id.values())
             await proxy.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- starts that fail ------------------------------------------------------------------------------------
@@ -692,10 +692,10 @@
             process = site.process(tmp_path, key_setting(tmp_path))
             assert process.process is not None
             async with asyncio.timeout(10.0):
-                await until(lambda: process.process is not None and process.process.poll() is not None)
+                await wait_until(lambda: process.process is not None and process.process.poll() is not None)
             assert process.process.returncode == 2 and expected_log in process.log.read_text()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_labs_request_classes_are_the_ones_tested_here() -> None:
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -13,23 +13,23 @@
 from glenchute.cli.program import GatewayProgram
 from glenchute.config.platform import ConfigError, build, load
 from glenchute.listeners.operations import server as operations_server
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.site import GatewayProcess, LabSite, free_port
 from tests.loopback import (
     CUSTOMER,
     GET,
     SERVED,
     Client,
-    Script,
+    ScriptedEngine,
     Site,
-    always,
     config,
-    numbered,
-    play,
+    generate_request_ids,
     raw_config,
+    reply_with,
+    run_scenario,
     send_to,
     site,
-    until,
+    wait_until,
 )
 
 ANY_PORT: dict[str, Any] = {"operations_address": ("127.0.0.1", 0)}
@@ -57,7 +57,7 @@
 
 
 def serving_site() -> Any:
-    return site(always(SERVED), decisions=Script(send_to("s0")), **ANY_PORT)
+    return site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), **ANY_PORT)
 
 
 async def read_value(client: Client, serial: int) -> Any:
@@ -73,7 +73,7 @@
                 assert await request(port, "PUT", f"/_lameduck/{target}") == 200
                 assert await request(port, "GET", "/_ready") == status
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
             assert (b"Allow: " in response) == (status == b"405")
             assert running.program.listener.lifecycle.is_ready
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_one_request_per_connection_and_bodies_in_pieces() -> None:
@@ -112,7 +112,7 @@
             writer.close()
             assert not running.program.listener.lifecycle.is_ready
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_unfinished_requests_time_out_and_do_not_block_others(
@@ -132,11 +132,11 @@
                 operations is not None
                 and len(operations.slots.opened_at) <= operations_server.MAX_CONNECTIONS
             )
-            await until(lambda: not operations.slots.opened_at)  # each connection times out
+            await wait_until(lambda: not operations.slots.opened_at)  # each connection times out
             for _, writer in idle:
                 writer.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_drain_closes_idle_connections_and_those_in_use_after_a_response() -> None:
@@ -167,7 +167,7 @@
             )
             assert await read_value(reconnected, serial + 3) == b"value"  # the connection stays open
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_open_requests_are_answered_in_a_drain_and_late_ones_rejected() -> None:
@@ -178,12 +178,12 @@
             await released.wait()
             return SERVED
 
-        async with site(delayed_reply, decisions=Script(send_to("s0")), **ANY_PORT) as running:
+        async with site(delayed_reply, decisions=ScriptedEngine(send_to("s0")), **ANY_PORT) as running:
             client = await running.client()
-            ids = numbered()
+            ids = generate_request_ids()
             for _ in range(3):  # pipelined
                 client.send(b"CALL.GET", CUSTOMER, next(ids), GET)
-            await until(lambda: running.program.listener.request_count == 3)
+            await wait_until(lambda: running.program.listener.request_count == 3)
             running.program.listener.start_drain()
             lifecycle = running.program.listener.lifecycle
             lifecycle.phase_started_at -= 10.0  # as if the drain had started 10 s earlier
@@ -194,7 +194,7 @@
             assert str(await client.reply()) == "BUSY"  # rejected without an attempt
             assert await client.ended()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_cancelled_drain_keeps_open_connections() -> None:
@@ -209,12 +209,12 @@
             assert await read_value(client, 2) == b"value"
             assert await read_value(client, 3) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_sigterm_in_a_drain_answers_all_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with LabSite([Node("s0", Trade({"report-read": 40.0}))]) as lab:
+        async with LabSite([Node("s0", ServiceProfile({"report-read": 40.0}))]) as lab:
             platform = lab.platform()
             port = free_port()
             platform["operator"] = f"127.0.0.1:{port}"
@@ -233,7 +233,7 @@
             assert await ending == 0
             assert "Traceback" not in gateway.log.read_text()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_invalid_or_used_operations_address_fails_the_start(tmp_path: Path) -> None:
@@ -255,12 +255,12 @@
                 await program.start()
             await program.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_without_an_operations_address_there_is_no_server() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as running:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as running:
             assert running.program.operations is None
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/listeners/resp2/test_client_connections.py
+++ b/tests/listeners/resp2/test_client_connections.py
@@ -19,13 +19,13 @@
     GET,
     SERVED,
     DiscoveryPeer,
-    Script,
-    always,
-    listing,
-    play,
+    ScriptedEngine,
+    discovery_answer,
+    reply_with,
+    run_scenario,
     send_to,
     site,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -77,8 +77,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as one:
             client = await one.client()
             for words, text in INVALID_COMMANDS:
                 assert text in str(await client.ask(*words)), words
@@ -88,12 +88,12 @@
             assert len(one.servers[0].calls()) == 1
 
     monkeypatch.setattr(connection_module, "MAX_COMMAND_ERRORS", 1000)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_with_many_errors_gets_error_replies_and_is_closed() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client, other = await one.client(), await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             for _ in range(500):
@@ -104,14 +104,14 @@
             assert await client.reply() is None  # not a reset, with which the error replies could be lost
             assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_one_turn_of_the_loop_takes_a_bounded_number_of_commands() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             client = await one.client()
-            await until(lambda: one.program.listener.clients)
+            await wait_until(lambda: one.program.listener.clients)
             (connection,) = one.program.listener.clients
             unparsed: list[int] = []
             connection.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
@@ -120,7 +120,7 @@
             assert unparsed == [14 * (50 - connection_module.MAX_COMMANDS_PER_TURN)]
             assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_request_id_in_use_is_rejected_on_other_connections() -> None:
@@ -131,10 +131,10 @@
             await release.wait()
             return SERVED
 
-        async with site(reply, decisions=Script(send_to("s0"))) as one:
+        async with site(reply, decisions=ScriptedEngine(send_to("s0"))) as one:
             first, second = await one.client(), await one.client()
             first.send(b"CALL.GET", CUSTOMER, ID, GET)
-            await until(lambda: len(one.servers[0].calls()) == 1)
+            await wait_until(lambda: len(one.servers[0].calls()) == 1)
             assert "in use" in str(await second.ask(b"CALL.GET", CUSTOMER, ID, GET))
             release.set()
             assert await first.reply() == b"value"
@@ -142,29 +142,29 @@
             assert not one.program.listener.open_ids
             release.clear()
             first.send(b"CALL.GET", CUSTOMER, ID, GET)
-            await until(lambda: one.program.listener.open_ids)
+            await wait_until(lambda: one.program.listener.open_ids)
             first.writer.close()
-            await until(lambda: not one.program.listener.open_ids)  # the client has disconnected
+            await wait_until(lambda: not one.program.listener.open_ids)  # the client has disconnected
             release.set()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_long_deadline_is_reduced_to_the_longest_of_the_settings() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as one:
             client = await one.client()
             fields = b"c=read,t=basic,d=999999999"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
             assert [event.time_left_ms for event in script.of(Request)] == [20_000.0]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_silent_connections_and_partial_commands_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with site(always(None), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(None), decisions=ScriptedEngine(send_to("s0"))) as one:
             silent, partial, idle, busy = [await one.client() for _ in range(4)]
             partial.writer.write(b"*2\r\n$4\r\nPI")
             assert await idle.ask(b"PING") == b"PONG"
@@ -178,7 +178,7 @@
 
     for name in ("MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.2)
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_past_the_limit_connections_without_requests_are_evicted_first(
@@ -190,12 +190,12 @@
         monkeypatch.setattr(client_slots, name, 1000.0)
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             one.program.listener.connection_slots.max_connections = 2
             used = await one.client()
             assert await used.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             silent = await one.client()
-            await until(lambda: len(one.program.listener.clients) == 2)
+            await wait_until(lambda: len(one.program.listener.clients) == 2)
             await asyncio.sleep(2.0 * MIN_FIRST_COMMAND_S)  # a wide margin, as the loop's clock is coarse
             pinging = await one.client()
             assert await pinging.ask(b"PING") == b"PONG"
@@ -205,7 +205,7 @@
             assert await pinging.ended()
             assert await used.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 INVALID_RESP = [
@@ -232,7 +232,7 @@
 @pytest.mark.parametrize("data", INVALID_RESP)
 def test_invalid_resp_gets_an_error_reply_and_is_closed(data: bytes) -> None:
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             client = await one.client()
             client.writer.write(data)
             try:
@@ -240,11 +240,11 @@
                 assert await client.reply() is None
             except ConnectionResetError:
                 pass  # a reset, as bytes of the client were left unread
-            await until(lambda: not one.program.listener.clients)
+            await wait_until(lambda: not one.program.listener.clients)
             other = await one.client()
             assert await other.ask(b"PING") == b"PONG"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_site_listens_outside_the_range_of_outgoing_ports() -> None:
@@ -254,12 +254,12 @@
 
     async def scenario() -> None:
         low, high = outgoing_ports()
-        discovery = DiscoveryPeer(listing(1, []))
-        async with site(always(SERVED), discovery=discovery) as one:
+        discovery = DiscoveryPeer(discovery_answer(1, []))
+        async with site(reply_with(SERVED), discovery=discovery) as one:
             ports = [one.port, one.servers[0].port, one.counter.port, discovery.port]
             assert [port for port in ports if low <= port <= high] == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_commands_past_the_pending_limit_wait_and_are_answered() -> None:
@@ -272,25 +272,25 @@
             await release.wait()
             return SERVED
 
-        script = Script(send_to("s0"))
+        script = ScriptedEngine(send_to("s0"))
         async with site(reply, decisions=script) as one:
             client = await one.client()
             for number in range(3 * MAX_PENDING_COMMANDS):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(Request)) >= MAX_PENDING_COMMANDS)
+            await wait_until(lambda: len(script.of(Request)) >= MAX_PENDING_COMMANDS)
             assert len(one.program.gateway.active_requests) == MAX_PENDING_COMMANDS
             release.set()
             assert {await client.reply() for _ in range(3 * MAX_PENDING_COMMANDS)} == {b"value"}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_does_not_read_is_not_read_from() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             client = await one.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await until(lambda: one.program.listener.clients)
+            await wait_until(lambda: one.program.listener.clients)
             (connection,) = one.program.listener.clients
             word = b"x" * 60_000
             while not connection.is_write_blocked:
@@ -303,37 +303,37 @@
             while connection.is_write_blocked:
                 assert await client.reply() == word
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_past_the_limit_an_idle_connection_is_evicted() -> None:
     async def scenario() -> None:
-        async with site(always(None), sockets=64) as one:
+        async with site(reply_with(None), sockets=64) as one:
             one.program.listener.connection_slots.max_connections = 2
             busy, idle = await one.client(), await one.client()
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: one.program.gateway.active_requests)
+            await wait_until(lambda: one.program.gateway.active_requests)
             third = await one.client()
             assert await third.ask(b"PING") == b"PONG"
             assert await idle.ended()
             third.send(b"CALL.GET", CUSTOMER, b"2", GET)
-            await until(lambda: len(one.program.gateway.active_requests) == 2)
+            await wait_until(lambda: len(one.program.gateway.active_requests) == 2)
             fourth = await one.client()
             assert "too many connections" in str(await fourth.reply())
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_exception_in_a_command_gets_a_reply_and_keeps_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client = await one.client()
             with monkeypatch.context() as patch:
                 patch.setattr(one.program.gateway, "accept", None)
                 assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -19,14 +19,14 @@
     GET,
     SERVED,
     Client,
-    Script,
+    ScriptedEngine,
     Site,
-    always,
-    numbered,
-    play,
+    generate_request_ids,
+    reply_with,
+    run_scenario,
     send_to,
     site,
-    until,
+    wait_until,
 )
 
 SOCKETS = 96  # file descriptors: 46 client slots, of which at most 32 for clients with requests
@@ -42,7 +42,7 @@
 
     def __init__(self, one: Site) -> None:
         self.one = one
-        self.ids = numbered()
+        self.ids = generate_request_ids()
         self.pool = asyncio.Semaphore(SOCKETS // 3)  # connections for requests; the clients open no more
         self.one_time_counts = [0, 0]  # requests sent, served
         self.regular_counts = [0, 0]  # requests sent, served
@@ -158,7 +158,7 @@
     second none is free. `test_client_slots.py` tests in simulated time from which rates on clients wait."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0")), sockets=SOCKETS) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), sockets=SOCKETS) as one:
             crowd = Crowd(one)
             await crowd.play(pinging, silent)
             assert crowd.one_time_counts[0] == ONE_TIME_CLIENTS
@@ -170,7 +170,7 @@
             assert crowd.peak_connections <= slots.max_connections + slots.max_overflow
             assert slots.closed_counts[CloseReason.IDLE] > 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def connect_blocking(port: int) -> socket.socket:
@@ -192,8 +192,8 @@
     end of the connection, not a reset, and never reaches the decisions: the client may send it again."""
 
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as one:
             listener = one.program.listener
             client = connect_blocking(one.port)
             client.sendall(first)
@@ -214,14 +214,14 @@
                 assert await loop.run_in_executor(None, client.recv, 100) == b""
                 assert len(script.of(Request)) == request_count
             client.close()
-            await until(lambda: not listener.clients)
+            await wait_until(lambda: not listener.clients)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_connection_with_an_unread_command_is_not_evicted() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             listener = one.program.listener
             listener.connection_slots.max_connections = 1
             loop = asyncio.get_running_loop()
@@ -237,22 +237,22 @@
             new.close()
             used.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_ignores_the_close_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client = connect_blocking(one.port)
-            await until(lambda: one.program.listener.clients)
+            await wait_until(lambda: one.program.listener.clients)
             monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "LINGER_TIMEOUT_S", 0.1)
-            await until(lambda: not one.program.listener.clients)
+            await wait_until(lambda: not one.program.listener.clients)
             assert client.recv(1) == b""
             client.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_exception_in_closing_one_connection_does_not_affect_others(
@@ -263,10 +263,10 @@
     close_for = ClientConnection.close_for
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             listener = one.program.listener
             silent = [await one.client(), await one.client()]
-            await until(lambda: len(listener.clients) == 2)
+            await wait_until(lambda: len(listener.clients) == 2)
             first = next(iter(listener.clients))
 
             def failing_close(client: ClientConnection, reason: CloseReason) -> bool:
@@ -278,9 +278,9 @@
             monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             assert all([await client.ended() for client in silent])
-            await until(lambda: first.transport is None)
+            await wait_until(lambda: first.transport is None)
             last = await one.client()
             assert await last.ended()
-            await until(lambda: not listener.clients)
+            await wait_until(lambda: not listener.clients)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/listeners/resp2/test_unread_replies.py
+++ b/tests/listeners/resp2/test_unread_replies.py
@@ -12,7 +12,18 @@
 from glenchute.policy.connections import client_slots
 from glenchute.policy.connections.client_slots import CloseReason
 from glenchute.protocol import resp2 as resp
-from tests.loopback import CUSTOMER, GET, SERVED, Script, Site, always, play, send_to, site, until
+from tests.loopback import (
+    CUSTOMER,
+    GET,
+    SERVED,
+    ScriptedEngine,
+    Site,
+    reply_with,
+    run_scenario,
+    send_to,
+    site,
+    wait_until,
+)
 
 WORD = b"x" * 60_000
 LARGE = resp.encode_command(b"PING", WORD)
@@ -67,14 +78,14 @@
     limit = 2 * 1024 * 1024
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             listener = one.program.listener
             listener.client_memory.max_bytes = limit
             other = await one.client()
             with sockets(one, 60) as socks:
                 async with writing(socks, LARGE):
                     counts = listener.connection_slots.closed_counts
-                    await until(lambda: counts[CloseReason.UNREAD] >= 20)
+                    await wait_until(lambda: counts[CloseReason.UNREAD] >= 20)
                     peak = 0
                     for _ in range(200):
                         await asyncio.sleep(0)
@@ -82,10 +93,10 @@
                     assert await other.ask(b"PING") == b"PONG"
             # Each connection may add one turn's replies and one read before memory is relieved again.
             assert peak <= limit + 60 * (len(WORD) + 64 * 1024), f"{peak} bytes"
-            await until(lambda: len(listener.clients) == 1)
+            await wait_until(lambda: len(listener.clients) == 1)
             assert listener.client_memory.total_bytes == buffered_bytes(one) == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_does_not_read_loses_its_slot_to_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -93,11 +104,11 @@
     monkeypatch.setattr(client_slots, "MIN_WRITE_BLOCKED_S", 0.02)
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0")), sockets=96) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), sockets=96) as one:
             slots = one.program.listener.connection_slots
             with sockets(one, slots.max_connections) as socks:
                 async with writing(socks, LARGE):
-                    await until(lambda: len(slots.blocked()) >= slots.max_connections)
+                    await wait_until(lambda: len(slots.blocked()) >= slots.max_connections)
                     await asyncio.sleep(0.05)
                     for number in range(10):
                         client = await one.client()
@@ -105,21 +116,21 @@
                     assert slots.closed_counts[CloseReason.NO_SLOT] == 0
                     assert slots.closed_counts[CloseReason.UNREAD] >= 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_rejected_client_that_keeps_writing_is_aborted() -> None:
     """Guards against unlimited time spent on discarding what rejected clients send."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), sockets=96) as one:
+        async with site(reply_with(SERVED), sockets=96) as one:
             listener = one.program.listener
             listener.connection_slots.max_connections = 0
             with sockets(one, 1) as socks:
-                await until(lambda: listener.connection_slots.closed_counts[CloseReason.NO_SLOT] == 1)
+                await wait_until(lambda: listener.connection_slots.closed_counts[CloseReason.NO_SLOT] == 1)
                 rejected = next(iter(listener.clients))
                 async with writing(socks, LARGE):
-                    await until(lambda: rejected.transport is None)
+                    await wait_until(lambda: rejected.transport is None)
                 assert rejected.discarded_bytes <= 256 * 1024 + len(LARGE)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,13 +20,13 @@
     Peer,
     Reply,
     RespPeer,
-    always,
-    http,
-    listing,
-    numbered,
-    play,
-    row,
-    until,
+    discovery_answer,
+    generate_request_ids,
+    http_response,
+    reply_with,
+    run_scenario,
+    server_row,
+    wait_until,
 )
 from lab.ports import free_port
 
@@ -36,13 +36,13 @@
     "Peer",
     "Reply",
     "RespPeer",
-    "always",
-    "http",
-    "listing",
-    "numbered",
-    "play",
-    "row",
-    "until",
+    "discovery_answer",
+    "generate_request_ids",
+    "http_response",
+    "reply_with",
+    "run_scenario",
+    "server_row",
+    "wait_until",
 ]
 
 CUSTOMER = b"00000000b4d65521"
@@ -68,7 +68,7 @@
 SERVED = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 
 
-class Script:
+class ScriptedEngine:
     """A decision handler for tests: `decide` turns each event into actions. All events are recorded."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
@@ -157,8 +157,8 @@
     counts = RespPeer(counter or add)
     for peer in (*servers, counts):
         await peer.start()
-    rows = [row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
-    discovery = discovery or DiscoveryPeer(listing(1, rows))
+    rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
+    discovery = discovery or DiscoveryPeer(discovery_answer(1, rows))
     await discovery.start()
     made = config(discovery.port, counts.port, rows, **changes)
     bound = parse(operator, made.facts).config if operator is not None else None
@@ -166,7 +166,7 @@
     program = GatewayProgram(made, asyncio.get_running_loop(), decisions, operator=bound)
     await program.start()
     if program.counter is not None:
-        await until(
+        await wait_until(
             lambda: program.counter is None or all(link.is_ready() for link in program.counter.connections)
         )
     try:
--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -12,8 +12,8 @@
 from glenchute.clients.counter import CounterClient
 from glenchute.policy.actions import IncrementCounter, StartAttempt
 from glenchute.policy.events import CounterReply, EndpointList, EndpointListKind, Outcome
-from tests.loopback import RespPeer, Script, always, play, site, until
-from tests.rig import Rig, entries, only
+from tests.loopback import RespPeer, ScriptedEngine, reply_with, run_scenario, site, wait_until
+from tests.rig import EngineHarness, actions_of_type, make_endpoints
 
 Report = tuple[str, float, Outcome]
 
@@ -25,16 +25,16 @@
     await peer.start()
     counter = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.05)
     reports: list[Report] = []
-    await until(lambda: all(link.is_ready() for link in counter.connections))
+    await wait_until(lambda: all(link.is_ready() for link in counter.connections))
     for _ in range(calls):
         counter.increment(
             7, 1.0, 4000.0,
             lambda total, ending, took: reports.append(("done", total, ending)),
             lambda total, ending, took: reports.append(("late", total, ending)),
         )  # fmt: skip
-    await until(lambda: len(reports) == calls)
+    await wait_until(lambda: len(reports) == calls)
     go.set()
-    await until(lambda: len(reports) == 2 * calls)
+    await wait_until(lambda: len(reports) == 2 * calls)
     await asyncio.sleep(0.05)
     counter.close()
     await asyncio.sleep(0.02)
@@ -64,7 +64,7 @@
         assert reports[:3] == [("done", 0.0, Outcome.TIMEOUT)] * 3
         assert reports[3:] == [("late", total, ending)] * 3
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_broken_connection_ends_late_replies() -> None:
@@ -81,7 +81,7 @@
         reports = await collect_reports(reply, go, 2)
         assert reports == [("done", 0.0, Outcome.TIMEOUT)] * 2 + [("late", 0.0, Outcome.TIMEOUT)] * 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_core_passes_late_replies_to_the_engine() -> None:
@@ -93,31 +93,31 @@
                 await go.wait()
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n4\r\n"
 
-        script = Script(lambda event: [])
-        async with site(always(b""), decisions=script, counter=slow) as one:
+        script = ScriptedEngine(lambda event: [])
+        async with site(reply_with(b""), decisions=script, counter=slow) as one:
             counter = one.program.counter
             assert counter is not None
             counter.timeout_s = 0.05
             one.program.gateway.execute(IncrementCounter(12, 1.0, 4000.0))
-            await until(lambda: script.of(CounterReply))
+            await wait_until(lambda: script.of(CounterReply))
             go.set()
-            await until(lambda: len(script.of(CounterReply)) == 2)
+            await wait_until(lambda: len(script.of(CounterReply)) == 2)
             first, second = script.of(CounterReply)
             assert (first.outcome, first.is_late) == (Outcome.TIMEOUT, False)
             assert (second.outcome, second.total, second.is_late) == (Outcome.OK, 4.0, True)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- the engine --------------------------------------------------------------------------------------------
 
 
-class LateCounterRig(Rig):
+class LateCounterRig(EngineHarness):
     """A gateway whose counter replies to every call after its timeout, or never."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.feed(EndpointList(EndpointListKind.CACHED, entries(3)))
+        self.feed(EndpointList(EndpointListKind.CACHED, make_endpoints(3)))
         self.ending = Outcome.TIMEOUT
         self.totals: dict[int, float] = {}
         self.late_count = 0
@@ -136,7 +136,7 @@
         """Sends requests of one tenant, 100 ms apart; returns how many were admitted."""
         admitted = 0
         for _ in range(requests):
-            admitted += bool(only(self.ask("read", "rate", "c", spread=2)[1], StartAttempt))
+            admitted += bool(actions_of_type(self.ask("read", "rate", "c", spread=2)[1], StartAttempt))
             self.answer_calls()
             if late:
                 self.answer_late()
--- a/tests/policy/admission/test_total_age.py
+++ b/tests/policy/admission/test_total_age.py
@@ -6,7 +6,7 @@
 
 from glenchute.policy.actions import IncrementCounter
 from glenchute.policy.events import CounterReply, Outcome
-from tests.rig import SETTINGS, Rig, entries, with_
+from tests.rig import SETTINGS, EngineHarness, make_endpoints, replace_settings
 
 
 @pytest.mark.parametrize(("spread", "may_use_bucket"), [(2, True), (100, False)])
@@ -14,7 +14,7 @@
     """With a total that is half a second old, in a window of three seconds, one of two gateways may use the
     estimated bucket. One of a hundred keeps to its local share, as together they could overspend the bucket
     a hundredfold."""
-    rig = Rig(entries(4), with_(SETTINGS, gateway_count=spread))
+    rig = EngineHarness(make_endpoints(4), replace_settings(SETTINGS, gateway_count=spread))
     rig.ask(plan="rate", spread=spread)
     rig.advance(1200.0)
     for call in [action for _, action in rig.log if isinstance(action, IncrementCounter)]:
