--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -57,14 +57,14 @@
 from glenchute.upstreams.connection import Connection
 from glenchute.upstreams.connection_pool import ConnectionPool
 from glenchute.upstreams.server_pools import ServerPools
-from lab.coldstart import Herd
-from lab.load import Account, Kind, Load
+from lab.coldstart import GatewayFleet
+from lab.load import Account, Load, RequestKind
 from lab.load import Outcome as LoadOutcome
-from lab.peers import DiscoveryPeer, listing, play, row, until
+from lab.peers import DiscoveryPeer, discovery_answer, run_scenario, server_row, wait_until
 from lab.sim.swarm import drawn, tried
 from lab.sim.world import World
-from lab.site import patient
-from tests.loopback import Script, site
+from lab.site import with_longer_deadlines
+from tests.loopback import ScriptedEngine, site
 from tests.rig import SETTINGS
 
 
@@ -281,7 +281,9 @@
 
     async def scenario() -> None:
         operator = "[subset]\nservers = 3\n"
-        async with Herd(tmp_path, 8, 100.0, 200, operator, patient(), servers=8) as herd:
+        async with GatewayFleet(
+            tmp_path, 8, 100.0, 200, operator, with_longer_deadlines(), servers=8
+        ) as herd:
             await herd.start(range(8))
 
             def client(number: int, rate: float, seed: int) -> Load:
@@ -289,7 +291,9 @@
                 records."""
                 mine = [Account(b"%016x" % (1000 * number + at), "korporativni") for at in range(40)]
                 port = herd.gateways[number].port
-                return Load(lambda: port, (Kind("report-read", 1.0, 20_000),), mine, rate, seed + number)
+                return Load(
+                    lambda: port, (RequestKind("report-read", 1.0, 20_000),), mine, rate, seed + number
+                )
 
             async def load_by_fours(number: int) -> Load:
                 """Sends requests to one gateway, four at a time."""
@@ -323,7 +327,7 @@
             assert len(results) > 900 and results.count("lost") == 0
             assert results.count("served") >= 0.95 * len(results)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- long lists, of which a subset is used by default -------------------------------------------------------
@@ -624,13 +628,13 @@
 def test_a_gateway_without_a_file_uses_a_part_of_a_long_list() -> None:
     """Uses the parts of a real process: a short list is passed on unchanged; once it grows past the limit,
     the engine is told of a subset, and of drains in it at once."""
-    engine = Script(lambda event: [])
+    engine = ScriptedEngine(lambda event: [])
 
     async def scenario() -> None:
-        rows = [{**row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(MAX_SUBSET_SIZE + 40)]
-        answers = DiscoveryPeer(listing(2, rows[:20]), listing(3, rows[20:], full=False))
+        rows = [{**server_row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(MAX_SUBSET_SIZE + 40)]
+        answers = DiscoveryPeer(discovery_answer(2, rows[:20]), discovery_answer(3, rows[20:], full=False))
         async with site(decisions=engine, discovery=answers) as one:
-            await until(lambda: one.program.discovery.version == 3)
+            await wait_until(lambda: one.program.discovery.version == 3)
             lists = engine.of(EndpointList)
             assert [event.total_endpoints for event in lists] == [0, 0, MAX_SUBSET_SIZE + 40]
             assert len(lists[1].endpoints) == 20
@@ -638,12 +642,12 @@
             used = subsetting.subset.in_use
             assert len(used) == subset_size(MAX_SUBSET_SIZE + 40, SETTINGS.gateway_count)
             drained = next(iter(used))
-            answers.answers.append(listing(4, [row(drained, 9, "Terminating")], full=False))
-            await until(lambda: one.program.discovery.version == 4)
+            answers.answers.append(discovery_answer(4, [server_row(drained, 9, "Terminating")], full=False))
+            await wait_until(lambda: one.program.discovery.version == 4)
             assert drained not in used and len(used) == MAX_SUBSET_SIZE
             assert drained in {entry.address for entry in engine.of(EndpointList)[-1].endpoints}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_cost_by_the_servers_that_have_any(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -687,7 +691,7 @@
         servers.close()
         assert servers.connection_count() == 0 and not servers.active_pools
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_start_does_not_import_the_subset() -> None:
--- a/tests/policy/connections/test_descriptor_budget.py
+++ b/tests/policy/connections/test_descriptor_budget.py
@@ -32,16 +32,16 @@
     Client,
     DiscoveryPeer,
     RespPeer,
-    Script,
-    always,
-    listing,
-    numbered,
-    play,
+    ScriptedEngine,
+    discovery_answer,
+    generate_request_ids,
     raw_config,
-    row,
+    reply_with,
+    run_scenario,
     send_to,
+    server_row,
     site,
-    until,
+    wait_until,
 )
 
 MAX_DRAIN_DELAY_S = 6.0  # time from when discovery is reachable until a drain must be in effect
@@ -104,7 +104,7 @@
     )
 
     async def scenario() -> None:
-        async with site(always(SERVED), budget=divided) as gateway_site:
+        async with site(reply_with(SERVED), budget=divided) as gateway_site:
             listener, counter_client = gateway_site.program.listener, gateway_site.program.counter
             slots = listener.connection_slots
             assert (slots.max_connections, slots.max_requesting, slots.max_overflow) == (7, 5, 1)
@@ -112,7 +112,7 @@
             listener.set_share(0.5)
             assert (slots.max_connections, slots.max_requesting) == (3, 2)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_connection_counts_once_while_it_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,17 +128,17 @@
     monkeypatch.setattr(Connection, "connection_made", record_count)
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as gateway_site:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
             client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert counts == [1]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_attempt_cancelled_before_its_connect_leaks_no_connection() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as gateway_site:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
             servers = gateway_site.program.servers
             results: list[AttemptResult] = []
             attempt = servers.create_attempt("s0", lambda left: b"", 1.0, results.append)
@@ -146,9 +146,9 @@
             attempt.start()
             attempt.stop(Outcome.NOT_SENT)
             assert [result.outcome for result in results] == [Outcome.NOT_SENT]
-            await until(lambda: servers.connection_count() == 0)
+            await wait_until(lambda: servers.connection_count() == 0)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 class CrowdedGateway:
@@ -158,7 +158,7 @@
         self.folder, self.descriptors, self.is_discovery_silent = folder, descriptors, is_discovery_silent
         self.servers = [RespPeer(self.answer) for _ in range(3)]
         self.counter = CounterService()
-        self.request_ids = numbered()
+        self.request_ids = generate_request_ids()
         self.idle_clients: list[asyncio.Task[None]] = []
         self.idle_writers: set[asyncio.StreamWriter] = set()
         self.may_answer = asyncio.Event()
@@ -176,7 +176,7 @@
             await peer.start(free_port() if peer is self.discovery else 0)
         if not self.is_discovery_silent:
             await self.discovery.stop()
-        self.server_rows = [row(f"s{i}", peer.port) for i, peer in enumerate(self.servers)]
+        self.server_rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(self.servers)]
         raw = raw_config(self.discovery.port, self.counter.port, self.server_rows, free_port())
         raw["limits"]["sockets"] = self.descriptors
         self.gateway = GatewayProcess(self.folder, raw)
@@ -227,7 +227,7 @@
         clients = [await Client.connect(self.gateway.port) for _ in range(request_count)]
         for number, client in enumerate(clients):
             client.send(b"CALL.GET", b"%016x" % (7000 + number), next(self.request_ids), GET)
-            await until(lambda: sum(len(peer.calls()) for peer in self.servers) > number)  # noqa: B023
+            await wait_until(lambda: sum(len(peer.calls()) for peer in self.servers) > number)  # noqa: B023
         self.may_answer.set()
         for client in clients:
             assert await client.reply() == b"value"
@@ -236,7 +236,7 @@
             asyncio.create_task(self.run_idle_client())
             for _ in range(budget.client_connections + budget.overflow_connections + 8)
         ]
-        await until(lambda: self.disconnect_count >= budget.overflow_connections)
+        await wait_until(lambda: self.disconnect_count >= budget.overflow_connections)
 
     async def ask_until_accepted(self) -> Any:
         """Sends a request on a new connection, again if there was no slot; returns its reply."""
@@ -271,10 +271,10 @@
             for _ in range(5):
                 assert await crowded.ask_until_accepted() == b"value"
                 crowded.record_descriptors()
-            rows = [row("s0", crowded.servers[0].port, "Terminating"), *crowded.server_rows[1:]]
-            restored_discovery = DiscoveryPeer(listing(2, rows))
+            rows = [server_row("s0", crowded.servers[0].port, "Terminating"), *crowded.server_rows[1:]]
+            restored_discovery = DiscoveryPeer(discovery_answer(2, rows))
             if is_discovery_silent:
-                crowded.discovery.answers += [listing(2, rows)] * 100
+                crowded.discovery.answers += [discovery_answer(2, rows)] * 100
             else:
                 await restored_discovery.start(crowded.discovery.port)
             loop = asyncio.get_running_loop()
@@ -291,7 +291,7 @@
             assert len(crowded.counter.writers) >= divide_descriptors(descriptors).counter_connections
             await restored_discovery.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def lowest_free_descriptor(pid: int) -> int:
@@ -324,15 +324,17 @@
             newcomer = await Client.connect(crowded.gateway.port)
             assert await newcomer.ended()
             crowded.gateway.signal(signal.SIGHUP)
-            await until(lambda: "the configuration in force stays" in crowded.gateway.log.read_text())
+            await wait_until(lambda: "the configuration in force stays" in crowded.gateway.log.read_text())
             # Long enough for every part to retry.
             await asyncio.sleep(max(counter.MAX_BACKOFF_S, polling.MAX_BACKOFF_S) + 0.2)
             assert not [peer for peer in peers if peer.writers]
             resource.prlimit(crowded.pid, resource.RLIMIT_NOFILE, (128, 128))
-            await until(lambda: len(crowded.counter.writers) >= divide_descriptors(128).counter_connections)
-            await until(lambda: len(crowded.discovery.targets) > discovery_call_count)
+            await wait_until(
+                lambda: len(crowded.counter.writers) >= divide_descriptors(128).counter_connections
+            )
+            await wait_until(lambda: len(crowded.discovery.targets) > discovery_call_count)
             while await crowded.ask_until_accepted() != b"value":
                 pass
             assert await client.ask(b"CALL.GET", CUSTOMER, next(crowded.request_ids), GET) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -28,9 +28,9 @@
 from glenchute.upstreams.connection import Connection
 from glenchute.upstreams.connection_pool import ConnectionPool
 from glenchute.upstreams.server_pools import ServerPools
-from lab.peers import RespPeer, always, play, until
-from tests.crossings import packed
-from tests.loopback import CUSTOMER, GET, SERVED, Script, send_to, site
+from lab.peers import RespPeer, reply_with, run_scenario, wait_until
+from tests.crossings import encode_command
+from tests.loopback import CUSTOMER, GET, SERVED, ScriptedEngine, send_to, site
 
 COMMAND = b"*1\r\n$8\r\nCALL.GET\r\n"
 CONNECT_S = 0.4
@@ -137,13 +137,13 @@
         self.loop.connect_gates[index].set_exception(ConnectionRefusedError())
 
     async def wait_for_hedge(self) -> None:
-        await until(lambda: len(self.loop.connect_gates) == 2)
+        await wait_until(lambda: len(self.loop.connect_gates) == 2)
 
     async def expect_result(self, outcome: Outcome, calls: int) -> None:
         """Asserts one result, `calls` commands at the server, and no leaked connection."""
-        await until(lambda: self.results)
-        await until(lambda: not self.servers.connecting)
-        await until(lambda: self.servers.connection_count() == len(self.pool.idle))
+        await wait_until(lambda: self.results)
+        await wait_until(lambda: not self.servers.connecting)
+        await wait_until(lambda: self.servers.connection_count() == len(self.pool.idle))
         assert [result.outcome for result in self.results] == [outcome]
         assert len(self.server.calls()) == calls
 
@@ -176,7 +176,7 @@
 async def first_fails(race: HedgeRace) -> None:
     """The second connection carries the request."""
     race.fail_connect(0)
-    await until(lambda: len(race.servers.connecting) == 1)
+    await wait_until(lambda: len(race.servers.connecting) == 1)
     assert not race.results
     race.complete_connect(1)
     await race.expect_result(Outcome.OK, 1)
@@ -185,7 +185,7 @@
 async def second_fails(race: HedgeRace) -> None:
     """The first connection carries the request."""
     race.fail_connect(1)
-    await until(lambda: len(race.servers.connecting) == 1)
+    await wait_until(lambda: len(race.servers.connecting) == 1)
     assert not race.results
     race.complete_connect(0)
     await race.expect_result(Outcome.OK, 1)
@@ -246,7 +246,7 @@
 
 @asynccontextmanager
 async def hedge_race(loop: GatedLoop, connections: int = 100) -> AsyncIterator[HedgeRace]:
-    server = RespPeer(always(SERVED))
+    server = RespPeer(reply_with(SERVED))
     await server.start()
     loop.port = server.port
     race = HedgeRace(loop, server, connections)
@@ -283,7 +283,7 @@
     """The connection limit is reached, so the attempt waits for its first connect."""
 
     async def race_scenario(race: HedgeRace) -> None:
-        await until(lambda: race.attempt.hedge_timer is None)
+        await wait_until(lambda: race.attempt.hedge_timer is None)
         assert len(race.loop.connect_gates) == 1 and race.servers.connection_count() == 1
         race.complete_connect(0)
         await race.expect_result(Outcome.OK, 1)
@@ -297,11 +297,11 @@
     async def race_scenario(race: HedgeRace) -> None:
         await race.wait_for_hedge()
         for _ in range(3):
-            await until(lambda: race.results)
+            await wait_until(lambda: race.results)
             race.results.clear()
             connect_count = len(race.loop.connect_gates)
             race.attempt = race.start_attempt()
-            await until(lambda: race.results)
+            await wait_until(lambda: race.results)
             assert len(race.loop.connect_gates) == connect_count + 1
         assert race.servers.hedged_connects == 1
 
@@ -314,7 +314,7 @@
     async def race_scenario(race: HedgeRace) -> None:
         race.pool.stop()
         race.pool.stop_at = math.inf
-        await until(lambda: race.attempt.hedge_timer is None)
+        await wait_until(lambda: race.attempt.hedge_timer is None)
         assert len(race.loop.connect_gates) == 1
         race.complete_connect(0)
         await race.expect_result(Outcome.OK, 1)
@@ -340,10 +340,10 @@
 
     async def race_scenario(race: HedgeRace) -> None:
         race.start_attempt().stop(Outcome.NOT_SENT)
-        await until(lambda: race.loop.connect_gates)
+        await wait_until(lambda: race.loop.connect_gates)
         race.complete_connect(0)
-        await until(lambda: len(race.results) == 2)
-        await until(lambda: not race.servers.connecting)
+        await wait_until(lambda: len(race.results) == 2)
+        await wait_until(lambda: not race.servers.connecting)
 
     run_race(race_scenario)
 
@@ -352,14 +352,14 @@
     """There are more such clients than connections to servers; a client that waits is served afterwards."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as gateway_site:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
             servers = gateway_site.program.servers
             for number in range(int(1.5 * servers.max_connections())):
                 with socket.create_connection(("127.0.0.1", gateway_site.port)) as client:
-                    client.sendall(packed(b"CALL.GET", CUSTOMER, b"%d" % number, GET))
+                    client.sendall(encode_command(b"CALL.GET", CUSTOMER, b"%d" % number, GET))
                 if number % 20 == 0:
                     await asyncio.sleep(0)
-            await until(
+            await wait_until(
                 lambda: (
                     not gateway_site.program.listener.clients
                     and not gateway_site.program.gateway.active_requests
@@ -367,8 +367,8 @@
             )
             waiting_client = await gateway_site.client()
             assert await waiting_client.ask(b"CALL.GET", CUSTOMER, b"last", GET) == b"value"
-            await until(
+            await wait_until(
                 lambda: servers.connection_count() == sum(len(pool.idle) for pool in servers.pools.values())
             )
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/policy/connections/test_response_order.py
+++ b/tests/policy/connections/test_response_order.py
@@ -11,7 +11,7 @@
 
 from glenchute.listeners.resp2 import listener as listener_module
 from glenchute.policy.connections.response_order import PendingReply, ReleaseDecision, decide_release
-from tests.loopback import CHARGE, CUSTOMER, Script, play, send_to, until
+from tests.loopback import CHARGE, CUSTOMER, ScriptedEngine, run_scenario, send_to, wait_until
 from tests.upstreams.test_pipelined_servers import ScriptedServer, burst, change_rules, pipelined_site, value
 
 MARGIN_S = 0.02
@@ -90,7 +90,7 @@
         operator = (
             f'[pipeline]\nclasses = ["read"]\nleast_stall_ms = 20000\nrelease = {str(release).lower()}\n'
         )
-        async with pipelined_site(server, decisions=Script(send_to("s0")), operator=operator) as (
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0")), operator=operator) as (
             gateway_site,
             upstream,
         ):
@@ -104,19 +104,19 @@
                 for n in range(64)
             ]
             await burst(client, *commands)
-            await until(lambda: len(server.ran) == 64)
+            await wait_until(lambda: len(server.ran) == 64)
             command_numbers = {ran[2]: number for number, ran in server.ran}
             # All are at the server concurrently, each on its own connection.
             assert len(command_numbers) == len(set(command_numbers.values())) == 64
             (connection,) = gateway_site.program.listener.clients
             for n in range(1, 63):
                 server.send(value(b"v%d" % n), command_numbers[b"%d" % n])
-            await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 62)
+            await wait_until(lambda: sum(slot.reply is not None for slot in connection.slots) == 62)
             first_deadline = min(slot.deadline for slot in connection.slots if slot.reply is not None)
             check_at = loop.time() + CHECK_DELAY_S
             monkeypatch.setattr(listener_module, "RELEASE_MARGIN_S", first_deadline - check_at)
             server.send(value(b"v63"), command_numbers[b"63"])
-            await until(lambda: not connection.slots or connection.slots[-1].reply is not None)
+            await wait_until(lambda: not connection.slots or connection.slots[-1].reply is not None)
 
             async def end_stall() -> None:
                 await asyncio.sleep(2.0 * CHECK_DELAY_S)
@@ -132,18 +132,18 @@
             replies += [await client.reply() for _ in range(63)]
             assert str(replies[0]) == "ERR failed" and replies[1:] == [b"v%d" % n for n in range(1, 64)]
             assert loop.time() < first_deadline
-            await until(lambda: not connection.slots)
+            await wait_until(lambda: not connection.slots)
             assert (
                 not gateway_site.program.gateway.active_requests
                 and not gateway_site.program.listener.release_timers
             )
             if release:
                 # The stalled request is cancelled at the server as well.
-                await until(lambda: command_numbers[b"0"] in server.ended)
+                await wait_until(lambda: command_numbers[b"0"] in server.ended)
             if stall_task is not None:
                 await stall_task
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_non_idempotent_request_is_never_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -152,7 +152,7 @@
     async def scenario() -> None:
         server = ScriptedServer()
         operator = '[pipeline]\nclasses = ["read"]\nrelease = true\n'
-        async with pipelined_site(server, decisions=Script(send_to("s0")), operator=operator) as (
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0")), operator=operator) as (
             gateway_site,
             upstream,
         ):
@@ -164,7 +164,7 @@
             await burst(
                 client, charge, *[(b"CALL.GET", CUSTOMER, b"%d" % n, quick_parameters) for n in range(3)]
             )
-            await until(lambda: len(server.ran) == 4)
+            await wait_until(lambda: len(server.ran) == 4)
             (connection,) = gateway_site.program.listener.clients
             check_at = loop.time() + CHECK_DELAY_S
             monkeypatch.setattr(
@@ -176,7 +176,7 @@
             for number, ran in server.ran:
                 if ran[2] != b"x":
                     server.send(value(b"v" + ran[2]), number)
-            await until(lambda: sum(slot.reply is not None for slot in connection.slots) == 3)
+            await wait_until(lambda: sum(slot.reply is not None for slot in connection.slots) == 3)
             await asyncio.sleep(2.0 * CHECK_DELAY_S)
             assert len(connection.slots) == 4 and loop.time() > check_at
             connection.flush()  # a further flush does not abandon the charge either
@@ -184,4 +184,4 @@
             server.send(value(b"ok"), command_numbers[b"x"])
             assert [await client.reply() for _ in range(4)] == [b"ok", b"v0", b"v1", b"v2"]
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -38,7 +38,7 @@
     encode_handover,
     retained_limit_share,
 )
-from tests.rig import SETTINGS, Rig, only
+from tests.rig import SETTINGS, EngineHarness, actions_of_type
 
 QUOTA = QuotaSnapshot("c", "rate", 2, 3.0, 0.0, 1.0, 0.5, 2.0, 4.0, 1000.0, 7.0)
 figures = st.floats(-1e12, 1e12)
@@ -132,9 +132,9 @@
 # --- quotas in the decision engine ------------------------------------------------------------------------
 
 
-def gateway_after_requests(tenant: str, plan: str, requests: int) -> Rig:
+def gateway_after_requests(tenant: str, plan: str, requests: int) -> EngineHarness:
     """Returns a gateway at which a tenant has sent some requests."""
-    rig = Rig()
+    rig = EngineHarness()
     rig.feed(saved_list())
     for _ in range(requests):
         rig.ask("read", plan, tenant, spread=1)
@@ -144,29 +144,32 @@
 
 def saved_list() -> Any:
     from glenchute.policy.events import EndpointList, EndpointListKind
-    from tests.rig import entries
+    from tests.rig import make_endpoints
 
-    return EndpointList(EndpointListKind.CACHED, entries(3))
+    return EndpointList(EndpointListKind.CACHED, make_endpoints(3))
 
 
-def replace_process(old: Rig) -> Rig:
+def replace_process(old: EngineHarness) -> EngineHarness:
     """Hands over to a new process and returns that."""
-    [sent] = only(old.feed(SuccessorStarted()), SendState)
-    new = Rig()
+    [sent] = actions_of_type(old.feed(SuccessorStarted()), SendState)
+    new = EngineHarness()
     new.now = old.now
     new.feed(StateReceived(sent.quotas))
     new.feed(saved_list())
     return new
 
 
-def count_admitted(rig: Rig, plan: str, tenant: str, requests: int = 60) -> int:
+def count_admitted(rig: EngineHarness, plan: str, tenant: str, requests: int = 60) -> int:
     """Counts the admitted ones of simultaneous requests. Calls to the counter get no answer."""
-    return sum(bool(only(rig.ask("read", plan, tenant, spread=1)[1], StartAttempt)) for _ in range(requests))
+    return sum(
+        bool(actions_of_type(rig.ask("read", plan, tenant, spread=1)[1], StartAttempt))
+        for _ in range(requests)
+    )
 
 
 def test_a_spent_quota_stays_spent_in_the_successor() -> None:
     old = gateway_after_requests("c", "rate", 20)  # more than the burst of 6
-    fresh = Rig()
+    fresh = EngineHarness()
     fresh.feed(saved_list())
     assert count_admitted(fresh, "rate", "c") >= 5
     assert count_admitted(replace_process(old), "rate", "c") <= 1
@@ -187,7 +190,7 @@
     old = gateway_after_requests("c", "hard", 2)
     new = replace_process(old)
 
-    def may_mark(rig: Rig) -> bool:
+    def may_mark(rig: EngineHarness) -> bool:
         """Returns whether a window that begins from now on is marked."""
         rig.advance(20_000.0)
         rig.ask("read", "hard", "c", spread=1)
@@ -214,7 +217,7 @@
 
 
 def test_use_of_the_predecessor_is_not_deducted_twice() -> None:
-    old = Rig()
+    old = EngineHarness()
     old.feed(saved_list())
     for _ in range(3):
         old.ask("read", "rate", "c", spread=1)
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -29,18 +29,26 @@
     SharingMessage,
 )
 from glenchute.policy.membership.outgoing import Outgoing
-from lab.coldstart import Crowd, Herd, busiest, outage, release, starts, turned_away
+from lab.coldstart import (
+    GatewayFleet,
+    PollSimulation,
+    busiest,
+    rejection_rate,
+    run_outage,
+    run_release,
+    run_start,
+)
 from lab.fleet.processes import FleetSite
-from lab.load import Account, Kind, Load
-from lab.peers import play, row
+from lab.load import Account, Load, RequestKind
+from lab.peers import run_scenario, server_row
 from lab.sim.members import overshoot
 from lab.sim.world import World
-from lab.site import patient
+from lab.site import with_longer_deadlines
 
 MAX_LIST_AGE_S = 30.0  # configured limit on the age of a list
 
 
-def waves(crowd: Crowd) -> None:
+def waves(crowd: PollSimulation) -> None:
     """A supervisor restarts a third of the gateways every two seconds."""
     for third in range(3):
         crowd.start(range(third, crowd.count, 3))
@@ -48,23 +56,23 @@
     crowd.run(60.0)
 
 
-def lose_watches(crowd: Crowd) -> None:
+def lose_watches(crowd: PollSimulation) -> None:
     """The service loses all watches."""
-    starts(crowd)
+    run_start(crowd)
     crowd.calls.clear()
     crowd.lose()
     crowd.run(40.0)
 
 
-def list_change(crowd: Crowd) -> None:
+def list_change(crowd: PollSimulation) -> None:
     """The list changes, which answers all watches at once."""
-    starts(crowd)
+    run_start(crowd)
     crowd.calls.clear()
     crowd.news()
     crowd.run(40.0)
 
 
-def crash_loops(crowd: Crowd) -> None:
+def crash_loops(crowd: PollSimulation) -> None:
     """A tenth of the gateways crashes every five seconds."""
     crowd.start(range(crowd.count))
     for _ in range(12):
@@ -73,9 +81,9 @@
     crowd.run(30.0)
 
 
-SCENES: dict[str, Callable[[Crowd], None]] = {
-    "all at once": starts, "in waves": waves, "the service down for 30 s": outage,
-    "the service loses all watches": lose_watches, "a change for all": list_change, "a release": release,
+SCENES: dict[str, Callable[[PollSimulation], None]] = {
+    "all at once": run_start, "in waves": waves, "the service down for 30 s": run_outage,
+    "the service loses all watches": lose_watches, "a change for all": list_change, "a release": run_release,
     "restart loops": crash_loops,
 }  # fmt: skip
 
@@ -95,10 +103,10 @@
         if scene in OUTAGE_SCENES
         else count / 15.0
     )
-    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
+    crowd = PollSimulation(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
     SCENES[scene](crowd)
     assert len(crowd.heard) == count  # all gateways have their list
-    assert busiest(crowd.calls) <= 1.5 * rate + 12.0 and turned_away(crowd.calls) <= 0.05
+    assert busiest(crowd.calls) <= 1.5 * rate + 12.0 and rejection_rate(crowd.calls) <= 0.05
 
 
 @pytest.mark.parametrize("count", [200, 520])
@@ -106,8 +114,8 @@
     """At a quarter of the required rate each gateway keeps to the pace of the polling terms, and the service
     answers at its full rate until all gateways have a list."""
     rate = count / 15.0
-    crowd = Crowd(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
-    starts(crowd)
+    crowd = PollSimulation(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
+    run_start(crowd)
     crowd.down = True
     crowd.lose()
     crowd.run(30.0)
@@ -121,7 +129,7 @@
     answered = [call for call in crowd.calls if call.how == "answered" and call.at < started_at + 20.0]
     assert len(answered) >= 0.95 * 20.0 * rate
     assert len(crowd.heard) == count and max(crowd.heard.values()) <= started_at + 60.0
-    assert turned_away(crowd.calls, started_at + 90.0) == 0.0
+    assert rejection_rate(crowd.calls, started_at + 90.0) == 0.0
 
 
 def no_delay(self: PollScheduler, *_: object) -> float:
@@ -136,7 +144,7 @@
     scene: str, bug: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(PollScheduler, bug, no_delay)
-    crowd = Crowd(300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0)
+    crowd = PollSimulation(300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0)
     SCENES[scene](crowd)
     assert busiest(crowd.calls) >= 250
 
@@ -171,10 +179,10 @@
 
 
 def test_gateways_without_a_list_poll_before_those_that_have_one() -> None:
-    crowd = Crowd(
+    crowd = PollSimulation(
         300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0, listed=lambda n: n % 100 != 7
     )
-    starts(crowd)
+    run_start(crowd)
     urgent = [crowd.heard.pop(n) for n in (7, 107, 207)]
     assert max(urgent) < min(crowd.heard.values()) + 0.5
 
@@ -186,17 +194,20 @@
     """Three gateways configured as 300 get their lists late, but within the age limit. Of 300 gateways
     configured as three, many are rejected, and retry at the pace of the terms until all have been
     answered."""
-    crowd = Crowd(actual, lambda n: PollingTerms(configured, n % configured, 20.0, MAX_LIST_AGE_S), 20.0)
-    starts(crowd)
+    crowd = PollSimulation(
+        actual, lambda n: PollingTerms(configured, n % configured, 20.0, MAX_LIST_AGE_S), 20.0
+    )
+    run_start(crowd)
     crowd.run(60.0)
     assert len(crowd.heard) == actual
     if actual < configured:
-        assert max(crowd.heard.values()) < MAX_LIST_AGE_S and turned_away(crowd.calls) == 0.0
+        assert max(crowd.heard.values()) < MAX_LIST_AGE_S and rejection_rate(crowd.calls) == 0.0
     else:
         # A gateway that is rejected again retries no sooner than after this share of the longest backoff.
         pace = actual / (polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s())
         assert (
-            busiest(crowd.calls, 20.0) <= 1.2 * pace and turned_away(crowd.calls, MAX_LIST_AGE_S + 60.0) < 0.2
+            busiest(crowd.calls, 20.0) <= 1.2 * pace
+            and rejection_rate(crowd.calls, MAX_LIST_AGE_S + 60.0) < 0.2
         )
 
 
@@ -268,28 +279,28 @@
 
 PROCESS_COUNT = 40
 OPERATOR = f"[discovery]\ncalls_per_s = 12\nlist_age_s = {MAX_LIST_AGE_S:.0f}\ndoubt = true\n"
-READS = (Kind("report-read", 1.0, 20_000),)
+READS = (RequestKind("report-read", 1.0, 20_000),)
 REQUEST_COUNT = 52 + 32  # requests that seeds 1 and 2 generate in 2 s at 20 per second
 ACCOUNTS = [Account(b"%016x" % n, "korporativni", 1.0, ",spread=1,first=0") for n in range(20)]
 
 
 def test_forty_processes_start_and_restart_with_a_rate_limited_service(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Herd(tmp_path, PROCESS_COUNT, 12.0, 10, OPERATOR) as herd:
+        async with GatewayFleet(tmp_path, PROCESS_COUNT, 12.0, 10, OPERATOR) as herd:
             await herd.start(range(PROCESS_COUNT))
             await herd.until(lambda: len(herd.lists.calls) >= PROCESS_COUNT)
             killed = range(0, PROCESS_COUNT, 2)
             herd.kill(killed)
-            herd.lists.update(row("s9", 9, "Gone"))  # a change for all others at the same time
+            herd.lists.update(server_row("s9", 9, "Gone"))  # a change for all others at the same time
             await herd.start(killed)
             before = len(herd.lists.calls)
             await herd.until(lambda: len(herd.lists.calls) >= before + PROCESS_COUNT // 2)
-            assert busiest(herd.lists.calls) <= 24 and turned_away(herd.lists.calls) <= 0.05
+            assert busiest(herd.lists.calls) <= 24 and rejection_rate(herd.lists.calls) <= 0.05
             for gateway in herd.gateways:
                 gateway.signal(signal.SIGTERM)
             assert [g.process.wait(10) for g in herd.gateways if g.process is not None] == [0] * PROCESS_COUNT
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("mode", ["empty", "half", "older", "silent"])
@@ -299,7 +310,7 @@
     """Processes restart under load while the service is faulty; one of them is paused during its start."""
 
     async def scenario() -> None:
-        async with Herd(tmp_path, 3, 50.0, 30, OPERATOR, patient()) as herd:
+        async with GatewayFleet(tmp_path, 3, 50.0, 30, OPERATOR, with_longer_deadlines()) as herd:
             herd.lists.mode = mode
             if mode in ("half", "older"):
                 # The only server on the faulty list: a gateway that accepts the list can't serve.
@@ -323,7 +334,7 @@
             )
             assert unconfirmed_count == (0 if mode == "silent" else 2)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- list sharing among members --------------------------------------------------------------------------
@@ -434,7 +445,7 @@
             assert len(pollers) == 3
             calls_before = len(lists.calls)
             since = lists.calls[-1].at
-            lists.update(row("s1", site.site.nodes[1].port, "Terminating"))
+            lists.update(server_row("s1", site.site.nodes[1].port, "Terminating"))
             await site.until(lambda: have_newest(all_gateways))
             while lists.calls[-1].at < since + 4.0:
                 await asyncio.sleep(0.02)
@@ -443,11 +454,11 @@
             for number in pollers:
                 site.send_signal(number, signal.SIGKILL)
             rest = [n for n in all_gateways if n not in pollers]
-            lists.update(row("s2", site.site.nodes[2].port, "Terminating"))
+            lists.update(server_row("s2", site.site.nodes[2].port, "Terminating"))
             await site.until(lambda: have_newest(rest), 8.0)
             isolated = [n for n in rest if not (await list_state(n))["asks"]][:1]
             site.split([isolated, [n for n in all_gateways if n not in isolated]])
-            lists.update(row("s0", site.site.nodes[0].port, "Ready", 5.0))
+            lists.update(server_row("s0", site.site.nodes[0].port, "Ready", 5.0))
             await site.until(lambda: have_newest(rest), 8.0)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -17,7 +17,7 @@
 from lab.fleet.acting import MORE
 from lab.fleet.processes import FleetSite
 from lab.load import Account
-from lab.peers import play
+from lab.peers import run_scenario
 from lab.site import SETTINGS
 
 PLAN = Plan("p", rate_per_s=4.0, burst_units=12.0)
@@ -168,4 +168,4 @@
             for task in load:
                 task.cancel()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -11,17 +11,26 @@
 
 from glenchute.policy.actions import IncrementCounter, LogMessage, Reject, StartAttempt
 from glenchute.policy.events import AttemptEnded, Endpoint, EndpointList, EndpointListKind, Outcome
-from tests.rig import SETTINGS, Rig, entries, finals, only, with_
+from tests.rig import (
+    SETTINGS,
+    EngineHarness,
+    actions_of_type,
+    final_responses,
+    make_endpoints,
+    replace_settings,
+)
 
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def served_requests(rig: Rig, count: int, gap_ms: float, plan: str = "rate", units: float = 1.0) -> int:
+def served_requests(
+    rig: EngineHarness, count: int, gap_ms: float, plan: str = "rate", units: float = 1.0
+) -> int:
     """Sends requests of one tenant and ends each attempt at once; returns how many were admitted."""
     served = 0
     for _ in range(count):
         name, actions = rig.ask(plan=plan, units=units)
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             served += 1
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
@@ -33,19 +42,19 @@
 
 
 def test_burst_then_rate() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     assert 5 <= served_requests(rig, 100, 1.0) <= 7
     rig.advance(500.0)
     assert 15 <= served_requests(rig, 400, 25.0) <= 26
 
 
 def test_use_by_other_gateways_drains_the_bucket() -> None:
-    alone, shared = Rig(entries(4)), Rig(entries(4))
+    alone, shared = EngineHarness(make_endpoints(4)), EngineHarness(make_endpoints(4))
     for rig, others in ((alone, 0.0), (shared, 1.0)):
         rig.others = others
         for _ in range(200):
             name, actions = rig.ask(plan="rate")
-            if only(actions, StartAttempt):
+            if actions_of_type(actions, StartAttempt):
                 rig.end(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(100.0)
@@ -54,16 +63,16 @@
 
 
 def test_a_trickle_is_admitted_by_credit() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     assert served_requests(rig, 20, 1500.0) == 20
 
 
 def test_an_unavailable_counter_leaves_the_local_share() -> None:
-    rig = Rig(entries(4), with_(SETTINGS, has_counter=True))
+    rig = EngineHarness(make_endpoints(4), replace_settings(SETTINGS, has_counter=True))
     rig.ending, served = Outcome.UNREACHABLE, 0
     for _ in range(600):
         name, actions = rig.ask(plan="rate")
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             served += 1
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
@@ -72,7 +81,7 @@
 
 
 def test_an_unavailable_counter_is_probed_rarely_and_recovers() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.ending = Outcome.TIMEOUT
     for _ in range(100):
         rig.ask(plan="rate")
@@ -93,11 +102,11 @@
 
 
 def test_a_window_change_is_no_fall_in_demand() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.others = 0.5
     for _ in range(70):
         name, actions = rig.ask(plan="rate")
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(50.0)
@@ -120,11 +129,11 @@
 def test_a_rejecting_gateway_learns_that_the_others_stopped() -> None:
     # Guards against a gateway that rejects everything, so has nothing to report and gets no total, and keeps
     # draining the bucket by an outdated rate of the others' use.
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.others = 3.0
     for _ in range(40):
         name, actions = rig.ask(plan="rate")
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             rig.end(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(100.0)
@@ -134,7 +143,7 @@
 
 def test_calls_are_reduced_while_they_are_rejected() -> None:
     def calls(ending: Outcome) -> int:
-        rig = Rig(entries(4))
+        rig = EngineHarness(make_endpoints(4))
         for i in range(400):
             rig.ending = ending if i % 3 else Outcome.OK
             rig.ask(plan="rate", customer=f"c{i % 20}")
@@ -146,35 +155,35 @@
 
 
 def test_concurrency_limit_counts_attempts_in_flight() -> None:
-    rig = Rig(entries(4))
-    went = [bool(only(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
+    rig = EngineHarness(make_endpoints(4))
+    went = [bool(actions_of_type(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
     assert went == [True, True, False, False, False, False]
     rig.end("r1", 0, Outcome.OK)
-    assert only(rig.ask(plan="open")[1], StartAttempt)
+    assert actions_of_type(rig.ask(plan="open")[1], StartAttempt)
 
 
 def test_rejected_with_a_retry_after_within_the_limit() -> None:
-    rig = Rig(entries(4))
-    rejections = [a for _ in range(30) for a in only(rig.ask(plan="rate")[1], Reject)]
+    rig = EngineHarness(make_endpoints(4))
+    rejections = [a for _ in range(30) for a in actions_of_type(rig.ask(plan="rate")[1], Reject)]
     assert rejections and all(1.0 <= a.retry_after_ms <= SETTINGS.max_retry_after_ms for a in rejections)
 
 
 def test_an_evicted_tenant_returns_to_a_filled_guard() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.advance(30_000.0)
-    assert only(rig.ask(plan="hard", customer="new", units=2.0)[1], StartAttempt)
+    assert actions_of_type(rig.ask(plan="hard", customer="new", units=2.0)[1], StartAttempt)
 
 
 # --- capacity ------------------------------------------------------------------------------------------
 
 
-def overload(rig: Rig, seconds: float, took: float) -> int:
+def overload(rig: EngineHarness, seconds: float, took: float) -> int:
     """Sends more requests than are completed; returns the largest number in flight at once."""
     in_flight: list[str] = []
     max_in_flight = 0
     for step in range(int(seconds * 100)):
         name, actions = rig.ask(customer=f"c{step % 7}", left=4000.0)
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             in_flight.append(name)
         max_in_flight = max(max_in_flight, len(in_flight))
         rig.now += 10.0
@@ -186,23 +195,23 @@
 
 
 def test_backlog_is_bounded_before_responses_are_late() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.warm_up()
     assert overload(rig, 3.0, 100.0) <= 40
 
 
 def test_first_requests_of_a_gateway_are_not_taken_for_a_backlog() -> None:
-    rig = Rig(entries(10))
+    rig = EngineHarness(make_endpoints(10))
     served = served_requests(rig, 10, 20.0, plan="wide")
     assert served == 10
 
 
 def test_capacity_recovers_after_a_bad_second() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.warm_up()
     for _ in range(40):
         name, actions = rig.ask(customer="w")
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             rig.end(name, 0, Outcome.OK, 2500.0)
         rig.advance(50.0)
     rig.advance(8000.0)
@@ -210,30 +219,32 @@
 
 
 def test_timeouts_lengthen_the_next_ones() -> None:
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.warm_up()
-    first = only(rig.ask()[1], StartAttempt)[0].timeout_ms
+    first = actions_of_type(rig.ask()[1], StartAttempt)[0].timeout_ms
     for _ in range(60):
         name, actions = rig.ask()
-        while only(actions, StartAttempt) and not finals(actions):
+        while actions_of_type(actions, StartAttempt) and not final_responses(actions):
             rig.now += 20.0
             actions = rig.end(name, len(rig.sent[name]) - 1, Outcome.TIMEOUT, 500.0)
         rig.advance(20.0)
     rig.advance(9000.0)
-    sent = [a for _ in range(3) for a in only(rig.ask()[1], StartAttempt)]
+    sent = [a for _ in range(3) for a in actions_of_type(rig.ask()[1], StartAttempt)]
     assert first > 0 and sent and all(a.timeout_ms == 0 or a.timeout_ms > first for a in sent)
 
 
 # --- servers -------------------------------------------------------------------------------------------
 
 
-def share_of(rig: Rig, server: str, count: int, other: Outcome, took: float, classes: str = "read") -> float:
+def share_of(
+    rig: EngineHarness, server: str, count: int, other: Outcome, took: float, classes: str = "read"
+) -> float:
     """Returns the fraction of first attempts that a server gets while its attempts end differently from those
     at other servers."""
     hits = total = 0
     for _ in range(count):
         name, actions = rig.ask(classes)
-        if only(actions, StartAttempt):
+        if actions_of_type(actions, StartAttempt):
             total += 1
             at = rig.sent[name][0]
             hits += at == server
@@ -246,26 +257,26 @@
     ("ending", "took"), [(Outcome.ERROR, 1.0), (Outcome.REJECTED, 1.0), (Outcome.UNREACHABLE, 250.0)]
 )
 def test_quickly_failing_server_does_not_attract_requests(ending: Outcome, took: float) -> None:
-    rig = Rig(entries(5))
+    rig = EngineHarness(make_endpoints(5))
     rig.warm_up()
     assert share_of(rig, "s0", 200, ending, took) < 0.1
 
 
 def test_slow_server_gets_less() -> None:
-    rig = Rig(entries(5))
+    rig = EngineHarness(make_endpoints(5))
     rig.warm_up()
     assert share_of(rig, "s0", 300, Outcome.OK, 200.0) < 0.12
 
 
 def test_an_unresponsive_server_gets_nothing_more_before_any_timeout() -> None:
-    rig = Rig(entries(5))
+    rig = EngineHarness(make_endpoints(5))
     rig.warm_up()
     hung = 0
     for _ in range(200):
         name, actions = rig.ask("charge")
         if rig.sent[name][0] == "s0":
             hung += 1
-        elif only(actions, StartAttempt):
+        elif actions_of_type(actions, StartAttempt):
             rig.end(name, 0, Outcome.OK)
         rig.advance(5.0)
     assert hung <= 6
@@ -273,7 +284,7 @@
 
 def test_failures_everywhere_do_not_hide_the_queues() -> None:
     # If a class fails on every server, the servers' queues must still decide the choice.
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.warm_up()
     for i in range(80):
         name, _ = rig.ask("charge")
@@ -292,25 +303,25 @@
 def test_a_shortage_of_this_process_says_nothing_of_the_server() -> None:
     """Guards against a backoff of the server, or use of the retry budget, when this process had no free
     connection."""
-    rig = Rig(entries(3))
+    rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     name, _ = rig.ask()
     first = rig.sent[name][0]
     server = rig.gateway.pool.servers[first]
     before = server.failure_rate, server.connect_failures, rig.gateway.execution.retry_budget.tokens
     actions = rig.end(name, 0, Outcome.NO_CONNECTION)
-    assert [action.address == first for action in only(actions, StartAttempt)] == [False]
+    assert [action.address == first for action in actions_of_type(actions, StartAttempt)] == [False]
     assert (server.failure_rate, server.connect_failures, rig.gateway.execution.retry_budget.tokens) == before
     assert server.backed_off_until_ms == 0.0 and server.in_flight == 0
     for number in range(1, 4):
         actions = rig.end(name, number, Outcome.NO_CONNECTION)
-    assert [type(action) for action in finals(actions)] == [Reject]
+    assert [type(action) for action in final_responses(actions)] == [Reject]
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_among_backed_off_servers_the_least_loaded_is_chosen(seed: int) -> None:
     """Guards against a random choice, regardless of load, while all servers are backed off."""
-    rig = Rig(entries(4), seed=seed)
+    rig = EngineHarness(make_endpoints(4), seed=seed)
     rig.warm_up()
     for server in rig.gateway.pool.servers.values():
         server.backed_off_until_ms = rig.now + 60_000.0
@@ -320,7 +331,7 @@
 
 
 def test_a_restarted_server_is_a_new_server() -> None:
-    rig = Rig(entries(3))
+    rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     share_of(rig, "s0", 100, Outcome.ERROR, 1.0)
     rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", started_ms=rig.now),)))
@@ -328,7 +339,7 @@
 
 
 def test_load_reports_move_the_choice() -> None:
-    rig = Rig(entries(2))
+    rig = EngineHarness(make_endpoints(2))
     rig.warm_up()
     name, _ = rig.ask()
     at = rig.sent[name][0]
@@ -338,11 +349,11 @@
 
 
 def test_retries_are_kept_to_a_budget() -> None:
-    rig = Rig(entries(6))
+    rig = EngineHarness(make_endpoints(6))
     attempts = 0
     for _ in range(100):
         name, actions = rig.ask("read")
-        while only(actions, StartAttempt) and not finals(actions):
+        while actions_of_type(actions, StartAttempt) and not final_responses(actions):
             actions = rig.end(name, len(rig.sent[name]) - 1, Outcome.REJECTED, 1.0)
         attempts += len(rig.sent.get(name, []))
         rig.advance(10.0)
@@ -350,10 +361,10 @@
 
 
 def test_states_are_logged_once_when_they_begin_and_end() -> None:
-    rig = Rig(entries(1))
+    rig = EngineHarness(make_endpoints(1))
     rig.feed(EndpointList(EndpointListKind.FULL))
     rig.advance(20_000.0)
-    rig.feed(EndpointList(EndpointListKind.FULL, entries(1)))
+    rig.feed(EndpointList(EndpointListKind.FULL, make_endpoints(1)))
     rig.advance(20_000.0)
     lines = [a.message for _, a in rig.log if isinstance(a, LogMessage)]
     assert lines == ["no server to send to: begins", "no server to send to: ends"]
@@ -362,9 +373,9 @@
 # --- whole engine --------------------------------------------------------------------------------------
 
 SCRIPT = """
-from tests.rig import Rig, entries
+from tests.rig import EngineHarness, make_endpoints
 from glenchute.policy.events import Outcome
-rig = Rig(entries(7, "abc"), seed=5)
+rig = EngineHarness(make_endpoints(7, "abc"), seed=5)
 rig.warm_up(2.0)
 for i in range(200):
     cls, plan = ("read", "order", "bid", "charge")[i % 4], ("rate", "hard", "open")[i % 3]
@@ -416,7 +427,7 @@
 def test_without_a_total_a_gateway_keeps_to_its_local_share(others: float, least: int, most: int) -> None:
     # Guards against even shares, by which this gateway rejects a tenant's requests while shares are unused at
     # gateways that the tenant's requests no longer come through.
-    rig = Rig(entries(4))
+    rig = EngineHarness(make_endpoints(4))
     rig.others = others
 
     def run_second() -> int:
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -15,10 +15,10 @@
 from glenchute.policy.admission.capacity import CapacityEstimate
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Outcome
 from glenchute.policy.settings import Idempotency, RequestClass
-from lab.peers import play
+from lab.peers import run_scenario
 from lab.sim.recovery import drawn, shape_of, tried
 from lab.sim.swarm import Fault, Script
-from tests.rig import Rig, entries, only
+from tests.rig import EngineHarness, actions_of_type, make_endpoints
 
 # Fault scripts after which the gateway did not recover in earlier versions, each by what happens in it.
 RECOVERY_SCRIPTS = {
@@ -141,10 +141,12 @@
 
 
 def test_attempts_in_flight_during_a_stall_say_nothing_of_servers() -> None:
-    rig = Rig(entries(3))
+    rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     in_flight_names = [
-        name for name, actions in (rig.ask(customer=f"c{i}") for i in range(6)) if only(actions, StartAttempt)
+        name
+        for name, actions in (rig.ask(customer=f"c{i}") for i in range(6))
+        if actions_of_type(actions, StartAttempt)
     ]
     means = dict(rig.gateway.pool.latency.mean_ms)
     relative_latencies = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
@@ -167,10 +169,10 @@
         for row in await measure("quiet", tmp_path, 2.0):
             assert row.refused == 0 and row.served == row.asked > 20
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-def lose_counter(rig: Rig) -> None:
+def lose_counter(rig: EngineHarness) -> None:
     """The counter replies to no call, while there are units to report."""
     rig.ending = Outcome.TIMEOUT
     for _ in range(4):
@@ -179,7 +181,7 @@
         rig.answer_calls()
 
 
-def counter_available_again(rig: Rig) -> bool:
+def counter_available_again(rig: EngineHarness) -> bool:
     """The counter replies again; one request, admitted by the local share, gives something to report."""
     rig.ending = Outcome.OK
     rig.ask(plan="rate", customer="other")
@@ -189,31 +191,31 @@
     return not rig.gateway.quota.counter.pacing.is_unavailable
 
 
-def slow_calls(rig: Rig) -> None:
+def slow_calls(rig: EngineHarness) -> None:
     rig.gateway.quota.counter.pacing.call_fraction, rig.gateway.quota.counter.pacing.late_fraction = (
         MIN_CALL_FRACTION,
         1.0,
     )
 
 
-def lower_capacity(rig: Rig) -> None:
+def lower_capacity(rig: EngineHarness) -> None:
     """The capacity estimate is at its floor, and the credit for units of the requests' value is spent."""
     rig.gateway.shedder.capacity.capacity_per_s, rig.gateway.shedder.capacity.mean_latency_s = 0.01, 3.0
-    while only((one := rig.ask())[1], StartAttempt):
+    while actions_of_type((one := rig.ask())[1], StartAttempt):
         rig.end(one[0], 0, Outcome.OK, 900.0)
 
 
-def fill_backlog(rig: Rig) -> None:
+def fill_backlog(rig: EngineHarness) -> None:
     """So much work is in flight that a new request would be late; then all of it times out."""
     names = []
-    while only((one := rig.ask(left=500.0))[1], StartAttempt):
+    while actions_of_type((one := rig.ask(left=500.0))[1], StartAttempt):
         names.append(one[0])
     rig.now += 500.0
     for name in names:
         rig.end(name, 0, Outcome.TIMEOUT, 500.0, final=True)
 
 
-def move_use_elsewhere(rig: Rig) -> None:
+def move_use_elsewhere(rig: EngineHarness) -> None:
     """By the counter's totals all of a tenant's use came through other gateways; then the counter becomes
     unavailable with this gateway's local share spent."""
     rig.others = 60.0
@@ -226,7 +228,7 @@
     rig.gateway.quota.tenants.by_id["c"].local_units = 0.0
 
 
-def fail_connects(rig: Rig, failures: int = 10) -> None:
+def fail_connects(rig: EngineHarness, failures: int = 10) -> None:
     """A server that could not be reached ten times in a row is backed off, and its failure rate is high."""
     request = RequestClass("read", 1000.0, 1.0, Idempotency.IDEMPOTENT)
     end = AttemptEnded("x", 0, "s0", Outcome.UNREACHABLE, 1.0, False)
@@ -234,14 +236,14 @@
         rig.gateway.pool.record_end(rig.now, end, request, 1.0)
 
 
-def restart_servers(rig: Rig) -> None:
+def restart_servers(rig: EngineHarness) -> None:
     """All servers have just started, and their slow-start tokens are spent."""
-    rig.feed(EndpointList(EndpointListKind.FULL, entries(3, started=rig.now)))
+    rig.feed(EndpointList(EndpointListKind.FULL, make_endpoints(3, started=rig.now)))
     for server in rig.gateway.pool.servers.values():
         server.slow_start_tokens, server.slow_start_tokens_ms = 0.0, rig.now
 
 
-def lose_counter_memory(rig: Rig) -> None:
+def lose_counter_memory(rig: EngineHarness) -> None:
     """The counter lost its memory of a window, so the window's key grants nothing more."""
     rig.ask(plan="hard", customer="c")
     rig.advance(1500.0)
@@ -251,26 +253,26 @@
     window_counter.has_lost_memory = True
 
 
-def spend_retry_budget(rig: Rig) -> None:
+def spend_retry_budget(rig: EngineHarness) -> None:
     rig.gateway.execution.retry_budget.tokens = 0.0
 
 
-def slow_server(rig: Rig) -> None:
+def slow_server(rig: EngineHarness) -> None:
     """One server has 60 times the relative latency of the others, so that a choice avoids it."""
     server = rig.gateway.pool.servers["s0"]
     server.relative_latency, server.relative_latency_ms = 60.0, rig.now
 
 
-def is_served(rig: Rig, plan: str = "wide", customer: str = "c") -> bool:
-    return bool(only(rig.ask(plan=plan, customer=customer)[1], StartAttempt))
+def is_served(rig: EngineHarness, plan: str = "wide", customer: str = "c") -> bool:
+    return bool(actions_of_type(rig.ask(plan=plan, customer=customer)[1], StartAttempt))
 
 
-def is_server_used(rig: Rig, server: str = "s0") -> bool:
+def is_server_used(rig: EngineHarness, server: str = "s0") -> bool:
     """Returns whether a burst of requests goes to this server too."""
     return any(server in rig.sent.get(rig.ask(customer=f"b{n}")[0], ()) for n in range(24))
 
 
-def is_granting(rig: Rig) -> bool:
+def is_granting(rig: EngineHarness) -> bool:
     rig.ask(plan="hard", customer="c")
     rig.advance(1500.0)
     rig.answer_calls()
@@ -278,21 +280,21 @@
     return window_counter is not None and window_counter.granted_fraction(2) > 0.0
 
 
-def is_retried(rig: Rig) -> bool:
+def is_retried(rig: EngineHarness) -> bool:
     """Returns whether a failed attempt is retried, after the five requests that pay for one retry."""
     for _ in range(5):
         name, _ = rig.ask()
         rig.end(name, 0, Outcome.OK)
-    return bool(only(rig.end(rig.ask()[0], 0, Outcome.RESET), StartAttempt))
+    return bool(actions_of_type(rig.end(rig.ask()[0], 0, Outcome.RESET), StartAttempt))
 
 
-def makes_all_calls(rig: Rig) -> bool:
+def makes_all_calls(rig: EngineHarness) -> bool:
     return rig.gateway.quota.counter.pacing.call_fraction == 1.0
 
 
 # By state: a function that causes it, one that returns whether it has ended, and the seconds without requests
 # within which it must end.
-SELF_SUSTAINING: dict[str, tuple[Callable[[Rig], None], Callable[[Rig], bool], float]] = {
+SELF_SUSTAINING: dict[str, tuple[Callable[[EngineHarness], None], Callable[[EngineHarness], bool], float]] = {
     "capacity estimate and credit": (lower_capacity, is_served, 24.0),
     "peak rate and backlog": (fill_backlog, is_served, 0.0),
     "spent local share": (move_use_elsewhere, lambda rig: is_served(rig, "rate"), 61.0),
@@ -310,12 +312,12 @@
 @pytest.mark.parametrize("state", SELF_SUSTAINING)
 def test_each_self_sustaining_state_ends_without_requests(state: str) -> None:
     set_state, is_over, idle_s = SELF_SUSTAINING[state]
-    rig = Rig(entries(3))
+    rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     set_state(rig)
     if idle_s:
         assert not is_over(rig), "the fault did not cause this state"
-    rig = Rig(entries(3))
+    rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     set_state(rig)
     for _ in range(int(idle_s * 4.0)):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -57,12 +57,12 @@
 )
 
 
-def entries(count: int, zones: str = "a", started: float = 0.0) -> tuple[Endpoint, ...]:
+def make_endpoints(count: int, zones: str = "a", started: float = 0.0) -> tuple[Endpoint, ...]:
     """Returns servers s0, s1, ..., distributed over the zones in turn."""
     return tuple(Endpoint(f"s{i}", zones[i % len(zones)], started_ms=started) for i in range(count))
 
 
-class Rig:
+class EngineHarness:
     """The decision engine of one gateway, with a scripted counter and scripted time."""
 
     def __init__(
@@ -118,7 +118,11 @@
         self.serial += 1
         name = name or f"r{self.serial}"
         actions = self.feed(Request(name, cls, plan, customer, left, units, spread))
-        if only(actions, IncrementCounter) and not only(actions, StartAttempt) and not finals(actions):
+        if (
+            actions_of_type(actions, IncrementCounter)
+            and not actions_of_type(actions, StartAttempt)
+            and not final_responses(actions)
+        ):
             actions = actions + self.answer_calls()
         return name, actions
 
@@ -146,22 +150,22 @@
         for _ in range(int(seconds * 20)):
             name, actions = self.ask(customer="warm-up")
             self.now += 20.0
-            if only(actions, StartAttempt):
+            if actions_of_type(actions, StartAttempt):
                 self.end(name, 0, Outcome.OK)
             self.advance(30.0)
             self.answer_calls()
 
 
-def only(actions: Sequence[Action], kind: type[A]) -> list[A]:
+def actions_of_type(actions: Sequence[Action], kind: type[A]) -> list[A]:
     """Returns the actions of one kind."""
     return [action for action in actions if isinstance(action, kind)]
 
 
-def finals(actions: Sequence[Action]) -> list[Reject | Fail]:
+def final_responses(actions: Sequence[Action]) -> list[Reject | Fail]:
     """Returns the final responses among the actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def with_(settings: Settings, **changes: object) -> Settings:
+def replace_settings(settings: Settings, **changes: object) -> Settings:
     """Returns the settings with other values."""
     return replace(settings, **changes)  # type: ignore[arg-type]
--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -24,13 +24,13 @@
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.upstreams.connection_pool import REUSE_DELAY_S
-from lab.peers import Client, always, play, until
-from tests.crossings import ENDS, READ, Heard, packed, reset
+from lab.peers import Client, reply_with, run_scenario, wait_until
+from tests.crossings import DISCONNECT_KINDS, READ, OutcomeRecorder, encode_command, reset_connection
 from tests.loopback import (
     GET,
     SERVED,
     SETTINGS,
-    Script,
+    ScriptedEngine,
     Site,
     send_to,
     site,
@@ -62,22 +62,22 @@
     """Leaves `count` connections to the servers open and idle, so that an attempt is written at once."""
     script = one.program.gateway.decisions
     steady = await one.client()
-    if isinstance(script, Script):
+    if isinstance(script, ScriptedEngine):
         decide, script.decide = script.decide, send_to("s0")
     for number in range(count):
         steady.send(*READ, b"rested%d" % number, GET)
     assert [await steady.reply() for _ in range(count)] == [b"value"] * count
-    if isinstance(script, Script):
+    if isinstance(script, ScriptedEngine):
         script.decide = decide
         script.events.clear()
     return steady
 
 
 def reads(count: int) -> list[bytes]:
-    return [packed(*READ, b"%d" % number, GET) for number in range(count)]
+    return [encode_command(*READ, b"%d" % number, GET) for number in range(count)]
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 @pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_left_while_the_loop_was_busy_is_not_sent_on(how: str, pending: int) -> None:
     """The client disconnects while the loop is blocked and its requests wait for a decision; the decision
@@ -85,12 +85,12 @@
     stopped reading from the connection, so reading can't show the close."""
 
     async def scenario() -> None:
-        script = Script(lambda event: [])
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(lambda event: [])
+        async with site(reply_with(SERVED), decisions=script) as one:
             steady = await open_idle_connections(one)
             sock = connect_raw(one, *reads(pending))
             taken = min(pending, MAX_PENDING_COMMANDS)
-            await until(lambda: len(script.of(Request)) == taken)
+            await wait_until(lambda: len(script.of(Request)) == taken)
             _, held = one.program.listener.clients
             assert held.is_reading_paused is (pending >= MAX_PENDING_COMMANDS)
             refs = [event.request_id for event in script.of(Request)]
@@ -100,11 +100,11 @@
             close_raw(sock, how)
             time.sleep(BUSY_S)
             one.program.gateway.post(TimerFired(1))
-            await until(lambda: len(script.of(ClientDisconnected)) == taken)
+            await wait_until(lambda: len(script.of(ClientDisconnected)) == taken)
             assert {e.outcome for e in script.of(AttemptEnded)} == {Outcome.NOT_SENT}
             assert all(e.is_final for e in script.of(AttemptEnded))
             assert len(script.of(AttemptEnded)) == taken
-            await until(lambda: held not in one.program.listener.clients)
+            await wait_until(lambda: held not in one.program.listener.clients)
             script.decide = send_to("s0")
             assert await steady.ask(*READ, b"0", GET) == b"value"
             assert len(one.servers[0].calls()) == 4 + 1, (
@@ -112,56 +112,56 @@
             )
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_a_request_that_came_with_its_clients_end_is_not_begun(how: str) -> None:
     """Both are in the kernel when the blocked loop reads again, and it reads the request first."""
 
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as one:
             steady = await open_idle_connections(one)
             sock = connect_raw(one)
-            await until(lambda: len(one.program.listener.clients) == 2)
+            await wait_until(lambda: len(one.program.listener.clients) == 2)
             for command in reads(3):
                 sock.sendall(command)
             close_raw(sock, how)
             time.sleep(BUSY_S)
-            await until(lambda: len(one.program.listener.clients) == 1)
+            await wait_until(lambda: len(one.program.listener.clients) == 1)
             assert await steady.ask(*READ, b"0", GET) == b"value"
             assert len(one.servers[0].calls()) == 4 + 1
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_a_connection_and_its_end_that_waited_to_be_accepted_begin_nothing(how: str) -> None:
     """The kernel took the connection, its request and its close while the loop was blocked. Another client's
     request, handled in the same iteration, has just made the gateway poll for closed connections, so the new
     one must be checked again."""
 
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as one:
             steady = await open_idle_connections(one)
             accepted = one.program.listener.accepted_count
             steady.send(*READ, b"steady", GET)
             close_raw(sock := connect_raw(one, *reads(1)), how)
             time.sleep(BUSY_S)
             assert await steady.reply() == b"value"
-            await until(lambda: one.program.listener.accepted_count == accepted + 1)
-            await until(lambda: len(one.program.listener.clients) == 1)
+            await wait_until(lambda: one.program.listener.accepted_count == accepted + 1)
+            await wait_until(lambda: len(one.program.listener.clients) == 1)
             assert await steady.ask(*READ, b"steady", GET) == b"value"
             assert len(one.servers[0].calls()) == 4 + 2
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_no_further_attempt_where_the_answer_is_read_before_the_clients_end(how: str) -> None:
     """The server rejects a request as its client disconnects; both events wait for the blocked loop."""
 
@@ -176,14 +176,14 @@
                 return b""
             return SERVED
 
-        heard = Heard(Policy(policy_settings(SETTINGS), 1))
+        heard = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             steady = await open_idle_connections(one, 12)
             await asyncio.sleep(2.0 * REUSE_DELAY_S)  # idle connections are not reused before that
             heard.endings.clear()
             socks.append(connect_raw(one, *reads(1)))
-            await until(lambda: not socks)
-            await until(
+            await wait_until(lambda: not socks)
+            await wait_until(
                 lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.attempts_in_flight
             )
             assert await steady.ask(*READ, b"0", GET) == b"value"
@@ -191,10 +191,10 @@
             assert heard.endings[0] is Outcome.REJECTED and heard.endings[-1] is Outcome.OK
             assert set(heard.endings[1:-1]) <= {Outcome.NOT_SENT}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 @pytest.mark.parametrize(
     "operator", [None, '[pipeline]\nclasses = ["read"]\ndepth = 2\n'], ids=["alone", "shared"]
 )
@@ -206,8 +206,8 @@
     is blocked: what was not written by then must not be written afterwards."""
 
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script, operator=operator) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script, operator=operator) as one:
             sock = connect_raw(one, *reads(MAX_PENDING_COMMANDS))
             while not one.program.servers.connecting:
                 await asyncio.sleep(0)
@@ -217,14 +217,14 @@
             written = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in out)
             close_raw(sock, how)
             time.sleep(BUSY_S)
-            await until(
+            await wait_until(
                 lambda: not one.program.listener.clients and not one.program.gateway.attempts_in_flight
             )
             assert await (await one.client()).ask(*READ, b"again", GET) == b"value"
             assert len(one.servers[0].calls()) <= written + 1
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def stated_remaining_ms(one: Site, server: int) -> int:
@@ -247,7 +247,7 @@
 
 async def reset_late(writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(FIRST_ATTEMPT_S)
-    await reset(writer)
+    await reset_connection(writer)
 
 
 @pytest.mark.parametrize("first", [send_nothing, fail_late, reset_late])
@@ -270,16 +270,16 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await first(writer)
 
-        async with site(reply, always(SERVED), decisions=Script(decide)) as one:
+        async with site(reply, reply_with(SERVED), decisions=ScriptedEngine(decide)) as one:
             assert await (await one.client()).ask(*READ, b"1", GET) == b"value"
             assert stated_remaining_ms(one, 1) <= 20_000 - 1000.0 * FIRST_ATTEMPT_S + 1.0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_attempt_on_a_connection_that_comes_up_late_tells_what_is_left_as_it_is_written() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client = await one.client()
             client.send(*READ, b"1", GET)
             while not one.program.servers.connecting:
@@ -288,7 +288,7 @@
             assert await client.reply() == b"value"
             assert stated_remaining_ms(one, 0) <= 20_000 - 1000.0 * BUSY_S + 1.0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_ends_are_told_by_one_call_for_all_and_cost_none_within_its_time() -> None:
@@ -296,11 +296,11 @@
     made within its interval. A client that stays connected must not be reported as closed."""
 
     async def scenario() -> None:
-        script = Script(lambda event: [])
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(lambda event: [])
+        async with site(reply_with(SERVED), decisions=script) as one:
             closed_peers, count = one.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
             socks = [connect_raw(one) for _ in range(count)]
-            await until(lambda: len(one.program.listener.clients) == count)
+            await wait_until(lambda: len(one.program.listener.clients) == count)
             stays, *others = one.program.listener.clients
             assert not closed_peers.has_closed(stays)
             for sock in socks[1:]:
@@ -310,9 +310,9 @@
             closed_peers.checked_at = -float("inf")
             assert not closed_peers.has_closed(stays) and all(other.is_closed_by_peer for other in others)
             assert list(closed_peers.clients.values()) == [stays]
-            await until(lambda: len(one.program.listener.clients) == 1)
+            await wait_until(lambda: len(one.program.listener.clients) == 1)
             socks[0].close()
-            await until(lambda: not one.program.listener.clients)
+            await wait_until(lambda: not one.program.listener.clients)
             assert not closed_peers.clients
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_crossings_clients.py
+++ b/tests/system/test_crossings_clients.py
@@ -18,42 +18,42 @@
     WRITE_BUFFER_BYTES,
 )
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Outcome, Request
-from lab.peers import Client, always, play, until
-from tests.crossings import ENDS, READ, deaf, end
+from lab.peers import Client, reply_with, run_scenario, wait_until
+from tests.crossings import DISCONNECT_KINDS, READ, blocked_port, disconnect
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
     GET,
     SERVED,
-    Script,
+    ScriptedEngine,
     Site,
     send_to,
     site,
 )
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 @pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_leaves_while_waiting_is_gone_also_where_nothing_is_read(how: str, pending: int) -> None:
     """Requests wait for a decision. With 64 pending commands the gateway has stopped reading from the
     connection, so reading can't show its close; commands that were not read must never be started."""
 
     async def scenario() -> None:
-        script = Script(lambda event: [])
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(lambda event: [])
+        async with site(reply_with(SERVED), decisions=script) as one:
             client = await one.client()
             for number in range(pending):
                 client.send(*READ, b"%d" % number, GET)
-            await until(lambda: len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS))
-            end(client, how)
-            await until(lambda: len(script.of(ClientDisconnected)) == min(pending, MAX_PENDING_COMMANDS))
+            await wait_until(lambda: len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS))
+            disconnect(client, how)
+            await wait_until(lambda: len(script.of(ClientDisconnected)) == min(pending, MAX_PENDING_COMMANDS))
             assert len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS)
             assert not one.program.gateway.active_requests and not one.program.listener.open_ids
             again = await one.client()  # request ids of the closed connection may be reused at once
             again.send(*READ, b"0", GET)
-            await until(lambda: len(one.program.gateway.active_requests) == 1)
+            await wait_until(lambda: len(one.program.gateway.active_requests) == 1)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
@@ -62,42 +62,42 @@
 
     async def scenario() -> None:
         big = b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n*-1\r\n*-1\r\n"
-        script = Script(send_to("s0"))
-        async with site(always(big), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(big), decisions=script) as one:
             client, held = await connect_slow_reader(one)
             for number in range(60):  # more than fit in the buffers
                 client.send(*READ, b"%d" % number, GET)
-            await until(lambda: held.is_write_blocked and not held.slots)
+            await wait_until(lambda: held.is_write_blocked and not held.slots)
             script.decide = lambda event: []
             client.send(*READ, b"more", GET)  # not read by the gateway
             taken = len(script.of(Request))
-            end(client, how)
-            await until(lambda: not one.program.listener.clients)
+            disconnect(client, how)
+            await wait_until(lambda: not one.program.listener.clients)
             assert len(script.of(Request)) == taken and not one.program.gateway.active_requests
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_who_leaves_while_a_connection_comes_up_is_not_sent_on(how: str) -> None:
     """The attempt ends at once as not sent, which does not count against the server."""
 
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with deaf() as port, site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with blocked_port() as port, site(reply_with(SERVED), decisions=script) as one:
             one.program.servers.activate_server("s0", ("127.0.0.1", port), False)
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.connecting) == 1)
-            end(client, how)
-            await until(lambda: script.of(AttemptEnded))
+            await wait_until(lambda: len(one.program.servers.connecting) == 1)
+            disconnect(client, how)
+            await wait_until(lambda: script.of(AttemptEnded))
             assert [(e.outcome, e.is_final) for e in script.of(AttemptEnded)] == [(Outcome.NOT_SENT, True)]
-            await until(lambda: not one.program.servers.connecting)
+            await wait_until(lambda: not one.program.servers.connecting)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
-@pytest.mark.parametrize("how", ENDS)
+@pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_who_leaves_during_an_attempt_changes_nothing_about_what_may_have_run(how: str) -> None:
     """The server has the request: no further attempt may start, whatever the server answers."""
 
@@ -108,39 +108,39 @@
             await release.wait()
             return b"-BUSY\r\n"
 
-        async with site(reply, always(SERVED)) as one:
+        async with site(reply, reply_with(SERVED)) as one:
             client = await one.client()
             client.send(b"CALL.POST", CUSTOMER, b"1", CHARGE)
             calls = [server.calls for server in one.servers]
-            await until(lambda: sum(len(c()) for c in calls) == 1)
-            end(client, how)
-            await until(lambda: not one.program.gateway.active_requests)
+            await wait_until(lambda: sum(len(c()) for c in calls) == 1)
+            disconnect(client, how)
+            await wait_until(lambda: not one.program.gateway.active_requests)
             release.set()
-            await until(lambda: not one.program.gateway.attempts_in_flight)
+            await wait_until(lambda: not one.program.gateway.attempts_in_flight)
             assert sum(len(c()) for c in calls) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_burst_of_thousands_leaves_nothing_behind() -> None:
     """Thousands of clients disconnect, each with a pending request; another client is served meanwhile."""
 
     async def scenario() -> None:
-        script = Script(lambda event: [])
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(lambda event: [])
+        async with site(reply_with(SERVED), decisions=script) as one:
             listener, count = one.program.listener, 300
             for round_ in range(7):
                 crowd = [await one.client() for _ in range(count)]
                 for number, client in enumerate(crowd):
                     client.send(*READ, b"%d.%d" % (round_, number), GET)
-                await until(lambda: len(one.program.gateway.active_requests) == count)
+                await wait_until(lambda: len(one.program.gateway.active_requests) == count)
                 script.decide = send_to("s0")
                 steady = await one.client()
                 for client in crowd:
-                    end(client, "reset")
+                    disconnect(client, "reset")
                 assert await steady.ask(*READ, b"steady", GET) == b"value"
                 steady.writer.close()
-                await until(lambda: not listener.clients and not one.program.gateway.active_requests)
+                await wait_until(lambda: not listener.clients and not one.program.gateway.active_requests)
                 script.decide = lambda event: []
             assert (
                 not listener.open_ids
@@ -148,7 +148,7 @@
                 and not listener.paused_clients
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def connect_slow_reader(one: Site) -> tuple[Client, Any]:
@@ -156,7 +156,7 @@
     connection."""
     client = await one.client()
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    await until(lambda: one.program.listener.clients)
+    await wait_until(lambda: one.program.listener.clients)
     held = next(iter(one.program.listener.clients))
     assert held.transport is not None
     held.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 32768)
@@ -172,22 +172,22 @@
     async def scenario() -> None:
         value = b"v" * 60000
         big = b"*3\r\n$60000\r\n" + value + b"\r\n*-1\r\n*-1\r\n"
-        async with site(always(big), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(big), decisions=ScriptedEngine(send_to("s0"))) as one:
             client, held = await connect_slow_reader(one)
             number = 0
             while not held.transport.get_write_buffer_size():
                 number += 1
                 client.send(*READ, b"%d" % number, GET)
-                await until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
+                await wait_until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
             assert 0 < held.transport.get_write_buffer_size() < WRITE_BUFFER_BYTES
             client.send(b"QUIT")
-            await until(lambda: held.is_write_shut)
+            await wait_until(lambda: held.is_write_shut)
             await asyncio.sleep(0.3)  # several times LINGER_TIMEOUT_S
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             assert [len(await client.reply()) for _ in range(number)] == [60000] * number
             assert await client.reply() == b"OK" and await client.ended()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_small_replies_are_not_held_back_by_the_machine() -> None:
@@ -195,7 +195,7 @@
     so TCP_NODELAY must be set on both sides."""
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             client = await one.client()
             assert await client.ask(*READ, b"1", GET) == b"value"
             ours = [c.transport for c in one.program.listener.clients]
@@ -205,4 +205,4 @@
                 sock = transport.get_extra_info("socket")
                 assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_crossings_servers.py
+++ b/tests/system/test_crossings_servers.py
@@ -15,9 +15,9 @@
 from glenchute.config.policy_settings import policy_settings
 from glenchute.policy.engine import DecisionEngine as Policy
 from glenchute.policy.events import Outcome
-from lab.peers import RespPeer, always, listing, play, row, until
+from lab.peers import RespPeer, discovery_answer, reply_with, run_scenario, server_row, wait_until
 from tests.clients.manual_discovery import ManualDiscovery
-from tests.crossings import READ, Heard, deaf, reset
+from tests.crossings import READ, OutcomeRecorder, blocked_port, reset_connection
 from tests.loopback import (
     CHARGE,
     CUSTOMER,
@@ -25,7 +25,7 @@
     ORDER,
     SERVED,
     SETTINGS,
-    Script,
+    ScriptedEngine,
     send_to,
     site,
 )
@@ -47,10 +47,10 @@
 SERVERS: dict[str, tuple[list[bytes], Callable[[asyncio.StreamWriter], Awaitable[None]], Outcome]] = {
     "half a line, silence": ([PARTIAL_REPLY], keep_open, Outcome.ERROR),
     "half a line, end": ([PARTIAL_REPLY], close_connection, Outcome.RESET),
-    "half a line, reset": ([PARTIAL_REPLY], reset, Outcome.RESET),
+    "half a line, reset": ([PARTIAL_REPLY], reset_connection, Outcome.RESET),
     "an answer without an end": ([UNFINISHED_REPLY], keep_open, Outcome.ERROR),
     "no answer, end": ([], close_connection, Outcome.RESET),
-    "no answer, reset": ([], reset, Outcome.RESET),
+    "no answer, reset": ([], reset_connection, Outcome.RESET),
     "an error": ([b"-ERR failed\r\n"], keep_open, Outcome.ERROR),
     "a null": ([b"$-1\r\n"], keep_open, Outcome.ERROR),
     "no RESP": ([b"HTTP/1.1 200\r\n\r\n"], keep_open, Outcome.ERROR),
@@ -91,7 +91,7 @@
             await then(writer)
             return None
 
-        heard = Heard(Policy(policy_settings(SETTINGS), 1))
+        heard = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=heard) as one:
             client = await one.client()
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
@@ -104,31 +104,33 @@
             # A connection in an unknown state is not reused, and no request gets the reply of another.
             assert await client.ask(*READ, b"2", GET) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_server_that_returns_at_another_address_is_met_there_alone() -> None:
     """The server drains, is removed and returns at a new address while an attempt connects to the old one."""
 
     async def scenario() -> None:
-        agent, script = ManualDiscovery(), Script(send_to("s0"))
-        asyncio.get_running_loop().create_task(agent.answer(0, listing(2, [], full=False)))
-        new = RespPeer(always(SERVED))
+        agent, script = ManualDiscovery(), ScriptedEngine(send_to("s0"))
+        asyncio.get_running_loop().create_task(agent.answer(0, discovery_answer(2, [], full=False)))
+        new = RespPeer(reply_with(SERVED))
         await new.start()
-        async with deaf() as port, site(always(SERVED), decisions=script, discovery=agent) as one:  # type: ignore[arg-type]
-            await agent.answer(1, listing(3, [row("s0", port)], full=False))
-            await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
+        async with blocked_port() as port, site(reply_with(SERVED), decisions=script, discovery=agent) as one:  # type: ignore[arg-type]
+            await agent.answer(1, discovery_answer(3, [server_row("s0", port)], full=False))
+            await wait_until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
             client = await one.client()
             client.send(*READ, b"1", GET)
-            await until(lambda: len(one.program.servers.connecting) == 1)
-            await agent.answer(2, listing(4, [row("s0", port, "Terminating")], full=False))
-            await agent.answer(3, listing(5, [row("s0", port, "Gone")], full=False))
-            await agent.answer(4, listing(6, [row("s0", new.port, started_ms=5.0)], full=False))
-            await until(lambda: one.program.servers.address("s0") == ("127.0.0.1", new.port))
+            await wait_until(lambda: len(one.program.servers.connecting) == 1)
+            await agent.answer(2, discovery_answer(4, [server_row("s0", port, "Terminating")], full=False))
+            await agent.answer(3, discovery_answer(5, [server_row("s0", port, "Gone")], full=False))
+            await agent.answer(
+                4, discovery_answer(6, [server_row("s0", new.port, started_ms=5.0)], full=False)
+            )
+            await wait_until(lambda: one.program.servers.address("s0") == ("127.0.0.1", new.port))
             assert await client.ask(*READ, b"2", GET) is not None
             # The reply to the first request, which reached no server, came before this one.
             assert await client.reply() == b"value"
             assert len(new.calls()) == 1 and not one.servers[0].calls()
         await new.stop()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_crossings_shutdown.py
+++ b/tests/system/test_crossings_shutdown.py
@@ -23,11 +23,21 @@
     SHUTDOWN_ACCEPT_S,
     ProcessLifecycle,
 )
-from lab.peers import Client, DiscoveryPeer, Peer, RespPeer, always, listing, play, row, until
+from lab.peers import (
+    Client,
+    DiscoveryPeer,
+    Peer,
+    RespPeer,
+    discovery_answer,
+    reply_with,
+    run_scenario,
+    server_row,
+    wait_until,
+)
 from lab.site import free_port
 from tests.cli.test_process import connect_when_ready, start
 from tests.clients.manual_discovery import ManualDiscovery
-from tests.crossings import packed
+from tests.crossings import encode_command
 from tests.loopback import (
     CUSTOMER,
     ORDER,
@@ -66,13 +76,13 @@
         await started[0].release.wait()
         return SERVED
 
-    server, counter_peer = RespPeer(reply), RespPeer(always(counter))
+    server, counter_peer = RespPeer(reply), RespPeer(reply_with(counter))
     discovery = agent or DiscoveryPeer()
     for peer in (server, counter_peer, discovery):
         await peer.start()
-    rows = [row("s0", server.port)]
+    rows = [server_row("s0", server.port)]
     if isinstance(discovery, DiscoveryPeer):
-        discovery.answers.append(listing(1, rows))
+        discovery.answers.append(discovery_answer(1, rows))
     listen = free_port()
     raw = raw_config(discovery.port, counter_peer.port, rows, listen)
     raw["settings"] = SETTINGS | {
@@ -113,7 +123,7 @@
     """A second SIGTERM neither ends the process sooner nor restarts its shutdown."""
     held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await until(lambda: one.server.calls())
+    await wait_until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
     await one.until_shutting_down(await Client.connect(one.listen))
     one.signal(signal.SIGTERM)
@@ -125,13 +135,13 @@
 async def half_a_command(one: RunningGateway) -> None:
     """The rest of a command arrives after the signal: the command is accepted and answered."""
     half = await connect_when_ready(one.listen)
-    data = packed(b"CALL.POST", CUSTOMER, b"1", ORDER)
+    data = encode_command(b"CALL.POST", CUSTOMER, b"1", ORDER)
     half.writer.write(data[:-9])
     await asyncio.sleep(0.05)
     one.signal(signal.SIGTERM)
     await one.until_shutting_down(await Client.connect(one.listen))
     half.writer.write(data[-9:])
-    await until(lambda: one.server.calls())
+    await wait_until(lambda: one.server.calls())
     one.release.set()
     assert await half.reply() == b"value" and await half.ended()
 
@@ -141,12 +151,12 @@
     closes."""
     both = await connect_when_ready(one.listen)
     both.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await until(lambda: one.server.calls())
+    await wait_until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
     asker = await Client.connect(one.listen)
     await one.until_shutting_down(asker)
     both.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
-    await until(lambda: len(one.server.calls()) == 2)
+    await wait_until(lambda: len(one.server.calls()) == 2)
     one.release.set()
     assert [await both.reply(), await both.reply()] == [b"value", b"value"] and await both.ended()
 
@@ -155,7 +165,7 @@
     """The server never answers: the open request gets its final response before the kill."""
     held = await connect_when_ready(one.listen)
     held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await until(lambda: one.server.calls())
+    await wait_until(lambda: one.server.calls())
     one.signal(signal.SIGTERM)
     assert str(await held.reply()) == "ERR failed" and await held.ended()
 
@@ -170,7 +180,7 @@
             await scene(one)
             assert await one.process.wait() == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_sigterm_before_it_serves_ends_it_with_nobody_taken(tmp_path: Path) -> None:
@@ -185,7 +195,7 @@
             with pytest.raises(ConnectionRefusedError):
                 await Client.connect(one.listen)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_restart_is_ready_at_a_fifth_of_a_core_with_nobody_to_ask(tmp_path: Path) -> None:
@@ -210,7 +220,7 @@
             task.cancel()
             one.signal(signal.SIGCONT)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("max_deadline_s", [0.05, 0.15, 0.8, 1.5, 3.0, 6.0, 60.0])
@@ -237,7 +247,7 @@
             held, idle = await connect_when_ready(one.listen), await Client.connect(one.listen)
             assert await idle.ask(b"PING") == b"PONG"
             held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-            await until(lambda: one.server.calls())
+            await wait_until(lambda: one.server.calls())
             loop = asyncio.get_running_loop()
             began = loop.time()
             one.signal(signal.SIGTERM)
@@ -246,4 +256,4 @@
             # The kill comes after 0.9 s. A process that took 1.5 s to close its idle connections was killed.
             assert loop.time() - began < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_crossings_turns.py
+++ b/tests/system/test_crossings_turns.py
@@ -27,45 +27,49 @@
 from glenchute.policy.connections.client_slots import CloseReason
 from glenchute.policy.events import ClientDisconnected
 from glenchute.protocol import resp2 as resp
-from lab.peers import always, play, until
-from tests.crossings import READ, crowd, packed
+from lab.peers import reply_with, run_scenario, wait_until
+from tests.crossings import READ, encode_command, open_connections
 from tests.loopback import (
     GET,
     SERVED,
-    Script,
+    ScriptedEngine,
     Site,
     send_to,
     site,
 )
 
 
-async def half_closed_idle(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
+async def half_closed_idle(one: Site, script: ScriptedEngine, sock: socket.socket, held: Any) -> None:
     """The client shuts down its sending side with no request open."""
     sock.shutdown(socket.SHUT_WR)
-    await until(lambda: held.transport is None or held.transport.is_closing())
+    await wait_until(lambda: held.transport is None or held.transport.is_closing())
 
 
-async def half_closed_with_a_request_open(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
+async def half_closed_with_a_request_open(
+    one: Site, script: ScriptedEngine, sock: socket.socket, held: Any
+) -> None:
     """The client shuts down its sending side with a request pending: the request ends at once, though the
     transport stays until its buffer is empty."""
     script.decide = lambda event: []
-    sock.send(packed(*READ, b"open", GET))
-    await until(lambda: one.program.gateway.active_requests)
+    sock.send(encode_command(*READ, b"open", GET))
+    await wait_until(lambda: one.program.gateway.active_requests)
     sock.shutdown(socket.SHUT_WR)
-    await until(lambda: script.of(ClientDisconnected))
+    await wait_until(lambda: script.of(ClientDisconnected))
     assert held.transport is not None and held.transport.is_closing()
     assert not one.program.gateway.active_requests and not one.program.listener.open_ids
 
 
-async def left_full_then_read_in_part(one: Site, script: Script, sock: socket.socket, held: Any) -> None:
+async def left_full_then_read_in_part(
+    one: Site, script: ScriptedEngine, sock: socket.socket, held: Any
+) -> None:
     """The gateway closes a connection with a full write buffer, of which the client then reads only a
     part."""
     for number in range(1000, 1100):
         if held.is_write_blocked:
             break
         taken = one.program.listener.request_count
-        sock.send(packed(*READ, b"%d" % number, GET))
-        await until(lambda: one.program.listener.request_count == taken + 1 and not held.slots)  # noqa: B023
+        sock.send(encode_command(*READ, b"%d" % number, GET))
+        await wait_until(lambda: one.program.listener.request_count == taken + 1 and not held.slots)  # noqa: B023
     assert held.is_write_blocked
     held.close_when_answered()
     assert held.is_write_shut and held.transport.is_closing()
@@ -80,7 +84,8 @@
     "scene", [half_closed_idle, half_closed_with_a_request_open, left_full_then_read_in_part]
 )
 def test_a_connection_that_closes_behind_unread_replies_has_its_time(
-    scene: Callable[[Site, Script, socket.socket, Any], Awaitable[None]], monkeypatch: pytest.MonkeyPatch
+    scene: Callable[[Site, ScriptedEngine, socket.socket, Any], Awaitable[None]],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The transport waits for its buffer to drain and the peer never reads: the connection slot and the file
     descriptor must be released all the same, at the time limit."""
@@ -89,35 +94,35 @@
 
     async def scenario() -> None:
         big = b"*3\r\n$60000\r\n" + b"v" * 60000 + b"\r\n*-1\r\n*-1\r\n"
-        script = Script(send_to("s0"))
-        async with site(always(big), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(big), decisions=script) as one:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(("127.0.0.1", one.port))
             sock.setblocking(False)
-            await until(lambda: one.program.listener.clients)
+            await wait_until(lambda: one.program.listener.clients)
             held: Any = next(iter(one.program.listener.clients))
             held.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
             number = 0
             while not held.transport.get_write_buffer_size():
                 number += 1
-                sock.send(packed(*READ, b"%d" % number, GET))
-                await until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
+                sock.send(encode_command(*READ, b"%d" % number, GET))
+                await wait_until(lambda: one.program.listener.request_count == number and not held.slots)  # noqa: B023
                 await asyncio.sleep(0)  # replies are written at the end of the iteration
             await scene(one, script, sock, held)
             async with asyncio.timeout(20.0):
-                await until(lambda: not one.program.listener.clients and held.transport is None)
+                await wait_until(lambda: not one.program.listener.clients and held.transport is None)
             assert one.program.listener.connection_slots.closed_counts[CloseReason.WRITE_BLOCKED] == 1
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 MAX_READ_BYTES = 256 * 1024  # most that asyncio reads from a socket in one call
 
 
 @pytest.mark.parametrize(
-    ("command", "count"), [(packed(b"PING", b"x" * 60_000), 60), (packed(b"PING"), 200_000)],
+    ("command", "count"), [(encode_command(b"PING", b"x" * 60_000), 60), (encode_command(b"PING"), 200_000)],
     ids=["large", "small"],
 )  # fmt: skip
 def test_megabytes_that_wait_in_the_machine_are_not_all_taken_in(command: bytes, count: int) -> None:
@@ -126,11 +131,11 @@
     must buffer a bounded part of it and serve another client meanwhile."""
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             other, sock = await one.client(), socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(("127.0.0.1", one.port))
-            await until(lambda: len(one.program.listener.clients) == 2)
+            await wait_until(lambda: len(one.program.listener.clients) == 2)
             held: Any = list(one.program.listener.clients)[1]
             ours = held.transport.get_extra_info("socket")
             ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
@@ -153,7 +158,7 @@
             assert await other.ask(b"PING") == b"PONG"
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def received(sock: socket.socket, wanted: int) -> bytes:
@@ -180,10 +185,10 @@
 
     async def scenario() -> None:
         nonlocal made, most
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             monkeypatch.setattr(resp, "encode_bulk", counted)
             other = await one.client()
-            async with crowd(one, count, packed(b"PING", word) * each) as socks:
+            async with open_connections(one, count, encode_command(b"PING", word) * each) as socks:
                 turns, total = 0, 0
                 while turns < 500 and total < 4 * MAX_TURN_REPLY_BYTES:
                     made = 0
@@ -198,7 +203,7 @@
                 f"{most} bytes of replies in one turn"
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def record_turns(monkeypatch: pytest.MonkeyPatch) -> list[Connection]:
@@ -221,8 +226,8 @@
     async def scenario() -> None:
         nonlocal most
         async with (
-            site(always(SERVED)) as one,
-            crowd(one, 20, packed(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
+            site(reply_with(SERVED)) as one,
+            open_connections(one, 20, encode_command(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
         ):
             for _ in range(400):
                 continued.clear()
@@ -232,7 +237,7 @@
             assert all([(await received(sock, len(expected))) == expected for sock in socks])
             assert most == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_fault_in_ones_turn_leaves_the_others_theirs(
@@ -251,10 +256,10 @@
 
     async def scenario() -> None:
         async with (
-            site(always(SERVED)) as one,
-            crowd(one, 20, packed(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
+            site(reply_with(SERVED)) as one,
+            open_connections(one, 20, encode_command(b"PING") * 10 * MAX_COMMANDS_PER_TURN) as socks,
         ):
-            await until(lambda: bool(at_fault))
+            await wait_until(lambda: bool(at_fault))
             expected = b"+PONG\r\n" * 10 * MAX_COMMANDS_PER_TURN
             assert at_fault[0].transport is not None
             theirs = at_fault[0].transport.get_extra_info("peername")
@@ -262,7 +267,7 @@
                 if sock.getsockname() != theirs:
                     assert await received(sock, len(expected)) == expected
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_turns_are_short_while_connections_wait_to_be_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -272,9 +277,12 @@
     continued = record_turns(monkeypatch)
 
     async def scenario() -> None:
-        async with site(always(SERVED)) as one, crowd(one, 20, packed(b"PING") * 40 * MAX_COMMANDS_PER_TURN):
+        async with (
+            site(reply_with(SERVED)) as one,
+            open_connections(one, 20, encode_command(b"PING") * 40 * MAX_COMMANDS_PER_TURN),
+        ):
             listener = one.program.listener
-            await until(lambda: len(listener.scheduled_clients) == 20)
+            await wait_until(lambda: len(listener.scheduled_clients) == 20)
             newcomers = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(10)]
             waited = 0
             while listener.has_pending_accept():
@@ -287,7 +295,7 @@
             for sock in newcomers:
                 sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_command_that_waits_for_its_turn_keeps_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -313,19 +321,19 @@
 
     async def scenario() -> None:
         nonlocal held
-        async with site(always(SERVED)) as one:
+        async with site(reply_with(SERVED)) as one:
             listener = one.program.listener
             listener.queued_reply_bytes = 2 * MAX_TURN_REPLY_BYTES
             sock = socket.create_connection(("127.0.0.1", one.port))
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             sock.setblocking(False)
-            sock.sendall(packed(b"PING", word) * 2)
-            await until(
+            sock.sendall(encode_command(b"PING", word) * 2)
+            await wait_until(
                 lambda: listener.scheduled_clients and not listener.scheduled_clients[0].has_unread_input()
             )
-            await until(lambda: reasons)
+            await wait_until(lambda: reasons)
             held = False
             assert await received(sock, 2 * len(resp.encode_bulk(word))) == resp.encode_bulk(word) * 2
             sock.close()
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/system/test_readiness.py
+++ b/tests/system/test_readiness.py
@@ -20,12 +20,12 @@
     Client,
     DiscoveryPeer,
     RespPeer,
-    always,
-    listing,
-    numbered,
-    play,
+    discovery_answer,
+    generate_request_ids,
     raw_config,
-    row,
+    reply_with,
+    run_scenario,
+    server_row,
 )
 
 READY_S = 10.0  # 90 % of restarted processes must be ready within this time
@@ -61,12 +61,12 @@
     async def scenario(unreachable_port: int) -> None:
         discovery_peer, silent_counter, server = (
             DiscoveryPeer(),
-            RespPeer(always(None)),
-            RespPeer(always(SERVED)),
+            RespPeer(reply_with(None)),
+            RespPeer(reply_with(SERVED)),
         )
         for peer in (discovery_peer, silent_counter, server):
             await peer.start()
-        rows, ids = [row("s0", server.port)], numbered()
+        rows, ids = [server_row("s0", server.port)], generate_request_ids()
         discovery = discovery_peer.port if connects else unreachable_port
         gateways = []
         for number in range(PROCESSES):
@@ -87,7 +87,7 @@
             else:
                 assert str(reply).startswith("BUSY")
             if saved != "a list" and connects:
-                discovery_peer.answers += [listing(2, rows)] * 100
+                discovery_peer.answers += [discovery_answer(2, rows)] * 100
                 while await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) != b"value":
                     await asyncio.sleep(0.02)
         finally:
@@ -99,4 +99,4 @@
                 await peer.stop()
 
     with unreachable() as unreachable_port:
-        play(scenario(unreachable_port))
+        run_scenario(scenario(unreachable_port))
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -14,9 +14,9 @@
 import pytest
 
 from glenchute.config.platform import ConfigError, build, passed_socket
-from lab.nodes import Node, Trade
+from lab.nodes import Node, ServiceProfile
 from lab.site import GatewayProcess, LabSite, free_port
-from tests.loopback import CUSTOMER, Client, config, numbered, play, raw_config
+from tests.loopback import CUSTOMER, Client, config, generate_request_ids, raw_config, run_scenario
 
 FIELDS = b"c=report-read,t=korporativni,d=2000"
 
@@ -29,7 +29,7 @@
         self.listening_socket = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.port = int(self.listening_socket.getsockname()[1])
         self.processes: list[GatewayProcess] = []
-        self.ids = numbered()
+        self.ids = generate_request_ids()
         self.sent = self.answered = self.repeated = self.rejected = 0
 
     async def start(self) -> GatewayProcess:
@@ -92,7 +92,7 @@
 
 @asynccontextmanager
 async def replacement_site(folder: Path) -> AsyncIterator[ReplacementSite]:
-    async with LabSite([Node(f"s{i}", Trade({"report-read": 8.0})) for i in range(2)]) as lab:
+    async with LabSite([Node(f"s{i}", ServiceProfile({"report-read": 8.0})) for i in range(2)]) as lab:
         one = ReplacementSite(lab, folder)
         try:
             yield one
@@ -123,7 +123,7 @@
             for process in one.processes:
                 assert "Traceback" not in process.log.read_text()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("after_ready", [False, True])
@@ -154,7 +154,7 @@
             assert one.repeated == 0
             assert await old.stop() == 0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_only_a_listening_socket_at_the_address_is_accepted() -> None:
--- a/tests/upstreams/test_connection_pool.py
+++ b/tests/upstreams/test_connection_pool.py
@@ -17,14 +17,14 @@
     GET,
     SERVED,
     DiscoveryPeer,
-    Script,
-    always,
-    listing,
-    play,
-    row,
+    ScriptedEngine,
+    discovery_answer,
+    reply_with,
+    run_scenario,
     send_to,
+    server_row,
     site,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -32,7 +32,7 @@
 
 def test_the_most_recently_used_connection_is_reused() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client = await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             client.send(b"CALL.GET", CUSTOMER, b"2", GET)
@@ -45,7 +45,7 @@
             assert await client.ask(b"CALL.GET", CUSTOMER, b"3", GET) == b"value"
             assert pool.idle[-1] is last and len(one.servers[0].writers) == 2
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_duplicate_reply_that_arrives_later_is_not_served(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -60,7 +60,7 @@
             await asyncio.sleep(0.005)
             return encoded
 
-        async with site(reply_twice, decisions=Script(send_to("s0"))) as one:
+        async with site(reply_twice, decisions=ScriptedEngine(send_to("s0"))) as one:
             client = await one.client()
             for number in range(1, 9):
                 value = await client.ask(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
@@ -68,12 +68,12 @@
             assert len(one.servers[0].writers) == 8
 
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 30.0)  # so that it holds on a slow machine too
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connections_are_not_used_once_the_server_may_close_them() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client = await one.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             pool = one.program.servers.pools["s0"]
@@ -82,27 +82,27 @@
             assert len(one.servers[0].writers) == 2
             pool.idle[0].idle_since -= 14.0
             one.program.servers.sweep()
-            await until(lambda: not pool.open)
+            await wait_until(lambda: not pool.open)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_surplus_bytes_close_the_connection() -> None:
     """Guards against a request that is served with the surplus reply to an earlier one."""
 
     async def scenario() -> None:
-        async with site(always(SERVED + SERVED), decisions=Script(send_to("s0"))) as one:
+        async with site(reply_with(SERVED + SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
             client = await one.client()
             await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: not one.program.servers.pools["s0"].open)
+            await wait_until(lambda: not one.program.servers.pools["s0"].open)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_connection_established_after_the_drain_grace_period_is_not_written_to() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script) as one:
             client = await one.client()
             decide, pool = script.decide, one.program.servers.pools["s0"]
 
@@ -121,26 +121,26 @@
             assert [e.outcome for e in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
             assert one.servers[0].calls() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_idle_connections_to_a_removed_server_are_closed() -> None:
     async def scenario() -> None:
         discovery = DiscoveryPeer()
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script, discovery=discovery) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(SERVED), decisions=script, discovery=discovery) as one:
             port = one.servers[0].port
             client = await one.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            discovery.answers.append(listing(1, [row("s0", port)]))
-            discovery.answers.append(listing(2, [row("s0", port, "Gone")], full=False))
-            await until(lambda: ("closed", 1, []) in one.servers[0].log)
+            discovery.answers.append(discovery_answer(1, [server_row("s0", port)]))
+            discovery.answers.append(discovery_answer(2, [server_row("s0", port, "Gone")], full=False))
+            await wait_until(lambda: ("closed", 1, []) in one.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
             # A removed server's id never comes back, so nothing may be kept for it.
             assert not one.program.gateway.endpoints.started_ms and not one.program.servers.pools
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_timeout_closes_connections_idle_since_before_the_attempt() -> None:
@@ -155,7 +155,7 @@
             is_third = isinstance(event, Request) and len(script.of(Request)) == 3
             return send_to("s0", 300.0 if is_third else 0.0)(event)
 
-        script = Script(decide)
+        script = ScriptedEngine(decide)
         async with site(reply, decisions=script) as one:
             client = await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
@@ -168,32 +168,32 @@
             one.program.servers.sweeper.cancel()  # which would close them too, at the idle limit
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"mute", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.TIMEOUT
-            await until(lambda: not pool.open)
+            await wait_until(lambda: not pool.open)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_to_servers_are_bounded() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(None), decisions=script) as one:
+        script = ScriptedEngine(send_to("s0"))
+        async with site(reply_with(None), decisions=script) as one:
             servers = one.program.servers
             servers.limits = replace(servers.limits, max_connections=5)
             client = await one.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
+            await wait_until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
             assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.NO_CONNECTION}
             assert servers.connection_count() == 5
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_shortage_of_connections_backs_off_no_server() -> None:
     """Guards against servers that are backed off because this process has no free connection."""
 
     async def scenario() -> None:
-        async with site(always(None), always(None)) as one:
+        async with site(reply_with(None), reply_with(None)) as one:
             servers = one.program.servers
             servers.limits = replace(servers.limits, max_connections=2)
             clients = [await one.client() for _ in range(3)]
@@ -201,10 +201,10 @@
                 clients[number % 3].send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             engine = one.program.gateway.decisions
             assert isinstance(engine, DecisionEngine)
-            await until(lambda: engine.reports.counts.get("attempt: no connection", 0) >= 10)
+            await wait_until(lambda: engine.reports.counts.get("attempt: no connection", 0) >= 10)
             known = engine.pool.servers.values()
             assert len(known) == 2
             assert all(server.connect_failures == 0 for server in known)
             assert all(server.backed_off_until_ms == 0.0 for server in known)
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -33,13 +33,13 @@
     ORDER,
     Client,
     Peer,
-    Script,
+    ScriptedEngine,
     Site,
-    numbered,
-    play,
+    generate_request_ids,
+    run_scenario,
     send_to,
     site,
-    until,
+    wait_until,
 )
 
 SHARED = '[pipeline]\nclasses = ["read", "order"]\ndepth = 8\nat_risk = 16\nsettle_ms = 0\n'
@@ -70,7 +70,7 @@
             while True:
                 if not self.reads:
                     writer.transport.pause_reading()  # type: ignore[attr-defined]
-                    await until(lambda: self.reads)
+                    await wait_until(lambda: self.reads)
                     writer.transport.resume_reading()  # type: ignore[attr-defined]
                 data = await reader.read(min(remaining, 65536)) if remaining else b""
                 parser.feed(data)
@@ -152,14 +152,14 @@
     return [(b"CALL.GET", CUSTOMER, name, GET) for name in ids]
 
 
-def outcomes(script: Script) -> dict[str, Outcome]:
+def outcomes(script: ScriptedEngine) -> dict[str, Outcome]:
     return {event.request_id: event.outcome for event in script.of(AttemptEnded)}
 
 
 def test_a_burst_is_written_at_once_and_answered_in_order() -> None:
     async def scenario() -> None:
         server = ScriptedServer(answers=True)
-        async with pipelined_site(server, decisions=Script(send_to("s0"))) as (one, upstream):
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (one, upstream):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
@@ -174,7 +174,7 @@
             # The connection was idle again and is reused.
             assert await client.reply() == b"f" and len(server.writers) == 1
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_outcomes_for_every_form_of_reply() -> None:
@@ -197,16 +197,16 @@
     ]
 
     async def row(data: bytes, ends: bool, expected: list[Outcome]) -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         patient = SHARED + "least_stall_ms = 1500\n"  # longer than the stalled reply takes to fail
         async with pipelined_site(server, decisions=script, operator=patient) as (one, upstream):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await until(lambda: len(server.ran) == 3)
+            await wait_until(lambda: len(server.ran) == 3)
             server.send(data)
             if ends:
                 server.writers[0].close()
-            await until(lambda: len(outcomes(script)) == 3)
+            await wait_until(lambda: len(outcomes(script)) == 3)
             assert [outcomes(script)[str(n)] for n in (1, 2, 3)] == expected, data
             for outcome in expected:
                 reply = await client.reply()
@@ -214,14 +214,14 @@
                 if outcome in (e.ERROR, e.RESET):
                     assert not str(reply).startswith("BUSY")  # it may have run, so it must not be rejected
             if data not in (ok + ok + ok, ok + busy + ok, failed + ok + busy):
-                await until(lambda: not upstream.pools["s0"].open)
-                await until(lambda: 0 in server.ended)
+                await wait_until(lambda: not upstream.pools["s0"].open)
+                await wait_until(lambda: 0 in server.ended)
             assert not upstream.runtime.attempts
 
     async def scenario() -> None:
         await asyncio.gather(*[row(*each) for each in table])
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_connections_cut_at_every_byte_of_a_batch() -> None:
@@ -231,15 +231,15 @@
     async def scenario() -> None:
         server = ScriptedServer(answers=True)
         async with pipelined_site(server) as (one, upstream):
-            names = numbered()
+            names = generate_request_ids()
             client = await one.client()
 
             async def send_five(cuts: list[int]) -> dict[bytes, Any]:
                 ids = [next(names) for _ in range(5)]
-                await until(lambda: not upstream.runtime.attempts)
+                await wait_until(lambda: not upstream.runtime.attempts)
                 for pool in upstream.pools.values():
                     pool.close_idle()
-                await until(lambda: not any(pool.open for pool in upstream.pools.values()))
+                await wait_until(lambda: not any(pool.open for pool in upstream.pools.values()))
                 add_samples(one.program)
                 server.cuts[:] = cuts
                 order = re.sub(rb"k=[^,]*", b"k=" + ids[2], ORDER)
@@ -268,7 +268,7 @@
             assert upstream.runtime.counts["commands"] > upstream.runtime.counts["writes"]
             assert not one.program.gateway.active_requests and not one.program.gateway.attempts_in_flight
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_stalled_head_delays_no_request_past_its_deadline() -> None:
@@ -285,7 +285,7 @@
             client = await one.client()
             began = loop.time()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
-            await until(lambda: len(stalled.ran) == 5)
+            await wait_until(lambda: len(stalled.ran) == 5)
             one.program.gateway.update_endpoints(
                 endpoint_update(one, "s1", EndpointState.ACTIVE, healthy.port)
             )
@@ -294,7 +294,7 @@
             assert upstream.scheduler.counts["cut at a stall"] == 1
             assert sorted(healthy.ids()) == [b"a", b"b", b"c", b"d", b"e"] and 0 in stalled.ended
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def endpoint_update(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
@@ -306,68 +306,68 @@
 
 def test_attempts_behind_a_stalled_head_are_hedged_where_allowed() -> None:
     async def scenario() -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, upstream):
             change_rules(upstream, may_hedge=True)
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await until(lambda: len(script.of(AttemptStalled)) == 2)
+            await wait_until(lambda: len(script.of(AttemptStalled)) == 2)
             assert {event.request_id for event in script.of(AttemptStalled)} == {"2", "3"}
             server.send(value(b"a") + value(b"b") + value(b"c"))
             assert [await client.reply() for _ in range(3)] == [b"a", b"b", b"c"]
             assert not server.ended  # the connection stays open
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_client_of_the_third_of_five_disconnects() -> None:
     async def scenario() -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, upstream):
             staying, departing = await one.client(), await one.client()
             await burst(staying, *reads([b"a", b"b"]))
-            await until(lambda: len(server.ran) == 2)
+            await wait_until(lambda: len(server.ran) == 2)
             await burst(departing, *reads([b"c"]))
-            await until(lambda: len(server.ran) == 3)
+            await wait_until(lambda: len(server.ran) == 3)
             await burst(staying, *reads([b"d", b"e"]))
-            await until(lambda: len(server.ran) == 5)
+            await wait_until(lambda: len(server.ran) == 5)
             departing.writer.close()
-            await until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.of(ClientDisconnected))
             server.send(b"".join(value(name) for name in (b"a", b"b", b"c", b"d", b"e")))
             assert [await staying.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
             assert all(outcome is Outcome.OK for outcome in outcomes(script).values())
             assert len(upstream.pools["s0"].idle) == 1 and not upstream.runtime.attempts
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_cancelled_attempt_keeps_its_position_until_its_reply() -> None:
     """A cancellation aborts no other attempt; its outcome is reported once its reply is received."""
 
     async def scenario() -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, _upstream):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await until(lambda: len(server.ran) == 3)
+            await wait_until(lambda: len(server.ran) == 3)
             middle = one.program.gateway.attempts_in_flight["2", 0]
             middle.stop(Outcome.CANCELLED)
             assert "2" not in outcomes(script) and middle.is_written
             server.send(b"".join(value(name) for name in (b"a", b"b", b"c")))
-            await until(lambda: len(outcomes(script)) == 3)
+            await wait_until(lambda: len(outcomes(script)) == 3)
             assert [outcomes(script)[n] for n in "123"] == [Outcome.OK, Outcome.CANCELLED, Outcome.OK]
             assert not server.ended
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_reply_in_forty_segments_and_one_of_64_kib() -> None:
     async def scenario() -> None:
         server = ScriptedServer()
-        async with pipelined_site(server, decisions=Script(send_to("s0"))) as (one, _):
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (one, _):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await until(lambda: len(server.ran) == 3)
+            await wait_until(lambda: len(server.ran) == 3)
             large = b"x" * 65536
             data = value(b"a" * 40) + value(large) + value(b"c")
             cuts = [*range(2, 80, 2), len(data)]
@@ -376,7 +376,7 @@
                 await asyncio.sleep(0.001)
             assert [await client.reply() for _ in range(3)] == [b"a" * 40, large, b"c"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_drain_while_a_batch_is_half_written() -> None:
@@ -385,7 +385,7 @@
     then."""
 
     async def scenario() -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         server.reads = False
         operator = SHARED.replace(', "order"', "") + "gather_bytes = 262144\nleast_stall_ms = 2500\n"
         async with pipelined_site(server, decisions=script, operator=operator) as (one, upstream):
@@ -399,8 +399,8 @@
                 await burst(client, *words)
             pool = upstream.pools["s0"]
             assert isinstance(pool, PipelinedPool)
-            await until(lambda: len(upstream.runtime.attempts) == 160)
-            await until(lambda: any(conn.is_buffer_full for conn in pool.by_id.values()))
+            await wait_until(lambda: len(upstream.runtime.attempts) == 160)
+            await wait_until(lambda: any(conn.is_buffer_full for conn in pool.by_id.values()))
             conn = next(iter(pool.by_id.values()))
             pending = len(conn.pipeline.pending)
             assert pending > 0
@@ -410,19 +410,19 @@
             loop = asyncio.get_running_loop()
             drained_at = loop.time()
             one.program.gateway.update_endpoints(endpoint_update(one, "s0", EndpointState.DRAINING))
-            await until(lambda: len(outcomes(script)) >= pending)
+            await wait_until(lambda: len(outcomes(script)) >= pending)
             assert loop.time() - drained_at < 0.2
             assert list(outcomes(script).values()).count(Outcome.UNREACHABLE) >= pending
-            await until(lambda: len(outcomes(script)) == 160)
+            await wait_until(lambda: len(outcomes(script)) == 160)
             assert 0.1 < loop.time() - drained_at < 0.6 and Outcome.RESET in outcomes(script).values()
             server.reads = True
-            await until(lambda: 0 in server.ended)
+            await wait_until(lambda: 0 in server.ended)
             received = set(server.ids())
             for ref, outcome in outcomes(script).items():
                 if outcome is Outcome.UNREACHABLE:
                     assert request_ids[ref] not in received, "ran though it ended as UNREACHABLE"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_thousand_reads_in_one_burst() -> None:
@@ -433,7 +433,7 @@
             upstream,
         ):
             clients = [await one.client() for _ in range(20)]
-            names = numbered()
+            names = generate_request_ids()
             ids = [[next(names) for _ in range(50)] for _ in clients]
             for client, mine in zip(clients, ids, strict=True):
                 await burst(client, *reads(mine))
@@ -458,16 +458,16 @@
                 <= upstream.limits.max_connections
             )
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_answers_all_attempts_in_flight() -> None:
     async def scenario() -> None:
         server = ScriptedServer()
-        async with pipelined_site(server, decisions=Script(send_to("s0"))) as (one, _):
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (one, _):
             client = await one.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await until(lambda: len(server.ran) == 3)
+            await wait_until(lambda: len(server.ran) == 3)
             shutdown = asyncio.create_task(one.program.shut_down())
             await asyncio.sleep(0.1)
             server.send(value(b"a") + value(b"b"))
@@ -477,12 +477,12 @@
             await shutdown
             assert await client.ended()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_server_closes_an_idle_connection_while_a_batch_is_written() -> None:
     async def scenario() -> None:
-        server, script = ScriptedServer(answers=True), Script(send_to("s0"))
+        server, script = ScriptedServer(answers=True), ScriptedEngine(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, _upstream):
             client = await one.client()
             await burst(client, *reads([b"a"]))
@@ -498,13 +498,13 @@
             assert all(outcome is Outcome.RESET or name not in ran
                        for outcome, name in zip(ended, (b"b", b"c"), strict=True))  # fmt: skip
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("refused", [True, False])
 def test_a_failed_connect_ends_all_attempts_queued_on_it(refused: bool) -> None:
     async def scenario() -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, upstream):
             await server.stop()
             if not refused:  # the connect times out, as with a full backlog, which answers nothing
@@ -516,18 +516,18 @@
             assert set(outcomes(script).values()) == {Outcome.UNREACHABLE}
             assert not upstream.connecting and not upstream.scheduler.connections
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_non_idempotent_attempts_get_a_connection_of_their_own() -> None:
     async def scenario() -> None:
-        server, script = ScriptedServer(), Script(send_to("s0"))
+        server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         async with pipelined_site(server, decisions=script) as (one, _):
             client = await one.client()
             charge = (b"CALL.POST", CUSTOMER, b"x", CHARGE, b"body")
             await burst(client, *reads([b"a"]), charge, (*charge[:2], b"y", *charge[3:]), *reads([b"b"]))
-            await until(lambda: len(server.ran) == 4)
+            await wait_until(lambda: len(server.ran) == 4)
             by_connection = [set(server.ids(number)) for number in range(len(server.writers))]
             assert {b"x"} in by_connection and {b"y"} in by_connection
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -28,13 +28,13 @@
     ORDER,
     SERVED,
     Client,
-    Script,
+    ScriptedEngine,
     Site,
-    numbered,
-    play,
+    generate_request_ids,
+    run_scenario,
     send_to,
     site,
-    until,
+    wait_until,
 )
 
 TAIL = b"\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
@@ -195,14 +195,14 @@
 @asynccontextmanager
 async def serving(
     answer: Callable[[asyncio.StreamWriter, bytes], Any], **changes: Any
-) -> AsyncIterator[tuple[Site, Script]]:
+) -> AsyncIterator[tuple[Site, ScriptedEngine]]:
     """A gateway with one server, which replies with what `answer` returns or writes for a request id."""
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         found = await answer(writer, words[2])
         return found if isinstance(found, bytes) else None
 
-    script = Script(send_to("s0", changes.pop("timeout_ms", 0.0)))
+    script = ScriptedEngine(send_to("s0", changes.pop("timeout_ms", 0.0)))
     async with site(reply, decisions=script, **changes) as one:
         yield one, script
 
@@ -215,14 +215,14 @@
     client.send(b"CALL.GET" if fields is GET else b"CALL.POST", CUSTOMER, next(ids), fields)
 
 
-def outcomes(script: Script) -> list[Outcome]:
+def outcomes(script: ScriptedEngine) -> list[Outcome]:
     return [event.outcome for event in script.of(AttemptEnded)]
 
 
 def test_a_long_value_is_relayed_completely_and_the_connection_reused() -> None:
     async def scenario() -> None:
         async with serving(answer_completely) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             for _ in range(3):
                 ask(client, ids)
                 assert await client.reply() == VALUE
@@ -233,7 +233,7 @@
             assert len(one.servers[0].writers) == 1
             assert not one.program.listener.open_ids
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_replies_stay_in_order_around_a_streamed_one() -> None:
@@ -245,18 +245,18 @@
             return ANSWER if name == b"%016x" % 2 else SERVED
 
         async with serving(answer) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             for _ in range(3):
                 ask(client, ids)
             gates[b"%016x" % 3].set()
             gates[b"%016x" % 2].set()  # its reply is not next in order, so its server has to wait
-            await until(lambda: script.of(ResponseStarted))
+            await wait_until(lambda: script.of(ResponseStarted))
             await asyncio.sleep(0.05)
             assert not client.reader._buffer  # type: ignore[attr-defined]
             gates[b"%016x" % 1].set()
             assert [await client.reply() for _ in range(3)] == [b"value", VALUE, b"value"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("fields", [GET, ORDER])
@@ -278,23 +278,23 @@
                 return [StartAttempt(event.request_id, "s0", 0.0)]
             return []
 
-        script = Script(decide)
+        script = ScriptedEngine(decide)
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await answer(writer, words[2])
 
         async with site(reply, decisions=script) as one:
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             ask(client, ids, fields)
             # The end of the connection shows the client that the value is incomplete.
             got = await client.reader.read()
             assert got == b"$70000\r\n" + VALUE[:30_000]
-            await until(lambda: len(script.of(AttemptEnded)) == 2)
+            await wait_until(lambda: len(script.of(AttemptEnded)) == 2)
             last = script.of(AttemptEnded)[-1]
             assert last.is_final and last.outcome is Outcome.RESET
             assert list(attempts.values()) == [2] and not one.program.gateway.active_requests
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_server_pauses_in_the_head_the_body_and_the_trailer() -> None:
@@ -307,14 +307,14 @@
                 await asyncio.sleep(0.1 if n == 0 else 0.4)  # a buffered reply would have failed after 0.25 s
 
         async with serving(answer) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             ask(client, ids)
             assert await client.reply() == VALUE
-            await until(lambda: outcomes(script) == [Outcome.OK])
+            await wait_until(lambda: outcomes(script) == [Outcome.OK])
             duration_ms = script.of(AttemptEnded)[0].duration_ms
             assert duration_ms < 1000.0, "not the time to the first bytes"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_silent_server_is_aborted_and_the_client_notices(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -325,13 +325,13 @@
             return ANSWER[:50_000]
 
         async with serving(answer) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             ask(client, ids)
             got = await client.reader.read()
             assert 0 < len(got) < len(VALUE)
-            await until(lambda: outcomes(script) == [Outcome.ERROR])
+            await wait_until(lambda: outcomes(script) == [Outcome.ERROR])
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("late", [False, True])
@@ -346,16 +346,16 @@
             return extra + TAIL
 
         async with serving(answer) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             ask(client, ids)
             if late:
                 got = await client.reader.read()
                 assert got.startswith(b"$70000\r\n") and len(got) < len(b"$70000\r\n") + 70_000 + 2
             else:  # detected before any byte was relayed
                 assert str(await client.reply()) == "ERR failed"
-            await until(lambda: outcomes(script) == [Outcome.ERROR])
+            await wait_until(lambda: outcomes(script) == [Outcome.ERROR])
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_disconnects_or_a_deadline_passes_during_a_stream() -> None:
@@ -368,22 +368,22 @@
             return ANSWER[40_000:]
 
         async with serving(answer) as (one, script):
-            ids = numbered()
+            ids = generate_request_ids()
             staying, leaving = await one.client(), await one.client()
             short = GET.replace(b"d=20000", b"d=1000")
             deadline = asyncio.get_running_loop().time() + 1.1
             staying.send(b"CALL.GET", CUSTOMER, next(ids), short)
             ask(leaving, ids)
-            await until(lambda: len(script.of(ResponseStarted)) == 2)
+            await wait_until(lambda: len(script.of(ResponseStarted)) == 2)
             leaving.writer.transport.abort()
-            await until(lambda: outcomes(script) == [Outcome.CANCELLED])
+            await wait_until(lambda: outcomes(script) == [Outcome.CANCELLED])
             # The deadline of the staying client has passed, but the first bytes were in time.
-            await until(lambda: asyncio.get_running_loop().time() > deadline)
+            await wait_until(lambda: asyncio.get_running_loop().time() > deadline)
             may_finish.set()
             assert await staying.reply() == VALUE
-            await until(lambda: not one.program.listener.open_ids)
+            await wait_until(lambda: not one.program.listener.open_ids)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_blocked_readers_buffer_a_bounded_amount_and_short_requests_go_on() -> None:
@@ -396,7 +396,7 @@
             return SERVED if int(name, 16) > 1000 else head(size) + value + TAIL
 
         async with serving(answer) as (one, _):
-            ids = numbered()
+            ids = generate_request_ids()
             blocked = [await one.client() for _ in range(12)]
             for client in blocked:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -413,7 +413,7 @@
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
                 assert await client.reply() == value  # each receives the complete value
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_with_one_permit_all_streams_advance_and_a_blocked_reader_is_aborted(
@@ -430,7 +430,7 @@
 
         async with serving(answer) as (one, script):
             one.program.servers.read_permits.max_readers = 1
-            ids = numbered()
+            ids = generate_request_ids()
             sock = socket.socket()
             # A small buffer: otherwise the kernel would take the whole value without the client reading.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -438,7 +438,7 @@
             blocked = Client(*await asyncio.open_connection(sock=sock))
             blocked.writer.transport.pause_reading()  # type: ignore[attr-defined]
             ask(blocked, ids)
-            await until(lambda: script.of(ResponseStarted))
+            await wait_until(lambda: script.of(ResponseStarted))
             others = [await one.client() for _ in range(5)]
             for client in others:
                 ask(client, ids)
@@ -446,7 +446,7 @@
             # The stream that was not read was aborted for the others.
             assert Outcome.ERROR in outcomes(script)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_shutdown_does_not_wait_forever_for_a_stream() -> None:
@@ -455,23 +455,23 @@
             return ANSWER[:50_000]
 
         async with serving(answer) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             ask(client, ids)
-            await until(lambda: script.of(ResponseStarted))
+            await wait_until(lambda: script.of(ResponseStarted))
             await asyncio.wait_for(one.program.shut_down(), 5.0)
             got = await client.reader.read()
             assert len(got) < len(VALUE)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_pipelined_connections_do_not_stream_values() -> None:
     async def scenario() -> None:
         operator = '[pipeline]\nclasses = ["read"]\n'
         async with serving(answer_completely, operator=operator) as (one, script):
-            client, ids = await one.client(), numbered()
+            client, ids = await one.client(), generate_request_ids()
             ask(client, ids)
             assert str(await client.reply()) == "ERR failed"
             assert outcomes(script) == [Outcome.ERROR]
 
-    play(scenario())
+    run_scenario(scenario())
