--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -54,7 +54,7 @@
 from glenchute.config.facts import ClassFacts, PlatformFacts
 from glenchute.config.operator import OperatorConfig, ReadResult, parse
 from glenchute.config.operator_shape import MAX_ROUTES
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from glenchute.policy.membership.members import MemberList, SwimSettings
 from glenchute.policy.retries.route_limits import RouteTable
 from glenchute.policy.settings import Idempotency
@@ -62,23 +62,24 @@
 SERVERS, ROUTES = 5_700, 2_700
 NAMES_KEPT_S = 60.0  # gateway and counter forget a tenant not seen for this long
 # Terms of an operator's file with `[discovery] calls_per_s = 20, list_age_s = 17`.
-STATED = PollingTerms(GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0)
-UNSTATED = PollingTerms(GATEWAYS)
+STATED = PollingSettings(GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0)
+UNSTATED = PollingSettings(GATEWAYS)
 
 
-def poll_schedulers(count: int, seed: int, terms: PollingTerms) -> Iterator[PollScheduler]:
+def poll_schedulers(count: int, seed: int, settings: PollingSettings) -> Iterator[PollScheduler]:
     for number in range(count):
         yield PollScheduler(
-            terms._replace(gateway_count=count, gateway_index=number), random.Random(seed * 100_000 + number)
+            settings._replace(gateway_count=count, gateway_index=number),
+            random.Random(seed * 100_000 + number),
         )
 
 
-def idle_calls(terms: PollingTerms) -> Measure:
+def idle_calls(settings: PollingSettings) -> Measure:
     """Measures long polls that end per second, over 200 s without a change of the list."""
 
     def measure(count: int, seed: int) -> float:
         ends = 0
-        for scheduler in poll_schedulers(count, seed, terms):
+        for scheduler in poll_schedulers(count, seed, settings):
             at = scheduler.watch_wait_s() * scheduler.rng.random()
             while at < 200.0:
                 ends += 1
@@ -93,9 +94,9 @@
     return float(max(Tally(int(pause) for pause in delays_s).values()))
 
 
-def start_calls(terms: PollingTerms, listed: bool) -> Measure:
+def start_calls(settings: PollingSettings, listed: bool) -> Measure:
     return lambda count, seed: worst_second(
-        [p.first_poll_delay_s(listed) for p in poll_schedulers(count, seed, terms)]
+        [p.first_poll_delay_s(listed) for p in poll_schedulers(count, seed, settings)]
     )
 
 
@@ -105,9 +106,9 @@
     return worst_second([scheduler.first_poll_delay_s(False) for scheduler in first])
 
 
-def news_calls(terms: PollingTerms) -> Measure:
+def news_calls(settings: PollingSettings) -> Measure:
     return lambda count, seed: worst_second(
-        [p.synchronized_delay_s() for p in poll_schedulers(count, seed, terms)]
+        [p.synchronized_delay_s() for p in poll_schedulers(count, seed, settings)]
     )
 
 
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from benchmarks.machine import machine
-from glenchute.policy.endpoints.polling import PollingTerms, max_first_polls_per_s
+from glenchute.policy.endpoints.polling import PollingSettings, max_first_polls_per_s
 from lab.coldstart import (
     Call,
     GatewayFleet,
@@ -90,9 +90,9 @@
     print("gateways  scene    busiest second  turned away  bound of a start")
     for count in (200, 500):
         rate = count / 15.0
-        bound = max_first_polls_per_s(PollingTerms(count, 0, rate, AGE))
+        bound = max_first_polls_per_s(PollingSettings(count, 0, rate, AGE))
         for scene in (run_start, run_release, run_outage):
-            crowd = PollSimulation(count, lambda n, c=count, r=rate: PollingTerms(c, n, r, AGE), rate)  # type: ignore[misc]
+            crowd = PollSimulation(count, lambda n, c=count, r=rate: PollingSettings(c, n, r, AGE), rate)  # type: ignore[misc]
             scene(crowd)
             print(f"{count:8}  {scene.__name__:8} {busiest(crowd.calls):8} of {rate:.1f}"
                   f" {rejection_rate(crowd.calls):10.3f} {bound:10.1f}")  # fmt: skip
--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -162,7 +162,7 @@
             self.loop,
             self.config.discovery,
             self.update_endpoints,
-            subsystems.polling_terms(self.config, raw, self.fleet is not None),
+            subsystems.polling_settings(self.config, raw, self.fleet is not None),
             self.config.seed,
             self.list_confirmation,
             self.are_servers_responding,
--- a/glenchute/cli/subsystems.py
+++ b/glenchute/cli/subsystems.py
@@ -13,7 +13,7 @@
 from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler
 from glenchute.listeners.resp2.listener import Listener
-from glenchute.policy.endpoints.polling import PollingTerms
+from glenchute.policy.endpoints.polling import PollingSettings
 from glenchute.upstreams.server_pools import ServerPools
 
 if TYPE_CHECKING:
@@ -140,12 +140,12 @@
     return OperationsServer(loop, actions)
 
 
-def polling_terms(config: PlatformConfig, raw: dict[str, Any], has_members: bool) -> PollingTerms:
+def polling_settings(config: PlatformConfig, raw: dict[str, Any], has_members: bool) -> PollingSettings:
     """Returns how many gateways share discovery, and its rate limit. Discovery is a shared service if the
     operator states its rate limit or configures members; otherwise an agent local to this gateway pushes the
     lists, unless the platform requires a subscription."""
     is_pushed = not config.settings.must_subscribe and not raw and not has_members
-    terms = PollingTerms(config.settings.gateway_count, config.gateway_number, is_pushed=is_pushed)
-    return terms._replace(
-        rate_per_s=raw.get("calls_per_s", terms.rate_per_s), max_list_age_s=raw.get("list_age_s")
+    settings = PollingSettings(config.settings.gateway_count, config.gateway_number, is_pushed=is_pushed)
+    return settings._replace(
+        rate_per_s=raw.get("calls_per_s", settings.rate_per_s), max_list_age_s=raw.get("list_age_s")
     )
--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from glenchute.core.types import Address, EndpointUpdate
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll, WatchCommand
 from glenchute.policy.events import EndpointList, EndpointListKind
 from glenchute.protocol.endpoint_list import (
@@ -67,7 +67,7 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         on_list: Callable[[EndpointUpdate], None],
-        terms: PollingTerms,
+        settings: PollingSettings,
         seed: int,
         confirmation: ListConfirmation | None = None,
         is_serving: Callable[[], bool] = lambda: True,
@@ -84,7 +84,7 @@
         self.connect_tasks: dict[int, asyncio.Task[None]] = {}
         self.partial_decode: PartialDecode | None = None  # meanwhile its poll counts as in flight
         self.timer: asyncio.TimerHandle | None = None
-        self.scheduler = PollScheduler(terms, random.Random(seed))
+        self.scheduler = PollScheduler(settings, random.Random(seed))
         # Returns how long from now, in seconds, other members poll for this gateway.
         self.delegated_for_s: Callable[[], float] = lambda: 0.0
         self.watch = EndpointWatch(
--- a/glenchute/policy/endpoints/polling.py
+++ b/glenchute/policy/endpoints/polling.py
@@ -50,7 +50,7 @@
 BACKOFF_FACTOR = 2.0
 
 
-class PollingTerms(NamedTuple):
+class PollingSettings(NamedTuple):
     """The gateways that share the discovery service, and what that can serve."""
 
     gateway_count: int
@@ -64,15 +64,17 @@
     is_pushed: bool = False
 
 
-def max_first_polls_per_s(terms: PollingTerms, has_list: bool = True) -> float:
+def max_first_polls_per_s(settings: PollingSettings, has_list: bool = True) -> float:
     """Returns the upper bound of first polls per second by gateways that start at the same moment and know
     their indexes. `has_list`: whether they have a saved list of endpoints."""
-    if terms.max_list_age_s is None:
-        return float(terms.gateway_count)
-    spread_s = max(1e-9, terms.max_list_age_s - notification.ANSWER_ALLOWANCE_S)
-    scheduled = max(POLL_RATE_SHARE * terms.rate_per_s, terms.gateway_count / (1.0 - URGENT_SHARE) / spread_s)
+    if settings.max_list_age_s is None:
+        return float(settings.gateway_count)
+    spread_s = max(1e-9, settings.max_list_age_s - notification.ANSWER_ALLOWANCE_S)
+    scheduled = max(
+        POLL_RATE_SHARE * settings.rate_per_s, settings.gateway_count / (1.0 - URGENT_SHARE) / spread_s
+    )
     density = 1.0 if has_list else (1.0 - URGENT_SHARE) / URGENT_SHARE
-    return min(float(terms.gateway_count), scheduled * density + 1.0)
+    return min(float(settings.gateway_count), scheduled * density + 1.0)
 
 
 class PollScheduler:
@@ -82,10 +84,10 @@
     seconds before the next poll.
     """
 
-    def __init__(self, terms: PollingTerms, rng: random.Random) -> None:
-        self.terms, self.rng = terms, rng
-        self.gateway_count = max(1, terms.gateway_count)
-        self.rate_per_s = terms.rate_per_s
+    def __init__(self, settings: PollingSettings, rng: random.Random) -> None:
+        self.settings, self.rng = settings, rng
+        self.gateway_count = max(1, settings.gateway_count)
+        self.rate_per_s = settings.rate_per_s
         self.rate_increment_per_s = 0.0
         self.is_overloaded = False  # whether polls were rejected and the rate has not recovered yet
         self.backoff_s = MIN_BACKOFF_S
@@ -102,7 +104,7 @@
     def max_spread_s(self) -> float:
         """The upper bound of `spread_s`."""
         if self.is_overloaded:
-            is_age_configured = self.terms.max_list_age_s is not None
+            is_age_configured = self.settings.max_list_age_s is not None
             return MAX_OVERLOADED_SPREAD_S if is_age_configured else notification.max_backoff_s()
         return self.max_normal_spread_s
 
@@ -110,13 +112,13 @@
     def max_normal_spread_s(self) -> float:
         """The longest spread of polls at a service that has not rejected any: a change in the meantime is
         received within the maximum list age. If that is not configured, no poll is delayed."""
-        max_age = self.terms.max_list_age_s
+        max_age = self.settings.max_list_age_s
         return 0.0 if max_age is None else max(0.0, max_age - notification.ANSWER_ALLOWANCE_S)
 
     def draw_phase(self) -> float:
         """Returns this gateway's position within a period, from 0 to 1: by its index if known, otherwise
         random."""
-        index, phase = self.terms.gateway_index, self.rng.random()
+        index, phase = self.settings.gateway_index, self.rng.random()
         if index is not None and 0 <= index < self.gateway_count:
             phase = (index + phase) / self.gateway_count
         return phase
@@ -140,7 +142,7 @@
     def reset_for_new_address(self) -> float:
         """Discards what was learned about the service, as its address has changed; returns the delay before
         the first poll at the new address."""
-        self.rate_per_s, self.is_overloaded, self.backoff_s = self.terms.rate_per_s, False, MIN_BACKOFF_S
+        self.rate_per_s, self.is_overloaded, self.backoff_s = self.settings.rate_per_s, False, MIN_BACKOFF_S
         self.last_poll_failed = False
         return self.draw_phase() * min(
             self.spread_s, self.max_normal_spread_s, notification.max_backoff_s(at_new_address=True)
@@ -150,14 +152,14 @@
         """Records a valid answer: resets the backoff and increases the rate."""
         self.backoff_s = MIN_BACKOFF_S
         self.last_poll_failed = False
-        self.rate_per_s = min(self.terms.rate_per_s, self.rate_per_s + self.rate_increment_per_s)
-        self.is_overloaded = self.is_overloaded and self.rate_per_s < self.terms.rate_per_s
+        self.rate_per_s = min(self.settings.rate_per_s, self.rate_per_s + self.rate_increment_per_s)
+        self.is_overloaded = self.is_overloaded and self.rate_per_s < self.settings.rate_per_s
 
     def record_rejection(self, retry_after_s: float | None, has_list: bool) -> float:
         """Records a poll that was rejected because of load; returns the delay before the next one.
         `retry_after_s`: the service's Retry-After, if any; `has_list`: whether this gateway has a list, and
         so leaves the urgent part of the period to gateways without one."""
-        if self.terms.is_pushed:
+        if self.settings.is_pushed:
             return self.record_failure()  # no other clients share an agent, and its changes are due at once
         failed_before, self.last_poll_failed, self.is_overloaded = self.last_poll_failed, True, True
         self._decrease_rate()
@@ -168,16 +170,16 @@
         return earliest + share * min(max(self.spread_s, MIN_BACKOFF_S), longest - earliest)
 
     def _decrease_rate(self) -> None:
-        if self.terms.max_list_age_s is not None:
+        if self.settings.max_list_age_s is not None:
             floor = self.gateway_count / (POLL_RATE_SHARE * self.max_spread_s)
         else:
-            floor = self.terms.rate_per_s / RATE_DECREASE_FACTOR
+            floor = self.settings.rate_per_s / RATE_DECREASE_FACTOR
         self.rate_per_s = max(floor, self.rate_per_s / RATE_DECREASE_FACTOR)
         self.rate_increment_per_s = RATE_INCREASE_SHARE * self.rate_per_s
 
     def _draw_rejected_share(self, failed_before: bool, has_list: bool) -> float:
         """Draws the share of the spread by which a poll after a rejection is delayed."""
-        is_age_configured = self.terms.max_list_age_s is not None
+        is_age_configured = self.settings.max_list_age_s is not None
         if failed_before:  # the first failure has spread the polls: late retries, so that there are few
             least = REPEATED_FAILURE_MIN_SHARE
         elif is_age_configured and has_list:
@@ -200,7 +202,7 @@
         else:
             delay = self.draw_phase() * min(spread, notification.max_backoff_s())
         delay = max(delay, self.backoff_s * self.rng.uniform(0.5, 1.0))
-        if self.terms.is_pushed:
+        if self.settings.is_pushed:
             self.backoff_s = MIN_BACKOFF_S
         else:
             self.backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * self.backoff_s)
@@ -210,9 +212,9 @@
         """Returns how long the next watch waits for a change. Jittered, as the waits of gateways that began
         at the same time must not end at the same time."""
         wait = min(MAX_WATCH_WAIT_S, max(MIN_WATCH_WAIT_S, self.gateway_count / WATCH_ENDS_PER_S))
-        if self.terms.is_pushed:
+        if self.settings.is_pushed:
             wait = notification.PUSHED_WATCH_WAIT_S
-        if self.terms.max_list_age_s is not None:
+        if self.settings.max_list_age_s is not None:
             wait = max(
                 wait, min(MAX_OVERLOADED_WAIT_S, self.gateway_count / (WATCH_RATE_SHARE * self.rate_per_s))
             )
--- a/glenchute/policy/endpoints/watch.py
+++ b/glenchute/policy/endpoints/watch.py
@@ -87,7 +87,7 @@
         `answers_needed`: answers to consecutive polls that a change may need to come into force."""
         self.scheduler, self.answers_needed = scheduler, answers_needed
         self.delegated_for_s = delegated_for_s
-        is_pushed = scheduler.terms.is_pushed
+        is_pushed = scheduler.settings.is_pushed
         self.max_hedged_polls = MAX_HEDGED_POLLS_PUSHED if is_pushed else MAX_HEDGED_POLLS
         self.max_wait_s = math.inf  # longest wait of a poll for a change
         self.next_poll_at = math.inf  # when to call `tick`, unless an event comes first
@@ -106,7 +106,7 @@
         """Returns the time after the end of a poll's wait at which it is hedged, an equal part of the budget.
         An agent on this machine serves all polls alike, so there even polls that do not wait get the time-out
         of those that do."""
-        if self.scheduler.terms.is_pushed:
+        if self.scheduler.settings.is_pushed:
             wait_s = max(wait_s, notification.PUSHED_WATCH_WAIT_S)
         budget_s = notification.recovery_budget_s(wait_s, self.is_new_address)
         return budget_s / (self.max_hedged_polls + self.answers_needed)
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -20,7 +20,7 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from lab.nodes import Node, ServiceProfile
 from lab.peers import http_response
 from lab.services import CounterService, DiscoveryService
@@ -66,11 +66,11 @@
     """
 
     def __init__(
-        self, count: int, terms: Callable[[int], PollingTerms], rate: float, line: int = 30, seed: int = 1,
-        listed: Callable[[int], bool] = lambda number: True,
+        self, count: int, settings: Callable[[int], PollingSettings], rate: float, line: int = 30,
+        seed: int = 1, listed: Callable[[int], bool] = lambda number: True,
     ) -> None:  # fmt: skip
         self.rng = random.Random(seed)
-        self.count, self.terms, self.rate, self.line, self.has_list = count, terms, rate, line, listed
+        self.count, self.settings, self.rate, self.line, self.has_list = count, settings, rate, line, listed
         self.now = self.free_at = 0.0
         self.down = False
         self.calls: list[Call] = []
@@ -82,7 +82,7 @@
         self.watches: dict[int, int] = {}  # generation of each gateway with an open watch
 
     def new_poller(self, number: int) -> PollScheduler:
-        return PollScheduler(self.terms(number), random.Random(self.rng.getrandbits(60)))
+        return PollScheduler(self.settings(number), random.Random(self.rng.getrandbits(60)))
 
     def schedule(self, seconds: float, action: Callable[..., None], *args: Any) -> None:
         """Schedules an action `seconds` from now."""
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -195,7 +195,7 @@
         changes: dict[str, Any] = {"settings": platform_settings, "gateway_number": 150, "operator": operator}
         async with site(decisions=script, discovery=discovery, **changes) as one:  # type: ignore[arg-type]
             await task
-            assert not one.program.discovery.scheduler.terms.is_pushed
+            assert not one.program.discovery.scheduler.settings.is_pushed
             number = 1
             for result in OUTAGES[name]:
                 await discovery.poll(number)
--- a/tests/policy/endpoints/test_list_confirmation.py
+++ b/tests/policy/endpoints/test_list_confirmation.py
@@ -12,7 +12,7 @@
 
 from glenchute.policy.endpoints import notification, polling
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
@@ -100,7 +100,7 @@
 
 
 def test_a_service_that_answers_differently_each_time_gets_two_polls_per_delay() -> None:
-    scheduler = PollScheduler(PollingTerms(200, 199, 15.0, 30.0), random.Random(1))
+    scheduler = PollScheduler(PollingSettings(200, 199, 15.0, 30.0), random.Random(1))
     endpoint_watch, polls, now = (
         EndpointWatch(scheduler, answers_needed=ListConfirmation.ANSWERS_NEEDED),
         0,
@@ -128,7 +128,7 @@
 
     def __init__(
         self,
-        terms: PollingTerms,
+        polling: PollingSettings,
         rng: random.Random,
         outage_end: float,
         latency_s: float,
@@ -136,7 +136,7 @@
     ) -> None:
         """`first_answer_at`: when the first poll gets a wrong answer; None: never."""
         self.scheduler, self.rng, self.outage_end, self.latency_s = (
-            PollScheduler(terms, rng),
+            PollScheduler(polling, rng),
             rng,
             outage_end,
             latency_s,
@@ -229,7 +229,7 @@
     is a watch that is silent from its start and has a wait."""
     timeout_s = notification.NOTIFIED_AFTER_WAIT_S / 3.0
     service = UnreliableService(
-        PollingTerms(gateways, 0, rate, age),
+        PollingSettings(gateways, 0, rate, age),
         random.Random(seed),
         outage_end,
         share * timeout_s,
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from glenchute.policy.endpoints import notification, polling, watch
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.membership import endpoint_sharing
 from glenchute.policy.membership.endpoint_sharing import SharedEndpointList
@@ -20,8 +20,10 @@
     """A discovery service with a simulated clock. Polls that are sent before `silent_at` and not answered by
     then are never answered; the n-th poll sent later is answered with the change after `latencies_s[n]`."""
 
-    def __init__(self, terms: PollingTerms, seed: int, silent_at: float, latencies_s: list[float]) -> None:
-        self.scheduler = PollScheduler(terms, random.Random(seed))
+    def __init__(
+        self, polling: PollingSettings, seed: int, silent_at: float, latencies_s: list[float]
+    ) -> None:
+        self.scheduler = PollScheduler(polling, random.Random(seed))
         self.watch = EndpointWatch(self.scheduler)
         self.silent_at, self.latencies_s = silent_at, latencies_s
         self.now = 0.0
@@ -82,7 +84,7 @@
     first, share = draw(st.sampled_from([0, 1] if is_pushed else [0])), draw(st.floats(0.0, 1.0))
     latencies_s = [1e9] * first + [share * timeout_s]
     return SilentService(
-        PollingTerms(gateways, 0, is_pushed=is_pushed), draw(st.integers(0, 99)), silent_at, latencies_s
+        PollingSettings(gateways, 0, is_pushed=is_pushed), draw(st.integers(0, 99)), silent_at, latencies_s
     ), timeout_s
 
 
@@ -92,12 +94,14 @@
     case: tuple[SilentService, float],
 ) -> None:
     service, timeout_s = case
-    for wait_s in (0.0, 2.25, 3.0) if service.scheduler.terms.is_pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0):
+    for wait_s in (
+        (0.0, 2.25, 3.0) if service.scheduler.settings.is_pushed else (0.0, 3.0, 4.0, 9.0, 20.0, 55.0)
+    ):
         assert service.watch.answer_timeout_s(wait_s) >= timeout_s  # stated in the doc comment of the watch
     received = service.received_at()
     assert received <= notified_at(service)
     assert service.max_in_flight <= watch.MAX_IN_FLIGHT
-    is_pushed = service.scheduler.terms.is_pushed
+    is_pushed = service.scheduler.settings.is_pushed
     assert sum(at >= service.silent_at for at, _ in service.polls) <= (
         2 + watch.MAX_HEDGED_POLLS_PUSHED if is_pushed else 2
     )
@@ -106,7 +110,7 @@
 def test_without_hedged_polls_the_deadline_is_missed(monkeypatch: pytest.MonkeyPatch) -> None:
     """Hedges a poll only 3 s after its wait: the deadline is then missed, so the test above can fail."""
     monkeypatch.setattr(EndpointWatch, "answer_timeout_s", lambda self, wait_s: 3.0)
-    service = SilentService(PollingTerms(200, 0), 1, 30.0, [0.0])
+    service = SilentService(PollingSettings(200, 0), 1, 30.0, [0.0])
     assert service.received_at() > notified_at(service)
 
 
@@ -117,7 +121,7 @@
     for delay_s in (0.0, 0.9, 1.9, 1e9):
         polls = 0
         for number in range(200):
-            service = EndpointWatch(PollScheduler(PollingTerms(200, number), random.Random(number)))
+            service = EndpointWatch(PollScheduler(PollingSettings(200, number), random.Random(number)))
             now, answers = 0.0, dict[int, float]()
             service.start(0.0, number * 0.1, False)
             while now < 120.0:
@@ -155,7 +159,7 @@
     """A 503 does not delay a drain past its deadline: delay and answer fit into it, also after the tenth
     consecutive 503 and whatever the operators configure. Retries are spread, though Retry-After is the same
     for all gateways."""
-    scheduler = PollScheduler(PollingTerms(gateways, 0, max_list_age_s=age), random.Random(1))
+    scheduler = PollScheduler(PollingSettings(gateways, 0, max_list_age_s=age), random.Random(1))
     delays = [scheduler.record_rejection(retry_after_s, listed) for _ in range(10)]
     assert (
         max(delays) + notification.ANSWER_ALLOWANCE_S <= notification.NOTIFIED_AFTER_S and min(delays) > 0.0
@@ -171,7 +175,7 @@
 def test_an_agent_that_answers_503_is_polled_again_at_once(retry_after_s: float | None) -> None:
     """Where an agent pushes lists, its changes count as notified at once, and polls affect no other
     client."""
-    scheduler = PollScheduler(PollingTerms(200, 199, is_pushed=True), random.Random(1))
+    scheduler = PollScheduler(PollingSettings(200, 199, is_pushed=True), random.Random(1))
     assert max(scheduler.record_rejection(retry_after_s, True) for _ in range(10)) <= polling.MIN_BACKOFF_S
 
 
@@ -187,13 +191,13 @@
 
     def __init__(
         self,
-        terms: PollingTerms,
+        polling: PollingSettings,
         rng: random.Random,
         outage_start: float,
         outage_end: float,
         latency_s: float,
     ) -> None:
-        self.scheduler, self.rng = PollScheduler(terms, rng), rng
+        self.scheduler, self.rng = PollScheduler(polling, rng), rng
         self.watch = EndpointWatch(self.scheduler)
         self.outage_start, self.outage_end, self.latency_s = outage_start, outage_end, latency_s
         self.now = 0.0
@@ -265,9 +269,9 @@
     after the end of its wait."""
     timeout_s = 0.75 if is_pushed else 1.0
     # No maximum list age applies to an agent.
-    terms = PollingTerms(gateways, 0, rate, None if is_pushed else age, is_pushed)
+    polling = PollingSettings(gateways, 0, rate, None if is_pushed else age, is_pushed)
     service = UnavailableService(
-        terms, random.Random(seed), outage_start, outage_start + outage_s, share * timeout_s
+        polling, random.Random(seed), outage_start, outage_start + outage_s, share * timeout_s
     )
     received = service.received_at(is_start_waiting, retry_after_s)
     sent_at, wait_s = service.last_served
@@ -284,7 +288,7 @@
     how: str, reported_after_s: float
 ) -> None:
     """The service may have recovered right after the poll was sent, long before the failure is reported."""
-    endpoint_watch = EndpointWatch(PollScheduler(PollingTerms(200, 199, 13.0, 30.0), random.Random(1)))
+    endpoint_watch = EndpointWatch(PollScheduler(PollingSettings(200, 199, 13.0, 30.0), random.Random(1)))
     endpoint_watch.start(0.0, 0.0, True)
     endpoint_watch.tick(0.0, True)
     _ = (
@@ -302,8 +306,8 @@
     """Cost of the deadlines: one poll per gateway every 3 to 4 s."""
     polls: list[float] = []
     for number in range(count):
-        terms = PollingTerms(count, number, count / 15.0, 30.0)
-        service = UnavailableService(terms, random.Random(number), 0.0, 1e9, 0.0)
+        polling = PollingSettings(count, number, count / 15.0, 30.0)
+        service = UnavailableService(polling, random.Random(number), 0.0, 1e9, 0.0)
         service.rng = random.Random(0)
         service.watch.start(0.0, number * 4.0 / count, True)
         while service.now < 60.0:
@@ -320,7 +324,7 @@
 
 
 def received_while_delegating(
-    terms: PollingTerms, confirmations: list[tuple[float, float]], change: float, delay_s: float
+    polling: PollingSettings, confirmations: list[tuple[float, float]], change: float, delay_s: float
 ) -> float:
     """Returns the time at which a gateway that delegates polling has a change in force that no member
     reports. `confirmations`: for each one the time at which it arrives, and the time, before the change, up
@@ -329,7 +333,7 @@
     shared_list.version, shared_list.confirmed_at = 5, 0.0
     shared_list.is_lease_holder = False  # other members poll
     endpoint_watch = EndpointWatch(
-        PollScheduler(terms, random.Random(1)), lambda: shared_list.poll_delay_s(now, ["m0"])
+        PollScheduler(polling, random.Random(1)), lambda: shared_list.poll_delay_s(now, ["m0"])
     )
     now, answers, confirmations = 0.0, dict[int, float](), sorted(confirmations, reverse=True)
     endpoint_watch.start(0.0, 0.0, False)
@@ -365,8 +369,8 @@
 ) -> None:  # fmt: skip
     """Confirmations by members may stop at any time; the maximum list age does not matter."""
     confirming = [(at, max(0.0, at - old)) for at, old in confirmations if at - old <= change]
-    terms = PollingTerms(gateways, gateways - 1, rate, age)
-    received = received_while_delegating(terms, confirming, change, share * notification.ANSWER_ALLOWANCE_S)
+    polling = PollingSettings(gateways, gateways - 1, rate, age)
+    received = received_while_delegating(polling, confirming, change, share * notification.ANSWER_ALLOWANCE_S)
     assert received <= change + notification.NOTIFIED_AFTER_S + 1e-6
 
 
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -20,7 +20,7 @@
 from glenchute.policy.admission.quota_bounds import overshoot_bound, start_overshoot_units
 from glenchute.policy.endpoints import notification, polling
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler, max_first_polls_per_s
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler, max_first_polls_per_s
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 from glenchute.policy.membership.endpoint_sharing import (
     EndpointListPart,
@@ -97,13 +97,13 @@
 @pytest.mark.parametrize("scene", SCENES)
 def test_a_service_with_a_configured_rate_is_not_overloaded(scene: str, count: int) -> None:
     """No second has much more than 1.5 times the service's rate of calls, and at most one call in twenty is
-    rejected. After an outage the rate is what the polling terms require of the service."""
+    rejected. After an outage the rate is what the polling settings require of the service."""
     rate = (
         count / (polling.POLL_RATE_SHARE * notification.max_backoff_s())
         if scene in OUTAGE_SCENES
         else count / 15.0
     )
-    crowd = PollSimulation(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
+    crowd = PollSimulation(count, lambda n: PollingSettings(count, n, rate, MAX_LIST_AGE_S), rate)
     SCENES[scene](crowd)
     assert len(crowd.heard) == count  # all gateways have their list
     assert busiest(crowd.calls) <= 1.5 * rate + 12.0 and rejection_rate(crowd.calls) <= 0.05
@@ -111,10 +111,10 @@
 
 @pytest.mark.parametrize("count", [200, 520])
 def test_a_service_slower_than_the_terms_require_recovers(count: int) -> None:
-    """At a quarter of the required rate each gateway keeps to the pace of the polling terms, and the service
-    answers at its full rate until all gateways have a list."""
+    """At a quarter of the required rate each gateway keeps to the pace of the polling settings, and the
+    service answers at its full rate until all gateways have a list."""
     rate = count / 15.0
-    crowd = PollSimulation(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
+    crowd = PollSimulation(count, lambda n: PollingSettings(count, n, rate, MAX_LIST_AGE_S), rate)
     run_start(crowd)
     crowd.down = True
     crowd.lose()
@@ -144,7 +144,7 @@
     scene: str, bug: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(PollScheduler, bug, no_delay)
-    crowd = PollSimulation(300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0)
+    crowd = PollSimulation(300, lambda n: PollingSettings(300, n, 20.0, MAX_LIST_AGE_S), 20.0)
     SCENES[scene](crowd)
     assert busiest(crowd.calls) >= 250
 
@@ -155,13 +155,14 @@
 )
 def test_first_polls_stay_within_their_bound(gateways: int, rate: float, age: float) -> None:
     for listed in (True, False):
-        terms = [PollingTerms(gateways, number, rate, age) for number in range(gateways)]
+        gateway_settings = [PollingSettings(gateways, number, rate, age) for number in range(gateways)]
         times = sorted(
-            PollScheduler(one, random.Random(n)).first_poll_delay_s(listed) for n, one in enumerate(terms)
+            PollScheduler(one, random.Random(n)).first_poll_delay_s(listed)
+            for n, one in enumerate(gateway_settings)
         )
         peak_per_s = max(sum(at <= other < at + 1.0 for other in times) for at in times)
         assert (
-            peak_per_s <= max_first_polls_per_s(terms[0], listed)
+            peak_per_s <= max_first_polls_per_s(gateway_settings[0], listed)
             and times[-1] <= age - notification.ANSWER_ALLOWANCE_S
         )
 
@@ -169,7 +170,7 @@
 def test_without_a_configured_list_age_only_rejected_calls_are_delayed() -> None:
     """Rejections at an earlier time of high load must not delay the poll after a change of the list, as that
     broke a drain in a benchmark run."""
-    scheduler = PollScheduler(PollingTerms(200, 7), random.Random(1))
+    scheduler = PollScheduler(PollingSettings(200, 7), random.Random(1))
     assert scheduler.first_poll_delay_s(True) == scheduler.synchronized_delay_s() == 0.0
     delays = [scheduler.record_rejection(None, True) for _ in range(5)]
     assert max(delays) <= notification.max_backoff_s() and len(set(delays)) == 5
@@ -180,7 +181,7 @@
 
 def test_gateways_without_a_list_poll_before_those_that_have_one() -> None:
     crowd = PollSimulation(
-        300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0, listed=lambda n: n % 100 != 7
+        300, lambda n: PollingSettings(300, n, 20.0, MAX_LIST_AGE_S), 20.0, listed=lambda n: n % 100 != 7
     )
     run_start(crowd)
     urgent = [crowd.heard.pop(n) for n in (7, 107, 207)]
@@ -192,10 +193,10 @@
     configured: int, actual: int
 ) -> None:
     """Three gateways configured as 300 get their lists late, but within the age limit. Of 300 gateways
-    configured as three, many are rejected, and retry at the pace of the terms until all have been
+    configured as three, many are rejected, and retry at the pace of the polling settings until all have been
     answered."""
     crowd = PollSimulation(
-        actual, lambda n: PollingTerms(configured, n % configured, 20.0, MAX_LIST_AGE_S), 20.0
+        actual, lambda n: PollingSettings(configured, n % configured, 20.0, MAX_LIST_AGE_S), 20.0
     )
     run_start(crowd)
     crowd.run(60.0)
