--- a/benchmarks/capacity_gateway.py
+++ b/benchmarks/capacity_gateway.py
@@ -10,7 +10,7 @@
 
 from benchmarks.slopes import REFERENCE_MS, Measure, cpu_ms, kib, reference_ms
 from glenchute.policy.actions import Action, IncrementCounter, StartAttempt
-from glenchute.policy.balancing.subset import SubsetTerms
+from glenchute.policy.balancing.subset import SubsetSettings
 from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import (
@@ -57,7 +57,7 @@
     gateway_settings = settings()
     gateway: DecisionEngine | SubsettingEngine = DecisionEngine(gateway_settings, seed)
     if not all_used:
-        gateway = SubsettingEngine(gateway, gateway_settings, SubsetTerms(GATEWAYS, seed * 37 % GATEWAYS))
+        gateway = SubsettingEngine(gateway, gateway_settings, SubsetSettings(GATEWAYS, seed * 37 % GATEWAYS))
     gateway.handle(0.0, EndpointList(EndpointListKind.FULL, entries(listed)))
     return gateway
 
--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -21,7 +21,7 @@
 from glenchute.core.executor import RequestExecutor
 from glenchute.core.limits import UpstreamLimits
 from glenchute.core.types import EndpointUpdate
-from glenchute.policy.balancing.subset import SubsetTerms
+from glenchute.policy.balancing.subset import SubsetSettings
 from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
 from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 from glenchute.policy.engine import DecisionEngine as Policy
@@ -54,7 +54,7 @@
             rows[name][0] for name in servers.server_ids() if name in rows and not servers.is_stopping(name)
         ]
         self.gateway.decisions = SubsettingEngine(
-            self.policy, self.policy.settings, SubsetTerms(GATEWAYS, 3), listed
+            self.policy, self.policy.settings, SubsetSettings(GATEWAYS, 3), listed
         )
 
     def body(self, rows: list[dict[str, Any]], full: bool) -> bytes:
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -18,7 +18,7 @@
 
 from benchmarks.machine import machine
 from glenchute.policy.balancing.hash_ring import ring_position
-from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetTerms, walk_ring
+from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetSettings, walk_ring
 from glenchute.policy.events import Endpoint, EndpointState
 from glenchute.policy.settings import SlowStart
 from lab.coldstart import GatewayFleet
@@ -33,7 +33,7 @@
 def ring_keeping_held(gateways: int, servers: list[str], subset_size: int, before: Chosen | None) -> Chosen:
     chosen = []
     for number in range(gateways):
-        subset = Subset(SubsetTerms(gateways, number, subset_size), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number, subset_size), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in servers])
         subset.in_use = dict.fromkeys(sorted(before[number]) if before is not None else ())
         subset.refresh(0.0)
@@ -113,7 +113,7 @@
     now = row[:servers]
     subsets = []
     for number in range(gateways):
-        subset = Subset(SubsetTerms(gateways, number, subset_size), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number, subset_size), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in now])
         subset.refresh(0.0)
         subsets.append(subset)
--- a/glenchute/cli/subsystems.py
+++ b/glenchute/cli/subsystems.py
@@ -25,7 +25,7 @@
     from glenchute.listeners.operations import OperationsServer
     from glenchute.policy.events import Endpoint
 
-# Keys of the operator's table [subset], mapped to fields of `SubsetTerms`.
+# Keys of the operator's table [subset], mapped to fields of `SubsetSettings`.
 SUBSET_KEYS = {"servers": "min_servers", "busy": "busy_attempts", "calm": "calm_attempts"}
 DEFAULT_SEGMENT_S = 10.0
 DEFAULT_SEGMENT_MB = 4.0
@@ -51,13 +51,13 @@
 ) -> DecisionHandler:
     """Wraps the engine so that it uses a subset of the servers. A gateway without a number takes one from its
     seed, so that servers are spread over the gateways at random only."""
-    from glenchute.policy.balancing.subset import SubsetTerms
+    from glenchute.policy.balancing.subset import SubsetSettings
     from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 
     number = config.stated_number if config.stated_number is not None else config.seed
     chosen = {SUBSET_KEYS[key]: value for key, value in raw.items()}
-    terms = SubsetTerms(config.settings.gateway_count, number, **chosen)
-    return SubsettingEngine(decisions, config.settings, terms, listed)
+    subset_settings = SubsetSettings(config.settings.gateway_count, number, **chosen)
+    return SubsettingEngine(decisions, config.settings, subset_settings, listed)
 
 
 def create_recorder(
--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -38,7 +38,7 @@
 MAX_SINGLE_INSERTS = 16  # changes to one ring that are inserted one by one; more are sorted in
 
 
-class SubsetTerms(NamedTuple):
+class SubsetSettings(NamedTuple):
     """The gateway's place among all gateways, and how many servers it may use."""
 
     gateway_count: int
@@ -71,8 +71,8 @@
 class Subset:
     """The servers that one gateway uses."""
 
-    def __init__(self, terms: SubsetTerms, slow_start: SlowStart) -> None:
-        self.terms, self.slow_start = terms, slow_start
+    def __init__(self, settings: SubsetSettings, slow_start: SlowStart) -> None:
+        self.settings, self.slow_start = settings, slow_start
         self.listed: dict[str, Endpoint] = {}  # the active servers by address
         self.rings: dict[str, list[RingPosition]] = {}  # positions of the active servers by zone, sorted
         self.in_use: dict[str, None] = {}  # addresses in the order in which they were added
@@ -85,7 +85,7 @@
     @property
     def min_servers(self) -> int:
         """The least sum of the weights of the servers in use."""
-        return self.terms.min_servers or subset_size(len(self.listed), self.terms.gateway_count)
+        return self.settings.min_servers or subset_size(len(self.listed), self.settings.gateway_count)
 
     # --- the list -----------------------------------------------------------------------------------------
 
@@ -161,14 +161,14 @@
         chosen: dict[str, float] = {}
         wanted, length, listed_so_far = self.min_servers + self.extra_servers, len(self.listed), 0
         # The rounding offset depends on the gateway, so that no zone is used by fewer gateways than others.
-        offset = share_end = int(length * (GOLDEN_RATIO * self.terms.gateway_number % 1.0))
+        offset = share_end = int(length * (GOLDEN_RATIO * self.settings.gateway_number % 1.0))
         for zone in sorted(self.rings):
             ring = self.rings[zone]
             listed_so_far += len(ring)
             share_start, share_end = share_end, offset + wanted * listed_so_far
             zone_share = max(1, share_end // length - share_start // length)
             weight_sum = 0.0
-            for server in walk_ring(ring, self.terms.gateway_number):
+            for server in walk_ring(ring, self.settings.gateway_number):
                 if weight_sum >= zone_share:
                     break
                 chosen[server] = self.weight(now_ms, server)
@@ -243,15 +243,15 @@
         server can be reached, using the whole list would not help, and each choice would compare all listed
         servers."""
         weights = sum(self.weight(now_ms, server) for server in self.in_use)
-        useful_servers = max(self.min_servers, math.ceil(in_flight / self.terms.busy_attempts))
+        useful_servers = max(self.min_servers, math.ceil(in_flight / self.settings.busy_attempts))
         max_extra = max(0, min(len(self.listed) - self.min_servers, useful_servers))
-        if in_flight >= self.terms.busy_attempts * weights:
+        if in_flight >= self.settings.busy_attempts * weights:
             self.low_load_since_ms = now_ms
             if now_ms - self.last_growth_ms >= GROWTH_INTERVAL_MS and self.extra_servers < max_extra:
                 self.last_growth_ms, self.is_stale = now_ms, True
                 step = max(1, round(GROWTH_FRACTION * len(self.in_use)))
                 self.extra_servers = min(max_extra, self.extra_servers + step)
-        elif in_flight >= self.terms.calm_attempts * weights:
+        elif in_flight >= self.settings.calm_attempts * weights:
             self.low_load_since_ms = now_ms
         elif self.extra_servers and now_ms - self.low_load_since_ms >= LOW_LOAD_MS:
             self.low_load_since_ms = now_ms
--- a/glenchute/policy/balancing/subsetting_engine.py
+++ b/glenchute/policy/balancing/subsetting_engine.py
@@ -16,7 +16,7 @@
 from ..events import AttemptEnded, Endpoint, EndpointList, EndpointListKind, EndpointState, Event, Outcome
 from ..settings import Settings
 from .hash_ring import RingedEndpoints
-from .subset import GROWTH_INTERVAL_MS, MAX_UNREACHABLE, UNREACHABLE_MS, Subset, SubsetTerms
+from .subset import GROWTH_INTERVAL_MS, MAX_UNREACHABLE, UNREACHABLE_MS, Subset, SubsetSettings
 from .subset_size import MAX_SUBSET_SIZE, STOP_SUBSETTING_SIZE
 
 
@@ -31,11 +31,15 @@
     """Receives all events for an engine and forwards what concerns the servers in use."""
 
     def __init__(
-        self, engine: Engine, settings: Settings, terms: SubsetTerms, listed: Iterable[Endpoint] = ()
+        self,
+        engine: Engine,
+        settings: Settings,
+        subset_settings: SubsetSettings,
+        listed: Iterable[Endpoint] = (),
     ) -> None:
         """`listed`: the servers that the engine already knows."""
-        self.engine, self.subset = engine, Subset(terms, settings.slow_start)
-        self.is_subsetting = terms.min_servers > 0  # False: all listed servers are in use
+        self.engine, self.subset = engine, Subset(subset_settings, settings.slow_start)
+        self.is_subsetting = subset_settings.min_servers > 0  # False: all listed servers are in use
         self.subset.listed = {endpoint.address: endpoint for endpoint in listed}
         self.in_flight: dict[str, int] = {}  # number of attempts by server
         self.reviewed_ms = -1e12
@@ -102,7 +106,7 @@
         self.track_list(event, is_full)
         length = len(subset.listed)
         limit = STOP_SUBSETTING_SIZE if was_subsetting else MAX_SUBSET_SIZE
-        self.is_subsetting = subset.terms.min_servers > 0 or length > limit
+        self.is_subsetting = subset.settings.min_servers > 0 or length > limit
         if not self.is_subsetting:
             return self.forward_whole_list(now_ms, event, is_full or not was_subsetting)
         if not was_subsetting and not (is_full and isinstance(event.endpoints, RingedEndpoints)):
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -29,7 +29,7 @@
     MIN_WEIGHT,
     UNREACHABLE_MS,
     Subset,
-    SubsetTerms,
+    SubsetSettings,
     first_position,
 )
 from glenchute.policy.balancing.subset_size import (
@@ -106,7 +106,7 @@
 ) -> tuple[SubsettingEngine, FakeEngine]:
     """Returns a subsetting engine with a configured subset size, and its fake engine."""
     engine = FakeEngine()
-    return SubsettingEngine(engine, SETTINGS, SubsetTerms(gateways, number, servers)), engine
+    return SubsettingEngine(engine, SETTINGS, SubsetSettings(gateways, number, servers)), engine
 
 
 class SubsetMachine(RuleBasedStateMachine):
@@ -242,7 +242,7 @@
         def make(made: Settings, given: int, numbers: object = numbers) -> object:
             number = next(numbers) % made.gateway_count  # type: ignore[call-overload]
             return InspectableEngine(
-                DecisionEngine(made, given), made, SubsetTerms(made.gateway_count, number, 3)
+                DecisionEngine(made, given), made, SubsetSettings(made.gateway_count, number, 3)
             )
 
         world = World(seed, 6, 9, make)
@@ -262,8 +262,8 @@
 class InspectableEngine:
     """A subsetting engine with the attributes of the inner engine, which the simulated site checks."""
 
-    def __init__(self, inner: DecisionEngine, made: Settings, terms: SubsetTerms) -> None:
-        self.inner, self.subsetting = inner, SubsettingEngine(inner, made, terms)
+    def __init__(self, inner: DecisionEngine, made: Settings, subset_settings: SubsetSettings) -> None:
+        self.inner, self.subsetting = inner, SubsettingEngine(inner, made, subset_settings)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         return self.subsetting.handle(now_ms, event)
@@ -345,7 +345,7 @@
     """Returns a subsetting engine without a configured subset size, and its fake engine."""
     engine = FakeEngine()
     return SubsettingEngine(
-        engine, replace(SETTINGS, gateway_count=gateways), SubsetTerms(gateways, number)
+        engine, replace(SETTINGS, gateway_count=gateways), SubsetSettings(gateways, number)
     ), engine
 
 
@@ -385,7 +385,7 @@
             received.append(event)
             return super().handle(now_ms, event)
 
-    subsetting = SubsettingEngine(RecordingEngine(), SETTINGS, SubsetTerms(2, 1))
+    subsetting = SubsettingEngine(RecordingEngine(), SETTINGS, SubsetSettings(2, 1))
     fleet = servers_in_zones(count)
     events: list[Event] = [
         list_event(fleet, EndpointListKind.CACHED),
@@ -423,11 +423,11 @@
 ) -> None:
     """Servers are also used evenly, over all zones and for any number of gateways."""
     assert subset_size(listed, gateways) == used
-    first = Subset(SubsetTerms(gateways, 0), SlowStart())
+    first = Subset(SubsetSettings(gateways, 0), SlowStart())
     first.replace_list(fleet := servers_in_zones(listed))
     met: Counter[str] = Counter()
     for number in range(gateways if most else 0):
-        one = Subset(SubsetTerms(gateways, number), SlowStart())
+        one = Subset(SubsetSettings(gateways, number), SlowStart())
         one.listed, one.rings = first.listed, first.rings
         one.refresh(0.0)
         assert len(one.in_use) == used
@@ -591,7 +591,7 @@
     found = {}
     for listed in (20, 5_700):
         made = replace(SETTINGS, gateway_count=520)
-        subsetting = SubsettingEngine(DecisionEngine(made, 1), made, SubsetTerms(520, 7))
+        subsetting = SubsettingEngine(DecisionEngine(made, 1), made, SubsetSettings(520, 7))
         subsetting.handle(1e6, list_event(servers_in_zones(listed), EndpointListKind.FULL))
         comparisons = sent = 0
         for n in range(500):
@@ -612,7 +612,7 @@
     parts: list[InspectableEngine] = []
 
     def make(made: Settings, given: int) -> InspectableEngine:
-        parts.append(InspectableEngine(DecisionEngine(made, given), made, SubsetTerms(520, len(parts))))
+        parts.append(InspectableEngine(DecisionEngine(made, given), made, SubsetSettings(520, len(parts))))
         return parts[-1]
 
     def large(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
