--- a/glenchute/policy/services/routing.py
+++ b/glenchute/policy/services/routing.py
@@ -30,7 +30,7 @@
     host: str = ANY
     path: str = ANY
     command: str = ANY
-    front: str = ANY
+    listener: str = ANY  # the listener that received the request, such as resp2
 
 
 class ServiceRule(NamedTuple):
@@ -41,7 +41,7 @@
     path: str = ANY
     class_name: str = ANY
     command: str = ANY
-    front: str = ANY
+    listener: str = ANY
 
     @property
     def location(self) -> tuple[str, str]:
@@ -51,7 +51,7 @@
     @property
     def attributes(self) -> tuple[str, str, str]:
         """Returns the fields that are matched literally: class, command, listener."""
-        return self.class_name, self.command, self.front
+        return self.class_name, self.command, self.listener
 
 
 class Overlap(NamedTuple):
@@ -105,14 +105,14 @@
     yield ANY
 
 
-def attribute_keys(class_name: str, command: str, front: str) -> list[tuple[str, str, str]]:
+def attribute_keys(class_name: str, command: str, listener: str) -> list[tuple[str, str, str]]:
     """Returns the keys that match these attributes, the most specific first: class, then command, then
     listener."""
     return [
-        (class_key, command_key, front_key)
+        (class_key, command_key, listener_key)
         for class_key in dict.fromkeys((class_name, ANY))
         for command_key in dict.fromkeys((command, ANY))
-        for front_key in dict.fromkeys((front, ANY))
+        for listener_key in dict.fromkeys((listener, ANY))
     ]
 
 
@@ -130,7 +130,7 @@
         host = normalize_host(origin.host) if origin.host else ANY
         if host is None:
             return None
-        matching_keys = attribute_keys(origin.class_name, origin.command, origin.front)
+        matching_keys = attribute_keys(origin.class_name, origin.command, origin.listener)
         for host_pattern in host_patterns(host):
             for prefix in path_prefixes(origin.path):
                 services = self.table.get((host_pattern, prefix))
@@ -155,13 +155,13 @@
 
 
 def unreached_classes(
-    router: ServiceRouter, classes: Iterable[str], fronts: Iterable[str]
+    router: ServiceRouter, classes: Iterable[str], listeners: Iterable[str]
 ) -> list[RequestOrigin]:
     """Returns a request without host and path for each listener and class that no rule matches: RESP2
     requests have neither, and would be rejected."""
     return [
         origin
-        for front in fronts
+        for listener in listeners
         for name in classes
-        if router.service_for(origin := RequestOrigin(name, front=front)) is None
+        if router.service_for(origin := RequestOrigin(name, listener=listener)) is None
     ]
--- a/tests/policy/services/test_routing.py
+++ b/tests/policy/services/test_routing.py
@@ -26,7 +26,7 @@
     ServiceRule("archive", host="reports.jadran.example.org", path="/v1/archive"),
     ServiceRule("old", path="/v0"),
     ServiceRule("charges", class_name="check-charge"),
-    ServiceRule("slow", class_name="check-charge", command="POST", front="extproc"),
+    ServiceRule("slow", class_name="check-charge", command="POST", listener="extproc"),
     ServiceRule("writes", command="POST"),
 ]
 HOST = "reports.jadran.example.org"
@@ -50,8 +50,8 @@
         (RequestOrigin("report-read", "elsewhere.example.org", "/v0/x"), "old"),
         (RequestOrigin("check-charge"), "charges"),
         # The class decides before the command.
-        (RequestOrigin("check-charge", command="POST", front="resp2"), "charges"),
-        (RequestOrigin("check-charge", command="POST", front="extproc"), "slow"),
+        (RequestOrigin("check-charge", command="POST", listener="resp2"), "charges"),
+        (RequestOrigin("check-charge", command="POST", listener="extproc"), "slow"),
         (RequestOrigin("check-order", command="POST"), "writes"),
         (RequestOrigin("report-read"), None),
         (RequestOrigin("report-read", "bad host", "/v0"), None),
@@ -108,7 +108,7 @@
     is_in_domain = rule.host.startswith("*") and origin.host.endswith(rule.host[1:])
     host = not rule.host or origin.host == rule.host or is_in_domain
     path = path_segments(origin.path)[: len(path_segments(rule.path))] == path_segments(rule.path)
-    rest = zip(rule.attributes, (origin.class_name, origin.command, origin.front), strict=True)
+    rest = zip(rule.attributes, (origin.class_name, origin.command, origin.listener), strict=True)
     return host and path and all(not named or named == given for named, given in rest)
 
 
