--- a/glenchute/clients/membership/endpoint_sync.py
+++ b/glenchute/clients/membership/endpoint_sync.py
@@ -155,7 +155,7 @@
         for received in rows:
             row = received.row
             if self.drains.receive(now, row.key, row.version, row.value, received.age_s, received.sender):
-                entries.append(Endpoint(row.key, "", state=self.drains.on_trial[row.key].state))
+                entries.append(Endpoint(row.key, "", state=self.drains.provisional[row.key].state))
         self.apply_changes(entries)
 
     def apply_changes(self, entries: list[Endpoint]) -> None:
--- a/glenchute/clients/membership/status.py
+++ b/glenchute/clients/membership/status.py
@@ -47,7 +47,7 @@
     evicted = {f"evicted_{kind.name.lower()}": replica.evicted_counts[kind] for kind in RowKind}
     drains, usage_audit = node.endpoint_sync.drains, node.audit.usage_audit
     stored["health_rows"] = stored.pop(RowKind.HEALTH.name.lower())  # `health` is this process' local health
-    stored |= {"denied": drains.revoked_count, "on_trial": len(drains.on_trial),
+    stored |= {"denied": drains.revoked_count, "on_trial": len(drains.provisional),
                "avoided": len(node.reporter.health.peer_reports), "audited": usage_audit.compared_count,
                "use_apart": len(usage_audit.mismatches)}  # fmt: skip
     return [{**stored, **evicted, "known": gossip.is_complete,
--- a/glenchute/policy/membership/gossiped_drains.py
+++ b/glenchute/policy/membership/gossiped_drains.py
@@ -3,8 +3,8 @@
 
 Members learn of a drain at different times, and a member's report lets all others stop using the endpoint at
 once. But the report may be wrong, from a replica older than a restart of discovery or a corrupted one, and
-nothing would ever revoke it, as discovery reports only changes. So gossiped drains are provisional
-(`on_trial`):
+nothing would ever revoke it, as discovery reports only changes. So gossiped drains are provisional until
+discovery confirms or revokes them:
 
 - Discovery's own answer for a version settles all gossiped drains of that version and of older ones.
 - A gossiped drain that is still newer than discovery's version `SETTLE_S` after its creation is revoked: the
@@ -54,7 +54,8 @@
     def __init__(self) -> None:
         self.version = -1  # version of discovery's last answer
         self.active_endpoints: dict[str, Endpoint] = {}  # by address: active endpoints of discovery's list
-        self.on_trial: dict[str, GossipedDrain] = {}
+        # By address: drains that discovery has neither confirmed nor revoked yet.
+        self.provisional: dict[str, GossipedDrain] = {}
         self.distrusted_until: dict[str, float] = {}  # by endpoint: until when gossip about it is ignored
         self.revoked_count = self.over_limit_count = 0
 
@@ -64,9 +65,9 @@
         entries = tuple(entries)
         if full:
             self.active_endpoints.clear()
-            self.on_trial.clear()  # a full list states each endpoint's state
+            self.provisional.clear()  # a full list states each endpoint's state
         for entry in entries:
-            self.on_trial.pop(entry.address, None)
+            self.provisional.pop(entry.address, None)
             if entry.state is EndpointState.ACTIVE:
                 self.active_endpoints[entry.address] = entry
             else:
@@ -78,7 +79,7 @@
     ) -> bool:
         """Handles a gossiped drain that was created `age_s` ago, and returns whether it is applied. `rank` is
         1 for draining, 2 for removed."""
-        known = self.on_trial.get(endpoint)
+        known = self.provisional.get(endpoint)
         if version <= self.version or endpoint not in self.active_endpoints or not 1.0 <= rank <= 2.0:
             return False
         if now < self.distrusted_until.get(endpoint, -math.inf):
@@ -88,10 +89,10 @@
             is_more_restrictive = state is EndpointState.REMOVED and known.state is not EndpointState.REMOVED
             if not is_more_restrictive:
                 return False
-        elif len(self.on_trial) >= min(MAX_DRAINS, MAX_WITHHELD_SHARE * len(self.active_endpoints)):
+        elif len(self.provisional) >= min(MAX_DRAINS, MAX_WITHHELD_SHARE * len(self.active_endpoints)):
             self.over_limit_count += 1
             return False
-        self.on_trial[endpoint] = GossipedDrain(version, state, sender, now - age_s)
+        self.provisional[endpoint] = GossipedDrain(version, state, sender, now - age_s)
         return True
 
     def confirm_version(self, now: float, version: int) -> tuple[list[Endpoint], list[RevokedDrain]]:
@@ -100,11 +101,11 @@
         self.version = version
         restored: list[Endpoint] = []
         revoked: list[RevokedDrain] = []
-        for endpoint, drain in list(self.on_trial.items()):
+        for endpoint, drain in list(self.provisional.items()):
             # Up to its newest version all of discovery's changes have been received, so a real drain of that
             # version or an older one would have been settled by `apply_discovery_list`.
             if drain.version <= version or now - drain.created_at >= SETTLE_S:
-                del self.on_trial[endpoint]
+                del self.provisional[endpoint]
                 restored.append(self.active_endpoints[endpoint])
                 revoked.append(RevokedDrain(endpoint, drain))
         for row in revoked:
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -120,11 +120,11 @@
     def wait(self, seconds: float) -> None:
         self.now += seconds
         self.drains.confirm_version(self.now, self.version)
-        assert all(self.now - drain.created_at < SETTLE_S for drain in self.drains.on_trial.values())
+        assert all(self.now - drain.created_at < SETTLE_S for drain in self.drains.provisional.values())
 
     @invariant()
     def at_most_half_are_withheld(self) -> None:
-        withheld = set(self.drains.on_trial)
+        withheld = set(self.drains.provisional)
         assert withheld <= self.active == set(self.drains.active_endpoints)
         assert len(withheld) <= 0.5 * len(NAMES) + 1.0
 
