--- a/glenchute/cli/handover.py
+++ b/glenchute/cli/handover.py
@@ -62,7 +62,7 @@
         if self.predecessor is None or self.predecessor.state is None:
             return
         state = self.predecessor.state
-        log.info("takes over beside the process before: %d customers", len(state.quotas))
+        log.info("received quota state from the predecessor process: %d tenants", len(state.quotas))
         self.apply_limit_share(state.limit_share)
         self.gateway.post(StateReceived(state.quotas))
         if self.predecessor.transport is None:
@@ -80,7 +80,7 @@
         self.apply_limit_share(share)
         self.quotas = ()
         self.gateway.post(SuccessorStarted())  # the engine calls `set_quotas` before this returns
-        log.info("the next process is up beside this one: %d customers handed over", len(self.quotas))
+        log.info("handed over quota state to the successor process: %d tenants", len(self.quotas))
         return encode_handover(self.config.name, 1.0 - share, self.quotas)
 
     def set_quotas(self, quotas: tuple[QuotaSnapshot, ...]) -> None:
@@ -93,7 +93,7 @@
             return
         has_predecessor = self.predecessor is not None and self.predecessor.transport is not None
         if self.server.successor is None and not has_predecessor:
-            log.info("the other process has gone")
+            log.info("the other process of this gateway has ended; all limits are restored")
             self.apply_limit_share(1.0)
             self.gateway.post(OtherProcessEnded())
 
--- a/glenchute/upstreams/pipeline_runtime.py
+++ b/glenchute/upstreams/pipeline_runtime.py
@@ -18,7 +18,7 @@
 from glenchute.policy.connections.pipelining import PipelineScheduler
 from glenchute.policy.settings import RequestClass
 
-# Keys of `PipelineRuntime.counts`. They appear in the log.
+# Keys of `PipelineRuntime.counts`, which appear in the log.
 WRITE_COUNT = "writes"
 COMMAND_COUNT = "commands"
 ABORT_COUNT = "cut"
--- a/glenchute/upstreams/pipelined_servers.py
+++ b/glenchute/upstreams/pipelined_servers.py
@@ -97,7 +97,7 @@
             counts = {**self.scheduler.counts, **self.runtime.counts}
             report = " ".join(f"{name}={count}" for name, count in sorted(counts.items()))
             if report != self.last_report:
-                log.info("lines: %s", report)
+                log.info("pipelining counts: %s", report)
             self.last_report, self.last_report_at = report, now
 
     def close(self) -> None:
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -27,7 +27,7 @@
 READY_TIMEOUT_S = 20.0
 LAG_CHECK_INTERVAL_S = 0.01
 SIGNAL_INTERVAL_S = 0.02  # between repeated signals
-TAKEOVER_MESSAGE = "takes over beside the process before"  # logged by a process that replaces another
+TAKEOVER_MESSAGE = "received quota state from the predecessor process"  # logged by a successor
 SERVING_DELAY_S = 0.3  # from the takeover message until the successor serves
 START_DELAY_STEP_S = 0.05  # unit of the delay from process start to SIGTERM in `DURING_START`
 
