--- a/glenchute/protocol/resp2.py
+++ b/glenchute/protocol/resp2.py
@@ -17,7 +17,10 @@
 MAX_LINE_BYTES = 1024  # the limit for a status or an error
 MAX_LENGTH_LINE_BYTES = 24  # the limit for a line with a length or a number
 MAX_ARRAY_ELEMENTS = 99  # the protocol's own arrays have five elements at most
-MAX_ARRAY_DEPTH = 2  # allows load reports that are an array in the array of a reply
+# Levels of nested arrays: an array may hold arrays, but these hold only strings, numbers and nulls. Servers'
+# replies are the deepest messages: an array of a value, a usage or null, and a load report or null, where the
+# usage and the load report may be arrays of strings or numbers.
+MAX_ARRAY_DEPTH = 2
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
@@ -56,7 +59,8 @@
 
 
 def find_message_end(raw: bytes, start: int, depth: int = 0) -> int:
-    """Returns the index after the message that begins at `start`; 0 if its end has not been received."""
+    """Returns the index after the message that begins at `start`; 0 if its end has not been received.
+    `depth`: the number of arrays that enclose the message."""
     if start >= len(raw):
         return 0
     kind = raw[start]
