--- a/glenchute/listeners/resp2/connection.py
+++ b/glenchute/listeners/resp2/connection.py
@@ -100,7 +100,7 @@
         self.listener.on_connected(self)
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed the connection."""
+        """Returns whether the client has closed the connection."""
         return self.is_closed_by_peer or self.listener.closed_peers.has_closed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -116,10 +116,12 @@
         self.abandon_replies()
 
     def eof_received(self) -> None:
-        """Abandons the pending replies, as the client has closed its side.
+        """Treats a client that has shut down its side as disconnected.
 
-        The transport closes once everything is written. The time for that is limited as for a client that
-        does not read: otherwise such a client would keep its slot, and its requests would be forwarded.
+        Its pending requests are abandoned at once, as they would otherwise still be forwarded to servers. The
+        transport closes once the replies that are already buffered are written. The time for that is limited
+        as for a client that does not read, as a client that never reads them would otherwise keep its slot
+        and its file descriptor for good.
         """
         self.is_closing = True
         self.abandon_replies()
@@ -139,7 +141,7 @@
         self.streaming = None
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """The read buffer. All connections share one, as `buffer_updated` copies its content at once."""
+        """Returns the read buffer. All connections share it, as `buffer_updated` copies the bytes at once."""
         reads_less = self.is_closing or self.listener.client_memory.is_filling
         return self.listener.read_buffer[: FILLING_READ_BYTES if reads_less else READ_BYTES]
 
@@ -198,7 +200,7 @@
         self.flush()
 
     def is_held_back(self) -> bool:
-        """Whether no further command may start while any is pending, as client memory is exhausted."""
+        """Returns whether further commands wait for the pending ones, as client memory is exhausted."""
         return bool(self.slots) and self.listener.client_memory.is_exhausted
 
     def schedule_turn(self) -> None:
@@ -337,7 +339,7 @@
 
     @staticmethod
     def is_reply_ready(slot: ReplySlot) -> bool:
-        """Whether the reply that is next in order can be written completely; not so if it is streamed."""
+        """Returns whether the reply that is next in order can be written at once; a streamed one cannot."""
         if slot.reply is None and slot.source is not None and slot.source.has_failed:
             slot.release()
             slot.reply, slot.source = resp.FAILED, None  # the stream failed before any byte of it was written
@@ -388,7 +390,8 @@
         if self.is_write_blocked or (
             self.is_closing and self.transport is not None and self.transport.is_closing()
         ):
-            # Reported also after some progress, since nothing else limits the time for the rest.
+            # A closing transport counts as blocked even after the client has read some: no other state limits
+            # the time for writing the rest.
             is_streaming = self.streaming is not None
             self.set_state(ConnectionState.STREAM_BLOCKED if is_streaming else ConnectionState.WRITE_BLOCKED)
         elif self.slots or self.is_closing:
@@ -467,7 +470,7 @@
         self.update_memory()
 
     def has_unread_input(self) -> bool:
-        """Whether the kernel holds unread bytes or the end of the stream."""
+        """Returns whether the kernel holds unread bytes or the end of the stream."""
         return self.transport is not None and has_socket_event(
             self.transport.get_extra_info("socket"), select.POLLIN
         )
