--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -52,7 +52,7 @@
 
 TICK_S = 0.025
 BIND_RETRY_S = 0.1
-GONE_STATES = (MemberState.DEAD, MemberState.LEFT)
+ABSENT_STATES = (MemberState.DEAD, MemberState.LEFT)  # an UNKNOWN member may be present but not reached yet
 
 
 class MemberNode(asyncio.DatagramProtocol):
@@ -218,12 +218,12 @@
         )
 
     def is_alive(self, name: str) -> bool:
-        """Whether a member is alive and not suspected."""
+        """Returns whether a member is alive and not suspected."""
         return self.members.members[name].state is MemberState.ALIVE
 
     def present_members(self) -> list[str]:
         """Returns the other members, without those known to be dead or to have left."""
-        return [member.name for member in self.members.members.values() if member.state not in GONE_STATES]
+        return [member.name for member in self.members.members.values() if member.state not in ABSENT_STATES]
 
     def publish(self, row: Row) -> None:
         """Sends a row of this process to the members that need it: usage directly, all else by gossip."""
@@ -332,9 +332,9 @@
             return
         self.logged_conflicts = self.replica.conflict_count
         conflict = self.replica.conflicts[-1]
-        kept = conflict.kept
-        log_event("copies.differ", kind=kept.kind.name.lower(), key=kept.key, writer=kept.writer,
-                  version=kept.version, kept=kept.value, other=conflict.other.value,
+        row = conflict.retained
+        log_event("copies.differ", kind=row.kind.name.lower(), key=row.key, writer=row.writer,
+                  version=row.version, kept=row.value, other=conflict.discarded.value,
                   sender=conflict.sender)  # fmt: skip
 
     # --- control socket ----------------------------------------------------------------------------------
--- a/glenchute/clients/membership/status.py
+++ b/glenchute/clients/membership/status.py
@@ -64,9 +64,9 @@
 def show_conflicts(node: MemberNode) -> Rows:
     """Returns a row per conflict between replicas, the latest last."""
     return [
-        {"kind": conflict.kept.kind.name.lower(), "key": conflict.kept.key, "writer": conflict.kept.writer,
-         "version": conflict.kept.version, "kept": conflict.kept.value, "other": conflict.other.value,
-         "from": conflict.sender}
+        {"kind": conflict.retained.kind.name.lower(), "key": conflict.retained.key,
+         "writer": conflict.retained.writer, "version": conflict.retained.version,
+         "kept": conflict.retained.value, "other": conflict.discarded.value, "from": conflict.sender}
         for conflict in node.replica.conflicts
     ]  # fmt: skip
 
--- a/glenchute/policy/membership/replica.py
+++ b/glenchute/policy/membership/replica.py
@@ -80,8 +80,8 @@
 class Conflict(NamedTuple):
     """Two rows of one version with different values; `sender` delivered the second one."""
 
-    kept: Row
-    other: Row
+    retained: Row  # the row with the safe value, which the replica stores
+    discarded: Row
     sender: str
 
 
@@ -153,8 +153,8 @@
         if stored is not None:
             known = stored.row
             if row.version == known.version and row.value != known.value:
-                kept, other = (known, row) if known.value >= row.value else (row, known)
-                self.record_conflict(Conflict(kept, other, sender))
+                retained, discarded = (known, row) if known.value >= row.value else (row, known)
+                self.record_conflict(Conflict(retained, discarded, sender))
             if (row.version, row.value) <= (known.version, known.value):
                 return False
         else:
@@ -197,7 +197,8 @@
 
     def record_conflict(self, conflict: Conflict) -> None:
         """Counts a conflict and keeps it for operators, once for each pair of rows."""
-        if any(known.kept == conflict.kept and known.other == conflict.other for known in self.conflicts):
+        rows = (conflict.retained, conflict.discarded)
+        if any((known.retained, known.discarded) == rows for known in self.conflicts):
             return
         self.conflict_count += 1
         self.conflicts = [*self.conflicts[1 - MAX_RECENT_CONFLICTS :], conflict]
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -92,7 +92,9 @@
     ):
         replica = merged(list(rows) * 2)
         assert rows_of(replica) == {Row(RowKind.USE, "a/0", "g1#1", 4, 8.0)}
-        assert replica.conflict_count >= 2 and all(c.kept.value > c.other.value for c in replica.conflicts)
+        assert replica.conflict_count >= 2 and all(
+            c.retained.value > c.discarded.value for c in replica.conflicts
+        )
     drains = merged([Row(RowKind.SERVER, "s1", "", 9, 1.0), Row(RowKind.SERVER, "s1", "", 9, 2.0)])
     assert rows_of(drains) == {Row(RowKind.SERVER, "s1", "", 9, 2.0)}
 
