--- a/glenchute/policy/membership/members.py
+++ b/glenchute/policy/membership/members.py
@@ -33,7 +33,8 @@
 MAX_LOCAL_HEALTH = 8
 MAX_CONFIRMATIONS = 3  # number of confirmations at which a suspicion's timeout reaches its minimum
 UNKNOWN_MEMBER_PROBE_PERIODS = 2  # periods between probes of members never reached
-DEAD_MEMBER_PROBE_PERIODS = 8  # periods between probes of dead members, as a partition may have ended
+# Periods between probes of members that are dead or have left: they may be back, or a partition has ended.
+DEAD_MEMBER_PROBE_PERIODS = 8
 INDIRECT_PROBE_PERIODS = 0.4  # periods without an answer after which indirect probes are sent
 RELAY_PERIODS = 4.0  # periods for which an indirect probe for another member is remembered
 REFUTATION_PERIODS = 5.0  # times log10(members): periods within which a refutation reaches all
@@ -50,9 +51,6 @@
     LEFT = 4  # announced by the member itself
 
 
-GONE_STATES = (MemberState.DEAD, MemberState.LEFT, MemberState.UNKNOWN)
-
-
 class SwimMessageKind(IntEnum):
     """What a message asks for or reports; the numbers are part of the datagram format."""
 
@@ -246,12 +244,12 @@
     def next_target(self) -> str | None:
         """Returns the next member to probe: each participating one once per round in shuffled order, and
         every few periods one that is dead, has left or was never reached."""
-        gone = [member.name for member in self.members.values() if member.state in GONE_STATES]
+        inactive = [member.name for member in self.members.values() if not member.is_participating]
         alive = self.alive_names()
-        unknown = [name for name in gone if self.members[name].state is MemberState.UNKNOWN]
-        gone_periods = UNKNOWN_MEMBER_PROBE_PERIODS if unknown else DEAD_MEMBER_PROBE_PERIODS
-        if gone and (not alive or self.period_count % gone_periods == 0):
-            return self.rng.choice(unknown or gone)
+        unknown = [name for name in inactive if self.members[name].state is MemberState.UNKNOWN]
+        inactive_probe_periods = UNKNOWN_MEMBER_PROBE_PERIODS if unknown else DEAD_MEMBER_PROBE_PERIODS
+        if inactive and (not alive or self.period_count % inactive_probe_periods == 0):
+            return self.rng.choice(unknown or inactive)
         known = set(alive)
         while self.probe_round and self.probe_round[-1] not in known:
             self.probe_round.pop()
@@ -423,8 +421,8 @@
         return is_announcement, self.piggyback_counts[name]
 
     def compose(self, to: str, kind: SwimMessageKind, serial: int, target: str = "") -> Outgoing[SwimMessage]:
-        """Returns a message with piggybacked updates: this process' own, the receiver's if that is suspected
-        or gone, then the queued ones in order."""
+        """Returns a message with piggybacked updates: this process' own, the receiver's if that is suspected,
+        dead or has left, then the queued ones in order."""
         names = [self.name]
         if self.members[to].state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
             names.append(to)
