--- a/glenchute/policy/membership/usage_audit.py
+++ b/glenchute/policy/membership/usage_audit.py
@@ -7,7 +7,7 @@
 each comparison is a call to the counter. Each window is audited once, those with the most units first.
 
 Expected differences are excluded or tolerated: units of requests rejected after the call to the counter stay
-in the totals of plans with a ceiling (`QuotaAccounting.call`), so for these plans only lower totals count;
+in the totals of plans with a ceiling (`CounterSync.make_call`), so for these plans only lower totals count;
 the units of calls that timed out may have been added or not, which the tolerances cover.
 """
 
