--- a/glenchute/policy/membership/gateway_ring.py
+++ b/glenchute/policy/membership/gateway_ring.py
@@ -75,6 +75,6 @@
         return found
 
     def expected_candidates(self, spread: int) -> int:
-        """Returns the number of `subset_candidates(spread)` if all gateways were members."""
+        """Returns how many members `subset_candidates(spread)` would return if all gateways were members."""
         others = self.gateway_count - 1
         return others if not self.offsets else min(others, 2 * (spread - 1))
