--- a/glenchute/policy/membership/direct_messages.py
+++ b/glenchute/policy/membership/direct_messages.py
@@ -40,7 +40,7 @@
 MAX_REQUEST_BACKLOG_S = 0.25  # largest backlog of requests that the budget delays; the rest is skipped
 MAX_ENTRIES_PER_MESSAGE = 64
 ENTRY_BYTES, HEADER_BYTES = 18, 48  # sizes charged to the budget for an entry and a header
-ALLOWANCE_DIVISOR = 4.0  # at most the budget of 1/4 s accumulates
+ALLOWANCE_DIVISOR = 4.0  # the unused budget of at most 1/4 s accumulates
 MAX_PENDING_ENTRIES = 20_000  # pending entries for all members together
 MAX_REPORTED_WINDOWS = 8_000
 MIN_SUBSET_SIZE = 8  # members of a subset of this size are asked before a client's request names a larger one
@@ -320,8 +320,8 @@
             del self.reported_windows[oldest]
 
     def known_gateways(self, now: float, spread: int) -> int:
-        """Returns of how many other gateways in a subset of `spread` this process certainly knows all usage,
-        whatever the subset's position."""
+        """Returns the number of other gateways in a subset of `spread` whose usage this process certainly
+        knows completely, whatever the subset's position."""
         spread = min(spread, self.ring.gateway_count)
         if spread > self.widest_subset:
             self.widest_subset = spread
