--- a/glenchute/policy/membership/gossip.py
+++ b/glenchute/policy/membership/gossip.py
@@ -27,12 +27,12 @@
 MESSAGE_BYTES, ROW_BYTES = 24, 64  # sizes charged to the budget for a message and for each row
 ROW_HASH_BYTES, TREE_HASH_BYTES = 5, 8  # sizes charged for each row hash and tree hash
 MAX_TRANSMISSIONS = 5  # transmissions of a new row by one member
-MAX_ROW_HASHES = 600  # per message; replicas with no more rows are compared row by row
+MAX_ROW_HASHES = 600  # in one message; replicas with no more rows are compared row by row
 MAX_ROWS_PER_MESSAGE = 16  # keeps a message within a datagram
 SHORT_HASH_MASK = 0xFFFFFFFF  # the 32 bits of a row's hash that are sent
 MAX_DIVERGED_MEMBERS = 1_000
 MAX_QUEUED_ROWS = 20_000  # further new rows are left to anti-entropy
-ALLOWANCE_DIVISOR = 4.0  # at most the budget of 1/4 s accumulates
+ALLOWANCE_DIVISOR = 4.0  # the unused budget of at most 1/4 s accumulates
 REPEATED_DRAINS = 2  # drain rows pushed when there are no new rows
 ALL_BUCKETS = -1  # `Digest.bucket` of a digest of the buckets themselves
 
