--- a/glenchute/policy/membership/leases.py
+++ b/glenchute/policy/membership/leases.py
@@ -101,7 +101,7 @@
 
     acceptors: tuple[str, ...]
     max_span_s: float = 10.0  # no lease is proposed or accepted for longer
-    max_clock_drift: float = 0.01  # as a share of real time
+    max_clock_drift: float = 0.01  # share of real time by which a clock may be too fast or too slow
 
     @property
     def majority(self) -> int:
