--- a/glenchute/clients/membership/lease_tasks.py
+++ b/glenchute/clients/membership/lease_tasks.py
@@ -104,7 +104,8 @@
         """Creates the candidates of `tasks`, and the acceptor where `terms` name this process as one.
 
         `send` sends a message to a member, `publish` gossips a task's record, `read_row` returns the gossiped
-        record of a task, `present_members` the other members that are not known to be gone."""
+        record of a task, `present_members` the other members that are not known to be dead or to have
+        left."""
         self.loop, self.name, self.send, self.publish = loop, name, send, publish
         self.read_row, self.present_members = read_row, present_members
         now = clock()
@@ -116,7 +117,7 @@
             self.tasks[settings.name] = LeaseTask(settings, candidate)
         self.known_members: tuple[str, ...] | None = None  # those that the candidates were last chosen from
         self.is_leaving = False
-        self.own_messages: list[Outgoing[LeaseMessage]] = []  # from this process to itself
+        self.own_messages: list[Outgoing[LeaseMessage]] = []  # messages from this process to itself
 
     # --- messages and time -------------------------------------------------------------------------------
 
@@ -165,7 +166,7 @@
                 self.begin_step(task, now)
 
     def is_holder(self, task: str) -> bool:
-        """Whether this process holds a task's lease."""
+        """Returns whether this process holds a task's lease."""
         lease_task = self.tasks.get(task)
         return lease_task is not None and lease_task.candidate.proposer.is_holder(clock())
 
@@ -240,7 +241,7 @@
         self.is_leaving = False
 
     def is_releasing(self) -> bool:
-        """Whether the release of a lease waits for an effect to end."""
+        """Returns whether the release of a lease waits for an effect to end."""
         return any(task.candidate.is_releasing for task in self.tasks.values())
 
     def close(self) -> None:
