--- a/glenchute/clients/membership/endpoint_sync.py
+++ b/glenchute/clients/membership/endpoint_sync.py
@@ -42,7 +42,7 @@
     ) -> None:  # fmt: skip
         """`shared_list`: None where lists are not shared. `clock` returns seconds. `publish` gossips a row,
         `send` sends a message to a member, `present_members` returns the other members that are not known to
-        be gone."""
+        be dead or to have left."""
         self.shared_list, self.clock, self.publish, self.send = shared_list, clock, publish, send
         self.present_members = present_members
         self.drains = GossipedDrains()
