--- a/glenchute/clients/membership/audit_task.py
+++ b/glenchute/clients/membership/audit_task.py
@@ -63,8 +63,9 @@
         ]
         totals = await asyncio.gather(*map(self.read_total, queries))
         if queries and guard.completed_steps and totals.count(None) == len(totals):
-            # Another member may reach the counter. Not before this process has completed a step: the failure
-            # that is recorded ahead of a holder's first step would stand, and could park the task.
+            # Releases the lease, as another member may reach the counter. But not in a holder's first step,
+            # which is recorded as failed before it runs: that record would stay, and a few such holders in a
+            # row would park the task.
             raise LeaseLost
         for query, total in zip(queries, totals, strict=True):
             mismatch = self.usage_audit.receive_total(query, total)
