--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -40,7 +40,8 @@
         """`engine`: the decision engine. `publish` sends a row to the members that need it. `known_share`
         returns, for a subset of so many gateways, the share whose usage is known here. `clock` returns the
         seconds by which the ages of rows are measured."""
-        self.note_account: Callable[[str, Plan], None] = lambda account, plan: None  # for the usage audit
+        # Called with each account that sends a request and its plan; the usage audit sets it.
+        self.note_account: Callable[[str, Plan], None] = lambda account, plan: None
         self.now_ms = 0.0  # wall-clock time of the last event; windows are named by it
         self.engine, self.usage, self.health, self.clock = engine, usage, health, clock
         self.publish, self.known_share = publish, known_share
