--- a/glenchute/upstreams/pipelined_attempt.py
+++ b/glenchute/upstreams/pipelined_attempt.py
@@ -25,8 +25,8 @@
 MAX_WAITING = 1024  # attempts that may wait for a connection, per server
 WAIT_MARGIN_S = 0.001  # a timer may fire a little early
 ABORT_TEXTS = {
-    AbortReason.STALL: "its head is stalled",
-    AbortReason.HOLD_BOUND: "those behind its head can't wait longer",
+    AbortReason.STALL: "the attempt at its head is stalled",
+    AbortReason.HOLD_BOUND: "a queued attempt has reached its hold bound",
 }
 
 
@@ -125,7 +125,7 @@
         return placement
 
     def _placement_request(self, now_ms: float) -> PlacementRequest:
-        """The request to the scheduler. An attempt without a known class shares no connection."""
+        """Returns the request to the scheduler. An attempt without a known class shares no connection."""
         runtime, context = self.pool.runtime, self.context
         request_class = runtime.classes.get(context.class_name) if context is not None else None
         expires_at_ms = 1000.0 * self.expires_at
@@ -198,7 +198,7 @@
             if outcome is Outcome.TIMEOUT:
                 # The server's host may have failed; see `ExclusiveAttempt.stop`.
                 self.pool.close_idle(self.started_at)
-            reason = "its time is up" if outcome is Outcome.TIMEOUT else "cancelled"
+            reason = "an attempt timed out" if outcome is Outcome.TIMEOUT else "an attempt was cancelled"
             conn.close_with(command, outcome, reason)
 
     def release(self) -> None:
--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -141,7 +141,7 @@
         return self.pool.tracker.loop
 
     def is_usable(self) -> bool:
-        """Whether further attempts may join the connection."""
+        """Returns whether further attempts may join the connection."""
         if self.final_results is not None:
             return False
         return not self.is_up or (self.transport is not None and not self.transport.is_closing())
@@ -219,7 +219,7 @@
             return
         for command in list(self.pipeline.pending):
             if command.item.is_wanted is not None and not command.item.is_finished:
-                command.item.is_wanted()  # withdraws the command if its client has gone
+                command.item.is_wanted()  # withdraws the command if its client has disconnected
         now = self.loop.time()
         expired = self._encode_pending(now)
         limits = self.runtime.write_limits
@@ -307,7 +307,7 @@
         """Closes the connection, as the buffered bytes must not be sent any more."""
         self.send_deadline_timer = None
         if self.is_buffer_full and self.final_results is None:
-            self.close_with(None, Outcome.RESET, "its bytes could no longer leave in time")
+            self.close_with(None, Outcome.RESET, "buffered bytes could not be sent in time")
 
     # --- reading -----------------------------------------------------------------------------------------
 
@@ -343,12 +343,12 @@
             while not fault and (reply := self.parser.next_message()) is not False:
                 fault = self._on_reply(now_ms, reply, results)
         except resp2.ProtocolError:
-            fault = "a reply that can't be read"
+            fault = "a reply is not valid RESP or exceeds a limit"
             if self.pipeline.in_flight:
                 self._fail_head(now_ms, results)
         if not fault and self.parser.has_unparsed():
             if not self.pipeline.in_flight:
-                return "more than was asked for"
+                return "bytes were received without a command in flight"
             # With a wrong length prefix the reply never completes while the connection stays open.
             self.stall_timer = self.loop.call_later(RESPONSE_STALL_S, self.fail_response)
         return fault
@@ -357,7 +357,7 @@
         """Handles one complete reply; returns why the connection must close after it, or ''."""
         matched = self.pipeline.match_reply(now_ms)
         if matched is None:
-            return "a reply too many"
+            return "a reply was received without a command in flight"
         result = result_of(reply)
         if not matched.is_trusted:
             result = AttemptResult(Outcome.ERROR)
@@ -367,8 +367,8 @@
             result = AttemptResult(Outcome.CANCELLED, is_connection_reusable=result.is_connection_reusable)
         results.append(FinishedAttempt(matched.command.item, result))
         if not matched.is_trusted:
-            return "a reply that may be another's"
-        return "" if result.is_connection_reusable else "an unrecognized reply"
+            return "a reply may belong to another command"
+        return "" if result.is_connection_reusable else "a reply has an unknown form"
 
     def _fail_head(self, now_ms: float, results: list[FinishedAttempt]) -> None:
         """Ends the head as an error, as its reply is invalid, if it may have been sent and may have run."""
@@ -387,7 +387,7 @@
             self._update_sent()
             if self.pipeline.in_flight:
                 self._fail_head(self.runtime.now_ms(), results)
-            self.close_with(None, Outcome.RESET, "an answer that stopped midway")
+            self.close_with(None, Outcome.RESET, "a reply stalled before it was complete")
             assert self.final_results is not None
             self.final_results[:0] = results
 
