--- a/glenchute/upstreams/connection_tracker.py
+++ b/glenchute/upstreams/connection_tracker.py
@@ -63,21 +63,22 @@
         self.read_permits.max_readers = max(1, int(self.limits.max_streams * share))
 
     def max_connections(self) -> float:
-        """The number of connections that this process may have."""
+        """Returns the number of connections that this process may have."""
         return self.limits.max_connections * self.process_share
 
     def connection_count(self) -> int:
-        """The number of connections that are established or being opened."""
+        """Returns the number of connections that are established or being opened."""
         return len(self.connecting) + sum(len(pool.open) for pool in self.active_pools)
 
     def may_open(self) -> bool:
-        """Whether `make_room` would succeed."""
+        """Returns whether `make_room` would succeed."""
         if self.connection_count() < self.max_connections():
             return True
         return any(pool.idle for pool in self.active_pools)
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; closes the longest idle one if that is necessary."""
+        """Returns whether one more connection may be opened; closes the longest idle one if that is
+        necessary."""
         if self.connection_count() < self.max_connections():
             return True
         pools = [pool for pool in self.active_pools if pool.idle]
