--- a/glenchute/upstreams/pipeline_runtime.py
+++ b/glenchute/upstreams/pipeline_runtime.py
@@ -65,7 +65,7 @@
         self.timer_at = math.inf
 
     def now_ms(self) -> float:
-        """The loop's time in milliseconds, as the scheduler counts it."""
+        """Returns the loop's time in milliseconds, as the scheduler counts it."""
         return 1000.0 * self.loop.time()
 
     def new_attempt_id(self) -> int:
