--- a/glenchute/upstreams/responses.py
+++ b/glenchute/upstreams/responses.py
@@ -17,7 +17,7 @@
 
 
 def result_of(reply: Any) -> AttemptResult:
-    """The result of a complete reply, by the platform's protocol.
+    """Returns the result of a complete reply, by the platform's protocol.
 
     Any reply that does not match a known form exactly is an error: a reply that was corrupted in transit
     belongs to a request that has run, so it must neither be served nor be treated as a rejection.
@@ -30,7 +30,7 @@
 
 
 def _error_result(message: str) -> AttemptResult:
-    """The result of an error reply, whose last word may be a load report."""
+    """Returns the result of an error reply, whose last word may be a load report."""
     text, _, last_word = message.rpartition(" ")
     report = last_word.encode() if LOAD_REPORT.fullmatch(last_word) else None
     if report is None:
