--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -59,8 +59,9 @@
         has_restarted: Callable[[str], bool],
         retained: Collection[str] | None,
     ) -> None:
-        """Adds or updates servers that accept requests; `has_restarted` tells whether one has a new process.
+        """Adds or updates servers that accept requests.
 
+        `has_restarted` returns whether a server has a new process.
         Of all other servers those in `retained` are left unchanged and the rest is removed; None: all are
         left unchanged.
         """
@@ -101,18 +102,18 @@
             self.removed.add(pool)
 
     def is_stopping(self, server: str) -> bool:
-        """Whether a server drains or is not listed."""
+        """Returns whether a server drains or is not listed."""
         pool = self.pools.get(server)
         if pool is None:
             return server not in self.unopened or server in self.stopping
         return pool.stop_at is not None
 
     def server_ids(self) -> list[str]:
-        """The ids of all servers that are active or draining."""
+        """Returns the ids of all servers that are active or draining."""
         return [*self.pools, *self.unopened]
 
     def open_pool(self, server: str) -> ConnectionPool | None:
-        """The pool of a server that is active or within its drain's grace period, else None.
+        """Returns the pool of a server that is active or within its drain's grace period, else None.
 
         Creates the pool if the server has none yet.
         """
@@ -127,7 +128,7 @@
         return found
 
     def address(self, server: str) -> Address | None:
-        """The address of a server; None if it accepts no requests (any more)."""
+        """Returns the address of a server; None if it accepts no requests (any more)."""
         pool = self.open_pool(server)
         return pool.address if pool is not None else None
 
