--- a/glenchute/upstreams/server_pools.py
+++ b/glenchute/upstreams/server_pools.py
@@ -61,9 +61,8 @@
     ) -> None:
         """Adds or updates servers that accept requests.
 
-        `has_restarted` returns whether a server has a new process.
-        Of all other servers those in `retained` are left unchanged and the rest is removed; None: all are
-        left unchanged.
+        `has_restarted` returns whether a server has a new process. Of all other servers those in `retained`
+        are left unchanged and the rest is removed; None: all are left unchanged.
         """
         for server in list(self.pools):
             if server in addresses:
