--- a/glenchute/core/types.py
+++ b/glenchute/core/types.py
@@ -182,7 +182,7 @@
     """An upstream's servers, by id."""
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
-        """A server is active. `has_restarted`: its process is not the one that was known."""
+        """Adds or updates a server that accepts requests. `has_restarted`: it has a new process."""
 
     def activate_servers(
         self,
@@ -190,8 +190,9 @@
         has_restarted: Callable[[str], bool],
         retained: Collection[str] | None,
     ) -> None:
-        """Many servers are active; `has_restarted` tells of each whether its process is a new one. Of all
-        others those in `retained` remain as they are and the rest is removed; None: all remain."""
+        """Adds or updates many servers that accept requests; `has_restarted` returns whether one has a new
+        process. Of all other servers those in `retained` are left unchanged and the rest is removed; None:
+        all are left unchanged."""
 
     def drain_server(self, server: str) -> None:
         """Drains a server: it gets no new attempts, and those in flight may finish."""
