--- a/glenchute/core/active_request.py
+++ b/glenchute/core/active_request.py
@@ -8,7 +8,7 @@
 
 from .types import Call, FinalResponse, UpstreamAttempt
 
-if TYPE_CHECKING:  # at run time imported only for an operator's file, as only that has routes
+if TYPE_CHECKING:  # at run time it is imported only for an operator's file, as only that has routes
     from glenchute.policy.retries.route_limits import RequestRetries
 
 
--- a/glenchute/core/endpoint_updates.py
+++ b/glenchute/core/endpoint_updates.py
@@ -82,7 +82,8 @@
                 name: previous_started_ms[name] for name in draining if name in previous_started_ms
             } | started
         self._check_server_limit()
-        if ringed is None or len(addresses) != len(started):  # drops addresses of servers that are not active
+        if ringed is None or len(addresses) != len(started):
+            # Drops the addresses of servers that are not active.
             addresses = {name: addresses[name] for name in started}
         self.upstream.activate_servers(
             addresses, lambda name: previous_started_ms.get(name, started[name]) != started[name], retained
--- a/glenchute/core/executor.py
+++ b/glenchute/core/executor.py
@@ -62,7 +62,7 @@
     UpstreamServers,
 )
 
-if TYPE_CHECKING:  # at run time imported only for an operator's file, as only that has routes
+if TYPE_CHECKING:  # at run time it is imported only for an operator's file, as only that has routes
     from glenchute.policy.retries.route_limits import RouteTable
 
 log = logging.getLogger("glenchute")
