--- a/glenchute/listeners/resp2/closed_peers.py
+++ b/glenchute/listeners/resp2/closed_peers.py
@@ -16,12 +16,12 @@
 
 MAX_DETECTION_S = 0.1  # no attempt may be sent later than this after its client has closed
 POLL_AGE_S = MAX_DETECTION_S / 10.0  # the age at which a poll's result is out of date
-PAUSED_POLL_INTERVAL_S = MAX_DETECTION_S / 4.0  # while reading from any connection is paused
+PAUSED_POLL_INTERVAL_S = MAX_DETECTION_S / 4.0  # between polls while any connection is not read from
 MAX_CLOSES_PER_POLL = 64
 
 
 def has_socket_event(sock: Any, event: int) -> bool:
-    """Whether the kernel reports this `select.poll` event, or an error, for a socket right now."""
+    """Returns whether the kernel reports this `select.poll` event, or an error, for a socket right now."""
     if sock is None or sock.fileno() < 0:
         return False
     waiting = select.poll()
@@ -68,7 +68,7 @@
         self.clients.clear()  # `remove` may still be called for them
 
     def has_closed(self, client: ClientConnection) -> bool:
-        """Whether this client has closed its connection, by a poll that is at most `POLL_AGE_S` old."""
+        """Returns whether this client has closed its connection, by a poll at most `POLL_AGE_S` old."""
         if time.monotonic() - self.checked_at > POLL_AGE_S:
             self.check()
         return client.is_closed_by_peer
