--- a/glenchute/listeners/resp2/commands.py
+++ b/glenchute/listeners/resp2/commands.py
@@ -11,7 +11,7 @@
 from glenchute.policy.settings import Idempotency, Settings
 from glenchute.protocol import resp2 as resp
 
-MAX_FIELDS_BYTES = 512  # of the field list, name=value,name=value,...
+MAX_FIELDS_BYTES = 512  # the longest field list, name=value,name=value,...
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 MAX_TENANT_NUMBER = 1 << 33
 # Request ids and idempotency keys: printable ASCII without spaces.
