--- a/glenchute/listeners/resp2/listener.py
+++ b/glenchute/listeners/resp2/listener.py
@@ -31,7 +31,7 @@
 REPORT_INTERVAL_S = 10.0
 # The time before a finished reply's deadline from which unfinished requests ahead of it may be abandoned.
 RELEASE_MARGIN_S = 0.02
-IDLE_CLOSE_INTERVAL_S = 0.05  # between checks for idle connections while draining or shutting down
+IDLE_CLOSE_INTERVAL_S = 0.05  # time between checks for idle connections while draining or shutting down
 
 
 class Listener:
@@ -106,7 +106,7 @@
                 ):
                     break
         finally:
-            is_rescheduled = bool(self.scheduled_clients)  # by a `schedule_turn` of one of the turns
+            is_rescheduled = bool(self.scheduled_clients)  # one of the turns has called `schedule_turn`
             self.scheduled_clients.extendleft(reversed(waiting))
             if waiting and not is_rescheduled:
                 self.loop.call_soon(self.run_turns)
@@ -148,7 +148,7 @@
         """Aborts paused connections that their clients have closed; their requests must not be forwarded."""
         self.closed_check_timer = None
         self.closed_peers.check()
-        for client in [one for one in self.paused_clients if one.is_closed_by_peer]:
+        for client in [client for client in self.paused_clients if client.is_closed_by_peer]:
             if client.transport is not None:
                 client.transport.abort()
         if self.paused_clients:
@@ -173,7 +173,7 @@
             self.close_connection(self.connection_slots.close_unread(now, client))
 
     def has_pending_accept(self) -> bool:
-        """Whether any connection waits to be accepted."""
+        """Returns whether any connection waits to be accepted."""
         return self.server is not None and any(
             has_socket_event(s, select.POLLIN) for s in self.server.sockets
         )
@@ -248,7 +248,7 @@
         self.connection_slots.max_requesting = max(1, int(self.budget.requesting_connections * share))
 
     def closes_after_reply(self) -> bool:
-        """Whether a connection is closed after its last reply, while draining or shutting down."""
+        """Returns whether a connection is closed after its last reply, as while draining or shutting down."""
         return self.lifecycle.is_closing_connections and self.lifecycle.closes_after_response(
             self.loop.time()
         )
