--- a/glenchute/clients/discovery.py
+++ b/glenchute/clients/discovery.py
@@ -72,13 +72,14 @@
         confirmation: ListConfirmation | None = None,
         is_serving: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`on_list`: receives each list that comes into force. `seed`: of the random delays, which must
-        differ between gateways. `confirmation`: decides which lists need a second answer; None: no list does.
-        `is_serving`: returns whether endpoints of the list in force answer requests now."""
+        """`on_list`: receives each list that comes into force. `seed`: seed of the random delays, which
+        must differ between gateways. `confirmation`: decides which lists need a second answer; None: no list
+        does. `is_serving`: returns whether endpoints of the list in force answer requests now."""
         self.loop = loop
         self.address = address
         self.on_list = on_list
-        self.version: int | None = None  # of the list in force; None: the next poll is for the complete list
+        # Version of the list in force; None: the next poll requests the complete list.
+        self.version: int | None = None
         self.current_list = CurrentList()
         self.connections: dict[int, HttpExchange] = {}
         self.connect_tasks: dict[int, asyncio.Task[None]] = {}
