--- a/glenchute/clients/counter.py
+++ b/glenchute/clients/counter.py
@@ -224,7 +224,7 @@
         timeout_s: float,
         connection_count: int = DEFAULT_CONNECTIONS,
     ) -> None:
-        """`timeout_s`: of each call, from its sending to its reply."""
+        """`timeout_s`: the longest time from the sending of a call to its reply."""
         self.loop = loop
         self.timeout_s = timeout_s
         self.address = address
