--- a/glenchute/clients/handover.py
+++ b/glenchute/clients/handover.py
@@ -25,7 +25,8 @@
 
 log = logging.getLogger("glenchute")
 
-REQUEST_TIMEOUT_S = 0.5  # to connect, and again to receive the message: limits the delay of a start
+# Limit for connecting, and again for receiving the message; together they bound the delay of a start.
+REQUEST_TIMEOUT_S = 0.5
 MAX_PATH_BYTES = 100  # Linux accepts up to 107 for a Unix socket
 OWNER_ONLY_UMASK = 0o177  # the socket file is accessible to its owner only
 
