--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -79,7 +79,7 @@
     may_load = not has_errors(findings)
     unused_routes = [] if may_load else list(config.routes)
     result = ReadResult(file, config if may_load else None, findings)
-    del config  # so that the parts of a rejected file are freed below, in small steps
+    del config  # the parts of a rejected file are freed below, in small steps
     for rows in (raw.get("route"), values.get("route"), report.rows, unused_routes):
         free_entries(rows)
     return result
