--- a/glenchute/protocol/endpoint_list.py
+++ b/glenchute/protocol/endpoint_list.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("glenchute")
 
-ROWS_PER_PART = 64  # decoded in one turn of the event loop
+ROWS_PER_PART = 64  # rows that are decoded in one turn of the event loop
 JSON_DECODER = json.JSONDecoder()
 WHITESPACE = re.compile(r"[ \t\n\r]*")
 # The text before the rows. The key is not nested, as the pattern allows no other object or array before it.
@@ -218,7 +218,7 @@
         if current is not None and raw.get("full") and len(rows_by_text) > MAX_SUBSET_SIZE:
             current.rows_by_text, current.ring_positions = rows_by_text, ring_builder.positions
         known_rows = rows_by_text = {}
-        yield  # so that the previous rows are freed in an earlier turn than this list comes into force
+        yield  # the previous rows are freed in one turn, and this list comes into force in a later one
         return rows.finish(raw) if not raw["servers"] else decode_list(json.loads(text), current=current)
     except DECODING_ERRORS as error:
         raise as_list_error(error) from None
