--- a/glenchute/config/extproc.py
+++ b/glenchute/config/extproc.py
@@ -47,7 +47,7 @@
 
 def check_operations(raw: dict[str, Any], facts: PlatformFacts | None, report: Report) -> list[Operation]:
     """Returns the valid operations, and reports the others."""
-    made: list[Operation] = []
+    valid: list[Operation] = []
     seen: dict[Any, int] = {}
     for at, row in enumerate(raw.get("operation", [])):
         if row is MISSING or "path" not in row or "class" not in row:
@@ -73,8 +73,8 @@
             elif not method:
                 report("unsafe-by-any-method", path,
                        f"{name} must not be repeated, and GET would match it; name its method")  # fmt: skip
-        made.append(Operation(name, method, template))
-    return made
+        valid.append(Operation(name, method, template))
+    return valid
 
 
 def check_map(
@@ -88,8 +88,8 @@
                    f"{source[:60]!r} is not a source; write header:, query:, path:, metadata:, json:/, "
                    "value: or, for rate limit calls, descriptor: with a name")  # fmt: skip
         elif descriptors != (kind == "descriptor") and kind != "value":
-            where = "a rate limit call has only descriptors" if descriptors else "a request has none"
-            report("bad-source", (*path, key), f"{source[:60]!r}: {where}; write another source")
+            reason = "a rate limit call has only descriptors" if descriptors else "a request has none"
+            report("bad-source", (*path, key), f"{source[:60]!r}: {reason}; write another source")
         elif kind == "path" and not any(where in one.template.variable_names for one in operations):
             report("unknown-variable", (*path, key), f"no operation's path has {{{where}}}; add it there")
 
@@ -104,10 +104,10 @@
         Operation(row["class"], row.get("method", ""), PathTemplate.parse(row["path"]))
         for row in raw.get("operation", [])
     )
-    made = MappingRules(raw["map"], operations, classes, facts.plans, gateways, most_units)
+    request_rules = MappingRules(raw["map"], operations, classes, facts.plans, gateways, most_units)
     ratelimit = raw.get("ratelimit")
     if ratelimit is None:
-        return made, None
+        return request_rules, None
     # Rate limit calls run no request, so they need no idempotency key.
     unkeyed = dict.fromkeys(classes, False)
-    return made, MappingRules(ratelimit["map"], (), unkeyed, facts.plans, gateways, most_units)
+    return request_rules, MappingRules(ratelimit["map"], (), unkeyed, facts.plans, gateways, most_units)
