--- a/glenchute/config/schema.py
+++ b/glenchute/config/schema.py
@@ -119,7 +119,7 @@
 
 class Strings(Kind):
     """An array of distinct strings, from `options` if any are given. `allows_single`: a single string is
-    accepted without brackets. `code`: of the finding for a string that is not an option."""
+    accepted without brackets. `code`: the code of the finding for a string that is not an option."""
 
     def __init__(
         self, options: tuple[str, ...] = (), allows_single: bool = True, code: str = "unknown-word"
@@ -185,14 +185,14 @@
 
     def schema(self) -> dict[str, Any]:
         """See `Kind.schema`."""
-        made: dict[str, Any] = {
+        schema: dict[str, Any] = {
             "type": "object",
             "properties": {key: kind.schema() for key, kind in self.keys.items()},
             "additionalProperties": False,
         }
         if self.required:
-            made["required"] = list(self.required)
-        return made
+            schema["required"] = list(self.required)
+        return schema
 
 
 class TableArray(Kind):
