--- a/glenchute/cli/explain.py
+++ b/glenchute/cli/explain.py
@@ -46,10 +46,11 @@
     cls = facts.classes[class_name]
     yield f"CALL.{cls.command} of class {class_name} ({cls.idempotency.value}), plan {plan}:"
     route = operator.bindings.get((class_name, plan))
-    for one in sorted(operator.routes, key=lambda m: -m.rank):
-        if one.covers(class_name, plan, cls.command):
-            verdict = "binds" if route is not None and one.route.name == route.name else "is less specific"
-            yield f"  route {one.route.name} names {one.rank} of class, plan, command: {verdict}"
+    for matched in sorted(operator.routes, key=lambda m: -m.rank):
+        if matched.covers(class_name, plan, cls.command):
+            is_binding = route is not None and matched.route.name == route.name
+            verdict = "binds" if is_binding else "is less specific"
+            yield f"  route {matched.route.name} names {matched.rank} of class, plan, command: {verdict}"
     if route is None:
         yield "  no route binds it; the decision engine alone decides"
         return
