--- a/glenchute/policy/admission/overload.py
+++ b/glenchute/policy/admission/overload.py
@@ -17,7 +17,7 @@
 
 # Fraction of its latency objective that a request of the highest value may wait for the backlog.
 BACKLOG_WAIT_FRACTION = 0.5
-LOW_VALUE_REDUCTION = 0.2  # reduction of that fraction for a request of the lowest value
+LOW_VALUE_REDUCTION = 0.2  # subtracted from `BACKLOG_WAIT_FRACTION` for a request of the lowest value
 MAX_CREDIT_REQUESTS = 2.0  # largest credit, in multiples of the request's units
 
 
