--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -214,7 +214,8 @@
         if not unassigned:
             return [], []
         zone = self.listed[unassigned[0]].zone
-        added = [one for one in assigned if one not in self.in_use and self.listed[one].zone == zone][:1]
+        unused = [server for server in assigned if server not in self.in_use]
+        added = [server for server in unused if self.listed[server].zone == zone][:1]
         removed = unassigned[:1] if added else self.select_surplus(unassigned, len(assigned))
         for server in removed:
             del self.in_use[server]
