--- a/glenchute/policy/connections/depth_limit.py
+++ b/glenchute/policy/connections/depth_limit.py
@@ -10,13 +10,13 @@
 import math
 
 TOLERATED_SLOWDOWN = 1.5  # ratio of observed to expected response time
-MAX_SLOWDOWN_SAMPLE = 8.0
-LIMIT_SMOOTHING = 0.2
-SLOWDOWN_SMOOTHING = 0.25
-SAMPLES_PER_UPDATE = 8
-MIN_GRADIENT = 0.5
+MAX_SLOWDOWN_SAMPLE = 8.0  # a higher ratio counts as this
+LIMIT_SMOOTHING = 0.2  # share of the way to its target that the limit moves in one update
+SLOWDOWN_SMOOTHING = 0.25  # weight of one reply in the moving average
+SAMPLES_PER_UPDATE = 8  # replies
+MIN_GRADIENT = 0.5  # a lower gradient counts as this
 REDUCED_HEADROOM = 0.5  # applies while the gradient is below 1; the full one would undo a small reduction
-RECOVERY_STEP = 0.25
+RECOVERY_STEP = 0.25  # attempts by which `SAMPLES_PER_UPDATE` healthy replies raise a low limit
 MIN_SHARED_LIMIT = 2.0  # below this limit no attempt is queued behind another
 
 
