--- a/glenchute/policy/connections/descriptor_budget.py
+++ b/glenchute/policy/connections/descriptor_budget.py
@@ -12,7 +12,7 @@
 # 3 standard streams, 11 for the event loop and client-close detection (including a spare one for rejecting
 # clients when no other is left), 1 listener, 3 discovery calls, 2 files, 2 unassigned.
 PROCESS_DESCRIPTORS = 22
-OPERATIONS_DESCRIPTORS = 9  # for the operations address and its connections, if one is configured
+OPERATIONS_DESCRIPTORS = 9  # reserved for the operations address and its connections, if it is configured
 MAX_OVERFLOW_CONNECTIONS = 16
 MIN_COUNTER_CONNECTIONS, MAX_COUNTER_CONNECTIONS = 2, 12
 
