--- a/glenchute/policy/connections/pipelining.py
+++ b/glenchute/policy/connections/pipelining.py
@@ -294,7 +294,9 @@
         connection = self.connections.get(connection_id)
         if connection is None:
             return
-        connection.attempts = deque(one for one in connection.attempts if one.attempt_id != attempt_id)
+        connection.attempts = deque(
+            attempt for attempt in connection.attempts if attempt.attempt_id != attempt_id
+        )
         if not connection.attempts:
             connection.is_marked_stalled = False
         self._on_attempt_removed(now_ms, connection)
