--- a/glenchute/policy/connections/placement_choice.py
+++ b/glenchute/policy/connections/placement_choice.py
@@ -132,7 +132,7 @@
             connection = server.connections[connection_id]
             if self.stalls.is_stalled(now_ms, connection):
                 continue
-            # The attempts ahead are gone by the hold bound, so this one never times out behind another.
+            # The attempts ahead have ended by the hold bound, so this one never times out behind another.
             if self.blocked_until_ms(now_ms, connection, request) <= hold_bound_ms:
                 found.append(JoinCandidate(connection, hold_bound_ms))
                 if len(found) == MAX_CANDIDATES:
