--- a/glenchute/policy/connections/response_forecast.py
+++ b/glenchute/policy/connections/response_forecast.py
@@ -87,6 +87,6 @@
     probability = own.probability_within(time_ms)
     if probability > 0.0:
         for remaining, attempts in ahead_times:
-            one = remaining.probability_within(time_ms)
-            probability *= one if attempts == 1 else one**attempts
+            each = remaining.probability_within(time_ms)
+            probability *= each if attempts == 1 else each**attempts
     return probability
