--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -169,7 +169,8 @@
         pacing = self.quota.counter.pacing
         health = pacing.monitor.state(now_ms)
         is_suspect = health in (CounterHealth.REPLACED, CounterHealth.SPLIT)
-        most_servers_fail = self.pool.outliers.median_failure_rate > 0.2  # as of the last tick
+        # The median failure rate is that of the last tick; `update_health` below updates it.
+        most_servers_fail = self.pool.outliers.median_failure_rate > 0.2
         states = {
             "counter mute": self.settings.has_counter and pacing.is_unavailable,
             "calls to the counter slowed": pacing.call_fraction < 0.5,
