--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -115,8 +115,8 @@
         during a stall of this process is ignored."""
         pending = attempt.pending
         is_valid = attempt.sent_ms >= self.resumed_ms
-        seen = event if is_valid else replace(event, outcome=Outcome.CANCELLED)
-        self.pool.record_end(now_ms, seen, pending.request_class, pending.request.units)
+        recorded = event if is_valid else replace(event, outcome=Outcome.CANCELLED)
+        self.pool.record_end(now_ms, recorded, pending.request_class, pending.request.units)
         if pending.tenant is not None:
             self.quota.record_attempt_end(pending.tenant, event.duration_ms, is_valid)
         backlog = self.shedder.backlog
