--- a/glenchute/policy/services/queue_delay.py
+++ b/glenchute/policy/services/queue_delay.py
@@ -5,8 +5,8 @@
 
 import math
 
-STANDING_LIMIT_MS = 5.0
-BURST_LIMIT_MS = 100.0
+STANDING_LIMIT_MS = 5.0  # longest wait in a standing queue
+BURST_LIMIT_MS = 100.0  # longest wait in a queue that holds a burst
 
 
 class QueueDelayLimit:
