--- a/glenchute/policy/services/request_mapping.py
+++ b/glenchute/policy/services/request_mapping.py
@@ -157,14 +157,13 @@
 
     sources: Mapping[str, str]
     operations: tuple[Operation, ...]
-    needs_key_by_class: Mapping[str, bool]  # by class: whether its requests need an idempotency key
+    needs_key_by_class: Mapping[str, bool]  # whether a class's requests need an idempotency key
     plans: tuple[str, ...]
     gateway_count: int
     max_units: float = 1e6
     parsed_sources: Mapping[str, tuple[str, str]] = field(init=False, repr=False, compare=False)
-    used_headers: frozenset[str] = field(
-        init=False, repr=False, compare=False
-    )  # names of the headers that the rules read
+    # Names of the headers that the rules read.
+    used_headers: frozenset[str] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
         """Parses the sources once."""
