--- a/glenchute/simulator.py
+++ b/glenchute/simulator.py
@@ -149,7 +149,8 @@
         arguments += [None] * (count - len(arguments))
         if kind == "directory":
             # Of several rows with the same address the last one applies.
-            by_address = {one.address: one for one in map(decode_endpoint, arguments[1])}
+            endpoints = map(decode_endpoint, arguments[1])
+            by_address = {endpoint.address: endpoint for endpoint in endpoints}
             self.endpoint_lists[int(arguments[0])] = tuple(by_address.values())
             return None
         gateway = int(arguments[0])
