--- a/glenchute/config/platform.py
+++ b/glenchute/config/platform.py
@@ -102,7 +102,7 @@
         raise EndpointListError("the settings have no classes or no plans")
     descriptors = int(number(table(raw, "limits").get("sockets"), DEFAULT_DESCRIPTORS))
     if descriptors < MIN_DESCRIPTORS:
-        raise EndpointListError(f"{descriptors} sockets are too few")
+        raise EndpointListError(f"limits.sockets is {descriptors}; at least {MIN_DESCRIPTORS} are needed")
     operations = raw.get("operator") or environ.get("EDGE_OPERATOR")
     budget = divide_descriptors(descriptors, bool(operations))
     return PlatformConfig(
