--- a/glenchute/policy/membership/leases.py
+++ b/glenchute/policy/membership/leases.py
@@ -375,7 +375,7 @@
         return "names a voter twice"
     count = len(acceptors)
     if not MIN_ACCEPTORS <= count <= MAX_ACCEPTORS:
-        return f"has {count} voters; 3 to 9 decide"
+        return f"has {count} voters; write {MIN_ACCEPTORS} to {MAX_ACCEPTORS}"
     if count % 2 == 0 and not changing:
         why = f"has {count} voters, which tolerate no more failures than {count - 1}; use an odd number"
         return f"{why}, or set changing = true while voters are replaced"
