--- a/glenchute/capture/replay.py
+++ b/glenchute/capture/replay.py
@@ -113,7 +113,7 @@
             notes.append(f"records {expected_index} to {segment.header.at} are missing before {file.name}")
         if segment.truncation is not None:
             notes.append(
-                f"{file.name} is sure up to byte {segment.truncation.offset}: {segment.truncation.reason}"
+                f"{file.name} is readable up to byte {segment.truncation.offset}: {segment.truncation.reason}"
             )
         expected_index = segment.header.at + len(segment.records)
         yield segment
@@ -147,7 +147,7 @@
         elif self.use_snapshots and (not is_continued or self.report.fault_count):
             self.engine = snapshot.load(header.snapshot, header.format)
         elif not is_continued:
-            note = f"{segment.file.name} begins mid-life and can't be replayed by another version"
+            note = f"{segment.file.name} begins with a snapshot, which another engine version can't load"
             self.report.notes.append(note)
             return False
         self.next_index = header.at
