--- a/tests/policy/connections/test_descriptor_budget.py
+++ b/tests/policy/connections/test_descriptor_budget.py
@@ -224,8 +224,11 @@
         more idle client connections than there are slots."""
         budget = divide_descriptors(self.descriptors)
         request_count = min(24, budget.server_connections)
-        clients = [await Client.connect(self.gateway.port) for _ in range(request_count)]
-        for number, client in enumerate(clients):
+        clients: list[Client] = []
+        for number in range(request_count):
+            # Connected just before its request: a connection without a command is closed after about 1 s.
+            client = await Client.connect(self.gateway.port)
+            clients.append(client)
             client.send(b"CALL.GET", b"%016x" % (7000 + number), next(self.request_ids), GET)
             await wait_until(lambda: sum(len(peer.calls()) for peer in self.servers) > number)  # noqa: B023
         self.may_answer.set()
