--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -16,7 +16,7 @@
 
 from glenchute.control.client import ControlError, call_verb
 from lab.coldstart import ListService
-from lab.counter import PartitionedCounter, Parts
+from lab.counter import CounterPartitions, PartitionedCounter
 from lab.links import DatagramLink, StreamLink
 from lab.load import Account, Load, Outcome, RequestKind
 from lab.nodes import Node, ServiceProfile
@@ -43,8 +43,8 @@
         self.settings = {**(settings or SETTINGS), "balancers": gateways}
         self.calls_per_s = lists
         self.lists: ListService | None = None
-        self.parts = Parts(1)
-        self.counter = PartitionedCounter(self.parts)
+        self.counter_partitions = CounterPartitions(1)
+        self.counter = PartitionedCounter(self.counter_partitions)
         nodes = [
             Node(f"s{i}", ServiceProfile({"report-read": 4.0, "check-charge": 4.0}, slots=32))
             for i in range(3)
--- a/lab/services.py
+++ b/lab/services.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from lab.counter import Memory
+from lab.counter import ExpiringTotals
 from lab.faults import FaultKind, FaultScript
 from lab.peers import Peer, http_response, read_commands
 
@@ -27,7 +27,7 @@
     def __init__(self, script: FaultScript | None = None) -> None:
         super().__init__()
         self.script = script or FaultScript()
-        self.memory = Memory()
+        self.totals = ExpiringTotals()
         self.began = 0.0
         self.calls = 0
 
@@ -37,7 +37,7 @@
 
     def forget(self) -> None:
         """Deletes all totals."""
-        self.memory = Memory()
+        self.totals = ExpiringTotals()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
@@ -61,7 +61,7 @@
                 writer.write(b"-BUSY\r\n")
                 continue
             name = words[1].decode("latin-1")
-            total = self.memory.add(1000.0 * loop.time(), name, float(words[2]), int(words[3]))
+            total = self.totals.add(1000.0 * loop.time(), name, float(words[2]), int(words[3]))
             if kind is FaultKind.VANISH:
                 await asyncio.Event().wait()
             if kind is FaultKind.DELAY and fault is not None:
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -188,8 +188,8 @@
         elif kind == "stopped":
             self.stop(self.network_rng.randrange(count), span_ms)
         elif kind == "counter gone":
-            self.parts.kill()
-            self.at(span_ms, self.parts.replace)
+            self.counter_partitions.kill()
+            self.at(span_ms, self.counter_partitions.replace)
         else:
             super().start_fault(kind, node, size, span_ms)
 
@@ -212,7 +212,7 @@
     and the admitted units as a fraction of those that the quota allows.
     """
     world = (MembersWorld if members else World)(seed, gateways, 6)
-    world.parts.kill()
+    world.counter_partitions.kill()
     world.run(8000.0)
     plan = world.settings.plans[0]
     if split and isinstance(world, MembersWorld):
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -532,7 +532,7 @@
             has_counter=True, counter_timeout_ms=day.site.timeout_ms,
         )  # fmt: skip
         super().__init__(seed, day.gateways, 40, self.module, settings=settings)
-        self.parts.slow(COUNTER_LATENCY_MS)
+        self.counter_partitions.slow(COUNTER_LATENCY_MS)
         if "clocks" in exact:
             self.skew = [0.0] * day.gateways
         self.books.began, self.books.warm = self.now, self.now + WARM_MS
@@ -563,8 +563,8 @@
 
     def total(self, name: int) -> float:
         """Returns the counter's total for a key."""
-        part = self.parts.parts[self.parts.part_of(str(name))]
-        return part.memory.names.get(str(name), (0.0, 0.0))[0]
+        partition = self.counter_partitions.items[self.counter_partitions.index_of(str(name))]
+        return partition.totals.entries.get(str(name), (0.0, 0.0))[0]
 
     def add_at_counter(self, key: str, units: float) -> None:
         """Records units that have reached the counter."""
@@ -574,10 +574,10 @@
 
     def remove_units(self, key: str, name: int, units: float) -> None:
         """Removes units from the counter's total without a call."""
-        part = self.parts.parts[self.parts.part_of(str(name))]
-        if str(name) in part.memory.names:
-            total, until = part.memory.names[str(name)]
-            part.memory.names[str(name)] = total - units, until
+        partition = self.counter_partitions.items[self.counter_partitions.index_of(str(name))]
+        if str(name) in partition.totals.entries:
+            total, expires_at_ms = partition.totals.entries[str(name)]
+            partition.totals.entries[str(name)] = total - units, expires_at_ms
             self.add_at_counter(key, -units)
 
     def units_not_at_counter(self, key: str, number: int) -> float:
@@ -669,7 +669,7 @@
                 late = self.loss_rng.uniform(0.0, MAX_LATE_TIMEOUTS) * timeout
                 self.at(late, self.add_late, number, incarnation, call, began, row)
             elif loss_draw < (1.0 - 0.5 * UNANSWERED_FRACTION) * self.lost:
-                self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+                self.counter_partitions.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
                 self.add_at_counter(key, amount)
             return
         self.add_at_counter(key, amount)
@@ -686,7 +686,7 @@
         row: tuple[str, float, float],
     ) -> None:
         """Applies a late call at the counter and replies after the timeout."""
-        told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+        told = self.counter_partitions.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         self.add_at_counter(row[0], row[1])
         self.unacknowledged_units[number, call.key] += call.amount
         left = max(NET_MS, began + self.day.site.timeout_ms + NET_MS - self.now)
--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -98,8 +98,8 @@
         elif kind == "all hung":
             self.set_all_nodes(span_ms, "hung", True, False)
         elif kind == "counter gone":
-            self.parts.kill()
-            self.at(span_ms, self.parts.replace)
+            self.counter_partitions.kill()
+            self.at(span_ms, self.counter_partitions.replace)
         elif kind == "list empty":
             for number in range(len(self.modules)):
                 back = (number, self.incarnation[number], EndpointListKind.FULL)
@@ -127,9 +127,9 @@
     def heal(self) -> None:
         """Ends all faults."""
         self.unrouted_gateways.clear()
-        self.parts.heal()
-        self.parts.revive()
-        self.parts.slow(0.0)
+        self.counter_partitions.heal()
+        self.counter_partitions.revive()
+        self.counter_partitions.slow(0.0)
         for node in self.nodes.values():
             node.slow, node.hung, node.errors, node.resets, node.alive = 1.0, False, 0.0, 0.0, True
             node.state, node.started_ms = EndpointState.ACTIVE, 0.0
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -124,17 +124,17 @@
         case "burst":
             world.load(span / 2.0, 250.0)
         case "counter killed":
-            world.parts.kill(fault.which % 2)
-            world.at(span, world.parts.replace, fault.which % 2)
+            world.counter_partitions.kill(fault.which % 2)
+            world.at(span, world.counter_partitions.replace, fault.which % 2)
         case "counter replaced":
             for step in range(1 + fault.which % 20):
-                world.at(step * span / 20.0, world.parts.replace)
+                world.at(step * span / 20.0, world.counter_partitions.replace)
         case "counter split":
-            world.parts.split([f"g{i}" for i in range(count // 2)], fault.which % 2 == 0)
-            world.at(span, world.parts.heal)
+            world.counter_partitions.split([f"g{i}" for i in range(count // 2)], fault.which % 2 == 0)
+            world.at(span, world.counter_partitions.heal)
         case "counter slow":
-            world.parts.slow(20.0 + 200.0 * fault.size)
-            world.at(span, world.parts.slow, 0.0)
+            world.counter_partitions.slow(20.0 + 200.0 * fault.size)
+            world.at(span, world.counter_partitions.slow, 0.0)
         case "cold in a rush":  # nodes restart under a load whose even share overloads them
             warm = 240.0 * len(world.nodes)
             world.load(2500.0, (0.6 + 0.2 * fault.size) * warm, ("wide",))
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -31,7 +31,7 @@
     TimerFired,
 )
 from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
-from lab.counter import Parts
+from lab.counter import CounterPartitions
 
 MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
 GRACE_MS = 250.0
@@ -148,7 +148,7 @@
         self.event_queue: list[tuple[float, float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.nodes = {f"s{i}": Node(f"s{i}", "ab"[i % 2]) for i in range(nodes)}
         self.node_serial = itertools.count(nodes)
-        self.parts = Parts(2)
+        self.counter_partitions = CounterPartitions(2)
         self.skew = [self.rng.uniform(0.0, 50.0) for _ in range(gateways)]
         self.incarnation = [0] * gateways
         self.alive = [True] * gateways
@@ -292,7 +292,7 @@
 
     def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """Applies a call at the counter and schedules its reply."""
-        told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+        told = self.counter_partitions.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         if told is None or told[1] + 2 * NET_MS > COUNT_TIMEOUT_MS:
             reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNT_TIMEOUT_MS)
             self.at(began + COUNT_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -101,7 +101,7 @@
             assert (
                 checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
             )
-            site.parts.replace()  # the counter is replaced by an empty one
+            site.counter_partitions.replace()  # the counter is replaced by an empty one
             for link in site.to_counter:
                 link.cut(cut=False)
                 link.reset()
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -10,7 +10,7 @@
 
 from glenchute.config.policy_settings import policy_settings
 from glenchute.policy.admission.quota_bounds import ceiling_overshoot_units, overshoot_bound
-from lab.counter import PartitionedCounter, Parts
+from lab.counter import CounterPartitions, PartitionedCounter
 from lab.load import Account, Load, RequestKind
 from lab.nodes import Node, ServiceProfile
 from lab.peers import run_scenario
@@ -33,20 +33,20 @@
     return -lowest
 
 
-async def inject_faults(parts: Parts) -> None:
+async def inject_faults(partitions: CounterPartitions) -> None:
     """Kills, splits, heals and replaces the counter, one after the other."""
     await asyncio.sleep(1.2)
-    parts.replace()
+    partitions.replace()
     await asyncio.sleep(0.6)
-    parts.split(["g0"], empty=True)
+    partitions.split(["g0"], empty=True)
     await asyncio.sleep(1.2)
-    parts.heal()
+    partitions.heal()
     await asyncio.sleep(0.5)
-    parts.kill()
+    partitions.kill()
     await asyncio.sleep(0.8)
-    parts.replace()
+    partitions.replace()
     await asyncio.sleep(0.5)
-    parts.replace(0)
+    partitions.replace(0)
 
 
 def test_a_flood_stays_under_its_ceiling_while_the_counter_is_killed_and_split(tmp_path: Path) -> None:
@@ -58,8 +58,8 @@
         plan_settings.update(
             per_second=40.0, most_at_once=60.0, ceiling_rate=40.0, hard_burst=80.0, ceiling_slack=8.0
         )
-        parts = Parts(2)
-        counters = [PartitionedCounter(parts, lambda _, name=f"g{i}": name) for i in range(GATEWAYS)]  # type: ignore[misc]
+        partitions = CounterPartitions(2)
+        counters = [PartitionedCounter(partitions, lambda _, name=f"g{i}": name) for i in range(GATEWAYS)]  # type: ignore[misc]
         nodes = [Node(f"n{i}", ServiceProfile({"report-read": 4.0}, slots=64)) for i in range(3)]
         account = Account(b"%016x" % 77, "korporativni", more=f",spread={GATEWAYS},first=0")
         async with LabSite(nodes) as lab:
@@ -80,7 +80,7 @@
                     Load(lambda port=gateway.port: port, [READ], [account], RATE, number)  # type: ignore[misc]
                     for number, gateway in enumerate(gateways)
                 ]
-                await asyncio.gather(inject_faults(parts), *(load.run(SECONDS) for load in loads))
+                await asyncio.gather(inject_faults(partitions), *(load.run(SECONDS) for load in loads))
             finally:
                 statuses = await asyncio.gather(*(gateway.stop() for gateway in gateways))
                 for counter in counters:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -27,7 +27,7 @@
     TimerFired,
 )
 from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
-from lab.counter import Parts
+from lab.counter import CounterPartitions
 
 TIMEOUT_MS = 50.0
 NET_MS = 1.0
@@ -74,7 +74,7 @@
 
     gateways: int
     seed: int
-    parts: int = 2
+    partition_count: int = 2
     skew_ms: float = 0.0
     make: Callable[[Settings, int], Any] = DecisionEngine
     reset_share: float = 0.0  # share of counter calls that are added but answered with a reset or an error
@@ -85,7 +85,7 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.counter = Parts(self.parts)
+        self.counter = CounterPartitions(self.partition_count)
         self.now = 1_000_000.0
         self.order = itertools.count()
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -43,7 +43,7 @@
 
 def part_lost(fleet: Fleet, rng: random.Random) -> None:
     """One part of the counter dies and comes back empty; the other parts keep running."""
-    which = rng.randrange(fleet.parts)
+    which = rng.randrange(fleet.partition_count)
     fleet.at(fleet.now + 1500.0, fleet.counter.kill, which)
     fleet.at(fleet.now + 1500.0 + rng.uniform(50.0, 3000.0), fleet.counter.replace, which)
 
@@ -66,8 +66,8 @@
 def late(fleet: Fleet, rng: random.Random) -> None:
     """The counter adds the calls, but replies after their timeout or never."""
     fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.slow, rng.uniform(30.0, 400.0))
-    fleet.at(fleet.now + 3000.0, fleet.counter.deafen, True)
-    fleet.at(fleet.now + 4000.0, fleet.counter.deafen, False)
+    fleet.at(fleet.now + 3000.0, fleet.counter.drop_replies, True)
+    fleet.at(fleet.now + 4000.0, fleet.counter.drop_replies, False)
 
 
 def flapping(fleet: Fleet, rng: random.Random) -> None:
@@ -184,7 +184,7 @@
 def test_a_restored_counter_costs_what_is_stated_for_it() -> None:
     fleet = Fleet(3, 11)
     fleet.run(fleet.now + 5000.0)
-    fleet.at(fleet.now + 1000.0, fleet.counter.keep)
+    fleet.at(fleet.now + 1000.0, fleet.counter.save)
     fleet.at(fleet.now + 1400.0, fleet.counter.restore)
     fleet.flood("bare", 120.0, 5.0, [1.0, 1.0, 1.0])
     fleet.run(fleet.now + 6000.0)
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -246,11 +246,11 @@
 
 
 def slow_counter(world: World) -> None:
-    world.parts.slow(45.0)
+    world.counter_partitions.slow(45.0)
 
 
 def unavailable_counter(world: World) -> None:
-    world.parts.kill()
+    world.counter_partitions.kill()
 
 
 @pytest.mark.parametrize("counter", [available_counter, slow_counter, unavailable_counter])
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -153,7 +153,7 @@
             rates = {0: 2.0, 1: 2.0, 2: 12.0}
             load = [asyncio.create_task(site.load(90.0, rate, accounts, [n])) for n, rate in rates.items()]
             await compared(6)
-            site.parts.replace()
+            site.counter_partitions.replace()
             await compared(6)
             assert not await is_reported("")
             site.to_counter[2].cut()
