--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -43,7 +43,7 @@
             if trouble == "slow":
                 for link in site.to_counter:
                     # Together with the delay of the request, about half of the replies are late.
-                    link.ways[1].delay_s = 0.045
+                    link.directions[1].delay_s = 0.045
             elif trouble != "sound":
                 for link in site.to_counter:
                     link.cut()
@@ -250,8 +250,8 @@
         async with FleetSite(Path(folder), count) as site:
             for link in site.links.values():
                 drawn = rng.random()
-                for way in link.ways:
-                    way.cut, way.lose = drawn < 0.1, 0.3 if drawn < 0.2 else 0.0
+                for direction in link.directions:
+                    direction.is_cut, direction.loss_fraction = drawn < 0.1, 0.3 if drawn < 0.2 else 0.0
             began = time.monotonic()
             for first in range(0, count, 10):
                 await site.start(every[first : first + 10])
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -235,7 +235,7 @@
     for version in versions:
         for name in ("s0", "s1", "s2"):
             row = Row(RowKind.SERVER, name, "", 10**9 + version, 2.0)
-            site.links[0, 1].send_as(1, encode("lab", "g1", boot, Delta(((row, 0),))))
+            site.links[0, 1].forge(1, encode("lab", "g1", boot, Delta(((row, 0),))))
 
 
 def test_a_peer_that_removes_all_servers_by_gossip_is_overruled(tmp_path: Path) -> None:
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -154,7 +154,7 @@
             link = site.links[0, 1]
             rng = random.Random(3)
             for size in (1, 900, 60_000):
-                link.send_as(1, rng.randbytes(size))
+                link.forge(1, rng.randbytes(size))
             site.send_signal(1, signal.SIGSTOP)
             await site.until(lambda: has_state(site, 0, "g1", "suspect"))
             site.send_signal(1, signal.SIGCONT)
@@ -189,8 +189,8 @@
         async with FleetSite(tmp_path, 5) as site:
             await start_members(site)
             for link in site.links.values():
-                for way in link.ways:
-                    way.lose, way.repeat, way.jitter_s = 0.2, 0.1, 0.03
+                for direction in link.directions:
+                    direction.loss_fraction, direction.duplicate_fraction, direction.jitter_s = 0.2, 0.1, 0.03
             load = asyncio.create_task(site.load(8.0, 12.0, OTHER_ACCOUNTS, [0, 1], CHARGE_KINDS))
             for number in (2, 3, 4):  # no load is sent to these: a load balancer has removed them
                 site.send_signal(number, signal.SIGTERM)
@@ -209,8 +209,8 @@
             for number in GATEWAYS:
                 await site.until(lambda number=number: site.whole([number], 1.0), 60.0)  # type: ignore[misc]
             for link in site.links.values():
-                for way in link.ways:
-                    way.lose, way.repeat, way.jitter_s = 0.0, 0.0, 0.0
+                for direction in link.directions:
+                    direction.loss_fraction, direction.duplicate_fraction, direction.jitter_s = 0.0, 0.0, 0.0
             await site.until(lambda: site.whole(GATEWAYS, 1.0))
 
     run_scenario(scenario())
@@ -279,7 +279,7 @@
 
 
 def test_successive_faults_among_six(tmp_path: Path) -> None:
-    """A one-way cut, a flapping member, one that can't catch up, and all but one killed at once."""
+    """A one-direction cut, a flapping member, one that can't catch up, and all but one killed at once."""
     gateways = range(6)
 
     async def scenario() -> None:
@@ -337,8 +337,8 @@
             # All links of g4 are slow.
             for (one, other), member_link in site.links.items():
                 if 4 in (one, other):
-                    for way in member_link.ways:
-                        way.delay_s, way.jitter_s = 0.4, 0.2
+                    for direction in member_link.directions:
+                        direction.delay_s, direction.jitter_s = 0.4, 0.2
             started_at = asyncio.get_running_loop().time()
             while asyncio.get_running_loop().time() < started_at + 2.0:
                 assert "member=g4 now=dead" not in site.gateways[0].log.read_text()
@@ -349,10 +349,10 @@
             used = Row(RowKind.USE, f"{ACCOUNT.customer.decode()}/{10**9}", "g1#1", 9, 1e11)
             removed = Row(RowKind.SERVER, "s2", "", 10**9, 2.0)
             for fleet, false_row in (("lab", used), ("lab", removed), ("other", removed)):
-                site.links[0, 1].send_as(1, encode(fleet, "g1", boot, Delta(((false_row, 0),))))
+                site.links[0, 1].forge(1, encode(fleet, "g1", boot, Delta(((false_row, 0),))))
             # Usage of g1, and of an earlier process of g0.
             entries = tuple(UsageEntry(used.key, 9, used.value, boot_of) for boot_of in (0, 7))
-            site.links[0, 1].send_as(1, encode("lab", "g1", boot, UsageMessage(1 << 40, True, True, entries)))
+            site.links[0, 1].forge(1, encode("lab", "g1", boot, UsageMessage(1 << 40, True, True, entries)))
             await site.until(lambda: has_dropped(site, 0, "dropped_fleet"))
 
             # g3 is stopped until it is declared dead, and goes on with outdated state.
@@ -372,7 +372,7 @@
             await site.until(lambda: site.whole([1, 2, 3], 0.8))
 
             final_load = asyncio.create_task(site.load(1.5, 20.0, OTHER_ACCOUNTS, [1]))
-            while not site.links[1, 2].ways[0].passed:
+            while not site.links[1, 2].directions[0].delivered_count:
                 await asyncio.sleep(0.01)
             outcomes += await final_load
             site.send_signal(1, signal.SIGTERM)  # while it exchanges messages with all others
