--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -127,8 +127,8 @@
 class TimedNode(Node):
     """Server that records how long it took for each command."""
 
-    def __init__(self, name: str, trade: ServiceProfile) -> None:
-        super().__init__(name, trade)
+    def __init__(self, name: str, profile: ServiceProfile) -> None:
+        super().__init__(name, profile)
         self.took: dict[bytes, float] = {}  # ms, by request id
 
     async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -181,8 +181,8 @@
 async def play(number: int, seconds: float, rate: float) -> Row:
     """Plays one scene."""
     scene = SCENES[number]
-    trade = ServiceProfile({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
-    nodes = [(Trickling if i < scene.trickling else Node)(f"n{i}", trade) for i in range(NODES)]
+    profile = ServiceProfile({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
+    nodes = [(Trickling if i < scene.trickling else Node)(f"n{i}", profile) for i in range(NODES)]
     rss, descriptors = 0.0, 0
     plans = [plan | ROOM for plan in SETTINGS["packages"]]
     async with LabSite(nodes) as site:
--- a/benchmarks/pipelining.py
+++ b/benchmarks/pipelining.py
@@ -85,8 +85,8 @@
 async def play(cell: Cell) -> Row:
     """Plays one cell."""
     histogram = HdrHistogram(1, 60_000_000, 3)  # microseconds
-    trade = ServiceProfile({"report-read": SERVICE_MS}, slots=64, queue=1000)
-    nodes = [Node(f"n{i}", trade, FaultScript(rows, i)) for i, rows in enumerate(faults(cell.stall))]
+    profile = ServiceProfile({"report-read": SERVICE_MS}, slots=64, queue=1000)
+    nodes = [Node(f"n{i}", profile, FaultScript(rows, i)) for i, rows in enumerate(faults(cell.stall))]
     most = 0
     async with LabSite(nodes) as site:
         with tempfile.TemporaryDirectory() as folder:
@@ -99,16 +99,16 @@
                 warm = BurstLoad(gateway.port, OFFERED, lambda ms: None, seed=9)
                 await warm.run(2.0)
                 for node in nodes:
-                    node.began = asyncio.get_running_loop().time()
+                    node.started_at = asyncio.get_running_loop().time()
                 load = BurstLoad(gateway.port, cell.load * OFFERED,
                               lambda ms: histogram.record_value(max(1, int(1000 * ms))))  # fmt: skip
                 before = cpu_s(gateway.process.pid)
                 running = asyncio.create_task(load.run(cell.seconds))
                 while not running.done():
-                    most = max(most, sum(node.links for node in nodes))
+                    most = max(most, sum(node.open_connections for node in nodes))
                     await asyncio.sleep(0.05)
                 await running
-                held = sum(node.links for node in nodes)
+                held = sum(node.open_connections for node in nodes)
                 used = cpu_s(gateway.process.pid) - before
             finally:
                 await gateway.stop()
@@ -140,8 +140,8 @@
 async def run_closed_load(depth: int, seconds: float) -> Depth:
     """Runs a closed load that keeps `depth` requests in flight on each of the gateway's 19 connections to two
     fast nodes. Depth 0 is the mode with exclusive connections, one request in flight on each."""
-    trade = ServiceProfile({"report-read": 2.0}, slots=1000, queue=10_000)
-    nodes = [Node(f"n{i}", trade) for i in range(2)]
+    profile = ServiceProfile({"report-read": 2.0}, slots=1000, queue=10_000)
+    nodes = [Node(f"n{i}", profile) for i in range(2)]
     in_flight = 19 * max(1, depth)
     answered = 0
     async with LabSite(nodes) as site:
@@ -173,10 +173,10 @@
                 before, first = cpu_s(gateway.process.pid), answered
                 await asyncio.sleep(seconds)
                 used, count = cpu_s(gateway.process.pid) - before, answered - first
-                held = sum(node.links for node in nodes)
+                held = sum(node.open_connections for node in nodes)
                 await asyncio.gather(*tasks)
-                segments = sum(node.segments for node in nodes)
-                commands = sum(node.received for node in nodes)
+                segments = sum(node.read_count for node in nodes)
+                commands = sum(node.received_count for node in nodes)
             finally:
                 await gateway.stop()
     return Depth(depth, not depth, 1e6 * used / max(1, count), count / seconds,
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -120,7 +120,7 @@
             gateway.start()
         await asyncio.gather(*(gateway.ready() for gateway in pair.gateways))
         for node in nodes:
-            node.began = asyncio.get_running_loop().time()
+            node.started_at = asyncio.get_running_loop().time()
         await trouble(pair)
         answers = await asyncio.gather(pair.load(0, after_s, rate), pair.load(1, after_s, rate))
         figures = []
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -106,7 +106,7 @@
     async with LabSite(nodes) as site, ready_gateway(site, operator) as gateway:
         load = Load(lambda: gateway.port, KINDS[:1], accounts(), RATE / 2, 5)
         await load.run(seconds)
-    return len(load.outcomes), sum(node.received for node in nodes)
+    return len(load.outcomes), sum(node.received_count for node in nodes)
 
 
 def full_routes(classes: Sequence[str], plans: Sequence[str], wrong: bool = False) -> str:
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -165,8 +165,13 @@
                 outcomes_all = [outcome for load in loads for outcome in load.outcomes]
                 took = sorted(outcome.took_ms for outcome in outcomes_all if outcome.answer == "served")
                 nodes = herd.site.nodes  # no two gateways share an account
-                gateway_counts = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in nodes]
-                made, most = sum(node.made for node in nodes), max(node.peak_connections for node in nodes)
+                gateway_counts = [
+                    len({int(effect.account_id, 16) // 1000 for effect in node.effects}) for node in nodes
+                ]
+                made, most = (
+                    sum(node.accepted_connections for node in nodes),
+                    max(node.peak_connections for node in nodes),
+                )
                 which = "4 each" if operator else "all"
                 print(f"{count} processes of {rate:.0f} a second, {servers} servers, {which}: {made} "
                       f"connections made, {most} at most at once at a server, "
--- a/glenchute/cli/demo.py
+++ b/glenchute/cli/demo.py
@@ -82,7 +82,7 @@
             try:
                 await gateway.ready()
                 for node in site.nodes:
-                    node.began = loop.time()  # the start time of the fault schedule
+                    node.started_at = loop.time()  # the start time of the fault schedule
                 load = Load(lambda: gateway.port, KINDS, accounts(), rate, seed)
                 print(f"{NODES} nodes, one gateway on 127.0.0.1:{gateway.port}, {rate:g} requests a second")
                 begin, end = seconds / 3, 2 * seconds / 3
@@ -104,7 +104,7 @@
         counts = {answer: sum(1 for o in load.outcomes if o.answer == answer) for answer in ANSWERS}
         summary = "  ".join(f"{answer} {count}" for answer, count in counts.items())
         line = f"{asyncio.get_running_loop().time() - began:5.1f} s  {summary}"
-        per_node = " ".join(f"{node.name}:{node.inflight}" for node in site.nodes)
+        per_node = " ".join(f"{node.name}:{node.running_count}" for node in site.nodes)
         print(
             f"\r{line}  in work {per_node}   " if is_terminal else line,
             end="" if is_terminal else "\n",
@@ -140,7 +140,7 @@
         ]
         print(f"{kind.class_name:14}" + "".join(f"{figure:9.0f}" for figure in figures))
     forwarded = sum(1 for o in load.outcomes if o.answer in ("served", "failed"))
-    received = sum(node.received for node in site.nodes)
+    received = sum(node.received_count for node in site.nodes)
     twice = site.charged_twice()
     print(f"attempts per request sent on: {received / max(1, forwarded):.2f}")
     print(f"charges run twice: {twice}; answers lost: {lost}; the gateway's exit status: {status}"
--- a/lab/fleet/checks.py
+++ b/lab/fleet/checks.py
@@ -16,20 +16,27 @@
 
 def ran_twice(nodes: Sequence[Node], class_name: str) -> int:
     """Counts the requests of a class that ran more than once, by the nodes' records."""
-    runs = Counter(run.request_id for node in nodes for run in node.ran if run.class_name == class_name)
+    runs = Counter(
+        effect.request_id for node in nodes for effect in node.effects if effect.class_name == class_name
+    )
     return sum(count > 1 for count in runs.values())
 
 
 def refused_and_ran(nodes: Sequence[Node], outcomes: Sequence[Outcome]) -> int:
     """Counts the requests that were rejected and ran, although a rejection means that no attempt ran."""
-    ran = {run.request_id for node in nodes for run in node.ran}
+    ran = {effect.request_id for node in nodes for effect in node.effects}
     return sum(outcome.answer == "refused" and outcome.request_id in ran for outcome in outcomes)
 
 
 def overshoot(nodes: Sequence[Node], customer: bytes, rate: float, burst: float) -> float:
     """Returns the units by which a customer exceeded a bucket, by the nodes' records."""
-    moments = sorted(run.at + node.began for node in nodes for run in node.ran if run.customer == customer)
-    return passed([(at, 1.0) for at in moments], rate, burst)
+    times = sorted(
+        effect.at + node.started_at
+        for node in nodes
+        for effect in node.effects
+        if effect.account_id == customer
+    )
+    return passed([(at, 1.0) for at in times], rate, burst)
 
 
 def passed(taken: Iterable[tuple[float, float]], rate: float, burst: float) -> float:
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -1,8 +1,8 @@
 """Stand-in server of the platform's protocol that records what ran and fails according to a script.
 
 It runs `slots` commands at once and queues up to `queue` more; further commands are rejected without running.
-A repeat of an idempotency key within `memory_s` is answered as the first command was and has no effect.
-Pipelined commands start at once, up to `streams` per connection, and are answered in order.
+A repeat of an idempotency key within `idempotency_window_s` is answered as the first command was and has no
+effect. Pipelined commands start at once, up to `max_pipelined` per connection, and are answered in order.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     at: float
     class_name: str
-    customer: bytes
+    account_id: bytes
     request_id: bytes
     key: bytes | None
 
@@ -44,62 +44,62 @@
     service_ms: Mapping[str, float]
     slots: int = 8
     queue: int = 64
-    memory_s: float = 2.5  # how long an idempotency key is remembered
-    streams: int = 32  # commands in progress on one connection
-    keyed: frozenset[str] = frozenset({"check-order"})  # classes whose repeats are dropped by key
+    idempotency_window_s: float = 2.5  # how long an idempotency key is remembered
+    max_pipelined: int = 32  # commands in progress on one connection
+    keyed_classes: frozenset[str] = frozenset({"check-order"})  # classes whose repeats are dropped by key
 
 
 class Node(Peer):
     """A stand-in server."""
 
-    def __init__(self, name: str, trade: ServiceProfile, script: FaultScript | None = None) -> None:
+    def __init__(self, name: str, profile: ServiceProfile, script: FaultScript | None = None) -> None:
         super().__init__()
-        self.name, self.trade, self.script = name, trade, script or FaultScript()
-        self.began = 0.0
-        self.ran: list[Effect] = []
-        self.received = 0  # complete and valid commands
+        self.name, self.profile, self.script = name, profile, script or FaultScript()
+        self.started_at = 0.0
+        self.effects: list[Effect] = []
+        self.received_count = 0  # complete and valid commands
         self.rejected_count = 0
-        self.links = self.peak_connections = self.made = (
-            0  # connections: open now, most open at once, total accepted
-        )
-        self.segments = 0  # reads from all connections
-        self.inflight = self.waiting = 0
-        self.free = asyncio.Semaphore(trade.slots)
-        self.running: set[asyncio.Task[bytes | None]] = set()
-        self.keys: dict[bytes, float] = {}  # when each key last ran
-        self.order: deque[bytes] = deque()
+        self.open_connections = 0
+        self.peak_connections = 0  # most open at once
+        self.accepted_connections = 0  # since the start
+        self.read_count = 0  # reads from all connections
+        self.running_count = self.queued_count = 0  # commands
+        self.free_slots = asyncio.Semaphore(profile.slots)
+        self.tasks: set[asyncio.Task[bytes | None]] = set()
+        self.key_times: dict[bytes, float] = {}  # time of the last effect of each key
+        self.key_order: deque[bytes] = deque()  # oldest key first
 
     async def start(self, port: int = 0) -> None:
-        self.began = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
         await super().start(port)
 
-    def age(self) -> float:
+    def uptime_s(self) -> float:
         """Returns the seconds since the start."""
-        return asyncio.get_running_loop().time() - self.began
+        return asyncio.get_running_loop().time() - self.started_at
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.script.fault(self.age(), (FaultKind.DOWN,)) is not None:
+        if self.script.fault(self.uptime_s(), (FaultKind.DOWN,)) is not None:
             writer.transport.abort()
             return
-        replies: asyncio.Queue[asyncio.Task[bytes | None]] = asyncio.Queue(self.trade.streams)
+        replies: asyncio.Queue[asyncio.Task[bytes | None]] = asyncio.Queue(self.profile.max_pipelined)
         writing = asyncio.create_task(self.write_in_order(replies, writer))
         self.serving.add(writing)
         writing.add_done_callback(self.serving.discard)
         parser = hiredis.Reader()
-        self.links += 1
-        self.made += 1
-        self.peak_connections = max(self.peak_connections, self.links)
+        self.open_connections += 1
+        self.accepted_connections += 1
+        self.peak_connections = max(self.peak_connections, self.open_connections)
         try:
             while data := await reader.read(65536):
-                self.segments += 1
+                self.read_count += 1
                 parser.feed(data)
-                while (words := parser.gets()) is not False:
-                    task = asyncio.create_task(self.answer(words, writer))
-                    self.running.add(task)  # the command completes even if its connection ends
-                    task.add_done_callback(self.running.discard)
+                while (command := parser.gets()) is not False:
+                    task = asyncio.create_task(self.answer(command, writer))
+                    self.tasks.add(task)  # the command completes even if its connection ends
+                    task.add_done_callback(self.tasks.discard)
                     await replies.put(task)
         finally:
-            self.links -= 1
+            self.open_connections -= 1
             writing.cancel()
 
     async def write_in_order(
@@ -114,44 +114,49 @@
 
     async def stop(self) -> None:
         await super().stop()
-        for task in list(self.running):
+        for task in list(self.tasks):
             task.cancel()
 
-    async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        """Runs a command and returns its reply; None if the connection ended or sends nothing more."""
-        verb = words[0].upper()
+    async def answer(self, command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        """Handles a command and returns its reply; None if the connection ended or sends nothing more."""
+        verb = command[0].upper()
         if verb in (b"CLIENT", b"SELECT"):
             return b"+OK\r\n"
         if verb == b"PING":
             return b"+PONG\r\n"
         if verb not in (b"CALL.GET", b"CALL.POST"):
             return b"-ERR unknown command\r\n"
-        if not 4 <= len(words) <= 5 or FIELDS_PATTERN.fullmatch(words[3]) is None:
+        if not 4 <= len(command) <= 5 or FIELDS_PATTERN.fullmatch(command[3]) is None:
             return b"-SYNTAX\r\n"
-        fields = dict(part.split(b"=", 1) for part in words[3].split(b","))
+        fields = dict(part.split(b"=", 1) for part in command[3].split(b","))
         if b"c" not in fields or b"d" not in fields:
             return b"-SYNTAX\r\n"
-        self.received += 1
-        fault = self.script.fault(self.age(), [kind for kind in FaultKind if kind is not FaultKind.DOWN])
+        self.received_count += 1
+        fault = self.script.fault(self.uptime_s(), [kind for kind in FaultKind if kind is not FaultKind.DOWN])
         kind = fault.kind if fault is not None else None
-        if kind is FaultKind.REFUSE or self.waiting >= self.trade.queue:
+        if kind is FaultKind.REFUSE or self.queued_count >= self.profile.queue:
             self.rejected_count += 1
             return b"-BUSY\r\n"
         if kind is FaultKind.FAIL:
             return b"-ERR failed\r\n"
-        await self.work(words, fields)
+        await self.execute(command, fields)
         if kind is FaultKind.DELAY and fault is not None:
             await asyncio.sleep(fault.delay_s)
         if kind is FaultKind.FREEZE and fault is not None:
-            await asyncio.sleep(max(0.0, fault.to_s - self.age()))
+            await asyncio.sleep(max(0.0, fault.to_s - self.uptime_s()))
         if kind is FaultKind.RESET:
             writer.transport.abort()
             return None
         if kind is FaultKind.VANISH:
             await asyncio.Event().wait()  # until the server stops
-        value = b"report of " + words[2]
-        report = b"inflight=%d,queue=%d" % (self.inflight, self.waiting)
-        reply = b"*3\r\n$%d\r\n%b\r\n*-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
+        value = b"report of " + command[2]
+        load_report = b"inflight=%d,queue=%d" % (self.running_count, self.queued_count)
+        reply = b"*3\r\n$%d\r\n%b\r\n*-1\r\n$%d\r\n%b\r\n" % (
+            len(value),
+            value,
+            len(load_report),
+            load_report,
+        )
         if kind is FaultKind.GARBLE:
             return GARBLED_REPLY
         if kind is FaultKind.STALL:
@@ -159,32 +164,32 @@
             await asyncio.Event().wait()
         return reply
 
-    async def work(self, words: list[bytes], fields: dict[bytes, bytes]) -> None:
+    async def execute(self, command: list[bytes], fields: dict[bytes, bytes]) -> None:
         """Waits for a slot and runs the command; a repeated key has no further effect."""
         class_name = fields[b"c"].decode("ascii", "replace")
-        self.waiting += 1
+        self.queued_count += 1
         try:
-            await self.free.acquire()
+            await self.free_slots.acquire()
         finally:
-            self.waiting -= 1
-        self.inflight += 1
+            self.queued_count -= 1
+        self.running_count += 1
         try:
-            now = self.age()
-            key = fields.get(b"k") if class_name in self.trade.keyed else None
-            if key is None or now - self.keys.get(key, -1e9) > self.trade.memory_s:
-                self.ran.append(Effect(now, class_name, words[1], words[2], key))
+            now = self.uptime_s()
+            key = fields.get(b"k") if class_name in self.profile.keyed_classes else None
+            if key is None or now - self.key_times.get(key, -1e9) > self.profile.idempotency_window_s:
+                self.effects.append(Effect(now, class_name, command[1], command[2], key))
                 if key is not None:
-                    self.remember(key, now)
-            half_s = 0.0005 * self.trade.service_ms.get(class_name, 20.0)
-            await asyncio.sleep(half_s + self.script.rng.expovariate(1.0 / half_s))
+                    self.remember_key(key, now)
+            half_service_s = 0.0005 * self.profile.service_ms.get(class_name, 20.0)
+            await asyncio.sleep(half_service_s + self.script.rng.expovariate(1.0 / half_service_s))
         finally:
-            self.inflight -= 1
-            self.free.release()
+            self.running_count -= 1
+            self.free_slots.release()
 
-    def remember(self, key: bytes, now: float) -> None:
+    def remember_key(self, key: bytes, now: float) -> None:
         """Remembers a key, and forgets the oldest one above `MAX_KEYS`."""
-        if key not in self.keys:
-            self.order.append(key)
-        self.keys[key] = now
-        if len(self.order) > MAX_KEYS:
-            self.keys.pop(self.order.popleft(), None)
+        if key not in self.key_times:
+            self.key_order.append(key)
+        self.key_times[key] = now
+        if len(self.key_order) > MAX_KEYS:
+            self.key_times.pop(self.key_order.popleft(), None)
--- a/lab/site.py
+++ b/lab/site.py
@@ -171,10 +171,10 @@
 
     def charged_twice(self, class_name: str = "check-charge") -> int:
         """Returns how many requests of an unsafe class ran more than once, as recorded by the servers."""
-        seen: set[bytes] = set()
+        ran: set[bytes] = set()
         repeated: set[bytes] = set()
         for node in self.nodes:
-            for run in node.ran:
-                if run.class_name == class_name:
-                    (repeated if run.request_id in seen else seen).add(run.request_id)
+            for effect in node.effects:
+                if effect.class_name == class_name:
+                    (repeated if effect.request_id in ran else ran).add(effect.request_id)
         return len(repeated)
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -66,16 +66,17 @@
     async def play(self) -> Books:
         """Starts the stand-in services, plays the schedule and returns the observations."""
         schedule, nodes = self.schedule, list[RecordingNode]()
-        keys, order = dict[bytes, float](), deque[bytes]()
-        trade = ServiceProfile(
+        key_times, key_order = dict[bytes, float](), deque[bytes]()
+        profile = ServiceProfile(
             {name: schedule.service_ms for name in ("report-read", "check-order", "check-charge")}
         )
         for number in range(SERVERS):
             node = RecordingNode(
-                f"n{number}", trade, FaultScript(schedule.server_faults[number], schedule.seed)
+                f"n{number}", profile, FaultScript(schedule.server_faults[number], schedule.seed)
             )
             node.books = self.books
-            node.keys, node.order = keys, order  # servers of one group share their idempotency keys
+            # The servers of one group share their idempotency keys.
+            node.key_times, node.key_order = key_times, key_order
             nodes.append(node)
         counter = CounterService(FaultScript(schedule.counter_faults, schedule.seed))
         lag_task = asyncio.create_task(self.watch_lag())
@@ -274,10 +275,10 @@
     def count_effects(self, nodes: list[RecordingNode]) -> None:
         """Adds the effects that the servers recorded to the observations."""
         for node in nodes:
-            for run in node.ran:
-                self.books.executed[run.request_id] += 1
-                if run.key is not None:
-                    self.books.executed_keys[run.key] += 1
+            for effect in node.effects:
+                self.books.executed[effect.request_id] += 1
+                if effect.key is not None:
+                    self.books.executed_keys[effect.key] += 1
 
 
 async def play(schedule: Schedule, mutant: str = "") -> Books:
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -259,12 +259,13 @@
             outcomes = await site.load(2.0, 20.0, ACCOUNTS, [0])
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes) > 20
             await site.until(is_settled, 15.0)
-            runs_before = [len(node.ran) for node in site.site.nodes]
+            runs_before = [len(node.effects) for node in site.site.nodes]
 
             async def are_all_used() -> bool:
                 outcomes.extend(await site.load(1.0, 40.0, ACCOUNTS, [0]))
                 return all(
-                    len(node.ran) > count for node, count in zip(site.site.nodes, runs_before, strict=True)
+                    len(node.effects) > count
+                    for node, count in zip(site.site.nodes, runs_before, strict=True)
                 )
 
             await site.until(are_all_used, 30.0)
@@ -299,11 +300,11 @@
             outcomes += await site.load(1.0, 20.0, ACCOUNTS)
             site.split([[0], [1, 2]], cut=False)
             await failed.start(failed.port)
-            runs_before = len(failed.ran)
+            runs_before = len(failed.effects)
 
             async def is_used() -> bool:
                 outcomes.extend(await site.load(0.5, 20.0, ACCOUNTS))
-                return len(failed.ran) > runs_before
+                return len(failed.effects) > runs_before
 
             await site.until(is_used, 30.0)
             assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -119,8 +119,8 @@
     scripts: list[FaultScript] | None = None, more: str = "", start: bool = True
 ) -> AsyncIterator[ExtProcSite]:
     """Starts a site with a server for each script, and a gateway in this process if `start` is set."""
-    trade = ServiceProfile(SERVICE, slots=32)
-    nodes = [HttpNode(f"s{n}", trade, script) for n, script in enumerate(scripts or [FaultScript()] * 3)]
+    profile = ServiceProfile(SERVICE, slots=32)
+    nodes = [HttpNode(f"s{n}", profile, script) for n, script in enumerate(scripts or [FaultScript()] * 3)]
     lab = LabSite(nodes)  # type: ignore[arg-type]  # LabSite only starts, lists and stops them
     async with lab:
         site = ExtProcSite(lab, nodes)
@@ -211,7 +211,7 @@
             responses = await send_all(proxy.port, requests)
             assert all(status for status, _ in responses)
             assert [status for status, _ in responses].count(200) > 100
-            ran = {run.request_id.decode() for node in site.nodes for run in node.ran}
+            ran = {run.request_id.decode() for node in site.nodes for run in node.effects}
             for number, (status, response_headers) in enumerate(responses):
                 if response_headers.get("x-glenchute-effect") == "none":
                     assert f"r{number}" not in ran, "rejected after an attempt that ran"
@@ -252,7 +252,7 @@
                 assert lost_response == (0, {}) and await dying_proxy.wait() == -signal.SIGKILL
                 await wait_until_nothing_left(site.server())  # the dead proxy's request has ended
             assert repeated_requests(site.nodes) == []
-            ran = {run.request_id.decode() for node in site.nodes for run in node.ran}
+            ran = {run.request_id.decode() for node in site.nodes for run in node.effects}
             for point in POINTS:
                 before_sending = POINTS.index(point) < POINTS.index("bytes-left")
                 assert (f"{point}-2" in ran) != before_sending or point == "bytes-left"
@@ -359,7 +359,7 @@
                 *(send_request(proxy.port, "check-charge", "same") for proxy in proxies)
             )
             assert sorted(status for status, _ in responses) == [200, 409]
-            assert sum(len(node.ran) for node in site.nodes) == 1
+            assert sum(len(node.effects) for node in site.nodes) == 1
             for proxy in proxies:
                 await proxy.stop()
             await wait_until_nothing_left(site.server())
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -313,7 +313,7 @@
                 return made
 
             loads = list(await asyncio.gather(*map(load_by_fours, range(8))))
-            met = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in herd.site.nodes]
+            met = [len({int(run.account_id, 16) // 1000 for run in node.effects}) for node in herd.site.nodes]
             assert max(met) <= 4, met
             for node in herd.site.nodes[:3]:
                 await node.stop()
