--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -185,23 +185,25 @@
         while at < LENGTH_MS:
             busy = BURST_MS[0] <= at < BURST_MS[1]
             at += rng.expovariate(case.load * all_bear / 1000.0 * (factor if busy else 1.0))
-            self.at(at, self.send_random_request)
+            self.schedule(at, self.send_random_request)
         for node in rng.sample(list(self.nodes.values()), round(case.returns * case.nodes)):
             down = rng.uniform(3000.0, 8000.0)
-            self.at(down, setattr, node, "alive", False)
-            self.at(down + rng.uniform(500.0, 3000.0), self.start_node, node)
+            self.schedule(down, setattr, node, "alive", False)
+            self.schedule(down + rng.uniform(500.0, 3000.0), self.start_node, node)
         for number in range(round(case.joins * case.nodes)):
             node = Node(f"n{number}", "ab"[number % 2])
             self.draw_speed(node)
-            self.at(rng.uniform(3500.0, 8500.0), self.start_node, node)
+            self.schedule(rng.uniform(3500.0, 8500.0), self.start_node, node)
         for number in rng.sample(range(case.gateways), round(case.restarts * case.gateways)):
-            self.at(rng.uniform(4000.0, 14_000.0), self.die, number, rng.uniform(300.0, 2000.0))
+            self.schedule(
+                rng.uniform(4000.0, 14_000.0), self.kill_gateway, number, rng.uniform(300.0, 2000.0)
+            )
 
     def send_random_request(self) -> None:
         """Sends a client's request to a gateway drawn by its share of the traffic."""
         number = self.rng.choices(range(self.case.gateways), self.shares)[0]
         cls = self.rng.choice(("read", "read", "order", "charge"))
-        self.ask(cls, PLAN.name, f"c{self.rng.randrange(400)}", at=number)
+        self.send_client_request(cls, PLAN.name, f"c{self.rng.randrange(400)}", gateway=number)
 
     def start_node(self, node: Node) -> None:
         """Starts a cold server and informs each gateway after a random delay."""
@@ -210,7 +212,7 @@
         self.came[node.name, node.started_ms] = []
         for number in range(self.case.gateways):
             delay = self.rng.uniform(0.0, TOLD_MS)
-            self.at(
+            self.schedule(
                 delay,
                 self.deliver_endpoints,
                 number,
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -79,7 +79,7 @@
         world, now = self.world, self.world.now / 1000.0
         if not world.is_current(self.number, self.incarnation):
             return
-        world.at(TICK_MS, self.tick)
+        world.schedule(TICK_MS, self.tick)
         if self.number in world.deferred_events:
             return
         for out in self.members.tick(now):
@@ -141,11 +141,11 @@
         self.make_engine = make
         super().__init__(seed, gateways, nodes, make, watch)
 
-    def start(self, number: int) -> None:
+    def start_gateway(self, number: int) -> None:
         """Starts a gateway with its membership components."""
         make, self.make = self.make, self.engine_factory(number)
         try:
-            super().start(number)
+            super().start_gateway(number)
         finally:
             self.make = make
 
@@ -155,7 +155,7 @@
         def make(settings: Settings, seed: int) -> Any:
             inner = self.make_engine(settings, seed)
             self.peers[number] = peer = Peer(self, number, inner, seed ^ 0x5EED)
-            self.at(self.network_rng.uniform(0.0, TICK_MS), peer.tick)
+            self.schedule(self.network_rng.uniform(0.0, TICK_MS), peer.tick)
             return Module(peer, inner)
 
         return make
@@ -166,7 +166,7 @@
         if (sender.number, number) in self.blocked_links or self.network_rng.random() < self.loss:
             return
         source = sender.members.name, sender.members.boot
-        self.at(self.network_rng.uniform(0.5, 5.0), self.deliver_message, number, *source, body)
+        self.schedule(self.network_rng.uniform(0.5, 5.0), self.deliver_message, number, *source, body)
 
     def deliver_message(self, number: int, sender: str, boot: int, body: Any) -> None:
         """Delivers a message to the current incarnation of a gateway."""
@@ -175,7 +175,7 @@
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Starts a fault between members."""
-        count = len(self.modules)
+        count = len(self.engines)
         if kind == "fleet split":
             cut = max(1, round(size * (count - 1)))
             every = range(count)
@@ -184,19 +184,19 @@
             self.block_links({(0, b) for b in range(1, count)}, span_ms)
         elif kind == "links lose":
             self.loss = 0.4 * size
-            self.at(span_ms, setattr, self, "loss", 0.0)
+            self.schedule(span_ms, setattr, self, "loss", 0.0)
         elif kind == "stopped":
-            self.stop(self.network_rng.randrange(count), span_ms)
+            self.pause_gateway(self.network_rng.randrange(count), span_ms)
         elif kind == "counter gone":
             self.parts.kill()
-            self.at(span_ms, self.parts.replace)
+            self.schedule(span_ms, self.parts.replace)
         else:
             super().start_fault(kind, node, size, span_ms)
 
     def block_links(self, pairs: set[tuple[int, int]], span_ms: float) -> None:
         """Blocks these links for a time; pairs are of sender and receiver."""
         self.blocked_links |= pairs
-        self.at(span_ms, self.blocked_links.difference_update, pairs)
+        self.schedule(span_ms, self.blocked_links.difference_update, pairs)
 
 
 def overshoot(sent: list[tuple[float, str, str, float]], plan: Plan) -> float:
@@ -216,7 +216,9 @@
     world.run(8000.0)
     plan = world.settings.plans[0]
     if split and isinstance(world, MembersWorld):
-        world.at(4000.0, world.start_fault, "fleet split", next(iter(world.nodes.values())), 0.5, 4000.0)
+        world.schedule(
+            4000.0, world.start_fault, "fleet split", next(iter(world.nodes.values())), 0.5, 4000.0
+        )
     world.flood(12_000.0, rate, plan.name)
     world.run(16_000.0)
     served = sum(units for _, _, name, units in world.sent if name == plan.name)
--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -117,36 +117,36 @@
         if kind == "volley":  # many reads of one customer at the same time
             number = self.rng.randrange(30)
             for _ in range(20 + int(40 * size)):
-                self.at(0.0, self.ask, "read", "wide", f"wide{number}")
+                self.schedule(0.0, self.send_client_request, "read", "wide", f"wide{number}")
             return
         kinds = {"extra replies": self.extra, "stuck lines": self.stuck}
         if kind not in kinds:
             super().start_fault(kind, node, size, span_ms)
         kinds[kind][node.name] = 0.1 + 0.5 * size
-        self.at(span_ms, self.end_fault, kinds[kind], node.name)
+        self.schedule(span_ms, self.end_fault, kinds[kind], node.name)
 
     def end_fault(self, active: dict[str, float], name: str) -> None:
         active.pop(name, None)
 
     # --- gateways ----------------------------------------------------------------------------------------
 
-    def start(self, number: int) -> None:
+    def start_gateway(self, number: int) -> None:
         sharing = ClassCompatibility(self.settings.classes, ("read", "order", "bid"), number % 2 == 1)
         scheduler = self.schedulers[number] = PipelineScheduler(RULES, sharing)
         for cls in self.settings.classes:
             for share in range(40):  # as after minutes of traffic, which would take long to simulate
                 scheduler.times.add(self.now, cls.name, "", 10.0 + 2.0 * share, False)
         self.check_times[number] = math.inf
-        super().start(number)
+        super().start_gateway(number)
 
-    def die(self, number: int, back_ms: float) -> None:
+    def kill_gateway(self, number: int, back_ms: float) -> None:
         if self.alive[number]:
             for key, conn in list(self.connections.items()):
                 if key[0] == number:
                     conn.is_closed = True  # commands that were sent may still run
                     del self.connections[key]
             self.attempts = {key: one for key, one in self.attempts.items() if key[0] != number}
-        super().die(number, back_ms)
+        super().kill_gateway(number, back_ms)
 
     def deliver_endpoints(
         self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]
@@ -173,8 +173,8 @@
         for conn in [c for key, c in self.connections.items() if key[0] == number]:
             if conn.node is not None and conn.node.name == name:
                 for entry in list(conn.pipeline.pending):
-                    self.at(0.0, self.stop_unsent, entry.item)
-                self.at(240.0, self.still_stuck, conn)
+                    self.schedule(0.0, self.stop_unsent, entry.item)
+                self.schedule(240.0, self.still_stuck, conn)
 
     def stop_unsent(self, one: SimulatedAttempt) -> None:
         """Ends an attempt as unreachable, unless its command has been written meanwhile."""
@@ -201,8 +201,8 @@
         write_by = action.write_by_ms - self.skew[number] if action.write_by_ms > 0 else math.inf
         one = SimulatedAttempt(self.last_attempt_id, context, self.now + timeout, write_by)
         self.attempts[number, context[1], context[2].ref, context[3]] = one
-        self.at(timeout, self.on_timeout, one)
-        self.at(0.0, self.place, one)
+        self.schedule(timeout, self.on_timeout, one)
+        self.schedule(0.0, self.place, one)
 
     def place(self, one: SimulatedAttempt) -> None:
         """Places an attempt on a connection, as the scheduler says."""
@@ -234,13 +234,13 @@
             return
         if found.kind is PlacementKind.WAIT:
             one.has_waited = True
-            self.at(found.until_ms - self.now, self.place, one)
+            self.schedule(found.until_ms - self.now, self.place, one)
             return
         conn = self.connections.get((number, found.connection_id))
         if found.kind is PlacementKind.OPEN:
             conn = SimulatedConnection(number, incarnation, self.nodes.get(server), found.connection_id)
             self.connections[number, found.connection_id] = conn
-            self.at(self.rng.uniform(1.0, 12.0), self.connected, conn)
+            self.schedule(self.rng.uniform(1.0, 12.0), self.connected, conn)
         if conn is None:
             raise BrokenRule("lines", f"{found} names an unknown connection")
         if found.kind is PlacementKind.JOIN:
@@ -267,7 +267,9 @@
     def schedule_flush(self, conn: SimulatedConnection) -> None:
         if conn.is_up and not conn.is_flush_scheduled and not conn.is_blocked:
             conn.is_flush_scheduled = True
-            self.at(self.rng.uniform(0.0, 3.0), self.flush, conn)  # the next iteration of a busy event loop
+            self.schedule(
+                self.rng.uniform(0.0, 3.0), self.flush, conn
+            )  # the next iteration of a busy event loop
 
     def flush(self, conn: SimulatedConnection) -> None:
         """Writes the pending commands."""
@@ -292,11 +294,11 @@
             go = self.rng.randrange(len(batch) + 1)
             conn.buffered, conn.is_blocked = batch[go:], bool(batch[go:])
             batch = batch[:go]
-            self.at(self.rng.uniform(5.0, 700.0), self.unblock, conn)
+            self.schedule(self.rng.uniform(5.0, 700.0), self.unblock, conn)
             limits = [entry.item.write_by for entry in conn.pipeline.in_flight]
             end = min(*limits, self.endpoint_stop_times[conn.gateway].get(name, math.inf))
             if end < math.inf:
-                self.at(end - 1.0 - self.now, self.still_stuck, conn)
+                self.schedule(end - 1.0 - self.now, self.still_stuck, conn)
         self.send_batch(conn, batch)
 
     def unblock(self, conn: SimulatedConnection) -> None:
@@ -331,14 +333,14 @@
                 )
             conn.sent.append(one)
             one.was_sent = True
-            self.at(NET_MS, self.arrive_at_node, conn, one)
+            self.schedule(NET_MS, self.arrive_at_node, conn, one)
 
     def arrive_at_node(self, conn: SimulatedConnection, one: SimulatedAttempt) -> None:
         """Handles a command that arrives at the node, even if the gateway has closed the connection."""
         if one.is_unsent:
             raise BrokenRule("nothing twice", f"{one.context[2].ref} was reported as never sent, and arrived")
         if conn.node is None or not conn.node.alive or conn.node.started_ms != conn.started_ms:
-            self.at(NET_MS, self.on_reset, conn)
+            self.schedule(NET_MS, self.on_reset, conn)
             return
         one.arrived_at = self.now
         self.arrive(conn.node, one.context)
@@ -365,7 +367,7 @@
         # A surplus reply is sent only if the node had no other command of this connection when it replied.
         unseen = all(other.arrived_at > self.now - NET_MS for other in conn.sent)
         if not conn.is_closed and unseen and self.rng.random() < self.extra.get(name, 0.0):
-            self.at(self.rng.uniform(0.0, NET_MS), self.surplus, conn)
+            self.schedule(self.rng.uniform(0.0, NET_MS), self.surplus, conn)
 
     def reply(self, conn: SimulatedConnection, whose: SimulatedAttempt, ending: Outcome) -> None:
         """Handles a reply at the gateway."""
@@ -458,7 +460,7 @@
         at = self.schedulers[number].next_check_ms()
         if at < self.check_times[number]:
             self.check_times[number] = at
-            self.at(at - self.now, self.run_checks, number, self.incarnation[number], at)
+            self.schedule(at - self.now, self.run_checks, number, self.incarnation[number], at)
 
     def run_checks(self, number: int, incarnation: int, at: float) -> None:
         """Aborts the connections that the pipeline scheduler names for stalled heads and exceeded limits."""
@@ -475,4 +477,4 @@
                 self.close(conn, conn.pipeline.in_flight[0], Outcome.RESET)
             elif conn is not None:
                 self.close(conn, None, Outcome.RESET)
-        self.at(0.5, self.schedule_check, number)
+        self.schedule(0.5, self.schedule_check, number)
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -574,7 +574,7 @@
         """Makes an engine with `InformedQuotaAccounting`; without `exact` it decides as the real one."""
         gateway = DecisionEngine(settings, seed)
         gateway.quota = gateway.execution.quota = InformedQuotaAccounting(
-            settings, gateway.rng, self, len([m for m in self.modules if m])
+            settings, gateway.rng, self, len([m for m in self.engines if m])
         )
         return gateway
 
@@ -617,7 +617,7 @@
         for other in self.accounts[key].gateways:
             if other != number:
                 units += max(0.0, self.in_flight_units[key, other])
-                if (tenant := self.modules[other].quota.tenants.by_id.get(key)) is not None:
+                if (tenant := self.engines[other].quota.tenants.by_id.get(key)) is not None:
                     units += max(0.0, tenant.unreported_units)
         return units
 
@@ -626,7 +626,7 @@
     def schedule_next(self) -> None:
         """Schedules the next client request of the run."""
         if (row := next(self.remaining_requests, None)) is not None:
-            self.at(self.start_ms + row.sent_ms - self.now, self.handle_arrival, row)
+            self.schedule(self.start_ms + row.sent_ms - self.now, self.handle_arrival, row)
 
     def handle_arrival(self, row: ClientRequest) -> None:
         """Handles a client request and schedules the next one."""
@@ -674,7 +674,7 @@
         if isinstance(action, Reject):
             request = self.open_requests[action.request_id]
             account, retry_draw, rejection_count = self.request_details[request.ref]
-            rejection_cause = self.modules[number].quota.rejection_cause
+            rejection_cause = self.engines[number].quota.rejection_cause
             quota_cause = rejection_cause.value if rejection_cause else ""
             cause = quota_cause if not request.attempts else "no attempt"
             self.ledger.record_rejection(self.now, account, request.units, cause)
@@ -684,7 +684,7 @@
                     action.retry_after_ms if honours_retry_after else 0.2 * self.workload.site.retry_after_ms
                 )
                 other = account.gateways[int(retry_draw * 7919 + rejection_count) % len(account.gateways)]
-                self.at(
+                self.schedule(
                     wait + 1.0,
                     self.handle_request,
                     account,
@@ -695,11 +695,11 @@
                 )
         elif isinstance(action, IncrementCounter):
             self.ledger.counter_calls += self.now >= self.ledger.count_from_ms
-            row = self.modules[number].quota.counter.calls.in_flight[action.key][-1]
+            row = self.engines[number].quota.counter.calls.in_flight[action.key][-1]
             self.in_flight_units[row.tenant.tenant_id, number] += row.units - row.reserved_units
         super().perform(number, incarnation, action)
 
-    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
+    def call_counter(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """Applies a call at the counter, or loses or delays the call or its reply."""
         row = self.call_details(number, call, began)
         key, amount, reserved_units = row
@@ -708,18 +708,18 @@
         loss_draw = self.loss_rng.random()
         if loss_draw < self.lost_fraction:
             reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, timeout)
-            self.at(began + timeout - self.now, self.feed, number, incarnation, reply)
+            self.schedule(began + timeout - self.now, self.feed, number, incarnation, reply)
             if loss_draw < (1.0 - UNANSWERED_FRACTION) * self.lost_fraction:
                 late = self.loss_rng.uniform(0.0, MAX_LATE_TIMEOUTS) * timeout
-                self.at(late, self.add_late, number, incarnation, call, began, row)
+                self.schedule(late, self.add_late, number, incarnation, call, began, row)
             elif loss_draw < (1.0 - 0.5 * UNANSWERED_FRACTION) * self.lost_fraction:
                 self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
                 self.add_at_counter(key, amount)
             return
         self.add_at_counter(key, amount)
         self.unacknowledged_units[number, call.key] += call.amount
-        self.at(COUNTER_LATENCY_MS + NET_MS - 0.01, self.on_acknowledged, number, call)
-        super().count(number, incarnation, call, began)
+        self.schedule(COUNTER_LATENCY_MS + NET_MS - 0.01, self.on_acknowledged, number, call)
+        super().call_counter(number, incarnation, call, began)
 
     def add_late(
         self,
@@ -734,10 +734,10 @@
         self.add_at_counter(row[0], row[1])
         self.unacknowledged_units[number, call.key] += call.amount
         left = max(NET_MS, began + self.workload.site.timeout_ms + NET_MS - self.now)
-        self.at(left - 0.01, self.on_acknowledged, number, call)
+        self.schedule(left - 0.01, self.on_acknowledged, number, call)
         total = float(f"{result[0] if result else 0.0:.7g}")
         reply = CounterReply(call.key, total, Outcome.OK, self.now + left - began, True)
-        self.at(left, self.feed, number, incarnation, reply)
+        self.schedule(left, self.feed, number, incarnation, reply)
 
     def on_acknowledged(self, number: int, call: IncrementCounter) -> None:
         """Records that the gateway gets the reply to a call, so that it knows that its units were added."""
@@ -745,7 +745,7 @@
 
     def call_details(self, number: int, call: IncrementCounter, began: float) -> tuple[str, float, float]:
         """Returns the customer, the units and the units reserved ahead of a call in flight."""
-        for row in self.modules[number].quota.counter.calls.in_flight[call.key]:
+        for row in self.engines[number].quota.counter.calls.in_flight[call.key]:
             if round(row.units + row.marker, 3) == call.amount:
                 return row.tenant.tenant_id, row.units, row.reserved_units
         raise LookupError(f"no call in flight for {call}")
--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -78,33 +78,33 @@
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Starts a fault or silence that the swarm's sites do not have."""
-        which = self.rng.randrange(len(self.modules))
+        which = self.rng.randrange(len(self.engines))
         if kind == "drained":
             self.unrouted_gateways.add(which)
-            self.at(4000.0, self.unrouted_gateways.discard, which)
+            self.schedule(4000.0, self.unrouted_gateways.discard, which)
         elif kind in ("no traffic", "trickle", "slow in the quiet"):
-            self.unrouted_gateways.update(range(len(self.modules)))
+            self.unrouted_gateways.update(range(len(self.engines)))
             span = 60_000.0 if kind == "no traffic" else 10_000.0
-            self.at(span, self.unrouted_gateways.clear)
+            self.schedule(span, self.unrouted_gateways.clear)
             if kind != "no traffic":
-                for number in range(len(self.modules)):
-                    self.at(span / 2.0, self.trickle, number)
+                for number in range(len(self.engines)):
+                    self.schedule(span / 2.0, self.trickle, number)
             if kind == "slow in the quiet":
                 self.set_all_nodes(span * 0.8, "slow", 60.0, 1.0)
         elif kind == "stopped":
-            self.stop(which, 3000.0)
+            self.pause_gateway(which, 3000.0)
         elif kind == "all slow":
             self.set_all_nodes(2000.0, "slow", 40.0, 1.0)
         elif kind == "all hung":
             self.set_all_nodes(span_ms, "hung", True, False)
         elif kind == "counter gone":
             self.parts.kill()
-            self.at(span_ms, self.parts.replace)
+            self.schedule(span_ms, self.parts.replace)
         elif kind == "list empty":
-            for number in range(len(self.modules)):
+            for number in range(len(self.engines)):
                 back = (number, self.incarnation[number], EndpointListKind.FULL)
                 self.deliver_endpoints(*back, [])
-                self.at(span_ms, self.deliver_all_endpoints, *back)
+                self.schedule(span_ms, self.deliver_all_endpoints, *back)
         else:
             super().start_fault(kind, node, size, span_ms)
 
@@ -115,14 +115,14 @@
     def trickle(self, number: int) -> None:
         """Sends one request to a gateway during a silence."""
         self.unrouted_gateways.discard(number)
-        self.ask("read", "wide", "wide0", at=number)
+        self.send_client_request("read", "wide", "wide0", gateway=number)
         self.unrouted_gateways.add(number)
 
     def set_all_nodes(self, span_ms: float, name: str, value: Any, after: Any) -> None:
         """Sets an attribute of all nodes for a time."""
         for node in self.nodes.values():
             setattr(node, name, value)
-            self.at(span_ms, setattr, node, name, after)
+            self.schedule(span_ms, setattr, node, name, after)
 
     def heal(self) -> None:
         """Ends all faults."""
@@ -133,7 +133,7 @@
         for node in self.nodes.values():
             node.slow, node.hung, node.errors, node.resets, node.alive = 1.0, False, 0.0, 0.0, True
             node.state, node.started_ms = EndpointState.ACTIVE, 0.0
-        for number in range(len(self.modules)):
+        for number in range(len(self.engines)):
             self.deliver_all_endpoints(number, self.incarnation[number], EndpointListKind.FULL)
 
 
@@ -166,8 +166,8 @@
         plan = rng.choice(("wide", "wide", "small", "hard"))
         one = "c-hard" if plan == "hard" else f"{plan}{rng.randrange(max(1, round(site.shape.rate)))}"
         number = rng.randrange(site.shape.gateways)
-        site.at(at, site.ask, cls, plan, one, 1.0, number)
-    site.at(settle_ms, setattr, site, "is_counting", True)
+        site.schedule(at, site.send_client_request, cls, plan, one, 1.0, number)
+    site.schedule(settle_ms, setattr, site, "is_counting", True)
     site.run(end + 4000.0)
 
 
@@ -180,9 +180,9 @@
         site.load(9000.0, min(shape.rate, 400.0), ("wide", "wide", "small"))
         for fault in script.faults:
             if fault.kind == "burst":
-                site.at(fault.at_ms, site.load, 1500.0, min(20.0 * shape.rate, 2000.0), ("wide",))
+                site.schedule(fault.at_ms, site.load, 1500.0, min(20.0 * shape.rate, 2000.0), ("wide",))
             else:
-                site.at(fault.at_ms, swarm.start_fault, site, fault)
+                site.schedule(fault.at_ms, swarm.start_fault, site, fault)
         lasts = {"no traffic": 60_000.0}
         site.run(max([9000.0] + [f.at_ms + lasts.get(f.kind, 10_000.0) for f in script.faults]) + 200.0)
         site.heal()
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -66,10 +66,10 @@
 
 def announce(world: World, changed: list[Node], max_delay_ms: float = 60.0) -> None:
     """Announces changed nodes to the gateways, with a random delay for each."""
-    for number in range(len(world.modules)):
+    for number in range(len(world.engines)):
         delay = world.rng.uniform(0.0, max_delay_ms)
         copies = [Node(n.name, n.zone, n.started_ms, n.state) for n in changed]
-        world.at(
+        world.schedule(
             delay,
             world.deliver_endpoints,
             number,
@@ -84,18 +84,18 @@
     names = sorted(world.nodes)
     node = world.nodes[names[fault.which % len(names)]]
     span = 200.0 + 3000.0 * fault.size
-    count = len(world.modules)
+    count = len(world.engines)
 
     def later(name: str, value: Any) -> None:
-        world.at(span, setattr, node, name, value)
+        world.schedule(span, setattr, node, name, value)
 
     match fault.kind:
         case "half die":
             for number in range((count + 1) // 2):
-                world.die((fault.which + number) % count, span)
+                world.kill_gateway((fault.which + number) % count, span)
         case "rolling":
             for number in range(count):
-                world.at(600.0 * number, world.die, number, 200.0)
+                world.schedule(600.0 * number, world.kill_gateway, number, 200.0)
         case "hang":
             node.hung = True
             later("hung", False)
@@ -108,38 +108,38 @@
         case "slow nodes":
             for each in world.nodes.values():
                 each.slow = 1.0 + 8.0 * fault.size
-                world.at(span, setattr, each, "slow", 1.0)
+                world.schedule(span, setattr, each, "slow", 1.0)
         case "drain":
             node.state = EndpointState.DRAINING
             announce(world, [node])
-            world.at(span, return_to_service, world, node)
+            world.schedule(span, return_to_service, world, node)
         case "gone":
             gone(world, node)
         case "restart node":
             node.alive = False
             node.queue.clear()
-            world.at(300.0, start_cold, world, node)
+            world.schedule(300.0, start_cold, world, node)
         case "flood":
             world.flood(span, 60.0 + 120.0 * fault.size)
         case "burst":
             world.load(span / 2.0, 250.0)
         case "counter killed":
             world.parts.kill(fault.which % 2)
-            world.at(span, world.parts.replace, fault.which % 2)
+            world.schedule(span, world.parts.replace, fault.which % 2)
         case "counter replaced":
             for step in range(1 + fault.which % 20):
-                world.at(step * span / 20.0, world.parts.replace)
+                world.schedule(step * span / 20.0, world.parts.replace)
         case "counter split":
             world.parts.split([f"g{i}" for i in range(count // 2)], fault.which % 2 == 0)
-            world.at(span, world.parts.heal)
+            world.schedule(span, world.parts.heal)
         case "counter slow":
             world.parts.slow(20.0 + 200.0 * fault.size)
-            world.at(span, world.parts.slow, 0.0)
+            world.schedule(span, world.parts.slow, 0.0)
         case "cold in a rush":  # nodes restart under a load whose even share overloads them
             warm = 240.0 * len(world.nodes)
             world.load(2500.0, (0.6 + 0.2 * fault.size) * warm, ("wide",))
             for at, name in enumerate(names[: 1 + fault.which % 2]):
-                world.at(300.0 + 10.0 * at, restart, world, world.nodes[name])
+                world.schedule(300.0 + 10.0 * at, restart, world, world.nodes[name])
         case "clock step":
             world.skew[fault.which % count] += 100.0 * fault.size  # forward only, as clocks are monotonic
         case kind:
@@ -150,7 +150,7 @@
     """Replaces a node's process, which is down for 100 ms."""
     node.alive = False
     node.queue.clear()
-    world.at(100.0, start_cold, world, node)
+    world.schedule(100.0, start_cold, world, node)
 
 
 def return_to_service(world: World, node: Node) -> None:
@@ -190,7 +190,7 @@
     world = site(script.seed, 2 + script.seed % 4, 3 + script.seed % 5, make, watch)
     world.load(LENGTH_MS, 90.0)
     for fault in script.faults:
-        world.at(fault.at_ms, start_fault, world, fault)
+        world.schedule(fault.at_ms, start_fault, world, fault)
     world.run(LENGTH_MS + 4000.0)
     return world
 
@@ -289,7 +289,7 @@
             if args.capture:
                 print(*captured(failure.script, args.capture), sep="\n")
             return 1
-        gateways_s += len(world.modules) * (world.now - world.began) / 1000.0
+        gateways_s += len(world.engines) * (world.now - world.began) / 1000.0
         steps, checks = steps + world.steps, checks + world.checks
     took = time.process_time() - began
     rates = f"{gateways_s / took:.0f} gateway-seconds, {steps / took:.0f} steps, {checks / took:.0f} checks"
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -152,7 +152,7 @@
         self.skew = [self.rng.uniform(0.0, 50.0) for _ in range(gateways)]
         self.incarnation = [0] * gateways
         self.alive = [True] * gateways
-        self.modules: list[Any] = [None] * gateways
+        self.engines: list[Any] = [None] * gateways
         self.endpoint_stop_times: list[dict[str, float]] = [
             {} for _ in range(gateways)
         ]  # by server: when sending stops
@@ -168,11 +168,11 @@
         self.unreachable_attempts: list[tuple[float, str]] = []  # time and server of each
         self.steps = self.checks = self.restarts = 0
         for number in range(gateways):
-            self.start(number)
+            self.start_gateway(number)
 
     # --- scheduler -----------------------------------------------------------------------------------
 
-    def at(self, delay_ms: float, call: Callable[..., None], *args: Any) -> None:
+    def schedule(self, delay_ms: float, call: Callable[..., None], *args: Any) -> None:
         """Schedules a call; calls of the same time are run in random order."""
         row = (self.now + max(0.0, delay_ms), self.rng.random(), next(self.order), call, args)
         heapq.heappush(self.event_queue, row)
@@ -192,17 +192,17 @@
 
     # --- gateways ----------------------------------------------------------------------------------------
 
-    def start(self, number: int) -> None:
+    def start_gateway(self, number: int) -> None:
         """Starts a gateway without state, with the current endpoint list."""
         self.incarnation[number] += 1
         self.alive[number] = True
         self.endpoint_stop_times[number] = {}
-        self.modules[number] = self.make(self.settings, self.rng.randrange(1 << 30))
+        self.engines[number] = self.make(self.settings, self.rng.randrange(1 << 30))
         self.deliver_endpoints(
             number, self.incarnation[number], EndpointListKind.CACHED, list(self.nodes.values())
         )
 
-    def die(self, number: int, back_ms: float) -> None:
+    def kill_gateway(self, number: int, back_ms: float) -> None:
         """Kills a gateway, which loses its state, and restarts it after `back_ms`."""
         if not self.alive[number]:
             return
@@ -211,7 +211,7 @@
         self.restarts += 1
         for ref in [r for r, request in self.open_requests.items() if request.number == number]:
             del self.open_requests[ref]  # no answer is checked: the clients retry on their own
-        self.at(back_ms, self.start, number)
+        self.schedule(back_ms, self.start_gateway, number)
 
     def deliver_endpoints(
         self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]
@@ -229,7 +229,7 @@
                 self.endpoint_stop_times[number].setdefault(node.name, self.now + GRACE_MS)
         self.feed(number, incarnation, EndpointList(kind, tuple(entries)))
 
-    def stop(self, number: int, ms: float) -> None:
+    def pause_gateway(self, number: int, ms: float) -> None:
         """Stops a gateway's process for a time.
 
         Its events wait. On resumption its own timers are first, as in an event loop, and the deadlines of its
@@ -237,9 +237,9 @@
         """
         if self.alive[number] and number not in self.deferred_events:
             self.deferred_events[number] = []
-            self.at(ms, self.resume, number, ms)
+            self.schedule(ms, self.resume_gateway, number, ms)
 
-    def resume(self, number: int, ms: float) -> None:
+    def resume_gateway(self, number: int, ms: float) -> None:
         """Resumes a stopped process, unless it has died."""
         waited = self.deferred_events.pop(number, [])
         for request in self.open_requests.values():
@@ -267,7 +267,7 @@
         if self.defer_if_stopped(number, own, self.feed, number, incarnation, event):
             return
         now = self.now + self.skew[number]
-        actions = self.modules[number].handle(now, event)
+        actions = self.engines[number].handle(now, event)
         if self.watch is not None:
             self.watch(number, now, event, actions)
         for action in actions:
@@ -286,20 +286,20 @@
             self.record_answer(request, type(action).__name__)
         elif isinstance(action, SetTimer):
             delay = action.at_ms - self.skew[number] - self.now
-            self.at(delay, self.feed, number, incarnation, TimerFired(action.token))
+            self.schedule(delay, self.feed, number, incarnation, TimerFired(action.token))
         elif isinstance(action, IncrementCounter):
-            self.at(NET_MS, self.count, number, incarnation, action, self.now)
+            self.schedule(NET_MS, self.call_counter, number, incarnation, action, self.now)
 
-    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
+    def call_counter(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """Applies a call at the counter and schedules its reply."""
         told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         if told is None or told[1] + 2 * NET_MS > COUNT_TIMEOUT_MS:
             reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNT_TIMEOUT_MS)
-            self.at(began + COUNT_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
+            self.schedule(began + COUNT_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
         else:
             took = told[1] + 2 * NET_MS
             reply = CounterReply(call.key, float(f"{told[0]:.7g}"), Outcome.OK, took)
-            self.at(told[1] + NET_MS, self.feed, number, incarnation, reply)
+            self.schedule(told[1] + NET_MS, self.feed, number, incarnation, reply)
 
     def record_answer(self, request: SimulatedRequest, how: str) -> None:
         """Records the final answer of a request; `how` is the kind of the answer."""
@@ -360,20 +360,20 @@
         """Sends an attempt on a connection of its own."""
         if node is None or not node.alive:
             self.unreachable_attempts.append((self.now, action.address))
-            self.at(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
+            self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
             return
-        self.at(timeout, self.on_attempt_ended, *context, Outcome.TIMEOUT)
-        self.at(NET_MS, self.arrive, node, context)
+        self.schedule(timeout, self.on_attempt_ended, *context, Outcome.TIMEOUT)
+        self.schedule(NET_MS, self.arrive, node, context)
 
     def arrive(self, node: Node, context: tuple[Any, ...]) -> None:
         """Handles a command that arrives at a node."""
         request, attempt = context[2], context[3]
         if not node.alive:
-            self.at(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
+            self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
             return
         self.check_cold(node)
         if node.busy + len(node.queue) >= node.limit:
-            self.at(
+            self.schedule(
                 NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED
             )  # it did not run, so retries are not bound to its zone
             return
@@ -424,7 +424,7 @@
             context[3], request.deadline
         ):  # its deadline `d` has passed: it is not run
             node.busy -= 1
-            self.at(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
+            self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
             return
         group = "all" if request.cls.idempotency_scope is IdempotencyScope.ALL else node.zone
         if request.cls.idempotency is not Idempotency.WITH_KEY:
@@ -436,7 +436,7 @@
             raise BrokenRule(
                 "nothing twice", f"{request.ref} of class {request.cls.name} ran {request.ran} times"
             )
-        self.at(
+        self.schedule(
             self.draw_service_ms(request) * node.slow / self.warmth(node),
             self.finish_command,
             node,
@@ -457,7 +457,7 @@
                 ending = Outcome.ERROR
             elif luck < node.errors + node.resets:
                 ending = Outcome.RESET
-            self.at(NET_MS, self.on_attempt_ended, *context, ending)
+            self.schedule(NET_MS, self.on_attempt_ended, *context, ending)
         self.start_queued(node)
 
     def on_attempt_ended(
@@ -490,16 +490,18 @@
 
     # --- clients -----------------------------------------------------------------------------------------
 
-    def ask(self, cls: str, plan: str, customer: str, units: float = 1.0, at: int | None = None) -> None:
-        """Sends a client's request to gateway `at`, or to a random running one that gets requests."""
-        living = [
+    def send_client_request(
+        self, cls: str, plan: str, customer: str, units: float = 1.0, gateway: int | None = None
+    ) -> None:
+        """Sends a client's request to a gateway, by default to a random running one that gets requests."""
+        available = [
             number
             for number, alive in enumerate(self.alive)
             if alive and number not in self.unrouted_gateways
         ]
-        if not (living if at is None else self.alive[at] and at not in self.unrouted_gateways):
+        if not (available if gateway is None else gateway in available):
             return
-        number = self.rng.choice(living) if at is None else at
+        number = self.rng.choice(available) if gateway is None else gateway
         kind = next(c for c in self.settings.classes if c.name == cls)
         ref = str(next(self.serial))
         deadline = self.now + DEADLINES[cls] * self.rng.choice((0.1, 0.5, 1.0, 1.0))
@@ -513,7 +515,7 @@
         event = Request(ref, cls, plan, customer, left, units, self.settings.gateway_count)
         self.feed(number, self.incarnation[number], event)
         if ref in self.open_requests and self.rng.random() < 0.02:
-            self.at(self.rng.uniform(1.0, 300.0), self.disconnect_client, request)
+            self.schedule(self.rng.uniform(1.0, 300.0), self.disconnect_client, request)
 
     def on_request_accepted(self, request: SimulatedRequest) -> None:
         """Called for each accepted request; subclasses keep further records."""
@@ -532,13 +534,13 @@
         while (at := at + self.rng.expovariate(rate / 1000.0)) < ms:
             cls = self.rng.choice(("read", "read", "read", "order", "bid", "charge"))
             plan = self.rng.choice(plans)
-            self.at(at, self.ask, cls, plan, f"{plan}{self.rng.randrange(30)}")
+            self.schedule(at, self.send_client_request, cls, plan, f"{plan}{self.rng.randrange(30)}")
 
     def flood(self, ms: float, rate: float, plan: str = "hard") -> None:
         """Schedules the load of one account, far above its quota."""
         at = 0.0
         while (at := at + self.rng.expovariate(rate / 1000.0)) < ms:
-            self.at(at, self.ask, "read", plan, f"c-{plan}")
+            self.schedule(at, self.send_client_request, "read", plan, f"c-{plan}")
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Starts a fault of a specific kind of site; subclasses handle theirs."""
@@ -557,7 +559,7 @@
             if runs and self.now > request.deadline + 300.0:
                 late = self.now - request.deadline
                 raise BrokenRule("one answer", f"{request.ref} has no answer, {late:.0f} ms late")
-        for number, module in enumerate(self.modules):
+        for number, module in enumerate(self.engines):
             if not self.alive[number]:
                 continue
             out: dict[str, int] = {}
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -96,10 +96,10 @@
     world = LargeWorld(2)
     world.load(6_000.0, 260.0, ("wide",))
     world.run(3000.0)
-    before = [module.pool.slow_start.warm_response_rate_per_s for module in world.modules]
+    before = [engine.pool.slow_start.warm_response_rate_per_s for engine in world.engines]
     world.replace_nodes(0.6)
     world.run(2000.0)
-    after = [module.pool.slow_start.warm_response_rate_per_s for module in world.modules]
+    after = [engine.pool.slow_start.warm_response_rate_per_s for engine in world.engines]
     assert sum(after) > 1.2 * sum(before)
 
 
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -250,10 +250,10 @@
         world.flood(20_000.0, 60.0)
         rng = random.Random(seed)
         for node in list(world.nodes.values())[:3]:
-            world.at(rng.uniform(0.0, 15_000.0), setattr, node, "alive", False)
-            world.at(16_000.0, setattr, node, "alive", True)
+            world.schedule(rng.uniform(0.0, 15_000.0), setattr, node, "alive", False)
+            world.schedule(16_000.0, setattr, node, "alive", True)
         world.run(5_000.0)
-        world.die(1, 500.0)
+        world.kill_gateway(1, 500.0)
         world.run(20_000.0)
         met[len(world.sent) > 600] += 1
     assert met == {True: 3}
