--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -53,19 +53,24 @@
     detail: str
 
 
-def drawn(seed: int, of: Sequence[str] = KINDS) -> Script:
+def draw_script(seed: int, kinds: Sequence[str] = KINDS) -> Script:
     """Draws the script of a seed. It omits half of the kinds or more, so that rare ones are not masked."""
     rng = random.Random(seed * 2_654_435_761 % (1 << 32))
-    kinds = rng.sample(of, rng.randint(1, len(of) // 2))
+    drawn_kinds = rng.sample(kinds, rng.randint(1, len(kinds) // 2))
     faults = [
-        Fault(round(rng.uniform(0.0, 0.8 * LENGTH_MS)), rng.choice(kinds), rng.random(), rng.randrange(1000))
+        Fault(
+            round(rng.uniform(0.0, 0.8 * LENGTH_MS)),
+            rng.choice(drawn_kinds),
+            rng.random(),
+            rng.randrange(1000),
+        )
         for _ in range(rng.randint(1, 10))
     ]
     return Script(seed, tuple(sorted(faults)))
 
 
 def announce(world: World, changed: list[Node], max_delay_ms: float = 60.0) -> None:
-    """Announces changed nodes to the gateways, with a random delay for each."""
+    """Sends the changed nodes to all gateways as an update of discovery, to each after a random delay."""
     for number in range(len(world.engines)):
         delay = world.rng.uniform(0.0, max_delay_ms)
         copies = [Node(n.name, n.zone, n.started_ms, n.state) for n in changed]
@@ -80,77 +85,75 @@
 
 
 def start_fault(world: World, fault: Fault) -> None:
-    """Starts a fault; most end on their own."""
+    """Starts a fault and schedules its end."""
     names = sorted(world.nodes)
     node = world.nodes[names[fault.which % len(names)]]
-    span = 200.0 + 3000.0 * fault.size
+    span_ms = 200.0 + 3000.0 * fault.size
     count = len(world.engines)
 
-    def later(name: str, value: Any) -> None:
-        world.schedule(span, setattr, node, name, value)
+    def set_at_end(name: str, value: Any) -> None:
+        world.schedule(span_ms, setattr, node, name, value)
 
     match fault.kind:
         case "half die":
             for number in range((count + 1) // 2):
-                world.kill_gateway((fault.which + number) % count, span)
+                world.kill_gateway((fault.which + number) % count, span_ms)
         case "rolling":
             for number in range(count):
                 world.schedule(600.0 * number, world.kill_gateway, number, 200.0)
         case "hang":
             node.hung = True
-            later("hung", False)
+            set_at_end("hung", False)
         case "errors":
             node.errors = fault.size
-            later("errors", 0.0)
+            set_at_end("errors", 0.0)
         case "resets":
             node.resets = fault.size
-            later("resets", 0.0)
+            set_at_end("resets", 0.0)
         case "slow nodes":
             for each in world.nodes.values():
                 each.slow = 1.0 + 8.0 * fault.size
-                world.schedule(span, setattr, each, "slow", 1.0)
+                world.schedule(span_ms, setattr, each, "slow", 1.0)
         case "drain":
             node.state = EndpointState.DRAINING
             announce(world, [node])
-            world.schedule(span, return_to_service, world, node)
+            world.schedule(span_ms, return_to_service, world, node)
         case "gone":
-            gone(world, node)
+            replace_node(world, node)
         case "restart node":
-            node.alive = False
-            node.queue.clear()
-            world.schedule(300.0, start_cold, world, node)
+            restart(world, node, 300.0)
         case "flood":
-            world.flood(span, 60.0 + 120.0 * fault.size)
+            world.flood(span_ms, 60.0 + 120.0 * fault.size)
         case "burst":
-            world.load(span / 2.0, 250.0)
+            world.load(span_ms / 2.0, 250.0)
         case "counter killed":
             world.parts.kill(fault.which % 2)
-            world.schedule(span, world.parts.replace, fault.which % 2)
+            world.schedule(span_ms, world.parts.replace, fault.which % 2)
         case "counter replaced":
             for step in range(1 + fault.which % 20):
-                world.schedule(step * span / 20.0, world.parts.replace)
+                world.schedule(step * span_ms / 20.0, world.parts.replace)
         case "counter split":
             world.parts.split([f"g{i}" for i in range(count // 2)], fault.which % 2 == 0)
-            world.schedule(span, world.parts.heal)
+            world.schedule(span_ms, world.parts.heal)
         case "counter slow":
             world.parts.slow(20.0 + 200.0 * fault.size)
-            world.schedule(span, world.parts.slow, 0.0)
-        case "cold in a rush":  # nodes restart under a load whose even share overloads them
-            warm = 240.0 * len(world.nodes)
-            world.load(2500.0, (0.6 + 0.2 * fault.size) * warm, ("wide",))
-            for at, name in enumerate(names[: 1 + fault.which % 2]):
-                world.schedule(300.0 + 10.0 * at, restart, world, world.nodes[name])
+            world.schedule(span_ms, world.parts.slow, 0.0)
+        case "cold in a rush":  # nodes restart under a load whose even share overloads cold nodes
+            warm_capacity_per_s = 240.0 * len(world.nodes)
+            world.load(2500.0, (0.6 + 0.2 * fault.size) * warm_capacity_per_s, ("wide",))
+            for number, name in enumerate(names[: 1 + fault.which % 2]):
+                world.schedule(300.0 + 10.0 * number, restart, world, world.nodes[name])
         case "clock step":
             world.skew[fault.which % count] += 100.0 * fault.size  # forward only, as clocks are monotonic
         case kind:
-            world.start_fault(kind, node, fault.size, span)
+            world.start_fault(kind, node, fault.size, span_ms)
 
 
-def restart(world: World, node: Node) -> None:
-    """Replaces a node's process, which is down for 100 ms."""
+def restart(world: World, node: Node, down_ms: float = 100.0) -> None:
+    """Ends a node's process, and starts a new one after `down_ms`."""
     node.alive = False
     node.queue.clear()
-    world.schedule(100.0, start_cold, world, node)
+    world.schedule(down_ms, start_cold, world, node)
 
 
 def return_to_service(world: World, node: Node) -> None:
@@ -160,17 +163,17 @@
         announce(world, [node])
 
 
-def gone(world: World, node: Node) -> None:
+def replace_node(world: World, node: Node) -> None:
     """Removes a node and adds one with a new name."""
     if len(world.nodes) < 2 or node.name not in world.nodes:
         return
     del world.nodes[node.name]
     node.state, node.alive = EndpointState.REMOVED, False
     node.queue.clear()
-    fresh = Node(f"s{next(world.node_serial)}", node.zone, world.now)
-    world.nodes[fresh.name] = fresh
+    successor = Node(f"s{next(world.node_serial)}", node.zone, world.now)
+    world.nodes[successor.name] = successor
     announce(world, [node])
-    announce(world, [fresh])
+    announce(world, [successor])
 
 
 def start_cold(world: World, node: Node) -> None:
@@ -180,14 +183,14 @@
         announce(world, [node])
 
 
-def play(
+def run_script(
     script: Script,
     make: Callable[[Settings, int], Any] = DecisionEngine,
     watch: Callable[[int, float, Event, list[Action]], None] | None = None,
-    site: Callable[..., World] = World,
+    make_world: Callable[..., World] = World,
 ) -> World:
-    """Runs a script on a site of this kind; raises BrokenRule, or what an engine raises."""
-    world = site(script.seed, 2 + script.seed % 4, 3 + script.seed % 5, make, watch)
+    """Runs a script on a site that `make_world` builds; raises BrokenRule, or what an engine raises."""
+    world = make_world(script.seed, 2 + script.seed % 4, 3 + script.seed % 5, make, watch)
     world.load(LENGTH_MS, 90.0)
     for fault in script.faults:
         world.schedule(fault.at_ms, start_fault, world, fault)
@@ -195,57 +198,57 @@
     return world
 
 
-def tried(
-    script: Script, make: Callable[[Settings, int], Any] = DecisionEngine, site: Callable[..., World] = World
+def find_failure(
+    script: Script,
+    make: Callable[[Settings, int], Any] = DecisionEngine,
+    make_world: Callable[..., World] = World,
 ) -> Failure | None:
     """Runs a script; returns its failure, or None."""
     try:
-        play(script, make, site=site)
+        run_script(script, make, make_world=make_world)
     except BrokenRule as broken:
         return Failure(script, broken.rule, str(broken))
-    except Exception as error:  # an engine that raises has failed its requests
-        return Failure(script, "module fault", repr(error))
+    except Exception as error:  # the engine raised
+        return Failure(script, "exception", repr(error))
     return None
 
 
-def shrunk(failure: Failure, again: Callable[[Script], Failure | None]) -> Failure:
-    """Removes faults as long as the same rule is broken; `again` runs a script."""
-    best, at, kept = failure, 0, 0
-    while best.script.faults and kept < len(best.script.faults):  # until no fault can be removed
-        at %= len(best.script.faults)
-        fewer = best.script.faults[:at] + best.script.faults[at + 1 :]
-        found = again(best.script._replace(faults=fewer))
+def shrink(failure: Failure, run: Callable[[Script], Failure | None]) -> Failure:
+    """Removes faults as long as the same rule is broken; `run` runs a script."""
+    best, index, needed_count = failure, 0, 0  # `needed_count`: faults found necessary since the last removal
+    while best.script.faults and needed_count < len(best.script.faults):
+        index %= len(best.script.faults)
+        fewer = best.script.faults[:index] + best.script.faults[index + 1 :]
+        found = run(best.script._replace(faults=fewer))
         if found is not None and found.rule == best.rule:
-            best, kept = found, 0
+            best, needed_count = found, 0
         else:
-            at, kept = at + 1, kept + 1
+            index, needed_count = index + 1, needed_count + 1
     return best
 
 
 def search(
     seeds: Sequence[int], make: Callable[[Settings, int], Any] = DecisionEngine,
-    site: Callable[..., World] = World, of: Sequence[str] = KINDS,
+    make_world: Callable[..., World] = World, kinds: Sequence[str] = KINDS,
 ) -> Failure | None:  # fmt: skip
     """Returns the first failure of the seeds, shrunk, or None."""
     for seed in seeds:
-        failure = tried(drawn(seed, of), make, site)
+        failure = find_failure(draw_script(seed, kinds), make, make_world)
         if failure is not None:
-            return shrunk(failure, lambda script: tried(script, make, site))
+            return shrink(failure, lambda script: find_failure(script, make, make_world))
     return None
 
 
-def captured(script: Script, folder: Path) -> list[Path]:
+def write_captures(script: Script, folder: Path) -> list[Path]:
     """Writes a run as capture files for ``glenchute replay``, one for each incarnation of a gateway."""
     from glenchute.capture.codec import SegmentHeader, encode_batch, encode_record, engine_digest
 
     incarnations: list[tuple[Settings, int, list[Any]]] = []
     current: dict[int, int] = {}
-    modules: list[Any] = []
 
     def make(settings: Settings, seed: int) -> Any:
         incarnations.append((settings, seed, []))
-        modules.append(DecisionEngine(settings, seed))
-        return modules[-1]
+        return DecisionEngine(settings, seed)
 
     def watch(number: int, now: float, event: Event, actions: list[Action]) -> None:
         if isinstance(event, EndpointList) and event.kind is EndpointListKind.CACHED:
@@ -253,7 +256,7 @@
         incarnations[current[number]][2].append(encode_record(now, event, actions))
 
     try:
-        play(script, make, watch)
+        run_script(script, make, watch)
     except BrokenRule as broken:
         print(broken, file=sys.stderr)
     files = []
@@ -272,30 +275,32 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("seeds", type=int, nargs="?", default=50)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--capture", type=Path, help="write a failing run, or the first, as captures here")
+    parser.add_argument(
+        "--capture", type=Path, help="folder for the captures of a failing run or the first run"
+    )
     args = parser.parse_args()
     began, gateways_s, steps, checks = time.process_time(), 0.0, 0, 0
     for seed in range(args.first, args.first + args.seeds):
-        script = drawn(seed)
+        script = draw_script(seed)
         try:
-            world = play(script)
-        except Exception:  # a broken rule, or an exception of an engine: `tried` tells which
-            failure = tried(script, DecisionEngine)
+            world = run_script(script)
+        except Exception:  # a broken rule or an exception of the engine; `find_failure` returns which
+            failure = find_failure(script, DecisionEngine)
             assert failure is not None, "a seed determines a run, so it must fail again"
-            failure = shrunk(failure, tried)
+            failure = shrink(failure, find_failure)
             print(f"seed {seed}: {failure.detail}")
             for fault in failure.script.faults:
                 print(f"  {fault}")
             if args.capture:
-                print(*captured(failure.script, args.capture), sep="\n")
+                print(*write_captures(failure.script, args.capture), sep="\n")
             return 1
         gateways_s += len(world.engines) * (world.now - world.began) / 1000.0
         steps, checks = steps + world.steps, checks + world.checks
     took = time.process_time() - began
     rates = f"{gateways_s / took:.0f} gateway-seconds, {steps / took:.0f} steps, {checks / took:.0f} checks"
-    print(f"{args.seeds} seeds, all rules kept; a second of processor: {rates}")
+    print(f"{args.seeds} seeds, no rule broken; per second of CPU time: {rates}")
     if args.capture:
-        print(*captured(drawn(args.first), args.capture), sep="\n")
+        print(*write_captures(draw_script(args.first), args.capture), sep="\n")
     return 0
 
 
--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -25,7 +25,7 @@
 from glenchute.policy.requests import PendingRequest
 from glenchute.policy.retries.retry_policy import RetryPolicy
 from glenchute.policy.settings import Idempotency
-from lab.sim.swarm import Fault, Script, captured, drawn, play, search, tried
+from lab.sim.swarm import Fault, Script, draw_script, find_failure, run_script, search, write_captures
 
 SEEDS = range(24)
 BUGS: dict[str, Callable[[pytest.MonkeyPatch], None]] = {}
@@ -195,12 +195,12 @@
 
 def test_the_rules_hold_over_seeds() -> None:
     for seed in SEEDS:
-        failure = tried(drawn(seed), DecisionEngine)
+        failure = find_failure(draw_script(seed), DecisionEngine)
         assert failure is None, failure
 
 
 def test_a_seed_is_a_run() -> None:
-    one, two = play(drawn(3)), play(drawn(3))
+    one, two = run_script(draw_script(3)), run_script(draw_script(3))
     assert one.sent == two.sent and one.steps == two.steps and len(one.sent) > 200
 
 
@@ -209,15 +209,15 @@
     BUGS[name](monkeypatch)
     failure = search(range(40))
     assert failure is not None, f"{name} was not found"
-    assert len(failure.script.faults) <= len(drawn(failure.script.seed).faults)
-    again = tried(failure.script, DecisionEngine)
+    assert len(failure.script.faults) <= len(draw_script(failure.script.seed).faults)
+    again = find_failure(failure.script, DecisionEngine)
     assert again is not None and again.rule == failure.rule  # the seed and its faults reproduce it
     print(f"{name}: seed {failure.script.seed}, {failure.rule}, {failure.script.faults}")
 
 
 def test_a_run_becomes_captures_that_replay(tmp_path: Path) -> None:
     script = Script(2, (Fault(1500.0, "half die", 0.5, 1), Fault(3000.0, "counter replaced", 0.9, 9)))
-    files = captured(script, tmp_path)
+    files = write_captures(script, tmp_path)
     assert len(files) >= 5  # one for each gateway, and one for each of its restarts
     for found in find_runs(tmp_path).values():
         report = replay(found)
--- a/tests/lab/test_swarm_members.py
+++ b/tests/lab/test_swarm_members.py
@@ -10,12 +10,12 @@
 from glenchute.policy.membership.gossip import Gossip
 from glenchute.policy.membership.usage import AccountUsage
 from lab.sim.members import OF_MEMBERS, MembersWorld, mute_run
-from lab.sim.swarm import drawn, tried
+from lab.sim.swarm import draw_script, find_failure
 
 
 def test_the_rules_hold_among_members_over_seeds() -> None:
     for seed in range(300, 314):
-        failure = tried(drawn(seed, OF_MEMBERS), site=MembersWorld)
+        failure = find_failure(draw_script(seed, OF_MEMBERS), make_world=MembersWorld)
         assert failure is None, failure
 
 
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -19,7 +19,7 @@
 from glenchute.policy.events import Outcome
 from lab.sim import piped
 from lab.sim.piped import PIPED_KINDS, PipedWorld
-from lab.sim.swarm import Fault, Script, drawn, play, search, tried
+from lab.sim.swarm import Fault, Script, draw_script, find_failure, run_script, search
 
 SEEDS = range(14)
 BUGS: dict[str, tuple[str, Callable[[pytest.MonkeyPatch], None]]] = {}
@@ -137,8 +137,8 @@
 def test_the_rules_hold_over_seeds_and_connections_are_shared() -> None:
     joined = aborted = 0
     for seed in SEEDS:
-        script = drawn(seed, PIPED_KINDS)
-        world = play(script, site=PipedWorld)
+        script = draw_script(seed, PIPED_KINDS)
+        world = run_script(script, make_world=PipedWorld)
         assert isinstance(world, PipedWorld)
         joined, aborted = joined + world.joined, aborted + world.aborted_shared
         connections = [
@@ -155,7 +155,7 @@
 def test_each_fault_alone(kind: str) -> None:
     faults = tuple(Fault(500.0 + 1500.0 * n, kind, 0.9, n) for n in range(4))
     for seed in (2, 7):
-        failure = tried(Script(seed, (Fault(100.0, "burst", 0.5, 1), *faults)), site=PipedWorld)
+        failure = find_failure(Script(seed, (Fault(100.0, "burst", 0.5, 1), *faults)), make_world=PipedWorld)
         assert failure is None, failure
 
 
@@ -173,7 +173,7 @@
 
 def test_the_rules_hold_when_all_goes_wrong_at_once() -> None:
     for seed in range(8):
-        failure = tried(hard(seed), site=PipedWorld)
+        failure = find_failure(hard(seed), make_world=PipedWorld)
         assert failure is None, failure
 
 
@@ -181,9 +181,9 @@
 def test_an_injected_bug_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     rule, inject = BUGS[name]
     inject(monkeypatch)
-    found = (tried(hard(seed), site=PipedWorld) for seed in range(24))
+    found = (find_failure(hard(seed), make_world=PipedWorld) for seed in range(24))
     failure = next((one for one in found if one is not None), None)
-    failure = failure or search(range(10), site=PipedWorld, of=PIPED_KINDS)
+    failure = failure or search(range(10), make_world=PipedWorld, kinds=PIPED_KINDS)
     assert failure is not None, f"{name} was not found"
     assert failure.rule == rule, failure
     print(f"{name}: seed {failure.script.seed}, {failure.detail}, {failure.script.faults}")
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -13,7 +13,7 @@
 from glenchute.policy.balancing.pool import ServerPool
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Event
 from glenchute.policy.settings import SlowStart
-from lab.sim.swarm import gone
+from lab.sim.swarm import replace_node
 from lab.sim.world import SERVICE_MS, SETTINGS, World
 
 GATEWAYS, NODES = 40, 60
@@ -44,7 +44,7 @@
         """Replaces this share of the nodes by new ones; returns the names of the new nodes."""
         old = set(self.nodes)
         for name in sorted(old)[: round(share * len(old))]:
-            gone(self, self.nodes[name])
+            replace_node(self, self.nodes[name])
         new = set(self.nodes) - old
         for name in new:
             self.nodes[name].slots, self.nodes[name].slow = 2, SLOW
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -61,7 +61,7 @@
 from lab.load import Account, Load, RequestKind
 from lab.load import Outcome as LoadOutcome
 from lab.peers import DiscoveryPeer, discovery_answer, run_scenario, server_row, wait_until
-from lab.sim.swarm import drawn, tried
+from lab.sim.swarm import draw_script, find_failure
 from lab.sim.world import World
 from lab.site import with_longer_deadlines
 from tests.loopback import ScriptedEngine, site
@@ -619,7 +619,7 @@
         return World(seed, gateways, MAX_SUBSET_SIZE + 44, make, watch)
 
     for seed in range(6):
-        failure = tried(drawn(seed), make, large)
+        failure = find_failure(draw_script(seed), make, large)
         assert failure is None, failure
     used = [len(part.inner.pool.servers) for part in parts]
     assert all(part.subsetting.is_subsetting for part in parts) and max(used) < MAX_SUBSET_SIZE
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -16,7 +16,7 @@
 from glenchute.policy.events import AttemptEnded, EndpointList, EndpointListKind, Outcome
 from glenchute.policy.settings import Idempotency, RequestClass
 from lab.peers import run_scenario
-from lab.sim.recovery import drawn, shape_of, tried
+from lab.sim.recovery import draw_script, draw_shape, find_failure
 from lab.sim.swarm import Fault, Script
 from tests.rig import EngineHarness, actions_of_type, make_endpoints
 
@@ -35,14 +35,16 @@
 
 @pytest.mark.parametrize("name", RECOVERY_SCRIPTS)
 def test_scripts_that_once_ended_service(name: str) -> None:
-    assert tried(RECOVERY_SCRIPTS[name]) is None
+    assert find_failure(RECOVERY_SCRIPTS[name]) is None
 
 
 def test_service_comes_back_over_seeds() -> None:
     # Only cheap seeds run here; `python -m lab.sim.recovery` runs the expensive ones.
-    shapes = {seed: shape_of(seed) for seed in range(200, 260)}
+    shapes = {seed: draw_shape(seed) for seed in range(200, 260)}
     seeds = [seed for seed, shape in shapes.items() if shape.rate < 30.0 and shape.gateways <= 20]
-    assert len(seeds) >= 20 and not [failure for seed in seeds if (failure := tried(drawn(seed))) is not None]
+    assert len(seeds) >= 20 and not [
+        failure for seed in seeds if (failure := find_failure(draw_script(seed))) is not None
+    ]
 
 
 def window_demand_only(patch: pytest.MonkeyPatch) -> None:
@@ -88,7 +90,7 @@
     bug: Callable[[pytest.MonkeyPatch], None], script: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
-    failure = tried(RECOVERY_SCRIPTS[script])
+    failure = find_failure(RECOVERY_SCRIPTS[script])
     assert failure is not None and failure.rule == "recovery"
 
 
