--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -2,7 +2,7 @@
 
 ``python -m benchmarks.scale --servers 5700 --tenants 41000 --gateways 520 --real 4 --rate 163 --seconds 20``;
 ``--compare`` compares what a hollow gateway sends with a real one, on a small site; ``--scene`` injects a
-trouble in the middle of the run.
+fault in the middle of the run.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from benchmarks.machine import machine
 from lab.scale.run import Figures, Scale
-from lab.scale.site import Site, Trouble
+from lab.scale.site import Site, SiteFault
 
 COMPARED = (
     "list calls/min",
@@ -29,15 +29,15 @@
 
 
 def scenes(site: Site, seconds: float) -> dict[str, Site]:
-    """Returns the site with each scripted trouble, in the middle of the measured time."""
+    """Returns the site with each scripted fault, in the middle of the measured time."""
     at, to = 0.25 * seconds, 0.6 * seconds
     return {
-        "zone back": replace(site, troubles=(Trouble("restart", at, to),)),
-        "zone gone": replace(site, troubles=(Trouble("zone", at, to),)),
-        "rack gone": replace(site, troubles=(Trouble("rack", at, to),)),
-        "counter slow": replace(site, troubles=(Trouble("counter slow", at, to, value=80.0),)),
-        "lists silent": replace(site, troubles=(Trouble("lists silent", at, to),)),
-        "one asks half": replace(site, half=True),
+        "zone back": replace(site, faults=(SiteFault("restart", at, to),)),
+        "zone gone": replace(site, faults=(SiteFault("zone", at, to),)),
+        "rack gone": replace(site, faults=(SiteFault("rack", at, to),)),
+        "counter slow": replace(site, faults=(SiteFault("counter slow", at, to, delay_ms=80.0),)),
+        "lists silent": replace(site, faults=(SiteFault("lists silent", at, to),)),
+        "one asks half": replace(site, has_dominant_tenant=True),
     }
 
 
@@ -51,7 +51,7 @@
 def equal_load_site(site: Site, requests: int) -> Site:
     """Returns the site with equal load on each gateway and a list that changes as fast as all can follow."""
     return replace(
-        site, twins=True, requests=requests, spread=site.gateways, hollow_rate=site.rate, most_known=0,
+        site, equal_load=True, requests=requests, spread=site.gateways, hollow_rate=site.rate, most_known=0,
         changes=20.0,
     )  # fmt: skip
 
@@ -69,7 +69,7 @@
     """Performs the run that the flags describe."""
     parser = argparse.ArgumentParser(description=__doc__)
     for one in fields(Site):
-        if one.name in ("troubles", "half", "hollow_rate", "twins", "requests"):
+        if one.name in ("faults", "has_dominant_tenant", "hollow_rate", "equal_load", "requests"):
             continue
         kind = {"int": int, "float": float}[str(one.type)]
         parser.add_argument(f"--{one.name.replace('_', '-')}", type=kind, default=one.default)
--- a/lab/scale/__main__.py
+++ b/lab/scale/__main__.py
@@ -44,7 +44,7 @@
         return []
 
     def on_begin(self) -> None:
-        """Starts the load and the troubles, after the timelines are set."""
+        """Starts the load and the faults, after the timelines are set."""
 
     def mark(self) -> dict[str, Any]:
         """Returns the counts so far."""
@@ -60,7 +60,7 @@
 
 
 class ListWorker(Worker):
-    """Runs the list service, with its changes and the troubles that it reports."""
+    """Runs the list service, with its changes and the faults that it reports."""
 
     async def start(self) -> dict[str, Any]:
         self.lists = ListService(self.site, self.parameters["rows"])
@@ -72,9 +72,9 @@
     def on_begin(self) -> None:
         if self.site.changes > 0:
             self.run_in_background(self.change())
-        for trouble in self.site.troubles:
-            if trouble.what in ("rack", "zone"):
-                self.run_in_background(self.take_servers_away(trouble))
+        for fault in self.site.faults:
+            if fault.kind in ("rack", "zone"):
+                self.run_in_background(self.take_servers_away(fault))
 
     async def change(self) -> None:
         """Changes weights of rows, from before the measured time on; at high rates several rows at once."""
@@ -82,7 +82,7 @@
         serial = 0
         while True:
             await asyncio.sleep(step / self.site.changes)
-            while self.site.twins and len(self.lists.waiting) < self.site.real + self.site.hollow:
+            while self.site.equal_load and len(self.lists.waiting) < self.site.real + self.site.hollow:
                 await asyncio.sleep(0.005)
             rows = []
             for _ in range(step):
@@ -92,12 +92,14 @@
                     rows.append({**row, "weight": 1.0 + 0.001 * (serial % 7)})
             self.lists.update(rows)
 
-    async def take_servers_away(self, trouble: Any) -> None:
-        """Removes the servers that a trouble takes away, 2 s later; lists them as restarted when it ends."""
-        await self.lists.timeline.until(trouble.at_s + 2.0)
-        gone = [row for row in self.lists.rows.values() if self.site.struck(trouble, int(row["id"][2:], 16))]
+    async def take_servers_away(self, fault: Any) -> None:
+        """Removes the servers that a fault takes away, 2 s later; lists them as restarted when it ends."""
+        await self.lists.timeline.until(fault.start_s + 2.0)
+        gone = [
+            row for row in self.lists.rows.values() if self.site.takes_down(fault, int(row["id"][2:], 16))
+        ]
         self.lists.update([{**row, "state": "Gone"} for row in gone])
-        await self.lists.timeline.until(trouble.to_s)
+        await self.lists.timeline.until(fault.end_s)
         now = 1000.0 * time.time()
         self.lists.update([{**row, "started_ms": now} for row in gone])
 
@@ -229,7 +231,7 @@
     reader = asyncio.StreamReader(limit=64 * 1024 * 1024)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     first = json.loads(await reader.readline())
-    worker = ROLES[role](Site.of(first["site"]), first)
+    worker = ROLES[role](Site.from_dict(first["site"]), first)
     send_line(await worker.start())
     groups: list[int] = []
     try:
--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from lab.load import Load, Outcome
-from lab.scale.site import Draw, Site, arrivals
+from lab.scale.site import Site, TenantDraw, arrivals
 from lab.scale.stand_ins import Timeline
 from lab.site import KINDS
 
@@ -14,7 +14,7 @@
 class Traffic(Load):
     """Load on one real gateway. Unlike `Load.run`, it draws an account without a scan of all of them."""
 
-    def __init__(self, site: Site, number: int, port: int, draw: Draw, timeline: Timeline) -> None:
+    def __init__(self, site: Site, number: int, port: int, draw: TenantDraw, timeline: Timeline) -> None:
         super().__init__(lambda: port, KINDS, draw.accounts, site.rate, 1000 * site.seed + number)
         self.site, self.number, self.draw, self.timeline = site, number, draw, timeline
         self.stopped = False
@@ -42,7 +42,7 @@
 
     def __init__(self, site: Site, ports: dict[int, int]) -> None:
         self.site, self.timeline = site, Timeline(site)
-        draw = Draw(site, list(ports))
+        draw = TenantDraw(site, list(ports))
         self.loads = [Traffic(site, number, port, draw, self.timeline) for number, port in ports.items()]
         self.running: list[asyncio.Task[None]] = []
 
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -32,7 +32,7 @@
 from glenchute.policy.events import EndpointList, EndpointListKind, Event, Outcome
 from glenchute.upstreams.server_pools import ServerPools
 from lab.load import Account, RequestKind
-from lab.scale.site import Arrival, Draw, Site, arrivals, sets
+from lab.scale.site import Arrival, Site, TenantDraw, arrivals, gateway_set
 from lab.scale.stand_ins import Timeline
 
 LATE_S = 1.0  # requests that are late by more than this are skipped, and counted as "not asked"
@@ -222,7 +222,7 @@
 
     def away(self, server: str) -> bool:
         """Returns whether a server's rack or zone is away."""
-        return bool(self.site.troubles) and self.timeline.gone(int(server[2:], 16))
+        return bool(self.site.faults) and self.timeline.gone(int(server[2:], 16))
 
     def up(self) -> None:
         """Starts the gateway as `GatewayProgram.start` does, without its listener."""
@@ -252,7 +252,7 @@
         self.operator = read_operator(operator_path, config) if operator_path else None
         self.gateways: dict[int, HollowGateway] = {}
         self.answers: Counter[str] = Counter()
-        self.draw = Draw(site, numbers)
+        self.draw = TenantDraw(site, numbers)
         self.serial = 0
 
     def create_gateway(self, number: int) -> HollowGateway:
@@ -274,12 +274,12 @@
 
     async def restarts(self) -> None:
         """Plays the site's restarts in order of time."""
-        for trouble in sorted((t for t in self.site.troubles if t.what == "restart"), key=lambda t: t.at_s):
-            await self.timeline.until(trouble.at_s)
-            struck = [n for n in self.numbers if self.site.gateway_zone(n) == trouble.zone]
+        for fault in sorted((t for t in self.site.faults if t.kind == "restart"), key=lambda t: t.start_s):
+            await self.timeline.until(fault.start_s)
+            struck = [n for n in self.numbers if self.site.gateway_zone(n) == fault.zone]
             for number in struck:
                 self.gateways.pop(number).down()
-            await self.timeline.until(trouble.to_s)
+            await self.timeline.until(fault.end_s)
             await self.begin(struck)
 
     async def load(self) -> None:
@@ -289,7 +289,7 @@
             return
         began = self.timeline.zero(self.loop.time())
         rows = [self.numbered_arrivals(number, rate) for number in self.numbers]
-        for number, (at, kind, account) in heapq.merge(*rows, key=lambda row: row[1].at):
+        for number, (at, kind, account) in heapq.merge(*rows, key=lambda row: row[1].at_s):
             pause = began + at - self.loop.time()
             if pause > 0:
                 await asyncio.sleep(pause)
@@ -308,7 +308,7 @@
         if gateway is None:
             return  # the gateway restarts; its clients use others meanwhile
         self.serial += 1
-        spread, _ = sets(account)
+        spread, _ = gateway_set(account)
         call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
                      float(kind.deadline_ms), 1.0, spread)  # fmt: skip
         self.answers["asked"] += 1
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -57,7 +57,7 @@
             sys.executable, "-m", "lab.scale", self.role, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE, limit=256 * 1024 * 1024, cwd=ROOT,
         )  # fmt: skip
-        return await self.ask(site=site.raw(), **more)
+        return await self.ask(site=site.to_dict(), **more)
 
     async def tell(self, **what: Any) -> None:
         """Sends a message to the process."""
@@ -123,12 +123,13 @@
     worst: int = 0  # calls to the list service in the worst second
     worst_at: float = 0.0
     names: int = 0  # most names held by the counter at once
-    back: int = 0  # calls to the list service in the worst second of the five after a trouble's end
+    back: int = 0  # calls to the list service in the worst second of the five after a fault's end
 
     def lines(self) -> list[str]:
         """Returns the lines of the table."""
         site = self.site
-        shares = f"Zipf {site.zipf}{', one asks half' if site.half else ''}, set {site.spread} at least"
+        dominant = ", one asks half" if site.has_dominant_tenant else ""
+        shares = f"Zipf {site.zipf}{dominant}, set {site.spread} at least"
         out = [
             f"{site.gateways} gateways ({site.real} real), {site.servers} servers of {site.services} services"
             f" in {site.zones} zones, {site.tenants} tenants ({shares}), {site.rate:g} requests a second at a"
@@ -156,10 +157,10 @@
             f"list service: {self.worst} calls in the worst second, from second {self.worst_at:.1f} on;"
             f" counter held {self.names} names at most"
         )
-        for one in site.troubles:
+        for fault in site.faults:
             out.append(
-                f"{one.what} from second {one.at_s:g} to {one.to_s:g}: {self.back} calls to the list service"
-                " in the worst of the five seconds after it"
+                f"{fault.kind} from second {fault.start_s:g} to {fault.end_s:g}: {self.back} calls to the"
+                " list service in the worst of the five seconds after it"
             )
         return out
 
@@ -205,7 +206,7 @@
             self.counter.start(site),
         )
         ports = {(zone, rack): port for one in told[:-1] for zone, rack, port in one["ports"]}
-        rows = [site.row(n, ports[site.zone_of(n), site.rack_of(n)]) for n in range(site.servers)]
+        rows = [site.list_row(n, ports[site.zone_of(n), site.rack_of(n)]) for n in range(site.servers)]
         lists = (await self.lists.start(site, rows=rows))["ports"]
         counter = told[-1]["ports"]
         saved = {"version": 1, "full": True, "servers": rows}
@@ -313,7 +314,7 @@
         figures.worst, figures.worst_at = worst(
             [*calls["real"], *calls["hollow"]], began - zero, ended - zero
         )
-        end = max((one.to_s for one in self.site.troubles), default=0.0)
+        end = max((one.end_s for one in self.site.faults), default=0.0)
         figures.back = worst([*calls["real"], *calls["hollow"]], end, end + 5.0)[0]
         figures.names = int(after["counter"][0]["names"])
         figures.per = self.per(before, after, span, len(outcomes))
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -1,4 +1,4 @@
-"""Description of a site. One seed gives the same tenants, rows, settings and faults in every process."""
+"""Description of a site, from which each process derives the same tenants, rows, settings and faults."""
 
 from __future__ import annotations
 
@@ -15,22 +15,26 @@
 
 PLAN_RATES = (2.0, 8.0, 32.0, 128.0, 512.0, 2048.0, 8192.0, 32768.0)  # units a second
 PLAN_HEADROOM = 1.5  # least ratio of a plan's rate to the demand of its tenant
-SET_SHARE = 0.25  # greatest share of a gateway's requests from one tenant, which sets the size of its set
-CEILED_PLANS = 2  # number of the largest plans that have a ceiling
+MAX_TENANT_SHARE = 0.25  # greatest fraction of a gateway's requests that comes from one tenant
+PLANS_WITH_CEILING = 2  # the largest ones
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """Fault, with times in seconds from the start of the measurement. Values of `what`: rack and zone (the
-    servers are gone at `at_s`, and back after a restart at `to_s`), lists silent, counter slow (by `value`
-    ms), restart (the hollow gateways of the zone end at `at_s` and start again at `to_s`)."""
-
-    what: str
-    at_s: float
-    to_s: float
+class SiteFault:
+    """Fault, with times in seconds from the start of the measurement.
+
+    Values of `kind`: "rack" and "zone" (their servers are down from `start_s` and come back restarted at
+    `end_s`), "lists silent" (the list service does not answer), "counter slow" (answers of the counter are
+    delayed by `delay_ms`), "restart" (the hollow gateways of the zone end at `start_s` and start again at
+    `end_s`).
+    """
+
+    kind: str
+    start_s: float
+    end_s: float
     zone: int = 0
     rack: int = 0
-    value: float = 0.0
+    delay_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,12 +42,15 @@
     """Sizes, load and faults of a site.
 
     `absent`: gateways that the settings count but that do not run; `spread`: the least number of gateways
-    that a tenant's requests come through; `rate`: requests a second at a real gateway; `hollow_rate`: at a
-    hollow one; `changes`: rows of the list that change per second; `most_known`: most servers that a hollow
-    gateway chooses among (0: all); `calls_per_s`: stated capacity of the list service (0: not stated; each
-    gateway then has a discovery agent of its own); `subset`: `[subset] servers`, 0 for none. `twins`: all
-    gateways get the same requests at the same times, `requests` each (0: no limit), and a row of the list
-    changes only while all gateways have a long poll open, so that what they send can be compared.
+    that a tenant's requests come through; `rate`: requests per second at a real gateway; `hollow_rate`: at a
+    hollow one; `changes`: rows of the list that change per second; `most_known`: the greatest number of
+    servers that a hollow gateway chooses among (0: all); `calls_per_s`: capacity of the list service as the
+    operator's file states it (0: not stated; each gateway then has a discovery agent of its own);
+    `list_age_s` and `subset`: `[discovery] list_age_s` and `[subset] servers`, 0 for none.
+
+    `equal_load`: all gateways get the same requests at the same times, `requests` each (0: no limit), and a
+    row of the list changes only while all gateways have a long poll open, so that what they send can be
+    compared.
     """
 
     gateways: int = 6
@@ -56,7 +63,7 @@
     racks: int = 2
     tenants: int = 1000
     zipf: float = 1.0
-    half: bool = False  # the first tenant makes half of all requests
+    has_dominant_tenant: bool = False  # the first tenant makes half of all requests
     spread: int = 3
     rate: float = 20.0
     hollow_rate: float = 20.0
@@ -66,26 +73,26 @@
     list_age_s: float = 0.0
     subset: int = 0
     service_ms: float = 10.0
-    twins: bool = False
+    equal_load: bool = False
     requests: int = 0
     seed: int = 1
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[SiteFault, ...] = ()
 
     @property
     def hollow(self) -> int:
         """Returns the number of hollow gateways."""
         return self.gateways - self.real - self.absent
 
-    def raw(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Returns the site as JSON data for another process."""
         return asdict(self)
 
     @classmethod
-    def of(cls, raw: dict[str, Any]) -> Site:
-        """Builds a site from the data of another process."""
-        return cls(**{**raw, "troubles": tuple(Trouble(**one) for one in raw["troubles"])})
+    def from_dict(cls, raw: dict[str, Any]) -> Site:
+        """Builds a site from the result of `to_dict`."""
+        return cls(**{**raw, "faults": tuple(SiteFault(**fault) for fault in raw["faults"])})
 
-    # --- places ------------------------------------------------------------------------------------------
+    # --- zones and racks ---------------------------------------------------------------------------------
 
     def zone_name(self, zone: int) -> str:
         """Returns the name of a zone, with its region."""
@@ -111,17 +118,19 @@
         """Returns the numbers of the real gateways."""
         return [i * self.gateways // self.real for i in range(self.real)] if self.real else []
 
-    def struck(self, trouble: Trouble, server: int) -> bool:
-        """Returns whether a trouble takes this server away."""
-        zone = self.zone_of(server) == trouble.zone
-        return zone and (
-            trouble.what == "zone" or (trouble.what == "rack" and self.rack_of(server) == trouble.rack)
+    def takes_down(self, fault: SiteFault, server: int) -> bool:
+        """Returns whether a server is down during a fault."""
+        is_in_zone = self.zone_of(server) == fault.zone
+        return is_in_zone and (
+            fault.kind == "zone" or (fault.kind == "rack" and self.rack_of(server) == fault.rack)
         )
 
     # --- the list ----------------------------------------------------------------------------------------
 
-    def row(self, server: int, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
-        """Returns a row of the list."""
+    def list_row(
+        self, server: int, port: int, state: str = "Ready", started_ms: float = 0.0
+    ) -> dict[str, Any]:
+        """Returns a server's row of the list."""
         service, zone = server % self.services, self.zone_name(self.zone_of(server))
         return {"id": f"s-{server:06x}", "addr": f"127.0.0.1:{port}", "zone": zone,
                 "kind": f"svc{service:03d}",
@@ -132,42 +141,42 @@
 
     def shares(self) -> list[float]:
         """Returns the tenants' shares of the requests, the largest first."""
-        raw = [1.0 / (n + 1) ** self.zipf for n in range(self.tenants)]
-        if self.half and self.tenants > 1:
-            raw[0] = sum(raw[1:])
-        whole = sum(raw)
-        return [one / whole for one in raw]
+        weights = [1.0 / (n + 1) ** self.zipf for n in range(self.tenants)]
+        if self.has_dominant_tenant and self.tenants > 1:
+            weights[0] = sum(weights[1:])
+        total = sum(weights)
+        return [weight / total for weight in weights]
 
     def accounts(self) -> list[Account]:
-        """Returns all tenants. A plan allows `PLAN_HEADROOM` times the tenant's demand of the whole site at
-        the rate of real gateways, and at least 2 a second. A set is large enough that no gateway has more
-        than `SET_SHARE` of its requests from the tenant."""
-        rng, found = random.Random(self.seed), []
+        """Returns all tenants. A tenant's plan allows `PLAN_HEADROOM` times its demand if every gateway had
+        the rate of a real one, and at least 2 units a second. Its set of gateways is large enough that none
+        of them gets more than `MAX_TENANT_SHARE` of its requests from the tenant."""
+        rng, accounts = random.Random(self.seed), []
         for number, share in enumerate(self.shares()):
-            need = PLAN_HEADROOM * share * self.gateways * self.rate
-            plan = min(bisect.bisect_left(PLAN_RATES, need), len(PLAN_RATES) - 1)
-            spread = min(self.gateways, max(self.spread, math.ceil(share * self.gateways / SET_SHARE)))
+            needed_rate = PLAN_HEADROOM * share * self.gateways * self.rate
+            plan = min(bisect.bisect_left(PLAN_RATES, needed_rate), len(PLAN_RATES) - 1)
+            spread = min(self.gateways, max(self.spread, math.ceil(share * self.gateways / MAX_TENANT_SHARE)))
             first = rng.randrange(self.gateways)
-            found.append(
+            accounts.append(
                 Account(
                     b"%016x" % (4096 + number), f"p{plan}", share, f",units=1,spread={spread},first={first}"
                 )
             )
-        return found
+        return accounts
 
     def settings(self, number: int) -> dict[str, Any]:
         """Returns the platform's settings for one gateway."""
         plans = [
             {"name": f"p{n}", "per_second": rate, "most_at_once": 3.0 * rate, "price": 1.0 + 0.25 * n}
             | ({"ceiling_rate": 2.0 * rate, "hard_burst": 4.0 * rate, "ceiling_slack": 0.4 * rate}
-               if n >= len(PLAN_RATES) - CEILED_PLANS else {})
+               if n >= len(PLAN_RATES) - PLANS_WITH_CEILING else {})
             for n, rate in enumerate(PLAN_RATES)
         ]  # fmt: skip
         return {**SETTINGS, "packages": plans, "balancers": self.gateways, "me": number,
                 "my_zone": self.zone_name(self.gateway_zone(number))}  # fmt: skip
 
     def operator(self) -> str | None:
-        """Returns the operator's file, the same for all gateways; None for a run without one."""
+        """Returns the text of the operator's file, the same for all gateways; None for a run without one."""
         parts = []
         if self.calls_per_s:
             parts.append(f"[discovery]\ncalls_per_s = {self.calls_per_s}\n")
@@ -179,52 +188,57 @@
 
 
 class Arrival(NamedTuple):
-    """Request: seconds after the start of the load, request class, tenant."""
+    """Request that arrives at a gateway."""
 
-    at: float
+    at_s: float  # since the start of the load
     kind: RequestKind
     account: Account
 
 
-def arrivals(site: Site, draw: Draw, number: int, rate: float) -> Iterator[Arrival]:
-    """Yields the requests to a gateway, real or hollow, which its number and the site's seed determine."""
-    rng = random.Random(f"{site.seed} {0 if site.twins else number}")
-    edges = list(itertools.accumulate(kind.share for kind in KINDS))
-    at = 0.0
+def arrivals(site: Site, draw: TenantDraw, number: int, rate: float) -> Iterator[Arrival]:
+    """Yields the requests to a gateway; the site's seed and the gateway's number determine them."""
+    rng = random.Random(f"{site.seed} {0 if site.equal_load else number}")
+    cumulative_shares = list(itertools.accumulate(kind.share for kind in KINDS))
+    at_s = 0.0
     for _ in itertools.count() if not site.requests else range(site.requests):
-        at += rng.expovariate(rate)
-        kind = KINDS[min(len(edges) - 1, bisect.bisect_left(edges, rng.random()))]
-        yield Arrival(at, kind, draw(number, rng))
+        at_s += rng.expovariate(rate)
+        index = bisect.bisect_left(cumulative_shares, rng.random())
+        yield Arrival(at_s, KINDS[min(len(KINDS) - 1, index)], draw(number, rng))
 
 
-class Draw:
-    """Draws the tenant of a gateway's next request, by its share divided among the gateways of its set."""
+class TenantDraw:
+    """Draws the tenant of a gateway's next request. A tenant's share is divided evenly among the gateways of
+    its set."""
 
     def __init__(self, site: Site, numbers: list[int]) -> None:
         self.accounts = site.accounts()
-        mine: dict[int, list[tuple[int, float]]] = {number: [] for number in numbers}
+        # For each gateway, the indexes of its tenants and their weights.
+        weighted: dict[int, list[tuple[int, float]]] = {number: [] for number in numbers}
         wanted = set(numbers)
-        for at, account in enumerate(self.accounts):
-            spread, first = sets(account)
+        for index, account in enumerate(self.accounts):
+            spread, first = gateway_set(account)
             if spread >= site.gateways:
                 members: list[int] = numbers
             else:
                 members = [n for i in range(spread) if (n := (first + i) % site.gateways) in wanted]
             for number in members:
-                mine[number].append((at, account.weight / spread))
-        self.who = {number: [at for at, _ in rows] for number, rows in mine.items()}
-        self.sums = {
-            number: list(itertools.accumulate(weight for _, weight in rows)) for number, rows in mine.items()
+                weighted[number].append((index, account.weight / spread))
+        self.tenants = {number: [index for index, _ in rows] for number, rows in weighted.items()}
+        self.cumulative_weights = {
+            number: list(itertools.accumulate(weight for _, weight in rows))
+            for number, rows in weighted.items()
         }
 
     def __call__(self, number: int, rng: random.Random) -> Account:
-        sums = self.sums[number]
-        if not sums:  # no tenant's set includes this gateway, as there are few tenants
+        cumulative = self.cumulative_weights[number]
+        if not cumulative:  # no tenant's set includes this gateway, as there are few tenants
             return self.accounts[rng.randrange(len(self.accounts))]
-        return self.accounts[self.who[number][bisect.bisect_left(sums, rng.random() * sums[-1])]]
+        return self.accounts[
+            self.tenants[number][bisect.bisect_left(cumulative, rng.random() * cumulative[-1])]
+        ]
 
 
-def sets(account: Account) -> tuple[int, int]:
-    """Returns the spread and first gateway of an account's set."""
+def gateway_set(account: Account) -> tuple[int, int]:
+    """Returns the size of an account's set of gateways, and the number of the first of them."""
     fields = dict(part.split("=") for part in account.more.split(",") if part)
     return int(fields["spread"]), int(fields["first"])
--- a/lab/scale/stand_ins.py
+++ b/lab/scale/stand_ins.py
@@ -19,7 +19,7 @@
 import hiredis
 
 from lab.nodes import Node, ServiceProfile
-from lab.scale.site import Site, Trouble
+from lab.scale.site import Site, SiteFault
 from lab.site import KINDS
 
 SINCE = re.compile(rb"[?&]since=(\d+)")
@@ -47,7 +47,7 @@
 
 
 class Timeline:
-    """Schedule of the site's troubles by this process's clock; `begin` sets its second 0."""
+    """Schedule of the site's faults by this process's clock; `begin` sets its second 0."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -65,17 +65,17 @@
         """Returns when requests begin: with the measurement if their number is fixed, else at once."""
         return self.began if self.site.requests and self.began is not None else now
 
-    def on(self, what: str) -> Trouble | None:
-        """Returns the trouble of this kind that is in effect, or None."""
+    def on(self, kind: str) -> SiteFault | None:
+        """Returns the fault of this kind that is in effect, or None."""
         now = self.now()
-        return next((t for t in self.site.troubles if t.what == what and t.at_s <= now < t.to_s), None)
+        return next((t for t in self.site.faults if t.kind == kind and t.start_s <= now < t.end_s), None)
 
     def gone(self, server: int) -> bool:
         """Returns whether a server's rack or zone is away."""
-        if not self.site.troubles:
+        if not self.site.faults:
             return False
         now = self.now()
-        return any(t.at_s <= now < t.to_s and self.site.struck(t, server) for t in self.site.troubles)
+        return any(t.start_s <= now < t.end_s and self.site.takes_down(t, server) for t in self.site.faults)
 
     async def until(self, second: float) -> None:
         """Waits until a second of the timeline."""
@@ -162,7 +162,7 @@
         if silent is not None:
             self.waiting.add(call)  # answered when the service is back, if the caller still waits then
             call.wait = asyncio.get_running_loop().call_later(
-                silent.to_s - self.timeline.now() + 0.01, self.reply, call
+                silent.end_s - self.timeline.now() + 0.01, self.reply, call
             )
         elif call.since != self.version or wait_s <= 0:
             self.reply(call)
@@ -292,7 +292,7 @@
         if slow is None:
             call.write(data)
         else:
-            asyncio.get_running_loop().call_later(slow.value / 1000.0, call.write, data)
+            asyncio.get_running_loop().call_later(slow.delay_ms / 1000.0, call.write, data)
 
     async def serve(self) -> dict[str, int]:
         """Listens; returns the port for each role."""
@@ -358,9 +358,9 @@
 
     async def reset_connections(self) -> None:
         """Resets its connections when its rack or zone goes away."""
-        for trouble in self.site.troubles:
-            if self.site.struck(trouble, self.zone + self.rack * self.site.zones):
-                await self.timeline.until(trouble.at_s)
+        for fault in self.site.faults:
+            if self.site.takes_down(fault, self.zone + self.rack * self.site.zones):
+                await self.timeline.until(fault.start_s)
                 for writer in self.writers:
                     with contextlib.suppress(Exception):
                         writer.transport.abort()
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -21,7 +21,7 @@
 
 from benchmarks.scale import COMPARED, equal_load_site
 from lab.scale.run import Scale
-from lab.scale.site import SET_SHARE, Draw, Site, Trouble, arrivals, sets
+from lab.scale.site import MAX_TENANT_SHARE, Site, SiteFault, TenantDraw, arrivals, gateway_set
 
 ROOT = Path(__file__).resolve().parents[2]
 SMALL = Site(gateways=4, real=2, servers=20, tenants=1000, rate=60.0, seed=7)
@@ -132,34 +132,37 @@
 )
 
 
-@pytest.mark.parametrize("site", [SMALL, BIG, replace(BIG, half=True), replace(BIG, zipf=0.6, spread=1)])
+@pytest.mark.parametrize(
+    "site", [SMALL, BIG, replace(BIG, has_dominant_tenant=True), replace(BIG, zipf=0.6, spread=1)]
+)
 def test_a_seed_is_a_site(site: Site) -> None:
     """Each process derives the same site from the description that it was given."""
-    other = Site.of(site.raw())
+    other = Site.from_dict(site.to_dict())
     number = site.real_numbers()[-1]
-    draws = [Draw(one, [number]) for one in (site, other)]
+    draws = [TenantDraw(one, [number]) for one in (site, other)]
     assert other == site and draws[0].accounts == draws[1].accounts
     first, second = (list(itertools.islice(arrivals(site, draw, number, 50.0), 500)) for draw in draws)
     assert first == second
     for _, _, account in first:
-        spread, start = sets(account)
+        spread, start = gateway_set(account)
         assert (number - start) % site.gateways < spread <= site.gateways
     shares = site.shares()
     assert sum(shares) == pytest.approx(1.0) and shares == sorted(shares, reverse=True)
-    assert shares[0] == pytest.approx(0.5) or not site.half
-    # No tenant makes more than SET_SHARE of a gateway's requests, unless it already uses all gateways.
+    assert shares[0] == pytest.approx(0.5) or not site.has_dominant_tenant
+    # No tenant makes more than MAX_TENANT_SHARE of a gateway's requests, unless it already uses all gateways.
     for share, account in zip(shares, draws[0].accounts, strict=True):
-        spread, _ = sets(account)
-        assert spread == site.gateways or share * site.gateways / spread <= SET_SHARE + 1e-9
+        spread, _ = gateway_set(account)
+        assert spread == site.gateways or share * site.gateways / spread <= MAX_TENANT_SHARE + 1e-9
     assert len(set(site.real_numbers())) == site.real
 
 
 def test_a_zone_takes_its_servers_and_no_others() -> None:
-    zone, rack = Trouble("zone", 0.0, 1.0, zone=3), Trouble("rack", 0.0, 1.0, zone=3, rack=1)
-    struck = {n for n in range(BIG.servers) if BIG.struck(zone, n)}
+    zone, rack = SiteFault("zone", 0.0, 1.0, zone=3), SiteFault("rack", 0.0, 1.0, zone=3, rack=1)
+    struck = {n for n in range(BIG.servers) if BIG.takes_down(zone, n)}
     assert struck == {n for n in range(BIG.servers) if BIG.zone_of(n) == 3}
-    racked = {n for n in range(BIG.servers) if BIG.struck(rack, n)}
+    racked = {n for n in range(BIG.servers) if BIG.takes_down(rack, n)}
     assert racked < struck and len(racked) == pytest.approx(len(struck) / BIG.racks, abs=1)
     assert not any(
-        BIG.struck(Trouble("lists silent", 0.0, 1.0), n) for n in random.Random(1).sample(range(5700), 50)
+        BIG.takes_down(SiteFault("lists silent", 0.0, 1.0), n)
+        for n in random.Random(1).sample(range(5700), 50)
     )
