--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from benchmarks.machine import machine
-from lab.scale.run import Figures, Scale
+from lab.scale.run import Figures, ScaleRun
 from lab.scale.site import Site, SiteFault
 
 COMPARED = (
@@ -44,7 +44,7 @@
 async def play(site: Site, seconds: float, warm_s: float) -> Figures:
     """Starts the site, runs the measurement and returns its figures."""
     with tempfile.TemporaryDirectory() as folder:
-        async with Scale(site, Path(folder), warm_s) as scale:
+        async with ScaleRun(site, Path(folder), warm_s) as scale:
             return await scale.run(seconds)
 
 
@@ -60,7 +60,7 @@
     """Returns the table that compares a hollow gateway with a real one."""
     out = [f"{'one gateway':24} {'real':>10} {'hollow':>10} {'ratio':>7}"]
     for what in COMPARED:
-        real, hollow = figures.per["real"][what], figures.per["hollow"][what]
+        real, hollow = figures.per_gateway["real"][what], figures.per_gateway["hollow"][what]
         out.append(f"{what:24} {real:10.3f} {hollow:10.3f} {hollow / real if real else float('nan'):7.3f}")
     return out
 
--- a/lab/scale/__init__.py
+++ b/lab/scale/__init__.py
@@ -1,6 +1,6 @@
 """Simulates a whole site at the operators' size: hollow gateways and servers beside a few real processes.
 
-`site.Site` is the seeded description; `run.Scale` runs it; `benchmarks/scale.py` prints the figures. Every
+`site.Site` is the seeded description; `run.ScaleRun` runs it; `benchmarks/scale.py` prints the figures. Every
 process ends when the one that started it does.
 
 **Real**: some processes of `python -m glenchute` and their clients' sockets; the list service and the
--- a/lab/scale/__main__.py
+++ b/lab/scale/__main__.py
@@ -1,9 +1,9 @@
-"""One process of a scale run: ``python -m lab.scale ROLE``, started by `run.Scale` only.
+"""One process of a scale run: ``python -m lab.scale ROLE``, started by `run.ScaleRun` only.
 
 It receives lines of JSON on stdin. The first configures it; it answers with one line when it is ready.
-`begin` gives the Unix time of second 0, `mark` asks for the counts so far, `end` for the final figures. At
-the end of stdin it ends, and kills the process groups that it was told to `keep`, so that no process of a run
-is left behind, however the run ends.
+Commands follow: `begin` gives the Unix time of second 0, `count` asks for the counts so far, `end` for the
+final figures, and `kill_at_exit` names process groups. At the end of stdin it ends and kills these groups, so
+that no process of a run is left behind, however the run ends.
 """
 
 from __future__ import annotations
@@ -22,10 +22,11 @@
 
 import uvloop
 
-from lab.scale.site import Site
+from lab.scale.site import Site, SiteFault
 from lab.scale.stand_ins import CounterService, ListService, Rack, Timeline
 
-LONGEST_S = 3.2  # wait for the last answers: more than the longest deadline of a request
+DELISTING_DELAY_S = 2.0  # from the start of a fault until its servers are removed from the list
+LAST_ANSWERS_S = 3.2  # longest wait for the last answers; longer than any deadline of a request
 
 
 class Worker:
@@ -46,7 +47,7 @@
     def on_begin(self) -> None:
         """Starts the load and the faults, after the timelines are set."""
 
-    def mark(self) -> dict[str, Any]:
+    def count(self) -> dict[str, Any]:
         """Returns the counts so far."""
         return {}
 
@@ -64,53 +65,56 @@
 
     async def start(self) -> dict[str, Any]:
         self.lists = ListService(self.site, self.parameters["rows"])
-        return {"ports": await self.lists.serve()}
+        return {"ports": await self.lists.listen()}
 
     def timelines(self) -> list[Timeline]:
         return [self.lists.timeline]
 
     def on_begin(self) -> None:
         if self.site.changes > 0:
-            self.run_in_background(self.change())
+            self.run_in_background(self.change_rows())
         for fault in self.site.faults:
             if fault.kind in ("rack", "zone"):
-                self.run_in_background(self.take_servers_away(fault))
+                self.run_in_background(self.delist_servers(fault))
 
-    async def change(self) -> None:
-        """Changes weights of rows, from before the measured time on; at high rates several rows at once."""
-        names, step = list(self.lists.rows), max(1, round(self.site.changes / 50.0))
+    async def change_rows(self) -> None:
+        """Changes weights of rows at the site's rate, also during the warm-up, in at most about 50 steps per
+        second."""
+        names, rows_per_step = list(self.lists.rows), max(1, round(self.site.changes / 50.0))
         serial = 0
         while True:
-            await asyncio.sleep(step / self.site.changes)
+            await asyncio.sleep(rows_per_step / self.site.changes)
             while self.site.equal_load and len(self.lists.waiting) < self.site.real + self.site.hollow:
                 await asyncio.sleep(0.005)
             rows = []
-            for _ in range(step):
+            for _ in range(rows_per_step):
                 serial += 1
                 row = self.lists.rows.get(names[serial * 7919 % len(names)])
                 if row is not None:
                     rows.append({**row, "weight": 1.0 + 0.001 * (serial % 7)})
             self.lists.update(rows)
 
-    async def take_servers_away(self, fault: Any) -> None:
-        """Removes the servers that a fault takes away, 2 s later; lists them as restarted when it ends."""
-        await self.lists.timeline.until(fault.start_s + 2.0)
-        gone = [
+    async def delist_servers(self, fault: SiteFault) -> None:
+        """Removes the servers that a fault takes down from the list, `DELISTING_DELAY_S` after they go down;
+        lists them as restarted when it ends."""
+        await self.lists.timeline.wait_until(fault.start_s + DELISTING_DELAY_S)
+        down = [
             row for row in self.lists.rows.values() if self.site.takes_down(fault, int(row["id"][2:], 16))
         ]
-        self.lists.update([{**row, "state": "Gone"} for row in gone])
-        await self.lists.timeline.until(fault.end_s)
-        now = 1000.0 * time.time()
-        self.lists.update([{**row, "started_ms": now} for row in gone])
-
-    def mark(self) -> dict[str, Any]:
-        return {role: counts.to_dict() for role, counts in self.lists.counts_by_role.items()} | {
-            "changed": self.lists.changed_rows
+        self.lists.update([{**row, "state": "Gone"} for row in down])
+        await self.lists.timeline.wait_until(fault.end_s)
+        now_ms = 1000.0 * time.time()
+        self.lists.update([{**row, "started_ms": now_ms} for row in down])
+
+    def count(self) -> dict[str, Any]:
+        return {kind: counts.to_dict() for kind, counts in self.lists.counts_by_kind.items()} | {
+            "changed_rows": self.lists.changed_rows
         }
 
     async def end(self) -> dict[str, Any]:
         return {
-            role: [round(at, 3) for at in counts.times] for role, counts in self.lists.counts_by_role.items()
+            kind: [round(at, 3) for at in counts.call_times_s]
+            for kind, counts in self.lists.counts_by_kind.items()
         }
 
 
@@ -119,19 +123,19 @@
 
     async def start(self) -> dict[str, Any]:
         self.counter = CounterService(self.site)
-        return {"ports": await self.counter.serve()}
+        return {"ports": await self.counter.listen()}
 
     def timelines(self) -> list[Timeline]:
         return [self.counter.timeline]
 
-    def mark(self) -> dict[str, Any]:
-        return {role: counts.to_dict() for role, counts in self.counter.counts_by_role.items()} | {
-            "names": self.counter.most
+    def count(self) -> dict[str, Any]:
+        return {kind: counts.to_dict() for kind, counts in self.counter.counts_by_kind.items()} | {
+            "peak_keys": self.counter.peak_keys
         }
 
 
 class ServerWorker(Worker):
-    """Runs stand-ins of the hollow servers."""
+    """Runs the stand-ins for the servers of some racks."""
 
     async def start(self) -> dict[str, Any]:
         self.racks = [Rack(self.site, zone, rack) for zone, rack in self.parameters["racks"]]
@@ -146,12 +150,12 @@
         for rack in self.racks:
             self.run_in_background(rack.reset_connections())
 
-    def mark(self) -> dict[str, Any]:
+    def count(self) -> dict[str, Any]:
         rack_counts = [rack.counts.to_dict() for rack in self.racks]
         return {key: sum(counts[key] for counts in rack_counts) for key in rack_counts[0]}
 
     async def end(self) -> dict[str, Any]:
-        return {name: round(took, 3) for rack in self.racks for name, took in rack.took_ms.items()}
+        return {name: round(ms, 3) for rack in self.racks for name, ms in rack.attempt_ms.items()}
 
 
 class HollowWorker(Worker):
@@ -159,38 +163,40 @@
 
     async def start(self) -> dict[str, Any]:
         from glenchute.config.platform import build
-        from lab.scale.hollow import Crowd
+        from lab.scale.hollow import HollowGroup
 
         logging.disable(logging.CRITICAL)
         raw = json.loads(Path(self.parameters["platform"]).read_text())
-        self.crowd = Crowd(self.site, self.parameters["numbers"], build(raw, {}), self.parameters["operator"])
-        await self.crowd.begin(self.crowd.numbers)
+        self.group = HollowGroup(
+            self.site, self.parameters["numbers"], build(raw, {}), self.parameters["operator"]
+        )
+        await self.group.start_gateways(self.group.numbers)
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 20)  # the same setting as in `glenchute run`
         return {}
 
     def timelines(self) -> list[Timeline]:
-        return [self.crowd.timeline]
+        return [self.group.timeline]
 
     def on_begin(self) -> None:
-        self.asking = asyncio.create_task(self.crowd.load())
-        self.run_in_background(self.crowd.restarts())
+        self.sending = asyncio.create_task(self.group.send_requests())
+        self.run_in_background(self.group.play_restarts())
 
-    def mark(self) -> dict[str, Any]:
-        return dict(self.crowd.answers)
+    def count(self) -> dict[str, Any]:
+        return dict(self.group.outcomes)
 
     async def end(self) -> dict[str, Any]:
         if self.site.requests:
-            await self.asking
-        for task in [self.asking, *self.tasks]:
+            await self.sending
+        for task in [self.sending, *self.tasks]:
             task.cancel()
         loop = asyncio.get_running_loop()
-        last = loop.time() + LONGEST_S
-        while self.crowd.open and loop.time() < last:
+        last = loop.time() + LAST_ANSWERS_S
+        while self.group.unanswered and loop.time() < last:
             await asyncio.sleep(0.02)
-        self.crowd.close()
-        return {**self.crowd.answers, "no answer": self.crowd.open}
+        self.group.close()
+        return {**self.group.outcomes, "no answer": self.group.unanswered}
 
 
 class ClientWorker(Worker):
@@ -220,7 +226,7 @@
 
 
 def send_line(message: dict[str, Any]) -> None:
-    """Writes a line to the run."""
+    """Sends a line of JSON to the run."""
     sys.stdout.write(json.dumps(message) + "\n")
     sys.stdout.flush()
 
@@ -230,22 +236,22 @@
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=64 * 1024 * 1024)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    first = json.loads(await reader.readline())
-    worker = ROLES[role](Site.from_dict(first["site"]), first)
+    parameters = json.loads(await reader.readline())
+    worker = ROLES[role](Site.from_dict(parameters["site"]), parameters)
     send_line(await worker.start())
     groups: list[int] = []
     try:
         while line := await reader.readline():
             message = json.loads(line)
-            match message["do"]:
+            match message["command"]:
                 case "begin":
-                    for clock in worker.timelines():
-                        clock.begin(message["at"])
+                    for timeline in worker.timelines():
+                        timeline.set_zero(message["unix_s"])
                     worker.on_begin()
-                case "keep":
+                case "kill_at_exit":
                     groups = message["groups"]
-                case "mark":
-                    send_line(worker.mark())
+                case "count":
+                    send_line(worker.count())
                 case "end":
                     send_line(await worker.end())
     finally:
--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the real gateways: an open load on each, with tenants drawn as for hollow gateways."""
+"""Clients of the real gateways: an open-loop load on each, with tenants drawn as for hollow gateways."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 from lab.site import KINDS
 
 
-class Traffic(Load):
-    """Load on one real gateway. Unlike `Load.run`, it draws an account without a scan of all of them."""
+class GatewayLoad(Load):
+    """Load on one real gateway. Its requests are those of `arrivals`, which draws a tenant without a scan of
+    all of them, unlike `Load.run`."""
 
     def __init__(self, site: Site, number: int, port: int, draw: TenantDraw, timeline: Timeline) -> None:
         super().__init__(lambda: port, KINDS, draw.accounts, site.rate, 1000 * site.seed + number)
         self.site, self.number, self.draw, self.timeline = site, number, draw, timeline
-        self.stopped = False
+        self.is_stopped = False
 
     async def run(self, seconds: float = float("inf")) -> None:
         """Sends requests until stopped or all are sent, then waits for the last answers."""
         loop, tasks = asyncio.get_running_loop(), set[asyncio.Task[None]]()
-        began = self.timeline.zero(loop.time())
-        for serial, (at, kind, account) in enumerate(arrivals(self.site, self.draw, self.number, self.rate)):
-            await asyncio.sleep(max(0.0, began + at - loop.time()))
-            if self.stopped or at > seconds:
+        start_s = self.timeline.load_start_s(loop.time())
+        requests = arrivals(self.site, self.draw, self.number, self.rate)
+        for serial, (at_s, kind, account) in enumerate(requests):
+            await asyncio.sleep(max(0.0, start_s + at_s - loop.time()))
+            if self.is_stopped or at_s > seconds:
                 break
-            name = b"%08x%08x" % (self.seed, serial)
-            task = asyncio.create_task(self.ask(Outcome(kind, account, name, began + at)))
+            request_id = b"%08x%08x" % (self.seed, serial)
+            task = asyncio.create_task(self.ask(Outcome(kind, account, request_id, start_s + at_s)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
@@ -43,7 +45,7 @@
     def __init__(self, site: Site, ports: dict[int, int]) -> None:
         self.site, self.timeline = site, Timeline(site)
         draw = TenantDraw(site, list(ports))
-        self.loads = [Traffic(site, number, port, draw, self.timeline) for number, port in ports.items()]
+        self.loads = [GatewayLoad(site, number, port, draw, self.timeline) for number, port in ports.items()]
         self.running: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -53,14 +55,14 @@
     async def stop(self) -> None:
         """Stops the loads and waits for the last answers."""
         for load in self.loads:
-            load.stopped = not self.site.requests
+            load.is_stopped = not self.site.requests
         await asyncio.gather(*self.running)
 
     def outcomes(self) -> list[dict[str, Any]]:
-        """Returns the answer and time of each request due at second 0 or later."""
-        zero = self.timeline.began or 0.0
+        """Returns the outcome of each request due at second 0 or later; `at_s` is when it was due."""
+        zero_s = self.timeline.zero_s or 0.0
         return [
-            {"id": one.request_id.decode(), "at": one.asked - zero, "took": one.took_ms,
-             "answer": one.answer or "lost"}
-            for load in self.loads for one in load.outcomes if one.asked >= zero
+            {"id": outcome.request_id.decode(), "at_s": outcome.asked - zero_s,
+             "latency_ms": outcome.took_ms, "answer": outcome.answer or "lost"}
+            for load in self.loads for outcome in load.outcomes if outcome.asked >= zero_s
         ]  # fmt: skip
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -35,7 +35,8 @@
 from lab.scale.site import Arrival, Site, TenantDraw, arrivals, gateway_set
 from lab.scale.stand_ins import Timeline
 
-LATE_S = 1.0  # requests that are late by more than this are skipped, and counted as "not asked"
+MAX_DELAY_S = 1.0  # a request whose time is further in the past is skipped, and counted as "not asked"
+CONNECT_FAILURE_S = 0.0005  # time until an attempt at a server that is down ends
 
 
 class HollowCall(Call):
@@ -53,58 +54,61 @@
     ) -> None:
         self.servers, self.server, self.timeout_s, self.done = servers, server, timeout_s, done
         self.started_at = servers.loop.time()
-        self.is_written = False
+        self.is_written = False  # whether the request counts as sent
         self.on_response_started: Callable[[ResponseSource], None] | None = None
         self.is_wanted: Callable[[], bool] | None = None  # no clients, so none can disconnect
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Starts the timer in place of sending a request."""
+        """Starts a timer for the end of the attempt, in place of sending a request."""
         self.started_at = self.servers.loop.time()
-        if self.servers.away(self.server):
-            self.timer = self.servers.loop.call_later(0.0005, self.end, Outcome.UNREACHABLE)
+        if self.servers.is_down(self.server):
+            self.timer = self.servers.loop.call_later(CONNECT_FAILURE_S, self.end, Outcome.UNREACHABLE)
             return
         self.is_written = True
-        self.servers.out += 1
-        service = self.servers.service_s()
-        late = service > self.timeout_s
-        self.timer = self.servers.loop.call_later(
-            min(service, self.timeout_s), self.end, Outcome.TIMEOUT if late else Outcome.OK
-        )
+        self.servers.attempts_in_flight += 1
+        service_s = self.servers.draw_service_s()
+        outcome = Outcome.TIMEOUT if service_s > self.timeout_s else Outcome.OK
+        self.timer = self.servers.loop.call_later(min(service_s, self.timeout_s), self.end, outcome)
 
-    def end(self, ending: Outcome) -> None:
+    def end(self, outcome: Outcome) -> None:
         """Reports the result, once."""
         if self.timer is None:
             return
         self.timer = None
         if self.is_written:
-            self.servers.out -= 1
-        if ending is Outcome.OK:
-            self.done(AttemptResult(ending, b"$6\r\nhollow\r\n", b"inflight=1,queue=0", True))
+            self.servers.attempts_in_flight -= 1
+        if outcome is Outcome.OK:
+            self.done(AttemptResult(outcome, b"$6\r\nhollow\r\n", b"inflight=1,queue=0", True))
         else:
-            self.done(AttemptResult(ending))
+            self.done(AttemptResult(outcome))
 
-    def stop(self, ending: Outcome) -> None:
+    def stop(self, outcome: Outcome) -> None:
         """Ends the attempt early."""
         if self.timer is not None:
             self.timer.cancel()
-            self.servers.loop.call_soon(self.end, ending)
+            self.servers.loop.call_soon(self.end, outcome)
 
 
 class HollowServers:
     """Stands in for `ServerPools` in a hollow gateway."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, rng: random.Random, mean_s: float, away: Callable[[str], bool]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        rng: random.Random,
+        mean_s: float,
+        is_down: Callable[[str], bool],
     ) -> None:
-        self.loop, self.rng, self.half, self.away = loop, rng, 0.5 * mean_s, away
-        self.at: dict[str, Address] = {}
+        self.loop, self.rng, self.half_mean_s, self.is_down = loop, rng, 0.5 * mean_s, is_down
+        self.addresses: dict[str, Address] = {}  # of the servers that take requests
         self.draining: set[str] = set()
-        self.out = 0
+        self.attempts_in_flight = 0
 
-    def service_s(self) -> float:
-        """Returns a random service time, distributed as at the stand-ins of servers."""
-        return self.half + self.rng.expovariate(1.0 / self.half)
+    def draw_service_s(self) -> float:
+        """Returns a random service time: half of the mean plus an exponential part, as `lab.nodes.Node` has
+        it."""
+        return self.half_mean_s + self.rng.expovariate(1.0 / self.half_mean_s)
 
     def create_attempt(
         self,
@@ -115,14 +119,14 @@
         write_by: float,
         context: AttemptContext | None = None,
     ) -> UpstreamAttempt | None:
-        """Returns an attempt, or None if the server is not listed or the time to write is over."""
-        if server not in self.at or self.loop.time() >= write_by:
+        """Returns an attempt, or None if the server takes no requests or the time to write is over."""
+        if server not in self.addresses or self.loop.time() >= write_by:
             return None
         return HollowAttempt(self, server, timeout_s, done)
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
         """Adds a server that takes requests."""
-        self.at[server] = address
+        self.addresses[server] = address
         self.draining.discard(server)
 
     def activate_servers(
@@ -133,58 +137,61 @@
     ) -> None:
         """Adds servers that take requests; with `retained`, forgets all others."""
         if retained is not None:
-            self.at = {}
+            self.addresses = {}
             self.draining.intersection_update(retained)
-        self.at.update(addresses)
+        self.addresses.update(addresses)
         self.draining.difference_update(addresses)
 
     def drain_server(self, server: str) -> None:
         """Marks a server as draining."""
-        self.at.pop(server, None)
+        self.addresses.pop(server, None)
         self.draining.add(server)
 
     def remove_server(self, server: str) -> None:
         """Removes a server."""
-        self.at.pop(server, None)
+        self.addresses.pop(server, None)
         self.draining.discard(server)
 
     def is_stopping(self, server: str) -> bool:
         """Returns whether a server takes no new requests."""
-        return server not in self.at
+        return server not in self.addresses
 
     def server_ids(self) -> list[str]:
         """Returns the ids of all servers, draining ones included."""
-        return [*self.at, *self.draining]
+        return [*self.addresses, *self.draining]
 
     def address(self, server: str) -> Address | None:
         """Returns the address of a server that takes requests."""
-        return self.at.get(server)
+        return self.addresses.get(server)
 
     def close(self) -> None:
         """Does nothing, as no connections are open."""
 
 
 class PartialList:
-    """Passes on only part of the servers to the decision module where the list is longer than `most`. Real
-    gateways measure the choice among all servers; here it would be most of the run's CPU. Without `most`, or
-    with a shorter list, the module gets all servers."""
+    """Passes on only part of the servers to the decision module where the list has more than `max_servers`.
+
+    The choice among all servers is measured at the real gateways; here it would take most of the run's CPU.
+    With `max_servers` of 0, the module gets all servers.
+    """
 
-    def __init__(self, module: DecisionHandler, number: int, most: int) -> None:
-        self.module, self.number, self.most, self.step = module, number, most, 1
-        self.ended = False
+    def __init__(self, module: DecisionHandler, number: int, max_servers: int) -> None:
+        self.module, self.number, self.max_servers = module, number, max_servers
+        self.divisor = 1  # the module gets one server of this many, chosen by a hash of the address
+        self.is_stopped = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Handles an event as the module does, and nothing after `ended`."""
-        if self.ended:
+        """Passes an event on to the module; drops it if `is_stopped`."""
+        if self.is_stopped:
             return []
-        if isinstance(event, EndpointList) and self.most and event.kind is not EndpointListKind.FAILED:
+        if isinstance(event, EndpointList) and self.max_servers and event.kind is not EndpointListKind.FAILED:
             if event.kind is not EndpointListKind.CHANGES:
-                self.step = max(1, math.ceil(len(event.endpoints) / self.most))
-            if self.step > 1:
+                self.divisor = max(1, math.ceil(len(event.endpoints) / self.max_servers))
+            if self.divisor > 1:
                 kept = tuple(
                     e
                     for e in event.endpoints
-                    if zlib.crc32(e.address.encode()) % self.step == self.number % self.step
+                    if zlib.crc32(e.address.encode()) % self.divisor == self.number % self.divisor
                 )
                 if not kept and event.kind is EndpointListKind.CHANGES:
                     return []
@@ -193,7 +200,7 @@
 
 
 class HollowGateway(GatewayProgram):
-    """Hollow gateway. `up` starts it, `down` ends it."""
+    """Hollow gateway. `start_hollow` and `stop_hollow` take the place of `start` and `shut_down`."""
 
     def __init__(
         self,
@@ -205,41 +212,42 @@
     ) -> None:
         self.site, self.timeline = site, timeline
         self.rng = random.Random(config.seed)
-        self.part = PartialList(
+        self.partial_list = PartialList(
             Policy(config.settings, config.seed), config.gateway_number or 0, site.most_known
         )
-        super().__init__(config, loop, self.part, operator=operator)
+        super().__init__(config, loop, self.partial_list, operator=operator)
 
     def create_upstream(self, pipelined: dict[str, Any] | None) -> ServerPools:
-        hollow = HollowServers(self.loop, self.rng, self.site.service_ms / 1000.0, self.away)
-        return hollow  # type: ignore[return-value]
+        mean_s = self.site.service_ms / 1000.0
+        return HollowServers(self.loop, self.rng, mean_s, self.is_server_down)  # type: ignore[return-value]
 
     def create_subset(self, *args: Any, **kwargs: Any) -> DecisionHandler:
-        """Skips the subset where `most_known` limits the servers anyway. Its start with 5,700 servers and
-        each change of the list would cost as much as at a real gateway, times 500 hollow ones."""
+        """Returns the module without a subset where `most_known` limits the servers anyway. A subset's start
+        with 5,700 servers and each change of the list would cost each of 500 hollow gateways as much as a
+        real one."""
         module: DecisionHandler = args[0]
         return module if self.site.most_known else super().create_subset(*args, **kwargs)
 
-    def away(self, server: str) -> bool:
-        """Returns whether a server's rack or zone is away."""
-        return bool(self.site.faults) and self.timeline.gone(int(server[2:], 16))
+    def is_server_down(self, server: str) -> bool:
+        """Returns whether a fault of its rack or zone has taken a server down."""
+        return bool(self.site.faults) and self.timeline.is_server_down(int(server[2:], 16))
 
-    def up(self) -> None:
+    def start_hollow(self) -> None:
         """Starts the gateway as `GatewayProgram.start` does, without its listener."""
         if self.config.cached_endpoints is not None:
             self.gateway.update_endpoints(self.config.cached_endpoints)
         self.discovery.start(self.config.cached_endpoints, LIST_WAIT_S, False)
 
-    def down(self) -> None:
+    def stop_hollow(self) -> None:
         """Closes the connections; the module gets no further events."""
-        self.part.ended = True
+        self.partial_list.is_stopped = True
         self.listener.close()
         self.discovery.close()
         if self.counter is not None:
             self.counter.close()
 
 
-class Crowd:
+class HollowGroup:
     """Hollow gateways of one process, and their requests."""
 
     def __init__(
@@ -251,7 +259,7 @@
         self.config = config
         self.operator = read_operator(operator_path, config) if operator_path else None
         self.gateways: dict[int, HollowGateway] = {}
-        self.answers: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()  # requests, by how they ended; "asked" counts all
         self.draw = TenantDraw(site, numbers)
         self.serial = 0
 
@@ -264,66 +272,66 @@
         )
         return HollowGateway(self.site, config, self.loop, self.timeline, self.operator)
 
-    async def begin(self, numbers: list[int]) -> None:
+    async def start_gateways(self, numbers: list[int]) -> None:
         """Starts gateways as close together as one process can."""
         for number in numbers:
             self.gateways[number] = self.create_gateway(number)
         for number in numbers:
-            self.gateways[number].up()
+            self.gateways[number].start_hollow()
             await asyncio.sleep(0)
 
-    async def restarts(self) -> None:
-        """Plays the site's restarts in order of time."""
-        for fault in sorted((t for t in self.site.faults if t.kind == "restart"), key=lambda t: t.start_s):
-            await self.timeline.until(fault.start_s)
-            struck = [n for n in self.numbers if self.site.gateway_zone(n) == fault.zone]
-            for number in struck:
-                self.gateways.pop(number).down()
-            await self.timeline.until(fault.end_s)
-            await self.begin(struck)
-
-    async def load(self) -> None:
+    async def play_restarts(self) -> None:
+        """Stops and starts the gateways of a zone as the site's restart faults say, in order of time."""
+        for fault in sorted((f for f in self.site.faults if f.kind == "restart"), key=lambda f: f.start_s):
+            await self.timeline.wait_until(fault.start_s)
+            affected = [n for n in self.numbers if self.site.gateway_zone(n) == fault.zone]
+            for number in affected:
+                self.gateways.pop(number).stop_hollow()
+            await self.timeline.wait_until(fault.end_s)
+            await self.start_gateways(affected)
+
+    async def send_requests(self) -> None:
         """Sends the requests of all gateways in order of time."""
         rate = self.site.hollow_rate
         if rate <= 0 or not self.numbers:
             return
-        began = self.timeline.zero(self.loop.time())
-        rows = [self.numbered_arrivals(number, rate) for number in self.numbers]
-        for number, (at, kind, account) in heapq.merge(*rows, key=lambda row: row[1].at_s):
-            pause = began + at - self.loop.time()
-            if pause > 0:
-                await asyncio.sleep(pause)
-            elif pause < -LATE_S and not self.site.requests:
-                self.answers["not asked"] += 1  # the process is too slow for the load
+        start_s = self.timeline.load_start_s(self.loop.time())
+        streams = [self.numbered_arrivals(number, rate) for number in self.numbers]
+        for number, (at_s, kind, account) in heapq.merge(*streams, key=lambda entry: entry[1].at_s):
+            pause_s = start_s + at_s - self.loop.time()
+            if pause_s > 0:
+                await asyncio.sleep(pause_s)
+            elif pause_s < -MAX_DELAY_S and not self.site.requests:
+                self.outcomes["not asked"] += 1  # the process is too slow for the load
                 continue
-            self.ask(number, kind, account)
+            self.send_request(number, kind, account)
 
     def numbered_arrivals(self, number: int, rate: float) -> Iterator[tuple[int, Arrival]]:
         """Yields the requests to a gateway, with its number."""
         return ((number, arrival) for arrival in arrivals(self.site, self.draw, number, rate))
 
-    def ask(self, number: int, kind: RequestKind, account: Account) -> None:
+    def send_request(self, number: int, kind: RequestKind, account: Account) -> None:
         """Sends one request to a gateway."""
         gateway = self.gateways.get(number)
         if gateway is None:
-            return  # the gateway restarts; its clients use others meanwhile
+            return  # the gateway is stopped by a restart fault; its clients use others meanwhile
         self.serial += 1
         spread, _ = gateway_set(account)
         call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
                      float(kind.deadline_ms), 1.0, spread)  # fmt: skip
-        self.answers["asked"] += 1
-        gateway.gateway.accept(call, self.answered)
+        self.outcomes["asked"] += 1
+        gateway.gateway.accept(call, self.on_response)
 
     @property
-    def open(self) -> int:
+    def unanswered(self) -> int:
         """Returns the number of requests without an answer."""
-        return self.answers["asked"] - sum(self.answers[what] for what in ("served", "refused", "failed"))
+        return self.outcomes["asked"] - sum(self.outcomes[end] for end in ("served", "refused", "failed"))
 
-    def answered(self, answer: FinalResponse) -> None:
+    def on_response(self, response: FinalResponse) -> None:
         """Counts how a request ended."""
-        self.answers[{Rejected: "refused", Failed: "failed"}.get(type(answer), "served")] += 1
+        self.outcomes[{Rejected: "refused", Failed: "failed"}.get(type(response), "served")] += 1
 
     def close(self) -> None:
-        """Ends all gateways."""
+        """Stops all gateways."""
         for gateway in self.gateways.values():
-            gateway.down()
+            gateway.stop_hollow()
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,6 +1,5 @@
 """The scale run: hollow gateways send what real ones send, a seed determines the site, and no process is left
-behind.
-"""
+behind."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 import pytest
 
 from benchmarks.scale import COMPARED, equal_load_site
-from lab.scale.run import Scale
+from lab.scale.run import ScaleRun
 from lab.scale.site import MAX_TENANT_SHARE, Site, SiteFault, TenantDraw, arrivals, gateway_set
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -32,12 +31,12 @@
     changes."""
 
     async def play() -> None:
-        async with Scale(equal_load_site(SMALL, 120), tmp_path, 0.6) as scale:
+        async with ScaleRun(equal_load_site(SMALL, 120), tmp_path, 0.6) as scale:
             figures = await scale.run(0.0)
-        assert figures.answers["served"] > 200 and "lost" not in figures.answers
-        assert figures.hollow["asked"] == 240 and figures.hollow["no answer"] == 0
-        real, hollow = figures.per["real"], figures.per["hollow"]
-        assert real["list calls/min"] * figures.seconds / 60.0 > 5 and real["counter calls/request"] > 0.2
+        assert figures.real_outcomes["served"] > 200 and "lost" not in figures.real_outcomes
+        assert figures.hollow_outcomes["asked"] == 240 and figures.hollow_outcomes["no answer"] == 0
+        real, hollow = figures.per_gateway["real"], figures.per_gateway["hollow"]
+        assert real["list calls/min"] * figures.duration_s / 60.0 > 5 and real["counter calls/request"] > 0.2
         for what in COMPARED:
             assert 0.9 <= hollow[what] / real[what] <= 1.1, (what, real[what], hollow[what])
 
@@ -45,21 +44,21 @@
 
 
 def running_of(pids: Iterable[int]) -> list[int]:
-    """Returns the processes of `pids` that run; zombies don't count."""
-    found = []
+    """Returns those of `pids` whose processes run; zombies don't count."""
+    running = []
     for pid in pids:
         try:
             state = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
         except OSError:
             continue
         if state not in "ZX":
-            found.append(pid)
-    return found
+            running.append(pid)
+    return running
 
 
 def children(parent: int) -> list[int]:
     """Returns the child processes of a process."""
-    found = []
+    pids = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
@@ -67,15 +66,15 @@
             except OSError:
                 continue
             if int(fields[1]) == parent:
-                found.append(int(entry.name))
-    return found
+                pids.append(int(entry.name))
+    return pids
 
 
 def test_all_ends_where_a_part_fails(tmp_path: Path) -> None:
     async def play() -> list[int]:
         pids: list[int] = []
         with pytest.raises((RuntimeError, ConnectionError)):
-            async with Scale(replace(SMALL, gateways=2, real=1), tmp_path, 0.1) as scale:
+            async with ScaleRun(replace(SMALL, gateways=2, real=1), tmp_path, 0.1) as scale:
                 pids += children(os.getpid())
                 os.kill(scale.counter.pid, signal.SIGKILL)
                 await scale.run(30.0)
@@ -139,7 +138,7 @@
     """Each process derives the same site from the description that it was given."""
     other = Site.from_dict(site.to_dict())
     number = site.real_numbers()[-1]
-    draws = [TenantDraw(one, [number]) for one in (site, other)]
+    draws = [TenantDraw(same, [number]) for same in (site, other)]
     assert other == site and draws[0].accounts == draws[1].accounts
     first, second = (list(itertools.islice(arrivals(site, draw, number, 50.0), 500)) for draw in draws)
     assert first == second
@@ -158,10 +157,10 @@
 
 def test_a_zone_takes_its_servers_and_no_others() -> None:
     zone, rack = SiteFault("zone", 0.0, 1.0, zone=3), SiteFault("rack", 0.0, 1.0, zone=3, rack=1)
-    struck = {n for n in range(BIG.servers) if BIG.takes_down(zone, n)}
-    assert struck == {n for n in range(BIG.servers) if BIG.zone_of(n) == 3}
-    racked = {n for n in range(BIG.servers) if BIG.takes_down(rack, n)}
-    assert racked < struck and len(racked) == pytest.approx(len(struck) / BIG.racks, abs=1)
+    down = {n for n in range(BIG.servers) if BIG.takes_down(zone, n)}
+    assert down == {n for n in range(BIG.servers) if BIG.zone_of(n) == 3}
+    rack_down = {n for n in range(BIG.servers) if BIG.takes_down(rack, n)}
+    assert rack_down < down and len(rack_down) == pytest.approx(len(down) / BIG.racks, abs=1)
     assert not any(
         BIG.takes_down(SiteFault("lists silent", 0.0, 1.0), n)
         for n in random.Random(1).sample(range(5700), 50)
