--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -171,14 +171,14 @@
 
 
 def test_the_last_listed_servers_are_in_use_though_they_could_not_be_reached() -> None:
-    """All servers are removed; the next list has three, one of which was unreachable before. Four may be
-    used."""
-    one = SubsetMachine()
-    one.asks(40)
-    one.ends(Outcome.UNREACHABLE)
+    """All servers are removed; the next list has three, fewer than the subset size of four, and one of them
+    was unreachable before."""
+    machine = SubsetMachine()
+    machine.asks(40)
+    machine.ends(Outcome.UNREACHABLE)
     for numbers in (set(), {0, 1, 13}):
-        one.whole(numbers)
-        one.known_is_in_service_and_enough()
+        machine.whole(numbers)
+        machine.known_is_in_service_and_enough()
 
 
 def test_load_enlarges_a_subset_and_low_load_shrinks_it() -> None:
@@ -202,7 +202,8 @@
 
 @pytest.mark.parametrize("trouble", ["unreachable", "cold"])
 def test_servers_that_can_not_serve_are_not_counted(trouble: str) -> None:
-    """Unreachable servers are compensated by others at once, and servers that warm up by their weight."""
+    """Other servers are used in place of unreachable ones at once, and beside servers that warm up, by the
+    weight that these lack."""
     subsetting, engine = sized_subset(servers=4)
     names = [f"s{n}" for n in range(20)]
     if trouble == "cold":
@@ -223,29 +224,31 @@
 
 @pytest.mark.parametrize(("gateways", "servers"), [(3, 10), (40, 60), (200, 100)])
 def test_all_servers_are_used_alike_and_changes_move_little(gateways: int, servers: int) -> None:
-    """Compares the kept ring with rendezvous hashing and random subsets. A ring without kept servers is as
-    even, but replaces more."""
-    used = min(20, servers // 2)
-    even = {name: balance(scheme, gateways, servers, used) for name, scheme in SCHEMES.items()}
-    moved = {name: churn(scheme, gateways, servers, used) for name, scheme in SCHEMES.items()}
-    assert even["kept ring"] <= 1.0 + 1.0 / (gateways * used / servers) + 1e-9
-    assert even["kept ring"] <= even["rendezvous"] and even["kept ring"] <= even["drawn"]
-    assert moved["kept ring"] <= 1.05 * moved["rendezvous"] + 0.05
+    """Compares the ring that keeps servers in use with rendezvous hashing and random subsets. A ring that
+    keeps none balances as well, but replaces more servers."""
+    size = min(20, servers // 2)
+    imbalance = {name: balance(scheme, gateways, servers, size) for name, scheme in SCHEMES.items()}
+    replaced = {name: churn(scheme, gateways, servers, size) for name, scheme in SCHEMES.items()}
+    assert imbalance["kept ring"] <= 1.0 + 1.0 / (gateways * size / servers) + 1e-9
+    assert imbalance["kept ring"] <= imbalance["rendezvous"] and imbalance["kept ring"] <= imbalance["drawn"]
+    assert replaced["kept ring"] <= 1.05 * replaced["rendezvous"] + 0.05
 
 
 def test_the_engine_behind_a_subset_keeps_the_rules_over_seeds() -> None:
     """Runs the simulated site with its checks and faults; each gateway uses three of nine servers."""
-    met: Counter[bool] = Counter()
+    has_sent_enough: Counter[bool] = Counter()
     for seed in range(3):
         numbers = iter(range(1000))
 
-        def make(made: Settings, given: int, numbers: object = numbers) -> object:
-            number = next(numbers) % made.gateway_count  # type: ignore[call-overload]
+        def create_engine(policy_settings: Settings, engine_seed: int, numbers: object = numbers) -> object:
+            number = next(numbers) % policy_settings.gateway_count  # type: ignore[call-overload]
             return InspectableEngine(
-                DecisionEngine(made, given), made, SubsetTerms(made.gateway_count, number, 3)
+                DecisionEngine(policy_settings, engine_seed),
+                policy_settings,
+                SubsetTerms(policy_settings.gateway_count, number, 3),
             )
 
-        world = World(seed, 6, 9, make)
+        world = World(seed, 6, 9, create_engine)
         world.load(20_000.0, 60.0)
         world.flood(20_000.0, 60.0)
         rng = random.Random(seed)
@@ -255,15 +258,15 @@
         world.run(5_000.0)
         world.die(1, 500.0)
         world.run(20_000.0)
-        met[len(world.sent) > 600] += 1
-    assert met == {True: 3}
+        has_sent_enough[len(world.sent) > 600] += 1
+    assert has_sent_enough == {True: 3}
 
 
 class InspectableEngine:
     """A subsetting engine with the attributes of the inner engine, which the simulated site checks."""
 
-    def __init__(self, inner: DecisionEngine, made: Settings, terms: SubsetTerms) -> None:
-        self.inner, self.subsetting = inner, SubsettingEngine(inner, made, terms)
+    def __init__(self, inner: DecisionEngine, policy_settings: Settings, terms: SubsetTerms) -> None:
+        self.inner, self.subsetting = inner, SubsettingEngine(inner, policy_settings, terms)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         return self.subsetting.handle(now_ms, event)
@@ -283,47 +286,49 @@
         operator = "[subset]\nservers = 3\n"
         async with GatewayFleet(
             tmp_path, 8, 100.0, 200, operator, with_longer_deadlines(), servers=8
-        ) as herd:
-            await herd.start(range(8))
+        ) as fleet:
+            await fleet.start(range(8))
 
-            def client(number: int, rate: float, seed: int) -> Load:
+            def create_load(number: int, rate: float, seed: int) -> Load:
                 """Returns a load on one gateway. Its accounts identify the gateway in the servers'
                 records."""
-                mine = [Account(b"%016x" % (1000 * number + at), "korporativni") for at in range(40)]
-                port = herd.gateways[number].port
+                accounts = [Account(b"%016x" % (1000 * number + at), "korporativni") for at in range(40)]
+                port = fleet.gateways[number].port
                 return Load(
-                    lambda: port, (RequestKind("report-read", 1.0, 20_000),), mine, rate, seed + number
+                    lambda: port, (RequestKind("report-read", 1.0, 20_000),), accounts, rate, seed + number
                 )
 
             async def load_by_fours(number: int) -> Load:
                 """Sends requests to one gateway, four at a time."""
-                made = client(number, 0.0, 100)
+                load = create_load(number, 0.0, 100)
                 for first in range(0, 80, 4):
                     names = [b"%04x%04x" % (number, at) for at in range(first, first + 4)]
-                    asked = [
-                        LoadOutcome(made.kinds[0], made.accounts[int(name[4:], 16) % 40], name, herd.now)
+                    outcomes = [
+                        LoadOutcome(load.kinds[0], load.accounts[int(name[4:], 16) % 40], name, fleet.now)
                         for name in names
                     ]
-                    await asyncio.gather(*map(made.ask, asked))
-                return made
+                    await asyncio.gather(*map(load.ask, outcomes))
+                return load
 
-            async def load(seconds: float, numbers: range, seed: int) -> list[Load]:
-                made = [client(number, 20.0, seed) for number in numbers]
-                await asyncio.gather(*(one.run(seconds) for one in made))
-                return made
+            async def run_loads(seconds: float, numbers: range, seed: int) -> list[Load]:
+                loads = [create_load(number, 20.0, seed) for number in numbers]
+                await asyncio.gather(*(load.run(seconds) for load in loads))
+                return loads
 
             loads = list(await asyncio.gather(*map(load_by_fours, range(8))))
-            met = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in herd.site.nodes]
-            assert max(met) <= 4, met
-            for node in herd.site.nodes[:3]:
+            gateways_by_node = [
+                len({int(run.customer, 16) // 1000 for run in node.ran}) for node in fleet.site.nodes
+            ]
+            assert max(gateways_by_node) <= 4, gateways_by_node
+            for node in fleet.site.nodes[:3]:
                 await node.stop()
-            herd.gateways[7].signal(signal.SIGSTOP)
-            herd.kill([6])
-            loads += await load(2.0, range(6), 200)
-            herd.gateways[7].signal(signal.SIGCONT)
-            await herd.start([6])
-            loads += await load(1.0, range(8), 300)
-            results = [outcome.answer for one in loads for outcome in one.outcomes]
+            fleet.gateways[7].signal(signal.SIGSTOP)
+            fleet.kill([6])
+            loads += await run_loads(2.0, range(6), 200)
+            fleet.gateways[7].signal(signal.SIGCONT)
+            await fleet.start([6])
+            loads += await run_loads(1.0, range(8), 300)
+            results = [outcome.answer for load in loads for outcome in load.outcomes]
             assert len(results) > 900 and results.count("lost") == 0
             assert results.count("served") >= 0.95 * len(results)
 
@@ -366,14 +371,14 @@
         self.count = 0
         for name in ("weight", "ring_position"):
             owner: Any = subsets.Subset if name == "weight" else subsets
-            patch.setattr(owner, name, self.counted(getattr(owner, name)))
+            patch.setattr(owner, name, self.wrap(getattr(owner, name)))
 
-    def counted(self, original: Callable[..., Any]) -> Callable[..., Any]:
-        def one(*args: Any) -> Any:
+    def wrap(self, original: Callable[..., Any]) -> Callable[..., Any]:
+        def count_step(*args: Any) -> Any:
             self.count += 1
             return original(*args)
 
-        return one
+        return count_step
 
 
 @pytest.mark.parametrize("count", [0, 1, 20, 200, MAX_SUBSET_SIZE])
@@ -396,10 +401,10 @@
     events += [EndpointList(EndpointListKind.FAILED)]
     events += [AttemptEnded(f"r{n}", 0, "n5", Outcome.UNREACHABLE, 5.0, False) for n in range(20)]
     events += [list_event(fleet[:2]), TimerFired(0), SuccessorStarted(), ClientDisconnected("r1")]
-    for at, event in enumerate(events):
-        subsetting.handle(1e6 + 300.0 * at, event)
+    for step, event in enumerate(events):
+        subsetting.handle(1e6 + 300.0 * step, event)
     assert len(received) == len(events) and all(
-        one is other for one, other in zip(received, events, strict=True)
+        passed_on is original for passed_on, original in zip(received, events, strict=True)
     )
 
 
@@ -425,22 +430,22 @@
     assert subset_size(listed, gateways) == used
     first = Subset(SubsetTerms(gateways, 0), SlowStart())
     first.replace_list(fleet := servers_in_zones(listed))
-    met: Counter[str] = Counter()
+    gateways_by_server: Counter[str] = Counter()
     for number in range(gateways if most else 0):
-        one = Subset(SubsetTerms(gateways, number), SlowStart())
-        one.listed, one.rings = first.listed, first.rings
-        one.refresh(0.0)
-        assert len(one.in_use) == used
-        met.update(one.in_use.keys())
-    assert {met[entry.address] for entry in fleet} <= set(range(least, most + 1))
+        subset = Subset(SubsetTerms(gateways, number), SlowStart())
+        subset.listed, subset.rings = first.listed, first.rings
+        subset.refresh(0.0)
+        assert len(subset.in_use) == used
+        gateways_by_server.update(subset.in_use.keys())
+    assert {gateways_by_server[entry.address] for entry in fleet} <= set(range(least, most + 1))
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 384, 520, 999])
 def test_first_positions_are_spread_evenly_by_the_number_alone(gateways: int) -> None:
     """The gaps between neighbours are between half and twice the even one. Numbers larger than the number of
     gateways, such as random ones, have a position too."""
-    at = sorted(first_position(number) for number in range(gateways))
-    gaps = [b - a for a, b in zip(at, [*at[1:], 1.0 + at[0]], strict=True)]
+    positions = sorted(first_position(number) for number in range(gateways))
+    gaps = [b - a for a, b in zip(positions, [*positions[1:], 1.0 + positions[0]], strict=True)]
     assert 0.5 / gateways <= min(gaps) and max(gaps) <= 2.0 / gateways
     assert all(0.0 <= first_position(number) < 1.0 for number in (0x8C1F30D27A5BE964, 10**40, 2**64 - 1))
 
@@ -465,8 +470,13 @@
     subsetting.handle(1e6, list_event(few, EndpointListKind.FULL))
     assert engine.known == {entry.address: entry for entry in few} and engine.total == 0
     now = 1e6
-    turns = ((few, many, MIN_SUBSET_SIZE), (many, few, 20), (few, others, MIN_SUBSET_SIZE), (others, few, 20))
-    for before, after, count in turns:
+    transitions = (
+        (few, many, MIN_SUBSET_SIZE),
+        (many, few, 20),
+        (few, others, MIN_SUBSET_SIZE),
+        (others, few, 20),
+    )
+    for before, after, count in transitions:
         names = {entry.address for entry in after}
         change = [*(entry for entry in with_state(before) if entry.address not in names), *after]
         subsetting.handle(
@@ -482,18 +492,19 @@
     subsetting, engine = default_subset()
     fleet = servers_in_zones(MAX_SUBSET_SIZE + 10)
     subsetting.handle(1e6, list_event(fleet[:MAX_SUBSET_SIZE], EndpointListKind.FULL))
-    sides = []
+    states = []
     for step in range(20):
         change = fleet[MAX_SUBSET_SIZE:] if step % 2 == 0 else with_state(fleet[STOP_SUBSETTING_SIZE + 4 :])
         subsetting.handle(1e6 + 1000.0 * step, list_event(change))
-        sides.append(subsetting.is_subsetting)
-    assert all(sides) and len(engine.known) < STOP_SUBSETTING_SIZE
+        states.append(subsetting.is_subsetting)
+    assert all(states) and len(engine.known) < STOP_SUBSETTING_SIZE
     subsetting.handle(2e6, list_event(with_state(fleet[STOP_SUBSETTING_SIZE - 4 :])))
     assert not subsetting.is_subsetting and len(engine.known) == STOP_SUBSETTING_SIZE - 4
 
 
 def test_all_names_new() -> None:
-    """As after a restart of the list service: from this event on the engine knows no old server."""
+    """A full list in which every name is new, as after a restart of discovery, removes all old servers from
+    the engine at once."""
     subsetting, engine = default_subset()
     subsetting.handle(1e6, list_event(servers_in_zones(5_700), EndpointListKind.FULL))
     subsetting.handle(2e6, list_event(fresh := servers_in_zones(5_700, first=6_000), EndpointListKind.FULL))
@@ -512,8 +523,8 @@
 
 
 def test_a_zone_is_removed_at_once_and_returns_warming_up() -> None:
-    """While some of its servers are listed, one server of a zone is in use at least. While they warm up, more
-    are in use according to their weights, up to a bound; once warm, no more than before."""
+    """At least one server of a zone is in use while any of its servers is listed. While servers warm up, more
+    of them are in use according to their weights, up to a bound; once warm, no more than before."""
     subsetting, engine = default_subset()
     rest, zone = servers_in_zones(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
     subsetting.handle(1e6, list_event([*rest, *zone], EndpointListKind.FULL))
@@ -546,10 +557,12 @@
     fleet = servers_in_zones(5_700)
     subsetting.handle(1e6, list_event(fleet, EndpointListKind.FULL))
     rng, steps = random.Random(1), StepCounter(monkeypatch)
-    rows = [replace(one, weight=2.0, started_ms=rng.choice((0.0, 9e5))) for one in rng.sample(fleet, 2_000)]
-    for at, entry in enumerate(rows):
-        subsetting.handle(1e6 + 0.5 * at, list_event([replace(entry, zone=rng.choice("abcdefg"))]))
-        subsetting.handle(1e6 + 0.5 * at, TimerFired(0))
+    rows = [
+        replace(entry, weight=2.0, started_ms=rng.choice((0.0, 9e5))) for entry in rng.sample(fleet, 2_000)
+    ]
+    for step, entry in enumerate(rows):
+        subsetting.handle(1e6 + 0.5 * step, list_event([replace(entry, zone=rng.choice("abcdefg"))]))
+        subsetting.handle(1e6 + 0.5 * step, TimerFired(0))
     assert steps.count <= 12 * len(rows)
     assert engine.known.keys() == subsetting.subset.in_use.keys()
     steps.count = 0
@@ -566,13 +579,13 @@
             subsetting, engine = default_subset()
             subsetting.handle(1e6, list_event(servers_in_zones(listed), EndpointListKind.FULL))
             steps = StepCounter(patch)
-            for at in range(400):
-                now = 1e6 + at * GROWTH_INTERVAL_MS
-                for server in list(engine.known) if at > 200 else ():
+            for step in range(400):
+                now = 1e6 + step * GROWTH_INTERVAL_MS
+                for server in list(engine.known) if step > 200 else ():
                     subsetting.handle(now, AttemptEnded("r", 0, server, Outcome.UNREACHABLE, 1.0, False))
                 subsetting.handle(now, TimerFired(0))
             counts.append(steps.count)
-            # One more per zone, as the sum of weights exceeds the size.
+            # In each of the seven zones the last server may raise the sum of weights over the zone's share.
             assert len(engine.known) <= 2 * MIN_SUBSET_SIZE / MIN_WEIGHT + 7
     assert counts[1] <= 1.1 * counts[0]
 
@@ -582,16 +595,18 @@
     comparisons = 0
     original = EndpointChooser.expected_delay
 
-    def delay(*args: Any) -> float:
+    def counted_delay(*args: Any) -> float:
         nonlocal comparisons
         comparisons += 1
         return original(*args)
 
-    monkeypatch.setattr(EndpointChooser, "expected_delay", delay)
-    found = {}
+    monkeypatch.setattr(EndpointChooser, "expected_delay", counted_delay)
+    comparisons_per_attempt = {}
     for listed in (20, 5_700):
-        made = replace(SETTINGS, gateway_count=520)
-        subsetting = SubsettingEngine(DecisionEngine(made, 1), made, SubsetTerms(520, 7))
+        policy_settings = replace(SETTINGS, gateway_count=520)
+        subsetting = SubsettingEngine(
+            DecisionEngine(policy_settings, 1), policy_settings, SubsetTerms(520, 7)
+        )
         subsetting.handle(1e6, list_event(servers_in_zones(listed), EndpointListKind.FULL))
         comparisons = sent = 0
         for n in range(500):
@@ -602,49 +617,53 @@
                         f"r{n}", 0, action.address, Outcome.OK, 5.0, True, active_requests=1.0
                     )
                     subsetting.handle(1e6 + 6.0 * n + 5.0, ended)
-        found[listed] = comparisons / sent
-    assert found[20] == 20 and found[5_700] <= MIN_SUBSET_SIZE
+        comparisons_per_attempt[listed] = comparisons / sent
+    assert comparisons_per_attempt[20] == 20 and comparisons_per_attempt[5_700] <= MIN_SUBSET_SIZE
 
 
 def test_the_rules_hold_in_swarm_runs_with_many_servers() -> None:
     """Runs the simulated site with more servers than a gateway uses whole, so that each gateway uses a
     subset. Without its slow-start tokens or its drains the site finds a broken rule."""
-    parts: list[InspectableEngine] = []
+    engines: list[InspectableEngine] = []
 
-    def make(made: Settings, given: int) -> InspectableEngine:
-        parts.append(InspectableEngine(DecisionEngine(made, given), made, SubsetTerms(520, len(parts))))
-        return parts[-1]
+    def make(policy_settings: Settings, engine_seed: int) -> InspectableEngine:
+        engines.append(
+            InspectableEngine(
+                DecisionEngine(policy_settings, engine_seed), policy_settings, SubsetTerms(520, len(engines))
+            )
+        )
+        return engines[-1]
 
-    def large(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
+    def create_large_world(seed: int, gateways: int, nodes: int, make: Any, watch: Any = None) -> World:
         return World(seed, gateways, MAX_SUBSET_SIZE + 44, make, watch)
 
     for seed in range(6):
-        failure = tried(drawn(seed), make, large)
+        failure = tried(drawn(seed), make, create_large_world)
         assert failure is None, failure
-    used = [len(part.inner.pool.servers) for part in parts]
-    assert all(part.subsetting.is_subsetting for part in parts) and max(used) < MAX_SUBSET_SIZE
+    used = [len(engine.inner.pool.servers) for engine in engines]
+    assert all(engine.subsetting.is_subsetting for engine in engines) and max(used) < MAX_SUBSET_SIZE
 
 
 def test_a_gateway_without_a_file_uses_a_part_of_a_long_list() -> None:
-    """Uses the parts of a real process: a short list is passed on unchanged; once it grows past the limit,
-    the engine is told of a subset, and of drains in it at once."""
+    """Without an operator file, a gateway passes a short list on to the engine unchanged. Once the list
+    exceeds the limit, the engine receives a subset, and at once each drain of a server in it."""
     engine = ScriptedEngine(lambda event: [])
 
     async def scenario() -> None:
         rows = [{**server_row(f"n{n}", 9), "zone": "ab"[n % 2]} for n in range(MAX_SUBSET_SIZE + 40)]
-        answers = DiscoveryPeer(discovery_answer(2, rows[:20]), discovery_answer(3, rows[20:], full=False))
-        async with site(decisions=engine, discovery=answers) as one:
-            await wait_until(lambda: one.program.discovery.version == 3)
+        discovery = DiscoveryPeer(discovery_answer(2, rows[:20]), discovery_answer(3, rows[20:], full=False))
+        async with site(decisions=engine, discovery=discovery) as gateway_site:
+            await wait_until(lambda: gateway_site.program.discovery.version == 3)
             lists = engine.of(EndpointList)
             assert [event.total_endpoints for event in lists] == [0, 0, MAX_SUBSET_SIZE + 40]
             assert len(lists[1].endpoints) == 20
-            subsetting: Any = one.program.gateway.decisions
-            used = subsetting.subset.in_use
-            assert len(used) == subset_size(MAX_SUBSET_SIZE + 40, SETTINGS.gateway_count)
-            drained = next(iter(used))
-            answers.answers.append(discovery_answer(4, [server_row(drained, 9, "Terminating")], full=False))
-            await wait_until(lambda: one.program.discovery.version == 4)
-            assert drained not in used and len(used) == MAX_SUBSET_SIZE
+            subsetting: Any = gateway_site.program.gateway.decisions
+            in_use = subsetting.subset.in_use
+            assert len(in_use) == subset_size(MAX_SUBSET_SIZE + 40, SETTINGS.gateway_count)
+            drained = next(iter(in_use))
+            discovery.answers.append(discovery_answer(4, [server_row(drained, 9, "Terminating")], full=False))
+            await wait_until(lambda: gateway_site.program.discovery.version == 4)
+            assert drained not in in_use and len(in_use) == MAX_SUBSET_SIZE
             assert drained in {entry.address for entry in engine.of(EndpointList)[-1].endpoints}
 
     run_scenario(scenario())
@@ -652,7 +671,7 @@
 
 def test_connections_cost_by_the_servers_that_have_any(monkeypatch: pytest.MonkeyPatch) -> None:
     """Sweeps, and the search for room before each new connection, visit only pools that have connections."""
-    walked = 0
+    visited_pools = 0
 
     class EndingTransport(asyncio.Transport):
         """A transport that reports its end to its connection at once."""
@@ -669,8 +688,8 @@
 
     class CountingPool(ConnectionPool):
         def close_idle(self, before: float | None = None) -> None:
-            nonlocal walked
-            walked += 1
+            nonlocal visited_pools
+            visited_pools += 1
             super().close_idle(before)
 
     async def scenario() -> None:
@@ -687,7 +706,7 @@
         assert servers.may_open() and servers.make_room() and servers.connection_count() == 2
         servers.remove_server("n5")
         servers.sweep()
-        assert walked <= 3 and servers.connection_count() == 2 and len(servers.active_pools) == 2
+        assert visited_pools <= 3 and servers.connection_count() == 2 and len(servers.active_pools) == 2
         servers.close()
         assert servers.connection_count() == 0 and not servers.active_pools
 
