--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -15,7 +15,7 @@
 from benchmarks.machine import machine
 from glenchute.policy.admission.quota_bounds import ceiling_overshoot_units, overshoot_bound
 from tests.fleet import PLANS, Fleet
-from tests.policy.admission.test_counter_loss import FAULTS, played
+from tests.policy.admission.test_counter_loss import FAULTS, run_with_fault
 
 PLOT = Path(__file__).resolve().parent.parent / "docs" / "design" / "counter-loss.svg"
 SIZES = (3, 3, 4, 6, 10, 4, 3, 12)
@@ -46,7 +46,7 @@
 def run(kind: str, seed: int) -> Row:
     """Plays one seeded run of a fault."""
     gateways = SIZES[seed % len(SIZES)]
-    fleet = played(FAULTS_BY_NAME[kind], seed, gateways, 100.0 * (seed % 2))
+    fleet = run_with_fault(FAULTS_BY_NAME[kind], seed, gateways, 100.0 * (seed % 2))
     soft, _, bare = PLANS
     found = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -31,7 +31,7 @@
 Fault = Callable[[Fleet, random.Random], None]
 
 
-def half(fleet: Fleet) -> list[str]:
+def first_half(fleet: Fleet) -> list[str]:
     return [f"g{i}" for i in range(fleet.gateways // 2)]
 
 
@@ -43,21 +43,21 @@
 
 def part_lost(fleet: Fleet, rng: random.Random) -> None:
     """One part of the counter dies and comes back empty; the other parts keep running."""
-    which = rng.randrange(fleet.parts)
-    fleet.at(fleet.now + 1500.0, fleet.counter.kill, which)
-    fleet.at(fleet.now + 1500.0 + rng.uniform(50.0, 3000.0), fleet.counter.replace, which)
+    part = rng.randrange(fleet.parts)
+    fleet.at(fleet.now + 1500.0, fleet.counter.kill, part)
+    fleet.at(fleet.now + 1500.0 + rng.uniform(50.0, 3000.0), fleet.counter.replace, part)
 
 
 def split(fleet: Fleet, rng: random.Random) -> None:
     """The counter is split in two halves, one of which may be empty; it may heal after both have counted."""
     empty = rng.random() < 0.5
-    fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.split, half(fleet), empty)
+    fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.split, first_half(fleet), empty)
     if rng.random() < 0.7:
         fleet.at(fleet.now + rng.uniform(2500.0, 5000.0), fleet.counter.heal)
 
 
 def mute(fleet: Fleet, rng: random.Random) -> None:
-    """The counter becomes unavailable, at the start or later, and may stay so."""
+    """The counter becomes unavailable, at the start of the flood or up to 2.5 s later; it may recover."""
     fleet.at(fleet.now + rng.choice([0.0, 1000.0, 2500.0]), fleet.counter.kill)
     if rng.random() < 0.5:
         fleet.at(fleet.now + 4000.0, rng.choice([fleet.counter.revive, fleet.counter.replace]))
@@ -79,12 +79,12 @@
 FAULTS: tuple[Fault, ...] = (replaced, part_lost, split, mute, late, flapping)
 
 
-def played(fault: Fault, seed: int, gateways: int, skew_ms: float = 0.0, **kind: object) -> Fleet:
+def run_with_fault(fault: Fault, seed: int, gateways: int, skew_ms: float = 0.0, **kind: object) -> Fleet:
     """Runs a flood of seven seconds on each plan under a fault."""
     fleet = Fleet(gateways, seed, skew_ms=skew_ms, **kind)  # type: ignore[arg-type]
     rng = random.Random(seed * 7919 + 1)
     weights = [rng.choice([0.05, 1.0, 4.0]) for _ in range(gateways)]
-    fleet.run(fleet.now + rng.uniform(3000.0, 6000.0))  # until windows that began before the start are over
+    fleet.run(fleet.now + rng.uniform(3000.0, 6000.0))  # windows that began before the start have ended
     fault(fleet, rng)
     for plan, rate in (("hard", 60.0), ("bare", 90.0), ("soft", 40.0)):
         fleet.flood(plan, rate, 7.0, weights)
@@ -98,17 +98,17 @@
     return ceiling_overshoot_units(bound, fleet.restarts) + 1e-6
 
 
-def seeds() -> Iterator[tuple[Fault, int, int, float]]:
+def fault_cases() -> Iterator[tuple[Fault, int, int, float]]:
     for number, fault in enumerate(FAULTS):
         for seed in range(8):
             yield fault, seed, (3, 3, 4, 6, 10, 4, 3, 12)[seed], (0.0, 100.0)[(seed + number) % 2]
 
 
-@pytest.mark.parametrize(("fault", "seed", "gateways", "skew_ms"), list(seeds()))
+@pytest.mark.parametrize(("fault", "seed", "gateways", "skew_ms"), list(fault_cases()))
 def test_a_ceiling_holds_whatever_the_counter_does(
     fault: Fault, seed: int, gateways: int, skew_ms: float
 ) -> None:
-    fleet = played(fault, seed, gateways, skew_ms)
+    fleet = run_with_fault(fault, seed, gateways, skew_ms)
     for number, plan in ((1, HARD), (2, BARE)):
         over = fleet.overshoot(plan.name, plan.ceiling_rate_per_s, plan.ceiling_burst_units)
         assert over <= ceiling_bound(fleet, number), (plan.name, over)
@@ -120,7 +120,7 @@
 def test_forty_gateways_under_a_split() -> None:
     fleet = Fleet(40, 5, skew_ms=100.0)
     fleet.run(fleet.now + 5000.0)
-    fleet.at(fleet.now + 1000.0, fleet.counter.split, half(fleet), True)
+    fleet.at(fleet.now + 1000.0, fleet.counter.split, first_half(fleet), True)
     fleet.flood("bare", 300.0, 5.0, [1.0] * 40, 0.2)
     fleet.run(fleet.now + 6000.0)
     over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
@@ -143,7 +143,7 @@
     for seed in range(3):
         pair = Fleet(2, seed)
         pair.run(pair.now + 6000.0)
-        pair.counter.split(half(pair), True)
+        pair.counter.split(first_half(pair), True)
         pair.flood("soft", 80.0, 7.0, [1.0, 1.0])
         pair.run(pair.now + 8000.0)
         worst = max(worst, pair.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units))
@@ -219,7 +219,7 @@
     held them, and would grant that much more."""
     original = CounterSync.make_call
 
-    def call(
+    def make_call_less_rejected_units(
         self: CounterSync, now_ms: float, tenant: Tenant, reserved: float = 0.0, request_id: str | None = None
     ) -> IncrementCounter:
         units = round(tenant.unreported_units + reserved, 3)
@@ -229,7 +229,7 @@
         tenant.unreported_units = 0.0
         return replace(action, amount=round(units + queue[-1].marker, 3))
 
-    monkeypatch.setattr(CounterSync, "make_call", call)
+    monkeypatch.setattr(CounterSync, "make_call", make_call_less_rejected_units)
     assert worst_overshoot(monkeypatch) > BARE.ceiling_slack_units
 
 
@@ -400,10 +400,10 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**raw_config(1, 1, []), "settings": {**SETTINGS, "balancers": 3}}))
     command = [sys.executable, "-m", "glenchute", "quota", "bound", "--platform", str(path)]
-    done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 0
-    rows = {line.split()[0]: line.split()[1:] for line in done.stdout.splitlines() if line.split()}
+    result = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+    assert result.returncode == 0
+    rows = {line.split()[0]: line.split()[1:] for line in result.stdout.splitlines() if line.split()}
     assert float(rows["korporativni"][1]) == 1.0  # a quarter of 40 a second in 100 ms
     assert float(rows["osnovni"][1]) == 0.0
-    done = subprocess.run([*command, "--spread", "9"], capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 2
+    result = subprocess.run([*command, "--spread", "9"], capture_output=True, text=True, cwd=ROOT)
+    assert result.returncode == 2
