--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -38,20 +38,22 @@
             yield name, plan, cls.command
 
 
-def named(one: MatchedRoute) -> tuple[tuple[str, ...], ...]:
-    return one.classes, one.plans, one.commands
+def match_names(route: MatchedRoute) -> tuple[tuple[str, ...], ...]:
+    return route.classes, route.plans, route.commands
 
 
-def rank(one: MatchedRoute) -> int:
-    return sum(1 for names in named(one) if names)
+def rank(route: MatchedRoute) -> int:
+    return sum(1 for names in match_names(route) if names)
 
 
-def covers(one: MatchedRoute, combination: tuple[str, str, str]) -> bool:
-    return all(not names or name in names for names, name in zip(named(one), combination, strict=True))
+def covers(route: MatchedRoute, combination: tuple[str, str, str]) -> bool:
+    return all(
+        not names or name in names for names, name in zip(match_names(route), combination, strict=True)
+    )
 
 
-def overlaps(one: tuple[str, ...], other: tuple[str, ...]) -> bool:
-    return not one or not other or bool(set(one) & set(other))
+def overlaps(names: tuple[str, ...], other_names: tuple[str, ...]) -> bool:
+    return not names or not other_names or bool(set(names) & set(other_names))
 
 
 def compare_all_pairs(
@@ -61,38 +63,42 @@
     all pairs of routes."""
     report, table = FindingCollector(), {}
     conflicts: dict[int, tuple[MatchedRoute, str]] = {}
-    for at, one in enumerate(routes if facts is None else ()):
-        for other in routes[:at]:
-            pairs = zip(named(one), named(other), strict=True)
-            if rank(one) == rank(other) and rank(one) and all(overlaps(a, b) for a, b in pairs):
-                conflicts.setdefault(one.position, (other, "a request"))
-    known = True
-    for one in routes if facts is not None else ():
+    for position, route in enumerate(routes if facts is None else ()):
+        for earlier in routes[:position]:
+            pairs = zip(match_names(route), match_names(earlier), strict=True)
+            if rank(route) == rank(earlier) and rank(route) and all(overlaps(a, b) for a, b in pairs):
+                conflicts.setdefault(route.position, (earlier, "a request"))
+    has_only_known_names = True
+    for route in routes if facts is not None else ():
         assert facts is not None
-        for key, names, there in (("class", one.classes, facts.classes), ("plan", one.plans, facts.plans)):
-            for word in names:
-                if word not in there:
-                    known = False
-                    listed = ", ".join(there)
-                    report(f"unknown-{key}", ("route", one.position, "match", key),
-                           f"{word[:40]!r} is no {key} of the platform; write one of {listed}")  # fmt: skip
-    for name, plan, command in combinations(facts) if facts is not None and known else ():
+        for key, names, platform_names in (
+            ("class", route.classes, facts.classes),
+            ("plan", route.plans, facts.plans),
+        ):
+            for listed_name in names:
+                if listed_name not in platform_names:
+                    has_only_known_names = False
+                    listed = ", ".join(platform_names)
+                    report(f"unknown-{key}", ("route", route.position, "match", key),
+                           f"{listed_name[:40]!r} is no {key} of the platform; "
+                           f"write one of {listed}")  # fmt: skip
+    for name, plan, command in combinations(facts) if facts is not None and has_only_known_names else ():
         first: dict[int, MatchedRoute] = {}
-        for one in routes:
-            if rank(one) and covers(one, (name, plan, command)):
-                other = first.setdefault(rank(one), one)
-                if other is not one:
-                    conflicts.setdefault(one.position, (other, f"{command} of class {name}, plan {plan}"))
-    for at, (other, what) in conflicts.items():
-        report("equal-rank", ("route", at, "match"),
-               f"{what} matches route[{other.position}] ({other.route.name}) too, and neither names more; "
-               "name more in one of them, or take the common part out")  # fmt: skip
+        for route in routes:
+            if rank(route) and covers(route, (name, plan, command)):
+                earlier = first.setdefault(rank(route), route)
+                if earlier is not route:
+                    conflicts.setdefault(route.position, (earlier, f"{command} of class {name}, plan {plan}"))
+    for position, (earlier, subject) in conflicts.items():
+        report("equal-rank", ("route", position, "match"),
+               f"{subject} matches route[{earlier.position}] ({earlier.route.name}) too, "
+               "and neither names more; name more in one of them, or take the common part out")  # fmt: skip
     if facts is None:
         return report.findings(text), {}
     classes_by_route: dict[int, set[str]] = {}
     classes_by_defaults: set[str] = set()
     for name, plan, command in combinations(facts):
-        matching = [one for one in routes if rank(one) and covers(one, (name, plan, command))]
+        matching = [route for route in routes if rank(route) and covers(route, (name, plan, command))]
         best = max(matching, key=rank, default=None)
         if best is not None:
             table[name, plan] = best.route
@@ -105,27 +111,29 @@
         for code, key, sentence, warning in violations(route, name, facts):
             report(code, (*path, key), sentence, warning)
 
-    for one in routes:
-        matched = [combo for combo in combinations(facts) if covers(one, combo)]
-        has_known_names = all(n in facts.classes for n in one.classes) and all(
-            p in facts.plans for p in one.plans
+    for route in routes:
+        matched = [combo for combo in combinations(facts) if covers(route, combo)]
+        has_known_names = all(n in facts.classes for n in route.classes) and all(
+            p in facts.plans for p in route.plans
         )
-        if rank(one) and one.position not in classes_by_route and has_known_names:
-            above = [o for o in routes if rank(o) > rank(one)]
-            higher = {o.route.name for combo in matched for o in above if covers(o, combo)}
-            if higher:
-                report("never-matches", ("route", one.position),
-                       f"is shadowed by {', '.join(sorted(higher))}; "
+        if rank(route) and route.position not in classes_by_route and has_known_names:
+            higher_routes = [o for o in routes if rank(o) > rank(route)]
+            higher_route_names = {
+                o.route.name for combo in matched for o in higher_routes if covers(o, combo)
+            }
+            if higher_route_names:
+                report("never-matches", ("route", route.position),
+                       f"is shadowed by {', '.join(sorted(higher_route_names))}; "
                        "remove it, or name less there")  # fmt: skip
             elif not matched:
                 report(
                     "never-matches",
-                    ("route", one.position),
+                    ("route", route.position),
                     "matches no class of the platform: idempotent classes "
                     "arrive by GET, the others by POST; correct match",
                 )
-        for name in classes_by_route.get(one.position, ()):
-            report_violations(one.route, name, ("route", one.position))
+        for name in classes_by_route.get(route.position, ()):
+            report_violations(route.route, name, ("route", route.position))
     for name in classes_by_defaults:
         assert base is not None
         report_violations(base, name, ("defaults",))
@@ -133,7 +141,7 @@
 
 
 def name_lists(*words: str) -> st.SearchStrategy[list[str]]:
-    """Lists of names of one kind, often empty."""
+    """Draws lists of names of one kind; empty ones and lists of one name are frequent."""
     lists = st.lists(st.sampled_from(words), max_size=len(words), unique=True)
     return st.one_of(st.just([]), lists, st.sampled_from(words).map(lambda word: [word]))
 
@@ -151,13 +159,13 @@
 
 
 def render_routes(matches: Rows, known: bool) -> str:
-    """Returns a file of routes r0, r1, ...; `known` leaves out names that no platform has."""
+    """Returns the text of a file with routes r0, r1, ...; `known` leaves out names that no platform has."""
     text = ""
-    for at, (match, keys) in enumerate(matches):
-        kept = {kind: [name for name in names if not (known and name.startswith("no-"))]
+    for number, (match, keys) in enumerate(matches):
+        names_by_kind = {kind: [name for name in names if not (known and name.startswith("no-"))]
                 for kind, names in match.items()}  # fmt: skip
-        rows = ", ".join(f"{kind} = {json.dumps(names)}" for kind, names in kept.items() if names)
-        text += f'[[route]]\nname = "r{at}"\nmatch = {{ {rows} }}\n{keys}'
+        rows = ", ".join(f"{kind} = {json.dumps(names)}" for kind, names in names_by_kind.items() if names)
+        text += f'[[route]]\nname = "r{number}"\nmatch = {{ {rows} }}\n{keys}'
     return text
 
 
@@ -182,20 +190,21 @@
 
 
 def parse_each(matches: Rows, defaults: bool, known: bool) -> tuple[MatchedRoute, ...]:
-    """Returns the routes of an invalid file. Each is parsed alone, so that it conflicts with no other."""
-    found = []
-    for at, row in enumerate(matches):
+    """Returns the routes of an invalid file. Each is parsed as a file of its own, so that routes which
+    conflict are returned too."""
+    routes = []
+    for number, row in enumerate(matches):
         text = ("[defaults]\nattempts = 2\n" if defaults else "") + render_routes([row], known)
         result = parse(text, None)
         if result.config is None:  # the match is empty: `empty-match`
-            found.append(MatchedRoute(at, RouteLimits(f"r{at}"), (), (), ()))
+            routes.append(MatchedRoute(number, RouteLimits(f"r{number}"), (), (), ()))
         else:
-            (one,) = result.config.routes
-            found.append(one._replace(position=at, route=one.route._replace(name=f"r{at}")))
-    return tuple(found)
+            (route,) = result.config.routes
+            routes.append(route._replace(position=number, route=route.route._replace(name=f"r{number}")))
+    return tuple(routes)
 
 
-# --- cost
+# --- cost of matching
 
 
 def plans_of(count: int) -> PlatformFacts:
@@ -253,12 +262,12 @@
     def call(frame: FrameType, event: str, _: Any) -> Any:
         return line if "glenchute/config/" in frame.f_code.co_filename else None
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(call)
     try:
         work()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return count
 
 
@@ -273,8 +282,8 @@
         text, facts = file(count), plans_of(count // 10) if with_facts else None
         return executed_lines(lambda: results.append(parse(text, facts))), results[0]
 
-    (once, small), (twice, large) = load(200), load(400)
-    assert once > 200 and twice / once < 2.1
+    (line_count, small), (double_line_count, large) = load(200), load(400)
+    assert line_count > 200 and double_line_count / line_count < 2.1
     assert len(large.findings) <= 2 * len(small.findings) + 1
 
 
@@ -298,21 +307,21 @@
     """A string that counts how often it is compared."""
 
     __hash__ = str.__hash__
-    times = 0
+    comparisons = 0
 
     def __eq__(self, other: object) -> bool:
-        ComparedText.times += 1
+        ComparedText.comparisons += 1
         return super().__eq__(other)
 
 
 def test_a_long_list_is_not_walked_for_each_of_its_names() -> None:
-    words, report = [ComparedText(f"plan-{n}") for n in range(500)], FindingCollector()
-    assert Strings().check([*words, ComparedText("plan-7")], ("plan",), report) == tuple(words)
+    names, report = [ComparedText(f"plan-{n}") for n in range(500)], FindingCollector()
+    assert Strings().check([*names, ComparedText("plan-7")], ("plan",), report) == tuple(names)
     assert [(code, path) for code, path, _, _ in report.rows] == [("named-twice", ("plan", 500))]
-    assert ComparedText.times <= 3 * len(words)
+    assert ComparedText.comparisons <= 3 * len(names)
 
 
-# --- parsing in parts
+# --- parsing a file route by route
 
 LINES = st.sampled_from([
     "[[route]]", "[[route]]", "[[route]]", "name = 'a'", "match = { class = 'report-read' }", "[route.match]",
--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -18,7 +18,7 @@
 Report = tuple[str, float, Outcome]
 
 
-async def collect_reports(reply: Any, go: asyncio.Event, calls: int) -> list[Report]:
+async def collect_reports(reply: Any, release: asyncio.Event, calls: int) -> list[Report]:
     """Makes this many calls for one key to a counter that answers with `reply`, and sets `go` when all have
     timed out. Returns what the client reports, in order."""
     peer = RespPeer(reply)
@@ -33,7 +33,7 @@
             lambda total, ending, took: reports.append(("late", total, ending)),
         )  # fmt: skip
     await wait_until(lambda: len(reports) == calls)
-    go.set()
+    release.set()
     await wait_until(lambda: len(reports) == 2 * calls)
     await asyncio.sleep(0.05)
     counter.close()
@@ -52,15 +52,15 @@
 )
 def test_after_a_timeout_a_late_reply_is_reported_once(answer: bytes, total: float, ending: Outcome) -> None:
     async def scenario() -> None:
-        go = asyncio.Event()
+        release = asyncio.Event()
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             if words[0] == b"PING":
                 return b"+PONG\r\n"
-            await go.wait()
+            await release.wait()
             return answer
 
-        reports = await collect_reports(reply, go, 3)
+        reports = await collect_reports(reply, release, 3)
         assert reports[:3] == [("done", 0.0, Outcome.TIMEOUT)] * 3
         assert reports[3:] == [("late", total, ending)] * 3
 
@@ -69,16 +69,16 @@
 
 def test_a_broken_connection_ends_late_replies() -> None:
     async def scenario() -> None:
-        go = asyncio.Event()
+        release = asyncio.Event()
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             if words[0] == b"PING":
                 return b"+PONG\r\n"
-            await go.wait()
+            await release.wait()
             writer.close()
             return None
 
-        reports = await collect_reports(reply, go, 2)
+        reports = await collect_reports(reply, release, 2)
         assert reports == [("done", 0.0, Outcome.TIMEOUT)] * 2 + [("late", 0.0, Outcome.TIMEOUT)] * 2
 
     run_scenario(scenario())
@@ -86,21 +86,21 @@
 
 def test_the_core_passes_late_replies_to_the_engine() -> None:
     async def scenario() -> None:
-        go = asyncio.Event()
+        release = asyncio.Event()
 
-        async def slow(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        async def reply_after_release(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             if words[0] != b"PING":
-                await go.wait()
+                await release.wait()
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n4\r\n"
 
         script = ScriptedEngine(lambda event: [])
-        async with site(reply_with(b""), decisions=script, counter=slow) as one:
-            counter = one.program.counter
+        async with site(reply_with(b""), decisions=script, counter=reply_after_release) as gateway_site:
+            counter = gateway_site.program.counter
             assert counter is not None
             counter.timeout_s = 0.05
-            one.program.gateway.execute(IncrementCounter(12, 1.0, 4000.0))
+            gateway_site.program.gateway.execute(IncrementCounter(12, 1.0, 4000.0))
             await wait_until(lambda: script.of(CounterReply))
-            go.set()
+            release.set()
             await wait_until(lambda: len(script.of(CounterReply)) == 2)
             first, second = script.of(CounterReply)
             assert (first.outcome, first.is_late) == (Outcome.TIMEOUT, False)
@@ -122,13 +122,13 @@
         self.totals: dict[int, float] = {}
         self.late_count = 0
 
-    def answer_late(self, ending: Outcome = Outcome.OK, others: float = 0.0) -> None:
+    def answer_late(self, ending: Outcome = Outcome.OK, others_units: float = 0.0) -> None:
         """Sends the late replies to all calls that have timed out, in order."""
         calls = [action for _, action in self.log if isinstance(action, IncrementCounter)][self.late_count :]
         self.late_count += len(calls)
         for call in calls:
             if ending is Outcome.OK:
-                self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + others
+                self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + others_units
             total = self.totals.get(call.key, 0.0)
             self.feed(CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True))
 
@@ -158,20 +158,20 @@
 
 
 def test_late_totals_show_the_others_use_and_own_units_count_once() -> None:
-    alone, shared = LateCounterRig(), LateCounterRig()
-    for rig, others in ((alone, 0.0), (shared, 2.0)):
+    without_others, with_others = LateCounterRig(), LateCounterRig()
+    for rig, others_units in ((without_others, 0.0), (with_others, 2.0)):
         for _ in range(12):
             rig.ask("read", "rate", "c", spread=2)
             rig.advance(250.0)
             rig.answer_calls()
-            rig.answer_late(others=others)
-    assert alone.gateway.quota.tenants.by_id["c"].others_demand_per_s < 0.2, (
+            rig.answer_late(others_units=others_units)
+    assert without_others.gateway.quota.tenants.by_id["c"].others_demand_per_s < 0.2, (
         "own units were counted as the others' use"
     )
-    assert shared.gateway.quota.tenants.by_id["c"].others_demand_per_s > 1.0
+    assert with_others.gateway.quota.tenants.by_id["c"].others_demand_per_s > 1.0
     assert (
-        shared.gateway.quota.tenants.by_id["c"].bucket_units
-        < alone.gateway.quota.tenants.by_id["c"].bucket_units + 0.1
+        with_others.gateway.quota.tenants.by_id["c"].bucket_units
+        < without_others.gateway.quota.tenants.by_id["c"].bucket_units + 0.1
     )
 
 
--- a/tests/policy/admission/test_tenant_bound.py
+++ b/tests/policy/admission/test_tenant_bound.py
@@ -22,9 +22,9 @@
     monkeypatch.setattr(tenants, "MAX_TENANTS", BOUND)
     monkeypatch.setattr(state_transfer, "MAX_TENANTS", BOUND)
     monkeypatch.setattr(tenants, "EVICTION_BATCH", 4)
-    made = DecisionEngine(settings(1), 1)
-    made.handle(1000.0, EndpointList(EndpointListKind.CACHED, SERVERS))
-    return made
+    decision_engine = DecisionEngine(settings(1), 1)
+    decision_engine.handle(1000.0, EndpointList(EndpointListKind.CACHED, SERVERS))
+    return decision_engine
 
 
 def request(tenant: str, plan: str = "soft") -> Request:
@@ -59,15 +59,15 @@
     table.by_id["in flight"].attempts_in_flight = 1
     table.by_id["calling"].calls_in_flight = 1
     table.by_id["unreported"].unreported_units = 2.0
-    kept = dict(table.by_id)
+    protected = dict(table.by_id)
     for number in range(3 * BOUND):
         engine.handle(1000.0, request(f"t{number}"))
         for name, tenant in table.by_id.items():
-            if name not in kept:
+            if name not in protected:
                 tenant.attempts_in_flight = tenant.calls_in_flight = 0
                 tenant.unreported_units = 0.0
         assert len(table.by_id) <= BOUND
-    assert all(table.by_id.get(name) is tenant for name, tenant in kept.items())
+    assert all(table.by_id.get(name) is tenant for name, tenant in protected.items())
 
 
 def test_with_nothing_to_forget_new_tenants_are_rejected_and_known_ones_served(
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -49,16 +49,16 @@
 
 
 def test_use_by_other_gateways_drains_the_bucket() -> None:
-    alone, shared = EngineHarness(make_endpoints(4)), EngineHarness(make_endpoints(4))
-    for rig, others in ((alone, 0.0), (shared, 1.0)):
-        rig.others = others
+    without_others, with_others = EngineHarness(make_endpoints(4)), EngineHarness(make_endpoints(4))
+    for rig, others_units in ((without_others, 0.0), (with_others, 1.0)):
+        rig.others = others_units
         for _ in range(200):
             name, actions = rig.ask(plan="rate")
             if actions_of_type(actions, StartAttempt):
                 rig.end(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(100.0)
-    sent = [len({r for r in rig.sent}) for rig in (alone, shared)]
+    sent = [len({r for r in rig.sent}) for rig in (without_others, with_others)]
     assert sent[1] < 0.8 * sent[0]
 
 
@@ -142,7 +142,7 @@
 
 
 def test_calls_are_reduced_while_they_are_rejected() -> None:
-    def calls(ending: Outcome) -> int:
+    def count_calls(ending: Outcome) -> int:
         rig = EngineHarness(make_endpoints(4))
         for i in range(400):
             rig.ending = ending if i % 3 else Outcome.OK
@@ -151,13 +151,13 @@
             rig.advance(20.0)
         return len([a for _, a in rig.log if isinstance(a, IncrementCounter)])
 
-    assert calls(Outcome.REJECTED) < 0.5 * calls(Outcome.OK)
+    assert count_calls(Outcome.REJECTED) < 0.5 * count_calls(Outcome.OK)
 
 
 def test_concurrency_limit_counts_attempts_in_flight() -> None:
     rig = EngineHarness(make_endpoints(4))
-    went = [bool(actions_of_type(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
-    assert went == [True, True, False, False, False, False]
+    is_started = [bool(actions_of_type(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
+    assert is_started == [True, True, False, False, False, False]
     rig.end("r1", 0, Outcome.OK)
     assert actions_of_type(rig.ask(plan="open")[1], StartAttempt)
 
@@ -246,9 +246,14 @@
         name, actions = rig.ask(classes)
         if actions_of_type(actions, StartAttempt):
             total += 1
-            at = rig.sent[name][0]
-            hits += at == server
-            rig.end(name, 0, other if at == server else Outcome.OK, took if at == server else 20.0)
+            first_server = rig.sent[name][0]
+            hits += first_server == server
+            rig.end(
+                name,
+                0,
+                other if first_server == server else Outcome.OK,
+                took if first_server == server else 20.0,
+            )
         rig.advance(20.0)
     return hits / total
 
@@ -271,19 +276,19 @@
 def test_an_unresponsive_server_gets_nothing_more_before_any_timeout() -> None:
     rig = EngineHarness(make_endpoints(5))
     rig.warm_up()
-    hung = 0
+    unanswered_attempts = 0
     for _ in range(200):
         name, actions = rig.ask("charge")
         if rig.sent[name][0] == "s0":
-            hung += 1
+            unanswered_attempts += 1
         elif actions_of_type(actions, StartAttempt):
             rig.end(name, 0, Outcome.OK)
         rig.advance(5.0)
-    assert hung <= 6
+    assert unanswered_attempts <= 6
 
 
 def test_failures_everywhere_do_not_hide_the_queues() -> None:
-    # If a class fails on every server, the servers' queues must still decide the choice.
+    # Guards against a choice that ignores the servers' queues when a class of requests fails on all servers.
     rig = EngineHarness(make_endpoints(4))
     rig.warm_up()
     for i in range(80):
@@ -342,10 +347,10 @@
     rig = EngineHarness(make_endpoints(2))
     rig.warm_up()
     name, _ = rig.ask()
-    at = rig.sent[name][0]
-    rig.feed(AttemptEnded(name, 0, at, Outcome.OK, 20.0, True, queued_requests=40.0))
+    loaded_server = rig.sent[name][0]
+    rig.feed(AttemptEnded(name, 0, loaded_server, Outcome.OK, 20.0, True, queued_requests=40.0))
     names = [rig.ask()[0] for _ in range(3)]
-    assert all(rig.sent[n][0] != at for n in names)
+    assert all(rig.sent[n][0] != loaded_server for n in names)
 
 
 def test_retries_are_kept_to_a_budget() -> None:
@@ -412,8 +417,8 @@
         "print(*sorted(m for m in sys.modules if 'policy.' in m))"
     )
     command = [sys.executable, "-c", script]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
-    loaded = {f"{module.replace('.', '/')}.py" for module in done.stdout.split()}
+    result = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
+    loaded = {f"{module.replace('.', '/')}.py" for module in result.stdout.split()}
     folders = {
         "glenchute/policy/admission.py",
         "glenchute/policy/balancing.py",
