--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -40,16 +40,16 @@
 BUSY_S = 1.5 * MAX_DETECTION_S
 
 
-def connect_raw(one: Site, *commands: bytes) -> socket.socket:
+def connect_raw(gateway_site: Site, *commands: bytes) -> socket.socket:
     """Opens a connection whose bytes and close are in the kernel before the next iteration of the event
     loop."""
-    sock = socket.create_connection(("127.0.0.1", one.port))
+    sock = socket.create_connection(("127.0.0.1", gateway_site.port))
     sock.sendall(b"".join(commands))
     return sock
 
 
 def close_raw(sock: socket.socket, how: str) -> None:
-    """Closes a raw socket in one of the ways of `tests.crossings.end`, without the event loop."""
+    """Closes a raw socket by one of `DISCONNECT_KINDS`, without the event loop."""
     if how == "half-close":
         sock.shutdown(socket.SHUT_WR)
         return
@@ -58,19 +58,19 @@
     sock.close()
 
 
-async def open_idle_connections(one: Site, count: int = 4) -> Client:
+async def open_idle_connections(gateway_site: Site, count: int = 4) -> Client:
     """Leaves `count` connections to the servers open and idle, so that an attempt is written at once."""
-    script = one.program.gateway.decisions
-    steady = await one.client()
+    script = gateway_site.program.gateway.decisions
+    steady_client = await gateway_site.client()
     if isinstance(script, ScriptedEngine):
         decide, script.decide = script.decide, send_to("s0")
     for number in range(count):
-        steady.send(*READ, b"rested%d" % number, GET)
-    assert [await steady.reply() for _ in range(count)] == [b"value"] * count
+        steady_client.send(*READ, b"rested%d" % number, GET)
+    assert [await steady_client.reply() for _ in range(count)] == [b"value"] * count
     if isinstance(script, ScriptedEngine):
         script.decide = decide
         script.events.clear()
-    return steady
+    return steady_client
 
 
 def reads(count: int) -> list[bytes]:
@@ -86,28 +86,30 @@
 
     async def scenario() -> None:
         script = ScriptedEngine(lambda event: [])
-        async with site(reply_with(SERVED), decisions=script) as one:
-            steady = await open_idle_connections(one)
-            sock = connect_raw(one, *reads(pending))
-            taken = min(pending, MAX_PENDING_COMMANDS)
-            await wait_until(lambda: len(script.of(Request)) == taken)
-            _, held = one.program.listener.clients
-            assert held.is_reading_paused is (pending >= MAX_PENDING_COMMANDS)
-            refs = [event.request_id for event in script.of(Request)]
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            steady_client = await open_idle_connections(gateway_site)
+            sock = connect_raw(gateway_site, *reads(pending))
+            accepted_count = min(pending, MAX_PENDING_COMMANDS)
+            await wait_until(lambda: len(script.of(Request)) == accepted_count)
+            _, connection = gateway_site.program.listener.clients
+            assert connection.is_reading_paused is (pending >= MAX_PENDING_COMMANDS)
+            request_ids = [event.request_id for event in script.of(Request)]
             script.decide = lambda event: (
-                [StartAttempt(ref, "s0") for ref in refs] if isinstance(event, TimerFired) else []
+                [StartAttempt(request_id, "s0") for request_id in request_ids]
+                if isinstance(event, TimerFired)
+                else []
             )
             close_raw(sock, how)
             time.sleep(BUSY_S)
-            one.program.gateway.post(TimerFired(1))
-            await wait_until(lambda: len(script.of(ClientDisconnected)) == taken)
-            assert {e.outcome for e in script.of(AttemptEnded)} == {Outcome.NOT_SENT}
-            assert all(e.is_final for e in script.of(AttemptEnded))
-            assert len(script.of(AttemptEnded)) == taken
-            await wait_until(lambda: held not in one.program.listener.clients)
+            gateway_site.program.gateway.post(TimerFired(1))
+            await wait_until(lambda: len(script.of(ClientDisconnected)) == accepted_count)
+            assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.NOT_SENT}
+            assert all(event.is_final for event in script.of(AttemptEnded))
+            assert len(script.of(AttemptEnded)) == accepted_count
+            await wait_until(lambda: connection not in gateway_site.program.listener.clients)
             script.decide = send_to("s0")
-            assert await steady.ask(*READ, b"0", GET) == b"value"
-            assert len(one.servers[0].calls()) == 4 + 1, (
+            assert await steady_client.ask(*READ, b"0", GET) == b"value"
+            assert len(gateway_site.servers[0].calls()) == 4 + 1, (
                 "requests of the disconnected client were sent to a server"
             )
             sock.close()
@@ -117,21 +119,22 @@
 
 @pytest.mark.parametrize("how", DISCONNECT_KINDS)
 def test_a_request_that_came_with_its_clients_end_is_not_begun(how: str) -> None:
-    """Both are in the kernel when the blocked loop reads again, and it reads the request first."""
+    """The request and its client's close are both in the kernel when the blocked loop reads again; it reads
+    the request first."""
 
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script) as one:
-            steady = await open_idle_connections(one)
-            sock = connect_raw(one)
-            await wait_until(lambda: len(one.program.listener.clients) == 2)
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            steady_client = await open_idle_connections(gateway_site)
+            sock = connect_raw(gateway_site)
+            await wait_until(lambda: len(gateway_site.program.listener.clients) == 2)
             for command in reads(3):
                 sock.sendall(command)
             close_raw(sock, how)
             time.sleep(BUSY_S)
-            await wait_until(lambda: len(one.program.listener.clients) == 1)
-            assert await steady.ask(*READ, b"0", GET) == b"value"
-            assert len(one.servers[0].calls()) == 4 + 1
+            await wait_until(lambda: len(gateway_site.program.listener.clients) == 1)
+            assert await steady_client.ask(*READ, b"0", GET) == b"value"
+            assert len(gateway_site.servers[0].calls()) == 4 + 1
             sock.close()
 
     run_scenario(scenario())
@@ -145,17 +148,17 @@
 
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script) as one:
-            steady = await open_idle_connections(one)
-            accepted = one.program.listener.accepted_count
-            steady.send(*READ, b"steady", GET)
-            close_raw(sock := connect_raw(one, *reads(1)), how)
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            steady_client = await open_idle_connections(gateway_site)
+            accepted = gateway_site.program.listener.accepted_count
+            steady_client.send(*READ, b"steady", GET)
+            close_raw(sock := connect_raw(gateway_site, *reads(1)), how)
             time.sleep(BUSY_S)
-            assert await steady.reply() == b"value"
-            await wait_until(lambda: one.program.listener.accepted_count == accepted + 1)
-            await wait_until(lambda: len(one.program.listener.clients) == 1)
-            assert await steady.ask(*READ, b"steady", GET) == b"value"
-            assert len(one.servers[0].calls()) == 4 + 2
+            assert await steady_client.reply() == b"value"
+            await wait_until(lambda: gateway_site.program.listener.accepted_count == accepted + 1)
+            await wait_until(lambda: len(gateway_site.program.listener.clients) == 1)
+            assert await steady_client.ask(*READ, b"steady", GET) == b"value"
+            assert len(gateway_site.servers[0].calls()) == 4 + 2
             sock.close()
 
     run_scenario(scenario())
@@ -176,20 +179,23 @@
                 return b""
             return SERVED
 
-        heard = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
-        async with site(reply, reply, decisions=heard) as one:
-            steady = await open_idle_connections(one, 12)
+        recorder = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
+        async with site(reply, reply, decisions=recorder) as gateway_site:
+            steady_client = await open_idle_connections(gateway_site, 12)
             await asyncio.sleep(2.0 * REUSE_DELAY_S)  # idle connections are not reused before that
-            heard.endings.clear()
-            socks.append(connect_raw(one, *reads(1)))
+            recorder.endings.clear()
+            socks.append(connect_raw(gateway_site, *reads(1)))
             await wait_until(lambda: not socks)
             await wait_until(
-                lambda: len(one.program.listener.clients) == 1 and not one.program.gateway.attempts_in_flight
+                lambda: (
+                    len(gateway_site.program.listener.clients) == 1
+                    and not gateway_site.program.gateway.attempts_in_flight
+                )
             )
-            assert await steady.ask(*READ, b"0", GET) == b"value"
-            assert sum(len(server.calls()) for server in one.servers) == 12 + 2
-            assert heard.endings[0] is Outcome.REJECTED and heard.endings[-1] is Outcome.OK
-            assert set(heard.endings[1:-1]) <= {Outcome.NOT_SENT}
+            assert await steady_client.ask(*READ, b"0", GET) == b"value"
+            assert sum(len(server.calls()) for server in gateway_site.servers) == 12 + 2
+            assert recorder.endings[0] is Outcome.REJECTED and recorder.endings[-1] is Outcome.OK
+            assert set(recorder.endings[1:-1]) <= {Outcome.NOT_SENT}
 
     run_scenario(scenario())
 
@@ -207,29 +213,32 @@
 
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script, operator=operator) as one:
-            sock = connect_raw(one, *reads(MAX_PENDING_COMMANDS))
-            while not one.program.servers.connecting:
+        async with site(reply_with(SERVED), decisions=script, operator=operator) as gateway_site:
+            sock = connect_raw(gateway_site, *reads(MAX_PENDING_COMMANDS))
+            while not gateway_site.program.servers.connecting:
                 await asyncio.sleep(0)
             for _ in range(turns):
                 await asyncio.sleep(0)
-            out = one.program.gateway.attempts_in_flight.values()
-            written = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in out)
+            attempts = gateway_site.program.gateway.attempts_in_flight.values()
+            written_count = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in attempts)
             close_raw(sock, how)
             time.sleep(BUSY_S)
             await wait_until(
-                lambda: not one.program.listener.clients and not one.program.gateway.attempts_in_flight
+                lambda: (
+                    not gateway_site.program.listener.clients
+                    and not gateway_site.program.gateway.attempts_in_flight
+                )
             )
-            assert await (await one.client()).ask(*READ, b"again", GET) == b"value"
-            assert len(one.servers[0].calls()) <= written + 1
+            assert await (await gateway_site.client()).ask(*READ, b"again", GET) == b"value"
+            assert len(gateway_site.servers[0].calls()) <= written_count + 1
             sock.close()
 
     run_scenario(scenario())
 
 
-def stated_remaining_ms(one: Site, server: int) -> int:
+def stated_remaining_ms(gateway_site: Site, server: int) -> int:
     """Returns the remaining time that the last attempt at a server stated, in ms."""
-    fields = one.servers[server].calls()[-1][3]
+    fields = gateway_site.servers[server].calls()[-1][3]
     return int(fields.partition(b"d=")[2].partition(b",")[0])
 
 
@@ -270,49 +279,51 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await first(writer)
 
-        async with site(reply, reply_with(SERVED), decisions=ScriptedEngine(decide)) as one:
-            assert await (await one.client()).ask(*READ, b"1", GET) == b"value"
-            assert stated_remaining_ms(one, 1) <= 20_000 - 1000.0 * FIRST_ATTEMPT_S + 1.0
+        async with site(reply, reply_with(SERVED), decisions=ScriptedEngine(decide)) as gateway_site:
+            assert await (await gateway_site.client()).ask(*READ, b"1", GET) == b"value"
+            assert stated_remaining_ms(gateway_site, 1) <= 20_000 - 1000.0 * FIRST_ATTEMPT_S + 1.0
 
     run_scenario(scenario())
 
 
 def test_an_attempt_on_a_connection_that_comes_up_late_tells_what_is_left_as_it_is_written() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = await gateway_site.client()
             client.send(*READ, b"1", GET)
-            while not one.program.servers.connecting:
+            while not gateway_site.program.servers.connecting:
                 await asyncio.sleep(0)
             time.sleep(BUSY_S)
             assert await client.reply() == b"value"
-            assert stated_remaining_ms(one, 0) <= 20_000 - 1000.0 * BUSY_S + 1.0
+            assert stated_remaining_ms(gateway_site, 0) <= 20_000 - 1000.0 * BUSY_S + 1.0
 
     run_scenario(scenario())
 
 
 def test_ends_are_told_by_one_call_for_all_and_cost_none_within_its_time() -> None:
-    """One poll finds the closed connections of all clients, also more than one poll call returns, and none is
-    made within its interval. A client that stays connected must not be reported as closed."""
+    """One poll finds all closed connections, also more than one call returns, and no poll is made within the
+    interval after it. A client that stays connected must not be reported as closed."""
 
     async def scenario() -> None:
         script = ScriptedEngine(lambda event: [])
-        async with site(reply_with(SERVED), decisions=script) as one:
-            closed_peers, count = one.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
-            socks = [connect_raw(one) for _ in range(count)]
-            await wait_until(lambda: len(one.program.listener.clients) == count)
-            stays, *others = one.program.listener.clients
-            assert not closed_peers.has_closed(stays)
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            closed_peers, count = gateway_site.program.listener.closed_peers, MAX_CLOSES_PER_POLL + 10
+            socks = [connect_raw(gateway_site) for _ in range(count)]
+            await wait_until(lambda: len(gateway_site.program.listener.clients) == count)
+            open_connection, *closed_connections = gateway_site.program.listener.clients
+            assert not closed_peers.has_closed(open_connection)
             for sock in socks[1:]:
                 sock.close()
             closed_peers.checked_at = time.monotonic() + 60.0
-            assert not any(closed_peers.has_closed(other) for other in others)
+            assert not any(closed_peers.has_closed(connection) for connection in closed_connections)
             closed_peers.checked_at = -float("inf")
-            assert not closed_peers.has_closed(stays) and all(other.is_closed_by_peer for other in others)
-            assert list(closed_peers.clients.values()) == [stays]
-            await wait_until(lambda: len(one.program.listener.clients) == 1)
+            assert not closed_peers.has_closed(open_connection) and all(
+                connection.is_closed_by_peer for connection in closed_connections
+            )
+            assert list(closed_peers.clients.values()) == [open_connection]
+            await wait_until(lambda: len(gateway_site.program.listener.clients) == 1)
             socks[0].close()
-            await wait_until(lambda: not one.program.listener.clients)
+            await wait_until(lambda: not gateway_site.program.listener.clients)
             assert not closed_peers.clients
 
     run_scenario(scenario())
--- a/tests/system/test_crossings_servers.py
+++ b/tests/system/test_crossings_servers.py
@@ -69,13 +69,13 @@
 
 
 @pytest.mark.parametrize("name", [b"read", b"order", b"charge"])
-@pytest.mark.parametrize("what", SERVERS)
-def test_what_comes_back_and_what_may_follow(what: str, name: bytes) -> None:
+@pytest.mark.parametrize("reply_kind", SERVERS)
+def test_what_comes_back_and_what_may_follow(reply_kind: str, name: bytes) -> None:
     """The first attempt gets the given response, a further one a value. A non-idempotent request that may
     have run must not be sent again; any request that was rejected unexecuted is. Whether a request is
     idempotent comes from the settings, not from the verb."""
-    pieces, then, ending = SERVERS[what]
-    is_sent_again = ending is Outcome.REJECTED or (ending is not Outcome.OK and IS_RETRIED[name])
+    pieces, finish, outcome = SERVERS[reply_kind]
+    is_sent_again = outcome is Outcome.REJECTED or (outcome is not Outcome.OK and IS_RETRIED[name])
 
     async def scenario() -> None:
         attempt_count = 0
@@ -88,19 +88,19 @@
             for piece in pieces:
                 writer.write(piece)
                 await asyncio.sleep(0.005)
-            await then(writer)
+            await finish(writer)
             return None
 
-        heard = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
-        async with site(reply, reply, decisions=heard) as one:
-            client = await one.client()
+        recorder = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
+        async with site(reply, reply, decisions=recorder) as gateway_site:
+            client = await gateway_site.client()
             verb = b"CALL.GET" if name == b"read" else b"CALL.POST"
             fields = {b"read": GET, b"order": ORDER, b"charge": CHARGE}[name]
             client.send(verb, CUSTOMER, b"1", fields)
-            served = ending is Outcome.OK or is_sent_again
-            assert (await client.reply() == b"value") is served
+            is_served = outcome is Outcome.OK or is_sent_again
+            assert (await client.reply() == b"value") is is_served
             assert attempt_count == 1 + is_sent_again
-            assert heard.endings == [ending, Outcome.OK][:attempt_count]
+            assert recorder.endings == [outcome, Outcome.OK][:attempt_count]
             # A connection in an unknown state is not reused, and no request gets the reply of another.
             assert await client.ask(*READ, b"2", GET) == b"value"
 
@@ -111,26 +111,33 @@
     """The server drains, is removed and returns at a new address while an attempt connects to the old one."""
 
     async def scenario() -> None:
-        agent, script = ManualDiscovery(), ScriptedEngine(send_to("s0"))
-        asyncio.get_running_loop().create_task(agent.answer(0, discovery_answer(2, [], full=False)))
-        new = RespPeer(reply_with(SERVED))
-        await new.start()
-        async with blocked_port() as port, site(reply_with(SERVED), decisions=script, discovery=agent) as one:  # type: ignore[arg-type]
-            await agent.answer(1, discovery_answer(3, [server_row("s0", port)], full=False))
-            await wait_until(lambda: one.program.servers.address("s0") == ("127.0.0.1", port))
-            client = await one.client()
+        discovery, script = ManualDiscovery(), ScriptedEngine(send_to("s0"))
+        asyncio.get_running_loop().create_task(discovery.answer(0, discovery_answer(2, [], full=False)))
+        new_server = RespPeer(reply_with(SERVED))
+        await new_server.start()
+        async with (
+            blocked_port() as port,
+            site(reply_with(SERVED), decisions=script, discovery=discovery) as gateway_site,  # type: ignore[arg-type]
+        ):
+            await discovery.answer(1, discovery_answer(3, [server_row("s0", port)], full=False))
+            await wait_until(lambda: gateway_site.program.servers.address("s0") == ("127.0.0.1", port))
+            client = await gateway_site.client()
             client.send(*READ, b"1", GET)
-            await wait_until(lambda: len(one.program.servers.connecting) == 1)
-            await agent.answer(2, discovery_answer(4, [server_row("s0", port, "Terminating")], full=False))
-            await agent.answer(3, discovery_answer(5, [server_row("s0", port, "Gone")], full=False))
-            await agent.answer(
-                4, discovery_answer(6, [server_row("s0", new.port, started_ms=5.0)], full=False)
+            await wait_until(lambda: len(gateway_site.program.servers.connecting) == 1)
+            await discovery.answer(
+                2, discovery_answer(4, [server_row("s0", port, "Terminating")], full=False)
+            )
+            await discovery.answer(3, discovery_answer(5, [server_row("s0", port, "Gone")], full=False))
+            await discovery.answer(
+                4, discovery_answer(6, [server_row("s0", new_server.port, started_ms=5.0)], full=False)
+            )
+            await wait_until(
+                lambda: gateway_site.program.servers.address("s0") == ("127.0.0.1", new_server.port)
             )
-            await wait_until(lambda: one.program.servers.address("s0") == ("127.0.0.1", new.port))
             assert await client.ask(*READ, b"2", GET) is not None
-            # The reply to the first request, which reached no server, came before this one.
+            # The reply above was to the first request, which reached no server; this one is to the second.
             assert await client.reply() == b"value"
-            assert len(new.calls()) == 1 and not one.servers[0].calls()
-        await new.stop()
+            assert len(new_server.calls()) == 1 and not gateway_site.servers[0].calls()
+        await new_server.stop()
 
     run_scenario(scenario())
--- a/tests/system/test_crossings_shutdown.py
+++ b/tests/system/test_crossings_shutdown.py
@@ -46,11 +46,11 @@
     raw_config,
 )
 
-Scene = Callable[["RunningGateway"], Awaitable[None]]
+ShutdownScenario = Callable[["RunningGateway"], Awaitable[None]]
 
 
 class RunningGateway:
-    """A gateway process with one server, whose replies wait until `release` is set."""
+    """A gateway process with one server, which replies once `release` is set."""
 
     def __init__(self, process: asyncio.subprocess.Process, listen: int, server: RespPeer) -> None:
         self.process, self.listen, self.server = process, listen, server
@@ -59,43 +59,43 @@
     def signal(self, number: int) -> None:
         self.process.send_signal(number)
 
-    async def until_shutting_down(self, asker: Client) -> None:
+    async def wait_until_shutting_down(self, pinging_client: Client) -> None:
         """Waits until PING reports that the process has handled the signal."""
-        while "leaving" not in str(await asker.ask(b"PING")):
+        while "leaving" not in str(await pinging_client.ask(b"PING")):
             await asyncio.sleep(0.005)
 
 
 @asynccontextmanager
 async def running_gateway(
-    tmp_path: Path, agent: Peer | None = None, max_deadline_ms: float = 2e4,
-    counter: bytes | None = b"+PONG\r\n", saved: bool = True,
+    tmp_path: Path, discovery_peer: Peer | None = None, max_deadline_ms: float = 2e4,
+    counter: bytes | None = b"+PONG\r\n", has_saved_list: bool = True,
 ) -> AsyncIterator[RunningGateway]:  # fmt: skip
-    started: list[RunningGateway] = []
+    gateways: list[RunningGateway] = []
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-        await started[0].release.wait()
+        await gateways[0].release.wait()
         return SERVED
 
     server, counter_peer = RespPeer(reply), RespPeer(reply_with(counter))
-    discovery = agent or DiscoveryPeer()
+    discovery = discovery_peer or DiscoveryPeer()
     for peer in (server, counter_peer, discovery):
         await peer.start()
     rows = [server_row("s0", server.port)]
     if isinstance(discovery, DiscoveryPeer):
         discovery.answers.append(discovery_answer(1, rows))
     listen = free_port()
-    raw = raw_config(discovery.port, counter_peer.port, rows, listen)
-    raw["settings"] = SETTINGS | {
-        "profiles": [one | {"hard_limit_ms": max_deadline_ms} for one in SETTINGS["profiles"]]
+    platform_config = raw_config(discovery.port, counter_peer.port, rows, listen)
+    platform_config["settings"] = SETTINGS | {
+        "profiles": [profile | {"hard_limit_ms": max_deadline_ms} for profile in SETTINGS["profiles"]]
     }
-    if not saved:
-        del raw["known"]
+    if not has_saved_list:
+        del platform_config["known"]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw))
+    path.write_text(json.dumps(platform_config))
     process = await start(path)
-    started.append(RunningGateway(process, listen, server))
+    gateways.append(RunningGateway(process, listen, server))
     try:
-        yield started[0]
+        yield gateways[0]
     finally:
         if process.returncode is None:
             process.kill()
@@ -104,81 +104,83 @@
             await peer.stop()
 
 
-async def queued_while_stopped(one: RunningGateway) -> None:
+async def queued_while_stopped(gateway: RunningGateway) -> None:
     """A connection and its request wait in the listen backlog while the process is stopped for longer than
     SHUTDOWN_ACCEPT_S. The kernel has acknowledged them, and closing the listening socket would reset them."""
-    asker = await connect_when_ready(one.listen)
-    one.signal(signal.SIGTERM)
-    await one.until_shutting_down(asker)
-    one.signal(signal.SIGSTOP)
-    late = await Client.connect(one.listen)  # completed by the kernel: the process is stopped
-    late.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+    pinging_client = await connect_when_ready(gateway.listen)
+    gateway.signal(signal.SIGTERM)
+    await gateway.wait_until_shutting_down(pinging_client)
+    gateway.signal(signal.SIGSTOP)
+    late_client = await Client.connect(gateway.listen)  # completed by the kernel: the process is stopped
+    late_client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
     await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # its shutdown timer is due before it polls its sockets
-    one.release.set()
-    one.signal(signal.SIGCONT)
-    assert await late.reply() == b"value"
+    gateway.release.set()
+    gateway.signal(signal.SIGCONT)
+    assert await late_client.reply() == b"value"
 
 
-async def signalled_twice(one: RunningGateway) -> None:
+async def signalled_twice(gateway: RunningGateway) -> None:
     """A second SIGTERM neither ends the process sooner nor restarts its shutdown."""
-    held = await connect_when_ready(one.listen)
-    held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await wait_until(lambda: one.server.calls())
-    one.signal(signal.SIGTERM)
-    await one.until_shutting_down(await Client.connect(one.listen))
-    one.signal(signal.SIGTERM)
-    one.signal(signal.SIGHUP)  # a reload during the shutdown must not do so either
-    one.release.set()
-    assert await held.reply() == b"value" and await held.ended()
-
-
-async def half_a_command(one: RunningGateway) -> None:
-    """The rest of a command arrives after the signal: the command is accepted and answered."""
-    half = await connect_when_ready(one.listen)
+    client = await connect_when_ready(gateway.listen)
+    client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+    await wait_until(lambda: gateway.server.calls())
+    gateway.signal(signal.SIGTERM)
+    await gateway.wait_until_shutting_down(await Client.connect(gateway.listen))
+    gateway.signal(signal.SIGTERM)
+    gateway.signal(signal.SIGHUP)  # a reload during the shutdown must not do so either
+    gateway.release.set()
+    assert await client.reply() == b"value" and await client.ended()
+
+
+async def half_a_command(gateway: RunningGateway) -> None:
+    """The rest of a command arrives after the signal: the request is accepted and answered."""
+    client = await connect_when_ready(gateway.listen)
     data = encode_command(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    half.writer.write(data[:-9])
+    client.writer.write(data[:-9])
     await asyncio.sleep(0.05)
-    one.signal(signal.SIGTERM)
-    await one.until_shutting_down(await Client.connect(one.listen))
-    half.writer.write(data[-9:])
-    await wait_until(lambda: one.server.calls())
-    one.release.set()
-    assert await half.reply() == b"value" and await half.ended()
+    gateway.signal(signal.SIGTERM)
+    await gateway.wait_until_shutting_down(await Client.connect(gateway.listen))
+    client.writer.write(data[-9:])
+    await wait_until(lambda: gateway.server.calls())
+    gateway.release.set()
+    assert await client.reply() == b"value" and await client.ended()
 
 
-async def pipelined_behind_the_last(one: RunningGateway) -> None:
+async def pipelined_behind_the_last(gateway: RunningGateway) -> None:
     """A second command follows one that is open at the signal: both are answered before the connection
     closes."""
-    both = await connect_when_ready(one.listen)
-    both.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await wait_until(lambda: one.server.calls())
-    one.signal(signal.SIGTERM)
-    asker = await Client.connect(one.listen)
-    await one.until_shutting_down(asker)
-    both.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
-    await wait_until(lambda: len(one.server.calls()) == 2)
-    one.release.set()
-    assert [await both.reply(), await both.reply()] == [b"value", b"value"] and await both.ended()
-
-
-async def hanging_server(one: RunningGateway) -> None:
+    client = await connect_when_ready(gateway.listen)
+    client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+    await wait_until(lambda: gateway.server.calls())
+    gateway.signal(signal.SIGTERM)
+    pinging_client = await Client.connect(gateway.listen)
+    await gateway.wait_until_shutting_down(pinging_client)
+    client.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
+    await wait_until(lambda: len(gateway.server.calls()) == 2)
+    gateway.release.set()
+    assert [await client.reply(), await client.reply()] == [b"value", b"value"] and await client.ended()
+
+
+async def hanging_server(gateway: RunningGateway) -> None:
     """The server never answers: the open request gets its final response before the kill."""
-    held = await connect_when_ready(one.listen)
-    held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await wait_until(lambda: one.server.calls())
-    one.signal(signal.SIGTERM)
-    assert str(await held.reply()) == "ERR failed" and await held.ended()
+    client = await connect_when_ready(gateway.listen)
+    client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+    await wait_until(lambda: gateway.server.calls())
+    gateway.signal(signal.SIGTERM)
+    assert str(await client.reply()) == "ERR failed" and await client.ended()
 
 
 @pytest.mark.parametrize(
-    "scene",
+    "shutdown_scenario",
     [queued_while_stopped, signalled_twice, half_a_command, pipelined_behind_the_last, hanging_server],
 )
-def test_what_was_taken_round_sigterm_is_answered(scene: Scene, tmp_path: Path) -> None:
+def test_what_was_taken_round_sigterm_is_answered(
+    shutdown_scenario: ShutdownScenario, tmp_path: Path
+) -> None:
     async def scenario() -> None:
-        async with running_gateway(tmp_path) as one:
-            await scene(one)
-            assert await one.process.wait() == 0
+        async with running_gateway(tmp_path) as gateway:
+            await shutdown_scenario(gateway)
+            assert await gateway.process.wait() == 0
 
     run_scenario(scenario())
 
@@ -187,38 +189,38 @@
     """Discovery delays its first reply until the signal has been sent."""
 
     async def scenario() -> None:
-        agent = ManualDiscovery()
-        async with running_gateway(tmp_path, agent) as one:
-            await agent.poll(0)
-            one.signal(signal.SIGTERM)
-            assert await one.process.wait() == 0
+        discovery_peer = ManualDiscovery()
+        async with running_gateway(tmp_path, discovery_peer) as gateway:
+            await discovery_peer.poll(0)
+            gateway.signal(signal.SIGTERM)
+            assert await gateway.process.wait() == 0
             with pytest.raises(ConnectionRefusedError):
-                await Client.connect(one.listen)
+                await Client.connect(gateway.listen)
 
     run_scenario(scenario())
 
 
 def test_a_restart_is_ready_at_a_fifth_of_a_core_with_nobody_to_ask(tmp_path: Path) -> None:
     """Discovery and the counter are silent and no list is saved; the process gets 20 ms of CPU time in each
-    100."""
+    100 ms."""
 
     async def scenario() -> None:
-        agent = ManualDiscovery()
-        async with running_gateway(tmp_path, agent, counter=None, saved=False) as one:
+        discovery = ManualDiscovery()
+        async with running_gateway(tmp_path, discovery, counter=None, has_saved_list=False) as gateway:
 
             async def limit_cpu() -> None:
-                while one.process.returncode is None:
-                    one.signal(signal.SIGSTOP)
+                while gateway.process.returncode is None:
+                    gateway.signal(signal.SIGSTOP)
                     await asyncio.sleep(0.08)
-                    one.signal(signal.SIGCONT)
+                    gateway.signal(signal.SIGCONT)
                     await asyncio.sleep(0.02)
 
             task = asyncio.create_task(limit_cpu())
             async with asyncio.timeout(10.0):
-                asker = await connect_when_ready(one.listen)
-                assert await asker.ask(b"PING") == b"PONG"
+                pinging_client = await connect_when_ready(gateway.listen)
+                assert await pinging_client.ask(b"PING") == b"PONG"
             task.cancel()
-            one.signal(signal.SIGCONT)
+            gateway.signal(signal.SIGCONT)
 
     run_scenario(scenario())
 
@@ -226,15 +228,15 @@
 @pytest.mark.parametrize("max_deadline_s", [0.05, 0.15, 0.8, 1.5, 3.0, 6.0, 60.0])
 def test_all_is_over_before_the_kill_however_short_deadlines_are(max_deadline_s: float) -> None:
     """The earliest kill comes KILL_DELAY_S (0.7 s) after the longest deadline, of which 3 s count at most."""
-    life = ProcessLifecycle(max_deadline_s)
-    kill = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
-    assert SHUTDOWN_ACCEPT_S < life.shutdown_grace_s <= kill - 0.2
-    life.begin_serving(0.0)
-    life.begin_shutdown(1.0, False)
-    assert life.idle_limit_s(1.0 + life.shutdown_grace_s) == 0.0, (
+    process_lifecycle = ProcessLifecycle(max_deadline_s)
+    kill_s = min(max_deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
+    assert SHUTDOWN_ACCEPT_S < process_lifecycle.shutdown_grace_s <= kill_s - 0.2
+    process_lifecycle.begin_serving(0.0)
+    process_lifecycle.begin_shutdown(1.0, False)
+    assert process_lifecycle.idle_limit_s(1.0 + process_lifecycle.shutdown_grace_s) == 0.0, (
         "an idle connection would still be open when the shutdown ends"
     )
-    assert life.idle_limit_s(1.0 + SHUTDOWN_ACCEPT_S - 0.01) == float("inf")
+    assert process_lifecycle.idle_limit_s(1.0 + SHUTDOWN_ACCEPT_S - 0.01) == float("inf")
 
 
 def test_with_short_deadlines_idle_connections_go_before_the_kill(tmp_path: Path) -> None:
@@ -243,17 +245,17 @@
     idle connections and a request that no server answers."""
 
     async def scenario() -> None:
-        async with running_gateway(tmp_path, max_deadline_ms=200.0) as one:
-            held, idle = await connect_when_ready(one.listen), await Client.connect(one.listen)
+        async with running_gateway(tmp_path, max_deadline_ms=200.0) as gateway:
+            client, idle = await connect_when_ready(gateway.listen), await Client.connect(gateway.listen)
             assert await idle.ask(b"PING") == b"PONG"
-            held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-            await wait_until(lambda: one.server.calls())
+            client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+            await wait_until(lambda: gateway.server.calls())
             loop = asyncio.get_running_loop()
-            began = loop.time()
-            one.signal(signal.SIGTERM)
-            assert str(await held.reply()) == "ERR failed"
-            assert await idle.ended() and await one.process.wait() == 0
+            started_at = loop.time()
+            gateway.signal(signal.SIGTERM)
+            assert str(await client.reply()) == "ERR failed"
+            assert await idle.ended() and await gateway.process.wait() == 0
             # The kill comes after 0.9 s. A process that took 1.5 s to close its idle connections was killed.
-            assert loop.time() - began < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
+            assert loop.time() - started_at < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
 
     run_scenario(scenario())
