--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -324,13 +324,13 @@
     env = BasicEnvironment(handle, 6, outcomes=MIXED_OUTCOMES, attempt_ms=200.0)
     env.announce_servers()
     active, draining, removed = EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED
-    for turn in range(6):
+    for step in range(6):
         env.load(700.0, 20.0)
-        name = f"s{turn % 4}"
+        name = f"s{step % 4}"
         for state in (draining, removed):
             env.feed_endpoints(EndpointListKind.CHANGES, (name, "a", 0.0, state))
             env.load(300.0, 20.0)
-        env.feed_endpoints(EndpointListKind.CHANGES, (f"t{turn}", "b", env.now, active))
+        env.feed_endpoints(EndpointListKind.CHANGES, (f"t{step}", "b", env.now, active))
     env.feed_endpoints(EndpointListKind.FULL)
     env.load(1500.0, 40.0)
     env.announce_servers()
@@ -360,12 +360,12 @@
     """Clients disconnect while attempts are in flight; responses begin; some requests have no time left."""
     env = BasicEnvironment(handle, 9, outcomes=MIXED_OUTCOMES, attempt_ms=120.0)
     env.announce_servers()
-    for turn in range(120):
+    for step in range(120):
         class_name, plan = env.rng.choice(REQUEST_KINDS)
         env.feed_request(class_name, plan, "leaver", time_left_ms=env.rng.choice((0.0, 60.0, 400.0, 3000.0)))
-        if turn % 3 == 0:
+        if step % 3 == 0:
             env.feed(ClientDisconnected(f"r{env.request_number}"))
-        if turn % 7 == 0:
+        if step % 7 == 0:
             env.feed(ResponseStarted(f"r{env.request_number}", 0))
         env.run(30.0)
 
@@ -398,7 +398,7 @@
         env.load(1800.0, 18.0, 3)
         env.flood(700.0, 35.0, "open")
         env.flood(700.0, 35.0, "hard")
-    for _ in range(24):  # some calls succeed, so the counter is available, but most totals get old
+    for _ in range(24):  # some calls succeed, so the counter stays available, but most totals are outdated
         for outcome in (Outcome.REJECTED, Outcome.OK):
             env.counter_outcome = outcome
             env.load(180.0, 18.0, 9)
@@ -483,7 +483,7 @@
     env.service_ms = 60.0
     env.mixed_load(2500.0, 12.0)
     for kinds in ((("read", "cheap"),), (("none", "wide"), ("order", "free"), ("read", "wide"))):
-        env.request_kinds = kinds  # one kind of request ends, and others begin
+        env.request_kinds = kinds  # the kinds of requests change
         env.mixed_load(2200.0, 14.0)
 
 
@@ -508,8 +508,8 @@
     plans = ("rate", "hard", "rate", "soft")
     for outcome in (Outcome.OK, Outcome.TIMEOUT, Outcome.OK, Outcome.UNREACHABLE):
         env.counter_outcome = outcome
-        for turn in range(135):
-            plan = plans[turn % 4]
+        for step in range(135):
+            plan = plans[step % 4]
             request = env.request(
                 "read",
                 plan,
@@ -541,14 +541,14 @@
     env = Environment(handle, 25, attempt_ms=40.0)
     env.announce_servers()
     used_units = 0.0
-    for turn in range(420):
-        plan = ("rate", "hard", "soft", "rate")[turn % 4]
+    for step in range(420):
+        plan = ("rate", "hard", "soft", "rate")[step % 4]
         request = env.request(
-            "read", plan, f"u{turn % 3}{plan}", units=env.rng.choice((1.0, 2.0)), gateway_spread=4
+            "read", plan, f"u{step % 3}{plan}", units=env.rng.choice((1.0, 2.0)), gateway_spread=4
         )
-        used_units = 0.0 if turn % 60 == 0 else used_units + env.rng.uniform(0.0, 0.3)
-        if turn % 50 < 38:
-            reporting_fraction = (0.25, 0.5, 0.75, 1.0)[turn // 50 % 4]
+        used_units = 0.0 if step % 60 == 0 else used_units + env.rng.uniform(0.0, 0.3)
+        if step % 50 < 38:
+            reporting_fraction = (0.25, 0.5, 0.75, 1.0)[step // 50 % 4]
             env.feed_request_with_usage(
                 request, used_units, env.rng.choice((0.0, 2.0, 5.0)), reporting_fraction, MEMBERS_SETTINGS
             )
@@ -556,7 +556,16 @@
             env.feed(request)
         env.run(env.rng.expovariate(1.0 / 60.0))
     env.run(1.0 - env.now % 1.0)
-    for wait in (1100.0, 1300.0, 1450.0, 1499.0, 1500.0, 1550.0, 1700.0, 2000.0):  # until updates are too old
+    for wait in (
+        1100.0,
+        1300.0,
+        1450.0,
+        1499.0,
+        1500.0,
+        1550.0,
+        1700.0,
+        2000.0,
+    ):  # age of the update, around its limit
         tenant = f"w{wait}"
         for units in (2.0, 2.0, 1.0):
             request = env.request("read", "rate", tenant, units=units, gateway_spread=4)
@@ -596,7 +605,7 @@
         env.feed(OtherProcessEnded())
         env.mixed_load(2500.0, 25.0)
     env.timeout_fraction = 0.4
-    for _ in range(6):  # own units may be added that no reply has included
+    for _ in range(6):  # calls may have added own units that no reply has included
         env.feed(SuccessorStarted())
         env.mixed_load(250.0, 25.0)
         env.feed(OtherProcessEnded())
@@ -660,8 +669,8 @@
         handle, 30, attempt_ms=250.0, outcomes=(*MIXED_OUTCOMES, Outcome.UNREACHABLE), sends_assignments=True
     )
     env.announce_servers(5)
-    for turn in range(212):
-        class_name = ("read", "order", "bid", "charge", "cell")[turn % 5]
+    for step in range(212):
+        class_name = ("read", "order", "bid", "charge", "cell")[step % 5]
         hedge_after_ms = env.rng.choice((0.0, 30.0, 120.0, 400.0))
         request = env.request(
             class_name,
@@ -672,13 +681,13 @@
         )
         env.feed(request)
         env.run(env.rng.uniform(5.0, 50.0))
-        if turn % 3 == 0:
+        if step % 3 == 0:
             env.feed(AttemptStalled(request.request_id, 0))
-        if turn % 11 == 0:
+        if step % 11 == 0:
             env.feed(AttemptStalled("unknown", 0))
-        if turn % 17 == 0:
+        if step % 17 == 0:
             env.feed(ClientDisconnected(request.request_id))
-        if turn % 13 == 0:
+        if step % 13 == 0:
             env.feed(ResponseStarted(request.request_id, 0))
     for hedge_after_ms in (0.5, 1.0, 1.5):
         for timeout_ms in (0.5, 1.0, 900.0):
@@ -697,14 +706,14 @@
     env = Environment(handle, 31, attempt_ms=30.0)
     env.announce_servers(6)
     env.request_kinds = (("read", "wide"), ("order", "wide"), ("bid", "wide"))
-    for turn in range(5):
-        name = f"s{turn % 6}"
-        env.server_outcomes = {name: (Outcome.UNREACHABLE, Outcome.TIMEOUT, Outcome.RESET)[turn % 3]}
+    for step in range(5):
+        name = f"s{step % 6}"
+        env.server_outcomes = {name: (Outcome.UNREACHABLE, Outcome.TIMEOUT, Outcome.RESET)[step % 3]}
         env.mixed_load(900.0, 18.0)
-        env.feed(AvoidEndpoint(f"s{(turn + 1) % 6}", 1500.0))
+        env.feed(AvoidEndpoint(f"s{(step + 1) % 6}", 1500.0))
         env.feed(AvoidEndpoint("unknown", 1500.0))
         env.mixed_load(500.0, 15.0)
-        env.feed(AvoidEndpoint(f"s{(turn + 1) % 6}", 0.0))
+        env.feed(AvoidEndpoint(f"s{(step + 1) % 6}", 0.0))
         env.feed(AvoidEndpoint(name, 0.0))
         env.mixed_load(400.0, 15.0)
     env.server_outcomes = {f"s{n}": Outcome.UNREACHABLE for n in range(6)}
@@ -716,21 +725,21 @@
 
 
 def servers_of_many_sizes(handle: HandleEvent) -> None:
-    """Part of an endpoint list, with weights, cells and servers that warm up; both kinds of load reports."""
+    """Partial endpoint lists, with weights, cells and servers that warm up; both kinds of load reports."""
     env = Environment(handle, 32, service_ms=30.0, reports_active=True)
     env.request_kinds = (("read", "wide"), ("cell", "wide"), ("bid", "wide"), ("order", "dear"))
     active, inf = EndpointState.ACTIVE, float("inf")
     weights = (1.0, 4.0, 0.5, inf, 0.0, -1.0, 2.0)
-    for turn, total_endpoints in enumerate((0, 21, 14, 0)):
+    for step, total_endpoints in enumerate((0, 21, 14, 0)):
         started = (env.now, 0.0, env.now - 30_000.0, 0.0)
         rows = tuple(
-            Endpoint(f"s{n}", "ab"[n % 2], n % 3, weight, started[(n + turn) % 4], active)
+            Endpoint(f"s{n}", "ab"[n % 2], n % 3, weight, started[(n + step) % 4], active)
             for n, weight in enumerate(weights)
         )
         env.feed(
-            EndpointList(EndpointListKind.FULL if turn else EndpointListKind.CACHED, rows, total_endpoints)
+            EndpointList(EndpointListKind.FULL if step else EndpointListKind.CACHED, rows, total_endpoints)
         )
-        env.outcomes = MIXED_OUTCOMES if turn % 2 else (Outcome.OK,)
+        env.outcomes = MIXED_OUTCOMES if step % 2 else (Outcome.OK,)
         env.mixed_load(2300.0, 18.0)
     env.feed(EndpointList(EndpointListKind.FAILED))
     env.feed_endpoints(EndpointListKind.FULL)
@@ -749,11 +758,11 @@
     env.feed_endpoints(
         EndpointListKind.FULL, *[(f"s{n}", "a", env.now, EndpointState.ACTIVE) for n in range(4)]
     )
-    for turn in range(260):  # some wait until slow start admits a request to a server
+    for step in range(260):  # some requests wait until slow start admits them to a server
         time_left_ms = env.rng.choice((250.0, 450.0, 500.0, 600.0, 900.0, 1200.0, 1600.0, 3000.0))
         request = env.request(env.rng.choice(("read", "order")), "wide", "held", time_left_ms=time_left_ms)
         env.feed(request)
-        if turn % 9 == 0:
+        if step % 9 == 0:
             env.feed(ClientDisconnected(request.request_id))
         env.run(env.rng.expovariate(1.0 / 15.0))
 
@@ -774,7 +783,12 @@
             env.feed(env.request(class_name, plan, f"g{env.rng.randrange(5)}{plan}", gateway_spread=spread))
             env.run(env.rng.expovariate(1.0 / 30.0))
     env.request_kinds = (("read", "soft"), ("order", "soft"))
-    for down, ms in ((6, 2500.0), (2, 2500.0), (6, 2500.0), (2, 14_000.0)):  # unreachable servers of six
+    for down, ms in (
+        (6, 2500.0),
+        (2, 2500.0),
+        (6, 2500.0),
+        (2, 14_000.0),
+    ):  # number of unreachable servers, of six
         env.announce_servers(6)
         env.server_outcomes = {f"s{n}": Outcome.UNREACHABLE for n in range(down)}
         env.mixed_load(ms, ms / 75.0)
@@ -813,7 +827,9 @@
         (9.0, 3000.0),
     ):
         other_markers[0] = max(0.0, marker_count)
-        env.timeout_fraction = 1.0 if marker_count < 0.0 else 0.0  # windows without a reply in time
+        env.timeout_fraction = (
+            1.0 if marker_count < 0.0 else 0.0
+        )  # in these windows no call is answered in time
         end = env.now + ms
         while env.now < end:
             env.feed(env.request("read", "brisk", f"b{env.rng.randrange(2)}", gateway_spread=4))
@@ -825,17 +841,17 @@
 def odd_requests(handle: HandleEvent) -> None:
     """Unknown classes and plans, many units, no time left, more requests than the limit, and no server."""
     env = Environment(handle, 36, attempt_ms=700.0)
-    for turn in range(40):
-        env.feed(env.request(("read", "none")[turn % 2], ("rate", "none", "free")[turn % 3], "early"))
+    for step in range(40):
+        env.feed(env.request(("read", "none")[step % 2], ("rate", "none", "free")[step % 3], "early"))
         env.run(15.0)
     env.run(2000.0)
     env.announce_servers(2)
-    for turn in range(160):
-        class_name = ("read", "none", "charge", "bid")[turn % 4]
-        plan = ("none", "free", "rate", "hard", "open")[turn % 5]
+    for step in range(160):
+        class_name = ("read", "none", "charge", "bid")[step % 4]
+        plan = ("none", "free", "rate", "hard", "open")[step % 5]
         time_left_ms = env.rng.choice((-5.0, 0.0, 1.0, 340.0, 350.0, 360.0, 2000.0))
         units = env.rng.choice((0.25, 1.0, 7.0, 40.0))
-        env.feed(env.request(class_name, plan, f"o{turn % 3}{plan}", time_left_ms=time_left_ms, units=units))
+        env.feed(env.request(class_name, plan, f"o{step % 3}{plan}", time_left_ms=time_left_ms, units=units))
         env.run(10.0)
     env.feed(AttemptEnded("unknown", 0, "s0", Outcome.OK, 5.0, True))
     env.feed(TimerFired(999))
@@ -877,9 +893,9 @@
         (24.0, Outcome.OK), (45.0, Outcome.OK), (2.0, Outcome.OK),
     ):  # fmt: skip
         env.reply_ms, env.counter_outcome = reply_ms, outcome
-        for turn in range(78):
+        for step in range(78):
             if outcome is Outcome.REJECTED:
-                env.counter_outcome = (Outcome.REJECTED, Outcome.OK)[turn % 2]
+                env.counter_outcome = (Outcome.REJECTED, Outcome.OK)[step % 2]
             plan = plans[env.rng.randrange(len(plans))]
             units = env.rng.choice((0.25, 0.5, 0.75, 1.0, 1.0005))
             env.feed(env.request("read", plan, f"s{env.rng.randrange(2)}{plan}", units=units))
@@ -891,15 +907,15 @@
     env = Environment(handle, 39, attempt_ms=15.0, others_units=0.1)
     env.announce_servers()
     plans = {plan.name: plan for plan in WIDE_SETTINGS.plans if plan.rate_per_s and plan.burst_units < 100.0}
-    for turn in range(212):
+    for step in range(212):
         plan = plans[env.rng.choice(("rate", "soft", "even", "brisk"))]
-        tenant = f"{'new' if turn % 4 == 0 else 'p'}{turn if turn % 4 == 0 else turn % 3}{plan.name}"
+        tenant = f"{'new' if step % 4 == 0 else 'p'}{step if step % 4 == 0 else step % 3}{plan.name}"
         request = env.request("read", plan.name, tenant, units=env.rng.choice((1.0, 2.0)), gateway_spread=4)
         previous_units = env.rng.choice((0.0, env.rng.uniform(0.5, 2.4) * plan.burst_units))
         units = env.rng.choice((0.0, env.rng.uniform(0.0, 1.0) * plan.burst_units))
-        env.counter_outcome = Outcome.TIMEOUT if turn % 110 > 80 else Outcome.OK
+        env.counter_outcome = Outcome.TIMEOUT if step % 110 > 80 else Outcome.OK
         env.feed_request_with_usage(request, units, previous_units, env.rng.choice((0.5, 1.0)), WIDE_SETTINGS)
-        if turn % 3 == 0:
+        if step % 3 == 0:
             env.run(env.rng.uniform(5.0, 60.0))
             env.feed(replace(request, request_id=f"{request.request_id}b"))
         env.run(env.rng.choice((20.0, 100.0, 700.0, 1300.0, 2600.0, 3900.0)))
@@ -939,7 +955,7 @@
 
 
 def counter_replaced_with_open_plans_only(handle: HandleEvent) -> None:
-    """No plan has a rate; the counter loses its memory, and again a few seconds later."""
+    """No plan has a rate; the counter loses its totals, and loses them again a few seconds later."""
     env = Environment(handle, 42, attempt_ms=30.0)
     env.announce_servers()
     for losses in ((8, 12, 54), (9, 50), (7, 51, 53)):  # in tenths of a second
@@ -958,7 +974,7 @@
     for number, units in enumerate((6.0, 5.0, 3.0, 2.0)):
         tenant = f"e{number}"
         env.feed(env.request("read", "rate", tenant, units=units))
-        env.run(2.0)  # the reply comes
+        env.run(2.0)  # the counter replies
         for wait in (1002.0, 100.0, 1002.0, 998.0, 1000.0, 1002.0, 4000.0, 1002.0, 0.0):
             env.feed(env.request("read", "rate", tenant, units=units))
             env.run(wait)
@@ -980,13 +996,13 @@
         env.now = tick + 1000.0
         env.feed(env.request("read", "wide", "stalled"))
         env.run(500.0)
-    for turn in range(4):
+    for step in range(4):
         tick = min(when for when, _, event in env.queue if event == TimerFired(0))
         env.run(tick - env.now - 5.0)
         request = env.request("charge", "wide", "judged")
         env.feed(request)
         env.queue = [row for row in env.queue if not isinstance(row[2], AttemptEnded)]
-        server = f"s{turn}"
+        server = f"s{step}"
         ended = AttemptEnded(request.request_id, 0, server, Outcome.TIMEOUT, 5.0, True)
         env.queue.append((tick, -1, ended))
         heapq.heapify(env.queue)
@@ -1013,7 +1029,7 @@
             env.totals[call.key] = env.rng.choice((0.0, 0.0, 1.0, 3.0, 6.0))
         env.totals[call.key] += call.amount
         if env.rng.random() < 0.05:
-            env.totals[call.key] = call.amount  # the counter's memory was lost
+            env.totals[call.key] = call.amount  # the counter has lost the key's total
         total = env.totals[call.key] + other_markers[call.key] * 1000.0
         env.schedule(env.now + 2.0, CounterReply(call.key, total, Outcome.OK, 2.0))
 
@@ -1027,22 +1043,22 @@
     """The counter never replies; requests come in pairs, and some reach no server."""
     env = Environment(handle, 46, attempt_ms=60.0, counter_outcome=Outcome.TIMEOUT)
     env.announce_servers()
-    for turn in range(150):
-        plan = ("rate", "open", "soft", "hard", "trickle")[turn % 5]
-        down = turn % 30 >= 18
+    for step in range(150):
+        plan = ("rate", "open", "soft", "hard", "trickle")[step % 5]
+        down = step % 30 >= 18
         env.server_outcomes = {f"s{n}": Outcome.UNREACHABLE for n in range(4)} if down else {}
         for _ in range(2):
             units = 0.25 if plan == "trickle" else 1.0
-            env.feed(env.request("read", plan, f"m{turn % 2}{plan}", units=units))
+            env.feed(env.request("read", plan, f"m{step % 2}{plan}", units=units))
         env.run(env.rng.choice((10.0, 60.0, 200.0)))
 
 
 def shares_of_large_requests(handle: HandleEvent) -> None:
-    """Requests of many units and of fractions of one, with and without time for a call to the counter."""
+    """Requests of many units and of fractions of a unit, with and without time for a call to the counter."""
     env = Environment(handle, 47, attempt_ms=10.0, reply_ms=45.0)
     env.announce_servers()
-    for turn in range(420):
-        plan = ("rate", "soft", "even", "trickle", "even")[turn % 5]
+    for step in range(420):
+        plan = ("rate", "soft", "even", "trickle", "even")[step % 5]
         env.others_units = env.rng.choice((0.0, 0.5, 2.0)) if plan != "trickle" else 0.0
         units = env.rng.choice((0.125, 0.25) if plan == "trickle" else (0.5, 1.0, 2.0, 4.0, 6.0))
         request = env.request(
@@ -1050,9 +1066,9 @@
             gateway_spread=env.rng.choice((1, 2)),
             time_left_ms=env.rng.choice((340.0, 2000.0)),
         )  # fmt: skip
-        env.counter_outcome = Outcome.REJECTED if turn % 120 > 100 else Outcome.OK
+        env.counter_outcome = Outcome.REJECTED if step % 120 > 100 else Outcome.OK
         env.feed(request)
-        if turn % 6 == 0:  # the client disconnects before the counter's reply
+        if step % 6 == 0:  # the client disconnects before the counter's reply
             env.feed(ClientDisconnected(request.request_id))
         env.run(env.rng.expovariate(1.0 / 45.0))
 
@@ -1078,7 +1094,7 @@
 
 
 def capacity_estimate_from_the_start(handle: HandleEvent) -> None:
-    """The first responses are late, and the capacity estimate binds before it has learned anything."""
+    """The first responses are late: the capacity estimate falls in the first windows, and binds."""
     env = Environment(handle, 49, attempt_ms=650.0)
     env.request_kinds = (("read", "wide"), ("read", "cheap"), ("order", "dear"))
     env.announce_servers(1)
