--- a/tests/captures/scenarios.py
+++ b/tests/captures/scenarios.py
@@ -556,16 +556,8 @@
             env.feed(request)
         env.run(env.rng.expovariate(1.0 / 60.0))
     env.run(1.0 - env.now % 1.0)
-    for wait in (
-        1100.0,
-        1300.0,
-        1450.0,
-        1499.0,
-        1500.0,
-        1550.0,
-        1700.0,
-        2000.0,
-    ):  # age of the update, around its limit
+    # How long a usage update is valid (1,500 ms), and times around it.
+    for wait in (1100.0, 1300.0, 1450.0, 1499.0, 1500.0, 1550.0, 1700.0, 2000.0):
         tenant = f"w{wait}"
         for units in (2.0, 2.0, 1.0):
             request = env.request("read", "rate", tenant, units=units, gateway_spread=4)
@@ -783,12 +775,7 @@
             env.feed(env.request(class_name, plan, f"g{env.rng.randrange(5)}{plan}", gateway_spread=spread))
             env.run(env.rng.expovariate(1.0 / 30.0))
     env.request_kinds = (("read", "soft"), ("order", "soft"))
-    for down, ms in (
-        (6, 2500.0),
-        (2, 2500.0),
-        (6, 2500.0),
-        (2, 14_000.0),
-    ):  # number of unreachable servers, of six
+    for down, ms in ((6, 2500.0), (2, 2500.0), (6, 2500.0), (2, 14_000.0)):  # down: unreachable servers
         env.announce_servers(6)
         env.server_outcomes = {f"s{n}": Outcome.UNREACHABLE for n in range(down)}
         env.mixed_load(ms, ms / 75.0)
