--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -17,7 +17,7 @@
 from lab.sim.world import SERVICE_MS, SETTINGS, World
 
 GATEWAYS, NODES = 40, 60
-SLOW = 10.0  # factor of the service time of a server, which is a quarter of a second then
+SLOW = 10.0  # factor on the service time of a server, which makes it a quarter of a second
 
 
 class LargeWorld(World):
@@ -143,11 +143,11 @@
                 pool.record_start(now, server)
                 sent.append(now)
     for at in sent:
-        within = sum(at - rules.overload_window_ms < each <= at for each in sent)
-        assert within <= rules.overload_factor * capacity_per_s * 3.0 * pools[0].slow_start.weight(
+        count_in_window = sum(at - rules.overload_window_ms < other_at <= at for other_at in sent)
+        assert count_in_window <= rules.overload_factor * capacity_per_s * 3.0 * pools[0].slow_start.weight(
             server, at - 3000.0
         )
-    assert len(sent) > 0.4 * 6.0 * capacity_per_s * rules.initial_fraction  # and the allowed rate is used
+    assert len(sent) > 0.4 * 6.0 * capacity_per_s * rules.initial_fraction  # most of the allowed rate is used
 
 
 def test_removed_servers_of_an_old_list_cost_few_attempts() -> None:
@@ -157,12 +157,12 @@
     world.run(100.0)
     names = sorted(world.nodes)
     for name in names[: round(0.6 * len(names))]:
-        world.nodes[name].alive = False  # and the list is not updated
+        world.nodes[name].alive = False  # the list still has it
     world.load(16_000.0, 200.0, ("wide",))
     world.run(17_000.0)
     dead = set(names[: round(0.6 * len(names))])
-    late = world.attempts_by_node(12.0, 16.0)
-    assert sum(late[name] for name in dead) < 0.42 * late.total()
+    late_counts = world.attempts_by_node(12.0, 16.0)
+    assert sum(late_counts[name] for name in dead) < 0.42 * late_counts.total()
     # A failed connect does not use up the attempts of a request.
     assert world.action_counts["Refuse"] < 700
 
--- a/tests/policy/membership/test_direct_messages.py
+++ b/tests/policy/membership/test_direct_messages.py
@@ -13,7 +13,7 @@
 from glenchute.config.operator import parse
 from glenchute.policy.admission.windows import window_length_ms
 from glenchute.policy.engine import DecisionEngine
-from glenchute.policy.membership import direct_messages as directmail
+from glenchute.policy.membership import direct_messages
 from glenchute.policy.membership.direct_messages import (
     MAX_ENTRIES_PER_MESSAGE,
     MAX_REQUESTS_PER_S,
@@ -103,7 +103,7 @@
 
 
 def test_with_wrong_numbers_usage_is_lost_but_never_invented() -> None:
-    """Where numbers have another order, the subset gets no usage, and no member counts more than was
+    """With numbers in another order, the subset's members get no usage, and no member counts more than was
     admitted."""
     names = [f"g{7 * n % 12}" for n in range(12)]
     network = DirectMessageNetwork(12, 1, names)
@@ -140,11 +140,11 @@
 
 def test_usage_rows_are_neither_gossiped_nor_compared() -> None:
     gossip = Gossip(Replica(), GossipSettings(), random.Random(1))
-    blank = gossip.replica.child_hashes(0.0, None)
+    empty_hashes = gossip.replica.child_hashes(0.0, None)
     gossip.receive(0.0, "g1", Delta(((Row(RowKind.USE, "a/0", "g2#1", 1, 5.0), 0),)), 5)
     assert not gossip.transmissions_left and not gossip.replica.rows and gossip.replica.rejected_count == 1
     assert gossip.replica.merge(0.0, Row(RowKind.USE, "a/0", "g2#1", 1, 5.0))
-    assert gossip.replica.child_hashes(0.0, None) == blank and not gossip.replica.leaves
+    assert gossip.replica.child_hashes(0.0, None) == empty_hashes and not gossip.replica.leaves
 
 
 def test_encoded_entries_stay_within_their_sizes_in_the_budget() -> None:
@@ -154,8 +154,8 @@
         )
         return len(encode("zagreb", "g17", 1 << 60, UsageMessage(9, False, True, entries)))
 
-    assert (size(MAX_ENTRIES_PER_MESSAGE) - size(0)) / MAX_ENTRIES_PER_MESSAGE <= directmail.ENTRY_BYTES
-    assert size(0) <= directmail.HEADER_BYTES and size(MAX_ENTRIES_PER_MESSAGE) <= 1_400
+    assert (size(MAX_ENTRIES_PER_MESSAGE) - size(0)) / MAX_ENTRIES_PER_MESSAGE <= direct_messages.ENTRY_BYTES
+    assert size(0) <= direct_messages.HEADER_BYTES and size(MAX_ENTRIES_PER_MESSAGE) <= 1_400
 
 
 @pytest.mark.parametrize("spread", [3, 30])
@@ -170,7 +170,9 @@
     messenger = network.messengers["g0"]
     assert messenger.sent_bytes - before <= 1_000.0 * (network.now - started_at + 0.25) + 64 * 18 + 48
     assert (
-        messenger.pending_count == sum(map(len, messenger.pending.values())) <= directmail.MAX_PENDING_ENTRIES
+        messenger.pending_count
+        == sum(map(len, messenger.pending.values()))
+        <= direct_messages.MAX_PENDING_ENTRIES
     )
     assert messenger.pending_count and network.known("g1", 3) < 2
     network.run(60.0, lambda: network.known("g1", 3) == 2 and not messenger.pending_count)
@@ -180,8 +182,8 @@
 def test_pending_and_reported_windows_are_bounded_and_dropped_ones_are_requested(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(directmail, "MAX_PENDING_ENTRIES", 50)
-    monkeypatch.setattr(directmail, "MAX_REPORTED_WINDOWS", 40)
+    monkeypatch.setattr(direct_messages, "MAX_PENDING_ENTRIES", 50)
+    monkeypatch.setattr(direct_messages, "MAX_REPORTED_WINDOWS", 40)
     network = settled(6)
     for n in range(300):
         network.admit("g0", f"a{n}", 5.0)
@@ -204,8 +206,9 @@
     "plan", [PLAN, Plan("short", rate_per_s=8.0, burst_units=2.0), Plan("long", 1.0, 0.1, 30.0)]
 )
 def test_half_of_the_allowance_in_each_window_empties_no_token_bucket(plan: Plan) -> None:
-    """Usage up to this amount need not be reported, as it can't empty a token bucket. The worst case is all
-    of it at the end of one window and again at the start of the next, in every pair of windows."""
+    """Usage up to half of a window's allowance need not be reported, as it can't empty a token bucket. The
+    worst case is all of it at the end of one window and again at the start of the next, in every pair of
+    windows."""
     tokens, last_use_s = plan.burst_units, 0.0
     for window in range(50):
         # Uses fall on the start of even windows and the end of odd ones.
@@ -256,13 +259,20 @@
     expected = {(name, f"a{a}"): sum(n % 7 == a and f"g{n % 3}" != name for n in range(60))
             for name in ("g0", "g1", "g2") for a in range(7)}  # fmt: skip
     assert (
-        network.run(15.0, lambda: all(network.units_of_peers(*at) == units for at, units in expected.items()))
+        network.run(
+            15.0,
+            lambda: all(
+                network.units_of_peers(*name_and_account) == units
+                for name_and_account, units in expected.items()
+            ),
+        )
         < 15.0
     )
 
 
 def test_a_partition_between_two_members_alone_is_detected_and_caught_up_after() -> None:
-    """The other members reach both, so membership keeps them alive, and only the missing messages show it."""
+    """The other members reach both, so membership keeps them alive; only missing messages show the
+    partition."""
     network = settled(8)
     network.cut = lambda sender, to: {sender, to} == {"g0", "g1"}
     network.admit("g0", "a", 5.0)
@@ -331,11 +341,11 @@
     names = ["g0", "g1", "g2"]
     ring = GatewayRing("g1", names, gateway_numbers(dict.fromkeys(names)), 3)
     messenger = DirectMessenger(usage, replica, ring, lambda name: True, random.Random(1))
-    late, new = (
+    first, second = (
         UsageMessage(5, True, True, (UsageEntry("a/0", 1, 2.0),)),
         UsageMessage(6, False, True, (UsageEntry("a/0", 2, 3.0),)),
     )
-    for message in (late, new, late, new, new):
+    for message in (first, second, first, second, second):
         messenger.receive(1.0, "g0", 7, message)
     assert usage.admitted_by_peers("a", 0.0) == 3.0
     # The entry names this process itself as its writer.
@@ -397,26 +407,26 @@
     calls: list[int] = []
     original = MemberList.alive_names
 
-    def counted(self: MemberList) -> list[str]:
+    def counting_alive_names(self: MemberList) -> list[str]:
         calls.append(1)
         return original(self)
 
-    monkeypatch.setattr(MemberList, "alive_names", counted)
+    monkeypatch.setattr(MemberList, "alive_names", counting_alive_names)
     rows = [{"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(1, 520)]
-    raw = {"fleet": "lab", "name": "g0", "listen": "127.0.0.1:7000", "members": rows}
-    made = Settings("a", 520, (), (), SlowStart())
-    fleet = MemberNode(raw, Clock(), DecisionEngine(made, 1), made, 1)  # type: ignore[arg-type]
+    fleet_config = {"fleet": "lab", "name": "g0", "listen": "127.0.0.1:7000", "members": rows}
+    policy_settings = Settings("a", 520, (), (), SlowStart())
+    node = MemberNode(fleet_config, Clock(), DecisionEngine(policy_settings, 1), policy_settings, 1)  # type: ignore[arg-type]
     probes = [
         SwimMessage(Probes.ACK, n, "", (MemberUpdate(f"g{n}", MemberState.ALIVE, 0, n),)) for n in (1, 2)
     ]
     for n, probe in enumerate(probes, 1):
         calls.clear()
         for _ in range(3):
-            fleet.tick()
-        assert len(calls) <= 1 and len(fleet.alive) == n - 1
-        fleet.datagram_received(encode("lab", f"g{n}", n, probe), ("127.0.0.1", 7000 + n))
-        fleet.tick()
-        assert fleet.alive == [f"g{m}" for m in range(1, n + 1)]
+            node.tick()
+        assert len(calls) <= 1 and len(node.alive) == n - 1
+        node.datagram_received(encode("lab", f"g{n}", n, probe), ("127.0.0.1", 7000 + n))
+        node.tick()
+        assert node.alive == [f"g{m}" for m in range(1, n + 1)]
 
 
 @pytest.mark.parametrize(
@@ -429,23 +439,29 @@
 def test_numbers_that_differ_from_the_platforms_are_not_used(
     name: str, number: int | None, configured: int | None, numbered: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """With wrong numbers, gateways that share an account with this one would get no usage from it, and count
-    as idle."""
+    """Guards against wrong numbers, with which the other gateways of an account would get no usage from this
+    one and count it as idle."""
     rows: list[dict[str, object]] = [
         {"name": f"g{n}", "address": f"127.0.0.1:{7000 + n}"} for n in range(10, 19)
     ]
-    raw: dict[str, object] = {"fleet": "lab", "name": name, "listen": "127.0.0.1:7000", "members": rows}
+    fleet_config: dict[str, object] = {
+        "fleet": "lab",
+        "name": name,
+        "listen": "127.0.0.1:7000",
+        "members": rows,
+    }
     if configured is not None:
-        raw["number"] = configured
+        fleet_config["number"] = configured
         for n, row in enumerate(rows, 10):
             row["number"] = n
-    made = Settings("a", 20, (), (), SlowStart())
-    fleet = MemberNode(raw, Clock(), DecisionEngine(made, 1), made, 1, number)  # type: ignore[arg-type]
-    assert bool(fleet.messenger.ring.offsets) is numbered
+    policy_settings = Settings("a", 20, (), (), SlowStart())
+    engine = DecisionEngine(policy_settings, 1)
+    node = MemberNode(fleet_config, Clock(), engine, policy_settings, 1, number)  # type: ignore[arg-type]
+    assert bool(node.messenger.ring.offsets) is numbered
     if not numbered:
-        assert fleet.messenger.ring.subset_candidates(3) == tuple(f"g{n}" for n in range(10, 19))
-    foreign = (name != "edge" and not numbered) or (number, configured) == (3, 4)
-    assert ("numbers.foreign" in caplog.text) is foreign
+        assert node.messenger.ring.subset_candidates(3) == tuple(f"g{n}" for n in range(10, 19))
+    is_logged = (name != "edge" and not numbered) or (number, configured) == (3, 4)
+    assert ("numbers.foreign" in caplog.text) is is_logged
 
 
 # --- the operator's file -----------------------------------------------------------------------------------
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -41,14 +41,14 @@
 }
 
 
-def explored(name: str, max_states: int = 60_000) -> Explored:
+def explore(name: str, max_states: int = 60_000) -> Explored:
     make, budgets, depth = SYSTEMS[name]
     return Explorer(events, check, System.key).run(make(**budgets), depth, max_states)
 
 
 @pytest.mark.parametrize("name", SYSTEMS)
 def test_there_is_one_holder_at_most_and_tokens_increase(name: str) -> None:
-    result = explored(name)
+    result = explore(name)
     print(name, result)
     assert result.found is None and result.states > 300
 
@@ -87,7 +87,7 @@
 
 
 def late_clock(patch: pytest.MonkeyPatch) -> None:
-    """Injects a bug: the holder's lease starts with the acceptance instead of the proposal."""
+    """Injects a bug: the holder's lease starts at its acceptance instead of its proposal."""
     original = Proposer.receive
 
     def receive(
@@ -153,7 +153,7 @@
     bug: Callable[[pytest.MonkeyPatch], None], scenario: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     bug(monkeypatch)
-    result = explored(scenario, 400_000)
+    result = explore(scenario, 400_000)
     assert result.found is not None, result
     print(bug.__name__, result.found.what, *result.found.history, sep="\n  ")
 
@@ -183,9 +183,9 @@
             if system.holding() == ["b"]:
                 break
         assert system.holding() == ["b"]
-        holding = system.seekers["b"].lease
-        assert holding is not None
-        return first, holding.token
+        lease = system.seekers["b"].lease
+        assert lease is not None
+        return first, lease.token
 
     first, second = tokens_of_two_holders()
     assert second > first
@@ -209,10 +209,10 @@
 
     def exchange(now: float, among: tuple[str, ...]) -> None:
         for name in among:
-            for out in voters[name].tick(now):
-                if out.to in among:
-                    for back in voters[out.to].receive(now, name, out.message):
-                        voters[name].receive(now, out.to, back.message)
+            for request in voters[name].tick(now):
+                if request.to in among:
+                    for reply in voters[request.to].receive(now, name, request.message):
+                        voters[name].receive(now, request.to, reply.message)
 
     exchange(1.0, ("v0", "v1"))
     # Acceptors are silent for the longest lease span.
@@ -244,8 +244,8 @@
 
 @pytest.mark.parametrize(("count", "voters"), [(5, 5), (15, 5), (60, 5), (9, 9), (12, 3)])
 def test_effects_never_overlap_under_random_faults(count: int, voters: int) -> None:
-    """Checks the effects of all holders for overlaps. Once faults are over, the next effect starts at the
-    latest when the silence of acceptors that have just started, and one lease, are over."""
+    """Checks the effects of all holders for overlaps. After the last fault the next effect starts within the
+    startup silence of acceptors plus the span of one lease."""
     for seed in range(12):
         cluster = run_with_faults(seed, count, voters, tasks=1 + seed % 3)
         faults_ended_at = cluster.now
@@ -317,14 +317,14 @@
 @pytest.mark.parametrize("name", SETS)
 def test_acceptor_sets_change_safely_one_member_at_a_time(name: str) -> None:
     sets, safe = SETS[name]
-    bad = 0
+    seeds_with_overlaps = 0
     for seed in range(40):
         cluster = run_acceptor_changes(seed, sets)
         faults_ended_at = cluster.now
         cluster.run(5.0)
-        bad += bool(overlaps(cluster.effects))
+        seeds_with_overlaps += bool(overlaps(cluster.effects))
         assert longest_gap(cluster.effects, "task0", faults_ended_at, cluster.now) < 4.0
-    assert (bad == 0) is safe
+    assert (seeds_with_overlaps == 0) is safe
 
 
 def test_five_hundred_members_send_no_more_than_their_candidates() -> None:
@@ -341,12 +341,14 @@
     assert sent[500] < 1.5 * sent[20] + 20.0 and len(holders) >= 15
     # All candidates of a task die at once: others replace them as soon as membership reports it.
     task = cluster.tasks[0]
-    for rival in [p.candidates[task] for p in cluster.processes.values() if p.candidates[task].is_candidate]:
-        if rival.proposer.name not in cluster.terms.acceptors:
-            cluster.kill(rival.proposer.name)
+    for candidate in [
+        p.candidates[task] for p in cluster.processes.values() if p.candidates[task].is_candidate
+    ]:
+        if candidate.proposer.name not in cluster.terms.acceptors:
+            cluster.kill(candidate.proposer.name)
     died_at = cluster.now
     cluster.run(8.0)
-    assert sum(act.began > died_at + 5.0 for act in cluster.effects if act.task == task) > 5
+    assert sum(effect.began > died_at + 5.0 for effect in cluster.effects if effect.task == task) > 5
     assert (
         sum(process.candidates[task].is_candidate for process in cluster.processes.values())
         >= CANDIDATES_PER_TASK
@@ -356,13 +358,17 @@
 def test_a_release_hands_over_within_a_tenth_of_a_second() -> None:
     cluster = LeaseCluster(15, 3)
     cluster.run(5.0)
-    held = cluster.holder("task0")
-    assert held is not None
-    cluster.release(held)
+    holder = cluster.holder("task0")
+    assert holder is not None
+    cluster.release(holder)
     cluster.run(1.0)
-    others = [act.began for act in cluster.effects if act.by.partition("#")[0] != held]
-    assert others and overlaps(cluster.effects) == []
-    assert min(others) - max(a.began for a in cluster.effects if a.began < min(others)) < ACT_S + 0.5
+    other_starts = [effect.began for effect in cluster.effects if effect.by.partition("#")[0] != holder]
+    assert other_starts and overlaps(cluster.effects) == []
+    assert (
+        min(other_starts)
+        - max(effect.began for effect in cluster.effects if effect.began < min(other_starts))
+        < ACT_S + 0.5
+    )
 
 
 @pytest.mark.parametrize(
@@ -373,10 +379,10 @@
     record = TaskRecord()
     for token, step in enumerate(steps.split(), 1):
         # A holder reports a failure before its step runs, so that a crash counts as one.
-        marked = record.taken_over_by(token).after_step(False)
-        assert marked.version() > record.version()
+        marked_failed = record.taken_over_by(token).after_step(False)
+        assert marked_failed.version() > record.version()
         # The record is replicated as a row, which the next holder reads.
-        record = TaskRecord.from_row(marked.version(), float(marked.failures))
+        record = TaskRecord.from_row(marked_failed.version(), float(marked_failed.failures))
         record = record.after_step(True) if step == "ok" else record
     assert record.is_parked is parked and not record.unparked().is_parked
 
@@ -403,5 +409,5 @@
 @pytest.mark.parametrize("code", INVALID)
 def test_invalid_lease_settings_are_rejected_with_their_code(code: str) -> None:
     assert not operator.parse(FILE + TASK, None).findings
-    found = operator.parse(INVALID[code], None).findings
-    assert [finding.code for finding in found] == [code], found
+    findings = operator.parse(INVALID[code], None).findings
+    assert [finding.code for finding in findings] == [code], findings
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -33,7 +33,7 @@
     net.run(5.0)
     net.stopped.add("g3")
     assert net.run(20.0, lambda: net.all_see("g3", MemberState.DEAD)) < 16.0
-    assert {whom for _, _, whom in net.declared_dead} == {"g3"}
+    assert {name for _, _, name in net.declared_dead} == {"g3"}
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -42,7 +42,9 @@
     net.run(5.0)
     net.stopped.add("g3")
     net.run(2.0)
-    assert any(net.state_of("g3", by) is MemberState.SUSPECT for by in net.names if by != "g3")
+    assert any(
+        net.state_of("g3", observer) is MemberState.SUSPECT for observer in net.names if observer != "g3"
+    )
     net.stopped.discard("g3")
     assert net.run(5.0, net.all_alive) < 5.0 and not net.declared_dead
 
@@ -93,14 +95,14 @@
     net.nodes["g2"].incarnation = 7  # as after many refutations
     net.nodes["g2"].queue_update("g2")
     net.run(3.0)
-    old = net.nodes["g2"].boot
+    old_boot = net.nodes["g2"].boot
     net.restart("g2")
 
     def boots() -> set[int]:
-        return {net.nodes[by].members["g2"].boot for by in net.names if by != "g2"}
+        return {net.nodes[observer].members["g2"].boot for observer in net.names if observer != "g2"}
 
     assert net.run(8.0, lambda: boots() == {net.nodes["g2"].boot}) < 8.0
-    assert old not in boots() and net.nodes["g2"].incarnation > 7
+    assert old_boot not in boots() and net.nodes["g2"].incarnation > 7
 
 
 def test_two_processes_under_one_name_are_detected_and_cost_one_message_per_period() -> None:
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -167,14 +167,14 @@
 def test_many_restarts_at_once_do_not_make_the_others_exceed_their_budget() -> None:
     network = GossipNetwork(12, 6, rows=400)
     network.run(3.0)
-    stayed = network.names[:4]
+    running_names = network.names[:4]
     for name in network.names[4:]:
         network.restart(name)
-    before = {name: network.nodes[name].sent_bytes for name in stayed}
+    before = {name: network.nodes[name].sent_bytes for name in running_names}
     assert network.run(20.0, network.are_complete) < 20.0
     assert network.are_equal()
     elapsed_s = network.now - 3.0
-    for name in stayed:
+    for name in running_names:
         node = network.nodes[name]
         assert node.sent_bytes - before[name] <= node.settings.budget_bytes_per_s * (elapsed_s + 0.25) + 4096
 
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -27,16 +27,16 @@
 MARKER = 1000.0
 
 
-def window_start(account: str, ago: int = 2) -> int:
-    """Returns the start of the window so many windows ago; by default one that is over and settled."""
-    return round(window_start_ms(NOW_MS, account, PLAN) - ago * WINDOW_MS)
+def window_start(account: str, windows_ago: int = 2) -> int:
+    """Returns the start of an earlier window; by default of one that has ended and is settled."""
+    return round(window_start_ms(NOW_MS, account, PLAN) - windows_ago * WINDOW_MS)
 
 
-def usage_row(account: str, units: float, writer: str = "g0#1", ago: int = 2) -> Row:
-    return Row(RowKind.USE, f"{account}/{window_start(account, ago)}", writer, 1, units)
+def usage_row(account: str, units: float, writer: str = "g0#1", windows_ago: int = 2) -> Row:
+    return Row(RowKind.USE, f"{account}/{window_start(account, windows_ago)}", writer, 1, units)
 
 
-def prepared(plan: Plan = PLAN) -> UsageAudit:
+def make_audit(plan: Plan = PLAN) -> UsageAudit:
     audit = UsageAudit()
     for number in range(40):
         audit.note_account(f"a{number}", plan)
@@ -44,14 +44,14 @@
 
 
 def test_valid_windows_are_queried_once_and_the_busiest_first() -> None:
-    audit = prepared()
+    audit = make_audit()
     rows = [usage_row(f"a{n}", float(n), writer) for n in range(30) for writer in ("g0#1", "g1#1")]
     rows += [
         Row(RowKind.USE, f"a1/{window_start('a1') + 700}", "g9#1", 1, 1e6),
         Row(RowKind.USE, "a1/²", "g9#1", 1, 1e6),
         usage_row("stranger", 1e6),
-        usage_row("a2", 1e6, ago=0),
-        usage_row("a2", 1e6, ago=9),
+        usage_row("a2", 1e6, windows_ago=0),
+        usage_row("a2", 1e6, windows_ago=9),
     ]
     first = audit.due_queries(NOW_MS, rows)
     assert [query.reported_units for query in first] == [
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("name", CASES)
 def test_persistent_mismatches_are_reported_once(name: str) -> None:
     plan, windows, expected = CASES[name]
-    audit, reported = prepared(plan), []
+    audit, reported = make_audit(plan), []
     for index, (units, total) in enumerate(windows):
         now_ms = NOW_MS + index * WINDOW_MS
         row = Row(
@@ -94,20 +94,20 @@
             units,
         )
         (query,) = audit.due_queries(now_ms, [row])
-        found = audit.receive_total(query, total)
-        reported.append(found.is_counter_lower if found is not None else None)
+        mismatch = audit.receive_total(query, total)
+        reported.append(mismatch.is_counter_lower if mismatch is not None else None)
     assert reported == expected
 
 
 def test_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     for bound in ("MAX_ACCOUNTS", "MAX_CHECKED_WINDOWS"):
         monkeypatch.setattr(usage_audit, bound, 5)
-    audit = prepared()
+    audit = make_audit()
     for number in range(40):
         audit.note_account(f"a{number}", PLAN)
-        for ago in range(3):
+        for windows_ago in range(3):
             for query in audit.due_queries(
-                NOW_MS + ago * WINDOW_MS, [usage_row(f"a{number}", 50.0, ago=2 - ago)]
+                NOW_MS + windows_ago * WINDOW_MS, [usage_row(f"a{number}", 50.0, windows_ago=2 - windows_ago)]
             ):
                 audit.receive_total(query, 0.0)
     assert (
@@ -130,15 +130,15 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 3, settings=settings, more=MORE, tail=tail) as site:
 
-            async def total(field: str) -> int:
+            async def sum_state(field: str) -> int:
                 rows = [await site.asked(number, "state") for number in range(3)]
                 return sum(row[0][field] for row in rows if row)
 
-            async def compared(count: int) -> None:
-                target = await total("audited") + count
+            async def wait_for_audits(count: int) -> None:
+                target = await sum_state("audited") + count
 
                 async def is_reached() -> bool:
-                    return await total("audited") >= target
+                    return await sum_state("audited") >= target
 
                 await site.until(is_reached, 30.0)
 
@@ -152,18 +152,18 @@
             await site.until(lambda: site.whole(range(3), 1.0))
             rates = {0: 2.0, 1: 2.0, 2: 12.0}
             load = [asyncio.create_task(site.load(90.0, rate, accounts, [n])) for n, rate in rates.items()]
-            await compared(6)
+            await wait_for_audits(6)
             site.parts.replace()
-            await compared(6)
+            await wait_for_audits(6)
             assert not await is_reported("")
             site.to_counter[2].cut()
             await site.until(is_reported, 30.0)
             site.to_counter[2].cut(cut=False)
 
-            async def agrees() -> bool:
-                return await total("use_apart") == 0
+            async def has_no_mismatch() -> bool:
+                return await sum_state("use_apart") == 0
 
-            await site.until(agrees, 30.0)
+            await site.until(has_no_mismatch, 30.0)
             assert sum("audit.use" in log for log in logs()) == 1
             for task in load:
                 task.cancel()
--- a/tests/policy/services/test_fair_queue.py
+++ b/tests/policy/services/test_fair_queue.py
@@ -47,25 +47,29 @@
 
 @pytest.mark.parametrize("flood", [10, 50, 400])
 def test_a_flooding_tenant_does_not_delay_others(flood: int) -> None:
-    """A calm tenant's item leaves after one turn of each lane with work, however many items another tenant
-    enqueues."""
+    """A calm tenant's item is dequeued within one round of the lanes with work, however many items another
+    tenant enqueues."""
     queue = make_queue(max_items=100)
-    calm = next(
+    calm_tenant = next(
         f"calm{n}" for n in range(100) if queue.lane_of(0.0, f"calm{n}") != queue.lane_of(0.0, "flood")
     )
-    lost = [queue.enqueue(0.0, "flood", f"f{n}", 1.0) for n in range(flood)]
-    assert sum(item is not None for item in lost) == max(0, flood - 100)
-    # Where the queue is full, an item of the flood is dropped.
-    assert (queue.enqueue(0.0, calm, "calm", 1.0) is None) == (flood < 100)
-    turns = [entry.item for entry in (queue.dequeue() for _ in range(3)) if entry is not None]
-    assert "calm" in turns
+    dropped = [queue.enqueue(0.0, "flood", f"f{n}", 1.0) for n in range(flood)]
+    assert sum(item is not None for item in dropped) == max(0, flood - 100)
+    # If the queue is full, the calm tenant's item is kept and one of the flood is dropped.
+    assert (queue.enqueue(0.0, calm_tenant, "calm", 1.0) is None) == (flood < 100)
+    dequeued = [entry.item for entry in (queue.dequeue() for _ in range(3)) if entry is not None]
+    assert "calm" in dequeued
 
 
 def test_two_tenants_do_not_share_a_lane_permanently() -> None:
     queue = make_queue()
-    pair = next(f"x{n}" for n in range(200) if queue.lane_of(0.0, f"x{n}") == queue.lane_of(0.0, "flood"))
-    together = [queue.lane_of(10_000.0 * n, pair) == queue.lane_of(10_000.0 * n, "flood") for n in range(200)]
-    assert together[0] and sum(together) < 40  # 1 in 16 is expected
+    other_tenant = next(
+        f"x{n}" for n in range(200) if queue.lane_of(0.0, f"x{n}") == queue.lane_of(0.0, "flood")
+    )
+    is_shared = [
+        queue.lane_of(10_000.0 * n, other_tenant) == queue.lane_of(10_000.0 * n, "flood") for n in range(200)
+    ]
+    assert is_shared[0] and sum(is_shared) < 40  # 1 in 16 is expected
 
 
 def test_tenants_are_spread_evenly() -> None:
--- a/tests/policy/services/test_isolation.py
+++ b/tests/policy/services/test_isolation.py
@@ -1,7 +1,7 @@
 """Isolation of services on one core while one of them floods, with the real scheduler, ledger and delay
 limit.
 
-Only the event loop is a model. Each arrival costs its service a turn, a short one for a rejection.
+Only the event loop is a model. Each arrival takes a turn of its service, a short one if it is rejected.
 `DeficitRoundRobin` assigns turns, `ResourceLedger` open requests, and `QueueDelayLimit` bounds waiting
 times."""
 
@@ -65,7 +65,7 @@
             while (at := at + 1000.0 * rng.expovariate(rate)) < ms:
                 heapq.heappush(events, (at, next(order), name, True))
         now = 0.0
-        first: list[str] = []  # services in order of arrival, for the unfair core
+        arrival_order: list[str] = []  # services in order of arrival, for the unfair core
         while events or any(queues.values()):
             if not any(queues.values()):
                 now = max(now, events[0][0])
@@ -73,22 +73,22 @@
                 at, _, name, arrives = heapq.heappop(events)
                 if arrives:
                     queues[name].append(at)
-                    first.append(name)
+                    arrival_order.append(name)
                     rounds.add_work(name)
                 else:
                     ledger.release(name, 1.0)
             if not any(queues.values()):
                 continue
-            name = (rounds.next() or "") if self.fair else first.pop(0)
+            name = (rounds.next() or "") if self.fair else arrival_order.pop(0)
             arrived_at = queues[name].pop(0)
             tally = tallies[name]
             tally.requests += 1
-            shed = self.fair and delays[name].must_reject(now, now - arrived_at)
-            grant = Grant.DENIED if shed else ledger.acquire(now, name, 1.0)
-            served = grant in (Grant.GUARANTEED, Grant.BORROWED)
-            cost = rng.uniform(*TURN_MS) if served else REJECTION_MS
+            is_rejected = self.fair and delays[name].must_reject(now, now - arrived_at)
+            grant = Grant.DENIED if is_rejected else ledger.acquire(now, name, 1.0)
+            is_served = grant in (Grant.GUARANTEED, Grant.BORROWED)
+            cost = rng.uniform(*TURN_MS) if is_served else REJECTION_MS
             now += cost
-            if served:
+            if is_served:
                 tally.waits.append(now - arrived_at)
                 heapq.heappush(events, (now + rng.expovariate(1.0 / MEAN_OPEN_MS), next(order), name, False))
             else:
@@ -107,12 +107,12 @@
 @pytest.mark.parametrize("times", [1, 3, 10])
 @pytest.mark.parametrize("seed", range(4))
 def test_a_calm_service_keeps_its_waiting_times_under_a_flood(seed: int, times: int) -> None:
-    """The calm service's wait grows at most by the others' quanta and one turn of each per round."""
-    calm, share = 300.0, 2000.0
-    alone = Core({"calm": calm}, seed).run(4000.0)["calm"]
-    tallies = Core({"calm": calm, "flood": times * share, "third": 100.0}, seed).run(4000.0)
+    """The calm service's waits grow by at most one round: the quanta of the others, and one turn of each."""
+    calm_rate, fair_rate = 300.0, 2000.0
+    without_flood = Core({"calm": calm_rate}, seed).run(4000.0)["calm"]
+    tallies = Core({"calm": calm_rate, "flood": times * fair_rate, "third": 100.0}, seed).run(4000.0)
     bound = 2.0 * (QUANTUM_MS + TURN_MS[1]) + QUANTUM_MS
-    assert tallies["calm"].wait_quantile(0.99) <= alone.wait_quantile(0.99) + bound
+    assert tallies["calm"].wait_quantile(0.99) <= without_flood.wait_quantile(0.99) + bound
     assert tallies["calm"].rejected <= 0.01 * tallies["calm"].requests + 1
     if times > 1:
         assert tallies["flood"].rejected > 0.3 * tallies["flood"].requests
--- a/tests/policy/services/test_resource_ledger.py
+++ b/tests/policy/services/test_resource_ledger.py
@@ -161,11 +161,11 @@
         assert rounds.next() == "flood"
         rounds.charge("flood", 0.3, True)
     rounds.add_work("calm")
-    before = 0.0
+    delay = 0.0
     while rounds.next() != "calm":
         rounds.charge("flood", 0.3, True)
-        before += 0.3
-    assert before <= 1.3
+        delay += 0.3
+    assert delay <= 1.3
 
 
 def test_a_burst_may_wait_and_a_standing_queue_may_not() -> None:
--- a/tests/policy/services/test_routing.py
+++ b/tests/policy/services/test_routing.py
@@ -91,8 +91,8 @@
 
 def test_gaps_are_classes_that_match_no_rule() -> None:
     classes = ("report-read", "check-order", "check-charge")
-    found = unreached_classes(ServiceRouter(RULES), classes, ("resp2",))
-    assert [origin.class_name for origin in found] == ["report-read", "check-order"]
+    unreached = unreached_classes(ServiceRouter(RULES), classes, ("resp2",))
+    assert [origin.class_name for origin in unreached] == ["report-read", "check-order"]
     assert not unreached_classes(ServiceRouter([*RULES, ServiceRule("rest")]), classes, ("resp2", "extproc"))
 
 
@@ -108,8 +108,8 @@
     is_in_domain = rule.host.startswith("*") and origin.host.endswith(rule.host[1:])
     host = not rule.host or origin.host == rule.host or is_in_domain
     path = path_segments(origin.path)[: len(path_segments(rule.path))] == path_segments(rule.path)
-    rest = zip(rule.attributes, (origin.class_name, origin.command, origin.front), strict=True)
-    return host and path and all(not named or named == given for named, given in rest)
+    attributes = zip(rule.attributes, (origin.class_name, origin.command, origin.front), strict=True)
+    return host and path and all(not required or required == actual for required, actual in attributes)
 
 
 @given(st.lists(RULE, max_size=12, unique_by=lambda rule: rule[1:]), ORIGIN)
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -201,15 +201,16 @@
 def lower_capacity(rig: EngineHarness) -> None:
     """The capacity estimate is at its floor, and the credit for units of the requests' value is spent."""
     rig.gateway.shedder.capacity.capacity_per_s, rig.gateway.shedder.capacity.mean_latency_s = 0.01, 3.0
-    while actions_of_type((one := rig.ask())[1], StartAttempt):
-        rig.end(one[0], 0, Outcome.OK, 900.0)
+    while actions_of_type((request := rig.ask())[1], StartAttempt):
+        rig.end(request[0], 0, Outcome.OK, 900.0)
 
 
 def fill_backlog(rig: EngineHarness) -> None:
-    """So much work is in flight that a new request would be late; then all of it times out."""
+    """As much work is in flight as is admitted, so that a new request would be late; then all of it times
+    out."""
     names = []
-    while actions_of_type((one := rig.ask(left=500.0))[1], StartAttempt):
-        names.append(one[0])
+    while actions_of_type((request := rig.ask(left=500.0))[1], StartAttempt):
+        names.append(request[0])
     rig.now += 500.0
     for name in names:
         rig.end(name, 0, Outcome.TIMEOUT, 500.0, final=True)
@@ -258,7 +259,7 @@
 
 
 def slow_server(rig: EngineHarness) -> None:
-    """One server has 60 times the relative latency of the others, so that a choice avoids it."""
+    """One server has 60 times the relative latency of the others, so that requests avoid it."""
     server = rig.gateway.pool.servers["s0"]
     server.relative_latency, server.relative_latency_ms = 60.0, rig.now
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -55,8 +55,8 @@
     rig.feed(endpoint_change("s0"))
     name, actions = rig.ask(left=900.0)
     assert not final_responses(actions)
-    later = rig.advance(900.0)
-    assert [a.request_id for a in final_responses(later)] == [name]
+    later_actions = rig.advance(900.0)
+    assert [a.request_id for a in final_responses(later_actions)] == [name]
 
 
 def test_a_waiting_request_goes_to_a_server_that_comes_up() -> None:
@@ -303,7 +303,7 @@
 # --- rule 5: ceilings ----------------------------------------------------------------------------------
 
 
-def send_through(rigs: list[EngineHarness], ms: float, each_ms: float, units: float) -> float:
+def send_through(rigs: list[EngineHarness], ms: float, gap_ms: float, units: float) -> float:
     """Sends one tenant's requests to all gateways at a high rate; returns the units that were admitted."""
     total, elapsed = 0.0, 0.0
     while elapsed < ms:
@@ -313,8 +313,8 @@
                 total += units
                 rig.now += 1.0
                 rig.end(name, 0, Outcome.OK, 1.0)
-            rig.advance(each_ms)
-        elapsed += each_ms
+            rig.advance(gap_ms)
+        elapsed += gap_ms
     return total
 
 
@@ -341,8 +341,8 @@
 
 def test_rejections_of_any_kind_carry_a_retry_after() -> None:
     rig = EngineHarness(make_endpoints(4))
-    refused = [a for _ in range(60) for a in actions_of_type(rig.ask(plan="rate")[1], Reject)]
-    assert refused and all(0 < a.retry_after_ms <= 500.0 for a in refused)
+    rejections = [a for _ in range(60) for a in actions_of_type(rig.ask(plan="rate")[1], Reject)]
+    assert rejections and all(0 < a.retry_after_ms <= 500.0 for a in rejections)
 
 
 def counted_units(rig: EngineHarness) -> float:
@@ -404,22 +404,26 @@
     rig.end(name, 0, Outcome.REJECTED, final=True)
 
 
-@pytest.mark.parametrize("way", [leaves_while_waiting_for_server, leaves_while_waiting_for_counter,
+@pytest.mark.parametrize("run_request", [leaves_while_waiting_for_server, leaves_while_waiting_for_counter,
                                  leaves_while_connecting, finds_no_server, reaches_no_server])  # fmt: skip
-def test_a_request_that_reached_no_server_is_refunded(way: Callable[[EngineHarness, str], None]) -> None:
+def test_a_request_that_reached_no_server_is_refunded(
+    run_request: Callable[[EngineHarness, str], None],
+) -> None:
     rig = EngineHarness(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
-    way(rig, "rate")
+    run_request(rig, "rate")
     assert counted_units(rig) == 0.0
     tenant = rig.gateway.quota.tenants.by_id["c"]
     assert tenant.bucket_units == 6.0 and not rig.gateway.execution.requests
 
 
-@pytest.mark.parametrize("way", [leaves_while_running, is_rejected_by_server])
-def test_a_request_that_reached_a_server_is_not_refunded(way: Callable[[EngineHarness, str], None]) -> None:
+@pytest.mark.parametrize("run_request", [leaves_while_running, is_rejected_by_server])
+def test_a_request_that_reached_a_server_is_not_refunded(
+    run_request: Callable[[EngineHarness, str], None],
+) -> None:
     rig = EngineHarness(())
     rig.feed(EndpointList(EndpointListKind.CACHED, ()))
-    way(rig, "rate")
+    run_request(rig, "rate")
     assert counted_units(rig) == 1.0
 
 
