--- a/tests/policy/connections/test_client_slots.py
+++ b/tests/policy/connections/test_client_slots.py
@@ -223,7 +223,7 @@
 def test_a_request_after_a_response_counts_as_reuse_whatever_came_between(
     between: tuple[ConnectionState, ...],
 ) -> None:
-    """A partial command or a blocked write in between changes nothing."""
+    """A partial command or a blocked write between two requests does not change the classification."""
     slots: ConnectionSlots[str] = ConnectionSlots(4, 3, 2)
     add_all(slots, 0.0, "reused")
     serve_request(slots, 0.0, "reused")
@@ -243,7 +243,7 @@
 @pytest.mark.parametrize("gap_s", [0.001, 0.02, 0.5, 3.0])
 @pytest.mark.parametrize("active", range(1, 30, 4))
 def test_a_reused_connection_outlives_one_with_a_single_request(gap_s: float, active: int) -> None:
-    """Both become idle at the same time, at any load and for any idle gap."""
+    """Both connections become idle at the same time. Holds at any load and for any idle gap."""
     slots: ConnectionSlots[str] = ConnectionSlots(48, 32, 4)
     now = add_reused(slots, 0.0, "reused", gap_s)
     add_all(slots, now, "once", *[f"busy{i}" for i in range(active)])
@@ -352,9 +352,9 @@
             slots.add(0.0, key)
             slots.on_request(0.0, key)
             slots.set_state(0.0, key, ConnectionState.IDLE_UNUSED)
-        began = time.process_time()
+        started_s = time.process_time()
         assert len(slots.close_expired(1000.0)) == size
-        return time.process_time() - began
+        return time.process_time() - started_s
 
     small_cpu_s = min(cpu_s(10_000) for _ in range(3))
     assert cpu_s(100_000) < 10 * 4 * small_cpu_s + 0.05
@@ -401,7 +401,7 @@
 
 
 def test_clients_that_do_not_read_are_evicted_before_idle_ones_short_responses_first() -> None:
-    """None of them is evicted before `MIN_WRITE_BLOCKED_S` without progress."""
+    """Write-blocked connections are evicted only after `MIN_WRITE_BLOCKED_S` without progress."""
     slots: ConnectionSlots[str] = ConnectionSlots(4, 3, 2)
     add_all(slots, 0.0, "stream", "once", "short", "late")
     serve_request(slots, 0.0, "once")
@@ -410,7 +410,7 @@
     slots.set_state(0.5, "late", ConnectionState.WRITE_BLOCKED)
     assert slots.blocked() == ["short", "late", "stream"]
     now = 0.1 + MIN_WRITE_BLOCKED_S
-    for newcomer, evicted in (("a", "short"), ("b", "stream"), ("c", "once")):
-        closes = slots.add(now, newcomer)
+    for new_key, evicted in (("a", "short"), ("b", "stream"), ("c", "once")):
+        closes = slots.add(now, new_key)
         assert [close.key for close in closes] == [evicted]
-        slots.set_state(now, newcomer, ConnectionState.ACTIVE)
+        slots.set_state(now, new_key, ConnectionState.ACTIVE)
--- a/tests/policy/connections/test_descriptor_budget.py
+++ b/tests/policy/connections/test_descriptor_budget.py
@@ -87,15 +87,15 @@
 
 def test_a_process_uses_the_budget_of_its_configuration() -> None:
     """The budget is computed once, when the configuration is built, from the limit that it states."""
-    raw = raw_config(1, 2, [])
-    raw["limits"]["sockets"] = 96
+    platform_config = raw_config(1, 2, [])
+    platform_config["limits"]["sockets"] = 96
     for extra in ({}, {"operator": "127.0.0.1:9"}):
-        config = build(raw | extra, {})
+        config = build(platform_config | extra, {})
         assert (
             config.budget == divide_descriptors(96, bool(extra))
             and config.limits.max_connections == config.budget.server_connections
         )
-    divided = DescriptorBudget(
+    budget = DescriptorBudget(
         client_connections=7,
         requesting_connections=5,
         overflow_connections=1,
@@ -104,7 +104,7 @@
     )
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), budget=divided) as gateway_site:
+        async with site(reply_with(SERVED), budget=budget) as gateway_site:
             listener, counter_client = gateway_site.program.listener, gateway_site.program.counter
             slots = listener.connection_slots
             assert (slots.max_connections, slots.max_requesting, slots.max_overflow) == (7, 5, 1)
@@ -151,7 +151,7 @@
     run_scenario(scenario())
 
 
-class CrowdedGateway:
+class LimitedGateway:
     """A gateway process with a descriptor limit; discovery refuses its calls or never answers them."""
 
     def __init__(self, folder: Path, descriptors: int, is_discovery_silent: bool) -> None:
@@ -170,16 +170,16 @@
             await self.may_answer.wait()
         return SERVED
 
-    async def __aenter__(self) -> CrowdedGateway:
+    async def __aenter__(self) -> LimitedGateway:
         self.discovery = DiscoveryPeer()  # accepts calls and never answers
         for peer in (*self.servers, self.counter, self.discovery):
             await peer.start(free_port() if peer is self.discovery else 0)
         if not self.is_discovery_silent:
             await self.discovery.stop()
         self.server_rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(self.servers)]
-        raw = raw_config(self.discovery.port, self.counter.port, self.server_rows, free_port())
-        raw["limits"]["sockets"] = self.descriptors
-        self.gateway = GatewayProcess(self.folder, raw)
+        platform_config = raw_config(self.discovery.port, self.counter.port, self.server_rows, free_port())
+        platform_config["limits"]["sockets"] = self.descriptors
+        self.gateway = GatewayProcess(self.folder, platform_config)
         self.gateway.start()
         assert self.gateway.process is not None
         self.pid = self.gateway.process.pid
@@ -266,29 +266,29 @@
     counter's connections."""
 
     async def scenario() -> None:
-        async with CrowdedGateway(tmp_path, descriptors, is_discovery_silent) as crowded:
-            await crowded.use_all_connections()
+        async with LimitedGateway(tmp_path, descriptors, is_discovery_silent) as limited:
+            await limited.use_all_connections()
             for _ in range(5):
-                assert await crowded.ask_until_accepted() == b"value"
-                crowded.record_descriptors()
-            rows = [server_row("s0", crowded.servers[0].port, "Terminating"), *crowded.server_rows[1:]]
+                assert await limited.ask_until_accepted() == b"value"
+                limited.record_descriptors()
+            rows = [server_row("s0", limited.servers[0].port, "Terminating"), *limited.server_rows[1:]]
             restored_discovery = DiscoveryPeer(discovery_answer(2, rows))
             if is_discovery_silent:
-                crowded.discovery.answers += [discovery_answer(2, rows)] * 100
+                limited.discovery.answers += [discovery_answer(2, rows)] * 100
             else:
-                await restored_discovery.start(crowded.discovery.port)
+                await restored_discovery.start(limited.discovery.port)
             loop = asyncio.get_running_loop()
             reachable_at = loop.time()
             requests_without_s0 = 0
             while requests_without_s0 < REQUESTS_AFTER_DRAIN:
-                before = crowded.s0_request_count()
-                assert await crowded.ask_until_accepted() == b"value"
-                crowded.record_descriptors()
-                requests_without_s0 = requests_without_s0 + 1 if crowded.s0_request_count() == before else 0
+                before = limited.s0_request_count()
+                assert await limited.ask_until_accepted() == b"value"
+                limited.record_descriptors()
+                requests_without_s0 = requests_without_s0 + 1 if limited.s0_request_count() == before else 0
                 assert loop.time() - reachable_at < MAX_DRAIN_DELAY_S + 1.0, "drain not in effect in time"
-            assert crowded.max_open_descriptors <= descriptors - SPARE_DESCRIPTORS
+            assert limited.max_open_descriptors <= descriptors - SPARE_DESCRIPTORS
             # Every counter connection was established in the end.
-            assert len(crowded.counter.writers) >= divide_descriptors(descriptors).counter_connections
+            assert len(limited.counter.writers) >= divide_descriptors(descriptors).counter_connections
             await restored_discovery.stop()
 
     run_scenario(scenario())
@@ -296,8 +296,8 @@
 
 def lowest_free_descriptor(pid: int) -> int:
     """Returns the lowest free descriptor number of the process."""
-    taken = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
-    return next(number for number in range(len(taken) + 1) if number not in taken)
+    used = {int(name) for name in os.listdir(f"/proc/{pid}/fd")}
+    return next(number for number in range(len(used) + 1) if number not in used)
 
 
 def test_without_any_descriptor_all_parts_keep_retrying(tmp_path: Path) -> None:
@@ -305,36 +305,36 @@
     keeps listening."""
 
     async def scenario() -> None:
-        async with CrowdedGateway(tmp_path, 128, is_discovery_silent=True) as crowded:
-            peers = (*crowded.servers, crowded.counter, crowded.discovery)
-            client = await Client.connect(crowded.gateway.port)
-            assert await client.ask(b"CALL.GET", CUSTOMER, next(crowded.request_ids), GET) == b"value"
+        async with LimitedGateway(tmp_path, 128, is_discovery_silent=True) as limited:
+            peers = (*limited.servers, limited.counter, limited.discovery)
+            client = await Client.connect(limited.gateway.port)
+            assert await client.ask(b"CALL.GET", CUSTOMER, next(limited.request_ids), GET) == b"value"
             for peer in peers:
                 await peer.stop()
                 peer.writers.clear()
             descriptor_limit = 128
             for _ in range(40):  # retries of refused connections open and close descriptors meanwhile
-                descriptor_limit = min(descriptor_limit, lowest_free_descriptor(crowded.pid))
+                descriptor_limit = min(descriptor_limit, lowest_free_descriptor(limited.pid))
                 await asyncio.sleep(0.01)
-            resource.prlimit(crowded.pid, resource.RLIMIT_NOFILE, (descriptor_limit, 128))
+            resource.prlimit(limited.pid, resource.RLIMIT_NOFILE, (descriptor_limit, 128))
             for peer in peers:
                 await peer.start(peer.port)
-            discovery_call_count = len(crowded.discovery.targets)
-            assert await client.ask(b"CALL.GET", CUSTOMER, next(crowded.request_ids), GET) != b"value"
-            newcomer = await Client.connect(crowded.gateway.port)
-            assert await newcomer.ended()
-            crowded.gateway.signal(signal.SIGHUP)
-            await wait_until(lambda: "the configuration in force stays" in crowded.gateway.log.read_text())
+            discovery_call_count = len(limited.discovery.targets)
+            assert await client.ask(b"CALL.GET", CUSTOMER, next(limited.request_ids), GET) != b"value"
+            new_client = await Client.connect(limited.gateway.port)
+            assert await new_client.ended()
+            limited.gateway.signal(signal.SIGHUP)
+            await wait_until(lambda: "the configuration in force stays" in limited.gateway.log.read_text())
             # Long enough for every part to retry.
             await asyncio.sleep(max(counter.MAX_BACKOFF_S, polling.MAX_BACKOFF_S) + 0.2)
             assert not [peer for peer in peers if peer.writers]
-            resource.prlimit(crowded.pid, resource.RLIMIT_NOFILE, (128, 128))
+            resource.prlimit(limited.pid, resource.RLIMIT_NOFILE, (128, 128))
             await wait_until(
-                lambda: len(crowded.counter.writers) >= divide_descriptors(128).counter_connections
+                lambda: len(limited.counter.writers) >= divide_descriptors(128).counter_connections
             )
-            await wait_until(lambda: len(crowded.discovery.targets) > discovery_call_count)
-            while await crowded.ask_until_accepted() != b"value":
+            await wait_until(lambda: len(limited.discovery.targets) > discovery_call_count)
+            while await limited.ask_until_accepted() != b"value":
                 pass
-            assert await client.ask(b"CALL.GET", CUSTOMER, next(crowded.request_ids), GET) == b"value"
+            assert await client.ask(b"CALL.GET", CUSTOMER, next(limited.request_ids), GET) == b"value"
 
     run_scenario(scenario())
--- a/tests/policy/connections/test_hedged_connects.py
+++ b/tests/policy/connections/test_hedged_connects.py
@@ -152,7 +152,7 @@
 
 
 async def both_connect_at_once(race: HedgeRace) -> None:
-    """One carries the request, and nothing is written on the other, which is closed."""
+    """One connection carries the request; nothing is written on the other, which is closed."""
     race.complete_connect(0)
     race.complete_connect(1)
     await race.expect_result(Outcome.OK, 1)
@@ -160,7 +160,7 @@
 
 
 async def second_connects_first(race: HedgeRace) -> None:
-    """The first is cancelled, and nothing is written on it later."""
+    """The first connect is cancelled, and nothing is written on its connection later."""
     race.complete_connect(1)
     await race.expect_result(Outcome.OK, 1)
     assert race.loop.connect_gates[0].cancelled()
@@ -292,7 +292,7 @@
 
 
 def test_a_server_to_which_no_connection_comes_up_gets_one_hedge() -> None:
-    """Its initial hedge is spent; only established connections earn more."""
+    """The server's initial hedge is spent, and only established connections add to its hedge budget."""
 
     async def race_scenario(race: HedgeRace) -> None:
         await race.wait_for_hedge()
--- a/tests/policy/connections/test_pipelining.py
+++ b/tests/policy/connections/test_pipelining.py
@@ -318,10 +318,10 @@
     connect_time_ms: float = 20.0,
 ) -> int:
     """Opens a connection for this attempt and returns its id."""
-    found = scheduler.place(now, "n", attempt_id, new_request, can_open)
-    assert found.kind is PlacementKind.OPEN
-    scheduler.on_connected(now + connect_time_ms, found.connection_id)
-    return found.connection_id
+    placement = scheduler.place(now, "n", attempt_id, new_request, can_open)
+    assert placement.kind is PlacementKind.OPEN
+    scheduler.on_connected(now + connect_time_ms, placement.connection_id)
+    return placement.connection_id
 
 
 def test_connections_are_not_shared_without_samples() -> None:
@@ -329,8 +329,8 @@
     connection_id = open_connection(scheduler, 0.0, 1, make_request(0.0))
     assert scheduler.place(30.0, "n", 2, make_request(30.0), can_open).kind is PlacementKind.OPEN
     assert scheduler.on_reply(60.0, connection_id) == 1
-    found = scheduler.place(61.0, "n", 3, make_request(61.0), can_open)
-    assert found.kind is PlacementKind.IDLE and found.connection_id == connection_id
+    placement = scheduler.place(61.0, "n", 3, make_request(61.0), can_open)
+    assert placement.kind is PlacementKind.IDLE and placement.connection_id == connection_id
 
 
 def test_a_connection_is_shared_where_opening_one_costs_more() -> None:
@@ -339,9 +339,9 @@
         scheduler = scheduler_with_samples()
         open_connection(scheduler, 0.0, 1, make_request(0.0))
         scheduler.server("n").connect_ms = server_connect_ms
-        found = scheduler.place(22.0, "n", 2, make_request(22.0), can_open)
-        assert found.kind is expected_kind, found
-        assert "worse by" in found.describe(22.0)
+        placement = scheduler.place(22.0, "n", 2, make_request(22.0), can_open)
+        assert placement.kind is expected_kind, placement
+        assert "worse by" in placement.describe(22.0)
 
 
 def test_nothing_joins_behind_a_stalled_head_or_one_that_takes_too_long() -> None:
@@ -369,8 +369,8 @@
     scheduler = scheduler_with_samples()
     open_connection(scheduler, 0.0, 1, make_request(0.0, ahead))
     scheduler.server("n").connect_ms = 500.0
-    found = scheduler.place(40.0, "n", 2, make_request(40.0, behind, may_retry=may_retry), cannot_open)
-    assert (found.kind is PlacementKind.JOIN) is joins, found
+    placement = scheduler.place(40.0, "n", 2, make_request(40.0, behind, may_retry=may_retry), cannot_open)
+    assert (placement.kind is PlacementKind.JOIN) is joins, placement
 
 
 def test_behind_a_non_idempotent_head_only_what_can_wait_for_its_timeout() -> None:
@@ -386,12 +386,13 @@
 
 
 def test_a_keyed_attempt_does_not_join_what_may_outlast_its_idempotency_window() -> None:
-    """With a window of 800 ms it must not be queued behind a head that may take longer."""
+    """With an idempotency window of 800 ms an attempt must not be queued behind a head that may take
+    longer."""
     for stall_factor, joins in ((4.0, True), (20.0, False)):
         scheduler = scheduler_with_samples(RULES._replace(stall_factor=stall_factor))
         open_connection(scheduler, 0.0, 1, make_request(0.0, timeout_ms=2000.0))
-        found = scheduler.place(40.0, "n", 2, make_request(40.0, "order", timeout_ms=1400.0), cannot_open)
-        assert (found.kind is PlacementKind.JOIN) is joins
+        placement = scheduler.place(40.0, "n", 2, make_request(40.0, "order", timeout_ms=1400.0), cannot_open)
+        assert (placement.kind is PlacementKind.JOIN) is joins
 
 
 def test_a_stalled_head_is_aborted_at_once_within_the_budget_else_at_the_bound() -> None:
@@ -403,12 +404,12 @@
         scheduler.abort_balance = budget
         stalls_at_ms = scheduler.next_check_ms()
         assert 20.0 + 100.0 < stalls_at_ms <= placement.until_ms
-        found = scheduler.check(stalls_at_ms)
-        assert found[0] == StopJoining(connection_id, 1)
+        actions = scheduler.check(stalls_at_ms)
+        assert actions[0] == StopJoining(connection_id, 1)
         if budget:
-            assert found[1:] == [AbortConnection(connection_id, 1, AbortReason.STALL)]
+            assert actions[1:] == [AbortConnection(connection_id, 1, AbortReason.STALL)]
         else:
-            assert len(found) == 1 and stalls_at_ms < scheduler.next_check_ms() <= placement.until_ms
+            assert len(actions) == 1 and stalls_at_ms < scheduler.next_check_ms() <= placement.until_ms
             assert scheduler.check(scheduler.next_check_ms()) == [
                 AbortConnection(connection_id, 1, AbortReason.HOLD_BOUND)
             ]
@@ -424,7 +425,7 @@
         scheduler.place(290.0, "n", attempt_id, make_request(290.0), cannot_open).connection_id
         for attempt_id in (3, 4, 5)
     } == {second}
-    # Not even when the other connection is full.
+    # Nothing joins it even if the other connection is full.
     assert scheduler.place(290.0, "n", 6, make_request(290.0), cannot_open).kind is PlacementKind.WAIT
     assert scheduler.on_reply(291.0, first) == 1
     assert scheduler.place(291.0, "n", 7, make_request(291.0), cannot_open).connection_id == first
@@ -488,7 +489,8 @@
 
 
 def test_censored_samples_do_not_lengthen_the_estimate() -> None:
-    """Half of the replies come right behind another after 400 ms; the estimate stays at their own 20 ms."""
+    """Half of the samples are upper bounds of 400 ms, of replies that came right behind another one; the
+    estimate stays at the 20 ms of the exact samples."""
     times = LatencyHistogram()
     for _ in range(200):
         times.add(0.0, 20.0)
--- a/tests/policy/connections/test_response_order.py
+++ b/tests/policy/connections/test_response_order.py
@@ -18,7 +18,7 @@
 CHECK_DELAY_S = 0.2  # time from the last reply to the check that abandons what blocks it
 
 
-def order(letters: str, **deadline_s: float) -> list[PendingReply]:
+def build_pending_replies(letters: str, **deadline_s: float) -> list[PendingReply]:
     """Builds pending replies: `s` is an unfinished read, `u` an unfinished charge, and any other letter a
     finished reply with its deadline in `deadline_s`, by default 0.01."""
     unfinished = {"s": PendingReply(9.0, False, True), "u": PendingReply(9.0, False, False)}
@@ -51,8 +51,8 @@
 def test_which_requests_are_abandoned(
     letters: str, deadlines_s: dict[str, float], expected: ReleaseDecision
 ) -> None:
-    found = decide_release(0.0, order(letters, **deadlines_s), MARGIN_S)
-    assert found.release_count == expected.release_count and found.next_check_s == pytest.approx(
+    decision = decide_release(0.0, build_pending_replies(letters, **deadlines_s), MARGIN_S)
+    assert decision.release_count == expected.release_count and decision.next_check_s == pytest.approx(
         expected.next_check_s
     )
 
--- a/tests/policy/endpoints/test_list_confirmation.py
+++ b/tests/policy/endpoints/test_list_confirmation.py
@@ -55,12 +55,12 @@
     confirmation, (version, received_list, withdrawn) = ListConfirmation(), WITHDRAWAL_CASES[name]
     confirmation.apply(5, full_list(*TEN))
     assert not confirmation.accepts(version, received_list, True)
-    found = confirmation.withdraw_endpoints(received_list)
-    assert {endpoint.address for endpoint in found} == withdrawn
-    assert all(endpoint.state is DRAINING and endpoint.zone == "a" for endpoint in found)
+    withdrawn_endpoints = confirmation.withdraw_endpoints(received_list)
+    assert {endpoint.address for endpoint in withdrawn_endpoints} == withdrawn
+    assert all(endpoint.state is DRAINING and endpoint.zone == "a" for endpoint in withdrawn_endpoints)
     assert confirmation.withdraw_endpoints(received_list) == ()  # each endpoint is reported once
-    for at in range(3):
-        confirmation.withdraw_endpoints(full_list(**dict.fromkeys(TEN[3 * at : 3 * at + 3], DRAINING)))
+    for group in range(3):
+        confirmation.withdraw_endpoints(full_list(**dict.fromkeys(TEN[3 * group : 3 * group + 3], DRAINING)))
     assert sum(endpoint.state is ACTIVE for endpoint in confirmation.endpoints.values()) >= 5
 
 
@@ -179,7 +179,7 @@
         """Runs the simulation; returns the time at which the correct list is in force."""
         self.watch.start(0.0, 0.0, self.first_answer_at is not None)
         for _ in range(100_000):
-            connection_id, (at, how) = min(
+            connection_id, (at, result) = min(
                 self.results.items(), key=lambda item: item[1], default=(0, (float("inf"), ""))
             )
             self.now = max(self.now, min(at, self.watch.next_poll_at))
@@ -187,20 +187,20 @@
                 self.execute(self.watch.tick(self.now, self.listed))
                 continue
             del self.results[connection_id]
-            if how == "true":
+            if result == "true":
                 self.listed = False
                 if self.answer(connection_id, ["s1", "s2", "new"]):
                     return self.now
-            elif how == "false":
+            elif result == "false":
                 self.listed = False
                 if self.answer(connection_id, [f"x{self.rng.random()}"]):
                     raise AssertionError("a wrong list was accepted")
-            elif how == "refused":
+            elif result == "refused":
                 self.watch.record_connection_lost(self.now, connection_id)
             else:
                 delay = (
                     self.scheduler.record_rejection(30.0, self.listed)
-                    if how == "rejected"
+                    if result == "rejected"
                     else self.scheduler.record_failure()
                 )
                 self.execute(self.watch.record_failure(self.now, connection_id, delay))
--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -104,7 +104,8 @@
 
 
 def test_without_hedged_polls_the_deadline_is_missed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hedges a poll only 3 s after its wait: the deadline is then missed, so the test above can fail."""
+    """With hedges only 3 s after a poll's wait the deadline is missed, which shows that the test above can
+    fail."""
     monkeypatch.setattr(EndpointWatch, "answer_timeout_s", lambda self, wait_s: 3.0)
     service = SilentService(PollingTerms(200, 0), 1, 30.0, [0.0])
     assert service.received_at() > notified_at(service)
@@ -224,7 +225,7 @@
         """Runs the simulation; returns the time at which the change is in force."""
         self.watch.start(0.0, 0.0, is_start_waiting)
         for _ in range(100_000):
-            connection_id, (at, how) = min(
+            connection_id, (at, result) = min(
                 self.results.items(), key=lambda item: item[1], default=(0, (float("inf"), ""))
             )
             self.now = max(self.now, min(at, self.watch.next_poll_at))
@@ -232,15 +233,15 @@
                 self.execute(self.watch.tick(self.now, True))
                 continue
             del self.results[connection_id]
-            if how == "change":
+            if result == "change":
                 return self.now
-            if how == "unchanged":
+            if result == "unchanged":
                 self.scheduler.record_answer()
                 self.execute(self.watch.record_answer(self.now, connection_id, 0.0))
-            elif how in ("rejected", "invalid"):
+            elif result in ("rejected", "invalid"):
                 delay = (
                     self.scheduler.record_rejection(retry_after_s, True)
-                    if how == "rejected"
+                    if result == "rejected"
                     else self.scheduler.record_failure()
                 )
                 self.execute(self.watch.record_failure(self.now, connection_id, delay))
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -73,11 +73,11 @@
     return json.dumps(message).encode() + b"\n"
 
 
-def message_with_value(at: int, value: Any) -> bytes:
+def message_with_value(index: int, value: Any) -> bytes:
     """Encodes a message in which one value of the tenant row is replaced."""
-    cells = json.loads(encode_handover("g", 0.5, [QUOTA]))["stocks"][0]
-    cells[at] = value
-    return message_with(stocks=[cells])
+    row = json.loads(encode_handover("g", 0.5, [QUOTA]))["stocks"][0]
+    row[index] = value
+    return message_with(stocks=[row])
 
 
 @pytest.mark.parametrize(
@@ -150,7 +150,7 @@
 
 
 def replace_process(old: EngineHarness) -> EngineHarness:
-    """Hands over to a new process and returns that."""
+    """Hands the state over to a new process, and returns the new one."""
     [sent] = actions_of_type(old.feed(SuccessorStarted()), SendState)
     new = EngineHarness()
     new.now = old.now
@@ -160,7 +160,7 @@
 
 
 def count_admitted(rig: EngineHarness, plan: str, tenant: str, requests: int = 60) -> int:
-    """Counts the admitted ones of simultaneous requests. Calls to the counter get no answer."""
+    """Sends requests at one time and counts the admitted ones. Calls to the counter get no answer."""
     return sum(
         bool(actions_of_type(rig.ask("read", plan, tenant, spread=1)[1], StartAttempt))
         for _ in range(requests)
@@ -179,11 +179,14 @@
 def test_two_processes_admit_no_more_than_one_under_a_ceiling(spent: int) -> None:
     single = gateway_after_requests("c", "hard", spent)
     single.ending = Outcome.TIMEOUT
-    most = count_admitted(single, "hard", "c")
+    max_admitted = count_admitted(single, "hard", "c")
     old = gateway_after_requests("c", "hard", spent)
     new = replace_process(old)
-    both = count_admitted(old, "hard", "c") + count_admitted(new, "hard", "c")
-    assert both <= most + 1, (both, most)  # one more by rounding, as a request is not split
+    admitted = count_admitted(old, "hard", "c") + count_admitted(new, "hard", "c")
+    assert admitted <= max_admitted + 1, (
+        admitted,
+        max_admitted,
+    )  # one more by rounding, as a request is not split
 
 
 def test_only_the_successor_marks_epochs_until_the_predecessor_is_single_again() -> None:
@@ -225,21 +228,25 @@
     old.advance(300.0)
     old.answer_calls()
     new = replace_process(old)
-    left = new.gateway.quota.tenants.by_id["c"].bucket_units
+    units_before = new.gateway.quota.tenants.by_id["c"].bucket_units
     new._totals = dict(old._totals)
-    name = new.gateway.quota.tenants.by_id["c"].counter_key
+    counter_key = new.gateway.quota.tenants.by_id["c"].counter_key
     new.ask("read", "rate", "c", spread=1)
-    calls = [action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name]
+    calls = [
+        action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == counter_key
+    ]
     if not calls:
         new.advance(1200.0)
         calls = [
-            action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == name
+            action
+            for _, action in new.log
+            if isinstance(action, IncrementCounter) and action.key == counter_key
         ]
     assert calls
-    total = old._totals.get(name, 0.0) + calls[0].amount
-    new.feed(CounterReply(name, total, Outcome.OK))
-    after = new.gateway.quota.tenants.by_id["c"].bucket_units
-    assert after >= left - 1.0 - 0.5, (left, after)
+    total = old._totals.get(counter_key, 0.0) + calls[0].amount
+    new.feed(CounterReply(counter_key, total, Outcome.OK))
+    units_after = new.gateway.quota.tenants.by_id["c"].bucket_units
+    assert units_after >= units_before - 1.0 - 0.5, (units_before, units_after)
 
 
 def test_every_field_of_a_quota_is_handed_over() -> None:
@@ -263,8 +270,8 @@
     for n in range(20):
         events.append(Request(f"r{n}", "read", "rate", "c", 900.0, 1.0, 2))
     events += [SuccessorStarted(), Request("last", "read", "rate", "c", 900.0, 1.0, 2), OtherProcessEnded()]
-    for at, event in enumerate(events):
-        recorder.handle(1001.0 + at, event)
+    for offset_ms, event in enumerate(events):
+        recorder.handle(1001.0 + offset_ms, event)
     recorder.trigger("asked for")
     recorder.writer.close(10.0)
     (files,) = find_runs(tmp_path).values()
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -107,12 +107,14 @@
             assert record.timeout_s <= route.attempt_timeout_ms / 1000.0 + 1e-9
     if route.hedge_after_ms:
         return  # a hedged attempt may come between an attempt and its retry
-    for number, (one, two) in enumerate(pairwise(records), 1):
-        assert one.ended_at is not None and one.outcome is not None
+    for number, (record, next_record) in enumerate(pairwise(records), 1):
+        assert record.ended_at is not None and record.outcome is not None
         if route.retryable_outcomes is not None:
-            assert one.outcome in route.retryable_outcomes
+            assert record.outcome in route.retryable_outcomes
         if route.backoff is not None:
-            assert two.started_at - one.ended_at >= route.backoff.min_delay_ms(number) / 1000.0 - 1e-6
+            assert (
+                next_record.started_at - record.ended_at >= route.backoff.min_delay_ms(number) / 1000.0 - 1e-6
+            )
 
 
 def test_a_keyed_attempt_whose_connection_comes_up_too_late_is_not_written() -> None:
@@ -183,7 +185,7 @@
 
 
 def test_no_hedged_attempt_for_a_non_idempotent_class_or_where_overlap_is_not_allowed() -> None:
-    """This holds even for a route with a hedging delay, which the load of the file would have refused."""
+    """This holds even for a route with a hedging delay, which a loaded file can't have for these classes."""
     for class_name, overlap in (("check-charge", True), ("report-read", False)):
         route = RouteLimits("r", hedge_after_ms=50.0, max_attempts=2)
         table = {(class_name, "osnovni"): route}
