--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -185,7 +185,7 @@
 
 
 def test_no_hedged_attempt_for_a_non_idempotent_class_or_where_overlap_is_not_allowed() -> None:
-    """This holds even for a route with a hedging delay, which a loaded file can't have for these classes."""
+    """Holds even for a route with a hedging delay here, which is rejected when a file is loaded."""
     for class_name, overlap in (("check-charge", True), ("report-read", False)):
         route = RouteLimits("r", hedge_after_ms=50.0, max_attempts=2)
         table = {(class_name, "osnovni"): route}
