--- a/tests/system/test_known_red.py
+++ b/tests/system/test_known_red.py
@@ -13,20 +13,20 @@
 
 def problems(text: str) -> list[str]:
     """Returns what is wrong with the text of a list."""
-    found = []
+    messages = []
     entries = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     for entry in entries:
         columns = [column.strip() for column in entry.split(" | ")]
         node_id = NODE_ID.fullmatch(columns[0])
         if len(columns) != COLUMNS or not all(columns):
-            found.append(f"not {COLUMNS} columns: {entry[:60]}")
+            messages.append(f"not {COLUMNS} columns: {entry[:60]}")
         elif not columns[-1].isdigit():
-            found.append(f"no issue: {columns[0]}")
+            messages.append(f"no issue: {columns[0]}")
         elif node_id is None or not is_defined(ROOT / node_id["file"], node_id["name"]):
-            found.append(f"no such test: {columns[0]}")
+            messages.append(f"no such test: {columns[0]}")
     if len(entries) != len({entry.partition(" | ")[0] for entry in entries}):
-        found.append("a test is listed twice")
-    return found
+        messages.append("a test is listed twice")
+    return messages
 
 
 def is_defined(file: Path, name: str) -> bool:
--- a/tests/system/test_layers.py
+++ b/tests/system/test_layers.py
@@ -90,30 +90,30 @@
 def cycles(graph: dict[str, set[str]]) -> list[list[str]]:
     """Returns each import cycle once, as the sorted modules of a strongly connected component (Tarjan)."""
     order: dict[str, int] = {}
-    low: dict[str, int] = {}
+    lowest_reachable: dict[str, int] = {}
     stack: list[str] = []
-    found: list[list[str]] = []
+    components: list[list[str]] = []
 
     def visit(module: str) -> None:
-        order[module] = low[module] = len(order)
+        order[module] = lowest_reachable[module] = len(order)
         stack.append(module)
-        for other in graph.get(module, ()):
-            if other not in order:
-                visit(other)
-                low[module] = min(low[module], low[other])
-            elif other in stack:
-                low[module] = min(low[module], order[other])
-        if low[module] == order[module]:
+        for imported in graph.get(module, ()):
+            if imported not in order:
+                visit(imported)
+                lowest_reachable[module] = min(lowest_reachable[module], lowest_reachable[imported])
+            elif imported in stack:
+                lowest_reachable[module] = min(lowest_reachable[module], order[imported])
+        if lowest_reachable[module] == order[module]:
             component = [stack.pop()]
             while component[-1] != module:
                 component.append(stack.pop())
             if len(component) > 1:
-                found.append(sorted(component))
+                components.append(sorted(component))
 
     for module in graph:
         if module not in order:
             visit(module)
-    return found
+    return components
 
 
 def test_no_modules_import_each_other_in_a_cycle() -> None:
@@ -128,11 +128,12 @@
 @pytest.mark.parametrize("package", sorted(ALLOWED_DEPENDENCIES))
 def test_packages_import_lower_layers_only(package: str) -> None:
     upward = {
-        (module, other)
-        for module, others in GRAPH.items()
+        (module, imported)
+        for module, imported_modules in GRAPH.items()
         if layer(module) == package
-        for other in others
-        if other.startswith("glenchute.") and layer(other) not in ALLOWED_DEPENDENCIES[package] | {package}
+        for imported in imported_modules
+        if imported.startswith("glenchute.")
+        and layer(imported) not in ALLOWED_DEPENDENCIES[package] | {package}
     }
     assert upward == set()
 
@@ -143,11 +144,11 @@
 
 def test_decisions_do_no_input_or_output() -> None:
     forbidden = {
-        (module, other)
-        for module, others in GRAPH.items()
+        (module, imported)
+        for module, imported_modules in GRAPH.items()
         if layer(module) == "policy"
-        for other in others
-        if other.split(".")[0] in IO_MODULES
+        for imported in imported_modules
+        if imported.split(".")[0] in IO_MODULES
     }
     assert forbidden == set()
 
@@ -155,7 +156,7 @@
 def test_only_the_demo_imports_the_lab() -> None:
     users = {
         module
-        for module, others in GRAPH.items()
-        if any(other.split(".")[0] in ("lab", "benchmarks", "tests") for other in others)
+        for module, imported_modules in GRAPH.items()
+        if any(imported.split(".")[0] in ("lab", "benchmarks", "tests") for imported in imported_modules)
     }
     assert users == {"glenchute.cli.demo"}
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -48,21 +48,23 @@
 
 def test_the_handover_is_read_as_it_was() -> None:
     stored = dict(text_rows("handover.txt"))
-    for label, share, stocks in handover.cases():
-        assert decode_handover(handover.GATEWAY, stored[label]) == HandoverState(share, stocks)
+    for label, share, quotas in handover.cases():
+        assert decode_handover(handover.GATEWAY, stored[label]) == HandoverState(share, quotas)
     fields = json.loads(stored["every field"])["fields"]
     assert len(fields) == len(QuotaSnapshot.__match_args__) == 11
     assert len(handover.cases()[2][2]) >= 5 and any(
-        stock.window_total_units < math.inf for stock in handover.cases()[2][2]
+        quota.window_total_units < math.inf for quota in handover.cases()[2][2]
     )
 
 
 def test_the_frames_of_the_handover_in_both_directions() -> None:
     ((_, frames),) = hex_rows("handover_frames.hex")
     assert asyncio.run(handover.from_predecessor()) == frames
-    found, sent = asyncio.run(handover.to_successor(frames))
-    assert found is not None and found.state == HandoverState(handover.LIMIT_SHARE, handover.QUOTAS)
-    assert sent == b""  # a successor requests the handover by connecting and sends nothing
+    predecessor, sent_bytes = asyncio.run(handover.to_successor(frames))
+    assert predecessor is not None and predecessor.state == HandoverState(
+        handover.LIMIT_SHARE, handover.QUOTAS
+    )
+    assert sent_bytes == b""  # a successor requests the handover by connecting and sends nothing
 
 
 # --- datagrams between members ---------------------------------------------------------------------------
@@ -104,8 +106,8 @@
     for (_, data), call in zip(stored[1:], counter.counter_calls(), strict=True):
         parser = resp.Parser()
         parser.feed(data)
-        word, name, amount, ttl = parser.next_message()
-        assert (word, int(name), float(amount), float(ttl)) == (
+        verb, name, amount, ttl = parser.next_message()
+        assert (verb, int(name), float(amount), float(ttl)) == (
             b"INCRTTL", call.key, call.amount, call.ttl_ms,
         )  # fmt: skip
 
@@ -127,13 +129,13 @@
 def test_the_control_sockets_client_writes_and_reads_as_it_did() -> None:
     assert control.made_requests() == text_rows("control_requests.txt")
     replies = text_rows("control_replies.txt")
-    found = 0
+    read_count = 0
     for label, reply in replies:
         rows = control.rows_of(reply)
         if rows is not None:
             assert control.request_of("fleet members", reply)[1] == rows, label
-            found += 1
-    assert found == 2 * len(control.VERBS)
+            read_count += 1
+    assert read_count == 2 * len(control.VERBS)
 
 
 # --- the simulator's protocol ----------------------------------------------------------------------------
@@ -141,34 +143,34 @@
 
 def stored_session() -> tuple[list[str], list[str]]:
     """Returns the lines of the stored session: requests and responses."""
-    told = (HERE / "simulator_in.txt").read_text().splitlines()
-    return told, (HERE / "simulator_out.txt").read_text().splitlines()
+    requests = (HERE / "simulator_in.txt").read_text().splitlines()
+    return requests, (HERE / "simulator_out.txt").read_text().splitlines()
 
 
 def test_a_session_on_the_simulators_wire_is_answered_as_it_was() -> None:
-    told, answered = stored_session()
-    assert simulator.answered(told) == answered
-    assert simulator.session() == (told, answered)
+    requests, responses = stored_session()
+    assert simulator.answered(requests) == responses
+    assert simulator.session() == (requests, responses)
 
 
 def test_the_simulators_program_answers_the_same_on_its_streams() -> None:
-    told, answered = (HERE / name for name in ("simulator_in.txt", "simulator_out.txt"))
+    requests, responses = (HERE / name for name in ("simulator_in.txt", "simulator_out.txt"))
     completed = subprocess.run(
-        [sys.executable, "-m", "glenchute.simulator"], input=told.read_bytes(), capture_output=True, cwd=ROOT,
-        check=True, timeout=60.0,
+        [sys.executable, "-m", "glenchute.simulator"], input=requests.read_bytes(), capture_output=True,
+        cwd=ROOT, check=True, timeout=60.0,
     )  # fmt: skip
-    assert completed.stdout == answered.read_bytes() and completed.stderr == b""
+    assert completed.stdout == responses.read_bytes() and completed.stderr == b""
 
 
 def test_the_session_holds_every_event_and_action() -> None:
-    told, answered = stored_session()
-    events = [event for line in told for event in json.loads(line)["inbox"]]
+    requests, responses = stored_session()
+    events = [event for line in requests for event in json.loads(line)["inbox"]]
     assert {event[0] for event in events} == set(ARGUMENT_COUNTS)
     assert {event[5] for event in events if event[0] == "ended"} == set(OUTCOMES)
     assert {event[2] for event in events if event[0] == "topology"} == set(LISTS)
     states = {row[6] for event in events if event[0] == "directory" for row in event[2]}
     assert states == set(STATES)
-    actions = {action[0] for line in answered for action in json.loads(line)["actions"]}
+    actions = {action[0] for line in responses for action in json.loads(line)["actions"]}
     # "recall" cancels an attempt of a hedged request, which no message of this protocol can ask for.
     assert actions == {"hand_off", "bounce", "give_up", "remind", "incr", "tail", "say_log", "die"}
 
--- a/tests/system/test_readiness.py
+++ b/tests/system/test_readiness.py
@@ -29,7 +29,7 @@
 )
 
 READY_S = 10.0  # 90 % of restarted processes must be ready within this time
-PROCESSES = 4  # all started at once
+PROCESSES = 4  # number of processes, which start at once
 
 
 @contextmanager
@@ -38,15 +38,15 @@
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", free_port()))
         listener.listen(0)
-        connecting = [socket.socket() for _ in range(4)]
-        for one in connecting:
-            one.setblocking(False)
-            one.connect_ex(listener.getsockname())
+        socks = [socket.socket() for _ in range(4)]
+        for sock in socks:
+            sock.setblocking(False)
+            sock.connect_ex(listener.getsockname())
         try:
             yield listener.getsockname()[1]
         finally:
-            for one in connecting:
-                one.close()
+            for sock in socks:
+                sock.close()
 
 
 @pytest.mark.parametrize(
@@ -55,8 +55,8 @@
 def test_a_start_is_ready_with_discovery_and_counter_silent(
     tmp_path: Path, saved: str, connects: bool
 ) -> None:
-    """The gateway then serves with the saved list; without one it rejects requests until discovery answers.
-    With `connects` false no connection to discovery is accepted."""
+    """Once ready, the gateway serves with the saved list; without one it rejects requests until discovery
+    answers. With `connects` false no connection to discovery is accepted."""
 
     async def scenario(unreachable_port: int) -> None:
         discovery_peer, silent_counter, server = (
@@ -72,10 +72,12 @@
         for number in range(PROCESSES):
             folder = tmp_path / f"g{number}"
             folder.mkdir()
-            raw = raw_config(discovery, silent_counter.port, rows if saved == "a list" else [], free_port())
+            platform_config = raw_config(
+                discovery, silent_counter.port, rows if saved == "a list" else [], free_port()
+            )
             if saved == "none":
-                del raw["known"]
-            gateways.append(GatewayProcess(folder, raw))
+                del platform_config["known"]
+            gateways.append(GatewayProcess(folder, platform_config))
         try:
             for gateway in gateways:
                 gateway.start()
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -39,14 +39,14 @@
         platform = self.lab.platform()
         operations_port = free_port()
         platform.update(listen=f"127.0.0.1:{self.port}", operator=f"127.0.0.1:{operations_port}")
-        one = GatewayProcess(folder, platform)
-        one.passed, one.shared = self.listening_socket, self.folder
-        one.start()
-        self.processes.append(one)
+        gateway = GatewayProcess(folder, platform)
+        gateway.passed, gateway.shared = self.listening_socket, self.folder
+        gateway.start()
+        self.processes.append(gateway)
         async with asyncio.timeout(15.0):
             while not await is_ready(operations_port):
                 await asyncio.sleep(0.01)
-        return one
+        return gateway
 
     async def client(self, stopped: asyncio.Event) -> None:
         """Sends requests one after the other on one connection until `stopped` is set. A request on a closed
@@ -93,34 +93,38 @@
 @asynccontextmanager
 async def replacement_site(folder: Path) -> AsyncIterator[ReplacementSite]:
     async with LabSite([Node(f"s{i}", ServiceProfile({"report-read": 8.0})) for i in range(2)]) as lab:
-        one = ReplacementSite(lab, folder)
+        gateway_site = ReplacementSite(lab, folder)
         try:
-            yield one
+            yield gateway_site
         finally:
-            for process in one.processes:
+            for process in gateway_site.processes:
                 process.signal(signal.SIGKILL)
-            one.listening_socket.close()
+            gateway_site.listening_socket.close()
 
 
 def test_two_replacements_in_a_row_under_load(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with replacement_site(tmp_path) as one:
-            old = await one.start()
+        async with replacement_site(tmp_path) as gateway_site:
+            old = await gateway_site.start()
             stopped = asyncio.Event()
-            clients = [asyncio.create_task(one.client(stopped)) for _ in range(8)]
+            clients = [asyncio.create_task(gateway_site.client(stopped)) for _ in range(8)]
             for _ in range(2):
-                new = await one.start()
-                before = one.sent
+                new = await gateway_site.start()
+                before = gateway_site.sent
                 assert await old.stop() == 0
-                assert one.sent > before
+                assert gateway_site.sent > before
                 old = new
             stopped.set()
             await asyncio.gather(*clients)
-            assert one.sent == one.answered + one.rejected and one.answered > 0
-            # The number of requests that meet a closed connection depends on the machine's load, so none is
-            # asserted. Each was answered on its second connection, or `client` would have failed.
+            assert (
+                gateway_site.sent == gateway_site.answered + gateway_site.rejected
+                and gateway_site.answered > 0
+            )
+            # How many requests were sent on a closed connection depends on the machine's load, so their
+            # number is not checked. Each was answered on its second connection, or `client` would have
+            # failed.
             assert await old.stop() == 0
-            for process in one.processes:
+            for process in gateway_site.processes:
                 assert "Traceback" not in process.log.read_text()
 
     run_scenario(scenario())
@@ -129,29 +133,29 @@
 @pytest.mark.parametrize("after_ready", [False, True])
 def test_a_successor_that_dies_leaves_the_predecessor_serving(tmp_path: Path, after_ready: bool) -> None:
     async def scenario() -> None:
-        async with replacement_site(tmp_path) as one:
-            old = await one.start()
+        async with replacement_site(tmp_path) as gateway_site:
+            old = await gateway_site.start()
             stopped = asyncio.Event()
             if after_ready:
-                new = await one.start()
-                new.signal(signal.SIGKILL)  # no request was sent yet, so none can be lost
+                new = await gateway_site.start()
+                new.signal(signal.SIGKILL)  # no request has been sent, so none can be lost
                 assert new.process is not None
                 new.process.wait()
             else:
-                platform = one.lab.platform()
-                platform.update(listen=f"127.0.0.1:{one.port}", operator=f"127.0.0.1:{free_port()}")
+                platform = gateway_site.lab.platform()
+                platform.update(listen=f"127.0.0.1:{gateway_site.port}", operator=f"127.0.0.1:{free_port()}")
                 folder = tmp_path / "dies"
                 folder.mkdir()
                 new = GatewayProcess(folder, platform)
-                new.passed, new.shared = one.listening_socket, tmp_path
+                new.passed, new.shared = gateway_site.listening_socket, tmp_path
                 new.start()
                 new.signal(signal.SIGKILL)
-            clients = [asyncio.create_task(one.client(stopped)) for _ in range(4)]
-            while one.answered < 50:
+            clients = [asyncio.create_task(gateway_site.client(stopped)) for _ in range(4)]
+            while gateway_site.answered < 50:
                 await asyncio.sleep(0.01)
             stopped.set()
             await asyncio.gather(*clients)
-            assert one.repeated == 0
+            assert gateway_site.repeated == 0
             assert await old.stop() == 0
 
     run_scenario(scenario())
@@ -166,8 +170,8 @@
     ):
         not_listening.bind(("127.0.0.1", 0))
         valid = replace(config(1, 1, []), passed_descriptor=listener.fileno(), listen=listener.getsockname())
-        found = passed_socket(valid)
-        assert found is not None and found.detach() == listener.fileno()
+        accepted_socket = passed_socket(valid)
+        assert accepted_socket is not None and accepted_socket.detach() == listener.fileno()
         assert passed_socket(replace(valid, passed_descriptor=None)) is None
         for invalid, reason in (
             (
@@ -193,9 +197,9 @@
 
 def test_an_invalid_descriptor_ends_the_start_with_one_log_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        one = GatewayProcess(tmp_path, raw_config(1, 1, [], listen=1))
-        one.passed = listener
-        one.start()
-        assert one.process is not None and one.process.wait(15) == 2
-        lines = one.log.read_text().splitlines()
+        gateway = GatewayProcess(tmp_path, raw_config(1, 1, [], listen=1))
+        gateway.passed = listener
+        gateway.start()
+        assert gateway.process is not None and gateway.process.wait(15) == 2
+        lines = gateway.log.read_text().splitlines()
         assert len(lines) == 1 and "not at `listen`" in lines[0]
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture(autouse=True)
-def alone() -> Iterator[None]:
+def one_soak_at_a_time() -> Iterator[None]:
     """Runs one soak at a time: the parallel workers of a test run would starve each other's processes."""
     with (Path(tempfile.gettempdir()) / "soak-of-planned-restarts.lock").open("w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
@@ -27,14 +27,14 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_across_a_planned_restart(seed: int) -> None:
-    """Repeat one with ``python -m lab.soak --first SEED --seeds 1``."""
+    """``python -m lab.soak --first SEED --seeds 1`` runs one seed again."""
     schedule = draw(seed)
     books = asyncio.run(play(schedule))
     assert books.violations() == [], schedule.describe()
 
 
 def test_the_soak_finds_a_process_that_cuts_its_clients_off() -> None:
-    """Without this, the tests above could pass because the soak detects nothing."""
+    """Guards against a soak that detects nothing, with which the tests above would always pass."""
     seed = next(seed for seed in range(1, 50) if draw(seed).ending is Ending.TERM)
     assert asyncio.run(play(draw(seed), "raises_while_ending")).violations()
 
@@ -45,12 +45,12 @@
 
 
 def request(**changes: object) -> AskedRequest:
-    asked = AskedRequest(
+    asked_request = AskedRequest(
         b"r", "check-charge", 1.0, sent_at=10.0, answered_at=10.5, answer="served", answer_count=1
     )
     for name, value in changes.items():
-        setattr(asked, name, value)
-    return asked
+        setattr(asked_request, name, value)
+    return asked_request
 
 
 @pytest.mark.parametrize(
--- a/tests/upstreams/test_connection_pool.py
+++ b/tests/upstreams/test_connection_pool.py
@@ -32,18 +32,18 @@
 
 def test_the_most_recently_used_connection_is_reused() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             client.send(b"CALL.GET", CUSTOMER, b"2", GET)
             assert [await client.reply(), await client.reply()] == [b"value", b"value"]
-            pool = one.program.servers.pools["s0"]
+            pool = gateway_site.program.servers.pools["s0"]
             assert len(pool.idle) == 2
             last = pool.idle[-1]
             for conn in pool.idle:
                 conn.idle_since -= 2 * connection_pool.REUSE_DELAY_S
             assert await client.ask(b"CALL.GET", CUSTOMER, b"3", GET) == b"value"
-            assert pool.idle[-1] is last and len(one.servers[0].writers) == 2
+            assert pool.idle[-1] is last and len(gateway_site.servers[0].writers) == 2
 
     run_scenario(scenario())
 
@@ -60,28 +60,28 @@
             await asyncio.sleep(0.005)
             return encoded
 
-        async with site(reply_twice, decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = await one.client()
+        async with site(reply_twice, decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = await gateway_site.client()
             for number in range(1, 9):
                 value = await client.ask(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
                 assert value == b"%04d" % number
-            assert len(one.servers[0].writers) == 8
+            assert len(gateway_site.servers[0].writers) == 8
 
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 30.0)  # so that it holds on a slow machine too
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 30.0)  # long enough on a slow machine too
     run_scenario(scenario())
 
 
 def test_idle_connections_are_not_used_once_the_server_may_close_them() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            pool = one.program.servers.pools["s0"]
+            pool = gateway_site.program.servers.pools["s0"]
             pool.idle[0].idle_since -= 14.0
             assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
-            assert len(one.servers[0].writers) == 2
+            assert len(gateway_site.servers[0].writers) == 2
             pool.idle[0].idle_since -= 14.0
-            one.program.servers.sweep()
+            gateway_site.program.servers.sweep()
             await wait_until(lambda: not pool.open)
 
     run_scenario(scenario())
@@ -91,10 +91,10 @@
     """Guards against a request that is served with the surplus reply to an earlier one."""
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED + SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED + SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = await gateway_site.client()
             await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
-            await wait_until(lambda: not one.program.servers.pools["s0"].open)
+            await wait_until(lambda: not gateway_site.program.servers.pools["s0"].open)
 
     run_scenario(scenario())
 
@@ -102,24 +102,24 @@
 def test_a_connection_established_after_the_drain_grace_period_is_not_written_to() -> None:
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script) as one:
-            client = await one.client()
-            decide, pool = script.decide, one.program.servers.pools["s0"]
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            client = await gateway_site.client()
+            decide, pool = script.decide, gateway_site.program.servers.pools["s0"]
 
             def end_grace_period() -> None:
-                pool.stop_at = one.program.loop.time() - 1.0
+                pool.stop_at = gateway_site.program.loop.time() - 1.0
 
             def decide_and_drain(event: Event) -> list[Action]:
                 if isinstance(event, Request):
                     pool.stop()  # the grace period ends between the attempt's start and its connect
-                    one.program.loop.call_soon(end_grace_period)
+                    gateway_site.program.loop.call_soon(end_grace_period)
                 return decide(event)
 
             script.decide = decide_and_drain
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             assert str(await client.reply()) == "ERR failed"
-            assert [e.outcome for e in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
-            assert one.servers[0].calls() == []
+            assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
+            assert gateway_site.servers[0].calls() == []
 
     run_scenario(scenario())
 
@@ -128,24 +128,27 @@
     async def scenario() -> None:
         discovery = DiscoveryPeer()
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script, discovery=discovery) as one:
-            port = one.servers[0].port
-            client = await one.client()
+        async with site(reply_with(SERVED), decisions=script, discovery=discovery) as gateway_site:
+            port = gateway_site.servers[0].port
+            client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             discovery.answers.append(discovery_answer(1, [server_row("s0", port)]))
             discovery.answers.append(discovery_answer(2, [server_row("s0", port, "Gone")], full=False))
-            await wait_until(lambda: ("closed", 1, []) in one.servers[0].log)
+            await wait_until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
             # A removed server's id never comes back, so nothing may be kept for it.
-            assert not one.program.gateway.endpoints.started_ms and not one.program.servers.pools
+            assert (
+                not gateway_site.program.gateway.endpoints.started_ms
+                and not gateway_site.program.servers.pools
+            )
 
     run_scenario(scenario())
 
 
 def test_a_timeout_closes_connections_idle_since_before_the_attempt() -> None:
-    """Guards against requests that fail on old connections of a server whose host has failed: once it is back
-    it resets them."""
+    """Guards against requests that fail on old connections to a server whose host has failed: once the host
+    is back, it resets them."""
 
     async def scenario() -> None:
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -156,16 +159,16 @@
             return send_to("s0", 300.0 if is_third else 0.0)(event)
 
         script = ScriptedEngine(decide)
-        async with site(reply, decisions=script) as one:
-            client = await one.client()
+        async with site(reply, decisions=script) as gateway_site:
+            client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             client.send(b"CALL.GET", CUSTOMER, b"2", GET)
             assert [await client.reply(), await client.reply()] == [b"value", b"value"]
-            pool = one.program.servers.pools["s0"]
+            pool = gateway_site.program.servers.pools["s0"]
             for conn in pool.idle:
                 conn.idle_since -= 1.0  # idle since before the attempt
             assert len(pool.idle) == 2
-            one.program.servers.sweeper.cancel()  # which would close them too, at the idle limit
+            gateway_site.program.servers.sweeper.cancel()  # it would close them at the idle limit
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"mute", GET)) == "ERR failed"
             assert script.of(AttemptEnded)[-1].outcome is Outcome.TIMEOUT
             await wait_until(lambda: not pool.open)
@@ -176,13 +179,15 @@
 def test_connections_to_servers_are_bounded() -> None:
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(None), decisions=script) as one:
-            servers = one.program.servers
+        async with site(reply_with(None), decisions=script) as gateway_site:
+            servers = gateway_site.program.servers
             servers.limits = replace(servers.limits, max_connections=5)
-            client = await one.client()
+            client = await gateway_site.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await wait_until(lambda: len(script.of(AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
+            await wait_until(
+                lambda: len(script.of(AttemptEnded)) == 15 and len(gateway_site.servers[0].calls()) == 5
+            )
             assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.NO_CONNECTION}
             assert servers.connection_count() == 5
 
@@ -193,13 +198,13 @@
     """Guards against servers that are backed off because this process has no free connection."""
 
     async def scenario() -> None:
-        async with site(reply_with(None), reply_with(None)) as one:
-            servers = one.program.servers
+        async with site(reply_with(None), reply_with(None)) as gateway_site:
+            servers = gateway_site.program.servers
             servers.limits = replace(servers.limits, max_connections=2)
-            clients = [await one.client() for _ in range(3)]
+            clients = [await gateway_site.client() for _ in range(3)]
             for number in range(30):
                 clients[number % 3].send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            engine = one.program.gateway.decisions
+            engine = gateway_site.program.gateway.decisions
             assert isinstance(engine, DecisionEngine)
             await wait_until(lambda: engine.reports.counts.get("attempt: no connection", 0) >= 10)
             known = engine.pool.servers.values()
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -42,7 +42,7 @@
     wait_until,
 )
 
-SHARED = '[pipeline]\nclasses = ["read", "order"]\ndepth = 8\nat_risk = 16\nsettle_ms = 0\n'
+PIPELINED = '[pipeline]\nclasses = ["read", "order"]\ndepth = 8\nat_risk = 16\nsettle_ms = 0\n'
 Wire = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
@@ -86,7 +86,7 @@
             self.ended.add(number)
 
     def ids(self, connection: int | None = None) -> list[bytes]:
-        """The ids of the requests that were received completely, in order."""
+        """Returns the ids of the requests that were received completely, in order."""
         return [words[2] for number, words in self.ran if connection in (None, number)]
 
     def send(self, data: bytes, connection: int = 0) -> None:
@@ -98,7 +98,7 @@
 
 
 def add_samples(program: Any, connect_ms: float = 2000.0) -> PipelinedServers:
-    """Makes the scheduler share connections: enough samples of each class, and a high connect time."""
+    """Makes the scheduler share connections, by enough samples of each class and a high connect time."""
     upstream = program.servers
     assert isinstance(upstream, PipelinedServers)
     now = 1000.0 * asyncio.get_running_loop().time()
@@ -120,28 +120,33 @@
 
 @asynccontextmanager
 async def pipelined_site(
-    *servers: ScriptedServer, decisions: DecisionHandler | None = None, operator: str = SHARED, **changes: Any
+    *servers: ScriptedServer,
+    decisions: DecisionHandler | None = None,
+    operator: str = PIPELINED,
+    **changes: Any,
 ) -> AsyncIterator[tuple[Site, PipelinedServers]]:
-    """A gateway with pipelined connections to these servers."""
+    """Runs a gateway with pipelined connections to these servers until the context ends."""
 
     async def unused(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         return None
 
-    async with site(*[unused] * len(servers), decisions=decisions, operator=operator, **changes) as one:
+    async with site(
+        *[unused] * len(servers), decisions=decisions, operator=operator, **changes
+    ) as gateway_site:
         for number, server in enumerate(servers):
             await server.start()
-            one.program.servers.activate_server(f"s{number}", ("127.0.0.1", server.port), False)
+            gateway_site.program.servers.activate_server(f"s{number}", ("127.0.0.1", server.port), False)
         try:
-            yield one, add_samples(one.program)
+            yield gateway_site, add_samples(gateway_site.program)
         finally:
             for server in servers:
                 server.reads = True
                 await server.stop()
 
 
-async def burst(client: Client, *words: tuple[bytes, ...]) -> None:
+async def burst(client: Client, *commands: tuple[bytes, ...]) -> None:
     """Sends commands in one write."""
-    client.writer.write(b"".join(packed(each) for each in words))
+    client.writer.write(b"".join(packed(command) for command in commands))
 
 
 def packed(words: tuple[bytes, ...]) -> bytes:
@@ -159,8 +164,11 @@
 def test_a_burst_is_written_at_once_and_answered_in_order() -> None:
     async def scenario() -> None:
         server = ScriptedServer(answers=True)
-        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (one, upstream):
-            client = await one.client()
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (
+            gateway_site,
+            upstream,
+        ):
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
             assert (
@@ -169,7 +177,7 @@
                 and upstream.runtime.counts["commands"] == 5
             )
             assert server.ids() == [b"a", b"b", b"c", b"d", b"e"]
-            assert not upstream.runtime.attempts and not one.program.gateway.attempts_in_flight
+            assert not upstream.runtime.attempts and not gateway_site.program.gateway.attempts_in_flight
             await burst(client, *reads([b"f"]))
             # The connection was idle again and is reused.
             assert await client.reply() == b"f" and len(server.writers) == 1
@@ -178,7 +186,8 @@
 
 
 def test_outcomes_for_every_form_of_reply() -> None:
-    """Three attempts on a connection: received bytes, whether the server then closes, and the outcomes."""
+    """Each case has three attempts on one connection: the bytes that the server sends, whether it then closes
+    the connection, and the outcomes."""
     ok, busy, failed = value(b"v"), b"-BUSY\r\n", b"-ERR failed\r\n"
     e = Outcome
     table: list[tuple[bytes, bool, list[Outcome]]] = [
@@ -196,15 +205,15 @@
         (ok + ok[:9], False, [e.OK, e.ERROR, e.RESET]),  # the second reply stalls
     ]
 
-    async def row(data: bytes, ends: bool, expected: list[Outcome]) -> None:
+    async def row(data: bytes, closes: bool, expected: list[Outcome]) -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
-        patient = SHARED + "least_stall_ms = 1500\n"  # longer than the stalled reply takes to fail
-        async with pipelined_site(server, decisions=script, operator=patient) as (one, upstream):
-            client = await one.client()
+        operator = PIPELINED + "least_stall_ms = 1500\n"  # longer than the stalled reply takes to fail
+        async with pipelined_site(server, decisions=script, operator=operator) as (gateway_site, upstream):
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await wait_until(lambda: len(server.ran) == 3)
             server.send(data)
-            if ends:
+            if closes:
                 server.writers[0].close()
             await wait_until(lambda: len(outcomes(script)) == 3)
             assert [outcomes(script)[str(n)] for n in (1, 2, 3)] == expected, data
@@ -219,7 +228,7 @@
             assert not upstream.runtime.attempts
 
     async def scenario() -> None:
-        await asyncio.gather(*[row(*each) for each in table])
+        await asyncio.gather(*[row(*case) for case in table])
 
     run_scenario(scenario())
 
@@ -230,9 +239,9 @@
 
     async def scenario() -> None:
         server = ScriptedServer(answers=True)
-        async with pipelined_site(server) as (one, upstream):
+        async with pipelined_site(server) as (gateway_site, upstream):
             names = generate_request_ids()
-            client = await one.client()
+            client = await gateway_site.client()
 
             async def send_five(cuts: list[int]) -> dict[bytes, Any]:
                 ids = [next(names) for _ in range(5)]
@@ -240,7 +249,7 @@
                 for pool in upstream.pools.values():
                     pool.close_idle()
                 await wait_until(lambda: not any(pool.open for pool in upstream.pools.values()))
-                add_samples(one.program)
+                add_samples(gateway_site.program)
                 server.cuts[:] = cuts
                 order = re.sub(rb"k=[^,]*", b"k=" + ids[2], ORDER)
                 await burst(
@@ -266,7 +275,10 @@
                         assert ran[name] == 0, offset
             assert served > 3 * batch_bytes  # most are retried and served
             assert upstream.runtime.counts["commands"] > upstream.runtime.counts["writes"]
-            assert not one.program.gateway.active_requests and not one.program.gateway.attempts_in_flight
+            assert (
+                not gateway_site.program.gateway.active_requests
+                and not gateway_site.program.gateway.attempts_in_flight
+            )
 
     run_scenario(scenario())
 
@@ -277,27 +289,29 @@
 
     async def scenario() -> None:
         stalled, healthy = ScriptedServer(), ScriptedServer(answers=True)
-        async with pipelined_site(stalled, healthy) as (one, upstream):
-            # Without the healthy server, all five are sent to the stalled one.
-            one.program.gateway.update_endpoints(endpoint_update(one, "s1", EndpointState.REMOVED))
-            add_samples(one.program)
+        async with pipelined_site(stalled, healthy) as (gateway_site, upstream):
+            # While the healthy server is not listed, all five requests are sent to the stalled one.
+            gateway_site.program.gateway.update_endpoints(
+                endpoint_update(gateway_site, "s1", EndpointState.REMOVED)
+            )
+            add_samples(gateway_site.program)
             loop = asyncio.get_running_loop()
-            client = await one.client()
-            began = loop.time()
+            client = await gateway_site.client()
+            started_at = loop.time()
             await burst(client, *reads([b"a", b"b", b"c", b"d", b"e"]))
             await wait_until(lambda: len(stalled.ran) == 5)
-            one.program.gateway.update_endpoints(
-                endpoint_update(one, "s1", EndpointState.ACTIVE, healthy.port)
+            gateway_site.program.gateway.update_endpoints(
+                endpoint_update(gateway_site, "s1", EndpointState.ACTIVE, healthy.port)
             )
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
-            assert loop.time() - began < 2.0  # their deadline is 20 s
+            assert loop.time() - started_at < 2.0  # their deadline is 20 s
             assert upstream.scheduler.counts["cut at a stall"] == 1
             assert sorted(healthy.ids()) == [b"a", b"b", b"c", b"d", b"e"] and 0 in stalled.ended
 
     run_scenario(scenario())
 
 
-def endpoint_update(one: Site, server: str, state: EndpointState, port: int = 0) -> Any:
+def endpoint_update(gateway_site: Site, server: str, state: EndpointState, port: int = 0) -> Any:
     from glenchute.core.types import EndpointUpdate
 
     entry = Endpoint(server, "a", state=state)
@@ -307,9 +321,9 @@
 def test_attempts_behind_a_stalled_head_are_hedged_where_allowed() -> None:
     async def scenario() -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, upstream):
+        async with pipelined_site(server, decisions=script) as (gateway_site, upstream):
             change_rules(upstream, may_hedge=True)
-            client = await one.client()
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await wait_until(lambda: len(script.of(AttemptStalled)) == 2)
             assert {event.request_id for event in script.of(AttemptStalled)} == {"2", "3"}
@@ -323,18 +337,18 @@
 def test_the_client_of_the_third_of_five_disconnects() -> None:
     async def scenario() -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, upstream):
-            staying, departing = await one.client(), await one.client()
-            await burst(staying, *reads([b"a", b"b"]))
+        async with pipelined_site(server, decisions=script) as (gateway_site, upstream):
+            staying_client, leaving_client = await gateway_site.client(), await gateway_site.client()
+            await burst(staying_client, *reads([b"a", b"b"]))
             await wait_until(lambda: len(server.ran) == 2)
-            await burst(departing, *reads([b"c"]))
+            await burst(leaving_client, *reads([b"c"]))
             await wait_until(lambda: len(server.ran) == 3)
-            await burst(staying, *reads([b"d", b"e"]))
+            await burst(staying_client, *reads([b"d", b"e"]))
             await wait_until(lambda: len(server.ran) == 5)
-            departing.writer.close()
+            leaving_client.writer.close()
             await wait_until(lambda: script.of(ClientDisconnected))
             server.send(b"".join(value(name) for name in (b"a", b"b", b"c", b"d", b"e")))
-            assert [await staying.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
+            assert [await staying_client.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
             assert all(outcome is Outcome.OK for outcome in outcomes(script).values())
             assert len(upstream.pools["s0"].idle) == 1 and not upstream.runtime.attempts
 
@@ -346,11 +360,11 @@
 
     async def scenario() -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, _upstream):
-            client = await one.client()
+        async with pipelined_site(server, decisions=script) as (gateway_site, _upstream):
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await wait_until(lambda: len(server.ran) == 3)
-            middle = one.program.gateway.attempts_in_flight["2", 0]
+            middle = gateway_site.program.gateway.attempts_in_flight["2", 0]
             middle.stop(Outcome.CANCELLED)
             assert "2" not in outcomes(script) and middle.is_written
             server.send(b"".join(value(name) for name in (b"a", b"b", b"c")))
@@ -364,8 +378,8 @@
 def test_a_reply_in_forty_segments_and_one_of_64_kib() -> None:
     async def scenario() -> None:
         server = ScriptedServer()
-        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (one, _):
-            client = await one.client()
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (gateway_site, _):
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await wait_until(lambda: len(server.ran) == 3)
             large = b"x" * 65536
@@ -387,9 +401,9 @@
     async def scenario() -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         server.reads = False
-        operator = SHARED.replace(', "order"', "") + "gather_bytes = 262144\nleast_stall_ms = 2500\n"
-        async with pipelined_site(server, decisions=script, operator=operator) as (one, upstream):
-            clients = [await one.client() for _ in range(8)]
+        operator = PIPELINED.replace(', "order"', "") + "gather_bytes = 262144\nleast_stall_ms = 2500\n"
+        async with pipelined_site(server, decisions=script, operator=operator) as (gateway_site, upstream):
+            clients = [await gateway_site.client() for _ in range(8)]
             change_rules(upstream, max_depth=200, max_queued_per_server=200)
             upstream.scheduler.server("s0").depth_limit.max_depth = 200
             upstream.scheduler.server("s0").depth_limit.limit = 200.0
@@ -405,11 +419,14 @@
             pending = len(conn.pipeline.pending)
             assert pending > 0
             request_ids = {
-                ref: live.call.request_id for ref, live in one.program.gateway.active_requests.items()
+                engine_id: active_request.call.request_id
+                for engine_id, active_request in gateway_site.program.gateway.active_requests.items()
             }
             loop = asyncio.get_running_loop()
             drained_at = loop.time()
-            one.program.gateway.update_endpoints(endpoint_update(one, "s0", EndpointState.DRAINING))
+            gateway_site.program.gateway.update_endpoints(
+                endpoint_update(gateway_site, "s0", EndpointState.DRAINING)
+            )
             await wait_until(lambda: len(outcomes(script)) >= pending)
             assert loop.time() - drained_at < 0.2
             assert list(outcomes(script).values()).count(Outcome.UNREACHABLE) >= pending
@@ -418,9 +435,9 @@
             server.reads = True
             await wait_until(lambda: 0 in server.ended)
             received = set(server.ids())
-            for ref, outcome in outcomes(script).items():
+            for engine_id, outcome in outcomes(script).items():
                 if outcome is Outcome.UNREACHABLE:
-                    assert request_ids[ref] not in received, "ran though it ended as UNREACHABLE"
+                    assert request_ids[engine_id] not in received, "ran though it ended as UNREACHABLE"
 
     run_scenario(scenario())
 
@@ -428,31 +445,31 @@
 def test_a_thousand_reads_in_one_burst() -> None:
     async def scenario() -> None:
         servers = [ScriptedServer(answers=True), ScriptedServer(answers=True)]
-        async with pipelined_site(*servers, operator=SHARED.replace("at_risk = 16", "at_risk = 64")) as (
-            one,
+        async with pipelined_site(*servers, operator=PIPELINED.replace("at_risk = 16", "at_risk = 64")) as (
+            gateway_site,
             upstream,
         ):
-            clients = [await one.client() for _ in range(20)]
+            clients = [await gateway_site.client() for _ in range(20)]
             names = generate_request_ids()
             ids = [[next(names) for _ in range(50)] for _ in clients]
-            for client, mine in zip(clients, ids, strict=True):
-                await burst(client, *reads(mine))
-            peak = 0
-            for client, mine in zip(clients, ids, strict=True):
+            for client, client_ids in zip(clients, ids, strict=True):
+                await burst(client, *reads(client_ids))
+            max_open = 0
+            for client, client_ids in zip(clients, ids, strict=True):
                 replies = []
-                for _ in mine:
+                for _ in client_ids:
                     replies.append(await client.reply())
-                    peak = max(peak, upstream.connection_count())
-                wrong = [(reply, name) for reply, name in zip(replies, mine, strict=True)
+                    max_open = max(max_open, upstream.connection_count())
+                mismatches = [(reply, name) for reply, name in zip(replies, client_ids, strict=True)
                        if reply != name and not isinstance(reply, hiredis.ReplyError)]  # fmt: skip
-                # Some may be rejected or fail on a busy machine, but none gets another's value.
-                assert not wrong
+                # Some requests may be rejected or fail on a busy machine, but none gets another's value.
+                assert not mismatches
             ran = Counter(servers[0].ids() + servers[1].ids())
             # If this machine stalls, the servers appear stalled too, and reads are retried.
-            assert max(ran.values()) <= one.program.gateway.max_attempts and len(ran) > 100
-            assert not upstream.runtime.attempts and not one.program.gateway.active_requests
+            assert max(ran.values()) <= gateway_site.program.gateway.max_attempts and len(ran) > 100
+            assert not upstream.runtime.attempts and not gateway_site.program.gateway.active_requests
             # An idle connection to one server may be closed for one to the other: only open ones count.
-            assert peak <= upstream.limits.max_connections
+            assert max_open <= upstream.limits.max_connections
             assert (
                 sum(len(server.writers) - len(server.ended) for server in servers)
                 <= upstream.limits.max_connections
@@ -464,11 +481,11 @@
 def test_shutdown_answers_all_attempts_in_flight() -> None:
     async def scenario() -> None:
         server = ScriptedServer()
-        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (one, _):
-            client = await one.client()
+        async with pipelined_site(server, decisions=ScriptedEngine(send_to("s0"))) as (gateway_site, _):
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             await wait_until(lambda: len(server.ran) == 3)
-            shutdown = asyncio.create_task(one.program.shut_down())
+            shutdown = asyncio.create_task(gateway_site.program.shut_down())
             await asyncio.sleep(0.1)
             server.send(value(b"a") + value(b"b"))
             assert [await client.reply() for _ in range(2)] == [b"a", b"b"]
@@ -483,8 +500,8 @@
 def test_a_server_closes_an_idle_connection_while_a_batch_is_written() -> None:
     async def scenario() -> None:
         server, script = ScriptedServer(answers=True), ScriptedEngine(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, _upstream):
-            client = await one.client()
+        async with pipelined_site(server, decisions=script) as (gateway_site, _upstream):
+            client = await gateway_site.client()
             await burst(client, *reads([b"a"]))
             assert await client.reply() == b"a"
             server.answers = False
@@ -505,11 +522,11 @@
 def test_a_failed_connect_ends_all_attempts_queued_on_it(refused: bool) -> None:
     async def scenario() -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, upstream):
+        async with pipelined_site(server, decisions=script) as (gateway_site, upstream):
             await server.stop()
             if not refused:  # the connect times out, as with a full backlog, which answers nothing
                 upstream.limits = type(upstream.limits)(0.0, 10.0, 0.25, 100)
-            client = await one.client()
+            client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             replies = [str(await client.reply()) for _ in range(3)]
             assert all(reply.startswith("ERR") for reply in replies)
@@ -522,8 +539,8 @@
 def test_non_idempotent_attempts_get_a_connection_of_their_own() -> None:
     async def scenario() -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
-        async with pipelined_site(server, decisions=script) as (one, _):
-            client = await one.client()
+        async with pipelined_site(server, decisions=script) as (gateway_site, _):
+            client = await gateway_site.client()
             charge = (b"CALL.POST", CUSTOMER, b"x", CHARGE, b"body")
             await burst(client, *reads([b"a"]), charge, (*charge[:2], b"y", *charge[3:]), *reads([b"b"]))
             await wait_until(lambda: len(server.ran) == 4)
--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -41,7 +41,7 @@
 
 
 def body(length: int, seed: int = 1) -> bytes:
-    """A value that contains everything that could mislead a parser."""
+    """Returns a value of this length that contains everything that could mislead a parser."""
     noise = random.Random(seed).randbytes(4096) + b"\r\n$-1\r\n*3\r\n-ERR failed\r\nHTTP/1.1 200 OK\r\n\r\n"
     return (noise * (length // len(noise) + 1))[:length]
 
@@ -193,18 +193,18 @@
 
 
 @asynccontextmanager
-async def serving(
+async def streaming_site(
     answer: Callable[[asyncio.StreamWriter, bytes], Any], **changes: Any
 ) -> AsyncIterator[tuple[Site, ScriptedEngine]]:
-    """A gateway with one server, which replies with what `answer` returns or writes for a request id."""
+    """Runs a gateway with one server, which replies with what `answer` returns or writes for a request id."""
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        found = await answer(writer, words[2])
-        return found if isinstance(found, bytes) else None
+        encoded = await answer(writer, words[2])
+        return encoded if isinstance(encoded, bytes) else None
 
     script = ScriptedEngine(send_to("s0", changes.pop("timeout_ms", 0.0)))
-    async with site(reply, decisions=script, **changes) as one:
-        yield one, script
+    async with site(reply, decisions=script, **changes) as gateway_site:
+        yield gateway_site, script
 
 
 async def answer_completely(writer: asyncio.StreamWriter, name: bytes) -> bytes:
@@ -221,8 +221,8 @@
 
 def test_a_long_value_is_relayed_completely_and_the_connection_reused() -> None:
     async def scenario() -> None:
-        async with serving(answer_completely) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer_completely) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             for _ in range(3):
                 ask(client, ids)
                 assert await client.reply() == VALUE
@@ -230,8 +230,8 @@
             assert outcomes(script) == [Outcome.OK] * 3
             assert all(event.active_requests == 7.0 and event.is_final for event in script.of(AttemptEnded))
             assert len(script.of(ResponseStarted)) == 3
-            assert len(one.servers[0].writers) == 1
-            assert not one.program.listener.open_ids
+            assert len(gateway_site.servers[0].writers) == 1
+            assert not gateway_site.program.listener.open_ids
 
     run_scenario(scenario())
 
@@ -244,12 +244,12 @@
             await gates[name].wait()
             return ANSWER if name == b"%016x" % 2 else SERVED
 
-        async with serving(answer) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             for _ in range(3):
                 ask(client, ids)
             gates[b"%016x" % 3].set()
-            gates[b"%016x" % 2].set()  # its reply is not next in order, so its server has to wait
+            gates[b"%016x" % 2].set()  # its reply is not next in order, so the server must wait with the rest
             await wait_until(lambda: script.of(ResponseStarted))
             await asyncio.sleep(0.05)
             assert not client.reader._buffer  # type: ignore[attr-defined]
@@ -283,16 +283,16 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await answer(writer, words[2])
 
-        async with site(reply, decisions=script) as one:
-            client, ids = await one.client(), generate_request_ids()
+        async with site(reply, decisions=script) as gateway_site:
+            client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids, fields)
             # The end of the connection shows the client that the value is incomplete.
-            got = await client.reader.read()
-            assert got == b"$70000\r\n" + VALUE[:30_000]
+            received = await client.reader.read()
+            assert received == b"$70000\r\n" + VALUE[:30_000]
             await wait_until(lambda: len(script.of(AttemptEnded)) == 2)
             last = script.of(AttemptEnded)[-1]
             assert last.is_final and last.outcome is Outcome.RESET
-            assert list(attempts.values()) == [2] and not one.program.gateway.active_requests
+            assert list(attempts.values()) == [2] and not gateway_site.program.gateway.active_requests
 
     run_scenario(scenario())
 
@@ -306,13 +306,13 @@
                 writer.write(part)
                 await asyncio.sleep(0.1 if n == 0 else 0.4)  # a buffered reply would have failed after 0.25 s
 
-        async with serving(answer) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids)
             assert await client.reply() == VALUE
             await wait_until(lambda: outcomes(script) == [Outcome.OK])
             duration_ms = script.of(AttemptEnded)[0].duration_ms
-            assert duration_ms < 1000.0, "not the time to the first bytes"
+            assert duration_ms < 1000.0, "the duration is not the time to the first bytes"
 
     run_scenario(scenario())
 
@@ -324,11 +324,11 @@
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             return ANSWER[:50_000]
 
-        async with serving(answer) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids)
-            got = await client.reader.read()
-            assert 0 < len(got) < len(VALUE)
+            received = await client.reader.read()
+            assert 0 < len(received) < len(VALUE)
             await wait_until(lambda: outcomes(script) == [Outcome.ERROR])
 
     run_scenario(scenario())
@@ -345,12 +345,12 @@
             await asyncio.sleep(0.1)
             return extra + TAIL
 
-        async with serving(answer) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids)
             if late:
-                got = await client.reader.read()
-                assert got.startswith(b"$70000\r\n") and len(got) < len(b"$70000\r\n") + 70_000 + 2
+                received = await client.reader.read()
+                assert received.startswith(b"$70000\r\n") and len(received) < len(b"$70000\r\n") + 70_000 + 2
             else:  # detected before any byte was relayed
                 assert str(await client.reply()) == "ERR failed"
             await wait_until(lambda: outcomes(script) == [Outcome.ERROR])
@@ -367,21 +367,21 @@
             await may_finish.wait()
             return ANSWER[40_000:]
 
-        async with serving(answer) as (one, script):
+        async with streaming_site(answer) as (gateway_site, script):
             ids = generate_request_ids()
-            staying, leaving = await one.client(), await one.client()
-            short = GET.replace(b"d=20000", b"d=1000")
+            staying_client, leaving_client = await gateway_site.client(), await gateway_site.client()
+            short_deadline = GET.replace(b"d=20000", b"d=1000")
             deadline = asyncio.get_running_loop().time() + 1.1
-            staying.send(b"CALL.GET", CUSTOMER, next(ids), short)
-            ask(leaving, ids)
+            staying_client.send(b"CALL.GET", CUSTOMER, next(ids), short_deadline)
+            ask(leaving_client, ids)
             await wait_until(lambda: len(script.of(ResponseStarted)) == 2)
-            leaving.writer.transport.abort()
+            leaving_client.writer.transport.abort()
             await wait_until(lambda: outcomes(script) == [Outcome.CANCELLED])
             # The deadline of the staying client has passed, but the first bytes were in time.
             await wait_until(lambda: asyncio.get_running_loop().time() > deadline)
             may_finish.set()
-            assert await staying.reply() == VALUE
-            await wait_until(lambda: not one.program.listener.open_ids)
+            assert await staying_client.reply() == VALUE
+            await wait_until(lambda: not gateway_site.program.listener.open_ids)
 
     run_scenario(scenario())
 
@@ -395,21 +395,21 @@
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             return SERVED if int(name, 16) > 1000 else head(size) + value + TAIL
 
-        async with serving(answer) as (one, _):
+        async with streaming_site(answer) as (gateway_site, _):
             ids = generate_request_ids()
-            blocked = [await one.client() for _ in range(12)]
-            for client in blocked:
+            blocked_clients = [await gateway_site.client() for _ in range(12)]
+            for client in blocked_clients:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
                 ask(client, ids)
-            other = await one.client()
+            other_client = await gateway_site.client()
             for n in range(1001, 1051):
-                assert await other.ask(b"CALL.GET", CUSTOMER, b"%016x" % n, GET) == b"value"
-            buffered = 0
-            for connection in one.program.listener.clients:
+                assert await other_client.ask(b"CALL.GET", CUSTOMER, b"%016x" % n, GET) == b"value"
+            buffered_bytes = 0
+            for connection in gateway_site.program.listener.clients:
                 if connection.transport is not None:
-                    buffered += connection.transport.get_write_buffer_size()
-            assert buffered <= 12 * 3 * 64 * 1024, buffered
-            for client in blocked:
+                    buffered_bytes += connection.transport.get_write_buffer_size()
+            assert buffered_bytes <= 12 * 3 * 64 * 1024, buffered_bytes
+            for client in blocked_clients:
                 client.writer.transport.resume_reading()  # type: ignore[attr-defined]
                 assert await client.reply() == value  # each receives the complete value
 
@@ -428,21 +428,21 @@
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             return head(size) + value + TAIL
 
-        async with serving(answer) as (one, script):
-            one.program.servers.read_permits.max_readers = 1
+        async with streaming_site(answer) as (gateway_site, script):
+            gateway_site.program.servers.read_permits.max_readers = 1
             ids = generate_request_ids()
             sock = socket.socket()
             # A small buffer: otherwise the kernel would take the whole value without the client reading.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            sock.connect(("127.0.0.1", one.port))
-            blocked = Client(*await asyncio.open_connection(sock=sock))
-            blocked.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            ask(blocked, ids)
+            sock.connect(("127.0.0.1", gateway_site.port))
+            blocked_client = Client(*await asyncio.open_connection(sock=sock))
+            blocked_client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+            ask(blocked_client, ids)
             await wait_until(lambda: script.of(ResponseStarted))
-            others = [await one.client() for _ in range(5)]
-            for client in others:
+            other_clients = [await gateway_site.client() for _ in range(5)]
+            for client in other_clients:
                 ask(client, ids)
-            assert await asyncio.gather(*(client.reply() for client in others)) == [value] * 5
+            assert await asyncio.gather(*(client.reply() for client in other_clients)) == [value] * 5
             # The stream that was not read was aborted for the others.
             assert Outcome.ERROR in outcomes(script)
 
@@ -454,13 +454,13 @@
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> bytes:
             return ANSWER[:50_000]
 
-        async with serving(answer) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids)
             await wait_until(lambda: script.of(ResponseStarted))
-            await asyncio.wait_for(one.program.shut_down(), 5.0)
-            got = await client.reader.read()
-            assert len(got) < len(VALUE)
+            await asyncio.wait_for(gateway_site.program.shut_down(), 5.0)
+            received = await client.reader.read()
+            assert len(received) < len(VALUE)
 
     run_scenario(scenario())
 
@@ -468,8 +468,8 @@
 def test_pipelined_connections_do_not_stream_values() -> None:
     async def scenario() -> None:
         operator = '[pipeline]\nclasses = ["read"]\n'
-        async with serving(answer_completely, operator=operator) as (one, script):
-            client, ids = await one.client(), generate_request_ids()
+        async with streaming_site(answer_completely, operator=operator) as (gateway_site, script):
+            client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids)
             assert str(await client.reply()) == "ERR failed"
             assert outcomes(script) == [Outcome.ERROR]
