--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -423,7 +423,7 @@
             world_now = now_ms - self.world.skew[self.number]
             refilled = tenant.plan.rate_per_s * (world_now - since) / 1000.0
             overflow = self.world.counter_bucket(tenant.tenant_id).state_at(world_now)[1] - overflow_before
-            level += refilled - self.own_units[tenant.tenant_id] - units - overflow
+            level = level + refilled - self.own_units[tenant.tenant_id] - units - overflow
             tenant.bucket_units = min(tenant.plan.burst_units, level)
         self.set_baseline(tenant, now_ms, tenant.bucket_units)
 
