--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -13,11 +13,11 @@
 from glenchute.policy.balancing.pool import ServerPool
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Event
 from glenchute.policy.settings import SlowStart
-from lab.sim.swarm import gone
+from lab.sim.swarm import replace_node
 from lab.sim.world import SERVICE_MS, SETTINGS, World
 
 GATEWAYS, NODES = 40, 60
-SLOW = 10.0  # factor of the service time of a server, which is a quarter of a second then
+SLOW = 10.0  # factor on the service time of a server, which makes it a quarter of a second
 
 
 class LargeWorld(World):
@@ -44,7 +44,7 @@
         """Replaces this share of the nodes by new ones; returns the names of the new nodes."""
         old = set(self.nodes)
         for name in sorted(old)[: round(share * len(old))]:
-            gone(self, self.nodes[name])
+            replace_node(self, self.nodes[name])
         new = set(self.nodes) - old
         for name in new:
             self.nodes[name].slots, self.nodes[name].slow = 2, SLOW
@@ -96,10 +96,10 @@
     world = LargeWorld(2)
     world.load(6_000.0, 260.0, ("wide",))
     world.run(3000.0)
-    before = [module.pool.slow_start.warm_response_rate_per_s for module in world.modules]
+    before = [engine.pool.slow_start.warm_response_rate_per_s for engine in world.engines]
     world.replace_nodes(0.6)
     world.run(2000.0)
-    after = [module.pool.slow_start.warm_response_rate_per_s for module in world.modules]
+    after = [engine.pool.slow_start.warm_response_rate_per_s for engine in world.engines]
     assert sum(after) > 1.2 * sum(before)
 
 
@@ -143,11 +143,11 @@
                 pool.record_start(now, server)
                 sent.append(now)
     for at in sent:
-        within = sum(at - rules.overload_window_ms < each <= at for each in sent)
-        assert within <= rules.overload_factor * capacity_per_s * 3.0 * pools[0].slow_start.weight(
+        count_in_window = sum(at - rules.overload_window_ms < other_at <= at for other_at in sent)
+        assert count_in_window <= rules.overload_factor * capacity_per_s * 3.0 * pools[0].slow_start.weight(
             server, at - 3000.0
         )
-    assert len(sent) > 0.4 * 6.0 * capacity_per_s * rules.initial_fraction  # and the allowed rate is used
+    assert len(sent) > 0.4 * 6.0 * capacity_per_s * rules.initial_fraction  # most of the allowed rate is used
 
 
 def test_removed_servers_of_an_old_list_cost_few_attempts() -> None:
@@ -157,12 +157,12 @@
     world.run(100.0)
     names = sorted(world.nodes)
     for name in names[: round(0.6 * len(names))]:
-        world.nodes[name].alive = False  # and the list is not updated
+        world.nodes[name].alive = False  # the list still has it
     world.load(16_000.0, 200.0, ("wide",))
     world.run(17_000.0)
     dead = set(names[: round(0.6 * len(names))])
-    late = world.attempts_by_node(12.0, 16.0)
-    assert sum(late[name] for name in dead) < 0.42 * late.total()
+    late_counts = world.attempts_by_node(12.0, 16.0)
+    assert sum(late_counts[name] for name in dead) < 0.42 * late_counts.total()
     # A failed connect does not use up the attempts of a request.
     assert world.action_counts["Refuse"] < 700
 
