--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -22,6 +22,7 @@
 RestartTables = tuple[dict[str, Any] | None, ...]
 DEFAULT_MAX_BACKOFF_MS = 1000.0
 DEFAULT_BACKOFF_FACTOR = 2.0
+# Mean attempts in flight per server, as in `SubsetSettings`.
 DEFAULT_SUBSET_CALM = 0.5
 DEFAULT_SUBSET_BUSY = 2.0
 
