--- a/glenchute/policy/admission/ceiling.py
+++ b/glenchute/policy/admission/ceiling.py
@@ -45,7 +45,7 @@
     """Returns whether the counter's total alone admits a request under the ceiling. `has_total`: the request
     waited for the reply that has just arrived.
 
-    Any stretch of time may touch two windows, so each grants half of the counted fraction, either of the
+    Even a short time may touch two windows, so each grants half of the counted fraction, either of the
     burst or of what the ceiling's rate fills in a window, whichever is less.
     """
     if not has_total or tenant.window_counter is None or not tenant.is_last_call_complete:
