--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -26,7 +26,9 @@
 from .hash_ring import RingedEndpoints, RingPosition, ring_position
 from .subset_size import subset_size
 
-MIN_WEIGHT = 0.2  # least weight of a server that warms up or is unreachable; bounds the walk over a ring
+# Least weight of a server that warms up or is unreachable. It bounds the number of servers that are taken
+# from a ring: at most 1 / `MIN_WEIGHT` for each unit of the wanted weight.
+MIN_WEIGHT = 0.2
 GOLDEN_RATIO = 0.618034
 GROWTH_INTERVAL_MS = 250.0  # time between two enlargements of the subset
 GROWTH_FRACTION = 0.25  # fraction of the servers in use that one enlargement adds
