--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -73,7 +73,7 @@
     """The decision whether a proxied attempt may be sent."""
 
     ALLOW = "pass"
-    WAIT = "hold"  # until a server is chosen and earlier streams are closed, at most until the deadline
+    WAIT = "hold"  # not before a server is chosen and earlier streams are closed; at most until the deadline
     REQUEST_FINISHED = "over"  # the request has its final response
     WRONG_SERVER = "node"  # the attempt goes to another server than the chosen one
     TOO_LATE = "late"  # the chosen server accepts no requests any more, or may have forgotten the key
