--- a/glenchute/upstreams/pipelined_connection.py
+++ b/glenchute/upstreams/pipelined_connection.py
@@ -46,7 +46,7 @@
 
     @property
     def is_wanted(self) -> Callable[[], bool] | None:
-        """Whether its client still waits; if it returns False it has ended the attempt. None: unknown."""
+        """Returns whether its client still waits, and ends the attempt if not; None: it is not known."""
 
     @property
     def is_finished(self) -> bool:
