--- a/glenchute/upstreams/streamed_value.py
+++ b/glenchute/upstreams/streamed_value.py
@@ -29,7 +29,7 @@
 # Fewer first bytes are held back for `RESPONSE_STALL_S`, as the length prefix may be wrong.
 MIN_FIRST_BYTES = 1024
 SERVER_SILENCE_TIMEOUT_S = 10.0
-CLIENT_BLOCKED_TIMEOUT_S = 5.0  # until a client that does not read is cut off if others wait for a permit
+CLIENT_BLOCKED_TIMEOUT_S = 5.0  # how long a client may go without reading while others wait for a permit
 MAX_DURATION_S = 120.0
 RECEIVE_BUFFER_BYTES = 32 * 1024  # Linux doubles it, so that one read returns at most twice this
 
