--- a/glenchute/policy/membership/usage.py
+++ b/glenchute/policy/membership/usage.py
@@ -22,7 +22,7 @@
 
 MAX_WINDOWS = 10_000
 MAX_WRITERS_PER_WINDOW = 2_000  # further writers are ignored
-REPORTED_SHARE = 0.25  # as a share of a window's allowance
+REPORTED_SHARE = 0.25  # share of a window's allowance from which usage is reported, as described above
 MAX_LOCAL_HEALTH_FOR_USAGE = 3  # a higher score means that this process' own links are suspect
 MAX_SILENCE_S = 1.0
 
