--- a/glenchute/protocol/resp2.py
+++ b/glenchute/protocol/resp2.py
@@ -116,7 +116,7 @@
         reader = hiredis.Reader()
         reader.feed(self._raw, start, end - start)
         if end == len(self._raw):
-            self._raw, self._at = b"", 0  # so that an idle connection holds no buffer
+            self._raw, self._at = b"", 0  # an idle connection then holds no buffer
         try:
             return reader.gets()
         except hiredis.ProtocolError as error:
