--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -1,4 +1,4 @@
-"""Recording and replaying captures, also truncated, damaged and malicious ones."""
+"""Tests of recording and replaying captures, including truncated, damaged and malicious ones."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     recorders: list[Recorder] = []
     fleets: list[Fleet] = []
 
-    def make(engine_settings: Settings, engine_seed: int) -> Recorder:
+    def create_recorder(engine_settings: Settings, engine_seed: int) -> Recorder:
         rule = CaptureRule(str(folder), ring=False, segment_s=0.7, **rule_fields)
 
         def clock() -> float:
@@ -78,7 +78,7 @@
         )
         return recorders[-1]
 
-    fleet = Fleet(1, seed, make=make)
+    fleet = Fleet(1, seed, make=create_recorder)
     fleets.append(fleet)
     fleet.run(fleet.now + 500.0)
     fleet.at(fleet.now + 900.0, fleet.counter.replace)
@@ -93,19 +93,19 @@
 def test_pseudonyms_replace_tenants_and_the_capture_replays(tmp_path: Path) -> None:
     """The names occur neither in the records nor in the snapshots. Gateways with the same key use the same
     pseudonym for a tenant."""
-    named, pseudonymous = tmp_path / "plain", tmp_path / "hidden"
-    for folder, key in ((named, None), (pseudonymous, b"k" * 32)):
+    plain, pseudonymous = tmp_path / "plain", tmp_path / "hidden"
+    for folder, key in ((plain, None), (pseudonymous, b"k" * 32)):
         folder.mkdir()
         record_run(folder, pseudonym_key=key)
     tenants = {
         event.tenant
-        for file in only_run(named)
+        for file in only_run(plain)
         for event in map(decode_event, read_segment(file).records)
         if isinstance(event, Request)
     }
     assert len(tenants) >= 2 and len(only_run(pseudonymous)) > 2
     data = b"".join(file.read_bytes() for file in only_run(pseudonymous))
-    named_segments = [file.read_bytes() for file in only_run(named)[1:]]
+    named_segments = [file.read_bytes() for file in only_run(plain)[1:]]
     assert all(tenant.encode() in segment for tenant in tenants for segment in named_segments)
     for tenant in tenants:
         assert tenant.encode() not in data
@@ -206,19 +206,24 @@
     file = only_run(capture)[0]
     data = file.read_bytes()
     record_count = len(read_segment(file).records)
-    ends, offset = [], 0
+    frame_ends, offset = [], 0
     while offset < len(data):
         offset += FRAME_HEADER.size + FRAME_HEADER.unpack_from(data, offset)[0]
-        ends.append(offset)
-    assert len(ends) >= 2
-    cuts = sorted({*range(0, len(data), 97), *(end + d for end in ends for d in (-1, 0, 1, 7, 8, 9))})
+        frame_ends.append(offset)
+    assert len(frame_ends) >= 2
+    cuts = sorted(
+        {
+            *range(0, len(data), 97),
+            *(frame_end + delta for frame_end in frame_ends for delta in (-1, 0, 1, 7, 8, 9)),
+        }
+    )
     for cut in cuts:
         payloads = list(decode_frames(data[:cut]))
-        whole_frames = sum(1 for end in ends if end <= cut)
+        complete_frames = sum(1 for frame_end in frame_ends if frame_end <= cut)
         intact = [payload for payload in payloads if not isinstance(payload, Truncation)]
-        assert len(intact) == whole_frames
+        assert len(intact) == complete_frames
         is_reported = any(isinstance(payload, Truncation) for payload in payloads)
-        assert is_reported is (cut not in (0, *ends) and cut < len(data))
+        assert is_reported is (cut not in (0, *frame_ends) and cut < len(data))
     truncated = tmp_path / file.name
     truncated.write_bytes(data[:-5])
     report = replay([truncated])
@@ -250,21 +255,21 @@
 
 def test_files_that_are_no_captures_are_errors(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["replay", str(tmp_path)]) == 2
-    bad = tmp_path / "x-000000.glcap"
+    invalid_file = tmp_path / "x-000000.glcap"
     for data, message in (
         (b"", "empty"),
         (b"nonsense that is long", "damaged"),
         (encode_frame(b"\x01"), "not a capture"),
         (encode_frame(b"\xc1"), "decoded"),
     ):
-        bad.write_bytes(data)
+        invalid_file.write_bytes(data)
         with pytest.raises(CaptureError, match=message):
-            read_segment(bad)
+            read_segment(invalid_file)
     with pytest.raises(CaptureError, match="format 99"):
         decode_header({"magic": MAGIC, "format": FORMAT + 97})
     with pytest.raises(CaptureError, match="segment header"):
         decode_header({"magic": MAGIC, "format": FORMAT})
-    assert replay([bad]).notes and "glenchute" in capsys.readouterr().err
+    assert replay([invalid_file]).notes and "glenchute" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("capture_format", [FORMAT, format_1.FORMAT])
@@ -306,12 +311,14 @@
 def test_another_version_is_compared_and_its_changes_are_counted(
     capture: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    same = changed_engine(tmp_path, "local_share.py", "MIN_LOCAL_REQUESTS = 2.0", "MIN_LOCAL_REQUESTS = 2.0 ")
-    assert main(["replay", str(capture), "--against", str(same)]) == 0
-    shutil.rmtree(same)
-    other = changed_engine(tmp_path, "call_pacing.py", "CALL_GAP_MS = 100.0", "CALL_GAP_MS = 150.0")
-    assert engine_digest(other) != engine_digest()
-    assert main(["replay", str(capture), "--against", str(other)]) == 1
+    same_engine = changed_engine(
+        tmp_path, "local_share.py", "MIN_LOCAL_REQUESTS = 2.0", "MIN_LOCAL_REQUESTS = 2.0 "
+    )
+    assert main(["replay", str(capture), "--against", str(same_engine)]) == 0
+    shutil.rmtree(same_engine)
+    other_engine = changed_engine(tmp_path, "call_pacing.py", "CALL_GAP_MS = 100.0", "CALL_GAP_MS = 150.0")
+    assert engine_digest(other_engine) != engine_digest()
+    assert main(["replay", str(capture), "--against", str(other_engine)]) == 1
     assert " -> " in capsys.readouterr().out
     with pytest.raises(CaptureError):
         load_other_engine(tmp_path)
@@ -364,7 +371,7 @@
     )
     recorder.handle(1000.0, EndpointList(EndpointListKind.CACHED, (Endpoint("s0", "a"),)))
     recorder.handle(1001.0, TimerFired(0))
-    with pytest.raises(TypeError):  # any exception will do: here a time left of None
+    with pytest.raises(TypeError):  # any exception would do; here the time left is None
         recorder.handle(1002.0, Request("1", "read", "soft", "c", None))  # type: ignore[arg-type]
     recorder.handle(1003.0, TimerFired(0))
     recorder.trigger("asked for")
--- a/tests/capture/test_format_1.py
+++ b/tests/capture/test_format_1.py
@@ -103,7 +103,11 @@
         events = [decode_event(record) for record in segment.records]
         request_ids = {event.request_id for event in events if isinstance(event, Request)}
         tokens = {values[0] for kind, values in actions if ACTIONS[kind] is SetTimer}
-        ended = [e for e in events if isinstance(e, AttemptEnded) and e.request_id not in request_ids]
-        timers = [e for e in events if isinstance(e, TimerFired) and e.token not in tokens]
+        ended = [
+            event
+            for event in events
+            if isinstance(event, AttemptEnded) and event.request_id not in request_ids
+        ]
+        timers = [event for event in events if isinstance(event, TimerFired) and event.token not in tokens]
         assert len(ended) >= 3 and timers
         assert replies_to_earlier_calls(segment, late=False) and replies_to_earlier_calls(segment, late=True)
--- a/tests/cli/test_process.py
+++ b/tests/cli/test_process.py
@@ -98,7 +98,7 @@
 
 
 def test_sighup_applies_the_addresses_of_the_file(tmp_path: Path) -> None:
-    """Several changes in a row are applied; an unreadable file changes nothing."""
+    """Several changes in a row are applied; an invalid file changes nothing."""
 
     async def scenario() -> None:
         server = RespPeer(reply_with(SERVED))
@@ -120,11 +120,11 @@
         await port_holder.wait_closed()
         path = tmp_path / "config.json"
 
-        def write(index: int) -> None:
+        def write_config(index: int) -> None:
             discovery, counter_peer = addresses[index]
             path.write_text(json.dumps(raw_config(discovery.port, counter_peer.port, rows, listen)))
 
-        write(0)
+        write_config(0)
         process = await start(path)
         assert process.stderr is not None
         client = await connect_when_ready(listen)
@@ -135,7 +135,7 @@
             pass
         assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
         for index in (1, 2):
-            write(index)
+            write_config(index)
             process.send_signal(signal.SIGHUP)
             while b"read again" not in await process.stderr.readline():
                 pass
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -63,7 +63,7 @@
     ) -> ReadResult:
         result = self.real(path, facts, yield_processor)
         self.started += 1
-        # False if it was not released in time, as when the read blocks the loop that runs the test.
+        # False if the read was not released in time, as when it blocks the loop that runs the test.
         self.was_released &= self.released.wait(20.0)
         return result
 
@@ -111,7 +111,8 @@
 def test_an_invalid_file_changes_nothing_and_all_errors_are_logged(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """So does an exception while reading, or a thread that can't be started. The next file is applied."""
+    """An exception while reading, or a thread that can't be started, changes nothing either and is logged.
+    The next valid file is applied."""
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
 
@@ -119,40 +120,40 @@
         async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
             program = gateway_site.program
 
-            def reported() -> list[str]:
+            def rejection_messages() -> list[str]:
                 return [record.getMessage() for record in caplog.records if REJECTED in record.getMessage()]
 
-            async def rejected(text: str) -> str:
-                before = len(reported())
+            async def reload_rejected(text: str) -> str:
+                before = len(rejection_messages())
                 file.write_text(text)
                 program.reread_operator_file(str(file), program.config)
-                await wait_until(lambda: len(reported()) > before)
+                await wait_until(lambda: len(rejection_messages()) > before)
                 assert (
                     bound_route(gateway_site) == "first"
                     and sys.getswitchinterval() > SWITCH_INTERVAL_S
                     and gc.isenabled()
                 )
-                return reported()[-1]
+                return rejection_messages()[-1]
 
-            wrong = "".join(reads(f"r{n}", attempts=7) for n in range(300))
-            lines = (await rejected(wrong)).splitlines()
+            invalid_text = "".join(reads(f"r{n}", attempts=7) for n in range(300))
+            lines = (await reload_rejected(invalid_text)).splitlines()
             assert sum("error equal-rank" in line for line in lines) == 299
             assert any("error attempts-over-cap: route[0].attempts" in line for line in lines)
-            assert "error not-toml" in await rejected("[[route]\n")
-            with monkeypatch.context() as patch:
+            assert "error not-toml" in await reload_rejected("[[route]\n")
+            with monkeypatch.context() as patched:
 
-                def broken(*_: object) -> ReadResult:
+                def fail_to_read(*_: object) -> ReadResult:
                     raise MemoryError("no more")
 
-                patch.setattr(operators, "read", broken)
-                assert "no more" in await rejected(reads("second"))
-            with monkeypatch.context() as patch:
+                patched.setattr(operators, "read", fail_to_read)
+                assert "no more" in await reload_rejected(reads("second"))
+            with monkeypatch.context() as patched:
 
-                def none(*_: object, **__: object) -> None:
+                def fail_to_start(*_: object, **__: object) -> None:
                     raise RuntimeError("can't start new thread")
 
-                patch.setattr(threading.Thread, "start", none)
-                assert "can't start new thread" in await rejected(reads("second"))
+                patched.setattr(threading.Thread, "start", fail_to_start)
+                assert "can't start new thread" in await reload_rejected(reads("second"))
             program.reread_operator_file(str(file), program.config)
             await wait_until(lambda: bound_route(gateway_site) == "second")
 
@@ -173,12 +174,12 @@
             (line,) = [r.getMessage() for r in caplog.records if "warning" in r.getMessage()]
             assert "backoff-unused: route[0].backoff" in line
             caplog.clear()
-            found = reload_operator_file(str(file), program.config)
-            found = found._replace(warnings=[f"w{n}" for n in range(count)])
-            reload_of(program).apply(found)
+            result = reload_operator_file(str(file), program.config)
+            result = result._replace(warnings=[f"w{n}" for n in range(count)])
+            reload_of(program).apply(result)
             assert len(caplog.records) == WARNINGS_PER_TURN and bound_route(gateway_site) == "r0"
             await wait_until(lambda: len(caplog.records) > count)
-            assert [r.getMessage() for r in caplog.records] == [*found.warnings, READ_AGAIN]
+            assert [r.getMessage() for r in caplog.records] == [*result.warnings, READ_AGAIN]
 
     run_scenario(scenario())
 
@@ -191,23 +192,23 @@
 
     async def scenario() -> None:
         async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
-            program, turns = gateway_site.program, 0
+            program, iterations = gateway_site.program, 0
             program.reread_operator_file(str(file), program.config)
             while (background := reload_of(program).background) is not None and background.is_busy:
-                turns += 1
+                iterations += 1
                 await asyncio.sleep(0)
-            assert turns > 20 and bound_route(gateway_site) == "first"
+            assert iterations > 20 and bound_route(gateway_site) == "first"
 
     run_scenario(scenario())
 
 
 def test_no_result_is_reported_to_a_closed_loop() -> None:
     reported: list[bool | Exception] = []
-    loop, go = asyncio.new_event_loop(), threading.Event()
+    loop, release = asyncio.new_event_loop(), threading.Event()
     background: BackgroundReload[bool] = BackgroundReload(loop, reported.append)
-    background.submit(lambda: go.wait(20.0))
+    background.submit(lambda: release.wait(20.0))
     loop.close()
-    go.set()
+    release.set()
     for thread in [t for t in threading.enumerate() if t.name == THREAD_NAME]:
         thread.join(20.0)
         assert not thread.is_alive()
@@ -249,12 +250,12 @@
 def test_a_stop_while_a_file_is_read_exits_cleanly(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     (tmp_path / "sitecustomize.py").write_text(BLOCK_SECOND_READ)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
-    quiet = [
+    silent_nodes = [
         Node("n0", ServiceProfile({"report-read": 1.0}), FaultScript([Fault(FaultKind.VANISH, 0.0, 1e9)]))
     ]
 
     async def scenario() -> None:
-        async with LabSite(quiet) as lab:
+        async with LabSite(silent_nodes) as lab:
             gateway = GatewayProcess(tmp_path, lab.platform(), reads("r").replace("read", "report-read"))
             gateway.start()
             try:
--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -19,7 +19,7 @@
 from glenchute.config.operator import ReadResult, parse, read
 from glenchute.config.operator_shape import MAX_ROUTES
 from glenchute.config.operator_text import MAX_BYTES
-from glenchute.config.schema import Path as Place
+from glenchute.config.schema import Path as KeyPath
 from glenchute.policy.events import Outcome
 from tests.loopback import raw_config
 from tests.sites import FACTS, NO_SCOPE, OVERLAP
@@ -209,16 +209,16 @@
         (finding,) = read(str(path), FACTS).findings
         return finding.code
 
-    large, latin, locked = tmp_path / "large", tmp_path / "latin", tmp_path / "locked"
+    large, latin_1, loop = tmp_path / "large", tmp_path / "latin", tmp_path / "locked"
     large.write_bytes(b"#" * (MAX_BYTES + 1))
-    latin.write_bytes(b"# one\n# \xe9\n")
+    latin_1.write_bytes(b"# one\n# \xe9\n")
     os.mkfifo(tmp_path / "pipe")
-    locked.symlink_to(locked)  # a symbolic link to itself, unreadable for root too
+    loop.symlink_to(loop)  # a symbolic link to itself, unreadable for root too
     assert code(tmp_path) == "is-directory"
-    assert code(tmp_path / "pipe") == "not-a-file"  # and reading it does not block
-    assert code(tmp_path / "none") == code(locked) == "unreadable"
+    assert code(tmp_path / "pipe") == "not-a-file"  # reading a pipe must not block
+    assert code(tmp_path / "none") == code(loop) == "unreadable"
     assert code(large) == "too-large"
-    assert code(latin) == "not-utf8" and read(str(latin), FACTS).findings[0].line == 2
+    assert code(latin_1) == "not-utf8" and read(str(latin_1), FACTS).findings[0].line == 2
     assert code(Path("a\0b")) == "unreadable"
 
 
@@ -327,12 +327,12 @@
 
 def test_lines_are_found_through_strings_arrays_and_comments() -> None:
     lines = line_numbers(TOML)
-    wanted: dict[Place, int] = {
+    expected: dict[KeyPath, int] = {
         ("a", "b"): 2, ("c d",): 3, ("route", 0): 8, ("route", 0, "name"): 9, ("route", 0, "match"): 12,
         ("route", 0, "backoff"): 13, ("route", 0, "backoff", "first_ms"): 14, ("route", 1): 15,
         ("route", 1, "text"): 16, ("route", 1, "last"): 18, ("t", "u v"): 19, ("t", "u v", "w"): 20,
     }  # fmt: skip
-    assert {path: lines.get(path) for path in wanted} == wanted
+    assert {path: lines.get(path) for path in expected} == expected
     assert line_of(("route", 0, "match", "class"), lines) == 12 and line_of(("nowhere",), lines) == 0
 
 
@@ -401,9 +401,9 @@
         and "route all-reads names 1" in process.stdout
         and "attempt 2" in process.stdout
     )
-    for wrong in (["--class", "nope", "--plan", "basic"], ["--class", "read", "--plan", "nope"],
+    for arguments in (["--class", "nope", "--plan", "basic"], ["--class", "read", "--plan", "nope"],
                   ["--class", "read", "--plan", "basic", "--command", "POST"]):  # fmt: skip
-        process = run("explain", "--operator", str(file), "--platform", platform, *wrong)
+        process = run("explain", "--operator", str(file), "--platform", platform, *arguments)
         assert process.returncode == 2 and process.stderr.startswith("glenchute: ")
 
 
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -14,8 +14,7 @@
 import pytest
 
 from glenchute.capture.codec import decode_event
-from glenchute.capture.replay import find_runs, replay
-from glenchute.capture.replay import read_segment as read_segment
+from glenchute.capture.replay import find_runs, read_segment, replay
 from glenchute.config.facts import PlatformFacts
 from glenchute.config.operator import parse
 from glenchute.policy.events import AttemptAssigned, AttemptEnded, Event, Outcome
@@ -114,10 +113,10 @@
     return str(path)
 
 
-def run_command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     environ = {key: value for key, value in os.environ.items() if not key.startswith(("EDGE_", "GLENCHUTE_"))}
     return subprocess.run(
-        [sys.executable, "-m", "glenchute", *words],
+        [sys.executable, "-m", "glenchute", *arguments],
         capture_output=True, text=True, cwd=ROOT, env=environ, timeout=30, check=False,
     )  # fmt: skip
 
@@ -158,7 +157,7 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
 
-def captured(tmp_path: Path) -> list[Event]:
+def captured_events(tmp_path: Path) -> list[Event]:
     """Returns the events of a captured gateway, after checking that a replay makes equal decisions."""
     files = [file for run in find_runs(tmp_path).values() for file in run]
     for run in find_runs(tmp_path).values():
@@ -168,14 +167,14 @@
 
 
 def test_a_capture_tells_where_attempts_went_and_replays(tmp_path: Path) -> None:
-    """Covers a stalled head, the reset of its connection, and the retries. The replay makes equal
+    """Covers a stalled head, the reset of its connection, and the retries; the replay makes equal
     decisions."""
     operator = ('[pipeline]\nclasses = ["read"]\ndepth = 8\nat_risk = 16\nsettle_ms = 0\n'
                 f'[capture]\nfolder = "{tmp_path}"\nmode = "disk"\n')  # fmt: skip
 
     async def scenario() -> None:
         server = ScriptedServer()
-        async with pipelined_site(server, operator=operator) as (gateway_site, lines):
+        async with pipelined_site(server, operator=operator) as (gateway_site, upstream):
             client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
             for _ in range(3):
@@ -183,10 +182,10 @@
                 await asyncio.sleep(0.05)
             server.answers = True
             assert {await client.reply() for _ in range(3)} == {b"a", b"b", b"c"}
-            assert lines.scheduler.counts["condemned"] == 1
+            assert upstream.scheduler.counts["condemned"] == 1
 
     run_scenario(scenario())
-    events = captured(tmp_path)
+    events = captured_events(tmp_path)
     assigned = [event for event in events if isinstance(event, AttemptAssigned)]
     assert len(assigned) >= 6 and "joins line 1 behind 2" in assigned[2].reason
     resets = [event for event in events if isinstance(event, AttemptEnded)]
--- a/tests/core/test_executor.py
+++ b/tests/core/test_executor.py
@@ -44,8 +44,8 @@
             assert await client.ask(b"CALL.POST", CUSTOMER, b"id-1", ORDER, b"body\r\n*1") == b"value"
             verb, customer, name, fields, body = gateway_site.servers[0].calls()[0]
             assert (verb, customer, name, body) == (b"CALL.POST", CUSTOMER, b"id-1", b"body\r\n*1")
-            prefix, _, rest = fields.partition(b"d=")
-            left_ms, _, suffix = rest.partition(b",")
+            prefix, _, remaining = fields.partition(b"d=")
+            left_ms, _, suffix = remaining.partition(b",")
             assert (prefix, suffix) == (b"c=order,t=basic,", b"k=5c0f6e1a2b3d4c59")
             assert 0 < int(left_ms) < 20000
 
@@ -68,10 +68,8 @@
     (reply_with(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Outcome.ERROR),
     (reply_with(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
     (reply_with(b"*3\r\n$3000000000\r\n" + b"x" * 500), Outcome.ERROR),
-    (
-        reply_with(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"),
-        Outcome.ERROR,
-    ),  # shorter than its stated length, and nothing follows
+    # The value is shorter than its stated length, and nothing follows.
+    (reply_with(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), Outcome.ERROR),
     (reply_with(b"*3\r\n*999999999\r\n"), Outcome.ERROR),
     (reply_with(b"-BUSY or not\r\n"), Outcome.ERROR),
     (reply_with(b"-BUSY\r\nnoise"), Outcome.ERROR),
@@ -90,7 +88,7 @@
 @pytest.mark.parametrize(("reply", "outcome"), OUTCOMES)
 def test_each_attempt_outcome_is_reported_once(reply: Reply, outcome: Outcome) -> None:
     async def scenario() -> None:
-        # Where an answer comes, there is no timeout, so that a slow machine can't cause one.
+        # Only the case without a reply has a timeout, so that a slow machine can't cause one in the others.
         script = ScriptedEngine(send_to("s0", 200.0 if outcome is Outcome.TIMEOUT else 0.0))
         async with site(reply, decisions=script) as gateway_site:
             client = await gateway_site.client()
@@ -120,14 +118,14 @@
     """Two copies of a request must never be in flight together: the timeout is reported after the close."""
 
     async def scenario() -> None:
-        seen: list[str] = []
+        endings: list[str] = []
 
         def decide(event: Event) -> list[Action]:
             if isinstance(event, Request):
                 return [StartAttempt(event.request_id, "s0", 100.0)]
             if isinstance(event, AttemptEnded) and not event.is_final:
-                first = gateway_site.program.servers.pools["s0"].open
-                seen.append(f"{event.outcome.value} with {len(first)} open")
+                open_connections = gateway_site.program.servers.pools["s0"].open
+                endings.append(f"{event.outcome.value} with {len(open_connections)} open")
                 return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
@@ -136,7 +134,7 @@
         ) as gateway_site:
             client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            assert seen == ["timeout with 0 open"]
+            assert endings == ["timeout with 0 open"]
             await wait_until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
 
     run_scenario(scenario())
@@ -173,7 +171,9 @@
             client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             await wait_until(lambda: script.of(AttemptEnded))
-            assert [(e.attempt, e.outcome) for e in script.of(AttemptEnded)] == [(1, Outcome.NOT_SENT)]
+            assert [(event.attempt, event.outcome) for event in script.of(AttemptEnded)] == [
+                (1, Outcome.NOT_SENT)
+            ]
             assert gateway_site.servers[1].calls() == []
 
     run_scenario(scenario())
@@ -208,7 +208,7 @@
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
             assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
-            assert [e.outcome for e in script.of(AttemptEnded)] == ([Outcome.TIMEOUT] if sent else [])
+            assert [event.outcome for event in script.of(AttemptEnded)] == ([Outcome.TIMEOUT] if sent else [])
 
     run_scenario(scenario())
 
--- a/tests/core/test_routes_loopback.py
+++ b/tests/core/test_routes_loopback.py
@@ -35,28 +35,29 @@
 
 
 def test_two_routes_really_differ_on_the_sockets() -> None:
-    """In the timeout stated to servers, the close of the connection, and the time of the client's reply."""
+    """The two routes differ in the timeout that servers are told, the close of the connection, and the time
+    of the client's reply."""
 
     async def scenario() -> None:
         async with site(reply_with(None), operator=TWO_ROUTES) as gateway_site:
             loop = asyncio.get_running_loop()
-            waited: dict[str, float] = {}
+            durations_s: dict[str, float] = {}
 
             async def ask(name: str, *words: bytes) -> None:
-                client, began = await gateway_site.client(), loop.time()
+                client, started_at = await gateway_site.client(), loop.time()
                 assert str(await client.ask(*words)) == "ERR failed"
-                waited[name] = loop.time() - began
+                durations_s[name] = loop.time() - started_at
 
             await asyncio.gather(
                 ask("read", b"CALL.GET", CUSTOMER, b"1", GET),
                 ask("charge", b"CALL.POST", CUSTOMER, b"2", CHARGE, b"body"),
             )
-            assert 0.145 <= waited["read"] < waited["charge"] and waited["charge"] >= 0.44
+            assert 0.145 <= durations_s["read"] < durations_s["charge"] and durations_s["charge"] >= 0.44
             calls = gateway_site.servers[0].calls()
             stated_ms = {words[2]: int(words[3].split(b"d=")[1].split(b",")[0]) for words in calls}
             assert stated_ms[b"1"] <= 150 < stated_ms[b"2"] <= 450
             await wait_until(
-                lambda: sum(1 for what, _, _ in gateway_site.servers[0].log if what == "closed") == 2
+                lambda: sum(1 for kind, _, _ in gateway_site.servers[0].log if kind == "closed") == 2
             )
 
     run_scenario(scenario())
@@ -97,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "sent"),
+    ("words", "expected_fields"),
     [
         ((b"CALL.GET", CUSTOMER, b"7", GET), b"c=read,t=basic,d=%d,units=2,spread=2,first=1"),
         ((b"CALL.POST", CUSTOMER, b"7", ORDER, b"a body"), b"c=order,t=basic,d=%d,k=5c0f6e1a2b3d4c59"),
@@ -105,24 +106,24 @@
     ],
 )
 def test_without_an_operators_file_commands_are_forwarded_unchanged(
-    words: tuple[bytes, ...], sent: bytes
+    words: tuple[bytes, ...], expected_fields: bytes
 ) -> None:
-    """Byte for byte, except for the time left, which only decreases."""
+    """Servers get the commands byte for byte, except for the time left, which only decreases."""
 
     async def scenario() -> None:
         async with site(reply_with(SERVED)) as gateway_site:
             client = await gateway_site.client()
             assert await client.ask(*words) == b"value"
             (received,) = gateway_site.servers[0].calls()
-            left = int(received[3].split(b"d=")[1].split(b",")[0])
-            assert 1 <= left <= 20_000
-            assert received == [*words[:3], sent % left, *words[4:]]
+            left_ms = int(received[3].split(b"d=")[1].split(b",")[0])
+            assert 1 <= left_ms <= 20_000
+            assert received == [*words[:3], expected_fields % left_ms, *words[4:]]
 
     run_scenario(scenario())
 
 
 def silent_node() -> list[Node]:
-    """A node that accepts commands and never replies."""
+    """Returns a node that accepts commands and never replies."""
     faults = [Fault(FaultKind.VANISH, 0.0, 1e9)]
     return [Node("n0", ServiceProfile({"report-read": 1.0}), FaultScript(faults))]
 
@@ -141,28 +142,30 @@
             gateway.start()
             try:
                 await gateway.ready()
-                serial = iter(range(1000))
+                numbers = iter(range(1000))
 
-                async def waited() -> float:
-                    client, began = await Client.connect(gateway.port), loop.time()
+                async def request_duration_s() -> float:
+                    client, started_at = await Client.connect(gateway.port), loop.time()
                     fields = b"c=report-read,t=korporativni,d=20000"
-                    await client.ask(b"CALL.GET", CUSTOMER, b"%d" % next(serial), fields)
+                    await client.ask(b"CALL.GET", CUSTOMER, b"%d" % next(numbers), fields)
                     client.writer.close()
-                    return loop.time() - began
+                    return loop.time() - started_at
 
-                assert 0.09 <= await waited() < 1.48
+                assert 0.09 <= await request_duration_s() < 1.48
                 gateway.operator.write_text(reads(100) + "second_copy_after_ms = 50\nattempts = 7\n")
                 gateway.signal(signal.SIGHUP)
                 await wait_until(lambda: "operator's file in force stays" in gateway.log.read_text())
-                assert 0.09 <= await waited() < 1.48
+                assert 0.09 <= await request_duration_s() < 1.48
                 gateway.operator.write_text(reads(1500))
                 gateway.signal(signal.SIGHUP)
                 await wait_until(lambda: "operator's file was read again" in gateway.log.read_text())
-                assert await waited() >= 1.48
+                assert await request_duration_s() >= 1.48
                 assert "waits for a restart" not in gateway.log.read_text()
-                more = f"[capture]\nfolder = '{tmp_path}'\n[fronts.extproc]\nlisten = 'unix:/nowhere'\n"
-                mapped = "account = 'header:a'\nplan = 'header:p'\nclass = 'header:c'\nkey = 'header:k'\n"
-                gateway.operator.write_text(f"{more}[fronts.extproc.map]\n{mapped}{reads(500)}")
+                tables = f"[capture]\nfolder = '{tmp_path}'\n[fronts.extproc]\nlisten = 'unix:/nowhere'\n"
+                request_map = (
+                    "account = 'header:a'\nplan = 'header:p'\nclass = 'header:c'\nkey = 'header:k'\n"
+                )
+                gateway.operator.write_text(f"{tables}[fronts.extproc.map]\n{request_map}{reads(500)}")
                 gateway.signal(signal.SIGHUP)
                 message = "[fronts], [pipeline] and [subset] waits for a restart"
                 await wait_until(lambda: message in gateway.log.read_text())
