--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -172,9 +172,9 @@
 def test_traffic_that_moves_to_other_gateways_brings_no_second_ceiling() -> None:
     fleet = Fleet(4, 3)
     fleet.run(fleet.now + 5000.0)
-    for turn in range(8):
+    for step in range(8):
         fleet.counter.replace()
-        fleet.flood("bare", 120.0, 1.0, [1.0 if i == turn % 4 else 0.01 for i in range(4)])
+        fleet.flood("bare", 120.0, 1.0, [1.0 if i == step % 4 else 0.01 for i in range(4)])
         fleet.run(fleet.now + 1000.0)
     assert fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units) <= ceiling_bound(
         fleet, 2
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -83,7 +83,7 @@
 
     def __init__(self) -> None:
         self.known: dict[str, Endpoint] = {}
-        self.total = self.turn = 0
+        self.total = self.request_count = 0
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         if isinstance(event, EndpointList):
@@ -96,8 +96,8 @@
                 else:
                     self.known.pop(entry.address, None)
         elif isinstance(event, Request) and self.known:
-            self.turn += 1
-            return [StartAttempt(event.request_id, sorted(self.known)[self.turn % len(self.known)])]
+            self.request_count += 1
+            return [StartAttempt(event.request_id, sorted(self.known)[self.request_count % len(self.known)])]
         return []
 
 
@@ -422,22 +422,24 @@
 ]
 
 
-@pytest.mark.parametrize(("listed", "gateways", "used", "least", "most"), SIZES)
+@pytest.mark.parametrize(("listed", "gateways", "size", "min_gateways", "max_gateways"), SIZES)
 def test_the_settings_alone_give_the_subset_size(
-    listed: int, gateways: int, used: int, least: int, most: int
+    listed: int, gateways: int, size: int, min_gateways: int, max_gateways: int
 ) -> None:
     """Servers are also used evenly, over all zones and for any number of gateways."""
-    assert subset_size(listed, gateways) == used
+    assert subset_size(listed, gateways) == size
     first = Subset(SubsetTerms(gateways, 0), SlowStart())
     first.replace_list(fleet := servers_in_zones(listed))
     gateways_by_server: Counter[str] = Counter()
-    for number in range(gateways if most else 0):
+    for number in range(gateways if max_gateways else 0):
         subset = Subset(SubsetTerms(gateways, number), SlowStart())
         subset.listed, subset.rings = first.listed, first.rings
         subset.refresh(0.0)
-        assert len(subset.in_use) == used
+        assert len(subset.in_use) == size
         gateways_by_server.update(subset.in_use.keys())
-    assert {gateways_by_server[entry.address] for entry in fleet} <= set(range(least, most + 1))
+    assert {gateways_by_server[entry.address] for entry in fleet} <= set(
+        range(min_gateways, max_gateways + 1)
+    )
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 384, 520, 999])
@@ -466,15 +468,19 @@
     """Lists of 20, 5,700, 20 and 5,700 other servers: one event each time tells the engine which servers it
     may use and how many there are."""
     subsetting, engine = default_subset()
-    few, many, others = servers_in_zones(20), servers_in_zones(5_700), servers_in_zones(5_700, first=10_000)
+    few, many, other_servers = (
+        servers_in_zones(20),
+        servers_in_zones(5_700),
+        servers_in_zones(5_700, first=10_000),
+    )
     subsetting.handle(1e6, list_event(few, EndpointListKind.FULL))
     assert engine.known == {entry.address: entry for entry in few} and engine.total == 0
     now = 1e6
     transitions = (
         (few, many, MIN_SUBSET_SIZE),
         (many, few, 20),
-        (few, others, MIN_SUBSET_SIZE),
-        (others, few, 20),
+        (few, other_servers, MIN_SUBSET_SIZE),
+        (other_servers, few, 20),
     )
     for before, after, count in transitions:
         names = {entry.address for entry in after}
@@ -526,19 +532,19 @@
     """At least one server of a zone is in use while any of its servers is listed. While servers warm up, more
     of them are in use according to their weights, up to a bound; once warm, no more than before."""
     subsetting, engine = default_subset()
-    rest, zone = servers_in_zones(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
-    subsetting.handle(1e6, list_event([*rest, *zone], EndpointListKind.FULL))
+    other_zones, zone_servers = servers_in_zones(4_900, 6), [Endpoint(f"z{n}", "z") for n in range(800)]
+    subsetting.handle(1e6, list_event([*other_zones, *zone_servers], EndpointListKind.FULL))
 
     def used() -> int:
         return sum(entry.zone == "z" for entry in engine.known.values())
 
     before = used()
     assert before in (6, 7)
-    subsetting.handle(2e6, list_event(with_state(zone)))
+    subsetting.handle(2e6, list_event(with_state(zone_servers)))
     assert used() == 0 and len(engine.known) >= MIN_SUBSET_SIZE - before
     subsetting.handle(2e6 + GROWTH_INTERVAL_MS, TimerFired(0))
     assert len(engine.known) >= MIN_SUBSET_SIZE
-    cold = [replace(entry, started_ms=3e6) for entry in zone]
+    cold = [replace(entry, started_ms=3e6) for entry in zone_servers]
     for entry in cold[:5]:
         subsetting.handle(3e6, list_event([entry]))
         assert used() >= 1
--- a/tests/policy/connections/test_pipelined_connection.py
+++ b/tests/policy/connections/test_pipelined_connection.py
@@ -50,8 +50,8 @@
     pipeline = written_pipeline((3, 3))
     pipeline.update_sent(0)
     for number in (0, 1):
-        found = pipeline.match_reply(10.0)
-        assert found is not None and found.command.item == number and found.is_trusted
+        match = pipeline.match_reply(10.0)
+        assert match is not None and match.command.item == number and match.is_trusted
     assert pipeline.match_reply(10.0) is None
 
 
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -177,7 +177,7 @@
 # --- capacity ------------------------------------------------------------------------------------------
 
 
-def overload(rig: EngineHarness, seconds: float, took: float) -> int:
+def overload(rig: EngineHarness, seconds: float, duration_ms: float) -> int:
     """Sends more requests than are completed; returns the largest number in flight at once."""
     in_flight: list[str] = []
     max_in_flight = 0
@@ -188,7 +188,7 @@
         max_in_flight = max(max_in_flight, len(in_flight))
         rig.now += 10.0
         if in_flight and step % 4 == 0:
-            rig.end(in_flight.pop(0), 0, Outcome.OK, took)
+            rig.end(in_flight.pop(0), 0, Outcome.OK, duration_ms)
         rig.advance(0.0)
         rig.answer_calls()
     return max_in_flight
@@ -237,7 +237,7 @@
 
 
 def share_of(
-    rig: EngineHarness, server: str, count: int, other: Outcome, took: float, classes: str = "read"
+    rig: EngineHarness, server: str, count: int, outcome: Outcome, duration_ms: float, classes: str = "read"
 ) -> float:
     """Returns the fraction of first attempts that a server gets while its attempts end differently from those
     at other servers."""
@@ -251,8 +251,8 @@
             rig.end(
                 name,
                 0,
-                other if first_server == server else Outcome.OK,
-                took if first_server == server else 20.0,
+                outcome if first_server == server else Outcome.OK,
+                duration_ms if first_server == server else 20.0,
             )
         rig.advance(20.0)
     return hits / total
@@ -428,12 +428,14 @@
     assert set(listed) == loaded - folders - types
 
 
-@pytest.mark.parametrize(("others", "least", "most"), [(0.0, 26, 40), (6.0, 0, 14)])
-def test_without_a_total_a_gateway_keeps_to_its_local_share(others: float, least: int, most: int) -> None:
+@pytest.mark.parametrize(("others_units", "min_admitted", "max_admitted"), [(0.0, 26, 40), (6.0, 0, 14)])
+def test_without_a_total_a_gateway_keeps_to_its_local_share(
+    others_units: float, min_admitted: int, max_admitted: int
+) -> None:
     # Guards against even shares, by which this gateway rejects a tenant's requests while shares are unused at
     # gateways that the tenant's requests no longer come through.
     rig = EngineHarness(make_endpoints(4))
-    rig.others = others
+    rig.others = others_units
 
     def run_second() -> int:
         admitted = 0
@@ -453,4 +455,4 @@
     for _ in range(5):
         run_second()
     assert rig.gateway.quota.counter.pacing.is_unavailable
-    assert least <= sum(run_second() for _ in range(18)) <= most  # even shares would admit 18 to 21
+    assert min_admitted <= sum(run_second() for _ in range(18)) <= max_admitted  # even shares: 18 to 21
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -150,7 +150,7 @@
     ]
     means = dict(rig.gateway.pool.latency.mean_ms)
     relative_latencies = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
-    rig.now += 3500.0  # no tick in all this time
+    rig.now += 3500.0  # without a tick of the engine
     for name in in_flight_names:
         rig.end(name, 0, Outcome.TIMEOUT, 3500.0)
     rig.advance(2000.0)
--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -204,12 +204,12 @@
 @pytest.mark.parametrize(
     "operator", [None, '[pipeline]\nclasses = ["read"]\ndepth = 2\n'], ids=["alone", "shared"]
 )
-@pytest.mark.parametrize("turns", range(5))
+@pytest.mark.parametrize("iterations", range(5))
 def test_a_connection_that_came_up_while_the_loop_was_busy_writes_nothing_for_who_left(
-    how: str, operator: str | None, turns: int
+    how: str, operator: str | None, iterations: int
 ) -> None:
-    """The attempt began to connect `turns` iterations of the loop before its client disconnects and the loop
-    is blocked: what was not written by then must not be written afterwards."""
+    """The attempt began to connect `iterations` iterations of the loop before its client disconnects and the
+    loop is blocked: what was not written by then must not be written afterwards."""
 
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
@@ -217,7 +217,7 @@
             sock = connect_raw(gateway_site, *reads(MAX_PENDING_COMMANDS))
             while not gateway_site.program.servers.connecting:
                 await asyncio.sleep(0)
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             attempts = gateway_site.program.gateway.attempts_in_flight.values()
             written_count = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in attempts)
--- a/tests/system/test_crossings_clients.py
+++ b/tests/system/test_crossings_clients.py
@@ -52,8 +52,9 @@
                 not gateway_site.program.gateway.active_requests
                 and not gateway_site.program.listener.open_ids
             )
-            again = await gateway_site.client()  # request ids of the closed connection may be reused at once
-            again.send(*READ, b"0", GET)
+            # Request ids of the closed connection may be reused at once.
+            second_client = await gateway_site.client()
+            second_client.send(*READ, b"0", GET)
             await wait_until(lambda: len(gateway_site.program.gateway.active_requests) == 1)
 
     run_scenario(scenario())
--- a/tests/system/test_crossings_shutdown.py
+++ b/tests/system/test_crossings_shutdown.py
@@ -113,7 +113,7 @@
     gateway.signal(signal.SIGSTOP)
     late_client = await Client.connect(gateway.listen)  # completed by the kernel: the process is stopped
     late_client.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-    await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # its shutdown timer is due before it polls its sockets
+    await asyncio.sleep(SHUTDOWN_ACCEPT_S + 0.2)  # the shutdown timer is due before sockets are polled
     gateway.release.set()
     gateway.signal(signal.SIGCONT)
     assert await late_client.reply() == b"value"
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -304,7 +304,7 @@
                 endpoint_update(gateway_site, "s1", EndpointState.ACTIVE, healthy.port)
             )
             assert [await client.reply() for _ in range(5)] == [b"a", b"b", b"c", b"d", b"e"]
-            assert loop.time() - started_at < 2.0  # their deadline is 20 s
+            assert loop.time() - started_at < 2.0  # the requests' deadline is 20 s
             assert upstream.scheduler.counts["cut at a stall"] == 1
             assert sorted(healthy.ids()) == [b"a", b"b", b"c", b"d", b"e"] and 0 in stalled.ended
 
