--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -251,7 +251,8 @@
     ("timeout", "loads"), [(1200, True), (2237, True), (2241, True), (2242, False), (2245, False)]
 )
 def test_the_limit_of_the_idempotency_window(timeout: int, loads: bool) -> None:
-    """2,500 ms, less 5 ms of the engine's margin, 250 ms to connect and 4 ms of timer error: 2,241 ms."""
+    """With a retry, an attempt may take the window of 2,500 ms, less 5 ms of the engine's margin, 250 ms to
+    connect and 4 ms of timer error: 2,241 ms."""
     result = parse(ORDERS + f"attempts = 2\nattempt_timeout_ms = {timeout}\n", FACTS)
     assert (result.config is not None) is loads
 
--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -350,8 +350,8 @@
 
 @pytest.mark.parametrize("head", ["", "[defaults]\nattempts = 2\n", "# none\r\n"])
 def test_a_plain_file_is_read_in_parts(head: str) -> None:
-    """The processor is yielded after each route. A route's header inside a string makes it parse the whole
-    file."""
+    """The processor is yielded after each route. A file with a route's header inside a string is not parsed
+    in parts."""
     yields: list[None] = []
     text = head + each_its_own(50)
     assert load_by_route(text, lambda: yields.append(None)) == tomllib.loads(text)
--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -19,8 +19,8 @@
 
 
 async def collect_reports(reply: Any, release: asyncio.Event, calls: int) -> list[Report]:
-    """Makes this many calls for one key to a counter that answers with `reply`, and sets `go` when all have
-    timed out. Returns what the client reports, in order."""
+    """Makes this many calls for one key to a counter that answers with `reply`, and sets `release` when all
+    have timed out. Returns what the client reports, in order."""
     peer = RespPeer(reply)
     await peer.start()
     counter = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.05)
--- a/tests/policy/admission/test_tenant_bound.py
+++ b/tests/policy/admission/test_tenant_bound.py
@@ -94,7 +94,7 @@
 
 
 def test_a_handover_brings_no_more_tenants_than_the_table_holds(engine: DecisionEngine) -> None:
-    """Of more tenants than the table holds, the most recently seen are transferred."""
+    """If a handover has more tenants than the table holds, the most recently seen ones are transferred."""
     for number in range(BOUND):
         engine.handle(1000.0 + number, request(f"t{number}"))
     snapshots = state_transfer.start_handover(engine.quota.tenants, 2000.0)
--- a/tests/policy/admission/test_total_age.py
+++ b/tests/policy/admission/test_total_age.py
@@ -27,4 +27,4 @@
     assert tenant.bucket_units > 2.0
     assert rig.now - tenant.counter_total_ms < tenant.window_length_ms
     assert (quota.admit(rig.now, tenant, 1.0, False, True) is None) == may_use_bucket
-    assert quota.admit(rig.now, tenant, 1.0, False, False) is None  # needs no total, so the bucket decides
+    assert quota.admit(rig.now, tenant, 1.0, False, False) is None  # the bucket decides without a total
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -77,7 +77,7 @@
 
 def test_new_servers_get_work_while_the_old_ones_are_overloaded() -> None:
     """Guards against warm servers that get all requests after 60 % of the servers were replaced: no gateway
-    knew that they were full, as load reports are old if a gateway uses each server only every few seconds."""
+    knows that they are full, as load reports are old if a gateway uses each server only every few seconds."""
     world = LargeWorld(1)
     world.load(11_000.0, 260.0, ("wide",))
     world.run(3000.0)
@@ -91,8 +91,8 @@
 
 
 def test_few_warm_servers_give_the_rate_of_those_that_warm_up() -> None:
-    """Guards against a mean over all servers: most of them warm up, so it was a fraction of a warm server's
-    rate."""
+    """Guards against taking the mean rate of all servers for that of a warm one: while most servers warm up,
+    the mean is a fraction of it."""
     world = LargeWorld(2)
     world.load(6_000.0, 260.0, ("wide",))
     world.run(3000.0)
@@ -117,7 +117,7 @@
     world.load(12_000.0, 60.0)
     world.run(12_000.0)
     log_lines = [line for line in world.log_lines if line.startswith("in ")]
-    assert len(log_lines) == 6  # one every 5 s at each of the 3 gateways
+    assert len(log_lines) == 6  # in 12 s, one every 5 s at each of the 3 gateways
     assert all("attempt: ok" in line and "counter: ok" in line for line in log_lines)
 
 
@@ -152,7 +152,7 @@
 
 def test_removed_servers_of_an_old_list_cost_few_attempts() -> None:
     """After a restart most servers of the list may no longer exist. Guards against relating failed connects
-    to the median: with more than half of the servers unreachable, all were still chosen as before."""
+    to their median: with more than half of the servers unreachable, all would be chosen as before."""
     world = LargeWorld(6)
     world.run(100.0)
     names = sorted(world.nodes)
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -444,7 +444,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 384, 520, 999])
 def test_first_positions_are_spread_evenly_by_the_number_alone(gateways: int) -> None:
-    """The gaps between neighbours are between half and twice the even one. Numbers larger than the number of
+    """The gaps between neighbours are between half and twice the mean gap. Numbers larger than the number of
     gateways, such as random ones, have a position too."""
     positions = sorted(first_position(number) for number in range(gateways))
     gaps = [b - a for a, b in zip(positions, [*positions[1:], 1.0 + positions[0]], strict=True)]
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -183,10 +183,8 @@
     old = gateway_after_requests("c", "hard", spent)
     new = replace_process(old)
     admitted = count_admitted(old, "hard", "c") + count_admitted(new, "hard", "c")
-    assert admitted <= max_admitted + 1, (
-        admitted,
-        max_admitted,
-    )  # one more by rounding, as a request is not split
+    # One more may be admitted by rounding, as a request is not split.
+    assert admitted <= max_admitted + 1, (admitted, max_admitted)
 
 
 def test_only_the_successor_marks_epochs_until_the_predecessor_is_single_again() -> None:
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -182,7 +182,8 @@
 
 
 def counter_available_again(rig: EngineHarness) -> bool:
-    """The counter replies again; one request, admitted by the local share, gives something to report."""
+    """Lets the counter reply again, and sends a request, which the local share admits, so that there are
+    units to report. Returns whether the counter counts as available."""
     rig.ending = Outcome.OK
     rig.ask(plan="rate", customer="other")
     for _ in range(8):
@@ -269,7 +270,7 @@
 
 
 def is_server_used(rig: EngineHarness, server: str = "s0") -> bool:
-    """Returns whether a burst of requests goes to this server too."""
+    """Returns whether any request of a burst goes to this server."""
     return any(server in rig.sent.get(rig.ask(customer=f"b{n}")[0], ()) for n in range(24))
 
 
--- a/tests/system/test_crossings_shutdown.py
+++ b/tests/system/test_crossings_shutdown.py
@@ -255,7 +255,8 @@
             gateway.signal(signal.SIGTERM)
             assert str(await client.reply()) == "ERR failed"
             assert await idle.ended() and await gateway.process.wait() == 0
-            # The kill comes after 0.9 s. A process that took 1.5 s to close its idle connections was killed.
+            # The kill comes after 0.9 s, so a process that takes 1.5 s to close its idle connections is
+            # killed.
             assert loop.time() - started_at < lifecycle.SHUTDOWN_ACCEPT_S + lifecycle.IDLE_CLOSE_PERIOD_S
 
     run_scenario(scenario())
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -185,9 +185,8 @@
         ):
             with pytest.raises(ConfigError, match=reason):
                 passed_socket(invalid)
-        assert listener.getsockopt(
-            socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-        )  # the listening socket was not closed
+        # The listening socket was not closed.
+        assert listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     for text in ("-1", "x", "4 ", "٤"):
         with pytest.raises(ValueError):
             build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": text})
