--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -132,7 +132,7 @@
             total = self.totals.get(call.key, 0.0)
             self.feed(CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True))
 
-    def spend(self, requests: int, late: bool = True) -> int:
+    def send_requests(self, requests: int, late: bool = True) -> int:
         """Sends requests of one tenant, 100 ms apart; returns how many were admitted."""
         admitted = 0
         for _ in range(requests):
@@ -149,8 +149,8 @@
 
 def test_a_counter_that_replies_late_is_available() -> None:
     delayed, silent = LateCounterRig(), LateCounterRig()
-    delayed.spend(15)
-    silent.spend(15, late=False)
+    delayed.send_requests(15)
+    silent.send_requests(15, late=False)
     assert (
         silent.gateway.quota.counter.pacing.is_unavailable
         and not delayed.gateway.quota.counter.pacing.is_unavailable
--- a/tests/policy/services/test_isolation.py
+++ b/tests/policy/services/test_isolation.py
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Tally:
+class ServiceResult:
     """The results of one service."""
 
     requests: int = 0
@@ -48,14 +48,14 @@
     since: dict[str, float] = field(default_factory=dict)
     fair: bool = True  # False serves in order of arrival without floors, as the baseline
 
-    def run(self, ms: float) -> dict[str, Tally]:
+    def run(self, ms: float) -> dict[str, ServiceResult]:
         rng = random.Random(self.seed)
         names = list(self.rates)
         floor = MAX_OPEN / (len(names) + 1) if self.fair else 0.0
         ledger = ResourceLedger(MAX_OPEN, {name: ResourceShare(floor) for name in names}, RECALL_MS)
         rounds = DeficitRoundRobin(dict.fromkeys(names, 1.0), QUANTUM_MS)
         delays = {name: QueueDelayLimit() for name in names}
-        tallies = {name: Tally() for name in names}
+        results = {name: ServiceResult() for name in names}
         queues: dict[str, list[float]] = {name: [] for name in names}
         order = itertools.count()
         # Time, order, service, whether a request arrives or ends.
@@ -81,18 +81,18 @@
                 continue
             name = (rounds.next() or "") if self.fair else arrival_order.pop(0)
             arrived_at = queues[name].pop(0)
-            tally = tallies[name]
-            tally.requests += 1
+            result = results[name]
+            result.requests += 1
             is_rejected = self.fair and delays[name].must_reject(now, now - arrived_at)
             grant = Grant.DENIED if is_rejected else ledger.acquire(now, name, 1.0)
             is_served = grant in (Grant.GUARANTEED, Grant.BORROWED)
             cost = rng.uniform(*TURN_MS) if is_served else REJECTION_MS
             now += cost
             if is_served:
-                tally.waits.append(now - arrived_at)
+                result.waits.append(now - arrived_at)
                 heapq.heappush(events, (now + rng.expovariate(1.0 / MEAN_OPEN_MS), next(order), name, False))
             else:
-                tally.rejected += 1
+                result.rejected += 1
                 if grant is Grant.RECALLED:
                     ledger.stop_waiting(name)  # the client is told to retry, and the recall stays in force
             if not queues[name]:
@@ -101,7 +101,7 @@
                 rounds.charge(name, cost, bool(queues[name]))
             else:
                 rounds.has_work.discard(name)
-        return tallies
+        return results
 
 
 @pytest.mark.parametrize("times", [1, 3, 10])
@@ -110,26 +110,26 @@
     """The calm service's waits grow by at most one round: the quanta of the others, and one turn of each."""
     calm_rate, fair_rate = 300.0, 2000.0
     without_flood = Core({"calm": calm_rate}, seed).run(4000.0)["calm"]
-    tallies = Core({"calm": calm_rate, "flood": times * fair_rate, "third": 100.0}, seed).run(4000.0)
+    results = Core({"calm": calm_rate, "flood": times * fair_rate, "third": 100.0}, seed).run(4000.0)
     bound = 2.0 * (QUANTUM_MS + TURN_MS[1]) + QUANTUM_MS
-    assert tallies["calm"].wait_quantile(0.99) <= without_flood.wait_quantile(0.99) + bound
-    assert tallies["calm"].rejected <= 0.01 * tallies["calm"].requests + 1
+    assert results["calm"].wait_quantile(0.99) <= without_flood.wait_quantile(0.99) + bound
+    assert results["calm"].rejected <= 0.01 * results["calm"].requests + 1
     if times > 1:
-        assert tallies["flood"].rejected > 0.3 * tallies["flood"].requests
+        assert results["flood"].rejected > 0.3 * results["flood"].requests
         # Its served requests are served in time, and all others are rejected at once.
-        assert tallies["flood"].wait_quantile(0.99) < 105.0
+        assert results["flood"].wait_quantile(0.99) < 105.0
 
 
 def test_without_bulkheads_the_same_flood_delays_every_service() -> None:
     """Shows that the model can exhibit the failure that the bulkheads prevent."""
-    tallies = Core({"calm": 300.0, "flood": 20_000.0}, 1, fair=False).run(2000.0)
-    assert tallies["calm"].wait_quantile(0.5) > 1000.0
+    results = Core({"calm": 300.0, "flood": 20_000.0}, 1, fair=False).run(2000.0)
+    assert results["calm"].wait_quantile(0.5) > 1000.0
 
 
 def test_loans_are_returned_within_the_recall_time() -> None:
     """While the flooding service has borrowed all idle amounts, a service becomes active, and is rejected for
     `RECALL_MS` at most."""
     rates = {"flood": 6000.0, "sleeper": 500.0}
-    tallies = Core(rates, 3, since={"sleeper": 1500.0}).run(4000.0)
-    assert tallies["sleeper"].rejected <= 500.0 * RECALL_MS / 1000.0
-    assert tallies["sleeper"].rejected < 0.1 * tallies["sleeper"].requests
+    results = Core(rates, 3, since={"sleeper": 1500.0}).run(4000.0)
+    assert results["sleeper"].rejected <= 500.0 * RECALL_MS / 1000.0
+    assert results["sleeper"].rejected < 0.1 * results["sleeper"].requests
--- a/tests/system/test_crossings_turns.py
+++ b/tests/system/test_crossings_turns.py
@@ -158,7 +158,7 @@
                 unparsed_bytes = len(connection.parser._raw) - connection.parser._at
                 max_bytes = max(max_bytes, unparsed_bytes + connection.transport.get_write_buffer_size())
             assert 0 < max_bytes <= WRITE_BUFFER_BYTES + MAX_QUEUED_REPLY_BYTES + MAX_READ_BYTES, (
-                f"{max_bytes} bytes held for one client"
+                f"{max_bytes} bytes buffered for one client"
             )
             assert connection.is_reading_paused
             assert await other_client.ask(b"PING") == b"PONG"
