--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -18,7 +18,7 @@
 
 from benchmarks.machine import machine
 from glenchute.policy.balancing.hash_ring import ring_position
-from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetTerms, walk_ring
+from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetSettings, walk_ring
 from glenchute.policy.events import Endpoint, EndpointState
 from glenchute.policy.settings import SlowStart
 from lab.coldstart import GatewayFleet
@@ -33,7 +33,7 @@
 def ring_keeping_held(gateways: int, servers: list[str], subset_size: int, before: Chosen | None) -> Chosen:
     chosen = []
     for number in range(gateways):
-        subset = Subset(SubsetTerms(gateways, number, subset_size), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number, subset_size), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in servers])
         subset.in_use = dict.fromkeys(sorted(before[number]) if before is not None else ())
         subset.refresh(0.0)
@@ -113,7 +113,7 @@
     now = row[:servers]
     subsets = []
     for number in range(gateways):
-        subset = Subset(SubsetTerms(gateways, number, subset_size), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number, subset_size), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in now])
         subset.refresh(0.0)
         subsets.append(subset)
@@ -165,8 +165,13 @@
                 outcomes_all = [outcome for load in loads for outcome in load.outcomes]
                 took = sorted(outcome.took_ms for outcome in outcomes_all if outcome.answer == "served")
                 nodes = herd.site.nodes  # no two gateways share an account
-                gateway_counts = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in nodes]
-                made, most = sum(node.made for node in nodes), max(node.peak_connections for node in nodes)
+                gateway_counts = [
+                    len({int(effect.account_id, 16) // 1000 for effect in node.effects}) for node in nodes
+                ]
+                made, most = (
+                    sum(node.accepted_connections for node in nodes),
+                    max(node.peak_connections for node in nodes),
+                )
                 which = "4 each" if operator else "all"
                 print(f"{count} processes of {rate:.0f} a second, {servers} servers, {which}: {made} "
                       f"connections made, {most} at most at once at a server, "
--- a/glenchute/cli/subsystems.py
+++ b/glenchute/cli/subsystems.py
@@ -13,7 +13,7 @@
 from glenchute.core.executor import RequestExecutor
 from glenchute.core.types import DecisionHandler
 from glenchute.listeners.resp2.listener import Listener
-from glenchute.policy.endpoints.polling import PollingTerms
+from glenchute.policy.endpoints.polling import PollingSettings
 from glenchute.upstreams.server_pools import ServerPools
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     from glenchute.listeners.operations import OperationsServer
     from glenchute.policy.events import Endpoint
 
-# Keys of the operator's table [subset], mapped to fields of `SubsetTerms`.
+# Keys of the operator's table [subset], mapped to fields of `SubsetSettings`.
 SUBSET_KEYS = {"servers": "min_servers", "busy": "busy_attempts", "calm": "calm_attempts"}
 DEFAULT_SEGMENT_S = 10.0
 DEFAULT_SEGMENT_MB = 4.0
@@ -51,13 +51,13 @@
 ) -> DecisionHandler:
     """Wraps the engine so that it uses a subset of the servers. A gateway without a number takes one from its
     seed, so that servers are spread over the gateways at random only."""
-    from glenchute.policy.balancing.subset import SubsetTerms
+    from glenchute.policy.balancing.subset import SubsetSettings
     from glenchute.policy.balancing.subsetting_engine import SubsettingEngine
 
     number = config.stated_number if config.stated_number is not None else config.seed
     chosen = {SUBSET_KEYS[key]: value for key, value in raw.items()}
-    terms = SubsetTerms(config.settings.gateway_count, number, **chosen)
-    return SubsettingEngine(decisions, config.settings, terms, listed)
+    subset_settings = SubsetSettings(config.settings.gateway_count, number, **chosen)
+    return SubsettingEngine(decisions, config.settings, subset_settings, listed)
 
 
 def create_recorder(
@@ -140,12 +140,12 @@
     return OperationsServer(loop, actions)
 
 
-def polling_terms(config: PlatformConfig, raw: dict[str, Any], has_members: bool) -> PollingTerms:
+def polling_settings(config: PlatformConfig, raw: dict[str, Any], has_members: bool) -> PollingSettings:
     """Returns how many gateways share discovery, and its rate limit. Discovery is a shared service if the
     operator states its rate limit or configures members; otherwise an agent local to this gateway pushes the
     lists, unless the platform requires a subscription."""
     is_pushed = not config.settings.must_subscribe and not raw and not has_members
-    terms = PollingTerms(config.settings.gateway_count, config.gateway_number, is_pushed=is_pushed)
-    return terms._replace(
-        rate_per_s=raw.get("calls_per_s", terms.rate_per_s), max_list_age_s=raw.get("list_age_s")
+    settings = PollingSettings(config.settings.gateway_count, config.gateway_number, is_pushed=is_pushed)
+    return settings._replace(
+        rate_per_s=raw.get("calls_per_s", settings.rate_per_s), max_list_age_s=raw.get("list_age_s")
     )
--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -13,7 +13,7 @@
 from glenchute.policy.balancing.pool import ServerPool
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Event
 from glenchute.policy.settings import SlowStart
-from lab.sim.swarm import gone
+from lab.sim.swarm import replace_node
 from lab.sim.world import SERVICE_MS, SETTINGS, World
 
 GATEWAYS, NODES = 40, 60
@@ -44,7 +44,7 @@
         """Replaces this share of the nodes by new ones; returns the names of the new nodes."""
         old = set(self.nodes)
         for name in sorted(old)[: round(share * len(old))]:
-            gone(self, self.nodes[name])
+            replace_node(self, self.nodes[name])
         new = set(self.nodes) - old
         for name in new:
             self.nodes[name].slots, self.nodes[name].slow = 2, SLOW
@@ -96,10 +96,10 @@
     world = LargeWorld(2)
     world.load(6_000.0, 260.0, ("wide",))
     world.run(3000.0)
-    before = [module.pool.slow_start.warm_response_rate_per_s for module in world.modules]
+    before = [engine.pool.slow_start.warm_response_rate_per_s for engine in world.engines]
     world.replace_nodes(0.6)
     world.run(2000.0)
-    after = [module.pool.slow_start.warm_response_rate_per_s for module in world.modules]
+    after = [engine.pool.slow_start.warm_response_rate_per_s for engine in world.engines]
     assert sum(after) > 1.2 * sum(before)
 
 
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -29,7 +29,7 @@
     MIN_WEIGHT,
     UNREACHABLE_MS,
     Subset,
-    SubsetTerms,
+    SubsetSettings,
     first_position,
 )
 from glenchute.policy.balancing.subset_size import (
@@ -61,7 +61,7 @@
 from lab.load import Account, Load, RequestKind
 from lab.load import Outcome as LoadOutcome
 from lab.peers import DiscoveryPeer, discovery_answer, run_scenario, server_row, wait_until
-from lab.sim.swarm import drawn, tried
+from lab.sim.swarm import draw_script, find_failure
 from lab.sim.world import World
 from lab.site import with_longer_deadlines
 from tests.loopback import ScriptedEngine, site
@@ -106,7 +106,7 @@
 ) -> tuple[SubsettingEngine, FakeEngine]:
     """Returns a subsetting engine with a configured subset size, and its fake engine."""
     engine = FakeEngine()
-    return SubsettingEngine(engine, SETTINGS, SubsetTerms(gateways, number, servers)), engine
+    return SubsettingEngine(engine, SETTINGS, SubsetSettings(gateways, number, servers)), engine
 
 
 class SubsetMachine(RuleBasedStateMachine):
@@ -245,7 +245,7 @@
             return InspectableEngine(
                 DecisionEngine(policy_settings, engine_seed),
                 policy_settings,
-                SubsetTerms(policy_settings.gateway_count, number, 3),
+                SubsetSettings(policy_settings.gateway_count, number, 3),
             )
 
         world = World(seed, 6, 9, create_engine)
@@ -253,10 +253,10 @@
         world.flood(20_000.0, 60.0)
         rng = random.Random(seed)
         for node in list(world.nodes.values())[:3]:
-            world.at(rng.uniform(0.0, 15_000.0), setattr, node, "alive", False)
-            world.at(16_000.0, setattr, node, "alive", True)
+            world.schedule(rng.uniform(0.0, 15_000.0), setattr, node, "alive", False)
+            world.schedule(16_000.0, setattr, node, "alive", True)
         world.run(5_000.0)
-        world.die(1, 500.0)
+        world.kill_gateway(1, 500.0)
         world.run(20_000.0)
         has_sent_enough[len(world.sent) > 600] += 1
     assert has_sent_enough == {True: 3}
@@ -265,8 +265,10 @@
 class InspectableEngine:
     """A subsetting engine with the attributes of the inner engine, which the simulated site checks."""
 
-    def __init__(self, inner: DecisionEngine, policy_settings: Settings, terms: SubsetTerms) -> None:
-        self.inner, self.subsetting = inner, SubsettingEngine(inner, policy_settings, terms)
+    def __init__(
+        self, inner: DecisionEngine, policy_settings: Settings, subset_settings: SubsetSettings
+    ) -> None:
+        self.inner, self.subsetting = inner, SubsettingEngine(inner, policy_settings, subset_settings)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         return self.subsetting.handle(now_ms, event)
@@ -317,7 +319,7 @@
 
             loads = list(await asyncio.gather(*map(load_by_fours, range(8))))
             gateways_by_node = [
-                len({int(run.customer, 16) // 1000 for run in node.ran}) for node in fleet.site.nodes
+                len({int(run.account_id, 16) // 1000 for run in node.effects}) for node in fleet.site.nodes
             ]
             assert max(gateways_by_node) <= 4, gateways_by_node
             for node in fleet.site.nodes[:3]:
@@ -350,7 +352,7 @@
     """Returns a subsetting engine without a configured subset size, and its fake engine."""
     engine = FakeEngine()
     return SubsettingEngine(
-        engine, replace(SETTINGS, gateway_count=gateways), SubsetTerms(gateways, number)
+        engine, replace(SETTINGS, gateway_count=gateways), SubsetSettings(gateways, number)
     ), engine
 
 
@@ -390,7 +392,7 @@
             received.append(event)
             return super().handle(now_ms, event)
 
-    subsetting = SubsettingEngine(RecordingEngine(), SETTINGS, SubsetTerms(2, 1))
+    subsetting = SubsettingEngine(RecordingEngine(), SETTINGS, SubsetSettings(2, 1))
     fleet = servers_in_zones(count)
     events: list[Event] = [
         list_event(fleet, EndpointListKind.CACHED),
@@ -428,11 +430,11 @@
 ) -> None:
     """Servers are also used evenly, over all zones and for any number of gateways."""
     assert subset_size(listed, gateways) == size
-    first = Subset(SubsetTerms(gateways, 0), SlowStart())
+    first = Subset(SubsetSettings(gateways, 0), SlowStart())
     first.replace_list(fleet := servers_in_zones(listed))
     gateways_by_server: Counter[str] = Counter()
     for number in range(gateways if max_gateways else 0):
-        subset = Subset(SubsetTerms(gateways, number), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number), SlowStart())
         subset.listed, subset.rings = first.listed, first.rings
         subset.refresh(0.0)
         assert len(subset.in_use) == size
@@ -611,7 +613,7 @@
     for listed in (20, 5_700):
         policy_settings = replace(SETTINGS, gateway_count=520)
         subsetting = SubsettingEngine(
-            DecisionEngine(policy_settings, 1), policy_settings, SubsetTerms(520, 7)
+            DecisionEngine(policy_settings, 1), policy_settings, SubsetSettings(520, 7)
         )
         subsetting.handle(1e6, list_event(servers_in_zones(listed), EndpointListKind.FULL))
         comparisons = sent = 0
@@ -635,7 +637,9 @@
     def make(policy_settings: Settings, engine_seed: int) -> InspectableEngine:
         engines.append(
             InspectableEngine(
-                DecisionEngine(policy_settings, engine_seed), policy_settings, SubsetTerms(520, len(engines))
+                DecisionEngine(policy_settings, engine_seed),
+                policy_settings,
+                SubsetSettings(520, len(engines)),
             )
         )
         return engines[-1]
@@ -644,7 +648,7 @@
         return World(seed, gateways, MAX_SUBSET_SIZE + 44, make, watch)
 
     for seed in range(6):
-        failure = tried(drawn(seed), make, create_large_world)
+        failure = find_failure(draw_script(seed), make, create_large_world)
         assert failure is None, failure
     used = [len(engine.inner.pool.servers) for engine in engines]
     assert all(engine.subsetting.is_subsetting for engine in engines) and max(used) < MAX_SUBSET_SIZE
