--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -19,8 +19,8 @@
 
 
 async def collect_reports(reply: Any, release: asyncio.Event, calls: int) -> list[Report]:
-    """Makes this many calls for one key to a counter that answers with `reply`, and sets `go` when all have
-    timed out. Returns what the client reports, in order."""
+    """Makes this many calls for one key to a counter that answers with `reply`, and sets `release` when all
+    have timed out. Returns what the client reports, in order."""
     peer = RespPeer(reply)
     await peer.start()
     counter = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.05)
@@ -132,7 +132,7 @@
             total = self.totals.get(call.key, 0.0)
             self.feed(CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True))
 
-    def spend(self, requests: int, late: bool = True) -> int:
+    def send_requests(self, requests: int, late: bool = True) -> int:
         """Sends requests of one tenant, 100 ms apart; returns how many were admitted."""
         admitted = 0
         for _ in range(requests):
@@ -149,8 +149,8 @@
 
 def test_a_counter_that_replies_late_is_available() -> None:
     delayed, silent = LateCounterRig(), LateCounterRig()
-    delayed.spend(15)
-    silent.spend(15, late=False)
+    delayed.send_requests(15)
+    silent.send_requests(15, late=False)
     assert (
         silent.gateway.quota.counter.pacing.is_unavailable
         and not delayed.gateway.quota.counter.pacing.is_unavailable
