--- a/benchmarks/added.py
+++ b/benchmarks/added.py
@@ -143,7 +143,7 @@
     added = []
     for outcome in load.outcomes:
         one = TimedLoad.moments[outcome.request_id.decode()]
-        added.append(1000.0 * (one["got"] - outcome.asked - one["ended"] + one["began"]))
+        added.append(1000.0 * (one["got"] - outcome.scheduled_at - one["ended"] + one["began"]))
     return (f"  through a bare relay: added p50, p99 {percentile(added, 50):.1f}, "
             f"{percentile(added, 99):.1f} ms; waits {waits:.2f} ms for a core")  # fmt: skip
 
@@ -188,7 +188,7 @@
         moments.setdefault(ref, {}).update(inside)
     found = []
     for outcome in load.outcomes:
-        one = {"asked": outcome.asked, **moments[outcome.request_id.decode()]}
+        one = {"asked": outcome.scheduled_at, **moments[outcome.request_id.decode()]}
         if outcome.answer == "served" and all(name in one for part in PARTS for name in part[1:]):
             parts = [1000.0 * (one[end] - one[begin]) for _, begin, end in PARTS]
             found.append((sum(parts), parts))
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -148,12 +148,12 @@
         self.watched = self.wholes = 0
         self.whole = self.other = False
 
-    def kept(self, since: int) -> bool:
+    def has_changes_since(self, since: int) -> bool:
         self.watched = since
         self.wholes += self.whole
         if self.other:
             self.rows = {name: {**one, "weight": 1.0 + self.wholes} for name, one in self.rows.items()}
-        return not self.whole and super().kept(since)
+        return not self.whole and super().has_changes_since(since)
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Waits until a condition on the polls received holds; raises TimeoutError after 30 s."""
@@ -219,9 +219,9 @@
             await asyncio.sleep(2.0 * same[1])
             without_lists = watch.end()
             served = [outcome for outcome in load.outcomes if outcome.answer == "served"]
-            took = [outcome.took_ms for outcome in served]
+            took = [outcome.duration_ms for outcome in served]
             service = {ref: ms for node in nodes for ref, ms in node.took.items()}
-            added = [outcome.took_ms - service[outcome.request_id] for outcome in served]
+            added = [outcome.duration_ms - service[outcome.request_id] for outcome in served]
             told = [outcome.answer for outcome in load.outcomes]
             return Row(
                 request_ms, quiet, row_ms, [same[0], other[0]], [same[2], other[2], without_lists],
--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -219,10 +219,10 @@
                     flooding.kill()
                     flooding.join()
                 await gateway.stop()
-    since = [one for one in load.outcomes if one.asked >= began]
-    during_arrival = [one for one in since if one.asked < began + ARRIVAL_S]
+    since = [one for one in load.outcomes if one.scheduled_at >= began]
+    during_arrival = [one for one in since if one.scheduled_at < began + ARRIVAL_S]
     took, arrival = (
-        [one.took_ms for one in some if one.answer == "served"] for some in (since, during_arrival)
+        [one.duration_ms for one in some if one.answer == "served"] for some in (since, during_arrival)
     )
     return Row(
         scene.name, rss, peak, descriptors, percentile(took, 50), percentile(took, 99), len(took), len(since),
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -65,7 +65,7 @@
 def kill_all(gateways: list[GatewayProcess]) -> None:
     """Kills all of the gateways and waits for their ends."""
     for gateway in gateways:
-        gateway.signal(signal.SIGKILL)
+        gateway.send_signal(signal.SIGKILL)
     for gateway in gateways:
         if gateway.process is not None:
             gateway.process.wait()
@@ -111,7 +111,7 @@
                                 raw["counter"] = f"127.0.0.1:{mute.port}"
                             if way.endswith("list"):
                                 raw["known"] = {"version": 1, "full": True, "servers": []}
-                            gateway.config.write_text(json.dumps(raw))
+                            gateway.config_file.write_text(json.dumps(raw))
                         found += await asyncio.gather(
                             *(start_gateway(one, shared_cores) for one in gateways[:KILLED])
                         )
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -75,10 +75,10 @@
 async def stopped(pair: Pair) -> None:
     """Stops the first gateway with SIGSTOP for 3.5 s, under load."""
     await pair.both(3.0)
-    pair.gateways[0].signal(signal.SIGSTOP)
+    pair.gateways[0].send_signal(signal.SIGSTOP)
     held = asyncio.create_task(pair.load(0, 3.5))
     await pair.load(1, 3.5)
-    pair.gateways[0].signal(signal.SIGCONT)
+    pair.gateways[0].send_signal(signal.SIGCONT)
     await held
 
 
@@ -86,7 +86,7 @@
     """Ends the first gateway with SIGKILL and starts it again."""
     await pair.both(3.0)
     one = pair.gateways[0]
-    one.signal(signal.SIGKILL)
+    one.send_signal(signal.SIGKILL)
     assert one.process is not None
     one.process.wait()
     one.start()
@@ -126,7 +126,7 @@
         figures = []
         for gateway, answers_of_one in zip(pair.gateways, answers, strict=True):
             await gateway.stop()
-            lines = re.findall(r"refused: overload (\d+)", gateway.log.read_text())
+            lines = re.findall(r"refused: overload (\d+)", gateway.log_file.read_text())
             served, refused = answers_of_one.count("served"), answers_of_one.count("refused")
             figures.append(RecoveryFigures(len(answers_of_one), served, refused, sum(map(int, lines))))
         return figures
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -54,8 +54,8 @@
             told = [outcome for part in parts for outcome in part]
             assert checks.lost(told) == 0 and checks.refused_and_ran(site.site.nodes, told) == 0
             return (
-                checks.refused_with_room(told, ACCOUNT.customer, RATE, BURST),
-                checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST),
+                checks.refused_with_room(told, ACCOUNT.account_id, RATE, BURST),
+                checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST),
             )
 
 
@@ -207,12 +207,12 @@
             async with FleetSite(Path(folder), 1, fleet=False) as site:
                 gateway, port = site.gateways[0], free_port()
                 gateway.platform["settings"]["balancers"] = count
-                gateway.config.write_text(json.dumps(gateway.platform))
+                gateway.config_file.write_text(json.dumps(gateway.platform))
                 others = Others(count, accounts, port, spread=spread)
                 if on:
                     head = f'[fleet]\nfleet = "lab"\nname = "g0"\nlisten = "127.0.0.1:{port}"\n'
                     control = f'control = "{gateway.folder / "control"}"\n'
-                    gateway.operator.write_text(head + control + others.members())
+                    gateway.operator_file.write_text(head + control + others.members())
                     await others.start()
                 await site.start()
                 assert gateway.process is not None
@@ -260,7 +260,7 @@
             accounts = [Account(b"%016x" % i, "standard", 1.0, f",spread={count},first=0") for i in range(50)]
             told = await site.load(20.0, 1.0, accounts)
             assert checks.lost(told) == 0 and checks.refused_and_ran(site.site.nodes, told) == 0
-            buried = sum(gateway.log.read_text().count("now=dead") for gateway in site.gateways)
+            buried = sum(gateway.log_file.read_text().count("now=dead") for gateway in site.gateways)
             same = await site.until(lambda: site.same_digest(every), 60.0)
             what = f"{count} processes, a tenth of the links cut, a tenth losing 30 %"
             load = f"{len(told)} requests, none lost; copies the same {same:.1f} s after them"
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -79,7 +79,7 @@
             await gateway.ready()
             yield gateway
         finally:
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
             if gateway.process is not None:
                 gateway.process.wait()
 
@@ -160,14 +160,14 @@
                 ("a sound file", text, RELOADED),
                 ("a wrong one", wrong, RELOAD_REJECTED),
             ):
-                gateway.operator.write_text(now)
+                gateway.operator_file.write_text(now)
                 began = loop.time()
                 await asyncio.sleep(1.0)
                 windows["nothing read"].append((began, loop.time()))
-                seen = gateway.log.stat().st_size
+                seen = gateway.log_file.stat().st_size
                 began = loop.time()
-                gateway.signal(signal.SIGHUP)
-                while not log_contains(gateway.log, seen, word) and not asking.done():
+                gateway.send_signal(signal.SIGHUP)
+                while not log_contains(gateway.log_file, seen, word) and not asking.done():
                     await asyncio.sleep(0.02)
                 windows[what].append((began, loop.time()))
         pinging.cancel()
@@ -175,7 +175,7 @@
     print(machine())
     print(f"{len(names) * len(plans):,} routes, {len(text) / 1024:,.0f} KiB; "
           f"{GATEWAY_RATE:g} requests a second, {served} of {len(load.outcomes)} served")  # fmt: skip
-    asked = [(outcome.asked, outcome.took_ms / 1000.0) for outcome in load.outcomes]
+    asked = [(outcome.scheduled_at, outcome.duration_ms / 1000.0) for outcome in load.outcomes]
     print("ms while ...       windows, median       PINGs      p50      p99     most  requests, the same")
     for what, spans in windows.items():
         line = f"{what:14}{len(spans):4} x {1e3 * statistics.median(b - a for a, b in spans):9.0f}      "
--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -33,7 +33,7 @@
             await gateway.ready()
             took = 1000.0 * (time.monotonic() - began)
         finally:
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
             assert gateway.process is not None
             _, _, used = os.wait4(gateway.process.pid, 0)
             gateway.process.returncode = -signal.SIGKILL
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -163,7 +163,7 @@
                     )
                 await asyncio.gather(*(load.run(10.0) for load in loads))
                 outcomes_all = [outcome for load in loads for outcome in load.outcomes]
-                took = sorted(outcome.took_ms for outcome in outcomes_all if outcome.answer == "served")
+                took = sorted(outcome.duration_ms for outcome in outcomes_all if outcome.answer == "served")
                 nodes = herd.site.nodes  # no two gateways share an account
                 gateway_counts = [
                     len({int(effect.account_id, 16) // 1000 for effect in node.effects}) for node in nodes
--- a/glenchute/cli/demo.py
+++ b/glenchute/cli/demo.py
@@ -125,13 +125,13 @@
     print(f"{'class':14}{columns}")
     lost = 0
     for kind in KINDS:
-        answered = [o for o in load.of(kind.class_name) if o.answer]
+        answered = [o for o in load.outcomes_of(kind.class_name) if o.answer]
         counts = {
             answer: sum(1 for o in answered if o.answer == answer)
             for answer in ("served", "refused", "failed", "lost")
         }
         lost += counts["lost"]
-        durations_ms = [o.took_ms for o in answered if o.answer == "served"]
+        durations_ms = [o.duration_ms for o in answered if o.answer == "served"]
         figures = [
             len(answered),
             *counts.values(),
@@ -141,7 +141,7 @@
         print(f"{kind.class_name:14}" + "".join(f"{figure:9.0f}" for figure in figures))
     forwarded = sum(1 for o in load.outcomes if o.answer in ("served", "failed"))
     received = sum(node.received_count for node in site.nodes)
-    twice = site.charged_twice()
+    twice = site.count_repeated()
     print(f"attempts per request sent on: {received / max(1, forwarded):.2f}")
     print(f"charges run twice: {twice}; answers lost: {lost}; the gateway's exit status: {status}"
           + (" (stopped early)" if stopped else ""))  # fmt: skip
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -227,13 +227,13 @@
             return {"version": self.version, "full": True, "servers": rows[: len(rows) // 2 - 1]}
         if self.mode == "older" and is_wrong:
             return {"version": self.version - 1, "full": True, "servers": rows[:1]}
-        if since is None or not self.kept(since):
+        if since is None or not self.has_changes_since(since):
             return {"version": self.version, "full": True, "servers": rows}
         if since == self.version:
             with contextlib.suppress(TimeoutError):
                 wait_s = min(60.0, float(query.get("timeout_ms", ["0"])[0]) / 1000.0)
                 await asyncio.wait_for(self.changed.wait(), wait_s)
-        changes = [row for version, row in self.log if version > since]
+        changes = [row for version, row in self.change_log if version > since]
         return {"version": self.version, "full": False, "servers": changes}
 
 
@@ -270,8 +270,8 @@
 
     async def __aexit__(self, *failure: object) -> None:
         for gateway in self.gateways:
-            gateway.signal(signal.SIGCONT)
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGKILL)
         for gateway in self.gateways:
             if gateway.process is not None:
                 gateway.process.wait()
@@ -291,7 +291,7 @@
     def kill(self, numbers: Iterable[int]) -> None:
         """Kills gateways with SIGKILL and waits for them to exit."""
         for number in numbers:
-            self.gateways[number].signal(signal.SIGKILL)
+            self.gateways[number].send_signal(signal.SIGKILL)
         for number in numbers:
             process = self.gateways[number].process
             assert process is not None
--- a/lab/fleet/acting.py
+++ b/lab/fleet/acting.py
@@ -48,7 +48,7 @@
         await self.site.__aenter__()
         for gateway in self.site.gateways:
             gateway.platform["operator"] = f"127.0.0.1:{free_port()}"  # its operations address
-            gateway.config.write_text(json.dumps(gateway.platform))
+            gateway.config_file.write_text(json.dumps(gateway.platform))
         await self.site.start()
         return self
 
--- a/lab/fleet/checks.py
+++ b/lab/fleet/checks.py
@@ -28,13 +28,13 @@
     return sum(outcome.answer == "refused" and outcome.request_id in ran for outcome in outcomes)
 
 
-def overshoot(nodes: Sequence[Node], customer: bytes, rate: float, burst: float) -> float:
-    """Returns the units by which a customer exceeded a bucket, by the nodes' records."""
+def overshoot(nodes: Sequence[Node], account_id: bytes, rate: float, burst: float) -> float:
+    """Returns the units by which an account exceeded a token bucket, by the nodes' records."""
     times = sorted(
         effect.at + node.started_at
         for node in nodes
         for effect in node.effects
-        if effect.account_id == customer
+        if effect.account_id == account_id
     )
     return passed([(at, 1.0) for at in times], rate, burst)
 
@@ -48,14 +48,14 @@
     return -lowest
 
 
-def refused_with_room(outcomes: Sequence[Outcome], customer: bytes, rate: float, burst: float) -> float:
+def refused_with_room(outcomes: Sequence[Outcome], account_id: bytes, rate: float, burst: float) -> float:
     """Returns the fraction of an account's requests that were rejected while half of its exact bucket or more
     was unused, by the clients' records."""
     level, last, asked, rejected_with_room = burst, None, 0, 0
-    mine = sorted((o for o in outcomes if o.account.customer == customer), key=lambda o: o.asked)
+    mine = sorted((o for o in outcomes if o.account.account_id == account_id), key=lambda o: o.scheduled_at)
     for outcome in mine:
-        level = min(burst, level + (0.0 if last is None else rate * (outcome.asked - last)))
-        last, asked = outcome.asked, asked + 1
+        level = min(burst, level + (0.0 if last is None else rate * (outcome.scheduled_at - last)))
+        last, asked = outcome.scheduled_at, asked + 1
         rejected_with_room += outcome.answer == "refused" and level >= 0.5 * burst
         level = max(0.0, level - (outcome.answer == "served"))
     return rejected_with_room / max(1, asked)
--- a/lab/fleet/processes.py
+++ b/lab/fleet/processes.py
@@ -104,8 +104,8 @@
 
     async def __aexit__(self, *failure: object) -> None:
         for gateway in self.gateways:
-            gateway.signal(signal.SIGCONT)
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGKILL)
             if gateway.process is not None:
                 gateway.process.wait()
         for link in self.links.values():
@@ -132,7 +132,7 @@
         """Sends a signal to a process; after SIGKILL, waits for its end."""
         gateway = self.gateways[number]
         self.note(f"g{number}", which.name)
-        gateway.signal(which)
+        gateway.send_signal(which)
         if which is signal.SIGKILL and gateway.process is not None:
             gateway.process.wait()
 
--- a/lab/load.py
+++ b/lab/load.py
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """A customer; `weight` is its part of the load relative to other customers."""
+    """An account that sends requests; `weight` is its part of the load relative to other accounts."""
 
-    customer: bytes
+    account_id: bytes
     plan: str
     weight: float = 1.0
-    more: str = ""  # further fields of its commands, such as `,spread=3,first=0`
+    extra_fields: str = ""  # further fields of its commands, such as `,spread=3,first=0`
 
 
 @dataclass(slots=True)
@@ -45,8 +45,8 @@
     kind: RequestKind
     account: Account
     request_id: bytes
-    asked: float  # scheduled send time on the event loop's clock
-    took_ms: float = 0.0
+    scheduled_at: float  # send time by the event loop's clock
+    duration_ms: float = 0.0  # from the scheduled send time to the answer
     answer: str = ""  # "served", "refused", "failed" or "lost"
     retry_after_ms: int | None = None
 
@@ -58,59 +58,60 @@
     port: Callable[[], int]
     kinds: Sequence[RequestKind]
     accounts: Sequence[Account]
-    rate: float
+    rate_per_s: float
     seed: int = 1
     outcomes: list[Outcome] = field(default_factory=list)
-    idle: list[Client] = field(default_factory=list)
+    idle_clients: list[Client] = field(default_factory=list)
 
     async def run(self, seconds: float) -> None:
         """Sends requests for `seconds`, then waits for the last answers."""
         rng = random.Random(self.seed)
         loop = asyncio.get_running_loop()
-        started = at = loop.time()
+        started = send_at = loop.time()
         tasks: set[asyncio.Task[None]] = set()
-        number = 0
+        serial = 0
         while True:
-            at += rng.expovariate(self.rate)
-            if at - started >= seconds:
+            send_at += rng.expovariate(self.rate_per_s)
+            if send_at - started >= seconds:
                 break
             kind = rng.choices(self.kinds, [k.share for k in self.kinds])[0]
             account = rng.choices(self.accounts, [a.weight for a in self.accounts])[0]
-            number += 1
-            await asyncio.sleep(max(0.0, at - loop.time()))
+            serial += 1
+            await asyncio.sleep(max(0.0, send_at - loop.time()))
             task = asyncio.create_task(
-                self.ask(Outcome(kind, account, b"%08x%08x" % (self.seed, number), at))
+                self.send_request(Outcome(kind, account, b"%08x%08x" % (self.seed, serial), send_at))
             )
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
-        for client in self.idle:
+        for client in self.idle_clients:
             client.writer.close()
 
-    async def ask(self, outcome: Outcome) -> None:
+    async def send_request(self, outcome: Outcome) -> None:
         """Sends one request and records its outcome."""
         self.outcomes.append(outcome)
         loop, kind = asyncio.get_running_loop(), outcome.kind
-        fields = f"c={kind.class_name},t={outcome.account.plan},d={kind.deadline_ms}{outcome.account.more}"
+        account = outcome.account
+        fields = f"c={kind.class_name},t={account.plan},d={kind.deadline_ms}{account.extra_fields}"
         if kind.keyed:
             fields += f",k=k{outcome.request_id.decode()}"
-        words = [b"CALL.POST" if kind.post else b"CALL.GET", outcome.account.customer, outcome.request_id,
+        command = [b"CALL.POST" if kind.post else b"CALL.GET", account.account_id, outcome.request_id,
                  fields.encode(), *([b"body"] if kind.post else [])]  # fmt: skip
         try:
             async with asyncio.timeout(kind.deadline_ms / 1000.0 + 0.05):
-                outcome.answer, outcome.retry_after_ms = await self.exchange(words)
+                outcome.answer, outcome.retry_after_ms = await self.exchange(command)
         except TimeoutError:
             outcome.answer = "lost"
-        outcome.took_ms = 1000.0 * (loop.time() - outcome.asked)
+        outcome.duration_ms = 1000.0 * (loop.time() - outcome.scheduled_at)
 
-    async def exchange(self, words: list[bytes]) -> tuple[str, int | None]:
+    async def exchange(self, command: list[bytes]) -> tuple[str, int | None]:
         """Sends a command on an idle connection or a new one, and returns the outcome."""
         while True:
-            is_reused = bool(self.idle)
+            is_reused = bool(self.idle_clients)
             client = None
             try:
-                client = self.idle.pop() if is_reused else await Client.connect(self.port())
-                client.send(*words)
+                client = self.idle_clients.pop() if is_reused else await Client.connect(self.port())
+                client.send(*command)
                 reply = await client.reply()
             except ConnectionError:
                 reply = None
@@ -125,10 +126,10 @@
                     continue  # the command crossed the close of the connection
                 return "lost", None
             assert client is not None
-            self.idle.append(client)
+            self.idle_clients.append(client)
             return classify_reply(reply)
 
-    def of(self, class_name: str) -> list[Outcome]:
+    def outcomes_of(self, class_name: str) -> list[Outcome]:
         """Returns the outcomes of a class."""
         return [outcome for outcome in self.outcomes if outcome.kind.class_name == class_name]
 
--- a/lab/peers.py
+++ b/lab/peers.py
@@ -72,8 +72,8 @@
     parser = hiredis.Reader()
     while data := await reader.read(65536):
         parser.feed(data)
-        while (words := parser.gets()) is not False:
-            yield words
+        while (command := parser.gets()) is not False:
+            yield command
 
 
 Reply = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[bytes | None]]
@@ -82,7 +82,7 @@
 class RespPeer(Peer):
     """Answers each command with the result of `reply`; None leaves it unanswered.
 
-    `log` has the commands and closed connections in their order.
+    `log` has the commands and the closed connections in order, as (event, connection number, command).
     """
 
     def __init__(self, reply: Reply) -> None:
@@ -93,35 +93,35 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         number = len(self.writers)
         try:
-            async for words in read_commands(reader):
-                self.log.append(("command", number, words))
-                reply = await self.reply(words, writer)
+            async for command in read_commands(reader):
+                self.log.append(("command", number, command))
+                reply = await self.reply(command, writer)
                 if reply is not None:
                     writer.write(reply)
         finally:
             self.log.append(("closed", number, []))
 
     def calls(self) -> list[list[bytes]]:
-        """Returns the received commands without pings."""
-        return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
+        """Returns the received commands except PING."""
+        return [command for event, _, command in self.log if event == "command" and command != [b"PING"]]
 
 
 def reply_with(reply: bytes | None) -> Reply:
     """Returns a reply function that answers every command alike."""
 
-    async def answer(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+    async def answer(command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         return reply
 
     return answer
 
 
 class DiscoveryPeer(Peer):
-    """Discovery that gives one of `answers` to each call; further calls wait until answers are added."""
+    """Discovery that gives the next of `answers` to each call; further calls wait until answers are added."""
 
     def __init__(self, *answers: bytes) -> None:
         super().__init__()
         self.answers = list(answers)
-        self.targets: list[str] = []
+        self.targets: list[str] = []  # request targets (paths and queries) of the calls
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
@@ -155,8 +155,8 @@
     async def connect(cls, port: int) -> Client:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def send(self, *words: bytes) -> None:
-        self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]
+    def send(self, *command: bytes) -> None:
+        self.writer.write(hiredis.pack_command(command))  # type: ignore[arg-type]
 
     async def reply(self) -> Any:
         """Returns the next reply; None at the end of the connection."""
@@ -167,8 +167,8 @@
             self.parser.feed(data)
         return reply
 
-    async def ask(self, *words: bytes) -> Any:
-        self.send(*words)
+    async def ask(self, *command: bytes) -> Any:
+        self.send(*command)
         return await self.reply()
 
     async def ended(self) -> bool:
--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -23,17 +23,19 @@
         """Sends requests until stopped or all are sent, then waits for the last answers."""
         loop, tasks = asyncio.get_running_loop(), set[asyncio.Task[None]]()
         began = self.timeline.zero(loop.time())
-        for serial, (at, kind, account) in enumerate(arrivals(self.site, self.draw, self.number, self.rate)):
+        for serial, (at, kind, account) in enumerate(
+            arrivals(self.site, self.draw, self.number, self.rate_per_s)
+        ):
             await asyncio.sleep(max(0.0, began + at - loop.time()))
             if self.stopped or at > seconds:
                 break
             name = b"%08x%08x" % (self.seed, serial)
-            task = asyncio.create_task(self.ask(Outcome(kind, account, name, began + at)))
+            task = asyncio.create_task(self.send_request(Outcome(kind, account, name, began + at)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks, timeout=5.0)
-        for client in self.idle:
+        for client in self.idle_clients:
             client.writer.close()
 
 
@@ -60,7 +62,7 @@
         """Returns the answer and time of each request due at second 0 or later."""
         zero = self.timeline.began or 0.0
         return [
-            {"id": one.request_id.decode(), "at": one.asked - zero, "took": one.took_ms,
+            {"id": one.request_id.decode(), "at": one.scheduled_at - zero, "took": one.duration_ms,
              "answer": one.answer or "lost"}
-            for load in self.loads for one in load.outcomes if one.asked >= zero
+            for load in self.loads for one in load.outcomes if one.scheduled_at >= zero
         ]  # fmt: skip
--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -309,7 +309,7 @@
             return  # the gateway restarts; its clients use others meanwhile
         self.serial += 1
         spread, _ = sets(account)
-        call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
+        call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.account_id.decode(),
                      float(kind.deadline_ms), 1.0, spread)  # fmt: skip
         self.answers["asked"] += 1
         gateway.gateway.accept(call, self.answered)
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -249,7 +249,7 @@
     async def stop(self) -> None:
         """Ends all processes that were started."""
         for gateway in self.gateways.values():
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
         await asyncio.gather(*(part.stop() for part in self.parts()))
         for gateway in self.gateways.values():
             if gateway.process is not None:
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -226,5 +226,5 @@
 
 def sets(account: Account) -> tuple[int, int]:
     """Returns the spread and first gateway of an account's set."""
-    fields = dict(part.split("=") for part in account.more.split(",") if part)
+    fields = dict(part.split("=") for part in account.extra_fields.split(",") if part)
     return int(fields["spread"]), int(fields["first"])
--- a/lab/services.py
+++ b/lab/services.py
@@ -20,7 +20,7 @@
     """Counter with the call ``INCRTTL NAME AMOUNT TTL``.
 
     A name starts at 0 and expires when the TTL of its first call is over. The faults are VANISH (counts
-    without an answer), REFUSE (overloaded), DELAY (slow) and GARBLE (the answer is not a number). `forget`
+    without an answer), REFUSE (overloaded), DELAY (slow) and GARBLE (the answer is not a number). `reset`
     simulates a replacement that starts at zero.
     """
 
@@ -28,40 +28,40 @@
         super().__init__()
         self.script = script or FaultScript()
         self.totals = ExpiringTotals()
-        self.began = 0.0
+        self.started_at = 0.0
         self.calls = 0
 
     async def start(self, port: int = 0) -> None:
-        self.began = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
         await super().start(port)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Deletes all totals."""
         self.totals = ExpiringTotals()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
-        async for words in read_commands(reader):
-            if words[0].upper() == b"PING":
+        async for command in read_commands(reader):
+            if command[0].upper() == b"PING":
                 writer.write(b"+PONG\r\n")
                 continue
-            is_valid = len(words) == 4 and words[0].upper() == b"INCRTTL" and 1 <= len(words[1]) <= 64
+            is_valid = len(command) == 4 and command[0].upper() == b"INCRTTL" and 1 <= len(command[1]) <= 64
             if (
                 not is_valid
-                or AMOUNT_PATTERN.fullmatch(words[2]) is None
-                or not words[3].isdigit()
-                or not int(words[3])
+                or AMOUNT_PATTERN.fullmatch(command[2]) is None
+                or not command[3].isdigit()
+                or not int(command[3])
             ):
                 writer.write(b"-ERR no such call\r\n")
                 continue
             self.calls += 1
-            fault = self.script.fault(loop.time() - self.began)
+            fault = self.script.fault(loop.time() - self.started_at)
             kind = fault.kind if fault is not None else None
             if kind is FaultKind.REFUSE:
                 writer.write(b"-BUSY\r\n")
                 continue
-            name = words[1].decode("latin-1")
-            total = self.totals.add(1000.0 * loop.time(), name, float(words[2]), int(words[3]))
+            name = command[1].decode("latin-1")
+            total = self.totals.add(1000.0 * loop.time(), name, float(command[2]), int(command[3]))
             if kind is FaultKind.VANISH:
                 await asyncio.Event().wait()
             if kind is FaultKind.DELAY and fault is not None:
@@ -77,9 +77,10 @@
         super().__init__()
         self.rows = {str(row["id"]): row for row in rows}
         self.version = 1
-        self.changed = asyncio.Event()  # set at the next change, then replaced
-        self.log: list[tuple[int, dict[str, Any]]] = []  # changed rows by version; bounded in `update_rows`
-        self.told: dict[int, float] = {}  # loop time of the first answer with each version
+        self.changed = asyncio.Event()  # set at the next change and then replaced by a new event
+        # Versions with a row that each changed; bounded in `update_rows`.
+        self.change_log: list[tuple[int, dict[str, Any]]] = []
+        self.first_answer_at: dict[int, float] = {}  # loop time of the first answer with each version
 
     def update(self, row: dict[str, Any]) -> None:
         """Changes one server; the state Gone removes it from the list."""
@@ -93,7 +94,7 @@
                 self.rows.pop(str(row["id"]), None)
             else:
                 self.rows[str(row["id"])] = row
-        self.log = [*self.log[-999:], *((self.version, row) for row in rows)]
+        self.change_log = [*self.change_log[-999:], *((self.version, row) for row in rows)]
         self.changed.set()
         self.changed = asyncio.Event()
         return self.version
@@ -103,20 +104,20 @@
             head = await reader.readuntil(b"\r\n\r\n")
             query = parse_qs(urlsplit(head.split(b" ")[1].decode("ascii")).query)
             since = int(query["since"][0]) if "since" in query else None
-            if since is None or not self.kept(since):
+            if since is None or not self.has_changes_since(since):
                 rows, full = list(self.rows.values()), True
             else:
                 if since == self.version:
                     wait_s = min(60.0, float(query.get("timeout_ms", ["0"])[0]) / 1000.0)
                     with contextlib.suppress(TimeoutError):
                         await asyncio.wait_for(self.changed.wait(), wait_s)
-                rows, full = [row for version, row in self.log if version > since], False
+                rows, full = [row for version, row in self.change_log if version > since], False
             body = {"version": self.version, "full": full, "servers": rows}
             writer.write(http_response(json.dumps(body).encode()))
-            self.told.setdefault(self.version, asyncio.get_running_loop().time())
+            self.first_answer_at.setdefault(self.version, asyncio.get_running_loop().time())
 
-    def kept(self, since: int) -> bool:
-        """Returns whether all changes since a version are still in the log."""
+    def has_changes_since(self, since: int) -> bool:
+        """Returns whether all changes since a version are in the change log."""
         return since <= self.version and (
-            since == self.version or (bool(self.log) and self.log[0][0] <= since + 1)
+            since == self.version or (bool(self.change_log) and self.change_log[0][0] <= since + 1)
         )
--- a/lab/site.py
+++ b/lab/site.py
@@ -1,4 +1,7 @@
-"""A small site on loopback: servers, counter, discovery, and gateways in processes of their own."""
+"""A small site on loopback: servers, counter, discovery, and gateways in processes of their own.
+
+`KINDS` and `SETTINGS` are the request classes and the platform's settings that tests and benchmarks share.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from lab.load import Account, RequestKind
 from lab.nodes import Node
 from lab.peers import Client, server_row
-from lab.ports import free_port as free_port  # also imported from this module
+from lab.ports import free_port as free_port  # other modules import it from here
 from lab.services import CounterService, DiscoveryService
 
 KINDS = (
@@ -48,12 +51,12 @@
 }  # fmt: skip
 
 
-def with_longer_deadlines(times: float = 10.0) -> dict[str, Any]:
-    """Returns profiles with time limits multiplied by `times`, so that a busy machine causes no timeouts."""
+def with_longer_deadlines(factor: float = 10.0) -> dict[str, Any]:
+    """Returns profiles with time limits multiplied by `factor`, so that a busy machine causes no timeouts."""
     limits = ("aim_ms", "hard_limit_ms")
     return {
         "profiles": [
-            profile | {limit: times * profile[limit] for limit in limits} for profile in SETTINGS["profiles"]
+            profile | {limit: factor * profile[limit] for limit in limits} for profile in SETTINGS["profiles"]
         ]
     }
 
@@ -68,49 +71,50 @@
 
 
 class GatewayProcess:
-    """A gateway in a process and process group of its own."""
+    """A gateway in a process and process group of its own, with its files in `folder`."""
 
     def __init__(self, folder: Path, platform: dict[str, Any], operator: str | None = None) -> None:
         self.folder, self.platform = folder, platform
         self.port = int(str(platform["listen"]).rpartition(":")[2])
-        self.config = folder / "config.json"
-        self.config.write_text(json.dumps(platform))
-        self.operator = folder / "operator.toml"
+        self.config_file = folder / "config.json"
+        self.config_file.write_text(json.dumps(platform))
+        self.operator_file = folder / "operator.toml"
         if operator is not None:
-            self.operator.write_text(operator)
-        self.program: tuple[str, ...] = ("-m", "glenchute")  # arguments of the interpreter
+            self.operator_file.write_text(operator)
+        self.interpreter_arguments: tuple[str, ...] = ("-m", "glenchute")  # start the program
         self.process: subprocess.Popen[bytes] | None = None
-        self.passed: socket.socket | None = None  # the platform's listening socket, if it passes one
-        self.shared = folder  # $TMPDIR of the process, which it shares with its successor
-        self.log = folder / "gateway.log"
+        self.passed_socket: socket.socket | None = None  # listening socket passed by the platform, if any
+        self.temp_folder = folder  # $TMPDIR of the process; a successor has to have the same
+        self.log_file = folder / "gateway.log"
 
     def start(self, *arguments: str) -> None:
         """Starts the process; `ready` waits until it answers."""
         environ = {
             key: value for key, value in os.environ.items() if not key.startswith(("EDGE_", "GLENCHUTE_"))
         }
-        environ["EDGE_CONFIG"] = str(self.config)
-        environ["TMPDIR"] = str(self.shared)
+        environ["EDGE_CONFIG"] = str(self.config_file)
+        environ["TMPDIR"] = str(self.temp_folder)
         inherited: tuple[int, ...] = ()
-        if self.passed is not None:
-            inherited = (self.passed.fileno(),)
+        if self.passed_socket is not None:
+            inherited = (self.passed_socket.fileno(),)
             environ["EDGE_PASSED_SOCKET"] = str(inherited[0])
-        if self.operator.exists():
-            environ["GLENCHUTE_OPERATOR"] = str(self.operator)
-        with self.log.open("ab") as log:
+        if self.operator_file.exists():
+            environ["GLENCHUTE_OPERATOR"] = str(self.operator_file)
+        with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.program, *arguments], env=environ, stdin=subprocess.DEVNULL,
-                stdout=log, stderr=log, start_new_session=True, pass_fds=inherited,
+                [sys.executable, *self.interpreter_arguments, *arguments],
+                env=environ, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
+                start_new_session=True, pass_fds=inherited,
                 cwd=Path(__file__).resolve().parent.parent,
             )  # fmt: skip
 
-    async def ready(self, patience_s: float = 15.0) -> None:
+    async def ready(self, timeout_s: float = 15.0) -> None:
         """Waits until the gateway answers a PING."""
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             while True:
                 assert self.process is not None
                 if self.process.poll() is not None:
-                    raise RuntimeError(f"the gateway exited before it was ready: {self.log.read_text()}")
+                    raise RuntimeError(f"the gateway exited before it was ready: {self.log_file.read_text()}")
                 with contextlib.suppress(ConnectionError):
                     client = await Client.connect(self.port)
                     try:
@@ -120,20 +124,20 @@
                         client.writer.close()
                 await asyncio.sleep(0.005)
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Sends a signal to the process group of the gateway, if the gateway runs."""
         if self.process is not None and self.process.poll() is None:
             os.killpg(self.process.pid, number)
 
-    async def stop(self, patience_s: float = 5.0) -> int:
-        """Sends SIGTERM, and SIGKILL after `patience_s`; returns the exit status."""
+    async def stop(self, timeout_s: float = 5.0) -> int:
+        """Sends SIGTERM, and SIGKILL after `timeout_s`; returns the exit status."""
         assert self.process is not None
-        self.signal(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + patience_s
+        deadline = loop.time() + timeout_s
         while self.process.poll() is None and loop.time() < deadline:
             await asyncio.sleep(0.01)
-        self.signal(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         return self.process.wait()
 
 
@@ -169,8 +173,8 @@
             "known": {"version": 1, "full": True, "servers": self.rows()},
         }  # fmt: skip
 
-    def charged_twice(self, class_name: str = "check-charge") -> int:
-        """Returns how many requests of an unsafe class ran more than once, as recorded by the servers."""
+    def count_repeated(self, class_name: str = "check-charge") -> int:
+        """Returns how many requests of a non-idempotent class ran more than once, by the servers' records."""
         ran: set[bytes] = set()
         repeated: set[bytes] = set()
         for node in self.nodes:
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -50,7 +50,7 @@
     def __init__(self, folder: Path, platform: dict[str, Any], mutant: str = "") -> None:
         super().__init__(folder, platform)
         if mutant:
-            self.program = ("-m", "lab.soak.mutants", mutant)
+            self.interpreter_arguments = ("-m", "lab.soak.mutants", mutant)
 
 
 class Run:
@@ -96,7 +96,7 @@
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening.bind(("127.0.0.1", gateway.port))
             listening.listen(512)
-            gateway.passed = listening
+            gateway.passed_socket = listening
         clients = SoakClients(self.schedule, self.books, lambda: gateway.port)
         background: list[asyncio.Task[None]] = []
         try:
@@ -115,10 +115,10 @@
                 task.cancel()
             await clients.stop()
             for launched in (gateway, *self.successors):
-                launched.signal(signal.SIGKILL)
+                launched.send_signal(signal.SIGKILL)
                 if launched.process is not None:
                     launched.process.wait()
-            self.books.log = gateway.log.read_text(errors="replace")
+            self.books.log = gateway.log_file.read_text(errors="replace")
             if self.extra_discovery is not None:
                 await self.extra_discovery.stop()
 
@@ -136,7 +136,7 @@
     async def wait_for_list(self, site: LabSite, gateway: SoakGateway) -> None:
         """Waits until discovery has answered the gateway once."""
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not site.discovery.told:
+            while not site.discovery.first_answer_at:
                 await asyncio.sleep(0.01)
 
     # --- scheduled events during the load ----------------------------------------------------------------
@@ -161,14 +161,14 @@
             if discovery is None:
                 continue
             version = discovery.update_rows([server_row(node.name, node.port, state) for state in states])
-            while version not in discovery.told:
+            while version not in discovery.first_answer_at:
                 await asyncio.sleep(0.001)
-            self.books.drained_at.setdefault(node.name, discovery.told[version])
+            self.books.drained_at.setdefault(node.name, discovery.first_answer_at[version])
 
     async def reset_counter(self, site: LabSite, at_s: float) -> None:
         """Resets all totals of the counter to zero."""
         await asyncio.sleep(at_s)
-        site.counter.forget()
+        site.counter.reset()
 
     async def interrupt_discovery(self, site: LabSite, from_s: float, until_s: float) -> None:
         """Stops discovery at `from_s` and restarts it on the same port at `until_s`."""
@@ -198,29 +198,29 @@
             # The clients finish before SIGTERM, as the passed socket stays open without a process behind it.
             await clients.finish()
         if ending is Ending.RELOAD_BEFORE:
-            gateway.signal(signal.SIGHUP)
+            gateway.send_signal(signal.SIGHUP)
         elif ending is Ending.BROKEN_FILE:
-            gateway.config.write_text("{ not a file")
-            gateway.signal(signal.SIGHUP)
+            gateway.config_file.write_text("{ not a file")
+            gateway.send_signal(signal.SIGHUP)
         elif ending is Ending.DISCOVERY_MOVES:
             await self.move_discovery(site, gateway)
         elif ending is Ending.STOPPED:
-            gateway.signal(signal.SIGSTOP)
+            gateway.send_signal(signal.SIGSTOP)
             await asyncio.sleep(self.schedule.paused_s)
             self.books.lag_s += self.schedule.paused_s  # the gateway did not run during this time
-            gateway.signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGCONT)
         await self.terminate(gateway, clients)
 
     async def terminate(self, gateway: SoakGateway, clients: SoakClients) -> None:
         """Sends SIGTERM, lets clients connect a while longer, and kills the process if it is too slow."""
         terminated_at = self.loop.time()
-        gateway.signal(signal.SIGTERM)
+        gateway.send_signal(signal.SIGTERM)
         repeat_count = {Ending.TERM_TWICE: 1, Ending.TERM_FIVE_TIMES: 4}.get(self.schedule.ending, 0)
         for _ in range(repeat_count):
             await asyncio.sleep(SIGNAL_INTERVAL_S)
-            gateway.signal(signal.SIGTERM)
+            gateway.send_signal(signal.SIGTERM)
         if self.schedule.ending is Ending.RELOAD_AFTER:
-            gateway.signal(signal.SIGHUP)
+            gateway.send_signal(signal.SIGHUP)
         await asyncio.sleep(max(0.0, terminated_at + self.schedule.arrivals_after_s - self.loop.time()))
         clients.may_connect = False
         assert gateway.process is not None
@@ -229,7 +229,7 @@
         ):
             await asyncio.sleep(0.005)
         self.books.killed_at_end = gateway.process.poll() is None
-        gateway.signal(signal.SIGKILL)
+        gateway.send_signal(signal.SIGKILL)
         status = gateway.process.wait()
         is_killed_during_start = self.schedule.ending is Ending.DURING_START and status == -signal.SIGTERM
         self.books.exit_status = 0 if is_killed_during_start else status
@@ -242,24 +242,24 @@
         """
         for _ in range(times):
             successor = SoakGateway(folder, gateway.platform, self.mutant)
-            successor.passed, successor.shared = gateway.passed, gateway.shared
-            successor.log = folder / "gateway.log"
-            takeover_count = gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE)
+            successor.passed_socket, successor.temp_folder = gateway.passed_socket, gateway.temp_folder
+            successor.log_file = folder / "gateway.log"
+            takeover_count = gateway.log_file.read_text(errors="replace").count(TAKEOVER_MESSAGE)
             # The end of the run kills all successors, also after an error here.
             self.successors.append(successor)
             successor.start()
             async with asyncio.timeout(READY_TIMEOUT_S):
-                while gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE) == takeover_count:
+                while gateway.log_file.read_text(errors="replace").count(TAKEOVER_MESSAGE) == takeover_count:
                     await asyncio.sleep(0.02)
             await asyncio.sleep(SERVING_DELAY_S)
-            gateway.signal(signal.SIGTERM)
+            gateway.send_signal(signal.SIGTERM)
             assert gateway.process is not None
             began = self.loop.time()
             while gateway.process.poll() is None and self.loop.time() - began < self.schedule.kill_after_s:
                 await asyncio.sleep(0.005)
             if gateway.process.poll() is None:
                 self.books.killed_at_end = True
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
             gateway.process.wait()
             gateway = successor
         return gateway
@@ -269,8 +269,8 @@
         self.extra_discovery = DiscoveryService(list(site.discovery.rows.values()))
         await self.extra_discovery.start()
         platform = gateway.platform | {"discovery": f"127.0.0.1:{self.extra_discovery.port}"}
-        gateway.config.write_text(json.dumps(platform))
-        gateway.signal(signal.SIGHUP)
+        gateway.config_file.write_text(json.dumps(platform))
+        gateway.send_signal(signal.SIGHUP)
 
     def count_effects(self, nodes: list[RecordingNode]) -> None:
         """Adds the effects that the servers recorded to the observations."""
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -435,7 +435,7 @@
             load = Load(lambda: gateway.port, KINDS, accounts, 120.0)
             task = asyncio.create_task(load.run(2.5))
             await asyncio.sleep(2.0)
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
             assert gateway.process is not None
             gateway.process.wait()
             task.cancel()
--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -259,13 +259,13 @@
             gateway.start()
             try:
                 await gateway.ready()
-                gateway.signal(signal.SIGHUP)
-                await wait_until(lambda: "does not end" in gateway.log.read_text())
-                gateway.signal(signal.SIGHUP)
+                gateway.send_signal(signal.SIGHUP)
+                await wait_until(lambda: "does not end" in gateway.log_file.read_text())
+                gateway.send_signal(signal.SIGHUP)
                 await gateway.ready()  # the gateway still responds
             finally:
                 assert await gateway.stop(15.0) == 0
-            log = gateway.log.read_text()
+            log = gateway.log_file.read_text()
             assert "has ended" in log and "Traceback" not in log and "Fatal" not in log
 
     run_scenario(scenario())
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -271,7 +271,7 @@
             await site.until(are_all_used, 30.0)
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes)
             assert checks.lost(outcomes) == 0
-            assert "word.denied" in site.gateways[0].log.read_text()
+            assert "word.denied" in site.gateways[0].log_file.read_text()
 
     run_scenario(scenario())
 
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -63,8 +63,8 @@
         results = await asyncio.gather(*(site.load(6.0, rate, [ACCOUNT], [n]) for n, rate in rates.items()))
         outcomes = [outcome for result in results for outcome in result]
         assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
-        wrongly_rejected = checks.refused_with_room(outcomes, ACCOUNT.customer, RATE, BURST)
-        return wrongly_rejected, checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST)
+        wrongly_rejected = checks.refused_with_room(outcomes, ACCOUNT.account_id, RATE, BURST)
+        return wrongly_rejected, checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST)
 
 
 def test_usage_reports_keep_a_quota_available_without_the_counter(tmp_path: Path) -> None:
@@ -99,7 +99,7 @@
             # Until each side detects the loss of the other (1 s, including a round of probes), both may grant
             # the whole quota.
             assert (
-                checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
+                checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
             )
             site.counter_partitions.replace()  # the counter is replaced by an empty one
             for link in site.to_counter:
@@ -110,7 +110,7 @@
             outcomes += await site.load(2.0, 2.0, [ACCOUNT])
             await site.until(lambda: site.same_digest(GATEWAYS))
             assert (
-                checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
+                checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
             )
             assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
 
@@ -133,9 +133,9 @@
             site.links[0, 1].cut()
             await site.until(lambda: is_share_lowered(site))
             assert await site.whole([2, 3, 4], 1.0)
-            assert "now=dead" not in site.gateways[0].log.read_text()
+            assert "now=dead" not in site.gateways[0].log_file.read_text()
             outcomes = await site.load(3.0, 3.0, [ACCOUNT], [0, 1, 2])
-            assert checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST) <= 9.0 * 0.4 + 5.0
+            assert checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 9.0 * 0.4 + 5.0
             site.links[0, 1].cut(cut=False)
             await site.until(lambda: site.whole(GATEWAYS, 1.0))
             assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
@@ -159,7 +159,7 @@
             await site.until(lambda: has_state(site, 0, "g1", "suspect"))
             site.send_signal(1, signal.SIGCONT)
             await site.until(lambda: site.agree(GATEWAYS))
-            assert "member=g1 now=dead" not in site.gateways[0].log.read_text()
+            assert "member=g1 now=dead" not in site.gateways[0].log_file.read_text()
             site.send_signal(2, signal.SIGKILL)
             await site.until(lambda: has_state(site, 0, "g2", "dead"))
             await site.start([2])
@@ -167,7 +167,7 @@
             await site.until(lambda: site.whole(GATEWAYS, 1.0))
             site.send_signal(3, signal.SIGTERM)
             await site.until(lambda: has_state(site, 0, "g3", "left"))
-            assert "member=g3 now=suspect" not in site.gateways[0].log.read_text()
+            assert "member=g3 now=suspect" not in site.gateways[0].log_file.read_text()
             state = (await site.asked(0, "state"))[0]
             assert sum(count for name, count in state.items() if name.startswith("dropped_")) >= 3, state
             process = site.gateways[3].process
@@ -247,18 +247,18 @@
         async with FleetSite(tmp_path, 3) as site:
             old = site.gateways[0]
             with socket.create_server(("127.0.0.1", old.port), backlog=512) as listener:
-                old.passed, old.shared = listener, tmp_path
+                old.passed_socket, old.temp_folder = listener, tmp_path
                 await site.start()
                 await site.until(lambda: site.whole(range(3), 1.0))
                 boot = (await site.asked(0, "members"))[0]["boot"]
                 load = asyncio.create_task(site.load(6.0, 15.0, OTHER_ACCOUNTS, [0, 1]))
                 (tmp_path / "next").mkdir()
-                new = GatewayProcess(tmp_path / "next", old.platform, old.operator.read_text())
-                new.passed, new.shared = listener, tmp_path
+                new = GatewayProcess(tmp_path / "next", old.platform, old.operator_file.read_text())
+                new.passed_socket, new.temp_folder = listener, tmp_path
                 new.start()
                 try:
                     await site.until(lambda: has_logged(new, "address.taken"))
-                    old.signal(signal.SIGTERM)
+                    old.send_signal(signal.SIGTERM)
                     await site.until(lambda: is_taken_over(site, boot))
                     outcomes = await load
                     assert old.process is not None and old.process.wait() == 0
@@ -266,10 +266,10 @@
                     assert checks.lost(outcomes) == 0
                     assert checks.refused_and_ran(site.site.nodes, outcomes) == 0
                 finally:
-                    new.signal(signal.SIGKILL)
+                    new.send_signal(signal.SIGKILL)
 
     async def has_logged(successor: GatewayProcess, logged: str) -> bool:
-        return logged in successor.log.read_text()
+        return logged in successor.log_file.read_text()
 
     async def is_taken_over(site: FleetSite, boot: str) -> bool:
         rows = [row for row in await site.asked(1, "members") if row["name"] == "g0"]
@@ -300,7 +300,7 @@
                 site.send_signal(2, signal.SIGCONT)
                 outcomes += await site.load(0.4, 10.0, OTHER_ACCOUNTS, [0, 5])
             await site.until(lambda: site.agree(gateways))
-            logs = [gateway.log.read_text() for gateway in site.gateways]
+            logs = [gateway.log_file.read_text() for gateway in site.gateways]
             assert not any("now=dead" in log for log in logs)
 
             site.send_signal(1, signal.SIGKILL)
@@ -341,12 +341,12 @@
                         direction.delay_s, direction.jitter_s = 0.4, 0.2
             started_at = asyncio.get_running_loop().time()
             while asyncio.get_running_loop().time() < started_at + 2.0:
-                assert "member=g4 now=dead" not in site.gateways[0].log.read_text()
+                assert "member=g4 now=dead" not in site.gateways[0].log_file.read_text()
                 await asyncio.sleep(0.1)
 
             # g1 seems to report false usage and a false removal, and another fleet's datagram arrives.
             boot = int((await site.asked(0, "members"))[1]["boot"], 16)  # of g1
-            used = Row(RowKind.USE, f"{ACCOUNT.customer.decode()}/{10**9}", "g1#1", 9, 1e11)
+            used = Row(RowKind.USE, f"{ACCOUNT.account_id.decode()}/{10**9}", "g1#1", 9, 1e11)
             removed = Row(RowKind.SERVER, "s2", "", 10**9, 2.0)
             for fleet, false_row in (("lab", used), ("lab", removed), ("other", removed)):
                 site.links[0, 1].forge(1, encode(fleet, "g1", boot, Delta(((false_row, 0),))))
@@ -384,7 +384,7 @@
             assert checks.refused_and_ran(site.site.nodes, outcomes) == 0
             # Two requests at each gateway, which it may admit while the usage of others is unknown, and the
             # plan's rate for 0.4 s.
-            assert checks.overshoot(site.site.nodes, ACCOUNT.customer, RATE, BURST) <= 2.0 * 5 + 4.0 * 0.4
+            assert checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 2.0 * 5 + 4.0 * 0.4
 
     async def has_dropped(site: FleetSite, number: int, field: str) -> bool:
         rows = await site.asked(number, "state")
--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -184,15 +184,15 @@
                     site.send_signal(number, signal.SIGKILL)
                     old.platform["listen"] = f"127.0.0.1:{listener.getsockname()[1]}"
                     old.port = listener.getsockname()[1]
-                    old.config.write_text(json.dumps(old.platform))
-                    old.passed, old.shared = listener, tmp_path
+                    old.config_file.write_text(json.dumps(old.platform))
+                    old.passed_socket, old.temp_folder = listener, tmp_path
                     await site.start([number])
                     await wait_until_holder(one, number)
                     folder = tmp_path / f"next{number}{stopped}"
                     folder.mkdir()
                     platform = {**old.platform, "operator": f"127.0.0.1:{free_port()}"}
-                    new = GatewayProcess(folder, platform, old.operator.read_text())
-                    new.passed, new.shared = listener, tmp_path
+                    new = GatewayProcess(folder, platform, old.operator_file.read_text())
+                    new.passed_socket, new.temp_folder = listener, tmp_path
                     new.start()
                     await site.until(lambda new=new: has_logged(new, "address.taken"))  # type: ignore[misc]
                     began = asyncio.get_running_loop().time()
@@ -200,7 +200,7 @@
                         site.send_signal(number, signal.SIGSTOP)
                         await one.another(number)
                         site.send_signal(number, signal.SIGCONT)
-                    old.signal(signal.SIGTERM)
+                    old.send_signal(signal.SIGTERM)
                     assert old.process is not None
                     assert await asyncio.get_running_loop().run_in_executor(None, old.process.wait) == 0
                     await one.acts(8)
@@ -209,7 +209,7 @@
             assert overlaps(service.acts) == []
 
     async def has_logged(gateway: GatewayProcess, text: str) -> bool:
-        return text in gateway.log.read_text()
+        return text in gateway.log_file.read_text()
 
     async def wait_until_holder(one: Acting, number: int) -> None:
         """Drains all other gateways until this one acts."""
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -61,7 +61,7 @@
         partitions = CounterPartitions(2)
         counters = [PartitionedCounter(partitions, lambda _, name=f"g{i}": name) for i in range(GATEWAYS)]  # type: ignore[misc]
         nodes = [Node(f"n{i}", ServiceProfile({"report-read": 4.0}, slots=64)) for i in range(3)]
-        account = Account(b"%016x" % 77, "korporativni", more=f",spread={GATEWAYS},first=0")
+        account = Account(b"%016x" % 77, "korporativni", extra_fields=f",spread={GATEWAYS},first=0")
         async with LabSite(nodes) as lab:
             gateways = []
             for number, counter in enumerate(counters):
--- a/tests/core/test_routes_loopback.py
+++ b/tests/core/test_routes_loopback.py
@@ -151,21 +151,21 @@
                     return loop.time() - began
 
                 assert 0.09 <= await waited() < 1.48
-                gateway.operator.write_text(reads(100) + "second_copy_after_ms = 50\nattempts = 7\n")
-                gateway.signal(signal.SIGHUP)
-                await wait_until(lambda: "operator's file in force stays" in gateway.log.read_text())
+                gateway.operator_file.write_text(reads(100) + "second_copy_after_ms = 50\nattempts = 7\n")
+                gateway.send_signal(signal.SIGHUP)
+                await wait_until(lambda: "operator's file in force stays" in gateway.log_file.read_text())
                 assert 0.09 <= await waited() < 1.48
-                gateway.operator.write_text(reads(1500))
-                gateway.signal(signal.SIGHUP)
-                await wait_until(lambda: "operator's file was read again" in gateway.log.read_text())
+                gateway.operator_file.write_text(reads(1500))
+                gateway.send_signal(signal.SIGHUP)
+                await wait_until(lambda: "operator's file was read again" in gateway.log_file.read_text())
                 assert await waited() >= 1.48
-                assert "waits for a restart" not in gateway.log.read_text()
+                assert "waits for a restart" not in gateway.log_file.read_text()
                 more = f"[capture]\nfolder = '{tmp_path}'\n[fronts.extproc]\nlisten = 'unix:/nowhere'\n"
                 mapped = "account = 'header:a'\nplan = 'header:p'\nclass = 'header:c'\nkey = 'header:k'\n"
-                gateway.operator.write_text(f"{more}[fronts.extproc.map]\n{mapped}{reads(500)}")
-                gateway.signal(signal.SIGHUP)
+                gateway.operator_file.write_text(f"{more}[fronts.extproc.map]\n{mapped}{reads(500)}")
+                gateway.send_signal(signal.SIGHUP)
                 message = "[fronts], [pipeline] and [subset] waits for a restart"
-                await wait_until(lambda: message in gateway.log.read_text())
+                await wait_until(lambda: message in gateway.log_file.read_text())
             finally:
                 assert await gateway.stop() == 0
 
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -130,7 +130,7 @@
             yield site
         finally:
             for process in site.processes:
-                process.signal(signal.SIGKILL)
+                process.send_signal(signal.SIGKILL)
             for program in site.programs:
                 await program.close()
 
@@ -279,7 +279,7 @@
 
             def kill(reached: str, request: str) -> None:
                 if reached == point and request == "victim" and len(processes) == 1:
-                    processes[0].signal(signal.SIGKILL)
+                    processes[0].send_signal(signal.SIGKILL)
                     assert processes[0].process is not None
                     processes[0].process.wait()
                     site.process(tmp_path, settings, platform)
@@ -693,7 +693,7 @@
             assert process.process is not None
             async with asyncio.timeout(10.0):
                 await wait_until(lambda: process.process is not None and process.process.poll() is not None)
-            assert process.process.returncode == 2 and expected_log in process.log.read_text()
+            assert process.process.returncode == 2 and expected_log in process.log_file.read_text()
 
     run_scenario(scenario())
 
--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -225,13 +225,13 @@
             fields = b"c=report-read,t=korporativni,d=2000"
             client.send(b"CALL.GET", CUSTOMER, b"a", fields)
             assert await request(port, "PUT", "/_lameduck/on") == 200
-            gateway.signal(signal.SIGHUP)  # does not affect the drain
+            gateway.send_signal(signal.SIGHUP)  # does not affect the drain
             assert await request(port, "GET", "/_ready") == 503
             ending = asyncio.create_task(gateway.stop())
             assert await client.reply() is not None
             assert await client.ended()
             assert await ending == 0
-            assert "Traceback" not in gateway.log.read_text()
+            assert "Traceback" not in gateway.log_file.read_text()
 
     run_scenario(scenario())
 
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -304,7 +304,7 @@
                         LoadOutcome(made.kinds[0], made.accounts[int(name[4:], 16) % 40], name, herd.now)
                         for name in names
                     ]
-                    await asyncio.gather(*map(made.ask, asked))
+                    await asyncio.gather(*map(made.send_request, asked))
                 return made
 
             async def load(seconds: float, numbers: range, seed: int) -> list[Load]:
@@ -317,10 +317,10 @@
             assert max(met) <= 4, met
             for node in herd.site.nodes[:3]:
                 await node.stop()
-            herd.gateways[7].signal(signal.SIGSTOP)
+            herd.gateways[7].send_signal(signal.SIGSTOP)
             herd.kill([6])
             loads += await load(2.0, range(6), 200)
-            herd.gateways[7].signal(signal.SIGCONT)
+            herd.gateways[7].send_signal(signal.SIGCONT)
             await herd.start([6])
             loads += await load(1.0, range(8), 300)
             results = [outcome.answer for one in loads for outcome in one.outcomes]
--- a/tests/policy/connections/test_descriptor_budget.py
+++ b/tests/policy/connections/test_descriptor_budget.py
@@ -191,7 +191,7 @@
         for task in self.idle_clients:
             task.cancel()
         await asyncio.gather(*self.idle_clients, return_exceptions=True)
-        self.gateway.signal(signal.SIGKILL)
+        self.gateway.send_signal(signal.SIGKILL)
         assert self.gateway.process is not None
         self.gateway.process.wait()
         for peer in (*self.servers, self.counter, self.discovery):
@@ -326,8 +326,10 @@
             assert await client.ask(b"CALL.GET", CUSTOMER, next(crowded.request_ids), GET) != b"value"
             newcomer = await Client.connect(crowded.gateway.port)
             assert await newcomer.ended()
-            crowded.gateway.signal(signal.SIGHUP)
-            await wait_until(lambda: "the configuration in force stays" in crowded.gateway.log.read_text())
+            crowded.gateway.send_signal(signal.SIGHUP)
+            await wait_until(
+                lambda: "the configuration in force stays" in crowded.gateway.log_file.read_text()
+            )
             # Long enough for every part to retry.
             await asyncio.sleep(max(counter.MAX_BACKOFF_S, polling.MAX_BACKOFF_S) + 0.2)
             assert not [peer for peer in peers if peer.writers]
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -297,7 +297,7 @@
             await herd.until(lambda: len(herd.lists.calls) >= before + PROCESS_COUNT // 2)
             assert busiest(herd.lists.calls) <= 24 and rejection_rate(herd.lists.calls) <= 0.05
             for gateway in herd.gateways:
-                gateway.signal(signal.SIGTERM)
+                gateway.send_signal(signal.SIGTERM)
             assert [g.process.wait(10) for g in herd.gateways if g.process is not None] == [0] * PROCESS_COUNT
 
     run_scenario(scenario())
@@ -316,7 +316,7 @@
                 # The only server on the faulty list: a gateway that accepts the list can't serve.
                 await herd.site.nodes[0].stop()
             herd.gateways[2].start()
-            herd.gateways[2].signal(signal.SIGSTOP)
+            herd.gateways[2].send_signal(signal.SIGSTOP)
             await herd.start(range(2))
             ports = [gateway.port for gateway in herd.gateways[:2]]
             loads = [
@@ -324,13 +324,13 @@
                 for seed, port in enumerate(ports, 1)
             ]
             await asyncio.gather(*(load.run(2.0) for load in loads))
-            herd.gateways[2].signal(signal.SIGCONT)
+            herd.gateways[2].send_signal(signal.SIGCONT)
             await herd.gateways[2].ready(20.0)
             outcomes = [outcome for load in loads for outcome in load.outcomes]
             answered = [outcome for outcome in outcomes if outcome.answer == "served"]
             assert len(outcomes) == REQUEST_COUNT and len(answered) >= 0.95 * len(outcomes)
             unconfirmed_count = sum(
-                "not confirmed yet" in gateway.log.read_text() for gateway in herd.gateways[:2]
+                "not confirmed yet" in gateway.log_file.read_text() for gateway in herd.gateways[:2]
             )
             assert unconfirmed_count == (0 if mode == "silent" else 2)
 
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -146,7 +146,7 @@
                 return any("audit.use" in log and text in log for log in logs())
 
             def logs() -> list[str]:
-                return [gateway.log.read_text() for gateway in site.gateways]
+                return [gateway.log_file.read_text() for gateway in site.gateways]
 
             await site.start()
             await site.until(lambda: site.whole(range(3), 1.0))
--- a/tests/system/test_readiness.py
+++ b/tests/system/test_readiness.py
@@ -92,7 +92,7 @@
                     await asyncio.sleep(0.02)
         finally:
             for gateway in gateways:
-                gateway.signal(signal.SIGKILL)
+                gateway.send_signal(signal.SIGKILL)
                 if gateway.process is not None:
                     gateway.process.wait()
             for peer in (discovery_peer, silent_counter, server):
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -40,7 +40,7 @@
         operations_port = free_port()
         platform.update(listen=f"127.0.0.1:{self.port}", operator=f"127.0.0.1:{operations_port}")
         one = GatewayProcess(folder, platform)
-        one.passed, one.shared = self.listening_socket, self.folder
+        one.passed_socket, one.temp_folder = self.listening_socket, self.folder
         one.start()
         self.processes.append(one)
         async with asyncio.timeout(15.0):
@@ -98,7 +98,7 @@
             yield one
         finally:
             for process in one.processes:
-                process.signal(signal.SIGKILL)
+                process.send_signal(signal.SIGKILL)
             one.listening_socket.close()
 
 
@@ -121,7 +121,7 @@
             # asserted. Each was answered on its second connection, or `client` would have failed.
             assert await old.stop() == 0
             for process in one.processes:
-                assert "Traceback" not in process.log.read_text()
+                assert "Traceback" not in process.log_file.read_text()
 
     run_scenario(scenario())
 
@@ -134,7 +134,7 @@
             stopped = asyncio.Event()
             if after_ready:
                 new = await one.start()
-                new.signal(signal.SIGKILL)  # no request was sent yet, so none can be lost
+                new.send_signal(signal.SIGKILL)  # no request was sent yet, so none can be lost
                 assert new.process is not None
                 new.process.wait()
             else:
@@ -143,9 +143,9 @@
                 folder = tmp_path / "dies"
                 folder.mkdir()
                 new = GatewayProcess(folder, platform)
-                new.passed, new.shared = one.listening_socket, tmp_path
+                new.passed_socket, new.temp_folder = one.listening_socket, tmp_path
                 new.start()
-                new.signal(signal.SIGKILL)
+                new.send_signal(signal.SIGKILL)
             clients = [asyncio.create_task(one.client(stopped)) for _ in range(4)]
             while one.answered < 50:
                 await asyncio.sleep(0.01)
@@ -194,8 +194,8 @@
 def test_an_invalid_descriptor_ends_the_start_with_one_log_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         one = GatewayProcess(tmp_path, raw_config(1, 1, [], listen=1))
-        one.passed = listener
+        one.passed_socket = listener
         one.start()
         assert one.process is not None and one.process.wait(15) == 2
-        lines = one.log.read_text().splitlines()
+        lines = one.log_file.read_text().splitlines()
         assert len(lines) == 1 and "not at `listen`" in lines[0]
