--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -28,7 +28,7 @@
 
 from benchmarks.machine import cpu_s, machine
 from lab.peers import Client, RespPeer, reply_with, server_row
-from lab.proxy import METHOD, message
+from lab.proxy import METHOD, processing_request
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, free_port
 
@@ -61,7 +61,7 @@
     ("user-agent", b"portal/7.1 (landlords; autumn release)"), ("accept", b"application/json"),
     ("x-forwarded-for", b"127.0.0.1"), ("x-forwarded-proto", b"https"),
 ]  # fmt: skip
-OK = message("response_headers", [(":status", b"200"), ("content-type", b"application/json")])
+OK = processing_request("response_headers", [(":status", b"200"), ("content-type", b"application/json")])
 
 
 def rss_kb(pid: int) -> int:
@@ -87,7 +87,7 @@
         self.serial += 1
         down = self.method()
         given = [*HEADERS, ("x-request-id", b"%d" % self.serial)]
-        await down.write(message("request_headers", given))
+        await down.write(processing_request("request_headers", given))
         told = await down.read()
         if told.HasField("immediate_response"):
             self.refused += 1
@@ -95,7 +95,7 @@
             up = self.method(metadata=(("x-glenchute-role", "upstream"),))
             set_ = told.request_headers.response.header_mutation.set_headers
             given = [*given, *((option.header.key, option.header.raw_value) for option in set_)]
-            await up.write(message("request_headers", given))
+            await up.write(processing_request("request_headers", given))
             await up.read()
             await up.write(OK)
             await up.read()
@@ -276,7 +276,7 @@
             response_deserializer=pb.ProcessingResponse.FromString,
         )()
         calls.append(call)
-        await call.write(message("request_headers", [*HEADERS, ("x-request-id", b"%d" % number)]))
+        await call.write(processing_request("request_headers", [*HEADERS, ("x-request-id", b"%d" % number)]))
         await call.read()
 
     for start in range(0, stream_count, 200):
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -36,12 +36,20 @@
 METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ATTEMPT_TIMEOUT_HEADER = "x-envoy-upstream-rq-per-try-timeout-ms"
 RETRY_HEADER = "x-glenchute-retry"
+# Points of the exchange in the order in which a request passes them.
 POINTS = (
-    "asked", "decided", "attempt-asked", "attempt-allowed", "bytes-left", "answered", "told", "shown",
-)  # fmt: skip
+    "asked",  # the processor is about to be asked about a request
+    "decided",  # it has answered
+    "attempt-asked",  # it is about to be asked about an attempt
+    "attempt-allowed",  # it has allowed the attempt
+    "bytes-left",  # the request was written to the server
+    "answered",  # the server's response or the end of its connection was read
+    "told",  # the processor is about to be told of the final response
+    "shown",  # it has answered this
+)
 UPSTREAM_ERRORS = (OSError, EOFError, h11.ProtocolError, TimeoutError)
 # uvloop raises RuntimeError when grpclib writes to a connection that has just closed.
-GRPC_BROKEN = (
+GRPC_ERRORS = (
     GRPCError, StreamTerminatedError, ProtocolError, OSError, TimeoutError, RuntimeError,
     h2.exceptions.ProtocolError, grpc.RpcError, asyncio.InvalidStateError,
 )  # fmt: skip
@@ -56,32 +64,32 @@
     """
 
     message_timeout_s: float = 5.0  # time limit on the processor's answer to a message
-    other_node: int = 0  # sends every n-th attempt to a server of its own choice
-    half: int = 0  # resets the stream of every n-th request after the processor's first answer
-    stall: int = 0  # pauses every n-th request for a second after the processor's first answer
-    tells: bool = True  # reports local replies for broken attempts on the attempt's stream
-    retries_alone: bool = False  # retries every failed attempt, also without the processor's request
-    dies: tuple[str, int] | None = None  # (point, n): kills its process at the n-th passing of the point
-    at: Callable[[str, str], None] | None = None  # called at each point with the request's id
+    override_every: int = 0  # sends every n-th attempt to a server that the proxy chooses
+    reset_every: int = 0  # resets the stream of every n-th request after the processor's first answer
+    pause_every: int = 0  # pauses every n-th request for a second after the processor's first answer
+    reports_local_replies: bool = True  # tells the processor how an attempt without a response ended
+    retries_unasked: bool = False  # retries every failed attempt, even if the processor does not ask for it
+    kill_at: tuple[str, int] | None = None  # (point, n): kills the process at the n-th passing of the point
+    on_point: Callable[[str, str], None] | None = None  # called at each point with the request's id
 
 
 @dataclass
-class Row:
-    """Log entry of a request: the servers that received attempts, and the client's response."""
+class LogEntry:
+    """A request: the servers that received its attempts, and the client's response."""
 
-    request: str
+    request_id: str
     nodes: list[str] = field(default_factory=list)
     status: int = 0
     reason: str = ""
 
 
-def message(kind: str, headers: Headers, attributes: dict[str, str] | None = None) -> Any:
+def processing_request(kind: str, headers: Headers, attributes: dict[str, str] | None = None) -> Any:
     """Returns a ProcessingRequest of a kind with headers and attributes."""
     request = pb.ProcessingRequest()
-    part = getattr(request, kind)
+    headers_part = getattr(request, kind)
     for name, value in headers:
-        part.headers.headers.add(key=name, raw_value=value)
-    part.end_of_stream = True
+        headers_part.headers.headers.add(key=name, raw_value=value)
+    headers_part.end_of_stream = True
     if attributes:
         fields = request.attributes["envoy.filters.http.ext_proc"].fields
         for name, text in attributes.items():
@@ -89,7 +97,7 @@
     return request
 
 
-class Exchange:
+class ProcessorStream:
     """A stream to the processor with grpclib's client."""
 
     def __init__(self, proxy: Proxy, upstream: bool) -> None:
@@ -100,72 +108,72 @@
         )
         self.context = method.open(metadata=metadata)
         self.stream: Any = None
-        self.live = False
+        self.is_open = False
 
     async def open(self) -> None:
         self.stream = await self.context.__aenter__()
-        self.live = True
+        self.is_open = True
 
-    async def ask(self, request: Any) -> Any:
-        """Sends a message and returns its answer; None if the stream is over."""
-        if not self.live:
+    async def call(self, request: Any) -> Any:
+        """Sends a message and returns the processor's response; None if the stream is over."""
+        if not self.is_open:
             return None
-        async with asyncio.timeout(self.proxy.habits.message_timeout_s):
+        async with asyncio.timeout(self.proxy.settings.message_timeout_s):
             await self.stream.send_message(request)
             return await self.stream.recv_message()
 
     async def close(self, clean: bool = True) -> None:
         """Half-closes the stream, or resets it if not `clean`."""
-        if not self.live:
+        if not self.is_open:
             return
-        self.live = False
-        with contextlib.suppress(*GRPC_BROKEN):
+        self.is_open = False
+        with contextlib.suppress(*GRPC_ERRORS):
             if clean:
                 await self.stream.end()
                 async with asyncio.timeout(1.0):
                     await self.stream.recv_message()
             else:
                 await self.stream.cancel()
-        with contextlib.suppress(*GRPC_BROKEN):
+        with contextlib.suppress(*GRPC_ERRORS):
             await self.context.__aexit__(None, None, None)
 
 
-class CoreExchange(Exchange):
+class GrpcioStream(ProcessorStream):
     """A stream to the processor with grpcio's client."""
 
     def __init__(self, proxy: Proxy, upstream: bool) -> None:
         self.proxy = proxy
-        assert proxy.core is not None
-        method = proxy.core.stream_stream(
+        assert proxy.grpcio_channel is not None
+        method = proxy.grpcio_channel.stream_stream(
             METHOD,
             request_serializer=pb.ProcessingRequest.SerializeToString,
             response_deserializer=pb.ProcessingResponse.FromString,
         )
-        self.call = method(metadata=(("x-glenchute-role", "upstream"),) if upstream else ())
-        self.live = False
+        self.grpc_call = method(metadata=(("x-glenchute-role", "upstream"),) if upstream else ())
+        self.is_open = False
 
     async def open(self) -> None:
-        self.live = True
+        self.is_open = True
 
-    async def ask(self, request: Any) -> Any:
-        if not self.live:
+    async def call(self, request: Any) -> Any:
+        if not self.is_open:
             return None
-        async with asyncio.timeout(self.proxy.habits.message_timeout_s):
-            await self.call.write(request)
-            answer = await self.call.read()
-            return None if answer is grpc.aio.EOF else answer
+        async with asyncio.timeout(self.proxy.settings.message_timeout_s):
+            await self.grpc_call.write(request)
+            response = await self.grpc_call.read()
+            return None if response is grpc.aio.EOF else response
 
     async def close(self, clean: bool = True) -> None:
-        self.live = False
-        with contextlib.suppress(*GRPC_BROKEN):
+        self.is_open = False
+        with contextlib.suppress(*GRPC_ERRORS):
             if clean:
-                await self.call.done_writing()
+                await self.grpc_call.done_writing()
                 async with asyncio.timeout(1.0):
-                    await self.call.read()
-        self.call.cancel()
+                    await self.grpc_call.read()
+        self.grpc_call.cancel()
 
 
-def changed(headers: Headers, mutation: Any) -> Headers:
+def apply_mutation(headers: Headers, mutation: Any) -> Headers:
     """Applies a HeaderMutation to headers."""
     removed = {name.lower() for name in mutation.remove_headers}
     replaced = {option.header.key.lower(): option.header.raw_value for option in mutation.set_headers}
@@ -173,14 +181,14 @@
     return kept + list(replaced.items())
 
 
-def value(headers: Headers, name: str) -> str:
+def header_value(headers: Headers, name: str) -> str:
     """Returns a header's value, or an empty string without one."""
-    return next((found.decode("latin-1") for key, found in headers if key == name), "")
+    return next((message.decode("latin-1") for key, message in headers if key == name), "")
 
 
-def plain(headers: Headers) -> list[tuple[bytes, bytes]]:
+def h11_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
     """Converts headers for h11, without HTTP/2 pseudo-headers."""
-    return [(name.encode(), given) for name, given in headers if not name.startswith(":")]
+    return [(name.encode(), value) for name, value in headers if not name.startswith(":")]
 
 
 class Proxy(Peer):
@@ -189,18 +197,18 @@
     def __init__(
         self,
         processor: str,
-        habits: ProxySettings | None = None,
+        settings: ProxySettings | None = None,
         nodes: list[str] | None = None,
-        core: bool = False,
+        uses_grpcio: bool = False,
     ) -> None:
-        """Connects to `processor`, a host:port or unix:/path, with grpcio's client if `core`."""
+        """Connects to `processor`, a host:port or unix:/path, with grpcio's client if `uses_grpcio`."""
         super().__init__()
-        self.habits = habits or ProxySettings()
+        self.settings = settings or ProxySettings()
         self.nodes = nodes or []  # servers that it may choose by itself
-        self.log: list[Row] = []
-        self.passed: dict[str, int] = {}
-        self.serial = self.attempts = 0
-        self.core = grpc.aio.insecure_channel(processor) if core else None
+        self.log: list[LogEntry] = []
+        self.point_counts: dict[str, int] = {}
+        self.request_count = self.attempt_count = 0
+        self.grpcio_channel = grpc.aio.insecure_channel(processor) if uses_grpcio else None
         if processor.startswith("unix:"):
             self.channel = grpclib.client.Channel(path=processor[5:])
         else:
@@ -210,20 +218,22 @@
     async def stop(self) -> None:
         await super().stop()
         self.channel.close()
-        if self.core is not None:
-            await self.core.close()
+        if self.grpcio_channel is not None:
+            await self.grpcio_channel.close()
 
-    def exchange(self, upstream: bool) -> Exchange:
+    def new_stream(self, upstream: bool) -> ProcessorStream:
         """Creates a stream to the processor."""
-        return CoreExchange(self, upstream) if self.core is not None else Exchange(self, upstream)
-
-    def point(self, name: str, request: str) -> None:
-        """Records that a request passes a point of the exchange; kills the process if it `dies` there."""
-        self.passed[name] = self.passed.get(name, 0) + 1
-        if self.habits.dies == (name, self.passed[name]):
+        if self.grpcio_channel is None:
+            return ProcessorStream(self, upstream)
+        return GrpcioStream(self, upstream)
+
+    def pass_point(self, name: str, request: str) -> None:
+        """Records that a request passes a point; kills the process if this is its `kill_at`."""
+        self.point_counts[name] = self.point_counts.get(name, 0) + 1
+        if self.settings.kill_at == (name, self.point_counts[name]):
             os.kill(os.getpid(), signal.SIGKILL)
-        if self.habits.at is not None:
-            self.habits.at(name, request)
+        if self.settings.on_point is not None:
+            self.settings.on_point(name, request)
 
     # --- client connections ------------------------------------------------------------------------------
 
@@ -231,20 +241,20 @@
         conn = h11.Connection(h11.SERVER)
         while True:
             try:
-                found = await read_message(conn, reader)
-                if found is None:
+                message = await read_message(conn, reader)
+                if message is None:
                     return
-                head, body = found
+                head, body = message
                 headers = [(":method", head.method), (":path", head.target)]
-                headers += [(name.decode(), given) for name, given in head.headers]
-                row = Row(value(headers, "x-request-id"))
-                self.log.append(row)
-                status, extra, answer = await self.request(headers, body, row)
-                row.status, row.reason = status, value(extra, "x-glenchute-reason")
-                fields = plain([*extra, ("content-length", b"%d" % len(answer))])
+                headers += [(name.decode(), value) for name, value in head.headers]
+                entry = LogEntry(header_value(headers, "x-request-id"))
+                self.log.append(entry)
+                status, response_headers, response_body = await self.request(headers, body, entry)
+                entry.status, entry.reason = status, header_value(response_headers, "x-glenchute-reason")
+                fields = h11_headers([*response_headers, ("content-length", b"%d" % len(response_body))])
                 parts = [
                     conn.send(h11.Response(status_code=status, headers=fields, reason=b"")),
-                    conn.send(h11.Data(data=answer)),
+                    conn.send(h11.Data(data=response_body)),
                     conn.send(h11.EndOfMessage()),
                 ]
                 writer.write(b"".join(part for part in parts if part))
@@ -255,149 +265,169 @@
             except (h11.ProtocolError, ConnectionError):
                 return
 
-    async def request(self, headers: Headers, body: bytes, row: Row) -> tuple[int, Headers, bytes]:
+    async def request(self, headers: Headers, body: bytes, entry: LogEntry) -> tuple[int, Headers, bytes]:
         """Asks the processor, forwards the request, and asks again with the response if wanted."""
-        self.serial += 1
-        stream = self.exchange(upstream=False)
-        number = self.serial
+        self.request_count += 1
+        stream = self.new_stream(upstream=False)
+        number = self.request_count
         try:
             await stream.open()
-            self.point("asked", row.request)
-            told = await stream.ask(message("request_headers", headers))
-            if told is None:
+            self.pass_point("asked", entry.request_id)
+            decision = await stream.call(processing_request("request_headers", headers))
+            if decision is None:
                 return 500, [("x-glenchute-reason", b"no-processor")], b""
-            self.point("decided", row.request)
-            if told.HasField("immediate_response"):
-                return self.immediate(told.immediate_response)
-            if self.habits.half and number % self.habits.half == 0:
+            self.pass_point("decided", entry.request_id)
+            if decision.HasField("immediate_response"):
+                return self.immediate_reply(decision.immediate_response)
+            if self.settings.reset_every and number % self.settings.reset_every == 0:
                 await stream.close(clean=False)
                 return 499, [], b""
-            if self.habits.stall and number % self.habits.stall == 0:
+            if self.settings.pause_every and number % self.settings.pause_every == 0:
                 await asyncio.sleep(1.0)
-            headers = changed(headers, told.request_headers.response.header_mutation)
+            headers = apply_mutation(headers, decision.request_headers.response.header_mutation)
             wants_response = (
-                told.mode_override.response_header_mode == processing_mode_pb2.ProcessingMode.SEND
+                decision.mode_override.response_header_mode == processing_mode_pb2.ProcessingMode.SEND
             )
-            status, given, answer, details = await self.forward(headers, body, row)
+            status, response_headers, response_body, details = await self.forward(headers, body, entry)
             if not wants_response:
-                return status, given, answer
-            self.point("told", row.request)
-            said = message(
-                "response_headers", [(":status", b"%d" % status), *given], {"response.code_details": details}
+                return status, response_headers, response_body
+            self.pass_point("told", entry.request_id)
+            message = processing_request(
+                "response_headers",
+                [(":status", b"%d" % status), *response_headers],
+                {"response.code_details": details},
             )
-            told = await stream.ask(said)
-            self.point("shown", row.request)
-            if told is None:
-                return status, given, answer
-            if told.HasField("immediate_response"):
-                return self.immediate(told.immediate_response)
-            return status, changed(given, told.response_headers.response.header_mutation), answer
-        except GRPC_BROKEN:
+            decision = await stream.call(message)
+            self.pass_point("shown", entry.request_id)
+            if decision is None:
+                return status, response_headers, response_body
+            if decision.HasField("immediate_response"):
+                return self.immediate_reply(decision.immediate_response)
+            mutation = decision.response_headers.response.header_mutation
+            return status, apply_mutation(response_headers, mutation), response_body
+        except GRPC_ERRORS:
             return 500, [("x-glenchute-reason", b"no-processor")], b""  # as with failure_mode_allow off
         finally:
             await stream.close()
 
-    def immediate(self, told: Any) -> tuple[int, Headers, bytes]:
+    def immediate_reply(self, decision: Any) -> tuple[int, Headers, bytes]:
         """Returns status, headers and body of an immediate response."""
-        return int(told.status.code), changed([], told.headers), told.body
+        return int(decision.status.code), apply_mutation([], decision.headers), decision.body
 
     # --- attempts ----------------------------------------------------------------------------------------
 
-    async def forward(self, headers: Headers, body: bytes, row: Row) -> tuple[int, Headers, bytes, str]:
+    async def forward(
+        self, headers: Headers, body: bytes, entry: LogEntry
+    ) -> tuple[int, Headers, bytes, str]:
         """Makes the attempts that the processor allows; returns status, headers, body and code details."""
-        max_retries = int(value(headers, "x-envoy-max-retries") or 0)
-        has_token = bool(value(headers, "x-glenchute-token"))
-        node = value(headers, "x-gateway-destination-endpoint")
-        left_ms = int(value(headers, "x-envoy-upstream-rq-timeout-ms"))
-        end = asyncio.get_running_loop().time() + left_ms / 1000.0
-        number = 0
+        max_retries = int(header_value(headers, "x-envoy-max-retries") or 0)
+        has_token = bool(header_value(headers, "x-glenchute-token"))
+        address = header_value(headers, "x-gateway-destination-endpoint")
+        request_timeout_ms = int(header_value(headers, "x-envoy-upstream-rq-timeout-ms"))
+        deadline = asyncio.get_running_loop().time() + request_timeout_ms / 1000.0
+        attempt_number = 0
         while True:
-            number += 1
-            self.attempts += 1
-            target = node
-            if self.habits.other_node and self.attempts % self.habits.other_node == 0 and self.nodes:
-                target = self.nodes[self.attempts % len(self.nodes)]
+            attempt_number += 1
+            self.attempt_count += 1
+            target = address
+            override_every = self.settings.override_every
+            if override_every and self.attempt_count % override_every == 0 and self.nodes:
+                target = self.nodes[self.attempt_count % len(self.nodes)]
             if has_token:
-                attempt = self.attempt(headers, body, row, target, number, end)
+                attempt = self.attempt(headers, body, entry, target, attempt_number, deadline)
             else:
-                attempt = self.direct(headers, body, row, target, value(headers, ATTEMPT_TIMEOUT_HEADER))
-            status, given, answer, details, wants_retry = await attempt
-            node = value(given, "x-gateway-destination-endpoint") or node
-            if number > max_retries or asyncio.get_running_loop().time() >= end:
-                return status, given, answer, details
-            if not wants_retry and not (self.habits.retries_alone and status >= 500):
-                return status, given, answer, details
+                timeout_ms = header_value(headers, ATTEMPT_TIMEOUT_HEADER)
+                attempt = self.send_to_server(headers, body, entry, target, timeout_ms)
+            status, response_headers, response_body, details, wants_retry = await attempt
+            address = header_value(response_headers, "x-gateway-destination-endpoint") or address
+            if attempt_number > max_retries or asyncio.get_running_loop().time() >= deadline:
+                return status, response_headers, response_body, details
+            if not wants_retry and not (self.settings.retries_unasked and status >= 500):
+                return status, response_headers, response_body, details
 
     async def attempt(
-        self, headers: Headers, body: bytes, row: Row, node: str, number: int, end: float
+        self, headers: Headers, body: bytes, entry: LogEntry, address: str, number: int, deadline: float
     ) -> tuple[int, Headers, bytes, str, bool]:
         """Makes an attempt with its own stream; the last result is whether to retry."""
-        stream = self.exchange(upstream=True)
+        stream = self.new_stream(upstream=True)
         loop = asyncio.get_running_loop()
-        clean = True
+        ends_cleanly = True
         try:
             await stream.open()
             numbered = [*headers, ("x-envoy-attempt-count", b"%d" % number)]
-            self.point("attempt-asked", row.request)
-            async with asyncio.timeout(max(0.001, end - loop.time())):
-                told = await stream.ask(message("request_headers", numbered, {"upstream.address": node}))
-            if told is None:
+            self.pass_point("attempt-asked", entry.request_id)
+            async with asyncio.timeout(max(0.001, deadline - loop.time())):
+                decision = await stream.call(
+                    processing_request("request_headers", numbered, {"upstream.address": address})
+                )
+            if decision is None:
                 return 500, [], b"", "ext_proc_error", False
-            if told.HasField("immediate_response"):
-                status, given, answer = self.immediate(told.immediate_response)
-                return status, given, answer, "ext_proc", bool(value(given, RETRY_HEADER))
-            self.point("attempt-allowed", row.request)
-            sent = changed(headers, told.request_headers.response.header_mutation)
-            left_ms = value(sent, ATTEMPT_TIMEOUT_HEADER)
-            status, given, answer, details, _ = await self.direct(sent, body, row, node, left_ms)
-            if details != "via_upstream" and not self.habits.tells:
-                clean = False
-                return status, given, answer, details, "reset" in value(headers, "x-envoy-retry-on")
-            said = message(
-                "response_headers", [(":status", b"%d" % status), *given], {"response.code_details": details}
+            if decision.HasField("immediate_response"):
+                status, response_headers, response_body = self.immediate_reply(decision.immediate_response)
+                wants_retry = bool(header_value(response_headers, RETRY_HEADER))
+                return status, response_headers, response_body, "ext_proc", wants_retry
+            self.pass_point("attempt-allowed", entry.request_id)
+            sent = apply_mutation(headers, decision.request_headers.response.header_mutation)
+            timeout_ms = header_value(sent, ATTEMPT_TIMEOUT_HEADER)
+            status, response_headers, response_body, details, _ = await self.send_to_server(
+                sent, body, entry, address, timeout_ms
+            )
+            if details != "via_upstream" and not self.settings.reports_local_replies:
+                ends_cleanly = False
+                may_retry = "reset" in header_value(headers, "x-envoy-retry-on")
+                return status, response_headers, response_body, details, may_retry
+            message = processing_request(
+                "response_headers",
+                [(":status", b"%d" % status), *response_headers],
+                {"response.code_details": details},
             )
-            told = await stream.ask(said)
-            if told is None:
-                return status, given, answer, details, False
-            given = changed(given, told.response_headers.response.header_mutation)
-            return status, given, answer, details, bool(value(given, RETRY_HEADER))
+            decision = await stream.call(message)
+            if decision is None:
+                return status, response_headers, response_body, details, False
+            mutation = decision.response_headers.response.header_mutation
+            response_headers = apply_mutation(response_headers, mutation)
+            wants_retry = bool(header_value(response_headers, RETRY_HEADER))
+            return status, response_headers, response_body, details, wants_retry
         except TimeoutError:
-            clean = False
+            ends_cleanly = False
             return 504, [], b"", "response_timeout", False
-        except GRPC_BROKEN:
-            clean = False
-            return 500, [], b"", "ext_proc_error", self.habits.retries_alone
+        except GRPC_ERRORS:
+            ends_cleanly = False
+            return 500, [], b"", "ext_proc_error", self.settings.retries_unasked
         finally:
-            await stream.close(clean)
+            await stream.close(ends_cleanly)
 
-    async def direct(
-        self, headers: Headers, body: bytes, row: Row, node: str, left_ms: str
+    async def send_to_server(
+        self, headers: Headers, body: bytes, entry: LogEntry, address: str, timeout_ms: str
     ) -> tuple[int, Headers, bytes, str, bool]:
         """Sends the request to a server; the last result is False, as for no retry."""
-        host, _, port = node.rpartition(":")
+        host, _, port = address.rpartition(":")
         writer: asyncio.StreamWriter | None = None
         try:
-            async with asyncio.timeout(int(left_ms) / 1000.0):
+            async with asyncio.timeout(int(timeout_ms) / 1000.0):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 conn = h11.Connection(h11.CLIENT)
-                sent = [(name, given) for name, given in headers if name not in ("content-length", "host")]
-                fields = plain([*sent, ("host", node.encode()), ("content-length", b"%d" % len(body))])
-                target, method = value(headers, ":path"), value(headers, ":method")
+                sent = [(name, value) for name, value in headers if name not in ("content-length", "host")]
+                sent += [("host", address.encode()), ("content-length", b"%d" % len(body))]
+                fields = h11_headers(sent)
+                target, method = header_value(headers, ":path"), header_value(headers, ":method")
                 parts = [
                     conn.send(h11.Request(method=method, target=target, headers=fields)),
                     conn.send(h11.Data(data=body)),
                     conn.send(h11.EndOfMessage()),
                 ]
-                row.nodes.append(node)
+                entry.nodes.append(address)
                 writer.write(b"".join(part for part in parts if part))
-                self.point("bytes-left", row.request)
-                found = await read_message(conn, reader)
-            self.point("answered", row.request)
-            if found is None:
+                self.pass_point("bytes-left", entry.request_id)
+                message = await read_message(conn, reader)
+            self.pass_point("answered", entry.request_id)
+            if message is None:
                 return 503, [], b"", "upstream_reset_before_response_started{connection_termination}", False
-            head, answer = found
-            given = [(name.decode(), text) for name, text in head.headers if name != b"content-length"]
-            return head.status_code, given, answer, "via_upstream", False
+            head, response_body = message
+            response_headers = [
+                (name.decode(), text) for name, text in head.headers if name != b"content-length"
+            ]
+            return head.status_code, response_headers, response_body, "via_upstream", False
         except TimeoutError:
             return 504, [], b"", "upstream_per_try_timeout", False
         except UPSTREAM_ERRORS:
@@ -408,9 +438,9 @@
                 writer.transport.abort()
 
 
-async def serve_until_stdin_ends(processor: str, habits: ProxySettings) -> None:
+async def serve_until_stdin_ends(processor: str, settings: ProxySettings) -> None:
     """Serves until stdin ends, so that the proxy does not outlive its parent process."""
-    proxy = Proxy(processor, habits)
+    proxy = Proxy(processor, settings)
     await proxy.start()
     print(proxy.port, flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
@@ -425,8 +455,8 @@
     point, _, number = args.die.partition(":")
     if point and point not in POINTS:
         parser.error(f"no such point: {point}")
-    habits = ProxySettings(dies=(point, int(number or 1)) if point else None)
-    asyncio.run(serve_until_stdin_ends(args.processor, habits))
+    settings = ProxySettings(kill_at=(point, int(number or 1)) if point else None)
+    asyncio.run(serve_until_stdin_ends(args.processor, settings))
 
 
 if __name__ == "__main__":
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -34,7 +34,7 @@
 from lab.http_nodes import HttpNode, read_message, repeated_requests
 from lab.nodes import ServiceProfile
 from lab.peers import run_scenario, wait_until
-from lab.proxy import METHOD, POINTS, Exchange, Proxy, ProxySettings, message
+from lab.proxy import METHOD, POINTS, ProcessorStream, Proxy, ProxySettings, processing_request
 from lab.site import SETTINGS, GatewayProcess, LabSite, free_port
 
 OPERATOR = """\
@@ -109,9 +109,9 @@
         assert extproc is not None
         return extproc
 
-    def proxy(self, core: bool = False, **habits: Any) -> Proxy:
+    def proxy(self, uses_grpcio: bool = False, **settings: Any) -> Proxy:
         addresses = [f"127.0.0.1:{node.port}" for node in self.nodes]
-        return Proxy(f"127.0.0.1:{self.port}", ProxySettings(**habits), addresses, core)
+        return Proxy(f"127.0.0.1:{self.port}", ProxySettings(**settings), addresses, uses_grpcio)
 
 
 @asynccontextmanager
@@ -204,7 +204,7 @@
 def test_each_of_a_proxys_requests_gets_one_response(tells: bool) -> None:
     async def scenario() -> None:
         async with extproc_site([faulty(1), faulty(2), faulty(3)]) as site:
-            proxy = site.proxy(tells=tells)
+            proxy = site.proxy(reports_local_replies=tells)
             await proxy.start()
             rng = random.Random(5)
             requests = [(rng.choice(list(TARGETS)), f"r{number}", number % 5) for number in range(150)]
@@ -284,14 +284,14 @@
                     processes[0].process.wait()
                     site.process(tmp_path, settings, platform)
 
-            proxy = site.proxy(at=kill, retries_alone=True, message_timeout_s=2.0)
+            proxy = site.proxy(on_point=kill, retries_unasked=True, message_timeout_s=2.0)
             await proxy.start()
             assert (await send_request(proxy.port, "check-charge", "before"))[0] == 200
             status, response_headers = await send_request(proxy.port, "check-charge", "victim")
             await processes[-1].ready()
             assert len(processes) == 2 and status
             assert response_headers.get("x-glenchute-effect") != "none"
-            record = next(record for record in proxy.log if record.request == "victim")
+            record = next(record for record in proxy.log if record.request_id == "victim")
             assert len(record.nodes) <= 1, "reissued"
             assert repeated_requests(site.nodes) == []
             async with asyncio.timeout(10.0):
@@ -311,13 +311,13 @@
         async with extproc_site([slow] * 3, start=False) as site:
             process = site.process(tmp_path)
             await process.ready()
-            proxy = site.proxy(core=True)
+            proxy = site.proxy(uses_grpcio=True)
             await proxy.start()
             responses = [
                 asyncio.create_task(send_request(proxy.port, "check-charge", f"r{n}")) for n in range(20)
             ]
             async with asyncio.timeout(10.0):
-                await wait_until(lambda: proxy.passed.get("bytes-left") == 20)
+                await wait_until(lambda: proxy.point_counts.get("bytes-left") == 20)
             assert await process.stop() == 0
             assert [status for status, _ in await asyncio.gather(*responses)] == [200] * 20
             await proxy.stop()
@@ -325,7 +325,9 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("habits", [{"other_node": 3}, {"half": 3}, {"stall": 5}, {"retries_alone": True}])
+@pytest.mark.parametrize(
+    "habits", [{"override_every": 3}, {"reset_every": 3}, {"pause_every": 5}, {"retries_unasked": True}]
+)
 def test_proxies_with_bad_habits_break_no_rule(habits: dict[str, Any]) -> None:
     async def scenario() -> None:
         async with extproc_site([faulty(4), faulty(5), faulty(6)]) as site:
@@ -381,7 +383,7 @@
     headers += [
         (name.replace("_", "-"), value) for name, value in more_headers.items() if name not in known_names
     ]
-    return message("request_headers", headers)
+    return processing_request("request_headers", headers)
 
 
 HEADER_CASES = [
@@ -402,9 +404,9 @@
     async def scenario() -> None:
         async with extproc_site() as site:
             proxy = site.proxy()
-            stream = Exchange(proxy, upstream=False)
+            stream = ProcessorStream(proxy, upstream=False)
             await stream.open()
-            response = await stream.ask(request_headers(**more))
+            response = await stream.call(request_headers(**more))
             if reason is None:
                 assert response.dynamic_metadata["envoy.lb"]["x-gateway-destination-endpoint"]
                 assert response.mode_override.response_header_mode == 1
@@ -426,11 +428,11 @@
     async def scenario() -> None:
         async with extproc_site() as site:
             proxy = site.proxy()
-            stream = Exchange(proxy, upstream=False)
+            stream = ProcessorStream(proxy, upstream=False)
             await stream.open()
             request = request_headers()
             request.request_headers.headers.headers.add(key="X-Account", raw_value=b"00000000000003e9")
-            response = await stream.ask(request)
+            response = await stream.call(request)
             assert response.immediate_response.status.code == 400
             await stream.close()
             await proxy.stop()
@@ -442,7 +444,7 @@
     async def scenario() -> None:
         async with extproc_site() as site:
             proxy = site.proxy()
-            stream = Exchange(proxy, upstream=False)
+            stream = ProcessorStream(proxy, upstream=False)
             await stream.open()
             request = request_headers()
             request.observability_mode = True
@@ -512,7 +514,7 @@
     async def scenario() -> None:
         async with extproc_site() as site:
             proxy = site.proxy()
-            streams = [Exchange(proxy, upstream=False) for _ in range(1000)]
+            streams = [ProcessorStream(proxy, upstream=False) for _ in range(1000)]
             for number, stream in enumerate(streams):
                 await stream.open()
                 await stream.stream.send_message(request_headers(f"r{number}"))  # not read until all are sent
