--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -241,8 +241,8 @@
 @functools.cache
 def lease_messages(members: int, tasks: int, seed: int) -> float:
     """Measures the messages per second of the whole cluster, with five voters and no faults."""
-    cluster = LeaseCluster(members, seed, tasks=tasks)
+    cluster = LeaseCluster(members, seed, task_count=tasks)
     cluster.run(5.0)
-    before = cluster.sent
+    before = cluster.sent_count
     cluster.run(10.0)
-    return (cluster.sent - before) / 10.0
+    return (cluster.sent_count - before) / 10.0
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from benchmarks.machine import cpu_s, machine
-from lab.fleet.acting import MORE, drawn, tasks
+from lab.fleet.acting import FLEET_OPTIONS, lease_tables, run_with_random_faults
 from lab.fleet.effects import EffectService
 from lab.fleet.holders import LeaseCluster, longest_gap, overlaps, run_with_faults
 from lab.fleet.processes import FleetSite
@@ -31,9 +31,9 @@
     """Returns the seconds from a fault of the holder to the first act of another, sorted over seeds."""
     found = []
     for seed in range(100):
-        swarm = LeaseCluster(15, seed, longest=longest)
+        swarm = LeaseCluster(15, seed, lease_s=longest)
         swarm.run(3.0 + seed * 0.037)
-        held = swarm.holder("task0")
+        held = swarm.last_holder("task0")
         assert held is not None
         at = swarm.now
         if kind == "kill":
@@ -45,7 +45,11 @@
         else:
             swarm.release(held)
         swarm.run(3.0 * longest + 5.0)
-        later = [act.began for act in swarm.effects if act.began > at and act.by.partition("#")[0] != held]
+        later = [
+            effect.started_at
+            for effect in swarm.effects
+            if effect.started_at > at and effect.holder.partition("#")[0] != held
+        ]
         found.append(later[0] - at if later else float("inf"))
         assert not overlaps(swarm.effects)
     return sorted(found)
@@ -61,17 +65,17 @@
     for count in (15, 100, 500):
         rates = []
         for number in (1, 20):
-            swarm = LeaseCluster(count, 1, tasks=number)
+            swarm = LeaseCluster(count, 1, task_count=number)
             swarm.run(5.0)
-            before = swarm.sent
+            before = swarm.sent_count
             swarm.run(10.0)
-            rates.append((swarm.sent - before) / 10.0)
+            rates.append((swarm.sent_count - before) / 10.0)
         print(f"{count:7} {rates[0]:28.1f} {rates[1]:9.1f}")
     print("lost  share of time without an act for over a second")
     for lose in (0.0, 0.1, 0.3, 0.5):
-        swarm = LeaseCluster(15, 5, lose=lose)
+        swarm = LeaseCluster(15, 5, loss=lose)
         swarm.run(300.0)
-        times = [act.began for act in swarm.effects]
+        times = [effect.started_at for effect in swarm.effects]
         gaps = [b - a for a, b in itertools.pairwise(times) if b - a > 1.0]
         longest = longest_gap(swarm.effects, "task0", 5.0, 300.0)
         print(f"{lose:4.1f} {sum(gaps) / 300.0:8.4f}  longest {longest:.2f} s")
@@ -79,8 +83,8 @@
 
 def run_cluster(seed: int) -> tuple[int, int, int]:
     """Returns acts, messages and overlaps of a seed."""
-    swarm = run_with_faults(seed, (5, 15, 60)[seed % 3], (5, 5, 9)[seed % 3], tasks=1 + seed % 3)
-    return len(swarm.effects), swarm.sent, len(overlaps(swarm.effects))
+    swarm = run_with_faults(seed, (5, 15, 60)[seed % 3], (5, 5, 9)[seed % 3], task_count=1 + seed % 3)
+    return len(swarm.effects), swarm.sent_count, len(overlaps(swarm.effects))
 
 
 def swarm(seeds: int) -> int:
@@ -96,7 +100,7 @@
 def one_run(seed: int, processes: int) -> tuple[int, int, list[str], float]:
     """Runs real processes, five of which vote; returns seed, acts, errors, longest time without an act."""
     with tempfile.TemporaryDirectory() as folder:
-        return seed, *uvloop.run(drawn(Path(folder), seed, processes, 5))
+        return seed, *uvloop.run(run_with_random_faults(Path(folder), seed, processes, 5))
 
 
 def runs(count: int, at_once: int, first: int, processes: int) -> int:
@@ -121,9 +125,9 @@
     for name in ("leases", "members alone"):
         service = EffectService()
         await service.start()
-        tail = tasks(service.port, *(f"task{n}" for n in range(5))) if name == "leases" else ""
+        tail = lease_tables(service.port, *(f"task{n}" for n in range(5))) if name == "leases" else ""
         with tempfile.TemporaryDirectory() as folder:
-            async with FleetSite(Path(folder), 8, more=MORE, tail=tail) as site:
+            async with FleetSite(Path(folder), 8, more=FLEET_OPTIONS, tail=tail) as site:
                 await site.start()
                 await asyncio.sleep(4.0)
                 pids = [g.process.pid for g in site.gateways if g.process is not None]
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -23,7 +23,7 @@
 from lab.fleet import checks
 from lab.fleet.crowd import Others
 from lab.fleet.processes import FleetSite
-from lab.fleet.simulated import GossipNetwork, SwimNetwork, apart
+from lab.fleet.simulated import GossipNetwork, SwimNetwork, cut_off
 from lab.load import Account
 from lab.sim.members import gone_run
 from lab.site import free_port
@@ -84,7 +84,7 @@
         mesh = GossipNetwork(count, seed)
         mesh.run(30.0, mesh.are_complete)
         half = set(mesh.names[: count // 2])
-        mesh.cut = apart(half)
+        mesh.cut = cut_off(half)
         mesh.writes(5)
         mesh.run(3.0)
         mesh.cut = lambda sender, to: False
--- a/lab/fleet/simulated.py
+++ b/lab/fleet/simulated.py
@@ -16,10 +16,10 @@
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.replica import Replica, Row, RowKind
 
-TICK = 0.05
+TICK_S = 0.05
 
 
-def apart(some: Container[str]) -> Callable[[str, str], bool]:
+def cut_off(some: Container[str]) -> Callable[[str, str], bool]:
     """Returns a cut between these members and all others, in both directions."""
     return lambda sender, to: (sender in some) != (to in some)
 
@@ -64,7 +64,7 @@
         """Runs until the condition holds or `seconds` have passed; returns the time taken."""
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
-            step = self.now + TICK
+            step = self.now + TICK_S
             while self.in_flight and self.in_flight[0][0] <= step:
                 when, _, sender, to, boot, message = heapq.heappop(self.in_flight)
                 self.now = max(self.now, when)
@@ -130,7 +130,7 @@
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
         began, end = self.now, self.now + seconds
         while self.now < end and not until():
-            step = self.now + TICK / 2.0
+            step = self.now + TICK_S / 2.0
             while self.in_flight and self.in_flight[0][0] <= step:
                 when, _, sender, to, body = heapq.heappop(self.in_flight)
                 self.now = max(self.now, when)
--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -1,6 +1,6 @@
 """Leased tasks of five gateway processes that are stopped, killed, partitioned and ended.
 
-A service records each call of a task, an act, with its holder, begin and end.
+A service records each effect of a task with its holder, start and end.
 """
 
 from __future__ import annotations
@@ -16,7 +16,14 @@
 import pytest
 
 from lab.coldstart import busiest
-from lab.fleet.acting import EVERY, LONGEST, MORE, NOBODY_S, Acting, tasks
+from lab.fleet.acting import (
+    FLEET_OPTIONS,
+    LEASE_S,
+    MAX_EFFECT_GAP_S,
+    VOTER_NUMBERS,
+    LeasedTaskFleet,
+    lease_tables,
+)
 from lab.fleet.effects import EffectService
 from lab.fleet.holders import longest_gap, overlaps
 from lab.fleet.processes import FleetSite
@@ -28,50 +35,58 @@
 def test_acts_never_overlap_through_stops_kills_partitions_and_ends(seed: int, tmp_path: Path) -> None:
     async def scenario() -> None:
         service = EffectService()
-        async with Acting(tmp_path, seed, service) as one:
-            site, rng = one.site, random.Random(seed)
+        async with LeasedTaskFleet(tmp_path, seed, service) as fleet:
+            site, rng = fleet.site, random.Random(seed)
             began = asyncio.get_running_loop().time()
-            first = await one.acts(5)
-            # A holder that was stopped during an act goes on, with outdated state, when its successor acts.
-            stopped = await one.stop_in_mid_act()
-            next_holder = await one.another(stopped)
-            await one.acts()
+            first = await fleet.wait_for_effects(5)
+            # A holder that was stopped during an effect continues with outdated state after a takeover.
+            stopped = await fleet.stop_during_effect()
+            next_holder = await fleet.wait_for_takeover(stopped)
+            await fleet.wait_for_effects()
             site.send_signal(stopped, signal.SIGCONT)
-            await one.acts(10)
+            await fleet.wait_for_effects(10)
             # A holder is partitioned from the voters, but not from the service.
-            isolated = one.holder
-            site.split([[isolated], [n for n in EVERY if n != isolated]])
-            await one.another(isolated)
-            await one.acts(5)
-            site.split([[isolated], [n for n in EVERY if n != isolated]], cut=False)
+            isolated = fleet.last_holder
+            site.split([[isolated], [n for n in VOTER_NUMBERS if n != isolated]])
+            await fleet.wait_for_takeover(isolated)
+            await fleet.wait_for_effects(5)
+            site.split([[isolated], [n for n in VOTER_NUMBERS if n != isolated]], cut=False)
             # A killed holder restarts at once under its name, as a voter that has lost its state.
-            killed = one.holder
+            killed = fleet.last_holder
             site.send_signal(killed, signal.SIGKILL)
             await site.start([killed])
-            await one.acts(5)
-            # The holder and one other are stopped at any moment; the remaining three act.
-            stopped_pair = [*rng.sample([n for n in EVERY if n != one.holder], 1), one.holder]
+            await fleet.wait_for_effects(5)
+            # The holder and another are stopped at any moment; the other three continue the task.
+            stopped_pair = [
+                *rng.sample([n for n in VOTER_NUMBERS if n != fleet.last_holder], 1),
+                fleet.last_holder,
+            ]
             for number in stopped_pair:
                 site.send_signal(number, signal.SIGSTOP)
-            await one.another(stopped_pair[1])
+            await fleet.wait_for_takeover(stopped_pair[1])
             for number in stopped_pair:
                 site.send_signal(number, signal.SIGCONT)
-            await one.acts(5)
+            await fleet.wait_for_effects(5)
             # A draining holder releases the lease, and competes again after the drain.
-            draining = one.holder
-            await one.set_draining(draining, True)
-            await one.another(draining)
-            await one.acts(5)
-            assert draining not in {int(act.by[1:].partition("#")[0]) for act in service.acts[-4:]}
-            await one.set_draining(draining, False)
+            draining = fleet.last_holder
+            await fleet.set_draining(draining, True)
+            await fleet.wait_for_takeover(draining)
+            await fleet.wait_for_effects(5)
+            assert draining not in {
+                int(effect.holder[1:].partition("#")[0]) for effect in service.effects[-4:]
+            }
+            await fleet.set_draining(draining, False)
             # A holder that is told to end releases the lease.
-            ended = one.holder
+            ended = fleet.last_holder
             site.send_signal(ended, signal.SIGTERM)
-            await one.another(ended)
-            await one.acts(5)
-            assert overlaps(service.acts) == []
-            assert first in EVERY and next_holder != stopped
-            assert longest_gap(service.acts, "close", began, asyncio.get_running_loop().time()) < NOBODY_S
+            await fleet.wait_for_takeover(ended)
+            await fleet.wait_for_effects(5)
+            assert overlaps(service.effects) == []
+            assert first in VOTER_NUMBERS and next_holder != stopped
+            assert (
+                longest_gap(service.effects, "close", began, asyncio.get_running_loop().time())
+                < MAX_EFFECT_GAP_S
+            )
 
     run_scenario(scenario())
 
@@ -79,21 +94,21 @@
 def test_nobody_acts_until_a_majority_of_voters_is_back(tmp_path: Path) -> None:
     async def scenario() -> None:
         service = EffectService(fencing=True)
-        async with Acting(tmp_path, 3, service) as one:
-            holder = await one.acts()
-            silent = [n for n in EVERY if n != holder][:3]
+        async with LeasedTaskFleet(tmp_path, 3, service) as fleet:
+            holder = await fleet.wait_for_effects()
+            silent = [n for n in VOTER_NUMBERS if n != holder][:3]
             for number in silent:
-                one.site.send_signal(number, signal.SIGSTOP)
+                fleet.site.send_signal(number, signal.SIGSTOP)
             loop = asyncio.get_running_loop()
-            # The holder's lease expires within this time; then it must not act any more.
-            while loop.time() - service.acts[-1].began < 1.5 * LONGEST:
+            # The holder's lease expires within this time; after that it must cause no effect.
+            while loop.time() - service.effects[-1].started_at < 1.5 * LEASE_S:
                 await asyncio.sleep(0.02)
-            rows = await one.site.asked(holder, "tasks")
+            rows = await fleet.site.asked(holder, "tasks")
             assert rows and rows[0]["holder"] == "" and rows[0]["nobody"], rows
             for number in silent:
-                one.site.send_signal(number, signal.SIGCONT)
-            await one.acts()
-            assert overlaps(service.acts) == [] and service.refused == []
+                fleet.site.send_signal(number, signal.SIGCONT)
+            await fleet.wait_for_effects()
+            assert overlaps(service.effects) == [] and service.rejected_tokens == []
 
     run_scenario(scenario())
 
@@ -101,26 +116,28 @@
 def test_a_task_that_fails_at_each_holder_is_parked_and_other_tasks_go_on(tmp_path: Path) -> None:
     async def scenario() -> None:
         service = EffectService()
-        service.poison = "bad"
-        async with Acting(tmp_path, 4, service, "bad", "good") as one:
+        service.failing_task = "bad"
+        async with LeasedTaskFleet(tmp_path, 4, service, "bad", "good") as fleet:
 
             async def is_parked() -> bool:
-                rows = [await one.site.asked(n, "tasks") for n in EVERY]
+                rows = [await fleet.site.asked(n, "tasks") for n in VOTER_NUMBERS]
                 return all(row and row[0]["parked"] for row in rows)
 
-            await one.site.until(is_parked)
-            await one.acts(5)
-            failed_acts = [act for act in service.acts if act.task == "bad"]
-            # The acts of more than one holder: each released the lease after its failure.
-            assert 3 <= len(failed_acts) <= 4 and len({act.by for act in failed_acts}) >= 2, failed_acts
-            reply = one.site.ask(0, "unpark bad")
+            await fleet.site.until(is_parked)
+            await fleet.wait_for_effects(5)
+            failed_effects = [effect for effect in service.effects if effect.task == "bad"]
+            # The calls of more than one holder: each released the lease after its failure.
+            assert 3 <= len(failed_effects) <= 4 and len({effect.holder for effect in failed_effects}) >= 2, (
+                failed_effects
+            )
+            reply = fleet.site.ask(0, "unpark bad")
             assert reply == [{"unparked": True}]
-            service.poison = ""
-            before = len(failed_acts)
-            async with asyncio.timeout(NOBODY_S):
-                while sum(act.task == "bad" for act in service.acts) < before + 3:
+            service.failing_task = ""
+            before = len(failed_effects)
+            async with asyncio.timeout(MAX_EFFECT_GAP_S):
+                while sum(effect.task == "bad" for effect in service.effects) < before + 3:
                     await asyncio.sleep(0.02)
-            assert overlaps(service.acts) == []
+            assert overlaps(service.effects) == []
 
     run_scenario(scenario())
 
@@ -129,14 +146,16 @@
     """A killed poller is replaced, and a change in the meantime reaches all gateways."""
 
     async def scenario() -> None:
-        poll_task = tasks(1).partition("[[")[0] + '[[fleet.leases.tasks]]\nname = "ask"\nkind = "ask"\n'
+        poll_task = (
+            lease_tables(1).partition("[[")[0] + '[[fleet.leases.tasks]]\nname = "ask"\nkind = "ask"\n'
+        )
         async with FleetSite(
-            tmp_path, 5, more=MORE + "share_list = true\n", tail=poll_task, lists=50.0
+            tmp_path, 5, more=FLEET_OPTIONS + "share_list = true\n", tail=poll_task, lists=50.0
         ) as site:
             lists = site.lists
             assert lists is not None
 
-            async def pollers(numbers: Iterable[int] = EVERY) -> list[int]:
+            async def pollers(numbers: Iterable[int] = VOTER_NUMBERS) -> list[int]:
                 replies = {n: await site.asked(n, "list") for n in numbers}
                 return [n for n, rows in replies.items() if rows and rows[0]["asks"]]
 
@@ -155,7 +174,7 @@
             # Earlier polls are left out: each gateway may poll when it starts.
             assert busiest(lists.calls, first + 3.0) <= 3
             poller = (await pollers())[0]
-            rest = [n for n in EVERY if n != poller]
+            rest = [n for n in VOTER_NUMBERS if n != poller]
             site.send_signal(poller, signal.SIGKILL)
             lists.update(server_row("s1", site.site.nodes[1].port, "Terminating"))
             await site.until(have_newest, 10.0)
@@ -170,14 +189,14 @@
 
 def test_a_holder_that_is_replaced_hands_over(tmp_path: Path) -> None:
     """The successor runs, under the same name and with the same socket, before the holder is told to end.
-    The second time the holder is stopped meanwhile, and goes on once another gateway has acted."""
+    The second time the holder is stopped meanwhile, and continues once another gateway has taken over."""
 
     async def scenario() -> None:
         service = EffectService()
-        async with Acting(tmp_path, 6, service) as one:
-            site = one.site
+        async with LeasedTaskFleet(tmp_path, 6, service) as fleet:
+            site = fleet.site
             for stopped in (False, True):
-                number = await one.acts(3)
+                number = await fleet.wait_for_effects(3)
                 old = site.gateways[number]
                 with socket.create_server(("127.0.0.1", free_port()), backlog=512) as listener:
                     # Restarted with a passed socket, as by a platform that replaces processes.
@@ -187,7 +206,7 @@
                     old.config_file.write_text(json.dumps(old.platform))
                     old.passed_socket, old.temp_folder = listener, tmp_path
                     await site.start([number])
-                    await wait_until_holder(one, number)
+                    await wait_until_holder(fleet, number)
                     folder = tmp_path / f"next{number}{stopped}"
                     folder.mkdir()
                     platform = {**old.platform, "operator": f"127.0.0.1:{free_port()}"}
@@ -198,29 +217,32 @@
                     began = asyncio.get_running_loop().time()
                     if stopped:
                         site.send_signal(number, signal.SIGSTOP)
-                        await one.another(number)
+                        await fleet.wait_for_takeover(number)
                         site.send_signal(number, signal.SIGCONT)
                     old.send_signal(signal.SIGTERM)
                     assert old.process is not None
                     assert await asyncio.get_running_loop().run_in_executor(None, old.process.wait) == 0
-                    await one.acts(8)
-                    assert longest_gap(service.acts, "close", began, service.acts[-1].began) < NOBODY_S
+                    await fleet.wait_for_effects(8)
+                    assert (
+                        longest_gap(service.effects, "close", began, service.effects[-1].started_at)
+                        < MAX_EFFECT_GAP_S
+                    )
                     site.gateways[number] = new
-            assert overlaps(service.acts) == []
+            assert overlaps(service.effects) == []
 
     async def has_logged(gateway: GatewayProcess, text: str) -> bool:
         return text in gateway.log_file.read_text()
 
-    async def wait_until_holder(one: Acting, number: int) -> None:
-        """Drains all other gateways until this one acts."""
-        for other in EVERY:
+    async def wait_until_holder(fleet: LeasedTaskFleet, number: int) -> None:
+        """Drains all other gateways until this one holds the lease and causes an effect."""
+        for other in VOTER_NUMBERS:
             if other != number:
-                await one.set_draining(other, True)
-        async with asyncio.timeout(NOBODY_S + 10.0):
-            while not one.service.acts or one.holder != number:
+                await fleet.set_draining(other, True)
+        async with asyncio.timeout(MAX_EFFECT_GAP_S + 10.0):
+            while not fleet.service.effects or fleet.last_holder != number:
                 await asyncio.sleep(0.02)
-        for other in EVERY:
+        for other in VOTER_NUMBERS:
             if other != number:
-                await one.set_draining(other, False)
+                await fleet.set_draining(other, False)
 
     run_scenario(scenario())
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -21,7 +21,7 @@
 from glenchute.policy.membership.task_candidates import CANDIDATES_PER_TASK, TaskCandidate, TaskRecord
 from lab.explore import Explored, Explorer
 from lab.fleet.holders import (
-    ACT_S,
+    MAX_EFFECT_S,
     LeaseCluster,
     longest_gap,
     overlaps,
@@ -247,7 +247,7 @@
     """Checks the effects of all holders for overlaps. Once faults are over, the next effect starts at the
     latest when the silence of acceptors that have just started, and one lease, are over."""
     for seed in range(12):
-        cluster = run_with_faults(seed, count, voters, tasks=1 + seed % 3)
+        cluster = run_with_faults(seed, count, voters, task_count=1 + seed % 3)
         faults_ended_at = cluster.now
         cluster.run(20.0)
         assert len(cluster.effects) > 100 and overlaps(cluster.effects) == [], seed
@@ -270,12 +270,12 @@
 
     def resume(self: LeaseCluster, name: str) -> None:
         process = self.processes[name]
-        process.offset -= (self.now - self.since[name]) * process.rate  # type: ignore[attr-defined]
-        process.stopped = False
+        process.clock_offset -= (self.now - self.since[name]) * process.clock_rate  # type: ignore[attr-defined]
+        process.is_stopped = False
 
     def stop(self: LeaseCluster, name: str) -> None:
         self.since = {**getattr(self, "since", {}), name: self.now}  # type: ignore[attr-defined]
-        self.processes[name].stopped = True
+        self.processes[name].is_stopped = True
 
     patch.setattr(LeaseCluster, "stop", stop)
     patch.setattr(LeaseCluster, "resume", resume)
@@ -331,12 +331,12 @@
     """The message rate does not grow with the number of members, and tasks are spread over them."""
     sent = {}
     for count in (20, 500):
-        cluster = LeaseCluster(count, 1, tasks=20)
+        cluster = LeaseCluster(count, 1, task_count=20)
         cluster.run(5.0)
-        before = cluster.sent
+        before = cluster.sent_count
         cluster.run(10.0)
-        sent[count] = (cluster.sent - before) / 10.0
-        holders = {cluster.holder(task) for task in cluster.tasks}
+        sent[count] = (cluster.sent_count - before) / 10.0
+        holders = {cluster.last_holder(task) for task in cluster.tasks}
         assert None not in holders
     assert sent[500] < 1.5 * sent[20] + 20.0 and len(holders) >= 15
     # All candidates of a task die at once: others replace them as soon as membership reports it.
@@ -346,7 +346,7 @@
             cluster.kill(rival.proposer.name)
     died_at = cluster.now
     cluster.run(8.0)
-    assert sum(act.began > died_at + 5.0 for act in cluster.effects if act.task == task) > 5
+    assert sum(effect.started_at > died_at + 5.0 for effect in cluster.effects if effect.task == task) > 5
     assert (
         sum(process.candidates[task].is_candidate for process in cluster.processes.values())
         >= CANDIDATES_PER_TASK
@@ -356,13 +356,16 @@
 def test_a_release_hands_over_within_a_tenth_of_a_second() -> None:
     cluster = LeaseCluster(15, 3)
     cluster.run(5.0)
-    held = cluster.holder("task0")
+    held = cluster.last_holder("task0")
     assert held is not None
     cluster.release(held)
     cluster.run(1.0)
-    others = [act.began for act in cluster.effects if act.by.partition("#")[0] != held]
+    others = [effect.started_at for effect in cluster.effects if effect.holder.partition("#")[0] != held]
     assert others and overlaps(cluster.effects) == []
-    assert min(others) - max(a.began for a in cluster.effects if a.began < min(others)) < ACT_S + 0.5
+    assert (
+        min(others) - max(a.started_at for a in cluster.effects if a.started_at < min(others))
+        < MAX_EFFECT_S + 0.5
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -16,7 +16,7 @@
     SwimMessageKind,
     SwimSettings,
 )
-from lab.fleet.simulated import TICK, SwimNetwork, apart
+from lab.fleet.simulated import TICK_S, SwimNetwork, cut_off
 
 
 @pytest.mark.parametrize(("count", "lose", "within"), [(2, 0, 1), (5, 0.2, 4), (40, 0, 5), (100, 0.1, 12)])
@@ -80,7 +80,7 @@
     net = SwimNetwork(11, 6)
     net.run(4.0)
     half = set(net.names[:5])
-    net.cut = apart(half)
+    net.cut = cut_off(half)
     net.run(25.0)
     assert net.state_of("g9", "g0") is MemberState.DEAD and net.state_of("g0", "g9") is MemberState.DEAD
     net.cut = lambda sender, to: False
@@ -109,16 +109,16 @@
     duplicate = net.make_member("g2")
     before = net.nodes["g2"].incarnation
     for _ in range(100):
-        net.now += TICK
+        net.now += TICK_S
         for to in net.names:
             if to != "g2":
                 ping = SwimMessage(SwimMessageKind.PING, 1, "", (duplicate.update_for("g2"),))
                 net.post(to, net.nodes[to].receive(net.now, "g2", duplicate.boot, ping))
         duplicate.apply_update(net.now, "g0", net.nodes["g0"].update_for("g2"))
-        net.now -= TICK
-        net.run(TICK)
+        net.now -= TICK_S
+        net.run(TICK_S)
     assert sum(net.nodes[n].name_conflicts.get("g2", 0) for n in net.names) > 0
-    assert net.nodes["g2"].incarnation - before <= 100 * TICK / SwimSettings().period_s + 2
+    assert net.nodes["g2"].incarnation - before <= 100 * TICK_S / SwimSettings().period_s + 2
 
 
 def test_a_leave_is_announced_and_raises_no_suspicion() -> None:
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -54,7 +54,7 @@
     decode,
     encode,
 )
-from lab.fleet.simulated import GossipNetwork, apart, rows_of
+from lab.fleet.simulated import GossipNetwork, cut_off, rows_of
 
 ROWS = st.builds(
     lambda kind, key, writer, *rest: Row(kind, key, writer if kind in PER_PROCESS_KINDS else "", *rest),
@@ -145,7 +145,7 @@
     network = GossipNetwork(10, 4)
     network.run(3.0)
     half = set(network.names[:4])
-    network.cut = apart(half)
+    network.cut = cut_off(half)
     network.writes(20)
     network.run(4.0)
     assert not network.are_equal()
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -14,7 +14,7 @@
 from glenchute.policy.membership.replica import Row, RowKind
 from glenchute.policy.membership.usage_audit import MAX_QUERIES_PER_STEP, UsageAudit
 from glenchute.policy.settings import Plan
-from lab.fleet.acting import MORE
+from lab.fleet.acting import FLEET_OPTIONS
 from lab.fleet.processes import FleetSite
 from lab.load import Account
 from lab.peers import run_scenario
@@ -128,7 +128,7 @@
     )
 
     async def scenario() -> None:
-        async with FleetSite(tmp_path, 3, settings=settings, more=MORE, tail=tail) as site:
+        async with FleetSite(tmp_path, 3, settings=settings, more=FLEET_OPTIONS, tail=tail) as site:
 
             async def total(field: str) -> int:
                 rows = [await site.asked(number, "state") for number in range(3)]
