--- a/tests/policy/endpoints/test_list_confirmation.py
+++ b/tests/policy/endpoints/test_list_confirmation.py
@@ -12,7 +12,7 @@
 
 from glenchute.policy.endpoints import notification, polling
 from glenchute.policy.endpoints.list_confirmation import ListConfirmation
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from glenchute.policy.endpoints.watch import CloseConnection, EndpointWatch, OpenAndPoll, Poll
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, EndpointState
 
@@ -55,12 +55,12 @@
     confirmation, (version, received_list, withdrawn) = ListConfirmation(), WITHDRAWAL_CASES[name]
     confirmation.apply(5, full_list(*TEN))
     assert not confirmation.accepts(version, received_list, True)
-    found = confirmation.withdraw_endpoints(received_list)
-    assert {endpoint.address for endpoint in found} == withdrawn
-    assert all(endpoint.state is DRAINING and endpoint.zone == "a" for endpoint in found)
+    withdrawn_endpoints = confirmation.withdraw_endpoints(received_list)
+    assert {endpoint.address for endpoint in withdrawn_endpoints} == withdrawn
+    assert all(endpoint.state is DRAINING and endpoint.zone == "a" for endpoint in withdrawn_endpoints)
     assert confirmation.withdraw_endpoints(received_list) == ()  # each endpoint is reported once
-    for at in range(3):
-        confirmation.withdraw_endpoints(full_list(**dict.fromkeys(TEN[3 * at : 3 * at + 3], DRAINING)))
+    for group in range(3):
+        confirmation.withdraw_endpoints(full_list(**dict.fromkeys(TEN[3 * group : 3 * group + 3], DRAINING)))
     assert sum(endpoint.state is ACTIVE for endpoint in confirmation.endpoints.values()) >= 5
 
 
@@ -100,7 +100,7 @@
 
 
 def test_a_service_that_answers_differently_each_time_gets_two_polls_per_delay() -> None:
-    scheduler = PollScheduler(PollingTerms(200, 199, 15.0, 30.0), random.Random(1))
+    scheduler = PollScheduler(PollingSettings(200, 199, 15.0, 30.0), random.Random(1))
     endpoint_watch, polls, now = (
         EndpointWatch(scheduler, answers_needed=ListConfirmation.ANSWERS_NEEDED),
         0,
@@ -128,7 +128,7 @@
 
     def __init__(
         self,
-        terms: PollingTerms,
+        polling: PollingSettings,
         rng: random.Random,
         outage_end: float,
         latency_s: float,
@@ -136,7 +136,7 @@
     ) -> None:
         """`first_answer_at`: when the first poll gets a wrong answer; None: never."""
         self.scheduler, self.rng, self.outage_end, self.latency_s = (
-            PollScheduler(terms, rng),
+            PollScheduler(polling, rng),
             rng,
             outage_end,
             latency_s,
@@ -179,7 +179,7 @@
         """Runs the simulation; returns the time at which the correct list is in force."""
         self.watch.start(0.0, 0.0, self.first_answer_at is not None)
         for _ in range(100_000):
-            connection_id, (at, how) = min(
+            connection_id, (at, result) = min(
                 self.results.items(), key=lambda item: item[1], default=(0, (float("inf"), ""))
             )
             self.now = max(self.now, min(at, self.watch.next_poll_at))
@@ -187,20 +187,20 @@
                 self.execute(self.watch.tick(self.now, self.listed))
                 continue
             del self.results[connection_id]
-            if how == "true":
+            if result == "true":
                 self.listed = False
                 if self.answer(connection_id, ["s1", "s2", "new"]):
                     return self.now
-            elif how == "false":
+            elif result == "false":
                 self.listed = False
                 if self.answer(connection_id, [f"x{self.rng.random()}"]):
                     raise AssertionError("a wrong list was accepted")
-            elif how == "refused":
+            elif result == "refused":
                 self.watch.record_connection_lost(self.now, connection_id)
             else:
                 delay = (
                     self.scheduler.record_rejection(30.0, self.listed)
-                    if how == "rejected"
+                    if result == "rejected"
                     else self.scheduler.record_failure()
                 )
                 self.execute(self.watch.record_failure(self.now, connection_id, delay))
@@ -229,7 +229,7 @@
     is a watch that is silent from its start and has a wait."""
     timeout_s = notification.NOTIFIED_AFTER_WAIT_S / 3.0
     service = UnreliableService(
-        PollingTerms(gateways, 0, rate, age),
+        PollingSettings(gateways, 0, rate, age),
         random.Random(seed),
         outage_end,
         share * timeout_s,
