--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -127,7 +127,7 @@
         await service.start()
         tail = lease_tables(service.port, *(f"task{n}" for n in range(5))) if name == "leases" else ""
         with tempfile.TemporaryDirectory() as folder:
-            async with FleetSite(Path(folder), 8, more=FLEET_OPTIONS, tail=tail) as site:
+            async with FleetSite(Path(folder), 8, fleet_options=FLEET_OPTIONS, operator_tables=tail) as site:
                 await site.start()
                 await asyncio.sleep(4.0)
                 pids = [g.process.pid for g in site.gateways if g.process is not None]
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -39,28 +39,28 @@
     """Returns the share of requests refused with quota left and the overshoot, for one account at five
     gateways."""
     with tempfile.TemporaryDirectory() as folder:
-        async with FleetSite(Path(folder), 5, seed, fleet=has_members) as site:
+        async with FleetSite(Path(folder), 5, seed, has_fleet=has_members) as site:
             await site.start()
             if has_members:
-                await site.until(lambda: site.whole(range(5), 1.0))
+                await site.wait_until(lambda: site.know_usage_of(range(5), 1.0))
             if fault == "slow":
-                for link in site.to_counter:
+                for link in site.counter_links:
                     # Together with the delay of the request, about half of the replies are late.
                     link.directions[1].delay_s = 0.045
             elif fault != "sound":
-                for link in site.to_counter:
+                for link in site.counter_links:
                     link.cut()
             if fault == "split" and has_members:
                 site.split([[0, 1], [2, 3, 4]])
             rates = [(n, rate) for n, rate in enumerate(LOADS[load]) if rate]
             outcomes_by_gateway = await asyncio.gather(
-                *(site.load(SECONDS, rate, [ACCOUNT], [n]) for n, rate in rates)
+                *(site.run_load(SECONDS, rate, [ACCOUNT], [n]) for n, rate in rates)
             )
             outcomes = [outcome for outcomes in outcomes_by_gateway for outcome in outcomes]
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
             return (
                 checks.refused_with_room(outcomes, ACCOUNT.account_id, RATE, BURST),
-                checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST),
+                checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST),
             )
 
 
@@ -181,10 +181,10 @@
     figures = []
     for has_members in (False, True):
         with tempfile.TemporaryDirectory() as folder:
-            async with FleetSite(Path(folder), count, fleet=has_members) as site:
+            async with FleetSite(Path(folder), count, has_fleet=has_members) as site:
                 await site.start()
                 if has_members:
-                    await site.until(lambda site=site: site.whole(range(count), 1.0), 60.0)  # type: ignore[misc]
+                    await site.wait_until(lambda site=site: site.know_usage_of(range(count), 1.0), 60.0)  # type: ignore[misc]
                 pids = [g.process.pid for g in site.gateways if g.process is not None]
                 before_s = [cpu_s(pid) for pid in pids]
                 await asyncio.sleep(8.0)
@@ -194,9 +194,9 @@
                 fields = f",spread={count},first=0"
                 accounts = [Account(b"%016x" % i, "standard", 1.0, fields) for i in range(400)]
                 was = cpu_s(pids[0])
-                await site.load(8.0, 100.0, accounts, [0])
+                await site.run_load(8.0, 100.0, accounts, [0])
                 busy_percent = 100.0 * (cpu_s(pids[0]) - was) / 8.0
-                sent_bytes = (await site.asked(0, "state"))[0]["sent_bytes"] if has_members else 0
+                sent_bytes = (await site.query(0, "state"))[0]["sent_bytes"] if has_members else 0
                 figures.append((statistics.mean(idle_percent), busy_percent, sent_bytes))
     (idle_without, busy_without, _), (idle_with, busy_with, sent_bytes) = figures
     idle_text = f"CPU idle {idle_without:.1f} % without, {idle_with:.1f} % with members"
@@ -217,7 +217,7 @@
     figures = []
     for has_members in (False, True):
         with tempfile.TemporaryDirectory() as folder:
-            async with FleetSite(Path(folder), 1, fleet=False) as site:
+            async with FleetSite(Path(folder), 1, has_fleet=False) as site:
                 gateway, port = site.gateways[0], free_port()
                 gateway.platform["settings"]["balancers"] = count
                 gateway.config_file.write_text(json.dumps(gateway.platform))
@@ -235,14 +235,14 @@
                 fields = f",spread={spread},first=0"
                 busy_accounts = [Account(b"%016x" % i, "standard", 1.0, fields) for i in range(400)]
                 cpu_before_s, bytes_before, updates_before = cpu_s(pid), others.received, others.words
-                outcomes = await site.load(8.0, 100.0, busy_accounts, [0])
+                outcomes = await site.run_load(8.0, 100.0, busy_accounts, [0])
                 served = sum(outcome.answer == "served" for outcome in outcomes) / len(outcomes)
                 cpu_percent = 100.0 * (cpu_s(pid) - cpu_before_s) / 8.0
                 figures.append((cpu_percent, (others.received - bytes_before) / 8.0 / 1024.0))
                 if gossip is not None:
                     updates = others.words - updates_before
                     await gossip
-                    rows = (await site.asked(0, "state"))[0]["use"]
+                    rows = (await site.query(0, "state"))[0]["use"]
                 others.stop()
     (cpu_without, _), (cpu_with, sent_kib_s) = figures
     rows_text = f"{rows} held; {served:.0%} served"
@@ -263,7 +263,7 @@
     rng, numbers = random.Random(1), range(count)
     with tempfile.TemporaryDirectory() as folder:
         async with FleetSite(Path(folder), count) as site:
-            for link in site.links.values():
+            for link in site.member_links.values():
                 draw = rng.random()
                 for direction in link.directions:
                     direction.is_cut, direction.loss_fraction = draw < 0.1, 0.3 if draw < 0.2 else 0.0
@@ -271,12 +271,12 @@
             for first in range(0, count, 10):
                 await site.start(numbers[first : first + 10])
             start_s = time.monotonic() - started
-            complete_s = await site.until(lambda: site.whole(numbers, 0.9), 120.0)
+            complete_s = await site.wait_until(lambda: site.know_usage_of(numbers, 0.9), 120.0)
             accounts = [Account(b"%016x" % i, "standard", 1.0, f",spread={count},first=0") for i in range(50)]
-            outcomes = await site.load(20.0, 1.0, accounts)
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            outcomes = await site.run_load(20.0, 1.0, accounts)
+            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
             false_deaths = sum(gateway.log_file.read_text().count("now=dead") for gateway in site.gateways)
-            agree_s = await site.until(lambda: site.same_digest(numbers), 60.0)
+            agree_s = await site.wait_until(lambda: site.have_same_digest(numbers), 60.0)
             setup_text = f"{count} processes, a tenth of the links cut, a tenth losing 30 %"
             start_text = f"started by tens in {start_s:.0f} s, whole {complete_s:.1f} s later"
             load_text = f"{len(outcomes)} requests, none lost; copies the same {agree_s:.1f} s after them"
--- a/lab/fleet/acting.py
+++ b/lab/fleet/acting.py
@@ -48,8 +48,8 @@
             self.folder,
             self.count,
             seed=self.seed,
-            more=FLEET_OPTIONS,
-            tail=lease_tables(self.service.port, *self.task_names),
+            fleet_options=FLEET_OPTIONS,
+            operator_tables=lease_tables(self.service.port, *self.task_names),
         )
         await self.site.__aenter__()
         for gateway in self.site.gateways:
@@ -134,7 +134,7 @@
             elif kind == "cut":
                 site.split([[target], others])
             else:  # the gateway receives messages, but those that it sends are lost
-                for (first, last), link in site.links.items():
+                for (first, last), link in site.member_links.items():
                     if target in (first, last):
                         link.cut(0 if first == target else 1)
             other_stopped = rng.choice([n for n in VOTER_NUMBERS if n != target]) if kind == "two" else None
@@ -154,7 +154,7 @@
                 await loop.run_in_executor(None, process.wait)
                 await site.start([target])
             if kind in ("cut", "one way"):
-                for link in site.links.values():
+                for link in site.member_links.values():
                     link.cut(cut=False)
             await fleet.wait_for_effects(3, 10.0)
             longest_gap_s = max(longest_gap_s, longest_gap(service.effects, "close", fault_at, loop.time()))
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -225,17 +225,17 @@
 
 
 async def read_state(site: FleetSite, number: int, field: str) -> Any:
-    rows = await site.asked(number, "state")
+    rows = await site.query(number, "state")
     return rows[0][field] if rows else None
 
 
 async def send_false_removals(site: FleetSite, versions: range) -> None:
     """Sends g0, as g1, removals of all servers in so many versions."""
-    boot = int((await site.asked(0, "members"))[1]["boot"], 16)
+    boot = int((await site.query(0, "members"))[1]["boot"], 16)
     for version in versions:
         for name in ("s0", "s1", "s2"):
             row = Row(RowKind.SERVER, name, "", 10**9 + version, 2.0)
-            site.links[0, 1].forge(1, encode("lab", "g1", boot, Delta(((row, 0),))))
+            site.member_links[0, 1].forge(1, encode("lab", "g1", boot, Delta(((row, 0),))))
 
 
 def test_a_peer_that_removes_all_servers_by_gossip_is_overruled(tmp_path: Path) -> None:
@@ -244,7 +244,7 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 3) as site:
             await site.start()
-            await site.until(lambda: site.agree(range(3)))
+            await site.wait_until(lambda: site.all_see(range(3)))
             await send_false_removals(site, range(3))
 
             async def is_on_trial() -> bool:
@@ -255,20 +255,20 @@
                     await read_state(site, 0, "denied")
                 )
 
-            await site.until(is_on_trial)
-            outcomes = await site.load(2.0, 20.0, ACCOUNTS, [0])
+            await site.wait_until(is_on_trial)
+            outcomes = await site.run_load(2.0, 20.0, ACCOUNTS, [0])
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes) > 20
-            await site.until(is_settled, 15.0)
-            runs_before = [len(node.effects) for node in site.site.nodes]
+            await site.wait_until(is_settled, 15.0)
+            runs_before = [len(node.effects) for node in site.services.nodes]
 
             async def are_all_used() -> bool:
-                outcomes.extend(await site.load(1.0, 40.0, ACCOUNTS, [0]))
+                outcomes.extend(await site.run_load(1.0, 40.0, ACCOUNTS, [0]))
                 return all(
                     len(node.effects) > count
-                    for node, count in zip(site.site.nodes, runs_before, strict=True)
+                    for node, count in zip(site.services.nodes, runs_before, strict=True)
                 )
 
-            await site.until(are_all_used, 30.0)
+            await site.wait_until(are_all_used, 30.0)
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes)
             assert checks.lost(outcomes) == 0
             assert "word.denied" in site.gateways[0].log_file.read_text()
@@ -282,32 +282,32 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 3) as site:
             await site.start()
-            await site.until(lambda: site.agree(range(3)))
-            failed = site.site.nodes[0]
+            await site.wait_until(lambda: site.all_see(range(3)))
+            failed = site.services.nodes[0]
             await failed.stop()
 
             outcomes = []
 
             async def is_avoided_by_others() -> bool:
-                outcomes.extend(await site.load(0.5, 40.0, ACCOUNTS, [0]))
+                outcomes.extend(await site.run_load(0.5, 40.0, ACCOUNTS, [0]))
                 return all([await read_state(site, number, "avoided") for number in (1, 2)])
 
-            await site.until(is_avoided_by_others, 30.0)
+            await site.wait_until(is_avoided_by_others, 30.0)
             assert checks.lost(outcomes) == 0
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes)
             # A member that is partitioned goes by its own attempts.
             site.split([[0], [1, 2]])
-            outcomes += await site.load(1.0, 20.0, ACCOUNTS)
+            outcomes += await site.run_load(1.0, 20.0, ACCOUNTS)
             site.split([[0], [1, 2]], cut=False)
             await failed.start(failed.port)
             runs_before = len(failed.effects)
 
             async def is_used() -> bool:
-                outcomes.extend(await site.load(0.5, 20.0, ACCOUNTS))
+                outcomes.extend(await site.run_load(0.5, 20.0, ACCOUNTS))
                 return len(failed.effects) > runs_before
 
-            await site.until(is_used, 30.0)
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            await site.wait_until(is_used, 30.0)
+            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
 
     run_scenario(scenario())
 
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -42,29 +42,31 @@
 async def start_members(site: FleetSite, share: float = 1.0) -> None:
     """Starts all gateways, and waits until each knows all others and `share` of their usage."""
     await site.start()
-    await site.until(lambda: site.agree(GATEWAYS))
-    await site.until(lambda: site.whole(GATEWAYS, share))
+    await site.wait_until(lambda: site.all_see(GATEWAYS))
+    await site.wait_until(lambda: site.know_usage_of(GATEWAYS, share))
 
 
 async def run_skewed_load(folder: Path, with_members: bool, cut_all: bool = False) -> tuple[float, float]:
     """Sends most requests of an account through one gateway while the counter does not answer. Returns the
     share that was rejected although the quota had room, and the units above the quota."""
     folder.mkdir()
-    async with FleetSite(folder, 5, fleet=with_members) as site:
+    async with FleetSite(folder, 5, has_fleet=with_members) as site:
         if with_members and not cut_all:
             await start_members(site)
         else:
             await site.start()
         if cut_all:
             site.split([[number] for number in GATEWAYS])
-        for link in site.to_counter:
+        for link in site.counter_links:
             link.cut()
         rates = {0: 6.0, 1: 1.0, 2: 0.5, 3: 0.5}
-        results = await asyncio.gather(*(site.load(6.0, rate, [ACCOUNT], [n]) for n, rate in rates.items()))
+        results = await asyncio.gather(
+            *(site.run_load(6.0, rate, [ACCOUNT], [n]) for n, rate in rates.items())
+        )
         outcomes = [outcome for result in results for outcome in result]
-        assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+        assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
         wrongly_rejected = checks.refused_with_room(outcomes, ACCOUNT.account_id, RATE, BURST)
-        return wrongly_rejected, checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST)
+        return wrongly_rejected, checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST)
 
 
 def test_usage_reports_keep_a_quota_available_without_the_counter(tmp_path: Path) -> None:
@@ -90,29 +92,31 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 5) as site:
             await start_members(site)
-            for link in site.to_counter:
+            for link in site.counter_links:
                 link.cut()
             site.split([[0, 1], [2, 3, 4]])
-            await site.until(lambda: site.whole([0, 1], 0.4))
-            await site.until(lambda: site.whole([2, 3, 4], 0.6))
-            outcomes = await site.load(5.0, 2.0, [ACCOUNT])
+            await site.wait_until(lambda: site.know_usage_of([0, 1], 0.4))
+            await site.wait_until(lambda: site.know_usage_of([2, 3, 4], 0.6))
+            outcomes = await site.run_load(5.0, 2.0, [ACCOUNT])
             # Until each side detects the loss of the other (1 s, including a round of probes), both may grant
             # the whole quota.
             assert (
-                checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
+                checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST)
+                <= 10.0 * (1.0 + 0.3) + 5.0
             )
             site.counter_partitions.replace()  # the counter is replaced by an empty one
-            for link in site.to_counter:
+            for link in site.counter_links:
                 link.cut(cut=False)
                 link.reset()
             site.split([[0, 1], [2, 3, 4]], cut=False)
-            await site.until(lambda: site.agree(GATEWAYS))
-            outcomes += await site.load(2.0, 2.0, [ACCOUNT])
-            await site.until(lambda: site.same_digest(GATEWAYS))
+            await site.wait_until(lambda: site.all_see(GATEWAYS))
+            outcomes += await site.run_load(2.0, 2.0, [ACCOUNT])
+            await site.wait_until(lambda: site.have_same_digest(GATEWAYS))
             assert (
-                checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 10.0 * (1.0 + 0.3) + 5.0
+                checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST)
+                <= 10.0 * (1.0 + 0.3) + 5.0
             )
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
 
     run_scenario(scenario())
 
@@ -124,24 +128,24 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 5) as site:
             await start_members(site)
-            state = (await site.asked(0, "state"))[0]
+            state = (await site.query(0, "state"))[0]
             assert state["numbered"]
             # Guards against a row count that local health overwrites under the same name.
             assert state["health_rows"] == 0 and state["evicted_health"] == 0 and "health" in state
-            for link in site.to_counter:
+            for link in site.counter_links:
                 link.cut()
-            site.links[0, 1].cut()
-            await site.until(lambda: is_share_lowered(site))
-            assert await site.whole([2, 3, 4], 1.0)
+            site.member_links[0, 1].cut()
+            await site.wait_until(lambda: is_share_lowered(site))
+            assert await site.know_usage_of([2, 3, 4], 1.0)
             assert "now=dead" not in site.gateways[0].log_file.read_text()
-            outcomes = await site.load(3.0, 3.0, [ACCOUNT], [0, 1, 2])
-            assert checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 9.0 * 0.4 + 5.0
-            site.links[0, 1].cut(cut=False)
-            await site.until(lambda: site.whole(GATEWAYS, 1.0))
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            outcomes = await site.run_load(3.0, 3.0, [ACCOUNT], [0, 1, 2])
+            assert checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST) <= 9.0 * 0.4 + 5.0
+            site.member_links[0, 1].cut(cut=False)
+            await site.wait_until(lambda: site.know_usage_of(GATEWAYS, 1.0))
+            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
 
     async def is_share_lowered(site: FleetSite) -> bool:
-        shares = [float((await site.asked(number, "state"))[0]["share"]) for number in (0, 1)]
+        shares = [float((await site.query(number, "state"))[0]["share"]) for number in (0, 1)]
         return max(shares) < 1.0
 
     run_scenario(scenario())
@@ -151,28 +155,28 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 5) as site:
             await start_members(site)
-            link = site.links[0, 1]
+            link = site.member_links[0, 1]
             rng = random.Random(3)
             for size in (1, 900, 60_000):
                 link.forge(1, rng.randbytes(size))
             site.send_signal(1, signal.SIGSTOP)
-            await site.until(lambda: has_state(site, 0, "g1", "suspect"))
+            await site.wait_until(lambda: has_state(site, 0, "g1", "suspect"))
             site.send_signal(1, signal.SIGCONT)
-            await site.until(lambda: site.agree(GATEWAYS))
+            await site.wait_until(lambda: site.all_see(GATEWAYS))
             assert "member=g1 now=dead" not in site.gateways[0].log_file.read_text()
             site.send_signal(2, signal.SIGKILL)
-            await site.until(lambda: has_state(site, 0, "g2", "dead"))
+            await site.wait_until(lambda: has_state(site, 0, "g2", "dead"))
             await site.start([2])
-            await site.until(lambda: site.agree(GATEWAYS))
-            await site.until(lambda: site.whole(GATEWAYS, 1.0))
+            await site.wait_until(lambda: site.all_see(GATEWAYS))
+            await site.wait_until(lambda: site.know_usage_of(GATEWAYS, 1.0))
             site.send_signal(3, signal.SIGTERM)
-            await site.until(lambda: has_state(site, 0, "g3", "left"))
+            await site.wait_until(lambda: has_state(site, 0, "g3", "left"))
             assert "member=g3 now=suspect" not in site.gateways[0].log_file.read_text()
-            state = (await site.asked(0, "state"))[0]
+            state = (await site.query(0, "state"))[0]
             assert sum(count for name, count in state.items() if name.startswith("dropped_")) >= 3, state
             process = site.gateways[3].process
             assert process is not None
-            await site.until(lambda: has_ended(process))
+            await site.wait_until(lambda: has_ended(process))
             assert process.returncode == 0
 
     async def has_state(site: FleetSite, observer: int, name: str, state: str) -> bool:
@@ -188,10 +192,10 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 5) as site:
             await start_members(site)
-            for link in site.links.values():
+            for link in site.member_links.values():
                 for direction in link.directions:
                     direction.loss_fraction, direction.duplicate_fraction, direction.jitter_s = 0.2, 0.1, 0.03
-            load = asyncio.create_task(site.load(8.0, 12.0, OTHER_ACCOUNTS, [0, 1], CHARGE_KINDS))
+            load = asyncio.create_task(site.run_load(8.0, 12.0, OTHER_ACCOUNTS, [0, 1], CHARGE_KINDS))
             for number in (2, 3, 4):  # no load is sent to these: a load balancer has removed them
                 site.send_signal(number, signal.SIGTERM)
                 process = site.gateways[number].process
@@ -199,19 +203,19 @@
                 assert await asyncio.get_running_loop().run_in_executor(None, process.wait) == 0
                 await site.start([number])
             outcomes = await load
-            assert checks.lost(outcomes) == 0 and checks.ran_twice(site.site.nodes, "check-charge") == 0
-            assert checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            assert checks.lost(outcomes) == 0 and checks.ran_twice(site.services.nodes, "check-charge") == 0
+            assert checks.refused_and_ran(site.services.nodes, outcomes) == 0
             assert sum(outcome.answer == "served" for outcome in outcomes) > 0.9 * len(outcomes)
             # While messages are lost, some member is suspected or some usage report is missing most of the
             # time. So all replicas have to be complete at once, but each gateway has to know all usage just
             # at some moment.
-            await site.until(lambda: site.complete(GATEWAYS))
+            await site.wait_until(lambda: site.are_complete(GATEWAYS))
             for number in GATEWAYS:
-                await site.until(lambda number=number: site.whole([number], 1.0), 60.0)  # type: ignore[misc]
-            for link in site.links.values():
+                await site.wait_until(lambda number=number: site.know_usage_of([number], 1.0), 60.0)  # type: ignore[misc]
+            for link in site.member_links.values():
                 for direction in link.directions:
                     direction.loss_fraction, direction.duplicate_fraction, direction.jitter_s = 0.0, 0.0, 0.0
-            await site.until(lambda: site.whole(GATEWAYS, 1.0))
+            await site.wait_until(lambda: site.know_usage_of(GATEWAYS, 1.0))
 
     run_scenario(scenario())
 
@@ -249,22 +253,22 @@
             with socket.create_server(("127.0.0.1", old.port), backlog=512) as listener:
                 old.passed_socket, old.temp_folder = listener, tmp_path
                 await site.start()
-                await site.until(lambda: site.whole(range(3), 1.0))
-                boot = (await site.asked(0, "members"))[0]["boot"]
-                load = asyncio.create_task(site.load(6.0, 15.0, OTHER_ACCOUNTS, [0, 1]))
+                await site.wait_until(lambda: site.know_usage_of(range(3), 1.0))
+                boot = (await site.query(0, "members"))[0]["boot"]
+                load = asyncio.create_task(site.run_load(6.0, 15.0, OTHER_ACCOUNTS, [0, 1]))
                 (tmp_path / "next").mkdir()
                 new = GatewayProcess(tmp_path / "next", old.platform, old.operator_file.read_text())
                 new.passed_socket, new.temp_folder = listener, tmp_path
                 new.start()
                 try:
-                    await site.until(lambda: has_logged(new, "address.taken"))
+                    await site.wait_until(lambda: has_logged(new, "address.taken"))
                     old.send_signal(signal.SIGTERM)
-                    await site.until(lambda: is_taken_over(site, boot))
+                    await site.wait_until(lambda: is_taken_over(site, boot))
                     outcomes = await load
                     assert old.process is not None and old.process.wait() == 0
-                    await site.until(lambda: site.whole(range(3), 1.0))  # asked at the successor
+                    await site.wait_until(lambda: site.know_usage_of(range(3), 1.0))  # asked at the successor
                     assert checks.lost(outcomes) == 0
-                    assert checks.refused_and_ran(site.site.nodes, outcomes) == 0
+                    assert checks.refused_and_ran(site.services.nodes, outcomes) == 0
                 finally:
                     new.send_signal(signal.SIGKILL)
 
@@ -272,7 +276,7 @@
         return logged in successor.log_file.read_text()
 
     async def is_taken_over(site: FleetSite, boot: str) -> bool:
-        rows = [row for row in await site.asked(1, "members") if row["name"] == "g0"]
+        rows = [row for row in await site.query(1, "members") if row["name"] == "g0"]
         return bool(rows) and rows[0]["boot"] != boot and rows[0]["state"] == "alive"
 
     run_scenario(scenario())
@@ -285,21 +289,21 @@
     async def scenario() -> None:
         async with FleetSite(tmp_path, 6) as site:
             await site.start()
-            await site.until(lambda: site.whole(gateways, 1.0))
-            outcomes = await site.load(1.0, 60.0, OTHER_ACCOUNTS)  # usage to be replicated
-            await site.until(lambda: site.same_digest(gateways))
+            await site.wait_until(lambda: site.know_usage_of(gateways, 1.0))
+            outcomes = await site.run_load(1.0, 60.0, OTHER_ACCOUNTS)  # usage to be replicated
+            await site.wait_until(lambda: site.have_same_digest(gateways))
 
-            site.links[0, 1].cut(0)  # g1 receives nothing from g0, g0 receives from g1
-            outcomes += await site.load(3.0, 10.0, OTHER_ACCOUNTS, [0, 1, 5])
-            site.links[0, 1].cut(cut=False)
-            await site.until(lambda: site.agree(gateways))
+            site.member_links[0, 1].cut(0)  # g1 receives nothing from g0, g0 receives from g1
+            outcomes += await site.run_load(3.0, 10.0, OTHER_ACCOUNTS, [0, 1, 5])
+            site.member_links[0, 1].cut(cut=False)
+            await site.wait_until(lambda: site.all_see(gateways))
 
             for _ in range(3):
                 site.send_signal(2, signal.SIGSTOP)
-                outcomes += await site.load(0.8, 10.0, OTHER_ACCOUNTS, [0, 5])
+                outcomes += await site.run_load(0.8, 10.0, OTHER_ACCOUNTS, [0, 5])
                 site.send_signal(2, signal.SIGCONT)
-                outcomes += await site.load(0.4, 10.0, OTHER_ACCOUNTS, [0, 5])
-            await site.until(lambda: site.agree(gateways))
+                outcomes += await site.run_load(0.4, 10.0, OTHER_ACCOUNTS, [0, 5])
+            await site.wait_until(lambda: site.all_see(gateways))
             logs = [gateway.log_file.read_text() for gateway in site.gateways]
             assert not any("now=dead" in log for log in logs)
 
@@ -307,18 +311,18 @@
             # Before the restart, as g1 might have caught up by the time of a later cut.
             site.split([[1], [0, 2, 3, 4, 5]])
             await site.start([1])
-            row = (await site.asked(1, "state"))[0]
+            row = (await site.query(1, "state"))[0]
             assert not row["known"] and row["share"] == 0.0
             site.split([[1], [0, 2, 3, 4, 5]], cut=False)
-            await site.until(lambda: site.whole(gateways, 1.0))
+            await site.wait_until(lambda: site.know_usage_of(gateways, 1.0))
 
             for number in gateways[:5]:
                 site.send_signal(number, signal.SIGKILL)
             await site.start(gateways[:5])
-            await site.until(lambda: site.whole(gateways, 1.0))
-            await site.until(lambda: site.same_digest(gateways))
-            assert (await site.asked(0, "state"))[0]["use"] > 0  # received from the member that kept running
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            await site.wait_until(lambda: site.know_usage_of(gateways, 1.0))
+            await site.wait_until(lambda: site.have_same_digest(gateways))
+            assert (await site.query(0, "state"))[0]["use"] > 0  # received from the member that kept running
+            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
 
     run_scenario(scenario())
 
@@ -327,15 +331,17 @@
     """The faults follow one another while the counter does not answer and one account exceeds its quota."""
 
     async def scenario() -> None:
-        async with FleetSite(tmp_path, 5, more="period_ms = 100\npatience_ms = 1500\n") as site:
+        async with FleetSite(tmp_path, 5, fleet_options="period_ms = 100\npatience_ms = 1500\n") as site:
             await start_members(site)
-            for link in site.to_counter:
+            for link in site.counter_links:
                 link.cut()
             loaded = [0, 1, 2]
-            load = asyncio.create_task(site.load(8.0, 4.0, [ACCOUNT, *OTHER_ACCOUNTS], loaded, CHARGE_KINDS))
+            load = asyncio.create_task(
+                site.run_load(8.0, 4.0, [ACCOUNT, *OTHER_ACCOUNTS], loaded, CHARGE_KINDS)
+            )
 
             # All links of g4 are slow.
-            for (one, other), member_link in site.links.items():
+            for (one, other), member_link in site.member_links.items():
                 if 4 in (one, other):
                     for direction in member_link.directions:
                         direction.delay_s, direction.jitter_s = 0.4, 0.2
@@ -345,23 +351,25 @@
                 await asyncio.sleep(0.1)
 
             # g1 seems to report false usage and a false removal, and another fleet's datagram arrives.
-            boot = int((await site.asked(0, "members"))[1]["boot"], 16)  # of g1
+            boot = int((await site.query(0, "members"))[1]["boot"], 16)  # of g1
             used = Row(RowKind.USE, f"{ACCOUNT.account_id.decode()}/{10**9}", "g1#1", 9, 1e11)
             removed = Row(RowKind.SERVER, "s2", "", 10**9, 2.0)
             for fleet, false_row in (("lab", used), ("lab", removed), ("other", removed)):
-                site.links[0, 1].forge(1, encode(fleet, "g1", boot, Delta(((false_row, 0),))))
+                site.member_links[0, 1].forge(1, encode(fleet, "g1", boot, Delta(((false_row, 0),))))
             # Usage of g1, and of an earlier process of g0.
             entries = tuple(UsageEntry(used.key, 9, used.value, boot_of) for boot_of in (0, 7))
-            site.links[0, 1].forge(1, encode("lab", "g1", boot, UsageMessage(1 << 40, True, True, entries)))
-            await site.until(lambda: has_dropped(site, 0, "dropped_fleet"))
+            site.member_links[0, 1].forge(
+                1, encode("lab", "g1", boot, UsageMessage(1 << 40, True, True, entries))
+            )
+            await site.wait_until(lambda: has_dropped(site, 0, "dropped_fleet"))
 
             # g3 is stopped until it is declared dead, and goes on with outdated state.
             site.send_signal(3, signal.SIGSTOP)
-            await site.until(lambda: has_state(site, 0, "g3", "dead"))
+            await site.wait_until(lambda: has_state(site, 0, "g3", "dead"))
             outcomes = await load
             site.send_signal(3, signal.SIGCONT)
-            outcomes += await site.load(2.0, 4.0, [ACCOUNT], [3])
-            await site.until(lambda: has_state(site, 0, "g3", "alive"))
+            outcomes += await site.run_load(2.0, 4.0, [ACCOUNT], [3])
+            await site.wait_until(lambda: has_state(site, 0, "g3", "alive"))
 
             # g2 restarts, and the member that it catches up from is killed.
             site.send_signal(2, signal.SIGKILL)
@@ -369,10 +377,10 @@
             await site.start([2])
             site.send_signal(0, signal.SIGKILL)
             site.split([[2, 0], [1, 3, 4]], cut=False)
-            await site.until(lambda: site.whole([1, 2, 3], 0.8))
+            await site.wait_until(lambda: site.know_usage_of([1, 2, 3], 0.8))
 
-            final_load = asyncio.create_task(site.load(1.5, 20.0, OTHER_ACCOUNTS, [1]))
-            while not site.links[1, 2].directions[0].delivered_count:
+            final_load = asyncio.create_task(site.run_load(1.5, 20.0, OTHER_ACCOUNTS, [1]))
+            while not site.member_links[1, 2].directions[0].delivered_count:
                 await asyncio.sleep(0.01)
             outcomes += await final_load
             site.send_signal(1, signal.SIGTERM)  # while it exchanges messages with all others
@@ -380,14 +388,16 @@
             assert process is not None
             assert await asyncio.get_running_loop().run_in_executor(None, process.wait) == 0
 
-            assert checks.lost(outcomes) == 0 and checks.ran_twice(site.site.nodes, "check-charge") == 0
-            assert checks.refused_and_ran(site.site.nodes, outcomes) == 0
+            assert checks.lost(outcomes) == 0 and checks.ran_twice(site.services.nodes, "check-charge") == 0
+            assert checks.refused_and_ran(site.services.nodes, outcomes) == 0
             # Two requests at each gateway, which it may admit while the usage of others is unknown, and the
             # plan's rate for 0.4 s.
-            assert checks.overshoot(site.site.nodes, ACCOUNT.account_id, RATE, BURST) <= 2.0 * 5 + 4.0 * 0.4
+            assert (
+                checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST) <= 2.0 * 5 + 4.0 * 0.4
+            )
 
     async def has_dropped(site: FleetSite, number: int, field: str) -> bool:
-        rows = await site.asked(number, "state")
+        rows = await site.query(number, "state")
         return bool(rows) and rows[0].get(field, 0) > 0
 
     async def has_state(site: FleetSite, observer: int, name: str, state: str) -> bool:
--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -103,7 +103,7 @@
             # The holder's lease expires within this time; after that it must cause no effect.
             while loop.time() - service.effects[-1].started_at < 1.5 * LEASE_S:
                 await asyncio.sleep(0.02)
-            rows = await fleet.site.asked(holder, "tasks")
+            rows = await fleet.site.query(holder, "tasks")
             assert rows and rows[0]["holder"] == "" and rows[0]["nobody"], rows
             for number in silent:
                 fleet.site.send_signal(number, signal.SIGCONT)
@@ -120,17 +120,17 @@
         async with LeasedTaskFleet(tmp_path, 4, service, "bad", "good") as fleet:
 
             async def is_parked() -> bool:
-                rows = [await fleet.site.asked(n, "tasks") for n in VOTER_NUMBERS]
+                rows = [await fleet.site.query(n, "tasks") for n in VOTER_NUMBERS]
                 return all(row and row[0]["parked"] for row in rows)
 
-            await fleet.site.until(is_parked)
+            await fleet.site.wait_until(is_parked)
             await fleet.wait_for_effects(5)
             failed_effects = [effect for effect in service.effects if effect.task == "bad"]
             # The calls of more than one holder: each released the lease after its failure.
             assert 3 <= len(failed_effects) <= 4 and len({effect.holder for effect in failed_effects}) >= 2, (
                 failed_effects
             )
-            reply = fleet.site.ask(0, "unpark bad")
+            reply = fleet.site.query_blocking(0, "unpark bad")
             assert reply == [{"unparked": True}]
             service.failing_task = ""
             before = len(failed_effects)
@@ -150,24 +150,28 @@
             lease_tables(1).partition("[[")[0] + '[[fleet.leases.tasks]]\nname = "ask"\nkind = "ask"\n'
         )
         async with FleetSite(
-            tmp_path, 5, more=FLEET_OPTIONS + "share_list = true\n", tail=poll_task, lists=50.0
+            tmp_path,
+            5,
+            fleet_options=FLEET_OPTIONS + "share_list = true\n",
+            operator_tables=poll_task,
+            discovery_calls_per_s=50.0,
         ) as site:
-            lists = site.lists
+            lists = site.list_service
             assert lists is not None
 
             async def pollers(numbers: Iterable[int] = VOTER_NUMBERS) -> list[int]:
-                replies = {n: await site.asked(n, "list") for n in numbers}
+                replies = {n: await site.query(n, "list") for n in numbers}
                 return [n for n, rows in replies.items() if rows and rows[0]["asks"]]
 
             async def have_newest() -> bool:
-                replies = [await site.asked(n, "list") for n in rest]
+                replies = [await site.query(n, "list") for n in rest]
                 return all(rows and rows[0]["version"] == lists.version for rows in replies)
 
             async def has_one_poller() -> bool:
                 return len(await pollers()) == 1
 
             await site.start()
-            await site.until(has_one_poller)
+            await site.wait_until(has_one_poller)
             first = lists.calls[-1].at
             while lists.calls[-1].at < first + 7.0:
                 await asyncio.sleep(0.02)
@@ -176,13 +180,13 @@
             poller = (await pollers())[0]
             rest = [n for n in VOTER_NUMBERS if n != poller]
             site.send_signal(poller, signal.SIGKILL)
-            lists.update(server_row("s1", site.site.nodes[1].port, "Terminating"))
-            await site.until(have_newest, 10.0)
+            lists.update(server_row("s1", site.services.nodes[1].port, "Terminating"))
+            await site.wait_until(have_newest, 10.0)
 
             async def is_replaced() -> bool:
                 return len(await pollers(rest)) == 1
 
-            await site.until(is_replaced)
+            await site.wait_until(is_replaced)
 
     run_scenario(scenario())
 
@@ -213,7 +217,7 @@
                     new = GatewayProcess(folder, platform, old.operator_file.read_text())
                     new.passed_socket, new.temp_folder = listener, tmp_path
                     new.start()
-                    await site.until(lambda new=new: has_logged(new, "address.taken"))  # type: ignore[misc]
+                    await site.wait_until(lambda new=new: has_logged(new, "address.taken"))  # type: ignore[misc]
                     began = asyncio.get_running_loop().time()
                     if stopped:
                         site.send_signal(number, signal.SIGSTOP)
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -428,26 +428,26 @@
 
     async def scenario() -> None:
         more = "share_list = true\nperiod_ms = 100\npatience_ms = 1000\n"
-        async with FleetSite(tmp_path, 10, more=more, lists=50.0) as site:
-            lists = site.lists
+        async with FleetSite(tmp_path, 10, fleet_options=more, discovery_calls_per_s=50.0) as site:
+            lists = site.list_service
             assert lists is not None
             all_gateways = range(10)
 
             async def list_state(number: int) -> dict[str, Any]:
-                rows = await site.asked(number, "list")
+                rows = await site.query(number, "list")
                 return rows[0] if rows else {"version": -1, "asks": False}
 
             async def have_newest(numbers: Iterable[int]) -> bool:
                 return all([(await list_state(n))["version"] == lists.version for n in numbers])
 
             await site.start()
-            await site.until(lambda: site.agree(all_gateways))
+            await site.wait_until(lambda: site.all_see(all_gateways))
             pollers = [n for n in all_gateways if (await list_state(n))["asks"]]
             assert len(pollers) == 3
             calls_before = len(lists.calls)
             since = lists.calls[-1].at
-            lists.update(server_row("s1", site.site.nodes[1].port, "Terminating"))
-            await site.until(lambda: have_newest(all_gateways))
+            lists.update(server_row("s1", site.services.nodes[1].port, "Terminating"))
+            await site.wait_until(lambda: have_newest(all_gateways))
             while lists.calls[-1].at < since + 4.0:
                 await asyncio.sleep(0.02)
             # Three gateways poll with watches of 1.1 to 1.5 s.
@@ -455,11 +455,11 @@
             for number in pollers:
                 site.send_signal(number, signal.SIGKILL)
             rest = [n for n in all_gateways if n not in pollers]
-            lists.update(server_row("s2", site.site.nodes[2].port, "Terminating"))
-            await site.until(lambda: have_newest(rest), 8.0)
+            lists.update(server_row("s2", site.services.nodes[2].port, "Terminating"))
+            await site.wait_until(lambda: have_newest(rest), 8.0)
             isolated = [n for n in rest if not (await list_state(n))["asks"]][:1]
             site.split([isolated, [n for n in all_gateways if n not in isolated]])
-            lists.update(server_row("s0", site.site.nodes[0].port, "Ready", 5.0))
-            await site.until(lambda: have_newest(rest), 8.0)
+            lists.update(server_row("s0", site.services.nodes[0].port, "Ready", 5.0))
+            await site.wait_until(lambda: have_newest(rest), 8.0)
 
     run_scenario(scenario())
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -128,10 +128,12 @@
     )
 
     async def scenario() -> None:
-        async with FleetSite(tmp_path, 3, settings=settings, more=FLEET_OPTIONS, tail=tail) as site:
+        async with FleetSite(
+            tmp_path, 3, settings=settings, fleet_options=FLEET_OPTIONS, operator_tables=tail
+        ) as site:
 
             async def sum_state(field: str) -> int:
-                rows = [await site.asked(number, "state") for number in range(3)]
+                rows = [await site.query(number, "state") for number in range(3)]
                 return sum(row[0][field] for row in rows if row)
 
             async def wait_for_audits(count: int) -> None:
@@ -140,7 +142,7 @@
                 async def is_reached() -> bool:
                     return await sum_state("audited") >= target
 
-                await site.until(is_reached, 30.0)
+                await site.wait_until(is_reached, 30.0)
 
             async def is_reported(text: str = "holds=less") -> bool:
                 return any("audit.use" in log and text in log for log in logs())
@@ -149,21 +151,23 @@
                 return [gateway.log_file.read_text() for gateway in site.gateways]
 
             await site.start()
-            await site.until(lambda: site.whole(range(3), 1.0))
+            await site.wait_until(lambda: site.know_usage_of(range(3), 1.0))
             rates = {0: 2.0, 1: 2.0, 2: 12.0}
-            load = [asyncio.create_task(site.load(90.0, rate, accounts, [n])) for n, rate in rates.items()]
+            load = [
+                asyncio.create_task(site.run_load(90.0, rate, accounts, [n])) for n, rate in rates.items()
+            ]
             await wait_for_audits(6)
             site.counter_partitions.replace()
             await wait_for_audits(6)
             assert not await is_reported("")
-            site.to_counter[2].cut()
-            await site.until(is_reported, 30.0)
-            site.to_counter[2].cut(cut=False)
+            site.counter_links[2].cut()
+            await site.wait_until(is_reported, 30.0)
+            site.counter_links[2].cut(cut=False)
 
             async def has_no_mismatch() -> bool:
                 return await sum_state("use_apart") == 0
 
-            await site.until(has_no_mismatch, 30.0)
+            await site.wait_until(has_no_mismatch, 30.0)
             assert sum("audit.use" in log for log in logs()) == 1
             for task in load:
                 task.cancel()
