--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -51,11 +51,11 @@
     found = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
         fleet.overshoot("bare", bare.ceiling_rate_per_s, bare.ceiling_burst_units),
-        ceiling_overshoot_units(found, fleet.restarts),
+        ceiling_overshoot_units(found, fleet.restart_count),
         fleet.overshoot("soft", soft.rate_per_s, soft.burst_units),
         (gateways - 1) * (soft.burst_units + SECONDS * soft.rate_per_s),
-        fleet.refused_with_room("soft", soft.rate_per_s, soft.burst_units),
-        fleet.counter.calls / fleet.asked,
+        fleet.unjustified_rejection_fraction("soft", soft.rate_per_s, soft.burst_units),
+        fleet.counter.calls / fleet.request_count,
     )
 
 
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -78,12 +78,12 @@
         )
         return recorders[-1]
 
-    fleet = Fleet(1, seed, make=make)
+    fleet = Fleet(1, seed, make_engine=make)
     fleets.append(fleet)
     fleet.run(fleet.now + 500.0)
-    fleet.at(fleet.now + 900.0, fleet.counter.replace)
-    fleet.flood("soft", 60.0, 2.0, [1.0])
-    fleet.flood("bare", 60.0, 2.0, [1.0])
+    fleet.schedule(fleet.now + 900.0, fleet.counter.replace)
+    fleet.schedule_requests("soft", 60.0, 2.0, [1.0])
+    fleet.schedule_requests("bare", 60.0, 2.0, [1.0])
     fleet.run(fleet.now + 2500.0)
     recorders[0].flush()
     recorders[0].writer.close(10.0)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -30,7 +30,7 @@
 from lab.counter import CounterPartitions
 
 TIMEOUT_MS = 50.0
-NET_MS = 1.0
+NET_MS = 1.0  # one way between a gateway and the counter
 SERVERS = tuple(Endpoint(f"s{i}", "a") for i in range(6))
 PLANS = (
     Plan("soft", rate_per_s=8.0, burst_units=20.0),
@@ -70,36 +70,38 @@
 
 @dataclass
 class Fleet:
-    """A number of gateways. `skew_ms`: the largest offset of a gateway's clock."""
+    """Gateways with a shared counter. `skew_ms`: the largest offset of a gateway's clock."""
 
-    gateways: int
+    gateway_count: int
     seed: int
     partition_count: int = 2
     skew_ms: float = 0.0
-    make: Callable[[Settings, int], Any] = DecisionEngine
-    reset_share: float = 0.0  # share of counter calls that are added but answered with a reset or an error
-    sent: list[tuple[float, str, float]] = field(default_factory=list)  # true time, plan, units
-    refusals: list[tuple[float, str]] = field(default_factory=list)  # true time, plan
-    asked: int = 0
-    restarts: int = 0
+    make_engine: Callable[[Settings, int], Any] = DecisionEngine
+    reset_fraction: float = 0.0  # of the counter calls, those that are added but end in a reset or an error
+    first_attempts: list[tuple[float, str, float]] = field(default_factory=list)  # time, plan, units
+    rejections: list[tuple[float, str]] = field(default_factory=list)  # time, plan
+    request_count: int = 0
+    restart_count: int = 0
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.counter = CounterPartitions(self.partition_count)
-        self.now = 1_000_000.0
-        self.order = itertools.count()
+        self.now = 1_000_000.0  # true time in ms
+        self.event_order = itertools.count()
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.skews = [self.rng.uniform(0.0, self.skew_ms) for _ in range(self.gateways)]
-        self.incarnation = [0] * self.gateways
-        self.modules: list[Any] = [None] * self.gateways
-        self.first: dict[tuple[int, str], Request] = {}
-        for number in range(self.gateways):
+        self.clock_skews = [self.rng.uniform(0.0, self.skew_ms) for _ in range(self.gateway_count)]
+        self.incarnations = [0] * self.gateway_count
+        self.engines: list[Any] = [None] * self.gateway_count
+        self.unsent: dict[tuple[int, str], Request] = {}  # without an attempt yet, by gateway and id
+        for number in range(self.gateway_count):
             self.start(number)
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        heapq.heappush(self.queue, (when, next(self.order), call, args))
+    def schedule(self, when: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedules a call at a true time."""
+        heapq.heappush(self.queue, (when, next(self.event_order), call, args))
 
     def run(self, until: float) -> None:
+        """Runs the simulation until a true time."""
         while self.queue and self.queue[0][0] <= until:
             when, _, call, args = heapq.heappop(self.queue)
             self.now = max(self.now, when)
@@ -108,56 +110,59 @@
 
     def start(self, number: int) -> None:
         """Starts a gateway without any state."""
-        self.incarnation[number] += 1
-        self.modules[number] = self.make(settings(self.gateways), self.rng.randrange(1 << 30))
-        self.feed(number, self.incarnation[number], EndpointList(EndpointListKind.CACHED, SERVERS))
+        self.incarnations[number] += 1
+        self.engines[number] = self.make_engine(settings(self.gateway_count), self.rng.randrange(1 << 30))
+        self.handle_event(number, self.incarnations[number], EndpointList(EndpointListKind.CACHED, SERVERS))
 
     def restart(self, number: int) -> None:
         """Restarts a gateway without any state; events for the old process are dropped."""
-        self.restarts += 1
+        self.restart_count += 1
         self.start(number)
 
-    def feed(self, number: int, incarnation: int, event: Event) -> None:
-        """Passes an event to a gateway, unless that process has ended since."""
-        if incarnation != self.incarnation[number]:
+    def handle_event(self, number: int, incarnation: int, event: Event) -> None:
+        """Passes an event to a gateway unless it has restarted since, and performs the resulting actions."""
+        if incarnation != self.incarnations[number]:
             return
-        for action in self.modules[number].handle(self.now + self.skews[number], event):
+        for action in self.engines[number].handle(self.now + self.clock_skews[number], event):
             self.perform(number, incarnation, action)
 
     def perform(self, number: int, incarnation: int, action: Action) -> None:
-        back = (number, incarnation)
+        """Performs an action of a gateway: each attempt succeeds after 20 ms."""
+        gateway = (number, incarnation)
         if isinstance(action, StartAttempt):
-            request = self.first.pop((number, action.request_id), None)
+            request = self.unsent.pop((number, action.request_id), None)
             if request is not None:
-                self.sent.append((self.now, request.plan, request.units))
-            ended = AttemptEnded(action.request_id, 0, action.address, Outcome.OK, 20.0, True)
-            self.at(self.now + 20.0, self.feed, *back, ended)
+                self.first_attempts.append((self.now, request.plan, request.units))
+            attempt_ended = AttemptEnded(action.request_id, 0, action.address, Outcome.OK, 20.0, True)
+            self.schedule(self.now + 20.0, self.handle_event, *gateway, attempt_ended)
         elif isinstance(action, SetTimer):
-            self.at(action.at_ms - self.skews[number], self.feed, *back, TimerFired(action.token))
+            self.schedule(
+                action.at_ms - self.clock_skews[number], self.handle_event, *gateway, TimerFired(action.token)
+            )
         elif isinstance(action, IncrementCounter):
-            self.at(self.now + NET_MS, self.count, *back, action, self.now)
+            self.schedule(self.now + NET_MS, self.call_counter, *gateway, action, self.now)
         else:
-            request = self.first.pop((number, getattr(action, "request_id", "")), None)
+            request = self.unsent.pop((number, getattr(action, "request_id", "")), None)
             if request is not None:
-                self.refusals.append((self.now, request.plan))
+                self.rejections.append((self.now, request.plan))
 
-    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
-        """Handles a call at the counter, even if its gateway has restarted since."""
-        told = self.counter.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
-        late = told is None or told[1] + 2 * NET_MS > TIMEOUT_MS
-        if told is None or late:
+    def call_counter(self, number: int, incarnation: int, call: IncrementCounter, called_at: float) -> None:
+        """Handles a call at the counter, even if its gateway has restarted since, and schedules the reply."""
+        result = self.counter.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+        is_late = result is None or result[1] + 2 * NET_MS > TIMEOUT_MS
+        if result is None or is_late:
             reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, TIMEOUT_MS)
-            self.at(began + TIMEOUT_MS, self.feed, number, incarnation, reply)
-        elif self.reset_share and self.rng.random() < self.reset_share:
+            self.schedule(called_at + TIMEOUT_MS, self.handle_event, number, incarnation, reply)
+        elif self.reset_fraction and self.rng.random() < self.reset_fraction:
             outcome = self.rng.choice([Outcome.RESET, Outcome.ERROR])
-            reply = CounterReply(call.key, 0.0, outcome, told[1] + 2 * NET_MS)
-            self.at(self.now + told[1] + NET_MS, self.feed, number, incarnation, reply)
+            reply = CounterReply(call.key, 0.0, outcome, result[1] + 2 * NET_MS)
+            self.schedule(self.now + result[1] + NET_MS, self.handle_event, number, incarnation, reply)
         else:
-            total = float(f"{told[0]:.7g}")  # the counter replies with seven significant digits
-            reply = CounterReply(call.key, total, Outcome.OK, told[1] + 2 * NET_MS)
-            self.at(self.now + told[1] + NET_MS, self.feed, number, incarnation, reply)
+            total = float(f"{result[0]:.7g}")  # the counter replies with seven significant digits
+            reply = CounterReply(call.key, total, Outcome.OK, result[1] + 2 * NET_MS)
+            self.schedule(self.now + result[1] + NET_MS, self.handle_event, number, incarnation, reply)
 
-    def flood(
+    def schedule_requests(
         self, plan: str, rate: float, seconds: float, weights: Sequence[float], units: float = 1.0
     ) -> None:
         """Schedules an account's requests: `rate` per second, distributed over the gateways by `weights`."""
@@ -167,36 +172,37 @@
             if at >= end:
                 return
             serial += 1
-            number = self.rng.choices(range(self.gateways), weights)[0]
-            request = Request(f"{plan}{serial}", "read", plan, f"c-{plan}", 1500.0, units, self.gateways)
-            self.at(at, self.ask, number, request)
+            number = self.rng.choices(range(self.gateway_count), weights)[0]
+            request = Request(f"{plan}{serial}", "read", plan, f"c-{plan}", 1500.0, units, self.gateway_count)
+            self.schedule(at, self.send_request, number, request)
 
-    def ask(self, number: int, request: Request) -> None:
-        self.asked += 1
-        self.first[number, request.request_id] = request
-        self.feed(number, self.incarnation[number], request)
+    def send_request(self, number: int, request: Request) -> None:
+        """Passes a client's request to a gateway."""
+        self.request_count += 1
+        self.unsent[number, request.request_id] = request
+        self.handle_event(number, self.incarnations[number], request)
 
     def overshoot(self, plan: str, rate: float, burst: float) -> float:
         """Returns the units by which the recorded attempts overdrew a token bucket of this rate and burst."""
         level, last, lowest = burst, None, 0.0
-        for at, name, units in self.sent:
+        for at, name, units in self.first_attempts:
             if name == plan:
                 level = min(burst, level + (0.0 if last is None else rate * (at - last) / 1000.0)) - units
                 lowest, last = min(lowest, level), at
         return -lowest
 
-    def refused_with_room(self, plan: str, rate: float, burst: float) -> float:
-        """Returns the share of requests rejected while the true token bucket was at least half full."""
-        level, last, asked, blamed = burst, None, 0, 0
-        tries = [(at, units) for at, name, units in self.sent if name == plan]
-        tries += [(at, 0.0) for at, name in self.refusals if name == plan]
-        for at, units in sorted(tries):
+    def unjustified_rejection_fraction(self, plan: str, rate: float, burst: float) -> float:
+        """Returns the fraction of requests rejected while the true token bucket was at least half full."""
+        level, last, request_count, unjustified_count = burst, None, 0, 0
+        requests = [(at, units) for at, name, units in self.first_attempts if name == plan]
+        requests += [(at, 0.0) for at, name in self.rejections if name == plan]
+        for at, units in sorted(requests):
             level = min(burst, level + (0.0 if last is None else rate * (at - last) / 1000.0))
-            last, asked = at, asked + 1
-            blamed += not units and level >= 0.5 * burst
+            last, request_count = at, request_count + 1
+            unjustified_count += not units and level >= 0.5 * burst
             level = max(0.0, level - units)
-        return blamed / max(1, asked)
+        return unjustified_count / max(1, request_count)
 
-    def units(self, plan: str) -> float:
+    def first_attempt_units(self, plan: str) -> float:
         """Returns the units of all first attempts of a plan."""
-        return sum(units for _, name, units in self.sent if name == plan)
+        return sum(units for _, name, units in self.first_attempts if name == plan)
--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -32,42 +32,42 @@
 
 
 def first_half(fleet: Fleet) -> list[str]:
-    return [f"g{i}" for i in range(fleet.gateways // 2)]
+    return [f"g{i}" for i in range(fleet.gateway_count // 2)]
 
 
 def replaced(fleet: Fleet, rng: random.Random) -> None:
     """The counter is replaced by an empty one, up to 12 times, while connections stay open."""
     for _ in range(rng.randint(1, 12)):
-        fleet.at(fleet.now + rng.uniform(0.0, 6000.0), fleet.counter.replace)
+        fleet.schedule(fleet.now + rng.uniform(0.0, 6000.0), fleet.counter.replace)
 
 
 def part_lost(fleet: Fleet, rng: random.Random) -> None:
     """One part of the counter dies and comes back empty; the other parts keep running."""
     part = rng.randrange(fleet.partition_count)
-    fleet.at(fleet.now + 1500.0, fleet.counter.kill, part)
-    fleet.at(fleet.now + 1500.0 + rng.uniform(50.0, 3000.0), fleet.counter.replace, part)
+    fleet.schedule(fleet.now + 1500.0, fleet.counter.kill, part)
+    fleet.schedule(fleet.now + 1500.0 + rng.uniform(50.0, 3000.0), fleet.counter.replace, part)
 
 
 def split(fleet: Fleet, rng: random.Random) -> None:
     """The counter is split in two halves, one of which may be empty; it may heal after both have counted."""
     empty = rng.random() < 0.5
-    fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.split, first_half(fleet), empty)
+    fleet.schedule(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.split, first_half(fleet), empty)
     if rng.random() < 0.7:
-        fleet.at(fleet.now + rng.uniform(2500.0, 5000.0), fleet.counter.heal)
+        fleet.schedule(fleet.now + rng.uniform(2500.0, 5000.0), fleet.counter.heal)
 
 
 def mute(fleet: Fleet, rng: random.Random) -> None:
     """The counter becomes unavailable, at the start of the flood or up to 2.5 s later; it may recover."""
-    fleet.at(fleet.now + rng.choice([0.0, 1000.0, 2500.0]), fleet.counter.kill)
+    fleet.schedule(fleet.now + rng.choice([0.0, 1000.0, 2500.0]), fleet.counter.kill)
     if rng.random() < 0.5:
-        fleet.at(fleet.now + 4000.0, rng.choice([fleet.counter.revive, fleet.counter.replace]))
+        fleet.schedule(fleet.now + 4000.0, rng.choice([fleet.counter.revive, fleet.counter.replace]))
 
 
 def late(fleet: Fleet, rng: random.Random) -> None:
     """The counter adds the calls, but replies after their timeout or never."""
-    fleet.at(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.slow, rng.uniform(30.0, 400.0))
-    fleet.at(fleet.now + 3000.0, fleet.counter.drop_replies, True)
-    fleet.at(fleet.now + 4000.0, fleet.counter.drop_replies, False)
+    fleet.schedule(fleet.now + rng.uniform(0.0, 2000.0), fleet.counter.slow, rng.uniform(30.0, 400.0))
+    fleet.schedule(fleet.now + 3000.0, fleet.counter.drop_replies, True)
+    fleet.schedule(fleet.now + 4000.0, fleet.counter.drop_replies, False)
 
 
 def flapping(fleet: Fleet, rng: random.Random) -> None:
@@ -87,15 +87,15 @@
     fleet.run(fleet.now + rng.uniform(3000.0, 6000.0))  # windows that began before the start have ended
     fault(fleet, rng)
     for plan, rate in (("hard", 60.0), ("bare", 90.0), ("soft", 40.0)):
-        fleet.flood(plan, rate, 7.0, weights)
+        fleet.schedule_requests(plan, rate, 7.0, weights)
     fleet.run(fleet.now + 8000.0)
     return fleet
 
 
 def ceiling_bound(fleet: Fleet, plan: int) -> float:
     """Returns the ceiling's bound with the fleet's clock difference and restarts, plus a rounding error."""
-    bound = overshoot_bound(PLANS[plan], fleet.gateways, fleet.skew_ms, 1.0)
-    return ceiling_overshoot_units(bound, fleet.restarts) + 1e-6
+    bound = overshoot_bound(PLANS[plan], fleet.gateway_count, fleet.skew_ms, 1.0)
+    return ceiling_overshoot_units(bound, fleet.restart_count) + 1e-6
 
 
 def fault_cases() -> Iterator[tuple[Fault, int, int, float]]:
@@ -120,11 +120,11 @@
 def test_forty_gateways_under_a_split() -> None:
     fleet = Fleet(40, 5, skew_ms=100.0)
     fleet.run(fleet.now + 5000.0)
-    fleet.at(fleet.now + 1000.0, fleet.counter.split, first_half(fleet), True)
-    fleet.flood("bare", 300.0, 5.0, [1.0] * 40, 0.2)
+    fleet.schedule(fleet.now + 1000.0, fleet.counter.split, first_half(fleet), True)
+    fleet.schedule_requests("bare", 300.0, 5.0, [1.0] * 40, 0.2)
     fleet.run(fleet.now + 6000.0)
     over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
-    assert over <= ceiling_bound(fleet, 2) and fleet.units("bare") > 50.0
+    assert over <= ceiling_bound(fleet, 2) and fleet.first_attempt_units("bare") > 50.0
 
 
 def test_the_bounds_are_nearly_reached() -> None:
@@ -135,16 +135,16 @@
         fleet.run(fleet.now + 5000.0)
         if is_unavailable:
             fleet.counter.kill()
-        fleet.flood("bare", 90.0, 20.0, [1.0, 1.0, 1.0])
+        fleet.schedule_requests("bare", 90.0, 20.0, [1.0, 1.0, 1.0])
         fleet.run(fleet.now + 21_000.0)
         allowed = BARE.ceiling_burst_units + 20.0 * BARE.ceiling_rate_per_s
-        assert 0.7 * allowed <= fleet.units("bare") <= allowed
+        assert 0.7 * allowed <= fleet.first_attempt_units("bare") <= allowed
     worst = 0.0
     for seed in range(3):
         pair = Fleet(2, seed)
         pair.run(pair.now + 6000.0)
         pair.counter.split(first_half(pair), True)
-        pair.flood("soft", 80.0, 7.0, [1.0, 1.0])
+        pair.schedule_requests("soft", 80.0, 7.0, [1.0, 1.0])
         pair.run(pair.now + 8000.0)
         worst = max(worst, pair.overshoot("soft", SOFT.rate_per_s, SOFT.burst_units))
     bound = overshoot_bound(SOFT, 2, 0.0, 1.0)
@@ -160,10 +160,10 @@
         rng = random.Random(seed)
         fleet.run(fleet.now + 5000.0)
         fault(fleet, rng)
-        fleet.at(fleet.now + 2000.0, fleet.restart, 0)
-        fleet.at(fleet.now + 2000.0, fleet.restart, 1)
-        fleet.at(fleet.now + 4500.0, fleet.restart, 2)
-        fleet.flood("bare", 120.0, 7.0, [1.0, 1.0, 1.0, 1.0])
+        fleet.schedule(fleet.now + 2000.0, fleet.restart, 0)
+        fleet.schedule(fleet.now + 2000.0, fleet.restart, 1)
+        fleet.schedule(fleet.now + 4500.0, fleet.restart, 2)
+        fleet.schedule_requests("bare", 120.0, 7.0, [1.0, 1.0, 1.0, 1.0])
         fleet.run(fleet.now + 8000.0)
         over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
         assert over <= ceiling_bound(fleet, 2)
@@ -174,7 +174,7 @@
     fleet.run(fleet.now + 5000.0)
     for turn in range(8):
         fleet.counter.replace()
-        fleet.flood("bare", 120.0, 1.0, [1.0 if i == turn % 4 else 0.01 for i in range(4)])
+        fleet.schedule_requests("bare", 120.0, 1.0, [1.0 if i == turn % 4 else 0.01 for i in range(4)])
         fleet.run(fleet.now + 1000.0)
     assert fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units) <= ceiling_bound(
         fleet, 2
@@ -184,9 +184,9 @@
 def test_a_restored_counter_costs_what_is_stated_for_it() -> None:
     fleet = Fleet(3, 11)
     fleet.run(fleet.now + 5000.0)
-    fleet.at(fleet.now + 1000.0, fleet.counter.save)
-    fleet.at(fleet.now + 1400.0, fleet.counter.restore)
-    fleet.flood("bare", 120.0, 5.0, [1.0, 1.0, 1.0])
+    fleet.schedule(fleet.now + 1000.0, fleet.counter.save)
+    fleet.schedule(fleet.now + 1400.0, fleet.counter.restore)
+    fleet.schedule_requests("bare", 120.0, 5.0, [1.0, 1.0, 1.0])
     fleet.run(fleet.now + 6000.0)
     over = fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units)
     assert over <= ceiling_overshoot_units(overshoot_bound(BARE, 3, 0.0, 1.0), restores=1)
@@ -202,8 +202,8 @@
         fleet = Fleet(12, seed)
         fleet.run(fleet.now + 5000.0)
         for step in range(120):
-            fleet.at(fleet.now + 50.0 * step, fleet.counter.replace)
-        fleet.flood("bare", 60.0, 6.0, [1.0] * 12, 2.0)
+            fleet.schedule(fleet.now + 50.0 * step, fleet.counter.replace)
+        fleet.schedule_requests("bare", 60.0, 6.0, [1.0] * 12, 2.0)
         fleet.run(fleet.now + 7000.0)
         worst = max(worst, fleet.overshoot("bare", BARE.ceiling_rate_per_s, BARE.ceiling_burst_units))
     return worst
@@ -382,13 +382,13 @@
     """A tenant that has used up its quota gets no new quota when the counter is replaced by an empty one."""
     fleet = Fleet(3, 2)
     fleet.run(fleet.now + 4000.0)
-    fleet.flood("soft", 60.0, 6.0, [1.0, 1.0, 1.0])
+    fleet.schedule_requests("soft", 60.0, 6.0, [1.0, 1.0, 1.0])
     fleet.run(fleet.now + 5000.0)
-    before = fleet.units("soft")
+    before = fleet.first_attempt_units("soft")
     fleet.counter.replace()
     fleet.run(fleet.now + 1000.0)
-    assert fleet.units("soft") - before <= 2.5 * SOFT.rate_per_s
-    assert any(module.quota.counter.pacing.monitor.memory_lost_ms > 0 for module in fleet.modules)
+    assert fleet.first_attempt_units("soft") - before <= 2.5 * SOFT.rate_per_s
+    assert any(module.quota.counter.pacing.monitor.memory_lost_ms > 0 for module in fleet.engines)
 
 
 def test_quota_bound_prints_a_line_for_each_plan(tmp_path: Path) -> None:
--- a/tests/policy/admission/test_counter_resets.py
+++ b/tests/policy/admission/test_counter_resets.py
@@ -29,7 +29,7 @@
     first_calls: set[tuple[int, int]] = field(default_factory=set)  # gateway and key of each first call
     added: dict[str, float] = field(default_factory=dict)
 
-    def count(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
+    def call_counter(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """Adds the call, and replies with a total unless it is the gateway's first for its key."""
         is_first = (number, call.key) not in self.first_calls
         self.first_calls.add((number, call.key))
@@ -37,14 +37,14 @@
         total = self.totals[half, call.key] = self.totals.get((half, call.key), 0.0) + call.amount
         outcome = self.ending if is_first else Outcome.OK
         reply = CounterReply(call.key, 0.0 if is_first else total, outcome, 2 * NET_MS)
-        self.at(self.now + NET_MS, self.feed, number, incarnation, reply)
+        self.schedule(self.now + NET_MS, self.handle_event, number, incarnation, reply)
 
 
 def run_flood(ending: Outcome, seed: int) -> SplitAfterReset:
     """Runs a flood of seven seconds on the plan with a ceiling, through four gateways."""
     fleet = SplitAfterReset(4, seed, ending=ending)
     fleet.run(fleet.now + 5000.0)
-    fleet.flood("hard", 120.0, 7.0, [1.0] * 4)
+    fleet.schedule_requests("hard", 120.0, 7.0, [1.0] * 4)
     fleet.run(fleet.now + 8000.0)
     return fleet
 
@@ -58,7 +58,7 @@
     assert fleet.totals
     for key in {key for _, key in fleet.totals}:
         markers = [round(fleet.totals.get((half, key), 0.0) / MARKER) for half in (0, 1)]
-        assert sum(markers) <= fleet.gateways, markers
+        assert sum(markers) <= fleet.gateway_count, markers
 
 
 @pytest.mark.parametrize("ending", MAY_HAVE_BEEN_ADDED)
@@ -68,5 +68,5 @@
     fleet = run_flood(ending, seed)
     added_units = sum(total - MARKER * round(total / MARKER) for total in fleet.totals.values())
     # Under a ceiling the units of requests that waited for a total and were rejected are not subtracted.
-    reserved_units = fleet.asked - len(fleet.sent)
-    assert added_units <= fleet.units("hard") + reserved_units + 1e-6
+    reserved_units = fleet.request_count - len(fleet.first_attempts)
+    assert added_units <= fleet.first_attempt_units("hard") + reserved_units + 1e-6
