--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -21,7 +21,7 @@
 from glenchute.policy.membership.members import MemberState
 from glenchute.policy.membership.replica import Replica, Row, RowKind
 from lab.fleet import checks
-from lab.fleet.crowd import Others
+from lab.fleet.crowd import EmulatedMembers
 from lab.fleet.processes import FleetSite
 from lab.fleet.simulated import GossipNetwork, SwimNetwork, cut_off
 from lab.load import Account
@@ -57,9 +57,12 @@
                 *(site.run_load(SECONDS, rate, [ACCOUNT], [n]) for n, rate in rates)
             )
             outcomes = [outcome for outcomes in outcomes_by_gateway for outcome in outcomes]
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+            )
             return (
-                checks.refused_with_room(outcomes, ACCOUNT.account_id, RATE, BURST),
+                checks.unjustified_rejection_fraction(outcomes, ACCOUNT.account_id, RATE, BURST),
                 checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST),
             )
 
@@ -221,26 +224,30 @@
                 gateway, port = site.gateways[0], free_port()
                 gateway.platform["settings"]["balancers"] = count
                 gateway.config_file.write_text(json.dumps(gateway.platform))
-                others = Others(count, accounts, port, spread=spread)
+                others = EmulatedMembers(count, accounts, port, spread=spread)
                 if has_members:
                     head = f'[fleet]\nfleet = "lab"\nname = "g0"\nlisten = "127.0.0.1:{port}"\n'
                     control = f'control = "{gateway.folder / "control"}"\n'
-                    gateway.operator_file.write_text(head + control + others.members())
+                    gateway.operator_file.write_text(head + control + others.member_tables())
                     await others.start()
                 await site.start()
                 assert gateway.process is not None
                 pid = gateway.process.pid
-                gossip = asyncio.create_task(others.talk(30.0, rows_s)) if has_members else None
+                gossip = asyncio.create_task(others.send_traffic(30.0, rows_s)) if has_members else None
                 await asyncio.sleep(20.0 if has_members else 1.0)  # lets the copies reach their full size
                 fields = f",spread={spread},first=0"
                 busy_accounts = [Account(b"%016x" % i, "standard", 1.0, fields) for i in range(400)]
-                cpu_before_s, bytes_before, updates_before = cpu_s(pid), others.received, others.words
+                cpu_before_s, bytes_before, updates_before = (
+                    cpu_s(pid),
+                    others.received_bytes,
+                    others.received_entries,
+                )
                 outcomes = await site.run_load(8.0, 100.0, busy_accounts, [0])
                 served = sum(outcome.answer == "served" for outcome in outcomes) / len(outcomes)
                 cpu_percent = 100.0 * (cpu_s(pid) - cpu_before_s) / 8.0
-                figures.append((cpu_percent, (others.received - bytes_before) / 8.0 / 1024.0))
+                figures.append((cpu_percent, (others.received_bytes - bytes_before) / 8.0 / 1024.0))
                 if gossip is not None:
-                    updates = others.words - updates_before
+                    updates = others.received_entries - updates_before
                     await gossip
                     rows = (await site.query(0, "state"))[0]["use"]
                 others.stop()
@@ -274,7 +281,10 @@
             complete_s = await site.wait_until(lambda: site.know_usage_of(numbers, 0.9), 120.0)
             accounts = [Account(b"%016x" % i, "standard", 1.0, f",spread={count},first=0") for i in range(50)]
             outcomes = await site.run_load(20.0, 1.0, accounts)
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+            )
             false_deaths = sum(gateway.log_file.read_text().count("now=dead") for gateway in site.gateways)
             agree_s = await site.wait_until(lambda: site.have_same_digest(numbers), 60.0)
             setup_text = f"{count} processes, a tenth of the links cut, a tenth losing 30 %"
--- a/lab/fleet/crowd.py
+++ b/lab/fleet/crowd.py
@@ -16,37 +16,37 @@
 from glenchute.policy.membership.direct_messages import UsageEntry, UsageMessage, UsageRequest
 from glenchute.policy.membership.gossip import Digest, MatchingBuckets
 from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage
-from glenchute.policy.membership.members import SwimMessageKind as Said
+from glenchute.policy.membership.members import SwimMessageKind as Kind
 from glenchute.policy.membership.replica import BUCKETS
 from glenchute.protocol.member_datagrams import InvalidDatagram, decode, encode
 from lab.site import free_port
 
 
-class Other(asyncio.DatagramProtocol):
+class EmulatedMember(asyncio.DatagramProtocol):
     """One emulated member."""
 
-    def __init__(self, crowd: Others, number: int) -> None:
-        self.crowd, self.name, self.boot = crowd, f"g{number}", number + 1
+    def __init__(self, group: EmulatedMembers, number: int) -> None:
+        self.group, self.name, self.boot = group, f"g{number}", number + 1
         self.transport: asyncio.DatagramTransport | None = None
-        self.serial, self.is_first = 1000 * number, True
+        self.last_serial, self.is_first = 1000 * number, True  # of its usage messages
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.crowd.received += len(data)
+        self.group.received_bytes += len(data)
         try:
             _, _, body = decode("lab", data)
         except InvalidDatagram:
             return
-        if isinstance(body, SwimMessage) and body.kind in (Said.PING, Said.PING_REQ):
-            self.send(SwimMessage(Said.ACK, body.serial, "", (self.alive_update(),)))
+        if isinstance(body, SwimMessage) and body.kind in (Kind.PING, Kind.PING_REQ):
+            self.send(SwimMessage(Kind.ACK, body.serial, "", (self.alive_update(),)))
         elif isinstance(body, Digest) and not body.is_complete:
             self.send(MatchingBuckets(tuple(range(BUCKETS)), True))
         elif isinstance(body, UsageMessage):
-            self.crowd.words += len(body.entries)
+            self.group.received_entries += len(body.entries)
         elif isinstance(body, UsageRequest):
-            self.send_usage((), is_next=body.serial != self.serial)
+            self.send_usage((), is_next=body.serial != self.last_serial)
 
     def alive_update(self) -> MemberUpdate:
         """Returns this member's update that it is alive."""
@@ -54,70 +54,70 @@
 
     def send_usage(self, entries: tuple[UsageEntry, ...], is_next: bool = True) -> None:
         """Sends the usage that this member admitted, as the next message or with the last serial again."""
-        self.serial += is_next
-        self.send(UsageMessage(self.serial, self.is_first, True, entries))
+        self.last_serial += is_next
+        self.send(UsageMessage(self.last_serial, self.is_first, True, entries))
         self.is_first = False
 
     def send(self, body: Any) -> None:
         """Sends a datagram to the process."""
         if self.transport is not None:
-            self.transport.sendto(encode("lab", self.name, self.boot, body), ("127.0.0.1", self.crowd.port))
+            self.transport.sendto(encode("lab", self.name, self.boot, body), ("127.0.0.1", self.group.port))
 
 
-class Others:
-    """All but one of `count` members, which report usage of `accounts` accounts."""
+class EmulatedMembers:
+    """All members of a fleet of `count` but the process itself, which report usage of `accounts` accounts."""
 
     def __init__(self, count: int, accounts: int, port: int, seed: int = 1, spread: int = 3) -> None:
         """Creates the members; `spread` is the number of gateways that an account uses."""
-        near = [*range(1, spread), *range(count - spread + 1, count)]
-        self.near = sorted({number for number in near if 0 < number < count})
-        self.words = 0  # usage entries received from the process
+        numbers = [*range(1, spread), *range(count - spread + 1, count)]
+        self.neighbours = sorted({number for number in numbers if 0 < number < count})
+        self.received_entries = 0  # usage entries received from the process
         self.count, self.accounts, self.port = count, accounts, port
         self.rng = random.Random(seed)
         self.ports = {number: free_port() for number in range(1, count)}
-        self.others = [Other(self, number) for number in self.ports]
-        self.received = self.rows = 0
-        self.serials = itertools.count(1)
-        self.version = itertools.count(1)
+        self.members = [EmulatedMember(self, number) for number in self.ports]
+        self.received_bytes = self.sent_entries = 0
+        self.probe_serials = itertools.count(1)
+        self.entry_versions = itertools.count(1)
 
     async def start(self) -> None:
         """Opens the sockets."""
         loop = asyncio.get_running_loop()
-        for other, port in zip(self.others, self.ports.values(), strict=True):
-            await loop.create_datagram_endpoint(lambda other=other: other, ("127.0.0.1", port))  # type: ignore[misc]
+        for member, port in zip(self.members, self.ports.values(), strict=True):
+            await loop.create_datagram_endpoint(lambda member=member: member, ("127.0.0.1", port))  # type: ignore[misc]
 
-    def members(self) -> str:
-        """Returns the rows of `[[fleet.members]]`."""
+    def member_tables(self) -> str:
+        """Returns the `[[fleet.members]]` tables of the operator's file."""
         return "".join(
             f'[[fleet.members]]\nname = "g{number}"\naddress = "127.0.0.1:{port}"\n'
             for number, port in self.ports.items()
         )
 
-    async def talk(self, seconds: float, rows_s: float, probes_s: float = 5.0) -> None:
+    async def send_traffic(self, seconds: float, entries_per_s: float, probes_per_s: float = 5.0) -> None:
         """Sends for `seconds` what the members would send to one of them.
 
-        This is `rows_s` usage entries per second, in messages of several, and `probes_s` probes per second.
+        This is `entries_per_s` usage entries per second, several in a message, and `probes_per_s` probes.
         """
         loop = asyncio.get_running_loop()
-        began, told, probed = loop.time(), 0.0, 0.0
-        while (passed := loop.time() - began) < seconds:
-            while told < rows_s * passed:
-                batch = []
-                for _ in range(max(1, round(rows_s / 20.0))):
+        started_at, sent_count, probe_count = loop.time(), 0.0, 0.0
+        while (elapsed_s := loop.time() - started_at) < seconds:
+            while sent_count < entries_per_s * elapsed_s:
+                entries = []
+                for _ in range(max(1, round(entries_per_s / 20.0))):
                     account = self.rng.randrange(self.accounts)
-                    key = f"{account:016x}/{1000 * int(passed)}"
-                    batch.append(UsageEntry(key, next(self.version), 1.0))
-                told += len(batch)
-                self.rows += len(batch)
-                self.others[self.rng.choice(self.near) - 1].send_usage(tuple(batch))
-            while probed < probes_s * passed:
-                probed += 1.0
-                other = self.rng.choice(self.others)
-                other.send(SwimMessage(Said.PING, next(self.serials), "", (other.alive_update(),)))
+                    key = f"{account:016x}/{1000 * int(elapsed_s)}"
+                    entries.append(UsageEntry(key, next(self.entry_versions), 1.0))
+                sent_count += len(entries)
+                self.sent_entries += len(entries)
+                self.members[self.rng.choice(self.neighbours) - 1].send_usage(tuple(entries))
+            while probe_count < probes_per_s * elapsed_s:
+                probe_count += 1.0
+                member = self.rng.choice(self.members)
+                member.send(SwimMessage(Kind.PING, next(self.probe_serials), "", (member.alive_update(),)))
             await asyncio.sleep(0.02)
 
     def stop(self) -> None:
         """Closes all sockets."""
-        for other in self.others:
-            if other.transport is not None:
-                other.transport.close()
+        for member in self.members:
+            if member.transport is not None:
+                member.transport.close()
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -202,7 +202,7 @@
 def overshoot(sent: list[tuple[float, str, str, float]], plan: Plan) -> float:
     """Returns the units by which a plan's only account exceeded its quota, by its first attempts."""
     taken = [(at / 1000.0, units) for at, _, name, units in sent if name == plan.name]
-    return checks.passed(taken, plan.rate_per_s, plan.burst_units)
+    return checks.bucket_overshoot(taken, plan.rate_per_s, plan.burst_units)
 
 
 def mute_run(seed: int, gateways: int, rate: float, split: bool, members: bool) -> tuple[float, float]:
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -270,7 +270,7 @@
 
             await site.wait_until(are_all_used, 30.0)
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes)
-            assert checks.lost(outcomes) == 0
+            assert checks.lost_count(outcomes) == 0
             assert "word.denied" in site.gateways[0].log_file.read_text()
 
     run_scenario(scenario())
@@ -293,7 +293,7 @@
                 return all([await read_state(site, number, "avoided") for number in (1, 2)])
 
             await site.wait_until(is_avoided_by_others, 30.0)
-            assert checks.lost(outcomes) == 0
+            assert checks.lost_count(outcomes) == 0
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes)
             # A member that is partitioned goes by its own attempts.
             site.split([[0], [1, 2]])
@@ -307,7 +307,10 @@
                 return len(failed.effects) > runs_before
 
             await site.wait_until(is_used, 30.0)
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+            )
 
     run_scenario(scenario())
 
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -64,8 +64,11 @@
             *(site.run_load(6.0, rate, [ACCOUNT], [n]) for n, rate in rates.items())
         )
         outcomes = [outcome for result in results for outcome in result]
-        assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
-        wrongly_rejected = checks.refused_with_room(outcomes, ACCOUNT.account_id, RATE, BURST)
+        assert (
+            checks.lost_count(outcomes) == 0
+            and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+        )
+        wrongly_rejected = checks.unjustified_rejection_fraction(outcomes, ACCOUNT.account_id, RATE, BURST)
         return wrongly_rejected, checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST)
 
 
@@ -116,7 +119,10 @@
                 checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST)
                 <= 10.0 * (1.0 + 0.3) + 5.0
             )
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+            )
 
     run_scenario(scenario())
 
@@ -142,7 +148,10 @@
             assert checks.overshoot(site.services.nodes, ACCOUNT.account_id, RATE, BURST) <= 9.0 * 0.4 + 5.0
             site.member_links[0, 1].cut(cut=False)
             await site.wait_until(lambda: site.know_usage_of(GATEWAYS, 1.0))
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+            )
 
     async def is_share_lowered(site: FleetSite) -> bool:
         shares = [float((await site.query(number, "state"))[0]["share"]) for number in (0, 1)]
@@ -203,8 +212,11 @@
                 assert await asyncio.get_running_loop().run_in_executor(None, process.wait) == 0
                 await site.start([number])
             outcomes = await load
-            assert checks.lost(outcomes) == 0 and checks.ran_twice(site.services.nodes, "check-charge") == 0
-            assert checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.repeated_count(site.services.nodes, "check-charge") == 0
+            )
+            assert checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
             assert sum(outcome.answer == "served" for outcome in outcomes) > 0.9 * len(outcomes)
             # While messages are lost, some member is suspected or some usage report is missing most of the
             # time. So all replicas have to be complete at once, but each gateway has to know all usage just
@@ -267,8 +279,8 @@
                     outcomes = await load
                     assert old.process is not None and old.process.wait() == 0
                     await site.wait_until(lambda: site.know_usage_of(range(3), 1.0))  # asked at the successor
-                    assert checks.lost(outcomes) == 0
-                    assert checks.refused_and_ran(site.services.nodes, outcomes) == 0
+                    assert checks.lost_count(outcomes) == 0
+                    assert checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
                 finally:
                     new.send_signal(signal.SIGKILL)
 
@@ -322,7 +334,10 @@
             await site.wait_until(lambda: site.know_usage_of(gateways, 1.0))
             await site.wait_until(lambda: site.have_same_digest(gateways))
             assert (await site.query(0, "state"))[0]["use"] > 0  # received from the member that kept running
-            assert checks.lost(outcomes) == 0 and checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
+            )
 
     run_scenario(scenario())
 
@@ -388,8 +403,11 @@
             assert process is not None
             assert await asyncio.get_running_loop().run_in_executor(None, process.wait) == 0
 
-            assert checks.lost(outcomes) == 0 and checks.ran_twice(site.services.nodes, "check-charge") == 0
-            assert checks.refused_and_ran(site.services.nodes, outcomes) == 0
+            assert (
+                checks.lost_count(outcomes) == 0
+                and checks.repeated_count(site.services.nodes, "check-charge") == 0
+            )
+            assert checks.rejected_but_ran_count(site.services.nodes, outcomes) == 0
             # Two requests at each gateway, which it may admit while the usage of others is unknown, and the
             # plan's rate for 0.4 s.
             assert (
