--- a/lab/scale/hollow.py
+++ b/lab/scale/hollow.py
@@ -317,7 +317,7 @@
             return  # the gateway is stopped by a restart fault; its clients use others meanwhile
         self.serial += 1
         spread, _ = gateway_set(account)
-        call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.customer.decode(),
+        call = HollowCall(b"%016x" % self.serial, kind.class_name, account.plan, account.account_id.decode(),
                      float(kind.deadline_ms), 1.0, spread)  # fmt: skip
         self.outcomes["asked"] += 1
         gateway.gateway.accept(call, self.on_response)
--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -257,7 +257,7 @@
     async def stop(self) -> None:
         """Ends all processes that were started."""
         for gateway in self.gateways.values():
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGKILL)
         await asyncio.gather(*(worker.stop() for worker in self.workers()))
         for gateway in self.gateways.values():
             if gateway.process is not None:
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -240,5 +240,5 @@
 
 def gateway_set(account: Account) -> tuple[int, int]:
     """Returns the size of an account's set of gateways, and the number of the first of them."""
-    fields = dict(part.split("=") for part in account.more.split(",") if part)
+    fields = dict(part.split("=") for part in account.extra_fields.split(",") if part)
     return int(fields["spread"]), int(fields["first"])
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -309,7 +309,7 @@
                         LoadOutcome(load.kinds[0], load.accounts[int(name[4:], 16) % 40], name, fleet.now)
                         for name in names
                     ]
-                    await asyncio.gather(*map(load.ask, outcomes))
+                    await asyncio.gather(*map(load.send_request, outcomes))
                 return load
 
             async def run_loads(seconds: float, numbers: range, seed: int) -> list[Load]:
@@ -324,10 +324,10 @@
             assert max(gateways_by_node) <= 4, gateways_by_node
             for node in fleet.site.nodes[:3]:
                 await node.stop()
-            fleet.gateways[7].signal(signal.SIGSTOP)
+            fleet.gateways[7].send_signal(signal.SIGSTOP)
             fleet.kill([6])
             loads += await run_loads(2.0, range(6), 200)
-            fleet.gateways[7].signal(signal.SIGCONT)
+            fleet.gateways[7].send_signal(signal.SIGCONT)
             await fleet.start([6])
             loads += await run_loads(1.0, range(8), 300)
             results = [outcome.answer for load in loads for outcome in load.outcomes]
