--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from benchmarks.capacity_gateway import GATEWAYS
-from benchmarks.slopes import cpu_ms, kib
+from benchmarks.slopes import allocated_kib, cpu_ms
 from glenchute.policy.admission.windows import window_start_ms
 from glenchute.policy.membership.direct_messages import DirectMessenger
 from glenchute.policy.membership.gateway_ring import GatewayRing, gateway_numbers
@@ -46,28 +46,28 @@
 
 
 class GossipCost(NamedTuple):
-    """Costs of a member: percent of a core (with the simulation's own part), messages and bytes per second,
-    and the bytes in the busiest second of any member."""
+    """Cost of a running member, mean of all."""
 
-    cpu_percent: float
-    messages: float
-    mean: float
-    worst: float
+    cpu_percent: float  # of a core; includes the simulation's own part
+    messages_per_s: float
+    bytes_per_s: float
+    peak_bytes: float  # sent in the busiest second of any member
 
 
 @functools.cache
-def gossip_cost(count: int, seed: int, gone: bool) -> GossipCost:
-    """Measures eight seconds of a fleet; with `gone`, a seventh of it is stopped from the start."""
+def gossip_cost(count: int, seed: int, is_zone_gone: bool) -> GossipCost:
+    """Measures eight seconds of a fleet; with `is_zone_gone`, a seventh of it is stopped from the start."""
     net = ByteCountingNetwork(count, seed)
-    if gone:
+    if is_zone_gone:
         net.stopped = set(net.names[: count // 7])
     running = [name for name in net.names if name not in net.stopped]
-    spent = cpu_ms(lambda: net.run(8.0)) / 1e3
-    per = 8.0 * len(running)
-    sent = sum(net.sent[name] for name in running)
-    total = sum(size for (name, _), size in net.bytes.items() if name in running)
-    worst = max(size for (name, _), size in net.bytes.items() if name in running)
-    return GossipCost(100.0 * spent / per, sent / per, total / per, worst)
+    cpu_s = cpu_ms(lambda: net.run(8.0)) / 1e3
+    member_seconds = 8.0 * len(running)
+    messages = sum(net.sent[name] for name in running)
+    sizes = [size for (name, _), size in net.bytes.items() if name in running]
+    return GossipCost(
+        100.0 * cpu_s / member_seconds, messages / member_seconds, sum(sizes) / member_seconds, max(sizes)
+    )
 
 
 class Tenant(NamedTuple):
@@ -75,8 +75,8 @@
 
     name: str
     share: float  # fraction of the fleet's requests
-    first: int
-    spread: int
+    first: int  # number of the first of its gateways
+    spread: int  # number of its gateways
     plan: Plan
 
 
@@ -84,145 +84,165 @@
 # the four that may share one with those.
 BLOCK = 9
 CENTRE = BLOCK // 2  # number of the measured gateway
-TENANTS, PEAK = 41_000, 85_000
+TENANTS = 41_000
+PEAK_RATE = 85_000  # requests per second of the whole fleet
+STEP_S = 0.05  # of the simulation
 
 
-def tenants(seed: int, wide: bool) -> list[Tenant]:
-    """Returns the tenants that use gateways of the block, by Zipf's law with exponent 1. A tenant uses three
-    gateways; with `wide`, as many as keep its share of a gateway's requests at a quarter or less. Plans have
-    4 units a second and 12 at once; with `wide`, at least a quarter more than the tenant's peak demand."""
-    rng, zipf_total, found = random.Random(seed), sum(1.0 / n for n in range(1, TENANTS + 1)), []
+def block_tenants(seed: int, is_spread_by_share: bool) -> list[Tenant]:
+    """Returns the tenants that use gateways of the block; their shares follow Zipf's law with exponent 1.
+
+    A tenant uses three gateways and has a plan of 4 units per second and 12 burst units. With
+    `is_spread_by_share` it uses as many gateways as keep its share of a gateway's requests at a quarter or
+    less, and its plan is at least a quarter above its peak demand.
+    """
+    rng, zipf_total, tenants = random.Random(seed), sum(1.0 / n for n in range(1, TENANTS + 1)), []
     for number in range(1, TENANTS + 1):
         share = 1.0 / number / zipf_total
-        spread = max(3, min(GATEWAYS, math.ceil(share * GATEWAYS / 0.25))) if wide else 3
+        spread = max(3, min(GATEWAYS, math.ceil(share * GATEWAYS / 0.25))) if is_spread_by_share else 3
         first = rng.randrange(GATEWAYS)
         if any((gateway - first) % GATEWAYS < spread for gateway in range(BLOCK)):
-            plan = max(4.0, 1.25 * share * PEAK) if wide else 4.0
-            found.append(
+            rate_per_s = max(4.0, 1.25 * share * PEAK_RATE) if is_spread_by_share else 4.0
+            tenants.append(
                 Tenant(
                     f"{4096 + number:016x}",
                     share,
                     first,
                     spread,
-                    Plan("p", rate_per_s=plan, burst_units=3.0 * plan),
+                    Plan("p", rate_per_s=rate_per_s, burst_units=3.0 * rate_per_s),
                 )
             )
-    return found
+    return tenants
 
 
 class BlockTraffic(NamedTuple):
-    """Traffic by steps of 50 ms: requests admitted (gateway, tenant), datagrams to the measured gateway."""
+    """Traffic of each step of 50 ms."""
 
-    let_in: list[list[tuple[int, Tenant]]]
-    heard: list[list[bytes]]
+    admitted: list[list[tuple[int, Tenant]]]  # requests, by gateway and tenant
+    datagrams: list[list[bytes]]  # sent to the measured gateway
 
 
 def messenger_for(number: int, seed: int) -> DirectMessenger:
     """Returns the messenger of a gateway in a fleet where every other gateway is reachable."""
     names = [f"g{n}" for n in range(GATEWAYS)]
     ring = GatewayRing(names[number], names, gateway_numbers(dict.fromkeys(names)), GATEWAYS)
-    use = AccountUsage(f"{names[number]}#1")
-    return DirectMessenger(use, Replica(), ring, lambda name: True, random.Random(seed * 100 + number))
+    usage = AccountUsage(f"{names[number]}#1")
+    return DirectMessenger(usage, Replica(), ring, lambda name: True, random.Random(seed * 100 + number))
 
 
-def admit_requests(post: DirectMessenger, number: int, at: float, rows: list[tuple[int, Tenant]]) -> None:
+def admit_requests(
+    messenger: DirectMessenger, number: int, now_s: float, requests: list[tuple[int, Tenant]]
+) -> None:
     """Performs the look-ups and reports of usage for a gateway's requests of one step."""
-    for gateway, tenant in rows:
+    usage = messenger.usage
+    for gateway, tenant in requests:
         if gateway == number:
-            window = window_start_ms(1000.0 * at, tenant.name, tenant.plan)
-            post.usage.admitted_by_peers(tenant.name, window)
-            post.known_gateways(at, tenant.spread)
-            post.report(at, post.usage.add_admitted(tenant.name, window, 1.0, tenant.spread, tenant.plan))
+            window = window_start_ms(1000.0 * now_s, tenant.name, tenant.plan)
+            usage.admitted_by_peers(tenant.name, window)
+            messenger.known_gateways(now_s, tenant.spread)
+            row = usage.add_admitted(tenant.name, window, 1.0, tenant.spread, tenant.plan)
+            messenger.report(now_s, row)
 
 
 @functools.cache
-def play_block(requests_s: int, seed: int, wide: bool) -> BlockTraffic:
-    """Simulates the block for 20 s, of which the first ten are warm-up; a token bucket admits each account's
+def simulate_block(requests_per_s: int, seed: int, is_spread_by_share: bool) -> BlockTraffic:
+    """Simulates the block for 20 s, of which the first ten are warm-up; a token bucket admits each tenant's
     requests."""
-    rng, known = random.Random(seed), tenants(seed, wide)
+    rng, tenants = random.Random(seed), block_tenants(seed, is_spread_by_share)
     messengers = {number: messenger_for(number, seed) for number in range(BLOCK)}
-    stores = {tenant.name: (0.0, tenant.plan.burst_units) for tenant in known}
+    # Time of the last change of each tenant's bucket, and the units in it then.
+    buckets = {tenant.name: (0.0, tenant.plan.burst_units) for tenant in tenants}
     # A tenant is drawn by the part of its requests that arrives at gateways of the block.
-    inside = [sum((g - t.first) % GATEWAYS < t.spread for g in range(BLOCK)) for t in known]
-    weights = [t.share / t.spread * n for t, n in zip(known, inside, strict=True)]
-    rate = requests_s * GATEWAYS * sum(weights)
-    let_in, heard, asked = [], [], 0.0
+    inside = [sum((g - t.first) % GATEWAYS < t.spread for g in range(BLOCK)) for t in tenants]
+    weights = [t.share / t.spread * n for t, n in zip(tenants, inside, strict=True)]
+    rate_per_s = requests_per_s * GATEWAYS * sum(weights)
+    admitted_by_step, datagrams_by_step, due = [], [], 0.0
     for step in range(1, 401):
-        at, rows, to_centre = 0.05 * step, [], []
-        asked += rate * 0.05
-        for tenant in rng.choices(known, weights, k=int(asked)):
+        now_s, admitted, to_centre = STEP_S * step, [], []
+        due += rate_per_s * STEP_S
+        for tenant in rng.choices(tenants, weights, k=int(due)):
             # The tenant's gateways outside the block use their part of the quota.
             number = sum((g - tenant.first) % GATEWAYS < tenant.spread for g in range(BLOCK))
-            fill = tenant.plan.rate_per_s * number / tenant.spread
-            since, store = stores[tenant.name]
-            store = min(tenant.plan.burst_units, store + fill * (at - since))
-            stores[tenant.name] = at, store - (store >= 1.0)
-            if store >= 1.0:
-                ours = [g for g in range(BLOCK) if (g - tenant.first) % GATEWAYS < tenant.spread]
-                rows.append((rng.choice(ours), tenant))
-        asked -= int(asked)
-        for number, post in messengers.items():
-            admit_requests(post, number, at, rows)
-            for outgoing in post.tick(at):
+            refill_per_s = tenant.plan.rate_per_s * number / tenant.spread
+            since_s, bucket = buckets[tenant.name]
+            bucket = min(tenant.plan.burst_units, bucket + refill_per_s * (now_s - since_s))
+            buckets[tenant.name] = now_s, bucket - (bucket >= 1.0)
+            if bucket >= 1.0:
+                gateways = [g for g in range(BLOCK) if (g - tenant.first) % GATEWAYS < tenant.spread]
+                admitted.append((rng.choice(gateways), tenant))
+        due -= int(due)
+        for number, messenger in messengers.items():
+            admit_requests(messenger, number, now_s, admitted)
+            for outgoing in messenger.tick(now_s):
                 other = int(outgoing.to[1:])
                 if other in messengers:
                     data = encode("site", f"g{number}", 1, outgoing.message)
                     if other == CENTRE:
                         to_centre.append(data)
                     else:
-                        for answer in messengers[other].receive(at, f"g{number}", 1, outgoing.message):
+                        for answer in messengers[other].receive(now_s, f"g{number}", 1, outgoing.message):
                             if answer.to == f"g{CENTRE}":
                                 to_centre.append(encode("site", f"g{other}", 1, answer.message))
                             elif int(answer.to[1:]) in messengers:
-                                messengers[int(answer.to[1:])].receive(at, f"g{other}", 1, answer.message)
-            post.replica.expire(at)
-            post.expire()
-        let_in.append(rows)
-        heard.append(to_centre)
-        deliver(messengers, at, to_centre)
-    return BlockTraffic(let_in, heard)
+                                recipient = messengers[int(answer.to[1:])]
+                                recipient.receive(now_s, f"g{other}", 1, answer.message)
+            messenger.replica.expire(now_s)
+            messenger.expire()
+        admitted_by_step.append(admitted)
+        datagrams_by_step.append(to_centre)
+        deliver(messengers, now_s, to_centre)
+    return BlockTraffic(admitted_by_step, datagrams_by_step)
 
 
-def deliver(messengers: dict[int, DirectMessenger], at: float, datagrams: list[bytes]) -> None:
+def deliver(messengers: dict[int, DirectMessenger], now_s: float, datagrams: list[bytes]) -> None:
     """Delivers datagrams to the measured gateway and its answers to the block."""
     for data in datagrams:
         sender, boot, body = decode("site", data)
-        for answer in messengers[CENTRE].receive(at, sender, boot, body):  # type: ignore[arg-type]
+        for answer in messengers[CENTRE].receive(now_s, sender, boot, body):  # type: ignore[arg-type]
             if int(answer.to[1:]) in messengers:
-                messengers[int(answer.to[1:])].receive(at, f"g{CENTRE}", 1, answer.message)
+                messengers[int(answer.to[1:])].receive(now_s, f"g{CENTRE}", 1, answer.message)
+
+
+class UsageUpdateCost(NamedTuple):
+    """Cost of the usage updates of one gateway."""
+
+    cpu_percent: float  # of a core
+    sent_kib_per_s: float  # of encoded datagrams
+    updates_per_s: float
 
 
 @functools.cache
-def usage_update_cost(requests_s: int, seed: int, wide: bool = False) -> tuple[float, float, float]:
-    """Measures one gateway of 520 that admits `requests_s` requests a second: percent of a core, KiB a second
-    of encoded datagrams sent, usage updates a second."""
-    block, post = play_block(requests_s, seed, wide), messenger_for(CENTRE, seed)
+def usage_update_cost(requests_per_s: int, seed: int, is_spread_by_share: bool = False) -> UsageUpdateCost:
+    """Measures one gateway of 520 that admits `requests_per_s` requests a second."""
+    traffic = simulate_block(requests_per_s, seed, is_spread_by_share)
+    messenger = messenger_for(CENTRE, seed)
     sent: Tally[str] = Tally()
 
-    def run(first: int, last: int) -> None:
+    def replay(first: int, last: int) -> None:
         for step in range(first, last):
-            at = 0.05 * (step + 1)
-            admit_requests(post, CENTRE, at, block.let_in[step])
-            out = post.tick(at)
-            for data in block.heard[step]:
+            now_s = STEP_S * (step + 1)
+            admit_requests(messenger, CENTRE, now_s, traffic.admitted[step])
+            messages = messenger.tick(now_s)
+            for data in traffic.datagrams[step]:
                 sender, boot, body = decode("site", data)
-                out += post.receive(at, sender, boot, body)  # type: ignore[arg-type]
-            for outgoing in out:
+                messages += messenger.receive(now_s, sender, boot, body)  # type: ignore[arg-type]
+            for outgoing in messages:
                 sent["bytes"] += len(encode("site", f"g{CENTRE}", 1, outgoing.message))
-            post.replica.expire(at)
-            post.expire()
+            messenger.replica.expire(now_s)
+            messenger.expire()
 
-    run(0, 200)
+    replay(0, 200)
     sent.clear()
-    before = post.entries_sent
-    spent = cpu_ms(lambda: run(200, 400))
-    return spent / 100.0, sent["bytes"] / 10.0 / 1024.0, (post.entries_sent - before) / 10.0
+    entries_before = messenger.entries_sent
+    replay_ms = cpu_ms(lambda: replay(200, 400))
+    updates = messenger.entries_sent - entries_before
+    return UsageUpdateCost(replay_ms / 100.0, sent["bytes"] / 10.0 / 1024.0, updates / 10.0)
 
 
 def replica_kib(rows: int, seed: int) -> float:
     """Measures the memory of `rows` rows of usage."""
 
-    def keep() -> Replica:
+    def make() -> Replica:
         replica, rng = Replica(), random.Random(seed)
         for n in range(rows):
             replica.merge(
@@ -230,12 +250,15 @@
             )
         return replica
 
-    return kib(keep)
+    return allocated_kib(make)
 
 
 def members_kib(count: int, seed: int) -> float:
+    """Measures the memory of the list of members."""
     names = [f"gateway-{n:03d}" for n in range(count)]
-    return kib(lambda: MemberList(names[0], 1, list(map(str, names)), SwimSettings(), random.Random(seed)))
+    return allocated_kib(
+        lambda: MemberList(names[0], 1, list(map(str, names)), SwimSettings(), random.Random(seed))
+    )
 
 
 @functools.cache
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -15,13 +15,13 @@
 Measure = Callable[[int, int], float]  # takes a size and a seed
 
 
-class Slope(NamedTuple):
-    """Line through the medians, and the least and greatest slope of the single repeats."""
+class FittedLine(NamedTuple):
+    """Line through the medians of the repeats, and the least and greatest slope of a single repeat."""
 
     base: float
-    least: float
+    min_slope: float
     slope: float
-    most: float
+    max_slope: float
 
     def forecast(self, size: float) -> float:
         """Returns the value of the line at a size."""
@@ -40,9 +40,9 @@
     return base, slope
 
 
-def fitted(sizes: Sequence[float], repeats: Sequence[Sequence[float]]) -> Slope:
-    """Fits a line through the medians at each of three sizes or more; a row of `repeats` is one repeat. The
-    slope is 0 where the repeats disagree on its sign."""
+def fit_line(sizes: Sequence[float], repeats: Sequence[Sequence[float]]) -> FittedLine:
+    """Fits a line through the medians at three sizes or more. Each row of `repeats` has one repeat's value at
+    each size. The slope is 0 where the repeats disagree on its sign."""
     if len(sizes) < 3:
         raise ValueError("a slope needs at least three sizes")
     medians = [statistics.median(column) for column in zip(*repeats, strict=True)]
@@ -50,26 +50,26 @@
     slopes = [least_squares(sizes, row)[1] for row in repeats]
     if min(slopes) < 0.0 < max(slopes):
         base, slope = statistics.median(medians), 0.0
-    return Slope(base, min(slopes), slope, max(slopes))
+    return FittedLine(base, min(slopes), slope, max(slopes))
 
 
 class Probe(NamedTuple):
-    """Quantity, the size that it grows by, its unit; the sizes measured, the larger size that checks the
-    forecast, and the size that the design has to carry."""
+    """Quantity measured at several sizes."""
 
-    what: str
-    by: str
+    what: str  # the quantity
+    by: str  # what the size counts
     unit: str
     measure: Measure
-    sizes: tuple[int, ...]
-    check: int
-    design: int
+    sizes: tuple[int, ...]  # to which the line is fitted
+    check: int  # larger size at which the line's forecast is checked
+    design: int  # size that the design has to carry
     limit: float = math.inf  # greatest value allowed, in `unit`
     power: int = 1  # the quantity is linear in size ** power
 
 
-def table(role: str, probes: Sequence[Probe], repeats: int) -> None:
-    """Prints the rows of a role. Each forecast is printed before its size is measured."""
+def print_table(role: str, probes: Sequence[Probe], repeats: int) -> None:
+    """Measures the probes of a role and prints a row for each. A forecast is printed before its size is
+    measured."""
     heads = ("what", "by", "range", "slope: least repeat, medians, most repeat", "base",
              "check point: forecast", "measured: least, median, most", "measured / forecast", "at the size",
              "limit: reached at")  # fmt: skip
@@ -78,45 +78,45 @@
     for probe in probes:
         sizes = [float(size**probe.power) for size in probe.sizes]
         rows = [[probe.measure(size, seed) for size in probe.sizes] for seed in range(repeats)]
-        found = fitted(sizes, rows)
-        forecast_value = found.forecast(probe.check**probe.power)
+        line = fit_line(sizes, rows)
+        forecast_value = line.forecast(probe.check**probe.power)
         by = probe.by + (f"^{probe.power}" if probe.power > 1 else "")
         print(f"| {probe.what}, {probe.unit} | {by} | {probe.sizes[0]:,} to {probe.sizes[-1]:,} | "
-              f"{found.least:.3g}, {found.slope:.3g}, {found.most:.3g} | {found.base:.3g} | "
+              f"{line.min_slope:.3g}, {line.slope:.3g}, {line.max_slope:.3g} | {line.base:.3g} | "
               f"{probe.check:,}: {forecast_value:.4g} | ", end="", flush=True)  # fmt: skip
         measured = sorted(probe.measure(probe.check, 100 + seed) for seed in range(repeats))
         limit = probe.limit
-        reached = f"{limit:.4g}: {found.reaches(limit, probe.power)}" if limit < math.inf else "none stated"
-        median, full = statistics.median(measured), found.forecast(probe.design**probe.power)
+        reached = f"{limit:.4g}: {line.reaches(limit, probe.power)}" if limit < math.inf else "none stated"
+        median, at_design = statistics.median(measured), line.forecast(probe.design**probe.power)
         print(f"{measured[0]:.4g}, {median:.4g}, {measured[-1]:.4g} | "
               f"{median / forecast_value if forecast_value else 1.0:.2f} | "
-              f"{probe.design:,}: {full:.4g} | {reached} |", flush=True)  # fmt: skip
+              f"{probe.design:,}: {at_design:.4g} | {reached} |", flush=True)  # fmt: skip
 
 
-def cpu_ms(run: Callable[[], object], times: int = 1) -> float:
-    """Returns the CPU milliseconds of one call, normalized to a reference loop of `REFERENCE_MS`. The loop
-    runs before and after, as logical cores that share a physical core make the same work cost up to twice as
-    much."""
+def cpu_ms(run: Callable[[], object], calls: int = 1) -> float:
+    """Returns the mean CPU milliseconds of a call, normalized to a machine on which the reference loop takes
+    `REFERENCE_MS`. The loop runs before and after, as logical cores that share a physical core make the same
+    work cost up to twice as much."""
     gc.collect()
-    before, began = reference_ms(), time.process_time()
-    for _ in range(times):
+    reference_before_ms, started = reference_ms(), time.process_time()
+    for _ in range(calls):
         run()
-    spent = 1e3 * (time.process_time() - began) / times
-    return spent * REFERENCE_MS / (0.5 * (before + reference_ms()))
+    spent_ms = 1e3 * (time.process_time() - started) / calls
+    return spent_ms * REFERENCE_MS / (0.5 * (reference_before_ms + reference_ms()))
 
 
 def reference_ms() -> float:
     """Returns the CPU milliseconds of a fixed loop, median of five."""
-    took = []
+    times_ms = []
     for _ in range(5):
-        began = time.process_time()
+        started = time.process_time()
         sum(n * n for n in range(100_000))
-        took.append(1e3 * (time.process_time() - began))
-    return statistics.median(took)
+        times_ms.append(1e3 * (time.process_time() - started))
+    return statistics.median(times_ms)
 
 
-def kib(make: Callable[[], object]) -> float:
-    """Returns the KiB that the object made keeps allocated."""
+def allocated_kib(make: Callable[[], object]) -> float:
+    """Returns the KiB that the object returned by `make` keeps allocated."""
     gc.collect()
     tracemalloc.start()
     kept = make()
