--- a/benchmarks/list_turns.py
+++ b/benchmarks/list_turns.py
@@ -33,23 +33,24 @@
 GATEWAYS, PLAYS = 520, 9
 
 
-class Chain:
+class ListPath:
     """Path of discovery's answers through list, pools and subset to the decision module, without sockets."""
 
-    def __init__(self, parted: bool = True) -> None:
+    def __init__(self, in_parts: bool = True) -> None:
         self.loop = asyncio.new_event_loop()
         self.policy = Policy(Settings("a", GATEWAYS, (), (), SlowStart(), max_attempts=4), 1)
         self.servers = ServerPools(self.loop, UpstreamLimits(0.5, 9.0, 0.25, 500))
         self.gateway = RequestExecutor(self.loop, self.policy, self.servers, None)
         self.gateway.endpoints.server_limit, self.gateway.endpoints.on_server_limit_exceeded = (
             MAX_SUBSET_SIZE,
-            self.narrow,
+            self.use_subset,
         )
-        self.held, self.parted = CurrentList(), parted
+        self.current, self.in_parts = CurrentList(), in_parts
         self.version = 0
 
-    def narrow(self) -> None:
-        rows, servers = self.held.rows, self.servers
+    def use_subset(self) -> None:
+        """Limits the module to a subset of the servers, as the gateway does when the list is too long."""
+        rows, servers = self.current.rows, self.servers
         listed = [
             rows[name][0] for name in servers.server_ids() if name in rows and not servers.is_stopping(name)
         ]
@@ -57,39 +58,43 @@
             self.policy, self.policy.settings, SubsetTerms(GATEWAYS, 3), listed
         )
 
-    def body(self, rows: list[dict[str, Any]], full: bool) -> bytes:
+    def encode(self, rows: list[dict[str, Any]], full: bool) -> bytes:
+        """Returns the body of discovery's next answer."""
         self.version += 1
         return json.dumps({"version": self.version, "full": full, "servers": rows}).encode()
 
     def turns(self, rows: list[dict[str, Any]], full: bool = True) -> Generator[None, None, None]:
         """Encodes a list and yields between the turns that read it; the last turn applies it."""
-        return self.bring(self.body(rows, full))
+        return self.body_turns(self.encode(rows, full))
 
-    def bring(self, body: bytes) -> Generator[None, None, None]:
+    def body_turns(self, body: bytes) -> Generator[None, None, None]:
         """Yields between the turns that read a body; the last turn applies it."""
-        news: EndpointUpdate
-        if self.parted:
-            news = yield from decode_list_in_parts(body, self.held)
+        update: EndpointUpdate
+        if self.in_parts:
+            update = yield from decode_list_in_parts(body, self.current)
         else:
-            news = decode_list(json.loads(body), current=self.held)
-        self.held.apply(news)
-        self.gateway.update_endpoints(news)
+            update = decode_list(json.loads(body), current=self.current)
+        self.current.apply(update)
+        self.gateway.update_endpoints(update)
 
-    def tell(self, rows: list[dict[str, Any]], full: bool = True) -> None:
+    def apply(self, rows: list[dict[str, Any]], full: bool = True) -> None:
+        """Reads and applies a list in one turn."""
         for _ in self.turns(rows, full):
             pass
 
-    def used(self) -> set[str]:
+    def servers_in_use(self) -> set[str]:
+        """Returns the servers that the decision module chooses among."""
         return set(self.policy.pool.servers)
 
     def state(self) -> Any:
         """Returns all state that a later request or list depends on."""
         names, servers, decisions = sorted(self.servers.server_ids()), self.servers, self.gateway.decisions
         subset = decisions.subset if isinstance(decisions, SubsettingEngine) else None
-        where = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
+        addresses = {**servers.unopened, **{name: pool.address for name, pool in servers.pools.items()}}
         return (
-            names, [servers.is_stopping(name) for name in names], where,
-            self.gateway.endpoints.started_ms, self.held.rows, self.used(), self.policy.pool.total_servers,
+            names, [servers.is_stopping(name) for name in names], addresses,
+            self.gateway.endpoints.started_ms, self.current.rows, self.servers_in_use(),
+            self.policy.pool.total_servers,
             subset and (subset.listed, subset.rings, list(subset.in_use)),
         )  # fmt: skip
 
@@ -98,40 +103,44 @@
         self.loop.close()
 
 
-def zoned(first: int, count: int, **more: Any) -> list[dict[str, Any]]:
-    return [{**server_row(f"n{n}", 9), "zone": "abcdefg"[n % 7], **more} for n in range(first, first + count)]
+def zoned_rows(first: int, count: int, **fields: Any) -> list[dict[str, Any]]:
+    """Returns rows of consecutive servers in seven zones, with `fields` in each row."""
+    return [
+        {**server_row(f"n{n}", 9), "zone": "abcdefg"[n % 7], **fields} for n in range(first, first + count)
+    ]
 
 
-ZONE = [one for one in zoned(0, 5_700) if one["zone"] == "c"]
+ZONE_C = [row for row in zoned_rows(0, 5_700) if row["zone"] == "c"]
+# Rows of the full list before a change, rows of the change, and whether the change is a full list again.
 LISTS = {
-    "20 to 5,700": (zoned(0, 20), zoned(0, 5_700), True),
-    "5,700 to 20": (zoned(0, 5_700), zoned(0, 20), True),
-    "the same again": (zoned(0, 5_700), zoned(0, 5_700), True),
-    "other weights": (zoned(0, 5_700), zoned(0, 5_700, weight=2.0), True),
-    "all names new": (zoned(0, 5_700), zoned(10_000, 5_700), True),
-    "started anew": (zoned(0, 5_700), zoned(0, 5_700, started_ms=5.0), True),
+    "20 to 5,700": (zoned_rows(0, 20), zoned_rows(0, 5_700), True),
+    "5,700 to 20": (zoned_rows(0, 5_700), zoned_rows(0, 20), True),
+    "the same again": (zoned_rows(0, 5_700), zoned_rows(0, 5_700), True),
+    "other weights": (zoned_rows(0, 5_700), zoned_rows(0, 5_700, weight=2.0), True),
+    "all names new": (zoned_rows(0, 5_700), zoned_rows(10_000, 5_700), True),
+    "started anew": (zoned_rows(0, 5_700), zoned_rows(0, 5_700, started_ms=5.0), True),
     "half of it drains": (
-        zoned(0, 5_700), [*zoned(0, 2_850), *zoned(2_850, 2_850, state="Terminating")], True,
+        zoned_rows(0, 5_700), [*zoned_rows(0, 2_850), *zoned_rows(2_850, 2_850, state="Terminating")], True,
     ),
-    "2,000 changed": (zoned(0, 5_700), zoned(1_000, 2_000, weight=3.0), False),
-    "a zone gone": (zoned(0, 5_700), [{**one, "state": "Gone"} for one in ZONE], False),
-    "a zone back": ([one for one in zoned(0, 5_700) if one["zone"] != "c"], ZONE, False),
+    "2,000 changed": (zoned_rows(0, 5_700), zoned_rows(1_000, 2_000, weight=3.0), False),
+    "a zone gone": (zoned_rows(0, 5_700), [{**row, "state": "Gone"} for row in ZONE_C], False),
+    "a zone back": ([row for row in zoned_rows(0, 5_700) if row["zone"] != "c"], ZONE_C, False),
 }  # fmt: skip
 
 
-def play(name: str) -> tuple[float, float, float]:
+def measure_change(name: str) -> tuple[float, float, float]:
     """Returns the CPU milliseconds of the longest turn, of the last, and of all."""
     before, after, full = LISTS[name]
     gc.collect()  # frees the objects of the previous play
-    chain = Chain()
-    chain.tell(before)
-    turns, took, ended = chain.turns(after, full), [], False
-    while not ended:
-        began = time.process_time()
-        ended = next(turns, True) is True
-        took.append(1000.0 * (time.process_time() - began))
-    chain.close()
-    return max(took), took[-1], sum(took)
+    path = ListPath()
+    path.apply(before)
+    turns, turn_ms, has_ended = path.turns(after, full), [], False
+    while not has_ended:
+        started = time.process_time()
+        has_ended = next(turns, True) is True
+        turn_ms.append(1000.0 * (time.process_time() - started))
+    path.close()
+    return max(turn_ms), turn_ms[-1], sum(turn_ms)
 
 
 def main() -> int:
@@ -142,9 +151,9 @@
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
     for name in LISTS:
-        longest, last, whole = zip(*(play(name) for _ in range(PLAYS)), strict=True)
+        longest, last, total = zip(*(measure_change(name) for _ in range(PLAYS)), strict=True)
         print(f"{name:18}  {statistics.median(longest):12.1f}, {max(longest):4.1f}  "
-              f"{statistics.median(last):9.1f}, {max(last):4.1f}  {statistics.median(whole):6.1f}",
+              f"{statistics.median(last):9.1f}, {max(last):4.1f}  {statistics.median(total):6.1f}",
               flush=True)  # fmt: skip
     return 0
 
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.list_turns import LISTS, Chain, zoned
+from benchmarks.list_turns import LISTS, ListPath, zoned_rows
 from glenchute.core import endpoint_updates
 from glenchute.core.types import EndpointUpdate
 from glenchute.policy.balancing.subset_size import MAX_SUBSET_SIZE
@@ -254,7 +254,7 @@
         return decode_row(raw)
 
     monkeypatch.setattr(endpoint_list, "decode_row", counting_decode_row)
-    rows = [one if n % 3 else {"id": n} for n, one in enumerate(MANY)]
+    rows = [row if n % 3 else {"id": n} for n, row in enumerate(MANY)]
     for _ in decode_list_in_parts(
         json.dumps({"version": 3, "full": True, "servers": rows}).encode(), CurrentList()
     ):
@@ -266,10 +266,10 @@
 
 
 @pytest.fixture
-def chain() -> Iterator[Chain]:
-    one = Chain()
-    yield one
-    one.close()
+def path() -> Iterator[ListPath]:
+    path = ListPath()
+    yield path
+    path.close()
 
 
 @contextmanager
@@ -287,9 +287,9 @@
         sys.setprofile(None)
 
 
-def most_calls_in_a_turn(chain: Chain, rows: list[dict[str, Any]], full: bool = True) -> int:
+def most_calls_in_a_turn(path: ListPath, rows: list[dict[str, Any]], full: bool = True) -> int:
     """Returns the number of calls in the turn that makes the most."""
-    most, turns, ended = 0, chain.turns(rows, full), False
+    most, turns, ended = 0, path.turns(rows, full), False
     while not ended:
         with counted_calls() as count:
             ended = next(turns, True) is True
@@ -298,72 +298,78 @@
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_no_turn_visits_all_rows_of_a_long_list(name: str, chain: Chain) -> None:
+def test_no_turn_visits_all_rows_of_a_long_list(name: str, path: ListPath) -> None:
     """Limits the number of calls in the longest turn of a change from one list to another. Decoding
     `ROWS_PER_PART` rows takes about 2,300; a turn that visits all 5,700 rows would make about 20,000. Rows
     that drain, and those that changes add to the hash rings or remove from them, may take some calls each."""
     before, after, full = LISTS[name]
-    chain.tell(before)
-    most = most_calls_in_a_turn(chain, after, full)
+    path.apply(before)
+    most = most_calls_in_a_turn(path, after, full)
     extra_calls = {"half of it drains": 4 * 2_850, "a zone gone": 10_000, "a zone back": 10_000}
     assert most <= 3_000 + extra_calls.get(name, 0)
-    listed = {one["id"] for one in after if one["state"] == "Ready"}
+    listed = {row["id"] for row in after if row["state"] == "Ready"}
     if full:
-        assert chain.used() <= listed
-    assert chain.used()
+        assert path.servers_in_use() <= listed
+    assert path.servers_in_use()
 
 
-def test_no_row_is_in_force_before_the_list_is_complete(chain: Chain) -> None:
+def test_no_row_is_in_force_before_the_list_is_complete(path: ListPath) -> None:
     """Between two turns, requests and the next list find the state of before; after the last one all rows are
     in force, including drains. This holds for complete lists and for changes."""
-    chain.tell(zoned(0, 5_700))
-    used = chain.used()
+    path.apply(zoned_rows(0, 5_700))
+    used = path.servers_in_use()
     drained = sorted(used)[:10]
     for full in (True, False):
-        rows = [{**one, "state": "Terminating"} if one["id"] in drained else one for one in zoned(0, 3_000)]
-        before, turns = json.dumps(sorted(chain.used())), 0
-        state = chain.state()
-        for _ in chain.turns(rows, full):
+        rows = [
+            {**row, "state": "Terminating"} if row["id"] in drained else row for row in zoned_rows(0, 3_000)
+        ]
+        before, turns = json.dumps(sorted(path.servers_in_use())), 0
+        state = path.state()
+        for _ in path.turns(rows, full):
             turns += 1
-            assert json.dumps(sorted(chain.used())) == before and chain.state() == state
+            assert json.dumps(sorted(path.servers_in_use())) == before and path.state() == state
         assert turns > 3_000 // ROWS_PER_PART
-        assert all(chain.servers.is_stopping(name) for name in drained) and chain.used().isdisjoint(drained)
-        drained = sorted(chain.used())[:10]
+        assert all(path.servers.is_stopping(name) for name in drained) and path.servers_in_use().isdisjoint(
+            drained
+        )
+        drained = sorted(path.servers_in_use())[:10]
 
 
-def test_an_abandoned_list_leaves_no_state(chain: Chain) -> None:
+def test_an_abandoned_list_leaves_no_state(path: ListPath) -> None:
     """A list is abandoned when its connection is closed, another answer is accepted, or the process ends. The
     next list must take full effect, even with the same rows."""
-    chain.tell(zoned(0, 600))
-    state = chain.state()
+    path.apply(zoned_rows(0, 600))
+    state = path.state()
     for stop in (1, 30, 90):
-        turns = chain.turns(zoned(100, 5_700, weight=2.0))
+        turns = path.turns(zoned_rows(100, 5_700, weight=2.0))
         for _ in range(stop):
             next(turns)
         turns.close()
-        assert chain.state() == state
-    chain.tell(zoned(100, 5_700, weight=2.0))
-    assert set(chain.servers.server_ids()) == {f"n{n}" for n in range(100, 5_800)}
-    assert all(entry.endpoint.weight == 2.0 for entry in chain.policy.pool.servers.values())
+        assert path.state() == state
+    path.apply(zoned_rows(100, 5_700, weight=2.0))
+    assert set(path.servers.server_ids()) == {f"n{n}" for n in range(100, 5_800)}
+    assert all(entry.endpoint.weight == 2.0 for entry in path.policy.pool.servers.values())
 
 
-def test_a_name_with_a_lone_surrogate_does_not_affect_other_rows(chain: Chain) -> None:
+def test_a_name_with_a_lone_surrogate_does_not_affect_other_rows(path: ListPath) -> None:
     """JSON allows half of a surrogate pair in a server's name: the list comes into force with that server."""
     unusual = {**server_row("x\ud83d", 9), "zone": "z"}
-    chain.tell([*zoned(0, 600), unusual])
+    path.apply([*zoned_rows(0, 600), unusual])
     assert (
-        len(chain.servers.server_ids()) == 601 and len(chain.used()) >= 48 and unusual["id"] in chain.used()
+        len(path.servers.server_ids()) == 601
+        and len(path.servers_in_use()) >= 48
+        and unusual["id"] in path.servers_in_use()
     )
-    chain.tell([{**unusual, "state": "Gone"}], False)
-    assert unusual["id"] not in chain.servers.server_ids() and unusual["id"] not in chain.used()
+    path.apply([{**unusual, "state": "Gone"}], False)
+    assert unusual["id"] not in path.servers.server_ids() and unusual["id"] not in path.servers_in_use()
 
 
-def test_connections_to_restarted_servers_are_closed(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_to_restarted_servers_are_closed(path: ListPath, monkeypatch: pytest.MonkeyPatch) -> None:
     """A complete list, and changes, close the connections of the restarted servers and no others."""
-    chain.tell(zoned(0, 5_700))
-    opened = sorted(chain.used())[:20]
-    assert all(chain.servers.open_pool(name) is not None for name in opened)
-    server_of = {id(pool): name for name, pool in chain.servers.pools.items()}
+    path.apply(zoned_rows(0, 5_700))
+    opened = sorted(path.servers_in_use())[:20]
+    assert all(path.servers.open_pool(name) is not None for name in opened)
+    server_of = {id(pool): name for name, pool in path.servers.pools.items()}
     closed: list[str] = []
     monkeypatch.setattr(
         ConnectionPool, "close_idle", lambda self, before=None: closed.append(server_of[id(self)])
@@ -371,49 +377,50 @@
     for step, full in ((1, True), (2, False)):
         restarted = set(opened[:step])
         rows = [
-            {**one, "started_ms": float(step)} if one["id"] in restarted else one for one in zoned(0, 5_700)
+            {**row, "started_ms": float(step)} if row["id"] in restarted else row
+            for row in zoned_rows(0, 5_700)
         ]
-        chain.tell(rows, full)
-        chain.tell(rows, full)  # the same list again closes no connections
-        assert closed == opened[:step] and len(chain.servers.pools) == len(opened)
+        path.apply(rows, full)
+        path.apply(rows, full)  # the same list again closes no connections
+        assert closed == opened[:step] and len(path.servers.pools) == len(opened)
         closed.clear()
 
 
-def test_servers_without_pools_drain_like_others(chain: Chain, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_servers_without_pools_drain_like_others(path: ListPath, monkeypatch: pytest.MonkeyPatch) -> None:
     """A draining server gets no new requests. Attempts that were decided before may start until the end of
     the grace period, which begins with the first list that has the drain. A server that returns is used
     again."""
-    chain.tell(zoned(0, 5_700))
+    path.apply(zoned_rows(0, 5_700))
     now = 100.0
-    monkeypatch.setattr(Chain, "time", lambda self: now, raising=False)
-    chain.servers.loop = chain  # type: ignore[assignment]
-    drain = zoned(300, 600, state="Terminating")
+    monkeypatch.setattr(ListPath, "time", lambda self: now, raising=False)
+    path.servers.loop = path  # type: ignore[assignment]
+    drain = zoned_rows(300, 600, state="Terminating")
     for full in (True, False):
-        chain.tell([*zoned(0, 300), *drain, *zoned(900, 4_800)] if full else drain, full)
-        assert all(chain.servers.is_stopping(one["id"]) for one in drain)
+        path.apply([*zoned_rows(0, 300), *drain, *zoned_rows(900, 4_800)] if full else drain, full)
+        assert all(path.servers.is_stopping(row["id"]) for row in drain)
         now += 0.1
-    grace_s = chain.servers.limits.drain_grace_s - GRACE_MARGIN_S
+    grace_s = path.servers.limits.drain_grace_s - GRACE_MARGIN_S
     now = 100.0 + grace_s
-    pool = chain.servers.open_pool("n300")
-    assert pool is not None and pool.stop_at == now and chain.servers.is_stopping("n300")
+    pool = path.servers.open_pool("n300")
+    assert pool is not None and pool.stop_at == now and path.servers.is_stopping("n300")
     now += 0.01
-    assert all(chain.servers.open_pool(one["id"]) is None for one in drain[:20])
-    chain.tell(zoned(300, 300), False)
-    assert all(not chain.servers.is_stopping(one["id"]) for one in drain[:300])
-    assert all(chain.servers.is_stopping(one["id"]) for one in drain[300:])
-    assert chain.servers.open_pool("n300") is not None and chain.servers.open_pool("n599") is not None
-    chain.tell([*zoned(0, 600), *zoned(900, 4_800)])
-    assert len(chain.servers.server_ids()) == 5_400 and chain.servers.open_pool("n700") is None
+    assert all(path.servers.open_pool(row["id"]) is None for row in drain[:20])
+    path.apply(zoned_rows(300, 300), False)
+    assert all(not path.servers.is_stopping(row["id"]) for row in drain[:300])
+    assert all(path.servers.is_stopping(row["id"]) for row in drain[300:])
+    assert path.servers.open_pool("n300") is not None and path.servers.open_pool("n599") is not None
+    path.apply([*zoned_rows(0, 600), *zoned_rows(900, 4_800)])
+    assert len(path.servers.server_ids()) == 5_400 and path.servers.open_pool("n700") is None
 
 
 def random_rows(rng: random.Random, names: int) -> list[dict[str, Any]]:
     """Returns random rows of all kinds, including invalid ones."""
     rows: list[Any] = []
     for n in rng.sample(range(names), rng.randint(names // 3, names)):
-        one = {**server_row(f"n{n}", 9 + rng.randint(0, 9) // 9), "zone": rng.choice("aaab")}
-        one["started_ms"] = float(rng.randint(0, 9) // 9)
-        one["state"] = rng.choice(["Ready"] * 20 + ["Terminating", "Gone", "Odd"])
-        rows.append(one)
+        row = {**server_row(f"n{n}", 9 + rng.randint(0, 9) // 9), "zone": rng.choice("aaab")}
+        row["started_ms"] = float(rng.randint(0, 9) // 9)
+        row["state"] = rng.choice(["Ready"] * 20 + ["Terminating", "Gone", "Odd"])
+        rows.append(row)
     fault = rng.random()
     if fault < 0.15:
         rows.append({**rng.choice(rows), "state": rng.choice(["Ready", "Gone", "Terminating"])})
@@ -427,15 +434,17 @@
     """A sequence of lists and changes of all lengths: decoded in parts with hash rings that are built on the
     way, they give the same state as decoded at once and applied row by row."""
     rng = random.Random(seed)
-    new, old = Chain(), Chain(parted=False)
+    new, old = ListPath(), ListPath(in_parts=False)
     for step in range(25):
         names = rng.choice([60, 600, 900])
         rows, full = random_rows(rng, names), step == 0 or rng.random() < 0.5
-        new.tell(rows, full)
+        new.apply(rows, full)
         with monkeypatch.context() as patch:
             patch.setattr(endpoint_updates, "BULK_ROWS", 10**9)
-            old.tell(rows, full)
-        for name in rng.sample(sorted(new.used()), len(new.used()) // 3):  # opens pools as use would
+            old.apply(rows, full)
+        for name in rng.sample(
+            sorted(new.servers_in_use()), len(new.servers_in_use()) // 3
+        ):  # opens pools as use would
             assert new.servers.open_pool(name) is not None
         for name in rng.sample(sorted(new.servers.server_ids()), 9):  # also servers that drain
             first, second = new.servers.open_pool(name), old.servers.open_pool(name)
@@ -446,29 +455,29 @@
     old.close()
 
 
-@pytest.mark.parametrize("parted", [True, False])
+@pytest.mark.parametrize("in_parts", [True, False])
 @pytest.mark.parametrize("full", [True, False])
 @pytest.mark.parametrize("names", [20, 600])
 @pytest.mark.parametrize("last", ["Ready", "Terminating", "Gone"])
 def test_the_last_row_of_a_server_listed_twice_counts(
-    last: str, names: int, full: bool, parted: bool, monkeypatch: pytest.MonkeyPatch
+    last: str, names: int, full: bool, in_parts: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against requests decided for a server whose pool drains: both follow the last of its rows."""
     now = 100.0
-    chain = Chain(parted)
-    monkeypatch.setattr(chain.loop, "time", lambda: now)
-    chain.tell(zoned(0, names))
-    server = min(chain.used())
+    path = ListPath(in_parts)
+    monkeypatch.setattr(path.loop, "time", lambda: now)
+    path.apply(zoned_rows(0, names))
+    server = min(path.servers_in_use())
     first = "Terminating" if last == "Ready" else "Ready"
-    row_of_server = next(one for one in zoned(0, names) if one["id"] == server)
-    rows = zoned(0, names) if full else []
-    rows = [one for one in rows if one["id"] != server]
-    chain.tell([{**row_of_server, "state": first}, *rows, {**row_of_server, "state": last}], full)
-    now += chain.servers.limits.drain_grace_s
-    assert (server in chain.used()) == (last == "Ready")
-    assert (chain.servers.open_pool(server) is not None) == (last == "Ready")
-    assert all(chain.servers.open_pool(used) is not None for used in chain.used())
-    chain.close()
+    row_of_server = next(row for row in zoned_rows(0, names) if row["id"] == server)
+    rows = zoned_rows(0, names) if full else []
+    rows = [row for row in rows if row["id"] != server]
+    path.apply([{**row_of_server, "state": first}, *rows, {**row_of_server, "state": last}], full)
+    now += path.servers.limits.drain_grace_s
+    assert (server in path.servers_in_use()) == (last == "Ready")
+    assert (path.servers.open_pool(server) is not None) == (last == "Ready")
+    assert all(path.servers.open_pool(used) is not None for used in path.servers_in_use())
+    path.close()
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -477,11 +486,11 @@
     intervals of a second."""
     now = 100.0
     rng = random.Random(seed)
-    chain = Chain()
-    monkeypatch.setattr(chain.loop, "time", lambda: now)
+    path = ListPath()
+    monkeypatch.setattr(path.loop, "time", lambda: now)
     for step in range(25):
         now += 1.0
         rows = random_rows(rng, rng.choice([60, 600, 900]))
-        chain.tell(rows, full=step == 0 or rng.random() < 0.5)
-        assert not [server for server in chain.used() if chain.servers.is_stopping(server)], step
-    chain.close()
+        path.apply(rows, full=step == 0 or rng.random() < 0.5)
+        assert not [server for server in path.servers_in_use() if path.servers.is_stopping(server)], step
+    path.close()
