--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -2,10 +2,10 @@
 
     python -m benchmarks.connecting [SECONDS] [SEED ...]
 
-A whole gateway and nine servers on loopback sockets in one process. Servers answer after 12 to 24 ms and
+A complete gateway and nine servers on loopback sockets in one process. Servers answer after 12 to 24 ms and
 close a connection after three answers, so that new ones are opened all the time; some connects are delayed by
-0.3 to 1.5 s. Columns, per request: served in time, refused, failed, answered too late, connects begun, hedged
-connects, attempts that reached a server.
+0.3 to 1.5 s. Columns, per request: served in time, refused, failed, answered too late, connects started,
+hedged connects, attempts that reached a server.
 """
 
 from __future__ import annotations
@@ -26,42 +26,42 @@
 
 RATE = 60.0  # requests a second
 DEADLINE_MS = 150
-ANSWERS = 3  # answers of a server before it closes the connection
-LATE_S = (0.3, 1.5)
+ANSWERS_PER_CONNECTION = 3  # after which the server closes it
+CONNECT_DELAY_S = (0.3, 1.5)  # bounds of the delay of a slow connect
 LIMITS = {"attempts_cap": 3, "connect_timeout_ms": 250.0}
 
 
-class LateLoop(uvloop.Loop):
-    """Event loop that delays some of the connects to the servers."""
+class SlowConnectLoop(uvloop.Loop):
+    """Event loop that delays a share of the connects to some ports."""
 
     def __init__(self) -> None:
         super().__init__()
         self.rng = random.Random(1)
-        self.share = 0.0
-        self.held_ports: set[int] = set()
-        self.connects = 0
+        self.slow_share = 0.0
+        self.slow_ports: set[int] = set()
+        self.connects = 0  # to these ports
 
     async def create_connection(  # type: ignore[override]
-        self, factory: Any, host: Any = None, port: Any = None, **more: Any
+        self, factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        if port in self.held_ports:
+        if port in self.slow_ports:
             self.connects += 1
-            if self.rng.random() < self.share:
-                await asyncio.sleep(self.rng.uniform(*LATE_S))
-        return await super().create_connection(factory, host, port, **more)
+            if self.rng.random() < self.slow_share:
+                await asyncio.sleep(self.rng.uniform(*CONNECT_DELAY_S))
+        return await super().create_connection(factory, host, port, **options)
 
 
-async def run(loop: LateLoop, share: float, seconds: float, seed: int) -> str:
-    """Returns a row of the table."""
+async def run(loop: SlowConnectLoop, slow_share: float, seconds: float, seed: int) -> str:
+    """Runs the load; returns a row of the table."""
     rng = random.Random(seed)
-    served: dict[Any, int] = {}
+    answers: dict[Any, int] = {}  # by connection
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         await asyncio.sleep(rng.uniform(0.012, 0.024))
-        served[writer] = served.get(writer, 0) + 1
+        answers[writer] = answers.get(writer, 0) + 1
         writer.write(SERVED)
-        if served[writer] == ANSWERS:
-            del served[writer]
+        if answers[writer] == ANSWERS_PER_CONNECTION:
+            del answers[writer]
             loop.call_later(0.02, writer.close)
         return None
 
@@ -69,54 +69,55 @@
         "limits": SETTINGS["limits"] | LIMITS,
         "profiles": [{"name": "read", "repeat": "read_like", "aim_ms": 90.0, "hard_limit_ms": DEADLINE_MS}],
     }
-    ends: Counter[str] = Counter()
+    outcomes: Counter[str] = Counter()
     async with site(
         *[reply] * 9, settings=read(settings), limits=UpstreamLimits(0.25, 13.0, 0.25, 300)
-    ) as one:
-        loop.rng, loop.share, loop.connects = random.Random(seed), share, 0
-        loop.held_ports = {peer.port for peer in one.servers}
+    ) as gateway_site:
+        loop.rng, loop.slow_share, loop.connects = random.Random(seed), slow_share, 0
+        loop.slow_ports = {peer.port for peer in gateway_site.servers}
         clients: list[Client] = []
         ids = generate_request_ids()
 
-        async def ask() -> None:
-            client = clients.pop() if clients else await one.client()
+        async def send_request() -> None:
+            client = clients.pop() if clients else await gateway_site.client()
             fields = b"c=read,t=basic,d=%d,units=1,spread=2,first=1" % DEADLINE_MS
-            began = loop.time()
+            started = loop.time()
             try:
                 reply = await client.ask(b"CALL.GET", CUSTOMER, next(ids), fields)
             except Exception as error:
                 reply = error
-            late = loop.time() - began > DEADLINE_MS / 1000.0
-            told = "served" if reply == b"value" else "refused" if "BUSY" in str(reply) else "failed"
-            ends["late" if late else told] += 1
+            is_late = loop.time() - started > DEADLINE_MS / 1000.0
+            outcome = "served" if reply == b"value" else "refused" if "BUSY" in str(reply) else "failed"
+            outcomes["late" if is_late else outcome] += 1
             clients.append(client)
 
         tasks = []
         end = loop.time() + seconds
         while loop.time() < end:
-            tasks.append(loop.create_task(ask()))
+            tasks.append(loop.create_task(send_request()))
             await asyncio.sleep(rng.expovariate(RATE))
         await asyncio.gather(*tasks)
-        asked = len(tasks)
-        calls = sum(len(peer.calls()) for peer in one.servers)
-        shares = [ends[told] / asked for told in ("served", "refused", "failed", "late")]
-        shares += [loop.connects / asked, one.program.servers.hedged_connects / asked, calls / asked]
-        row = f"{share:5.2f} {seed:4} {asked:5}" + "".join(f"{each:10.3f}" for each in shares)
-        loop.held_ports = set()
+        requests = len(tasks)
+        counts = [outcomes[outcome] for outcome in ("served", "refused", "failed", "late")]
+        counts += [loop.connects, gateway_site.program.servers.hedged_connects]
+        counts.append(sum(len(peer.calls()) for peer in gateway_site.servers))
+        row = f"{slow_share:5.2f} {seed:4} {requests:5}"
+        row += "".join(f"{count / requests:10.3f}" for count in counts)
+        loop.slow_ports = set()
     return row
 
 
 def main() -> None:
-    """Prints a row for each share of late connects and seed."""
+    """Prints a row for each share of slow connects and seed."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 10.0
     seeds = [int(x) for x in sys.argv[2:]] or [1]
     print(machine())
     print("share seed asked    served   refused    failed      late  connects    beside  attempts")
-    for share in (0.0, 1 / 3):
+    for slow_share in (0.0, 1 / 3):
         for seed in seeds:
-            with asyncio.Runner(loop_factory=LateLoop) as runner:
-                loop = cast(LateLoop, runner.get_loop())
-                print(runner.run(run(loop, share, seconds, seed)), flush=True)
+            with asyncio.Runner(loop_factory=SlowConnectLoop) as runner:
+                loop = cast(SlowConnectLoop, runner.get_loop())
+                print(runner.run(run(loop, slow_share, seconds, seed)), flush=True)
 
 
 if __name__ == "__main__":
