--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -1,11 +1,11 @@
 """Measures what floods and slow peers cost a gateway and its other clients: memory, descriptors, latency.
 
 ``python -m benchmarks.floods [SECONDS] [--rate N]``. Each scene has a gateway process of its own, four nodes
-and an open load of well-behaved clients (`lab/load.py`) in this process, and the flood in a third. Memory and
-descriptors are the gateway's, read from /proc; latencies are the well-behaved clients', from the moment at
-which a request was due. The load starts before the flood; requests due in the flood's first `ARRIVAL_S` are
-reported apart, as a flood costs most while its clients connect. A quiet run comes first and last, to show the
-machine's own noise. ``--only`` selects scenes by their numbers, from 0.
+and an open-loop load of well-behaved clients (`lab/load.py`) in this process, and the flood in a third
+process. Memory and descriptors are the gateway's, read from /proc; latencies are the well-behaved clients',
+from the moment at which a request was due. The load starts before the flood; requests due in the flood's
+first `ARRIVAL_S` are reported apart, as a flood costs most while its clients connect. A quiet run comes first
+and last, to show the machine's own noise. ``--only`` selects scenes by their indexes in `SCENES`, from 0.
 """
 
 from __future__ import annotations
@@ -36,37 +36,37 @@
 SERVICE_MS = 10.0
 BEFORE_S = 1.0  # duration of the load before the flood begins
 ARRIVAL_S = 2.0  # first part of the flood, whose requests are reported apart
-ROOM = {"per_second": 1e5, "most_at_once": 1e6, "ceiling_rate": 0.0}
-PING_ARGUMENT = b"x" * 60_000
-LARGE = resp.encode_command(b"PING", PING_ARGUMENT)
-PLAIN = resp.encode_command(b"CALL.GET", b"%016x" % 7, b"slow", b"c=report-read,t=standard,d=2000")
+UNLIMITED = {"per_second": 1e5, "most_at_once": 1e6, "ceiling_rate": 0.0}  # a quota that is never used up
+LARGE_COMMAND = resp.encode_command(b"PING", b"x" * 60_000)
+SMALL_COMMAND = resp.encode_command(b"CALL.GET", b"%016x" % 7, b"slow", b"c=report-read,t=standard,d=2000")
 
 
 class Scene(NamedTuple):
-    """Flood: concurrent clients and what each repeats; or nodes that answer a byte a second."""
+    """Clients of a flood, or nodes that answer slowly."""
 
     name: str
     clients: int = 0
-    each: Callable[[int, int], Awaitable[None]] | None = None
-    trickling: int = 0
+    client_round: Callable[[int, int], Awaitable[None]] | None = None  # repeated by each client
+    slow_nodes: int = 0  # nodes that send a byte a second
     spread_s: float = 1.0  # time over which the clients start; 0: all at once
 
 
 class Row(NamedTuple):
-    """Figures of a scene."""
+    """Figures of a scene; latencies in milliseconds. Those of `arrival` are of requests due in the flood's
+    first `ARRIVAL_S`."""
 
     name: str
-    rss_mb: float
-    peak_mb: float
+    rss_mb: float  # greatest during the flood
+    peak_mb: float  # greatest since the start of the gateway
     descriptors: int
     p50: float
     p99: float
     served: int
-    asked: int
+    requests: int
     arrival_p50: float
     arrival_p99: float
     arrival_served: int
-    arrival_asked: int
+    arrival_requests: int
     cpu_s: float  # CPU of the gateway from the start of the flood to the end of the load
 
 
@@ -80,7 +80,7 @@
     try:
         async with asyncio.timeout(0.5):
             for _ in range(100):
-                client.writer.write(LARGE)
+                client.writer.write(LARGE_COMMAND)
                 await client.writer.drain()
     finally:
         client.writer.transport.abort()
@@ -99,7 +99,7 @@
     """Sends a command at a byte a second until the gateway closes the connection."""
     client = await Client.connect(port)
     try:
-        for byte in PLAIN:
+        for byte in SMALL_COMMAND:
             client.writer.write(bytes((byte,)))
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(client.ended(), 1.0)
@@ -115,7 +115,7 @@
     sock = client.writer.get_extra_info("socket")
     try:
         for _ in range(100):
-            client.writer.write(LARGE)
+            client.writer.write(LARGE_COMMAND)
         while True:
             await asyncio.sleep(1.0)
             with contextlib.suppress(BlockingIOError):
@@ -125,13 +125,13 @@
         client.writer.transport.abort()
 
 
-class Trickling(Node):
+class SlowNode(Node):
     """Node that sends its answers at a byte a second."""
 
     async def write_in_order(
-        self, line: asyncio.Queue[asyncio.Task[bytes | None]], writer: asyncio.StreamWriter
+        self, replies: asyncio.Queue[asyncio.Task[bytes | None]], writer: asyncio.StreamWriter
     ) -> None:
-        while (reply := await (await line.get())) is not None:
+        while (reply := await (await replies.get())) is not None:
             for byte in reply:
                 writer.write(bytes((byte,)))
                 await asyncio.sleep(1.0)
@@ -144,26 +144,26 @@
     Scene("300 write a byte a second", 300, write_slowly),
     Scene("200 read a byte a second", 200, read_slowly),
     Scene("the same, all in one moment", 200, read_slowly, spread_s=0.0),
-    Scene("one node of four trickles", trickling=1),
+    Scene("one node of four trickles", slow_nodes=1),
     Scene("quiet again"),
     Scene("450 read a byte a second", 450, read_slowly),
     Scene("800 read a byte a second, all in one moment", 800, read_slowly, spread_s=0.0),
 )
 
 
-def flood(number: int, port: int, up: Event, go: Event) -> None:
-    """Runs the flood of a scene in a process of its own, until that is killed. Sets `up` when it is ready,
-    and begins when `go` is set."""
-    scene = SCENES[number]
-    up.set()
-    go.wait()
+def run_flood(scene_index: int, port: int, is_ready: Event, may_start: Event) -> None:
+    """Runs the flood of a scene in a process of its own, until that is killed. Sets `is_ready`, and begins
+    when `may_start` is set."""
+    scene = SCENES[scene_index]
+    is_ready.set()
+    may_start.wait()
 
     async def repeat_client(client: int) -> None:
-        assert scene.each is not None
+        assert scene.client_round is not None
         await asyncio.sleep(scene.spread_s * random.Random(client).random())
         while True:
             with contextlib.suppress(OSError, TimeoutError):
-                await scene.each(port, client)
+                await scene.client_round(port, client)
             await asyncio.sleep(0.05)
 
     async def run_clients() -> None:
@@ -178,55 +178,58 @@
     return next(int(line.split()[1]) for line in lines if line.startswith(name + ":")) / 1024.0
 
 
-async def play(number: int, seconds: float, rate: float) -> Row:
-    """Plays one scene."""
-    scene = SCENES[number]
-    trade = ServiceProfile({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
-    nodes = [(Trickling if i < scene.trickling else Node)(f"n{i}", trade) for i in range(NODES)]
-    rss, descriptors = 0.0, 0
-    plans = [plan | ROOM for plan in SETTINGS["packages"]]
+async def measure_scene(scene_index: int, seconds: float, rate: float) -> Row:
+    """Runs the load of one scene."""
+    scene = SCENES[scene_index]
+    profile = ServiceProfile({kind.class_name: SERVICE_MS for kind in KINDS}, slots=100)
+    nodes = [(SlowNode if i < scene.slow_nodes else Node)(f"n{i}", profile) for i in range(NODES)]
+    rss_mb, descriptors = 0.0, 0
+    plans = [plan | UNLIMITED for plan in SETTINGS["packages"]]
     async with LabSite(nodes) as site:
         with tempfile.TemporaryDirectory() as folder:
             gateway = GatewayProcess(Path(folder), site.platform(SETTINGS | {"packages": plans}))
             gateway.start()
-            flooding = None
+            flood = None
             try:
                 await gateway.ready()
                 assert gateway.process is not None
                 pid = gateway.process.pid
                 await Load(lambda: gateway.port, KINDS, accounts(), rate, seed=9).run(2.0)
-                if scene.each is not None:
+                if scene.client_round is not None:
                     context = multiprocessing.get_context("spawn")
-                    up, go = context.Event(), context.Event()
-                    flooding = context.Process(target=flood, args=(number, gateway.port, up, go), daemon=True)
-                    flooding.start()
-                    await asyncio.to_thread(up.wait)
+                    is_ready, may_start = context.Event(), context.Event()
+                    arguments = (scene_index, gateway.port, is_ready, may_start)
+                    flood = context.Process(target=run_flood, args=arguments, daemon=True)
+                    flood.start()
+                    await asyncio.to_thread(is_ready.wait)
                 load = Load(lambda: gateway.port, KINDS, accounts(), rate, seed=1)
                 running = asyncio.create_task(load.run(BEFORE_S + seconds))
                 await asyncio.sleep(BEFORE_S)
-                began, cpu = time.monotonic(), cpu_s(pid)
-                if flooding is not None:
-                    go.set()
+                flood_start, cpu_before_s = time.monotonic(), cpu_s(pid)
+                if flood is not None:
+                    may_start.set()
                 while not running.done():
-                    rss = max(rss, status_mb(pid, "VmRSS"))
+                    rss_mb = max(rss_mb, status_mb(pid, "VmRSS"))
                     descriptors = max(descriptors, len(os.listdir(f"/proc/{pid}/fd")))
                     await asyncio.sleep(0.05)
                 await running
-                cpu = cpu_s(pid) - cpu
-                peak = status_mb(pid, "VmHWM")
+                used_s = cpu_s(pid) - cpu_before_s
+                peak_mb = status_mb(pid, "VmHWM")
             finally:
-                if flooding is not None:
-                    flooding.kill()
-                    flooding.join()
+                if flood is not None:
+                    flood.kill()
+                    flood.join()
                 await gateway.stop()
-    since = [one for one in load.outcomes if one.asked >= began]
-    during_arrival = [one for one in since if one.asked < began + ARRIVAL_S]
-    took, arrival = (
-        [one.took_ms for one in some if one.answer == "served"] for some in (since, during_arrival)
+    during_flood = [outcome for outcome in load.outcomes if outcome.asked >= flood_start]
+    during_arrival = [outcome for outcome in during_flood if outcome.asked < flood_start + ARRIVAL_S]
+    served_ms, arrival_ms = (
+        [outcome.took_ms for outcome in outcomes if outcome.answer == "served"]
+        for outcomes in (during_flood, during_arrival)
     )
     return Row(
-        scene.name, rss, peak, descriptors, percentile(took, 50), percentile(took, 99), len(took), len(since),
-        percentile(arrival, 50), percentile(arrival, 99), len(arrival), len(during_arrival), cpu,
+        scene.name, rss_mb, peak_mb, descriptors,
+        percentile(served_ms, 50), percentile(served_ms, 99), len(served_ms), len(during_flood),
+        percentile(arrival_ms, 50), percentile(arrival_ms, 99), len(arrival_ms), len(during_arrival), used_s,
     )  # fmt: skip
 
 
@@ -244,15 +247,15 @@
     print("| scene | memory, most (MB) | peak since start (MB) | descriptors | p50 ms | p99 ms | served |"
           f" p50, p99 of the first {ARRIVAL_S:g} s | served of these | CPU s |")  # fmt: skip
     print("| --- |" + " ---: |" * 9)
-    for number in args.only:
-        row = uvloop.run(play(number, args.seconds, args.rate))
-        share, during_arrival = (
-            f"{served} of {asked} ({100.0 * served / max(1, asked):.1f} %)"
-            for served, asked in ((row.served, row.asked), (row.arrival_served, row.arrival_asked))
+    for scene_index in args.only:
+        row = uvloop.run(measure_scene(scene_index, args.seconds, args.rate))
+        served_text, arrival_text = (
+            f"{served} of {requests} ({100.0 * served / max(1, requests):.1f} %)"
+            for served, requests in ((row.served, row.requests), (row.arrival_served, row.arrival_requests))
         )
         print(f"| {row.name} | {row.rss_mb:.0f} | {row.peak_mb:.0f} | {row.descriptors} | {row.p50:.1f} |"
-              f" {row.p99:.1f} | {share} | {row.arrival_p50:.1f}, {row.arrival_p99:.1f} | {during_arrival} |"
-              f" {row.cpu_s:.2f} |", flush=True)  # fmt: skip
+              f" {row.p99:.1f} | {served_text} | {row.arrival_p50:.1f}, {row.arrival_p99:.1f} |"
+              f" {arrival_text} | {row.cpu_s:.2f} |", flush=True)  # fmt: skip
 
 
 if __name__ == "__main__":
