--- a/benchmarks/extproc_echo.py
+++ b/benchmarks/extproc_echo.py
@@ -80,22 +80,23 @@
             self.conn.initiate_connection()
             self.unparsed: dict[int, bytes] = {}
 
-        def data_received(self, data: bytes) -> None:
+        def data_received(self, received: bytes) -> None:
             conn = self.conn
-            for event in conn.receive_data(data):
+            for event in conn.receive_data(received):
                 if isinstance(event, RequestReceived):
-                    given = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-                    conn.send_headers(event.stream_id, given)
+                    headers = [(b":status", b"200"), (b"content-type", b"application/grpc")]
+                    conn.send_headers(event.stream_id, headers)
                     self.unparsed[event.stream_id] = b""
                 elif isinstance(event, DataReceived):
                     conn.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
-                    whole = self.unparsed[event.stream_id] + event.data
-                    while len(whole) >= 5 and len(whole) >= 5 + int.from_bytes(whole[1:5], "big"):
-                        end = 5 + int.from_bytes(whole[1:5], "big")
-                        payload = reply(pb.ProcessingRequest.FromString(whole[5:end])).SerializeToString()
+                    data = self.unparsed[event.stream_id] + event.data
+                    # A gRPC message: a flag of one byte, its length in four, and the message.
+                    while len(data) >= 5 and len(data) >= 5 + int.from_bytes(data[1:5], "big"):
+                        end = 5 + int.from_bytes(data[1:5], "big")
+                        payload = reply(pb.ProcessingRequest.FromString(data[5:end])).SerializeToString()
                         conn.send_data(event.stream_id, b"\0" + len(payload).to_bytes(4, "big") + payload)
-                        whole = whole[end:]
-                    self.unparsed[event.stream_id] = whole
+                        data = data[end:]
+                    self.unparsed[event.stream_id] = data
                 elif isinstance(event, StreamEnded):
                     self.unparsed.pop(event.stream_id, None)
                     conn.send_headers(event.stream_id, [(b"grpc-status", b"0")], end_stream=True)
