--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,4 +1,4 @@
-"""Measures the share of mutants of the decision module that the captures of past failures catch.
+"""Measures the share of mutants of the decision module that replays of the captures of past failures catch.
 
 ``python -m benchmarks.mutants [COUNT]``: COUNT seeded changes of one number, comparison, sign or
 logical operator, each replayed through all captures. A mutant is caught if a decision differs or the module
@@ -65,11 +65,11 @@
 
     file: str
     line: int
-    what: str
-    text: str
+    kind: str
+    source: str
 
 
-def places(tree: ast.AST) -> Iterator[tuple[ast.AST, str]]:
+def mutable_nodes(tree: ast.AST) -> Iterator[tuple[ast.AST, str]]:
     """Yields the nodes that may be changed and their kind, in a fixed order."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and isinstance(node.value, int | float):
@@ -83,15 +83,19 @@
             yield node, "logic"
 
 
-def mutants(count: int) -> list[Mutant]:
+def draw_mutants(count: int) -> list[Mutant]:
     """Returns seeded changes of the decision modules."""
     rng = random.Random(1)
-    made = []
+    mutants = []
     sources = {name: (ROOT / "glenchute" / "policy" / name).read_text() for name in MUTATED}
-    every = [(name, at) for name, text in sources.items() for at, _ in enumerate(places(ast.parse(text)))]
-    for name, at in rng.sample(every, min(count, len(every))):
+    candidates = [
+        (name, index)
+        for name, text in sources.items()
+        for index, _ in enumerate(mutable_nodes(ast.parse(text)))
+    ]
+    for name, index in rng.sample(candidates, min(count, len(candidates))):
         tree = ast.parse(sources[name])
-        node, what = list(places(tree))[at]
+        node, kind = list(mutable_nodes(tree))[index]
         if isinstance(node, ast.Constant):
             node.value = node.value * 2 + 1  # type: ignore[operator]
         elif isinstance(node, ast.Compare):
@@ -99,20 +103,21 @@
         elif isinstance(node, ast.BinOp | ast.BoolOp):
             node.op = SWAPS[type(node.op)]()  # type: ignore[assignment]
         line = int(getattr(node, "lineno", 0))
-        made.append(Mutant(name, line, what, ast.unparse(tree)))
-    return made
+        mutants.append(Mutant(name, line, kind, ast.unparse(tree)))
+    return mutants
 
 
-def caught(mutant: Mutant) -> bool:
-    """Returns whether the replay of any capture differs from the original module."""
+def is_caught(mutant: Mutant) -> bool:
+    """Returns whether a mutant decides differently in the replay of any capture, or raises."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "policy"
         shutil.copytree(ROOT / "glenchute" / "policy", copy, ignore=shutil.ignore_patterns("__pycache__"))
-        (copy / mutant.file).write_text(mutant.text)
+        (copy / mutant.file).write_text(mutant.source)
         try:
-            make = load_other_engine(copy)
+            create_engine = load_other_engine(copy)
             return any(
-                replay(files, make, use_snapshots=False).differences for files in find_runs(CAPTURES).values()
+                replay(files, create_engine, use_snapshots=False).differences
+                for files in find_runs(CAPTURES).values()
             )
         except Exception:  # a mutant that raises counts as caught
             return True
@@ -120,14 +125,14 @@
 
 def main(count: int) -> None:
     """Prints the share of mutants caught, and those that survive."""
-    found = mutants(count)
+    mutants = draw_mutants(count)
     with ProcessPoolExecutor(WORKERS) as pool:
-        told = list(pool.map(caught, found))
+        caught = list(pool.map(is_caught, mutants))
     print(machine())
-    print(f"{sum(told)} of {len(found)} mutants are caught, {sum(told) / len(found):.0%}")
-    for mutant, was in zip(found, told, strict=True):
-        if not was:
-            print(f"  lives: {mutant.file}:{mutant.line} {mutant.what}")
+    print(f"{sum(caught)} of {len(mutants)} mutants are caught, {sum(caught) / len(mutants):.0%}")
+    for mutant, was_caught in zip(mutants, caught, strict=True):
+        if not was_caught:
+            print(f"  lives: {mutant.file}:{mutant.line} {mutant.kind}")
 
 
 if __name__ == "__main__":
