--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -18,19 +18,19 @@
 from tests.policy.admission.test_counter_loss import FAULTS, played
 
 PLOT = Path(__file__).resolve().parent.parent / "docs" / "design" / "counter-loss.svg"
-SIZES = (3, 3, 4, 6, 10, 4, 3, 12)
-SECONDS = 7.0
+FLEET_SIZES = (3, 3, 4, 6, 10, 4, 3, 12)  # gateways, by seed
+SECONDS = 7.0  # duration of a run
 
 
 class Row(NamedTuple):
-    """Units past the ceiling and the quota, their bounds, refusals with quota left, calls per request."""
+    """Figures of one run."""
 
-    ceiling: float
+    ceiling: float  # units admitted beyond the ceiling
     ceiling_bound: float
-    quota: float
+    quota: float  # units admitted beyond the quota
     quota_bound: float
-    with_room: float
-    calls: float
+    with_room: float  # share of requests refused with quota left
+    calls: float  # calls to the counter per request
 
 
 def sound(fleet: Fleet, rng: object) -> None:
@@ -44,14 +44,14 @@
 
 
 def run(kind: str, seed: int) -> Row:
-    """Plays one seeded run of a fault."""
-    gateways = SIZES[seed % len(SIZES)]
+    """Simulates a fleet with a fault."""
+    gateways = FLEET_SIZES[seed % len(FLEET_SIZES)]
     fleet = played(FAULTS_BY_NAME[kind], seed, gateways, 100.0 * (seed % 2))
     soft, _, bare = PLANS
-    found = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
+    bound = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
         fleet.overshoot("bare", bare.ceiling_rate_per_s, bare.ceiling_burst_units),
-        ceiling_overshoot_units(found, fleet.restarts),
+        ceiling_overshoot_units(bound, fleet.restarts),
         fleet.overshoot("soft", soft.rate_per_s, soft.burst_units),
         (gateways - 1) * (soft.burst_units + SECONDS * soft.rate_per_s),
         fleet.refused_with_room("soft", soft.rate_per_s, soft.burst_units),
@@ -74,12 +74,14 @@
         y = 280 - 240 * share
         parts.append(f'<line x1="{left}" x2="{width}" y1="{y}" y2="{y}" stroke="lightgray"/>')
         parts.append(f'<text x="10" y="{y + 4}">{share:.0%}</text>')
-    for column, (kind, found) in enumerate(rows.items()):
+    for column, (kind, fault_rows) in enumerate(rows.items()):
         x = left + 55 + 110 * column
         parts.append(f'<text x="{x}" y="305" text-anchor="middle">{kind}</text>')
-        for at, row in enumerate(found[:200]):
+        for index, row in enumerate(fault_rows[:200]):
             y = 280 - 240 * max(0.0, row.quota) / row.quota_bound
-            parts.append(f'<circle cx="{x - 30 + at * 60 / 200:.1f}" cy="{y:.1f}" r="2" fill="steelblue"/>')
+            parts.append(
+                f'<circle cx="{x - 30 + index * 60 / 200:.1f}" cy="{y:.1f}" r="2" fill="steelblue"/>'
+            )
     return "\n".join([*parts, "</svg>", ""])
 
 
@@ -95,7 +97,7 @@
             rows[kind] = list(pool.map(run, [kind] * runs, range(runs), chunksize=4))
             worst = max(rows[kind], key=lambda row: row.quota / row.quota_bound)
             excess = max(row.ceiling - row.ceiling_bound for row in rows[kind])
-            assert excess <= 1e-6, f"{kind}: a ceiling was passed by {excess} more than promised"
+            assert excess <= 1e-6, f"{kind}: the ceiling was exceeded by {excess} units more than the bound"
             mean = [sum(column) / runs for column in zip(*rows[kind], strict=True)]
             figures = [max(r.ceiling for r in rows[kind]), max(r.ceiling_bound for r in rows[kind]),
                        worst.quota, worst.quota_bound]  # fmt: skip
