--- a/benchmarks/floors.py
+++ b/benchmarks/floors.py
@@ -17,17 +17,17 @@
 from typing import Any
 
 
-def ratio(served: float, wanted: float | None) -> float:
+def ratio(served: float, required: float | None) -> float:
     """Returns served divided by required; infinite where nothing is required."""
-    return served / wanted if wanted else float("inf")
+    return served / required if required else float("inf")
 
 
-def nearest(days: Iterable[dict[str, Any]], key: str) -> tuple[float, str]:
+def lowest_ratio(days: Iterable[dict[str, Any]], key: str) -> tuple[float, str]:
     """Returns the least ratio of a class or plan to its floor, with its name and day."""
-    found = [
+    ratios = [
         (ratio(row[1], row[2]), f"{row[0]} on {day['name']}") for day in days for row in day.get(key) or ()
     ]
-    return min(found, default=(float("inf"), "-"))
+    return min(ratios, default=(float("inf"), "-"))
 
 
 def main() -> None:
@@ -35,10 +35,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("journal", nargs="?", default="journal", type=Path)
     parser.add_argument("--since", default="", help="an entry's time, such as 20261202T0240")
-    asked = parser.parse_args()
+    args = parser.parse_args()
     rows: dict[tuple[str, str], list[dict[str, Any]]] = {}
-    for path in sorted(asked.journal.glob("*.json")):
-        entry = json.loads(path.read_text()) if path.name >= asked.since else {}
+    for path in sorted(args.journal.glob("*.json")):
+        entry = json.loads(path.read_text()) if path.name >= args.since else {}
         days = [day for day in entry.get("days") or () if "served_least" in day]
         panel = next((word for word in ("brink", "quick") if word in str(entry.get("panel"))), "full")
         rows.setdefault((str(entry.get("site")), panel), []).extend(days)
@@ -47,10 +47,11 @@
         if not days:
             continue
         served = min(ratio(day["served"], day["served_least"]) for day in days)
-        (of_class, cls), (of_plan, plan) = nearest(days, "by_class"), nearest(days, "by_tenant")
+        class_ratio, class_day = lowest_ratio(days, "by_class")
+        plan_ratio, plan_day = lowest_ratio(days, "by_tenant")
         over = max((day["over"] for day in days if day["name"].startswith("calm+mass")), default=float("nan"))
         print(f"{site:16} {panel:8} {len(days):4}  {min(day['score'] for day in days):11.2f}  {served:6.2f}  "
-              f"{of_class:4.2f} {cls:34} {of_plan:4.2f} {plan:34} {over:.3f}")  # fmt: skip
+              f"{class_ratio:4.2f} {class_day:34} {plan_ratio:4.2f} {plan_day:34} {over:.3f}")  # fmt: skip
 
 
 if __name__ == "__main__":
