--- a/benchmarks/start_up.py
+++ b/benchmarks/start_up.py
@@ -27,38 +27,39 @@
     """Starts a gateway once; returns the milliseconds elapsed and those of CPU."""
     with tempfile.TemporaryDirectory() as folder:
         gateway = GatewayProcess(Path(folder), site.platform(), operator)
-        began = time.monotonic()
+        started = time.monotonic()
         gateway.start()
         try:
             await gateway.ready()
-            took = 1000.0 * (time.monotonic() - began)
+            elapsed_ms = 1000.0 * (time.monotonic() - started)
         finally:
             gateway.signal(signal.SIGKILL)
             assert gateway.process is not None
-            _, _, used = os.wait4(gateway.process.pid, 0)
+            _, _, usage = os.wait4(gateway.process.pid, 0)
             gateway.process.returncode = -signal.SIGKILL
-        return took, 1000.0 * (used.ru_utime + used.ru_stime)
+        return elapsed_ms, 1000.0 * (usage.ru_utime + usage.ru_stime)
 
 
 async def main(rounds: int) -> None:
     """Prints median, least and most, without the file and with it."""
     os.environ.pop("PYTHONDONTWRITEBYTECODE", None)
     compileall.compile_dir("glenchute", quiet=2)  # as the platform's build does
-    text = OPERATOR.read_text()
-    bare: list[tuple[float, float]] = []
-    filed: list[tuple[float, float]] = []
+    operator_file = OPERATOR.read_text()
+    without_file: list[tuple[float, float]] = []
+    with_file: list[tuple[float, float]] = []
     async with LabSite([Node("n0", ServiceProfile({}))]) as site:
         await measure_start(site, None)
-        for turn in range(rounds):
-            for operator in (None, text) if turn % 2 else (text, None):
-                (filed if operator else bare).append(await measure_start(site, operator))
+        for round_number in range(rounds):
+            order = (None, operator_file) if round_number % 2 else (operator_file, None)
+            for operator in order:
+                (with_file if operator else without_file).append(await measure_start(site, operator))
     print(machine())
     print(f"{rounds} starts of each in turn, to the first PONG, milliseconds: median (least, most)")
-    for at, what in enumerate(("clock", "processor")):
-        for name, rows in (("without the file", bare), ("with it", filed)):
-            values = [row[at] for row in rows]
+    for index, clock in enumerate(("clock", "processor")):
+        for name, starts in (("without the file", without_file), ("with it", with_file)):
+            values = [start[index] for start in starts]
             median = statistics.median(values)
-            print(f"{what:10} {name:18}{median:8.1f} ({min(values):.1f}, {max(values):.1f})")
+            print(f"{clock:10} {name:18}{median:8.1f} ({min(values):.1f}, {max(values):.1f})")
 
 
 if __name__ == "__main__":
