--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -54,32 +54,33 @@
 from glenchute.config.facts import ClassFacts, PlatformFacts
 from glenchute.config.operator import OperatorConfig, ReadResult, parse
 from glenchute.config.operator_shape import MAX_ROUTES
-from glenchute.policy.endpoints.polling import PollingTerms, PollScheduler
+from glenchute.policy.endpoints.polling import PollingSettings, PollScheduler
 from glenchute.policy.membership.members import MemberList, SwimSettings
 from glenchute.policy.retries.route_limits import RouteTable
 from glenchute.policy.settings import Idempotency
 
 SERVERS, ROUTES = 5_700, 2_700
 TENANT_MEMORY_S = 60.0  # gateway and counter forget a tenant not seen for this long
-# Terms of an operator's file with `[discovery] calls_per_s = 20, list_age_s = 17`, and of one without them.
-STATED = PollingTerms(GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0)
-UNSTATED = PollingTerms(GATEWAYS)
+# For an operator's file with `[discovery] calls_per_s = 20, list_age_s = 17`, and for one without them.
+STATED = PollingSettings(GATEWAYS, rate_per_s=20.0, max_list_age_s=17.0)
+UNSTATED = PollingSettings(GATEWAYS)
 
 
-def poll_schedulers(count: int, seed: int, terms: PollingTerms) -> Iterator[PollScheduler]:
+def poll_schedulers(count: int, seed: int, settings: PollingSettings) -> Iterator[PollScheduler]:
     """Yields the scheduler of each of `count` gateways."""
     for number in range(count):
         yield PollScheduler(
-            terms._replace(gateway_count=count, gateway_index=number), random.Random(seed * 100_000 + number)
+            settings._replace(gateway_count=count, gateway_index=number),
+            random.Random(seed * 100_000 + number),
         )
 
 
-def idle_calls(terms: PollingTerms) -> Measure:
+def idle_calls(settings: PollingSettings) -> Measure:
     """Measures the long polls per second that end, over 200 s without a change of the list."""
 
     def measure(count: int, seed: int) -> float:
         ends = 0
-        for scheduler in poll_schedulers(count, seed, terms):
+        for scheduler in poll_schedulers(count, seed, settings):
             end_s = scheduler.watch_wait_s() * scheduler.rng.random()
             while end_s < 200.0:
                 ends += 1
@@ -94,10 +95,10 @@
     return float(max(Tally(int(delay_s) for delay_s in delays_s).values()))
 
 
-def start_calls(terms: PollingTerms, has_list: bool) -> Measure:
+def start_calls(settings: PollingSettings, has_list: bool) -> Measure:
     """Measures the busiest second when all gateways start at once, with saved lists or without."""
     return lambda count, seed: calls_in_busiest_second(
-        [scheduler.first_poll_delay_s(has_list) for scheduler in poll_schedulers(count, seed, terms)]
+        [scheduler.first_poll_delay_s(has_list) for scheduler in poll_schedulers(count, seed, settings)]
     )
 
 
@@ -107,10 +108,10 @@
     return calls_in_busiest_second([scheduler.first_poll_delay_s(False) for scheduler in schedulers])
 
 
-def calls_after_change(terms: PollingTerms) -> Measure:
+def calls_after_change(settings: PollingSettings) -> Measure:
     """Measures the busiest second after a change of the list has ended the long polls of all gateways."""
     return lambda count, seed: calls_in_busiest_second(
-        [scheduler.synchronized_delay_s() for scheduler in poll_schedulers(count, seed, terms)]
+        [scheduler.synchronized_delay_s() for scheduler in poll_schedulers(count, seed, settings)]
     )
 
 
--- a/benchmarks/choosing.py
+++ b/benchmarks/choosing.py
@@ -130,8 +130,8 @@
 class TimedNode(Node):
     """Server that records the duration of each command."""
 
-    def __init__(self, name: str, trade: ServiceProfile) -> None:
-        super().__init__(name, trade)
+    def __init__(self, name: str, profile: ServiceProfile) -> None:
+        super().__init__(name, profile)
         self.service_ms: dict[bytes, float] = {}  # by request id
 
     async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from benchmarks.machine import machine
-from glenchute.policy.endpoints.polling import PollingTerms, max_first_polls_per_s
+from glenchute.policy.endpoints.polling import PollingSettings, max_first_polls_per_s
 from lab.coldstart import (
     Call,
     GatewayFleet,
@@ -91,11 +91,11 @@
     print("gateways  scene    busiest second  turned away  bound of a start")
     for count in (200, 500):
         rate = count / 15.0
-        bound = max_first_polls_per_s(PollingTerms(count, 0, rate, LIST_AGE_S))
+        bound = max_first_polls_per_s(PollingSettings(count, 0, rate, LIST_AGE_S))
         for scene in (run_start, run_release, run_outage):
             simulation = PollSimulation(
                 count,
-                lambda n, c=count, r=rate: PollingTerms(c, n, r, LIST_AGE_S),  # type: ignore[misc]
+                lambda n, c=count, r=rate: PollingSettings(c, n, r, LIST_AGE_S),  # type: ignore[misc]
                 rate,
             )
             scene(simulation)
--- a/benchmarks/pipelining.py
+++ b/benchmarks/pipelining.py
@@ -100,16 +100,18 @@
                 warm_up = BurstLoad(gateway.port, BASE_RATE, lambda ms: None, seed=9)
                 await warm_up.run(2.0)
                 for node in nodes:
-                    node.began = asyncio.get_running_loop().time()  # the times of its faults count from now
+                    node.started_at = (
+                        asyncio.get_running_loop().time()
+                    )  # the times of its faults count from now
                 load = BurstLoad(gateway.port, cell.load * BASE_RATE,
                               lambda ms: histogram.record_value(max(1, int(1000 * ms))))  # fmt: skip
                 before = cpu_s(gateway.process.pid)
                 running = asyncio.create_task(load.run(cell.seconds))
                 while not running.done():
-                    peak_connections = max(peak_connections, sum(node.links for node in nodes))
+                    peak_connections = max(peak_connections, sum(node.open_connections for node in nodes))
                     await asyncio.sleep(0.05)
                 await running
-                connections = sum(node.links for node in nodes)
+                connections = sum(node.open_connections for node in nodes)
                 used_s = cpu_s(gateway.process.pid) - before
             finally:
                 await gateway.stop()
@@ -177,10 +179,10 @@
                 await asyncio.sleep(seconds)
                 used_s = cpu_s(gateway.process.pid) - cpu_before
                 requests = answered - answered_before
-                connections = sum(node.links for node in nodes)
+                connections = sum(node.open_connections for node in nodes)
                 await asyncio.gather(*tasks)
-                segments = sum(node.segments for node in nodes)
-                commands = sum(node.received for node in nodes)
+                segments = sum(node.read_count for node in nodes)
+                commands = sum(node.received_count for node in nodes)
             finally:
                 await gateway.stop()
     return DepthRow(depth, not depth, 1e6 * used_s / max(1, requests), requests / seconds,
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -46,7 +46,7 @@
             if fault == "slow":
                 for link in site.to_counter:
                     # Together with the delay of the request, about half of the replies are late.
-                    link.ways[1].delay_s = 0.045
+                    link.directions[1].delay_s = 0.045
             elif fault != "sound":
                 for link in site.to_counter:
                     link.cut()
@@ -265,8 +265,8 @@
         async with FleetSite(Path(folder), count) as site:
             for link in site.links.values():
                 draw = rng.random()
-                for way in link.ways:
-                    way.cut, way.lose = draw < 0.1, 0.3 if draw < 0.2 else 0.0
+                for direction in link.directions:
+                    direction.is_cut, direction.loss_fraction = draw < 0.1, 0.3 if draw < 0.2 else 0.0
             started = time.monotonic()
             for first in range(0, count, 10):
                 await site.start(numbers[first : first + 10])
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -19,7 +19,7 @@
 
 from benchmarks.machine import machine
 from glenchute.policy.balancing.hash_ring import ring_position
-from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetTerms, walk_ring
+from glenchute.policy.balancing.subset import REBALANCE_INTERVAL_MS, Subset, SubsetSettings, walk_ring
 from glenchute.policy.events import Endpoint, EndpointState
 from glenchute.policy.settings import SlowStart
 from lab.coldstart import GatewayFleet
@@ -35,7 +35,7 @@
     """Keeps servers in use that are still listed, and adds the next of the ring: the gateway's scheme."""
     chosen = []
     for number in range(gateways):
-        subset = Subset(SubsetTerms(gateways, number, subset_size), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number, subset_size), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in servers])
         subset.in_use = dict.fromkeys(sorted(before[number]) if before is not None else ())
         subset.refresh(0.0)
@@ -119,7 +119,7 @@
     addresses = server_addresses(2 * servers)
     subsets = []
     for number in range(gateways):
-        subset = Subset(SubsetTerms(gateways, number, subset_size), SlowStart())
+        subset = Subset(SubsetSettings(gateways, number, subset_size), SlowStart())
         subset.replace_list([Endpoint(server, "a") for server in addresses[:servers]])
         subset.refresh(0.0)
         subsets.append(subset)
@@ -172,9 +172,14 @@
                 outcomes = [outcome for load in loads for outcome in load.outcomes]
                 served_ms = sorted(outcome.took_ms for outcome in outcomes if outcome.answer == "served")
                 nodes = fleet.site.nodes
-                # The customer identifies the gateway, as no two gateways share an account.
-                gateway_counts = [len({int(run.customer, 16) // 1000 for run in node.ran}) for node in nodes]
-                opened, peak = sum(node.made for node in nodes), max(node.peak_connections for node in nodes)
+                # The account identifies the gateway, as no two gateways share an account.
+                gateway_counts = [
+                    len({int(effect.account_id, 16) // 1000 for effect in node.effects}) for node in nodes
+                ]
+                opened, peak = (
+                    sum(node.accepted_connections for node in nodes),
+                    max(node.peak_connections for node in nodes),
+                )
                 which = "4 each" if operator else "all"
                 print(f"{count} processes of {rate:.0f} a second, {servers} servers, {which}: {opened} "
                       f"connections made, {peak} at most at once at a server, "
