--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -56,8 +56,8 @@
 class Probe(NamedTuple):
     """Quantity measured at several sizes."""
 
-    what: str  # the quantity
-    by: str  # what the size counts
+    quantity: str
+    size_name: str  # what the size counts
     unit: str
     measure: Measure
     sizes: tuple[int, ...]  # to which the line is fitted
@@ -80,8 +80,8 @@
         rows = [[probe.measure(size, seed) for size in probe.sizes] for seed in range(repeats)]
         line = fit_line(sizes, rows)
         forecast_value = line.forecast(probe.check**probe.power)
-        by = probe.by + (f"^{probe.power}" if probe.power > 1 else "")
-        print(f"| {probe.what}, {probe.unit} | {by} | {probe.sizes[0]:,} to {probe.sizes[-1]:,} | "
+        size_name = probe.size_name + (f"^{probe.power}" if probe.power > 1 else "")
+        print(f"| {probe.quantity}, {probe.unit} | {size_name} | {probe.sizes[0]:,} to {probe.sizes[-1]:,} | "
               f"{line.min_slope:.3g}, {line.slope:.3g}, {line.max_slope:.3g} | {line.base:.3g} | "
               f"{probe.check:,}: {forecast_value:.4g} | ", end="", flush=True)  # fmt: skip
         measured = sorted(probe.measure(probe.check, 100 + seed) for seed in range(repeats))
--- a/lab/scale/__main__.py
+++ b/lab/scale/__main__.py
@@ -112,6 +112,7 @@
         }
 
     async def end(self) -> dict[str, Any]:
+        """Returns the seconds of the calls, by kind of caller."""
         return {
             kind: [round(at, 3) for at in counts.call_times_s]
             for kind, counts in self.lists.counts_by_kind.items()
@@ -155,7 +156,8 @@
         return {key: sum(counts[key] for counts in rack_counts) for key in rack_counts[0]}
 
     async def end(self) -> dict[str, Any]:
-        return {name: round(ms, 3) for rack in self.racks for name, ms in rack.attempt_ms.items()}
+        """Returns the milliseconds of attempts here, by request id."""
+        return {request: round(ms, 3) for rack in self.racks for request, ms in rack.attempt_ms.items()}
 
 
 class HollowWorker(Worker):
@@ -187,6 +189,8 @@
         return dict(self.group.outcomes)
 
     async def end(self) -> dict[str, Any]:
+        """Stops the load, or waits until all of it is sent, and waits for the last answers; returns the
+        requests by outcome."""
         if self.site.requests:
             await self.sending
         for task in [self.sending, *self.tasks]:
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -230,6 +230,7 @@
         }
 
     def __call__(self, number: int, rng: random.Random) -> Account:
+        """Returns the tenant of a request to this gateway."""
         cumulative = self.cumulative_weights[number]
         if not cumulative:  # no tenant's set includes this gateway, as there are few tenants
             return self.accounts[rng.randrange(len(self.accounts))]
--- a/tests/docs/test_capacity_page.py
+++ b/tests/docs/test_capacity_page.py
@@ -108,8 +108,8 @@
 def test_what_the_page_names_is_there_and_each_probe_has_its_row() -> None:
     assert faults_of(PAGE) == []
     assert sum(1 for rows in tables(PAGE) for row in rows if "command" in row) > len(capacity.ROLES)
-    missing = [(role, probe.what) for role, probes in capacity.ROLES.items() for probe in probes
-               if not re.search(rf"^\| {re.escape(f'{probe.what}, {probe.unit}, by {probe.by}')}.*"
+    missing = [(role, probe.quantity) for role, probes in capacity.ROLES.items() for probe in probes
+               if not re.search(rf"^\| {re.escape(f'{probe.quantity}, {probe.unit}, by {probe.size_name}')}.*"
                                 rf"`python -m benchmarks.capacity {role}` \|$", PAGE, re.M)]  # fmt: skip
     assert missing == []
 
