--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -25,7 +25,7 @@
 from lab.fleet.processes import FleetSite
 from lab.fleet.simulated import GossipNetwork, SwimNetwork, apart
 from lab.load import Account
-from lab.sim.members import gone_run
+from lab.sim.members import run_downtime
 from lab.site import free_port
 
 ACCOUNT = Account(b"%016x" % 77, "standard", 1.0, ",spread=5,first=0")
@@ -143,10 +143,11 @@
     """Prints attempts without a connection while a third of twenty servers is gone, and the time until all
     are used again."""
     for count, rate in ((10, 200.0), (40, 200.0), (40, 800.0), (100, 400.0)):
-        runs = [[gone_run(seed, count, on, rate) for seed in (1, 2, 3)] for on in (False, True)]
+        runs = [[run_downtime(seed, count, on, rate) for seed in (1, 2, 3)] for on in (False, True)]
         cells = (
-            f"{sum(run.lost for run in row)} ({sum(run.late for run in row)} in the last quarter), all used "
-            f"after {statistics.median(run.back_ms for run in row) / 1000.0:.1f} s"
+            f"{sum(run.unreachable_count for run in row)} "
+            f"({sum(run.late_unreachable_count for run in row)} in the last quarter), all used "
+            f"after {statistics.median(run.recovery_ms for run in row) / 1000.0:.1f} s"
             for row in runs
         )
         print(f"{count:3} gateways, {rate:.0f} a second: without, with members {'; '.join(cells)}")
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -1,8 +1,8 @@
 """Simulates a site with members: real engines with the real membership, gossip and usage reports.
 
-The members' links lose messages and are cut by the script. The rules are those of the site, checked with
-records that no membership component writes. In addition, an account's quota must not be exceeded by more than
-the bound for the faults of the run.
+The script makes the links between members lose messages, and cuts them. The rules are those of `World`,
+checked with records that no membership component writes. In addition, an account's quota must not be exceeded
+by more than the bound for the faults of the run.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from lab.sim.world import Node, World
 
 TICK_MS = 50.0
-SPLITS = ("fleet split", "one way", "links lose", "stopped", "counter gone")
-OF_MEMBERS = (*KINDS, *SPLITS)
+MEMBER_FAULTS = ("fleet split", "one way", "links lose", "stopped", "counter gone")
+MEMBER_KINDS = (*KINDS, *MEMBER_FAULTS)
 
 
-class Peer:
+class GatewayMember:
     """The membership components of one gateway, for one incarnation."""
 
     def __init__(self, world: MembersWorld, number: int, module: Any, seed: int) -> None:
@@ -46,7 +46,7 @@
         self.use = AccountUsage(writer)
         ring = GatewayRing(names[number], names, gateway_numbers(dict.fromkeys(names)), len(names))
         self.messenger = DirectMessenger(self.use, self.gossip.replica, ring, self.is_alive, rng, now)
-        self.heard_at = -1e9
+        self.last_message_s = -1e9
         health = EndpointHealth(writer, random.Random(seed + 1))
         self.usage_reporter = UsageReporter(
             module,
@@ -59,6 +59,7 @@
         )
 
     def publish(self, row: Any) -> None:
+        """Sends a row to the members: usage by direct messages, other rows by gossip."""
         if row.kind is RowKind.USE:
             self.messenger.report(self.world.now / 1000.0, row)
             return
@@ -68,10 +69,11 @@
         return self.members.members[name].state is MemberState.ALIVE
 
     def usage_share(self, spread: int) -> float:
+        """Returns the fraction of an account's `spread` gateways, with this one, whose usage is known."""
         now = self.world.now / 1000.0
         known = self.messenger.known_gateways(now, spread)
         return known_usage_share(
-            self.gossip.is_complete, self.members.local_health, known, spread, now - self.heard_at
+            self.gossip.is_complete, self.members.local_health, known, spread, now - self.last_message_s
         )
 
     def tick(self) -> None:
@@ -97,7 +99,7 @@
         world = self.world
         if not world.is_current(self.number, self.incarnation) or self.number in world.deferred_events:
             return
-        now = self.heard_at = world.now / 1000.0
+        now = self.last_message_s = world.now / 1000.0
         if isinstance(body, SwimMessage):
             for out in self.members.receive(now, sender, boot, body):
                 world.send_message(self, out.to, out.message)
@@ -109,32 +111,36 @@
         for sent in self.gossip.receive(now, sender, body, len(self.members.members)):
             world.send_message(self, sent.to, sent.message)
         if isinstance(body, Delta):
-            for taken in self.gossip.take_received():
-                self.usage_reporter.receive(taken)
+            for row in self.gossip.take_received():
+                self.usage_reporter.receive(row)
 
 
-class Module:
+class MemberEngine:
     """A decision engine whose events pass through the member's usage reporter."""
 
-    def __init__(self, peer: Peer, inner: Any) -> None:
-        self.peer, self.inner = peer, inner
+    def __init__(self, member: GatewayMember, inner: Any) -> None:
+        self.member, self.inner = member, inner
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        return self.peer.usage_reporter.handle(now_ms, event)
+        return self.member.usage_reporter.handle(now_ms, event)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
 
 class MembersWorld(World):
-    """A site with members. `blocked_links` has the blocked pairs of sender and receiver."""
+    """A site with members.
+
+    `blocked_links` has the blocked pairs of sender and receiver, `loss` the fraction of the messages that the
+    other links lose.
+    """
 
     def __init__(
         self, seed: int, gateways: int = 3, nodes: int = 5,
         make: Callable[[Settings, int], Any] = DecisionEngine,
         watch: Callable[[int, float, Event, list[Action]], None] | None = None,
     ) -> None:  # fmt: skip
-        self.peers: dict[int, Peer] = {}
+        self.members: dict[int, GatewayMember] = {}
         self.blocked_links: set[tuple[int, int]] = set()
         self.loss = 0.0
         self.network_rng = random.Random(seed + 5)
@@ -154,13 +160,13 @@
 
         def make(settings: Settings, seed: int) -> Any:
             inner = self.make_engine(settings, seed)
-            self.peers[number] = peer = Peer(self, number, inner, seed ^ 0x5EED)
-            self.schedule(self.network_rng.uniform(0.0, TICK_MS), peer.tick)
-            return Module(peer, inner)
+            self.members[number] = member = GatewayMember(self, number, inner, seed ^ 0x5EED)
+            self.schedule(self.network_rng.uniform(0.0, TICK_MS), member.tick)
+            return MemberEngine(member, inner)
 
         return make
 
-    def send_message(self, sender: Peer, to: str, body: Any) -> None:
+    def send_message(self, sender: GatewayMember, to: str, body: Any) -> None:
         """Sends a message, unless the link is blocked or loses it."""
         number = int(to[1:])
         if (sender.number, number) in self.blocked_links or self.network_rng.random() < self.loss:
@@ -171,15 +177,16 @@
     def deliver_message(self, number: int, sender: str, boot: int, body: Any) -> None:
         """Delivers a message to the current incarnation of a gateway."""
         if self.alive[number]:
-            self.peers[number].receive(sender, boot, body)
+            self.members[number].receive(sender, boot, body)
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Starts a fault between members."""
         count = len(self.engines)
         if kind == "fleet split":
-            cut = max(1, round(size * (count - 1)))
-            every = range(count)
-            self.block_links({(a, b) for a in every for b in every if (a < cut) != (b < cut)}, span_ms)
+            size_of_first = max(1, round(size * (count - 1)))
+            pairs = {(a, b) for a in range(count) for b in range(count)}
+            cut = {(a, b) for a, b in pairs if (a < size_of_first) != (b < size_of_first)}
+            self.block_links(cut, span_ms)
         elif kind == "one way":
             self.block_links({(0, b) for b in range(1, count)}, span_ms)
         elif kind == "links lose":
@@ -200,16 +207,21 @@
 
 
 def overshoot(sent: list[tuple[float, str, str, float]], plan: Plan) -> float:
-    """Returns the units by which a plan's only account exceeded its quota, by its first attempts."""
-    taken = [(at / 1000.0, units) for at, _, name, units in sent if name == plan.name]
-    return checks.passed(taken, plan.rate_per_s, plan.burst_units)
+    """Returns the units by which a plan's only account exceeded its quota.
+
+    `sent` has time, customer, plan and units of each first attempt, as in `World.sent`.
+    """
+    admitted = [(at / 1000.0, units) for at, _, name, units in sent if name == plan.name]
+    return checks.passed(admitted, plan.rate_per_s, plan.burst_units)
 
 
-def mute_run(seed: int, gateways: int, rate: float, split: bool, members: bool) -> tuple[float, float]:
+def run_without_counter(
+    seed: int, gateways: int, rate: float, split: bool, members: bool
+) -> tuple[float, float]:
     """Runs one account at `rate` requests per second over all gateways while the counter does not answer.
 
-    With `split`, the members' links are cut into halves for the middle third. Returns the overshoot in units
-    and the admitted units as a fraction of those that the quota allows.
+    With `split`, the links between two halves of the members are cut for the middle third. Returns the
+    overshoot in units and the admitted units as a fraction of those that the quota allows.
     """
     world = (MembersWorld if members else World)(seed, gateways, 6)
     world.parts.kill()
@@ -221,39 +233,43 @@
         )
     world.flood(12_000.0, rate, plan.name)
     world.run(16_000.0)
-    served = sum(units for _, _, name, units in world.sent if name == plan.name)
-    return overshoot(world.sent, plan), served / (plan.burst_units + 12.0 * plan.rate_per_s)
+    admitted = sum(units for _, _, name, units in world.sent if name == plan.name)
+    return overshoot(world.sent, plan), admitted / (plan.burst_units + 12.0 * plan.rate_per_s)
+
 
+class DowntimeResult(NamedTuple):
+    """The result of a run in which servers that discovery lists are down for a while."""
 
-class Gone(NamedTuple):
-    """The result of a run in which listed servers are down for a while."""
+    unreachable_count: int  # attempts that found a server down
+    late_unreachable_count: int  # such attempts in the last quarter of the downtime
+    recovery_ms: float  # time until each of the servers runs a request again
 
-    lost: int  # attempts that found a server down
-    late: int  # such attempts in the last quarter of the downtime
-    back_ms: float  # time until each of them had run a request again
 
+def run_downtime(
+    seed: int, gateways: int, members: bool, rate: float = 200.0, down_ms: float = 8000.0,
+    max_recovery_ms: float = 20_000.0,
+) -> DowntimeResult:  # fmt: skip
+    """Stops 7 of 20 servers for `down_ms` under a steady load, and waits until they are used again.
 
-def gone_run(
-    seed: int, gateways: int, members: bool, rate: float = 200.0, gone_ms: float = 8000.0,
-    back_ms: float = 20_000.0,
-) -> Gone:  # fmt: skip
-    """Stops a third of twenty servers for a while under a steady load, and measures by the site's records."""
+    The result follows from the site's records, not from the gateways.
+    """
     world = (MembersWorld if members else World)(seed, gateways, 20)
     world.run(3000.0)
-    world.load(gone_ms + back_ms + 5000.0, rate, ("wide",))
+    world.load(down_ms + max_recovery_ms + 5000.0, rate, ("wide",))
     world.run(4000.0)
-    some = list(world.nodes.values())[:7]
-    for node in some:
+    stopped = list(world.nodes.values())[:7]
+    for node in stopped:
         node.alive = False
     world.unreachable_attempts.clear()
     began = world.now
-    world.run(gone_ms)
-    lost = [at for at, _ in world.unreachable_attempts]
-    for node in some:
+    world.run(down_ms)
+    unreachable_at = [at for at, _ in world.unreachable_attempts]
+    for node in stopped:
         node.alive, node.busy, node.queue = True, 0, []
-    back = world.now
-    waiting = {node.name for node in some}
-    while waiting and world.now < back + back_ms:
+    restarted = world.now
+    unused = {node.name for node in stopped}
+    while unused and world.now < restarted + max_recovery_ms:
         world.run(10.0)
-        waiting -= {node.name for node in some if node.busy}
-    return Gone(len(lost), sum(at >= began + 0.75 * gone_ms for at in lost), world.now - back)
+        unused -= {node.name for node in stopped if node.busy}
+    late_count = sum(at >= began + 0.75 * down_ms for at in unreachable_at)
+    return DowntimeResult(len(unreachable_at), late_count, world.now - restarted)
--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -24,7 +24,7 @@
 from lab.fleet.processes import FleetSite
 from lab.load import Account
 from lab.peers import run_scenario
-from lab.sim.members import gone_run
+from lab.sim.members import run_downtime
 
 NAMES = [f"s{n}" for n in range(6)]
 ACCOUNTS = [Account(b"%016x" % (700 + n), "korporativni", 1.0, ",spread=3,first=0") for n in range(30)]
@@ -216,7 +216,8 @@
 def test_members_waste_fewer_attempts_on_lost_servers() -> None:
     """Counts the attempts that reached no server, as the simulated site records them, over two seeds."""
     with_members, alone = (
-        sum(gone_run(seed, 40, on, 300.0, 3000.0, 0.0).lost for seed in (1, 2)) for on in (True, False)
+        sum(run_downtime(seed, 40, on, 300.0, 3000.0, 0.0).unreachable_count for seed in (1, 2))
+        for on in (True, False)
     )
     assert with_members < 0.9 * alone, (with_members, alone)
 
