--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -20,7 +20,7 @@
 from glenchute.policy.settings import Plan, Settings, SlowStart
 from lab.sim.world import SERVICE_MS, SETTINGS, Node, SimulatedRequest, World
 
-MAX_DISCOVERY_DELAY_MS = 6000.0  # until a gateway learns of a change
+MAX_DISCOVERY_DELAY_MS = 6000.0  # longest time until a gateway learns of a change
 INFORMED_FRACTION = 2.0 / 3.0  # an overload breaks the rule if more of the work came from informed gateways
 LENGTH_MS = 26_000.0
 BURST_MS = (5000.0, 17_000.0)
--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -1,8 +1,8 @@
-"""The simulated site with pipelined connections: the scheduler and the command pipeline between the decision
-engines and the nodes, over a network that answers each connection in order.
+"""The simulated site with pipelined connections.
 
-Besides the rules of `World` it checks what a node was sent on which connection and when the bytes were sent,
-whose value each reply was, and which attempt was queued behind which.
+The real pipeline scheduler and command pipelines are between the decision engines and the nodes. Replies
+arrive on each connection in the order of its commands. Besides the rules of `World` the site checks when the
+bytes of each command were sent, which attempt got each reply, and which attempts were queued behind others.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from glenchute.policy.events import EndpointListKind, EndpointState, Outcome
 from glenchute.policy.settings import Idempotency
 from lab.sim.swarm import KINDS
-from lab.sim.world import MARGIN_MS, NET_MS, BrokenRule, Node, World
+from lab.sim.world import DEADLINE_MARGIN_MS, NET_MS, BrokenRule, Node, World
 
 PIPED_KINDS = (*KINDS, "stuck lines", "extra replies", "volley")
-MAX_CONNECTIONS = 5  # of a gateway: few, so that they are shared
+MAX_CONNECTIONS = 5  # per gateway: few, so that they are shared
 RULES = PipelineRules(max_depth=4, max_queued_per_server=8, settle_ms=10.0, max_idle_ms=4000.0)
 COMMAND_BYTES = 10
 
@@ -60,7 +60,7 @@
         self.command: PipelinedCommand[SimulatedAttempt] | None = None
         self.arrived_at = math.inf  # at the node
         self.is_finished = False
-        self.is_unsent = False  # it ended with an outcome that means never sent
+        self.is_unsent = False  # it ended with an outcome that means that it was never sent
         self.was_sent = False
         self.has_waited = False
 
@@ -92,7 +92,7 @@
         self.is_blocked = False  # bytes stay in the send buffer of the operating system
         self.buffered: list[SimulatedAttempt] = []  # written, not sent yet
         self.sent: deque[SimulatedAttempt] = deque()  # attempts without a reply, in order
-        self.replies: dict[int, Outcome] = {}  # by attempt, held until all earlier replies have arrived
+        self.replies: dict[int, Outcome] = {}  # by attempt, until all earlier replies have arrived
         self.started_ms = node.started_ms if node is not None else 0.0
 
 
@@ -105,8 +105,10 @@
         self.attempts: dict[tuple[int, int, str, int], SimulatedAttempt] = {}
         self.last_attempt_id = 0
         self.check_times: dict[int, float] = {}
-        self.extra: dict[str, float] = {}  # by node: fraction of replies that are followed by a surplus reply
-        self.stuck: dict[
+        self.surplus_reply_rates: dict[
+            str, float
+        ] = {}  # by node: fraction of replies that are followed by a surplus reply
+        self.stuck_write_rates: dict[
             str, float
         ] = {}  # by node: fraction of writes that stay in the send buffer for a while
         self.joined = self.aborted_shared = self.max_depth_seen = 0
@@ -114,39 +116,40 @@
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Starts faults that only concern pipelined connections."""
-        if kind == "volley":  # many reads of one customer at the same time
+        if kind == "volley":  # simultaneous reads of one customer
             number = self.rng.randrange(30)
             for _ in range(20 + int(40 * size)):
                 self.schedule(0.0, self.send_client_request, "read", "wide", f"wide{number}")
             return
-        kinds = {"extra replies": self.extra, "stuck lines": self.stuck}
-        if kind not in kinds:
+        rates_by_kind = {"extra replies": self.surplus_reply_rates, "stuck lines": self.stuck_write_rates}
+        if kind not in rates_by_kind:
             super().start_fault(kind, node, size, span_ms)
-        kinds[kind][node.name] = 0.1 + 0.5 * size
-        self.schedule(span_ms, self.end_fault, kinds[kind], node.name)
+        rates_by_kind[kind][node.name] = 0.1 + 0.5 * size
+        self.schedule(span_ms, self.end_fault, rates_by_kind[kind], node.name)
 
-    def end_fault(self, active: dict[str, float], name: str) -> None:
-        active.pop(name, None)
+    def end_fault(self, rates: dict[str, float], name: str) -> None:
+        """Ends a fault of a node; `rates` has the nodes with this fault."""
+        rates.pop(name, None)
 
     # --- gateways ----------------------------------------------------------------------------------------
 
     def start_gateway(self, number: int) -> None:
-        sharing = ClassCompatibility(self.settings.classes, ("read", "order", "bid"), number % 2 == 1)
-        scheduler = self.schedulers[number] = PipelineScheduler(RULES, sharing)
+        compatibility = ClassCompatibility(self.settings.classes, ("read", "order", "bid"), number % 2 == 1)
+        scheduler = self.schedulers[number] = PipelineScheduler(RULES, compatibility)
         for cls in self.settings.classes:
-            for share in range(40):  # as after minutes of traffic, which would take long to simulate
-                scheduler.times.add(self.now, cls.name, "", 10.0 + 2.0 * share, False)
+            for sample in range(40):  # as after minutes of traffic, which would take long to simulate
+                scheduler.times.add(self.now, cls.name, "", 10.0 + 2.0 * sample, False)
         self.check_times[number] = math.inf
         super().start_gateway(number)
 
-    def kill_gateway(self, number: int, back_ms: float) -> None:
+    def kill_gateway(self, number: int, down_ms: float) -> None:
         if self.alive[number]:
             for key, conn in list(self.connections.items()):
                 if key[0] == number:
-                    conn.is_closed = True  # commands that were sent may still run
+                    conn.is_closed = True  # commands that were sent may still run at the node
                     del self.connections[key]
-            self.attempts = {key: one for key, one in self.attempts.items() if key[0] != number}
-        super().kill_gateway(number, back_ms)
+            self.attempts = {key: attempt for key, attempt in self.attempts.items() if key[0] != number}
+        super().kill_gateway(number, down_ms)
 
     def deliver_endpoints(
         self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]
@@ -173,20 +176,21 @@
         for conn in [c for key, c in self.connections.items() if key[0] == number]:
             if conn.node is not None and conn.node.name == name:
                 for entry in list(conn.pipeline.pending):
-                    self.schedule(0.0, self.stop_unsent, entry.item)
-                self.schedule(240.0, self.still_stuck, conn)
+                    self.schedule(0.0, self.withdraw_unwritten, entry.item)
+                self.schedule(240.0, self.abort_if_blocked, conn)
 
-    def stop_unsent(self, one: SimulatedAttempt) -> None:
+    def withdraw_unwritten(self, attempt: SimulatedAttempt) -> None:
         """Ends an attempt as unreachable, unless its command has been written meanwhile."""
-        if one.is_finished or one.command is None or one.connection is None:
+        if attempt.is_finished or attempt.command is None or attempt.connection is None:
             return
-        if one.connection.pipeline.withdraw(one.command):
-            self.schedulers[one.connection.gateway].on_withdrawn(
-                self.now, one.connection.connection_id, one.attempt_id
+        if attempt.connection.pipeline.withdraw(attempt.command):
+            self.schedulers[attempt.connection.gateway].on_withdrawn(
+                self.now, attempt.connection.connection_id, attempt.attempt_id
             )
-            self.finish(one, Outcome.UNREACHABLE)
+            self.finish(attempt, Outcome.UNREACHABLE)
 
-    def still_stuck(self, conn: SimulatedConnection) -> None:
+    def abort_if_blocked(self, conn: SimulatedConnection) -> None:
+        """Closes a connection whose bytes still are in the send buffer."""
         if conn.is_blocked and not conn.is_closed:
             self.close(conn, None, Outcome.RESET)
 
@@ -195,65 +199,70 @@
     def dispatch(
         self, node: Node | None, context: tuple[Any, ...], timeout: float, action: StartAttempt
     ) -> None:
-        """Starts an attempt that the scheduler places on a connection."""
+        """Starts an attempt, which the scheduler then places on a connection."""
         number = context[0]
         self.last_attempt_id += 1
         write_by = action.write_by_ms - self.skew[number] if action.write_by_ms > 0 else math.inf
-        one = SimulatedAttempt(self.last_attempt_id, context, self.now + timeout, write_by)
-        self.attempts[number, context[1], context[2].ref, context[3]] = one
-        self.schedule(timeout, self.on_timeout, one)
-        self.schedule(0.0, self.place, one)
-
-    def place(self, one: SimulatedAttempt) -> None:
-        """Places an attempt on a connection, as the scheduler says."""
-        number, incarnation, request, attempt, server, _ = one.context
-        if one.is_finished or not self.is_current(number, incarnation):
+        attempt = SimulatedAttempt(self.last_attempt_id, context, self.now + timeout, write_by)
+        self.attempts[number, context[1], context[2].request_id, context[3]] = attempt
+        self.schedule(timeout, self.on_timeout, attempt)
+        self.schedule(0.0, self.place, attempt)
+
+    def place(self, attempt: SimulatedAttempt) -> None:
+        """Places an attempt on the connection that the scheduler chooses, or waits or ends it."""
+        number, incarnation, request, attempt_number, server, _ = attempt.context
+        if attempt.is_finished or not self.is_current(number, incarnation):
             return
         scheduler, cls = self.schedulers[number], request.cls
-        stop = self.endpoint_stop_times[number].get(server, math.inf)
-        if self.now > min(one.write_by, stop):
-            self.finish(one, Outcome.UNREACHABLE)
+        stop_at = self.endpoint_stop_times[number].get(server, math.inf)
+        if self.now > min(attempt.write_by, stop_at):
+            self.finish(attempt, Outcome.UNREACHABLE)
             return
-        again = attempt + 1 < self.settings.max_attempts
-        placement = placement_request(
+        may_retry = attempt_number + 1 < self.settings.max_attempts
+        placement_terms = placement_request(
             cls,
             scheduler.times.mean(cls.name, server),
             self.now,
-            one.expires_at,
+            attempt.expires_at,
             request.accepted_ms,
-            request.deadline - MARGIN_MS,
-            one.write_by,
-            again,
+            request.deadline - DEADLINE_MARGIN_MS,
+            attempt.write_by,
+            may_retry,
         )
-        mine = [conn for key, conn in self.connections.items() if key[0] == number]
-        found = scheduler.place(
-            self.now, server, one.attempt_id, placement, lambda: len(mine) < MAX_CONNECTIONS, one.has_waited
+        own_connections = [conn for key, conn in self.connections.items() if key[0] == number]
+        placement = scheduler.place(
+            self.now,
+            server,
+            attempt.attempt_id,
+            placement_terms,
+            lambda: len(own_connections) < MAX_CONNECTIONS,
+            attempt.has_waited,
         )
-        if found.kind is PlacementKind.NONE:
-            self.finish(one, Outcome.UNREACHABLE)
+        if placement.kind is PlacementKind.NONE:
+            self.finish(attempt, Outcome.UNREACHABLE)
             return
-        if found.kind is PlacementKind.WAIT:
-            one.has_waited = True
-            self.schedule(found.until_ms - self.now, self.place, one)
+        if placement.kind is PlacementKind.WAIT:
+            attempt.has_waited = True
+            self.schedule(placement.until_ms - self.now, self.place, attempt)
             return
-        conn = self.connections.get((number, found.connection_id))
-        if found.kind is PlacementKind.OPEN:
-            conn = SimulatedConnection(number, incarnation, self.nodes.get(server), found.connection_id)
-            self.connections[number, found.connection_id] = conn
-            self.schedule(self.rng.uniform(1.0, 12.0), self.connected, conn)
+        conn = self.connections.get((number, placement.connection_id))
+        if placement.kind is PlacementKind.OPEN:
+            conn = SimulatedConnection(number, incarnation, self.nodes.get(server), placement.connection_id)
+            self.connections[number, placement.connection_id] = conn
+            self.schedule(self.rng.uniform(1.0, 12.0), self.on_connected, conn)
         if conn is None:
-            raise BrokenRule("lines", f"{found} names an unknown connection")
-        if found.kind is PlacementKind.JOIN:
+            raise BrokenRule("connections", f"{placement} names an unknown connection")
+        if placement.kind is PlacementKind.JOIN:
             self.joined += 1
-        one.connection = conn
-        one.command = conn.pipeline.append(one, b"x" * COMMAND_BYTES)
+        attempt.connection = conn
+        attempt.command = conn.pipeline.append(attempt, b"x" * COMMAND_BYTES)
         self.max_depth_seen = max(self.max_depth_seen, len(conn.pipeline))
         if len(conn.pipeline) > RULES.max_depth:
             raise BrokenRule("depth", f"{len(conn.pipeline)} on connection {conn.connection_id}")
         self.schedule_flush(conn)
         self.schedule_check(number)
 
-    def connected(self, conn: SimulatedConnection) -> None:
+    def on_connected(self, conn: SimulatedConnection) -> None:
         """Ends connection establishment, with success if the node is alive."""
         if conn.is_closed:
             return
@@ -278,27 +287,27 @@
             return
         scheduler = self.schedulers[conn.gateway]
         for entry in list(conn.pipeline.pending):
-            one = entry.item
-            stop = self.endpoint_stop_times[conn.gateway].get(one.context[4], math.inf)
-            if self.now > min(one.write_by, stop):
+            attempt = entry.item
+            stop_at = self.endpoint_stop_times[conn.gateway].get(attempt.context[4], math.inf)
+            if self.now > min(attempt.write_by, stop_at):
                 conn.pipeline.withdraw(entry)
-                scheduler.on_withdrawn(self.now, conn.connection_id, one.attempt_id)
-                self.finish(one, Outcome.UNREACHABLE)
+                scheduler.on_withdrawn(self.now, conn.connection_id, attempt.attempt_id)
+                self.finish(attempt, Outcome.UNREACHABLE)
         if conn.is_closed:
             return
         batch = [entry.item for entry in conn.pipeline.next_batch(self.now, 16, 1000)[0]]
         if not batch:
             return
         name = conn.node.name if conn.node is not None else ""
-        if self.rng.random() < self.stuck.get(name, 0.0):
-            go = self.rng.randrange(len(batch) + 1)
-            conn.buffered, conn.is_blocked = batch[go:], bool(batch[go:])
-            batch = batch[:go]
+        if self.rng.random() < self.stuck_write_rates.get(name, 0.0):
+            sent_count = self.rng.randrange(len(batch) + 1)
+            batch, conn.buffered = batch[:sent_count], batch[sent_count:]
+            conn.is_blocked = bool(conn.buffered)
             self.schedule(self.rng.uniform(5.0, 700.0), self.unblock, conn)
-            limits = [entry.item.write_by for entry in conn.pipeline.in_flight]
-            end = min(*limits, self.endpoint_stop_times[conn.gateway].get(name, math.inf))
-            if end < math.inf:
-                self.schedule(end - 1.0 - self.now, self.still_stuck, conn)
+            write_by = [entry.item.write_by for entry in conn.pipeline.in_flight]
+            abort_at = min(*write_by, self.endpoint_stop_times[conn.gateway].get(name, math.inf))
+            if abort_at < math.inf:
+                self.schedule(abort_at - 1.0 - self.now, self.abort_if_blocked, conn)
         self.send_batch(conn, batch)
 
     def unblock(self, conn: SimulatedConnection) -> None:
@@ -311,89 +320,104 @@
     def send_batch(self, conn: SimulatedConnection, batch: list[SimulatedAttempt]) -> None:
         """Sends commands after checking that the rules allow it."""
         conn.pipeline.update_sent(COMMAND_BYTES * len(conn.buffered))
-        for one in batch:
-            number, _, request, attempt, server, _ = one.context
-            stop = self.endpoint_stop_times[number].get(server)
-            if stop is not None and self.now > stop:
+        for attempt in batch:
+            number, _, request, attempt_number, server, _ = attempt.context
+            stop_at = self.endpoint_stop_times[number].get(server)
+            if stop_at is not None and self.now > stop_at:
+                raise BrokenRule(
+                    "drains", f"{request.request_id} was sent to {server} {self.now - stop_at:.0f} ms late"
+                )
+            if attempt_number not in request.in_flight:
                 raise BrokenRule(
-                    "drains", f"{request.ref} was sent to {server} {self.now - stop:.0f} ms late"
+                    "one outcome", f"attempt {attempt_number} of {request.request_id} was sent after its end"
                 )
-            if attempt not in request.in_flight:
-                raise BrokenRule("one ending", f"attempt {attempt} of {request.ref} was sent after its end")
             keyed = request.cls.idempotency is Idempotency.WITH_KEY and request.first_sent_ms is not None
             if (
                 keyed
                 and request.may_have_run
                 and self.now - request.first_sent_ms > request.cls.idempotency_window_ms
             ):
-                raise BrokenRule("nothing twice", f"{request.ref} was sent again after its key had expired")
+                raise BrokenRule(
+                    "nothing twice", f"{request.request_id} was sent again after its key had expired"
+                )
             if request.cls.idempotency is Idempotency.NON_IDEMPOTENT and conn.sent:
                 raise BrokenRule(
-                    "sharing", f"non-idempotent {request.ref} was sent behind {conn.sent[0].context[2].ref}"
+                    "sharing",
+                    f"non-idempotent {request.request_id} was sent "
+                    f"behind {conn.sent[0].context[2].request_id}",
                 )
-            conn.sent.append(one)
-            one.was_sent = True
-            self.schedule(NET_MS, self.arrive_at_node, conn, one)
+            conn.sent.append(attempt)
+            attempt.was_sent = True
+            self.schedule(NET_MS, self.arrive_at_node, conn, attempt)
 
-    def arrive_at_node(self, conn: SimulatedConnection, one: SimulatedAttempt) -> None:
+    def arrive_at_node(self, conn: SimulatedConnection, attempt: SimulatedAttempt) -> None:
         """Handles a command that arrives at the node, even if the gateway has closed the connection."""
-        if one.is_unsent:
-            raise BrokenRule("nothing twice", f"{one.context[2].ref} was reported as never sent, and arrived")
+        if attempt.is_unsent:
+            raise BrokenRule(
+                "nothing twice", f"{attempt.context[2].request_id} was reported as never sent, and arrived"
+            )
         if conn.node is None or not conn.node.alive or conn.node.started_ms != conn.started_ms:
             self.schedule(NET_MS, self.on_reset, conn)
             return
-        one.arrived_at = self.now
-        self.arrive(conn.node, one.context)
+        attempt.arrived_at = self.now
+        self.arrive(conn.node, attempt.context)
 
     # --- replies -----------------------------------------------------------------------------------------
 
     def on_attempt_ended(
-        self, number: int, incarnation: int, request: Any, attempt: int, server: str, began: float,
-        ending: Outcome,
+        self, number: int, incarnation: int, request: Any, attempt_number: int, server: str, began: float,
+        outcome: Outcome,
     ) -> None:  # fmt: skip
-        """Handles a node's reply, which reaches the gateway after all earlier ones on the connection."""
-        one = self.attempts.get((number, incarnation, request.ref, attempt))
-        conn = one.connection if one is not None else None
-        if one is None or one.is_finished or conn is None or conn.is_closed:
+        """Handles a node's reply, which the gateway gets after all earlier ones on the connection."""
+        attempt = self.attempts.get((number, incarnation, request.request_id, attempt_number))
+        conn = attempt.connection if attempt is not None else None
+        if attempt is None or attempt.is_finished or conn is None or conn.is_closed:
             return
-        if ending in (Outcome.RESET, Outcome.UNREACHABLE):
+        if outcome in (Outcome.RESET, Outcome.UNREACHABLE):
             self.on_reset(conn)
             return
-        conn.replies[one.attempt_id] = ending
+        conn.replies[attempt.attempt_id] = outcome
         while not conn.is_closed and conn.sent and conn.sent[0].attempt_id in conn.replies:
             first = conn.sent.popleft()
-            self.reply(conn, first, conn.replies.pop(first.attempt_id))
+            self.on_reply(conn, first, conn.replies.pop(first.attempt_id))
         name = conn.node.name if conn.node is not None else ""
-        # A surplus reply is sent only if the node had no other command of this connection when it replied.
-        unseen = all(other.arrived_at > self.now - NET_MS for other in conn.sent)
-        if not conn.is_closed and unseen and self.rng.random() < self.extra.get(name, 0.0):
-            self.schedule(self.rng.uniform(0.0, NET_MS), self.surplus, conn)
-
-    def reply(self, conn: SimulatedConnection, whose: SimulatedAttempt, ending: Outcome) -> None:
+        # The node sends a surplus reply only if it had no other command of this connection when it replied.
+        has_no_command = all(other.arrived_at > self.now - NET_MS for other in conn.sent)
+        if (
+            not conn.is_closed
+            and has_no_command
+            and self.rng.random() < self.surplus_reply_rates.get(name, 0.0)
+        ):
+            self.schedule(self.rng.uniform(0.0, NET_MS), self.on_surplus_reply, conn)
+
+    def on_reply(self, conn: SimulatedConnection, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Handles a reply at the gateway."""
         found = conn.pipeline.match_reply(self.now)
         if found is None:
-            raise BrokenRule("pairing", f"the reply for {whose.context[2].ref} was taken for a surplus one")
-        entry, trusted = found
-        if entry.item is not whose:
             raise BrokenRule(
-                "pairing", f"{entry.item.context[2].ref} got the reply for {whose.context[2].ref}"
+                "pairing", f"the reply for {attempt.context[2].request_id} was taken for a surplus one"
+            )
+        entry, is_trusted = found
+        if entry.item is not attempt:
+            raise BrokenRule(
+                "pairing",
+                f"{entry.item.context[2].request_id} got the reply for {attempt.context[2].request_id}",
             )
-        self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, ending is Outcome.OK)
-        if not trusted:
+        self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, outcome is Outcome.OK)
+        if not is_trusted:
             self.close(conn, None, Outcome.RESET)
-            ending = Outcome.ERROR
-        self.finish(whose, ending)
+            outcome = Outcome.ERROR
+        self.finish(attempt, outcome)
         self.schedule_check(conn.gateway)
 
-    def surplus(self, conn: SimulatedConnection) -> None:
+    def on_surplus_reply(self, conn: SimulatedConnection) -> None:
         """Handles a surplus reply at the gateway."""
         if conn.is_closed or not self.is_current(conn.gateway, conn.incarnation):
             return
         found = conn.pipeline.match_reply(self.now)
         if found is not None and found.is_trusted:
             raise BrokenRule(
-                "one answer", f"{found.command.item.context[2].ref} was served with a surplus reply"
+                "one answer", f"{found.command.item.context[2].request_id} was served with a surplus reply"
             )
         if found is not None:
             self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, False)
@@ -403,19 +427,22 @@
 
     # --- endings -----------------------------------------------------------------------------------------
 
-    def on_timeout(self, one: SimulatedAttempt) -> None:
+    def on_timeout(self, attempt: SimulatedAttempt) -> None:
         """Ends an attempt that has timed out, and closes its connection if the command was written."""
-        if one.is_finished or not self.is_current(one.context[0], one.context[1]):
+        if attempt.is_finished or not self.is_current(attempt.context[0], attempt.context[1]):
             return
-        conn, entry = one.connection, one.command
+        conn, entry = attempt.connection, attempt.command
         if conn is None or entry is None:
-            self.finish(one, Outcome.UNREACHABLE)
+            self.finish(attempt, Outcome.UNREACHABLE)
         elif conn.pipeline.withdraw(entry):
-            self.schedulers[conn.gateway].on_withdrawn(self.now, conn.connection_id, one.attempt_id)
-            self.finish(one, Outcome.UNREACHABLE)
+            self.schedulers[conn.gateway].on_withdrawn(self.now, conn.connection_id, attempt.attempt_id)
+            self.finish(attempt, Outcome.UNREACHABLE)
         else:
             if conn.pipeline.in_flight[0] is not entry:
-                raise BrokenRule("hold-back", f"{one.context[2].ref} was aborted behind another command")
+                raise BrokenRule(
+                    "head-of-line blocking",
+                    f"{attempt.context[2].request_id} was aborted behind another command",
+                )
             self.close(conn, entry, Outcome.TIMEOUT)
 
     def on_reset(self, conn: SimulatedConnection) -> None:
@@ -426,33 +453,36 @@
             self.close(conn, None, Outcome.RESET)
 
     def close(
-        self, conn: SimulatedConnection, cause: PipelinedCommand[SimulatedAttempt] | None, ending: Outcome
+        self, conn: SimulatedConnection, cause: PipelinedCommand[SimulatedAttempt] | None, outcome: Outcome
     ) -> None:
         """Closes a connection and ends each attempt on it."""
         if conn.is_closed:
             return
         conn.is_closed = True
         self.connections.pop((conn.gateway, conn.connection_id), None)
-        rows = conn.pipeline.close(cause, ending)
+        rows = conn.pipeline.close(cause, outcome)
         self.aborted_shared += len(rows) > 1
         self.schedulers[conn.gateway].on_closed(conn.connection_id, bool(rows))
-        for one, how in rows:
-            one.is_unsent = how is Outcome.UNREACHABLE
-            self.finish(one, how)
+        for attempt, attempt_outcome in rows:
+            attempt.is_unsent = attempt_outcome is Outcome.UNREACHABLE
+            self.finish(attempt, attempt_outcome)
 
-    def finish(self, one: SimulatedAttempt, ending: Outcome) -> None:
+    def finish(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Ends an attempt, which must not have ended before."""
-        if one.is_finished:
-            raise BrokenRule("one ending", f"{one.context[2].ref} has two outcomes, the second {ending}")
-        if one.was_sent and ending is Outcome.UNREACHABLE:
+        if attempt.is_finished:
+            raise BrokenRule(
+                "one outcome", f"{attempt.context[2].request_id} has two outcomes, the second {outcome}"
+            )
+        if attempt.was_sent and outcome is Outcome.UNREACHABLE:
             raise BrokenRule(
-                "nothing twice", f"{one.context[2].ref} was reported as never sent, and had been sent"
+                "nothing twice",
+                f"{attempt.context[2].request_id} was reported as never sent, and had been sent",
             )
-        one.is_finished = True
-        number, incarnation, request, attempt = one.context[:4]
-        self.attempts.pop((number, incarnation, request.ref, attempt), None)
+        attempt.is_finished = True
+        number, incarnation, request, attempt_number = attempt.context[:4]
+        self.attempts.pop((number, incarnation, request.request_id, attempt_number), None)
         super().on_attempt_ended(
-            number, incarnation, request, attempt, one.context[4], one.context[5], ending
+            number, incarnation, request, attempt_number, attempt.context[4], attempt.context[5], outcome
         )
 
     def schedule_check(self, number: int) -> None:
--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -637,23 +637,23 @@
         self, account: Account, units: float, gateway: int, retry_draw: float, rejection_count: int
     ) -> None:
         """Sends a request to a gateway."""
-        ref = str(next(self.serial))
+        request_id = str(next(self.serial))
         incarnation = self.incarnation[gateway]
         deadline = self.now + 4000.0
         cls = self.settings.classes[0]
-        self.open_requests[ref] = SimulatedRequest(
-            ref, gateway, incarnation, cls, account.plan.name, deadline, ref, units=units
+        self.open_requests[request_id] = SimulatedRequest(
+            request_id, gateway, incarnation, cls, account.plan.name, deadline, request_id, units=units
         )
-        self.request_details[ref] = account, retry_draw, rejection_count
+        self.request_details[request_id] = account, retry_draw, rejection_count
         self.ledger.requests += self.now >= self.ledger.count_from_ms
         spread = len(account.gateways)
-        event = Request(ref, "read", account.plan.name, account.key, 4000.0, units, spread)
+        event = Request(request_id, "read", account.plan.name, account.key, 4000.0, units, spread)
         self.feed(gateway, incarnation, event)
 
     def send(self, number: int, incarnation: int, action: StartAttempt) -> None:
         request = self.open_requests[action.request_id]
-        account = self.request_details[request.ref][0]
-        if request.attempts == 0:
+        account = self.request_details[request.request_id][0]
+        if request.attempt_count == 0:
             within_quota = self.ledger.record_admission(self.now, account, request.units)
             if not within_quota and "owed" in self.exact:
                 bucket = self.counter_bucket(account.key)
@@ -667,16 +667,16 @@
     def on_attempt_ended(self, *context: Any) -> None:
         request, attempt = context[2], context[3]
         if attempt in request.in_flight:
-            self.ledger.attempts_in_flight[self.request_details[request.ref][0].key] -= 1
+            self.ledger.attempts_in_flight[self.request_details[request.request_id][0].key] -= 1
         super().on_attempt_ended(*context)
 
     def perform(self, number: int, incarnation: int, action: Action) -> None:
         if isinstance(action, Reject):
             request = self.open_requests[action.request_id]
-            account, retry_draw, rejection_count = self.request_details[request.ref]
+            account, retry_draw, rejection_count = self.request_details[request.request_id]
             rejection_cause = self.engines[number].quota.rejection_cause
             quota_cause = rejection_cause.value if rejection_cause else ""
-            cause = quota_cause if not request.attempts else "no attempt"
+            cause = quota_cause if not request.attempt_count else "no attempt"
             self.ledger.record_rejection(self.now, account, request.units, cause)
             if rejection_count < 2 and retry_draw < self.retry_fraction:
                 honours_retry_after = retry_draw < 0.6 * self.retry_fraction
--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -68,16 +68,16 @@
         self.served_in_tail: Counter[tuple[int, str, str]] = Counter()
         super().__init__(seed, shape.gateways, shape.nodes, make)
 
-    def record_answer(self, request: SimulatedRequest, how: str) -> None:
-        if (row := self.tail_requests.pop(request.ref, None)) is not None and how == "Served":
+    def record_answer(self, request: SimulatedRequest, kind: str) -> None:
+        if (row := self.tail_requests.pop(request.request_id, None)) is not None and kind == "Served":
             self.served_in_tail[row] += 1
-        super().record_answer(request, how)
+        super().record_answer(request, kind)
 
     def on_request_accepted(self, request: SimulatedRequest) -> None:
-        row = (request.number, request.cls.name, request.plan)
+        row = (request.gateway, request.cls.name, request.plan)
         if self.is_counting:
             self.requests_in_tail[row] += 1
-            self.tail_requests[request.ref] = row
+            self.tail_requests[request.request_id] = row
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
         """Starts a fault that the swarm's sites do not have."""
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -1,8 +1,8 @@
-"""Simulates a site: gateways with real decision engines, nodes, counter, discovery, clients and network.
+"""Simulates a site: gateways with real decision engines, servers, counter, discovery, clients and network.
 
 One scheduler owns the time and the random numbers, and orders events of the same time at random, so that a
-seed determines a run. The site records what ran, which endpoint lists each gateway got and which requests
-were answered. It raises `BrokenRule` at the step at which a rule is broken, from these records alone.
+seed determines a run. The site records which commands ran, which endpoint lists each gateway got and which
+requests were answered. It raises `BrokenRule` at the step at which a rule is broken, by these records alone.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import heapq
 import itertools
 import random
-from collections import deque
+from collections import Counter, deque
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 from typing import Any
@@ -34,11 +34,11 @@
 from lab.counter import Parts
 
 MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
-GRACE_MS = 250.0
-MARGIN_MS = 10.0  # attempts end this long before the client's deadline
-NET_MS = 1.0
+DRAIN_GRACE_MS = 250.0  # time after a drain is announced in which attempts may still be sent to the node
+DEADLINE_MARGIN_MS = 10.0  # attempts end this long before the client's deadline
+NET_MS = 1.0  # one-way network delay
 SERVICE_MS = 25.0  # mean service time of a warm node
-COUNT_TIMEOUT_MS = 50.0
+COUNTER_TIMEOUT_MS = 50.0
 
 SETTINGS = Settings(
     zone="a",
@@ -68,9 +68,9 @@
     max_attempts=4,
     max_retry_after_ms=1000.0,
     has_counter=True,
-    counter_timeout_ms=COUNT_TIMEOUT_MS,
+    counter_timeout_ms=COUNTER_TIMEOUT_MS,
 )
-DEADLINES = {"read": 2000.0, "order": 3000.0, "bid": 3000.0, "charge": 3000.0}
+DEADLINES_MS = {"read": 2000.0, "order": 3000.0, "bid": 3000.0, "charge": 3000.0}
 
 
 class BrokenRule(AssertionError):  # noqa: N818
@@ -83,7 +83,7 @@
 
 @dataclass
 class Node:
-    """A node with a few slots and a bounded queue."""
+    """A server that runs a few commands concurrently and has a bounded queue."""
 
     name: str
     zone: str
@@ -94,9 +94,9 @@
     errors: float = 0.0  # fraction of commands that fail after they ran
     resets: float = 0.0  # fraction of commands whose connection is reset after they ran
     slow: float = 1.0  # factor of the service time
-    slots: int = 6
-    limit: int = 30
-    busy: int = 0
+    slots: int = 6  # commands that can run concurrently
+    limit: int = 30  # running and queued commands at most
+    busy: int = 0  # running commands
     queue: list[Callable[[], None]] = field(default_factory=list)
     arrivals: deque[float] = field(
         default_factory=deque
@@ -107,20 +107,20 @@
 class SimulatedRequest:
     """A request as the site records it."""
 
-    ref: str
-    number: int  # number of the gateway
+    request_id: str
+    gateway: int
     incarnation: int
     cls: RequestClass
     plan: str
     deadline: float
     key: str
-    answers: int = 0
-    attempts: int = 0
-    in_flight: set[int] = field(default_factory=set)
-    wait_until: dict[int, float] = field(default_factory=dict)  # end of the gateway's wait, by attempt
+    answer_count: int = 0
+    attempt_count: int = 0
+    in_flight: set[int] = field(default_factory=set)  # attempts
+    times_out_at: dict[int, float] = field(default_factory=dict)  # by attempt
     sent_zone: str | None = None  # zone of the first attempt that may have run
     first_sent_ms: float | None = None  # when the bytes of that attempt were sent
-    ran: int = 0
+    run_count: int = 0
     may_have_run: bool = False
     units: float = 1.0
     accepted_ms: float = 0.0
@@ -128,7 +128,10 @@
 
 
 class World:
-    """One run. `make` builds a decision engine; `watch` is called with each event and its actions."""
+    """One run of a site.
+
+    `make` builds the decision engine of a gateway; `watch` is called with each event and its actions.
+    """
 
     def __init__(
         self,
@@ -143,7 +146,7 @@
         self.make, self.watch = make, watch
         self.settings = replace(settings, gateway_count=gateways)
         self.now = 1_700_000_000_000.0
-        self.began = self.now
+        self.began = self.now  # start of the run
         self.order = itertools.count()
         self.event_queue: list[tuple[float, float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.nodes = {f"s{i}": Node(f"s{i}", "ab"[i % 2]) for i in range(nodes)}
@@ -155,8 +158,9 @@
         self.engines: list[Any] = [None] * gateways
         self.endpoint_stop_times: list[dict[str, float]] = [
             {} for _ in range(gateways)
-        ]  # by server: when sending stops
+        ]  # by gateway and drained server: time after which nothing may be sent to it
         self.unrouted_gateways: set[int] = set()  # gateways that get no requests
+        # Events of paused gateways; True marks a gateway's own timers.
         self.deferred_events: dict[int, list[tuple[bool, Callable[..., None], tuple[Any, ...]]]] = {}
         self.open_requests: dict[str, SimulatedRequest] = {}
         self.zone_by_node: dict[str, str] = {}  # of all nodes, also removed ones
@@ -164,8 +168,9 @@
         self.sent: list[
             tuple[float, str, str, float]
         ] = []  # time, customer, plan and units of each first attempt
-        self.last_run_by_key: dict[tuple[str, str], float] = {}  # by group and key
-        self.unreachable_attempts: list[tuple[float, str]] = []  # time and server of each
+        # When a command last ran, by the group of servers that share an idempotency key, and key.
+        self.last_run_by_key: dict[tuple[str, str], float] = {}
+        self.unreachable_attempts: list[tuple[float, str]] = []  # time and server
         self.steps = self.checks = self.restarts = 0
         for number in range(gateways):
             self.start_gateway(number)
@@ -173,12 +178,12 @@
     # --- scheduler -----------------------------------------------------------------------------------
 
     def schedule(self, delay_ms: float, call: Callable[..., None], *args: Any) -> None:
-        """Schedules a call; calls of the same time are run in random order."""
+        """Schedules a call after a delay; calls of the same time run in random order."""
         row = (self.now + max(0.0, delay_ms), self.rng.random(), next(self.order), call, args)
         heapq.heappush(self.event_queue, row)
 
     def run(self, ms: float) -> None:
-        """Runs the simulation for a time, and checks the records at regular steps and at the end."""
+        """Runs the simulation for `ms`, and checks the records every 64 steps and at the end."""
         end = self.now + ms
         while self.event_queue and self.event_queue[0][0] <= end:
             when, _, _, call, args = heapq.heappop(self.event_queue)
@@ -193,7 +198,7 @@
     # --- gateways ----------------------------------------------------------------------------------------
 
     def start_gateway(self, number: int) -> None:
-        """Starts a gateway without state, with the current endpoint list."""
+        """Starts a gateway without state, with the current endpoint list as its cached one."""
         self.incarnation[number] += 1
         self.alive[number] = True
         self.endpoint_stop_times[number] = {}
@@ -202,16 +207,17 @@
             number, self.incarnation[number], EndpointListKind.CACHED, list(self.nodes.values())
         )
 
-    def kill_gateway(self, number: int, back_ms: float) -> None:
-        """Kills a gateway, which loses its state, and restarts it after `back_ms`."""
+    def kill_gateway(self, number: int, down_ms: float) -> None:
+        """Kills a gateway, which loses its state, and restarts it after `down_ms`."""
         if not self.alive[number]:
             return
         self.alive[number] = False
         self.deferred_events.pop(number, None)
         self.restarts += 1
-        for ref in [r for r, request in self.open_requests.items() if request.number == number]:
-            del self.open_requests[ref]  # no answer is checked: the clients retry on their own
-        self.schedule(back_ms, self.start_gateway, number)
+        lost = [key for key, request in self.open_requests.items() if request.gateway == number]
+        for request_id in lost:
+            del self.open_requests[request_id]  # the rules do not require an answer to them
+        self.schedule(down_ms, self.start_gateway, number)
 
     def deliver_endpoints(
         self, number: int, incarnation: int, kind: EndpointListKind, nodes: list[Node]
@@ -226,33 +232,33 @@
             if node.state is EndpointState.ACTIVE:
                 self.endpoint_stop_times[number].pop(node.name, None)
             else:
-                self.endpoint_stop_times[number].setdefault(node.name, self.now + GRACE_MS)
+                self.endpoint_stop_times[number].setdefault(node.name, self.now + DRAIN_GRACE_MS)
         self.feed(number, incarnation, EndpointList(kind, tuple(entries)))
 
     def pause_gateway(self, number: int, ms: float) -> None:
-        """Stops a gateway's process for a time.
+        """Pauses a gateway's process for a time.
 
-        Its events wait. On resumption its own timers are first, as in an event loop, and the deadlines of its
-        requests count from when it reads them.
+        Its events wait. On resumption its own timers run first, as in an event loop. The deadlines of its
+        requests are extended by the pause, as the gateway counts them from when it reads a request.
         """
         if self.alive[number] and number not in self.deferred_events:
             self.deferred_events[number] = []
             self.schedule(ms, self.resume_gateway, number, ms)
 
     def resume_gateway(self, number: int, ms: float) -> None:
-        """Resumes a stopped process, unless it has died."""
-        waited = self.deferred_events.pop(number, [])
+        """Resumes a paused process, unless it has been killed."""
+        deferred = self.deferred_events.pop(number, [])
         for request in self.open_requests.values():
-            if request.number == number:
+            if request.gateway == number:
                 request.deadline += ms
-        for _, call, args in sorted(waited, key=lambda row: not row[0]):
+        for _, call, args in sorted(deferred, key=lambda row: not row[0]):
             call(*args)
 
-    def defer_if_stopped(self, number: int, own: bool, call: Callable[..., None], *args: Any) -> bool:
-        """Defers a call if the process is stopped; returns whether it did. `own` marks its timers."""
-        if (waiting := self.deferred_events.get(number)) is None:
+    def defer_if_paused(self, number: int, own: bool, call: Callable[..., None], *args: Any) -> bool:
+        """Defers a call if the gateway is paused; returns whether it did. `own` marks its own timers."""
+        if (deferred := self.deferred_events.get(number)) is None:
             return False
-        waiting.append((own, call, args))
+        deferred.append((own, call, args))
         return True
 
     def is_current(self, number: int, incarnation: int) -> bool:
@@ -264,7 +270,7 @@
         own = isinstance(event, TimerFired)
         if not self.is_current(number, incarnation):
             return
-        if self.defer_if_stopped(number, own, self.feed, number, incarnation, event):
+        if self.defer_if_paused(number, own, self.feed, number, incarnation, event):
             return
         now = self.now + self.skew[number]
         actions = self.engines[number].handle(now, event)
@@ -292,23 +298,25 @@
 
     def call_counter(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """Applies a call at the counter and schedules its reply."""
-        told = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
-        if told is None or told[1] + 2 * NET_MS > COUNT_TIMEOUT_MS:
-            reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNT_TIMEOUT_MS)
-            self.schedule(began + COUNT_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
+        result = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+        if result is None or result[1] + 2 * NET_MS > COUNTER_TIMEOUT_MS:
+            reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNTER_TIMEOUT_MS)
+            self.schedule(began + COUNTER_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
         else:
-            took = told[1] + 2 * NET_MS
-            reply = CounterReply(call.key, float(f"{told[0]:.7g}"), Outcome.OK, took)
-            self.schedule(told[1] + NET_MS, self.feed, number, incarnation, reply)
-
-    def record_answer(self, request: SimulatedRequest, how: str) -> None:
-        """Records the final answer of a request; `how` is the kind of the answer."""
-        request.answers += 1
-        if request.answers > 1:
-            raise BrokenRule("one answer", f"{request.ref} has {request.answers} answers")
+            total, delay_ms = result
+            reply = CounterReply(call.key, float(f"{total:.7g}"), Outcome.OK, delay_ms + 2 * NET_MS)
+            self.schedule(delay_ms + NET_MS, self.feed, number, incarnation, reply)
+
+    def record_answer(self, request: SimulatedRequest, kind: str) -> None:
+        """Records the final answer to a request: "Served", "Reject" or "Fail"."""
+        request.answer_count += 1
+        if request.answer_count > 1:
+            raise BrokenRule("one answer", f"{request.request_id} has {request.answer_count} answers")
         if self.now > request.deadline + 1.0:
-            raise BrokenRule("one answer", f"{request.ref}: {self.now - request.deadline:.0f} ms late")
-        del self.open_requests[request.ref]
+            raise BrokenRule(
+                "one answer", f"{request.request_id} was answered {self.now - request.deadline:.0f} ms late"
+            )
+        del self.open_requests[request.request_id]
 
     # --- attempts ----------------------------------------------------------------------------------------
 
@@ -317,20 +325,23 @@
         request = self.open_requests.get(action.request_id)
         if request is None:
             raise BrokenRule("one answer", f"{action} for a finished request")
-        attempt = request.attempts
-        request.attempts += 1
+        attempt = request.attempt_count
+        request.attempt_count += 1
         if request.in_flight:
             raise BrokenRule(
-                "no overlap", f"attempt {attempt} of {request.ref} beside {sorted(request.in_flight)}"
+                "no overlap",
+                f"attempt {attempt} of {request.request_id} overlaps {sorted(request.in_flight)}",
             )
         if attempt >= self.settings.max_attempts:
-            raise BrokenRule("attempts", f"attempt {attempt} of {request.ref}")
+            raise BrokenRule("attempts", f"attempt {attempt} of {request.request_id} exceeds the limit")
         stop = self.endpoint_stop_times[number].get(action.address)
         if stop is not None and self.now > stop:
-            raise BrokenRule("drains", f"{request.ref} to {action.address}, {self.now - stop:.0f} ms late")
+            raise BrokenRule(
+                "drains", f"{request.request_id} was sent to {action.address} {self.now - stop:.0f} ms late"
+            )
         if request.may_have_run and request.cls.idempotency is Idempotency.NON_IDEMPOTENT:
             raise BrokenRule(
-                "nothing twice", f"non-idempotent {request.ref} was sent again after it may have run"
+                "nothing twice", f"non-idempotent {request.request_id} was sent again after it may have run"
             )
         node = self.nodes.get(action.address)
         if request.may_have_run and request.cls.idempotency is Idempotency.WITH_KEY:
@@ -338,19 +349,21 @@
                 request.first_sent_ms is not None
                 and self.now - request.first_sent_ms > request.cls.idempotency_window_ms
             ):
-                raise BrokenRule("nothing twice", f"{request.ref} was sent again after its key had expired")
+                raise BrokenRule(
+                    "nothing twice", f"{request.request_id} was sent again after its key had expired"
+                )
             if (
                 request.cls.idempotency_scope is IdempotencyScope.ZONE
                 and node is not None
                 and node.zone != request.sent_zone
             ):
-                raise BrokenRule("nothing twice", f"{request.ref} was sent again in another zone")
+                raise BrokenRule("nothing twice", f"{request.request_id} was sent again in another zone")
         if attempt == 0:
             self.sent.append((self.now, f"c-{request.plan}", request.plan, request.units))
         request.in_flight.add(attempt)
-        left = request.deadline - MARGIN_MS - self.now
+        left = request.deadline - DEADLINE_MARGIN_MS - self.now
         timeout = min(action.timeout_ms or left, left)
-        request.wait_until[attempt] = self.now + max(0.0, timeout)
+        request.times_out_at[attempt] = self.now + max(0.0, timeout)
         context = (number, incarnation, request, attempt, action.address, self.now)
         self.dispatch(node, context, max(0.0, timeout), action)
 
@@ -375,12 +388,12 @@
         if node.busy + len(node.queue) >= node.limit:
             self.schedule(
                 NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED
-            )  # it did not run, so retries are not bound to its zone
+            )  # the command did not run, so retries may go to other zones
             return
         if attempt in request.in_flight and request.first_sent_ms is None:
             request.first_sent_ms, request.sent_zone = context[5], node.zone
-        came = self.now
-        node.queue.append(lambda: self.serve(node, context, came))
+        arrived_at = self.now
+        node.queue.append(lambda: self.serve(node, context, arrived_at))
         self.start_queued(node)
 
     def check_cold(self, node: Node) -> None:
@@ -394,9 +407,9 @@
         while node.arrivals[0] < self.now - safety.overload_window_ms:
             node.arrivals.popleft()
         age = self.now - node.started_ms
-        mean = 0.5 * (self.warmth(node) + self.warmth(node, safety.overload_window_ms))
-        able = node.slots / SERVICE_MS * mean * safety.overload_window_ms
-        if age >= safety.overload_window_ms and len(node.arrivals) > safety.overload_factor * able:
+        mean_warmth = 0.5 * (self.warmth(node) + self.warmth(node, safety.overload_window_ms))
+        capacity = node.slots / SERVICE_MS * mean_warmth * safety.overload_window_ms
+        if age >= safety.overload_window_ms and len(node.arrivals) > safety.overload_factor * capacity:
             raise BrokenRule(
                 "cold servers", f"{len(node.arrivals)} commands sent to {node.name}, {age:.0f} ms old"
             )
@@ -413,28 +426,32 @@
             node.busy += 1
             node.queue.pop(0)()
 
-    def serve(self, node: Node, context: tuple[Any, ...], came: float) -> None:
+    def serve(self, node: Node, context: tuple[Any, ...], arrived_at: float) -> None:
         """Runs a command.
 
-        Whether its idempotency key has expired depends on `came`, when it arrived: the rule is about when a
-        retry is sent, however long it waits in the queue.
+        Whether its idempotency key has expired depends on when it arrived: the rule is about when a retry is
+        sent, however long it waits in the queue.
         """
         request = context[2]
-        if self.now > request.wait_until.get(
+        if self.now > request.times_out_at.get(
             context[3], request.deadline
-        ):  # its deadline `d` has passed: it is not run
+        ):  # the deadline in the command has passed, so the node does not run it
             node.busy -= 1
             self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
             return
         group = "all" if request.cls.idempotency_scope is IdempotencyScope.ALL else node.zone
         if request.cls.idempotency is not Idempotency.WITH_KEY:
-            request.ran += 1
-        elif came - self.last_run_by_key.get((group, request.key), -1e12) > request.cls.idempotency_window_ms:
+            request.run_count += 1
+        elif (
+            arrived_at - self.last_run_by_key.get((group, request.key), -1e12)
+            > request.cls.idempotency_window_ms
+        ):
             self.last_run_by_key[group, request.key] = self.now
-            request.ran += 1
-        if request.cls.idempotency is not Idempotency.IDEMPOTENT and request.ran > 1:
+            request.run_count += 1
+        if request.cls.idempotency is not Idempotency.IDEMPOTENT and request.run_count > 1:
             raise BrokenRule(
-                "nothing twice", f"{request.ref} of class {request.cls.name} ran {request.ran} times"
+                "nothing twice",
+                f"{request.request_id} of class {request.cls.name} ran {request.run_count} times",
             )
         self.schedule(
             self.draw_service_ms(request) * node.slow / self.warmth(node),
@@ -448,44 +465,45 @@
         """Draws the time that a command takes in a slot of a warm node, in ms."""
         return self.rng.expovariate(1.0 / SERVICE_MS)
 
-    def finish_command(self, node: Node, context: tuple[Any, ...], luck: float) -> None:
-        """Ends a command and schedules its outcome at the gateway."""
+    def finish_command(self, node: Node, context: tuple[Any, ...], fault_draw: float) -> None:
+        """Ends a command and schedules its outcome at the gateway; `fault_draw` is random in [0, 1)."""
         node.busy -= 1
         if node.alive and not node.hung:
-            ending = Outcome.OK
-            if luck < node.errors:
-                ending = Outcome.ERROR
-            elif luck < node.errors + node.resets:
-                ending = Outcome.RESET
-            self.schedule(NET_MS, self.on_attempt_ended, *context, ending)
+            outcome = Outcome.OK
+            if fault_draw < node.errors:
+                outcome = Outcome.ERROR
+            elif fault_draw < node.errors + node.resets:
+                outcome = Outcome.RESET
+            self.schedule(NET_MS, self.on_attempt_ended, *context, outcome)
         self.start_queued(node)
 
     def on_attempt_ended(
         self, number: int, incarnation: int, request: SimulatedRequest, attempt: int, server: str,
-        began: float, ending: Outcome,
+        began: float, outcome: Outcome,
     ) -> None:  # fmt: skip
         """Passes the end of an attempt to the gateway; later ends of the same attempt are ignored."""
-        own = ending is Outcome.TIMEOUT
-        context = (number, incarnation, request, attempt, server, began, ending)
-        if self.defer_if_stopped(number, own, self.on_attempt_ended, *context):
+        own = outcome is Outcome.TIMEOUT
+        context = (number, incarnation, request, attempt, server, began, outcome)
+        if self.defer_if_paused(number, own, self.on_attempt_ended, *context):
             return
         if attempt not in request.in_flight or not self.is_current(number, incarnation):
             return
         request.in_flight.discard(attempt)
-        if ending in MAY_HAVE_RUN:
+        if outcome in MAY_HAVE_RUN:
             request.may_have_run = True
             if request.first_sent_ms is None:
                 request.first_sent_ms, request.sent_zone = began, self.zone_by_node.get(server)
-        final = ending is Outcome.OK and request.ref in self.open_requests
-        if final:
+        is_served = outcome is Outcome.OK and request.request_id in self.open_requests
+        if is_served:
             self.record_answer(request, "Served")
-        done = request.ref not in self.open_requests
+        is_answered = request.request_id not in self.open_requests
         node = self.nodes.get(server)
-        told = node is not None and ending in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
-        held = float(node.busy + len(node.queue)) if node is not None and told else None
+        has_reply = outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
+        active_requests = float(node.busy + len(node.queue)) if node is not None and has_reply else None
         event = AttemptEnded(
-            request.ref, attempt, server, ending, self.now - began, done, active_requests=held
-        )
+            request.request_id, attempt, server, outcome, self.now - began, is_answered,
+            active_requests=active_requests,
+        )  # fmt: skip
         self.feed(number, incarnation, event)
 
     # --- clients -----------------------------------------------------------------------------------------
@@ -503,30 +521,30 @@
             return
         number = self.rng.choice(available) if gateway is None else gateway
         kind = next(c for c in self.settings.classes if c.name == cls)
-        ref = str(next(self.serial))
-        deadline = self.now + DEADLINES[cls] * self.rng.choice((0.1, 0.5, 1.0, 1.0))
+        request_id = str(next(self.serial))
+        deadline = self.now + DEADLINES_MS[cls] * self.rng.choice((0.1, 0.5, 1.0, 1.0))
         request = SimulatedRequest(
-            ref, number, self.incarnation[number], kind, plan, deadline, ref, 0, 0, units=units
+            request_id, number, self.incarnation[number], kind, plan, deadline, request_id, 0, 0, units=units
         )
         request.accepted_ms = self.now
-        self.open_requests[ref] = request
+        self.open_requests[request_id] = request
         self.on_request_accepted(request)
         left = deadline - self.now
-        event = Request(ref, cls, plan, customer, left, units, self.settings.gateway_count)
+        event = Request(request_id, cls, plan, customer, left, units, self.settings.gateway_count)
         self.feed(number, self.incarnation[number], event)
-        if ref in self.open_requests and self.rng.random() < 0.02:
+        if request_id in self.open_requests and self.rng.random() < 0.02:
             self.schedule(self.rng.uniform(1.0, 300.0), self.disconnect_client, request)
 
     def on_request_accepted(self, request: SimulatedRequest) -> None:
         """Called for each accepted request; subclasses keep further records."""
 
     def disconnect_client(self, request: SimulatedRequest) -> None:
-        """Disconnects the client, so that no answer is expected."""
+        """Disconnects the client, which then expects no answer."""
         if (
-            request.number not in self.deferred_events
-            and self.open_requests.pop(request.ref, None) is not None
+            request.gateway not in self.deferred_events
+            and self.open_requests.pop(request.request_id, None) is not None
         ):
-            self.feed(request.number, request.incarnation, ClientDisconnected(request.ref))
+            self.feed(request.gateway, request.incarnation, ClientDisconnected(request.request_id))
 
     def load(self, ms: float, rate: float, plans: tuple[str, ...] = ("small", "small", "open")) -> None:
         """Schedules a mixed load of customers, with `rate` requests per second for `ms`."""
@@ -537,58 +555,65 @@
             self.schedule(at, self.send_client_request, cls, plan, f"{plan}{self.rng.randrange(30)}")
 
     def flood(self, ms: float, rate: float, plan: str = "hard") -> None:
-        """Schedules the load of one account, far above its quota."""
+        """Schedules the load of one account at `rate` requests per second for `ms`."""
         at = 0.0
         while (at := at + self.rng.expovariate(rate / 1000.0)) < ms:
             self.schedule(at, self.send_client_request, "read", plan, f"c-{plan}")
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
-        """Starts a fault of a specific kind of site; subclasses handle theirs."""
+        """Starts a fault that only some kinds of site have; subclasses override this."""
         raise ValueError(f"unknown fault {kind!r} for this site")
 
     # --- checks ---------------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """Checks the rules that hold at every step."""
+        """Checks the rules that must hold at every step."""
         self.checks += 1
         for request in self.open_requests.values():
-            runs = (
-                self.is_current(request.number, request.incarnation)
-                and request.number not in self.deferred_events
+            is_running = (
+                self.is_current(request.gateway, request.incarnation)
+                and request.gateway not in self.deferred_events
             )
-            if runs and self.now > request.deadline + 300.0:
+            if is_running and self.now > request.deadline + 300.0:
                 late = self.now - request.deadline
-                raise BrokenRule("one answer", f"{request.ref} has no answer, {late:.0f} ms late")
-        for number, module in enumerate(self.engines):
+                raise BrokenRule(
+                    "one answer", f"{request.request_id} has no answer {late:.0f} ms after its deadline"
+                )
+        for number, engine in enumerate(self.engines):
             if not self.alive[number]:
                 continue
-            out: dict[str, int] = {}
-            for attempt in module.execution.attempts.values():
+            in_flight: Counter[str] = Counter()
+            for attempt in engine.execution.attempts.values():
                 if attempt.pending.tenant is not None:
-                    key = attempt.pending.tenant.tenant_id
-                    out[key] = out.get(key, 0) + 1
-            for key, tenant in module.quota.tenants.by_id.items():
-                if tenant.attempts_in_flight != out.get(key, 0):
+                    in_flight[attempt.pending.tenant.tenant_id] += 1
+            for key, tenant in engine.quota.tenants.by_id.items():
+                if tenant.attempts_in_flight != in_flight[key]:
                     raise BrokenRule(
-                        "open counts",
-                        f"{key}: {tenant.attempts_in_flight} counted, {out.get(key, 0)} in flight",
+                        "attempts in flight",
+                        f"{key}: {tenant.attempts_in_flight} counted, {in_flight[key]} in flight",
                     )
                 if tenant.bucket_units > tenant.plan.burst_units + 1e-6 or tenant.local_units < -1e-6:
                     raise BrokenRule(
-                        "stores", f"{key}: bucket {tenant.bucket_units}, local share {tenant.local_units}"
+                        "token buckets",
+                        f"{key}: bucket {tenant.bucket_units}, local share {tenant.local_units}",
                     )
         self.check_ceiling()
 
     def check_ceiling(self) -> None:
-        """Checks the ceiling of the flooded account against the first attempts of its requests."""
+        """Checks the ceiling of plan "hard", whose only account `flood` loads, by its first attempts.
+
+        Each restart of a gateway, which loses its state, adds to the units that may be over the ceiling.
+        """
         plan = self.settings.plans[1]
         level, last = plan.ceiling_burst_units, None
-        most = plan.ceiling_slack_units + plan.ceiling_rate_per_s * 0.15
-        fresh = (plan.ceiling_burst_units - plan.burst_units) / 2.0 + plan.ceiling_slack_units
-        most += self.restarts * fresh / self.settings.gateway_count
+        max_over = plan.ceiling_slack_units + plan.ceiling_rate_per_s * 0.15
+        units_per_start = (plan.ceiling_burst_units - plan.burst_units) / 2.0 + plan.ceiling_slack_units
+        max_over += self.restarts * units_per_start / self.settings.gateway_count
         for at, _, name, units in self.sent:
             if name == plan.name:
                 filled = 0.0 if last is None else plan.ceiling_rate_per_s * (at - last) / 1000.0
                 level, last = min(plan.ceiling_burst_units, level + filled) - units, at
-                if level < -most:
-                    raise BrokenRule("ceilings", f"{-level:.1f} units over the ceiling, {most:.1f} allowed")
+                if level < -max_over:
+                    raise BrokenRule(
+                        "ceilings", f"{-level:.1f} units over the ceiling, {max_over:.1f} allowed"
+                    )
--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -83,12 +83,12 @@
     patch.setattr(piped, "placement_request", placement_request)
 
 
-@bug("hold-back")
+@bug("head-of-line blocking")
 def no_connection_is_aborted(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(PipelineScheduler, "check", lambda self, now_ms: [])
 
 
-@bug("hold-back")
+@bug("head-of-line blocking")
 def any_connection_may_be_joined(patch: pytest.MonkeyPatch) -> None:
     """Whether an attempt can wait for those ahead is not checked, and no connection is aborted for it."""
     patch.setattr(PlacementChooser, "blocked_until_ms", lambda self, now_ms, connection, request: now_ms)
@@ -99,13 +99,13 @@
 
 @bug("drains")
 def drains_are_ignored_when_writing(patch: pytest.MonkeyPatch) -> None:
-    original = PipedWorld.still_stuck
+    original = PipedWorld.abort_if_blocked
 
-    def still_stuck(self: PipedWorld, conn: Any) -> None:
+    def abort_if_blocked(self: PipedWorld, conn: Any) -> None:
         if any(self.now >= entry.item.write_by - 2.0 for entry in conn.pipeline.in_flight):
             original(self, conn)
 
-    patch.setattr(PipedWorld, "still_stuck", still_stuck)
+    patch.setattr(PipedWorld, "abort_if_blocked", abort_if_blocked)
 
 
 @bug("depth")
