--- a/lab/explore.py
+++ b/lab/explore.py
@@ -1,7 +1,7 @@
 """Explicit-state exploration of all orders of events up to a depth, with the real decision code.
 
-The system is copied with `pickle` for each event and checked after it. The search is breadth-first, so that
-the reported history of a failure is as short as possible.
+Each event is applied to a copy of the system, made with `pickle`, which is checked afterwards. The search is
+breadth-first, so that the reported sequence of events to a failure is as short as possible.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 System = TypeVar("System")
 
 
-class Found(NamedTuple):
-    """A failure and the events that led to it."""
+class Counterexample(NamedTuple):
+    """A broken rule and the names of the events that led to it."""
 
-    what: str
+    problem: str
     history: tuple[str, ...]
 
 
-class Explored(NamedTuple):
-    """Result of an exploration: its size, and the first failure if there was one."""
+class ExplorationResult(NamedTuple):
+    """The size of an exploration, and the first counterexample if there was one."""
 
-    states: int
-    events: int
-    depth: int
-    whole: bool  # False if the limit on states ended the exploration
-    found: Found | None
+    states: int  # distinct states
+    events: int  # events applied
+    depth: int  # longest sequence of events
+    is_complete: bool  # False if the limit on states ended the exploration
+    counterexample: Counterexample | None
 
 
 class Explorer(Generic[System]):
     """Explores the states of a system.
 
     `events` yields the name and function of each possible next event. `check` returns a description of a
-    broken rule, or an empty string. Systems with equal `key` are the same state.
+    broken rule, or an empty string. Systems with equal `key` are taken for the same state.
     """
 
     def __init__(
@@ -46,8 +46,8 @@
     ) -> None:
         self.events, self.check, self.key = events, check, key
 
-    def run(self, first: System, depth: int, most: int = 1_000_000) -> Explored:
-        """Explores the states up to a depth, and `most` states at the most."""
+    def run(self, first: System, depth: int, max_states: int = 1_000_000) -> ExplorationResult:
+        """Explores all sequences of up to `depth` events, until there are more than `max_states` states."""
         seen = {self.digest(first)}
         layer: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(first), ())]
         events = 0
@@ -59,19 +59,19 @@
                     event(system)
                     events += 1
                     if problem := self.check(system):
-                        found = Found(problem, (*history, label))
-                        return Explored(len(seen), events, level + 1, True, found)
+                        counterexample = Counterexample(problem, (*history, label))
+                        return ExplorationResult(len(seen), events, level + 1, True, counterexample)
                     digest = self.digest(system)
                     if digest in seen:
                         continue
                     seen.add(digest)
-                    if len(seen) > most:
-                        return Explored(len(seen), events, level + 1, False, None)
+                    if len(seen) > max_states:
+                        return ExplorationResult(len(seen), events, level + 1, False, None)
                     next_layer.append((pickle.dumps(system), (*history, label)))
             layer = next_layer
             if not layer:
                 break
-        return Explored(len(seen), events, depth, True, None)
+        return ExplorationResult(len(seen), events, depth, True, None)
 
     def digest(self, system: System) -> bytes:
         """Returns the digest that identifies a state."""
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -19,7 +19,7 @@
 )
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.task_candidates import CANDIDATES_PER_TASK, TaskCandidate, TaskRecord
-from lab.explore import Explored, Explorer
+from lab.explore import ExplorationResult, Explorer
 from lab.fleet.holders import (
     ACT_S,
     LeaseCluster,
@@ -41,7 +41,7 @@
 }
 
 
-def explored(name: str, max_states: int = 60_000) -> Explored:
+def explored(name: str, max_states: int = 60_000) -> ExplorationResult:
     make, budgets, depth = SYSTEMS[name]
     return Explorer(events, check, System.key).run(make(**budgets), depth, max_states)
 
@@ -50,7 +50,7 @@
 def test_there_is_one_holder_at_most_and_tokens_increase(name: str) -> None:
     result = explored(name)
     print(name, result)
-    assert result.found is None and result.states > 300
+    assert result.counterexample is None and result.states > 300
 
 
 def no_silence(patch: pytest.MonkeyPatch) -> None:
@@ -154,8 +154,8 @@
 ) -> None:
     bug(monkeypatch)
     result = explored(scenario, 400_000)
-    assert result.found is not None, result
-    print(bug.__name__, result.found.what, *result.found.history, sep="\n  ")
+    assert result.counterexample is not None, result
+    print(bug.__name__, result.counterexample.problem, *result.counterexample.history, sep="\n  ")
 
 
 def test_without_recovery_of_promises_tokens_decrease(monkeypatch: pytest.MonkeyPatch) -> None:
