--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -21,11 +21,11 @@
 from benchmarks.machine import machine
 from glenchute.policy.endpoints.polling import PollingTerms, max_first_polls_per_s
 from lab.coldstart import (
-    Call,
+    DiscoveryCall,
     GatewayFleet,
     PollSimulation,
-    busiest,
-    rejection_rate,
+    max_calls_per_s,
+    rejection_fraction,
     run_outage,
     run_release,
     run_start,
@@ -54,10 +54,11 @@
     return of
 
 
-def print_row(name: str, count: int, what: str, calls: list[Call], serve: float) -> None:
+def print_row(name: str, count: int, what: str, calls: list[DiscoveryCall], serve: float) -> None:
     """Prints a line of the table."""
-    print(f"{name:9} {count:4} {what:8} busiest second {busiest(calls):4}, away {rejection_rate(calls):.3f}"
-          f" of {len(calls):4}, all serve after {serve:.1f} s", flush=True)  # fmt: skip
+    print(f"{name:9} {count:4} {what:8} busiest second {max_calls_per_s(calls):4}, "
+          f"rejected {rejection_fraction(calls):.3f} of {len(calls):4}, "
+          f"all serve after {serve:.1f} s", flush=True)  # fmt: skip
 
 
 async def measure_fleet(name: str, count: int, operator: str | Callable[[int], str] | None) -> None:
@@ -87,15 +88,15 @@
 
 def simulated() -> None:
     """Simulates starts, releases and outages at sizes that real processes do not reach."""
-    print("gateways  scene    busiest second  turned away  bound of a start")
+    print("gateways  scene    busiest second  rejected     bound of a start")
     for count in (200, 500):
         rate = count / 15.0
         bound = max_first_polls_per_s(PollingTerms(count, 0, rate, AGE))
         for scene in (run_start, run_release, run_outage):
             crowd = PollSimulation(count, lambda n, c=count, r=rate: PollingTerms(c, n, r, AGE), rate)  # type: ignore[misc]
             scene(crowd)
-            print(f"{count:8}  {scene.__name__:8} {busiest(crowd.calls):8} of {rate:.1f}"
-                  f" {rejection_rate(crowd.calls):10.3f} {bound:10.1f}")  # fmt: skip
+            print(f"{count:8}  {scene.__name__:8} {max_calls_per_s(crowd.calls):8} of {rate:.1f}"
+                  f" {rejection_fraction(crowd.calls):10.3f} {bound:10.1f}")  # fmt: skip
 
 
 def start() -> None:
--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -27,11 +27,11 @@
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
 
-class Call(NamedTuple):
-    """A call as the service recorded it; `at` is in seconds since the service started."""
+class DiscoveryCall(NamedTuple):
+    """A call as the discovery service recorded it; `at` is in seconds since the service started."""
 
     at: float
-    how: str  # "answered", "turned away" (rejected) or "unheard" (service unavailable)
+    outcome: str  # "answered", "rejected" or "unavailable"
     since: int | None = None  # version of the list that the caller already has
 
 
@@ -47,34 +47,40 @@
     return max_count, begin
 
 
-def busiest(calls: Iterable[Call], first: float = 0.0, last: float = float("inf")) -> int:
+def max_calls_per_s(calls: Iterable[DiscoveryCall], first: float = 0.0, last: float = float("inf")) -> int:
     """Returns the most calls in any one second from `first` to `last`."""
     return busiest_second(call.at for call in calls if first <= call.at < last)[0]
 
 
-def rejection_rate(calls: Iterable[Call], first: float = 0.0) -> float:
+def rejection_fraction(calls: Iterable[DiscoveryCall], first: float = 0.0) -> float:
     """Returns the fraction of calls since `first` that were rejected."""
-    counts = Counter(call.how for call in calls if call.at >= first)
-    return counts["turned away"] / max(1, sum(counts.values()))
+    counts = Counter(call.outcome for call in calls if call.at >= first)
+    return counts["rejected"] / max(1, sum(counts.values()))
 
 
 class PollSimulation:
     """Poll schedulers of `count` gateways and one service with a queue, in simulated time.
 
-    `rate` is the service's calls per second, `line` the length of its queue; `listed` tells whether a gateway
-    starts with a list.
+    `rate` is the service's calls per second, `queue_limit` the length of its queue. `has_list` returns
+    whether a gateway starts with a list.
     """
 
     def __init__(
-        self, count: int, terms: Callable[[int], PollingTerms], rate: float, line: int = 30, seed: int = 1,
-        listed: Callable[[int], bool] = lambda number: True,
+        self, count: int, terms: Callable[[int], PollingTerms], rate: float, queue_limit: int = 30,
+        seed: int = 1, has_list: Callable[[int], bool] = lambda number: True,
     ) -> None:  # fmt: skip
         self.rng = random.Random(seed)
-        self.count, self.terms, self.rate, self.line, self.has_list = count, terms, rate, line, listed
+        self.count, self.terms, self.rate, self.queue_limit, self.has_list = (
+            count,
+            terms,
+            rate,
+            queue_limit,
+            has_list,
+        )
         self.now = self.free_at = 0.0
         self.down = False
-        self.calls: list[Call] = []
-        self.heard: dict[int, float] = {}  # time of each gateway's first answer since its start
+        self.calls: list[DiscoveryCall] = []
+        self.first_answer_at: dict[int, float] = {}  # by gateway, since its start
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
         self.generation = [0] * count  # starts of each gateway; events of earlier generations are void
@@ -94,7 +100,7 @@
             self.generation[number] += 1
             self.pollers[number] = self.new_poller(number)
             self.watches.pop(number, None)
-            self.heard.pop(number, None)
+            self.first_answer_at.pop(number, None)
             delay_s = self.pollers[number].first_poll_delay_s(self.has_list(number))
             self.schedule(delay_s, self.call, number, self.generation[number])
 
@@ -104,25 +110,28 @@
             return
         poller = self.pollers[number]
         if self.down:
-            self.calls.append(Call(self.now, "unheard"))
+            self.calls.append(DiscoveryCall(self.now, "unavailable"))
             self.schedule(poller.record_failure(), self.call, number, generation)
             return
         self.free_at = max(self.now, self.free_at)
-        if (self.free_at - self.now) * self.rate > self.line:
-            self.calls.append(Call(self.now, "turned away"))
-            has_list = self.has_list(number) or number in self.heard
+        if (self.free_at - self.now) * self.rate > self.queue_limit:
+            self.calls.append(DiscoveryCall(self.now, "rejected"))
+            has_list = self.has_list(number) or number in self.first_answer_at
             self.schedule(poller.record_rejection(None, has_list), self.call, number, generation)
             return
-        self.calls.append(Call(self.now, "answered"))
+        self.calls.append(DiscoveryCall(self.now, "answered"))
         self.free_at += 1.0 / self.rate
         # The wait is a parameter of the call, so it is drawn before the service answers.
         self.schedule(self.free_at - self.now, self.answer, number, generation, poller.watch_wait_s())
 
     def answer(self, number: int, generation: int, wait_s: float) -> None:
-        """Handles the answer to a first call, or the begin of a watch, which has no answer yet."""
+        """Handles the answer to a first call, or the start of the watch that a later call opens.
+
+        The gateway calls again after `wait_s`, unless the watch ends before.
+        """
         if generation == self.generation[number]:
             self.pollers[number].record_answer()
-            self.heard.setdefault(number, self.now)
+            self.first_answer_at.setdefault(number, self.now)
             self.watches[number] = generation
             self.schedule(wait_s, self.end_watch, number, generation, self.now)
 
@@ -132,13 +141,13 @@
             del self.watches[number]
             self.call(number, generation)
 
-    def news(self) -> None:
-        """Changes the list, which ends all watches at once."""
+    def change_list(self) -> None:
+        """Changes the list, which answers all watches at once."""
         watches, self.watches = self.watches, {}
         for number, generation in watches.items():
             self.schedule(self.pollers[number].synchronized_delay_s(), self.call, number, generation)
 
-    def lose(self) -> None:
+    def break_watches(self) -> None:
         """Breaks all watches, as a restart of the service does."""
         watches, self.watches = self.watches, {}
         for number, generation in watches.items():
@@ -160,10 +169,10 @@
 
 
 def run_outage(crowd: PollSimulation) -> None:
-    """Interrupts the service for 30 s; only the calls after the interruption are kept."""
+    """Makes the service unavailable for 30 s; only the calls after that are kept."""
     run_start(crowd)
     crowd.down = True
-    crowd.lose()
+    crowd.break_watches()
     crowd.run(30.0)
     crowd.calls.clear()
     crowd.down = False
@@ -176,21 +185,21 @@
     crowd.calls.clear()
     crowd.start(range(0, crowd.count, 10))
     crowd.start(n for n in range(crowd.count) if n % 10 > 3)
-    crowd.news()
+    crowd.change_list()
     crowd.run(60.0)
 
 
 class ListService(DiscoveryService):
     """Discovery with a limited call rate that rejects calls when its queue is full.
 
-    `mode` is "" for correct answers, "silent" for none, and "empty" for empty lists. In the modes "half" and
-    "older", every other answer on a connection has half of the list or an older version.
+    `mode` is "" for correct answers, "silent" for no answers, and "empty" for empty lists. In the modes
+    "half" and "older", every other answer on a connection has half of the list or an older version.
     """
 
-    def __init__(self, rows: list[dict[str, Any]], rate: float, line: int) -> None:
+    def __init__(self, rows: list[dict[str, Any]], rate: float, queue_limit: int) -> None:
         super().__init__(rows)
-        self.rate, self.line, self.mode = rate, line, ""
-        self.calls: list[Call] = []
+        self.rate, self.queue_limit, self.mode = rate, queue_limit, ""
+        self.calls: list[DiscoveryCall] = []
         self.began = self.free_at = asyncio.get_running_loop().time()
         self.watching: set[asyncio.StreamWriter] = set()
 
@@ -206,11 +215,11 @@
             query = parse_qs(urlsplit(head.split(b" ")[1].decode("ascii")).query)
             since = int(query["since"][0]) if "since" in query else None
             self.free_at = max(self.free_at, now)
-            if (self.free_at - now) * self.rate > self.line:
-                self.calls.append(Call(now - self.began, "turned away", since))
+            if (self.free_at - now) * self.rate > self.queue_limit:
+                self.calls.append(DiscoveryCall(now - self.began, "rejected", since))
                 writer.write(http_response(b"", "503 Service Unavailable"))
                 continue
-            self.calls.append(Call(now - self.began, "answered", since))
+            self.calls.append(DiscoveryCall(now - self.began, "answered", since))
             self.free_at += 1.0 / self.rate
             await asyncio.sleep(self.free_at - now)  # simulated processing time of the service
             if self.mode == "silent":
@@ -219,7 +228,7 @@
             writer.write(http_response(json.dumps(await self.answer(since, query, is_wrong)).encode()))
 
     async def answer(self, since: int | None, query: dict[str, list[str]], is_wrong: bool) -> dict[str, Any]:
-        """Returns the body of an answer; an `is_wrong` one is wrong in the modes "half" and "older"."""
+        """Returns the body of an answer, which is wrong in the modes "half" and "older" if `is_wrong`."""
         rows = list(self.rows.values())
         if self.mode == "empty":
             return {"version": self.version, "full": True, "servers": []}
@@ -241,20 +250,20 @@
     """Real gateway processes with stand-in servers, a counter and a `ListService`."""
 
     def __init__(
-        self, folder: Path, count: int, rate: float, line: int = 30,
+        self, folder: Path, count: int, rate: float, queue_limit: int = 30,
         operator: str | Callable[[int], str] | None = None,
         settings: dict[str, Any] | None = None, known: bool = True, servers: int = 4,
     ) -> None:  # fmt: skip
         nodes = [Node(f"s{i}", ServiceProfile({"report-read": 4.0}, slots=64)) for i in range(servers)]
         self.site = LabSite(nodes, CounterService())
-        self.folder, self.count, self.rate, self.line = folder, count, rate, line
+        self.folder, self.count, self.rate, self.queue_limit = folder, count, rate, queue_limit
         self.operator, self.known = operator, known
         self.settings = {**SETTINGS, "balancers": count, **(settings or {})}
         self.gateways: list[GatewayProcess] = []
 
     async def __aenter__(self) -> GatewayFleet:
         await self.site.__aenter__()
-        self.lists = ListService(self.site.rows(), self.rate, self.line)
+        self.lists = ListService(self.site.rows(), self.rate, self.queue_limit)
         await self.lists.start()
         for number in range(self.count):
             folder = self.folder / f"g{number}"
--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from lab.coldstart import busiest
+from lab.coldstart import max_calls_per_s
 from lab.fleet.acting import EVERY, LONGEST, MORE, NOBODY_S, Acting, tasks
 from lab.fleet.effects import EffectService
 from lab.fleet.holders import longest_gap, overlaps
@@ -153,7 +153,7 @@
             while lists.calls[-1].at < first + 7.0:
                 await asyncio.sleep(0.02)
             # Earlier polls are left out: each gateway may poll when it starts.
-            assert busiest(lists.calls, first + 3.0) <= 3
+            assert max_calls_per_s(lists.calls, first + 3.0) <= 3
             poller = (await pollers())[0]
             rest = [n for n in EVERY if n != poller]
             site.send_signal(poller, signal.SIGKILL)
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -32,8 +32,8 @@
 from lab.coldstart import (
     GatewayFleet,
     PollSimulation,
-    busiest,
-    rejection_rate,
+    max_calls_per_s,
+    rejection_fraction,
     run_outage,
     run_release,
     run_start,
@@ -60,7 +60,7 @@
     """The service loses all watches."""
     run_start(crowd)
     crowd.calls.clear()
-    crowd.lose()
+    crowd.break_watches()
     crowd.run(40.0)
 
 
@@ -68,7 +68,7 @@
     """The list changes, which answers all watches at once."""
     run_start(crowd)
     crowd.calls.clear()
-    crowd.news()
+    crowd.change_list()
     crowd.run(40.0)
 
 
@@ -105,8 +105,8 @@
     )
     crowd = PollSimulation(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
     SCENES[scene](crowd)
-    assert len(crowd.heard) == count  # all gateways have their list
-    assert busiest(crowd.calls) <= 1.5 * rate + 12.0 and rejection_rate(crowd.calls) <= 0.05
+    assert len(crowd.first_answer_at) == count  # all gateways have their list
+    assert max_calls_per_s(crowd.calls) <= 1.5 * rate + 12.0 and rejection_fraction(crowd.calls) <= 0.05
 
 
 @pytest.mark.parametrize("count", [200, 520])
@@ -117,19 +117,19 @@
     crowd = PollSimulation(count, lambda n: PollingTerms(count, n, rate, MAX_LIST_AGE_S), rate)
     run_start(crowd)
     crowd.down = True
-    crowd.lose()
+    crowd.break_watches()
     crowd.run(30.0)
     crowd.calls.clear()
-    crowd.heard.clear()
+    crowd.first_answer_at.clear()
     crowd.down, started_at = False, crowd.now
     crowd.run(120.0)
-    assert busiest(crowd.calls) <= 1.2 * count / (
+    assert max_calls_per_s(crowd.calls) <= 1.2 * count / (
         polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s()
     )
-    answered = [call for call in crowd.calls if call.how == "answered" and call.at < started_at + 20.0]
+    answered = [call for call in crowd.calls if call.outcome == "answered" and call.at < started_at + 20.0]
     assert len(answered) >= 0.95 * 20.0 * rate
-    assert len(crowd.heard) == count and max(crowd.heard.values()) <= started_at + 60.0
-    assert rejection_rate(crowd.calls, started_at + 90.0) == 0.0
+    assert len(crowd.first_answer_at) == count and max(crowd.first_answer_at.values()) <= started_at + 60.0
+    assert rejection_fraction(crowd.calls, started_at + 90.0) == 0.0
 
 
 def no_delay(self: PollScheduler, *_: object) -> float:
@@ -146,7 +146,7 @@
     monkeypatch.setattr(PollScheduler, bug, no_delay)
     crowd = PollSimulation(300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0)
     SCENES[scene](crowd)
-    assert busiest(crowd.calls) >= 250
+    assert max_calls_per_s(crowd.calls) >= 250
 
 
 @pytest.mark.parametrize(
@@ -154,14 +154,14 @@
     [(3, 100.0, 6.0), (40, 100.0, 6.0), (300, 100.0, 6.0), (300, 20.0, MAX_LIST_AGE_S)],
 )
 def test_first_polls_stay_within_their_bound(gateways: int, rate: float, age: float) -> None:
-    for listed in (True, False):
+    for has_list in (True, False):
         terms = [PollingTerms(gateways, number, rate, age) for number in range(gateways)]
         times = sorted(
-            PollScheduler(one, random.Random(n)).first_poll_delay_s(listed) for n, one in enumerate(terms)
+            PollScheduler(one, random.Random(n)).first_poll_delay_s(has_list) for n, one in enumerate(terms)
         )
         peak_per_s = max(sum(at <= other < at + 1.0 for other in times) for at in times)
         assert (
-            peak_per_s <= max_first_polls_per_s(terms[0], listed)
+            peak_per_s <= max_first_polls_per_s(terms[0], has_list)
             and times[-1] <= age - notification.ANSWER_ALLOWANCE_S
         )
 
@@ -180,11 +180,11 @@
 
 def test_gateways_without_a_list_poll_before_those_that_have_one() -> None:
     crowd = PollSimulation(
-        300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0, listed=lambda n: n % 100 != 7
+        300, lambda n: PollingTerms(300, n, 20.0, MAX_LIST_AGE_S), 20.0, has_list=lambda n: n % 100 != 7
     )
     run_start(crowd)
-    urgent = [crowd.heard.pop(n) for n in (7, 107, 207)]
-    assert max(urgent) < min(crowd.heard.values()) + 0.5
+    urgent = [crowd.first_answer_at.pop(n) for n in (7, 107, 207)]
+    assert max(urgent) < min(crowd.first_answer_at.values()) + 0.5
 
 
 @pytest.mark.parametrize(("configured", "actual"), [(300, 3), (3, 300)])
@@ -199,15 +199,15 @@
     )
     run_start(crowd)
     crowd.run(60.0)
-    assert len(crowd.heard) == actual
+    assert len(crowd.first_answer_at) == actual
     if actual < configured:
-        assert max(crowd.heard.values()) < MAX_LIST_AGE_S and rejection_rate(crowd.calls) == 0.0
+        assert max(crowd.first_answer_at.values()) < MAX_LIST_AGE_S and rejection_fraction(crowd.calls) == 0.0
     else:
         # A gateway that is rejected again retries no sooner than after this share of the longest backoff.
         pace = actual / (polling.REPEATED_FAILURE_MIN_SHARE * notification.max_backoff_s())
         assert (
-            busiest(crowd.calls, 20.0) <= 1.2 * pace
-            and rejection_rate(crowd.calls, MAX_LIST_AGE_S + 60.0) < 0.2
+            max_calls_per_s(crowd.calls, 20.0) <= 1.2 * pace
+            and rejection_fraction(crowd.calls, MAX_LIST_AGE_S + 60.0) < 0.2
         )
 
 
@@ -286,19 +286,20 @@
 
 def test_forty_processes_start_and_restart_with_a_rate_limited_service(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with GatewayFleet(tmp_path, PROCESS_COUNT, 12.0, 10, OPERATOR) as herd:
-            await herd.start(range(PROCESS_COUNT))
-            await herd.until(lambda: len(herd.lists.calls) >= PROCESS_COUNT)
+        async with GatewayFleet(tmp_path, PROCESS_COUNT, 12.0, 10, OPERATOR) as fleet:
+            await fleet.start(range(PROCESS_COUNT))
+            await fleet.until(lambda: len(fleet.lists.calls) >= PROCESS_COUNT)
             killed = range(0, PROCESS_COUNT, 2)
-            herd.kill(killed)
-            herd.lists.update(server_row("s9", 9, "Gone"))  # a change for all others at the same time
-            await herd.start(killed)
-            before = len(herd.lists.calls)
-            await herd.until(lambda: len(herd.lists.calls) >= before + PROCESS_COUNT // 2)
-            assert busiest(herd.lists.calls) <= 24 and rejection_rate(herd.lists.calls) <= 0.05
-            for gateway in herd.gateways:
+            fleet.kill(killed)
+            fleet.lists.update(server_row("s9", 9, "Gone"))  # a change for all others at the same time
+            await fleet.start(killed)
+            before = len(fleet.lists.calls)
+            await fleet.until(lambda: len(fleet.lists.calls) >= before + PROCESS_COUNT // 2)
+            assert max_calls_per_s(fleet.lists.calls) <= 24 and rejection_fraction(fleet.lists.calls) <= 0.05
+            for gateway in fleet.gateways:
                 gateway.signal(signal.SIGTERM)
-            assert [g.process.wait(10) for g in herd.gateways if g.process is not None] == [0] * PROCESS_COUNT
+            processes = [gateway.process for gateway in fleet.gateways if gateway.process is not None]
+            assert [process.wait(10) for process in processes] == [0] * PROCESS_COUNT
 
     run_scenario(scenario())
 
@@ -310,27 +311,27 @@
     """Processes restart under load while the service is faulty; one of them is paused during its start."""
 
     async def scenario() -> None:
-        async with GatewayFleet(tmp_path, 3, 50.0, 30, OPERATOR, with_longer_deadlines()) as herd:
-            herd.lists.mode = mode
+        async with GatewayFleet(tmp_path, 3, 50.0, 30, OPERATOR, with_longer_deadlines()) as fleet:
+            fleet.lists.mode = mode
             if mode in ("half", "older"):
                 # The only server on the faulty list: a gateway that accepts the list can't serve.
-                await herd.site.nodes[0].stop()
-            herd.gateways[2].start()
-            herd.gateways[2].signal(signal.SIGSTOP)
-            await herd.start(range(2))
-            ports = [gateway.port for gateway in herd.gateways[:2]]
+                await fleet.site.nodes[0].stop()
+            fleet.gateways[2].start()
+            fleet.gateways[2].signal(signal.SIGSTOP)
+            await fleet.start(range(2))
+            ports = [gateway.port for gateway in fleet.gateways[:2]]
             loads = [
                 Load(lambda port=port: port, READS, ACCOUNTS, 20.0, seed)  # type: ignore[misc]
                 for seed, port in enumerate(ports, 1)
             ]
             await asyncio.gather(*(load.run(2.0) for load in loads))
-            herd.gateways[2].signal(signal.SIGCONT)
-            await herd.gateways[2].ready(20.0)
+            fleet.gateways[2].signal(signal.SIGCONT)
+            await fleet.gateways[2].ready(20.0)
             outcomes = [outcome for load in loads for outcome in load.outcomes]
             answered = [outcome for outcome in outcomes if outcome.answer == "served"]
             assert len(outcomes) == REQUEST_COUNT and len(answered) >= 0.95 * len(outcomes)
             unconfirmed_count = sum(
-                "not confirmed yet" in gateway.log.read_text() for gateway in herd.gateways[:2]
+                "not confirmed yet" in gateway.log.read_text() for gateway in fleet.gateways[:2]
             )
             assert unconfirmed_count == (0 if mode == "silent" else 2)
 
@@ -450,7 +451,7 @@
             while lists.calls[-1].at < since + 4.0:
                 await asyncio.sleep(0.02)
             # Three gateways poll with watches of 1.1 to 1.5 s.
-            assert busiest(lists.calls[calls_before:]) <= 6
+            assert max_calls_per_s(lists.calls[calls_before:]) <= 6
             for number in pollers:
                 site.send_signal(number, signal.SIGKILL)
             rest = [n for n in all_gateways if n not in pollers]
