--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -423,7 +423,7 @@
             world_now = now_ms - self.world.skew[self.number]
             refilled = tenant.plan.rate_per_s * (world_now - since) / 1000.0
             overflow = self.world.counter_bucket(tenant.tenant_id).state_at(world_now)[1] - overflow_before
-            level += refilled - self.own_units[tenant.tenant_id] - units - overflow
+            level = level + refilled - self.own_units[tenant.tenant_id] - units - overflow
             tenant.bucket_units = min(tenant.plan.burst_units, level)
         self.set_baseline(tenant, now_ms, tenant.bucket_units)
 
@@ -562,7 +562,7 @@
             has_counter=True, counter_timeout_ms=workload.site.timeout_ms,
         )  # fmt: skip
         super().__init__(seed, workload.gateways, 40, self.make_engine, settings=settings)
-        self.parts.slow(COUNTER_LATENCY_MS)
+        self.counter_partitions.slow(COUNTER_LATENCY_MS)
         if "clocks" in exact:
             self.skew = [0.0] * workload.gateways
         self.ledger.start_ms, self.ledger.count_from_ms = self.now, self.now + WARM_MS
@@ -594,8 +594,8 @@
 
     def total(self, name: int) -> float:
         """Returns the counter's total for a key."""
-        part = self.parts.parts[self.parts.part_of(str(name))]
-        return part.memory.names.get(str(name), (0.0, 0.0))[0]
+        partition = self.counter_partitions.items[self.counter_partitions.index_of(str(name))]
+        return partition.totals.entries.get(str(name), (0.0, 0.0))[0]
 
     def add_at_counter(self, key: str, units: float) -> None:
         """Records units that have reached the counter."""
@@ -605,10 +605,10 @@
 
     def remove_units(self, key: str, name: int, units: float) -> None:
         """Removes units from the counter's total without a call."""
-        part = self.parts.parts[self.parts.part_of(str(name))]
-        if str(name) in part.memory.names:
-            total, until = part.memory.names[str(name)]
-            part.memory.names[str(name)] = total - units, until
+        partition = self.counter_partitions.items[self.counter_partitions.index_of(str(name))]
+        if str(name) in partition.totals.entries:
+            total, expires_at_ms = partition.totals.entries[str(name)]
+            partition.totals.entries[str(name)] = total - units, expires_at_ms
             self.add_at_counter(key, -units)
 
     def units_not_at_counter(self, key: str, number: int) -> float:
@@ -713,7 +713,7 @@
                 late = self.loss_rng.uniform(0.0, MAX_LATE_TIMEOUTS) * timeout
                 self.schedule(late, self.add_late, number, incarnation, call, began, row)
             elif loss_draw < (1.0 - 0.5 * UNANSWERED_FRACTION) * self.lost_fraction:
-                self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+                self.counter_partitions.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
                 self.add_at_counter(key, amount)
             return
         self.add_at_counter(key, amount)
@@ -730,7 +730,7 @@
         row: tuple[str, float, float],
     ) -> None:
         """Applies a late call at the counter and replies after the timeout."""
-        result = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+        result = self.counter_partitions.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         self.add_at_counter(row[0], row[1])
         self.unacknowledged_units[number, call.key] += call.amount
         left = max(NET_MS, began + self.workload.site.timeout_ms + NET_MS - self.now)
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -31,7 +31,7 @@
     TimerFired,
 )
 from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
-from lab.counter import Parts
+from lab.counter import CounterPartitions
 
 MAY_HAVE_RUN = (Outcome.OK, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.CANCELLED)
 DRAIN_GRACE_MS = 250.0  # time after a drain is announced in which attempts may still be sent to the node
@@ -151,7 +151,7 @@
         self.event_queue: list[tuple[float, float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.nodes = {f"s{i}": Node(f"s{i}", "ab"[i % 2]) for i in range(nodes)}
         self.node_serial = itertools.count(nodes)
-        self.parts = Parts(2)
+        self.counter_partitions = CounterPartitions(2)
         self.skew = [self.rng.uniform(0.0, 50.0) for _ in range(gateways)]
         self.incarnation = [0] * gateways
         self.alive = [True] * gateways
@@ -298,7 +298,7 @@
 
     def call_counter(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
         """Applies a call at the counter and schedules its reply."""
-        result = self.parts.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
+        result = self.counter_partitions.call(self.now, f"g{number}", str(call.key), call.amount, call.ttl_ms)
         if result is None or result[1] + 2 * NET_MS > COUNTER_TIMEOUT_MS:
             reply = CounterReply(call.key, 0.0, Outcome.TIMEOUT, COUNTER_TIMEOUT_MS)
             self.schedule(began + COUNTER_TIMEOUT_MS - self.now, self.feed, number, incarnation, reply)
