--- a/benchmarks/pipelining.py
+++ b/benchmarks/pipelining.py
@@ -163,8 +163,8 @@
                     serial = itertools.count()
                     rng = random.Random(number)
                     while loop.time() < end:
-                        await load.ask(
-                            loop.time(), [load.words(rng, next(serial)) for _ in range(burst_size)]
+                        await load.send_burst(
+                            loop.time(), [load.command_words(rng, next(serial)) for _ in range(burst_size)]
                         )
                         answered += burst_size
 
--- a/lab/bursts.py
+++ b/lab/bursts.py
@@ -19,15 +19,15 @@
 
 @dataclass
 class BurstLoad:
-    """Load generator with `rate` reads per second on average, in bursts of 1 to `most`.
+    """Load generator with `rate` reads per second on average, in bursts of 1 to `max_burst`.
 
-    `took` is called with the latency in milliseconds of each read that was served.
+    `on_served` is called with the latency in milliseconds of each read that was served.
     """
 
     port: int
     rate: float
-    took: Callable[[float], None]
-    most: int = 8
+    on_served: Callable[[float], None]
+    max_burst: int = 8
     seed: int = 1
     class_name: str = "report-read"
     plan: str = "standard"
@@ -35,7 +35,7 @@
     accounts: int = 200
     idle: list[Client] = field(default_factory=list)
     answers: Counter[str] = field(default_factory=Counter)
-    portals: int = 0  # connections opened
+    connections_opened: int = 0
 
     async def run(self, seconds: float) -> None:
         """Sends bursts for `seconds`, then waits for the last answers."""
@@ -44,27 +44,28 @@
         started = at = loop.time()
         serial = itertools.count()
         tasks: set[asyncio.Task[None]] = set()
-        mean_size = (1 + self.most) / 2.0
+        mean_size = (1 + self.max_burst) / 2.0
         while True:
             at += rng.expovariate(self.rate / mean_size)
             if at - started >= seconds:
                 break
-            words = [self.words(rng, next(serial)) for _ in range(rng.randint(1, self.most))]
+            size = rng.randint(1, self.max_burst)
+            burst = [self.command_words(rng, next(serial)) for _ in range(size)]
             await asyncio.sleep(max(0.0, at - loop.time()))
-            task = asyncio.create_task(self.ask(at, words))
+            task = asyncio.create_task(self.send_burst(at, burst))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
         for client in self.idle:
             client.writer.close()
 
-    def words(self, rng: random.Random, number: int) -> list[bytes]:
+    def command_words(self, rng: random.Random, number: int) -> list[bytes]:
         """Returns the words of a read command."""
         fields = f"c={self.class_name},t={self.plan},d={self.deadline_ms}"
         return [b"CALL.GET", b"%016x" % rng.randrange(self.accounts), b"%08x%08x" % (self.seed, number),
                 fields.encode()]  # fmt: skip
 
-    async def ask(self, due: float, burst: list[list[bytes]]) -> None:
+    async def send_burst(self, due: float, burst: list[list[bytes]]) -> None:
         """Sends a burst on a connection that it does not share meanwhile, and records the answers."""
         answered = 0
         try:
@@ -72,16 +73,16 @@
                 while answered < len(burst):
                     is_reused, answered_before = bool(self.idle), answered
                     if not is_reused:
-                        self.portals += 1
+                        self.connections_opened += 1
                     client = self.idle.pop() if is_reused else await Client.connect(self.port)
                     try:
-                        async for answer in self.answered(client, burst[answered:]):
+                        async for reply in self.replies(client, burst[answered:]):
                             answered += 1
-                            self.record(answer, due)
+                            self.record(reply, due)
                     except ConnectionError:
                         client.writer.close()
                         if not is_reused or answered > answered_before:
-                            raise  # otherwise the burst crossed the close of the connection: retry
+                            raise  # otherwise the burst crossed the close of the connection: sends it again
                     except asyncio.CancelledError:
                         client.writer.close()
                         raise
@@ -90,7 +91,7 @@
         except (TimeoutError, ConnectionError):
             self.answers["lost"] += len(burst) - answered
 
-    async def answered(self, client: Client, burst: list[list[bytes]]) -> AsyncIterator[object]:
+    async def replies(self, client: Client, burst: list[list[bytes]]) -> AsyncIterator[object]:
         """Sends a burst and yields the replies to it."""
         for words in burst:
             client.send(*words)
@@ -105,4 +106,4 @@
         answer = classify_reply(reply)[0]
         self.answers[answer] += 1
         if answer == "served":
-            self.took(1000.0 * (asyncio.get_running_loop().time() - due))
+            self.on_served(1000.0 * (asyncio.get_running_loop().time() - due))
