--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,8 @@
-"""Measures whether real processes recover: requests served in the 10 s after each trouble.
+"""Measures whether real processes recover: requests served in the 10 s after each fault.
 
-``python -m benchmarks.recovery [TROUBLE ...]`` starts two gateways and three nodes on loopback for each. The
-second gateway has no trouble of its own and shows what the first should serve. Refusals by overload are
-counted from the log.
+``python -m benchmarks.recovery [FAULT ...]`` starts two gateways and three servers on loopback for each
+fault. It affects the first gateway only; the second shows what the first should serve. Rejections by overload
+are counted from the log.
 """
 
 from __future__ import annotations
@@ -20,27 +20,26 @@
 
 from benchmarks.machine import machine
 from lab.faults import Fault, FaultKind, FaultScript
-from lab.load import Account, Load
-from lab.load import RequestKind as Asked
+from lab.load import Account, Load, RequestKind
 from lab.nodes import Node, ServiceProfile
 from lab.site import SETTINGS, GatewayProcess, LabSite
 
-READS = (Asked("report-read", 1.0, 2000),)
+READS = (RequestKind("report-read", 1.0, 2000),)
 AFTER_S = 10.0
 RATE = 20.0
 
 
-class RecoveryFigures(NamedTuple):
-    """Requests of one gateway in the time after a trouble."""
+class FaultFigures(NamedTuple):
+    """Requests of one gateway in the time after a fault."""
 
-    asked: int
+    requests: int
     served: int
-    refused: int
-    overload: int  # refusals by overload since the process started, from its log
+    rejected: int
+    overload_rejections: int  # since the process started, from its log
 
 
-class Pair:
-    """Two gateways in front of the same nodes; the trouble affects the first."""
+class GatewayPair:
+    """Two gateways in front of the same servers; faults affect the first."""
 
     def __init__(self, folder: Path, site: LabSite) -> None:
         settings = {**SETTINGS, "balancers": 2}
@@ -53,7 +52,7 @@
         self.seed = 0
 
     async def load(self, number: int, seconds: float, rate: float = RATE) -> list[str]:
-        """Loads one gateway with many small accounts; returns the answer of each request."""
+        """Loads one gateway with requests of 40 accounts; returns the answer to each request."""
         self.seed += 1
         port = self.gateways[number].port
         accounts = [Account(b"%016x" % (5000 + i), "korporativni", 1.0) for i in range(40)]
@@ -61,86 +60,87 @@
         await load.run(seconds)
         return [outcome.answer for outcome in load.outcomes]
 
-    async def both(self, seconds: float, rate: float = RATE) -> None:
+    async def load_both(self, seconds: float, rate: float = RATE) -> None:
         """Puts the same load on both gateways."""
         await asyncio.gather(self.load(0, seconds, rate), self.load(1, seconds, rate))
 
 
-async def drained(pair: Pair) -> None:
+async def drain(pair: GatewayPair) -> None:
     """Sends the first gateway no requests for 4 s."""
-    await pair.both(3.0)
+    await pair.load_both(3.0)
     await pair.load(1, 4.0)
 
 
-async def stopped(pair: Pair) -> None:
+async def pause(pair: GatewayPair) -> None:
     """Stops the first gateway with SIGSTOP for 3.5 s, under load."""
-    await pair.both(3.0)
+    await pair.load_both(3.0)
     pair.gateways[0].signal(signal.SIGSTOP)
-    held = asyncio.create_task(pair.load(0, 3.5))
+    paused_load = asyncio.create_task(pair.load(0, 3.5))
     await pair.load(1, 3.5)
     pair.gateways[0].signal(signal.SIGCONT)
-    await held
+    await paused_load
 
 
-async def killed(pair: Pair) -> None:
+async def kill(pair: GatewayPair) -> None:
     """Ends the first gateway with SIGKILL and starts it again."""
-    await pair.both(3.0)
-    one = pair.gateways[0]
-    one.signal(signal.SIGKILL)
-    assert one.process is not None
-    one.process.wait()
-    one.start()
-    await one.ready()
-
-
-async def quiet(pair: Pair) -> None:
-    """Sends two requests a second while all nodes are slow, in their first 6 s; then none for 8 s."""
-    await pair.both(0.9, 2.0)
+    await pair.load_both(3.0)
+    gateway = pair.gateways[0]
+    gateway.signal(signal.SIGKILL)
+    assert gateway.process is not None
+    gateway.process.wait()
+    gateway.start()
+    await gateway.ready()
+
+
+async def low_traffic(pair: GatewayPair) -> None:
+    """Sends two requests per second for 0.9 s while all servers are slow, and then none for 8 s."""
+    await pair.load_both(0.9, 2.0)
     await asyncio.sleep(8.0)
 
 
-TROUBLES: dict[str, tuple[Callable[[Pair], Awaitable[None]], float]] = {
-    "drained": (drained, 0.0), "stopped": (stopped, 0.0), "killed": (killed, 0.0), "quiet": (quiet, 6.0),
+# By name: the function that runs the fault, and the seconds for which all servers are slow from the start.
+FAULTS: dict[str, tuple[Callable[[GatewayPair], Awaitable[None]], float]] = {
+    "drained": (drain, 0.0), "stopped": (pause, 0.0), "killed": (kill, 0.0), "quiet": (low_traffic, 6.0),
 }  # fmt: skip
 
 
 async def measure(
     name: str, folder: Path, after_s: float = AFTER_S, rate: float = RATE
-) -> list[RecoveryFigures]:
-    """Returns both gateways' figures for the time after a trouble."""
-    trouble, slow_s = TROUBLES[name]
+) -> list[FaultFigures]:
+    """Returns both gateways' figures for the time after a fault."""
+    fault, slow_s = FAULTS[name]
     slow_replies = Fault(FaultKind.DELAY, 0.0, slow_s, 1.0, 1.9)
     nodes = [
         Node(f"s{i}", ServiceProfile({"report-read": 30.0}), FaultScript((slow_replies,), seed=i))
         for i in range(3)
     ]
     async with LabSite(nodes) as site:
-        pair = Pair(folder, site)
+        pair = GatewayPair(folder, site)
         for gateway in pair.gateways:
             gateway.start()
         await asyncio.gather(*(gateway.ready() for gateway in pair.gateways))
         for node in nodes:
             node.started_at = asyncio.get_running_loop().time()
-        await trouble(pair)
+        await fault(pair)
         answers = await asyncio.gather(pair.load(0, after_s, rate), pair.load(1, after_s, rate))
         figures = []
         for gateway, answers_of_one in zip(pair.gateways, answers, strict=True):
             await gateway.stop()
             lines = re.findall(r"refused: overload (\d+)", gateway.log.read_text())
-            served, refused = answers_of_one.count("served"), answers_of_one.count("refused")
-            figures.append(RecoveryFigures(len(answers_of_one), served, refused, sum(map(int, lines))))
+            served, rejected = answers_of_one.count("served"), answers_of_one.count("refused")
+            figures.append(FaultFigures(len(answers_of_one), served, rejected, sum(map(int, lines))))
         return figures
 
 
 def main() -> int:
-    """Prints a row for each trouble and gateway."""
+    """Prints a row for each fault and gateway."""
     print(machine())
-    for name in sys.argv[1:] or TROUBLES:
+    for name in sys.argv[1:] or FAULTS:
         with tempfile.TemporaryDirectory() as folder:
             rows: list[Any] = uvloop.run(measure(name, Path(folder)))
-        for which, row in zip(("with the trouble", "its neighbour"), rows, strict=True):
-            print(f"{name:8} {which:16} asked {row.asked} served {row.served} refused {row.refused} "
-                  f"as overload {row.overload}")  # fmt: skip
+        for role, row in zip(("with the fault", "without"), rows, strict=True):
+            print(f"{name:8} {role:14} requests {row.requests} served {row.served} rejected {row.rejected} "
+                  f"by overload {row.overload_rejections}")  # fmt: skip
     return 0
 
 
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -169,7 +169,7 @@
 
     async def scenario() -> None:
         for row in await measure("quiet", tmp_path, 2.0):
-            assert row.refused == 0 and row.served == row.asked > 20
+            assert row.rejected == 0 and row.served == row.requests > 20
 
     run_scenario(scenario())
 
