--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -173,7 +173,9 @@
     outcomes = iter([PlannedOutcome(0.0, 1e9, Outcome.OK), PlannedOutcome(0.0, 0.05, Outcome.OK)])
     route = RouteLimits("r", hedge_after_ms=100.0)
     site = SimulatedSite(
-        RouteTable({(class_name, "osnovni"): route}, 1), lambda: next(outcomes), overlap=True
+        RouteTable({(class_name, "osnovni"): route}, 1),
+        lambda: next(outcomes),
+        allows_concurrent_attempts=True,
     )
     start = site.loop.now
     request = site.send_request(class_name, 3000.0)
@@ -190,7 +192,9 @@
         route = RouteLimits("r", hedge_after_ms=50.0, max_attempts=2)
         table = {(class_name, "osnovni"): route}
         site = SimulatedSite(
-            RouteTable(table, 1), lambda: PlannedOutcome(0.0, 1e9, Outcome.OK), overlap=overlap
+            RouteTable(table, 1),
+            lambda: PlannedOutcome(0.0, 1e9, Outcome.OK),
+            allows_concurrent_attempts=overlap,
         )
         request = site.send_request(class_name, 400.0)
         site.loop.run(site.loop.now + 0.3)
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -242,7 +242,7 @@
         order = SimulatedCall(
             request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
         )
-        self.site.servers.orders[request] = order
+        self.site.servers.calls[request] = order
         asker = self.asked[request] = ProxyClient(self, request, DownstreamStream(self.calls))
         said = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -1,4 +1,4 @@
-"""The core, the engine and the routes under a simulated clock, with servers whose outcomes are planned.
+"""The core, the engine and the routes in simulated time, with servers whose outcomes are planned.
 
 The servers record when the bytes of each attempt were sent and how it ended. The rules are checked on these
 records, not on the gateway's state.
@@ -24,7 +24,7 @@
     ResponseSource,
     Served,
 )
-from glenchute.policy.engine import DecisionEngine as Module
+from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind, Outcome
 from glenchute.policy.retries.route_limits import RouteTable
 from glenchute.policy.settings import Idempotency, IdempotencyScope, Plan, RequestClass, Settings, SlowStart
@@ -84,8 +84,11 @@
 
 @dataclass(frozen=True)
 class PlannedOutcome:
-    """How an attempt will end: its bytes are sent after `connect_s` (inf: never), and `outcome` follows after
-    `duration_s` (over 1e6: there is no response)."""
+    """How an attempt will end.
+
+    Its bytes are sent after `connect_s`, or never if that is infinite. It ends with `outcome` after a further
+    `duration_s`, or gets no response if that is above 1e6.
+    """
 
     connect_s: float
     duration_s: float
@@ -116,18 +119,20 @@
 
 
 class SimulatedAttempt:
-    """An attempt that behaves as those of the real upstreams: it has its own timeout, sends nothing after
-    `write_by`, and reports one result."""
+    """An attempt that behaves as those of the real upstreams.
+
+    It has its own timeout, sends nothing after `write_by`, and reports one result.
+    """
 
     def __init__(
         self,
         servers: SimulatedServers,
         record: AttemptRecord,
-        fate: PlannedOutcome,
+        planned: PlannedOutcome,
         done: Callable[[AttemptResult], None],
         write_by: float,
     ) -> None:
-        self.servers, self.record, self.fate, self.done = servers, record, fate, done
+        self.servers, self.record, self.planned, self.done = servers, record, planned, done
         self.started_at = record.started_at
         self.write_by = write_by
         self.is_written = False
@@ -138,49 +143,49 @@
     def start(self) -> None:
         loop = self.servers.loop
         loop.call_later(self.record.timeout_s, self.stop, Outcome.TIMEOUT)
-        connect = min(self.fate.connect_s, self.servers.connect_s)
-        loop.call_later(connect, self.connected, self.fate.connect_s <= self.servers.connect_s)
+        connect_s = min(self.planned.connect_s, self.servers.connect_s)
+        loop.call_later(connect_s, self.on_connected, self.planned.connect_s <= self.servers.connect_s)
 
-    def connected(self, up: bool) -> None:
+    def on_connected(self, is_connected: bool) -> None:
         if self.has_ended:
             return
-        if not up or self.servers.loop.now > self.write_by:
+        if not is_connected or self.servers.loop.now > self.write_by:
             self.end(Outcome.UNREACHABLE)
             return
         self.is_written, self.record.sent_at = True, self.servers.loop.now
         self.servers.check_sent(self.record)
-        if self.fate.duration_s < 1e6:
-            self.servers.loop.call_later(self.fate.duration_s, self.end, self.fate.outcome)
+        if self.planned.duration_s < 1e6:
+            self.servers.loop.call_later(self.planned.duration_s, self.end, self.planned.outcome)
 
-    def stop(self, ending: Outcome) -> None:
-        self.end(ending if self.is_written else Outcome.UNREACHABLE)
+    def stop(self, outcome: Outcome) -> None:
+        self.end(outcome if self.is_written else Outcome.UNREACHABLE)
 
-    def end(self, ending: Outcome) -> None:
+    def end(self, outcome: Outcome) -> None:
         if self.has_ended:
             return
         self.has_ended = True
-        self.record.ended_at, self.record.outcome = self.servers.loop.now, ending
-        self.done(AttemptResult(ending, self.record.request if ending is Outcome.OK else None))
+        self.record.ended_at, self.record.outcome = self.servers.loop.now, outcome
+        self.done(AttemptResult(outcome, self.record.request if outcome is Outcome.OK else None))
 
 
 class SimulatedServers:
-    """All servers, which check the rules on attempts by their own records."""
+    """All servers, which check the rules on attempts by their own records.
+
+    `next_outcome` returns the planned outcome of each attempt in turn. `connect_s` is the connect timeout.
+    """
 
     def __init__(
-        self, loop: SimulatedLoop, fates: Callable[[], PlannedOutcome], overlap: bool, connect_s: float
-    ) -> None:
-        self.loop, self.next_outcome, self.allows_concurrent_attempts, self.connect_s = (
-            loop,
-            fates,
-            overlap,
-            connect_s,
-        )
+        self, loop: SimulatedLoop, next_outcome: Callable[[], PlannedOutcome],
+        allows_concurrent_attempts: bool, connect_s: float,
+    ) -> None:  # fmt: skip
+        self.loop, self.next_outcome, self.connect_s = loop, next_outcome, connect_s
+        self.allows_concurrent_attempts = allows_concurrent_attempts
         self.records: list[AttemptRecord] = []
         self.by_request: dict[bytes, list[AttemptRecord]] = {}
-        self.orders: dict[bytes, SimulatedCall] = {}
+        self.calls: dict[bytes, SimulatedCall] = {}
         self.names: list[str] = []
         self.idempotency_window_s = 0.0
-        # Plans outcomes by request and attempt number, in place of `fates`.
+        # If set, returns the planned outcome by request and attempt number, in place of `next_outcome`.
         self.planned_outcome: Callable[[bytes, int], PlannedOutcome] | None = None
 
     def activate_server(self, server: str, address: Address, has_restarted: bool) -> None:
@@ -238,33 +243,34 @@
         )
 
     def check_sent(self, record: AttemptRecord) -> None:
-        """Checks, as an attempt's bytes are sent, that the earlier attempts of the request allow it."""
-        order = self.orders[record.request]
-        before = [r for r in self.attempts_of(record.request) if r is not record]
+        """Checks that an attempt may be sent now, given the earlier attempts of its request."""
+        call = self.calls[record.request]
+        earlier = [r for r in self.attempts_of(record.request) if r is not record]
         if not self.allows_concurrent_attempts:
-            assert all(r.ended_at is not None for r in before), "two attempts at once"
-        ran = [
-            r for r in before if r.sent_at is not None and (r.outcome is None or r.outcome in MAY_HAVE_RUN)
+            assert all(r.ended_at is not None for r in earlier), "concurrent attempts of one request"
+        may_have_run = [
+            r for r in earlier if r.sent_at is not None and (r.outcome is None or r.outcome in MAY_HAVE_RUN)
         ]
-        if ran and order.idempotency is Idempotency.NON_IDEMPOTENT:
+        if may_have_run and call.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("a non-idempotent request was sent again after it may have run")
-        if ran and order.idempotency is Idempotency.WITH_KEY:
-            first = min(r.sent_at for r in ran if r.sent_at is not None)
+        if may_have_run and call.idempotency is Idempotency.WITH_KEY:
+            first = min(r.sent_at for r in may_have_run if r.sent_at is not None)
             assert self.loop.now - first <= self.idempotency_window_s, (
-                "a keyed attempt was sent after the idempotency window"
+                "an attempt with an idempotency key was sent after the key had expired"
             )
 
     def attempts_of(self, request: bytes) -> list[AttemptRecord]:
+        """Returns the records of a request's attempts."""
         return self.by_request.get(request, [])
 
 
 @dataclass
 class SimulatedSite:
-    """One gateway and its servers. `responses`: the final responses to each request, with their times."""
+    """One gateway and its servers. `responses` has the final responses to each request, with their times."""
 
     routes: RouteTable | None
-    fates: Callable[[], PlannedOutcome]
-    overlap: bool = False
+    next_outcome: Callable[[], PlannedOutcome]
+    allows_concurrent_attempts: bool = False
     connect_s: float = 0.25
     max_attempts: int = 5
     seed: int = 1
@@ -284,16 +290,19 @@
             slow_start=SlowStart(),
             max_attempts=self.max_attempts,
             max_retry_after_ms=1000.0,
-            allows_hedging=self.overlap,
+            allows_hedging=self.allows_concurrent_attempts,
         )
         self.idempotency_by_class = {cls.name: cls.idempotency for cls in settings.classes}
-        self.servers = SimulatedServers(self.loop, self.fates, self.overlap, self.connect_s)
+        self.servers = SimulatedServers(
+            self.loop, self.next_outcome, self.allows_concurrent_attempts, self.connect_s
+        )
         self.servers.idempotency_window_s = 2.5
         self.gateway = RequestExecutor(
-            self.loop, Module(settings, self.seed), self.servers, None  # type: ignore[arg-type]
+            self.loop, DecisionEngine(settings, self.seed), self.servers, None  # type: ignore[arg-type]
         )  # fmt: skip
         self.gateway.clock = SimulatedClock(self.loop)  # type: ignore[assignment]
-        self.gateway.routes, self.gateway.allows_concurrent_attempts = self.routes, self.overlap
+        self.gateway.routes = self.routes
+        self.gateway.allows_concurrent_attempts = self.allows_concurrent_attempts
         entries = tuple(Endpoint(f"s{i}", ZONES[i % 3]) for i in range(6))
         self.servers.names = [entry.address for entry in entries]
         self.gateway.post(EndpointList(EndpointListKind.CACHED, entries))
@@ -301,26 +310,28 @@
     def send_request(self, class_name: str, left_ms: float, plan: str = "osnovni") -> bytes:
         """Sends a client's request and returns its id."""
         request = b"%d" % (len(self.responses) + 1)
-        repeat = self.idempotency_by_class[class_name]
-        order = SimulatedCall(request, class_name, plan, "c1", left_ms, 1.0, 1, repeat)
-        self.servers.orders[request] = order
+        idempotency = self.idempotency_by_class[class_name]
+        call = SimulatedCall(request, class_name, plan, "c1", left_ms, 1.0, 1, idempotency)
+        self.servers.calls[request] = call
         self.responses[request] = []
-        self.gateway.accept(order, lambda answer: self.responses[request].append((self.loop.now, answer)))
+        self.gateway.accept(call, lambda answer: self.responses[request].append((self.loop.now, answer)))
         return request
 
-    def check_response(self, request: bytes, asked: float, left_ms: float) -> None:
-        """Checks that the request got exactly one final response in time. A rejection is valid only if no
-        attempt may have run."""
+    def check_response(self, request: bytes, sent_at: float, left_ms: float) -> None:
+        """Checks that a request got exactly one final response, and in time.
+
+        A rejection is valid only if no attempt may have run.
+        """
         ((at, answer),) = self.responses[request]
-        assert at <= asked + left_ms / 1000.0 + 1e-6
-        ran = [
+        assert at <= sent_at + left_ms / 1000.0 + 1e-6
+        may_have_run = [
             r
             for r in self.servers.attempts_of(request)
             if r.sent_at is not None and r.outcome in MAY_HAVE_RUN
         ]
         if isinstance(answer, Rejected):
-            assert not ran, "a rejection after an attempt that may have run"
+            assert not may_have_run, "a rejection after an attempt that may have run"
         elif isinstance(answer, Served):
-            assert answer.value == request and any(r.outcome is Outcome.OK for r in ran)
+            assert answer.value == request and any(r.outcome is Outcome.OK for r in may_have_run)
         else:
             assert isinstance(answer, Failed)
