--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems beyond the gateway, written from public specifications."""
+"""Stand-ins for the systems that the gateway talks to, written from public specifications."""
--- a/lab/faults.py
+++ b/lab/faults.py
@@ -1,4 +1,4 @@
-"""Seeded scripts of the faults of a stand-in service: their kinds, times and shares of the commands."""
+"""Seeded scripts of the faults of a stand-in service: their kinds and times, and the commands they affect."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault of a share of the commands, from `from_s` to `to_s` after the start."""
+    """A fault that affects a fraction `share` of the commands, from `from_s` to `to_s` after the start."""
 
     kind: FaultKind
     from_s: float
--- a/lab/sim/__init__.py
+++ b/lab/sim/__init__.py
@@ -1,2 +1,1 @@
-"""A deterministic simulation of a site round real decision modules: one seeded scheduler, faults by
-script."""
+"""Deterministic simulations of a site with real decision engines: one seeded scheduler, scripted faults."""
