--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -78,10 +78,10 @@
 def draining_servers_are_kept(patch: pytest.MonkeyPatch) -> None:
     original = ServerPool.update
 
-    def update(self: ServerPool, news: EndpointList, now_ms: float) -> None:
+    def update(self: ServerPool, endpoint_list: EndpointList, now_ms: float) -> None:
         before = dict(self.servers)
-        original(self, news, now_ms)
-        for entry in news.endpoints:
+        original(self, endpoint_list, now_ms)
+        for entry in endpoint_list.endpoints:
             if entry.state is not EndpointState.ACTIVE and entry.address in before:
                 self.servers[entry.address] = before[entry.address]
 
@@ -177,10 +177,10 @@
     original = WindowCounter.apply_total
 
     def apply_total(self: WindowCounter, total: float, units: float, marker: float) -> Any:
-        found = original(self, total, units, marker)
-        if found is not None:
-            raise ZeroDivisionError("lost")
-        return found
+        result = original(self, total, units, marker)
+        if result is not None:
+            raise ZeroDivisionError("injected")
+        return result
 
     patch.setattr(WindowCounter, "apply_total", apply_total)
 
@@ -200,8 +200,8 @@
 
 
 def test_a_seed_is_a_run() -> None:
-    one, two = run_script(draw_script(3)), run_script(draw_script(3))
-    assert one.sent == two.sent and one.steps == two.steps and len(one.sent) > 200
+    first, second = run_script(draw_script(3)), run_script(draw_script(3))
+    assert first.sent == second.sent and first.steps == second.steps and len(first.sent) > 200
 
 
 @pytest.mark.parametrize("name", sorted(BUGS))
@@ -219,6 +219,6 @@
     script = Script(2, (Fault(1500.0, "half die", 0.5, 1), Fault(3000.0, "counter replaced", 0.9, 9)))
     files = write_captures(script, tmp_path)
     assert len(files) >= 5  # one for each gateway, and one for each of its restarts
-    for found in find_runs(tmp_path).values():
-        report = replay(found)
+    for run in find_runs(tmp_path).values():
+        report = replay(run)
         assert not report.differences and not report.notes
