--- a/tests/lab/test_swarm_piped.py
+++ b/tests/lab/test_swarm_piped.py
@@ -39,13 +39,16 @@
 def sent_commands_are_reported_as_never_sent(patch: pytest.MonkeyPatch) -> None:
     original = CommandPipeline.close
 
-    def cut(
-        self: CommandPipeline[Any], cause: Any = None, ending: Outcome = Outcome.RESET
+    def close(
+        self: CommandPipeline[Any], cause: Any = None, outcome: Outcome = Outcome.RESET
     ) -> list[CommandOutcome[Any]]:
-        never = {Outcome.RESET: Outcome.UNREACHABLE}
-        return [CommandOutcome(item, never.get(how, how)) for item, how in original(self, cause, ending)]
+        outcomes = original(self, cause, outcome)
+        return [
+            CommandOutcome(item, Outcome.UNREACHABLE if ended is Outcome.RESET else ended)
+            for item, ended in outcomes
+        ]
 
-    patch.setattr(CommandPipeline, "close", cut)
+    patch.setattr(CommandPipeline, "close", close)
 
 
 @bug("pairing")
@@ -64,11 +67,11 @@
     patch.setattr(piped, "NETWORK_DELAY_MS", 0.0)
     original = CommandPipeline.match_reply
 
-    def reply(self: CommandPipeline[Any], now_ms: float) -> Any:
-        found = original(self, now_ms)
-        return None if found is None else MatchedReply(found.command, True)
+    def match_reply(self: CommandPipeline[Any], now_ms: float) -> Any:
+        matched = original(self, now_ms)
+        return None if matched is None else MatchedReply(matched.command, True)
 
-    patch.setattr(CommandPipeline, "match_reply", reply)
+    patch.setattr(CommandPipeline, "match_reply", match_reply)
 
 
 @bug("sharing")
@@ -77,8 +80,10 @@
     original = pipeline_types.placement_request
 
     def placement_request(*args: Any) -> Any:
-        job = original(*args)
-        return job._replace(retry_by_ms=job.expires_at_ms) if job.retry_by_ms == -math.inf else job
+        request = original(*args)
+        if request.retry_by_ms == -math.inf:
+            return request._replace(retry_by_ms=request.expires_at_ms)
+        return request
 
     patch.setattr(piped, "placement_request", placement_request)
 
@@ -90,7 +95,8 @@
 
 @bug("head-of-line blocking")
 def any_connection_may_be_joined(patch: pytest.MonkeyPatch) -> None:
-    """Whether an attempt can wait for those ahead is not checked, and no connection is aborted for it."""
+    """Attempts join connections without a check that they can wait for those ahead, and no connection is
+    aborted when they can't."""
     patch.setattr(PlacementChooser, "blocked_until_ms", lambda self, now_ms, connection, request: now_ms)
     patch.setattr(StallDetector, "is_stalled", lambda self, now_ms, connection: False)
     patch.setattr(PipelineScheduler, "is_worth_aborting", lambda self, now_ms, connection: False)
@@ -112,13 +118,13 @@
 def depth_is_unlimited(patch: pytest.MonkeyPatch) -> None:
     original = PlacementChooser.joinable
 
-    def joinable(self: PlacementChooser, now_ms: float, node: Any, job: Any) -> Any:
-        rules, limit = self.rules, node.depth_limit.limit
-        self.rules, node.depth_limit.limit = rules._replace(max_depth=50, max_queued_per_server=100), 50.0
+    def joinable(self: PlacementChooser, now_ms: float, server: Any, request: Any) -> Any:
+        rules, limit = self.rules, server.depth_limit.limit
+        self.rules, server.depth_limit.limit = rules._replace(max_depth=50, max_queued_per_server=100), 50.0
         try:
-            return original(self, now_ms, node, job)
+            return original(self, now_ms, server, request)
         finally:
-            self.rules, node.depth_limit.limit = rules, limit
+            self.rules, server.depth_limit.limit = rules, limit
 
     patch.setattr(PlacementChooser, "joinable", joinable)
 
@@ -127,11 +133,11 @@
 def replies_go_to_the_newest_command(patch: pytest.MonkeyPatch) -> None:
     original = CommandPipeline.match_reply
 
-    def reply(self: CommandPipeline[Any], now_ms: float) -> Any:
+    def match_reply(self: CommandPipeline[Any], now_ms: float) -> Any:
         self.in_flight = deque(reversed(self.in_flight))
         return original(self, now_ms)
 
-    patch.setattr(CommandPipeline, "match_reply", reply)
+    patch.setattr(CommandPipeline, "match_reply", match_reply)
 
 
 def test_the_rules_hold_over_seeds_and_connections_are_shared() -> None:
@@ -159,8 +165,8 @@
         assert failure is None, failure
 
 
-def hard(seed: int) -> Script:
-    """Builds a script of stuck bytes, surplus replies, drains and hangs throughout, under bursts."""
+def severe_script(seed: int) -> Script:
+    """Builds a script of blocked writes, surplus replies, drains and hangs throughout, under bursts."""
     stuck, extra = "stuck lines", "extra replies"
     kinds = [
         ("volley", stuck, "volley", "drain", stuck, "burst", "volley", "hang"),
@@ -173,7 +179,7 @@
 
 def test_the_rules_hold_when_all_goes_wrong_at_once() -> None:
     for seed in range(8):
-        failure = find_failure(hard(seed), make_world=PipedWorld)
+        failure = find_failure(severe_script(seed), make_world=PipedWorld)
         assert failure is None, failure
 
 
@@ -181,8 +187,8 @@
 def test_an_injected_bug_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     rule, inject = BUGS[name]
     inject(monkeypatch)
-    found = (find_failure(hard(seed), make_world=PipedWorld) for seed in range(24))
-    failure = next((one for one in found if one is not None), None)
+    failures = (find_failure(severe_script(seed), make_world=PipedWorld) for seed in range(24))
+    failure = next((failure for failure in failures if failure is not None), None)
     failure = failure or search(range(10), make_world=PipedWorld, kinds=PIPED_KINDS)
     assert failure is not None, f"{name} was not found"
     assert failure.rule == rule, failure
