--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -21,11 +21,11 @@
 from benchmarks.machine import machine
 from glenchute.policy.endpoints.polling import PollingSettings, max_first_polls_per_s
 from lab.coldstart import (
-    Call,
+    DiscoveryCall,
     GatewayFleet,
     PollSimulation,
-    busiest,
-    rejection_rate,
+    max_calls_per_s,
+    rejection_fraction,
     run_outage,
     run_release,
     run_start,
@@ -55,10 +55,11 @@
     return operator_file
 
 
-def print_row(name: str, count: int, phase: str, calls: list[Call], serving_after_s: float) -> None:
+def print_row(name: str, count: int, phase: str, calls: list[DiscoveryCall], serving_after_s: float) -> None:
     """Prints a line of the table."""
-    print(f"{name:9} {count:4} {phase:8} busiest second {busiest(calls):4}, away {rejection_rate(calls):.3f}"
-          f" of {len(calls):4}, all serve after {serving_after_s:.1f} s", flush=True)  # fmt: skip
+    print(f"{name:9} {count:4} {phase:8} busiest second {max_calls_per_s(calls):4}, "
+          f"rejected {rejection_fraction(calls):.3f} of {len(calls):4}, "
+          f"all serve after {serving_after_s:.1f} s", flush=True)  # fmt: skip
 
 
 async def measure_fleet(name: str, count: int, operator: str | Callable[[int], str] | None) -> None:
@@ -88,7 +89,7 @@
 
 def print_simulated() -> None:
     """Simulates starts, releases and outages at sizes that real processes do not reach."""
-    print("gateways  scene    busiest second  turned away  bound of a start")
+    print("gateways  scene    busiest second  rejected     bound of a start")
     for count in (200, 500):
         rate = count / 15.0
         bound = max_first_polls_per_s(PollingSettings(count, 0, rate, LIST_AGE_S))
@@ -99,8 +100,8 @@
                 rate,
             )
             scene(simulation)
-            print(f"{count:8}  {scene.__name__:8} {busiest(simulation.calls):8} of {rate:.1f}"
-                  f" {rejection_rate(simulation.calls):10.3f} {bound:10.1f}")  # fmt: skip
+            print(f"{count:8}  {scene.__name__:8} {max_calls_per_s(simulation.calls):8} of {rate:.1f}"
+                  f" {rejection_fraction(simulation.calls):10.3f} {bound:10.1f}")  # fmt: skip
 
 
 def print_start_cpu() -> None:
