--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -22,7 +22,7 @@
 from glenchute.config.schema import Path as Place
 from glenchute.policy.events import Outcome
 from tests.loopback import raw_config
-from tests.sites import FACTS, NO_SCOPE, OVERLAP
+from tests.platform_facts import FACTS, NO_SCOPE, OVERLAP
 
 ROOT = Path(__file__).resolve().parents[2]
 
--- a/tests/config/test_operator_matching.py
+++ b/tests/config/test_operator_matching.py
@@ -25,7 +25,7 @@
 from glenchute.config.schema import Strings
 from glenchute.policy.retries.route_limits import RouteLimits
 from glenchute.policy.settings import Idempotency
-from tests.sites import FACTS
+from tests.platform_facts import FACTS
 
 TWO_READS = replace(FACTS, classes={"a-read": ClassFacts(Idempotency.IDEMPOTENT, 2000.0), **FACTS.classes})
 READS = {"report-read": ClassFacts(Idempotency.IDEMPOTENT, 3000.0)}
--- a/tests/config/test_pipeline_rules.py
+++ b/tests/config/test_pipeline_rules.py
@@ -26,7 +26,7 @@
     RouteRetryBudget,
 )
 from tests.loopback import raw_config, reply_with, run_scenario, site
-from tests.sites import FACTS, NO_SCOPE
+from tests.platform_facts import FACTS, NO_SCOPE
 from tests.upstreams.test_pipelined_servers import ScriptedServer, burst, pipelined_site, reads
 
 ROOT = Path(__file__).resolve().parents[2]
--- a/tests/listeners/extproc/test_extproc_page.py
+++ b/tests/listeners/extproc/test_extproc_page.py
@@ -21,7 +21,7 @@
 
 from glenchute.config.operator import parse
 from glenchute.listeners.extproc import messages, responses, server
-from tests.sites import FACTS
+from tests.platform_facts import FACTS
 
 PAGE = (Path(__file__).resolve().parents[3] / "docs" / "operators" / "extproc.md").read_text()
 # These modules are imported so that protobuf can resolve their messages in fields of type Any.
--- a/tests/listeners/extproc/test_extproc_rules.py
+++ b/tests/listeners/extproc/test_extproc_rules.py
@@ -30,7 +30,7 @@
     RequestView,
 )
 from glenchute.policy.settings import Idempotency
-from tests.sites import FACTS
+from tests.platform_facts import FACTS
 
 ACCOUNT = "00000000b4d65521"
 RULES = MappingRules(
--- a/tests/sites.py
+++ b/tests/platform_facts.py
@@ -1,4 +1,4 @@
-"""The platform of the tests of operator's files: three classes, four plans, figures of its own."""
+"""Facts of the platform that tests of operator's files assume: three classes, four plans and the limits."""
 
 from __future__ import annotations
 
@@ -18,6 +18,13 @@
     allows_hedging=False,
     connect_timeout_ms=250.0,
 )
+# The same on a platform that allows hedging.
 OVERLAP = replace(FACTS, allows_hedging=True)
-ORDERS = ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0, is_scope_known=False)
-NO_SCOPE = replace(FACTS, classes={**FACTS.classes, "check-order": ORDERS})
+# The same on a platform that does not state in which scope servers recognize the idempotency keys of orders.
+NO_SCOPE = replace(
+    FACTS,
+    classes={
+        **FACTS.classes,
+        "check-order": ClassFacts(Idempotency.WITH_KEY, 4000.0, 2500.0, is_scope_known=False),
+    },
+)
--- a/tests/policy/retries/test_routes.py
+++ b/tests/policy/retries/test_routes.py
@@ -25,8 +25,8 @@
     RouteRetryBudget,
     RouteTable,
 )
+from tests.platform_facts import FACTS, OVERLAP
 from tests.simulated import PlannedOutcome, SimulatedSite
-from tests.sites import FACTS, OVERLAP
 
 CLASSES = tuple(FACTS.classes)
 OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET)
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -20,8 +20,8 @@
 from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import MappingRules
 from glenchute.policy.settings import Idempotency
+from tests.platform_facts import FACTS
 from tests.simulated import AttemptRecord, PlannedOutcome, SimulatedCall, SimulatedSite
-from tests.sites import FACTS
 
 SOURCES = {
     "class": "header:x-class", "account": "header:x-account", "plan": "header:x-plan",
