--- a/tests/messages/counter.py
+++ b/tests/messages/counter.py
@@ -92,7 +92,7 @@
 
 
 def connected_client(count: int) -> tuple[CounterClient, list[RecordingTransport]]:
-    """Returns a client with open connections, and their transports. Nothing answers on them."""
+    """Returns a client with `count` open connections, and their transports, which never reply."""
     counter = CounterClient(IdleLoop(), ("127.0.0.1", 1), 0.05, count)  # type: ignore[arg-type]
     transports = [RecordingTransport() for _ in counter.connections]
     for connection, transport in zip(counter.connections, transports, strict=True):
@@ -101,7 +101,7 @@
 
 
 def commands() -> Rows:
-    """Returns the bytes of the first command on a connection, and of each call."""
+    """Returns the bytes of the ping that a new connection starts with, and of each call."""
     counter, (transport,) = connected_client(1)
     rows: Rows = [("ping", bytes(transport.sent))]
     for number, call in enumerate(counter_calls()):
@@ -124,7 +124,7 @@
 
 
 def outcomes(replies: Rows) -> Rows:
-    """Returns the outcome and the total that each reply gives."""
+    """Returns the outcome and the total that the client reports for each reply to a call."""
     rows: Rows = []
     for label, reply in replies:
         counter, _ = connected_client(1)
--- a/tests/messages/handover.py
+++ b/tests/messages/handover.py
@@ -25,7 +25,7 @@
     QuotaSnapshot("b", "rate", 1, -2.0, -0.5, 0.0, 0.0, 0.0, 0.0, -1.0, math.inf),
     QuotaSnapshot("größe", "", 1_000_000, 1e12, -1e12, 0.1, 1e-9, 3.0, 3.0, 1e15, -7.25),
 )
-NAMES = (("g7", ("127.0.0.1", 7000)), ("zagreb-12", ("0.0.0.0", 65535)))
+LISTEN_ADDRESSES = (("g7", ("127.0.0.1", 7000)), ("zagreb-12", ("0.0.0.0", 65535)))
 
 
 def quotas_after_load() -> tuple[QuotaSnapshot, ...]:
@@ -54,12 +54,15 @@
 
 
 def socket_names() -> Rows:
-    """Returns the path of the handover socket for each gateway of `NAMES`."""
-    return [(f"{name} {listen}", f"{socket_path('/t', name, listen)}\n".encode()) for name, listen in NAMES]
+    """Returns the path of the handover socket for each gateway of `LISTEN_ADDRESSES`."""
+    return [
+        (f"{name} {listen}", f"{socket_path('/t', name, listen)}\n".encode())
+        for name, listen in LISTEN_ADDRESSES
+    ]
 
 
 async def from_predecessor() -> bytes:
-    """Returns all bytes that the process in service sends to a successor."""
+    """Returns all bytes that the process in service sends to a successor that connects."""
     loop = asyncio.get_running_loop()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "socket"
@@ -74,7 +77,8 @@
 
 
 async def to_successor(raw: bytes) -> tuple[PredecessorConnection | None, bytes]:
-    """Returns the connection of a successor that receives these bytes, and all bytes that it sends."""
+    """Returns the connection of a successor that receives these bytes, None if it rejects them, and all bytes
+    that it sends."""
     loop = asyncio.get_running_loop()
     sent = bytearray()
     closed = asyncio.Event()
