--- a/tests/messages/__main__.py
+++ b/tests/messages/__main__.py
@@ -13,7 +13,7 @@
 
 def main() -> None:
     """Writes the files; fails if one of them exists."""
-    requests, replies = control.answers()
+    requests, replies = control.session()
     lines, answers = simulator.session()
     files = {
         "handover.txt": as_text(handover.messages()),
@@ -24,7 +24,7 @@
         "datagrams.hex": as_hex(datagrams.datagrams()),
         "counter_calls.txt": as_text(counter.counter_call_rows()),
         "counter_commands.hex": as_hex(counter.commands()),
-        "counter_connections.txt": "".join(f"{at}\n" for at in counter.connections_used()),
+        "counter_connections.txt": "".join(f"{index}\n" for index in counter.connections_used()),
         "counter_replies.hex": as_hex(counter.REPLIES),
         "counter_outcomes.txt": as_text(counter.outcomes(counter.REPLIES)),
         "control_requests.txt": as_text(requests),
--- a/tests/messages/control.py
+++ b/tests/messages/control.py
@@ -1,4 +1,4 @@
-"""Requests and replies on the control socket of a member whose clock and boot are fixed."""
+"""Requests and replies on the control socket of a member whose clock and boot number are fixed."""
 
 from __future__ import annotations
 
@@ -61,14 +61,14 @@
         return None
 
 
-def member(loop: FixedLoop) -> MemberNode:
+def create_member(loop: FixedLoop) -> MemberNode:
     """Creates a member that has received nothing from the others yet."""
     with mock.patch("os.urandom", lambda count: b"\x5a" * count):
         node = MemberNode(MEMBER, loop, DecisionEngine(SETTINGS, 1), SETTINGS, 1)  # type: ignore[arg-type]
     return node
 
 
-def in_service(loop: FixedLoop, node: MemberNode) -> None:
+def bring_into_service(loop: FixedLoop, node: MemberNode) -> None:
     """Brings the member into service: it receives datagrams, a list, a parked task and two different copies
     of a row, and acquires a lease."""
     now = loop.time()
@@ -93,37 +93,37 @@
         node.task_runner.tick()
 
 
-def answers(requests: Rows | None = None) -> tuple[Rows, Rows]:
-    """Returns the requests and the replies to them of one member, first new and then in service. `requests`:
-    in place of those of `made_requests`."""
+def session(requests: Rows | None = None) -> tuple[Rows, Rows]:
+    """Returns the requests, by default those of `sample_requests`, and one member's replies to them. The
+    member is new until the first request labelled "in service"."""
     loop = FixedLoop()
     with mock.patch.object(tasks, "clock", loop.time):
-        node = member(loop)
+        node = create_member(loop)
         control = ControlServer("")
         control.register("fleet", node.verbs())
-        control.register("lab", {"fault": fault})
-        sent = requests or made_requests()
+        control.register("lab", {"fault": raise_error})
+        sent = requests or sample_requests()
         assert sorted(control.verbs) == sorted([*(f"fleet {verb}" for verb in VERBS), "lab fault"])
         replies: Rows = []
         for label, request in sent:
             if label == "in service: tasks":
-                in_service(loop, node)
+                bring_into_service(loop, node)
             (reply,) = asyncio.run(exchange(control, request))
             replies.append((label, reply))
     return sent, replies
 
 
-def fault() -> list[dict[str, Any]]:
-    """Raises an error, as a verb that fails."""
+def raise_error() -> list[dict[str, Any]]:
+    """The handler of the verb `lab fault`, which always fails."""
     raise ValueError("on purpose")
 
 
-def made_requests() -> Rows:
-    """Returns requests as the control client writes them, and some that it never writes."""
+def sample_requests() -> Rows:
+    """Returns requests as the control client writes them, followed by invalid ones that it never writes."""
     rows: Rows = []
     for when in ("fresh", "in service"):
-        rows += [(f"{when}: {verb}", request_of(f"fleet {verb}")[0]) for verb in VERBS]
-    return [*rows, ("a verb that fails", request_of("lab fault")[0]), *BAD_REQUESTS]
+        rows += [(f"{when}: {verb}", call_with_client(f"fleet {verb}")[0]) for verb in VERBS]
+    return [*rows, ("a verb that fails", call_with_client("lab fault")[0]), *BAD_REQUESTS]
 
 
 async def exchange(control: ControlServer, request: bytes) -> list[bytes]:
@@ -140,7 +140,7 @@
     return raw.splitlines(keepends=True)
 
 
-def request_of(verb: str, reply: bytes = b'{"rows": []}\n') -> tuple[bytes, list[dict[str, Any]]]:
+def call_with_client(verb: str, reply: bytes = b'{"rows": []}\n') -> tuple[bytes, list[dict[str, Any]]]:
     """Returns the bytes that the client sends for a verb, and the rows that it decodes from this reply."""
     received = bytearray()
     with tempfile.TemporaryDirectory() as folder, socket.socket(socket.AF_UNIX) as listener:
@@ -163,7 +163,7 @@
     return bytes(received), rows
 
 
-def rows_of(reply: bytes) -> list[dict[str, Any]] | None:
+def decode_rows(reply: bytes) -> list[dict[str, Any]] | None:
     """Returns the rows of a reply; None if it has none."""
     found: list[dict[str, Any]] | None = json.loads(reply).get("rows")
     return found
--- a/tests/messages/simulator.py
+++ b/tests/messages/simulator.py
@@ -40,7 +40,8 @@
 
 
 class Session:
-    """A simulator of two gateways. The events that it writes depend on a seed and on the answers."""
+    """The simulator's side of a session with an adapter that hosts two gateways. The events that it writes
+    depend on a seed and on the answers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -48,10 +49,10 @@
         self.lines: list[str] = []
         self.answers: list[str] = []
         self.now = START
-        self.due: list[tuple[float, int, list[Any]]] = []
+        self.due: list[tuple[float, int, list[Any]]] = []  # scheduled events: time, sequence number, event
         self.event_number = self.request_number = 0
-        self.attempts: dict[str, int] = {}
-        self.totals: dict[int, float] = {}
+        self.attempts: dict[str, int] = {}  # number of the last attempt by request id
+        self.totals: dict[int, float] = {}  # the shared counter's totals by key
 
     def write(self, *events: list[Any]) -> None:
         """Writes events as one line, and handles the actions in the answer."""
@@ -74,7 +75,7 @@
             number = self.attempts[request_id] = self.attempts.get(request_id, -1) + 1
             outcome = self.rng.choice(["pass"] * 12 + list(OUTCOMES))
             duration_ms = round(self.rng.uniform(5.0, 200.0), 3)
-            report = [0, self.rng.randrange(5), self.rng.choice([None, 3])]
+            load_report = [0, self.rng.randrange(5), self.rng.choice([None, 3])]
             if self.rng.random() < 0.2:
                 self.schedule(0.5 * duration_ms, ["streaming", gateway, request_id, number, server, 1.0])
             ended = [
@@ -88,7 +89,7 @@
                 outcome == "pass",
                 1,
                 2,
-                report,
+                load_report,
             ]
             self.schedule(duration_ms, ended)
         elif kind == "remind":
@@ -104,22 +105,23 @@
         """Advances the time by a duration and writes the events that become due."""
         end = self.now + duration_ms
         while self.due and min(self.due)[0] <= end:
-            first = min(self.due)
-            self.due.remove(first)
-            self.now = max(self.now, first[0])
-            self.write(first[2])
+            next_due = min(self.due)
+            self.due.remove(next_due)
+            self.now = max(self.now, next_due[0])
+            self.write(next_due[2])
         self.now = end
 
     def accept(self, gateway: int) -> None:
-        """Writes a request of random properties, of which some are cancelled at once."""
+        """Writes a request with random properties, and for some of them that the client has disconnected."""
         self.request_number += 1
         request_id = f"r{self.request_number}"
         class_name = self.rng.choice(["read", "read", "order", "bid", "charge", "none"])
         plan = self.rng.choice(["basic", "hard", "open", "wide", "none"])
-        left = self.rng.choice([900.0, 300.0, 0.0, 2000.0, 2000.0])
+        time_left_ms = self.rng.choice([900.0, 300.0, 0.0, 2000.0, 2000.0])
         units = self.rng.choice([1, 1, 2.5, None])
         tenant = f"c{self.rng.randrange(3)}{plan}"
-        self.write(["accept", gateway, request_id, class_name, plan, tenant, left, units, 2, 0, False, False])
+        event = ["accept", gateway, request_id, class_name, plan, tenant, time_left_ms, units]
+        self.write([*event, 2, 0, False, False])
         if self.rng.random() < 0.1:
             self.write(["gone", gateway, request_id])
 
@@ -130,10 +132,10 @@
 
 
 def session() -> tuple[list[str], list[str]]:
-    """Returns the lines written and the lines answered."""
+    """Plays a session; returns the simulator's lines and the answers to them."""
     recorded = Session(52)
-    first = [entry(f"s{n}") for n in range(4)]
-    recorded.write(["create", 3, 7, SETTINGS], ["create", 5, 8, {}], ["directory", 0, first])
+    servers = [entry(f"s{n}") for n in range(4)]
+    recorded.write(["create", 3, 7, SETTINGS], ["create", 5, 8, {}], ["directory", 0, servers])
     recorded.write(["topology", 3, "warm_copy", 1, 0], ["topology", 5, "total", 1, 0])
     for step in range(160):
         recorded.accept(3 if step % 8 else 5)
@@ -148,18 +150,20 @@
             ]
             recorded.write(["directory", 1, changed], ["topology", 3, "incr", 2, 1])
         if step == 90:
-            recorded.write(["directory", 2, [*first, entry("s5", started=recorded.now)]])
+            recorded.write(["directory", 2, [*servers, entry("s5", started=recorded.now)]])
             recorded.write(["topology", 3, "total", 3, 2])
             recorded.write(["echo", 3, "s1", "pass", 1.0, [1, 2, 3]], ["whisper", 3, 1, "aGkgNw=="])
+    # Infinite units raise an exception in the engine, so the answer holds a "die".
     recorded.write(["accept", 3, "huge", "read", "wide", "c9", 2000.0, float("inf"), 2, 0, False, False])
     recorded.write(["shutdown", 5])
+    # Events for a gateway that was shut down are errors on the wire.
     recorded.due = [row for row in recorded.due if row[2][1] != 5]
     recorded.run(3000.0)
     return recorded.lines, recorded.answers
 
 
-def answered(lines: list[str]) -> list[str]:
-    """Returns the program's answers to these lines."""
+def serve_lines(lines: list[str]) -> list[str]:
+    """Returns the adapter's answers to these lines, as it writes them to its output."""
     out = io.StringIO()
     assert serve(lines, out) == 0
     return out.getvalue().splitlines()
--- a/tests/system/test_message_bytes.py
+++ b/tests/system/test_message_bytes.py
@@ -123,17 +123,17 @@
 
 def test_the_control_socket_is_answered_as_it_was() -> None:
     stored = text_rows("control_requests.txt")
-    assert control.answers(stored)[1] == text_rows("control_replies.txt")
+    assert control.session(stored)[1] == text_rows("control_replies.txt")
 
 
 def test_the_control_sockets_client_writes_and_reads_as_it_did() -> None:
-    assert control.made_requests() == text_rows("control_requests.txt")
+    assert control.sample_requests() == text_rows("control_requests.txt")
     replies = text_rows("control_replies.txt")
     read_count = 0
     for label, reply in replies:
-        rows = control.rows_of(reply)
+        rows = control.decode_rows(reply)
         if rows is not None:
-            assert control.request_of("fleet members", reply)[1] == rows, label
+            assert control.call_with_client("fleet members", reply)[1] == rows, label
             read_count += 1
     assert read_count == 2 * len(control.VERBS)
 
@@ -149,7 +149,7 @@
 
 def test_a_session_on_the_simulators_wire_is_answered_as_it_was() -> None:
     requests, responses = stored_session()
-    assert simulator.answered(requests) == responses
+    assert simulator.serve_lines(requests) == responses
     assert simulator.session() == (requests, responses)
 
 
