--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,4 +1,5 @@
-"""Helpers for the tests of events that cross each other; docs/design/crossings.md has the table of cases."""
+"""Helpers for tests of events that cross, such as a reply and the client's disconnection at the same time;
+docs/design/crossings.md has the table of cases."""
 
 from __future__ import annotations
 
@@ -11,18 +12,16 @@
 import hiredis
 
 from glenchute.policy.actions import Action
-from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import AttemptEnded, Event, Outcome
 from lab.peers import Client, wait_until
-from tests.loopback import (
-    CUSTOMER,
-    Site,
-)
+from tests.loopback import CUSTOMER, Site
 
 READ = (b"CALL.GET", CUSTOMER)
 
 
 def encode_command(*words: bytes) -> bytes:
+    """Returns a command as a RESP array."""
     return hiredis.pack_command(words)  # type: ignore[arg-type, no-any-return]
 
 
@@ -47,21 +46,22 @@
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
         server.listen(0)
-        callers = []
+        clients = []
         for _ in range(4):
-            caller = socket.socket()
-            caller.setblocking(False)
-            caller.connect_ex(server.getsockname())
-            callers.append(caller)
+            client = socket.socket()
+            client.setblocking(False)
+            client.connect_ex(server.getsockname())
+            clients.append(client)
         try:
             yield server.getsockname()[1]
         finally:
-            for caller in callers:
-                caller.close()
+            for client in clients:
+                client.close()
 
 
 async def reset_connection(writer: asyncio.StreamWriter) -> None:
-    # By then the peer has read what was written. Otherwise the reset may overtake it, with the same outcome.
+    """Resets a connection after a delay."""
+    # The peer usually reads what was written before. If the reset overtakes it, the outcome is the same.
     await asyncio.sleep(0.02)
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -69,46 +69,48 @@
 
 
 class OutcomeRecorder:
-    """The real decision engine, with the outcomes of attempts that it was told."""
+    """Wraps a decision engine and records the outcomes of the attempts that end."""
 
-    def __init__(self, decisions: Policy) -> None:
-        self.decisions = decisions
-        self.endings: list[Outcome] = []
+    def __init__(self, engine: DecisionEngine) -> None:
+        self.engine = engine
+        self.outcomes: list[Outcome] = []
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded):
-            self.endings.append(event.outcome)
-        return self.decisions.handle(now_ms, event)
+            self.outcomes.append(event.outcome)
+        return self.engine.handle(now_ms, event)
 
 
 @asynccontextmanager
-async def open_connections(one: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
-    """Opens `count` connections. As much of their commands as socket buffers hold is written before the loop
-    runs again; the rest of each follows as there is room."""
-    before = len(one.program.listener.clients)
-    socks = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(count)]
-    await wait_until(lambda: len(one.program.listener.clients) == before + count)
-    rests = {sock: memoryview(commands) for sock in socks}
+async def open_connections(
+    gateway_site: Site, count: int, commands: bytes
+) -> AsyncIterator[list[socket.socket]]:
+    """Opens `count` connections and writes `commands` on each. As much as the socket buffers hold is written
+    before the loop runs again; a task writes the rest as they drain."""
+    before = len(gateway_site.program.listener.clients)
+    socks = [socket.create_connection(("127.0.0.1", gateway_site.port)) for _ in range(count)]
+    await wait_until(lambda: len(gateway_site.program.listener.clients) == before + count)
+    unsent = {sock: memoryview(commands) for sock in socks}
     for sock in socks:
         sock.setblocking(False)
 
-    def more() -> None:
-        for sock in list(rests):
+    def send_unsent() -> None:
+        for sock in list(unsent):
             with suppress(BlockingIOError):
-                while rests[sock]:
-                    rests[sock] = rests[sock][sock.send(rests[sock]) :]
-                del rests[sock]
+                while unsent[sock]:
+                    unsent[sock] = unsent[sock][sock.send(unsent[sock]) :]
+                del unsent[sock]
 
-    async def follow() -> None:
-        while rests:
+    async def send_until_done() -> None:
+        while unsent:
             await asyncio.sleep(0.01)
-            more()
+            send_unsent()
 
-    more()
-    following = asyncio.create_task(follow())
+    send_unsent()
+    send_task = asyncio.create_task(send_until_done())
     try:
         yield socks
     finally:
-        following.cancel()
+        send_task.cancel()
         for sock in socks:
             sock.close()
--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -183,7 +183,7 @@
         async with site(reply, reply, decisions=recorder) as gateway_site:
             steady_client = await open_idle_connections(gateway_site, 12)
             await asyncio.sleep(2.0 * REUSE_DELAY_S)  # idle connections are not reused before that
-            recorder.endings.clear()
+            recorder.outcomes.clear()
             socks.append(connect_raw(gateway_site, *reads(1)))
             await wait_until(lambda: not socks)
             await wait_until(
@@ -194,8 +194,8 @@
             )
             assert await steady_client.ask(*READ, b"0", GET) == b"value"
             assert sum(len(server.calls()) for server in gateway_site.servers) == 12 + 2
-            assert recorder.endings[0] is Outcome.REJECTED and recorder.endings[-1] is Outcome.OK
-            assert set(recorder.endings[1:-1]) <= {Outcome.NOT_SENT}
+            assert recorder.outcomes[0] is Outcome.REJECTED and recorder.outcomes[-1] is Outcome.OK
+            assert set(recorder.outcomes[1:-1]) <= {Outcome.NOT_SENT}
 
     run_scenario(scenario())
 
