--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -12,10 +12,10 @@
 
 
 def test_a_reader_that_closes_its_end_of_the_pipe_ends_the_command_quietly() -> None:
-    """A pipe closed by its reader, as in `glenchute replay PATH --diff | head -1`, once caused a
-    traceback."""
-    calls = [sys.executable, "-m", "glenchute", "replay", "tests/captures", "--refusals"]
-    command = subprocess.Popen(calls, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    """Guards against a traceback when the reader closes the pipe early, as in
+    `glenchute replay PATH --diff | head -1`."""
+    arguments = [sys.executable, "-m", "glenchute", "replay", "tests/captures", "--refusals"]
+    command = subprocess.Popen(arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
     assert command.stdout is not None and command.stderr is not None
     command.stdout.close()
     errors = command.stderr.read()
--- a/tests/cli/test_process.py
+++ b/tests/cli/test_process.py
@@ -32,7 +32,7 @@
 
 
 async def start(path: Path, **environ: str) -> asyncio.subprocess.Process:
-    """Starts the gateway as a process."""
+    """Starts a gateway process with the configuration file at `path`."""
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "glenchute", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "EDGE_CONFIG": str(path), **environ},
@@ -105,13 +105,13 @@
         await server.start()
         rows = [server_row("s0", server.port)]
 
-        async def reply_two(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        async def reply_total(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if command[0] == b"PING" else b"$1\r\n2\r\n"
 
-        addresses = [
-            (DiscoveryPeer(discovery_answer(version, rows)), RespPeer(reply_two)) for version in (9, 5, 3)
+        peers = [
+            (DiscoveryPeer(discovery_answer(version, rows)), RespPeer(reply_total)) for version in (9, 5, 3)
         ]
-        for discovery, counter_peer in addresses:
+        for discovery, counter_peer in peers:
             await discovery.start()
             await counter_peer.start()
         port_holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
@@ -120,11 +120,12 @@
         await port_holder.wait_closed()
         path = tmp_path / "config.json"
 
-        def write(index: int) -> None:
-            discovery, counter_peer = addresses[index]
+        def write_config(index: int) -> None:
+            """Writes a file with the addresses of a pair of peers."""
+            discovery, counter_peer = peers[index]
             path.write_text(json.dumps(raw_config(discovery.port, counter_peer.port, rows, listen)))
 
-        write(0)
+        write_config(0)
         process = await start(path)
         assert process.stderr is not None
         client = await connect_when_ready(listen)
@@ -135,11 +136,11 @@
             pass
         assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
         for index in (1, 2):
-            write(index)
+            write_config(index)
             process.send_signal(signal.SIGHUP)
             while b"read again" not in await process.stderr.readline():
                 pass
-        discovery, counter_peer = addresses[2]
+        discovery, counter_peer = peers[2]
         await wait_until(
             lambda: len(discovery.targets) > 1 and len(counter_peer.writers) == counter.DEFAULT_CONNECTIONS
         )
@@ -150,7 +151,7 @@
             await asyncio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
-        for peer in (server, *(peer for index in addresses for peer in index)):
+        for peer in (server, *(peer for pair in peers for peer in pair)):
             await peer.stop()
 
     run_scenario(scenario())
