--- a/tests/cli/test_reload.py
+++ b/tests/cli/test_reload.py
@@ -40,17 +40,18 @@
 
 
 def reload_of(program: GatewayProgram) -> OperatorReload:
-    """Returns the program's reload, which must have been requested."""
+    """Returns the program's reload object, which exists once a reload was requested."""
     assert program.operator_reload is not None
     return program.operator_reload
 
 
-def reads(name: str, attempts: int = 2) -> str:
+def route_text(name: str, attempts: int = 2) -> str:
+    """Returns the lines of an operator's file for a route that matches reads."""
     return f"[[route]]\nname = '{name}'\nmatch = {{ class = 'read' }}\nattempts = {attempts}\n"
 
 
 class BlockedRead:
-    """Replaces `read`: each call blocks, once it has the file's text, until the test releases it."""
+    """Replaces `operator.read`: each call reads the file, and then blocks until the test releases it."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.real = operators.read
@@ -63,13 +64,13 @@
     ) -> ReadResult:
         result = self.real(path, facts, yield_processor)
         self.started += 1
-        # False if it was not released in time, as when the read blocks the loop that runs the test.
+        # Not released in time if the read ran on the event loop and so blocked the test itself.
         self.was_released &= self.released.wait(20.0)
         return result
 
 
 def bound_route(gateway_site: Site) -> str:
-    """Returns the name of the route that binds reads."""
+    """Returns the name of the route that applies to reads."""
     routes = gateway_site.program.gateway.routes
     assert routes is not None
     return routes.limits_by_binding["read", "basic"].name
@@ -81,19 +82,19 @@
     file = tmp_path / "operator.toml"
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=route_text("first")) as gateway_site:
             program = gateway_site.program
             blocked = BlockedRead(monkeypatch)
 
-            def reread(text: str) -> None:
+            def write_and_reload(text: str) -> None:
                 file.write_text(text)
                 program.reread_operator_file(str(file), program.config)
 
-            reread(reads("second"))
+            write_and_reload(route_text("second"))
             await wait_until(lambda: blocked.started == 1)
             assert sys.getswitchinterval() == pytest.approx(SWITCH_INTERVAL_S) and not gc.isenabled()
-            reread(reads("third"))
-            reread(reads("fourth"))
+            write_and_reload(route_text("third"))
+            write_and_reload(route_text("fourth"))
             client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert bound_route(gateway_site) == "first" and blocked.started == 1
@@ -111,48 +112,50 @@
 def test_an_invalid_file_changes_nothing_and_all_errors_are_logged(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """So does an exception while reading, or a thread that can't be started. The next file is applied."""
+    """An exception while reading, or a thread that can't be started, changes nothing either and is logged.
+    The next valid file is applied."""
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=route_text("first")) as gateway_site:
             program = gateway_site.program
 
-            def reported() -> list[str]:
+            def rejections() -> list[str]:
                 return [record.getMessage() for record in caplog.records if REJECTED in record.getMessage()]
 
-            async def rejected(text: str) -> str:
-                before = len(reported())
+            async def reload_rejected(text: str) -> str:
+                """Reloads a file to be rejected, checks that nothing changes, and returns the log message."""
+                before = len(rejections())
                 file.write_text(text)
                 program.reread_operator_file(str(file), program.config)
-                await wait_until(lambda: len(reported()) > before)
+                await wait_until(lambda: len(rejections()) > before)
                 assert (
                     bound_route(gateway_site) == "first"
                     and sys.getswitchinterval() > SWITCH_INTERVAL_S
                     and gc.isenabled()
                 )
-                return reported()[-1]
+                return rejections()[-1]
 
-            wrong = "".join(reads(f"r{n}", attempts=7) for n in range(300))
-            lines = (await rejected(wrong)).splitlines()
+            wrong = "".join(route_text(f"r{n}", attempts=7) for n in range(300))
+            lines = (await reload_rejected(wrong)).splitlines()
             assert sum("error equal-rank" in line for line in lines) == 299
             assert any("error attempts-over-cap: route[0].attempts" in line for line in lines)
-            assert "error not-toml" in await rejected("[[route]\n")
+            assert "error not-toml" in await reload_rejected("[[route]\n")
             with monkeypatch.context() as patch:
 
                 def broken(*_: object) -> ReadResult:
                     raise MemoryError("no more")
 
                 patch.setattr(operators, "read", broken)
-                assert "no more" in await rejected(reads("second"))
+                assert "no more" in await reload_rejected(route_text("second"))
             with monkeypatch.context() as patch:
 
-                def none(*_: object, **__: object) -> None:
+                def cannot_start(*_: object, **__: object) -> None:
                     raise RuntimeError("can't start new thread")
 
-                patch.setattr(threading.Thread, "start", none)
-                assert "can't start new thread" in await rejected(reads("second"))
+                patch.setattr(threading.Thread, "start", cannot_start)
+                assert "can't start new thread" in await reload_rejected(route_text("second"))
             program.reread_operator_file(str(file), program.config)
             await wait_until(lambda: bound_route(gateway_site) == "second")
 
@@ -163,10 +166,10 @@
     file = tmp_path / "operator.toml"
     caplog.set_level(logging.INFO, "glenchute")
     count = 2 * WARNINGS_PER_TURN + 20
-    file.write_text(reads("r0", attempts=1) + "backoff = { first_ms = 5 }\n")
+    file.write_text(route_text("r0", attempts=1) + "backoff = { first_ms = 5 }\n")
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
+        async with site(reply_with(SERVED), operator=route_text("first")) as gateway_site:
             program = gateway_site.program
             program.reread_operator_file(str(file), program.config)
             await wait_until(lambda: any(READ_AGAIN in record.getMessage() for record in caplog.records))
@@ -184,30 +187,29 @@
 
 
 def test_the_loop_runs_while_thousands_of_routes_are_read(tmp_path: Path) -> None:
-    """Counts iterations of the loop while the file is being read; if it were read on the loop, there would be
-    none."""
+    """Counts iterations of the loop while the file is being read: none, if it were read on the loop."""
     file = tmp_path / "operator.toml"
-    file.write_text("".join(reads(f"r{n}") for n in range(2_700)))
+    file.write_text("".join(route_text(f"r{n}") for n in range(2_700)))
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), operator=reads("first")) as gateway_site:
-            program, turns = gateway_site.program, 0
+        async with site(reply_with(SERVED), operator=route_text("first")) as gateway_site:
+            program, iterations = gateway_site.program, 0
             program.reread_operator_file(str(file), program.config)
             while (background := reload_of(program).background) is not None and background.is_busy:
-                turns += 1
+                iterations += 1
                 await asyncio.sleep(0)
-            assert turns > 20 and bound_route(gateway_site) == "first"
+            assert iterations > 20 and bound_route(gateway_site) == "first"
 
     run_scenario(scenario())
 
 
 def test_no_result_is_reported_to_a_closed_loop() -> None:
     reported: list[bool | Exception] = []
-    loop, go = asyncio.new_event_loop(), threading.Event()
+    loop, release = asyncio.new_event_loop(), threading.Event()
     background: BackgroundReload[bool] = BackgroundReload(loop, reported.append)
-    background.submit(lambda: go.wait(20.0))
+    background.submit(lambda: release.wait(20.0))
     loop.close()
-    go.set()
+    release.set()
     for thread in [t for t in threading.enumerate() if t.name == THREAD_NAME]:
         thread.join(20.0)
         assert not thread.is_alive()
@@ -235,13 +237,13 @@
 import sys, threading
 import glenchute.config.operator as operators
 real, count = operators.read, 0
-def read(path, facts, rest=None):
+def read(path, facts, yield_processor=None):
     global count
     count += 1
     if count > 1:
         print("a read that does not end", file=sys.stderr, flush=True)
         threading.Event().wait()
-    return real(path, facts, rest)
+    return real(path, facts, yield_processor)
 operators.read = read
 """
 
@@ -249,13 +251,13 @@
 def test_a_stop_while_a_file_is_read_exits_cleanly(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     (tmp_path / "sitecustomize.py").write_text(BLOCK_SECOND_READ)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
-    quiet = [
+    nodes = [
         Node("n0", ServiceProfile({"report-read": 1.0}), FaultScript([Fault(FaultKind.VANISH, 0.0, 1e9)]))
     ]
 
     async def scenario() -> None:
-        async with LabSite(quiet) as lab:
-            gateway = GatewayProcess(tmp_path, lab.platform(), reads("r").replace("read", "report-read"))
+        async with LabSite(nodes) as lab:
+            gateway = GatewayProcess(tmp_path, lab.platform(), route_text("r").replace("read", "report-read"))
             gateway.start()
             try:
                 await gateway.ready()
