--- a/tests/docs/test_journal.py
+++ b/tests/docs/test_journal.py
@@ -13,13 +13,15 @@
 ROOT = Path(__file__).resolve().parents[2]
 SCORE = re.compile(r"(?<![\d.])[01]\.\d{3}(?!\d)")
 RECORD = re.compile(r"`([0-9a-f]{8})`")
-ROUNDING = 0.000501  # a half may be rounded up or down
+# Largest difference between a score and its three digits on the page, where a half may be rounded up or down.
+ROUNDING_ERROR = 0.000501
 
+# By record id: the scores of a run, and why the run does not count, or None if it does.
 Records = dict[str, tuple[list[float], str | None]]
 
 
-def records(folder: Path) -> Records:
-    """Returns by record id the scores of a run, and why the run does not count, or None if it finished."""
+def read_records(folder: Path) -> Records:
+    """Reads the records of all runs; those of runs that did not finish do not count."""
     found: Records = {}
     for path in sorted(folder.glob("*.json")):
         entry: dict[str, Any] = json.loads(path.read_text())
@@ -31,7 +33,7 @@
     return found
 
 
-def claims(page: str) -> Iterator[str]:
+def score_lines(page: str) -> Iterator[str]:
     """Yields the lines of the roadmap's tables that state scores of benchmark runs."""
     for line in page.splitlines():
         if line.startswith("|") and (re.match(r"\| 20\d\d-", line) or "--panel" in line or "--quick" in line
@@ -39,32 +41,34 @@
             yield line
 
 
-def unproven(page: str, known: Records) -> list[str]:
-    """Returns the claims of the page that no finished record supports. A line that names records is checked
-    against these records only."""
-    wrong = []
-    for line in claims(page):
+def unsupported_claims(page: str, known: Records) -> list[str]:
+    """Returns the scores of the page that no finished record supports, and the records it names that are
+    missing or unfinished. A line that names records is checked against these records only."""
+    errors = []
+    for line in score_lines(page):
         named = RECORD.findall(line)
         for name in named:
             if name not in known:
-                wrong.append(f"{name}: no such record")
+                errors.append(f"{name}: no such record")
             elif reason := known[name][1]:
-                wrong.append(f"{name}: {reason}")
+                errors.append(f"{name}: {reason}")
         candidates = [known[name] for name in named if name in known] if named else list(known.values())
-        proven = [score for scores, reason in candidates if reason is None for score in scores]
-        wrong += [
+        supported = [score for scores, reason in candidates if reason is None for score in scores]
+        errors += [
             f"{score} in {line[:60]!r}"
             for score in SCORE.findall(line)
-            if not any(abs(float(score) - one) <= ROUNDING for one in proven)
+            if not any(abs(float(score) - recorded) <= ROUNDING_ERROR for recorded in supported)
         ]
-    return wrong
+    return errors
 
 
 def test_every_score_on_the_roadmap_is_of_a_finished_run() -> None:
-    known = records(ROOT / "journal")
+    known = read_records(ROOT / "journal")
     page = (ROOT / "docs/ROADMAP.md").read_text()
-    assert sum(len(SCORE.findall(line)) for line in claims(page)) > 100, "the page's tables are not found"
-    assert unproven(page, known) == []
+    assert sum(len(SCORE.findall(line)) for line in score_lines(page)) > 100, (
+        "the page's tables are not found"
+    )
+    assert unsupported_claims(page, known) == []
 
 
 KNOWN: Records = {"0000aaaa": ([0.5525], None), "0000bbbb": ([], "the run did not finish"),
@@ -87,7 +91,7 @@
     ],
 )
 def test_claims_are_held_to_records(line: str, faults: int) -> None:
-    assert len(unproven(line, KNOWN)) == faults
+    assert len(unsupported_claims(line, KNOWN)) == faults
 
 
 def test_a_record_of_an_unfinished_run_proves_nothing(tmp_path: Path) -> None:
@@ -96,6 +100,6 @@
     cut = {"id": "0000bbbb", "at": ["a", ""], "error": "the run did not finish", "score": 0.7, "figures": {}}
     for entry in (whole, cut):
         (tmp_path / f"{entry['id']}.json").write_text(json.dumps(entry))
-    known = records(tmp_path)
-    assert unproven("| 2026-12-02 | full | 0.400 |", known) == []
-    assert unproven("| 2026-12-02 | full | 0.700 |", known) != []
+    known = read_records(tmp_path)
+    assert unsupported_claims("| 2026-12-02 | full | 0.400 |", known) == []
+    assert unsupported_claims("| 2026-12-02 | full | 0.700 |", known) != []
