--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -25,15 +25,15 @@
 
 
 def exists(name: str) -> bool:
-    """Tells whether a path exists below the root or `glenchute`, or a dotted name is a module or a name in
-    one."""
+    """Tells whether a `.py` path exists below the root or `glenchute`, or a dotted name is that of a package,
+    a module or something that one mentions."""
     if name.endswith(".py"):
         return any((folder / name).is_file() for folder in (ROOT, ROOT / "glenchute"))
     parts = name.split(".")
     for end in range(len(parts), 1, -1):
         path = ROOT.joinpath(*parts[:end])
         if path.is_dir():
-            return end == len(parts) or f"{parts[end]}" in (path / "__init__.py").read_text()
+            return end == len(parts) or parts[end] in (path / "__init__.py").read_text()
         if path.with_suffix(".py").is_file():
             rest = parts[end:]
             return not rest or re.search(rf"\b{rest[0]}\b", path.with_suffix(".py").read_text()) is not None
