--- a/tests/format_1/__init__.py
+++ b/tests/format_1/__init__.py
@@ -1,1 +1,2 @@
-"""Captures of format 1, recorded with `python -m tests.format_1` of commit 0abe719 by a44429f's program."""
+"""Captures of format 1, recorded by the program of commit a44429f with the script `tests.format_1` of commit
+0abe719."""
