--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""Lets the tests that KNOWN-RED.txt lists fail by an assertion, or by an error class that their entry names,
-and prints the result of each after the run."""
+"""Tolerates failures of the tests that KNOWN-RED.txt lists, if they fail by an assertion or by an error class
+that their entry names. Prints the result of each listed test after the run."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Returns the list's entries by the node ids of their tests."""
+    """Returns the entries of KNOWN-RED.txt by the node ids of their tests."""
     if not KNOWN_RED_FILE.is_file():
         return {}
     lines = KNOWN_RED_FILE.read_text().splitlines()
@@ -24,34 +24,34 @@
     return {entry.partition(" | ")[0].strip(): entry for entry in entries}
 
 
-def errors_of(entry: str) -> type[BaseException]:
-    """Returns a class whose instances are the errors that an entry allows: failed assertions, and errors
-    whose class it names."""
+def allowed_errors(entry: str) -> type[BaseException]:
+    """Returns a class for the `raises` of an xfail marker. For `isinstance`, its instances are the errors
+    that an entry allows: failed assertions, and errors whose class it names."""
 
-    class Listed(type):
+    class AllowedErrorsMeta(type):
         def __instancecheck__(cls, error: object) -> bool:
             return isinstance(error, AssertionError) or type(error).__name__ in entry.split()
 
-    return Listed("Listed", (BaseException,), {})  # type: ignore[return-value]
+    return AllowedErrorsMeta("AllowedErrors", (BaseException,), {})  # type: ignore[return-value]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Marks listed tests as expected failures: they run, and only errors that their entry does not allow fail
+    """Marks listed tests as expected failures: they run, and only errors that their entries do not allow fail
     the run."""
     listed = known_red()
     for item in items:
         if item.nodeid in listed:
-            errors = errors_of(listed[item.nodeid])
+            errors = allowed_errors(listed[item.nodeid])
             item.add_marker(pytest.mark.xfail(reason="KNOWN-RED.txt", raises=errors, strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Prints the result of each listed test."""
-    ended = {
+    results = {
         report.nodeid: text
         for outcome, text in RESULT_TEXTS.items()
         for report in terminalreporter.stats.get(outcome, [])
         if hasattr(report, "nodeid")
     }
     for name in sorted(known_red()):
-        terminalreporter.write_line(f"known red: {name}: {ended.get(name, 'not run')}")
+        terminalreporter.write_line(f"known red: {name}: {results.get(name, 'not run')}")
