--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -30,6 +30,7 @@
 from glenchute.simulator import SimulatorHost, WireError, encode, serve
 
 ROOT = Path(__file__).resolve().parents[2]
+# Some keys are unknown (`me`, `no_such_key`, `odd`) and ignored; a null stands for the default.
 PARAMS: dict[str, Any] = {
     "my_zone": "a",
     "balancers": 2,
@@ -46,10 +47,12 @@
 
 
 def entry(server: str, state: str = "active", started_ms: float | None = None) -> list[Any]:
+    """Returns a row of an endpoint list."""
     return [1, started_ms, "a", 0, "std", server, state]
 
 
 def line(now: float, *events: list[Any]) -> str:
+    """Returns a line of input: a batch of events at one time."""
     return json.dumps({"moment_ms": now, "inbox": events})
 
 
@@ -58,6 +61,8 @@
 
 
 def host_of(*gateways: int) -> SimulatorHost:
+    """Returns a host of gateways that each have one server. Endpoint list 0 is replaced before each gateway
+    takes it over."""
     host = SimulatorHost()
     events: list[list[Any]] = []
     for gateway in gateways:
@@ -68,6 +73,7 @@
 
 
 def actions(host: SimulatorHost, now: float, *events: list[Any]) -> list[list[Any]]:
+    """Returns the host's actions in answer to a line of events."""
     found: list[list[Any]] = json.loads(host.answer(line(now, *events)))["actions"]
     return found
 
@@ -157,10 +163,10 @@
 def test_an_exception_of_the_engine_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     host = host_of(3)
 
-    def broken(now_ms: float, event: Event) -> list[Action]:
+    def raise_error(now_ms: float, event: Event) -> list[Action]:
         raise RuntimeError("out of luck")
 
-    monkeypatch.setattr(host.engines[3], "handle", broken)
+    monkeypatch.setattr(host.engines[3], "handle", raise_error)
     assert actions(host, 20.0, ["alarm", 3, 1]) == [["die", 3, "RuntimeError: out of luck"]]
 
 
