--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -1,6 +1,6 @@
-"""Measures overshoot against its bound, refusals with quota left and calls per request, by counter fault.
+"""Measures by counter fault: overshoot against its bound, wrong refusals, and counter calls per request.
 
-``python -m benchmarks.counter_loss [RUNS]`` makes RUNS seeded runs of each fault, with real module instances
+``python -m benchmarks.counter_loss [RUNS]`` makes RUNS seeded runs of each fault, with real decision engines
 in simulated time, in one process per core. Writes the plot that docs/design/counter-loss.md shows.
 """
 
@@ -18,42 +18,42 @@
 from tests.policy.admission.test_counter_loss import FAULTS, run_with_fault
 
 PLOT = Path(__file__).resolve().parent.parent / "docs" / "design" / "counter-loss.svg"
-SIZES = (3, 3, 4, 6, 10, 4, 3, 12)
-SECONDS = 7.0
+GATEWAY_COUNTS = (3, 3, 4, 6, 10, 4, 3, 12)  # by seed
+FLOOD_S = 7.0  # duration of the floods in `run_with_fault`
 
 
 class Row(NamedTuple):
-    """Units past the ceiling and the quota, their bounds, refusals with quota left, calls per request."""
+    """Result of one run. Overshoot and its bounds are in units."""
 
-    ceiling: float
+    ceiling: float  # overshoot of the ceiling
     ceiling_bound: float
-    quota: float
+    quota: float  # overshoot of the quota
     quota_bound: float
-    with_room: float
-    calls: float
+    with_room: float  # share of requests that were rejected though the quota was at least half full
+    calls: float  # calls to the counter per request
 
 
-def sound(fleet: Fleet, rng: object) -> None:
+def no_fault(fleet: Fleet, rng: object) -> None:
     """Injects no fault."""
 
 
 FAULTS_BY_NAME: dict[str, Callable[..., None]] = {
-    "sound": sound,
+    "sound": no_fault,
     **{fault.__name__: fault for fault in FAULTS},
 }
 
 
 def run(kind: str, seed: int) -> Row:
-    """Plays one seeded run of a fault."""
-    gateways = SIZES[seed % len(SIZES)]
+    """Makes one seeded run of a fault."""
+    gateways = GATEWAY_COUNTS[seed % len(GATEWAY_COUNTS)]
     fleet = run_with_fault(FAULTS_BY_NAME[kind], seed, gateways, 100.0 * (seed % 2))
     soft, _, bare = PLANS
-    found = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
+    bound = overshoot_bound(bare, gateways, fleet.skew_ms, 1.0)
     return Row(
         fleet.overshoot("bare", bare.ceiling_rate_per_s, bare.ceiling_burst_units),
-        ceiling_overshoot_units(found, fleet.restarts),
+        ceiling_overshoot_units(bound, fleet.restarts),
         fleet.overshoot("soft", soft.rate_per_s, soft.burst_units),
-        (gateways - 1) * (soft.burst_units + SECONDS * soft.rate_per_s),
+        (gateways - 1) * (soft.burst_units + FLOOD_S * soft.rate_per_s),
         fleet.refused_with_room("soft", soft.rate_per_s, soft.burst_units),
         fleet.counter.calls / fleet.asked,
     )
@@ -74,19 +74,23 @@
         y = 280 - 240 * share
         parts.append(f'<line x1="{left}" x2="{width}" y1="{y}" y2="{y}" stroke="lightgray"/>')
         parts.append(f'<text x="10" y="{y + 4}">{share:.0%}</text>')
-    for column, (kind, found) in enumerate(rows.items()):
+    for column, (kind, results) in enumerate(rows.items()):
         x = left + 55 + 110 * column
         parts.append(f'<text x="{x}" y="305" text-anchor="middle">{kind}</text>')
-        for at, row in enumerate(found[:200]):
+        for index, row in enumerate(results[:200]):
             y = 280 - 240 * max(0.0, row.quota) / row.quota_bound
-            parts.append(f'<circle cx="{x - 30 + at * 60 / 200:.1f}" cy="{y:.1f}" r="2" fill="steelblue"/>')
+            parts.append(
+                f'<circle cx="{x - 30 + index * 60 / 200:.1f}" cy="{y:.1f}" r="2" fill="steelblue"/>'
+            )
     return "\n".join([*parts, "</svg>", ""])
 
 
 def main(runs: int) -> None:
     """Prints the table and writes the plot."""
     print(machine())
-    print(f"{runs} runs of each, 3 to 12 gateways, half with clocks 100 ms apart; units past, the worst run")
+    print(
+        f"{runs} runs of each, 3 to 12 gateways, half with clocks 100 ms apart; overshoot in units, worst run"
+    )
     heads = ("ceiling", "bound", "quota", "bound", "with room", "calls")
     print(f"{'counter':12}" + "".join(f"{head:>11}" for head in heads))
     rows: dict[str, list[Row]] = {}
@@ -95,7 +99,7 @@
             rows[kind] = list(pool.map(run, [kind] * runs, range(runs), chunksize=4))
             worst = max(rows[kind], key=lambda row: row.quota / row.quota_bound)
             excess = max(row.ceiling - row.ceiling_bound for row in rows[kind])
-            assert excess <= 1e-6, f"{kind}: a ceiling was passed by {excess} more than promised"
+            assert excess <= 1e-6, f"{kind}: the ceiling's overshoot is {excess} units over its bound"
             mean = [sum(column) / runs for column in zip(*rows[kind], strict=True)]
             figures = [max(r.ceiling for r in rows[kind]), max(r.ceiling_bound for r in rows[kind]),
                        worst.quota, worst.quota_bound]  # fmt: skip
