--- a/glenchute/policy/admission/quota.py
+++ b/glenchute/policy/admission/quota.py
@@ -74,8 +74,8 @@
         """Returns whether the local bucket decides because the other gateways' use is not known; without it
         each gateway could admit a whole quota.
 
-        A total that is younger than the window, in which the bucket fills, is recent enough. The errors of
-        all gateways add up, so with many gateways a total must be younger.
+        A total younger than a window, which is the time in which the bucket fills, is recent enough. The
+        errors of all gateways add up, so with many gateways a total must be younger.
         """
         if self.tenants.pacing.is_unavailable and not self.tenants.reporting_fraction(now_ms, tenant):
             return True
@@ -88,9 +88,9 @@
         """Checks the rate with its burst. Returns None if the request is admitted, else the milliseconds to
         wait.
 
-        With a total that has just arrived the counter has put the requests of all gateways in order, so the
-        fraction of `fill` is not applied. The wait is 0 for FILL, as the bucket holds enough units and an
-        immediate retry has the same chance.
+        With a total that has just arrived the counter has put the requests of all gateways in order, so
+        fractional admission (`fill`) is not applied. The wait is 0 for FILL, as the bucket holds enough units
+        and an immediate retry has the same chance.
         """
         bucket_units = tenant.bucket_units
         if uses_local_share:
@@ -109,7 +109,7 @@
         return max(0.0, units - bucket_units) / tenant.plan.rate_per_s * 1000.0
 
     def concurrency_wait_ms(
-        self, tenant: Tenant, units: float, has_total: bool, uses_local_bucket: bool
+        self, tenant: Tenant, units: float, has_total: bool, uses_local_share: bool
     ) -> float | None:
         """Checks the concurrency limit. Returns None if the request is admitted, else the milliseconds to
         wait. With a total that has just arrived, it admits a random fraction of the demand."""
@@ -117,15 +117,15 @@
         if has_total:
             is_rejected = self.rng.random() > concurrency.admitted_fraction(tenant, mean_attempt_s)
         else:
-            is_rejected = concurrency.is_full(tenant, units, self.tenants.headroom(tenant), uses_local_bucket)
+            is_rejected = concurrency.is_full(tenant, units, self.tenants.headroom(tenant), uses_local_share)
         if not is_rejected:
             return None
         self.rejection_cause = RejectionCause.CONCURRENCY
         return mean_attempt_s * 1000.0
 
     def charge(self, tenant: Tenant, units: float, is_counted: bool, has_total: bool) -> None:
-        """Charges an admitted request's units to its tenant. `is_counted`: they need not be reported to the
-        counter."""
+        """Charges an admitted request's units to its tenant. `is_counted`: they must not be reported to the
+        counter, as a call has reserved them there, or may have."""
         tenant.credit_units -= units
         tenant.bucket_units = max(0.0, tenant.bucket_units - units)
         tenant.local_units = max(0.0, tenant.local_units - units)
