--- a/glenchute/policy/admission/counter_sync.py
+++ b/glenchute/policy/admission/counter_sync.py
@@ -1,4 +1,4 @@
-"""Synchronisation with the shared counter: when to call it, and how its replies are applied.
+"""Synchronization with the shared counter: when to call it, and how its replies are applied.
 
 The counter holds, for each tenant and window, the units that all gateways have admitted. A gateway reports
 its own units and derives the other gateways' use from the total in the reply. A request that might exceed
@@ -38,7 +38,7 @@
         self.pacing: CallPacing = tenants.pacing
         self.calls: CounterCalls = tenants.calls
         self.replied_tenant: Tenant | None = None  # tenant of the last call that ended, except late replies
-        # Units that this call had reserved for a request; 0 if they were not for the current window.
+        # Units that the call of `replied_tenant` had reserved for a request; 0 if not in the current window.
         self.reserved_units = 0.0
 
     # --- when to call -------------------------------------------------------------------------------------
@@ -133,7 +133,7 @@
         is_current = call.window_counter is tenant.window_counter
         self.replied_tenant = tenant
         self.reserved_units = call.reserved_units if is_current else 0.0
-        self.tenants.refresh(now_ms, tenant)
+        self.tenants.refresh(now_ms, tenant)  # may begin a new window
         is_current = call.window_counter is tenant.window_counter
         if is_current:
             tenant.calls_in_flight -= 1
@@ -199,7 +199,8 @@
         marker: float,
         later_units: float,
     ) -> None:
-        """Applies a total: what it has risen beyond this gateway's own units is the other gateways' use.
+        """Applies a total: its increase since the last total, less this gateway's own units, is the other
+        gateways' use.
 
         `units`, `marker`: what the call added; `later_units`: own units of later calls, which may have been
         added after this total.
@@ -241,6 +242,6 @@
             self.tenants.unreported[tenant.tenant_id] = tenant
 
     def record_tick(self) -> None:
-        """Records a tick of the engine."""
+        """Records a tick of the engine. If no call is in flight, the call fraction slowly recovers."""
         if not self.calls.in_flight:
             self.pacing.record_idle_tick()
