--- a/glenchute/policy/admission/tenants.py
+++ b/glenchute/policy/admission/tenants.py
@@ -14,7 +14,7 @@
 from .tenant import Tenant
 from .windows import FILL_WINDOW_S, TENANT_IDLE_MS, stable_key, window_length_ms, window_start_ms
 
-USAGE_UPDATE_TTL_MS = 1500.0  # how long a members' usage update is valid
+USAGE_UPDATE_TTL_MS = 1500.0  # how long a usage update of the members is valid
 MAX_TENANTS = 50_000  # records, which take about 32 MB
 EVICTION_BATCH = 256  # number of records evicted at a time to make room
 FULL_CHECK_MS = 1000.0  # interval between searches of a full table from which no record could be evicted
@@ -150,12 +150,12 @@
             # The assumed use decays: a surge elsewhere that has ended must not keep the bucket empty while no
             # total arrives.
             drain_per_s = tenant.others_demand_per_s * math.exp(min(0.0, OTHERS_USE_TTL_S - age_s))
-        drain = min(drain_per_s * min(elapsed_s, FILL_WINDOW_S), max(0.0, tenant.bucket_units))
-        tenant.assumed_drain_units += drain
+        drain_units = min(drain_per_s * min(elapsed_s, FILL_WINDOW_S), max(0.0, tenant.bucket_units))
+        tenant.assumed_drain_units += drain_units
         fraction = reporting if is_unavailable and reporting else 1.0
         tenant.bucket_units = min(
             max(tenant.bucket_units, plan.burst_units) * fraction,
-            tenant.bucket_units - drain + plan.rate_per_s * fraction * elapsed_s,
+            tenant.bucket_units - drain_units + plan.rate_per_s * fraction * elapsed_s,
         )
 
     def reporting_fraction(self, now_ms: float, tenant: Tenant) -> float:
@@ -168,16 +168,16 @@
         """Deducts units that the other gateways have used beyond what was known. While the counter is
         unavailable and members report, the bucket may go below 0, to make up for what several gateways
         admitted at the same time before they knew of each other's use."""
-        burst = tenant.plan.burst_units
+        burst_units = tenant.plan.burst_units
         may_go_negative = self.pacing.is_unavailable and self.reporting_fraction(now_ms, tenant)
-        min_units = -burst if may_go_negative else 0.0
+        min_units = -burst_units if may_go_negative else 0.0
         since_ms = max(tenant.counter_total_ms, tenant.window_start_ms)
         elapsed_s = max(now_ms - since_ms, 1.0) / 1000.0
         total_age_ms = max(now_ms - tenant.counter_total_ms, 1.0)
         weight = 1.0 - math.exp(-total_age_ms / 1000.0 / FILL_WINDOW_S)
         tenant.others_demand_per_s += (units / (elapsed_s + 0.1) - tenant.others_demand_per_s) * weight
         tenant.bucket_units = min(
-            burst, max(min_units, tenant.bucket_units + tenant.assumed_drain_units - units)
+            burst_units, max(min_units, tenant.bucket_units + tenant.assumed_drain_units - units)
         )
         tenant.assumed_drain_units = 0.0
 
