--- a/glenchute/policy/admission/ceiling.py
+++ b/glenchute/policy/admission/ceiling.py
@@ -23,21 +23,21 @@
 
     A restart must not refill a ceiling. As long as the quota is kept, the ceiling's bucket holds at least the
     difference of the two bursts, as the ceiling fills faster than the quota. Half of that difference and the
-    slack are therefore available if all gateways restart at once, and once more before the bucket has filled
-    again.
+    slack are therefore available when all gateways restart at once, and the same again at a second restart
+    before the bucket has filled.
     """
-    spare = 0.5 * max(0.0, plan.ceiling_burst_units - plan.burst_units) if plan.burst_units else 0.0
-    spare += plan.ceiling_slack_units + plan.ceiling_rate_per_s * age_ms / 1000.0
-    return min(guard_limit_units(plan), spare) / gateway_spread
+    spare_units = 0.5 * max(0.0, plan.ceiling_burst_units - plan.burst_units) if plan.burst_units else 0.0
+    spare_units += plan.ceiling_slack_units + plan.ceiling_rate_per_s * age_ms / 1000.0
+    return min(guard_limit_units(plan), spare_units) / gateway_spread
 
 
 def refill_guard(tenant: Tenant, elapsed_s: float) -> None:
     """Refills the guard by this gateway's even share of the part of the rate that the counter does not
     grant."""
     plan = tenant.plan
-    limit = guard_limit_units(plan) / tenant.gateway_spread
+    limit_units = guard_limit_units(plan) / tenant.gateway_spread
     rate_per_s = plan.ceiling_rate_per_s * (1.0 - 0.5 * COUNTED_FRACTION) / tenant.gateway_spread
-    max_units = max(limit, tenant.ceiling_guard_units)
+    max_units = max(limit_units, tenant.ceiling_guard_units)
     tenant.ceiling_guard_units = min(max_units, tenant.ceiling_guard_units + rate_per_s * elapsed_s)
 
 
@@ -45,12 +45,12 @@
     """Returns whether the counter's total alone admits a request under the ceiling. `has_total`: the request
     waited for the reply that has just arrived.
 
-    Any stretch of time may touch two windows, so each grants half of the counted fraction, either of the
+    Any period may touch two windows, so each grants half of the counted fraction, either of the
     burst or of what the ceiling's rate fills in a window, whichever is less.
     """
     if not has_total or tenant.window_counter is None or not tenant.is_last_call_complete:
         return False
     plan = tenant.plan
     window_units = min(plan.ceiling_burst_units, plan.ceiling_rate_per_s * tenant.window_length_ms / 1e3)
-    granted = tenant.window_counter.granted_fraction(tenant.gateway_spread)
-    return tenant.counter_total_units <= 0.5 * COUNTED_FRACTION * window_units * granted
+    granted_fraction = tenant.window_counter.granted_fraction(tenant.gateway_spread)
+    return tenant.counter_total_units <= 0.5 * COUNTED_FRACTION * window_units * granted_fraction
