--- a/glenchute/policy/admission/call_pacing.py
+++ b/glenchute/policy/admission/call_pacing.py
@@ -32,9 +32,9 @@
         longest_fill_s = max(
             [plan.burst_units / plan.rate_per_s for plan in settings.plans if plan.rate_per_s], default=1.0
         )
-        recover_ms = min(TENANT_IDLE_MS, 1000.0 * max(FILL_WINDOW_S, longest_fill_s))
+        longest_window_ms = min(TENANT_IDLE_MS, 1000.0 * max(FILL_WINDOW_S, longest_fill_s))
         self.settings = settings
-        self.monitor = CounterMonitor(recover_ms, UNAVAILABLE_AFTER)
+        self.monitor = CounterMonitor(longest_window_ms, UNAVAILABLE_AFTER)
         self.consecutive_failures = 0
         self.late_fraction = 0.0  # mean fraction of recent calls that had a late reply or timed out
         self.call_fraction = 1.0
