--- a/glenchute/policy/balancing/endpoint_choice.py
+++ b/glenchute/policy/balancing/endpoint_choice.py
@@ -1,9 +1,10 @@
 """Endpoint choice: an attempt goes to the server with the least expected delay.
 
-The delay is measured in mean response times. It is this gateway's requests in flight there times the server's
-relative latency, plus other gateways' requests there, and no less than the age of an overdue response. A
-penalty for failures above the median is added. The sum is divided by the slow-start weight, and raised for
-servers that were attempted before, are backed off, or are in another zone.
+The delay is measured in mean response times. It is this gateway's requests in flight there, with the new one,
+times the server's relative latency, plus other gateways' requests there by the server's weight, and no less
+than the age of an overdue response. A penalty for failures above the median is added. The sum is divided by
+the slow-start weight, and raised for servers that were attempted before, are backed off, or are in another
+zone.
 """
 
 from __future__ import annotations
@@ -19,7 +20,8 @@
 from .pool import ServerPool
 from .server import Server
 
-# Weight of a load report's difference from the mean: it is late, and other gateways act on it too.
+# Weight of a load report's difference from the mean; low, as a report is late and other gateways act on it
+# too.
 LOAD_REPORT_WEIGHT = 0.3
 LOAD_REPORT_DECAY_MS = 1_000.0  # time constant of the decay of a load report towards the mean
 FAILURE_PENALTY = 20.0  # mean response times at a failure rate of 1
@@ -74,14 +76,19 @@
                 cost *= cross_zone_factor
             cost *= uniform(MIN_JITTER, MAX_JITTER)
             if now_ms < max(server.backed_off_until_ms, server.avoid_until_ms):
-                cost += BACKED_OFF_PENALTY  # after the jitter, which would hide how such servers differ
+                # Added after the jitter, which would otherwise outweigh how such servers differ.
+                cost += BACKED_OFF_PENALTY
             if cost < least_cost:
                 best, least_cost = server, cost
         return best
 
     def expected_delay(self, server: Server, now_ms: float, mean_ms: float, weight: float) -> float:
-        """Returns the expected delay at a server in mean response times, before jitter. `mean_ms`: mean
-        duration of such a response over all servers; `weight`: the server's slow-start weight."""
+        """Returns the expected delay at a server in mean response times, before `pick` applies the slow-start
+        weight, jitter and its penalties.
+
+        `mean_ms`: mean duration of such a response over all servers. `weight`: the server's slow-start
+        weight.
+        """
         load = self.peer_load
         mean_requests = load.mean_requests_warm if weight >= 1.0 else load.mean_requests_warming_up
         mean_peer_requests = mean_requests * server.weight
