--- a/glenchute/policy/balancing/slow_start.py
+++ b/glenchute/policy/balancing/slow_start.py
@@ -14,7 +14,8 @@
 from .server import Server
 
 RESPONSE_RATE_WINDOW_S = 3.0  # time constant of the moving averages of response rates
-OVERLOAD_SAFETY_FRACTION = 0.8  # fraction of the overload factor for the steady rate and a burst
+# Fraction of the overload factor that the steady rate and a burst use together.
+OVERLOAD_SAFETY_FRACTION = 0.8
 MIN_BURST_FACTOR = 0.2  # least burst, as a fraction of the tokens of one overload window
 UNKNOWN_RATE_INTERVAL_S = 3.0  # time between requests of all gateways to a server while no rate is known
 
@@ -28,11 +29,12 @@
         self.warm_response_rate_per_s = 0.0  # mean rate of responses of one warm server to this gateway
 
     def weight(self, server: Server, now_ms: float) -> float:
-        """Returns the fraction of its full capacity that a server has by now at least; 1 for a warm one."""
+        """Returns the least fraction of its full capacity that a server has by now; 1 if it is warm."""
         rules = self.rules
-        age = max(0.0, now_ms - server.endpoint.started_ms) / max(1.0, rules.warm_up_ms)
+        progress = max(0.0, now_ms - server.endpoint.started_ms) / max(1.0, rules.warm_up_ms)
         warms_up = server.endpoint.started_ms > 0
-        return min(1.0, rules.initial_fraction + (1.0 - rules.initial_fraction) * age) if warms_up else 1.0
+        initial = rules.initial_fraction
+        return min(1.0, initial + (1.0 - initial) * progress) if warms_up else 1.0
 
     def refill_and_check(self, server: Server, now_ms: float, weight: float) -> bool:
         """Refills a server's bucket; returns whether the server may be sent a request now. `weight`: its
@@ -49,16 +51,16 @@
             )
             / 1000.0
         )
-        burst = (
+        burst_tokens = (
             rate_per_ms
             * rules.overload_window_ms
             * max(MIN_BURST_FACTOR, OVERLOAD_SAFETY_FRACTION * rules.overload_factor - 1.0)
         )
         server.slow_start_tokens += rate_per_ms * max(0.0, now_ms - server.slow_start_tokens_ms)
         server.slow_start_tokens_ms = now_ms
-        if server.slow_start_tokens > 1.0 + burst:
+        if server.slow_start_tokens > 1.0 + burst_tokens:
             # Keeps the fraction of a token, so that gateways do not synchronize.
-            server.slow_start_tokens = burst if burst >= 1.0 else server.slow_start_tokens % 1.0
+            server.slow_start_tokens = burst_tokens if burst_tokens >= 1.0 else server.slow_start_tokens % 1.0
         return server.slow_start_tokens >= 1.0
 
     def record_response(self, server: Server, now_ms: float) -> None:
