--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -26,7 +26,7 @@
 
 TOKEN_TOLERANCE = 1e-9  # tolerance for rounding errors in sums of tokens
 
-NO_RETRY_MS = math.inf
+NO_RETRY_MS = math.inf  # stands for a retry delay where no retry is allowed
 
 
 class Backoff(NamedTuple):
@@ -177,14 +177,13 @@
             return False
         return route.is_retryable(outcome)
 
-    def try_start_attempt(self, now_ms: float, overlapping: bool) -> bool:
-        """Counts an attempt that is about to start; `overlapping`: it is a hedged one. Returns False if it
-        must not start."""
+    def try_start_attempt(self, now_ms: float, is_hedged: bool) -> bool:
+        """Counts an attempt that is about to start. Returns False if it must not start."""
         route = self.limits
         if self.started_attempts:
             if route.max_attempts and self.started_attempts >= route.max_attempts:
                 return False
-            if overlapping:
+            if is_hedged:
                 if not route.hedge_after_ms or (
                     self.budget is not None and not self.budget.try_withdraw(now_ms)
                 ):
