--- a/glenchute/policy/admission/epoch_markers.py
+++ b/glenchute/policy/admission/epoch_markers.py
@@ -57,7 +57,7 @@
         return self.marker
 
     def marker_not_added(self, marker: float) -> None:
-        """Records that a call with this marker (0: none) was not added."""
+        """Records that the counter did not add a call with this marker (0: none); the next call adds it."""
         if marker:
             self.is_marked = False
 
@@ -67,9 +67,9 @@
         marker_count = round(total / self.marker)
         total_units = total - marker_count * self.marker
         # A refund may go to a later window's key than the units it refunds, so totals may fall a little.
-        tolerance = max(0.5 + TOTAL_PRECISION * abs(total), MARKER_TOLERANCE * self.marker)
+        tolerance_units = max(0.5 + TOTAL_PRECISION * abs(total), MARKER_TOLERANCE * self.marker)
         min_count = max(self.marker_count, 1 if marker else 0)
-        has_fallen = marker_count < min_count or total_units < self.confirmed_units + units - tolerance
+        has_fallen = marker_count < min_count or total_units < self.confirmed_units + units - tolerance_units
         self.marker_count, self.units = marker_count, total_units
         self.is_marker_confirmed = self.is_marker_confirmed or bool(marker)
         if not has_fallen:
