--- a/glenchute/policy/admission/tenants.py
+++ b/glenchute/policy/admission/tenants.py
@@ -106,6 +106,7 @@
         self.refill(start_ms, tenant)
         plan, ended = tenant.plan, tenant.window_counter
         is_busy = tenant.own_demand_per_s > tenant.largest_request_units
+        # During a handover the spread counts both processes of a gateway, of which only one adds markers.
         if ended is not None and ended.marker_count > 0 and is_busy and self.process_count == 1:
             self.pacing.monitor.record_window(min(1.0, ended.marker_count / tenant.gateway_spread))
         self.calls.timed_out.pop(tenant.counter_key, None)
