--- a/glenchute/policy/balancing/endpoint_choice.py
+++ b/glenchute/policy/balancing/endpoint_choice.py
@@ -99,7 +99,7 @@
         )
         delay = relative_latency(server, now_ms) * (1.0 + server.in_flight) + peer_requests / server.weight
         if server.unanswered_since_ms is not None:
-            # An overdue response reveals a hung or unreachable server before any time-out does.
+            # An overdue response reveals a hung or unreachable server before any timeout does.
             delay = max(delay, (now_ms - server.unanswered_since_ms) / mean_ms)
         failure_rate = server.failure_rate * math.exp((server.failure_rate_ms - now_ms) / FAILURE_DECAY_MS)
         return delay + FAILURE_PENALTY * max(0.0, failure_rate - self.outliers.median_failure_rate)
