--- a/glenchute/policy/balancing/outliers.py
+++ b/glenchute/policy/balancing/outliers.py
@@ -16,7 +16,7 @@
 OUTLIER_MARGIN = 0.5  # a server is an outlier if its failure rate exceeds the median by more
 SUCCESS_FACTOR = 0.7  # multiplies the failure rate at each success
 FAILURE_SMOOTHING = 0.3  # weight of one failure in the failure rate
-TIMEOUT_SMOOTHING = 0.5  # weight of one time-out or failed connect in the failure rate
+TIMEOUT_SMOOTHING = 0.5  # weight of one timeout or failed connect in the failure rate
 
 
 class OutlierDetector:
@@ -31,8 +31,8 @@
         if outcome is Outcome.OK:
             server.failure_rate = rate * SUCCESS_FACTOR
         else:
-            timed_out = outcome in (Outcome.TIMEOUT, Outcome.UNREACHABLE)
-            smoothing = TIMEOUT_SMOOTHING if timed_out else FAILURE_SMOOTHING
+            is_unanswered = outcome in (Outcome.TIMEOUT, Outcome.UNREACHABLE)
+            smoothing = TIMEOUT_SMOOTHING if is_unanswered else FAILURE_SMOOTHING
             server.failure_rate = rate + smoothing * (1.0 - rate)
         server.failure_rate_ms = now_ms
 
