--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -89,7 +89,7 @@
     requested_address: str  # address of the attempt's server as the proxy reports it; "" if it does not
     chosen_address: str  # address of the chosen server
     is_server_accepting: bool  # the chosen server is in the endpoint list and not draining
-    is_in_time: bool  # it is not yet the time after which no byte may be sent
+    is_in_time: bool  # the time after which no byte may be sent has not come yet
 
 
 def judge_attempt(state: AttemptState) -> AttemptVerdict:
