--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -84,7 +84,8 @@
 
 
 class RouteRetryBudget:
-    """The retry tokens of one route. With n requests in any t seconds, it grants at most
+    """The retry tokens of one route: each request adds request tokens, and steady tokens are added at a
+    constant rate. With n requests in any t seconds, it grants at most
     ``retries_per_request * n + min_retries_per_s * (t + STEADY_BUFFER_S) + 1`` retries in addition to the
     tokens that it held before."""
 
@@ -207,7 +208,7 @@
     """The current routes by request class and plan. Its size is fixed when the operator's file is loaded."""
 
     def __init__(self, table: Mapping[tuple[str, str], RouteLimits], seed: int) -> None:
-        self.limits_by_binding = dict(table)
+        self.limits_by_binding = dict(table)  # by request class and plan
         self.rng = random.Random(seed)
         self.budgets: dict[str, RouteRetryBudget] = {}
         self.budget_settings = {
