--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -192,7 +192,7 @@
                 continue
             if pending.may_have_run_ms is None:
                 self.send(now_ms, pending)
-            else:
+            else:  # while it waited, the time in which it may be repeated may have ended
                 self.send_or_finish(now_ms, pending)
 
     # --- the end of a request -----------------------------------------------------------------------------
