--- a/glenchute/policy/retries/route_limits.py
+++ b/glenchute/policy/retries/route_limits.py
@@ -26,7 +26,7 @@
 
 TOKEN_TOLERANCE = 1e-9  # tolerance for rounding errors in sums of tokens
 
-NO_RETRY_MS = math.inf
+NO_RETRY_MS = math.inf  # stands for a retry delay where no retry is allowed
 
 
 class Backoff(NamedTuple):
@@ -84,7 +84,8 @@
 
 
 class RouteRetryBudget:
-    """The retry tokens of one route. With n requests in any t seconds, it grants at most
+    """The retry tokens of one route: each request adds request tokens, and steady tokens are added at a
+    constant rate. With n requests in any t seconds, it grants at most
     ``retries_per_request * n + min_retries_per_s * (t + STEADY_BUFFER_S) + 1`` retries in addition to the
     tokens that it held before."""
 
@@ -177,14 +178,13 @@
             return False
         return route.is_retryable(outcome)
 
-    def try_start_attempt(self, now_ms: float, overlapping: bool) -> bool:
-        """Counts an attempt that is about to start; `overlapping`: it is a hedged one. Returns False if it
-        must not start."""
+    def try_start_attempt(self, now_ms: float, is_hedged: bool) -> bool:
+        """Counts an attempt that is about to start. Returns False if it must not start."""
         route = self.limits
         if self.started_attempts:
             if route.max_attempts and self.started_attempts >= route.max_attempts:
                 return False
-            if overlapping:
+            if is_hedged:
                 if not route.hedge_after_ms or (
                     self.budget is not None and not self.budget.try_withdraw(now_ms)
                 ):
@@ -208,7 +208,7 @@
     """The current routes by request class and plan. Its size is fixed when the operator's file is loaded."""
 
     def __init__(self, table: Mapping[tuple[str, str], RouteLimits], seed: int) -> None:
-        self.limits_by_binding = dict(table)
+        self.limits_by_binding = dict(table)  # by request class and plan
         self.rng = random.Random(seed)
         self.budgets: dict[str, RouteRetryBudget] = {}
         self.budget_settings = {
