--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -28,22 +28,33 @@
     run_acceptor_changes,
     run_with_faults,
 )
-from lab.fleet.leasing import LONGEST, TERMS, System, check, events, fresh, held, late, racing, tied
-
-SYSTEMS: dict[str, tuple[Callable[..., System], dict[str, int], int]] = {
-    "nothing is held": (fresh, {"tries": 1, "restarts": 0, "steps": 1}, 7),
-    "one holds, an acceptor restarts": (held, {"restarts": 1, "steps": 0}, 10),
-    "one holds, its time runs out": (held, {"steps": 1}, 10),
-    "one holds, the other missed all messages": (tied, {"steps": 1}, 10),
-    "one holds, messages come twice": (held, {"repeats": 1, "steps": 1}, 6),
-    "two proposals race": (racing, {"steps": 2}, 9),
-    "an answer comes late": (late, {"steps": 1}, 12),
+from lab.fleet.leasing import (
+    LEASE_S,
+    TERMS,
+    LeaseModel,
+    accepted_not_learned,
+    competing_proposals,
+    events,
+    find_violation,
+    held,
+    held_unknown_to_other,
+    unheld,
+)
+
+SYSTEMS: dict[str, tuple[Callable[..., LeaseModel], dict[str, int], int]] = {
+    "nothing is held": (unheld, {"max_rounds": 1, "restarts": 0, "time_steps": 1}, 7),
+    "one holds, an acceptor restarts": (held, {"restarts": 1, "time_steps": 0}, 10),
+    "one holds, its time runs out": (held, {"time_steps": 1}, 10),
+    "one holds, the other missed all messages": (held_unknown_to_other, {"time_steps": 1}, 10),
+    "one holds, messages come twice": (held, {"repeats": 1, "time_steps": 1}, 6),
+    "two proposals race": (competing_proposals, {"time_steps": 2}, 9),
+    "an answer comes late": (accepted_not_learned, {"time_steps": 1}, 12),
 }
 
 
 def explore(name: str, max_states: int = 60_000) -> Explored:
     make, budgets, depth = SYSTEMS[name]
-    return Explorer(events, check, System.key).run(make(**budgets), depth, max_states)
+    return Explorer(events, find_violation, LeaseModel.state_key).run(make(**budgets), depth, max_states)
 
 
 @pytest.mark.parametrize("name", SYSTEMS)
@@ -163,27 +174,27 @@
     them, and the two accept a lower ballot. The sequence is scripted, as it is too long for the explorer."""
 
     def tokens_of_two_holders() -> tuple[int, int]:
-        system = held(tries=9, restarts=1, steps=9)
+        system = held(max_rounds=9, restarts=1, time_steps=9)
         for _ in range(6):  # raises the ballots well above those of a new proposer
-            system.seek("a")
-            for row in list(system.net):
-                if row in system.net and row[0] != "v2":
+            system.start_round("a")
+            for row in list(system.in_flight):
+                if row in system.in_flight and row[0] != "v2":
                     system.deliver(row, False)
-            while rows := [row for row in system.net if row[0] != "v2" and row[1] != "v2"]:
+            while rows := [row for row in system.in_flight if row[0] != "v2" and row[1] != "v2"]:
                 system.deliver(rows[0], False)
-        first = system.seekers["a"].highest_number
+        first = system.proposers["a"].highest_number
         system.restart("v1")
-        system.net.clear()
+        system.in_flight.clear()
         for _ in range(5):
-            system.pass_time()
+            system.advance_time()
         for _ in range(8):
-            system.seek("b")
-            while rows := [row for row in system.net if row[0] != "v0" and row[1] != "v0"]:
+            system.start_round("b")
+            while rows := [row for row in system.in_flight if row[0] != "v0" and row[1] != "v0"]:
                 system.deliver(rows[0], False)
-            if system.holding() == ["b"]:
+            if system.holders() == ["b"]:
                 break
-        assert system.holding() == ["b"]
-        lease = system.seekers["b"].lease
+        assert system.holders() == ["b"]
+        lease = system.proposers["b"].lease
         assert lease is not None
         return first, lease.token
 
@@ -196,10 +207,10 @@
 
 def test_a_fencing_token_covers_the_effect_and_expires_with_a_pause() -> None:
     system = held()
-    proposer = system.seekers["a"]
+    proposer = system.proposers["a"]
     now = system.clock("a")
     assert proposer.fencing_token(now, 1.0) is not None
-    assert proposer.fencing_token(now, LONGEST) is None  # the effect would outlast the lease
+    assert proposer.fencing_token(now, LEASE_S) is None  # the effect would outlast the lease
     # After a pause of 60 s the lease has expired.
     assert proposer.fencing_token(now + 60.0, 0.0) is None and not proposer.is_holder(now + 60.0)
 
