--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -29,20 +29,20 @@
     def __init__(self, count: int, seed: int) -> None:
         self.bytes: Tally[tuple[str, int]] = Tally()  # keyed by sender and second
         super().__init__(count, seed)
-        for node in self.nodes.values():
+        for node in self.members.values():
             # Starts from a converged fleet: all members know each other and have no updates left to pass on.
             node.piggyback_counts.clear()
             for member in node.members.values():
                 member.state, member.incarnation, member.boot = (
                     MemberState.ALIVE,
                     0,
-                    self.nodes[member.name].boot,
+                    self.members[member.name].boot,
                 )
 
-    def post(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
+    def send(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
         for out in outs:
             self.bytes[sender, int(self.now)] += len(encode("site", sender, 1 << 60, out.message))
-        super().post(sender, outs)
+        super().send(sender, outs)
 
 
 class GossipCost(NamedTuple):
@@ -64,7 +64,7 @@
     running = [name for name in net.names if name not in net.stopped]
     spent = cpu_ms(lambda: net.run(8.0)) / 1e3
     per = 8.0 * len(running)
-    sent = sum(net.sent[name] for name in running)
+    sent = sum(net.sent_counts[name] for name in running)
     total = sum(size for (name, _), size in net.bytes.items() if name in running)
     worst = max(size for (name, _), size in net.bytes.items() if name in running)
     return GossipCost(100.0 * spent / per, sent / per, total / per, worst)
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -94,7 +94,7 @@
         network.run(30.0, network.are_complete)
         half = set(network.names[: count // 2])
         network.cut = cut_off(half)
-        network.writes(5)
+        network.publish_rows(5)
         network.run(3.0)
         network.cut = lambda sender, to: False
         times_s.append(network.run(60.0, network.are_equal))
@@ -135,7 +135,9 @@
         suspected_s, declared_s, false_deaths = [], [], 0
         for seed in range(3 if count < 500 else 1):
             net = SwimNetwork(count, seed, loss)
-            net.lag = {name: 0.5 for name in net.rng.sample(net.names[2:], round(slow_share * count))}
+            net.extra_delay_s = {
+                name: 0.5 for name in net.rng.sample(net.names[2:], round(slow_share * count))
+            }
             net.run(30.0, net.all_participate)
             net.run(20.0)
             false_deaths += len(net.declared_dead)
--- a/tests/policy/membership/test_direct_messages.py
+++ b/tests/policy/membership/test_direct_messages.py
@@ -43,7 +43,7 @@
 def settled(count: int, **more: object) -> DirectMessageNetwork:
     """Returns a network whose gateways know each other's usage."""
     network = DirectMessageNetwork(count, 1, **more)  # type: ignore[arg-type]
-    network.run(20.0, lambda: all(network.known(name, 3) == 2 for name in network.names))
+    network.run(20.0, lambda: all(network.known_gateways(name, 3) == 2 for name in network.names))
     return network
 
 
@@ -121,14 +121,14 @@
     entry_counts, message_counts = [], []
     for count in (12, 120):
         network = settled(count)
-        network.sent.clear()
+        network.sent_entry_counts.clear()
         network.message_counts.clear()
         for n in range(200):
             network.admit(f"g{n % 3}", "a", plan=PLAN)
             network.run(0.05)
-        entry_counts.append(sum(network.sent.values()))
+        entry_counts.append(sum(network.sent_entry_counts.values()))
         message_counts.append(network.message_counts["g0"])
-        assert {to for _, to in network.sent if network.sent[_, to]} <= {
+        assert {to for _, to in network.sent_entry_counts if network.sent_entry_counts[_, to]} <= {
             f"g{n % count}" for n in range(-2, 5)
         }
     assert (
@@ -174,9 +174,9 @@
         == sum(map(len, messenger.pending.values()))
         <= direct_messages.MAX_PENDING_ENTRIES
     )
-    assert messenger.pending_count and network.known("g1", 3) < 2
-    network.run(60.0, lambda: network.known("g1", 3) == 2 and not messenger.pending_count)
-    assert network.known("g1", 3) == 2 and not messenger.pending_count
+    assert messenger.pending_count and network.known_gateways("g1", 3) < 2
+    network.run(60.0, lambda: network.known_gateways("g1", 3) == 2 and not messenger.pending_count)
+    assert network.known_gateways("g1", 3) == 2 and not messenger.pending_count
 
 
 def test_pending_and_reported_windows_are_bounded_and_dropped_ones_are_requested(
@@ -239,11 +239,11 @@
 
 def test_usage_far_below_the_limit_is_not_reported() -> None:
     network = settled(8)
-    network.sent.clear()
+    network.sent_entry_counts.clear()
     for number in range(3):
         network.admit(f"g{number}", "a", 1.0, 3, PLAN)
     network.run(1.0)
-    assert not sum(network.sent.values())
+    assert not sum(network.sent_entry_counts.values())
 
 
 # --- lost messages -----------------------------------------------------------------------------------------
@@ -278,10 +278,12 @@
     network.admit("g0", "a", 5.0)
     network.run(2.0)
     assert network.units_of_peers("g1", "a") == 0.0 and network.units_of_peers("g2", "a") == 5.0
-    assert network.known("g1", 3) < 2 and network.known("g0", 3) < 2
+    assert network.known_gateways("g1", 3) < 2 and network.known_gateways("g0", 3) < 2
     network.cut = lambda sender, to: False
     assert (
-        network.run(5.0, lambda: network.units_of_peers("g1", "a") == 5.0 and network.known("g1", 3) == 2)
+        network.run(
+            5.0, lambda: network.units_of_peers("g1", "a") == 5.0 and network.known_gateways("g1", 3) == 2
+        )
         < 5.0
     )
 
@@ -297,7 +299,7 @@
     assert (
         network.units_of_peers("g1", "b") == 5.0
         and network.units_of_peers("g1", "a") == 0.0
-        and network.known("g1", 3) < 2
+        and network.known_gateways("g1", 3) < 2
     )
     network.cut = lambda sender, to: False
     network.run(3.0)
@@ -311,8 +313,8 @@
     network.admit("g2", "a", 3.0)
     network.run(0.5)
     network.restart("g1")
-    assert network.known("g1", 3) == 0
-    assert network.run(5.0, lambda: network.known("g1", 3) == 2) < 5.0
+    assert network.known_gateways("g1", 3) == 0
+    assert network.run(5.0, lambda: network.known_gateways("g1", 3) == 2) < 5.0
     # The predecessor's 4 units count once, though two members report them.
     assert network.units_of_peers("g1", "a") == 5.0 + 4.0 + 3.0
     network.admit("g1", "a", 1.0)
@@ -324,14 +326,16 @@
     network = settled(8)
     network.dead.add("g1")
     network.cut = lambda sender, to: "g1" in (sender, to)
-    network.sent.clear()
+    network.sent_entry_counts.clear()
     network.admit("g0", "a", 5.0)
     network.run(1.0)
-    assert not network.sent["g0", "g1"] and network.known("g0", 3) < 2
+    assert not network.sent_entry_counts["g0", "g1"] and network.known_gateways("g0", 3) < 2
     network.dead.clear()
     network.cut = lambda sender, to: False
     assert (
-        network.run(5.0, lambda: network.units_of_peers("g1", "a") == 5.0 and network.known("g0", 3) == 2)
+        network.run(
+            5.0, lambda: network.units_of_peers("g1", "a") == 5.0 and network.known_gateways("g0", 3) == 2
+        )
         < 5.0
     )
 
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_only_a_member_that_stops_for_good_is_declared_dead_by_all(seed: int) -> None:
-    net = SwimNetwork(20, seed, lose=0.05)
+    net = SwimNetwork(20, seed, loss=0.05)
     net.run(5.0)
     net.stopped.add("g3")
     assert net.run(20.0, lambda: net.all_see("g3", MemberState.DEAD)) < 16.0
@@ -74,8 +74,8 @@
     net = SwimNetwork(10, 5)
     net.run(4.0)
     net.cut = lambda sender, to: (sender, to) == ("g1", "g0")
-    net.run(20.0, lambda: net.nodes["g1"].incarnation > 0)
-    assert net.nodes["g1"].incarnation > 0  # it had to refute a suspicion
+    net.run(20.0, lambda: net.members["g1"].incarnation > 0)
+    assert net.members["g1"].incarnation > 0  # it had to refute a suspicion
 
 
 def test_partitioned_halves_declare_each_other_dead_and_rejoin() -> None:
@@ -92,41 +92,41 @@
 def test_a_process_that_starts_under_a_known_name_takes_it_over() -> None:
     net = SwimNetwork(8, 7)
     net.run(4.0)
-    net.nodes["g2"].incarnation = 7  # as after many refutations
-    net.nodes["g2"].queue_update("g2")
+    net.members["g2"].incarnation = 7  # as after many refutations
+    net.members["g2"].queue_update("g2")
     net.run(3.0)
-    old_boot = net.nodes["g2"].boot
+    old_boot = net.members["g2"].boot
     net.restart("g2")
 
     def boots() -> set[int]:
-        return {net.nodes[observer].members["g2"].boot for observer in net.names if observer != "g2"}
+        return {net.members[observer].members["g2"].boot for observer in net.names if observer != "g2"}
 
-    assert net.run(8.0, lambda: boots() == {net.nodes["g2"].boot}) < 8.0
-    assert old_boot not in boots() and net.nodes["g2"].incarnation > 7
+    assert net.run(8.0, lambda: boots() == {net.members["g2"].boot}) < 8.0
+    assert old_boot not in boots() and net.members["g2"].incarnation > 7
 
 
 def test_two_processes_under_one_name_are_detected_and_cost_one_message_per_period() -> None:
     net = SwimNetwork(6, 8)
     net.run(4.0)
     duplicate = net.make_member("g2")
-    before = net.nodes["g2"].incarnation
+    before = net.members["g2"].incarnation
     for _ in range(100):
         net.now += TICK_S
         for to in net.names:
             if to != "g2":
                 ping = SwimMessage(SwimMessageKind.PING, 1, "", (duplicate.update_for("g2"),))
-                net.post(to, net.nodes[to].receive(net.now, "g2", duplicate.boot, ping))
-        duplicate.apply_update(net.now, "g0", net.nodes["g0"].update_for("g2"))
+                net.send(to, net.members[to].receive(net.now, "g2", duplicate.boot, ping))
+        duplicate.apply_update(net.now, "g0", net.members["g0"].update_for("g2"))
         net.now -= TICK_S
         net.run(TICK_S)
-    assert sum(net.nodes[n].name_conflicts.get("g2", 0) for n in net.names) > 0
-    assert net.nodes["g2"].incarnation - before <= 100 * TICK_S / SwimSettings().period_s + 2
+    assert sum(net.members[n].name_conflicts.get("g2", 0) for n in net.names) > 0
+    assert net.members["g2"].incarnation - before <= 100 * TICK_S / SwimSettings().period_s + 2
 
 
 def test_a_leave_is_announced_and_raises_no_suspicion() -> None:
     net = SwimNetwork(12, 9)
     net.run(4.0)
-    net.post("g4", net.nodes["g4"].leave(net.now))
+    net.send("g4", net.members["g4"].leave(net.now))
     assert net.run(4.0, lambda: net.all_see("g4", MemberState.LEFT)) < 4.0
     assert not net.declared_dead
 
@@ -134,15 +134,15 @@
 def test_the_message_rate_stays_bounded_while_members_fail() -> None:
     net = SwimNetwork(30, 10)
     net.run(6.0)
-    baseline = sum(net.sent.values())
+    baseline = sum(net.sent_counts.values())
     net.run(6.0)
-    baseline = sum(net.sent.values()) - baseline
+    baseline = sum(net.sent_counts.values()) - baseline
     net.stopped |= set(net.names[:10])
-    before = sum(net.sent.values())
+    before = sum(net.sent_counts.values())
     net.run(6.0)
     # Indirect probes are added, without a message storm.
-    assert sum(net.sent.values()) - before < 2.5 * baseline
-    assert net.longest <= MAX_PIGGYBACKED_UPDATES
+    assert sum(net.sent_counts.values()) - before < 2.5 * baseline
+    assert net.max_updates <= MAX_PIGGYBACKED_UPDATES
 
 
 def test_members_that_are_not_configured_are_ignored() -> None:
@@ -160,6 +160,6 @@
     net.run(1.9)
     net.stopped.discard("g0")
     net.now += 4.0  # worst case: all others advanced while g0 was paused
-    net.nodes["g0"].tick(net.now)
-    assert net.nodes["g0"].local_health > 0
-    assert all(m.state is not MemberState.DEAD for m in net.nodes["g0"].members.values())
+    net.members["g0"].tick(net.now)
+    assert net.members["g0"].local_health > 0
+    assert all(m.state is not MemberState.DEAD for m in net.members["g0"].members.values())
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -139,7 +139,7 @@
 def test_replicas_converge_and_become_complete(count: int, loss: float) -> None:
     network = GossipNetwork(count, 3, loss)
     assert network.run(10.0, network.are_complete) < 10.0
-    network.writes(3)
+    network.publish_rows(3)
     assert network.run(12.0, network.are_equal) < 12.0
 
 
@@ -148,7 +148,7 @@
     network.run(3.0)
     half = set(network.names[:4])
     network.cut = cut_off(half)
-    network.writes(20)
+    network.publish_rows(20)
     network.run(4.0)
     assert not network.are_equal()
     network.cut = lambda sender, to: False
@@ -156,40 +156,40 @@
 
 
 def test_a_restarted_member_catches_up_from_another_when_its_first_source_dies() -> None:
-    network = GossipNetwork(4, 5, rows=2000)
+    network = GossipNetwork(4, 5, row_count=2000)
     network.run(2.0)
     network.restart("g0")
     network.run(0.3)
-    assert 0 < len(network.nodes["g0"].replica.rows) < 2000 and not network.nodes["g0"].is_complete
-    network.alive["g1"] = network.alive["g2"] = False
-    assert network.run(15.0, lambda: network.nodes["g0"].is_complete) < 15.0
-    assert len(network.nodes["g0"].replica.rows) == 2000
+    assert 0 < len(network.gossips["g0"].replica.rows) < 2000 and not network.gossips["g0"].is_complete
+    network.is_alive["g1"] = network.is_alive["g2"] = False
+    assert network.run(15.0, lambda: network.gossips["g0"].is_complete) < 15.0
+    assert len(network.gossips["g0"].replica.rows) == 2000
 
 
 def test_many_restarts_at_once_do_not_make_the_others_exceed_their_budget() -> None:
-    network = GossipNetwork(12, 6, rows=400)
+    network = GossipNetwork(12, 6, row_count=400)
     network.run(3.0)
     running_names = network.names[:4]
     for name in network.names[4:]:
         network.restart(name)
-    before = {name: network.nodes[name].sent_bytes for name in running_names}
+    before = {name: network.gossips[name].sent_bytes for name in running_names}
     assert network.run(20.0, network.are_complete) < 20.0
     assert network.are_equal()
     elapsed_s = network.now - 3.0
     for name in running_names:
-        node = network.nodes[name]
+        node = network.gossips[name]
         assert node.sent_bytes - before[name] <= node.settings.budget_bytes_per_s * (elapsed_s + 0.25) + 4096
 
 
 def test_drains_spread_even_if_digests_match_by_chance(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Replica, "differing_children", lambda self, now, bucket, theirs: [])
     network = GossipNetwork(3, 7)
-    network.nodes["g0"].replica.merge(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
-    network.nodes["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
+    network.gossips["g0"].replica.merge(0.0, Row(RowKind.SERVER, "s1", "", 5, 2.0))
+    network.gossips["g0"].replica.merge(0.0, Row(RowKind.HEALTH, "a/0", "g0#1", 1, 1.0))
     network.run(4.0)
-    assert all(node.replica.get(RowKind.SERVER, "s1") for node in network.nodes.values())
+    assert all(node.replica.get(RowKind.SERVER, "s1") for node in network.gossips.values())
     # Other rows are not repeated.
-    assert network.nodes["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None
+    assert network.gossips["g1"].replica.get(RowKind.HEALTH, "a/0", "g0#1") is None
 
 
 def last_value_wins(self: Replica, now: float, row: Row, age_s: float = 0.0, sender: str = "") -> bool:
