--- a/lab/fleet/posted.py
+++ b/lab/fleet/posted.py
@@ -23,12 +23,12 @@
 
     def __init__(
         self, count: int, seed: int, names: Sequence[str] = (), gateway_count: int = 0,
-        budget: float = 6_144.0, numbered: bool = True,
+        budget_bytes_per_s: float = 6_144.0, has_numbers: bool = True,
     ) -> None:  # fmt: skip
         self.rng, self.now, self.loss = random.Random(seed), 0.0, 0.0
         self.gateway_count = gateway_count or count
         self.names = list(names) or [f"g{n}" for n in range(count)]
-        self.budget, self.numbered = budget, numbered
+        self.budget_bytes_per_s, self.has_numbers = budget_bytes_per_s, has_numbers
         self.cut: Callable[[str, str], bool] = lambda sender, to: False
         self.dead: set[str] = set()  # members that all others consider dead
         self.in_flight: list[tuple[float, int, str, str, int, UsageMessage | UsageRequest]] = []
@@ -39,12 +39,12 @@
         self.messengers = {name: self.make_messenger(name) for name in self.names}
 
     def make_messenger(self, name: str) -> DirectMessenger:
-        numbers = gateway_numbers(dict.fromkeys(self.names)) if self.numbered else None
+        numbers = gateway_numbers(dict.fromkeys(self.names)) if self.has_numbers else None
         ring = GatewayRing(name, self.names, numbers, self.gateway_count)
         usage = AccountUsage(f"{name}#{self.incarnations[name]:x}")
         rng = random.Random(self.rng.getrandbits(60))
         is_alive = lambda other: other not in self.dead  # noqa: E731
-        return DirectMessenger(usage, Replica(), ring, is_alive, rng, self.now, self.budget)
+        return DirectMessenger(usage, Replica(), ring, is_alive, rng, self.now, self.budget_bytes_per_s)
 
     def restart(self, name: str) -> None:
         """Replaces a gateway by a new process without state."""
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from lab.soak.mutants import MUTANTS
-from lab.soak.play import play
+from lab.soak.play import run_schedule
 from lab.soak.schedule import draw
 
 MAX_VIOLATIONS_SHOWN = 5  # of one run
@@ -34,10 +34,10 @@
         if time.monotonic() - started > 60.0 * args.minutes:
             break
         schedule = draw(seed)
-        books = uvloop.run(play(schedule, args.mutant))
-        violations, run_count = books.violations(), run_count + 1
+        records = uvloop.run(run_schedule(schedule, args.mutant))
+        violations, run_count = records.violations(), run_count + 1
         print(
-            f"seed {seed}: {'FAILED' if violations else 'ok'}; {schedule.describe()}; {books.summary()}",
+            f"seed {seed}: {'FAILED' if violations else 'ok'}; {schedule.describe()}; {records.summary()}",
             flush=True,
         )
         for violation in violations[:MAX_VIOLATIONS_SHOWN]:
--- a/lab/soak/books.py
+++ b/lab/soak/books.py
@@ -1,4 +1,4 @@
-"""Records what clients and servers observed and finds broken rules.
+"""Records what clients and servers observed, and finds broken rules.
 
 All times are seconds of one event loop's clock.
 """
@@ -8,49 +8,49 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-LATE_RESPONSE_S = 0.5  # a response that is later than this after its deadline counts as lost
+LATE_RESPONSE_S = 0.5  # a response later than this after its deadline counts as lost
 DISCONNECT_GRACE_S = 0.1  # no attempt may begin later than this after its client disconnected
 DRAIN_GRACE_S = 0.25
-TOLERANCE_S = 0.05  # allowed by the protocol page on each time limit that is measured on sockets
+TOLERANCE_S = 0.05  # that the protocol page allows on each time limit that is measured on sockets
 
 
 @dataclass(slots=True)
-class AskedRequest:
-    """State of a request as its client sees it."""
+class RequestRecord:
+    """A request as its client sees it."""
 
     request_id: bytes
     class_name: str
     deadline_s: float
     key: bytes | None = None
     sent_at: float | None = None  # when its last byte was handed to the kernel
-    due_from: float = 0.0  # when the previous answer on its connection arrived
+    previous_answer_at: float = 0.0  # when the previous answer on its connection arrived
     answered_at: float | None = None
     answer: str = ""  # "served", "rejected", "failed", or empty without an answer
     answer_count: int = 0
-    left_at: float | None = None  # when its client closed the connection
+    disconnected_at: float | None = None  # when its client closed the connection
     is_unreachable: bool = False  # no process accepted its connection
     is_cut: bool = False  # its connection ended without an answer
 
 
 @dataclass(slots=True)
-class ArrivedAttempt:
+class AttemptRecord:
     """A command that a server received."""
 
-    at: float
+    arrived_at: float
     server: str
     request_id: bytes
 
 
 @dataclass(slots=True)
-class Books:
-    """Observations of one run."""
+class RunRecords:
+    """What clients, servers and this process observed in one run."""
 
-    requests: dict[bytes, AskedRequest] = field(default_factory=dict)
-    attempts: list[ArrivedAttempt] = field(default_factory=list)
-    executed: Counter[bytes] = field(default_factory=Counter)  # effects by request id
-    executed_keys: Counter[bytes] = field(default_factory=Counter)  # effects by idempotency key
+    requests: dict[bytes, RequestRecord] = field(default_factory=dict)
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    effects_by_request: Counter[bytes] = field(default_factory=Counter)  # effects by request id
+    effects_by_key: Counter[bytes] = field(default_factory=Counter)  # effects by idempotency key
     drained_at: dict[str, float] = field(default_factory=dict)  # when discovery wrote the drain, by server
-    lag_s: float = 0.0  # longest time for which this process did not run
+    max_lag_s: float = 0.0  # longest time for which this process did not run
     exit_status: int | None = None
     killed_at_end: bool = False
     log: str = ""
@@ -66,67 +66,69 @@
 
     def lost_requests(self) -> list[str]:
         """Finds requests without exactly one final response in time."""
-        found = []
+        violations = []
         for request in self.requests.values():
-            if request.sent_at is None or request.is_unreachable or request.left_at is not None:
+            if request.sent_at is None or request.is_unreachable or request.disconnected_at is not None:
                 continue
             name = f"{request.class_name} {request.request_id.decode()}"
             if request.answer_count != 1:
-                found.append(f"lost: {name} has {request.answer_count} responses")
+                violations.append(f"lost: {name} has {request.answer_count} responses")
             elif request.answered_at is not None:
-                started = max(request.sent_at, request.due_from)
+                started = max(request.sent_at, request.previous_answer_at)
                 took_s = request.answered_at - started
-                if took_s > request.deadline_s + LATE_RESPONSE_S + TOLERANCE_S + self.lag_s:
-                    found.append(
+                if took_s > request.deadline_s + LATE_RESPONSE_S + TOLERANCE_S + self.max_lag_s:
+                    violations.append(
                         f"lost: {name} was answered after {took_s:.2f} of {request.deadline_s:.2f} s"
                     )
-        return found
+        return violations
 
     def repeated_effects(self) -> list[str]:
         """Finds effects that happened twice, or although the request was rejected."""
-        found = []
-        for request_id, count in self.executed.items():
+        violations = []
+        for request_id, count in self.effects_by_request.items():
             request = self.requests.get(request_id)
             if request is None:
                 continue
             if request.class_name == "check-charge" and count > 1:
-                found.append(f"duplicate: check-charge {request_id.decode()} ran {count} times")
+                violations.append(f"duplicate: check-charge {request_id.decode()} ran {count} times")
             if request.answer == "rejected":
-                found.append(f"duplicate: {request.class_name} {request_id.decode()} was rejected and ran")
-        found += [
-            f"duplicate: key {key.decode()} ran {n} times" for key, n in self.executed_keys.items() if n > 1
+                violations.append(
+                    f"duplicate: {request.class_name} {request_id.decode()} was rejected and ran"
+                )
+        violations += [
+            f"duplicate: key {key.decode()} ran {n} times" for key, n in self.effects_by_key.items() if n > 1
         ]
-        return found
+        return violations
 
     def late_attempts(self) -> list[str]:
         """Finds attempts that began after their client disconnected or their server drained."""
-        found = []
-        tolerance_s = TOLERANCE_S + self.lag_s
+        violations = []
+        tolerance_s = TOLERANCE_S + self.max_lag_s
         for attempt in self.attempts:
             drained_at = self.drained_at.get(attempt.server)
-            if drained_at is not None and attempt.at > drained_at + DRAIN_GRACE_S + tolerance_s:
-                found.append(
-                    f"drain: an attempt at {attempt.server} {attempt.at - drained_at:.2f} s after its drain"
-                )
+            if drained_at is not None and attempt.arrived_at > drained_at + DRAIN_GRACE_S + tolerance_s:
+                delay_s = attempt.arrived_at - drained_at
+                violations.append(f"drain: an attempt at {attempt.server} {delay_s:.2f} s after its drain")
             request = self.requests.get(attempt.request_id)
             if (
                 request is not None
-                and request.left_at is not None
-                and attempt.at > request.left_at + DISCONNECT_GRACE_S + tolerance_s
+                and request.disconnected_at is not None
+                and attempt.arrived_at > request.disconnected_at + DISCONNECT_GRACE_S + tolerance_s
             ):
-                found.append(f"lost: an attempt {attempt.at - request.left_at:.2f} s after its client left")
-        return found
+                delay_s = attempt.arrived_at - request.disconnected_at
+                violations.append(f"lost: an attempt {delay_s:.2f} s after its client disconnected")
+        return violations
 
     def process_faults(self) -> list[str]:
         """Finds faults of the gateway process: a bad exit status, a traceback, or a forced kill."""
-        found = []
+        violations = []
         if self.killed_at_end:
-            found.append("process: had not ended at the kill")
+            violations.append("process: had not ended when it was killed")
         elif self.exit_status != 0:
-            found.append(f"process: exit status {self.exit_status}")
+            violations.append(f"process: exit status {self.exit_status}")
         if "Traceback" in self.log:
-            found.append(f"process: a traceback: {self.log[self.log.index('Traceback') :][-300:]}")
-        return found
+            violations.append(f"process: a traceback: {self.log[self.log.index('Traceback') :][-300:]}")
+        return violations
 
     def summary(self) -> str:
         """Counts requests by their answer."""
--- a/lab/soak/clients.py
+++ b/lab/soak/clients.py
@@ -16,7 +16,7 @@
 
 from glenchute.protocol import resp2
 from lab.load import classify_reply
-from lab.soak.books import AskedRequest, Books
+from lab.soak.books import RequestRecord, RunRecords
 from lab.soak.schedule import Schedule
 
 CLASSES = (("report-read", 0.6), ("check-order", 0.25), ("check-charge", 0.15))  # name, share of requests
@@ -27,21 +27,21 @@
 LARGE_COMMAND = resp2.encode_command(b"PING", b"x" * 60_000)
 
 
-def random_requests(rng: random.Random, longest_ms: int) -> Iterator[tuple[AskedRequest, bytes]]:
+def random_requests(rng: random.Random, longest_ms: int) -> Iterator[tuple[RequestRecord, bytes]]:
     """Yields random requests of all classes, each with its encoded command."""
-    number = 0
+    serial = 0
     while True:
-        number += 1
+        serial += 1
         class_name = rng.choices([name for name, _ in CLASSES], [share for _, share in CLASSES])[0]
         deadline_ms = longest_ms if rng.random() < 0.5 else int(longest_ms * rng.uniform(0.5, 1.0))
-        request_id, key = b"%016x" % number, b"key%d" % number if class_name == "check-order" else None
-        customer = rng.randrange(60)
-        fields = b"c=%b,t=%b,d=%d" % (class_name.encode(), PLANS[customer % 3], deadline_ms)
+        request_id, key = b"%016x" % serial, b"key%d" % serial if class_name == "check-order" else None
+        account = rng.randrange(60)
+        fields = b"c=%b,t=%b,d=%d" % (class_name.encode(), PLANS[account % 3], deadline_ms)
         if key is not None:
             fields += b",k=" + key
-        words = [b"CALL.GET" if class_name == "report-read" else b"CALL.POST", b"%016x" % (1000 + customer)]
-        words += [request_id, fields, *([] if class_name == "report-read" else [b"body"])]
-        yield AskedRequest(request_id, class_name, deadline_ms / 1000.0, key), resp2.encode_command(*words)
+        command = [b"CALL.GET" if class_name == "report-read" else b"CALL.POST", b"%016x" % (1000 + account)]
+        command += [request_id, fields, *([] if class_name == "report-read" else [b"body"])]
+        yield RequestRecord(request_id, class_name, deadline_ms / 1000.0, key), resp2.encode_command(*command)
 
 
 class SoakConnection(asyncio.Protocol):
@@ -51,7 +51,7 @@
         self.loop = loop
         self.transport: asyncio.Transport | None = None
         self.parser = hiredis.Reader()
-        self.pending: deque[AskedRequest] = deque()
+        self.pending: deque[RequestRecord] = deque()
         self.answered_count = 0
         self.last_answer_at = 0.0
         self.ended = loop.create_future()
@@ -72,7 +72,7 @@
         if not self.pending:
             return  # the reply concerns the connection, not a request
         request = self.pending.popleft()
-        request.due_from = self.last_answer_at
+        request.previous_answer_at = self.last_answer_at
         request.answered_at = self.last_answer_at = now
         request.answer = ANSWERS[classify_reply(reply)[0]]
         request.answer_count += 1
@@ -95,21 +95,21 @@
 class SoakClients:
     """The clients of one run."""
 
-    def __init__(self, schedule: Schedule, books: Books, port: Callable[[], int]) -> None:
-        self.schedule, self.books, self.port = schedule, books, port
+    def __init__(self, schedule: Schedule, records: RunRecords, port: Callable[[], int]) -> None:
+        self.schedule, self.records, self.port = schedule, records, port
         self.rng = random.Random(f"clients {schedule.seed}")
         self.loop = asyncio.get_running_loop()
         self.requests = random_requests(self.rng, schedule.longest_deadline_ms)
         self.may_connect = True  # whether clients open new connections
         self.is_over = False
         self.tasks: set[asyncio.Task[None]] = set()
-        self.requesting: set[asyncio.Task[None]] = set()  # tasks of the clients whose requests are checked
+        self.checked_tasks: set[asyncio.Task[None]] = set()  # of the clients whose requests are checked
 
     def start(self) -> None:
         """Starts all clients."""
-        interval_s = self.schedule.clients / self.schedule.rate_per_s
-        for _ in range(self.schedule.clients):
-            self.requesting.add(self.spawn(self.client(interval_s)))
+        interval_s = self.schedule.client_count / self.schedule.rate_per_s
+        for _ in range(self.schedule.client_count):
+            self.checked_tasks.add(self.spawn(self.client(interval_s)))
         for _ in range(self.schedule.idle_clients):
             self.spawn(self.idle_client())
         for _ in range(self.schedule.slow_readers):
@@ -126,8 +126,8 @@
         """Stops sending requests and waits for the pending ones."""
         self.is_over, self.may_connect = True, False
         longest_s = self.schedule.longest_deadline_ms / 1000.0
-        if self.requesting:
-            await asyncio.wait(self.requesting, timeout=2.0 * longest_s + 4.0)
+        if self.checked_tasks:
+            await asyncio.wait(self.checked_tasks, timeout=2.0 * longest_s + 4.0)
 
     async def stop(self) -> None:
         """Cancels all clients and waits for them."""
@@ -165,7 +165,7 @@
             await self.exchange(connection, batch, disconnects)
 
     async def exchange(
-        self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]], disconnects: bool
+        self, connection: SoakConnection, batch: list[tuple[RequestRecord, bytes]], disconnects: bool
     ) -> None:
         """Sends a batch and waits until all of it is answered or the connection ends.
 
@@ -184,9 +184,9 @@
         await self.wait(connection, requests, timeout_s)
         unanswered = [request for request in requests if request.answer_count == 0]
         if unanswered:
-            await self.repeat(connection, unanswered)
+            await self.repeat_once(connection, unanswered)
 
-    async def send(self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]]) -> bool:
+    async def send(self, connection: SoakConnection, batch: list[tuple[RequestRecord, bytes]]) -> bool:
         """Writes a batch, sometimes in pieces; False if the connection ended before the last byte."""
         data = b"".join(command for _, command in batch)
         is_split = self.rng.random() < self.schedule.split_share
@@ -203,7 +203,7 @@
         return True
 
     def record_sent(
-        self, connection: SoakConnection, batch: list[tuple[AskedRequest, bytes]], end: int
+        self, connection: SoakConnection, batch: list[tuple[RequestRecord, bytes]], end: int
     ) -> None:
         """Records the requests whose last byte is before `end`, just before the write."""
         request_end = 0
@@ -211,10 +211,10 @@
             request_end += len(command)
             if request.sent_at is None and request_end <= end:
                 request.sent_at = self.loop.time()
-                self.books.requests[request.request_id] = request
+                self.records.requests[request.request_id] = request
                 connection.pending.append(request)
 
-    async def wait(self, connection: SoakConnection, requests: list[AskedRequest], timeout_s: float) -> None:
+    async def wait(self, connection: SoakConnection, requests: list[RequestRecord], timeout_s: float) -> None:
         """Waits until all requests are answered, the connection ends, or the time is up."""
         changed = asyncio.Event()
         connection.on_answer = changed.set
@@ -226,22 +226,22 @@
                     changed.clear()
                     await changed.wait()
 
-    def disconnect(self, connection: SoakConnection, requests: list[AskedRequest]) -> None:
+    def disconnect(self, connection: SoakConnection, requests: list[RequestRecord]) -> None:
         """Closes the connection without waiting for answers."""
         now = self.loop.time()
         for request in requests:
             if request.answer_count == 0:
-                request.left_at = now
+                request.disconnected_at = now
         connection.pending.clear()
         if connection.transport is not None:
             connection.transport.abort()
 
-    async def repeat(self, connection: SoakConnection, requests: list[AskedRequest]) -> None:
-        """Repeats requests whose connection ended without an answer.
+    async def repeat_once(self, connection: SoakConnection, requests: list[RequestRecord]) -> None:
+        """Sends requests whose connection ended without an answer once more, if the protocol asks for it.
 
-        A connection that has carried requests before may be closed by the gateway while a command is on
-        its way. Each request is then sent once more, alone on a new connection, and must be answered.
-        Other requests without an answer are recorded as cut.
+        The gateway may close a connection that has carried requests before while a command is on its way.
+        Each request is then sent once more, alone on a new connection, and must be answered. Other requests
+        without an answer are recorded as cut.
         """
         was_used = connection.answered_count > 0
         if connection.transport is not None or not was_used:
@@ -254,14 +254,14 @@
                 request.is_unreachable = True
                 continue
             verb = {b"report-read": b"CALL.GET"}.get(request.class_name.encode(), b"CALL.POST")
-            words = [verb, b"%016x" % 1000, request.request_id]
+            command = [verb, b"%016x" % 1000, request.request_id]
             fields = b"c=%b,t=osnovni,d=%d" % (request.class_name.encode(), int(1000 * request.deadline_s))
-            words.append(fields + (b",k=" + request.key if request.key else b""))
+            command.append(fields + (b",k=" + request.key if request.key else b""))
             if verb == b"CALL.POST":
-                words.append(b"body")
+                command.append(b"body")
             request.sent_at = self.loop.time()
             retry.pending.append(request)
-            retry.transport.write(resp2.encode_command(*words))
+            retry.transport.write(resp2.encode_command(*command))
             await self.wait(retry, [request], request.deadline_s + 2.0)
             if retry.transport is not None:
                 retry.transport.abort()
--- a/lab/soak/mutants.py
+++ b/lab/soak/mutants.py
@@ -94,12 +94,12 @@
     """Resets connections that are opened after SIGTERM."""
     connection_made = ClientConnection.connection_made
 
-    def reset_while_leaving(self: ClientConnection, transport: Any) -> None:
+    def reset_during_shutdown(self: ClientConnection, transport: Any) -> None:
         connection_made(self, transport)
         if self.listener.lifecycle.phase.value == "leaving":
             transport.abort()
 
-    ClientConnection.connection_made = reset_while_leaving  # type: ignore[method-assign]
+    ClientConnection.connection_made = reset_during_shutdown  # type: ignore[method-assign]
 
 
 def raises_while_ending() -> None:
--- a/lab/soak/play.py
+++ b/lab/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one schedule.
+"""Runs one schedule of the soak test.
 
 The gateways are real processes; the stand-in services and the clients run in this process.
 """
@@ -20,7 +20,7 @@
 from lab.peers import server_row
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
-from lab.soak.books import ArrivedAttempt, Books
+from lab.soak.books import AttemptRecord, RunRecords
 from lab.soak.clients import SoakClients
 from lab.soak.schedule import SERVERS, Ending, Schedule
 
@@ -29,19 +29,19 @@
 SIGNAL_INTERVAL_S = 0.02  # between repeated signals
 TAKEOVER_MESSAGE = "received quota state from the predecessor process"  # logged by a successor
 SERVING_DELAY_S = 0.3  # from the takeover message until the successor serves
-START_DELAY_STEP_S = 0.05  # unit of the delay from process start to SIGTERM in `DURING_START`
+START_DELAY_STEP_S = 0.05  # unit of the delay from process start to SIGTERM with `DURING_START`
 
 
 class RecordingNode(Node):
     """A server that records when each command arrived."""
 
-    books: Books
+    records: RunRecords
 
-    async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        if words[0].upper().startswith(b"CALL."):
+    async def answer(self, command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        if command[0].upper().startswith(b"CALL."):
             now = asyncio.get_running_loop().time()
-            self.books.attempts.append(ArrivedAttempt(now, self.name, words[2]))
-        return await super().answer(words, writer)
+            self.records.attempts.append(AttemptRecord(now, self.name, command[2]))
+        return await super().answer(command, writer)
 
 
 class SoakGateway(GatewayProcess):
@@ -58,13 +58,13 @@
 
     def __init__(self, schedule: Schedule, mutant: str = "") -> None:
         self.schedule, self.mutant = schedule, mutant
-        self.books = Books()
+        self.records = RunRecords()
         self.loop = asyncio.get_running_loop()
         self.extra_discovery: DiscoveryService | None = None
         self.successors: list[SoakGateway] = []
 
-    async def play(self) -> Books:
-        """Starts the stand-in services, plays the schedule and returns the observations."""
+    async def run(self) -> RunRecords:
+        """Starts the stand-in services, runs the schedule and returns the records."""
         schedule, nodes = self.schedule, list[RecordingNode]()
         key_times, key_order = dict[bytes, float](), deque[bytes]()
         profile = ServiceProfile(
@@ -74,7 +74,7 @@
             node = RecordingNode(
                 f"n{number}", profile, FaultScript(schedule.server_faults[number], schedule.seed)
             )
-            node.books = self.books
+            node.records = self.records
             # The servers of one group share their idempotency keys.
             node.key_times, node.key_order = key_times, key_order
             nodes.append(node)
@@ -83,21 +83,21 @@
         try:
             async with LabSite(nodes, counter) as site:
                 with tempfile.TemporaryDirectory() as folder, socket.socket() as listening:
-                    await self.play_site(site, Path(folder), listening)
+                    await self.run_at_site(site, Path(folder), listening)
             self.count_effects(nodes)
         finally:
             lag_task.cancel()
-        return self.books
+        return self.records
 
-    async def play_site(self, site: LabSite, folder: Path, listening: socket.socket) -> None:
-        """Plays the schedule against stand-in services that are already running."""
+    async def run_at_site(self, site: LabSite, folder: Path, listening: socket.socket) -> None:
+        """Runs the schedule against stand-in services that are already running."""
         gateway = SoakGateway(folder, site.platform(self.settings()), self.mutant)
         if self.schedule.ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening.bind(("127.0.0.1", gateway.port))
             listening.listen(512)
             gateway.passed_socket = listening
-        clients = SoakClients(self.schedule, self.books, lambda: gateway.port)
+        clients = SoakClients(self.schedule, self.records, lambda: gateway.port)
         background: list[asyncio.Task[None]] = []
         try:
             gateway.start()
@@ -109,7 +109,7 @@
                 clients.start()
                 background = [asyncio.create_task(event) for event in self.scheduled_events(site)]
                 await asyncio.sleep(self.schedule.terminate_at_s)
-            await self.end(site, gateway, clients, folder)
+            await self.perform_ending(site, gateway, clients, folder)
         finally:
             for task in background:
                 task.cancel()
@@ -118,7 +118,7 @@
                 launched.send_signal(signal.SIGKILL)
                 if launched.process is not None:
                     launched.process.wait()
-            self.books.log = gateway.log_file.read_text(errors="replace")
+            self.records.log = gateway.log_file.read_text(errors="replace")
             if self.extra_discovery is not None:
                 await self.extra_discovery.stop()
 
@@ -163,7 +163,7 @@
             version = discovery.update_rows([server_row(node.name, node.port, state) for state in states])
             while version not in discovery.first_answer_at:
                 await asyncio.sleep(0.001)
-            self.books.drained_at.setdefault(node.name, discovery.first_answer_at[version])
+            self.records.drained_at.setdefault(node.name, discovery.first_answer_at[version])
 
     async def reset_counter(self, site: LabSite, at_s: float) -> None:
         """Resets all totals of the counter to zero."""
@@ -186,12 +186,16 @@
         while True:
             started = self.loop.time()
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
-            self.books.lag_s = max(self.books.lag_s, self.loop.time() - started - LAG_CHECK_INTERVAL_S)
+            self.records.max_lag_s = max(
+                self.records.max_lag_s, self.loop.time() - started - LAG_CHECK_INTERVAL_S
+            )
 
     # --- the end of the run ------------------------------------------------------------------------------
 
-    async def end(self, site: LabSite, gateway: SoakGateway, clients: SoakClients, folder: Path) -> None:
-        """Sends the signals of the ending, and SIGKILL at the platform's earliest time for it."""
+    async def perform_ending(
+        self, site: LabSite, gateway: SoakGateway, clients: SoakClients, folder: Path
+    ) -> None:
+        """Sends the signals of the ending, and SIGKILL once the platform may send it."""
         ending = self.schedule.ending
         if ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             gateway = await self.replace(gateway, folder, 1 + (ending is Ending.REPLACED_TWICE))
@@ -206,8 +210,8 @@
             await self.move_discovery(site, gateway)
         elif ending is Ending.STOPPED:
             gateway.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(self.schedule.paused_s)
-            self.books.lag_s += self.schedule.paused_s  # the gateway did not run during this time
+            await asyncio.sleep(self.schedule.stopped_s)
+            self.records.max_lag_s += self.schedule.stopped_s  # the gateway did not run during this time
             gateway.send_signal(signal.SIGCONT)
         await self.terminate(gateway, clients)
 
@@ -221,18 +225,18 @@
             gateway.send_signal(signal.SIGTERM)
         if self.schedule.ending is Ending.RELOAD_AFTER:
             gateway.send_signal(signal.SIGHUP)
-        await asyncio.sleep(max(0.0, terminated_at + self.schedule.arrivals_after_s - self.loop.time()))
+        await asyncio.sleep(max(0.0, terminated_at + self.schedule.connects_after_s - self.loop.time()))
         clients.may_connect = False
         assert gateway.process is not None
         while (
             gateway.process.poll() is None and self.loop.time() - terminated_at < self.schedule.kill_after_s
         ):
             await asyncio.sleep(0.005)
-        self.books.killed_at_end = gateway.process.poll() is None
+        self.records.killed_at_end = gateway.process.poll() is None
         gateway.send_signal(signal.SIGKILL)
         status = gateway.process.wait()
         is_killed_during_start = self.schedule.ending is Ending.DURING_START and status == -signal.SIGTERM
-        self.books.exit_status = 0 if is_killed_during_start else status
+        self.records.exit_status = 0 if is_killed_during_start else status
         await clients.finish()
 
     async def replace(self, gateway: SoakGateway, folder: Path, times: int) -> SoakGateway:
@@ -258,7 +262,7 @@
             while gateway.process.poll() is None and self.loop.time() - began < self.schedule.kill_after_s:
                 await asyncio.sleep(0.005)
             if gateway.process.poll() is None:
-                self.books.killed_at_end = True
+                self.records.killed_at_end = True
             gateway.send_signal(signal.SIGKILL)
             gateway.process.wait()
             gateway = successor
@@ -273,16 +277,16 @@
         gateway.send_signal(signal.SIGHUP)
 
     def count_effects(self, nodes: list[RecordingNode]) -> None:
-        """Adds the effects that the servers recorded to the observations."""
+        """Adds the effects that the servers recorded."""
         for node in nodes:
             for effect in node.effects:
-                self.books.executed[effect.request_id] += 1
+                self.records.effects_by_request[effect.request_id] += 1
                 if effect.key is not None:
-                    self.books.executed_keys[effect.key] += 1
+                    self.records.effects_by_key[effect.key] += 1
 
 
-async def play(schedule: Schedule, mutant: str = "") -> Books:
-    """Plays a schedule and returns the observations."""
+async def run_schedule(schedule: Schedule, mutant: str = "") -> RunRecords:
+    """Runs a schedule and returns the records."""
     with contextlib.suppress(asyncio.CancelledError):
-        return await Run(schedule, mutant).play()
+        return await Run(schedule, mutant).run()
     raise RuntimeError("the run was cancelled")
--- a/lab/soak/schedule.py
+++ b/lab/soak/schedule.py
@@ -35,9 +35,7 @@
 
     at_s: float
     server: int
-    states: tuple[
-        str, ...
-    ]  # one row per state in a single answer; several rows name the server several times
+    states: tuple[str, ...]  # one row for each, all in a single answer of discovery
 
 
 class Schedule(NamedTuple):
@@ -50,9 +48,9 @@
     ending: Ending
     longest_deadline_ms: int
     terminate_at_s: float
-    arrivals_after_s: float  # how long clients open new connections after SIGTERM
-    paused_s: float  # between SIGSTOP and SIGCONT
-    clients: int
+    connects_after_s: float  # for which clients open new connections after SIGTERM
+    stopped_s: float  # between SIGSTOP and SIGCONT
+    client_count: int
     rate_per_s: float
     pipelined_share: float  # of the batches, those with several requests
     split_share: float  # of the batches, those that are written in several pieces
@@ -77,11 +75,12 @@
         counter = sorted({fault.kind.value for fault in self.counter_faults})
         changes = [f"{'+'.join(change.states)}@{change.at_s:.1f}" for change in self.changes]
         return (
-            f"{self.ending.value}; deadlines to {self.longest_deadline_ms} ms; {self.clients} clients,"
-            f" {self.rate_per_s:.0f}/s, crowd {self.idle_clients}, slow readers {self.slow_readers};"
-            f" servers {faults or 'well'}; counter {counter or 'well'}"
-            f"{', forgets' if self.counter_reset_at_s is not None else ''}; list {changes or 'stays'}"
-            f"{', discovery down' if self.discovery_outage_s else ''}"
+            f"{self.ending.value}; deadlines to {self.longest_deadline_ms} ms; {self.client_count} clients,"
+            f" {self.rate_per_s:.0f}/s, {self.idle_clients} idle clients, {self.slow_readers} slow readers;"
+            f" server faults {faults or 'none'}; counter faults {counter or 'none'}"
+            f"{', counter reset' if self.counter_reset_at_s is not None else ''};"
+            f" list changes {changes or 'none'}"
+            f"{', discovery outage' if self.discovery_outage_s else ''}"
         )
 
 
@@ -144,9 +143,9 @@
         ending=rng.choice(list(Ending)),
         longest_deadline_ms=rng.choice(LONGEST_DEADLINES_MS),
         terminate_at_s=end_s,
-        arrivals_after_s=rng.uniform(0.2, 0.4),
-        paused_s=rng.uniform(0.1, 1.0),
-        clients=rng.randint(6, 30),
+        connects_after_s=rng.uniform(0.2, 0.4),
+        stopped_s=rng.uniform(0.1, 1.0),
+        client_count=rng.randint(6, 30),
         rate_per_s=rng.choice((60.0, 150.0, 300.0)),
         pipelined_share=rng.choice((0.0, 0.3, 0.7)),
         split_share=rng.choice((0.0, 0.2, 0.5)),
--- a/tests/policy/membership/test_direct_messages.py
+++ b/tests/policy/membership/test_direct_messages.py
@@ -95,7 +95,7 @@
 def test_without_valid_numbers_the_subset_gets_usage_all_the_same(
     names: list[str], gateways: int, numbered: bool
 ) -> None:
-    network = DirectMessageNetwork(12, 1, names, gateways, numbered=numbered)
+    network = DirectMessageNetwork(12, 1, names, gateways, has_numbers=numbered)
     network.run(3.0)
     network.admit(network.names[0], "a", 5.0)
     network.run(0.3)
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("spread", [3, 30])
 def test_the_budget_holds_and_usage_that_lags_behind_is_not_known(spread: int) -> None:
-    network = DirectMessageNetwork(60, 2, budget=1_000.0)
+    network = DirectMessageNetwork(60, 2, budget_bytes_per_s=1_000.0)
     network.run(8.0)
     before, started_at = network.messengers["g0"].sent_bytes, network.now
     for n in range(400):  # far more rows than the budget covers
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from lab.soak.books import ArrivedAttempt, AskedRequest, Books
-from lab.soak.play import play
+from lab.soak.books import AttemptRecord, RequestRecord, RunRecords
+from lab.soak.play import run_schedule
 from lab.soak.schedule import Ending, draw
 
 SEEDS = range(1, 13)
@@ -29,14 +29,14 @@
 def test_no_rule_is_broken_across_a_planned_restart(seed: int) -> None:
     """``python -m lab.soak --first SEED --seeds 1`` runs one seed again."""
     schedule = draw(seed)
-    books = asyncio.run(play(schedule))
-    assert books.violations() == [], schedule.describe()
+    records = asyncio.run(run_schedule(schedule))
+    assert records.violations() == [], schedule.describe()
 
 
 def test_the_soak_finds_a_process_that_cuts_its_clients_off() -> None:
     """Guards against a soak that detects nothing, with which the tests above would always pass."""
     seed = next(seed for seed in range(1, 50) if draw(seed).ending is Ending.TERM)
-    assert asyncio.run(play(draw(seed), "raises_while_ending")).violations()
+    assert asyncio.run(run_schedule(draw(seed), "raises_while_ending")).violations()
 
 
 def test_a_seed_draws_one_schedule_and_fifty_have_all_endings() -> None:
@@ -44,13 +44,13 @@
     assert {draw(seed).ending for seed in range(1, 51)} == set(Ending)
 
 
-def request(**changes: object) -> AskedRequest:
-    asked_request = AskedRequest(
+def request(**changes: object) -> RequestRecord:
+    record = RequestRecord(
         b"r", "check-charge", 1.0, sent_at=10.0, answered_at=10.5, answer="served", answer_count=1
     )
     for name, value in changes.items():
-        setattr(asked_request, name, value)
-    return asked_request
+        setattr(record, name, value)
+    return record
 
 
 @pytest.mark.parametrize(
@@ -60,24 +60,24 @@
         ({"answer_count": 0, "answered_at": None}, 1),
         ({"answer_count": 2}, 1),
         ({"answered_at": 11.6}, 1),
-        ({"answered_at": 11.6, "due_from": 11.0}, 0),
+        ({"answered_at": 11.6, "previous_answer_at": 11.0}, 0),
         ({"answer_count": 0, "is_unreachable": True}, 0),
-        ({"answer_count": 0, "left_at": 10.2}, 0),
+        ({"answer_count": 0, "disconnected_at": 10.2}, 0),
         ({"answer_count": 0, "is_cut": True, "answered_at": None}, 1),
     ],
 )
 def test_each_request_is_owed_one_response_in_time(changes: dict[str, object], count: int) -> None:
-    books = Books(requests={b"r": request(**changes)}, exit_status=0)
-    assert len(books.violations()) == count
+    records = RunRecords(requests={b"r": request(**changes)}, exit_status=0)
+    assert len(records.violations()) == count
 
 
 def test_repeated_effects_late_attempts_and_processes_that_fail_are_found() -> None:
-    books = Books(requests={b"r": request(answer="rejected", left_at=10.2)}, exit_status=1)
-    books.executed[b"r"] = 2
-    books.executed_keys[b"k"] = 2
-    books.drained_at["n0"] = 10.0
-    books.attempts = [ArrivedAttempt(10.29, "n0", b"r"), ArrivedAttempt(10.36, "n0", b"r")]
-    kinds = sorted(violation.partition(":")[0] for violation in books.violations())
+    records = RunRecords(requests={b"r": request(answer="rejected", disconnected_at=10.2)}, exit_status=1)
+    records.effects_by_request[b"r"] = 2
+    records.effects_by_key[b"k"] = 2
+    records.drained_at["n0"] = 10.0
+    records.attempts = [AttemptRecord(10.29, "n0", b"r"), AttemptRecord(10.36, "n0", b"r")]
+    kinds = sorted(violation.partition(":")[0] for violation in records.violations())
     assert kinds == ["drain", "duplicate", "duplicate", "duplicate", "lost", "process"]
-    books = Books(exit_status=0, log="Traceback (most recent call last): ...", killed_at_end=True)
-    assert len(books.violations()) == 2
+    records = RunRecords(exit_status=0, log="Traceback (most recent call last): ...", killed_at_end=True)
+    assert len(records.violations()) == 2
