--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -19,8 +19,8 @@
 from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan
 from glenchute.protocol.member_datagrams import decode, encode
-from lab.fleet.holders import LeaseCluster
-from lab.fleet.simulated import SwimNetwork
+from lab.fleet.lease_cluster import LeaseCluster
+from lab.fleet.simulated_networks import SwimNetwork
 
 
 class ByteCountingNetwork(SwimNetwork):
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -21,9 +21,9 @@
 import uvloop
 
 from benchmarks.machine import cpu_s, machine
-from lab.fleet.acting import FLEET_OPTIONS, lease_tables, run_with_random_faults
-from lab.fleet.effects import EffectService
-from lab.fleet.holders import LeaseCluster, longest_gap, overlaps, run_with_faults
+from lab.fleet.effect_service import EffectService
+from lab.fleet.lease_cluster import LeaseCluster, longest_gap, overlaps, run_with_faults
+from lab.fleet.leased_tasks import FLEET_OPTIONS, lease_tables, run_with_random_faults
 from lab.fleet.processes import FleetSite
 
 
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -21,9 +21,9 @@
 from glenchute.policy.membership.members import MemberState
 from glenchute.policy.membership.replica import Replica, Row, RowKind
 from lab.fleet import checks
-from lab.fleet.crowd import EmulatedMembers
+from lab.fleet.emulated_members import EmulatedMembers
 from lab.fleet.processes import FleetSite
-from lab.fleet.simulated import GossipNetwork, SwimNetwork, cut_off
+from lab.fleet.simulated_networks import GossipNetwork, SwimNetwork, cut_off
 from lab.load import Account
 from lab.sim.members import gone_run
 from lab.site import free_port
--- a/lab/fleet/__init__.py
+++ b/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of the program as a fleet: scripted links, one history, checkers over its books."""
+"""Fleets of gateway processes and of simulated members, with scripted faults and checks of their records."""
--- a/lab/fleet/effects.py
+++ b/lab/fleet/effect_service.py
@@ -10,7 +10,7 @@
 import json
 from collections.abc import Callable
 
-from lab.fleet.holders import TaskEffect
+from lab.fleet.lease_cluster import TaskEffect
 from lab.peers import Peer
 
 
--- a/lab/fleet/holders.py
+++ b/lab/fleet/lease_cluster.py
@@ -23,7 +23,7 @@
 )
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.task_candidates import TaskCandidate
-from lab.fleet.simulated import cut_off
+from lab.fleet.simulated_networks import cut_off
 
 TICK_S = 0.05
 MAX_EFFECT_S = 0.2  # longest duration of an effect, as the task declares it
--- a/lab/fleet/acting.py
+++ b/lab/fleet/leased_tasks.py
@@ -8,8 +8,8 @@
 import signal
 from pathlib import Path
 
-from lab.fleet.effects import EffectService
-from lab.fleet.holders import longest_gap, overlaps
+from lab.fleet.effect_service import EffectService
+from lab.fleet.lease_cluster import longest_gap, overlaps
 from lab.fleet.processes import FleetSite
 from lab.site import free_port
 
--- a/lab/soak/__main__.py
+++ b/lab/soak/__main__.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from lab.soak.mutants import MUTANTS
-from lab.soak.play import run_schedule
+from lab.soak.run import run_schedule
 from lab.soak.schedule import draw
 
 MAX_VIOLATIONS_SHOWN = 5  # of one run
--- a/lab/soak/clients.py
+++ b/lab/soak/clients.py
@@ -16,7 +16,7 @@
 
 from glenchute.protocol import resp2
 from lab.load import classify_reply
-from lab.soak.books import RequestRecord, RunRecords
+from lab.soak.records import RequestRecord, RunRecords
 from lab.soak.schedule import Schedule
 
 CLASSES = (("report-read", 0.6), ("check-order", 0.25), ("check-charge", 0.15))  # name, share of requests
--- a/lab/soak/play.py
+++ b/lab/soak/run.py
@@ -20,8 +20,8 @@
 from lab.peers import server_row
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
-from lab.soak.books import AttemptRecord, RunRecords
 from lab.soak.clients import SoakClients
+from lab.soak.records import AttemptRecord, RunRecords
 from lab.soak.schedule import SERVERS, Ending, Schedule
 
 READY_TIMEOUT_S = 20.0
--- a/tests/clients/membership/test_lease_processes.py
+++ b/tests/clients/membership/test_lease_processes.py
@@ -16,7 +16,9 @@
 import pytest
 
 from lab.coldstart import busiest
-from lab.fleet.acting import (
+from lab.fleet.effect_service import EffectService
+from lab.fleet.lease_cluster import longest_gap, overlaps
+from lab.fleet.leased_tasks import (
     FLEET_OPTIONS,
     LEASE_S,
     MAX_EFFECT_GAP_S,
@@ -24,8 +26,6 @@
     LeasedTaskFleet,
     lease_tables,
 )
-from lab.fleet.effects import EffectService
-from lab.fleet.holders import longest_gap, overlaps
 from lab.fleet.processes import FleetSite
 from lab.peers import run_scenario, server_row
 from lab.site import GatewayProcess, free_port
--- a/tests/policy/membership/test_direct_messages.py
+++ b/tests/policy/membership/test_direct_messages.py
@@ -35,7 +35,7 @@
 )
 from glenchute.policy.settings import Plan, Settings, SlowStart
 from glenchute.protocol.member_datagrams import encode
-from lab.fleet.posted import DirectMessageNetwork
+from lab.fleet.direct_message_network import DirectMessageNetwork
 
 PLAN = Plan("p", rate_per_s=4.0, burst_units=12.0)
 
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -20,7 +20,7 @@
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.task_candidates import CANDIDATES_PER_TASK, TaskCandidate, TaskRecord
 from lab.explore import Explored, Explorer
-from lab.fleet.holders import (
+from lab.fleet.lease_cluster import (
     MAX_EFFECT_S,
     LeaseCluster,
     longest_gap,
@@ -28,7 +28,7 @@
     run_acceptor_changes,
     run_with_faults,
 )
-from lab.fleet.leasing import (
+from lab.fleet.lease_model import (
     LEASE_S,
     TERMS,
     LeaseModel,
--- a/tests/policy/membership/test_members.py
+++ b/tests/policy/membership/test_members.py
@@ -16,7 +16,7 @@
     SwimMessageKind,
     SwimSettings,
 )
-from lab.fleet.simulated import TICK_S, SwimNetwork, cut_off
+from lab.fleet.simulated_networks import TICK_S, SwimNetwork, cut_off
 
 
 @pytest.mark.parametrize(("count", "lose", "within"), [(2, 0, 1), (5, 0.2, 4), (40, 0, 5), (100, 0.1, 12)])
--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -54,7 +54,7 @@
     decode,
     encode,
 )
-from lab.fleet.simulated import GossipNetwork, cut_off, rows_of
+from lab.fleet.simulated_networks import GossipNetwork, cut_off, rows_of
 
 ROWS = st.builds(
     lambda kind, key, writer, *rest: Row(kind, key, writer if kind in PER_PROCESS_KINDS else "", *rest),
--- a/tests/policy/membership/test_usage_audit.py
+++ b/tests/policy/membership/test_usage_audit.py
@@ -14,7 +14,7 @@
 from glenchute.policy.membership.replica import Row, RowKind
 from glenchute.policy.membership.usage_audit import MAX_QUERIES_PER_STEP, UsageAudit
 from glenchute.policy.settings import Plan
-from lab.fleet.acting import FLEET_OPTIONS
+from lab.fleet.leased_tasks import FLEET_OPTIONS
 from lab.fleet.processes import FleetSite
 from lab.load import Account
 from lab.peers import run_scenario
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from lab.soak.books import AttemptRecord, RequestRecord, RunRecords
-from lab.soak.play import run_schedule
+from lab.soak.records import AttemptRecord, RequestRecord, RunRecords
+from lab.soak.run import run_schedule
 from lab.soak.schedule import Ending, draw
 
 SEEDS = range(1, 13)
