--- a/benchmarks/capacity_members.py
+++ b/benchmarks/capacity_members.py
@@ -19,8 +19,8 @@
 from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan
 from glenchute.protocol.member_datagrams import decode, encode
-from lab.fleet.holders import LeaseCluster
-from lab.fleet.simulated import SwimNetwork
+from lab.fleet.lease_cluster import LeaseCluster
+from lab.fleet.simulated_networks import SwimNetwork
 
 
 class ByteCountingNetwork(SwimNetwork):
@@ -29,20 +29,20 @@
     def __init__(self, count: int, seed: int) -> None:
         self.bytes: Tally[tuple[str, int]] = Tally()  # keyed by sender and second
         super().__init__(count, seed)
-        for node in self.nodes.values():
+        for node in self.members.values():
             # Starts from a converged fleet: all members know each other and have no updates left to pass on.
             node.piggyback_counts.clear()
             for member in node.members.values():
                 member.state, member.incarnation, member.boot = (
                     MemberState.ALIVE,
                     0,
-                    self.nodes[member.name].boot,
+                    self.members[member.name].boot,
                 )
 
-    def post(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
+    def send(self, sender: str, outs: list[Outgoing[SwimMessage]]) -> None:
         for out in outs:
             self.bytes[sender, int(self.now)] += len(encode("site", sender, 1 << 60, out.message))
-        super().post(sender, outs)
+        super().send(sender, outs)
 
 
 class GossipCost(NamedTuple):
@@ -63,7 +63,7 @@
     running = [name for name in net.names if name not in net.stopped]
     cpu_s = cpu_ms(lambda: net.run(8.0)) / 1e3
     member_seconds = 8.0 * len(running)
-    messages = sum(net.sent[name] for name in running)
+    messages = sum(net.sent_counts[name] for name in running)
     sizes = [size for (name, _), size in net.bytes.items() if name in running]
     return GossipCost(
         100.0 * cpu_s / member_seconds, messages / member_seconds, sum(sizes) / member_seconds, max(sizes)
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -21,9 +21,9 @@
 from glenchute.policy.membership.members import MemberState
 from glenchute.policy.membership.replica import Replica, Row, RowKind
 from lab.fleet import checks
-from lab.fleet.crowd import EmulatedMembers
+from lab.fleet.emulated_members import EmulatedMembers
 from lab.fleet.processes import FleetSite
-from lab.fleet.simulated import GossipNetwork, SwimNetwork, cut_off
+from lab.fleet.simulated_networks import GossipNetwork, SwimNetwork, cut_off
 from lab.load import Account
 from lab.sim.members import run_downtime
 from lab.site import free_port
@@ -94,7 +94,7 @@
         network.run(30.0, network.are_complete)
         half = set(network.names[: count // 2])
         network.cut = cut_off(half)
-        network.writes(5)
+        network.publish_rows(5)
         network.run(3.0)
         network.cut = lambda sender, to: False
         times_s.append(network.run(60.0, network.are_equal))
@@ -135,7 +135,9 @@
         suspected_s, declared_s, false_deaths = [], [], 0
         for seed in range(3 if count < 500 else 1):
             net = SwimNetwork(count, seed, loss)
-            net.lag = {name: 0.5 for name in net.rng.sample(net.names[2:], round(slow_share * count))}
+            net.extra_delay_s = {
+                name: 0.5 for name in net.rng.sample(net.names[2:], round(slow_share * count))
+            }
             net.run(30.0, net.all_participate)
             net.run(20.0)
             false_deaths += len(net.declared_dead)
