--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -18,7 +18,7 @@
 from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import Endpoint, EndpointList, EndpointListKind
 from glenchute.policy.settings import Plan, Settings, SlowStart
-from lab.sim.world import SERVICE_MS, SETTINGS, Node, SimulatedRequest, World
+from lab.sim.world import SERVICE_MS, SETTINGS, AttemptContext, Node, SimulatedRequest, World
 
 MAX_DISCOVERY_DELAY_MS = 6000.0  # longest time until a gateway learns of a change
 INFORMED_FRACTION = 2.0 / 3.0  # an overload breaks the rule if more of the work came from informed gateways
@@ -233,7 +233,7 @@
             self.informed_at.setdefault((number, incarnation, node.name, node.started_ms), self.now)
         super().deliver_endpoints(number, incarnation, kind, nodes)
 
-    def arrive(self, node: Node, context: tuple[Any, ...]) -> None:
+    def arrive(self, node: Node, context: AttemptContext) -> None:
         number, incarnation, request, _, _, began = context
         request.work = self.rng.expovariate(1.0 / self.mean_work_by_class[request.cls.name])
         if node.alive and node.started_ms > 0:
--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -28,7 +28,7 @@
 from glenchute.policy.events import EndpointListKind, EndpointState, Outcome
 from glenchute.policy.settings import Idempotency
 from lab.sim.swarm import KINDS
-from lab.sim.world import DEADLINE_MARGIN_MS, NET_MS, BrokenRule, Node, World
+from lab.sim.world import DEADLINE_MARGIN_MS, NET_MS, AttemptContext, BrokenRule, Node, World
 
 PIPED_KINDS = (*KINDS, "stuck lines", "extra replies", "volley")
 MAX_CONNECTIONS = 5  # per gateway: few, so that they are shared
@@ -37,7 +37,7 @@
 
 
 class SimulatedAttempt:
-    """An attempt in flight; `context` has the arguments for `World.on_attempt_ended`."""
+    """An attempt in flight."""
 
     __slots__ = (
         "arrived_at",
@@ -53,7 +53,7 @@
         "write_by",
     )
 
-    def __init__(self, attempt_id: int, context: tuple[Any, ...], expires_at: float, write_by: float) -> None:
+    def __init__(self, attempt_id: int, context: AttemptContext, expires_at: float, write_by: float) -> None:
         self.attempt_id, self.context = attempt_id, context
         self.expires_at, self.write_by = expires_at, write_by
         self.connection: SimulatedConnection | None = None
@@ -64,6 +64,10 @@
         self.was_sent = False
         self.has_waited = False
 
+    @property
+    def request_id(self) -> str:
+        return self.context.request.request_id
+
 
 class SimulatedConnection:
     """A connection of one gateway."""
@@ -197,14 +201,14 @@
     # --- attempts ----------------------------------------------------------------------------------------
 
     def dispatch(
-        self, node: Node | None, context: tuple[Any, ...], timeout: float, action: StartAttempt
+        self, node: Node | None, context: AttemptContext, timeout: float, action: StartAttempt
     ) -> None:
         """Starts an attempt, which the scheduler then places on a connection."""
-        number = context[0]
+        number = context.gateway
         self.last_attempt_id += 1
         write_by = action.write_by_ms - self.skew[number] if action.write_by_ms > 0 else math.inf
         attempt = SimulatedAttempt(self.last_attempt_id, context, self.now + timeout, write_by)
-        self.attempts[number, context[1], context[2].request_id, context[3]] = attempt
+        self.attempts[number, context.incarnation, attempt.request_id, context.attempt] = attempt
         self.schedule(timeout, self.on_timeout, attempt)
         self.schedule(0.0, self.place, attempt)
 
@@ -288,7 +292,7 @@
         scheduler = self.schedulers[conn.gateway]
         for entry in list(conn.pipeline.pending):
             attempt = entry.item
-            stop_at = self.endpoint_stop_times[conn.gateway].get(attempt.context[4], math.inf)
+            stop_at = self.endpoint_stop_times[conn.gateway].get(attempt.context.server, math.inf)
             if self.now > min(attempt.write_by, stop_at):
                 conn.pipeline.withdraw(entry)
                 scheduler.on_withdrawn(self.now, conn.connection_id, attempt.attempt_id)
@@ -331,10 +335,10 @@
                 raise BrokenRule(
                     "one outcome", f"attempt {attempt_number} of {request.request_id} was sent after its end"
                 )
-            keyed = request.cls.idempotency is Idempotency.WITH_KEY and request.first_sent_ms is not None
             if (
-                keyed
+                request.cls.idempotency is Idempotency.WITH_KEY
                 and request.may_have_run
+                and request.first_sent_ms is not None
                 and self.now - request.first_sent_ms > request.cls.idempotency_window_ms
             ):
                 raise BrokenRule(
@@ -343,8 +347,7 @@
             if request.cls.idempotency is Idempotency.NON_IDEMPOTENT and conn.sent:
                 raise BrokenRule(
                     "sharing",
-                    f"non-idempotent {request.request_id} was sent "
-                    f"behind {conn.sent[0].context[2].request_id}",
+                    f"non-idempotent {request.request_id} was sent behind {conn.sent[0].request_id}",
                 )
             conn.sent.append(attempt)
             attempt.was_sent = True
@@ -354,7 +357,8 @@
         """Handles a command that arrives at the node, even if the gateway has closed the connection."""
         if attempt.is_unsent:
             raise BrokenRule(
-                "nothing twice", f"{attempt.context[2].request_id} was reported as never sent, and arrived"
+                "nothing twice",
+                f"{attempt.request_id} was reported as never sent, and arrived",
             )
         if conn.node is None or not conn.node.alive or conn.node.started_ms != conn.started_ms:
             self.schedule(NET_MS, self.on_reset, conn)
@@ -394,14 +398,12 @@
         """Handles a reply at the gateway."""
         found = conn.pipeline.match_reply(self.now)
         if found is None:
-            raise BrokenRule(
-                "pairing", f"the reply for {attempt.context[2].request_id} was taken for a surplus one"
-            )
+            raise BrokenRule("pairing", f"the reply for {attempt.request_id} was taken for a surplus one")
         entry, is_trusted = found
         if entry.item is not attempt:
             raise BrokenRule(
                 "pairing",
-                f"{entry.item.context[2].request_id} got the reply for {attempt.context[2].request_id}",
+                f"{entry.item.request_id} got the reply for {attempt.request_id}",
             )
         self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, outcome is Outcome.OK)
         if not is_trusted:
@@ -417,7 +419,8 @@
         found = conn.pipeline.match_reply(self.now)
         if found is not None and found.is_trusted:
             raise BrokenRule(
-                "one answer", f"{found.command.item.context[2].request_id} was served with a surplus reply"
+                "one answer",
+                f"{found.command.item.request_id} was served with a surplus reply",
             )
         if found is not None:
             self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, False)
@@ -429,7 +432,7 @@
 
     def on_timeout(self, attempt: SimulatedAttempt) -> None:
         """Ends an attempt that has timed out, and closes its connection if the command was written."""
-        if attempt.is_finished or not self.is_current(attempt.context[0], attempt.context[1]):
+        if attempt.is_finished or not self.is_current(attempt.context.gateway, attempt.context.incarnation):
             return
         conn, entry = attempt.connection, attempt.command
         if conn is None or entry is None:
@@ -441,7 +444,7 @@
             if conn.pipeline.in_flight[0] is not entry:
                 raise BrokenRule(
                     "head-of-line blocking",
-                    f"{attempt.context[2].request_id} was aborted behind another command",
+                    f"{attempt.request_id} was aborted behind another command",
                 )
             self.close(conn, entry, Outcome.TIMEOUT)
 
@@ -470,20 +473,17 @@
     def finish(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Ends an attempt, which must not have ended before."""
         if attempt.is_finished:
-            raise BrokenRule(
-                "one outcome", f"{attempt.context[2].request_id} has two outcomes, the second {outcome}"
-            )
+            raise BrokenRule("one outcome", f"{attempt.request_id} has two outcomes, the second {outcome}")
         if attempt.was_sent and outcome is Outcome.UNREACHABLE:
             raise BrokenRule(
                 "nothing twice",
-                f"{attempt.context[2].request_id} was reported as never sent, and had been sent",
+                f"{attempt.request_id} was reported as never sent, and had been sent",
             )
         attempt.is_finished = True
-        number, incarnation, request, attempt_number = attempt.context[:4]
-        self.attempts.pop((number, incarnation, request.request_id, attempt_number), None)
-        super().on_attempt_ended(
-            number, incarnation, request, attempt_number, attempt.context[4], attempt.context[5], outcome
-        )
+        context = attempt.context
+        key = (context.gateway, context.incarnation, attempt.request_id, context.attempt)
+        self.attempts.pop(key, None)
+        super().on_attempt_ended(*context, outcome)
 
     def schedule_check(self, number: int) -> None:
         """Schedules the next check of a gateway's pipeline scheduler."""
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -13,7 +13,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from typing import Any
+from typing import Any, NamedTuple
 
 from glenchute.policy.actions import Action, Fail, IncrementCounter, Reject, SetTimer, StartAttempt
 from glenchute.policy.engine import DecisionEngine
@@ -127,6 +127,17 @@
     work: float = 1.0  # relative cost, for sites that draw it
 
 
+class AttemptContext(NamedTuple):
+    """An attempt in flight, as `World.on_attempt_ended` gets it."""
+
+    gateway: int
+    incarnation: int
+    request: SimulatedRequest
+    attempt: int
+    server: str
+    began: float
+
+
 class World:
     """One run of a site.
 
@@ -364,11 +375,11 @@
         left = request.deadline - DEADLINE_MARGIN_MS - self.now
         timeout = min(action.timeout_ms or left, left)
         request.times_out_at[attempt] = self.now + max(0.0, timeout)
-        context = (number, incarnation, request, attempt, action.address, self.now)
+        context = AttemptContext(number, incarnation, request, attempt, action.address, self.now)
         self.dispatch(node, context, max(0.0, timeout), action)
 
     def dispatch(
-        self, node: Node | None, context: tuple[Any, ...], timeout: float, action: StartAttempt
+        self, node: Node | None, context: AttemptContext, timeout: float, action: StartAttempt
     ) -> None:
         """Sends an attempt on a connection of its own."""
         if node is None or not node.alive:
@@ -378,9 +389,9 @@
         self.schedule(timeout, self.on_attempt_ended, *context, Outcome.TIMEOUT)
         self.schedule(NET_MS, self.arrive, node, context)
 
-    def arrive(self, node: Node, context: tuple[Any, ...]) -> None:
+    def arrive(self, node: Node, context: AttemptContext) -> None:
         """Handles a command that arrives at a node."""
-        request, attempt = context[2], context[3]
+        request, attempt = context.request, context.attempt
         if not node.alive:
             self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.UNREACHABLE)
             return
@@ -391,7 +402,7 @@
             )  # the command did not run, so retries may go to other zones
             return
         if attempt in request.in_flight and request.first_sent_ms is None:
-            request.first_sent_ms, request.sent_zone = context[5], node.zone
+            request.first_sent_ms, request.sent_zone = context.began, node.zone
         arrived_at = self.now
         node.queue.append(lambda: self.serve(node, context, arrived_at))
         self.start_queued(node)
@@ -426,15 +437,15 @@
             node.busy += 1
             node.queue.pop(0)()
 
-    def serve(self, node: Node, context: tuple[Any, ...], arrived_at: float) -> None:
+    def serve(self, node: Node, context: AttemptContext, arrived_at: float) -> None:
         """Runs a command.
 
         Whether its idempotency key has expired depends on when it arrived: the rule is about when a retry is
         sent, however long it waits in the queue.
         """
-        request = context[2]
+        request = context.request
         if self.now > request.times_out_at.get(
-            context[3], request.deadline
+            context.attempt, request.deadline
         ):  # the deadline in the command has passed, so the node does not run it
             node.busy -= 1
             self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
@@ -465,7 +476,7 @@
         """Draws the time that a command takes in a slot of a warm node, in ms."""
         return self.rng.expovariate(1.0 / SERVICE_MS)
 
-    def finish_command(self, node: Node, context: tuple[Any, ...], fault_draw: float) -> None:
+    def finish_command(self, node: Node, context: AttemptContext, fault_draw: float) -> None:
         """Ends a command and schedules its outcome at the gateway; `fault_draw` is random in [0, 1)."""
         node.busy -= 1
         if node.alive and not node.hung:
