--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -247,17 +247,21 @@
 
 
 class GatewayFleet:
-    """Real gateway processes with stand-in servers, a counter and a `ListService`."""
+    """Real gateway processes with stand-in servers, a counter and a `ListService`.
+
+    `rate` and `queue_limit` are those of the `ListService`. `operator` is the text of the operator's file, or
+    a function from a gateway's number to it.
+    """
 
     def __init__(
         self, folder: Path, count: int, rate: float, queue_limit: int = 30,
         operator: str | Callable[[int], str] | None = None,
-        settings: dict[str, Any] | None = None, known: bool = True, servers: int = 4,
+        settings: dict[str, Any] | None = None, has_saved_list: bool = True, servers: int = 4,
     ) -> None:  # fmt: skip
         nodes = [Node(f"s{i}", ServiceProfile({"report-read": 4.0}, slots=64)) for i in range(servers)]
         self.site = LabSite(nodes, CounterService())
         self.folder, self.count, self.rate, self.queue_limit = folder, count, rate, queue_limit
-        self.operator, self.known = operator, known
+        self.operator, self.has_saved_list = operator, has_saved_list
         self.settings = {**SETTINGS, "balancers": count, **(settings or {})}
         self.gateways: list[GatewayProcess] = []
 
@@ -271,7 +275,7 @@
             platform = self.site.platform({**self.settings, "me": number})
             platform |= {"name": f"g{number}", "discovery": f"127.0.0.1:{self.lists.port}"}
             platform["seed"] = f"{7919 * number + 17:x}"
-            if not self.known:
+            if not self.has_saved_list:
                 del platform["known"]
             operator = self.operator(number) if callable(self.operator) else self.operator
             self.gateways.append(GatewayProcess(folder, platform, operator))
@@ -287,14 +291,14 @@
         await self.lists.stop()
         await self.site.__aexit__()
 
-    async def start(self, numbers: Iterable[int], patience_s: float = 60.0) -> float:
-        """Starts gateways and returns the seconds until all of them serve."""
+    async def start(self, numbers: Iterable[int], timeout_s: float = 60.0) -> float:
+        """Starts gateways and returns the seconds until all of them are ready to serve."""
         loop = asyncio.get_running_loop()
         started_at, gateways = loop.time(), [self.gateways[n] for n in numbers]
         for gateway in gateways:
             gateway.start()
             await asyncio.sleep(0)  # lets the discovery service answer between starts
-        await asyncio.gather(*(gateway.ready(patience_s) for gateway in gateways))
+        await asyncio.gather(*(gateway.ready(timeout_s) for gateway in gateways))
         return loop.time() - started_at
 
     def kill(self, numbers: Iterable[int]) -> None:
@@ -311,8 +315,8 @@
         """Seconds since the discovery service started."""
         return asyncio.get_running_loop().time() - self.lists.began
 
-    async def until(self, condition: Callable[[], object], patience_s: float = 40.0) -> None:
-        """Waits until a condition holds."""
-        async with asyncio.timeout(patience_s):
+    async def until(self, condition: Callable[[], object], timeout_s: float = 40.0) -> None:
+        """Waits until a condition holds; raises TimeoutError after `timeout_s`."""
+        async with asyncio.timeout(timeout_s):
             while not condition():
                 await asyncio.sleep(0.01)
