--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -194,7 +194,7 @@
             self.finish(attempt, Outcome.UNREACHABLE)
 
     def abort_if_blocked(self, conn: SimulatedConnection) -> None:
-        """Closes a connection whose bytes still are in the send buffer."""
+        """Closes a connection if bytes of it still are in the send buffer."""
         if conn.is_blocked and not conn.is_closed:
             self.close(conn, None, Outcome.RESET)
 
@@ -213,7 +213,7 @@
         self.schedule(0.0, self.place, attempt)
 
     def place(self, attempt: SimulatedAttempt) -> None:
-        """Places an attempt on the connection that the scheduler chooses, or waits or ends it."""
+        """Places an attempt on the connection that the scheduler chooses, or delays or ends the attempt."""
         number, incarnation, request, attempt_number, server, _ = attempt.context
         if attempt.is_finished or not self.is_current(number, incarnation):
             return
@@ -278,11 +278,11 @@
         self.schedule_flush(conn)
 
     def schedule_flush(self, conn: SimulatedConnection) -> None:
+        """Schedules a flush of a connection that is established and not blocked."""
         if conn.is_up and not conn.is_flush_scheduled and not conn.is_blocked:
             conn.is_flush_scheduled = True
-            self.schedule(
-                self.rng.uniform(0.0, 3.0), self.flush, conn
-            )  # the next iteration of a busy event loop
+            # Commands are written in the next iteration of the event loop, which may be busy until then.
+            self.schedule(self.rng.uniform(0.0, 3.0), self.flush, conn)
 
     def flush(self, conn: SimulatedConnection) -> None:
         """Writes the pending commands."""
--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -397,9 +397,8 @@
             return
         self.check_cold(node)
         if node.busy + len(node.queue) >= node.limit:
-            self.schedule(
-                NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED
-            )  # the command did not run, so retries may go to other zones
+            # The command did not run, so retries may go to other zones.
+            self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
             return
         if attempt in request.in_flight and request.first_sent_ms is None:
             request.first_sent_ms, request.sent_zone = context.began, node.zone
@@ -408,28 +407,33 @@
         self.start_queued(node)
 
     def check_cold(self, node: Node) -> None:
-        """Raises BrokenRule if a cold node gets more than `overload_factor` times its capacity over
-        `overload_window_ms`."""
-        safety = self.settings.slow_start
+        """Raises BrokenRule if a cold node gets more than `overload_factor` times its capacity.
+
+        Both are counted over the last `overload_window_ms`.
+        """
+        slow_start = self.settings.slow_start
         if node.started_ms <= 0 or self.warmth(node) >= 1.0:
             node.arrivals.clear()
             return
         node.arrivals.append(self.now)
-        while node.arrivals[0] < self.now - safety.overload_window_ms:
+        while node.arrivals[0] < self.now - slow_start.overload_window_ms:
             node.arrivals.popleft()
         age = self.now - node.started_ms
-        mean_warmth = 0.5 * (self.warmth(node) + self.warmth(node, safety.overload_window_ms))
-        capacity = node.slots / SERVICE_MS * mean_warmth * safety.overload_window_ms
-        if age >= safety.overload_window_ms and len(node.arrivals) > safety.overload_factor * capacity:
+        mean_warmth = 0.5 * (self.warmth(node) + self.warmth(node, slow_start.overload_window_ms))
+        capacity = node.slots / SERVICE_MS * mean_warmth * slow_start.overload_window_ms
+        if (
+            age >= slow_start.overload_window_ms
+            and len(node.arrivals) > slow_start.overload_factor * capacity
+        ):
             raise BrokenRule(
                 "cold servers", f"{len(node.arrivals)} commands sent to {node.name}, {age:.0f} ms old"
             )
 
     def warmth(self, node: Node, before_ms: float = 0.0) -> float:
         """Returns the fraction of its capacity that a node has, or had `before_ms` ago."""
-        safety = self.settings.slow_start
-        age = max(0.0, self.now - before_ms - node.started_ms) / safety.warm_up_ms
-        return min(1.0, safety.initial_fraction + (1.0 - safety.initial_fraction) * age)
+        slow_start = self.settings.slow_start
+        age = max(0.0, self.now - before_ms - node.started_ms) / slow_start.warm_up_ms
+        return min(1.0, slow_start.initial_fraction + (1.0 - slow_start.initial_fraction) * age)
 
     def start_queued(self, node: Node) -> None:
         """Starts queued commands in free slots."""
