--- a/tests/lab/test_quota_errors.py
+++ b/tests/lab/test_quota_errors.py
@@ -162,13 +162,15 @@
 
 
 def model(requests: list[ClientRequest], scheme: Scheme, lost_fraction: float = 0.0) -> CounterStateModel:
-    found = CounterStateModel(workload_of(requests), 3, scheme, lost_fraction, retry_fraction=0.0)
-    found.skew = [0.0] * 32
-    found.ledger.count_from_ms = 0.0
-    return found
+    """Returns a model with equal clocks, in which every request is counted and no client retries."""
+    result = CounterStateModel(workload_of(requests), 3, scheme, lost_fraction, retry_fraction=0.0)
+    result.skew = [0.0] * 32
+    result.ledger.count_from_ms = 0.0
+    return result
 
 
 def crowd(at: float, count: int = 32) -> list[ClientRequest]:
+    """Returns requests within one millisecond, each to another gateway."""
     rng = random.Random(7)
     return [ClientRequest(at + rng.random(), ACCOUNT, 1.0, n % 32, 0.9) for n in range(count)]
 
@@ -189,20 +191,18 @@
     ledger = model(first, scheme).run()
     assert ledger.admitted_units - ledger.over_quota_units == (10.0 if silence < 100.0 else 11.0)
     assert ledger.over_quota_units <= min(22.0, overflow)
-    again = model([*first, *crowd(silence + 1000.0)], scheme).run()
-    assert again.over_quota_units == ledger.over_quota_units
+    with_second_crowd = model([*first, *crowd(silence + 1000.0)], scheme).run()
+    assert with_second_crowd.over_quota_units == ledger.over_quota_units
 
 
 def test_two_that_find_one_overflow_add_it_once() -> None:
     first = [ClientRequest(0.0, ACCOUNT, 1.0, 0, 0.9), *crowd(2_000.0, 3)]
-    found = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ENDLESS_EPOCH_MS))
-    ledger = found.run()
-    assert found.corrections > 1
-    assert found.cancelled_additions == found.corrections - 1
-    assert (ledger.over_quota_units, ledger.admitted_units) == (
-        0.0,
-        1.0 + 3.0 + 8.0,
-    )  # half a second adds one unit
+    counter_model = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ENDLESS_EPOCH_MS))
+    ledger = counter_model.run()
+    assert counter_model.corrections > 1
+    assert counter_model.cancelled_additions == counter_model.corrections - 1
+    # 7 units are left after the first four requests; half a second adds one.
+    assert (ledger.over_quota_units, ledger.admitted_units) == (0.0, 1.0 + 3.0 + 8.0)
 
 
 @pytest.mark.parametrize("hidden", [0.0, 0.25, 0.5])
