--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -1,8 +1,9 @@
-"""A proxy under the simulated clock of `simulated.py`, in front of the external processor's request table.
+"""A proxy in the simulated time of `simulated.py`, in front of the external processor's request table.
 
-It behaves as the operators' page asks of a proxy: it asks for each request and each attempt, retries only
-where it is told to (or, where it does not report how an attempt ended, after a reset), and sends its client
-what the downstream stream says. The rules are checked on the servers' records, as for the inline gateway.
+It behaves as the operators' page asks of a proxy: it gets a decision on each request and each attempt,
+retries only where a decision says so (or, if it does not report how an attempt ended, after a reset), and
+sends its client the response that the downstream stream gives. The rules are checked on the servers' records,
+as for the inline gateway.
 """
 
 from __future__ import annotations
@@ -67,195 +68,209 @@
 
     proxy: SimulatedProxy
     request: bytes
-    down: DownstreamStream
+    downstream: DownstreamStream
     attempts: int = 0
-    up: UpstreamStream | None = None
+    upstream: UpstreamStream | None = None
     record: AttemptRecord | None = None
     token: str = ""
-    node: str = ""
-    most: int = 0
+    endpoint: str = ""
+    max_attempts: int = 0
     retry_on: str = ""
-    over: bool = False
-    answers: list[tuple[float, FinalResponse]] = field(default_factory=list)
+    is_finished: bool = False
+    responses: list[tuple[float, FinalResponse]] = field(default_factory=list)
 
-    def decided(self, told: ev.ProcessorResponse | None) -> None:
+    def on_request_decision(self, decision: ev.ProcessorResponse | None) -> None:
         """Handles the decision on the request: starts the first attempt, or ends with the given response."""
-        if self.over:
+        if self.is_finished:
             return
-        if isinstance(told, ev.ImmediateResponse):
-            self.finish(self.proxy.read(told))
-            self.down.close(True)
+        if isinstance(decision, ev.ImmediateResponse):
+            self.finish(self.proxy.final_response(decision))
+            self.downstream.close(True)
             return
-        assert isinstance(told, ev.ContinueResponse)
-        self.node = told.set_headers["x-gateway-destination-endpoint"]
-        self.token = told.set_headers["x-glenchute-token"]
-        self.most = 1 + int(told.set_headers["x-envoy-max-retries"])
-        self.retry_on = told.set_headers["x-envoy-retry-on"]
-        left = int(told.set_headers["x-envoy-upstream-rq-timeout-ms"]) / 1000.0
-        self.proxy.loop.call_later(left * self.proxy.pace, self.route_timeout)
-        self.attempt()
-
-    def attempt(self) -> None:
+        assert isinstance(decision, ev.ContinueResponse)
+        self.endpoint = decision.set_headers["x-gateway-destination-endpoint"]
+        self.token = decision.set_headers["x-glenchute-token"]
+        self.max_attempts = 1 + int(decision.set_headers["x-envoy-max-retries"])
+        self.retry_on = decision.set_headers["x-envoy-retry-on"]
+        left = int(decision.set_headers["x-envoy-upstream-rq-timeout-ms"]) / 1000.0
+        self.proxy.loop.call_later(left * self.proxy.clock_factor, self.on_route_timeout)
+        self.start_attempt()
+
+    def start_attempt(self) -> None:
         """Asks for permission for an attempt."""
         self.attempts += 1
-        up = self.up = UpstreamStream(self.proxy.calls)
-        up.abort = lambda: self.proxy.loop.call_later(0.0, self.aborted, up) and None
-        said = headers(x_glenchute_token=self.token)
-        up.receive(
-            ev.RequestHeaders(said, attributes={"upstream.address": self.node}),
-            lambda told: self.let_through(up, told),
+        upstream = self.upstream = UpstreamStream(self.proxy.calls)
+        upstream.abort = lambda: self.proxy.loop.call_later(0.0, self.on_attempt_aborted, upstream) and None
+        request_headers = headers(x_glenchute_token=self.token)
+        upstream.receive(
+            ev.RequestHeaders(request_headers, attributes={"upstream.address": self.endpoint}),
+            lambda decision: self.on_attempt_decision(upstream, decision),
         )
 
-    def let_through(self, up: UpstreamStream, told: ev.ProcessorResponse | None) -> None:
+    def on_attempt_decision(self, upstream: UpstreamStream, decision: ev.ProcessorResponse | None) -> None:
         """Handles the decision on an attempt: sends it, tries another endpoint, or gives up."""
-        if self.up is not up or self.over:
+        if self.upstream is not upstream or self.is_finished:
             return
-        if isinstance(told, ev.ImmediateResponse):
-            self.up = None
-            up.close(True)
-            if told.headers.get("x-glenchute-retry") and self.attempts < self.most:
-                self.node = told.headers["x-gateway-destination-endpoint"]
-                self.attempt()
+        if isinstance(decision, ev.ImmediateResponse):
+            self.upstream = None
+            upstream.close(True)
+            if decision.headers.get("x-glenchute-retry") and self.attempts < self.max_attempts:
+                self.endpoint = decision.headers["x-gateway-destination-endpoint"]
+                self.start_attempt()
             else:
-                self.show(told.status, "")
+                self.respond(decision.status, "")
             return
-        assert isinstance(told, ev.ContinueResponse)
-        server = self.proxy.names[self.node]
-        timeout_s = int(told.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
+        assert isinstance(decision, ev.ContinueResponse)
+        server = self.proxy.names[self.endpoint]
+        timeout_s = int(decision.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
         record = self.record = AttemptRecord(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
-        fate = self.proxy.site.servers.plan_attempt(record)
+        planned = self.proxy.site.servers.plan_attempt(record)
         loop, connect_s = self.proxy.loop, self.proxy.site.connect_s
-        loop.call_later(timeout_s * self.proxy.pace, self.ended, up, record, Outcome.TIMEOUT)
-        up_in_time = fate.connect_s <= connect_s
-        connects = fate if up_in_time else None
-        loop.call_later(min(fate.connect_s, connect_s), self.connected, up, record, connects)
+        loop.call_later(
+            timeout_s * self.proxy.clock_factor, self.on_attempt_ended, upstream, record, Outcome.TIMEOUT
+        )
+        after_connect = planned if planned.connect_s <= connect_s else None
+        loop.call_later(min(planned.connect_s, connect_s), self.on_connected, upstream, record, after_connect)
 
-    def connected(self, up: UpstreamStream, record: AttemptRecord, fate: PlannedOutcome | None) -> None:
-        """Sends the request's bytes, or ends the attempt where the connection failed (`fate` is None)."""
+    def on_connected(
+        self, upstream: UpstreamStream, record: AttemptRecord, planned: PlannedOutcome | None
+    ) -> None:
+        """Sends the request's bytes, or ends the attempt where the connection failed (`planned` is None)."""
         if record.outcome is not None:
             return
-        if fate is None:
-            self.ended(up, record, Outcome.UNREACHABLE)
+        if planned is None:
+            self.on_attempt_ended(upstream, record, Outcome.UNREACHABLE)
             return
         record.sent_at = self.proxy.loop.now
         self.proxy.site.servers.check_sent(record)
-        if fate.duration_s < 1e6:
-            self.proxy.loop.call_later(fate.duration_s, self.ended, up, record, fate.outcome)
+        if planned.duration_s < 1e6:
+            self.proxy.loop.call_later(
+                planned.duration_s, self.on_attempt_ended, upstream, record, planned.outcome
+            )
 
-    def ended(self, up: UpstreamStream, record: AttemptRecord, ending: Outcome) -> None:
+    def on_attempt_ended(self, upstream: UpstreamStream, record: AttemptRecord, outcome: Outcome) -> None:
         """Ends the attempt, and reports its outcome as a response or only by the end of the stream."""
         if record.outcome is not None:
             return
-        record.ended_at, record.outcome = self.proxy.loop.now, ending
-        status, details = DETAILS[ending]
-        if self.proxy.tells or details == "via_upstream":
-            up.receive(responded(status, details), lambda told: self.follow(up, told, status, details))
+        record.ended_at, record.outcome = self.proxy.loop.now, outcome
+        status, details = DETAILS[outcome]
+        if self.proxy.reports_outcomes or details == "via_upstream":
+            upstream.receive(
+                responded(status, details),
+                lambda decision: self.on_response_decision(upstream, decision, status, details),
+            )
             return
-        self.up = None
-        up.close(False)
-        if "reset" in self.retry_on and self.attempts < self.most and not self.over:
-            self.attempt()
+        self.upstream = None
+        upstream.close(False)
+        if "reset" in self.retry_on and self.attempts < self.max_attempts and not self.is_finished:
+            self.start_attempt()
         else:
-            self.show(status, details)
+            self.respond(status, details)
 
-    def follow(
-        self, up: UpstreamStream, told: ev.ProcessorResponse | None, status: int, details: str
+    def on_response_decision(
+        self, upstream: UpstreamStream, decision: ev.ProcessorResponse | None, status: int, details: str
     ) -> None:
         """Handles the decision on an attempt's response: retries, or responds to the client."""
-        if self.up is not up:
+        if self.upstream is not upstream:
             return
-        self.up = None
-        up.close(True)
-        assert isinstance(told, ev.ContinueResponse)
-        if told.set_headers.get("x-glenchute-retry") and self.attempts < self.most and not self.over:
-            self.node = told.set_headers["x-gateway-destination-endpoint"]
-            self.attempt()
+        self.upstream = None
+        upstream.close(True)
+        assert isinstance(decision, ev.ContinueResponse)
+        may_retry = self.attempts < self.max_attempts and not self.is_finished
+        if decision.set_headers.get("x-glenchute-retry") and may_retry:
+            self.endpoint = decision.set_headers["x-gateway-destination-endpoint"]
+            self.start_attempt()
         else:
-            self.show(status, details)
+            self.respond(status, details)
 
-    def aborted(self, up: UpstreamStream) -> None:
+    def on_attempt_aborted(self, upstream: UpstreamStream) -> None:
         """Handles a reset of the attempt's stream by the processor: ends the attempt with status 500."""
-        if self.up is up:
-            self.cut()
-            self.show(500, "")
+        if self.upstream is upstream:
+            self.abort_attempt()
+            self.respond(500, "")
 
-    def cut(self, why: Outcome = Outcome.CANCELLED) -> None:
+    def abort_attempt(self, outcome: Outcome = Outcome.CANCELLED) -> None:
         """Closes the connection of the attempt in flight, if any."""
-        up, self.up = self.up, None
+        upstream, self.upstream = self.upstream, None
         if self.record is not None and self.record.outcome is None:
-            self.record.ended_at, self.record.outcome = self.proxy.loop.now, why
-        if up is not None:
-            up.close(False)
+            self.record.ended_at, self.record.outcome = self.proxy.loop.now, outcome
+        if upstream is not None:
+            upstream.close(False)
 
-    def route_timeout(self) -> None:
+    def on_route_timeout(self) -> None:
         """Handles the proxy's own timeout for the request."""
-        if not self.over and not self.answers:
-            self.cut(Outcome.TIMEOUT)
-            self.show(504, "response_timeout")
+        if not self.is_finished and not self.responses:
+            self.abort_attempt(Outcome.TIMEOUT)
+            self.respond(504, "response_timeout")
 
-    def show(self, status: int, details: str) -> None:
+    def respond(self, status: int, details: str) -> None:
         """Responds to the client with what the downstream stream makes of a response."""
-        if self.over:
+        if self.is_finished:
             return
-        self.over = True
+        self.is_finished = True
 
-        def shown(told: ev.ProcessorResponse | None) -> None:
-            if isinstance(told, ev.ImmediateResponse):
-                self.finish(self.proxy.read(told))
+        def on_decision(decision: ev.ProcessorResponse | None) -> None:
+            if isinstance(decision, ev.ImmediateResponse):
+                self.finish(self.proxy.final_response(decision))
             else:
                 self.finish(Served(self.request) if status < 500 and status != 429 else Failed())
-            self.down.close(True)
+            self.downstream.close(True)
 
-        self.down.receive(responded(status, details), shown)
+        self.downstream.receive(responded(status, details), on_decision)
 
-    def finish(self, answer: FinalResponse) -> None:
+    def finish(self, response: FinalResponse) -> None:
         """Records the client's final response."""
-        self.over = True
-        self.answers.append((self.proxy.loop.now, answer))
+        self.is_finished = True
+        self.responses.append((self.proxy.loop.now, response))
 
-    def leave(self, clean: bool = False) -> None:
+    def disconnect(self, clean: bool = False) -> None:
         """Disconnects the client, or the whole proxy."""
-        self.over = True
-        self.cut()
-        self.down.close(clean)
+        self.is_finished = True
+        self.abort_attempt()
+        self.downstream.close(clean)
 
 
 class SimulatedProxy:
-    """A proxy. `tells`: it reports by a local reply how an attempt without a response ended. `pace`: the
-    simulated seconds in which the proxy's clock counts one."""
+    """A proxy in front of a simulated site.
 
-    def __init__(self, site: SimulatedSite, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
-        self.site, self.tells, self.pace = site, tells, pace
+    With `reports_outcomes` it reports by a local reply how an attempt without a response ended.
+    `clock_factor` is the number of simulated seconds in which the proxy's clock counts one.
+    """
+
+    def __init__(
+        self, site: SimulatedSite, reports_outcomes: bool = True, clock_factor: float = 1.0, **changes: Any
+    ) -> None:
+        self.site, self.reports_outcomes, self.clock_factor = site, reports_outcomes, clock_factor
         self.loop = cast(Any, site.loop)
         self.calls = RequestTable(
             self.loop, site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
         )
         self.calls.wall_clock = lambda: float(site.loop.now)
         self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
-        self.asked: dict[bytes, ProxyClient] = {}
+        self.clients: dict[bytes, ProxyClient] = {}
 
-    def ask(
+    def send_request(
         self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
     ) -> ProxyClient:
-        """Sends a client's request. `number`: its id, where several proxies share one sequence of ids."""
-        request = b"%d" % (len(self.asked) + 1 if number is None else number)
-        order = SimulatedCall(
+        """Sends a client's request. Proxies that share a sequence of ids give its `number`."""
+        request = b"%d" % (len(self.clients) + 1 if number is None else number)
+        call = SimulatedCall(
             request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
         )
-        self.site.servers.calls[request] = order
-        asker = self.asked[request] = ProxyClient(self, request, DownstreamStream(self.calls))
-        said = headers(
+        self.site.servers.calls[request] = call
+        client = self.clients[request] = ProxyClient(self, request, DownstreamStream(self.calls))
+        request_headers = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
             idempotency_key="k1", x_deadline_ms=str(left_ms),
         )  # fmt: skip
-        asker.down.receive(ev.RequestHeaders(said), asker.decided)
-        return asker
+        client.downstream.receive(ev.RequestHeaders(request_headers), client.on_request_decision)
+        return client
 
-    def read(self, told: ev.ImmediateResponse) -> FinalResponse:
+    def final_response(self, decision: ev.ImmediateResponse) -> FinalResponse:
         """Returns an immediate response as a final response of the core."""
-        if told.status == 429:
-            assert told.headers["x-glenchute-effect"] == "none"
-            return Rejected(float(told.headers.get("x-glenchute-retry-after-ms", 0)))
+        if decision.status == 429:
+            assert decision.headers["x-glenchute-effect"] == "none"
+            return Rejected(float(decision.headers.get("x-glenchute-retry-after-ms", 0)))
         return Failed()
 
 
