--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -35,7 +35,7 @@
 # Differences that chance explains: a few requests, and some standard deviations of the control run's count.
 SLACK_REQUESTS = 3.0
 SLACK_SIGMAS = 3.0
-# Faults in which gateways get few requests or responses, and bursts of requests.
+# Faults that leave gateways without requests, responses, counter or endpoints, and bursts of requests.
 SILENCES = (
     "drained", "no traffic", "trickle", "stopped", "all slow", "all hung", "burst", "counter gone",
     "list empty", "slow in the quiet",
