--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -29,7 +29,7 @@
     extproc_settings,
     headers,
     planned_by_seed,
-    responded,
+    response_headers,
 )
 from tests.simulated import PlannedOutcome, SimulatedSite
 
@@ -62,26 +62,30 @@
 
 
 def decision_log(
-    seed: int, request_count: int, draw_outcome: DrawOutcome, proxied: bool, tells: bool = True
+    seed: int,
+    request_count: int,
+    draw_outcome: DrawOutcome,
+    proxied: bool,
+    reports_local_replies: bool = True,
 ) -> dict[bytes, LogRow]:
     """Returns the decision log of a run: for each request its attempts (server, start, outcome), the type of
     the final response, its time and its retry-after in milliseconds."""
     site = simulated_site(seed, draw_outcome)
-    proxy = SimulatedProxy(site, tells) if proxied else None
+    proxy = SimulatedProxy(site, reports_local_replies) if proxied else None
     rng = random.Random(seed)
     for _ in range(request_count):
         site.loop.run(site.loop.now + rng.expovariate(40))
         class_name = rng.choice(["report-read", "check-order", "check-charge"])
         time_left_ms = float(rng.choice([300, 1000, 3000, 5000]))
         if proxy is not None:
-            proxy.ask(class_name, time_left_ms)
+            proxy.send_request(class_name, time_left_ms)
         else:
             site.send_request(class_name, time_left_ms)
     site.loop.run(site.loop.now + 20.0)
     log = {}
     for number in range(1, request_count + 1):
         request = b"%d" % number
-        ((at, final_response),) = proxy.asked[request].answers if proxy else site.responses[request]
+        ((at, final_response),) = proxy.clients[request].responses if proxy else site.responses[request]
         attempts = tuple(
             (record.server, round(record.started_at, 6), record.outcome)
             for record in site.servers.attempts_of(request)
@@ -121,36 +125,38 @@
     can't tell a reset in an attempt's last millisecond from a timeout either; none falls there in these runs.
     """
     inline = decision_log(seed, 2000, faulty_when_reachable, proxied=False)
-    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, tells=False)
+    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, reports_local_replies=False)
     assert {r: (inline[r], by_proxy[r]) for r in inline if inline[r] != by_proxy[r]} == {}
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize("tells", [True, False])
-def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(seed: int, tells: bool) -> None:
+@pytest.mark.parametrize("reports_local_replies", [True, False])
+def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(
+    seed: int, reports_local_replies: bool
+) -> None:
     """The simulated servers raise if a non-idempotent request is sent twice, or if two attempts of a request
     are in flight at once. Each request whose client did not disconnect gets one final response."""
     site = simulated_site(seed, faulty)
-    proxy = SimulatedProxy(site, tells)
+    proxy = SimulatedProxy(site, reports_local_replies)
     rng = random.Random(seed)
     disconnected: set[bytes] = set()
 
     def disconnect(client: ProxyClient) -> None:
-        if not client.answers:
+        if not client.responses:
             disconnected.add(client.request)
-            client.leave()
+            client.disconnect()
 
     for _ in range(400):
         site.loop.run(site.loop.now + rng.expovariate(40))
-        client = proxy.ask(rng.choice(["report-read", "check-order", "check-charge"]), 3000.0)
+        client = proxy.send_request(rng.choice(["report-read", "check-order", "check-charge"]), 3000.0)
         if rng.random() < 0.4:
             site.loop.call_later(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]) * rng.random(), disconnect, client)
         if rng.random() < 0.01:  # the proxy dies: all of its clients' requests are lost
-            for each in list(proxy.asked.values()):
+            for each in list(proxy.clients.values()):
                 disconnect(each)
     site.loop.run(site.loop.now + 20.0)
-    for request, client in proxy.asked.items():
-        assert len(client.answers) == (request not in disconnected), request
+    for request, client in proxy.clients.items():
+        assert len(client.responses) == (request not in disconnected), request
     assert len(disconnected) > 100
     assert_nothing_left(proxy)
 
@@ -160,7 +166,7 @@
     """One proxy times out attempts and requests long before the gateway does, the other long after. For the
     slow one the gateway's own timeouts apply, and no client waits past its deadline."""
     site = simulated_site(seed, faulty)
-    fast, slow = SimulatedProxy(site, pace=0.3), SimulatedProxy(site, pace=4.0)
+    fast, slow = SimulatedProxy(site, clock_slowdown=0.3), SimulatedProxy(site, clock_slowdown=4.0)
     slow.calls = fast.calls
     rng = random.Random(seed)
     requests: list[tuple[ProxyClient, float]] = []
@@ -168,10 +174,10 @@
         site.loop.run(site.loop.now + rng.expovariate(40))
         proxy = (fast, slow)[number % 2]
         name = rng.choice(["report-read", "check-order", "check-charge"])
-        requests.append((proxy.ask(name, 3000.0, number=number), site.loop.now))
+        requests.append((proxy.send_request(name, 3000.0, number=number), site.loop.now))
     site.loop.run(site.loop.now + 20.0)
     for client, at in requests:
-        ((when, _),) = client.answers
+        ((when, _),) = client.responses
         assert when - at <= 3.0 + 1e-6
     assert_nothing_left(fast)
 
@@ -184,12 +190,12 @@
     new_site.gateway.loop = site.loop  # type: ignore[assignment]
     new_site.gateway.upstream = site.servers
     new_site.gateway.clock = site.gateway.clock
-    new_proxy = SimulatedProxy(new_site, proxy.tells, **changes)
+    new_proxy = SimulatedProxy(new_site, proxy.reports_local_replies, **changes)
     new_proxy.calls = RequestTable(
         new_proxy.loop, new_site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
     )
     new_proxy.calls.wall_clock = lambda: float(site.loop.now)
-    new_proxy.asked = proxy.asked
+    new_proxy.clients = proxy.clients
     return new_proxy
 
 
@@ -199,7 +205,8 @@
     upstream = UpstreamStream(proxy.calls)
     attempt_headers = headers(x_glenchute_token=client.token, x_envoy_attempt_count="2")
     upstream.receive(
-        ev.RequestHeaders(attempt_headers, attributes={"upstream.address": client.node}), responses.append
+        ev.RequestHeaders(attempt_headers, attributes={"upstream.address": client.server_address}),
+        responses.append,
     )
     upstream.close(True)
     return responses[0] if responses else None
@@ -215,7 +222,9 @@
 ) -> None:
     site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    clients = {name: proxy.ask(name, 6000.0) for name in ("report-read", "check-order", "check-charge")}
+    clients = {
+        name: proxy.send_request(name, 6000.0) for name in ("report-read", "check-order", "check-charge")
+    }
     site.loop.run(site.loop.now + age_s)
     restarted = restart_processor(site, proxy, resumable_classes=resumable_classes)
     allowed = {
@@ -244,11 +253,11 @@
         site = simulated_site(at_ms, faulty)
         proxy = SimulatedProxy(site)
         for _ in range(5):
-            proxy.ask("check-charge", 3000.0)
+            proxy.send_request("check-charge", 3000.0)
         site.loop.run(site.loop.now + at_ms / 1000.0)
         restarted = restart_processor(site, proxy, resumable_classes=frozenset({"check-charge"}))
-        for client in list(proxy.asked.values()):
-            if client.token and not client.answers:
+        for client in list(proxy.clients.values()):
+            if client.token and not client.responses:
                 reissued += isinstance(request_attempt(client, restarted), ev.ContinueResponse)
         assert not restarted.calls.requests_by_number
     assert reissued == 0
@@ -349,11 +358,11 @@
 def test_a_lost_proxy_settles_units_and_open_attempts_once() -> None:
     site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    clients = [proxy.ask("check-charge", 5000.0) for _ in range(20)]
+    clients = [proxy.send_request("check-charge", 5000.0) for _ in range(20)]
     engine: Any = site.gateway.decisions
     assert sum(tenant.attempts_in_flight for tenant in engine.quota.tenants.by_id.values()) == 20
     for client in clients:
-        client.leave()
+        client.disconnect()
     site.loop.run(site.loop.now + 1.0)
     assert_nothing_left(proxy)
     assert all(len(site.servers.attempts_of(client.request)) == 1 for client in clients)
@@ -363,14 +372,14 @@
     """The proxy's clock is slow: it reports a server's 200 after the request has failed."""
     site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    client = proxy.ask("check-charge", 1000.0)
+    client = proxy.send_request("check-charge", 1000.0)
     client.proxy.loop.call_later = site.loop.call_later
-    client.over = True  # the simulated client does nothing more by itself
+    client.is_finished = True  # the simulated client does nothing more by itself
     site.loop.run(site.loop.now + 1.5)
     responses: list[Any] = []
-    client.down.receive(responded(200, "via_upstream"), responses.append)
+    client.downstream.receive(response_headers(200, "via_upstream"), responses.append)
     assert responses[0].status == 500 and responses[0].headers["x-glenchute-effect"] == "unknown"
-    client.down.close(True)
+    client.downstream.close(True)
     site.loop.run(site.loop.now + 5.0)
     assert_nothing_left(proxy)
 
@@ -383,7 +392,7 @@
     upstream = UpstreamStream(proxy.calls)
     token = responses[0].set_headers["x-glenchute-token"]
     upstream.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), replies.append)
-    message = responded(200, "via_upstream")
+    message = response_headers(200, "via_upstream")
     message.headers["x-glenchute-retry"] = [b"1"]
     upstream.receive(message, replies.append)
     downstream.receive(message, replies.append)
@@ -397,19 +406,19 @@
 def test_the_attempts_end_and_the_clients_response_come_in_either_order(first: str) -> None:
     site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    client = proxy.ask("check-charge", 2000.0)
-    upstream, client.up, client.over = client.up, None, True
+    client = proxy.send_request("check-charge", 2000.0)
+    upstream, client.upstream, client.is_finished = client.upstream, None, True
     assert upstream is not None
     responses: list[Any] = []
-    reset = responded(503, "upstream_reset_before_response_started{connection_termination}")
+    reset = response_headers(503, "upstream_reset_before_response_started{connection_termination}")
     if first == "attempt":
         upstream.close(False)
-    client.down.receive(reset, responses.append)
+    client.downstream.receive(reset, responses.append)
     if first == "client":
         upstream.close(False)
     (response,) = responses  # clients would take 503 as proof that the request did not run
     assert isinstance(response, ev.ImmediateResponse) and response.status == 500
-    client.down.close(True)
+    client.downstream.close(True)
     site.loop.run(site.loop.now + 5.0)
     assert_nothing_left(proxy)
 
@@ -440,7 +449,7 @@
     site = simulated_site(1, lambda rng: SERVED)
     proxy = SimulatedProxy(site)
     downstream, responses = open_downstream(proxy, request_headers())
-    removed = proxy.names[responses[0].endpoint]
+    removed = proxy.server_names[responses[0].endpoint]
     site.servers.names.remove(removed)
     site.gateway.post(
         EndpointList(EndpointListKind.CHANGES, (Endpoint(removed, "a", state=EndpointState.REMOVED),))
@@ -462,13 +471,13 @@
 
 def test_without_attempt_streams_the_response_is_the_attempts_outcome() -> None:
     cases = [
-        (responded(200, "via_upstream"), "go"),
-        (responded(500, "via_upstream"), "go"),
+        (response_headers(200, "via_upstream"), "go"),
+        (response_headers(500, "via_upstream"), "go"),
         # The server rejected the attempt without running it, so the gateway rejects the request.
-        (responded(429, "via_upstream"), 429),
-        (responded(503, "upstream_reset_before_response_started{remote_connection_failure}"), 429),
-        (responded(503, "upstream_reset_before_response_started{connection_termination}"), 500),
-        (responded(504, "upstream_response_timeout"), "go"),
+        (response_headers(429, "via_upstream"), 429),
+        (response_headers(503, "upstream_reset_before_response_started{remote_connection_failure}"), 429),
+        (response_headers(503, "upstream_reset_before_response_started{connection_termination}"), 500),
+        (response_headers(504, "upstream_response_timeout"), "go"),
     ]
     for message, expected in cases:
         site = simulated_site(1, lambda rng: NEVER)
@@ -503,8 +512,8 @@
     """A stalled proxy sends nothing any more and ends no stream; its request expires."""
     site = simulated_site(1, lambda rng: NEVER)
     proxy = SimulatedProxy(site)
-    client = proxy.ask("check-charge", 1000.0)
-    client.over = True
+    client = proxy.send_request("check-charge", 1000.0)
+    client.is_finished = True
     upstream_responses: list[Any] = []
     UpstreamStream(proxy.calls).receive(
         ev.RequestHeaders(headers(x_glenchute_token=client.token)), upstream_responses.append
@@ -569,7 +578,7 @@
         request_headers, st.sampled_from(["r1", "r2", ""]), st.sampled_from(["report-read", "check-charge"])
     ),
     st.builds(
-        responded,
+        response_headers,
         status=st.sampled_from([0, 200, 429, 500, 503, 504]),
         details=st.sampled_from(["", "via_upstream", "upstream_response_timeout", "no_healthy_upstream"]),
     ),
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -1,8 +1,9 @@
 """A proxy under the simulated clock of `simulated.py`, in front of the external processor's request table.
 
-It behaves as the operators' page asks of a proxy: it asks for each request and each attempt, retries only
-where it is told to (or, where it does not report how an attempt ended, after a reset), and sends its client
-what the downstream stream says. The rules are checked on the servers' records, as for the inline gateway.
+It behaves as the operators' page asks of a proxy. It asks for a decision on each request and each attempt,
+and sends its client the response that the downstream stream decides. It retries only if it is told to; if it
+does not report how an attempt ended, it also retries after a reset. The rules are checked on the servers'
+records, as for the inline gateway.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
     "spread": "value:1",
 }  # fmt: skip
 ACCOUNT = "00000000000000c1"
-DETAILS = {
+RESPONSES = {
     Outcome.OK: (200, "via_upstream"),
     Outcome.ERROR: (500, "via_upstream"),
     Outcome.REJECTED: (429, "via_upstream"),
@@ -55,207 +56,228 @@
     return {name.replace("_", "-"): [value.encode()] for name, value in named.items()}
 
 
-def responded(status: int, details: str) -> ev.ResponseHeaders:
-    """Returns a response with the attribute that tells its origin."""
-    given = headers(**{":status": str(status)})
-    return ev.ResponseHeaders(given, attributes={"response.code_details": details})
+def response_headers(status: int, details: str) -> ev.ResponseHeaders:
+    """Returns the message on a response, with the attribute that says how it came about."""
+    given_headers = headers(**{":status": str(status)})
+    return ev.ResponseHeaders(given_headers, attributes={"response.code_details": details})
 
 
 @dataclass
 class ProxyClient:
-    """One client request at the proxy."""
+    """A client that sends one request, and the proxy's handling of it."""
 
     proxy: SimulatedProxy
     request: bytes
-    down: DownstreamStream
-    attempts: int = 0
-    up: UpstreamStream | None = None
+    downstream: DownstreamStream
+    attempt_count: int = 0
+    upstream: UpstreamStream | None = None
     record: AttemptRecord | None = None
     token: str = ""
-    node: str = ""
-    most: int = 0
+    server_address: str = ""
+    max_attempts: int = 0
     retry_on: str = ""
-    over: bool = False
-    answers: list[tuple[float, FinalResponse]] = field(default_factory=list)
+    is_finished: bool = False
+    responses: list[tuple[float, FinalResponse]] = field(default_factory=list)
 
-    def decided(self, told: ev.ProcessorResponse | None) -> None:
+    def on_request_decision(self, decision: ev.ProcessorResponse | None) -> None:
         """Handles the decision on the request: starts the first attempt, or ends with the given response."""
-        if self.over:
+        if self.is_finished:
             return
-        if isinstance(told, ev.ImmediateResponse):
-            self.finish(self.proxy.read(told))
-            self.down.close(True)
+        if isinstance(decision, ev.ImmediateResponse):
+            self.record_response(self.proxy.final_response(decision))
+            self.downstream.close(True)
             return
-        assert isinstance(told, ev.ContinueResponse)
-        self.node = told.set_headers["x-gateway-destination-endpoint"]
-        self.token = told.set_headers["x-glenchute-token"]
-        self.most = 1 + int(told.set_headers["x-envoy-max-retries"])
-        self.retry_on = told.set_headers["x-envoy-retry-on"]
-        left = int(told.set_headers["x-envoy-upstream-rq-timeout-ms"]) / 1000.0
-        self.proxy.loop.call_later(left * self.proxy.pace, self.route_timeout)
-        self.attempt()
-
-    def attempt(self) -> None:
-        """Asks for permission for an attempt."""
-        self.attempts += 1
-        up = self.up = UpstreamStream(self.proxy.calls)
-        up.abort = lambda: self.proxy.loop.call_later(0.0, self.aborted, up) and None
-        said = headers(x_glenchute_token=self.token)
-        up.receive(
-            ev.RequestHeaders(said, attributes={"upstream.address": self.node}),
-            lambda told: self.let_through(up, told),
+        assert isinstance(decision, ev.ContinueResponse)
+        self.server_address = decision.set_headers["x-gateway-destination-endpoint"]
+        self.token = decision.set_headers["x-glenchute-token"]
+        self.max_attempts = 1 + int(decision.set_headers["x-envoy-max-retries"])
+        self.retry_on = decision.set_headers["x-envoy-retry-on"]
+        request_timeout_s = int(decision.set_headers["x-envoy-upstream-rq-timeout-ms"]) / 1000.0
+        self.proxy.loop.call_later(request_timeout_s * self.proxy.clock_slowdown, self.on_route_timeout)
+        self.request_attempt()
+
+    def request_attempt(self) -> None:
+        """Asks the processor whether an attempt may be sent."""
+        self.attempt_count += 1
+        upstream = self.upstream = UpstreamStream(self.proxy.calls)
+        upstream.abort = lambda: self.proxy.loop.call_later(0.0, self.on_stream_reset, upstream) and None
+        request_headers = headers(x_glenchute_token=self.token)
+        upstream.receive(
+            ev.RequestHeaders(request_headers, attributes={"upstream.address": self.server_address}),
+            lambda decision: self.on_attempt_decision(upstream, decision),
         )
 
-    def let_through(self, up: UpstreamStream, told: ev.ProcessorResponse | None) -> None:
+    def on_attempt_decision(self, upstream: UpstreamStream, decision: ev.ProcessorResponse | None) -> None:
         """Handles the decision on an attempt: sends it, tries another endpoint, or gives up."""
-        if self.up is not up or self.over:
+        if self.upstream is not upstream or self.is_finished:
             return
-        if isinstance(told, ev.ImmediateResponse):
-            self.up = None
-            up.close(True)
-            if told.headers.get("x-glenchute-retry") and self.attempts < self.most:
-                self.node = told.headers["x-gateway-destination-endpoint"]
-                self.attempt()
+        if isinstance(decision, ev.ImmediateResponse):
+            self.upstream = None
+            upstream.close(True)
+            if decision.headers.get("x-glenchute-retry") and self.attempt_count < self.max_attempts:
+                self.server_address = decision.headers["x-gateway-destination-endpoint"]
+                self.request_attempt()
             else:
-                self.show(told.status, "")
+                self.respond(decision.status, "")
             return
-        assert isinstance(told, ev.ContinueResponse)
-        server = self.proxy.names[self.node]
-        timeout_s = int(told.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
+        assert isinstance(decision, ev.ContinueResponse)
+        server = self.proxy.server_names[self.server_address]
+        timeout_s = int(decision.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
         record = self.record = AttemptRecord(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
-        fate = self.proxy.site.servers.plan_attempt(record)
+        planned = self.proxy.site.servers.plan_attempt(record)
         loop, connect_s = self.proxy.loop, self.proxy.site.connect_s
-        loop.call_later(timeout_s * self.proxy.pace, self.ended, up, record, Outcome.TIMEOUT)
-        up_in_time = fate.connect_s <= connect_s
-        connects = fate if up_in_time else None
-        loop.call_later(min(fate.connect_s, connect_s), self.connected, up, record, connects)
+        proxy_timeout_s = timeout_s * self.proxy.clock_slowdown
+        loop.call_later(proxy_timeout_s, self.on_attempt_ended, upstream, record, Outcome.TIMEOUT)
+        connected = planned if planned.connect_s <= connect_s else None
+        loop.call_later(min(planned.connect_s, connect_s), self.on_connected, upstream, record, connected)
 
-    def connected(self, up: UpstreamStream, record: AttemptRecord, fate: PlannedOutcome | None) -> None:
-        """Sends the request's bytes, or ends the attempt where the connection failed (`fate` is None)."""
+    def on_connected(
+        self, upstream: UpstreamStream, record: AttemptRecord, planned: PlannedOutcome | None
+    ) -> None:
+        """Sends the request, or ends the attempt if the connection failed (`planned` is None)."""
         if record.outcome is not None:
             return
-        if fate is None:
-            self.ended(up, record, Outcome.UNREACHABLE)
+        if planned is None:
+            self.on_attempt_ended(upstream, record, Outcome.UNREACHABLE)
             return
         record.sent_at = self.proxy.loop.now
         self.proxy.site.servers.check_sent(record)
-        if fate.duration_s < 1e6:
-            self.proxy.loop.call_later(fate.duration_s, self.ended, up, record, fate.outcome)
+        if planned.duration_s < 1e6:
+            outcome = planned.outcome
+            self.proxy.loop.call_later(planned.duration_s, self.on_attempt_ended, upstream, record, outcome)
 
-    def ended(self, up: UpstreamStream, record: AttemptRecord, ending: Outcome) -> None:
-        """Ends the attempt, and reports its outcome as a response or only by the end of the stream."""
+    def on_attempt_ended(self, upstream: UpstreamStream, record: AttemptRecord, outcome: Outcome) -> None:
+        """Ends the attempt; reports its outcome as a response, or only by the end of the stream."""
         if record.outcome is not None:
             return
-        record.ended_at, record.outcome = self.proxy.loop.now, ending
-        status, details = DETAILS[ending]
-        if self.proxy.tells or details == "via_upstream":
-            up.receive(responded(status, details), lambda told: self.follow(up, told, status, details))
+        record.ended_at, record.outcome = self.proxy.loop.now, outcome
+        status, details = RESPONSES[outcome]
+        if self.proxy.reports_local_replies or details == "via_upstream":
+            upstream.receive(
+                response_headers(status, details),
+                lambda decision: self.on_response_decision(upstream, decision, status, details),
+            )
             return
-        self.up = None
-        up.close(False)
-        if "reset" in self.retry_on and self.attempts < self.most and not self.over:
-            self.attempt()
+        self.upstream = None
+        upstream.close(False)
+        if "reset" in self.retry_on and self.attempt_count < self.max_attempts and not self.is_finished:
+            self.request_attempt()
         else:
-            self.show(status, details)
+            self.respond(status, details)
 
-    def follow(
-        self, up: UpstreamStream, told: ev.ProcessorResponse | None, status: int, details: str
+    def on_response_decision(
+        self, upstream: UpstreamStream, decision: ev.ProcessorResponse | None, status: int, details: str
     ) -> None:
         """Handles the decision on an attempt's response: retries, or responds to the client."""
-        if self.up is not up:
+        if self.upstream is not upstream:
             return
-        self.up = None
-        up.close(True)
-        assert isinstance(told, ev.ContinueResponse)
-        if told.set_headers.get("x-glenchute-retry") and self.attempts < self.most and not self.over:
-            self.node = told.set_headers["x-gateway-destination-endpoint"]
-            self.attempt()
+        self.upstream = None
+        upstream.close(True)
+        assert isinstance(decision, ev.ContinueResponse)
+        may_retry = self.attempt_count < self.max_attempts and not self.is_finished
+        if decision.set_headers.get("x-glenchute-retry") and may_retry:
+            self.server_address = decision.set_headers["x-gateway-destination-endpoint"]
+            self.request_attempt()
         else:
-            self.show(status, details)
+            self.respond(status, details)
 
-    def aborted(self, up: UpstreamStream) -> None:
+    def on_stream_reset(self, upstream: UpstreamStream) -> None:
         """Handles a reset of the attempt's stream by the processor: ends the attempt with status 500."""
-        if self.up is up:
-            self.cut()
-            self.show(500, "")
+        if self.upstream is upstream:
+            self.cancel_attempt()
+            self.respond(500, "")
 
-    def cut(self, why: Outcome = Outcome.CANCELLED) -> None:
-        """Closes the connection of the attempt in flight, if any."""
-        up, self.up = self.up, None
+    def cancel_attempt(self, outcome: Outcome = Outcome.CANCELLED) -> None:
+        """Ends the attempt in flight, if any, with an outcome."""
+        upstream, self.upstream = self.upstream, None
         if self.record is not None and self.record.outcome is None:
-            self.record.ended_at, self.record.outcome = self.proxy.loop.now, why
-        if up is not None:
-            up.close(False)
+            self.record.ended_at, self.record.outcome = self.proxy.loop.now, outcome
+        if upstream is not None:
+            upstream.close(False)
 
-    def route_timeout(self) -> None:
+    def on_route_timeout(self) -> None:
         """Handles the proxy's own timeout for the request."""
-        if not self.over and not self.answers:
-            self.cut(Outcome.TIMEOUT)
-            self.show(504, "response_timeout")
+        if not self.is_finished and not self.responses:
+            self.cancel_attempt(Outcome.TIMEOUT)
+            self.respond(504, "response_timeout")
 
-    def show(self, status: int, details: str) -> None:
-        """Responds to the client with what the downstream stream makes of a response."""
-        if self.over:
+    def respond(self, status: int, details: str) -> None:
+        """Passes a response to the downstream stream and responds to the client as that decides."""
+        if self.is_finished:
             return
-        self.over = True
+        self.is_finished = True
 
-        def shown(told: ev.ProcessorResponse | None) -> None:
-            if isinstance(told, ev.ImmediateResponse):
-                self.finish(self.proxy.read(told))
+        def on_final_decision(decision: ev.ProcessorResponse | None) -> None:
+            if isinstance(decision, ev.ImmediateResponse):
+                self.record_response(self.proxy.final_response(decision))
             else:
-                self.finish(Served(self.request) if status < 500 and status != 429 else Failed())
-            self.down.close(True)
+                self.record_response(Served(self.request) if status < 500 and status != 429 else Failed())
+            self.downstream.close(True)
 
-        self.down.receive(responded(status, details), shown)
+        self.downstream.receive(response_headers(status, details), on_final_decision)
 
-    def finish(self, answer: FinalResponse) -> None:
-        """Records the client's final response."""
-        self.over = True
-        self.answers.append((self.proxy.loop.now, answer))
+    def record_response(self, response: FinalResponse) -> None:
+        """Records the final response to the client."""
+        self.is_finished = True
+        self.responses.append((self.proxy.loop.now, response))
 
-    def leave(self, clean: bool = False) -> None:
-        """Disconnects the client, or the whole proxy."""
-        self.over = True
-        self.cut()
-        self.down.close(clean)
+    def disconnect(self, ends_cleanly: bool = False) -> None:
+        """Ends the request without a response, as when the client or the whole proxy ends."""
+        self.is_finished = True
+        self.cancel_attempt()
+        self.downstream.close(ends_cleanly)
 
 
 class SimulatedProxy:
-    """A proxy. `tells`: it reports by a local reply how an attempt without a response ended. `pace`: the
-    simulated seconds in which the proxy's clock counts one."""
-
-    def __init__(self, site: SimulatedSite, tells: bool = True, pace: float = 1.0, **changes: Any) -> None:
-        self.site, self.tells, self.pace = site, tells, pace
+    """A proxy. `reports_local_replies`: whether it reports how an attempt without a response ended.
+    `clock_slowdown`: the simulated seconds in which the proxy's clock advances by one second."""
+
+    def __init__(
+        self,
+        site: SimulatedSite,
+        reports_local_replies: bool = True,
+        clock_slowdown: float = 1.0,
+        **changes: Any,
+    ) -> None:
+        self.site, self.clock_slowdown = site, clock_slowdown
+        self.reports_local_replies = reports_local_replies
         self.loop = cast(Any, site.loop)
         self.calls = RequestTable(
             self.loop, site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
         )
         self.calls.wall_clock = lambda: float(site.loop.now)
-        self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
-        self.asked: dict[bytes, ProxyClient] = {}
+        self.server_names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
+        self.clients: dict[bytes, ProxyClient] = {}
 
-    def ask(
-        self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
+    def send_request(
+        self, class_name: str, time_left_ms: float, plan: str = "osnovni", number: int | None = None
     ) -> ProxyClient:
         """Sends a client's request. `number`: its id, where several proxies share one sequence of ids."""
-        request = b"%d" % (len(self.asked) + 1 if number is None else number)
-        order = SimulatedCall(
-            request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
+        request = b"%d" % (len(self.clients) + 1 if number is None else number)
+        call = SimulatedCall(
+            request,
+            class_name,
+            plan,
+            ACCOUNT,
+            time_left_ms,
+            1.0,
+            1,
+            self.site.idempotency_by_class[class_name],
         )
-        self.site.servers.orders[request] = order
-        asker = self.asked[request] = ProxyClient(self, request, DownstreamStream(self.calls))
-        said = headers(
+        self.site.servers.orders[request] = call
+        client = self.clients[request] = ProxyClient(self, request, DownstreamStream(self.calls))
+        request_headers = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
-            idempotency_key="k1", x_deadline_ms=str(left_ms),
+            idempotency_key="k1", x_deadline_ms=str(time_left_ms),
         )  # fmt: skip
-        asker.down.receive(ev.RequestHeaders(said), asker.decided)
-        return asker
-
-    def read(self, told: ev.ImmediateResponse) -> FinalResponse:
-        """Returns an immediate response as a final response of the core."""
-        if told.status == 429:
-            assert told.headers["x-glenchute-effect"] == "none"
-            return Rejected(float(told.headers.get("x-glenchute-retry-after-ms", 0)))
+        client.downstream.receive(ev.RequestHeaders(request_headers), client.on_request_decision)
+        return client
+
+    def final_response(self, decision: ev.ImmediateResponse) -> FinalResponse:
+        """Converts an immediate response to a final response of the core."""
+        if decision.status == 429:
+            assert decision.headers["x-glenchute-effect"] == "none"
+            return Rejected(float(decision.headers.get("x-glenchute-retry-after-ms", 0)))
         return Failed()
 
 
