--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -254,17 +254,9 @@
     ) -> ProxyClient:
         """Sends a client's request. `number`: its id, where several proxies share one sequence of ids."""
         request = b"%d" % (len(self.clients) + 1 if number is None else number)
-        call = SimulatedCall(
-            request,
-            class_name,
-            plan,
-            ACCOUNT,
-            time_left_ms,
-            1.0,
-            1,
-            self.site.idempotency_by_class[class_name],
-        )
-        self.site.servers.orders[request] = call
+        idempotency = self.site.idempotency_by_class[class_name]
+        call = SimulatedCall(request, class_name, plan, ACCOUNT, time_left_ms, 1.0, 1, idempotency)
+        self.site.servers.calls[request] = call
         client = self.clients[request] = ProxyClient(self, request, DownstreamStream(self.calls))
         request_headers = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
