--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -90,7 +90,7 @@
 
     The expected load rises linearly from `initial_fraction` to all of the server's capacity in `warm_up_ms`.
     """
-    found, first = [], 0
+    loads, first = [], 0
     total = informed = 0.0
     for last, (now, work, is_informed) in enumerate(rows):
         age = now - started
@@ -108,8 +108,8 @@
         n = slow_start.overload_factor * capacity_per_s * mean_warmth * slow_start.overload_window_ms / 1000.0
         allowed = n + 2.0 * math.sqrt(n) + 2.0
         informed_fraction = informed / max(total, 1e-9)
-        found.append(WindowLoad(total / allowed, informed_fraction, total, last - first + 1, allowed, age))
-    return found
+        loads.append(WindowLoad(total / allowed, informed_fraction, total, last - first + 1, allowed, age))
+    return loads
 
 
 def run_saturated(seed: int, case: Case) -> list[WindowLoad]:
--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -396,10 +396,10 @@
 
     def on_reply(self, conn: SimulatedConnection, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Handles a reply at the gateway."""
-        found = conn.pipeline.match_reply(self.now)
-        if found is None:
+        matched = conn.pipeline.match_reply(self.now)
+        if matched is None:
             raise BrokenRule("pairing", f"the reply for {attempt.request_id} was taken for a surplus one")
-        entry, is_trusted = found
+        entry, is_trusted = matched
         if entry.item is not attempt:
             raise BrokenRule(
                 "pairing",
@@ -416,17 +416,17 @@
         """Handles a surplus reply at the gateway."""
         if conn.is_closed or not self.is_current(conn.gateway, conn.incarnation):
             return
-        found = conn.pipeline.match_reply(self.now)
-        if found is not None and found.is_trusted:
+        matched = conn.pipeline.match_reply(self.now)
+        if matched is not None and matched.is_trusted:
             raise BrokenRule(
                 "one answer",
-                f"{found.command.item.request_id} was served with a surplus reply",
+                f"{matched.command.item.request_id} was served with a surplus reply",
             )
-        if found is not None:
+        if matched is not None:
             self.schedulers[conn.gateway].on_reply(self.now, conn.connection_id, False)
         self.close(conn, None, Outcome.RESET)
-        if found is not None:
-            self.finish(found.command.item, Outcome.ERROR)
+        if matched is not None:
+            self.finish(matched.command.item, Outcome.ERROR)
 
     # --- endings -----------------------------------------------------------------------------------------
 
--- a/lab/sim/swarm.py
+++ b/lab/sim/swarm.py
@@ -219,9 +219,9 @@
     while best.script.faults and needed_count < len(best.script.faults):
         index %= len(best.script.faults)
         fewer = best.script.faults[:index] + best.script.faults[index + 1 :]
-        found = run(best.script._replace(faults=fewer))
-        if found is not None and found.rule == best.rule:
-            best, needed_count = found, 0
+        new_failure = run(best.script._replace(faults=fewer))
+        if new_failure is not None and new_failure.rule == best.rule:
+            best, needed_count = new_failure, 0
         else:
             index, needed_count = index + 1, needed_count + 1
     return best
@@ -296,8 +296,10 @@
             return 1
         gateways_s += len(world.engines) * (world.now - world.began) / 1000.0
         steps, checks = steps + world.steps, checks + world.checks
-    took = time.process_time() - began
-    rates = f"{gateways_s / took:.0f} gateway-seconds, {steps / took:.0f} steps, {checks / took:.0f} checks"
+    cpu_s = time.process_time() - began
+    rates = (
+        f"{gateways_s / cpu_s:.0f} gateway-seconds, {steps / cpu_s:.0f} steps, {checks / cpu_s:.0f} checks"
+    )
     print(f"{args.seeds} seeds, no rule broken; per second of CPU time: {rates}")
     if args.capture:
         print(*write_captures(draw_script(args.first), args.capture), sep="\n")
--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -269,11 +269,11 @@
         counter(world)
         world.flood(4000.0, requests_per_s, plan.name)
         world.run(6000.0)
-        found = overshoot_bound(plan, gateways, 100.0, 1.0)
+        bound = overshoot_bound(plan, gateways, 100.0, 1.0)
         timeout_s = world.settings.counter_timeout_ms / 1000.0
         worst = max(worst, overshoot(world.sent, plan))
-        assert worst <= start_overshoot_units(plan, found, requests_per_s, gateways, timeout_s)
-    assert counter is not unavailable_counter or worst > found.unavailable_units
+        assert worst <= start_overshoot_units(plan, bound, requests_per_s, gateways, timeout_s)
+    assert counter is not unavailable_counter or worst > bound.unavailable_units
 
 
 # --- processes -------------------------------------------------------------------------------------------
