--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -27,8 +27,8 @@
 )
 
 
-def row(
-    what: str, site: str, gateways: int, starts: int, windows: Iterable[WindowLoad],
+def print_row(
+    kind: str, site: str, gateways: int, starts: int, windows: Iterable[WindowLoad],
     overloads: list[WindowLoad],
 ) -> None:  # fmt: skip
     """Prints a row, unless there were no cold starts."""
@@ -38,7 +38,7 @@
     work = max((window.ratio for window in windows), default=0.0)
     requests = max((window.requests / window.allowed for window in windows), default=0.0)
     broken = sum(overload.informed_fraction > INFORMED_FRACTION for overload in overloads)
-    print(f"| {what} | {site} | {gateways} | {starts} | {work:.2f} | {requests:.2f} | "
+    print(f"| {kind} | {site} | {gateways} | {starts} | {work:.2f} | {requests:.2f} | "
           f"{len(overloads)} | {broken} |", flush=True)  # fmt: skip
 
 
@@ -55,7 +55,7 @@
         for gateways, _ in SIZES:
             rows = [run_saturated(seed, Case(gateways, 1, slow_start)) for seed in range(args.turns)]
             firsts = [next(r for r in found if r.ratio > 1.0) for found in rows if max(found).ratio > 1.0]
-            row("turns", site, gateways, len(rows), (r for found in rows for r in found), firsts)
+            print_row("turns", site, gateways, len(rows), (r for found in rows for r in found), firsts)
     for gateways, nodes in SIZES:
         for site, slow_start in SITES.items():
             starts = 0
@@ -68,7 +68,7 @@
                 starts += len(world.arrivals)
                 windows += more_windows
                 overloads += more_overloads
-            row("days", site, gateways, starts, windows, overloads)
+            print_row("days", site, gateways, starts, windows, overloads)
 
 
 if __name__ == "__main__":
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -74,10 +74,10 @@
 async def pause(pair: GatewayPair) -> None:
     """Stops the first gateway with SIGSTOP for 3.5 s, under load."""
     await pair.load_both(3.0)
-    pair.gateways[0].signal(signal.SIGSTOP)
+    pair.gateways[0].send_signal(signal.SIGSTOP)
     paused_load = asyncio.create_task(pair.load(0, 3.5))
     await pair.load(1, 3.5)
-    pair.gateways[0].signal(signal.SIGCONT)
+    pair.gateways[0].send_signal(signal.SIGCONT)
     await paused_load
 
 
@@ -85,7 +85,7 @@
     """Ends the first gateway with SIGKILL and starts it again."""
     await pair.load_both(3.0)
     gateway = pair.gateways[0]
-    gateway.signal(signal.SIGKILL)
+    gateway.send_signal(signal.SIGKILL)
     assert gateway.process is not None
     gateway.process.wait()
     gateway.start()
@@ -126,7 +126,7 @@
         figures = []
         for gateway, answers_of_one in zip(pair.gateways, answers, strict=True):
             await gateway.stop()
-            lines = re.findall(r"refused: overload (\d+)", gateway.log.read_text())
+            lines = re.findall(r"refused: overload (\d+)", gateway.log_file.read_text())
             served, rejected = answers_of_one.count("served"), answers_of_one.count("refused")
             figures.append(FaultFigures(len(answers_of_one), served, rejected, sum(map(int, lines))))
         return figures
--- a/glenchute/config/operator.py
+++ b/glenchute/config/operator.py
@@ -22,6 +22,7 @@
 RestartTables = tuple[dict[str, Any] | None, ...]
 DEFAULT_MAX_BACKOFF_MS = 1000.0
 DEFAULT_BACKOFF_FACTOR = 2.0
+# Mean attempts in flight per server, as in `SubsetSettings`.
 DEFAULT_SUBSET_CALM = 0.5
 DEFAULT_SUBSET_BUSY = 2.0
 
@@ -79,7 +80,7 @@
     may_load = not has_errors(findings)
     unused_routes = [] if may_load else list(config.routes)
     result = ReadResult(file, config if may_load else None, findings)
-    del config  # so that the parts of a rejected file are freed below, in small steps
+    del config  # the parts of a rejected file are freed below, in small steps
     for rows in (raw.get("route"), values.get("route"), report.rows, unused_routes):
         free_entries(rows)
     return result
--- a/glenchute/policy/retries/proxied_attempts.py
+++ b/glenchute/policy/retries/proxied_attempts.py
@@ -73,7 +73,7 @@
     """The decision whether a proxied attempt may be sent."""
 
     ALLOW = "pass"
-    WAIT = "hold"  # until a server is chosen and earlier streams are closed, at most until the deadline
+    WAIT = "hold"  # not before a server is chosen and earlier streams are closed; at most until the deadline
     REQUEST_FINISHED = "over"  # the request has its final response
     WRONG_SERVER = "node"  # the attempt goes to another server than the chosen one
     TOO_LATE = "late"  # the chosen server accepts no requests any more, or may have forgotten the key
@@ -89,7 +89,7 @@
     requested_address: str  # address of the attempt's server as the proxy reports it; "" if it does not
     chosen_address: str  # address of the chosen server
     is_server_accepting: bool  # the chosen server is in the endpoint list and not draining
-    is_in_time: bool  # it is not yet the time after which no byte may be sent
+    is_in_time: bool  # the time after which no byte may be sent has not come yet
 
 
 def judge_attempt(state: AttemptState) -> AttemptVerdict:
--- a/lab/scale/clients.py
+++ b/lab/scale/clients.py
@@ -24,18 +24,18 @@
         """Sends requests until stopped or all are sent, then waits for the last answers."""
         loop, tasks = asyncio.get_running_loop(), set[asyncio.Task[None]]()
         start_s = self.timeline.load_start_s(loop.time())
-        requests = arrivals(self.site, self.draw, self.number, self.rate)
+        requests = arrivals(self.site, self.draw, self.number, self.rate_per_s)
         for serial, (at_s, kind, account) in enumerate(requests):
             await asyncio.sleep(max(0.0, start_s + at_s - loop.time()))
             if self.is_stopped or at_s > seconds:
                 break
             request_id = b"%08x%08x" % (self.seed, serial)
-            task = asyncio.create_task(self.ask(Outcome(kind, account, request_id, start_s + at_s)))
+            task = asyncio.create_task(self.send_request(Outcome(kind, account, request_id, start_s + at_s)))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks, timeout=5.0)
-        for client in self.idle:
+        for client in self.idle_clients:
             client.writer.close()
 
 
@@ -62,7 +62,7 @@
         """Returns the outcome of each request due at second 0 or later; `at_s` is when it was due."""
         zero_s = self.timeline.zero_s or 0.0
         return [
-            {"id": outcome.request_id.decode(), "at_s": outcome.asked - zero_s,
-             "latency_ms": outcome.took_ms, "answer": outcome.answer or "lost"}
-            for load in self.loads for outcome in load.outcomes if outcome.asked >= zero_s
+            {"id": outcome.request_id.decode(), "at_s": outcome.scheduled_at - zero_s,
+             "latency_ms": outcome.duration_ms, "answer": outcome.answer or "lost"}
+            for load in self.loads for outcome in load.outcomes if outcome.scheduled_at >= zero_s
         ]  # fmt: skip
--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -230,6 +230,7 @@
         }
 
     def __call__(self, number: int, rng: random.Random) -> Account:
+        """Returns the tenant of a request to this gateway."""
         cumulative = self.cumulative_weights[number]
         if not cumulative:  # no tenant's set includes this gateway, as there are few tenants
             return self.accounts[rng.randrange(len(self.accounts))]
@@ -240,5 +241,5 @@
 
 def gateway_set(account: Account) -> tuple[int, int]:
     """Returns the size of an account's set of gateways, and the number of the first of them."""
-    fields = dict(part.split("=") for part in account.more.split(",") if part)
+    fields = dict(part.split("=") for part in account.extra_fields.split(",") if part)
     return int(fields["spread"]), int(fields["first"])
--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -212,7 +212,7 @@
     `sent` has time, customer, plan and units of each first attempt, as in `World.sent`.
     """
     admitted = [(at / 1000.0, units) for at, _, name, units in sent if name == plan.name]
-    return checks.passed(admitted, plan.rate_per_s, plan.burst_units)
+    return checks.bucket_overshoot(admitted, plan.rate_per_s, plan.burst_units)
 
 
 def run_without_counter(
--- a/lab/soak/play.py
+++ b/lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one schedule.
+"""Runs one schedule of the soak test.
 
 The gateways are real processes; the stand-in services and the clients run in this process.
 """
@@ -20,8 +20,8 @@
 from lab.peers import server_row
 from lab.services import CounterService, DiscoveryService
 from lab.site import SETTINGS, GatewayProcess, LabSite
-from lab.soak.books import ArrivedAttempt, Books
 from lab.soak.clients import SoakClients
+from lab.soak.records import AttemptRecord, RunRecords
 from lab.soak.schedule import SERVERS, Ending, Schedule
 
 READY_TIMEOUT_S = 20.0
@@ -29,19 +29,19 @@
 SIGNAL_INTERVAL_S = 0.02  # between repeated signals
 TAKEOVER_MESSAGE = "received quota state from the predecessor process"  # logged by a successor
 SERVING_DELAY_S = 0.3  # from the takeover message until the successor serves
-START_DELAY_STEP_S = 0.05  # unit of the delay from process start to SIGTERM in `DURING_START`
+START_DELAY_STEP_S = 0.05  # unit of the delay from process start to SIGTERM with `DURING_START`
 
 
 class RecordingNode(Node):
     """A server that records when each command arrived."""
 
-    books: Books
+    records: RunRecords
 
-    async def answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-        if words[0].upper().startswith(b"CALL."):
+    async def answer(self, command: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        if command[0].upper().startswith(b"CALL."):
             now = asyncio.get_running_loop().time()
-            self.books.attempts.append(ArrivedAttempt(now, self.name, words[2]))
-        return await super().answer(words, writer)
+            self.records.attempts.append(AttemptRecord(now, self.name, command[2]))
+        return await super().answer(command, writer)
 
 
 class SoakGateway(GatewayProcess):
@@ -50,7 +50,7 @@
     def __init__(self, folder: Path, platform: dict[str, Any], mutant: str = "") -> None:
         super().__init__(folder, platform)
         if mutant:
-            self.program = ("-m", "lab.soak.mutants", mutant)
+            self.interpreter_arguments = ("-m", "lab.soak.mutants", mutant)
 
 
 class Run:
@@ -58,13 +58,13 @@
 
     def __init__(self, schedule: Schedule, mutant: str = "") -> None:
         self.schedule, self.mutant = schedule, mutant
-        self.books = Books()
+        self.records = RunRecords()
         self.loop = asyncio.get_running_loop()
         self.extra_discovery: DiscoveryService | None = None
         self.successors: list[SoakGateway] = []
 
-    async def play(self) -> Books:
-        """Starts the stand-in services, plays the schedule and returns the observations."""
+    async def run(self) -> RunRecords:
+        """Starts the stand-in services, runs the schedule and returns the records."""
         schedule, nodes = self.schedule, list[RecordingNode]()
         key_times, key_order = dict[bytes, float](), deque[bytes]()
         profile = ServiceProfile(
@@ -74,7 +74,7 @@
             node = RecordingNode(
                 f"n{number}", profile, FaultScript(schedule.server_faults[number], schedule.seed)
             )
-            node.books = self.books
+            node.records = self.records
             # The servers of one group share their idempotency keys.
             node.key_times, node.key_order = key_times, key_order
             nodes.append(node)
@@ -83,21 +83,21 @@
         try:
             async with LabSite(nodes, counter) as site:
                 with tempfile.TemporaryDirectory() as folder, socket.socket() as listening:
-                    await self.play_site(site, Path(folder), listening)
+                    await self.run_at_site(site, Path(folder), listening)
             self.count_effects(nodes)
         finally:
             lag_task.cancel()
-        return self.books
+        return self.records
 
-    async def play_site(self, site: LabSite, folder: Path, listening: socket.socket) -> None:
-        """Plays the schedule against stand-in services that are already running."""
+    async def run_at_site(self, site: LabSite, folder: Path, listening: socket.socket) -> None:
+        """Runs the schedule against stand-in services that are already running."""
         gateway = SoakGateway(folder, site.platform(self.settings()), self.mutant)
         if self.schedule.ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening.bind(("127.0.0.1", gateway.port))
             listening.listen(512)
-            gateway.passed = listening
-        clients = SoakClients(self.schedule, self.books, lambda: gateway.port)
+            gateway.passed_socket = listening
+        clients = SoakClients(self.schedule, self.records, lambda: gateway.port)
         background: list[asyncio.Task[None]] = []
         try:
             gateway.start()
@@ -109,16 +109,16 @@
                 clients.start()
                 background = [asyncio.create_task(event) for event in self.scheduled_events(site)]
                 await asyncio.sleep(self.schedule.terminate_at_s)
-            await self.end(site, gateway, clients, folder)
+            await self.perform_ending(site, gateway, clients, folder)
         finally:
             for task in background:
                 task.cancel()
             await clients.stop()
             for launched in (gateway, *self.successors):
-                launched.signal(signal.SIGKILL)
+                launched.send_signal(signal.SIGKILL)
                 if launched.process is not None:
                     launched.process.wait()
-            self.books.log = gateway.log.read_text(errors="replace")
+            self.records.log = gateway.log_file.read_text(errors="replace")
             if self.extra_discovery is not None:
                 await self.extra_discovery.stop()
 
@@ -136,7 +136,7 @@
     async def wait_for_list(self, site: LabSite, gateway: SoakGateway) -> None:
         """Waits until discovery has answered the gateway once."""
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not site.discovery.told:
+            while not site.discovery.first_answer_at:
                 await asyncio.sleep(0.01)
 
     # --- scheduled events during the load ----------------------------------------------------------------
@@ -161,14 +161,14 @@
             if discovery is None:
                 continue
             version = discovery.update_rows([server_row(node.name, node.port, state) for state in states])
-            while version not in discovery.told:
+            while version not in discovery.first_answer_at:
                 await asyncio.sleep(0.001)
-            self.books.drained_at.setdefault(node.name, discovery.told[version])
+            self.records.drained_at.setdefault(node.name, discovery.first_answer_at[version])
 
     async def reset_counter(self, site: LabSite, at_s: float) -> None:
         """Resets all totals of the counter to zero."""
         await asyncio.sleep(at_s)
-        site.counter.forget()
+        site.counter.reset()
 
     async def interrupt_discovery(self, site: LabSite, from_s: float, until_s: float) -> None:
         """Stops discovery at `from_s` and restarts it on the same port at `until_s`."""
@@ -186,53 +186,57 @@
         while True:
             started = self.loop.time()
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
-            self.books.lag_s = max(self.books.lag_s, self.loop.time() - started - LAG_CHECK_INTERVAL_S)
+            self.records.max_lag_s = max(
+                self.records.max_lag_s, self.loop.time() - started - LAG_CHECK_INTERVAL_S
+            )
 
     # --- the end of the run ------------------------------------------------------------------------------
 
-    async def end(self, site: LabSite, gateway: SoakGateway, clients: SoakClients, folder: Path) -> None:
-        """Sends the signals of the ending, and SIGKILL at the platform's earliest time for it."""
+    async def perform_ending(
+        self, site: LabSite, gateway: SoakGateway, clients: SoakClients, folder: Path
+    ) -> None:
+        """Sends the signals of the ending, and SIGKILL once the platform may send it."""
         ending = self.schedule.ending
         if ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             gateway = await self.replace(gateway, folder, 1 + (ending is Ending.REPLACED_TWICE))
             # The clients finish before SIGTERM, as the passed socket stays open without a process behind it.
             await clients.finish()
         if ending is Ending.RELOAD_BEFORE:
-            gateway.signal(signal.SIGHUP)
+            gateway.send_signal(signal.SIGHUP)
         elif ending is Ending.BROKEN_FILE:
-            gateway.config.write_text("{ not a file")
-            gateway.signal(signal.SIGHUP)
+            gateway.config_file.write_text("{ not a file")
+            gateway.send_signal(signal.SIGHUP)
         elif ending is Ending.DISCOVERY_MOVES:
             await self.move_discovery(site, gateway)
         elif ending is Ending.STOPPED:
-            gateway.signal(signal.SIGSTOP)
-            await asyncio.sleep(self.schedule.paused_s)
-            self.books.lag_s += self.schedule.paused_s  # the gateway did not run during this time
-            gateway.signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGSTOP)
+            await asyncio.sleep(self.schedule.stopped_s)
+            self.records.max_lag_s += self.schedule.stopped_s  # the gateway did not run during this time
+            gateway.send_signal(signal.SIGCONT)
         await self.terminate(gateway, clients)
 
     async def terminate(self, gateway: SoakGateway, clients: SoakClients) -> None:
         """Sends SIGTERM, lets clients connect a while longer, and kills the process if it is too slow."""
         terminated_at = self.loop.time()
-        gateway.signal(signal.SIGTERM)
+        gateway.send_signal(signal.SIGTERM)
         repeat_count = {Ending.TERM_TWICE: 1, Ending.TERM_FIVE_TIMES: 4}.get(self.schedule.ending, 0)
         for _ in range(repeat_count):
             await asyncio.sleep(SIGNAL_INTERVAL_S)
-            gateway.signal(signal.SIGTERM)
+            gateway.send_signal(signal.SIGTERM)
         if self.schedule.ending is Ending.RELOAD_AFTER:
-            gateway.signal(signal.SIGHUP)
-        await asyncio.sleep(max(0.0, terminated_at + self.schedule.arrivals_after_s - self.loop.time()))
+            gateway.send_signal(signal.SIGHUP)
+        await asyncio.sleep(max(0.0, terminated_at + self.schedule.connects_after_s - self.loop.time()))
         clients.may_connect = False
         assert gateway.process is not None
         while (
             gateway.process.poll() is None and self.loop.time() - terminated_at < self.schedule.kill_after_s
         ):
             await asyncio.sleep(0.005)
-        self.books.killed_at_end = gateway.process.poll() is None
-        gateway.signal(signal.SIGKILL)
+        self.records.killed_at_end = gateway.process.poll() is None
+        gateway.send_signal(signal.SIGKILL)
         status = gateway.process.wait()
         is_killed_during_start = self.schedule.ending is Ending.DURING_START and status == -signal.SIGTERM
-        self.books.exit_status = 0 if is_killed_during_start else status
+        self.records.exit_status = 0 if is_killed_during_start else status
         await clients.finish()
 
     async def replace(self, gateway: SoakGateway, folder: Path, times: int) -> SoakGateway:
@@ -242,24 +246,24 @@
         """
         for _ in range(times):
             successor = SoakGateway(folder, gateway.platform, self.mutant)
-            successor.passed, successor.shared = gateway.passed, gateway.shared
-            successor.log = folder / "gateway.log"
-            takeover_count = gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE)
+            successor.passed_socket, successor.temp_folder = gateway.passed_socket, gateway.temp_folder
+            successor.log_file = folder / "gateway.log"
+            takeover_count = gateway.log_file.read_text(errors="replace").count(TAKEOVER_MESSAGE)
             # The end of the run kills all successors, also after an error here.
             self.successors.append(successor)
             successor.start()
             async with asyncio.timeout(READY_TIMEOUT_S):
-                while gateway.log.read_text(errors="replace").count(TAKEOVER_MESSAGE) == takeover_count:
+                while gateway.log_file.read_text(errors="replace").count(TAKEOVER_MESSAGE) == takeover_count:
                     await asyncio.sleep(0.02)
             await asyncio.sleep(SERVING_DELAY_S)
-            gateway.signal(signal.SIGTERM)
+            gateway.send_signal(signal.SIGTERM)
             assert gateway.process is not None
             began = self.loop.time()
             while gateway.process.poll() is None and self.loop.time() - began < self.schedule.kill_after_s:
                 await asyncio.sleep(0.005)
             if gateway.process.poll() is None:
-                self.books.killed_at_end = True
-            gateway.signal(signal.SIGKILL)
+                self.records.killed_at_end = True
+            gateway.send_signal(signal.SIGKILL)
             gateway.process.wait()
             gateway = successor
         return gateway
@@ -269,20 +273,20 @@
         self.extra_discovery = DiscoveryService(list(site.discovery.rows.values()))
         await self.extra_discovery.start()
         platform = gateway.platform | {"discovery": f"127.0.0.1:{self.extra_discovery.port}"}
-        gateway.config.write_text(json.dumps(platform))
-        gateway.signal(signal.SIGHUP)
+        gateway.config_file.write_text(json.dumps(platform))
+        gateway.send_signal(signal.SIGHUP)
 
     def count_effects(self, nodes: list[RecordingNode]) -> None:
-        """Adds the effects that the servers recorded to the observations."""
+        """Adds the effects that the servers recorded."""
         for node in nodes:
             for effect in node.effects:
-                self.books.executed[effect.request_id] += 1
+                self.records.effects_by_request[effect.request_id] += 1
                 if effect.key is not None:
-                    self.books.executed_keys[effect.key] += 1
+                    self.records.effects_by_key[effect.key] += 1
 
 
-async def play(schedule: Schedule, mutant: str = "") -> Books:
-    """Plays a schedule and returns the observations."""
+async def run_schedule(schedule: Schedule, mutant: str = "") -> RunRecords:
+    """Runs a schedule and returns the records."""
     with contextlib.suppress(asyncio.CancelledError):
-        return await Run(schedule, mutant).play()
+        return await Run(schedule, mutant).run()
     raise RuntimeError("the run was cancelled")
--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -20,30 +20,41 @@
 from glenchute.policy.membership.outgoing import Outgoing
 from glenchute.policy.membership.task_candidates import CANDIDATES_PER_TASK, TaskCandidate, TaskRecord
 from lab.explore import ExplorationResult, Explorer
-from lab.fleet.holders import (
-    ACT_S,
+from lab.fleet.lease_cluster import (
+    MAX_EFFECT_S,
     LeaseCluster,
     longest_gap,
     overlaps,
     run_acceptor_changes,
     run_with_faults,
 )
-from lab.fleet.leasing import LONGEST, TERMS, System, check, events, fresh, held, late, racing, tied
-
-SYSTEMS: dict[str, tuple[Callable[..., System], dict[str, int], int]] = {
-    "nothing is held": (fresh, {"tries": 1, "restarts": 0, "steps": 1}, 7),
-    "one holds, an acceptor restarts": (held, {"restarts": 1, "steps": 0}, 10),
-    "one holds, its time runs out": (held, {"steps": 1}, 10),
-    "one holds, the other missed all messages": (tied, {"steps": 1}, 10),
-    "one holds, messages come twice": (held, {"repeats": 1, "steps": 1}, 6),
-    "two proposals race": (racing, {"steps": 2}, 9),
-    "an answer comes late": (late, {"steps": 1}, 12),
+from lab.fleet.lease_model import (
+    LEASE_S,
+    TERMS,
+    LeaseModel,
+    accepted_not_learned,
+    competing_proposals,
+    events,
+    find_violation,
+    held,
+    held_unknown_to_other,
+    unheld,
+)
+
+SYSTEMS: dict[str, tuple[Callable[..., LeaseModel], dict[str, int], int]] = {
+    "nothing is held": (unheld, {"max_rounds": 1, "restarts": 0, "time_steps": 1}, 7),
+    "one holds, an acceptor restarts": (held, {"restarts": 1, "time_steps": 0}, 10),
+    "one holds, its time runs out": (held, {"time_steps": 1}, 10),
+    "one holds, the other missed all messages": (held_unknown_to_other, {"time_steps": 1}, 10),
+    "one holds, messages come twice": (held, {"repeats": 1, "time_steps": 1}, 6),
+    "two proposals race": (competing_proposals, {"time_steps": 2}, 9),
+    "an answer comes late": (accepted_not_learned, {"time_steps": 1}, 12),
 }
 
 
 def explore(name: str, max_states: int = 60_000) -> ExplorationResult:
     make, budgets, depth = SYSTEMS[name]
-    return Explorer(events, check, System.key).run(make(**budgets), depth, max_states)
+    return Explorer(events, find_violation, LeaseModel.state_key).run(make(**budgets), depth, max_states)
 
 
 @pytest.mark.parametrize("name", SYSTEMS)
@@ -163,27 +174,27 @@
     them, and the two accept a lower ballot. The sequence is scripted, as it is too long for the explorer."""
 
     def tokens_of_two_holders() -> tuple[int, int]:
-        system = held(tries=9, restarts=1, steps=9)
+        system = held(max_rounds=9, restarts=1, time_steps=9)
         for _ in range(6):  # raises the ballots well above those of a new proposer
-            system.seek("a")
-            for row in list(system.net):
-                if row in system.net and row[0] != "v2":
+            system.start_round("a")
+            for row in list(system.in_flight):
+                if row in system.in_flight and row[0] != "v2":
                     system.deliver(row, False)
-            while rows := [row for row in system.net if row[0] != "v2" and row[1] != "v2"]:
+            while rows := [row for row in system.in_flight if row[0] != "v2" and row[1] != "v2"]:
                 system.deliver(rows[0], False)
-        first = system.seekers["a"].highest_number
+        first = system.proposers["a"].highest_number
         system.restart("v1")
-        system.net.clear()
+        system.in_flight.clear()
         for _ in range(5):
-            system.pass_time()
+            system.advance_time()
         for _ in range(8):
-            system.seek("b")
-            while rows := [row for row in system.net if row[0] != "v0" and row[1] != "v0"]:
+            system.start_round("b")
+            while rows := [row for row in system.in_flight if row[0] != "v0" and row[1] != "v0"]:
                 system.deliver(rows[0], False)
-            if system.holding() == ["b"]:
+            if system.holders() == ["b"]:
                 break
-        assert system.holding() == ["b"]
-        lease = system.seekers["b"].lease
+        assert system.holders() == ["b"]
+        lease = system.proposers["b"].lease
         assert lease is not None
         return first, lease.token
 
@@ -196,10 +207,10 @@
 
 def test_a_fencing_token_covers_the_effect_and_expires_with_a_pause() -> None:
     system = held()
-    proposer = system.seekers["a"]
+    proposer = system.proposers["a"]
     now = system.clock("a")
     assert proposer.fencing_token(now, 1.0) is not None
-    assert proposer.fencing_token(now, LONGEST) is None  # the effect would outlast the lease
+    assert proposer.fencing_token(now, LEASE_S) is None  # the effect would outlast the lease
     # After a pause of 60 s the lease has expired.
     assert proposer.fencing_token(now + 60.0, 0.0) is None and not proposer.is_holder(now + 60.0)
 
@@ -247,7 +258,7 @@
     """Checks the effects of all holders for overlaps. After the last fault the next effect starts within the
     startup silence of acceptors plus the span of one lease."""
     for seed in range(12):
-        cluster = run_with_faults(seed, count, voters, tasks=1 + seed % 3)
+        cluster = run_with_faults(seed, count, voters, task_count=1 + seed % 3)
         faults_ended_at = cluster.now
         cluster.run(20.0)
         assert len(cluster.effects) > 100 and overlaps(cluster.effects) == [], seed
@@ -270,12 +281,12 @@
 
     def resume(self: LeaseCluster, name: str) -> None:
         process = self.processes[name]
-        process.offset -= (self.now - self.since[name]) * process.rate  # type: ignore[attr-defined]
-        process.stopped = False
+        process.clock_offset -= (self.now - self.since[name]) * process.clock_rate  # type: ignore[attr-defined]
+        process.is_stopped = False
 
     def stop(self: LeaseCluster, name: str) -> None:
         self.since = {**getattr(self, "since", {}), name: self.now}  # type: ignore[attr-defined]
-        self.processes[name].stopped = True
+        self.processes[name].is_stopped = True
 
     patch.setattr(LeaseCluster, "stop", stop)
     patch.setattr(LeaseCluster, "resume", resume)
@@ -331,12 +342,12 @@
     """The message rate does not grow with the number of members, and tasks are spread over them."""
     sent = {}
     for count in (20, 500):
-        cluster = LeaseCluster(count, 1, tasks=20)
+        cluster = LeaseCluster(count, 1, task_count=20)
         cluster.run(5.0)
-        before = cluster.sent
+        before = cluster.sent_count
         cluster.run(10.0)
-        sent[count] = (cluster.sent - before) / 10.0
-        holders = {cluster.holder(task) for task in cluster.tasks}
+        sent[count] = (cluster.sent_count - before) / 10.0
+        holders = {cluster.last_holder(task) for task in cluster.tasks}
         assert None not in holders
     assert sent[500] < 1.5 * sent[20] + 20.0 and len(holders) >= 15
     # All candidates of a task die at once: others replace them as soon as membership reports it.
@@ -348,7 +359,7 @@
             cluster.kill(candidate.proposer.name)
     died_at = cluster.now
     cluster.run(8.0)
-    assert sum(effect.began > died_at + 5.0 for effect in cluster.effects if effect.task == task) > 5
+    assert sum(effect.started_at > died_at + 5.0 for effect in cluster.effects if effect.task == task) > 5
     assert (
         sum(process.candidates[task].is_candidate for process in cluster.processes.values())
         >= CANDIDATES_PER_TASK
@@ -358,16 +369,18 @@
 def test_a_release_hands_over_within_a_tenth_of_a_second() -> None:
     cluster = LeaseCluster(15, 3)
     cluster.run(5.0)
-    holder = cluster.holder("task0")
+    holder = cluster.last_holder("task0")
     assert holder is not None
     cluster.release(holder)
     cluster.run(1.0)
-    other_starts = [effect.began for effect in cluster.effects if effect.by.partition("#")[0] != holder]
+    other_starts = [
+        effect.started_at for effect in cluster.effects if effect.holder.partition("#")[0] != holder
+    ]
     assert other_starts and overlaps(cluster.effects) == []
     assert (
         min(other_starts)
-        - max(effect.began for effect in cluster.effects if effect.began < min(other_starts))
-        < ACT_S + 0.5
+        - max(effect.started_at for effect in cluster.effects if effect.started_at < min(other_starts))
+        < MAX_EFFECT_S + 0.5
     )
 
 
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -152,7 +152,7 @@
     ]
     means = dict(rig.gateway.pool.latency.mean_ms)
     relative_latencies = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
-    rig.now += 3500.0  # no tick in all this time
+    rig.now += 3500.0  # without a tick of the engine
     for name in in_flight_names:
         rig.end(name, 0, Outcome.TIMEOUT, 3500.0)
     rig.advance(2000.0)
@@ -184,7 +184,8 @@
 
 
 def counter_available_again(rig: EngineHarness) -> bool:
-    """The counter replies again; one request, admitted by the local share, gives something to report."""
+    """Lets the counter reply again, and sends a request, which the local share admits, so that there are
+    units to report. Returns whether the counter counts as available."""
     rig.ending = Outcome.OK
     rig.ask(plan="rate", customer="other")
     for _ in range(8):
@@ -271,7 +272,7 @@
 
 
 def is_server_used(rig: EngineHarness, server: str = "s0") -> bool:
-    """Returns whether a burst of requests goes to this server too."""
+    """Returns whether any request of a burst goes to this server."""
     return any(server in rig.sent.get(rig.ask(customer=f"b{n}")[0], ()) for n in range(24))
 
 
--- a/tests/system/test_replacement.py
+++ b/tests/system/test_replacement.py
@@ -40,7 +40,7 @@
         operations_port = free_port()
         platform.update(listen=f"127.0.0.1:{self.port}", operator=f"127.0.0.1:{operations_port}")
         gateway = GatewayProcess(folder, platform)
-        gateway.passed, gateway.shared = self.listening_socket, self.folder
+        gateway.passed_socket, gateway.temp_folder = self.listening_socket, self.folder
         gateway.start()
         self.processes.append(gateway)
         async with asyncio.timeout(15.0):
@@ -98,7 +98,7 @@
             yield gateway_site
         finally:
             for process in gateway_site.processes:
-                process.signal(signal.SIGKILL)
+                process.send_signal(signal.SIGKILL)
             gateway_site.listening_socket.close()
 
 
@@ -125,7 +125,7 @@
             # failed.
             assert await old.stop() == 0
             for process in gateway_site.processes:
-                assert "Traceback" not in process.log.read_text()
+                assert "Traceback" not in process.log_file.read_text()
 
     run_scenario(scenario())
 
@@ -138,7 +138,7 @@
             stopped = asyncio.Event()
             if after_ready:
                 new = await gateway_site.start()
-                new.signal(signal.SIGKILL)  # no request has been sent, so none can be lost
+                new.send_signal(signal.SIGKILL)  # no request has been sent, so none can be lost
                 assert new.process is not None
                 new.process.wait()
             else:
@@ -147,9 +147,9 @@
                 folder = tmp_path / "dies"
                 folder.mkdir()
                 new = GatewayProcess(folder, platform)
-                new.passed, new.shared = gateway_site.listening_socket, tmp_path
+                new.passed_socket, new.temp_folder = gateway_site.listening_socket, tmp_path
                 new.start()
-                new.signal(signal.SIGKILL)
+                new.send_signal(signal.SIGKILL)
             clients = [asyncio.create_task(gateway_site.client(stopped)) for _ in range(4)]
             while gateway_site.answered < 50:
                 await asyncio.sleep(0.01)
@@ -185,9 +185,8 @@
         ):
             with pytest.raises(ConfigError, match=reason):
                 passed_socket(invalid)
-        assert listener.getsockopt(
-            socket.SOL_SOCKET, socket.SO_ACCEPTCONN
-        )  # the listening socket was not closed
+        # The listening socket was not closed.
+        assert listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     for text in ("-1", "x", "4 ", "٤"):
         with pytest.raises(ValueError):
             build(raw_config(1, 1, []), {"EDGE_PASSED_SOCKET": text})
@@ -198,8 +197,8 @@
 def test_an_invalid_descriptor_ends_the_start_with_one_log_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         gateway = GatewayProcess(tmp_path, raw_config(1, 1, [], listen=1))
-        gateway.passed = listener
+        gateway.passed_socket = listener
         gateway.start()
         assert gateway.process is not None and gateway.process.wait(15) == 2
-        lines = gateway.log.read_text().splitlines()
+        lines = gateway.log_file.read_text().splitlines()
         assert len(lines) == 1 and "not at `listen`" in lines[0]
