--- a/tests/clients/manual_discovery.py
+++ b/tests/clients/manual_discovery.py
@@ -46,6 +46,6 @@
     """Returns the last state of each endpoint that the decision engine received, by address."""
     return {
         endpoint.address: endpoint.state.value
-        for event in script.of(EndpointList)
+        for event in script.events_of(EndpointList)
         for endpoint in event.endpoints
     }
--- a/tests/clients/membership/test_hundreds.py
+++ b/tests/clients/membership/test_hundreds.py
@@ -27,23 +27,23 @@
         name, actions = rig.ask(plan="rate", customer=f"c{i}", spread=200)
         assert actions_of_type(actions, IncrementCounter)
         assert actions_of_type(actions, StartAttempt)
-        rig.end(name, 0, Outcome.OK)
+        rig.end_attempt(name, 0, Outcome.OK)
 
 
 def test_a_counter_reply_rejects_what_the_others_have_used() -> None:
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
-    rig.others = 7.0
+    rig.others_units = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
     assert actions_of_type(actions, Reject) and not actions_of_type(actions, StartAttempt)
 
 
 def test_a_request_that_waits_for_the_counter_is_answered_once() -> None:
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
-    rig.ending = Outcome.TIMEOUT
+    rig.counter_outcome = Outcome.TIMEOUT
     name, actions = rig.ask(plan="rate", spread=200)
     assert [a.request_id for a in actions_of_type(actions, StartAttempt)] == [name]
     call = actions_of_type(actions, IncrementCounter)[0]
-    assert not rig.feed(CounterReply(call.key, 3.0, Outcome.OK))
+    assert not rig.handle_event(CounterReply(call.key, 3.0, Outcome.OK))
 
 
 def test_a_request_with_little_time_left_does_not_wait_for_the_counter() -> None:
@@ -57,19 +57,19 @@
     rig.ask(plan="rate", spread=200)
     rig.advance(10_000.0)
     rig.ask(plan="rate", spread=200)
-    keys = [a.key for _, a in rig.log if isinstance(a, IncrementCounter)]
+    keys = [a.key for _, a in rig.action_log if isinstance(a, IncrementCounter)]
     assert len(keys) == 2 and len(set(keys)) == 2
 
 
 def test_under_a_ceiling_the_next_call_leaves_out_a_rejected_request() -> None:
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
-    rig.others = 7.0
+    rig.others_units = 7.0
     _, actions = rig.ask(plan="hard", spread=200)
     assert actions_of_type(actions, Reject)
-    rig.others = 0.0
+    rig.others_units = 0.0
     rig.advance(1050.0)
     rig.ask(plan="hard", spread=200)
-    amounts = [a.amount for _, a in rig.log if isinstance(a, IncrementCounter)]
+    amounts = [a.amount for _, a in rig.action_log if isinstance(a, IncrementCounter)]
     # [1.0, 1.0] where a new window began between the two calls.
     assert amounts in ([1.0, 0.0], [1.0, 1.0])
 
@@ -78,14 +78,14 @@
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
 
     def count_calls(requests: int, rejects_half: bool = False) -> int:
-        before = sum(isinstance(a, IncrementCounter) for _, a in rig.log)
+        before = sum(isinstance(a, IncrementCounter) for _, a in rig.action_log)
         for i in range(requests):
-            rig.ending = Outcome.REJECTED if rejects_half and i % 2 else Outcome.OK
+            rig.counter_outcome = Outcome.REJECTED if rejects_half and i % 2 else Outcome.OK
             name, actions = rig.ask(plan="rate", customer=f"{rig.serial}", spread=200)
             if actions_of_type(actions, StartAttempt):
-                rig.end(name, 0, Outcome.OK)
+                rig.end_attempt(name, 0, Outcome.OK)
             rig.advance(5.0)
-        return sum(isinstance(a, IncrementCounter) for _, a in rig.log) - before
+        return sum(isinstance(a, IncrementCounter) for _, a in rig.action_log) - before
 
     full_count = count_calls(50)
     count_calls(40, rejects_half=True)
@@ -96,16 +96,16 @@
 
 def test_an_unavailable_counter_admits_two_requests_then_the_local_share() -> None:
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
-    rig.ending = Outcome.UNREACHABLE
+    rig.counter_outcome = Outcome.UNREACHABLE
     for i in range(6):
-        rig.end(rig.ask(plan="rate", customer=f"x{i}", spread=200)[0], 0, Outcome.OK)
+        rig.end_attempt(rig.ask(plan="rate", customer=f"x{i}", spread=200)[0], 0, Outcome.OK)
     assert rig.gateway.quota.counter.pacing.is_unavailable
     admitted = 0
     for _ in range(40):
         name, actions = rig.ask(plan="rate", spread=200)
         if actions_of_type(actions, StartAttempt):
             admitted += 1
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.advance(500.0)
     # The local share of 2 units/s over 200 gateways gains 0.2 units in the 20 s: too little for a third.
     assert admitted == 2
@@ -123,7 +123,7 @@
             [*make_endpoints(2), cold] if restarted else make_endpoints(2), settings, seed=seed
         )
         if not restarted:
-            rig.feed(EndpointList(EndpointListKind.CHANGES, (cold,)))
+            rig.handle_event(EndpointList(EndpointListKind.CHANGES, (cold,)))
         for _ in range(
             2
         ):  # 16 attempts in flight at each of the two warm servers make the cold one attractive
@@ -144,7 +144,7 @@
         name, actions = rig.ask(customer=f"c{i}", left=4000.0)
         rig.advance(500.0)
         if actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.OK, 1500.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1500.0)
         rig.answer_calls()
     assert rig.gateway.shedder.capacity.capacity_per_s < math.inf
 
@@ -172,7 +172,7 @@
     shared: dict[int, float] = {}
     sent = 0.0
     for rig in rigs:
-        rig._totals, rig.ending = shared, counter
+        rig._totals, rig.counter_outcome = shared, counter
         rig.advance(20_000.0)
     start = rigs[0].now
     for _ in range(60):
@@ -180,7 +180,7 @@
             name, actions = rig.ask(plan="hard", spread=6)
             if actions_of_type(actions, StartAttempt):
                 sent += 1.0
-                rig.end(name, 0, Outcome.OK, 1.0)
+                rig.end_attempt(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(50.0)
     assert 4.0 <= sent <= 12.0 + 4.0 * (rigs[0].now - start) / 1000.0 + 2.0
@@ -205,7 +205,7 @@
         name, actions = rig.ask(plan="hard", spread=12)
         if actions_of_type(actions, StartAttempt):
             sent += 1
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
     assert min_sent <= sent <= max_sent
 
 
@@ -217,7 +217,7 @@
         name, actions = rig.ask(cls="order", customer=f"c{i}", left=4000.0)
         if actions_of_type(actions, StartAttempt):
             rig.advance(600.0)
-            rig.end(name, 0, Outcome.OK, 600.0)
+            rig.end_attempt(name, 0, Outcome.OK, 600.0)
     sends = actions_of_type(rig.ask(cls="read", left=4000.0)[1], StartAttempt)
     assert sends and sends[0].timeout_ms == 0.0
 
@@ -232,7 +232,7 @@
         name, actions = rig.ask(plan="rate", spread=200)
         if actions_of_type(actions, StartAttempt):
             admitted += 1
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.advance(50.0)
     assert admitted == 2
 
@@ -244,7 +244,7 @@
     for _ in range(60):
         name, actions = rig.ask(plan="rate")
         if actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(250.0)
     assert rig.gateway.quota.tenants.by_id["c"].local_units >= 0.0
@@ -257,7 +257,7 @@
     for i in range(40):
         name, actions = rig.ask(customer=f"c{i}")
         if actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.REJECTED, 1.0)
+            rig.end_attempt(name, 0, Outcome.REJECTED, 1.0)
         rig.advance(10.0)
     assert rig.gateway.pool.slow_start.warm_response_rate_per_s == 0.0
 
@@ -266,12 +266,12 @@
     # Guards against rejected units that stay in the counter's total for the rest of the window: among many
     # gateways each sees a tenant seldom, and these units counted as usage and had the next requests rejected.
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
-    rig.others = 7.0
+    rig.others_units = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
     assert actions_of_type(actions, Reject)
-    rig.others = 0.0
+    rig.others_units = 0.0
     rig.advance(500.0)
-    amounts = [a.amount for _, a in rig.log if isinstance(a, IncrementCounter)]
+    amounts = [a.amount for _, a in rig.action_log if isinstance(a, IncrementCounter)]
     assert [round(amount) for amount in amounts[1:]] in ([-1], [])  # [] where a new window began
     assert len(amounts) == 2
 
@@ -280,7 +280,7 @@
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
     rig.gateway.quota.counter.pacing.call_fraction = 0.5
     rig.gateway.quota.rng.random = lambda: 0.0  # type: ignore[method-assign]
-    rig.others = 7.0
+    rig.others_units = 7.0
     rig.ask(plan="rate", spread=200)
     rig.advance(500.0)
-    assert sum(isinstance(a, IncrementCounter) for _, a in rig.log) == 1
+    assert sum(isinstance(a, IncrementCounter) for _, a in rig.action_log) == 1
--- a/tests/clients/test_discovery.py
+++ b/tests/clients/test_discovery.py
@@ -49,7 +49,7 @@
             await wait_until(lambda: len(discovery.targets) == 11)
             received = [
                 (event.kind, [endpoint.address for endpoint in event.endpoints])
-                for event in script.of(EndpointList)
+                for event in script.events_of(EndpointList)
             ]
             assert received == [
                 (EndpointListKind.CACHED, []),
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -163,7 +163,7 @@
 
 
 def received_lists(script: ScriptedEngine) -> list[EndpointList]:
-    return script.of(EndpointList)
+    return script.events_of(EndpointList)
 
 
 @pytest.mark.parametrize("end", ["stays", "closes", "moves", "ends", "another"])
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -138,6 +138,6 @@
             await manual.answer(2, case.second)
             await wait_until(lambda: discovery.version is not None)
             assert summary() == case.after and versions_for_members == [5, discovery.version]
-            assert len(script.of(EndpointList)) <= 5
+            assert len(script.events_of(EndpointList)) <= 5
 
     run_scenario(scenario())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,8 +25,8 @@
 
 
 def errors_of(entry: str) -> type[BaseException]:
-    """Returns a class whose instances are the errors that an entry allows: failed assertions, and errors
-    whose class it names."""
+    """Returns a class that matches the errors that an entry allows: failed assertions, and errors whose class
+    it names."""
 
     class Listed(type):
         def __instancecheck__(cls, error: object) -> bool:
--- a/tests/core/test_executor.py
+++ b/tests/core/test_executor.py
@@ -93,7 +93,7 @@
         async with site(reply, decisions=script) as gateway_site:
             client = await gateway_site.client()
             answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
-            ended = script.of(AttemptEnded)
+            ended = script.events_of(AttemptEnded)
             assert [event.outcome for event in ended] == [outcome]
             assert ended[0].is_final is (outcome is Outcome.OK)
             assert isinstance(answer, bytes) is (outcome is Outcome.OK)
@@ -109,7 +109,7 @@
             await gateway_site.servers[0].stop()
             client = await gateway_site.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
-            assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
+            assert [event.outcome for event in script.events_of(AttemptEnded)] == [Outcome.UNREACHABLE]
 
     run_scenario(scenario())
 
@@ -153,7 +153,7 @@
         async with site(reply_with(None), decisions=script) as gateway_site:
             client = await gateway_site.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
-            assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.CANCELLED]
+            assert [event.outcome for event in script.events_of(AttemptEnded)] == [Outcome.CANCELLED]
             await wait_until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
 
     run_scenario(scenario())
@@ -170,8 +170,8 @@
         async with site(reply_with(None), reply_with(SERVED), decisions=script) as gateway_site:
             client = await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await wait_until(lambda: script.of(AttemptEnded))
-            assert [(event.attempt, event.outcome) for event in script.of(AttemptEnded)] == [
+            await wait_until(lambda: script.events_of(AttemptEnded))
+            assert [(event.attempt, event.outcome) for event in script.events_of(AttemptEnded)] == [
                 (1, Outcome.NOT_SENT)
             ]
             assert gateway_site.servers[1].calls() == []
@@ -207,8 +207,10 @@
             client = await gateway_site.client()
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
-            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
-            assert [event.outcome for event in script.of(AttemptEnded)] == ([Outcome.TIMEOUT] if sent else [])
+            assert script.events_of(ClientDisconnected) == [ClientDisconnected("1")]
+            assert [event.outcome for event in script.events_of(AttemptEnded)] == (
+                [Outcome.TIMEOUT] if sent else []
+            )
 
     run_scenario(scenario())
 
@@ -250,7 +252,7 @@
             for name in (b"1", b"2", b"3"):
                 client.send(b"CALL.GET", CUSTOMER, name, GET)
             client.send(b"PING")
-            await wait_until(lambda: len(script.of(AttemptEnded)) == 2)
+            await wait_until(lambda: len(script.events_of(AttemptEnded)) == 2)
             release.set()
             assert [await client.reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
 
@@ -265,7 +267,7 @@
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             await wait_until(lambda: gateway_site.servers[0].calls())
             client.writer.close()
-            await wait_until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.events_of(ClientDisconnected))
             assert gateway_site.program.gateway.active_requests == {}
 
     run_scenario(scenario())
@@ -276,7 +278,7 @@
         fired: list[float] = []
 
         def decide(event: Event) -> list[Action]:
-            if isinstance(event, EndpointList) and not script.of(EndpointList)[1:]:
+            if isinstance(event, EndpointList) and not script.events_of(EndpointList)[1:]:
                 return [SetTimer(3, clock.now_ms() + 5.0)]
             if isinstance(event, TimerFired):
                 fired.append(clock.now_ms())
@@ -286,7 +288,7 @@
         start = clock.now_ms()
         async with site(decisions=script):
             await wait_until(lambda: fired)
-            assert fired[0] >= start + 5.0 and script.of(TimerFired) == [TimerFired(3)]
+            assert fired[0] >= start + 5.0 and script.events_of(TimerFired) == [TimerFired(3)]
 
     run_scenario(scenario())
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests of events that cross each other; docs/design/crossings.md has the table of cases."""
+"""Helpers for the tests of events that cross each other; docs/design/crossings.md lists the cases."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import hiredis
 
 from glenchute.policy.actions import Action
-from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import AttemptEnded, Event, Outcome
 from lab.peers import Client, wait_until
 from tests.loopback import (
@@ -61,7 +61,10 @@
 
 
 async def reset_connection(writer: asyncio.StreamWriter) -> None:
-    # By then the peer has read what was written. Otherwise the reset may overtake it, with the same outcome.
+    """Resets a connection after a pause in which the other end reads what was written before.
+
+    If it has not read them by then, the reset may overtake them; the outcome is the same.
+    """
     await asyncio.sleep(0.02)
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -69,46 +72,46 @@
 
 
 class OutcomeRecorder:
-    """The real decision engine, with the outcomes of attempts that it was told."""
+    """A decision engine that records the outcomes of the attempts that it is told of."""
 
-    def __init__(self, decisions: Policy) -> None:
-        self.decisions = decisions
-        self.endings: list[Outcome] = []
+    def __init__(self, engine: DecisionEngine) -> None:
+        self.engine = engine
+        self.outcomes: list[Outcome] = []
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded):
-            self.endings.append(event.outcome)
-        return self.decisions.handle(now_ms, event)
+            self.outcomes.append(event.outcome)
+        return self.engine.handle(now_ms, event)
 
 
 @asynccontextmanager
-async def open_connections(one: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
-    """Opens `count` connections. As much of their commands as socket buffers hold is written before the loop
-    runs again; the rest of each follows as there is room."""
-    before = len(one.program.listener.clients)
-    socks = [socket.create_connection(("127.0.0.1", one.port)) for _ in range(count)]
-    await wait_until(lambda: len(one.program.listener.clients) == before + count)
-    rests = {sock: memoryview(commands) for sock in socks}
+async def open_connections(site: Site, count: int, commands: bytes) -> AsyncIterator[list[socket.socket]]:
+    """Opens `count` connections and sends `commands` on each. As much as the socket buffers hold is written
+    before the event loop runs again; the rest follows as there is room."""
+    before = len(site.program.listener.clients)
+    socks = [socket.create_connection(("127.0.0.1", site.port)) for _ in range(count)]
+    await wait_until(lambda: len(site.program.listener.clients) == before + count)
+    unsent = {sock: memoryview(commands) for sock in socks}
     for sock in socks:
         sock.setblocking(False)
 
-    def more() -> None:
-        for sock in list(rests):
+    def send_more() -> None:
+        for sock in list(unsent):
             with suppress(BlockingIOError):
-                while rests[sock]:
-                    rests[sock] = rests[sock][sock.send(rests[sock]) :]
-                del rests[sock]
+                while unsent[sock]:
+                    unsent[sock] = unsent[sock][sock.send(unsent[sock]) :]
+                del unsent[sock]
 
-    async def follow() -> None:
-        while rests:
+    async def send_all() -> None:
+        while unsent:
             await asyncio.sleep(0.01)
-            more()
+            send_more()
 
-    more()
-    following = asyncio.create_task(follow())
+    send_more()
+    sender = asyncio.create_task(send_all())
     try:
         yield socks
     finally:
-        following.cancel()
+        sender.cancel()
         for sock in socks:
             sock.close()
--- a/tests/listeners/resp2/test_client_connections.py
+++ b/tests/listeners/resp2/test_client_connections.py
@@ -82,7 +82,7 @@
             client = await one.client()
             for words, text in INVALID_COMMANDS:
                 assert text in str(await client.ask(*words)), words
-            assert script.of(Request) == []
+            assert script.events_of(Request) == []
             assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
@@ -157,7 +157,7 @@
             client = await one.client()
             fields = b"c=read,t=basic,d=999999999"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
-            assert [event.time_left_ms for event in script.of(Request)] == [20_000.0]
+            assert [event.time_left_ms for event in script.events_of(Request)] == [20_000.0]
 
     run_scenario(scenario())
 
@@ -277,7 +277,7 @@
             client = await one.client()
             for number in range(3 * MAX_PENDING_COMMANDS):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await wait_until(lambda: len(script.of(Request)) >= MAX_PENDING_COMMANDS)
+            await wait_until(lambda: len(script.events_of(Request)) >= MAX_PENDING_COMMANDS)
             assert len(one.program.gateway.active_requests) == MAX_PENDING_COMMANDS
             release.set()
             assert {await client.reply() for _ in range(3 * MAX_PENDING_COMMANDS)} == {b"value"}
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -199,20 +199,20 @@
             client.sendall(first)
             loop = asyncio.get_running_loop()
             assert await loop.run_in_executor(None, client.recv, 100) in (b"+PONG\r\n", b"$5\r\nvalue\r\n")
-            request_count = len(script.of(Request))
+            request_count = len(script.events_of(Request))
             await asyncio.sleep(0.01)
             monkeypatch.setattr(client_slots, "MAX_IDLE_S", 0.0)
             if sent_before:
                 client.sendall(SECOND)
                 listener.sweep()
                 assert await loop.run_in_executor(None, client.recv, 100) == b"$5\r\nvalue\r\n"
-                assert len(script.of(Request)) == request_count + 1
+                assert len(script.events_of(Request)) == request_count + 1
             else:
                 listener.sweep()
                 client.sendall(SECOND)
                 await asyncio.sleep(0.05)
                 assert await loop.run_in_executor(None, client.recv, 100) == b""
-                assert len(script.of(Request)) == request_count
+                assert len(script.events_of(Request)) == request_count
             client.close()
             await wait_until(lambda: not listener.clients)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -69,22 +69,22 @@
 
 
 class ScriptedEngine:
-    """A decision handler for tests: `decide` turns each event into actions. All events are recorded."""
+    """A decision handler for tests: `decide` maps each event to actions. All events are recorded."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
         self.events: list[Event] = []
-        self.inside = False
+        self.is_handling = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        assert not self.inside, "the module was called from within a call"
-        self.inside = True
+        assert not self.is_handling, "the engine was called while it handled an event"
+        self.is_handling = True
         self.events.append(event)
         actions = self.decide(event)
-        self.inside = False
+        self.is_handling = False
         return actions
 
-    def of(self, kind: type[Any]) -> list[Any]:
+    def events_of(self, kind: type[Any]) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
@@ -118,7 +118,7 @@
 
 
 def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
-    """Returns the platform's file as parsed JSON."""
+    """Returns the platform's file as parsed JSON, with `rows` as the known servers."""
     return {
         "name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}",
         "counter": f"127.0.0.1:{counter}", "seed": "8c1f30d27a5be964", "settings": SETTINGS,
@@ -146,33 +146,33 @@
     """Runs a gateway with servers s0, s1, ..., one for each reply, until the context ends."""
     totals: dict[bytes, float] = {}
 
-    async def add(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-        if words[0] == b"PING":
+    async def increment(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        if command[0] == b"PING":
             return b"+PONG\r\n"
-        totals[words[1]] = totals.get(words[1], 0.0) + float(words[2])
-        text = repr(totals[words[1]]).encode()
+        totals[command[1]] = totals.get(command[1], 0.0) + float(command[2])
+        text = repr(totals[command[1]]).encode()
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
     servers = [RespPeer(reply) for reply in replies]
-    counts = RespPeer(counter or add)
-    for peer in (*servers, counts):
+    counter_peer = RespPeer(counter or increment)
+    for peer in (*servers, counter_peer):
         await peer.start()
     rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
     discovery = discovery or DiscoveryPeer(discovery_answer(1, rows))
     await discovery.start()
-    made = config(discovery.port, counts.port, rows, **changes)
-    bound = parse(operator, made.facts).config if operator is not None else None
-    assert operator is None or bound is not None
-    program = GatewayProgram(made, asyncio.get_running_loop(), decisions, operator=bound)
+    platform_config = config(discovery.port, counter_peer.port, rows, **changes)
+    operator_config = parse(operator, platform_config.facts).config if operator is not None else None
+    assert operator is None or operator_config is not None
+    program = GatewayProgram(platform_config, asyncio.get_running_loop(), decisions, operator=operator_config)
     await program.start()
     if program.counter is not None:
         await wait_until(
             lambda: program.counter is None or all(link.is_ready() for link in program.counter.connections)
         )
     try:
-        yield Site(program, servers, counts)
+        yield Site(program, servers, counter_peer)
     finally:
         await program.close()
-        peers: list[Peer] = [*servers, counts, discovery]
-        for each in peers:
+        all_peers: list[Peer] = [*servers, counter_peer, discovery]
+        for each in all_peers:
             await each.stop()
--- a/tests/policy/admission/test_late_replies.py
+++ b/tests/policy/admission/test_late_replies.py
@@ -99,10 +99,10 @@
             assert counter is not None
             counter.timeout_s = 0.05
             gateway_site.program.gateway.execute(IncrementCounter(12, 1.0, 4000.0))
-            await wait_until(lambda: script.of(CounterReply))
+            await wait_until(lambda: script.events_of(CounterReply))
             release.set()
-            await wait_until(lambda: len(script.of(CounterReply)) == 2)
-            first, second = script.of(CounterReply)
+            await wait_until(lambda: len(script.events_of(CounterReply)) == 2)
+            first, second = script.events_of(CounterReply)
             assert (first.outcome, first.is_late) == (Outcome.TIMEOUT, False)
             assert (second.outcome, second.total, second.is_late) == (Outcome.OK, 4.0, True)
 
@@ -117,20 +117,24 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.feed(EndpointList(EndpointListKind.CACHED, make_endpoints(3)))
-        self.ending = Outcome.TIMEOUT
+        self.handle_event(EndpointList(EndpointListKind.CACHED, make_endpoints(3)))
+        self.counter_outcome = Outcome.TIMEOUT
         self.totals: dict[int, float] = {}
         self.late_count = 0
 
     def answer_late(self, ending: Outcome = Outcome.OK, others_units: float = 0.0) -> None:
         """Sends the late replies to all calls that have timed out, in order."""
-        calls = [action for _, action in self.log if isinstance(action, IncrementCounter)][self.late_count :]
+        calls = [action for _, action in self.action_log if isinstance(action, IncrementCounter)][
+            self.late_count :
+        ]
         self.late_count += len(calls)
         for call in calls:
             if ending is Outcome.OK:
                 self.totals[call.key] = self.totals.get(call.key, 0.0) + call.amount + others_units
             total = self.totals.get(call.key, 0.0)
-            self.feed(CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True))
+            self.handle_event(
+                CounterReply(call.key, total if ending is Outcome.OK else 0.0, ending, 70.0, True)
+            )
 
     def send_requests(self, requests: int, late: bool = True) -> int:
         """Sends requests of one tenant, 100 ms apart; returns how many were admitted."""
--- a/tests/policy/admission/test_total_age.py
+++ b/tests/policy/admission/test_total_age.py
@@ -17,8 +17,8 @@
     rig = EngineHarness(make_endpoints(4), replace_settings(SETTINGS, gateway_count=spread))
     rig.ask(plan="rate", spread=spread)
     rig.advance(1200.0)
-    for call in [action for _, action in rig.log if isinstance(action, IncrementCounter)]:
-        rig.feed(CounterReply(call.key, call.amount, Outcome.OK))
+    for call in [action for _, action in rig.action_log if isinstance(action, IncrementCounter)]:
+        rig.handle_event(CounterReply(call.key, call.amount, Outcome.OK))
     rig.advance(500.0)
     quota = rig.gateway.quota
     tenant = quota.tenants.by_id["c"]
--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -664,7 +664,7 @@
         discovery = DiscoveryPeer(discovery_answer(2, rows[:20]), discovery_answer(3, rows[20:], full=False))
         async with site(decisions=engine, discovery=discovery) as gateway_site:
             await wait_until(lambda: gateway_site.program.discovery.version == 3)
-            lists = engine.of(EndpointList)
+            lists = engine.events_of(EndpointList)
             assert [event.total_endpoints for event in lists] == [0, 0, MAX_SUBSET_SIZE + 40]
             assert len(lists[1].endpoints) == 20
             subsetting: Any = gateway_site.program.gateway.decisions
@@ -674,7 +674,7 @@
             discovery.answers.append(discovery_answer(4, [server_row(drained, 9, "Terminating")], full=False))
             await wait_until(lambda: gateway_site.program.discovery.version == 4)
             assert drained not in in_use and len(in_use) == MAX_SUBSET_SIZE
-            assert drained in {entry.address for entry in engine.of(EndpointList)[-1].endpoints}
+            assert drained in {entry.address for entry in engine.events_of(EndpointList)[-1].endpoints}
 
     run_scenario(scenario())
 
--- a/tests/policy/lifecycle/test_handover.py
+++ b/tests/policy/lifecycle/test_handover.py
@@ -135,7 +135,7 @@
 def gateway_after_requests(tenant: str, plan: str, requests: int) -> EngineHarness:
     """Returns a gateway at which a tenant has sent some requests."""
     rig = EngineHarness()
-    rig.feed(saved_list())
+    rig.handle_event(saved_list())
     for _ in range(requests):
         rig.ask("read", plan, tenant, spread=1)
         rig.answer_calls()
@@ -151,11 +151,11 @@
 
 def replace_process(old: EngineHarness) -> EngineHarness:
     """Hands the state over to a new process, and returns the new one."""
-    [sent] = actions_of_type(old.feed(SuccessorStarted()), SendState)
+    [sent] = actions_of_type(old.handle_event(SuccessorStarted()), SendState)
     new = EngineHarness()
     new.now = old.now
-    new.feed(StateReceived(sent.quotas))
-    new.feed(saved_list())
+    new.handle_event(StateReceived(sent.quotas))
+    new.handle_event(saved_list())
     return new
 
 
@@ -170,7 +170,7 @@
 def test_a_spent_quota_stays_spent_in_the_successor() -> None:
     old = gateway_after_requests("c", "rate", 20)  # more than the burst of 6
     fresh = EngineHarness()
-    fresh.feed(saved_list())
+    fresh.handle_event(saved_list())
     assert count_admitted(fresh, "rate", "c") >= 5
     assert count_admitted(replace_process(old), "rate", "c") <= 1
 
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("spent", [0, 4, 30])
 def test_two_processes_admit_no_more_than_one_under_a_ceiling(spent: int) -> None:
     single = gateway_after_requests("c", "hard", spent)
-    single.ending = Outcome.TIMEOUT
+    single.counter_outcome = Outcome.TIMEOUT
     max_admitted = count_admitted(single, "hard", "c")
     old = gateway_after_requests("c", "hard", spent)
     new = replace_process(old)
@@ -201,7 +201,7 @@
 
     assert not may_mark(old)
     assert may_mark(new)
-    old.feed(OtherProcessEnded())
+    old.handle_event(OtherProcessEnded())
     assert may_mark(old)
 
 
@@ -209,17 +209,17 @@
     old = gateway_after_requests("c", "hard", 2)
     quota = old.gateway.quota
     before = quota.tenants.by_id["c"].gateway_spread
-    old.feed(SuccessorStarted())
+    old.handle_event(SuccessorStarted())
     assert quota.tenants.by_id["c"].gateway_spread == 2 * before
     old.ask("read", "hard", "c", spread=1)
     assert quota.tenants.by_id["c"].gateway_spread == 2
-    old.feed(OtherProcessEnded())
+    old.handle_event(OtherProcessEnded())
     assert quota.tenants.by_id["c"].gateway_spread == before == 1
 
 
 def test_use_of_the_predecessor_is_not_deducted_twice() -> None:
     old = EngineHarness()
-    old.feed(saved_list())
+    old.handle_event(saved_list())
     for _ in range(3):
         old.ask("read", "rate", "c", spread=1)
         old.answer_calls()
@@ -231,18 +231,20 @@
     counter_key = new.gateway.quota.tenants.by_id["c"].counter_key
     new.ask("read", "rate", "c", spread=1)
     calls = [
-        action for _, action in new.log if isinstance(action, IncrementCounter) and action.key == counter_key
+        action
+        for _, action in new.action_log
+        if isinstance(action, IncrementCounter) and action.key == counter_key
     ]
     if not calls:
         new.advance(1200.0)
         calls = [
             action
-            for _, action in new.log
+            for _, action in new.action_log
             if isinstance(action, IncrementCounter) and action.key == counter_key
         ]
     assert calls
     total = old._totals.get(counter_key, 0.0) + calls[0].amount
-    new.feed(CounterReply(counter_key, total, Outcome.OK))
+    new.handle_event(CounterReply(counter_key, total, Outcome.OK))
     units_after = new.gateway.quota.tenants.by_id["c"].bucket_units
     assert units_after >= units_before - 1.0 - 0.5, (units_before, units_after)
 
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -32,7 +32,7 @@
         name, actions = rig.ask(plan=plan, units=units)
         if actions_of_type(actions, StartAttempt):
             served += 1
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(gap_ms)
     return served
@@ -51,14 +51,14 @@
 def test_use_by_other_gateways_drains_the_bucket() -> None:
     without_others, with_others = EngineHarness(make_endpoints(4)), EngineHarness(make_endpoints(4))
     for rig, others_units in ((without_others, 0.0), (with_others, 1.0)):
-        rig.others = others_units
+        rig.others_units = others_units
         for _ in range(200):
             name, actions = rig.ask(plan="rate")
             if actions_of_type(actions, StartAttempt):
-                rig.end(name, 0, Outcome.OK, 1.0)
+                rig.end_attempt(name, 0, Outcome.OK, 1.0)
             rig.answer_calls()
             rig.advance(100.0)
-    sent = [len({r for r in rig.sent}) for rig in (without_others, with_others)]
+    sent = [len({r for r in rig.sent_addresses}) for rig in (without_others, with_others)]
     assert sent[1] < 0.8 * sent[0]
 
 
@@ -69,12 +69,12 @@
 
 def test_an_unavailable_counter_leaves_the_local_share() -> None:
     rig = EngineHarness(make_endpoints(4), replace_settings(SETTINGS, has_counter=True))
-    rig.ending, served = Outcome.UNREACHABLE, 0
+    rig.counter_outcome, served = Outcome.UNREACHABLE, 0
     for _ in range(600):
         name, actions = rig.ask(plan="rate")
         if actions_of_type(actions, StartAttempt):
             served += 1
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(25.0)
     assert 10 <= served <= 6 / 2 + 2.0 / 2 * 15 + 5
@@ -82,19 +82,19 @@
 
 def test_an_unavailable_counter_is_probed_rarely_and_recovers() -> None:
     rig = EngineHarness(make_endpoints(4))
-    rig.ending = Outcome.TIMEOUT
+    rig.counter_outcome = Outcome.TIMEOUT
     for _ in range(100):
         rig.ask(plan="rate")
         rig.answer_calls()
         rig.advance(25.0)
     assert rig.gateway.quota.counter.pacing.is_unavailable
-    before = len(rig.log)
+    before = len(rig.action_log)
     for _ in range(100):
         rig.ask(plan="rate")
         rig.answer_calls()
         rig.advance(25.0)
-    assert len([a for _, a in rig.log[before:] if isinstance(a, IncrementCounter)]) <= 6
-    rig.ending = Outcome.OK
+    assert len([a for _, a in rig.action_log[before:] if isinstance(a, IncrementCounter)]) <= 6
+    rig.counter_outcome = Outcome.OK
     rig.advance(600.0)
     rig.ask(plan="rate")
     rig.answer_calls()
@@ -103,17 +103,17 @@
 
 def test_a_window_change_is_no_fall_in_demand() -> None:
     rig = EngineHarness(make_endpoints(4))
-    rig.others = 0.5
+    rig.others_units = 0.5
     for _ in range(70):
         name, actions = rig.ask(plan="rate")
         if actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(50.0)
     tenant = rig.gateway.quota.tenants.by_id["c"]
     demand_before, window = tenant.others_demand_per_s, tenant.window_start_ms
     rig._totals.clear()
-    rig.others = -1.0
+    rig.others_units = -1.0
     answered = rig._answered
     while rig._answered == answered:
         rig.ask(plan="rate")
@@ -130,14 +130,14 @@
     # Guards against a gateway that rejects everything, so has nothing to report and gets no total, and keeps
     # draining the bucket by an outdated rate of the others' use.
     rig = EngineHarness(make_endpoints(4))
-    rig.others = 3.0
+    rig.others_units = 3.0
     for _ in range(40):
         name, actions = rig.ask(plan="rate")
         if actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.OK, 1.0)
+            rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(100.0)
-    rig.others = 0.0
+    rig.others_units = 0.0
     assert served_requests(rig, 60, 100.0) >= 6
 
 
@@ -145,11 +145,11 @@
     def count_calls(ending: Outcome) -> int:
         rig = EngineHarness(make_endpoints(4))
         for i in range(400):
-            rig.ending = ending if i % 3 else Outcome.OK
+            rig.counter_outcome = ending if i % 3 else Outcome.OK
             rig.ask(plan="rate", customer=f"c{i % 20}")
             rig.answer_calls()
             rig.advance(20.0)
-        return len([a for _, a in rig.log if isinstance(a, IncrementCounter)])
+        return len([a for _, a in rig.action_log if isinstance(a, IncrementCounter)])
 
     assert count_calls(Outcome.REJECTED) < 0.5 * count_calls(Outcome.OK)
 
@@ -158,7 +158,7 @@
     rig = EngineHarness(make_endpoints(4))
     is_started = [bool(actions_of_type(rig.ask(plan="open")[1], StartAttempt)) for _ in range(6)]
     assert is_started == [True, True, False, False, False, False]
-    rig.end("r1", 0, Outcome.OK)
+    rig.end_attempt("r1", 0, Outcome.OK)
     assert actions_of_type(rig.ask(plan="open")[1], StartAttempt)
 
 
@@ -188,7 +188,7 @@
         max_in_flight = max(max_in_flight, len(in_flight))
         rig.now += 10.0
         if in_flight and step % 4 == 0:
-            rig.end(in_flight.pop(0), 0, Outcome.OK, duration_ms)
+            rig.end_attempt(in_flight.pop(0), 0, Outcome.OK, duration_ms)
         rig.advance(0.0)
         rig.answer_calls()
     return max_in_flight
@@ -212,7 +212,7 @@
     for _ in range(40):
         name, actions = rig.ask(customer="w")
         if actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.OK, 2500.0)
+            rig.end_attempt(name, 0, Outcome.OK, 2500.0)
         rig.advance(50.0)
     rig.advance(8000.0)
     assert served_requests(rig, 100, 50.0, plan="wide") >= 90
@@ -226,7 +226,7 @@
         name, actions = rig.ask()
         while actions_of_type(actions, StartAttempt) and not final_responses(actions):
             rig.now += 20.0
-            actions = rig.end(name, len(rig.sent[name]) - 1, Outcome.TIMEOUT, 500.0)
+            actions = rig.end_attempt(name, len(rig.sent_addresses[name]) - 1, Outcome.TIMEOUT, 500.0)
         rig.advance(20.0)
     rig.advance(9000.0)
     sent = [a for _ in range(3) for a in actions_of_type(rig.ask()[1], StartAttempt)]
@@ -246,9 +246,9 @@
         name, actions = rig.ask(classes)
         if actions_of_type(actions, StartAttempt):
             total += 1
-            first_server = rig.sent[name][0]
+            first_server = rig.sent_addresses[name][0]
             hits += first_server == server
-            rig.end(
+            rig.end_attempt(
                 name,
                 0,
                 outcome if first_server == server else Outcome.OK,
@@ -279,10 +279,10 @@
     unanswered_attempts = 0
     for _ in range(200):
         name, actions = rig.ask("charge")
-        if rig.sent[name][0] == "s0":
+        if rig.sent_addresses[name][0] == "s0":
             unanswered_attempts += 1
         elif actions_of_type(actions, StartAttempt):
-            rig.end(name, 0, Outcome.OK)
+            rig.end_attempt(name, 0, Outcome.OK)
         rig.advance(5.0)
     assert unanswered_attempts <= 6
 
@@ -293,7 +293,7 @@
     rig.warm_up()
     for i in range(80):
         name, _ = rig.ask("charge")
-        rig.end(name, 0, Outcome.ERROR if i % 2 else Outcome.OK, 20.0)
+        rig.end_attempt(name, 0, Outcome.ERROR if i % 2 else Outcome.OK, 20.0)
         rig.advance(20.0)
     rig.advance(300.0)
     for server in rig.gateway.pool.servers.values():
@@ -302,7 +302,7 @@
             rig.now,
         )
     names = [rig.ask("charge")[0] for _ in range(3)]
-    assert [rig.sent[name][0] for name in names].count("s1") >= 2
+    assert [rig.sent_addresses[name][0] for name in names].count("s1") >= 2
 
 
 def test_a_shortage_of_this_process_says_nothing_of_the_server() -> None:
@@ -311,15 +311,15 @@
     rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     name, _ = rig.ask()
-    first = rig.sent[name][0]
+    first = rig.sent_addresses[name][0]
     server = rig.gateway.pool.servers[first]
     before = server.failure_rate, server.connect_failures, rig.gateway.execution.retry_budget.tokens
-    actions = rig.end(name, 0, Outcome.NO_CONNECTION)
+    actions = rig.end_attempt(name, 0, Outcome.NO_CONNECTION)
     assert [action.address == first for action in actions_of_type(actions, StartAttempt)] == [False]
     assert (server.failure_rate, server.connect_failures, rig.gateway.execution.retry_budget.tokens) == before
     assert server.backed_off_until_ms == 0.0 and server.in_flight == 0
     for number in range(1, 4):
-        actions = rig.end(name, number, Outcome.NO_CONNECTION)
+        actions = rig.end_attempt(name, number, Outcome.NO_CONNECTION)
     assert [type(action) for action in final_responses(actions)] == [Reject]
 
 
@@ -332,14 +332,14 @@
         server.backed_off_until_ms = rig.now + 60_000.0
         server.in_flight = 0 if server.endpoint.address == "s3" else 6
     name, _ = rig.ask()
-    assert rig.sent[name] == ["s3"]
+    assert rig.sent_addresses[name] == ["s3"]
 
 
 def test_a_restarted_server_is_a_new_server() -> None:
     rig = EngineHarness(make_endpoints(3))
     rig.warm_up()
     share_of(rig, "s0", 100, Outcome.ERROR, 1.0)
-    rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", started_ms=rig.now),)))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, (Endpoint("s0", "a", started_ms=rig.now),)))
     assert rig.gateway.pool.servers["s0"].failure_rate == 0.0
 
 
@@ -347,10 +347,10 @@
     rig = EngineHarness(make_endpoints(2))
     rig.warm_up()
     name, _ = rig.ask()
-    loaded_server = rig.sent[name][0]
-    rig.feed(AttemptEnded(name, 0, loaded_server, Outcome.OK, 20.0, True, queued_requests=40.0))
+    loaded_server = rig.sent_addresses[name][0]
+    rig.handle_event(AttemptEnded(name, 0, loaded_server, Outcome.OK, 20.0, True, queued_requests=40.0))
     names = [rig.ask()[0] for _ in range(3)]
-    assert all(rig.sent[n][0] != loaded_server for n in names)
+    assert all(rig.sent_addresses[n][0] != loaded_server for n in names)
 
 
 def test_retries_are_kept_to_a_budget() -> None:
@@ -359,19 +359,19 @@
     for _ in range(100):
         name, actions = rig.ask("read")
         while actions_of_type(actions, StartAttempt) and not final_responses(actions):
-            actions = rig.end(name, len(rig.sent[name]) - 1, Outcome.REJECTED, 1.0)
-        attempts += len(rig.sent.get(name, []))
+            actions = rig.end_attempt(name, len(rig.sent_addresses[name]) - 1, Outcome.REJECTED, 1.0)
+        attempts += len(rig.sent_addresses.get(name, []))
         rig.advance(10.0)
     assert attempts <= 100 * 1.3 + 10
 
 
 def test_states_are_logged_once_when_they_begin_and_end() -> None:
     rig = EngineHarness(make_endpoints(1))
-    rig.feed(EndpointList(EndpointListKind.FULL))
+    rig.handle_event(EndpointList(EndpointListKind.FULL))
     rig.advance(20_000.0)
-    rig.feed(EndpointList(EndpointListKind.FULL, make_endpoints(1)))
+    rig.handle_event(EndpointList(EndpointListKind.FULL, make_endpoints(1)))
     rig.advance(20_000.0)
-    lines = [a.message for _, a in rig.log if isinstance(a, LogMessage)]
+    lines = [a.message for _, a in rig.action_log if isinstance(a, LogMessage)]
     assert lines == ["no server to send to: begins", "no server to send to: ends"]
 
 
@@ -385,11 +385,11 @@
 for i in range(200):
     cls, plan = ("read", "order", "bid", "charge")[i % 4], ("rate", "hard", "open")[i % 3]
     name, _ = rig.ask(cls, plan, f"c{i % 9}")
-    if name in rig.sent:
-        rig.end(name, 0, (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.ERROR)[i % 4])
+    if name in rig.sent_addresses:
+        rig.end_attempt(name, 0, (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.ERROR)[i % 4])
     rig.answer_calls()
     rig.advance(15.0)
-print(rig.log)
+print(rig.action_log)
 """
 
 
@@ -435,23 +435,23 @@
     # Guards against even shares, by which this gateway rejects a tenant's requests while shares are unused at
     # gateways that the tenant's requests no longer come through.
     rig = EngineHarness(make_endpoints(4))
-    rig.others = others_units
+    rig.others_units = others_units
 
     def run_second() -> int:
         admitted = 0
         for _ in range(2):
             name, _actions = rig.ask(plan="rate", spread=2)
-            is_sent = bool(rig.sent.get(name))
+            is_sent = bool(rig.sent_addresses.get(name))
             admitted += is_sent
             if is_sent:
-                rig.end(name, 0, Outcome.OK, 1.0)
+                rig.end_attempt(name, 0, Outcome.OK, 1.0)
             rig.advance(500.0)
             rig.answer_calls()
         return admitted
 
     for _ in range(20):
         run_second()
-    rig.ending = Outcome.TIMEOUT
+    rig.counter_outcome = Outcome.TIMEOUT
     for _ in range(5):
         run_second()
     assert rig.gateway.quota.counter.pacing.is_unavailable
--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -154,7 +154,7 @@
     relative_latencies = {name: server.relative_latency for name, server in rig.gateway.pool.servers.items()}
     rig.now += 3500.0  # without a tick of the engine
     for name in in_flight_names:
-        rig.end(name, 0, Outcome.TIMEOUT, 3500.0)
+        rig.end_attempt(name, 0, Outcome.TIMEOUT, 3500.0)
     rig.advance(2000.0)
     assert in_flight_names and rig.gateway.pool.latency.mean_ms == means
     assert {
@@ -176,7 +176,7 @@
 
 def lose_counter(rig: EngineHarness) -> None:
     """The counter replies to no call, while there are units to report."""
-    rig.ending = Outcome.TIMEOUT
+    rig.counter_outcome = Outcome.TIMEOUT
     for _ in range(4):
         rig.ask(plan="rate", customer="c")
         rig.advance(1500.0)
@@ -186,7 +186,7 @@
 def counter_available_again(rig: EngineHarness) -> bool:
     """Lets the counter reply again, and sends a request, which the local share admits, so that there are
     units to report. Returns whether the counter counts as available."""
-    rig.ending = Outcome.OK
+    rig.counter_outcome = Outcome.OK
     rig.ask(plan="rate", customer="other")
     for _ in range(8):
         rig.advance(250.0)
@@ -205,7 +205,7 @@
     """The capacity estimate is at its floor, and the credit for units of the requests' value is spent."""
     rig.gateway.shedder.capacity.capacity_per_s, rig.gateway.shedder.capacity.mean_latency_s = 0.01, 3.0
     while actions_of_type((request := rig.ask())[1], StartAttempt):
-        rig.end(request[0], 0, Outcome.OK, 900.0)
+        rig.end_attempt(request[0], 0, Outcome.OK, 900.0)
 
 
 def fill_backlog(rig: EngineHarness) -> None:
@@ -216,18 +216,18 @@
         names.append(request[0])
     rig.now += 500.0
     for name in names:
-        rig.end(name, 0, Outcome.TIMEOUT, 500.0, final=True)
+        rig.end_attempt(name, 0, Outcome.TIMEOUT, 500.0, final=True)
 
 
 def move_use_elsewhere(rig: EngineHarness) -> None:
     """By the counter's totals all of a tenant's use came through other gateways; then the counter becomes
     unavailable with this gateway's local share spent."""
-    rig.others = 60.0
+    rig.others_units = 60.0
     for _ in range(4):
         rig.ask(plan="rate", customer="c")
         rig.advance(3000.0)
         rig.answer_calls()
-    rig.others = 0.0
+    rig.others_units = 0.0
     lose_counter(rig)
     rig.gateway.quota.tenants.by_id["c"].local_units = 0.0
 
@@ -242,7 +242,7 @@
 
 def restart_servers(rig: EngineHarness) -> None:
     """All servers have just started, and their slow-start tokens are spent."""
-    rig.feed(EndpointList(EndpointListKind.FULL, make_endpoints(3, started=rig.now)))
+    rig.handle_event(EndpointList(EndpointListKind.FULL, make_endpoints(3, started_ms=rig.now)))
     for server in rig.gateway.pool.servers.values():
         server.slow_start_tokens, server.slow_start_tokens_ms = 0.0, rig.now
 
@@ -273,7 +273,7 @@
 
 def is_server_used(rig: EngineHarness, server: str = "s0") -> bool:
     """Returns whether any request of a burst goes to this server."""
-    return any(server in rig.sent.get(rig.ask(customer=f"b{n}")[0], ()) for n in range(24))
+    return any(server in rig.sent_addresses.get(rig.ask(customer=f"b{n}")[0], ()) for n in range(24))
 
 
 def is_granting(rig: EngineHarness) -> bool:
@@ -288,8 +288,8 @@
     """Returns whether a failed attempt is retried, after the five requests that pay for one retry."""
     for _ in range(5):
         name, _ = rig.ask()
-        rig.end(name, 0, Outcome.OK)
-    return bool(actions_of_type(rig.end(rig.ask()[0], 0, Outcome.RESET), StartAttempt))
+        rig.end_attempt(name, 0, Outcome.OK)
+    return bool(actions_of_type(rig.end_attempt(rig.ask()[0], 0, Outcome.RESET), StartAttempt))
 
 
 def makes_all_calls(rig: EngineHarness) -> bool:
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -52,7 +52,7 @@
 
 def test_without_a_server_a_request_waits_briefly_then_is_rejected_in_time() -> None:
     rig = EngineHarness(make_endpoints(1))
-    rig.feed(endpoint_change("s0"))
+    rig.handle_event(endpoint_change("s0"))
     name, actions = rig.ask(left=900.0)
     assert not final_responses(actions)
     later_actions = rig.advance(900.0)
@@ -61,9 +61,9 @@
 
 def test_a_waiting_request_goes_to_a_server_that_comes_up() -> None:
     rig = EngineHarness(make_endpoints(1))
-    rig.feed(endpoint_change("s0"))
+    rig.handle_event(endpoint_change("s0"))
     name, _ = rig.ask()
-    actions = rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),)))
+    actions = rig.handle_event(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),)))
     assert [(s.request_id, s.address) for s in actions_of_type(actions, StartAttempt)] == [(name, "s9")]
 
 
@@ -71,7 +71,7 @@
     rig = EngineHarness(make_endpoints(3))
     name, _ = rig.ask("charge", left=800.0)
     rig.now += 800.0
-    assert [type(a) for a in final_responses(rig.end(name, 0, Outcome.TIMEOUT, 800.0))] == [Fail]
+    assert [type(a) for a in final_responses(rig.end_attempt(name, 0, Outcome.TIMEOUT, 800.0))] == [Fail]
 
 
 @pytest.mark.parametrize("cls", ["read", "order", "bid", "charge", "unknown"])
@@ -82,7 +82,7 @@
     attempt, answers = 0, final_responses(actions)
     while not answers and attempt < 20:
         rig.now += 10.0
-        actions = rig.end(name, attempt, ending, 10.0)
+        actions = rig.end_attempt(name, attempt, ending, 10.0)
         answers += final_responses(actions)
         attempt += 1
     assert len(answers) == 1 and attempt <= SETTINGS.max_attempts
@@ -94,39 +94,41 @@
     attempt finds no server: it then fails, though it can be rejected."""
     rig = EngineHarness(make_endpoints(1), replace(SETTINGS, allows_hedging=True))
     name, _ = rig.ask("order")
-    assert not actions_of_type(rig.feed(AttemptStalled(name, 0)), StartAttempt)
+    assert not actions_of_type(rig.handle_event(AttemptStalled(name, 0)), StartAttempt)
     answers: list[Action] = []
     for attempt in range(SETTINGS.max_attempts):
-        answers += final_responses(rig.end(name, attempt, Outcome.REJECTED, 5.0)) if not answers else []
+        answers += (
+            final_responses(rig.end_attempt(name, attempt, Outcome.REJECTED, 5.0)) if not answers else []
+        )
     assert [type(answer) for answer in answers] == [Reject]
 
 
 def test_late_duplicate_and_unasked_events_are_ignored() -> None:
     rig = EngineHarness(make_endpoints(3))
     name, _ = rig.ask()
-    rig.end(name, 0, Outcome.OK)
-    assert not final_responses(rig.end(name, 0, Outcome.ERROR))
-    rig.feed(ClientDisconnected(name))
-    rig.feed(ClientDisconnected("never-seen"))
-    rig.feed(AttemptEnded("never-seen", 3, "nowhere", Outcome.OK, 1.0, True))
-    rig.feed(CounterReply(12345, 7.0, Outcome.OK))
-    rig.feed(TimerFired(999))
-    rig.feed(ResponseStarted("never-seen", 0))
-    assert not final_responses([action for _, action in rig.log])
+    rig.end_attempt(name, 0, Outcome.OK)
+    assert not final_responses(rig.end_attempt(name, 0, Outcome.ERROR))
+    rig.handle_event(ClientDisconnected(name))
+    rig.handle_event(ClientDisconnected("never-seen"))
+    rig.handle_event(AttemptEnded("never-seen", 3, "nowhere", Outcome.OK, 1.0, True))
+    rig.handle_event(CounterReply(12345, 7.0, Outcome.OK))
+    rig.handle_event(TimerFired(999))
+    rig.handle_event(ResponseStarted("never-seen", 0))
+    assert not final_responses([action for _, action in rig.action_log])
 
 
 def test_a_disconnected_client_gets_no_retry() -> None:
     rig = EngineHarness(make_endpoints(3))
     name, _ = rig.ask()
-    rig.feed(ClientDisconnected(name))
-    assert not actions_of_type(rig.end(name, 0, Outcome.REJECTED, final=False), StartAttempt)
+    rig.handle_event(ClientDisconnected(name))
+    assert not actions_of_type(rig.end_attempt(name, 0, Outcome.REJECTED, final=False), StartAttempt)
 
 
 def test_unknown_plan_and_class_are_served_as_non_idempotent_without_quota() -> None:
     rig = EngineHarness(make_endpoints(3))
-    actions = rig.feed(Request("x", "no-such-class", "no-such-plan", "c", 1000.0))
+    actions = rig.handle_event(Request("x", "no-such-class", "no-such-plan", "c", 1000.0))
     assert actions_of_type(actions, StartAttempt)
-    assert [type(a) for a in final_responses(rig.end("x", 0, Outcome.TIMEOUT))] == [Fail]
+    assert [type(a) for a in final_responses(rig.end_attempt("x", 0, Outcome.TIMEOUT))] == [Fail]
 
 
 def test_more_pending_requests_than_allowed_are_rejected() -> None:
@@ -142,7 +144,7 @@
 def test_a_non_idempotent_request_that_may_have_run_fails(ending: Outcome) -> None:
     rig = EngineHarness(make_endpoints(4))
     name, _ = rig.ask("charge")
-    actions = rig.end(name, 0, ending)
+    actions = rig.end_attempt(name, 0, ending)
     assert [type(a) for a in final_responses(actions)] == [Fail] and not actions_of_type(
         actions, StartAttempt
     )
@@ -152,33 +154,33 @@
 def test_a_non_idempotent_request_that_did_not_run_is_retried_elsewhere(ending: Outcome) -> None:
     rig = EngineHarness(make_endpoints(4))
     name, _ = rig.ask("charge")
-    sends = actions_of_type(rig.end(name, 0, ending, 5.0), StartAttempt)
-    assert len(sends) == 1 and sends[0].address != rig.sent[name][0]
+    sends = actions_of_type(rig.end_attempt(name, 0, ending, 5.0), StartAttempt)
+    assert len(sends) == 1 and sends[0].address != rig.sent_addresses[name][0]
 
 
 def test_a_non_idempotent_request_is_rejected_only_if_no_attempt_ran() -> None:
     rig = EngineHarness(make_endpoints(4))
     name, _ = rig.ask("charge")
-    rig.end(name, 0, Outcome.REJECTED, 5.0)
-    assert [type(a) for a in final_responses(rig.end(name, 1, Outcome.RESET, 5.0))] == [Fail]
+    rig.end_attempt(name, 0, Outcome.REJECTED, 5.0)
+    assert [type(a) for a in final_responses(rig.end_attempt(name, 1, Outcome.RESET, 5.0))] == [Fail]
 
 
 def test_a_zone_scoped_key_pins_a_request_once_it_may_have_run() -> None:
     for seed in range(20):
         rig = EngineHarness(make_endpoints(6, "abc"), seed=seed)
         name, _ = rig.ask("bid")
-        first = rig.sent[name][0]
+        first = rig.sent_addresses[name][0]
         rig.now += 100.0
-        rig.end(name, 0, Outcome.TIMEOUT, 100.0)
-        zones = {int(server[1:]) % 3 for server in rig.sent[name]}
-        assert zones == {int(first[1:]) % 3} and len(rig.sent[name]) == 2
+        rig.end_attempt(name, 0, Outcome.TIMEOUT, 100.0)
+        zones = {int(server[1:]) % 3 for server in rig.sent_addresses[name]}
+        assert zones == {int(first[1:]) % 3} and len(rig.sent_addresses[name]) == 2
 
 
 def test_a_pinned_request_without_a_server_in_its_zone_fails() -> None:
     rig = EngineHarness((Endpoint("s0", "a"),))
     name, _ = rig.ask("bid")
-    rig.feed(EndpointList(EndpointListKind.FULL, (Endpoint("s1", "b"),)))
-    actions = rig.end(name, 0, Outcome.TIMEOUT, 100.0) + rig.advance(4000.0)
+    rig.handle_event(EndpointList(EndpointListKind.FULL, (Endpoint("s1", "b"),)))
+    actions = rig.end_attempt(name, 0, Outcome.TIMEOUT, 100.0) + rig.advance(4000.0)
     assert not actions_of_type(actions, StartAttempt)
     assert [type(a) for a in final_responses(actions)] == [Fail]
 
@@ -187,7 +189,7 @@
     rig = EngineHarness(make_endpoints(4))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 2100.0
-    actions = rig.end(name, 0, Outcome.RESET, 2100.0)
+    actions = rig.end_attempt(name, 0, Outcome.RESET, 2100.0)
     assert not actions_of_type(actions, StartAttempt) and [type(a) for a in final_responses(actions)] == [
         Fail
     ]
@@ -199,10 +201,12 @@
     rig = EngineHarness(make_endpoints(1), replace_settings(SETTINGS, classes=classes))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 1000.0
-    rig.feed(endpoint_change("s0"))
-    rig.end(name, 0, Outcome.RESET, 1000.0)
+    rig.handle_event(endpoint_change("s0"))
+    rig.end_attempt(name, 0, Outcome.RESET, 1000.0)
     rig.now += 400.0
-    actions = rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),))) + rig.advance(6000.0)
+    actions = rig.handle_event(EndpointList(EndpointListKind.CHANGES, (Endpoint("s9", "a"),))) + rig.advance(
+        6000.0
+    )
     assert not actions_of_type(actions, StartAttempt) and [type(a) for a in final_responses(actions)] == [
         Fail
     ]
@@ -214,31 +218,31 @@
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_nothing_new_to_a_draining_or_removed_server(state: EndpointState) -> None:
     rig = EngineHarness(make_endpoints(3))
-    rig.feed(endpoint_change("s1", state))
+    rig.handle_event(endpoint_change("s1", state))
     for _ in range(60):
         rig.ask()
-    assert {s for sent in rig.sent.values() for s in sent} == {"s0", "s2"}
+    assert {s for sent in rig.sent_addresses.values() for s in sent} == {"s0", "s2"}
 
 
 def test_absent_from_a_full_list_is_removed() -> None:
     rig = EngineHarness(make_endpoints(3))
-    rig.feed(EndpointList(EndpointListKind.FULL, make_endpoints(2)))
+    rig.handle_event(EndpointList(EndpointListKind.FULL, make_endpoints(2)))
     for _ in range(60):
         rig.ask()
-    assert "s2" not in {s for sent in rig.sent.values() for s in sent}
+    assert "s2" not in {s for sent in rig.sent_addresses.values() for s in sent}
 
 
 def test_failed_list_keeps_the_old_one() -> None:
     rig = EngineHarness(make_endpoints(2))
-    rig.feed(EndpointList(EndpointListKind.FAILED))
+    rig.handle_event(EndpointList(EndpointListKind.FAILED))
     assert actions_of_type(rig.ask()[1], StartAttempt)
 
 
 def test_a_waiting_request_is_not_sent_to_a_draining_server() -> None:
     rig = EngineHarness(make_endpoints(1))
     name, _ = rig.ask()
-    rig.feed(endpoint_change("s0"))
-    actions = rig.end(name, 0, Outcome.REJECTED, 5.0) + rig.advance(3000.0)
+    rig.handle_event(endpoint_change("s0"))
+    actions = rig.end_attempt(name, 0, Outcome.REJECTED, 5.0) + rig.advance(3000.0)
     assert not actions_of_type(actions, StartAttempt) and len(final_responses(actions)) == 1
 
 
@@ -248,15 +252,15 @@
 def test_a_server_that_warms_up_gets_less_than_its_fraction_of_warm_traffic() -> None:
     rig = EngineHarness(make_endpoints(4))
     rig.warm_up()
-    rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
     start = rig.now
     sent: dict[str, int] = {}
     for _ in range(100):
         name, _ = rig.ask()
-        server = rig.sent[name][0]
+        server = rig.sent_addresses[name][0]
         sent[server] = sent.get(server, 0) + 1
         rig.now += 5.0
-        rig.end(name, 0, Outcome.OK)
+        rig.end_attempt(name, 0, Outcome.OK)
         rig.now += 5.0
     warm = sum(n for s, n in sent.items() if s != "cold") / 4
     assert rig.now - start <= 1000.0 and sent.get("cold", 0) <= max(1.0, 0.5 * warm)
@@ -267,13 +271,13 @@
     for seed in range(3):
         rig = EngineHarness(make_endpoints(4), replace_settings(SETTINGS, gateway_count=3), seed=seed)
         rig.warm_up()
-        rig.feed(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
+        rig.handle_event(EndpointList(EndpointListKind.CHANGES, (Endpoint("cold", "a", started_ms=rig.now),)))
         for _ in range(100):
             name, actions = rig.ask()
             if actions_of_type(actions, StartAttempt):
-                total["cold" if rig.sent[name][0] == "cold" else "warm"] += 1
+                total["cold" if rig.sent_addresses[name][0] == "cold" else "warm"] += 1
                 rig.now += 5.0
-                rig.end(name, 0, Outcome.OK)
+                rig.end_attempt(name, 0, Outcome.OK)
             rig.now += 5.0
     # The server starts at a quarter of its capacity, and twice that overloads it: it may get at most half of
     # what a warm server gets.
@@ -281,7 +285,7 @@
 
 
 def test_a_new_gateway_sends_little_to_servers_that_all_warm_up() -> None:
-    rig = EngineHarness(make_endpoints(3, started=1000.0))
+    rig = EngineHarness(make_endpoints(3, started_ms=1000.0))
     sends = sum(len(actions_of_type(rig.ask()[1], StartAttempt)) for _ in range(200))
     assert sends <= 6
 
@@ -289,13 +293,13 @@
 def test_attempts_at_servers_that_warm_up_do_not_raise_their_rate() -> None:
     # Guards against counting attempts at warming servers as warm traffic: with all servers warming up, the
     # rate of attempts would keep rising.
-    rig = EngineHarness(make_endpoints(6, started=1000.0))
+    rig = EngineHarness(make_endpoints(6, started_ms=1000.0))
     sends = 0
     for _ in range(400):
         name, actions = rig.ask()
         if actions_of_type(actions, StartAttempt):
             sends += 1
-            rig.end(name, 0, Outcome.OK, 10.0)
+            rig.end_attempt(name, 0, Outcome.OK, 10.0)
         rig.advance(10.0)
     assert sends <= 6
 
@@ -312,7 +316,7 @@
             if actions_of_type(actions, StartAttempt):
                 total += units
                 rig.now += 1.0
-                rig.end(name, 0, Outcome.OK, 1.0)
+                rig.end_attempt(name, 0, Outcome.OK, 1.0)
             rig.advance(gap_ms)
         elapsed += gap_ms
     return total
@@ -348,7 +352,7 @@
 def counted_units(rig: EngineHarness) -> float:
     """Returns the units that were reported to the counter for a tenant, with those yet to be reported."""
     rig.answer_calls()
-    amounts = [action.amount for _, action in rig.log if isinstance(action, IncrementCounter)]
+    amounts = [action.amount for _, action in rig.action_log if isinstance(action, IncrementCounter)]
     return round(sum(amounts, rig.gateway.quota.tenants.by_id["c"].unreported_units), 3)
 
 
@@ -356,23 +360,23 @@
     """The client disconnects while its request waits for a server to come up."""
     name, actions = rig.ask(plan=plan)
     assert not final_responses(actions)
-    rig.feed(ClientDisconnected(name))
-    rig.feed(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
+    rig.handle_event(ClientDisconnected(name))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
 
 
 def leaves_while_waiting_for_counter(rig: EngineHarness, plan: str) -> None:
     """The counter's reply arrives after the client has disconnected."""
     rig.gateway.quota.counter.needs_total = lambda now_ms, tenant, units: True  # type: ignore[method-assign]
-    rig.feed(Request("gone", "read", plan, "c", 3000.0, 1.0, 2))
-    rig.feed(ClientDisconnected("gone"))
+    rig.handle_event(Request("gone", "read", plan, "c", 3000.0, 1.0, 2))
+    rig.handle_event(ClientDisconnected("gone"))
     assert not actions_of_type(rig.answer_calls(), StartAttempt)
 
 
 def leaves_while_connecting(rig: EngineHarness, plan: str) -> None:
-    rig.feed(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
     name, _ = rig.ask(plan=plan)
-    rig.feed(ClientDisconnected(name))
-    rig.end(name, 0, Outcome.NOT_SENT, final=True)
+    rig.handle_event(ClientDisconnected(name))
+    rig.end_attempt(name, 0, Outcome.NOT_SENT, final=True)
 
 
 def finds_no_server(rig: EngineHarness, plan: str) -> None:
@@ -381,27 +385,27 @@
 
 
 def reaches_no_server(rig: EngineHarness, plan: str) -> None:
-    rig.feed(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
     name, _ = rig.ask(plan=plan)
     for attempt in range(4):
-        if len(rig.sent.get(name, ())) > attempt:
-            rig.end(name, attempt, Outcome.UNREACHABLE)
+        if len(rig.sent_addresses.get(name, ())) > attempt:
+            rig.end_attempt(name, attempt, Outcome.UNREACHABLE)
         rig.advance(300.0)
 
 
 def leaves_while_running(rig: EngineHarness, plan: str) -> None:
-    rig.feed(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
     name, _ = rig.ask(plan=plan)
-    rig.feed(ClientDisconnected(name))
-    rig.end(name, 0, Outcome.CANCELLED, final=True)
+    rig.handle_event(ClientDisconnected(name))
+    rig.end_attempt(name, 0, Outcome.CANCELLED, final=True)
 
 
 def is_rejected_by_server(rig: EngineHarness, plan: str) -> None:
     """The request has reached a server, so its units are not refunded."""
-    rig.feed(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
+    rig.handle_event(EndpointList(EndpointListKind.CHANGES, make_endpoints(1)))
     name, _ = rig.ask(plan=plan)
-    rig.feed(ClientDisconnected(name))
-    rig.end(name, 0, Outcome.REJECTED, final=True)
+    rig.handle_event(ClientDisconnected(name))
+    rig.end_attempt(name, 0, Outcome.REJECTED, final=True)
 
 
 @pytest.mark.parametrize("run_request", [leaves_while_waiting_for_server, leaves_while_waiting_for_counter,
@@ -410,7 +414,7 @@
     run_request: Callable[[EngineHarness, str], None],
 ) -> None:
     rig = EngineHarness(())
-    rig.feed(EndpointList(EndpointListKind.CACHED, ()))
+    rig.handle_event(EndpointList(EndpointListKind.CACHED, ()))
     run_request(rig, "rate")
     assert counted_units(rig) == 0.0
     tenant = rig.gateway.quota.tenants.by_id["c"]
@@ -422,7 +426,7 @@
     run_request: Callable[[EngineHarness, str], None],
 ) -> None:
     rig = EngineHarness(())
-    rig.feed(EndpointList(EndpointListKind.CACHED, ()))
+    rig.handle_event(EndpointList(EndpointListKind.CACHED, ()))
     run_request(rig, "rate")
     assert counted_units(rig) == 1.0
 
@@ -431,12 +435,12 @@
     """Guards against refunds under a ceiling: a counter that has lost its memory would grant refunded units
     again, so the guard and the counter keep them."""
     rig = EngineHarness(())
-    rig.feed(EndpointList(EndpointListKind.CACHED, ()))
+    rig.handle_event(EndpointList(EndpointListKind.CACHED, ()))
     name, actions = rig.ask(plan="hard")
     assert not final_responses(actions)
     guard = rig.gateway.quota.tenants.by_id["c"].ceiling_guard_units
-    rig.feed(ClientDisconnected(name))
+    rig.handle_event(ClientDisconnected(name))
     assert rig.gateway.quota.tenants.by_id["c"].ceiling_guard_units == guard
     rig.advance(3000.0)
     rig.answer_calls()
-    assert all(action.amount >= 0.0 for _, action in rig.log if isinstance(action, IncrementCounter))
+    assert all(action.amount >= 0.0 for _, action in rig.action_log if isinstance(action, IncrementCounter))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,6 +1,6 @@
-"""A scripted decision engine: tests pass it events and read its actions.
+"""A harness for the decision engine: tests pass it events and read its actions.
 
-No server, network or clock is modelled.
+No server and no network is simulated; time passes only when a test advances it.
 """
 
 from __future__ import annotations
@@ -57,9 +57,9 @@
 )
 
 
-def make_endpoints(count: int, zones: str = "a", started: float = 0.0) -> tuple[Endpoint, ...]:
-    """Returns servers s0, s1, ..., distributed over the zones in turn."""
-    return tuple(Endpoint(f"s{i}", zones[i % len(zones)], started_ms=started) for i in range(count))
+def make_endpoints(count: int, zones: str = "a", started_ms: float = 0.0) -> tuple[Endpoint, ...]:
+    """Returns endpoints s0, s1, ..., distributed over the zones in turn."""
+    return tuple(Endpoint(f"s{i}", zones[i % len(zones)], started_ms=started_ms) for i in range(count))
 
 
 class EngineHarness:
@@ -70,38 +70,38 @@
     ) -> None:
         self.gateway = DecisionEngine(settings, seed)
         self.now = 1000.0
-        self.log: list[tuple[float, Action]] = []
+        self.action_log: list[tuple[float, Action]] = []
         self.serial = 0
         self.timers: list[tuple[float, int]] = []
-        self.sent: dict[str, list[str]] = {}
-        self.ending: Outcome = Outcome.OK  # how calls to the counter end
-        self.others = 0.0  # units that the other gateways add between two calls
+        self.sent_addresses: dict[str, list[str]] = {}
+        self.counter_outcome: Outcome = Outcome.OK  # outcome of calls to the counter
+        self.others_units = 0.0  # that other gateways add to a counter between two calls
         self._answered = 0
         self._totals: dict[int, float] = {}
         if servers:
-            self.feed(EndpointList(EndpointListKind.CACHED, tuple(servers)))
+            self.handle_event(EndpointList(EndpointListKind.CACHED, tuple(servers)))
 
-    def feed(self, event: Event) -> list[Action]:
+    def handle_event(self, event: Event) -> list[Action]:
         """Passes one event to the engine, and records and returns its actions."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, SetTimer):
                 self.timers.append((action.at_ms, action.token))
             if isinstance(action, StartAttempt):
-                self.sent.setdefault(action.request_id, []).append(action.address)
+                self.sent_addresses.setdefault(action.request_id, []).append(action.address)
         return actions
 
     def advance(self, ms: float) -> list[Action]:
         """Advances the time by `ms`, and fires due timers in order. Returns the resulting actions."""
-        end, out = self.now + ms, []
+        end, actions = self.now + ms, []
         while self.timers and min(self.timers)[0] <= end:
             at, token = min(self.timers)
             self.timers.remove((at, token))
             self.now = max(self.now, at)
-            out += self.feed(TimerFired(token))
+            actions += self.handle_event(TimerFired(token))
         self.now = end
-        return out
+        return actions
 
     def ask(
         self,
@@ -113,11 +113,11 @@
         spread: int = 2,
         name: str = "",
     ) -> tuple[str, list[Action]]:
-        """Sends a client's request. Where it waits for the counter, the counter replies at once. Returns the
-        request's id and the actions."""
+        """Sends a client's request. If it waits for the counter, answers that call too. Returns the request's
+        id and the actions."""
         self.serial += 1
         name = name or f"r{self.serial}"
-        actions = self.feed(Request(name, cls, plan, customer, left, units, spread))
+        actions = self.handle_event(Request(name, cls, plan, customer, left, units, spread))
         if (
             actions_of_type(actions, IncrementCounter)
             and not actions_of_type(actions, StartAttempt)
@@ -126,32 +126,33 @@
             actions = actions + self.answer_calls()
         return name, actions
 
-    def end(
+    def end_attempt(
         self, name: str, attempt: int, ending: Outcome, took: float = 20.0, final: bool | None = None
     ) -> list[Action]:
         """Ends an attempt with an outcome."""
-        server = self.sent[name][attempt]
+        server = self.sent_addresses[name][attempt]
         done = ending is Outcome.OK if final is None else final
-        return self.feed(AttemptEnded(name, attempt, server, ending, took, done))
+        return self.handle_event(AttemptEnded(name, attempt, server, ending, took, done))
 
     def answer_calls(self) -> list[Action]:
         """Answers all pending calls to the counter. Returns the resulting actions."""
-        calls = [action for _, action in self.log if isinstance(action, IncrementCounter)]
-        fresh, self._answered = calls[self._answered :], len(calls)
+        calls = [action for _, action in self.action_log if isinstance(action, IncrementCounter)]
+        unanswered, self._answered = calls[self._answered :], len(calls)
         actions: list[Action] = []
-        for call in fresh:
-            if self.ending is Outcome.OK:
-                self._totals[call.key] = self._totals.get(call.key, 0.0) + call.amount + self.others
-            actions += self.feed(CounterReply(call.key, self._totals.get(call.key, 0.0), self.ending))
+        for call in unanswered:
+            if self.counter_outcome is Outcome.OK:
+                self._totals[call.key] = self._totals.get(call.key, 0.0) + call.amount + self.others_units
+            total = self._totals.get(call.key, 0.0)
+            actions += self.handle_event(CounterReply(call.key, total, self.counter_outcome))
         return actions
 
     def warm_up(self, seconds: float = 4.0) -> None:
-        """Sends ordinary traffic and serves each request, so that means and rates are known."""
+        """Sends and serves ordinary traffic, so that the engine knows mean latencies and rates."""
         for _ in range(int(seconds * 20)):
             name, actions = self.ask(customer="warm-up")
             self.now += 20.0
             if actions_of_type(actions, StartAttempt):
-                self.end(name, 0, Outcome.OK)
+                self.end_attempt(name, 0, Outcome.OK)
             self.advance(30.0)
             self.answer_calls()
 
@@ -167,5 +168,5 @@
 
 
 def replace_settings(settings: Settings, **changes: object) -> Settings:
-    """Returns the settings with other values."""
+    """Returns a copy of the settings with these changes."""
     return replace(settings, **changes)  # type: ignore[arg-type]
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -1,4 +1,4 @@
-"""The platform of the tests of operator's files: three classes, four plans, figures of its own."""
+"""The platform that the tests of operator's files assume: three classes, four plans and its limits."""
 
 from __future__ import annotations
 
--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -90,10 +90,10 @@
             steady_client = await open_idle_connections(gateway_site)
             sock = connect_raw(gateway_site, *reads(pending))
             accepted_count = min(pending, MAX_PENDING_COMMANDS)
-            await wait_until(lambda: len(script.of(Request)) == accepted_count)
+            await wait_until(lambda: len(script.events_of(Request)) == accepted_count)
             _, connection = gateway_site.program.listener.clients
             assert connection.is_reading_paused is (pending >= MAX_PENDING_COMMANDS)
-            request_ids = [event.request_id for event in script.of(Request)]
+            request_ids = [event.request_id for event in script.events_of(Request)]
             script.decide = lambda event: (
                 [StartAttempt(request_id, "s0") for request_id in request_ids]
                 if isinstance(event, TimerFired)
@@ -102,10 +102,10 @@
             close_raw(sock, how)
             time.sleep(BUSY_S)
             gateway_site.program.gateway.post(TimerFired(1))
-            await wait_until(lambda: len(script.of(ClientDisconnected)) == accepted_count)
-            assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.NOT_SENT}
-            assert all(event.is_final for event in script.of(AttemptEnded))
-            assert len(script.of(AttemptEnded)) == accepted_count
+            await wait_until(lambda: len(script.events_of(ClientDisconnected)) == accepted_count)
+            assert {event.outcome for event in script.events_of(AttemptEnded)} == {Outcome.NOT_SENT}
+            assert all(event.is_final for event in script.events_of(AttemptEnded))
+            assert len(script.events_of(AttemptEnded)) == accepted_count
             await wait_until(lambda: connection not in gateway_site.program.listener.clients)
             script.decide = send_to("s0")
             assert await steady_client.ask(*READ, b"0", GET) == b"value"
@@ -183,7 +183,7 @@
         async with site(reply, reply, decisions=recorder) as gateway_site:
             steady_client = await open_idle_connections(gateway_site, 12)
             await asyncio.sleep(2.0 * REUSE_DELAY_S)  # idle connections are not reused before that
-            recorder.endings.clear()
+            recorder.outcomes.clear()
             socks.append(connect_raw(gateway_site, *reads(1)))
             await wait_until(lambda: not socks)
             await wait_until(
@@ -194,8 +194,8 @@
             )
             assert await steady_client.ask(*READ, b"0", GET) == b"value"
             assert sum(len(server.calls()) for server in gateway_site.servers) == 12 + 2
-            assert recorder.endings[0] is Outcome.REJECTED and recorder.endings[-1] is Outcome.OK
-            assert set(recorder.endings[1:-1]) <= {Outcome.NOT_SENT}
+            assert recorder.outcomes[0] is Outcome.REJECTED and recorder.outcomes[-1] is Outcome.OK
+            assert set(recorder.outcomes[1:-1]) <= {Outcome.NOT_SENT}
 
     run_scenario(scenario())
 
@@ -220,7 +220,9 @@
             for _ in range(iterations):
                 await asyncio.sleep(0)
             attempts = gateway_site.program.gateway.attempts_in_flight.values()
-            written_count = len(script.of(AttemptEnded)) + sum(attempt.is_written for attempt in attempts)
+            written_count = len(script.events_of(AttemptEnded)) + sum(
+                attempt.is_written for attempt in attempts
+            )
             close_raw(sock, how)
             time.sleep(BUSY_S)
             await wait_until(
--- a/tests/system/test_crossings_clients.py
+++ b/tests/system/test_crossings_clients.py
@@ -44,10 +44,12 @@
             client = await gateway_site.client()
             for number in range(pending):
                 client.send(*READ, b"%d" % number, GET)
-            await wait_until(lambda: len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS))
+            await wait_until(lambda: len(script.events_of(Request)) == min(pending, MAX_PENDING_COMMANDS))
             disconnect(client, how)
-            await wait_until(lambda: len(script.of(ClientDisconnected)) == min(pending, MAX_PENDING_COMMANDS))
-            assert len(script.of(Request)) == min(pending, MAX_PENDING_COMMANDS)
+            await wait_until(
+                lambda: len(script.events_of(ClientDisconnected)) == min(pending, MAX_PENDING_COMMANDS)
+            )
+            assert len(script.events_of(Request)) == min(pending, MAX_PENDING_COMMANDS)
             assert (
                 not gateway_site.program.gateway.active_requests
                 and not gateway_site.program.listener.open_ids
@@ -74,11 +76,12 @@
             await wait_until(lambda: connection.is_write_blocked and not connection.slots)
             script.decide = lambda event: []
             client.send(*READ, b"more", GET)  # not read by the gateway
-            request_count = len(script.of(Request))
+            request_count = len(script.events_of(Request))
             disconnect(client, how)
             await wait_until(lambda: not gateway_site.program.listener.clients)
             assert (
-                len(script.of(Request)) == request_count and not gateway_site.program.gateway.active_requests
+                len(script.events_of(Request)) == request_count
+                and not gateway_site.program.gateway.active_requests
             )
 
     run_scenario(scenario())
@@ -97,8 +100,10 @@
             client.send(*READ, b"1", GET)
             await wait_until(lambda: len(gateway_site.program.servers.connecting) == 1)
             disconnect(client, how)
-            await wait_until(lambda: script.of(AttemptEnded))
-            assert [(e.outcome, e.is_final) for e in script.of(AttemptEnded)] == [(Outcome.NOT_SENT, True)]
+            await wait_until(lambda: script.events_of(AttemptEnded))
+            assert [(e.outcome, e.is_final) for e in script.events_of(AttemptEnded)] == [
+                (Outcome.NOT_SENT, True)
+            ]
             await wait_until(lambda: not gateway_site.program.servers.connecting)
 
     run_scenario(scenario())
--- a/tests/system/test_crossings_servers.py
+++ b/tests/system/test_crossings_servers.py
@@ -100,7 +100,7 @@
             is_served = outcome is Outcome.OK or is_sent_again
             assert (await client.reply() == b"value") is is_served
             assert attempt_count == 1 + is_sent_again
-            assert recorder.endings == [outcome, Outcome.OK][:attempt_count]
+            assert recorder.outcomes == [outcome, Outcome.OK][:attempt_count]
             # A connection in an unknown state is not reused, and no request gets the reply of another.
             assert await client.ask(*READ, b"2", GET) == b"value"
 
--- a/tests/system/test_crossings_turns.py
+++ b/tests/system/test_crossings_turns.py
@@ -56,7 +56,7 @@
     sock.send(encode_command(*READ, b"open", GET))
     await wait_until(lambda: gateway_site.program.gateway.active_requests)
     sock.shutdown(socket.SHUT_WR)
-    await wait_until(lambda: script.of(ClientDisconnected))
+    await wait_until(lambda: script.events_of(ClientDisconnected))
     assert connection.transport is not None and connection.transport.is_closing()
     assert not gateway_site.program.gateway.active_requests and not gateway_site.program.listener.open_ids
 
--- a/tests/upstreams/test_connection_pool.py
+++ b/tests/upstreams/test_connection_pool.py
@@ -118,7 +118,7 @@
             script.decide = decide_and_drain
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             assert str(await client.reply()) == "ERR failed"
-            assert [event.outcome for event in script.of(AttemptEnded)] == [Outcome.UNREACHABLE]
+            assert [event.outcome for event in script.events_of(AttemptEnded)] == [Outcome.UNREACHABLE]
             assert gateway_site.servers[0].calls() == []
 
     run_scenario(scenario())
@@ -136,7 +136,7 @@
             discovery.answers.append(discovery_answer(2, [server_row("s0", port, "Gone")], full=False))
             await wait_until(lambda: ("closed", 1, []) in gateway_site.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
-            assert script.of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
+            assert script.events_of(AttemptEnded)[-1].outcome is Outcome.UNREACHABLE
             # A removed server's id never comes back, so nothing may be kept for it.
             assert (
                 not gateway_site.program.gateway.endpoints.started_ms
@@ -155,7 +155,7 @@
             return None if words[2] == b"mute" else SERVED
 
         def decide(event: Event) -> list[Action]:
-            is_third = isinstance(event, Request) and len(script.of(Request)) == 3
+            is_third = isinstance(event, Request) and len(script.events_of(Request)) == 3
             return send_to("s0", 300.0 if is_third else 0.0)(event)
 
         script = ScriptedEngine(decide)
@@ -170,7 +170,7 @@
             assert len(pool.idle) == 2
             gateway_site.program.servers.sweeper.cancel()  # it would close them at the idle limit
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"mute", GET)) == "ERR failed"
-            assert script.of(AttemptEnded)[-1].outcome is Outcome.TIMEOUT
+            assert script.events_of(AttemptEnded)[-1].outcome is Outcome.TIMEOUT
             await wait_until(lambda: not pool.open)
 
     run_scenario(scenario())
@@ -186,9 +186,11 @@
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             await wait_until(
-                lambda: len(script.of(AttemptEnded)) == 15 and len(gateway_site.servers[0].calls()) == 5
+                lambda: (
+                    len(script.events_of(AttemptEnded)) == 15 and len(gateway_site.servers[0].calls()) == 5
+                )
             )
-            assert {event.outcome for event in script.of(AttemptEnded)} == {Outcome.NO_CONNECTION}
+            assert {event.outcome for event in script.events_of(AttemptEnded)} == {Outcome.NO_CONNECTION}
             assert servers.connection_count() == 5
 
     run_scenario(scenario())
--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -158,7 +158,7 @@
 
 
 def outcomes(script: ScriptedEngine) -> dict[str, Outcome]:
-    return {event.request_id: event.outcome for event in script.of(AttemptEnded)}
+    return {event.request_id: event.outcome for event in script.events_of(AttemptEnded)}
 
 
 def test_a_burst_is_written_at_once_and_answered_in_order() -> None:
@@ -325,8 +325,8 @@
             change_rules(upstream, may_hedge=True)
             client = await gateway_site.client()
             await burst(client, *reads([b"a", b"b", b"c"]))
-            await wait_until(lambda: len(script.of(AttemptStalled)) == 2)
-            assert {event.request_id for event in script.of(AttemptStalled)} == {"2", "3"}
+            await wait_until(lambda: len(script.events_of(AttemptStalled)) == 2)
+            assert {event.request_id for event in script.events_of(AttemptStalled)} == {"2", "3"}
             server.send(value(b"a") + value(b"b") + value(b"c"))
             assert [await client.reply() for _ in range(3)] == [b"a", b"b", b"c"]
             assert not server.ended  # the connection stays open
@@ -346,7 +346,7 @@
             await burst(staying_client, *reads([b"d", b"e"]))
             await wait_until(lambda: len(server.ran) == 5)
             leaving_client.writer.close()
-            await wait_until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.events_of(ClientDisconnected))
             server.send(b"".join(value(name) for name in (b"a", b"b", b"c", b"d", b"e")))
             assert [await staying_client.reply() for _ in range(4)] == [b"a", b"b", b"d", b"e"]
             assert all(outcome is Outcome.OK for outcome in outcomes(script).values())
--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -216,7 +216,7 @@
 
 
 def outcomes(script: ScriptedEngine) -> list[Outcome]:
-    return [event.outcome for event in script.of(AttemptEnded)]
+    return [event.outcome for event in script.events_of(AttemptEnded)]
 
 
 def test_a_long_value_is_relayed_completely_and_the_connection_reused() -> None:
@@ -228,8 +228,10 @@
                 assert await client.reply() == VALUE
                 await asyncio.sleep(0.05)
             assert outcomes(script) == [Outcome.OK] * 3
-            assert all(event.active_requests == 7.0 and event.is_final for event in script.of(AttemptEnded))
-            assert len(script.of(ResponseStarted)) == 3
+            assert all(
+                event.active_requests == 7.0 and event.is_final for event in script.events_of(AttemptEnded)
+            )
+            assert len(script.events_of(ResponseStarted)) == 3
             assert len(gateway_site.servers[0].writers) == 1
             assert not gateway_site.program.listener.open_ids
 
@@ -250,7 +252,7 @@
                 ask(client, ids)
             gates[b"%016x" % 3].set()
             gates[b"%016x" % 2].set()  # its reply is not next in order, so the server must wait with the rest
-            await wait_until(lambda: script.of(ResponseStarted))
+            await wait_until(lambda: script.events_of(ResponseStarted))
             await asyncio.sleep(0.05)
             assert not client.reader._buffer  # type: ignore[attr-defined]
             gates[b"%016x" % 1].set()
@@ -289,8 +291,8 @@
             # The end of the connection shows the client that the value is incomplete.
             received = await client.reader.read()
             assert received == b"$70000\r\n" + VALUE[:30_000]
-            await wait_until(lambda: len(script.of(AttemptEnded)) == 2)
-            last = script.of(AttemptEnded)[-1]
+            await wait_until(lambda: len(script.events_of(AttemptEnded)) == 2)
+            last = script.events_of(AttemptEnded)[-1]
             assert last.is_final and last.outcome is Outcome.RESET
             assert list(attempts.values()) == [2] and not gateway_site.program.gateway.active_requests
 
@@ -311,7 +313,7 @@
             ask(client, ids)
             assert await client.reply() == VALUE
             await wait_until(lambda: outcomes(script) == [Outcome.OK])
-            duration_ms = script.of(AttemptEnded)[0].duration_ms
+            duration_ms = script.events_of(AttemptEnded)[0].duration_ms
             assert duration_ms < 1000.0, "the duration is not the time to the first bytes"
 
     run_scenario(scenario())
@@ -374,7 +376,7 @@
             deadline = asyncio.get_running_loop().time() + 1.1
             staying_client.send(b"CALL.GET", CUSTOMER, next(ids), short_deadline)
             ask(leaving_client, ids)
-            await wait_until(lambda: len(script.of(ResponseStarted)) == 2)
+            await wait_until(lambda: len(script.events_of(ResponseStarted)) == 2)
             leaving_client.writer.transport.abort()
             await wait_until(lambda: outcomes(script) == [Outcome.CANCELLED])
             # The deadline of the staying client has passed, but the first bytes were in time.
@@ -438,7 +440,7 @@
             blocked_client = Client(*await asyncio.open_connection(sock=sock))
             blocked_client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             ask(blocked_client, ids)
-            await wait_until(lambda: script.of(ResponseStarted))
+            await wait_until(lambda: script.events_of(ResponseStarted))
             other_clients = [await gateway_site.client() for _ in range(5)]
             for client in other_clients:
                 ask(client, ids)
@@ -457,7 +459,7 @@
         async with streaming_site(answer) as (gateway_site, script):
             client, ids = await gateway_site.client(), generate_request_ids()
             ask(client, ids)
-            await wait_until(lambda: script.of(ResponseStarted))
+            await wait_until(lambda: script.events_of(ResponseStarted))
             await asyncio.wait_for(gateway_site.program.shut_down(), 5.0)
             received = await client.reader.read()
             assert len(received) < len(VALUE)
