--- a/glenchute/policy/request_execution.py
+++ b/glenchute/policy/request_execution.py
@@ -115,8 +115,9 @@
         during a stall of this process is ignored."""
         pending = attempt.pending
         is_valid = attempt.sent_ms >= self.resumed_ms
-        recorded = event if is_valid else replace(event, outcome=Outcome.CANCELLED)
-        self.pool.record_end(now_ms, recorded, pending.request_class, pending.request.units)
+        # The outcome of a cancelled attempt says nothing about its server.
+        server_event = event if is_valid else replace(event, outcome=Outcome.CANCELLED)
+        self.pool.record_end(now_ms, server_event, pending.request_class, pending.request.units)
         if pending.tenant is not None:
             self.quota.record_attempt_end(pending.tenant, event.duration_ms, is_valid)
         backlog = self.shedder.backlog
@@ -191,7 +192,7 @@
                 continue
             if pending.may_have_run_ms is None:
                 self.send(now_ms, pending)
-            else:
+            else:  # while it waited, the time in which it may be repeated may have ended
                 self.send_or_finish(now_ms, pending)
 
     # --- the end of a request -----------------------------------------------------------------------------
--- a/tests/lab/test_quota_errors.py
+++ b/tests/lab/test_quota_errors.py
@@ -59,15 +59,11 @@
     assert (ledger.admitted_units, ledger.over_quota_units) == (12.0, 1.0)
     ledger.requests = 10
     ledger.record_rejection(500.0, ACCOUNT, 1.0, "empty")  # the bucket was empty: a correct rejection
-    ledger.record_rejection(
-        1500.0, ACCOUNT, 1.0, "empty"
-    )  # 2 of 10 units left: false, but less than half of the burst is unused
+    # 2 of 10 units left: a false rejection, but less than half of the burst is unused.
+    ledger.record_rejection(1500.0, ACCOUNT, 1.0, "empty")
     ledger.record_rejection(3100.0, ACCOUNT, 1.0, "lot")
-    assert (ledger.false_rejections, ledger.half_unused_rejections, dict(ledger.rejection_causes)) == (
-        2,
-        1,
-        {"lot": 1},
-    )
+    assert (ledger.false_rejections, ledger.half_unused_rejections) == (2, 1)
+    assert dict(ledger.rejection_causes) == {"lot": 1}
     assert ledger.ratios() == pytest.approx((1 / 12, 0.1, 0.2, 0.0))
 
 
@@ -123,7 +119,7 @@
 def test_told_nothing_it_is_the_module(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
     workload = small(site)
     informed = quotas.run_workload(workload, 5)
-    assert quotas.run_workload(workload, 5) == informed  # a seed is a run
+    assert quotas.run_workload(workload, 5) == informed  # a seed determines a run
     monkeypatch.setattr(
         quotas.QuotaWorld, "make_engine", lambda self, settings, seed: DecisionEngine(settings, seed)
     )
@@ -166,13 +162,15 @@
 
 
 def model(requests: list[ClientRequest], scheme: Scheme, lost_fraction: float = 0.0) -> CounterStateModel:
-    found = CounterStateModel(workload_of(requests), 3, scheme, lost_fraction, retry_fraction=0.0)
-    found.skew = [0.0] * 32
-    found.ledger.count_from_ms = 0.0
-    return found
+    """Returns a model with equal clocks, in which every request is counted and no client retries."""
+    result = CounterStateModel(workload_of(requests), 3, scheme, lost_fraction, retry_fraction=0.0)
+    result.skew = [0.0] * 32
+    result.ledger.count_from_ms = 0.0
+    return result
 
 
 def crowd(at: float, count: int = 32) -> list[ClientRequest]:
+    """Returns requests within one millisecond, each to another gateway."""
     rng = random.Random(7)
     return [ClientRequest(at + rng.random(), ACCOUNT, 1.0, n % 32, 0.9) for n in range(count)]
 
@@ -193,20 +191,18 @@
     ledger = model(first, scheme).run()
     assert ledger.admitted_units - ledger.over_quota_units == (10.0 if silence < 100.0 else 11.0)
     assert ledger.over_quota_units <= min(22.0, overflow)
-    again = model([*first, *crowd(silence + 1000.0)], scheme).run()
-    assert again.over_quota_units == ledger.over_quota_units
+    with_second_crowd = model([*first, *crowd(silence + 1000.0)], scheme).run()
+    assert with_second_crowd.over_quota_units == ledger.over_quota_units
 
 
 def test_two_that_find_one_overflow_add_it_once() -> None:
     first = [ClientRequest(0.0, ACCOUNT, 1.0, 0, 0.9), *crowd(2_000.0, 3)]
-    found = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ENDLESS_EPOCH_MS))
-    ledger = found.run()
-    assert found.corrections > 1
-    assert found.cancelled_additions == found.corrections - 1
-    assert (ledger.over_quota_units, ledger.admitted_units) == (
-        0.0,
-        1.0 + 3.0 + 8.0,
-    )  # half a second adds one unit
+    counter_model = model([*first, *crowd(2_500.0)], Scheme(0.0, epoch_ms=ENDLESS_EPOCH_MS))
+    ledger = counter_model.run()
+    assert counter_model.corrections > 1
+    assert counter_model.cancelled_additions == counter_model.corrections - 1
+    # 7 units are left after the first four requests; half a second adds one.
+    assert (ledger.over_quota_units, ledger.admitted_units) == (0.0, 1.0 + 3.0 + 8.0)
 
 
 @pytest.mark.parametrize("hidden", [0.0, 0.25, 0.5])
--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -1,9 +1,9 @@
-"""A proxy under the simulated clock of `simulated.py`, in front of the external processor's request table.
+"""A proxy in the simulated time of `simulated.py`, in front of the external processor's request table.
 
-It behaves as the operators' page asks of a proxy. It asks for a decision on each request and each attempt,
-and sends its client the response that the downstream stream decides. It retries only if it is told to; if it
-does not report how an attempt ended, it also retries after a reset. The rules are checked on the servers'
-records, as for the inline gateway.
+It behaves as the operators' page asks of a proxy: it gets a decision on each request and each attempt,
+retries only where a decision says so (or, if it does not report how an attempt ended, after a reset), and
+sends its client the response that the downstream stream gives. The rules are checked on the servers' records,
+as for the inline gateway.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from glenchute.policy.events import Outcome
 from glenchute.policy.services.request_mapping import MappingRules
 from glenchute.policy.settings import Idempotency
+from tests.platform_facts import FACTS
 from tests.simulated import AttemptRecord, PlannedOutcome, SimulatedCall, SimulatedSite
-from tests.sites import FACTS
 
 SOURCES = {
     "class": "header:x-class", "account": "header:x-account", "plan": "header:x-plan",
@@ -30,7 +30,7 @@
     "spread": "value:1",
 }  # fmt: skip
 ACCOUNT = "00000000000000c1"
-RESPONSES = {
+DETAILS = {
     Outcome.OK: (200, "via_upstream"),
     Outcome.ERROR: (500, "via_upstream"),
     Outcome.REJECTED: (429, "via_upstream"),
@@ -56,24 +56,24 @@
     return {name.replace("_", "-"): [value.encode()] for name, value in named.items()}
 
 
-def response_headers(status: int, details: str) -> ev.ResponseHeaders:
-    """Returns the message on a response, with the attribute that says how it came about."""
-    given_headers = headers(**{":status": str(status)})
-    return ev.ResponseHeaders(given_headers, attributes={"response.code_details": details})
+def responded(status: int, details: str) -> ev.ResponseHeaders:
+    """Returns a response with the attribute that tells its origin."""
+    given = headers(**{":status": str(status)})
+    return ev.ResponseHeaders(given, attributes={"response.code_details": details})
 
 
 @dataclass
 class ProxyClient:
-    """A client that sends one request, and the proxy's handling of it."""
+    """One client request at the proxy."""
 
     proxy: SimulatedProxy
     request: bytes
     downstream: DownstreamStream
-    attempt_count: int = 0
+    attempts: int = 0
     upstream: UpstreamStream | None = None
     record: AttemptRecord | None = None
     token: str = ""
-    server_address: str = ""
+    endpoint: str = ""
     max_attempts: int = 0
     retry_on: str = ""
     is_finished: bool = False
@@ -84,26 +84,26 @@
         if self.is_finished:
             return
         if isinstance(decision, ev.ImmediateResponse):
-            self.record_response(self.proxy.final_response(decision))
+            self.finish(self.proxy.final_response(decision))
             self.downstream.close(True)
             return
         assert isinstance(decision, ev.ContinueResponse)
-        self.server_address = decision.set_headers["x-gateway-destination-endpoint"]
+        self.endpoint = decision.set_headers["x-gateway-destination-endpoint"]
         self.token = decision.set_headers["x-glenchute-token"]
         self.max_attempts = 1 + int(decision.set_headers["x-envoy-max-retries"])
         self.retry_on = decision.set_headers["x-envoy-retry-on"]
-        request_timeout_s = int(decision.set_headers["x-envoy-upstream-rq-timeout-ms"]) / 1000.0
-        self.proxy.loop.call_later(request_timeout_s * self.proxy.clock_slowdown, self.on_route_timeout)
-        self.request_attempt()
+        left = int(decision.set_headers["x-envoy-upstream-rq-timeout-ms"]) / 1000.0
+        self.proxy.loop.call_later(left * self.proxy.clock_factor, self.on_route_timeout)
+        self.start_attempt()
 
-    def request_attempt(self) -> None:
-        """Asks the processor whether an attempt may be sent."""
-        self.attempt_count += 1
+    def start_attempt(self) -> None:
+        """Asks for permission for an attempt."""
+        self.attempts += 1
         upstream = self.upstream = UpstreamStream(self.proxy.calls)
-        upstream.abort = lambda: self.proxy.loop.call_later(0.0, self.on_stream_reset, upstream) and None
+        upstream.abort = lambda: self.proxy.loop.call_later(0.0, self.on_attempt_aborted, upstream) and None
         request_headers = headers(x_glenchute_token=self.token)
         upstream.receive(
-            ev.RequestHeaders(request_headers, attributes={"upstream.address": self.server_address}),
+            ev.RequestHeaders(request_headers, attributes={"upstream.address": self.endpoint}),
             lambda decision: self.on_attempt_decision(upstream, decision),
         )
 
@@ -114,27 +114,28 @@
         if isinstance(decision, ev.ImmediateResponse):
             self.upstream = None
             upstream.close(True)
-            if decision.headers.get("x-glenchute-retry") and self.attempt_count < self.max_attempts:
-                self.server_address = decision.headers["x-gateway-destination-endpoint"]
-                self.request_attempt()
+            if decision.headers.get("x-glenchute-retry") and self.attempts < self.max_attempts:
+                self.endpoint = decision.headers["x-gateway-destination-endpoint"]
+                self.start_attempt()
             else:
                 self.respond(decision.status, "")
             return
         assert isinstance(decision, ev.ContinueResponse)
-        server = self.proxy.server_names[self.server_address]
+        server = self.proxy.names[self.endpoint]
         timeout_s = int(decision.set_headers["x-envoy-upstream-rq-per-try-timeout-ms"]) / 1000.0
         record = self.record = AttemptRecord(self.request, server, self.proxy.loop.now, timeout_s=timeout_s)
         planned = self.proxy.site.servers.plan_attempt(record)
         loop, connect_s = self.proxy.loop, self.proxy.site.connect_s
-        proxy_timeout_s = timeout_s * self.proxy.clock_slowdown
-        loop.call_later(proxy_timeout_s, self.on_attempt_ended, upstream, record, Outcome.TIMEOUT)
-        connected = planned if planned.connect_s <= connect_s else None
-        loop.call_later(min(planned.connect_s, connect_s), self.on_connected, upstream, record, connected)
+        loop.call_later(
+            timeout_s * self.proxy.clock_factor, self.on_attempt_ended, upstream, record, Outcome.TIMEOUT
+        )
+        after_connect = planned if planned.connect_s <= connect_s else None
+        loop.call_later(min(planned.connect_s, connect_s), self.on_connected, upstream, record, after_connect)
 
     def on_connected(
         self, upstream: UpstreamStream, record: AttemptRecord, planned: PlannedOutcome | None
     ) -> None:
-        """Sends the request, or ends the attempt if the connection failed (`planned` is None)."""
+        """Sends the request's bytes, or ends the attempt where the connection failed (`planned` is None)."""
         if record.outcome is not None:
             return
         if planned is None:
@@ -143,25 +144,26 @@
         record.sent_at = self.proxy.loop.now
         self.proxy.site.servers.check_sent(record)
         if planned.duration_s < 1e6:
-            outcome = planned.outcome
-            self.proxy.loop.call_later(planned.duration_s, self.on_attempt_ended, upstream, record, outcome)
+            self.proxy.loop.call_later(
+                planned.duration_s, self.on_attempt_ended, upstream, record, planned.outcome
+            )
 
     def on_attempt_ended(self, upstream: UpstreamStream, record: AttemptRecord, outcome: Outcome) -> None:
-        """Ends the attempt; reports its outcome as a response, or only by the end of the stream."""
+        """Ends the attempt, and reports its outcome as a response or only by the end of the stream."""
         if record.outcome is not None:
             return
         record.ended_at, record.outcome = self.proxy.loop.now, outcome
-        status, details = RESPONSES[outcome]
-        if self.proxy.reports_local_replies or details == "via_upstream":
+        status, details = DETAILS[outcome]
+        if self.proxy.reports_outcomes or details == "via_upstream":
             upstream.receive(
-                response_headers(status, details),
+                responded(status, details),
                 lambda decision: self.on_response_decision(upstream, decision, status, details),
             )
             return
         self.upstream = None
         upstream.close(False)
-        if "reset" in self.retry_on and self.attempt_count < self.max_attempts and not self.is_finished:
-            self.request_attempt()
+        if "reset" in self.retry_on and self.attempts < self.max_attempts and not self.is_finished:
+            self.start_attempt()
         else:
             self.respond(status, details)
 
@@ -174,21 +176,21 @@
         self.upstream = None
         upstream.close(True)
         assert isinstance(decision, ev.ContinueResponse)
-        may_retry = self.attempt_count < self.max_attempts and not self.is_finished
+        may_retry = self.attempts < self.max_attempts and not self.is_finished
         if decision.set_headers.get("x-glenchute-retry") and may_retry:
-            self.server_address = decision.set_headers["x-gateway-destination-endpoint"]
-            self.request_attempt()
+            self.endpoint = decision.set_headers["x-gateway-destination-endpoint"]
+            self.start_attempt()
         else:
             self.respond(status, details)
 
-    def on_stream_reset(self, upstream: UpstreamStream) -> None:
+    def on_attempt_aborted(self, upstream: UpstreamStream) -> None:
         """Handles a reset of the attempt's stream by the processor: ends the attempt with status 500."""
         if self.upstream is upstream:
-            self.cancel_attempt()
+            self.abort_attempt()
             self.respond(500, "")
 
-    def cancel_attempt(self, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Ends the attempt in flight, if any, with an outcome."""
+    def abort_attempt(self, outcome: Outcome = Outcome.CANCELLED) -> None:
+        """Closes the connection of the attempt in flight, if any."""
         upstream, self.upstream = self.upstream, None
         if self.record is not None and self.record.outcome is None:
             self.record.ended_at, self.record.outcome = self.proxy.loop.now, outcome
@@ -198,75 +200,74 @@
     def on_route_timeout(self) -> None:
         """Handles the proxy's own timeout for the request."""
         if not self.is_finished and not self.responses:
-            self.cancel_attempt(Outcome.TIMEOUT)
+            self.abort_attempt(Outcome.TIMEOUT)
             self.respond(504, "response_timeout")
 
     def respond(self, status: int, details: str) -> None:
-        """Passes a response to the downstream stream and responds to the client as that decides."""
+        """Responds to the client with what the downstream stream makes of a response."""
         if self.is_finished:
             return
         self.is_finished = True
 
-        def on_final_decision(decision: ev.ProcessorResponse | None) -> None:
+        def on_decision(decision: ev.ProcessorResponse | None) -> None:
             if isinstance(decision, ev.ImmediateResponse):
-                self.record_response(self.proxy.final_response(decision))
+                self.finish(self.proxy.final_response(decision))
             else:
-                self.record_response(Served(self.request) if status < 500 and status != 429 else Failed())
+                self.finish(Served(self.request) if status < 500 and status != 429 else Failed())
             self.downstream.close(True)
 
-        self.downstream.receive(response_headers(status, details), on_final_decision)
+        self.downstream.receive(responded(status, details), on_decision)
 
-    def record_response(self, response: FinalResponse) -> None:
-        """Records the final response to the client."""
+    def finish(self, response: FinalResponse) -> None:
+        """Records the client's final response."""
         self.is_finished = True
         self.responses.append((self.proxy.loop.now, response))
 
-    def disconnect(self, ends_cleanly: bool = False) -> None:
-        """Ends the request without a response, as when the client or the whole proxy ends."""
+    def disconnect(self, clean: bool = False) -> None:
+        """Disconnects the client, or the whole proxy."""
         self.is_finished = True
-        self.cancel_attempt()
-        self.downstream.close(ends_cleanly)
+        self.abort_attempt()
+        self.downstream.close(clean)
 
 
 class SimulatedProxy:
-    """A proxy. `reports_local_replies`: whether it reports how an attempt without a response ended.
-    `clock_slowdown`: the simulated seconds in which the proxy's clock advances by one second."""
+    """A proxy in front of a simulated site.
+
+    With `reports_outcomes` it reports by a local reply how an attempt without a response ended.
+    `clock_factor` is the number of simulated seconds in which the proxy's clock counts one.
+    """
 
     def __init__(
-        self,
-        site: SimulatedSite,
-        reports_local_replies: bool = True,
-        clock_slowdown: float = 1.0,
-        **changes: Any,
+        self, site: SimulatedSite, reports_outcomes: bool = True, clock_factor: float = 1.0, **changes: Any
     ) -> None:
-        self.site, self.clock_slowdown = site, clock_slowdown
-        self.reports_local_replies = reports_local_replies
+        self.site, self.reports_outcomes, self.clock_factor = site, reports_outcomes, clock_factor
         self.loop = cast(Any, site.loop)
         self.calls = RequestTable(
             self.loop, site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
         )
         self.calls.wall_clock = lambda: float(site.loop.now)
-        self.server_names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
+        self.names = {f"127.0.0.1:{7000 + n}": f"s{n}" for n in range(6)}
         self.clients: dict[bytes, ProxyClient] = {}
 
     def send_request(
-        self, class_name: str, time_left_ms: float, plan: str = "osnovni", number: int | None = None
+        self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
     ) -> ProxyClient:
-        """Sends a client's request. `number`: its id, where several proxies share one sequence of ids."""
+        """Sends a client's request. Proxies that share a sequence of ids give its `number`."""
         request = b"%d" % (len(self.clients) + 1 if number is None else number)
-        idempotency = self.site.idempotency_by_class[class_name]
-        call = SimulatedCall(request, class_name, plan, ACCOUNT, time_left_ms, 1.0, 1, idempotency)
+        call = SimulatedCall(
+            request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
+        )
         self.site.servers.calls[request] = call
         client = self.clients[request] = ProxyClient(self, request, DownstreamStream(self.calls))
         request_headers = headers(
             x_class=class_name, x_account=ACCOUNT, x_plan=plan, x_request_id=request.decode(),
-            idempotency_key="k1", x_deadline_ms=str(time_left_ms),
+            idempotency_key="k1", x_deadline_ms=str(left_ms),
         )  # fmt: skip
         client.downstream.receive(ev.RequestHeaders(request_headers), client.on_request_decision)
         return client
 
     def final_response(self, decision: ev.ImmediateResponse) -> FinalResponse:
-        """Converts an immediate response to a final response of the core."""
+        """Returns an immediate response as a final response of the core."""
         if decision.status == 429:
             assert decision.headers["x-glenchute-effect"] == "none"
             return Rejected(float(decision.headers.get("x-glenchute-retry-after-ms", 0)))
