--- a/tests/clients/membership/test_endpoint_reports.py
+++ b/tests/clients/membership/test_endpoint_reports.py
@@ -240,7 +240,7 @@
 
 
 def test_a_peer_that_removes_all_servers_by_gossip_is_overruled(tmp_path: Path) -> None:
-    """A gateway that is told that all servers are removed goes on with half, and soon uses all again."""
+    """A gateway that receives removals of all servers continues with half, and soon uses all again."""
 
     async def scenario() -> None:
         async with FleetSite(tmp_path, 3) as site:
@@ -278,7 +278,7 @@
 
 
 def test_a_server_unreachable_to_one_is_avoided_by_all_and_used_again(tmp_path: Path) -> None:
-    """A server dies, still listed, while only one gateway has traffic; the others avoid it untried."""
+    """A listed server dies while only one gateway has traffic; the others avoid it without an attempt."""
 
     async def scenario() -> None:
         async with FleetSite(tmp_path, 3) as site:
@@ -296,7 +296,7 @@
             await site.wait_until(is_avoided_by_others, 30.0)
             assert checks.lost_count(outcomes) == 0
             assert sum(outcome.answer == "served" for outcome in outcomes) >= 0.9 * len(outcomes)
-            # A member that is partitioned goes by its own attempts.
+            # A partitioned member relies on its own attempts.
             site.split([[0], [1, 2]])
             outcomes += await site.run_load(1.0, 20.0, ACCOUNTS)
             site.split([[0], [1, 2]], cut=False)
--- a/tests/clients/membership/test_fleet_processes.py
+++ b/tests/clients/membership/test_fleet_processes.py
@@ -128,8 +128,8 @@
 
 
 def test_a_cut_link_between_two_members_lowers_their_known_share_alone(tmp_path: Path) -> None:
-    """Indirect probes get around the cut but usage reports don't, so that the usage of an unheard member is
-    unknown."""
+    """Indirect probes get around the cut but usage reports don't, so that the usage of a member whose
+    reports are lost is unknown."""
 
     async def scenario() -> None:
         async with FleetSite(tmp_path, 5) as site:
@@ -378,7 +378,7 @@
             )
             await site.wait_until(lambda: has_dropped(site, 0, "dropped_fleet"))
 
-            # g3 is stopped until it is declared dead, and goes on with outdated state.
+            # g3 is stopped until it is declared dead, and continues with outdated state.
             site.send_signal(3, signal.SIGSTOP)
             await site.wait_until(lambda: has_state(site, 0, "g3", "dead"))
             outcomes = await load
--- a/tests/clients/membership/test_hundreds.py
+++ b/tests/clients/membership/test_hundreds.py
@@ -1,4 +1,5 @@
-"""Decisions of one of hundreds of gateways: each sees a tenant seldom, and what each may do alone adds up."""
+"""Decisions of one of hundreds of gateways: few of a tenant's requests reach it, and what each gateway may
+admit by itself adds up over all of them."""
 
 from __future__ import annotations
 
@@ -124,9 +125,8 @@
         )
         if not restarted:
             rig.handle_event(EndpointList(EndpointListKind.CHANGES, (cold,)))
-        for _ in range(
-            2
-        ):  # 16 attempts in flight at each of the two warm servers make the cold one attractive
+        # 16 attempts in flight at each of the two warm servers make the cold one the preferred choice.
+        for _ in range(2):
             for server in rig.gateway.pool.servers.values():
                 server.in_flight += 0 if server.endpoint.address == "cold" else 8
         _, actions = rig.ask()
@@ -137,8 +137,8 @@
 
 
 def test_slow_responses_limit_capacity_where_few_servers_were_heard() -> None:
-    # Guards against a median latency over all servers: a gateway among hundreds has no recent response of
-    # most of them, so that an overloaded fleet passed for a fast one.
+    # Guards against a median latency over all servers: a gateway among hundreds has no recent response from
+    # most of them, so that an overloaded fleet seemed fast.
     rig = EngineHarness(make_endpoints(60), MANY_GATEWAYS)
     for i in range(16):
         name, actions = rig.ask(customer=f"c{i}", left=4000.0)
@@ -166,8 +166,8 @@
 
 @pytest.mark.parametrize("counter", [Outcome.OK, Outcome.REJECTED, Outcome.UNREACHABLE])
 def test_a_ceiling_holds_over_its_gateways_whatever_the_counter_does(counter: Outcome) -> None:
-    """Half of the ceiling is granted by the counter, half by even shares; the overload comes through all
-    gateways at once."""
+    """Half of the ceiling is granted by the counter, half by even shares; all gateways are overloaded at
+    once."""
     rigs = [EngineHarness(make_endpoints(4), MANY_GATEWAYS, seed=i) for i in range(6)]
     shared: dict[int, float] = {}
     sent = 0.0
@@ -211,7 +211,7 @@
 
 def test_timeouts_lengthen_with_the_load_of_all_classes() -> None:
     # Guards against timeouts by the mean latency of each class alone: at one of hundreds of gateways it takes
-    # half a minute to follow the load, and meanwhile retries overloaded the fleet further.
+    # half a minute to follow the load, during which retries overloaded the fleet further.
     rig = EngineHarness(make_endpoints(60), MANY_GATEWAYS)
     for i in range(12):
         name, actions = rig.ask(cls="order", customer=f"c{i}", left=4000.0)
@@ -264,7 +264,7 @@
 
 def test_a_rejected_request_is_subtracted_while_the_counter_has_calls_to_spare() -> None:
     # Guards against rejected units that stay in the counter's total for the rest of the window: among many
-    # gateways each sees a tenant seldom, and these units counted as usage and had the next requests rejected.
+    # gateways each sees a tenant seldom, and its next requests were rejected as these units counted as usage.
     rig = EngineHarness(make_endpoints(4), MANY_GATEWAYS)
     rig.others_units = 7.0
     _, actions = rig.ask(plan="rate", spread=200)
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -1,5 +1,5 @@
-"""Three gateway processes with a counter that is killed, split and replaced. The nodes record which requests
-they ran, and the test checks the quota and the ceiling against that record."""
+"""Three gateway processes with a counter that is killed, split and replaced. The servers record which
+requests they ran, and the test checks the quota and the ceiling against these records."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 GATEWAYS = 3
 RATE = 60.0  # requests a second at each gateway
 SECONDS = 6.0
-# The platform allows this time between a gateway's decision and the moment that the node records.
+# The platform allows this time between a gateway's decision and the execution that the server records.
 ALLOWED_DELAY_S = 0.15
 READ = RequestKind("report-read", 1.0, 1500)
 
 
 def overshoot(moments: list[float], rate: float, burst: float) -> float:
-    """Returns by how many units a token bucket would have been overdrawn that granted one at each moment."""
+    """Returns the units by which taking one unit at each moment would overdraw a token bucket."""
     tokens, last, lowest = burst, None, 0.0
     for at in sorted(moments):
         tokens = min(burst, tokens + (0.0 if last is None else rate * (at - last))) - 1.0
--- a/tests/clients/test_discovery.py
+++ b/tests/clients/test_discovery.py
@@ -93,10 +93,10 @@
         overloaded = DiscoveryPeer(http_response(b"", "503 Service Unavailable"))
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))  # reserves a port on which nothing listens
-            async with site(discovery=overloaded) as one:
-                await wait_until(lambda: one.program.discovery.failed_polls == 1)
-                one.program.discovery.change_address(taken.getsockname())
-                await wait_until(lambda: one.program.discovery.failed_polls > 3)
+            async with site(discovery=overloaded) as gateway_site:
+                await wait_until(lambda: gateway_site.program.discovery.failed_polls == 1)
+                gateway_site.program.discovery.change_address(taken.getsockname())
+                await wait_until(lambda: gateway_site.program.discovery.failed_polls > 3)
 
     monkeypatch.setattr(polling, "RATE_DECREASE_FACTOR", 1e6)  # the delay lasts for seconds
     run_scenario(scenario())
@@ -106,13 +106,13 @@
     async def scenario() -> None:
         discovery = DiscoveryPeer(discovery_answer(8, [server_row("b", 81)], full=False))
         saved = decode_list({"version": 7, "full": True, "servers": []}, saved=True)
-        async with site(discovery=discovery, cached_endpoints=saved) as one:
+        async with site(discovery=discovery, cached_endpoints=saved) as gateway_site:
             await wait_until(lambda: len(discovery.targets) == 2)
             assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
             # The first poll must not wait for a change, as the start of the process waits for its answer.
             assert discovery.targets[0].endswith("timeout_ms=1")
             assert not discovery.targets[1].endswith("timeout_ms=1")
-            assert one.program.servers.server_ids() == ["b"]
+            assert gateway_site.program.servers.server_ids() == ["b"]
 
     run_scenario(scenario())
 
@@ -121,8 +121,8 @@
     async def scenario() -> None:
         discovery = DiscoveryPeer(discovery_answer(1, []))
         discovery.answers.clear()
-        async with site(reply_with(SERVED), discovery=discovery) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED), discovery=discovery) as gateway_site:
+            client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
 
     run_scenario(scenario())
@@ -140,15 +140,15 @@
         old, new = DiscoveryPeer(discovery_answer(9, [server_row("a", 80)])), DiscoveryPeer()
         await new.start()
         script = ScriptedEngine(lambda event: [])
-        async with site(decisions=script, discovery=old) as one:
+        async with site(decisions=script, discovery=old) as gateway_site:
             await wait_until(lambda: len(old.targets) == 2)
-            one.program.discovery.change_address(("127.0.0.1", new.port))
+            gateway_site.program.discovery.change_address(("127.0.0.1", new.port))
             old.answers.append(discovery_answer(10, [], full=True))
             await wait_until(lambda: new.targets)
             # The list in force stays until one is received from the new address.
-            assert list(one.program.servers.pools) == ["a"]
+            assert list(gateway_site.program.servers.pools) == ["a"]
             new.answers.append(discovery_answer(2, [server_row("b", 81)]))
-            await wait_until(lambda: list(one.program.servers.pools) == ["b"])
+            await wait_until(lambda: list(gateway_site.program.servers.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
         await new.stop()
 
--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -193,9 +193,9 @@
         operator = "[discovery]\ncalls_per_s = 15\nlist_age_s = 30\n"
         platform_settings = replace(config(1, 1, []).settings, gateway_count=200)
         changes: dict[str, Any] = {"settings": platform_settings, "gateway_number": 150, "operator": operator}
-        async with site(decisions=script, discovery=discovery, **changes) as one:  # type: ignore[arg-type]
+        async with site(decisions=script, discovery=discovery, **changes) as gateway_site:  # type: ignore[arg-type]
             await task
-            assert not one.program.discovery.scheduler.settings.is_pushed
+            assert not gateway_site.program.discovery.scheduler.settings.is_pushed
             number = 1
             for result in OUTAGES[name]:
                 await discovery.poll(number)
@@ -238,7 +238,7 @@
     async def scenario() -> None:
         discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(serve_first_list(discovery))
-        async with site(decisions=script, discovery=discovery) as one:  # type: ignore[arg-type]
+        async with site(decisions=script, discovery=discovery) as gateway_site:  # type: ignore[arg-type]
             await task
             others = [server_row(f"m{n}", 1000 + n) | {"note": "x" * 400} for n in range(padding_rows)]
             rows = [server_row("a", 80, "Terminating"), *others]
@@ -251,8 +251,8 @@
             if form == "ended by close":
                 writer.close()
             await wait_until(lambda: endpoint_states(script)["a"] == "draining")
-            assert "b" not in one.program.servers.server_ids()
-            assert len(one.program.servers.server_ids()) == 1 + padding_rows
+            assert "b" not in gateway_site.program.servers.server_ids()
+            assert len(gateway_site.program.servers.server_ids()) == 1 + padding_rows
 
     run_scenario(scenario())
 
@@ -265,7 +265,7 @@
     async def scenario() -> None:
         discovery, script = ManualDiscovery(), ScriptedEngine(lambda event: [])
         task = asyncio.create_task(serve_first_list(discovery))
-        async with site(decisions=script, discovery=discovery) as one:  # type: ignore[arg-type]
+        async with site(decisions=script, discovery=discovery) as gateway_site:  # type: ignore[arg-type]
             await task
             rows = {
                 "version": 9,
@@ -274,7 +274,8 @@
             }
             await discovery.answer(1, http_response(json.dumps(rows).encode()))
             await wait_until(lambda: endpoint_states(script)["a"] == "draining")
-            assert endpoint_states(script)["b"] == "active" and set(one.program.servers.server_ids()) == {
+            assert endpoint_states(script)["b"] == "active"
+            assert set(gateway_site.program.servers.server_ids()) == {
                 "a",
                 "b",
             }
@@ -301,11 +302,11 @@
             ScriptedEngine(lambda event: []),
         )
         task = asyncio.create_task(serve_first_list(old))
-        async with site(decisions=script, discovery=old) as one:  # type: ignore[arg-type]
+        async with site(decisions=script, discovery=old) as gateway_site:  # type: ignore[arg-type]
             await task
             for peer in (other, new):
                 await peer.start()
-            discovery, first = one.program.discovery, one.program.discovery.address
+            discovery, first = gateway_site.program.discovery, gateway_site.program.discovery.address
             last = new
             if case == "silent":
                 await old.poll(2)  # one poll is late, and a hedged one is in flight
@@ -323,7 +324,7 @@
             discovery.change_address(first if case == "back" else ("127.0.0.1", new.port))
             # Answers from the former addresses must be ignored.
             for peer in {old, other, new} - {last}:
-                for writer in [one for _, one in peer.polls if not one.transport.is_closing()]:
+                for writer in [writer for _, writer in peer.polls if not writer.transport.is_closing()]:
                     writer.write(
                         discovery_answer(
                             99, [server_row("a", 80, "Terminating"), server_row("b", 81, "Terminating")]
--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -137,24 +137,24 @@
             rows[n] = {**rows[n], "weight": 1.5 + len(changed)}
         update = decode_in_parts(json.dumps({"version": 3, "full": True, "servers": rows}).encode(), current)
         assert len(decoded) == expected and [entry.address for entry in update.event.endpoints][3] == "n3"
-        assert [entry.weight for entry in update.event.endpoints] == [one.get("weight", 1.0) for one in rows]
+        assert [entry.weight for entry in update.event.endpoints] == [row.get("weight", 1.0) for row in rows]
         assert len(current.rows_by_text) == len(rows)
 
 
 class PausedDecoding:
     """Pauses decoding between two parts until the test resumes it."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, one: Site) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, gateway_site: Site) -> None:
         self.paused: list[Any] = []
-        self.one = one
-        patch.setattr(one.program.discovery, "decode_next_part", self.pause)
+        self.gateway_site = gateway_site
+        patch.setattr(gateway_site.program.discovery, "decode_next_part", self.pause)
 
     def pause(self, decoding: Any) -> None:
         self.paused.append(decoding)
 
     async def resume(self, parts: int) -> None:
         """Decodes this many parts, then pauses again."""
-        discovery = self.one.program.discovery
+        discovery = self.gateway_site.program.discovery
         for _ in range(parts):
             await wait_until(lambda: self.paused or discovery.partial_decode is None)
             paused, self.paused = self.paused, []
@@ -178,16 +178,16 @@
         answers = DiscoveryPeer(first)
         other = DiscoveryPeer(discovery_answer(9, [server_row("s1", 9)]))
         await other.start()
-        async with site(decisions=script, discovery=answers) as one:
-            discovery = one.program.discovery
+        async with site(decisions=script, discovery=answers) as gateway_site:
+            discovery = gateway_site.program.discovery
             await wait_until(lambda: discovery.version == 2)
-            parts = PausedDecoding(monkeypatch, one)
+            parts = PausedDecoding(monkeypatch, gateway_site)
             body = json.dumps({"version": 3, "full": True, "servers": MANY}).encode()
             answers.answers.append(http_response(body))
             await wait_until(lambda: parts.paused)
             await parts.resume(3)
             before = len(received_lists(script))
-            client = await one.client()
+            client = await gateway_site.client()
             assert (
                 await client.ask(b"PING") == b"PONG"
                 and parts.paused
@@ -232,13 +232,13 @@
 
     async def scenario() -> None:
         answers = DiscoveryPeer(discovery_answer(2, [server_row("s0", 9)]))
-        async with site(decisions=script, discovery=answers) as one:
-            await wait_until(lambda: one.program.discovery.version == 2)
-            parts = PausedDecoding(monkeypatch, one)
+        async with site(decisions=script, discovery=answers) as gateway_site:
+            await wait_until(lambda: gateway_site.program.discovery.version == 2)
+            parts = PausedDecoding(monkeypatch, gateway_site)
             rows = [*MANY[:300], server_row("s0", 9, "Terminating")]
             answers.answers.append(discovery_answer(3, rows, full=False))
-            await wait_until(lambda: one.program.discovery.version == 3)
-            assert not parts.paused and one.program.servers.pools["s0"].stop_at is not None
+            await wait_until(lambda: gateway_site.program.discovery.version == 3)
+            assert not parts.paused and gateway_site.program.servers.pools["s0"].stop_at is not None
 
     run_scenario(scenario())
 
--- a/tests/clients/test_unconfirmed_lists.py
+++ b/tests/clients/test_unconfirmed_lists.py
@@ -113,9 +113,9 @@
             "operator": OPERATOR,
             "cached_endpoints": None,
         }
-        async with site(reply_with(None), decisions=script, discovery=manual, **changes) as one:  # type: ignore[arg-type]
+        async with site(reply_with(None), decisions=script, discovery=manual, **changes) as gateway_site:  # type: ignore[arg-type]
             await task
-            discovery, servers = one.program.discovery, one.program.servers
+            discovery, servers = gateway_site.program.discovery, gateway_site.program.servers
 
             def summary() -> str:
                 reported = endpoint_states(script)
--- a/tests/listeners/resp2/test_client_connections.py
+++ b/tests/listeners/resp2/test_client_connections.py
@@ -78,14 +78,14 @@
 ) -> None:
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script) as one:
-            client = await one.client()
-            for words, text in INVALID_COMMANDS:
-                assert text in str(await client.ask(*words)), words
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            client = await gateway_site.client()
+            for command, text in INVALID_COMMANDS:
+                assert text in str(await client.ask(*command)), command
             assert script.events_of(Request) == []
             assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            assert len(one.servers[0].calls()) == 1
+            assert len(gateway_site.servers[0].calls()) == 1
 
     monkeypatch.setattr(connection_module, "MAX_COMMAND_ERRORS", 1000)
     run_scenario(scenario())
@@ -93,8 +93,8 @@
 
 def test_a_client_with_many_errors_gets_error_replies_and_is_closed() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client, other = await one.client(), await one.client()
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client, other = await gateway_site.client(), await gateway_site.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             for _ in range(500):
                 client.send(b"NOPE")
@@ -109,10 +109,10 @@
 
 def test_one_turn_of_the_loop_takes_a_bounded_number_of_commands() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED)) as one:
-            client = await one.client()
-            await wait_until(lambda: one.program.listener.clients)
-            (connection,) = one.program.listener.clients
+        async with site(reply_with(SERVED)) as gateway_site:
+            client = await gateway_site.client()
+            await wait_until(lambda: gateway_site.program.listener.clients)
+            (connection,) = gateway_site.program.listener.clients
             unparsed: list[int] = []
             connection.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
             connection.process_commands()
@@ -127,24 +127,25 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
             return SERVED
 
-        async with site(reply, decisions=ScriptedEngine(send_to("s0"))) as one:
-            first, second = await one.client(), await one.client()
+        async with site(reply, decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            first, second = await gateway_site.client(), await gateway_site.client()
             first.send(b"CALL.GET", CUSTOMER, ID, GET)
-            await wait_until(lambda: len(one.servers[0].calls()) == 1)
+            await wait_until(lambda: len(gateway_site.servers[0].calls()) == 1)
             assert "in use" in str(await second.ask(b"CALL.GET", CUSTOMER, ID, GET))
             release.set()
             assert await first.reply() == b"value"
             assert await second.ask(b"CALL.GET", CUSTOMER, ID, GET) == b"value"
-            assert not one.program.listener.open_ids
+            assert not gateway_site.program.listener.open_ids
             release.clear()
             first.send(b"CALL.GET", CUSTOMER, ID, GET)
-            await wait_until(lambda: one.program.listener.open_ids)
+            await wait_until(lambda: gateway_site.program.listener.open_ids)
             first.writer.close()
-            await wait_until(lambda: not one.program.listener.open_ids)  # the client has disconnected
+            # Until the gateway has noticed that the client disconnected.
+            await wait_until(lambda: not gateway_site.program.listener.open_ids)
             release.set()
 
     run_scenario(scenario())
@@ -153,8 +154,8 @@
 def test_a_long_deadline_is_reduced_to_the_longest_of_the_settings() -> None:
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            client = await gateway_site.client()
             fields = b"c=read,t=basic,d=999999999"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
             assert [event.time_left_ms for event in script.events_of(Request)] == [20_000.0]
@@ -164,8 +165,8 @@
 
 def test_silent_connections_and_partial_commands_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with site(reply_with(None), decisions=ScriptedEngine(send_to("s0"))) as one:
-            silent, partial, idle, busy = [await one.client() for _ in range(4)]
+        async with site(reply_with(None), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            silent, partial, idle, busy = [await gateway_site.client() for _ in range(4)]
             partial.writer.write(b"*2\r\n$4\r\nPI")
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
@@ -174,7 +175,7 @@
             assert await partial.reply() is None
             assert await idle.ended()
             # The request of the busy client, which is still connected.
-            assert len(one.program.gateway.active_requests) == 1
+            assert len(gateway_site.program.gateway.active_requests) == 1
 
     for name in ("MAX_FIRST_COMMAND_S", "PARTIAL_COMMAND_TIMEOUT_S", "MAX_IDLE_S"):
         monkeypatch.setattr(client_slots, name, 0.2)
@@ -190,17 +191,17 @@
         monkeypatch.setattr(client_slots, name, 1000.0)
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            one.program.listener.connection_slots.max_connections = 2
-            used = await one.client()
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            gateway_site.program.listener.connection_slots.max_connections = 2
+            used = await gateway_site.client()
             assert await used.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            silent = await one.client()
-            await wait_until(lambda: len(one.program.listener.clients) == 2)
+            silent = await gateway_site.client()
+            await wait_until(lambda: len(gateway_site.program.listener.clients) == 2)
             await asyncio.sleep(2.0 * MIN_FIRST_COMMAND_S)  # a wide margin, as the loop's clock is coarse
-            pinging = await one.client()
+            pinging = await gateway_site.client()
             assert await pinging.ask(b"PING") == b"PONG"
             assert await silent.ended()
-            last = await one.client()
+            last = await gateway_site.client()
             assert await last.ask(b"PING") == b"PONG"
             assert await pinging.ended()
             assert await used.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
@@ -232,16 +233,16 @@
 @pytest.mark.parametrize("data", INVALID_RESP)
 def test_invalid_resp_gets_an_error_reply_and_is_closed(data: bytes) -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED)) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED)) as gateway_site:
+            client = await gateway_site.client()
             client.writer.write(data)
             try:
                 assert "Protocol error" in str(await client.reply())
                 assert await client.reply() is None
             except ConnectionResetError:
                 pass  # a reset, as bytes of the client were left unread
-            await wait_until(lambda: not one.program.listener.clients)
-            other = await one.client()
+            await wait_until(lambda: not gateway_site.program.listener.clients)
+            other = await gateway_site.client()
             assert await other.ask(b"PING") == b"PONG"
 
     run_scenario(scenario())
@@ -255,8 +256,13 @@
     async def scenario() -> None:
         low, high = outgoing_ports()
         discovery = DiscoveryPeer(discovery_answer(1, []))
-        async with site(reply_with(SERVED), discovery=discovery) as one:
-            ports = [one.port, one.servers[0].port, one.counter.port, discovery.port]
+        async with site(reply_with(SERVED), discovery=discovery) as gateway_site:
+            ports = [
+                gateway_site.port,
+                gateway_site.servers[0].port,
+                gateway_site.counter.port,
+                discovery.port,
+            ]
             assert [port for port in ports if low <= port <= high] == []
 
     run_scenario(scenario())
@@ -268,17 +274,17 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        async def reply(command: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
             return SERVED
 
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply, decisions=script) as one:
-            client = await one.client()
+        async with site(reply, decisions=script) as gateway_site:
+            client = await gateway_site.client()
             for number in range(3 * MAX_PENDING_COMMANDS):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
             await wait_until(lambda: len(script.events_of(Request)) >= MAX_PENDING_COMMANDS)
-            assert len(one.program.gateway.active_requests) == MAX_PENDING_COMMANDS
+            assert len(gateway_site.program.gateway.active_requests) == MAX_PENDING_COMMANDS
             release.set()
             assert {await client.reply() for _ in range(3 * MAX_PENDING_COMMANDS)} == {b"value"}
 
@@ -287,11 +293,11 @@
 
 def test_a_client_that_does_not_read_is_not_read_from() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED)) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED)) as gateway_site:
+            client = await gateway_site.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await wait_until(lambda: one.program.listener.clients)
-            (connection,) = one.program.listener.clients
+            await wait_until(lambda: gateway_site.program.listener.clients)
+            (connection,) = gateway_site.program.listener.clients
             word = b"x" * 60_000
             while not connection.is_write_blocked:
                 client.send(b"PING", word)
@@ -308,18 +314,18 @@
 
 def test_past_the_limit_an_idle_connection_is_evicted() -> None:
     async def scenario() -> None:
-        async with site(reply_with(None), sockets=64) as one:
-            one.program.listener.connection_slots.max_connections = 2
-            busy, idle = await one.client(), await one.client()
+        async with site(reply_with(None), sockets=64) as gateway_site:
+            gateway_site.program.listener.connection_slots.max_connections = 2
+            busy, idle = await gateway_site.client(), await gateway_site.client()
             assert await idle.ask(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await wait_until(lambda: one.program.gateway.active_requests)
-            third = await one.client()
+            await wait_until(lambda: gateway_site.program.gateway.active_requests)
+            third = await gateway_site.client()
             assert await third.ask(b"PING") == b"PONG"
             assert await idle.ended()
             third.send(b"CALL.GET", CUSTOMER, b"2", GET)
-            await wait_until(lambda: len(one.program.gateway.active_requests) == 2)
-            fourth = await one.client()
+            await wait_until(lambda: len(gateway_site.program.gateway.active_requests) == 2)
+            fourth = await gateway_site.client()
             assert "too many connections" in str(await fourth.reply())
 
     run_scenario(scenario())
@@ -329,10 +335,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = await one.client()
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = await gateway_site.client()
             with monkeypatch.context() as patch:
-                patch.setattr(one.program.gateway, "accept", None)
+                patch.setattr(gateway_site.program.gateway, "accept", None)
                 assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
 
--- a/tests/listeners/resp2/test_crowd.py
+++ b/tests/listeners/resp2/test_crowd.py
@@ -32,29 +32,29 @@
 SOCKETS = 96  # file descriptors: 46 client slots, of which at most 32 for clients with requests
 ONE_TIME_RATE_PER_S = 100.0
 ONE_TIME_CLIENTS = 150
-# How long a client waits for its reply. A slot that an idle connection kept for its full time would be free
+# How long a client waits for its reply. A slot that an idle connection held for `MAX_IDLE_S` would be freed
 # too late for it.
 PATIENCE_S = MAX_IDLE_S / 2.0
 
 
-class Crowd:
-    """The clients, and how many of the requests of each kind were served."""
+class ClientMix:
+    """Clients of all kinds, and how many of their requests were served."""
 
-    def __init__(self, one: Site) -> None:
-        self.one = one
+    def __init__(self, gateway_site: Site) -> None:
+        self.gateway_site = gateway_site
         self.ids = generate_request_ids()
         self.pool = asyncio.Semaphore(SOCKETS // 3)  # connections for requests; the clients open no more
         self.one_time_counts = [0, 0]  # requests sent, served
         self.regular_counts = [0, 0]  # requests sent, served
         self.reopened = 0  # connections that regular clients had to open again
         self.peak_connections = 0
-        self.is_over = False  # all one-time clients have finished
+        self.is_over = False  # whether all one-time clients have finished
 
-    async def ask(self, client: Client) -> bool:
+    async def send_request(self, client: Client) -> bool:
         """Sends one request; False if the connection ended instead of a reply."""
         return bool(await client.ask(b"CALL.GET", CUSTOMER, next(self.ids), GET) == b"value")
 
-    async def keep(self, client: Client) -> None:
+    async def hold_open(self, client: Client) -> None:
         """Holds the connection until the gateway closes it."""
         try:
             await client.reply()
@@ -78,13 +78,13 @@
             client = None
             try:
                 async with asyncio.timeout_at(deadline):
-                    client = await self.one.client()
-                    is_served = await self.ask(client)
+                    client = await self.gateway_site.client()
+                    is_served = await self.send_request(client)
             except (TimeoutError, ConnectionError):
                 is_served = False
             if is_served and client is not None:
                 self.one_time_counts[1] += 1
-                kept.add(asyncio.create_task(self.keep(client)))
+                kept.add(asyncio.create_task(self.hold_open(client)))
                 return
             if client is not None:
                 client.writer.close()
@@ -93,17 +93,17 @@
     async def run_regular(self) -> None:
         """Sends a request every few ms on one connection, and opens another one if that is closed."""
         await self.pool.acquire()
-        client = await self.one.client()
+        client = await self.gateway_site.client()
         while not self.is_over:
             self.regular_counts[0] += 1
             try:
-                if not await self.ask(client):
+                if not await self.send_request(client):
                     raise ConnectionError
             except ConnectionError:
                 self.reopened += 1
                 client.writer.close()
-                client = await self.one.client()
-                self.regular_counts[1] += await self.ask(client)  # retried once, as clients do
+                client = await self.gateway_site.client()
+                self.regular_counts[1] += await self.send_request(client)  # retried once, as clients do
             else:
                 self.regular_counts[1] += 1
             await asyncio.sleep(0.01)
@@ -113,7 +113,7 @@
         """Sends only PINGs, and reconnects when the connection is closed."""
         while not self.is_over:
             try:
-                client = await self.one.client()
+                client = await self.gateway_site.client()
                 while await client.ask(b"PING") is not None and not self.is_over:
                     await asyncio.sleep(0.02)
                 client.writer.close()
@@ -124,16 +124,20 @@
     async def run_silent(self) -> None:
         """Connects, sends nothing, and reconnects when the connection is closed."""
         while not self.is_over:
-            client = await self.one.client()
+            client = await self.gateway_site.client()
             await client.ended()
             client.writer.close()
 
     async def watch(self) -> None:
+        """Records the largest number of connections that the gateway holds."""
         while not self.is_over:
-            self.peak_connections = max(self.peak_connections, len(self.one.program.listener.clients))
+            self.peak_connections = max(
+                self.peak_connections, len(self.gateway_site.program.listener.clients)
+            )
             await asyncio.sleep(0.002)
 
-    async def play(self, pinging: int, silent: int) -> None:
+    async def run(self, pinging: int, silent: int) -> None:
+        """Runs four regular clients, `pinging` and `silent` ones, and one-time clients at a rate."""
         tasks: list[asyncio.Task[Any]] = [asyncio.create_task(self.run_regular()) for _ in range(4)]
         tasks += [asyncio.create_task(self.run_pinging()) for _ in range(pinging)]
         tasks += [asyncio.create_task(self.run_silent()) for _ in range(silent)]
@@ -158,23 +162,28 @@
     second none is free. `test_client_slots.py` tests in simulated time from which rates on clients wait."""
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), sockets=SOCKETS) as one:
-            crowd = Crowd(one)
-            await crowd.play(pinging, silent)
-            assert crowd.one_time_counts[0] == ONE_TIME_CLIENTS
-            assert crowd.one_time_counts[1] >= 0.9 * crowd.one_time_counts[0], crowd.one_time_counts
-            assert crowd.regular_counts[1] >= 0.95 * crowd.regular_counts[0], crowd.regular_counts
+        async with site(
+            reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), sockets=SOCKETS
+        ) as gateway_site:
+            clients = ClientMix(gateway_site)
+            await clients.run(pinging, silent)
+            assert clients.one_time_counts[0] == ONE_TIME_CLIENTS
+            assert clients.one_time_counts[1] >= 0.9 * clients.one_time_counts[0], clients.one_time_counts
+            assert clients.regular_counts[1] >= 0.95 * clients.regular_counts[0], clients.regular_counts
             # Connections that are reused every few ms are worth keeping: almost none is evicted.
-            assert crowd.reopened <= 0.05 * crowd.regular_counts[0], (crowd.reopened, crowd.regular_counts)
-            slots = one.program.listener.connection_slots
-            assert crowd.peak_connections <= slots.max_connections + slots.max_overflow
+            assert clients.reopened <= 0.05 * clients.regular_counts[0], (
+                clients.reopened,
+                clients.regular_counts,
+            )
+            slots = gateway_site.program.listener.connection_slots
+            assert clients.peak_connections <= slots.max_connections + slots.max_overflow
             assert slots.closed_counts[CloseReason.IDLE] > 0
 
     run_scenario(scenario())
 
 
 def connect_blocking(port: int) -> socket.socket:
-    """A blocking socket, so that the test decides what happens between two iterations of the event loop."""
+    """Returns a blocking socket: the test decides what happens between two turns of the event loop."""
     sock = socket.create_connection(("127.0.0.1", port))
     sock.settimeout(2.0)
     return sock
@@ -193,9 +202,9 @@
 
     async def scenario() -> None:
         script = ScriptedEngine(send_to("s0"))
-        async with site(reply_with(SERVED), decisions=script) as one:
-            listener = one.program.listener
-            client = connect_blocking(one.port)
+        async with site(reply_with(SERVED), decisions=script) as gateway_site:
+            listener = gateway_site.program.listener
+            client = connect_blocking(gateway_site.port)
             client.sendall(first)
             loop = asyncio.get_running_loop()
             assert await loop.run_in_executor(None, client.recv, 100) in (b"+PONG\r\n", b"$5\r\nvalue\r\n")
@@ -221,15 +230,15 @@
 
 def test_a_connection_with_an_unread_command_is_not_evicted() -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            listener = one.program.listener
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            listener = gateway_site.program.listener
             listener.connection_slots.max_connections = 1
             loop = asyncio.get_running_loop()
-            used = connect_blocking(one.port)
+            used = connect_blocking(gateway_site.port)
             used.sendall(FIRST)
             assert await loop.run_in_executor(None, used.recv, 100) == b"$5\r\nvalue\r\n"
             # The new connection has not been accepted, and the command has not been read.
-            new = connect_blocking(one.port)
+            new = connect_blocking(gateway_site.port)
             used.sendall(SECOND)
             assert await loop.run_in_executor(None, used.recv, 100) == b"$5\r\nvalue\r\n"
             reply = await loop.run_in_executor(None, new.recv, 100)
@@ -242,13 +251,13 @@
 
 def test_a_client_that_ignores_the_close_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            client = connect_blocking(one.port)
-            await wait_until(lambda: one.program.listener.clients)
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            client = connect_blocking(gateway_site.port)
+            await wait_until(lambda: gateway_site.program.listener.clients)
             monkeypatch.setattr(client_slots, "MAX_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             monkeypatch.setattr(client_slots, "LINGER_TIMEOUT_S", 0.1)
-            await wait_until(lambda: not one.program.listener.clients)
+            await wait_until(lambda: not gateway_site.program.listener.clients)
             assert client.recv(1) == b""
             client.close()
 
@@ -263,9 +272,9 @@
     close_for = ClientConnection.close_for
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as one:
-            listener = one.program.listener
-            silent = [await one.client(), await one.client()]
+        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0"))) as gateway_site:
+            listener = gateway_site.program.listener
+            silent = [await gateway_site.client(), await gateway_site.client()]
             await wait_until(lambda: len(listener.clients) == 2)
             first = next(iter(listener.clients))
 
@@ -279,7 +288,7 @@
             monkeypatch.setattr(client_slots, "MIN_FIRST_COMMAND_S", 0.0)
             assert all([await client.ended() for client in silent])
             await wait_until(lambda: first.transport is None)
-            last = await one.client()
+            last = await gateway_site.client()
             assert await last.ended()
             await wait_until(lambda: not listener.clients)
 
--- a/tests/listeners/resp2/test_unread_replies.py
+++ b/tests/listeners/resp2/test_unread_replies.py
@@ -30,13 +30,13 @@
 
 
 @contextmanager
-def sockets(one: Site, count: int) -> Iterator[list[socket.socket]]:
-    """Client sockets that are not read from unless the test does, with small receive buffers."""
+def sockets(gateway_site: Site, count: int) -> Iterator[list[socket.socket]]:
+    """Yields client sockets with small receive buffers, which only the test reads from."""
     opened = []
     for _ in range(count):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(("127.0.0.1", one.port))
+        sock.connect(("127.0.0.1", gateway_site.port))
         sock.setblocking(False)
         opened.append(sock)
     try:
@@ -64,11 +64,11 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def buffered_bytes(one: Site) -> int:
-    """The bytes that the gateway buffers for all clients, counted independently of its own total."""
+def buffered_bytes(gateway_site: Site) -> int:
+    """Returns the bytes that the gateway buffers for all clients, counted independently of its own total."""
     return sum(
         client.transport.get_write_buffer_size() + client.parser.buffered_bytes + client.waiting_reply_bytes
-        for client in one.program.listener.clients
+        for client in gateway_site.program.listener.clients
         if client.transport is not None
     )
 
@@ -78,23 +78,23 @@
     limit = 2 * 1024 * 1024
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED)) as one:
-            listener = one.program.listener
+        async with site(reply_with(SERVED)) as gateway_site:
+            listener = gateway_site.program.listener
             listener.client_memory.max_bytes = limit
-            other = await one.client()
-            with sockets(one, 60) as socks:
+            other = await gateway_site.client()
+            with sockets(gateway_site, 60) as socks:
                 async with writing(socks, LARGE):
                     counts = listener.connection_slots.closed_counts
                     await wait_until(lambda: counts[CloseReason.UNREAD] >= 20)
                     peak = 0
                     for _ in range(200):
                         await asyncio.sleep(0)
-                        peak = max(peak, buffered_bytes(one))
+                        peak = max(peak, buffered_bytes(gateway_site))
                     assert await other.ask(b"PING") == b"PONG"
             # Each connection may add one turn's replies and one read before memory is relieved again.
             assert peak <= limit + 60 * (len(WORD) + 64 * 1024), f"{peak} bytes"
             await wait_until(lambda: len(listener.clients) == 1)
-            assert listener.client_memory.total_bytes == buffered_bytes(one) == 0
+            assert listener.client_memory.total_bytes == buffered_bytes(gateway_site) == 0
 
     run_scenario(scenario())
 
@@ -104,14 +104,16 @@
     monkeypatch.setattr(client_slots, "MIN_WRITE_BLOCKED_S", 0.02)
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), sockets=96) as one:
-            slots = one.program.listener.connection_slots
-            with sockets(one, slots.max_connections) as socks:
+        async with site(
+            reply_with(SERVED), decisions=ScriptedEngine(send_to("s0")), sockets=96
+        ) as gateway_site:
+            slots = gateway_site.program.listener.connection_slots
+            with sockets(gateway_site, slots.max_connections) as socks:
                 async with writing(socks, LARGE):
                     await wait_until(lambda: len(slots.blocked()) >= slots.max_connections)
                     await asyncio.sleep(0.05)
                     for number in range(10):
-                        client = await one.client()
+                        client = await gateway_site.client()
                         assert await client.ask(b"CALL.GET", CUSTOMER, b"%016x" % number, GET) == b"value"
                     assert slots.closed_counts[CloseReason.NO_SLOT] == 0
                     assert slots.closed_counts[CloseReason.UNREAD] >= 1
@@ -123,10 +125,10 @@
     """Guards against unlimited time spent on discarding what rejected clients send."""
 
     async def scenario() -> None:
-        async with site(reply_with(SERVED), sockets=96) as one:
-            listener = one.program.listener
+        async with site(reply_with(SERVED), sockets=96) as gateway_site:
+            listener = gateway_site.program.listener
             listener.connection_slots.max_connections = 0
-            with sockets(one, 1) as socks:
+            with sockets(gateway_site, 1) as socks:
                 await wait_until(lambda: listener.connection_slots.closed_counts[CloseReason.NO_SLOT] == 1)
                 rejected = next(iter(listener.clients))
                 async with writing(socks, LARGE):
