--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -205,7 +205,7 @@
 
     async def stop(self) -> None:
         await super().stop()
-        self.writers, self.serving = [], set()
+        self.writers, self.connection_tasks = [], set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop, is_wrong = asyncio.get_running_loop(), False
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -83,8 +83,8 @@
             return
         replies: asyncio.Queue[asyncio.Task[bytes | None]] = asyncio.Queue(self.profile.max_pipelined)
         writing = asyncio.create_task(self.write_in_order(replies, writer))
-        self.serving.add(writing)
-        writing.add_done_callback(self.serving.discard)
+        self.connection_tasks.add(writing)
+        writing.add_done_callback(self.connection_tasks.discard)
         parser = hiredis.Reader()
         self.open_connections += 1
         self.accepted_connections += 1
--- a/lab/peers.py
+++ b/lab/peers.py
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.writers: list[asyncio.StreamWriter] = []
-        self.serving: set[asyncio.Task[Any]] = set()
+        self.connection_tasks: set[asyncio.Task[Any]] = set()
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
@@ -44,13 +44,13 @@
         self.writers.append(writer)
         task = asyncio.current_task()
         assert task is not None
-        self.serving.add(task)
+        self.connection_tasks.add(task)
         try:
             await self.serve(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass  # expected when the other end disconnects or this peer stops
         finally:
-            self.serving.discard(task)
+            self.connection_tasks.discard(task)
             writer.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -61,10 +61,10 @@
             self.server.close()
         for writer in self.writers:
             writer.close()
-        for task in list(self.serving):
+        for task in list(self.connection_tasks):
             task.cancel()
-        if self.serving:
-            await asyncio.wait(self.serving, timeout=1.0)
+        if self.connection_tasks:
+            await asyncio.wait(self.connection_tasks, timeout=1.0)
 
 
 async def read_commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
@@ -121,12 +121,12 @@
     def __init__(self, *answers: bytes) -> None:
         super().__init__()
         self.answers = list(answers)
-        self.targets: list[str] = []  # request targets (paths and queries) of the calls
+        self.request_targets: list[str] = []  # request targets (paths and queries) of the calls
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
-            self.targets.append(head.split(b" ")[1].decode())
-            number = len(self.targets) - 1
+            self.request_targets.append(head.split(b" ")[1].decode())
+            number = len(self.request_targets) - 1
             await wait_until(lambda: len(self.answers) > number)  # noqa: B023
             writer.write(self.answers[number])
 
--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -78,7 +78,7 @@
     """A request: the servers that received its attempts, and the client's response."""
 
     request_id: str
-    nodes: list[str] = field(default_factory=list)
+    attempted_addresses: list[str] = field(default_factory=list)
     status: int = 0
     reason: str = ""
 
@@ -198,13 +198,13 @@
         self,
         processor: str,
         settings: ProxySettings | None = None,
-        nodes: list[str] | None = None,
+        addresses: list[str] | None = None,
         uses_grpcio: bool = False,
     ) -> None:
         """Connects to `processor`, a host:port or unix:/path, with grpcio's client if `uses_grpcio`."""
         super().__init__()
         self.settings = settings or ProxySettings()
-        self.nodes = nodes or []  # servers that it may choose by itself
+        self.addresses = addresses or []  # of servers that it may choose by itself
         self.log: list[LogEntry] = []
         self.point_counts: dict[str, int] = {}
         self.request_count = self.attempt_count = 0
@@ -331,8 +331,8 @@
             self.attempt_count += 1
             target = address
             override_every = self.settings.override_every
-            if override_every and self.attempt_count % override_every == 0 and self.nodes:
-                target = self.nodes[self.attempt_count % len(self.nodes)]
+            if override_every and self.attempt_count % override_every == 0 and self.addresses:
+                target = self.addresses[self.attempt_count % len(self.addresses)]
             if has_token:
                 attempt = self.attempt(headers, body, entry, target, attempt_number, deadline)
             else:
@@ -416,7 +416,7 @@
                     conn.send(h11.Data(data=body)),
                     conn.send(h11.EndOfMessage()),
                 ]
-                entry.nodes.append(address)
+                entry.attempted_addresses.append(address)
                 writer.write(b"".join(part for part in parts if part))
                 self.pass_point("bytes-left", entry.request_id)
                 message = await read_message(conn, reader)
--- a/tests/cli/test_process.py
+++ b/tests/cli/test_process.py
@@ -141,9 +141,12 @@
                 pass
         discovery, counter_peer = addresses[2]
         await wait_until(
-            lambda: len(discovery.targets) > 1 and len(counter_peer.writers) == counter.DEFAULT_CONNECTIONS
+            lambda: (
+                len(discovery.request_targets) > 1
+                and len(counter_peer.writers) == counter.DEFAULT_CONNECTIONS
+            )
         )
-        assert discovery.targets[0] == "/v1/servers" and "since=3&" in discovery.targets[1]
+        assert discovery.request_targets[0] == "/v1/servers" and "since=3&" in discovery.request_targets[1]
         ids = (b"%016x" % number for number in range(100, 10_000))
         while not counter_peer.calls():
             assert await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) == b"value"
--- a/tests/clients/test_counter_loopback.py
+++ b/tests/clients/test_counter_loopback.py
@@ -88,9 +88,9 @@
             assert statuses == [0] * GATEWAYS
         first_run_at: dict[bytes, float] = {}
         for node in nodes:
-            for run in node.effects:
-                at = node.started_at + run.at
-                first_run_at[run.request_id] = min(at, first_run_at.get(run.request_id, at))
+            for effect in node.effects:
+                at = node.started_at + effect.at
+                first_run_at[effect.request_id] = min(at, first_run_at.get(effect.request_id, at))
         moments = list(first_run_at.values())
         plan = policy_settings(site_settings).plans[2]
         bound = overshoot_bound(plan, GATEWAYS, 0.0, 1.0)
--- a/tests/clients/test_discovery.py
+++ b/tests/clients/test_discovery.py
@@ -46,7 +46,7 @@
         )
         script = ScriptedEngine(lambda event: [])
         async with site(decisions=script, discovery=discovery):
-            await wait_until(lambda: len(discovery.targets) == 11)
+            await wait_until(lambda: len(discovery.request_targets) == 11)
             received = [
                 (event.kind, [endpoint.address for endpoint in event.endpoints])
                 for event in script.events_of(EndpointList)
@@ -58,7 +58,7 @@
                 (EndpointListKind.FULL, ["a"]),
                 (EndpointListKind.CHANGES, ["c"]),
             ]
-            since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
+            since = [target.partition("since=")[2].partition("&")[0] for target in discovery.request_targets]
             assert since == ["1", "1", "1", "1", "1", "5", "5", "9", "9", "3", "4"]
 
     run_scenario(scenario())
@@ -77,8 +77,8 @@
         )
         script = ScriptedEngine(lambda event: [])
         async with site(decisions=script, discovery=discovery):
-            await wait_until(lambda: len(discovery.targets) == 5)
-            since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
+            await wait_until(lambda: len(discovery.request_targets) == 5)
+            since = [target.partition("since=")[2].partition("&")[0] for target in discovery.request_targets]
             assert since == ["1", "9", "", "2", "3"]
 
     run_scenario(scenario())
@@ -107,11 +107,11 @@
         discovery = DiscoveryPeer(discovery_answer(8, [server_row("b", 81)], full=False))
         saved = decode_list({"version": 7, "full": True, "servers": []}, saved=True)
         async with site(discovery=discovery, cached_endpoints=saved) as gateway_site:
-            await wait_until(lambda: len(discovery.targets) == 2)
-            assert "since=7&" in discovery.targets[0] and "since=8&" in discovery.targets[1]
+            await wait_until(lambda: len(discovery.request_targets) == 2)
+            assert "since=7&" in discovery.request_targets[0] and "since=8&" in discovery.request_targets[1]
             # The first poll must not wait for a change, as the start of the process waits for its answer.
-            assert discovery.targets[0].endswith("timeout_ms=1")
-            assert not discovery.targets[1].endswith("timeout_ms=1")
+            assert discovery.request_targets[0].endswith("timeout_ms=1")
+            assert not discovery.request_targets[1].endswith("timeout_ms=1")
             assert gateway_site.program.servers.server_ids() == ["b"]
 
     run_scenario(scenario())
@@ -141,15 +141,15 @@
         await new.start()
         script = ScriptedEngine(lambda event: [])
         async with site(decisions=script, discovery=old) as gateway_site:
-            await wait_until(lambda: len(old.targets) == 2)
+            await wait_until(lambda: len(old.request_targets) == 2)
             gateway_site.program.discovery.change_address(("127.0.0.1", new.port))
             old.answers.append(discovery_answer(10, [], full=True))
-            await wait_until(lambda: new.targets)
+            await wait_until(lambda: new.request_targets)
             # The list in force stays until one is received from the new address.
             assert list(gateway_site.program.servers.pools) == ["a"]
             new.answers.append(discovery_answer(2, [server_row("b", 81)]))
             await wait_until(lambda: list(gateway_site.program.servers.pools) == ["b"])
-            assert new.targets[0] == "/v1/servers"
+            assert new.request_targets[0] == "/v1/servers"
         await new.stop()
 
     run_scenario(scenario())
--- a/tests/listeners/extproc/test_extproc.py
+++ b/tests/listeners/extproc/test_extproc.py
@@ -110,6 +110,7 @@
         return extproc
 
     def proxy(self, uses_grpcio: bool = False, **settings: Any) -> Proxy:
+        """Returns a proxy of the gateway, which may also choose among this site's servers by itself."""
         addresses = [f"127.0.0.1:{node.port}" for node in self.nodes]
         return Proxy(f"127.0.0.1:{self.port}", ProxySettings(**settings), addresses, uses_grpcio)
 
@@ -200,18 +201,18 @@
     return FaultScript([Fault(kind, 0.0, 1e9, 0.06) for kind in kinds], seed)
 
 
-@pytest.mark.parametrize("tells", [True, False])
-def test_each_of_a_proxys_requests_gets_one_response(tells: bool) -> None:
+@pytest.mark.parametrize("reports_local_replies", [True, False])
+def test_each_of_a_proxys_requests_gets_one_response(reports_local_replies: bool) -> None:
     async def scenario() -> None:
         async with extproc_site([faulty(1), faulty(2), faulty(3)]) as site:
-            proxy = site.proxy(reports_local_replies=tells)
+            proxy = site.proxy(reports_local_replies=reports_local_replies)
             await proxy.start()
             rng = random.Random(5)
             requests = [(rng.choice(list(TARGETS)), f"r{number}", number % 5) for number in range(150)]
             responses = await send_all(proxy.port, requests)
             assert all(status for status, _ in responses)
             assert [status for status, _ in responses].count(200) > 100
-            ran = {run.request_id.decode() for node in site.nodes for run in node.effects}
+            ran = {effect.request_id.decode() for node in site.nodes for effect in node.effects}
             for number, (status, response_headers) in enumerate(responses):
                 if response_headers.get("x-glenchute-effect") == "none":
                     assert f"r{number}" not in ran, "rejected after an attempt that ran"
@@ -252,7 +253,7 @@
                 assert lost_response == (0, {}) and await dying_proxy.wait() == -signal.SIGKILL
                 await wait_until_nothing_left(site.server())  # the dead proxy's request has ended
             assert repeated_requests(site.nodes) == []
-            ran = {run.request_id.decode() for node in site.nodes for run in node.effects}
+            ran = {effect.request_id.decode() for node in site.nodes for effect in node.effects}
             for point in POINTS:
                 before_sending = POINTS.index(point) < POINTS.index("bytes-left")
                 assert (f"{point}-2" in ran) != before_sending or point == "bytes-left"
@@ -292,7 +293,7 @@
             assert len(processes) == 2 and status
             assert response_headers.get("x-glenchute-effect") != "none"
             record = next(record for record in proxy.log if record.request_id == "victim")
-            assert len(record.nodes) <= 1, "reissued"
+            assert len(record.attempted_addresses) <= 1, "reissued"
             assert repeated_requests(site.nodes) == []
             async with asyncio.timeout(10.0):
                 while (await send_request(proxy.port, "check-charge", "after"))[0] != 200:
--- a/tests/policy/connections/test_descriptor_budget.py
+++ b/tests/policy/connections/test_descriptor_budget.py
@@ -322,7 +322,7 @@
             resource.prlimit(limited.pid, resource.RLIMIT_NOFILE, (descriptor_limit, 128))
             for peer in peers:
                 await peer.start(peer.port)
-            discovery_call_count = len(limited.discovery.targets)
+            discovery_call_count = len(limited.discovery.request_targets)
             assert await client.ask(b"CALL.GET", CUSTOMER, next(limited.request_ids), GET) != b"value"
             new_client = await Client.connect(limited.gateway.port)
             assert await new_client.ended()
@@ -337,7 +337,7 @@
             await wait_until(
                 lambda: len(limited.counter.writers) >= divide_descriptors(128).counter_connections
             )
-            await wait_until(lambda: len(limited.discovery.targets) > discovery_call_count)
+            await wait_until(lambda: len(limited.discovery.request_targets) > discovery_call_count)
             while await limited.ask_until_accepted() != b"value":
                 pass
             assert await client.ask(b"CALL.GET", CUSTOMER, next(limited.request_ids), GET) == b"value"
