--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -29,7 +29,7 @@
     extproc_settings,
     headers,
     planned_by_seed,
-    response_headers,
+    responded,
 )
 from tests.simulated import PlannedOutcome, SimulatedSite
 
@@ -62,16 +62,12 @@
 
 
 def decision_log(
-    seed: int,
-    request_count: int,
-    draw_outcome: DrawOutcome,
-    proxied: bool,
-    reports_local_replies: bool = True,
+    seed: int, request_count: int, draw_outcome: DrawOutcome, proxied: bool, tells: bool = True
 ) -> dict[bytes, LogRow]:
     """Returns the decision log of a run: for each request its attempts (server, start, outcome), the type of
     the final response, its time and its retry-after in milliseconds."""
     site = simulated_site(seed, draw_outcome)
-    proxy = SimulatedProxy(site, reports_local_replies) if proxied else None
+    proxy = SimulatedProxy(site, tells) if proxied else None
     rng = random.Random(seed)
     for _ in range(request_count):
         site.loop.run(site.loop.now + rng.expovariate(40))
@@ -125,19 +121,17 @@
     can't tell a reset in an attempt's last millisecond from a timeout either; none falls there in these runs.
     """
     inline = decision_log(seed, 2000, faulty_when_reachable, proxied=False)
-    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, reports_local_replies=False)
+    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, tells=False)
     assert {r: (inline[r], by_proxy[r]) for r in inline if inline[r] != by_proxy[r]} == {}
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize("reports_local_replies", [True, False])
-def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(
-    seed: int, reports_local_replies: bool
-) -> None:
+@pytest.mark.parametrize("tells", [True, False])
+def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(seed: int, tells: bool) -> None:
     """The simulated servers raise if a non-idempotent request is sent twice, or if two attempts of a request
     are in flight at once. Each request whose client did not disconnect gets one final response."""
     site = simulated_site(seed, faulty)
-    proxy = SimulatedProxy(site, reports_local_replies)
+    proxy = SimulatedProxy(site, tells)
     rng = random.Random(seed)
     disconnected: set[bytes] = set()
 
@@ -166,7 +160,7 @@
     """One proxy times out attempts and requests long before the gateway does, the other long after. For the
     slow one the gateway's own timeouts apply, and no client waits past its deadline."""
     site = simulated_site(seed, faulty)
-    fast, slow = SimulatedProxy(site, clock_slowdown=0.3), SimulatedProxy(site, clock_slowdown=4.0)
+    fast, slow = SimulatedProxy(site, clock_factor=0.3), SimulatedProxy(site, clock_factor=4.0)
     slow.calls = fast.calls
     rng = random.Random(seed)
     requests: list[tuple[ProxyClient, float]] = []
@@ -190,7 +184,7 @@
     new_site.gateway.loop = site.loop  # type: ignore[assignment]
     new_site.gateway.upstream = site.servers
     new_site.gateway.clock = site.gateway.clock
-    new_proxy = SimulatedProxy(new_site, proxy.reports_local_replies, **changes)
+    new_proxy = SimulatedProxy(new_site, proxy.reports_outcomes, **changes)
     new_proxy.calls = RequestTable(
         new_proxy.loop, new_site.gateway, extproc_settings(**changes), TokenSigner(b"k" * 32)
     )
@@ -205,8 +199,7 @@
     upstream = UpstreamStream(proxy.calls)
     attempt_headers = headers(x_glenchute_token=client.token, x_envoy_attempt_count="2")
     upstream.receive(
-        ev.RequestHeaders(attempt_headers, attributes={"upstream.address": client.server_address}),
-        responses.append,
+        ev.RequestHeaders(attempt_headers, attributes={"upstream.address": client.endpoint}), responses.append
     )
     upstream.close(True)
     return responses[0] if responses else None
@@ -377,7 +370,7 @@
     client.is_finished = True  # the simulated client does nothing more by itself
     site.loop.run(site.loop.now + 1.5)
     responses: list[Any] = []
-    client.downstream.receive(response_headers(200, "via_upstream"), responses.append)
+    client.downstream.receive(responded(200, "via_upstream"), responses.append)
     assert responses[0].status == 500 and responses[0].headers["x-glenchute-effect"] == "unknown"
     client.downstream.close(True)
     site.loop.run(site.loop.now + 5.0)
@@ -392,7 +385,7 @@
     upstream = UpstreamStream(proxy.calls)
     token = responses[0].set_headers["x-glenchute-token"]
     upstream.receive(ev.RequestHeaders(headers(x_glenchute_token=token)), replies.append)
-    message = response_headers(200, "via_upstream")
+    message = responded(200, "via_upstream")
     message.headers["x-glenchute-retry"] = [b"1"]
     upstream.receive(message, replies.append)
     downstream.receive(message, replies.append)
@@ -410,7 +403,7 @@
     upstream, client.upstream, client.is_finished = client.upstream, None, True
     assert upstream is not None
     responses: list[Any] = []
-    reset = response_headers(503, "upstream_reset_before_response_started{connection_termination}")
+    reset = responded(503, "upstream_reset_before_response_started{connection_termination}")
     if first == "attempt":
         upstream.close(False)
     client.downstream.receive(reset, responses.append)
@@ -449,7 +442,7 @@
     site = simulated_site(1, lambda rng: SERVED)
     proxy = SimulatedProxy(site)
     downstream, responses = open_downstream(proxy, request_headers())
-    removed = proxy.server_names[responses[0].endpoint]
+    removed = proxy.names[responses[0].endpoint]
     site.servers.names.remove(removed)
     site.gateway.post(
         EndpointList(EndpointListKind.CHANGES, (Endpoint(removed, "a", state=EndpointState.REMOVED),))
@@ -471,13 +464,13 @@
 
 def test_without_attempt_streams_the_response_is_the_attempts_outcome() -> None:
     cases = [
-        (response_headers(200, "via_upstream"), "go"),
-        (response_headers(500, "via_upstream"), "go"),
+        (responded(200, "via_upstream"), "go"),
+        (responded(500, "via_upstream"), "go"),
         # The server rejected the attempt without running it, so the gateway rejects the request.
-        (response_headers(429, "via_upstream"), 429),
-        (response_headers(503, "upstream_reset_before_response_started{remote_connection_failure}"), 429),
-        (response_headers(503, "upstream_reset_before_response_started{connection_termination}"), 500),
-        (response_headers(504, "upstream_response_timeout"), "go"),
+        (responded(429, "via_upstream"), 429),
+        (responded(503, "upstream_reset_before_response_started{remote_connection_failure}"), 429),
+        (responded(503, "upstream_reset_before_response_started{connection_termination}"), 500),
+        (responded(504, "upstream_response_timeout"), "go"),
     ]
     for message, expected in cases:
         site = simulated_site(1, lambda rng: NEVER)
@@ -578,7 +571,7 @@
         request_headers, st.sampled_from(["r1", "r2", ""]), st.sampled_from(["report-read", "check-charge"])
     ),
     st.builds(
-        response_headers,
+        responded,
         status=st.sampled_from([0, 200, 429, 500, 503, 504]),
         details=st.sampled_from(["", "via_upstream", "upstream_response_timeout", "no_healthy_upstream"]),
     ),
