--- a/glenchute/policy/admission/concurrency.py
+++ b/glenchute/policy/admission/concurrency.py
@@ -15,13 +15,15 @@
     return CONCURRENCY_FILL * tenant.plan.max_concurrent / max(demand_per_s * mean_attempt_s, 1e-9)
 
 
-def is_full(tenant: Tenant, units: float, headroom: float, uses_local_bucket: bool) -> bool:
-    """Returns whether this gateway's even share of the limit is in use.
+def is_full(tenant: Tenant, units: float, headroom: float, uses_local_share: bool) -> bool:
+    """Returns whether the limit rejects a request at this gateway. Its even share of the limit is always
+    available to it; beyond that, the headroom decides.
 
-    `headroom`: estimated attempts left over all gateways. `uses_local_bucket`: nothing recent is known of
-    the other gateways, so that the local bucket decides.
+    `headroom`: what the tenant's quotas are estimated to admit over all gateways (`TenantTable.headroom`).
+    `uses_local_share`: nothing recent is known of the other gateways, so that the units of the local share
+    decide in place of the headroom.
     """
     even_share = tenant.plan.max_concurrent // tenant.gateway_spread
-    if uses_local_bucket:
+    if uses_local_share:
         return tenant.local_units < units and tenant.attempts_in_flight >= even_share
     return tenant.attempts_in_flight >= max(1, even_share) and headroom < 1.0
