--- a/glenchute/policy/balancing/latency.py
+++ b/glenchute/policy/balancing/latency.py
@@ -29,8 +29,8 @@
     def record(
         self, server: Server, now_ms: float, duration_ms: float, request_class: RequestClass, units: float
     ) -> None:
-        """Records a response, or a time-out, whose duration is a lower bound of the response's. Without
-        time-outs a busy server would appear fast by the responses that did get through."""
+        """Records a response, or a timeout, whose duration is a lower bound of the response's. Without
+        timeouts a busy server would appear fast by the responses that did get through."""
         mean_ms = self.expected_ms(request_class, units)
         self.mean_ms[request_class.name, round(units)] = mean_ms + MEAN_SMOOTHING * (duration_ms - mean_ms)
         self.load_factor += FAST_SMOOTHING * (duration_ms / mean_ms - self.load_factor)
