--- a/glenchute/policy/endpoints/watch.py
+++ b/glenchute/policy/endpoints/watch.py
@@ -104,7 +104,7 @@
 
     def answer_timeout_s(self, wait_s: float) -> float:
         """Returns the time after the end of a poll's wait at which it is hedged, an equal part of the budget.
-        An agent on this machine serves all polls alike, so there even polls that do not wait get the time-out
+        An agent on this machine serves all polls alike, so there even polls that do not wait get the timeout
         of those that do."""
         if self.scheduler.settings.is_pushed:
             wait_s = max(wait_s, notification.PUSHED_WATCH_WAIT_S)
