--- a/glenchute/policy/services/routing.py
+++ b/glenchute/policy/services/routing.py
@@ -80,7 +80,7 @@
 
 def path_segments(path: str) -> list[str]:
     """Returns the segments of a path, without its query. A path with dot segments or encoded dots or slashes
-    matches no prefix, as others may resolve it to a different path."""
+    matches no prefix, as another component may resolve it to a different path."""
     parts = [part for part in path.partition("?")[0].split("/") if part]
     if any(part in (".", "..") or "%2e" in part.lower() or "%2f" in part.lower() for part in parts):
         return []
@@ -143,8 +143,8 @@
 
 
 def overlaps(rules: Sequence[ServiceRule]) -> list[Overlap]:
-    """Returns the pairs of rules with equal fields: the first in the file would win, but the file's order
-    must not decide. All other rules are ordered by how specific they are."""
+    """Returns the pairs of rules with equal fields: which of the two applies would depend on their order in
+    the file. All other rules are ordered by how specific they are."""
     found: list[Overlap] = []
     seen: dict[tuple[tuple[str, str], tuple[str, str, str]], int] = {}
     for index, rule in enumerate(rules):
