--- a/glenchute/policy/endpoints/polling.py
+++ b/glenchute/policy/endpoints/polling.py
@@ -20,8 +20,8 @@
   one every 3 to 4 s.
 - N gateways whose discovery address changes poll within 2 s, for the same reason.
 - A crash loop with a period shorter than the start delay sends no polls; with a longer one, one per start.
-- Gateways that start without a list send four times as many if no gateway has a list. Their first polls take
-  the first quarter of the period, which the other gateways leave free.
+- Gateways that start without a list send three times as many if no gateway has a list: their first polls are
+  sent in the first quarter of the period, which gateways with a list leave free.
 - In steady state, the ends of waits cause N / W polls per second, with W from 4 to 20 s, or longer if that
   rate is over a quarter of R.
 """
@@ -56,8 +56,9 @@
     gateway_count: int
     gateway_index: int | None = None  # index of this gateway, from 0; None: not known
     rate_per_s: float = 15.0  # initial assumption: polls of all gateways that the service can serve
-    # A change counts as notified after this time, also to a gateway that starts. None: not configured; a
-    # saved list may have any age, and only polls that the service has rejected are delayed.
+    # A change counts as notified after this time, also to a gateway that starts (`notification` defines
+    # "counts as notified"). None: not configured; a saved list may have any age, and only polls that the
+    # service has rejected are delayed.
     max_list_age_s: float | None = None
     # Whether the service is an agent on this machine that answers at once and at no cost. Its changes count
     # as notified whether or not a poll is in flight.
@@ -180,7 +181,7 @@
     def _draw_rejected_share(self, failed_before: bool, has_list: bool) -> float:
         """Draws the share of the spread by which a poll after a rejection is delayed."""
         is_age_configured = self.settings.max_list_age_s is not None
-        if failed_before:  # the first failure has spread the polls: late retries, so that there are few
+        if failed_before:  # polls are spread since the first failure; late retries keep their rate low
             least = REPEATED_FAILURE_MIN_SHARE
         elif is_age_configured and has_list:
             least = URGENT_SHARE
@@ -195,7 +196,9 @@
         second."""
         failed_before, self.last_poll_failed = self.last_poll_failed, True
         spread = min(self.spread_s, self.max_normal_spread_s)
-        if failed_before:  # the rate is as if delays were drawn from the whole spread
+        if failed_before:
+            # The mean delay is the spread, or less where the longest backoff is shorter, so that all gateways
+            # together keep to the rate as far as the deadlines allow.
             share = self.rng.uniform(REPEATED_FAILURE_MIN_SHARE, 1.0)
             period = 2.0 * spread / (1.0 + REPEATED_FAILURE_MIN_SHARE)
             delay = share * min(period, notification.max_backoff_s())
