--- a/glenchute/policy/admission/overload.py
+++ b/glenchute/policy/admission/overload.py
@@ -4,8 +4,8 @@
 
 - While the backlog would take too long to complete, requests are shed immediately, as a surge fills the
   servers' queues long before responses come late.
-- While the capacity estimate is exceeded, units of higher value are admitted first; of the lowest value that
-  is admitted at all, only the fraction that fits.
+- While the capacity estimate is exceeded, units of higher value are admitted first. Of the demand at the
+  lowest value that is admitted at all, only the fraction that fits is admitted.
 """
 
 from __future__ import annotations
