--- a/glenchute/policy/admission/ceiling.py
+++ b/glenchute/policy/admission/ceiling.py
@@ -23,8 +23,8 @@
 
     A restart must not refill a ceiling. As long as the quota is kept, the ceiling's bucket holds at least the
     difference of the two bursts, as the ceiling fills faster than the quota. Half of that difference and the
-    slack are therefore available if all gateways restart at once, and once more before the bucket has filled
-    again.
+    slack may therefore be granted when all gateways restart at once, and once more when they do so again
+    before the bucket has filled.
     """
     spare = 0.5 * max(0.0, plan.ceiling_burst_units - plan.burst_units) if plan.burst_units else 0.0
     spare += plan.ceiling_slack_units + plan.ceiling_rate_per_s * age_ms / 1000.0
