--- a/glenchute/policy/engine.py
+++ b/glenchute/policy/engine.py
@@ -45,6 +45,8 @@
 # A request waits for the counter only if its remaining time covers this many counter timeouts and one tick.
 MIN_COUNTER_TIMEOUTS = 2.0
 STALL_THRESHOLD_MS = 1000.0  # a tick that is later than this shows that the process was stalled
+HIGH_FAILURE_RATE = 0.2  # requests fail on most servers if the median failure rate is above this
+LOW_CALL_FRACTION = 0.5  # the log reports slowed calls to the counter below this fraction of the calls
 
 
 class DecisionEngine:
@@ -170,10 +172,10 @@
         health = pacing.monitor.state(now_ms)
         is_suspect = health in (CounterHealth.REPLACED, CounterHealth.SPLIT)
         # The median failure rate is that of the last tick; `update_health` below updates it.
-        most_servers_fail = self.pool.outliers.median_failure_rate > 0.2
+        most_servers_fail = self.pool.outliers.median_failure_rate > HIGH_FAILURE_RATE
         states = {
             "counter mute": self.settings.has_counter and pacing.is_unavailable,
-            "calls to the counter slowed": pacing.call_fraction < 0.5,
+            "calls to the counter slowed": pacing.call_fraction < LOW_CALL_FRACTION,
             "counter in doubt": health.value if is_suspect else "",
             "V binds": self.shedder.capacity.capacity_per_s < math.inf,
             "no server to send to": not self.pool.servers,
