--- a/glenchute/protocol/endpoint_list.py
+++ b/glenchute/protocol/endpoint_list.py
@@ -219,6 +219,7 @@
             current.rows_by_text, current.ring_positions = rows_by_text, ring_builder.positions
         known_rows = rows_by_text = {}
         yield  # the previous rows are freed in one turn, and this list comes into force in a later one
+        # A further key `servers` with rows replaces those above: the whole text is decoded again.
         return rows.finish(raw) if not raw["servers"] else decode_list(json.loads(text), current=current)
     except DECODING_ERRORS as error:
         raise as_list_error(error) from None
