--- a/glenchute/config/schema.py
+++ b/glenchute/config/schema.py
@@ -1,8 +1,8 @@
 """Declares the structure of a configuration file; validation and the JSON Schema use the same declaration.
 
-Why not msgspec or pydantic: see docs/design/routes.md (start-up time; in a file with several errors both stop
-at the first one or report errors without a code). A kind takes a parsed TOML value, reports its errors and
-returns the valid parts, so that one error does not hide the next.
+A `Kind` takes a parsed TOML value, reports its errors and returns the valid parts, so that one error does not
+hide the next. docs/design/routes.md states why neither msgspec nor pydantic is used: their start-up time, and
+that in a file with several errors each of them stops at the first one or reports errors without a code.
 """
 
 from __future__ import annotations
