--- a/glenchute/clients/membership/lease_tasks.py
+++ b/glenchute/clients/membership/lease_tasks.py
@@ -1,4 +1,5 @@
-"""Runs leased tasks, each on one member for all: the acceptor, candidates and steps of this process.
+"""Runs leased tasks: the acceptor, candidates and steps of this process. Only the member that holds the lease
+of a task runs its steps, on behalf of all members.
 
 A step gets a `LeaseGuard` and calls `begin_effect(longest_s)` just before each effect. The call returns the
 fencing token that the effect has to carry, or raises `LeaseLost`. A step is cancelled when its lease ends or
@@ -39,7 +40,8 @@
 
 
 class LeaseLost(Exception):  # noqa: N818
-    """Raised where this process no longer holds the lease, so that no effect may start."""
+    """Raised where no effect may start: the lease has ended, is being released or ends too soon, or the task
+    is parked."""
 
 
 class LeaseGuard:
@@ -214,6 +216,7 @@
             task.failed_steps += 1
             task.last_result = f"failed: {error!r:.100}"
             log_event("task.failed", task=task.settings.name, error=repr(error)[:200])
+            # Until a step has been completed, the record already counts the failure.
             self.publish_record(
                 task, task.record if task.completed_steps == 0 else task.record.after_step(False)
             )
