--- a/glenchute/clients/membership/node.py
+++ b/glenchute/clients/membership/node.py
@@ -71,7 +71,7 @@
         self.loop, self.fleet_name, self.name = loop, raw["fleet"], raw["name"]
         self.gateway_count = settings.gateway_count
         # Not derived from the seed: a platform that restarts a process with an old file gives it the old
-        # seed, and the two processes would be taken for one.
+        # seed, and the two processes would be taken for one. 62 bits are within the bound of datagrams.
         self.boot = int.from_bytes(os.urandom(8), "big") >> 2
         writer = f"{self.name}#{self.boot:x}"
         self.listen_address = parse_address(raw["listen"])
@@ -169,7 +169,7 @@
 
     def error_received(self, exc: Exception) -> None:
         """Counts an error that the system reports for an earlier datagram."""
-        self.dropped_datagrams["refused by the machine"] += 1  # a closed port; probes detect the member
+        self.dropped_datagrams["refused by the machine"] += 1  # a closed port; probes detect a dead member
 
     def leave(self, replaced: bool) -> None:
         """Announces once that this process ends; members that miss the message find out by probes.
@@ -311,7 +311,7 @@
         self.log_conflicts()
 
     def apply_member_changes(self) -> None:
-        """Logs changes of members' states, and rebuilds the list of alive members where there are any."""
+        """Logs changes of members' states, and rebuilds the list of alive members if any changed."""
         changes = self.members.take_changes()
         if changes:
             self.alive = self.members.alive_names()
