--- a/glenchute/clients/membership/usage_reports.py
+++ b/glenchute/clients/membership/usage_reports.py
@@ -27,6 +27,7 @@
 from glenchute.policy.membership.usage import AccountUsage
 from glenchute.policy.settings import Plan, Settings
 
+# Above this number, requests are decided without the usage at other gateways, and theirs is not published.
 MAX_PENDING_REQUESTS = 20_000
 
 
@@ -38,11 +39,11 @@
         publish: Callable[[Row], None], known_share: Callable[[int], float], clock: Callable[[], float],
     ) -> None:  # fmt: skip
         """`engine`: the decision engine. `publish` sends a row to the members that need it. `known_share`
-        returns, for a subset of so many gateways, the share whose usage is known here. `clock` returns the
-        seconds by which the ages of rows are measured."""
+        returns, for a subset of a given number of gateways, the share whose usage is known here. `clock`
+        returns the seconds by which the ages of rows are measured."""
         # Called with each account that sends a request and its plan; the usage audit sets it.
         self.note_account: Callable[[str, Plan], None] = lambda account, plan: None
-        self.now_ms = 0.0  # wall-clock time of the last event; windows are named by it
+        self.now_ms = 0.0  # wall-clock time of the last event, by which windows are identified
         self.engine, self.usage, self.health, self.clock = engine, usage, health, clock
         self.publish, self.known_share = publish, known_share
         self.active_endpoints: set[str] = set()
