--- a/glenchute/cli/program.py
+++ b/glenchute/cli/program.py
@@ -326,7 +326,7 @@
         if self.fleet is not None:
             self.fleet.leave(replaced=is_replaced)
         self.listener.start_shutdown(replaced=is_replaced)
-        end = began + lifecycle.shutdown_grace_s  # requests still in flight then get a final response
+        end = began + lifecycle.shutdown_grace_s  # by then, each request in flight gets a final response
         if not is_replaced:
             await self.accept_until(end)
         self.listener.stop()  # connections pending on a passed socket are left to the successor
