--- a/glenchute/upstreams/connection_tracker.py
+++ b/glenchute/upstreams/connection_tracker.py
@@ -1,4 +1,5 @@
-"""The connections of a process to all servers: their limit, their connect times, and the read permits."""
+"""The connections of a process to all servers: their limit, their connect times, and the permits to read
+streamed values."""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 
 class IdleConnection(Protocol):
-    """The part of an idle connection that the choice of one to close uses."""
+    """The part of an idle connection that is used to choose the one to close."""
 
     @property
     def idle_since(self) -> float:
