--- a/glenchute/policy/connections/placement_choice.py
+++ b/glenchute/policy/connections/placement_choice.py
@@ -100,7 +100,8 @@
         return _best_placement(options)
 
     def idle_connection(self, now_ms: float, server: ServerQueues) -> ConnectionQueue | None:
-        """Returns the most recently used idle connection within `settle_ms` and `max_idle_ms`, if any."""
+        """Returns the most recently used of the connections that have been idle for at least `settle_ms` and
+        less than `max_idle_ms`, if any."""
         best: ConnectionQueue | None = None
         for connection in server.connections.values():
             idle_ms = now_ms - connection.idle_since_ms
@@ -125,7 +126,7 @@
             for c in server.connections.values()
             if 0 < len(c.attempts) < max_depth
         )
-        # This lies before its own timeout, as two timers that are due together may fire in either order.
+        # The bound lies before the attempt's timeout, as two timers due together may fire in either order.
         hold_bound_ms = min(request.retry_by_ms, request.expires_at_ms - TIMER_RESOLUTION_MS)
         found: list[JoinCandidate] = []
         for _, connection_id in shortest_first:
