--- a/glenchute/policy/membership/usage.py
+++ b/glenchute/policy/membership/usage.py
@@ -20,7 +20,7 @@
 from ..settings import Plan
 from .replica import Row, RowKind
 
-MAX_WINDOWS = 10_000
+MAX_WINDOWS = 10_000  # largest number of windows kept, of this process and of the others each
 MAX_WRITERS_PER_WINDOW = 2_000  # further writers are ignored
 REPORTED_SHARE = 0.25  # share of a window's allowance from which usage is reported, as described above
 MAX_LOCAL_HEALTH_FOR_USAGE = 3  # a higher score means that this process' own links are suspect
