--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -164,7 +164,7 @@
     late_counts = world.attempts_by_node(12.0, 16.0)
     assert sum(late_counts[name] for name in dead) < 0.42 * late_counts.total()
     # A failed connect does not use up the attempts of a request.
-    assert world.action_counts["Refuse"] < 700
+    assert world.action_counts["Reject"] < 700
 
 
 def test_a_server_that_comes_back_is_found_again() -> None:
