--- a/glenchute/policy/connections/response_forecast.py
+++ b/glenchute/policy/connections/response_forecast.py
@@ -50,7 +50,7 @@
     mean_ms = max(times.mean(request.class_name, server), MIN_MEAN_MS)
     first_ms = min(FIRST_POINT_MEAN_FRACTION * mean_ms, FIRST_POINT_TIMEOUT_FRACTION * horizon_ms)
     ratio = (horizon_ms / first_ms) ** (1.0 / (GRID_POINTS - 1))
-    own = times.remaining(request.class_name, server, -delay_ms)
+    own = times.remaining(request.class_name, server, -delay_ms)  # a negative age: not sent yet
     ahead_times = _ahead_times(times, now_ms, server, ahead)
     total_ms = late_ms = previous_ms = 0.0
     previous_pending = 1.0
