--- a/glenchute/policy/balancing/subset.py
+++ b/glenchute/policy/balancing/subset.py
@@ -36,7 +36,7 @@
 REBALANCE_INTERVAL_MS = 10_000.0  # time between two replacements of a server
 SHRINK_FRACTION = 0.125  # fraction of the surplus servers that is released at a time
 UNREACHABLE_MS = 5_000.0  # how long a server that could not be reached has `MIN_WEIGHT`
-MAX_UNREACHABLE = 5_000  # servers that are remembered as unreachable
+MAX_UNREACHABLE = 5_000  # largest number of servers that are remembered as unreachable
 MAX_SINGLE_INSERTS = 16  # changes to one ring that are inserted one by one; more are sorted in
 
 
