--- a/glenchute/clients/membership/status.py
+++ b/glenchute/clients/membership/status.py
@@ -11,7 +11,7 @@
     from .node import MemberNode
 
 Rows = list[dict[str, Any]]
-MAX_SHOWN_AGE_S = 1e6
+MAX_SHOWN_AGE_S = 1e6  # largest age shown: that of a list that was never confirmed is infinite
 
 
 def show_members(node: MemberNode) -> Rows:
