--- a/lab/counter.py
+++ b/lab/counter.py
@@ -27,7 +27,8 @@
     entries: dict[str, tuple[float, float]] = field(default_factory=dict)  # total and expiry time in ms
 
     def add(self, now_ms: float, name: str, amount: float, ttl_ms: float) -> float:
-        """Adds an amount to a name, which expires `ttl_ms` after its first call, and returns the total."""
+        """Adds an amount to a name and returns the total, which expires `ttl_ms` after the first call, or
+        `MAX_TTL_MS` after it if that is earlier."""
         total, expires_at_ms = self.entries.get(name, (0.0, -1.0))
         if now_ms >= expires_at_ms:
             total, expires_at_ms = 0.0, now_ms + min(ttl_ms, MAX_TTL_MS)
