--- a/tests/upstreams/test_pipelined_servers.py
+++ b/tests/upstreams/test_pipelined_servers.py
@@ -50,8 +50,8 @@
     """A server that the test controls.
 
     It replies by itself only if `answers` is set. `ran` logs the complete commands with the numbers of their
-    connections. The first connections are aborted after as many bytes as `cuts` says. `ended` holds the
-    numbers of closed connections.
+    connections. Each new connection takes the next number from `cuts`, if there is one, and is aborted after
+    that many received bytes. `ended` holds the numbers of closed connections.
     """
 
     def __init__(self, answers: bool = False) -> None:
@@ -205,7 +205,7 @@
         (ok + ok[:9], False, [e.OK, e.ERROR, e.RESET]),  # the second reply stalls
     ]
 
-    async def row(data: bytes, closes: bool, expected: list[Outcome]) -> None:
+    async def check_case(data: bytes, closes: bool, expected: list[Outcome]) -> None:
         server, script = ScriptedServer(), ScriptedEngine(send_to("s0"))
         operator = PIPELINED + "least_stall_ms = 1500\n"  # longer than the stalled reply takes to fail
         async with pipelined_site(server, decisions=script, operator=operator) as (gateway_site, upstream):
@@ -228,7 +228,7 @@
             assert not upstream.runtime.attempts
 
     async def scenario() -> None:
-        await asyncio.gather(*[row(*case) for case in table])
+        await asyncio.gather(*[check_case(*case) for case in table])
 
     run_scenario(scenario())
 
