--- a/tests/policy/connections/test_client_slots.py
+++ b/tests/policy/connections/test_client_slots.py
@@ -261,7 +261,7 @@
 
 
 def test_the_idle_time_limit_falls_smoothly_to_zero() -> None:
-    """Each additional connection lowers the limit by no more than the share of one slot."""
+    """Each additional connection lowers the limit by at most 3/128 of `MAX_IDLE_S`, for 128 slots."""
     slots: ConnectionSlots[str] = ConnectionSlots(192, 128, 16)
     now = add_reused(slots, 0.0, "reused", 0.01)
     add_all(slots, now, "once")
