--- a/tests/policy/endpoints/test_watch.py
+++ b/tests/policy/endpoints/test_watch.py
@@ -79,7 +79,7 @@
 def silences(draw: st.DrawFn) -> tuple[SilentService, float]:
     is_pushed, gateways = draw(st.booleans()), draw(st.sampled_from([1, 3, 40, 200, 2000]))
     silent_at = draw(st.floats(0.0, 60.0, exclude_min=True))
-    timeout_s = 0.75 if is_pushed else 1.0  # least time-out of a poll of the watch; the test below checks it
+    timeout_s = 0.75 if is_pushed else 1.0  # least timeout of a poll of the watch; the test below checks it
     # Latencies of the polls after the silence; where two are drawn, the first is never answered.
     first, share = draw(st.sampled_from([0, 1] if is_pushed else [0])), draw(st.floats(0.0, 1.0))
     latencies_s = [1e9] * first + [share * timeout_s]
@@ -122,17 +122,17 @@
     for delay_s in (0.0, 0.9, 1.9, 1e9):
         polls = 0
         for number in range(200):
-            service = EndpointWatch(PollScheduler(PollingSettings(200, number), random.Random(number)))
+            endpoint_watch = EndpointWatch(PollScheduler(PollingSettings(200, number), random.Random(number)))
             now, answers = 0.0, dict[int, float]()
-            service.start(0.0, number * 0.1, False)
+            endpoint_watch.start(0.0, number * 0.1, False)
             while now < 120.0:
                 connection_id, at = min(answers.items(), key=lambda item: item[1], default=(0, 1e18))
-                now = min(at, service.next_poll_at)
-                if at <= service.next_poll_at:
+                now = min(at, endpoint_watch.next_poll_at)
+                if at <= endpoint_watch.next_poll_at:
                     answers.clear()
-                    service.record_answer(now, connection_id, 0.0)
+                    endpoint_watch.record_answer(now, connection_id, 0.0)
                     continue
-                for command in service.tick(now, True):
+                for command in endpoint_watch.tick(now, True):
                     if not isinstance(command, CloseConnection):
                         polls += 1
                         answers[command.connection_id] = now + command.wait_s + delay_s
