--- a/tests/upstreams/test_streamed_value.py
+++ b/tests/upstreams/test_streamed_value.py
@@ -262,10 +262,10 @@
 @pytest.mark.parametrize("fields", [GET, ORDER])
 def test_an_attempt_is_retried_before_its_first_byte_and_never_after(fields: bytes) -> None:
     async def scenario() -> None:
-        sent = [b"*3\r\n$70", head(70_000) + VALUE[:30_000]]
+        partial_replies = [b"*3\r\n$70", head(70_000) + VALUE[:30_000]]
 
         async def answer(writer: asyncio.StreamWriter, name: bytes) -> None:
-            writer.write(sent.pop(0))
+            writer.write(partial_replies.pop(0))
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
