--- a/tests/upstreams/test_connection_pool.py
+++ b/tests/upstreams/test_connection_pool.py
@@ -77,6 +77,7 @@
             client = await gateway_site.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             pool = gateway_site.program.servers.pools["s0"]
+            # The servers close idle connections after 15 s, so those idle for over 13 s are not used.
             pool.idle[0].idle_since -= 14.0
             assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
             assert len(gateway_site.servers[0].writers) == 2
