--- a/lab/fleet/emulated_members.py
+++ b/lab/fleet/emulated_members.py
@@ -70,13 +70,14 @@
     def __init__(self, count: int, accounts: int, port: int, seed: int = 1, spread: int = 3) -> None:
         """Creates the members; `spread` is the number of gateways that an account uses."""
         numbers = [*range(1, spread), *range(count - spread + 1, count)]
-        self.neighbours = sorted({number for number in numbers if 0 < number < count})
+        self.neighbour_numbers = sorted({number for number in numbers if 0 < number < count})
         self.received_entries = 0  # usage entries received from the process
         self.count, self.accounts, self.port = count, accounts, port
         self.rng = random.Random(seed)
-        self.ports = {number: free_port() for number in range(1, count)}
+        self.ports = {number: free_port() for number in range(1, count)}  # by member number; the process is 0
         self.members = [EmulatedMember(self, number) for number in self.ports]
-        self.received_bytes = self.sent_entries = 0
+        self.received_bytes = 0  # from the process
+        self.sent_entries = 0
         self.probe_serials = itertools.count(1)
         self.entry_versions = itertools.count(1)
 
@@ -109,7 +110,7 @@
                     entries.append(UsageEntry(key, next(self.entry_versions), 1.0))
                 sent_count += len(entries)
                 self.sent_entries += len(entries)
-                self.members[self.rng.choice(self.neighbours) - 1].send_usage(tuple(entries))
+                self.members[self.rng.choice(self.neighbour_numbers) - 1].send_usage(tuple(entries))
             while probe_count < probes_per_s * elapsed_s:
                 probe_count += 1.0
                 member = self.rng.choice(self.members)
--- a/lab/fleet/lease_cluster.py
+++ b/lab/fleet/lease_cluster.py
@@ -85,6 +85,7 @@
             self.candidates[task] = TaskCandidate(proposer, random.Random(cluster.rng.getrandbits(60)), now)
 
     def clock(self) -> float:
+        """Returns the time of this process's own clock in s."""
         return self.clock_offset + self.cluster.now * self.clock_rate
 
     def receive(self, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
@@ -93,18 +94,19 @@
         return self.candidates[message.task].receive(self.clock(), sender, message)
 
     def tick(self) -> list[Outgoing[LeaseMessage]]:
+        """Advances the acceptor and the candidates; at random, a holder causes an effect of its task."""
         now = self.clock()
-        outs = self.acceptor.tick(now) if self.acceptor is not None else []
+        messages = self.acceptor.tick(now) if self.acceptor is not None else []
         for candidate in self.candidates.values():
-            outs += candidate.tick(now)
+            messages += candidate.tick(now)
             token = candidate.fencing_token(now, MAX_EFFECT_S)
             if token is not None and self.cluster.rng.random() < 0.5:
                 self.cluster.record_effect(candidate.proposer.task, token, self)
-        return outs
+        return messages
 
 
 class LeaseCluster:
-    """A cluster of `count` processes, of which the first `voters` are voters."""
+    """A cluster of `count` processes, of which the first `voter_count` are voters."""
 
     def __init__(
         self, count: int, seed: int, voter_count: int = 5, task_count: int = 1, lease_s: float = 3.0,
@@ -128,6 +130,7 @@
         self.update_members()
 
     def make_process(self, name: str) -> Process:
+        """Creates a process without state, with a random clock rate within the bounds of the drift."""
         self.process_count += 1
         drift = self.terms.max_clock_drift
         # Draws each bound of the drift as often as a rate between them.
@@ -148,6 +151,7 @@
         self.effects.append(TaskEffect(task, token, holder, self.now, self.now + duration_s))
 
     def send(self, sender: str, messages: Sequence[Outgoing[LeaseMessage]]) -> None:
+        """Puts messages in flight, subject to duplication, loss, delay and cuts."""
         for outgoing in messages:
             self.sent_count += 1
             for _ in range(1 + (self.rng.random() < 0.02)):
@@ -179,6 +183,7 @@
     # --- faults ------------------------------------------------------------------------------------------
 
     def stop(self, name: str) -> None:
+        """Stops a process; messages to it are buffered, and its clock goes on."""
         self.processes[name].is_stopped = True
 
     def resume(self, name: str) -> None:
@@ -189,10 +194,12 @@
             self.send(name, process.receive(sender, message))
 
     def kill(self, name: str) -> None:
+        """Ends a process, of which membership informs the others at once; messages to it are lost."""
         self.down.add(name)
         self.update_members()
 
     def restart(self, name: str) -> None:
+        """Replaces a process by a new one without state."""
         self.down.discard(name)
         self.processes[name] = self.make_process(name)
         self.update_members()
--- a/lab/links.py
+++ b/lab/links.py
@@ -23,7 +23,7 @@
 class LinkDirection:
     """Faults and counts of one direction of a link."""
 
-    is_cut: bool = False  # drops or holds all data without an error to either end
+    is_cut: bool = False  # drops datagrams, or holds a stream's data, without an error to either end
     loss_fraction: float = 0.0  # fraction of datagrams that are dropped
     duplicate_fraction: float = 0.0  # fraction of datagrams that are delivered twice
     delay_s: float = 0.0
--- a/lab/peers.py
+++ b/lab/peers.py
@@ -136,10 +136,12 @@
 
 
 def discovery_answer(version: int, rows: list[dict[str, Any]], full: bool = True) -> bytes:
+    """Returns discovery's answer with a complete list, or with changes if not `full`."""
     return http_response(json.dumps({"version": version, "full": full, "servers": rows}).encode())
 
 
 def server_row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
+    """Returns discovery's row of a server on loopback."""
     return {"id": server, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m", "cell": 0, "state": state,
             "weight": 1.0, "started_ms": started_ms}  # fmt: skip
 
@@ -168,6 +170,7 @@
         return reply
 
     async def ask(self, *command: bytes) -> Any:
+        """Sends a command and returns the next reply; None at the end of the connection."""
         self.send(*command)
         return await self.reply()
 
