--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,8 @@
 """Measures whether real processes recover: requests served in the 10 s after each fault.
 
 ``python -m benchmarks.recovery [FAULT ...]`` starts two gateways and three servers on loopback for each
-fault. It affects the first gateway only; the second shows what the first should serve. Rejections by overload
-are counted from the log.
+fault. "quiet" affects both gateways; the other faults affect only the first, and the second shows what the
+first should serve. Rejections by overload are counted from the log.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class GatewayPair:
-    """Two gateways in front of the same servers; faults affect the first."""
+    """Two gateways in front of the same servers; all faults but "quiet" affect only the first."""
 
     def __init__(self, folder: Path, site: LabSite) -> None:
         settings = {**SETTINGS, "balancers": 2}
@@ -93,7 +93,7 @@
 
 
 async def low_traffic(pair: GatewayPair) -> None:
-    """Sends two requests per second for 0.9 s while all servers are slow, and then none for 8 s."""
+    """Sends both gateways two requests per second for 0.9 s while all servers are slow, then none for 8 s."""
     await pair.load_both(0.9, 2.0)
     await asyncio.sleep(8.0)
 
