--- a/benchmarks/pipelining.py
+++ b/benchmarks/pipelining.py
@@ -1,8 +1,9 @@
 """Measures latency with pipelined and exclusive connections under stalls, and the gateway's CPU by depth.
 
 ``python -m benchmarks.pipelining [SECONDS] [--svg FILE]``. Each cell is a gateway process and a second
-process with its nodes and an open-loop load of read bursts; the two modes of a cell run side by side on
-separate cores. Latencies count from the moment at which a burst was due. Needs glenchute[bench].
+process with its nodes and an open-loop load of read bursts. Up to three cells run concurrently, one for
+every two cores of the machine. Latencies count from the moment at which a burst was due. Needs
+glenchute[bench].
 """
 
 from __future__ import annotations
@@ -100,9 +101,8 @@
                 warm_up = BurstLoad(gateway.port, BASE_RATE, lambda ms: None, seed=9)
                 await warm_up.run(2.0)
                 for node in nodes:
-                    node.started_at = (
-                        asyncio.get_running_loop().time()
-                    )  # the times of its faults count from now
+                    # The times of its faults count from `started_at`.
+                    node.started_at = asyncio.get_running_loop().time()
                 load = BurstLoad(gateway.port, cell.load * BASE_RATE,
                               lambda ms: histogram.record_value(max(1, int(1000 * ms))))  # fmt: skip
                 before = cpu_s(gateway.process.pid)
@@ -137,7 +137,7 @@
     is_exclusive: bool
     cpu_us: float  # of the gateway, per request
     rate: float  # requests per second
-    commands_per_segment: float  # mean of the reads of a node
+    commands_per_segment: float  # mean number of commands per read of a node's connection
     connections: int
 
 
