--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,11 +1,11 @@
 """Measures CPU per request with 0, 1 and 50 routes, and attempts at a failing fleet by retry budget.
 
-``python -m benchmarks.routes [SECONDS]``. The CPU is that of the gateway's process alone; the three
-numbers of routes take turns by rounds.
+``python -m benchmarks.routes [SECONDS]``. The CPU is that of the gateway's process alone. Each round measures
+all three numbers of routes in turn.
 
-``python -m benchmarks.routes reload [ROUTES] [ROUNDS]``: measures delays by SIGHUP while a file of ROUTES
-routes with all their keys is read, in turn with times in which nothing is read. A PING is sent every 2 ms on
-one connection; requests arrive at one gateway's share of the operators' peak.
+``python -m benchmarks.routes reload [ROUTES] [ROUNDS]`` measures the delay of requests and PINGs while the
+gateway reads a file of ROUTES routes with all their keys after SIGHUP, and while it reads nothing. PINGs are
+sent on one connection, each 2 ms after the answer to the last; requests arrive at `GATEWAY_RATE`.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 UNLIMITED = {"per_second": 1e4, "most_at_once": 1e5, "ceiling_rate": 0.0}  # a quota that is never used up
 PLANS = [{**plan, **UNLIMITED} for plan in SETTINGS["packages"]]
 FIFTY_PLANS = [*PLANS, *({**PLANS[0], "name": f"plan-{i}"} for i in range(47))]
-GATEWAY_RATE = 163.0  # requests per second at one gateway of 520, of 85,000 at all
+GATEWAY_RATE = 163.0  # requests per second: an even share of 85,000 for each of 520 gateways
 # Parts of the gateway's log lines after a reload.
 RELOADED, RELOAD_REJECTED = "operator's file was read again", "operator's file in force stays"
 FULL_ROUTE = """\
@@ -55,7 +55,7 @@
 
 
 def routes(count: int) -> str | None:
-    """Returns an operator's file with 0, 1 or 50 routes; the load uses three of the fifty plans."""
+    """Returns an operator's file with 1 or 50 routes, or None for 0; the load uses three of the 50 plans."""
     if not count:
         return None
     if count == 1:
@@ -120,8 +120,10 @@
 
 
 def log_contains(log: Path, offset: int, text: str) -> bool:
-    """Returns whether the log contains a text in the 4 KiB after its first `offset` bytes. All lines but the
-    last are short."""
+    """Returns whether the log contains a text in the 4 KiB after its first `offset` bytes.
+
+    Only the line with the errors of an invalid file may be longer, and it begins with the text looked for.
+    """
     with log.open("rb") as file:
         file.seek(offset)
         return text.encode() in file.read(4096)
@@ -140,7 +142,7 @@
 
 
 async def measure_reloads(count: int, rounds: int) -> None:
-    """Prints the delays of PINGs and requests while a file of about `count` routes is read, and otherwise."""
+    """Prints the delays of PINGs and requests while about `count` routes are read and while none are."""
     names = [kind.class_name for kind in KINDS]
     plans = [*PLANS, *({**PLANS[0], "name": f"plan-{i}"} for i in range(-(-count // 3) - len(PLANS)))]
     text = full_routes(names, [str(plan["name"]) for plan in plans])
