--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -1,7 +1,7 @@
 """Measures the CPU per request by capture mode, the bytes per request, and replay speed against real time.
 
-``python -m benchmarks.capture [SECONDS]``. The modes are off, in memory and on disk; they
-take turns by rounds. The CPU is that of the gateway's process.
+``python -m benchmarks.capture [SECONDS]``. The modes are "off", "ring" (in memory) and "disk". Each round
+measures all of them in turn. The CPU is that of the gateway's process.
 """
 
 from __future__ import annotations
