--- a/benchmarks/connecting.py
+++ b/benchmarks/connecting.py
@@ -4,8 +4,9 @@
 
 A complete gateway and nine servers on loopback sockets in one process. Servers answer after 12 to 24 ms and
 close a connection after three answers, so that new ones are opened all the time; some connects are delayed by
-0.3 to 1.5 s. Columns, per request: served in time, refused, failed, answered too late, connects started,
-hedged connects, attempts that reached a server.
+0.3 to 1.5 s. After the share of slow connects, the seed and the number of requests, the columns are, per
+request: served in time, refused, failed, answered too late, connects started, hedged connects ("beside"),
+attempts that reached a server.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         self.rng = random.Random(1)
         self.slow_share = 0.0
         self.slow_ports: set[int] = set()
-        self.connects = 0  # to these ports
+        self.connects = 0  # started, to `slow_ports`
 
     async def create_connection(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **options: Any
@@ -54,7 +55,7 @@
 async def run(loop: SlowConnectLoop, slow_share: float, seconds: float, seed: int) -> str:
     """Runs the load; returns a row of the table."""
     rng = random.Random(seed)
-    answers: dict[Any, int] = {}  # by connection
+    answers: dict[Any, int] = {}  # number sent so far, by connection
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         await asyncio.sleep(rng.uniform(0.012, 0.024))
