--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -36,8 +36,12 @@
 
 
 async def measure_quota(fault: str, load: str, has_members: bool, seed: int) -> tuple[float, float]:
-    """Returns the share of requests refused with quota left and the overshoot, for one account at five
-    gateways."""
+    """Returns the share of requests refused with quota left and the overshoot in units, for one account at
+    five gateways.
+
+    `fault` is "sound" for none, "slow" for late replies of the counter, "mute" for no connection to it, or
+    "split" for "mute" with the members also cut into two groups.
+    """
     with tempfile.TemporaryDirectory() as folder:
         async with FleetSite(Path(folder), 5, seed, has_fleet=has_members) as site:
             await site.start()
@@ -127,8 +131,8 @@
 def print_detection_times() -> None:
     """Prints the time until a stopped member is first suspected and until all declare it dead, and how many
     members were falsely declared dead in the 20 s before. Messages of slow members arrive 0.5 s late, which
-    is 2.5 periods. SWIM's expectation for the first failed probe is e / (e - 1) periods, and a probe fails at
-    its period's end."""
+    is 2.5 periods of 0.2 s. By SWIM's analysis the first probe that fails is expected after e / (e - 1) =
+    1.582 periods, and it fails at its period's end, one period later: after 2.582 periods."""
     cases = ((10, 0.0, 0.0), (40, 0.0, 0.0), (40, 0.1, 0.0), (100, 0.0, 0.01), (100, 0.0, 0.1),
              (200, 0.02, 0.0), (500, 0.0, 0.0), (500, 0.0, 0.01), (500, 0.0, 0.1))  # fmt: skip
     for count, loss, slow_share in cases:
@@ -153,8 +157,8 @@
 
 
 def print_server_loss() -> None:
-    """Prints attempts without a connection while a third of twenty servers is gone, and the time until all
-    are used again."""
+    """Prints attempts without a connection while 7 of 20 servers are down, and the time until all are used
+    again."""
     for count, rate in ((10, 200.0), (40, 200.0), (40, 800.0), (100, 400.0)):
         runs = [
             [run_downtime(seed, count, has_members, rate) for seed in (1, 2, 3)]
@@ -178,7 +182,8 @@
     started = time.process_time()
     for _ in range(20):
         replica.child_hashes(0.0, None)
-    print(f"one root of hashes over 10,000 rows: {50.0 * (time.process_time() - started):.1f} ms")
+    ms_per_run = 1000.0 * (time.process_time() - started) / 20
+    print(f"one root of hashes over 10,000 rows: {ms_per_run:.1f} ms")
     for count in (2, 10, 30):
         print(uvloop.run(measure_cpu(count)), flush=True)
 
