--- a/lab/load.py
+++ b/lab/load.py
@@ -53,7 +53,10 @@
 
 @dataclass
 class Load:
-    """Load generator for one gateway; `rate` is in requests per second."""
+    """Load generator for one gateway, with `rate_per_s` requests per second on average.
+
+    `port` returns the gateway's port at each connect.
+    """
 
     port: Callable[[], int]
     kinds: Sequence[RequestKind]
@@ -105,7 +108,7 @@
         outcome.duration_ms = 1000.0 * (loop.time() - outcome.scheduled_at)
 
     async def exchange(self, command: list[bytes]) -> tuple[str, int | None]:
-        """Sends a command on an idle connection or a new one, and returns the outcome."""
+        """Sends a command on an idle connection or a new one; returns the reply's class, or "lost"."""
         while True:
             is_reused = bool(self.idle_clients)
             client = None
@@ -135,7 +138,10 @@
 
 
 def classify_reply(reply: object) -> tuple[str, int | None]:
-    """Classifies a reply; also returns the milliseconds to wait before a retry, if given."""
+    """Classifies a reply as "served", "refused" or "failed".
+
+    Also returns the milliseconds to wait before a retry, if the reply gives them.
+    """
     if isinstance(reply, bytes):
         return "served", None
     if isinstance(reply, hiredis.ReplyError) and str(reply).split(" ")[0] == "BUSY":
