--- a/lab/proxy.py
+++ b/lab/proxy.py
@@ -183,7 +183,7 @@
 
 def header_value(headers: Headers, name: str) -> str:
     """Returns a header's value, or an empty string without one."""
-    return next((message.decode("latin-1") for key, message in headers if key == name), "")
+    return next((value.decode("latin-1") for key, value in headers if key == name), "")
 
 
 def h11_headers(headers: Headers) -> list[tuple[bytes, bytes]]:
@@ -425,7 +425,7 @@
                 return 503, [], b"", "upstream_reset_before_response_started{connection_termination}", False
             head, response_body = message
             response_headers = [
-                (name.decode(), text) for name, text in head.headers if name != b"content-length"
+                (name.decode(), value) for name, value in head.headers if name != b"content-length"
             ]
             return head.status_code, response_headers, response_body, "via_upstream", False
         except TimeoutError:
@@ -450,11 +450,15 @@
     """Runs the command line."""
     parser = argparse.ArgumentParser(description="a stand-in proxy")
     parser.add_argument("--processor", required=True, help="host:port or unix:/path")
-    parser.add_argument("--die", default="", help=f"POINT:N, a point of {', '.join(POINTS)}")
+    parser.add_argument(
+        "--die",
+        default="",
+        help=f"POINT:N, kills the process at the N-th passing of one of the points {', '.join(POINTS)}",
+    )
     args = parser.parse_args()
     point, _, number = args.die.partition(":")
     if point and point not in POINTS:
-        parser.error(f"no such point: {point}")
+        parser.error(f"argument --die: unknown point {point!r}")
     settings = ProxySettings(kill_at=(point, int(number or 1)) if point else None)
     asyncio.run(serve_until_stdin_ends(args.processor, settings))
 
