--- a/lab/scale/run.py
+++ b/lab/scale/run.py
@@ -104,7 +104,7 @@
     count: int  # gateways, servers or services that the processes stand for
     processes: int
     cores: float  # CPU seconds per second
-    waited_fraction: float  # mean part of the time that a process was runnable without a core
+    waited_fraction: float  # fraction of the time that a process was runnable without a core, on average
     memory_mb: float
     calls_per_s: dict[str, float] = field(default_factory=dict)  # messages, by kind
     received_bytes_per_s: float = 0.0
@@ -113,7 +113,10 @@
 
 @dataclass
 class Figures:
-    """Figures of a run. Bytes of gateways are those of lists and counter, without requests."""
+    """Figures of a run.
+
+    Bytes of gateways are those of their calls to the list service and the counter, without requests.
+    """
 
     site: Site
     duration_s: float
@@ -125,7 +128,8 @@
     per_gateway: dict[str, dict[str, float]] = field(default_factory=dict)
     peak_list_calls: int = 0  # calls to the list service in the busiest second
     peak_start_s: float = 0.0  # start of that second
-    peak_list_calls_after_faults: int = 0  # the same within AFTER_FAULTS_S of the last fault's end
+    # Calls to the list service in the busiest second within AFTER_FAULTS_S of the last fault's end.
+    peak_list_calls_after_faults: int = 0
     peak_counter_keys: int = 0  # most keys held by the counter at once
 
     def lines(self) -> list[str]:
@@ -245,6 +249,7 @@
         for gateway in self.gateways.values():
             gateway.start()
             assert gateway.process is not None
+            # Each gateway leads a process group, which the clients' process kills when this one ends.
             groups.append(gateway.process.pid)
             await self.clients.send(command="kill_at_exit", groups=groups)
         await asyncio.gather(
@@ -288,6 +293,7 @@
         zero_s = time.time() + self.warm_up_s
         for worker in self.workers():
             await worker.send(command="begin", unix_s=zero_s)
+        # A fixed number of requests starts at `zero_s`, so that the first counts are collected before it.
         await asyncio.sleep(max(0.0, zero_s - 0.2 * bool(self.site.requests) - time.time()))
         before, usage_before, started_s = await self.collect_counts(), self.usage(), time.time()
         final: list[dict[str, Any]] = []
@@ -319,8 +325,8 @@
         )
         figures.added_ms = percentile(added_ms, 50), percentile(added_ms, 99)
         for hollow_outcomes in hollow_figures:
-            for end, count in hollow_outcomes.items():
-                figures.hollow_outcomes[end] = figures.hollow_outcomes.get(end, 0) + count
+            for name, count in hollow_outcomes.items():
+                figures.hollow_outcomes[name] = figures.hollow_outcomes.get(name, 0) + count
         list_calls_s = [*call_times["real"], *call_times["hollow"]]
         figures.peak_list_calls, figures.peak_start_s = busiest_second_between(
             list_calls_s, started_s - zero_s, ended_s - zero_s
