--- a/lab/scale/site.py
+++ b/lab/scale/site.py
@@ -16,7 +16,7 @@
 PLAN_RATES = (2.0, 8.0, 32.0, 128.0, 512.0, 2048.0, 8192.0, 32768.0)  # units a second
 PLAN_HEADROOM = 1.5  # least ratio of a plan's rate to the demand of its tenant
 MAX_TENANT_SHARE = 0.25  # greatest fraction of a gateway's requests that comes from one tenant
-PLANS_WITH_CEILING = 2  # the largest ones
+PLANS_WITH_CEILING = 2  # the plans with the highest rates
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
     that a tenant's requests come through; `rate`: requests per second at a real gateway; `hollow_rate`: at a
     hollow one; `changes`: rows of the list that change per second; `most_known`: the greatest number of
     servers that a hollow gateway chooses among (0: all); `calls_per_s`: capacity of the list service as the
-    operator's file states it (0: not stated; each gateway then has a discovery agent of its own);
+    operator's file states it (0: not stated; a gateway then assumes a discovery agent local to it);
     `list_age_s` and `subset`: `[discovery] list_age_s` and `[subset] servers`, 0 for none.
 
     `equal_load`: all gateways get the same requests at the same times, `requests` each (0: no limit), and a
