--- a/lab/soak/clients.py
+++ b/lab/soak/clients.py
@@ -21,14 +21,18 @@
 
 CLASSES = (("report-read", 0.6), ("check-order", 0.25), ("check-charge", 0.15))  # name, share of requests
 PLANS = (b"osnovni", b"standard", b"korporativni")
+# The answers of `classify_reply`, and their names in the records.
 ANSWERS = {"served": "served", "refused": "rejected", "failed": "failed"}
-PIECE_PAUSE_S = 0.02  # between the writes of a batch that is sent in pieces
+PIECE_PAUSE_S = 0.02  # pause between the writes of a batch that is sent in pieces
 CONNECT_TIMEOUT_S = 0.3  # after this time without a connection, no process is considered to listen
 LARGE_COMMAND = resp2.encode_command(b"PING", b"x" * 60_000)
 
 
 def random_requests(rng: random.Random, longest_ms: int) -> Iterator[tuple[RequestRecord, bytes]]:
-    """Yields random requests of all classes, each with its encoded command."""
+    """Yields random requests of all classes, each with its encoded command.
+
+    Deadlines are `longest_ms`, or down to half of that.
+    """
     serial = 0
     while True:
         serial += 1
@@ -103,7 +107,7 @@
         self.may_connect = True  # whether clients open new connections
         self.is_over = False
         self.tasks: set[asyncio.Task[None]] = set()
-        self.checked_tasks: set[asyncio.Task[None]] = set()  # of the clients whose requests are checked
+        self.checked_tasks: set[asyncio.Task[None]] = set()  # tasks of the clients whose requests are checked
 
     def start(self) -> None:
         """Starts all clients."""
@@ -240,8 +244,8 @@
         """Sends requests whose connection ended without an answer once more, if the protocol asks for it.
 
         The gateway may close a connection that has carried requests before while a command is on its way.
-        Each request is then sent once more, alone on a new connection, and must be answered. Other requests
-        without an answer are recorded as cut.
+        Each request is then sent once more, alone on a new connection, and must be answered. Requests without
+        an answer on a connection that is still open, or that had answered none, are recorded as cut.
         """
         was_used = connection.answered_count > 0
         if connection.transport is not None or not was_used:
