--- a/lab/soak/records.py
+++ b/lab/soak/records.py
@@ -10,8 +10,8 @@
 
 LATE_RESPONSE_S = 0.5  # a response later than this after its deadline counts as lost
 DISCONNECT_GRACE_S = 0.1  # no attempt may begin later than this after its client disconnected
-DRAIN_GRACE_S = 0.25
-TOLERANCE_S = 0.05  # that the protocol page allows on each time limit that is measured on sockets
+DRAIN_GRACE_S = 0.25  # no attempt may arrive at a server later than this after its drain
+TOLERANCE_S = 0.05  # the protocol page allows this much on each time limit that is measured on sockets
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     answer_count: int = 0
     disconnected_at: float | None = None  # when its client closed the connection
     is_unreachable: bool = False  # no process accepted its connection
-    is_cut: bool = False  # its connection ended without an answer
+    is_cut: bool = False  # it had no answer in time or at the end of its connection, and was not sent again
 
 
 @dataclass(slots=True)
@@ -49,8 +49,11 @@
     attempts: list[AttemptRecord] = field(default_factory=list)
     effects_by_request: Counter[bytes] = field(default_factory=Counter)  # effects by request id
     effects_by_key: Counter[bytes] = field(default_factory=Counter)  # effects by idempotency key
-    drained_at: dict[str, float] = field(default_factory=dict)  # when discovery wrote the drain, by server
-    max_lag_s: float = 0.0  # longest time for which this process did not run
+    drained_at: dict[str, float] = field(
+        default_factory=dict
+    )  # when discovery wrote the answer with the drain, by server
+    # Longest time for which this process did not run, plus the time for which the gateway was stopped.
+    max_lag_s: float = 0.0
     exit_status: int | None = None
     killed_at_end: bool = False
     log: str = ""
@@ -101,7 +104,7 @@
         return violations
 
     def late_attempts(self) -> list[str]:
-        """Finds attempts that began after their client disconnected or their server drained."""
+        """Finds attempts that arrived too long after their client disconnected or their server's drain."""
         violations = []
         tolerance_s = TOLERANCE_S + self.max_lag_s
         for attempt in self.attempts:
