--- a/lab/soak/run.py
+++ b/lab/soak/run.py
@@ -154,7 +154,10 @@
         return events
 
     async def change_server(self, site: LabSite, at_s: float, server: int, states: tuple[str, ...]) -> None:
-        """Publishes a server's rows in one answer and records when discovery wrote it as the drain time."""
+        """Publishes a row of a server for each state, all in one answer, and records when it was written.
+
+        Of several answers about a server, the first counts as its drain.
+        """
         await asyncio.sleep(at_s)
         node = site.nodes[server]
         for discovery in (site.discovery, self.extra_discovery):
@@ -181,7 +184,7 @@
     async def watch_lag(self) -> None:
         """Records the longest time for which this process did not run.
 
-        The times that it records for requests and attempts may be late by as much.
+        The recorded times of requests and attempts may be late by as much.
         """
         while True:
             started = self.loop.time()
@@ -195,7 +198,7 @@
     async def perform_ending(
         self, site: LabSite, gateway: SoakGateway, clients: SoakClients, folder: Path
     ) -> None:
-        """Sends the signals of the ending, and SIGKILL once the platform may send it."""
+        """Performs the steps of the ending before SIGTERM, then terminates the gateway."""
         ending = self.schedule.ending
         if ending in (Ending.REPLACED, Ending.REPLACED_TWICE):
             gateway = await self.replace(gateway, folder, 1 + (ending is Ending.REPLACED_TWICE))
@@ -216,7 +219,7 @@
         await self.terminate(gateway, clients)
 
     async def terminate(self, gateway: SoakGateway, clients: SoakClients) -> None:
-        """Sends SIGTERM, lets clients connect a while longer, and kills the process if it is too slow."""
+        """Sends SIGTERM, lets clients connect a while longer, and sends SIGKILL once the platform may send it."""
         terminated_at = self.loop.time()
         gateway.send_signal(signal.SIGTERM)
         repeat_count = {Ending.TERM_TWICE: 1, Ending.TERM_FIVE_TIMES: 4}.get(self.schedule.ending, 0)
