--- a/lab/coldstart.py
+++ b/lab/coldstart.py
@@ -83,7 +83,9 @@
         self.first_answer_at: dict[int, float] = {}  # by gateway, since its start
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count()
-        self.generation = [0] * count  # starts of each gateway; events of earlier generations are void
+        self.generation = [
+            0
+        ] * count  # number of starts of each gateway; events of earlier starts are ignored
         self.pollers: list[PollScheduler] = [self.new_poller(number) for number in range(count)]
         self.watches: dict[int, int] = {}  # generation of each gateway with an open watch
 
@@ -162,38 +164,39 @@
         self.now = end
 
 
-def run_start(crowd: PollSimulation) -> None:
+def run_start(simulation: PollSimulation) -> None:
     """Starts all gateways and runs for a minute."""
-    crowd.start(range(crowd.count))
-    crowd.run(60.0)
+    simulation.start(range(simulation.count))
+    simulation.run(60.0)
 
 
-def run_outage(crowd: PollSimulation) -> None:
+def run_outage(simulation: PollSimulation) -> None:
     """Makes the service unavailable for 30 s; only the calls after that are kept."""
-    run_start(crowd)
-    crowd.down = True
-    crowd.break_watches()
-    crowd.run(30.0)
-    crowd.calls.clear()
-    crowd.down = False
-    crowd.run(60.0)
+    run_start(simulation)
+    simulation.down = True
+    simulation.break_watches()
+    simulation.run(30.0)
+    simulation.calls.clear()
+    simulation.down = False
+    simulation.run(60.0)
 
 
-def run_release(crowd: PollSimulation) -> None:
+def run_release(simulation: PollSimulation) -> None:
     """Restarts 70 % of the gateways while the list changes."""
-    run_start(crowd)
-    crowd.calls.clear()
-    crowd.start(range(0, crowd.count, 10))
-    crowd.start(n for n in range(crowd.count) if n % 10 > 3)
-    crowd.change_list()
-    crowd.run(60.0)
+    run_start(simulation)
+    simulation.calls.clear()
+    simulation.start(range(0, simulation.count, 10))
+    simulation.start(n for n in range(simulation.count) if n % 10 > 3)
+    simulation.change_list()
+    simulation.run(60.0)
 
 
 class ListService(DiscoveryService):
     """Discovery with a limited call rate that rejects calls when its queue is full.
 
     `mode` is "" for correct answers, "silent" for no answers, and "empty" for empty lists. In the modes
-    "half" and "older", every other answer on a connection has half of the list or an older version.
+    "half" and "older", every other answer on a connection has less than half of the list, or an older version
+    with only the first server.
     """
 
     def __init__(self, rows: list[dict[str, Any]], rate: float, queue_limit: int) -> None:
