--- a/lab/explore.py
+++ b/lab/explore.py
@@ -26,7 +26,7 @@
 
     states: int  # distinct states
     events: int  # events applied
-    depth: int  # longest sequence of events
+    depth: int  # longest sequence of events, or the limit if there were no states left to explore
     is_complete: bool  # False if the limit on states ended the exploration
     counterexample: Counterexample | None
 
