--- a/lab/fleet/lease_cluster.py
+++ b/lab/fleet/lease_cluster.py
@@ -56,6 +56,7 @@
             is_concurrent = effect.holder != latest.holder and effect.started_at < latest.ended_at
             if is_concurrent or effect.token < latest.token:
                 pairs.append((latest, effect))
+            # Keeps the effect that ends last, with the token of the effect that started last.
             latest = effect if effect.ended_at >= latest.ended_at else latest._replace(token=effect.token)
     return pairs
 
@@ -73,7 +74,7 @@
 
     def __init__(self, name: str, boot: int, cluster: LeaseCluster, rate: float) -> None:
         self.name, self.boot, self.cluster, self.clock_rate = name, boot, cluster, rate
-        self.clock_offset = cluster.rng.uniform(0.0, 1e6)  # clocks share no time, only approximately a rate
+        self.clock_offset = cluster.rng.uniform(0.0, 1e6)  # clocks agree only in their rate, approximately
         self.is_stopped = False
         # Messages that arrived while the process was stopped.
         self.buffer: list[tuple[str, LeaseMessage]] = []
@@ -85,7 +86,7 @@
             self.candidates[task] = TaskCandidate(proposer, random.Random(cluster.rng.getrandbits(60)), now)
 
     def clock(self) -> float:
-        """Returns the time of this process's own clock in s."""
+        """Returns the time of this process's own clock in seconds."""
         return self.clock_offset + self.cluster.now * self.clock_rate
 
     def receive(self, sender: str, message: LeaseMessage) -> list[Outgoing[LeaseMessage]]:
@@ -106,7 +107,10 @@
 
 
 class LeaseCluster:
-    """A cluster of `count` processes, of which the first `voter_count` are voters."""
+    """A cluster of `count` processes, of which the first `voter_count` are voters.
+
+    `drift` is the greatest deviation of a clock's rate from 1, `loss` the fraction of messages that are lost.
+    """
 
     def __init__(
         self, count: int, seed: int, voter_count: int = 5, task_count: int = 1, lease_s: float = 3.0,
