--- a/lab/fleet/direct_message_network.py
+++ b/lab/fleet/direct_message_network.py
@@ -19,7 +19,10 @@
 
 
 class DirectMessageNetwork:
-    """Gateways that admit requests as the caller says, and the network for their usage messages."""
+    """Gateways that admit requests as the caller says, and the network for their usage messages.
+
+    `gateway_count` is the number of gateways in the settings; 0 stands for `count`.
+    """
 
     def __init__(
         self, count: int, seed: int, names: Sequence[str] = (), gateway_count: int = 0,
@@ -64,7 +67,7 @@
         return self.messengers[name].usage.admitted_by_peers(account, window)
 
     def known_gateways(self, name: str, spread: int) -> int:
-        """Returns of how many others in a subset of `spread` gateways a gateway certainly knows all usage."""
+        """Returns of how many of an account's other gateways, out of `spread`, all usage is known."""
         return self.messengers[name].known_gateways(self.now, spread)
 
     def send_messages(self, sender: str, messages: list[Outgoing[UsageMessage | UsageRequest]]) -> None:
