--- a/lab/soak/run.py
+++ b/lab/soak/run.py
@@ -219,7 +219,7 @@
         await self.terminate(gateway, clients)
 
     async def terminate(self, gateway: SoakGateway, clients: SoakClients) -> None:
-        """Sends SIGTERM, lets clients connect a while longer, and sends SIGKILL once the platform may send it."""
+        """Sends SIGTERM, lets clients connect a while longer, and sends SIGKILL when the platform may."""
         terminated_at = self.loop.time()
         gateway.send_signal(signal.SIGTERM)
         repeat_count = {Ending.TERM_TWICE: 1, Ending.TERM_FIVE_TIMES: 4}.get(self.schedule.ending, 0)
