--- a/lab/sim/cold.py
+++ b/lab/sim/cold.py
@@ -23,7 +23,7 @@
 MAX_DISCOVERY_DELAY_MS = 6000.0  # longest time until a gateway learns of a change
 INFORMED_FRACTION = 2.0 / 3.0  # an overload breaks the rule if more of the work came from informed gateways
 LENGTH_MS = 26_000.0
-BURST_MS = (5000.0, 17_000.0)
+BURST_MS = (5000.0, 17_000.0)  # start and end of the burst of requests
 PLAN = Plan("wide")  # without a quota, so that only the servers limit the load
 
 
@@ -43,7 +43,9 @@
     spread: float = 0.15
     load: float = 0.55
     burst: tuple[float, float] = (1.5, 2.0)
-    peak_factor: float = 4.0  # traffic of one gateway in five, relative to the others
+    peak_factor: float = (
+        4.0  # traffic of a gateway that is drawn with probability 0.2, relative to the others
+    )
     new_servers: float = 0.25  # new servers, as a fraction of the nodes
     restarted_servers: float = 0.25  # restarted servers, as a fraction of the nodes
     gateway_restarts: float = 0.3  # restarted gateways, as a fraction
@@ -76,7 +78,7 @@
     informed_fraction: float  # fraction of the work from gateways that knew of the start
     work: float  # in requests of mean work
     requests: int
-    allowed: float  # n + 2 * sqrt(n) + 2 for an expected load of n
+    allowed: float  # n + 2 * sqrt(n) + 2, where n is `overload_factor` times the expected load
     age_ms: float  # age of the server at the end of the window
 
 
@@ -157,16 +159,12 @@
     def __init__(self, seed: int, case: Case, make: Callable[[Settings, int], Any] = DecisionEngine) -> None:
         self.case = case
         self.arrivals: dict[tuple[str, float], list[Arrival]] = {}  # by server and start
-        self.informed_at: dict[
-            tuple[int, int, str, float], float
-        ] = {}  # by gateway, incarnation, server and start
+        # When gateways learned of server starts, by gateway, incarnation, server and start.
+        self.informed_at: dict[tuple[int, int, str, float], float] = {}
         settings = replace(SETTINGS, plans=(PLAN,), slow_start=case.slow_start, has_counter=False)
         super().__init__(seed, case.gateways, case.nodes, make, settings=settings)
-        self.mean_work_by_class = {
-            "read": 0.8,
-            "order": 0.9,
-            "charge": 1.5,
-        }  # mean work by class; 1 over the requests sent
+        # Mean work of a command; the mean over the requests of `send_random_request` is 1.
+        self.mean_work_by_class = {"read": 0.8, "order": 0.9, "charge": 1.5}
         for node in self.nodes.values():
             self.draw_speed(node)
         self.shares = [case.peak_factor if self.rng.random() < 0.2 else 1.0 for _ in range(case.gateways)]
