--- a/lab/sim/recovery.py
+++ b/lab/sim/recovery.py
@@ -40,7 +40,7 @@
     "drained", "no traffic", "trickle", "stopped", "all slow", "all hung", "burst", "counter gone",
     "list empty", "slow in the quiet",
 )  # fmt: skip
-# Faults that `swarm.start_fault` starts alike.
+# Faults of the swarm's sites, which `swarm.start_fault` starts.
 FAULTS = (
     "half die", "rolling", "hang", "errors", "resets", "slow nodes", "gone", "counter split", "counter slow",
 )  # fmt: skip
@@ -63,6 +63,7 @@
     ) -> None:
         self.shape = shape
         self.is_counting = False  # whether the tail has settled, so that its requests count
+        # Unanswered requests of the tail, by request id: gateway, class and plan.
         self.tail_requests: dict[str, tuple[int, str, str]] = {}
         self.requests_in_tail: Counter[tuple[int, str, str]] = Counter()
         self.served_in_tail: Counter[tuple[int, str, str]] = Counter()
