--- a/lab/sim/piped.py
+++ b/lab/sim/piped.py
@@ -28,7 +28,7 @@
 from glenchute.policy.events import EndpointListKind, EndpointState, Outcome
 from glenchute.policy.settings import Idempotency
 from lab.sim.swarm import KINDS
-from lab.sim.world import DEADLINE_MARGIN_MS, NET_MS, AttemptContext, BrokenRule, Node, World
+from lab.sim.world import DEADLINE_MARGIN_MS, DRAIN_GRACE_MS, NET_MS, AttemptContext, BrokenRule, Node, World
 
 PIPED_KINDS = (*KINDS, "stuck lines", "extra replies", "volley")
 MAX_CONNECTIONS = 5  # per gateway: few, so that they are shared
@@ -60,7 +60,7 @@
         self.command: PipelinedCommand[SimulatedAttempt] | None = None
         self.arrived_at = math.inf  # at the node
         self.is_finished = False
-        self.is_unsent = False  # it ended with an outcome that means that it was never sent
+        self.is_unsent = False  # it was reported as never sent when its connection was closed
         self.was_sent = False
         self.has_waited = False
 
@@ -109,13 +109,14 @@
         self.attempts: dict[tuple[int, int, str, int], SimulatedAttempt] = {}
         self.last_attempt_id = 0
         self.check_times: dict[int, float] = {}
-        self.surplus_reply_rates: dict[
-            str, float
-        ] = {}  # by node: fraction of replies that are followed by a surplus reply
-        self.stuck_write_rates: dict[
-            str, float
-        ] = {}  # by node: fraction of writes that stay in the send buffer for a while
-        self.joined = self.aborted_shared = self.max_depth_seen = 0
+        # By node: fraction of the replies that are followed by a surplus reply, if the node has no further
+        # command of the connection.
+        self.surplus_reply_rates: dict[str, float] = {}
+        # By node: fraction of the writes of which a part stays in the send buffer for a while.
+        self.stuck_write_rates: dict[str, float] = {}
+        self.joined = 0  # attempts placed behind others on a connection
+        self.aborted_shared = 0  # connections that were closed with several attempts on them
+        self.max_depth_seen = 0  # most attempts on a connection at once
         super().__init__(*args, **changes)
 
     def start_fault(self, kind: str, node: Node, size: float, span_ms: float) -> None:
@@ -181,7 +182,7 @@
             if conn.node is not None and conn.node.name == name:
                 for entry in list(conn.pipeline.pending):
                     self.schedule(0.0, self.withdraw_unwritten, entry.item)
-                self.schedule(240.0, self.abort_if_blocked, conn)
+                self.schedule(DRAIN_GRACE_MS - 10.0, self.abort_if_blocked, conn)
 
     def withdraw_unwritten(self, attempt: SimulatedAttempt) -> None:
         """Ends an attempt as unreachable, unless its command has been written meanwhile."""
@@ -194,7 +195,7 @@
             self.finish(attempt, Outcome.UNREACHABLE)
 
     def abort_if_blocked(self, conn: SimulatedConnection) -> None:
-        """Closes a connection if bytes of it still are in the send buffer."""
+        """Closes a connection if some of its bytes are still in the send buffer."""
         if conn.is_blocked and not conn.is_closed:
             self.close(conn, None, Outcome.RESET)
 
