--- a/lab/sim/world.py
+++ b/lab/sim/world.py
@@ -98,9 +98,8 @@
     limit: int = 30  # running and queued commands at most
     busy: int = 0  # running commands
     queue: list[Callable[[], None]] = field(default_factory=list)
-    arrivals: deque[float] = field(
-        default_factory=deque
-    )  # arrival times of recent commands while the node is cold
+    # Arrival times of recent commands while the node is cold.
+    arrivals: deque[float] = field(default_factory=deque)
 
 
 @dataclass
@@ -116,8 +115,8 @@
     key: str
     answer_count: int = 0
     attempt_count: int = 0
-    in_flight: set[int] = field(default_factory=set)  # attempts
-    times_out_at: dict[int, float] = field(default_factory=dict)  # by attempt
+    in_flight: set[int] = field(default_factory=set)  # numbers of the attempts in flight
+    times_out_at: dict[int, float] = field(default_factory=dict)  # time of the timeout, by attempt
     sent_zone: str | None = None  # zone of the first attempt that may have run
     first_sent_ms: float | None = None  # when the bytes of that attempt were sent
     run_count: int = 0
@@ -163,22 +162,21 @@
         self.nodes = {f"s{i}": Node(f"s{i}", "ab"[i % 2]) for i in range(nodes)}
         self.node_serial = itertools.count(nodes)
         self.counter_partitions = CounterPartitions(2)
+        # By gateway: how far its clock is ahead of the simulation's, in ms.
         self.skew = [self.rng.uniform(0.0, 50.0) for _ in range(gateways)]
         self.incarnation = [0] * gateways
         self.alive = [True] * gateways
         self.engines: list[Any] = [None] * gateways
-        self.endpoint_stop_times: list[dict[str, float]] = [
-            {} for _ in range(gateways)
-        ]  # by gateway and drained server: time after which nothing may be sent to it
+        # By gateway and drained server: time after which nothing may be sent to it.
+        self.endpoint_stop_times: list[dict[str, float]] = [{} for _ in range(gateways)]
         self.unrouted_gateways: set[int] = set()  # gateways that get no requests
         # Events of paused gateways; True marks a gateway's own timers.
         self.deferred_events: dict[int, list[tuple[bool, Callable[..., None], tuple[Any, ...]]]] = {}
         self.open_requests: dict[str, SimulatedRequest] = {}
         self.zone_by_node: dict[str, str] = {}  # of all nodes, also removed ones
         self.serial = itertools.count(1)
-        self.sent: list[
-            tuple[float, str, str, float]
-        ] = []  # time, customer, plan and units of each first attempt
+        # Time, customer, plan and units of each first attempt.
+        self.sent: list[tuple[float, str, str, float]] = []
         # When a command last ran, by the group of servers that share an idempotency key, and key.
         self.last_run_by_key: dict[tuple[str, str], float] = {}
         self.unreachable_attempts: list[tuple[float, str]] = []  # time and server
@@ -448,9 +446,8 @@
         sent, however long it waits in the queue.
         """
         request = context.request
-        if self.now > request.times_out_at.get(
-            context.attempt, request.deadline
-        ):  # the deadline in the command has passed, so the node does not run it
+        if self.now > request.times_out_at.get(context.attempt, request.deadline):
+            # The deadline in the command has passed, so the node does not run it.
             node.busy -= 1
             self.schedule(NET_MS, self.on_attempt_ended, *context, Outcome.REJECTED)
             return
