--- a/lab/sim/quotas.py
+++ b/lab/sim/quotas.py
@@ -242,9 +242,8 @@
     level: float
     overflow_units: float = 0.0  # refilled units that a full bucket discarded
     created_ms: float = 0.0
-    history: list[tuple[float, float, float]] = field(
-        default_factory=list
-    )  # times, levels and overflows that the caller has recorded for `state_at`
+    # Times, levels and overflows that the caller has recorded for `state_at`.
+    history: list[tuple[float, float, float]] = field(default_factory=list)
 
     def refill(self, now: float) -> float:
         """Refills the bucket up to now and returns its level."""
@@ -292,9 +291,8 @@
     over_quota_units: float = 0.0  # units admitted over quota
     half_unused_rejections: int = 0  # false rejections with half of the bucket or more unused
     false_rejections: int = 0
-    rejection_causes: Counter[str] = field(
-        default_factory=Counter
-    )  # the `half_unused_rejections` by the engine's rejection cause
+    # The `half_unused_rejections` by the gateway's cause of the rejection.
+    rejection_causes: Counter[str] = field(default_factory=Counter)
     by_plan: Counter[str] = field(default_factory=Counter)  # errors by kind and plan
 
     def bucket(self, account: Account) -> ExactBucket:
@@ -379,11 +377,11 @@
     ) -> None:
         super().__init__(settings, pacing, calls)
         self.world, self.number, self.exact = world, number, world.exact
-        self.baselines: dict[
-            str, tuple[float, float, float]
-        ] = {}  # time, level and overflow at the last total that was applied
+        # By tenant: time, level and overflow when the last total was applied or the window began.
+        self.baselines: dict[str, tuple[float, float, float]] = {}
         self.read_only_tenant = ""  # tenant for which the last counter reply was only a read
-        self.own_units: defaultdict[str, float] = defaultdict(float)  # own units since the last total
+        # By tenant: units that this gateway has admitted since the baseline.
+        self.own_units: defaultdict[str, float] = defaultdict(float)
 
     def set_baseline(self, tenant: Tenant, now: float, level: float) -> None:
         """Records the state against which the next total is compared. `now` is by the gateway's clock."""
@@ -546,7 +544,7 @@
         self.counter_buckets: dict[str, ExactBucket] = {}
         # Amounts added and not acknowledged, by gateway and counter key.
         self.unacknowledged_units: defaultdict[tuple[int, int], float] = defaultdict(float)
-        # Units in calls on their way to the counter, by customer and gateway.
+        # Admitted units in calls on their way to the counter, by customer and gateway.
         self.in_flight_units: defaultdict[tuple[str, int], float] = defaultdict(float)
         # By request: account, the client's random number, and the number of previous rejections.
         self.request_details: dict[str, tuple[Account, float, int]] = {}
@@ -745,7 +743,7 @@
         self.unacknowledged_units[number, call.key] -= call.amount
 
     def call_details(self, number: int, call: IncrementCounter, began: float) -> tuple[str, float, float]:
-        """Returns the customer, the units and the units reserved ahead of a call in flight."""
+        """Returns the customer, the units and the reserved units of a call in flight, found by its amount."""
         for row in self.engines[number].quota.counter.calls.in_flight[call.key]:
             if round(row.units + row.marker, 3) == call.amount:
                 return row.tenant.tenant_id, row.units, row.reserved_units
@@ -849,6 +847,7 @@
             retry_fraction,
         )
         self.rng = random.Random(seed + 1)
+        # By gateway: how far its clock is ahead of the simulation's, in ms.
         self.skew = [self.rng.uniform(0.0, 50.0) for _ in range(workload.gateways)]
         # By customer and epoch: value, number of overflow corrections, number of carry-overs.
         self.counter_values: dict[tuple[str, int], list[float]] = {}
@@ -857,7 +856,8 @@
         self.event_queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.ledger = QuotaLedger(0.0, count_from_ms=WARM_MS, charges_over_quota=charges_over_quota)
         self.corrections = self.cancelled_additions = 0
-        self.rejected_unanswered: set[tuple[Any, ...]] = set()  # a reply may still arrive
+        # Requests rejected after the timeout of their call, whose reply may still arrive.
+        self.rejected_unanswered: set[tuple[Any, ...]] = set()
 
     def schedule(self, delay_ms: float, call: Callable[..., None], *args: Any) -> None:
         heapq.heappush(self.event_queue, (self.now + delay_ms, next(self.order), call, args))
@@ -994,7 +994,7 @@
                 self.call_counter((pending_request[0].key, epoch), (-added, 0.0, 0.0), self.ignore_reply)
 
     def ignore_late_reply(self, values: list[float], *args: Any) -> None:
-        """Ignores a late reply of a call that only read."""
+        """Ignores the late reply of a call that only reads, as the request has been decided without it."""
 
     def carry_over(
         self,
