--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -1,8 +1,9 @@
 """Stand-in server of the platform's protocol that records what ran and fails according to a script.
 
 It runs `slots` commands at once and queues up to `queue` more; further commands are rejected without running.
-A repeat of an idempotency key within `idempotency_window_s` is answered as the first command was and has no
-effect. Pipelined commands start at once, up to `max_pipelined` per connection, and are answered in order.
+A repeat of an idempotency key within `idempotency_window_s` is served without a further effect, if its class
+is one of `keyed_classes`. Pipelined commands do not wait for each other, up to `max_pipelined` per
+connection, and are answered in order.
 """
 
 from __future__ import annotations
@@ -46,7 +47,9 @@
     queue: int = 64
     idempotency_window_s: float = 2.5  # how long an idempotency key is remembered
     max_pipelined: int = 32  # commands in progress on one connection
-    keyed_classes: frozenset[str] = frozenset({"check-order"})  # classes whose repeats are dropped by key
+    keyed_classes: frozenset[str] = frozenset(
+        {"check-order"}
+    )  # classes in which a repeated key has no effect
 
 
 class Node(Peer):
