--- a/lab/sim/members.py
+++ b/lab/sim/members.py
@@ -1,8 +1,8 @@
 """Simulates a site with members: real engines with the real membership, gossip and usage reports.
 
-The script makes the links between members lose messages, and cuts them. The rules are those of `World`,
-checked with records that no membership component writes. In addition, an account's quota must not be exceeded
-by more than the bound for the faults of the run.
+Faults make the links between members lose messages, or cut them. The rules are those of `World`, checked with
+records that no membership component writes. In addition, an account's quota must not be exceeded by more than
+the bound for the faults of the run.
 """
 
 from __future__ import annotations
@@ -242,7 +242,7 @@
 
     unreachable_count: int  # attempts that found a server down
     late_unreachable_count: int  # such attempts in the last quarter of the downtime
-    recovery_ms: float  # time until each of the servers runs a request again
+    recovery_ms: float  # time until each of the servers runs a request again, or the limit on this time
 
 
 def run_downtime(
