--- a/lab/bursts.py
+++ b/lab/bursts.py
@@ -66,7 +66,7 @@
                 fields.encode()]  # fmt: skip
 
     async def send_burst(self, due: float, burst: list[list[bytes]]) -> None:
-        """Sends a burst on a connection that it does not share meanwhile, and records the answers."""
+        """Sends a burst on a connection without other requests, and records the answers."""
         answered = 0
         try:
             async with asyncio.timeout(self.deadline_ms / 1000.0 + 0.5):
@@ -81,8 +81,10 @@
                             self.record(reply, due)
                     except ConnectionError:
                         client.writer.close()
+                        # A reused connection that ended without an answer may have been closed as idle
+                        # while the burst was on its way; the loop then sends the burst again.
                         if not is_reused or answered > answered_before:
-                            raise  # otherwise the burst crossed the close of the connection: sends it again
+                            raise
                     except asyncio.CancelledError:
                         client.writer.close()
                         raise
