--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -29,7 +29,7 @@
 from glenchute.policy.settings import Idempotency, Plan, RequestClass, Settings, SlowStart
 from lab.counter import CounterPartitions
 
-TIMEOUT_MS = 50.0
+TIMEOUT_MS = 50.0  # of a call to the counter, measured at the gateway
 NET_MS = 1.0  # one way between a gateway and the counter
 SERVERS = tuple(Endpoint(f"s{i}", "a") for i in range(6))
 PLANS = (
@@ -77,7 +77,7 @@
     partition_count: int = 2
     skew_ms: float = 0.0
     make_engine: Callable[[Settings, int], Any] = DecisionEngine
-    reset_fraction: float = 0.0  # of the counter calls, those that are added but end in a reset or an error
+    reset_fraction: float = 0.0  # of the counter calls in time: added, but ended by a reset or an error
     first_attempts: list[tuple[float, str, float]] = field(default_factory=list)  # time, plan, units
     rejections: list[tuple[float, str]] = field(default_factory=list)  # time, plan
     request_count: int = 0
@@ -92,16 +92,16 @@
         self.clock_skews = [self.rng.uniform(0.0, self.skew_ms) for _ in range(self.gateway_count)]
         self.incarnations = [0] * self.gateway_count
         self.engines: list[Any] = [None] * self.gateway_count
-        self.unsent: dict[tuple[int, str], Request] = {}  # without an attempt yet, by gateway and id
+        self.unsent: dict[tuple[int, str], Request] = {}  # requests without an attempt, by gateway and id
         for number in range(self.gateway_count):
             self.start(number)
 
     def schedule(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """Schedules a call at a true time."""
+        """Schedules a call at a true time in ms."""
         heapq.heappush(self.queue, (when, next(self.event_order), call, args))
 
     def run(self, until: float) -> None:
-        """Runs the simulation until a true time."""
+        """Runs the simulation until a true time in ms."""
         while self.queue and self.queue[0][0] <= until:
             when, _, call, args = heapq.heappop(self.queue)
             self.now = max(self.now, when)
