--- a/tests/rig.py
+++ b/tests/rig.py
@@ -75,7 +75,7 @@
         self.timers: list[tuple[float, int]] = []
         self.sent_addresses: dict[str, list[str]] = {}
         self.counter_outcome: Outcome = Outcome.OK  # outcome of calls to the counter
-        self.others_units = 0.0  # that other gateways add to a counter between two calls
+        self.others_units = 0.0  # units that other gateways add to a key between two calls
         self._answered = 0
         self._totals: dict[int, float] = {}
         if servers:
@@ -129,7 +129,7 @@
     def end_attempt(
         self, name: str, attempt: int, ending: Outcome, took: float = 20.0, final: bool | None = None
     ) -> list[Action]:
-        """Ends an attempt with an outcome."""
+        """Ends an attempt with an outcome, after `took` milliseconds."""
         server = self.sent_addresses[name][attempt]
         done = ending is Outcome.OK if final is None else final
         return self.handle_event(AttemptEnded(name, attempt, server, ending, took, done))
