--- a/tests/policy/admission/test_counter_resets.py
+++ b/tests/policy/admission/test_counter_resets.py
@@ -29,7 +29,7 @@
     first_calls: set[tuple[int, int]] = field(default_factory=set)  # gateway and key of each first call
     added: dict[str, float] = field(default_factory=dict)
 
-    def call_counter(self, number: int, incarnation: int, call: IncrementCounter, began: float) -> None:
+    def call_counter(self, number: int, incarnation: int, call: IncrementCounter, called_at: float) -> None:
         """Adds the call, and replies with a total unless it is the gateway's first for its key."""
         is_first = (number, call.key) not in self.first_calls
         self.first_calls.add((number, call.key))
