--- a/tests/policy/admission/test_counter_loss.py
+++ b/tests/policy/admission/test_counter_loss.py
@@ -93,7 +93,8 @@
 
 
 def ceiling_bound(fleet: Fleet, plan: int) -> float:
-    """Returns the ceiling's bound with the fleet's clock difference and restarts, plus a rounding error."""
+    """Returns the ceiling's bound with the fleet's clock difference and restarts, with a tolerance for
+    rounding."""
     bound = overshoot_bound(PLANS[plan], fleet.gateway_count, fleet.skew_ms, 1.0)
     return ceiling_overshoot_units(bound, fleet.restart_count) + 1e-6
 
@@ -403,7 +404,8 @@
     result = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
     assert result.returncode == 0
     rows = {line.split()[0]: line.split()[1:] for line in result.stdout.splitlines() if line.split()}
-    assert float(rows["korporativni"][1]) == 1.0  # a quarter of 40 a second in 100 ms
+    # A quarter of the ceiling's 40 units per second, for clocks that differ by 100 ms.
+    assert float(rows["korporativni"][1]) == 1.0
     assert float(rows["osnovni"][1]) == 0.0
     result = subprocess.run([*command, "--spread", "9"], capture_output=True, text=True, cwd=ROOT)
     assert result.returncode == 2
