--- a/tests/policy/admission/test_tenant_bound.py
+++ b/tests/policy/admission/test_tenant_bound.py
@@ -49,8 +49,8 @@
 
 
 def test_work_and_ceilings_are_never_forgotten(engine: DecisionEngine) -> None:
-    """Guards against eviction of a tenant with a ceiling, whose guard would be renewed, or with units that
-    the counter would never get."""
+    """Guards against eviction of a tenant with a ceiling, whose guard would be renewed, with attempts or
+    calls in flight, or with units that the counter would never get."""
     table = engine.quota.tenants
     engine.handle(1000.0, request("ceiling", "hard"))
     for name in ("in flight", "calling", "unreported"):
