--- a/tests/policy/membership/test_replica.py
+++ b/tests/policy/membership/test_replica.py
@@ -32,10 +32,8 @@
     MatchingBuckets,
     RowHashes,
 )
-from glenchute.policy.membership.leases import Ballot, LeaseMessage
-from glenchute.policy.membership.leases import LeaseMessageKind as Asks
-from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage
-from glenchute.policy.membership.members import SwimMessageKind as Probes
+from glenchute.policy.membership.leases import Ballot, LeaseMessage, LeaseMessageKind
+from glenchute.policy.membership.members import MemberState, MemberUpdate, SwimMessage, SwimMessageKind
 from glenchute.policy.membership.replica import (
     DEFAULT_KIND_RULES,
     PER_PROCESS_KINDS,
@@ -223,7 +221,7 @@
 @pytest.mark.parametrize(
     "body",
     [
-        SwimMessage(Probes.PING_REQ, 4, "g2", (MemberUpdate("g1", MemberState.SUSPECT, 3, 7),)),
+        SwimMessage(SwimMessageKind.PING_REQ, 4, "g2", (MemberUpdate("g1", MemberState.SUSPECT, 3, 7),)),
         Delta(((Row(RowKind.USE, "a", "b", 1, 2.0), 9),)),
         Digest(-1, (0, (1 << 64) - 1) * 32, True),
         LeafRequest(3, (1, 2)),
@@ -234,7 +232,7 @@
         EndpointListPart(
             1, 5, 0, 2, (SharedEndpoint(5, "s0", "127.0.0.1:80", "a", 1, 1.0, 0.0, 1),) * MAX_ROWS_PER_PART
         ),
-        LeaseMessage(Asks.PROPOSE, "task", Ballot(7, "g1", 9), Ballot(6, "g2", 8), 3.5),
+        LeaseMessage(LeaseMessageKind.PROPOSE, "task", Ballot(7, "g1", 9), Ballot(6, "g2", 8), 3.5),
         UsageRequest(-1),
         UsageMessage(
             1 << 40, True, False, (UsageEntry(f"{4242:016x}/170", 1, 0.125), UsageEntry("a/b/5", 9, 2e6, 7))
@@ -286,7 +284,15 @@
             ),
             "body",
         ),
-        (encode("lab", "g1", 1, LeaseMessage(Asks.PROPOSE, "t", Ballot(7, "g", 9), span_s=math.nan)), "body"),
+        (
+            encode(
+                "lab",
+                "g1",
+                1,
+                LeaseMessage(LeaseMessageKind.PROPOSE, "t", Ballot(7, "g", 9), span_s=math.nan),
+            ),
+            "body",
+        ),
         (
             encode(
                 "lab",
