--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -77,6 +77,7 @@
             rig.end_attempt(name, 0, Outcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(25.0)
+    # The local share of one of two gateways: half of the burst, and of the rate over 15 s; plus 5 requests.
     assert 10 <= served <= 6 / 2 + 2.0 / 2 * 15 + 5
 
 
@@ -455,4 +456,5 @@
     for _ in range(5):
         run_second()
     assert rig.gateway.quota.counter.pacing.is_unavailable
-    assert min_admitted <= sum(run_second() for _ in range(18)) <= max_admitted  # even shares: 18 to 21
+    # With even shares, 18 to 21 would be admitted.
+    assert min_admitted <= sum(run_second() for _ in range(18)) <= max_admitted
