--- a/tests/config/test_operator_files.py
+++ b/tests/config/test_operator_files.py
@@ -60,7 +60,7 @@
 MEMBER = "[[fleet.members]]\nname = 'g1'\naddress = '127.0.0.1:7947'\n"
 
 INVALID_FILES = [
-    # members
+    # members and subsets
     invalid("[fleet]\nname = 'g0'\n", ("missing-key", 1), ("missing-key", 1), ("missing-key", 1)),
     invalid(FLEET + MEMBER + MEMBER, ("member-twice", 9), ("member-twice", 10)),
     invalid(FLEET + MEMBER.replace("g1", "g0"), ("names-itself", 5)),
