--- a/tests/clients/test_list_parts.py
+++ b/tests/clients/test_list_parts.py
@@ -442,9 +442,8 @@
         with monkeypatch.context() as patch:
             patch.setattr(endpoint_updates, "BULK_ROWS", 10**9)
             old.apply(rows, full)
-        for name in rng.sample(
-            sorted(new.servers_in_use()), len(new.servers_in_use()) // 3
-        ):  # opens pools as use would
+        # Requests would open the pools of servers in use.
+        for name in rng.sample(sorted(new.servers_in_use()), len(new.servers_in_use()) // 3):
             assert new.servers.open_pool(name) is not None
         for name in rng.sample(sorted(new.servers.server_ids()), 9):  # also servers that drain
             first, second = new.servers.open_pool(name), old.servers.open_pool(name)
