--- a/tests/listeners/operations/test_operations.py
+++ b/tests/listeners/operations/test_operations.py
@@ -154,6 +154,7 @@
             # Each connection was closed between requests: every admitted request got its response.
             for client in (idle, pinging, fresh):
                 assert await client.ended()
+            # Two requests came before the drain, and `serial` counts from 10 during it.
             assert running.program.listener.request_count == serial - 8
             late = await running.client()  # a late client is served, then disconnected
             if running.program.listener.lifecycle.admits_requests(running.program.loop.time()):
