--- a/tests/policy/membership/test_cold_start.py
+++ b/tests/policy/membership/test_cold_start.py
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("count", [200, 520])
 def test_a_service_slower_than_the_terms_require_recovers(count: int) -> None:
-    """At a quarter of the required rate each gateway keeps to the pace of the polling settings, and the
+    """At about a fifth of the required rate each gateway keeps to the pace of the polling settings, and the
     service answers at its full rate until all gateways have a list."""
     rate = count / 15.0
     crowd = PollSimulation(count, lambda n: PollingSettings(count, n, rate, MAX_LIST_AGE_S), rate)
