--- a/tests/lab/test_swarm.py
+++ b/tests/lab/test_swarm.py
@@ -39,6 +39,7 @@
 
 @bug
 def unsafe_requests_are_repeated(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: any request gets a second attempt, even if it may have run."""
     original = RetryPolicy.may_retry
 
     def may_retry(self: RetryPolicy, now_ms: float, pending: PendingRequest, event: Any) -> bool:
@@ -49,11 +50,13 @@
 
 @bug
 def keys_are_never_forgotten(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: idempotency keys do not expire."""
     patch.setattr(RetryPolicy, "idempotency_expiry_ms", lambda self, pending: 1e18)
 
 
 @bug
 def any_zone_will_do(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: retries are not pinned to the zone or cell that knows the idempotency key."""
     original = EndpointChooser.pick
 
     def pick(self: EndpointChooser, now_ms: float, pending: PendingRequest) -> Any:
@@ -65,6 +68,7 @@
 
 @bug
 def refusals_after_a_try(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: a request may be rejected although an attempt may have run."""
     original = RequestExecution.finish
 
     def finish(self: RequestExecution, pending: PendingRequest) -> None:
@@ -76,6 +80,7 @@
 
 @bug
 def draining_servers_are_kept(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: draining and removed servers still get attempts."""
     original = ServerPool.update
 
     def update(self: ServerPool, endpoint_list: EndpointList, now_ms: float) -> None:
@@ -90,6 +95,7 @@
 
 @bug
 def open_counts_leak(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: an attempt that ends in a reset still counts as in flight."""
     original = RequestExecution.end_attempt
 
     def end_attempt(self: RequestExecution, now_ms: float, event: AttemptEnded) -> None:
@@ -103,6 +109,7 @@
 
 @bug
 def stores_overflow(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: each charge adds more units to the token bucket than it takes."""
     original = QuotaAccounting.charge
 
     def charge(self: QuotaAccounting, tenant: Any, units: float, is_counted: bool, has_total: bool) -> None:
@@ -114,6 +121,7 @@
 
 @bug
 def guards_are_not_kept(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: the ceilings are not enforced."""
     patch.setattr(quota, "is_granted_by_counter", lambda tenant, has_total: True)
     patch.setattr(CounterSync, "needs_total", lambda self, now_ms, tenant, units: False)
     patch.setattr(TenantTable, "headroom", lambda self, tenant: 1e9)
@@ -138,6 +146,7 @@
 
 @bug
 def some_requests_are_forgotten(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: a request whose attempt ends in an error is dropped without a response."""
     original = RequestExecution.end_attempt
 
     def end_attempt(self: RequestExecution, now_ms: float, event: AttemptEnded) -> None:
@@ -150,6 +159,7 @@
 
 @bug
 def an_answer_is_given_twice(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: a request gets a second final response."""
     original = RequestExecution.finish
 
     def finish(self: RequestExecution, pending: PendingRequest) -> None:
@@ -161,6 +171,7 @@
 
 @bug
 def newcomers_look_idle_and_get_it_all(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: servers that have started lately look idle, and have no slow start."""
     original = EndpointChooser.expected_delay
 
     def expected_delay(
@@ -174,6 +185,7 @@
 
 @bug
 def a_time_out_raises(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: the engine raises when a total shows that the counter lost its memory."""
     original = WindowCounter.apply_total
 
     def apply_total(self: WindowCounter, total: float, units: float, marker: float) -> Any:
@@ -187,6 +199,8 @@
 
 @bug
 def attempts_have_no_end(patch: pytest.MonkeyPatch) -> None:
+    """Injects a bug: retries have no limit in number or time."""
+
     def may_retry(self: RetryPolicy, now_ms: float, pending: PendingRequest, event: Any) -> bool:
         return pending.may_have_run_ms is None or pending.request_class.idempotency is Idempotency.IDEMPOTENT
 
