--- a/tests/policy/test_recovery.py
+++ b/tests/policy/test_recovery.py
@@ -202,7 +202,7 @@
 
 
 def lower_capacity(rig: EngineHarness) -> None:
-    """The capacity estimate is at its floor, and the credit for units of the requests' value is spent."""
+    """The capacity estimate is at its floor, and the credit of requests of this value is spent."""
     rig.gateway.shedder.capacity.capacity_per_s, rig.gateway.shedder.capacity.mean_latency_s = 0.01, 3.0
     while actions_of_type((request := rig.ask())[1], StartAttempt):
         rig.end_attempt(request[0], 0, Outcome.OK, 900.0)
