--- a/tests/policy/balancing/test_large_fleet.py
+++ b/tests/policy/balancing/test_large_fleet.py
@@ -151,8 +151,9 @@
 
 
 def test_removed_servers_of_an_old_list_cost_few_attempts() -> None:
-    """After a restart most servers of the list may no longer exist. Guards against relating failed connects
-    to their median: with more than half of the servers unreachable, all would be chosen as before."""
+    """After a restart most servers of the list may no longer exist. Guards against counting failed connects
+    only above the servers' median failure rate: with more than half of the servers unreachable, all would be
+    chosen as before."""
     world = LargeWorld(6)
     world.run(100.0)
     names = sorted(world.nodes)
