--- a/tests/policy/membership/test_leases.py
+++ b/tests/policy/membership/test_leases.py
@@ -255,8 +255,8 @@
 
 @pytest.mark.parametrize(("count", "voters"), [(5, 5), (15, 5), (60, 5), (9, 9), (12, 3)])
 def test_effects_never_overlap_under_random_faults(count: int, voters: int) -> None:
-    """Checks the effects of all holders for overlaps. After the last fault the next effect starts within the
-    startup silence of acceptors plus the span of one lease."""
+    """Checks the effects of all holders for overlaps. After the last fault the next effect starts within
+    two startup silences of acceptors, each about the longest lease span, plus 2 s."""
     for seed in range(12):
         cluster = run_with_faults(seed, count, voters, task_count=1 + seed % 3)
         faults_ended_at = cluster.now
@@ -350,7 +350,8 @@
         holders = {cluster.last_holder(task) for task in cluster.tasks}
         assert None not in holders
     assert sent[500] < 1.5 * sent[20] + 20.0 and len(holders) >= 15
-    # All candidates of a task die at once: others replace them as soon as membership reports it.
+    # All candidates of a task that are not acceptors die at once: others replace them as soon as membership
+    # reports it.
     task = cluster.tasks[0]
     for candidate in [
         p.candidates[task] for p in cluster.processes.values() if p.candidates[task].is_candidate
