--- a/tests/policy/balancing/test_subset.py
+++ b/tests/policy/balancing/test_subset.py
@@ -278,11 +278,11 @@
 
 
 def test_eight_processes_use_each_of_eight_servers_few_at_a_time(tmp_path: Path) -> None:
-    """By the servers' records of the requests that ran, three gateways on average use a server; without
-    subsets 47 of 60 did (`benchmarks.subsets start`). During this each gateway has four requests in flight:
-    more would enlarge its subset, and under an open load their number depends on the machine. Then a third of
-    the servers fail, one gateway is stopped, and another is killed and restarted; requests are served
-    throughout."""
+    """A server runs requests of three gateways on average, and of four at most, by its own records; without
+    subsets, 47 of 60 gateways used one server (`benchmarks.subsets start`). Meanwhile each gateway has four
+    requests in flight: more would enlarge its subset, and under an open load their number depends on the
+    machine. Then three of the servers fail, one gateway is paused, and another is killed and restarted;
+    requests are served throughout."""
 
     async def scenario() -> None:
         operator = "[subset]\nservers = 3\n"
@@ -631,7 +631,7 @@
 
 def test_the_rules_hold_in_swarm_runs_with_many_servers() -> None:
     """Runs the simulated site with more servers than a gateway uses whole, so that each gateway uses a
-    subset. Without its slow-start tokens or its drains the site finds a broken rule."""
+    subset. `tests/lab/test_swarm.py` tests that the site's checks find a broken engine."""
     engines: list[InspectableEngine] = []
 
     def make(policy_settings: Settings, engine_seed: int) -> InspectableEngine:
