--- a/tests/clients/test_discovery_watch.py
+++ b/tests/clients/test_discovery_watch.py
@@ -164,7 +164,8 @@
 
 
 REJECTED = http_response(b"", "503 Service Unavailable").replace(b"\r\n", b"\r\nRetry-After: 30\r\n", 1)
-# Results of the polls from the watch on, until the outage ends; the next poll reports the drain.
+# Results of the polls from the watch on, until the outage ends, with None for a poll that gets no answer; the
+# next poll reports the drain.
 OUTAGES: dict[str, list[bytes | type[ConnectionResetError] | None]] = {
     "rejected": [REJECTED, REJECTED, REJECTED],
     "reset": [ConnectionResetError, ConnectionResetError, ConnectionResetError],
