--- a/tests/proxied.py
+++ b/tests/proxied.py
@@ -30,6 +30,7 @@
     "spread": "value:1",
 }  # fmt: skip
 ACCOUNT = "00000000000000c1"
+# Status and `response.code_details` with which the proxy reports each outcome of an attempt.
 DETAILS = {
     Outcome.OK: (200, "via_upstream"),
     Outcome.ERROR: (500, "via_upstream"),
@@ -41,7 +42,7 @@
 
 
 def extproc_settings(**changes: Any) -> ExtProcSettings:
-    """Returns the listener's settings for the platform of `sites.py`."""
+    """Returns the listener's settings for the classes and plans of `platform_facts.py`."""
     classes = {name: cls.idempotency is Idempotency.WITH_KEY for name, cls in FACTS.classes.items()}
     rules = MappingRules(SOURCES, (), classes, FACTS.plans, 1)
     limits = {
@@ -252,7 +253,8 @@
     def send_request(
         self, class_name: str, left_ms: float, plan: str = "osnovni", number: int | None = None
     ) -> ProxyClient:
-        """Sends a client's request. Proxies that share a sequence of ids give its `number`."""
+        """Sends a client's request. For proxies in front of one site, pass different numbers, which become
+        the request ids."""
         request = b"%d" % (len(self.clients) + 1 if number is None else number)
         call = SimulatedCall(
             request, class_name, plan, ACCOUNT, left_ms, 1.0, 1, self.site.idempotency_by_class[class_name]
