--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -86,8 +86,8 @@
 class PlannedOutcome:
     """How an attempt will end.
 
-    Its bytes are sent after `connect_s`, or never if that is infinite. It ends with `outcome` after a further
-    `duration_s`, or gets no response if that is above 1e6.
+    Its bytes are sent after `connect_s`, or never if that exceeds the connect timeout. It ends with `outcome`
+    after a further `duration_s`, or gets no response if that is 1e6 or more.
     """
 
     connect_s: float
