--- a/tests/listeners/extproc/test_extproc_calls.py
+++ b/tests/listeners/extproc/test_extproc_calls.py
@@ -62,12 +62,12 @@
 
 
 def decision_log(
-    seed: int, request_count: int, draw_outcome: DrawOutcome, proxied: bool, tells: bool = True
+    seed: int, request_count: int, draw_outcome: DrawOutcome, proxied: bool, reports_outcomes: bool = True
 ) -> dict[bytes, LogRow]:
     """Returns the decision log of a run: for each request its attempts (server, start, outcome), the type of
     the final response, its time and its retry-after in milliseconds."""
     site = simulated_site(seed, draw_outcome)
-    proxy = SimulatedProxy(site, tells) if proxied else None
+    proxy = SimulatedProxy(site, reports_outcomes) if proxied else None
     rng = random.Random(seed)
     for _ in range(request_count):
         site.loop.run(site.loop.now + rng.expovariate(40))
@@ -121,17 +121,17 @@
     can't tell a reset in an attempt's last millisecond from a timeout either; none falls there in these runs.
     """
     inline = decision_log(seed, 2000, faulty_when_reachable, proxied=False)
-    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, tells=False)
+    by_proxy = decision_log(seed, 2000, faulty_when_reachable, proxied=True, reports_outcomes=False)
     assert {r: (inline[r], by_proxy[r]) for r in inline if inline[r] != by_proxy[r]} == {}
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize("tells", [True, False])
-def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(seed: int, tells: bool) -> None:
+@pytest.mark.parametrize("reports_outcomes", [True, False])
+def test_proxies_and_clients_that_die_at_any_moment_leave_nothing(seed: int, reports_outcomes: bool) -> None:
     """The simulated servers raise if a non-idempotent request is sent twice, or if two attempts of a request
     are in flight at once. Each request whose client did not disconnect gets one final response."""
     site = simulated_site(seed, faulty)
-    proxy = SimulatedProxy(site, tells)
+    proxy = SimulatedProxy(site, reports_outcomes)
     rng = random.Random(seed)
     disconnected: set[bytes] = set()
 
@@ -239,8 +239,8 @@
 
 
 def test_kills_of_the_processor_at_any_moment_never_repeat_a_charge() -> None:
-    """The processor dies at every moment of the exchange while charges are in flight, and the proxy asks the
-    new one to allow all of them again. The simulated servers raise if a charge runs twice."""
+    """The processor dies at moments 7 ms apart while charges are in flight, and the proxy asks the new one to
+    allow all of them again. The simulated servers raise if a charge runs twice."""
     reissued = 0
     for at_ms in range(0, 400, 7):
         site = simulated_site(at_ms, faulty)
@@ -301,7 +301,7 @@
 def request_headers(
     request_id: str = "r1", class_name: str = "report-read", **more_headers: str
 ) -> ev.RequestHeaders:
-    """Returns a request's headers, for the classes of `sites.py`."""
+    """Returns a request's headers, for the classes of `platform_facts.py`."""
     return ev.RequestHeaders(
         headers(
             x_class=class_name, x_account=ACCOUNT, x_plan="osnovni", x_request_id=request_id,
