--- a/tests/system/test_crossings_busy_loop.py
+++ b/tests/system/test_crossings_busy_loop.py
@@ -21,7 +21,7 @@
     MAX_PENDING_COMMANDS,
 )
 from glenchute.policy.actions import Action, StartAttempt
-from glenchute.policy.engine import DecisionEngine as Policy
+from glenchute.policy.engine import DecisionEngine
 from glenchute.policy.events import AttemptEnded, ClientDisconnected, Event, Outcome, Request, TimerFired
 from glenchute.upstreams.connection_pool import REUSE_DELAY_S
 from lab.peers import Client, reply_with, run_scenario, wait_until
@@ -81,8 +81,8 @@
 @pytest.mark.parametrize("pending", [1, MAX_PENDING_COMMANDS, 3 * MAX_PENDING_COMMANDS])
 def test_who_left_while_the_loop_was_busy_is_not_sent_on(how: str, pending: int) -> None:
     """The client disconnects while the loop is blocked and its requests wait for a decision; the decision
-    code then starts their attempts before the loop polls any socket. With 64 pending commands the gateway has
-    stopped reading from the connection, so reading can't show the close."""
+    code then starts their attempts before the loop polls any socket. With `MAX_PENDING_COMMANDS` the
+    gateway has stopped reading from the connection, so reading can't show the close."""
 
     async def scenario() -> None:
         script = ScriptedEngine(lambda event: [])
@@ -179,7 +179,7 @@
                 return b""
             return SERVED
 
-        recorder = OutcomeRecorder(Policy(policy_settings(SETTINGS), 1))
+        recorder = OutcomeRecorder(DecisionEngine(policy_settings(SETTINGS), 1))
         async with site(reply, reply, decisions=recorder) as gateway_site:
             steady_client = await open_idle_connections(gateway_site, 12)
             await asyncio.sleep(2.0 * REUSE_DELAY_S)  # idle connections are not reused before that
@@ -263,8 +263,8 @@
 
 @pytest.mark.parametrize("first", [send_nothing, fail_late, reset_late])
 def test_a_further_attempt_tells_no_more_time_than_is_left(first: Callable[..., Awaitable[None]]) -> None:
-    """The second attempt must state less by at least the duration of the first, which its client has
-    waited."""
+    """The remaining time that the second attempt states to its server must be shorter by at least the
+    duration of the first attempt, which the client has waited."""
 
     async def scenario() -> None:
         def decide(event: Event) -> list[Action]:
